--- a/handover.go
+++ b/handover.go
@@ -16,51 +16,71 @@
 
 // Memory is what a door hands on. Classes and plans are numbered as in its settings.
 type Memory struct {
-	At        time.Duration
-	Classes   []ClassMemory
-	Customers []CustomerMemory
-	Servers   []ServerMemory
-	Fleet     float64
-	Rate      float64
-	Short     float64
-	CallShare float64
+	At        time.Duration    `json:"At"`
+	Classes   []ClassMemory    `json:"Classes"`
+	Customers []CustomerMemory `json:"Customers"`
+	Servers   []ServerMemory   `json:"Servers"`
+	Fleet     float64          `json:"Fleet"`
+	Rate      float64          `json:"Rate"`
+	Short     float64          `json:"Short"`
+	CallShare float64          `json:"CallShare"`
 }
 
 // ClassMemory is what is known of a class.
 type ClassMemory struct {
-	Base, Floor float64 // seconds
-	Answers     int
+	Base    float64 `json:"Base"`  // seconds
+	Floor   float64 `json:"Floor"` // seconds
+	Answers int     `json:"Answers"`
 }
 
 // CustomerMemory is how a customer stands.
 type CustomerMemory struct {
-	Name                                         string
-	Plan                                         int
-	Doors, Demand, Leave                         float64
-	DemandAt, UsedAt                             time.Duration
-	Tokens, Owed, Spare, Others, Store, Seen     float64
-	SpareAt, GrantAt, StoreAt, KnownAt, TokensAt time.Duration
-	Known                                        bool
-	SeenIn, Carried, Turn                        int64
-	CarriedAt, EmptyUntil                        time.Duration
-	Ceil, Kept                                   float64
-	CeilAt                                       time.Duration
-	Open                                         []time.Duration // until when those are open at the latest that count against a cap
+	Name       string          `json:"Name"`
+	Plan       int             `json:"Plan"`
+	Doors      float64         `json:"Doors"`
+	Demand     float64         `json:"Demand"`
+	Leave      float64         `json:"Leave"`
+	DemandAt   time.Duration   `json:"DemandAt"`
+	UsedAt     time.Duration   `json:"UsedAt"`
+	Tokens     float64         `json:"Tokens"`
+	Owed       float64         `json:"Owed"`
+	Spare      float64         `json:"Spare"`
+	Others     float64         `json:"Others"`
+	Store      float64         `json:"Store"`
+	Seen       float64         `json:"Seen"`
+	SpareAt    time.Duration   `json:"SpareAt"`
+	GrantAt    time.Duration   `json:"GrantAt"`
+	StoreAt    time.Duration   `json:"StoreAt"`
+	KnownAt    time.Duration   `json:"KnownAt"`
+	TokensAt   time.Duration   `json:"TokensAt"`
+	Known      bool            `json:"Known"`
+	SeenIn     int64           `json:"SeenIn"`
+	Carried    int64           `json:"Carried"`
+	Turn       int64           `json:"Turn"`
+	CarriedAt  time.Duration   `json:"CarriedAt"`
+	EmptyUntil time.Duration   `json:"EmptyUntil"`
+	Ceil       float64         `json:"Ceil"`
+	Kept       float64         `json:"Kept"`
+	CeilAt     time.Duration   `json:"CeilAt"`
+	Open       []time.Duration `json:"Open"` // until when those are open at the latest that count against a cap
 }
 
 // ServerMemory is what is known of a backend.
 type ServerMemory struct {
-	Name            string
-	Started, ColdAt time.Duration
-	Cold, Ejected   bool
-	Slow, Slots     float64
-	Sends           []SendMemory // of the last cold window
+	Name    string        `json:"Name"`
+	Started time.Duration `json:"Started"`
+	ColdAt  time.Duration `json:"ColdAt"`
+	Cold    bool          `json:"Cold"`
+	Ejected bool          `json:"Ejected"`
+	Slow    float64       `json:"Slow"`
+	Slots   float64       `json:"Slots"`
+	Sends   []SendMemory  `json:"Sends"` // of the last cold window
 }
 
 // SendMemory is one send to a cold backend.
 type SendMemory struct {
-	At   time.Duration
-	Size float64
+	At   time.Duration `json:"At"`
+	Size float64       `json:"Size"`
 }
 
 // Leave asks for what the door that takes this one's place needs; a Handed answers it. From then on this door ends what it has
--- a/internal/core/succession.go
+++ b/internal/core/succession.go
@@ -11,9 +11,10 @@
 // Estate is what a core hands to the one of another process that takes its place. Classes and plans are numbered as its names
 // have them.
 type Estate struct {
-	Classes, Plans []string
-	Gone           []string // backends that were listed once and are not now
-	Memory         snowhall.Memory
+	Classes []string        `json:"Classes"`
+	Plans   []string        `json:"Plans"`
+	Gone    []string        `json:"Gone"` // backends that were listed once and are not now
+	Memory  snowhall.Memory `json:"Memory"`
 }
 
 // Leave makes the core end what it has and take nothing more upon itself: what it returns is another's from then on, or goes
--- a/internal/service/upgrade.go
+++ b/internal/service/upgrade.go
@@ -26,9 +26,9 @@
 
 // estate is what the old process of an upgrade leaves to the new one, beside sockets.
 type estate struct {
-	Listen string
-	Core   core.Estate
-	Known  discovery.Members
+	Listen string            `json:"Listen"`
+	Core   core.Estate       `json:"Core"`
+	Known  discovery.Members `json:"Known"`
 }
 
 // Inheritance is what a new process got from the old one.
