--- /dev/null
+++ b/golden_test.go
@@ -0,0 +1,679 @@
+package snowhall_test
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"testing"
+	"time"
+
+	"snowhall"
+	"snowhall/internal/golden"
+	"snowhall/share"
+)
+
+// playLength is the virtual time of one play.
+const playLength = 6 * time.Second
+
+// faults are the probabilities with which a play goes wrong.
+type faults struct {
+	attempt  float64 // an attempt ends other than served
+	silent   float64 // an attempt has no result before its time is over
+	counter  float64 // a counter call fails or times out
+	late     float64 // a call that timed out is answered late
+	endpoint float64 // an endpoint changes its state, in each round
+	stall    float64 // the gateway stands still for a while, in each round
+}
+
+// play is one deterministic run of some instances of the decision module with random events.
+type play struct {
+	name     string
+	seed     uint64
+	settings snowhall.Settings
+	gateways int // instances that are driven; the settings may name more
+	backends int
+	calls    int // requests a round at most, of each instance
+	faults   faults
+	loans    bool // shares are leased and lent between the instances
+	reload   bool // settings change in the middle
+	handover bool // each instance hands over to a new one in the middle, or takes it back
+	admin    bool // endpoints are ejected and restored by hand
+	grants   bool // some requests ask for admission only
+}
+
+// attempt is a dispatched attempt that has no result yet.
+type attempt struct {
+	snowhall.Send
+	number int
+	sentAt time.Duration
+	begun  bool
+	due    time.Duration
+}
+
+// delayed is an event that reaches an instance at a time.
+type delayed struct {
+	at    time.Duration
+	event snowhall.Event
+}
+
+// instance is one driven gateway.
+type instance struct {
+	index    int
+	module   *snowhall.Door
+	lastID   uint64
+	attempts []*attempt
+	counts   map[uint64]int // attempts so far, by request
+	open     map[uint64]bool
+	inbox    []delayed
+}
+
+// run is a play while it goes on.
+type run struct {
+	play
+	rng       *rand.Rand
+	now       time.Duration
+	trace     *golden.Trace
+	instances []*instance
+	list      []snowhall.Backend
+	totals    map[uint64]float64
+	lastCalls map[string]time.Duration
+}
+
+// hash plays and returns the hash of all actions in order.
+func (p play) hash(t *testing.T) string {
+	t.Helper()
+	r := &run{
+		play:   p,
+		rng:    rand.New(rand.NewPCG(p.seed, 77)),
+		now:    time.Hour,
+		trace:  golden.NewTrace(),
+		totals: map[uint64]float64{},
+	}
+	for i := range p.backends {
+		r.list = append(r.list, snowhall.Backend{
+			Name:   fmt.Sprint("b-", i),
+			Zone:   i % 3,
+			Cell:   i / 2,
+			Weight: 1 + float64(i%4)/2,
+		})
+	}
+	for i := range p.gateways {
+		r.start(t, i)
+	}
+	end := r.now + playLength
+	for round := 0; r.now < end; round++ {
+		r.now += time.Duration(1+r.rng.IntN(12)) * time.Millisecond
+		if r.rng.Float64() < p.faults.stall {
+			r.now += time.Duration(r.rng.IntN(700)) * time.Millisecond
+		}
+		if round == 250 {
+			r.middle(t)
+		}
+		r.changeEndpoints()
+		for _, in := range r.instances {
+			r.step(in, r.events(in))
+		}
+	}
+	return r.trace.Sum()
+}
+
+// start makes an instance that knows the endpoint list.
+func (r *run) start(t *testing.T, index int) *instance {
+	t.Helper()
+	settings := r.settings
+	settings.Rank = index
+	settings.Classes = slices.Clone(settings.Classes)
+	settings.Plans = slices.Clone(settings.Plans)
+	module, err := snowhall.New(settings, r.seed*1000+uint64(index))
+	if err != nil {
+		t.Fatal(err)
+	}
+	in := &instance{index: index, module: module, counts: map[uint64]int{}, open: map[uint64]bool{}}
+	if index < len(r.instances) {
+		r.instances[index] = in
+	} else {
+		r.instances = append(r.instances, in)
+	}
+	r.step(in, []snowhall.Event{snowhall.List{Scope: snowhall.Cached, Entries: slices.Clone(r.list)}})
+	if r.loans {
+		r.step(in, []snowhall.Event{snowhall.Sharing{Part: 1 / float64(r.gateways), Until: r.now + 2*time.Second}})
+	}
+	return in
+}
+
+// middle does what happens once in the middle of a play.
+func (r *run) middle(t *testing.T) {
+	t.Helper()
+	if r.reload {
+		settings := r.settings
+		settings.Classes = append(slices.Clone(settings.Classes), settings.Classes[0])
+		settings.Classes[0].Worth *= 2
+		settings.Plans = slices.Clone(settings.Plans)
+		for i := range settings.Plans {
+			settings.Plans[i].Rate *= 0.7
+			settings.Plans[i].Burst *= 0.9
+		}
+		from := []int{}
+		for i := range r.settings.Classes {
+			from = append(from, i)
+		}
+		from = append(from, -1)
+		for _, in := range r.instances {
+			own := settings
+			own.Rank = in.index
+			r.step(in, []snowhall.Event{snowhall.Retune{Settings: own, From: from}})
+		}
+	}
+	if r.handover {
+		for i, in := range r.instances {
+			var state snowhall.Memory
+			for _, action := range r.step(in, []snowhall.Event{snowhall.Leave{}}) {
+				if handed, ok := action.(snowhall.Handed); ok {
+					state = handed.Memory
+				}
+			}
+			if i%2 == 1 { // it comes to nothing: the old one goes on
+				r.step(in, []snowhall.Event{snowhall.Recall{Memory: state}})
+				continue
+			}
+			r.step(r.start(t, i), []snowhall.Event{snowhall.Recall{Memory: state}})
+		}
+	}
+}
+
+// changeEndpoints changes an endpoint, and tells all instances at times of their own.
+func (r *run) changeEndpoints() {
+	if r.rng.Float64() >= r.faults.endpoint || len(r.list) == 0 {
+		return
+	}
+	at := r.rng.IntN(len(r.list))
+	entry := &r.list[at]
+	entry.State = snowhall.State(r.rng.IntN(3))
+	if r.rng.IntN(2) == 0 {
+		entry.State = snowhall.InService
+		entry.Started = r.now
+	}
+	update := snowhall.List{Scope: snowhall.Delta, Entries: []snowhall.Backend{*entry}}
+	switch r.rng.IntN(5) {
+	case 0:
+		update = snowhall.List{Scope: snowhall.Whole, Entries: slices.Clone(r.list)}
+	case 1:
+		update = snowhall.List{Scope: snowhall.ListFailed}
+	}
+	for _, in := range r.instances {
+		in.inbox = append(in.inbox, delayed{r.now + time.Duration(r.rng.IntN(300))*time.Millisecond, update})
+	}
+	if r.admin {
+		name := r.list[r.rng.IntN(len(r.list))].Name
+		for _, in := range r.instances {
+			var event snowhall.Event = snowhall.Detach{Backend: name, At: r.now}
+			if r.rng.IntN(2) == 0 {
+				event = snowhall.Attach{Backend: name}
+			}
+			in.inbox = append(in.inbox, delayed{r.now, event})
+		}
+	}
+}
+
+// events are what reaches an instance in this round.
+func (r *run) events(in *instance) (events []snowhall.Event) {
+	kept := in.inbox[:0]
+	for _, d := range in.inbox {
+		if d.at <= r.now {
+			events = append(events, d.event)
+		} else {
+			kept = append(kept, d)
+		}
+	}
+	in.inbox = kept
+	events = append(events, r.results(in)...)
+	for range r.rng.IntN(r.calls + 1) {
+		events = append(events, r.request(in))
+	}
+	if r.rng.IntN(60) == 0 && in.lastID > 4 {
+		events = append(events, snowhall.Gone{ID: in.lastID - uint64(r.rng.IntN(4))})
+	}
+	if r.loans && r.rng.IntN(60) == 0 {
+		events = append(events, r.shareLease())
+	}
+	return events
+}
+
+// shareLease is a renewal, a change or a loss of an instance's leased share.
+func (r *run) shareLease() snowhall.Event {
+	lease := snowhall.Sharing{Part: 1 / float64(r.gateways), Until: r.now + time.Duration(500+r.rng.IntN(1500))*time.Millisecond}
+	switch r.rng.IntN(6) {
+	case 0:
+		lease.Part /= 2
+	case 1:
+		lease.Out = true
+	case 2:
+		lease.Gone = []int{r.rng.IntN(r.settings.Doors)}
+	}
+	return lease
+}
+
+// request is a new request of a client.
+func (r *run) request(in *instance) snowhall.Event {
+	in.lastID++
+	customer, plan := r.rng.IntN(12), r.rng.IntN(len(r.settings.Plans))
+	if r.settings.LendCeilings { // a plan that changes while a lease is asked for is a case of its own
+		plan = customer % len(r.settings.Plans)
+	}
+	request := snowhall.Request{
+		ID:       in.lastID,
+		Class:    r.rng.IntN(len(r.settings.Classes)),
+		Plan:     plan,
+		Customer: fmt.Sprint("c", customer),
+		Left:     time.Duration(20+r.rng.IntN(2500)) * time.Millisecond,
+		Units:    1,
+		Retry:    r.rng.IntN(8) == 0,
+	}
+	if r.settings.MaxUnits > 1 {
+		request.Units += float64(r.rng.IntN(int(r.settings.MaxUnits)))
+	}
+	if r.rng.IntN(6) == 0 {
+		request.Doors = 1 + r.rng.IntN(r.settings.Doors)
+	}
+	if r.grants && r.rng.IntN(3) == 0 {
+		request.Grant = true
+		request.Hold = time.Duration(r.rng.IntN(400)) * time.Millisecond
+	}
+	in.open[request.ID] = true
+	return request
+}
+
+// results are the ends of attempts that are due.
+func (r *run) results(in *instance) (events []snowhall.Event) {
+	kept := in.attempts[:0]
+	for _, a := range in.attempts {
+		streamed := r.settings.Classes[0].Stream && !a.begun && r.rng.IntN(4) == 0
+		switch {
+		case r.now < a.due && streamed:
+			a.begun = true
+			events = append(events, snowhall.FirstByte{ID: a.ID, Attempt: a.number})
+			kept = append(kept, a)
+			continue
+		case r.now < a.due:
+			kept = append(kept, a)
+			continue
+		}
+		events = append(events, r.result(in, a, r.status(a)))
+	}
+	in.attempts = kept
+	return events
+}
+
+// status is how an attempt ends that is due.
+func (r *run) status(a *attempt) snowhall.Status {
+	if r.now >= a.sentAt+a.Timeout {
+		return snowhall.Timeout
+	}
+	if r.rng.Float64() < r.faults.attempt {
+		return snowhall.Status(r.rng.IntN(int(snowhall.Moot) + 1))
+	}
+	return snowhall.OK
+}
+
+func (r *run) result(in *instance, a *attempt, status snowhall.Status) snowhall.Event {
+	result := snowhall.Outcome{
+		ID:      a.ID,
+		Attempt: a.number,
+		Backend: a.Backend,
+		Status:  status,
+		Latency: r.now - a.sentAt,
+		Closed:  status == snowhall.OK || !in.open[a.ID],
+		Used:    r.rng.IntN(120),
+	}
+	if r.settings.TruedUp && status == snowhall.OK {
+		result.Units = float64(r.rng.IntN(4))
+	}
+	if status == snowhall.OK {
+		delete(in.open, a.ID)
+	}
+	return result
+}
+
+// step hands events to an instance, adds what it wants to the trace and carries it out.
+func (r *run) step(in *instance, events []snowhall.Event) []snowhall.Action {
+	actions := slices.Clone(in.module.Step(r.now, events))
+	r.trace.Int(int64(in.index))
+	r.trace.Duration(r.now)
+	r.trace.Int(int64(len(actions)))
+	for _, action := range actions {
+		record(r.trace, action)
+		r.carryOut(in, action)
+	}
+	return actions
+}
+
+// carryOut does what an action asks for.
+func (r *run) carryOut(in *instance, action snowhall.Action) {
+	later := func(d time.Duration, event snowhall.Event) {
+		in.inbox = append(in.inbox, delayed{r.now + d, event})
+	}
+	switch action := action.(type) {
+	case snowhall.Send:
+		number := in.counts[action.ID]
+		in.counts[action.ID]++
+		takes := time.Duration(5+r.rng.ExpFloat64()*60) * time.Millisecond
+		if r.rng.Float64() < r.faults.silent {
+			takes = action.Timeout
+		}
+		in.attempts = append(in.attempts, &attempt{
+			Send:   action,
+			number: number,
+			sentAt: r.now,
+			due:    r.now + min(takes, action.Timeout),
+		})
+	case snowhall.Cancel:
+		for i, a := range in.attempts {
+			if a.ID == action.ID && a.number == action.Attempt {
+				in.attempts = slices.Delete(in.attempts, i, i+1)
+				later(0, r.result(in, a, snowhall.Cancelled))
+				break
+			}
+		}
+	case snowhall.Refuse:
+		delete(in.open, action.ID)
+	case snowhall.Fail:
+		delete(in.open, action.ID)
+	case snowhall.Grant:
+		delete(in.open, action.ID)
+		if r.rng.IntN(2) == 0 {
+			later(time.Duration(r.rng.IntN(300))*time.Millisecond, snowhall.Gone{ID: action.ID})
+		}
+	case snowhall.Count:
+		r.count(in, action)
+	case snowhall.SetTimer:
+		later(max(time.Millisecond, action.At-r.now), snowhall.Timer{Cookie: action.Cookie})
+	case snowhall.Probe:
+		status := snowhall.OK
+		if r.rng.Float64() < r.faults.attempt {
+			status = snowhall.Timeout
+		}
+		later(5*time.Millisecond, snowhall.Probed{Backend: action.Backend, Status: status})
+	case snowhall.Watch, snowhall.Fetch:
+		later(20*time.Millisecond, snowhall.List{Scope: snowhall.Whole, Entries: slices.Clone(r.list)})
+	case snowhall.Finding:
+		for _, other := range r.instances {
+			if other != in {
+				other.inbox = append(other.inbox, delayed{r.now, action})
+			}
+		}
+	case snowhall.Borrow:
+		for _, other := range r.instances {
+			if other != in {
+				event := snowhall.Wanted{From: in.index, Customer: action.Customer, Plan: action.Plan, At: action.At}
+				other.inbox = append(other.inbox, delayed{r.now + 2*time.Millisecond, event})
+			}
+		}
+	case snowhall.Lend:
+		loan := snowhall.Loaned{From: in.index, Customer: action.Customer, Plan: action.Plan, At: action.At,
+			Rate: action.Rate, Depth: action.Depth}
+		to := r.instances[action.To]
+		to.inbox = append(to.inbox, delayed{r.now + 2*time.Millisecond, loan})
+	}
+}
+
+// count adds to a number of the counter and answers in time, late or never.
+func (r *run) count(in *instance, call snowhall.Count) {
+	answer := func(d time.Duration, event snowhall.Event) {
+		in.inbox = append(in.inbox, delayed{r.now + d, event})
+	}
+	takes := time.Duration(1+r.rng.IntN(20)) * time.Millisecond
+	if r.rng.Float64() >= r.faults.counter {
+		r.totals[call.Name] += call.Amount
+		answer(takes, snowhall.Counted{Name: call.Name, Status: snowhall.OK, Total: r.totals[call.Name]})
+		return
+	}
+	status := []snowhall.Status{snowhall.Failed, snowhall.Full, snowhall.Timeout, snowhall.ConnectFailed, snowhall.Timeout}[r.rng.IntN(5)]
+	if status == snowhall.Timeout {
+		takes = r.settings.CounterTimeout
+	}
+	if status == snowhall.Failed || status == snowhall.Timeout {
+		r.totals[call.Name] += call.Amount
+	}
+	answer(takes, snowhall.Counted{Name: call.Name, Status: status})
+	if status == snowhall.Timeout && r.rng.Float64() < r.faults.late {
+		late := snowhall.Late{Ticket: call.Ticket, Status: snowhall.OK, Total: r.totals[call.Name]}
+		answer(takes+time.Duration(r.rng.IntN(900))*time.Millisecond, late)
+	}
+}
+
+// record adds an action to a trace: a number for its kind, then each field.
+func record(trace *golden.Trace, action snowhall.Action) {
+	switch a := action.(type) {
+	case snowhall.Send:
+		trace.Int(1)
+		trace.Uint(a.ID)
+		trace.String(a.Backend)
+		trace.Duration(a.Timeout)
+		trace.Duration(a.By)
+	case snowhall.Refuse:
+		trace.Int(2)
+		trace.Uint(a.ID)
+		trace.Duration(a.Pause)
+		trace.Int(int64(a.Why))
+	case snowhall.Fail:
+		trace.Int(3)
+		trace.Uint(a.ID)
+		trace.Int(int64(a.Why))
+	case snowhall.Grant:
+		trace.Int(4)
+		trace.Uint(a.ID)
+	case snowhall.Cancel:
+		trace.Int(5)
+		trace.Uint(a.ID)
+		trace.Int(int64(a.Attempt))
+	case snowhall.Probe:
+		trace.Int(6)
+		trace.String(a.Backend)
+	case snowhall.Count:
+		trace.Int(7)
+		trace.Uint(a.Name)
+		trace.Float(a.Amount)
+		trace.Duration(a.Keep)
+		trace.Uint(a.Ticket)
+	case snowhall.SetTimer:
+		trace.Int(8)
+		trace.Duration(a.At)
+		trace.Uint(a.Cookie)
+	case snowhall.Watch:
+		trace.Int(9)
+	case snowhall.Fetch:
+		trace.Int(10)
+	case snowhall.Finding:
+		trace.Int(11)
+		trace.String(a.Backend)
+		trace.Int(int64(a.Health))
+		trace.Duration(a.Since)
+	case snowhall.Log:
+		trace.Int(12)
+	case snowhall.Borrow:
+		trace.Int(13)
+		trace.String(a.Customer)
+		trace.Int(int64(a.Plan))
+		trace.Duration(a.At)
+	case snowhall.Lend:
+		trace.Int(14)
+		trace.Int(int64(a.To))
+		trace.String(a.Customer)
+		trace.Int(int64(a.Plan))
+		trace.Duration(a.At)
+		trace.Float(a.Rate)
+		trace.Float(a.Depth)
+	case snowhall.Handed:
+		trace.Int(15)
+		recordState(trace, a.Memory)
+	default:
+		panic(fmt.Sprintf("an action of an unknown kind: %T", a))
+	}
+}
+
+// recordState adds what is handed over to a trace, each field.
+func recordState(trace *golden.Trace, m snowhall.Memory) {
+	trace.Duration(m.At)
+	for _, c := range m.Classes {
+		trace.Float(c.Base)
+		trace.Float(c.Floor)
+		trace.Int(int64(c.Answers))
+	}
+	for _, c := range m.Customers {
+		trace.String(c.Name)
+		trace.Int(int64(c.Plan))
+		for _, v := range []float64{c.Doors, c.Demand, c.Leave, c.Tokens, c.Owed, c.Spare, c.Others, c.Store, c.Seen, c.Ceil, c.Kept} {
+			trace.Float(v)
+		}
+		for _, v := range []time.Duration{c.DemandAt, c.UsedAt, c.SpareAt, c.GrantAt, c.StoreAt, c.KnownAt, c.TokensAt, c.CarriedAt, c.EmptyUntil, c.CeilAt} {
+			trace.Duration(v)
+		}
+		trace.Bool(c.Known)
+		trace.Int(c.SeenIn)
+		trace.Int(c.Carried)
+		trace.Int(c.Turn)
+		trace.Int(int64(len(c.Open)))
+		for _, v := range c.Open {
+			trace.Duration(v)
+		}
+	}
+	for _, s := range m.Servers {
+		trace.String(s.Name)
+		trace.Duration(s.Started)
+		trace.Duration(s.ColdAt)
+		trace.Bool(s.Cold)
+		trace.Bool(s.Ejected)
+		trace.Float(s.Slow)
+		trace.Float(s.Slots)
+		for _, e := range s.Sends {
+			trace.Duration(e.At)
+			trace.Float(e.Size)
+		}
+	}
+	trace.Float(m.Fleet)
+	trace.Float(m.Rate)
+	trace.Float(m.Short)
+	trace.Float(m.CallShare)
+}
+
+// deployment is the settings of a deployment with all kinds of classes and plans. The classes are those of the sites in deploy/sites.
+func deployment(site string, gateways int) snowhall.Settings {
+	settings := snowhall.Settings{
+		Doors:             gateways,
+		Zone:              1,
+		Resolution:        4 * time.Millisecond,
+		CrossZone:         0.01,
+		MaxAttempts:       3,
+		MayCancel:         true,
+		MayProbe:          true,
+		RetryAfter:        true,
+		MaxRetryAfter:     500 * time.Millisecond,
+		AnswerSlack:       10 * time.Millisecond,
+		StopSendingWithin: 300 * time.Millisecond,
+		FallMultiple:      2.5,
+		FallWindow:        2 * time.Second,
+		ColdFrom:          0.3,
+		WarmWithin:        8 * time.Second,
+		Counter:           true,
+		CounterTimeout:    50 * time.Millisecond,
+		CounterFee:        0.004,
+		MaxUnits:          4,
+		Plans: []snowhall.Plan{
+			{Rate: 4, Burst: 8, Factor: 1, OverCost: 0.5},
+			{Rate: 10, Burst: 20, Factor: 1.5, OverWorth: 0.2, CeilingRate: 20, CeilingDepth: 40},
+			{Factor: 1},
+			{Rate: 100, Burst: 100, AtOnce: 4, Factor: 2, OverCost: 0.5},
+			{Rate: 5, Burst: 10, Factor: 1, OverCost: 1, CeilingRate: 8, CeilingDepth: 16},
+		},
+	}
+	millis := func(n int) time.Duration { return time.Duration(n) * time.Millisecond }
+	switch site {
+	case "tight":
+		settings.Classes = []snowhall.Class{
+			{Worth: 1, Aim: millis(400), GiveUp: millis(1000), Effect: snowhall.Safe},
+			{Worth: 8, Aim: millis(500), GiveUp: millis(1200), Effect: snowhall.Unsafe},
+			{Worth: 3, LateWorth: 0.1, Aim: millis(400), GiveUp: millis(1200), Effect: snowhall.Keyed, Group: snowhall.GroupCell, Window: millis(700)},
+		}
+	case "wide":
+		settings.CounterFee = 0.02
+		settings.MayProbe = false
+		settings.OnRequest = true
+		settings.AskEvery = 2 * time.Second
+		settings.Classes = []snowhall.Class{
+			{Worth: 1, LateWorth: 0.2, Aim: millis(1500), GiveUp: millis(5000), Effect: snowhall.Safe, Stream: true},
+			{Worth: 4, LateWorth: 0.3, Aim: millis(3000), GiveUp: millis(10000), Effect: snowhall.Safe},
+			{Worth: 7, LateWorth: 0.1, Aim: millis(2000), GiveUp: millis(8000), Effect: snowhall.Keyed, Group: snowhall.GroupZone, Window: millis(5000)},
+		}
+	default:
+		settings.TruedUp = true
+		settings.MayCancel = false
+		settings.RetryAfter = false
+		settings.Classes = []snowhall.Class{
+			{Worth: 2, Aim: millis(300), GiveUp: millis(900), Effect: snowhall.Keyed, Group: snowhall.GroupAll, Window: millis(900)},
+			{Worth: 1, Aim: millis(200), GiveUp: millis(600), Effect: snowhall.Safe, Dropped: true},
+			{Worth: 5, Aim: millis(800), GiveUp: millis(2000), Effect: snowhall.Unsafe, Remembered: true},
+		}
+	}
+	return settings
+}
+
+// plays are all that is recorded.
+func plays() (all []play) {
+	levels := map[string]faults{
+		"calm":  {},
+		"rough": {attempt: 0.08, silent: 0.04, counter: 0.06, late: 0.5, endpoint: 0.02, stall: 0.002},
+		"bad":   {attempt: 0.4, silent: 0.25, counter: 0.6, late: 0.7, endpoint: 0.06, stall: 0.02},
+	}
+	add := func(p play, level string) {
+		p.faults = levels[level]
+		for seed := range uint64(4) {
+			p.seed = seed + 1
+			one := p
+			one.name = fmt.Sprintf("%s/%s/%d", p.name, level, p.seed)
+			all = append(all, one)
+		}
+	}
+	for _, site := range []string{"tight", "wide", "odd"} {
+		for _, level := range []string{"calm", "rough", "bad"} {
+			add(play{name: site + "/few", settings: deployment(site, 3), gateways: 3, backends: 6, calls: 3}, level)
+			add(play{name: site + "/many", settings: deployment(site, 60), gateways: 4, backends: 40, calls: 2, grants: true}, level)
+			lent := deployment(site, 3)
+			lent.LendCeilings = true
+			add(play{name: site + "/lent", settings: lent, gateways: 3, backends: 6, calls: 3, grants: true, handover: true}, level)
+			viewed := deployment(site, 3)
+			viewed.ByViews = true
+			for i := range viewed.Plans {
+				viewed.Plans[i].CutOff = []share.Rule{share.KeepQuota, share.KeepAll, share.KeepNone}[i%3]
+			}
+			add(play{name: site + "/leased", settings: viewed, gateways: 3, backends: 6, calls: 3, loans: true, admin: true}, level)
+			add(play{name: site + "/changed", settings: deployment(site, 2), gateways: 2, backends: 5, calls: 4, reload: true, handover: true, admin: true}, level)
+		}
+		add(play{name: site + "/alone", settings: deployment(site, 1), gateways: 1, backends: 4, calls: 6, grants: true}, "rough")
+		crowd := deployment(site, 300)
+		add(play{name: site + "/crowd", settings: crowd, gateways: 2, backends: 120, calls: 2, handover: true}, "rough")
+		both := deployment(site, 20)
+		both.ByViews, both.LendCeilings = true, true
+		add(play{name: site + "/both", settings: both, gateways: 5, backends: 12, calls: 2, loans: true, reload: true}, "rough")
+	}
+	return all
+}
+
+// TestGoldenTraces holds that the decisions are those of the program that the hashes were recorded from, and that a play is the same each time.
+func TestGoldenTraces(t *testing.T) {
+	recorded := golden.LoadHashes(t, "testdata/golden/decisions.txt")
+	seen := map[string]string{}
+	for _, p := range plays() {
+		sum := p.hash(t)
+		if again := p.hash(t); again != sum {
+			t.Errorf("%s: two runs differ", p.name)
+		}
+		if other, ok := seen[sum]; ok {
+			t.Errorf("%s and %s have one trace", p.name, other)
+		}
+		seen[sum] = p.name
+		recorded.Check(t, p.name, sum)
+	}
+	if recorded.Len() != len(seen) {
+		t.Errorf("%d traces are recorded, %d were played", recorded.Len(), len(seen))
+	}
+}
