--- a/api.go
+++ b/api.go
@@ -10,7 +10,7 @@
 import (
 	"time"
 
-	"snowhall/share"
+	"gapgap/share"
 )
 
 // Effect says what repeating a request of a class may do.
--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -8,8 +8,8 @@
 	"io"
 	"os"
 
-	"snowhall"
-	"snowhall/internal/wire"
+	"gapgap"
+	"gapgap/internal/wire"
 )
 
 func main() {
--- a/cmd/gapgap/descriptors_test.go
+++ b/cmd/gapgap/descriptors_test.go
@@ -12,9 +12,9 @@
 
 	"golang.org/x/sys/unix"
 
-	"snowhall/internal/standin/catalog"
-	"snowhall/internal/standin/flagserver"
-	"snowhall/internal/standin/peer"
+	"gapgap/internal/standin/catalog"
+	"gapgap/internal/standin/flagserver"
+	"gapgap/internal/standin/peer"
 )
 
 // edit changes the configuration of a node before a process starts.
--- a/cmd/gapgap/main.go
+++ b/cmd/gapgap/main.go
@@ -13,7 +13,7 @@
 	"runtime/debug"
 	"syscall"
 
-	"snowhall/internal/service"
+	"gapgap/internal/service"
 )
 
 // gcPercent is how much garbage may gather for each live byte. The heap has few MB, so collections would else come
--- a/cmd/gapgap/signals_test.go
+++ b/cmd/gapgap/signals_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
-	"snowhall/internal/standin/catalog"
-	"snowhall/internal/standin/flagserver"
-	"snowhall/internal/standin/peer"
+	"gapgap/internal/standin/catalog"
+	"gapgap/internal/standin/flagserver"
+	"gapgap/internal/standin/peer"
 )
 
 // SIGTERM with a request in flight, SIGHUP with new settings right behind it and SIGTERM once more: the request has its answer, by its own settings, what rests is
--- a/cmd/gapgap/upgrade_test.go
+++ b/cmd/gapgap/upgrade_test.go
@@ -18,11 +18,11 @@
 	"testing"
 	"time"
 
-	"snowhall/internal/handover"
-	"snowhall/internal/standin/catalog"
-	"snowhall/internal/standin/flagserver"
-	"snowhall/internal/standin/peer"
-	"snowhall/internal/standin/program"
+	"gapgap/internal/handover"
+	"gapgap/internal/standin/catalog"
+	"gapgap/internal/standin/flagserver"
+	"gapgap/internal/standin/peer"
+	"gapgap/internal/standin/program"
 )
 
 // binary is the real program, built once.
--- a/cmd/gapgapctl/fleet.go
+++ b/cmd/gapgapctl/fleet.go
@@ -18,10 +18,10 @@
 
 	"github.com/spf13/cobra"
 
-	"snowhall/internal/cli"
-	"snowhall/internal/peers"
-	"snowhall/internal/recovery"
-	"snowhall/internal/service/hosted"
+	"gapgap/internal/cli"
+	"gapgap/internal/peers"
+	"gapgap/internal/recovery"
+	"gapgap/internal/service/hosted"
 )
 
 // callWithin bounds a call to a door.
--- a/cmd/gapgapctl/fleet_test.go
+++ b/cmd/gapgapctl/fleet_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"snowhall/internal/cli"
-	"snowhall/internal/peers"
+	"gapgap/internal/cli"
+	"gapgap/internal/peers"
 )
 
 // The commands call at a door's socket, and say by their exit codes what came of it.
--- a/cmd/gapgapctl/main.go
+++ b/cmd/gapgapctl/main.go
@@ -13,10 +13,10 @@
 
 	"github.com/spf13/cobra"
 
-	"snowhall/internal/account"
-	"snowhall/internal/cli"
-	"snowhall/internal/route"
-	"snowhall/internal/service/hosted"
+	"gapgap/internal/account"
+	"gapgap/internal/cli"
+	"gapgap/internal/route"
+	"gapgap/internal/service/hosted"
 )
 
 func main() { os.Exit(cli.Run(context.Background(), command(), os.Args[1:], os.Stderr)) }
--- a/cmd/gapgapctl/main_test.go
+++ b/cmd/gapgapctl/main_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"snowhall/internal/cli"
+	"gapgap/internal/cli"
 )
 
 const file = "../../deploy/gapgapd-pools.toml"
--- a/cmd/gapgapctl/policy.go
+++ b/cmd/gapgapctl/policy.go
@@ -22,9 +22,9 @@
 	"github.com/pmezard/go-difflib/difflib"
 	"github.com/spf13/cobra"
 
-	"snowhall/internal/cli"
-	"snowhall/internal/policy"
-	"snowhall/internal/service/hosted"
+	"gapgap/internal/cli"
+	"gapgap/internal/policy"
+	"gapgap/internal/service/hosted"
 )
 
 // Exit codes of policy propose and revert beside those of all programs. Taken is 0.
--- a/cmd/gapgapctl/policy_test.go
+++ b/cmd/gapgapctl/policy_test.go
@@ -12,9 +12,9 @@
 	"strings"
 	"testing"
 
-	"snowhall/internal/cli"
-	"snowhall/internal/policy"
-	"snowhall/internal/service/hosted"
+	"gapgap/internal/cli"
+	"gapgap/internal/policy"
+	"gapgap/internal/service/hosted"
 )
 
 // What became of a change is told by the exit code; what an earlier version had is proposed again as it was.
--- a/cmd/gapgapd/disk.go
+++ b/cmd/gapgapd/disk.go
@@ -5,7 +5,7 @@
 import (
 	"time"
 
-	"snowhall/internal/disk"
+	"gapgap/internal/disk"
 )
 
 // stateDisk is the file system for states that must outlive a power loss.
--- a/cmd/gapgapd/disk_powertest.go
+++ b/cmd/gapgapd/disk_powertest.go
@@ -6,7 +6,7 @@
 	"os"
 	"time"
 
-	"snowhall/internal/disk"
+	"gapgap/internal/disk"
 )
 
 // stateDisk records what is done to the state directory where the rig asks for that, so that it can make of it what a power cut leaves.
--- a/cmd/gapgapd/main.go
+++ b/cmd/gapgapd/main.go
@@ -20,8 +20,8 @@
 
 	"github.com/spf13/cobra"
 
-	"snowhall/internal/cli"
-	"snowhall/internal/service/hosted"
+	"gapgap/internal/cli"
+	"gapgap/internal/service/hosted"
 )
 
 // gcPercent is how much garbage may gather for each live byte: the heap has few MB, so collections would else come often.
--- a/cmd/gapgapd/main_test.go
+++ b/cmd/gapgapd/main_test.go
@@ -19,12 +19,12 @@
 	"testing"
 	"time"
 
-	"snowhall/internal/cli"
-	"snowhall/internal/standin/catalog"
-	"snowhall/internal/standin/flagserver"
-	"snowhall/internal/standin/peer"
-	"snowhall/internal/standin/program"
-	"snowhall/internal/standin/quota"
+	"gapgap/internal/cli"
+	"gapgap/internal/standin/catalog"
+	"gapgap/internal/standin/flagserver"
+	"gapgap/internal/standin/peer"
+	"gapgap/internal/standin/program"
+	"gapgap/internal/standin/quota"
 )
 
 // binary is the real program, built once.
--- a/cmd/gapgapd/power_test.go
+++ b/cmd/gapgapd/power_test.go
@@ -16,11 +16,11 @@
 	"testing"
 	"time"
 
-	"snowhall/internal/service/hosted"
-	"snowhall/internal/standin/power"
-	"snowhall/internal/standin/program"
-	"snowhall/internal/standin/race"
-	"snowhall/internal/standin/rig"
+	"gapgap/internal/service/hosted"
+	"gapgap/internal/standin/power"
+	"gapgap/internal/standin/program"
+	"gapgap/internal/standin/race"
+	"gapgap/internal/standin/rig"
 )
 
 // recorder is the real program with a disk that is written down.
--- a/cmd/measure/ceilings.go
+++ b/cmd/measure/ceilings.go
@@ -13,8 +13,8 @@
 	"gonum.org/v1/plot/plotutil"
 	"gonum.org/v1/plot/vg"
 
-	"snowhall"
-	"snowhall/internal/emulator"
+	"gapgap"
+	"gapgap/internal/emulator"
 )
 
 // ceilingPlan is the plan of the case that was measured from outside.
--- a/cmd/measure/forwardauth.go
+++ b/cmd/measure/forwardauth.go
@@ -14,9 +14,9 @@
 	"sync"
 	"time"
 
-	"snowhall/internal/standin/catalog"
-	"snowhall/internal/standin/flagserver"
-	"snowhall/internal/standin/quota"
+	"gapgap/internal/standin/catalog"
+	"gapgap/internal/standin/flagserver"
+	"gapgap/internal/standin/quota"
 )
 
 const (
--- a/cmd/measure/main.go
+++ b/cmd/measure/main.go
@@ -33,8 +33,8 @@
 
 	"github.com/spf13/cobra"
 
-	"snowhall/internal/cli"
-	"snowhall/internal/service/hosted"
+	"gapgap/internal/cli"
+	"gapgap/internal/service/hosted"
 )
 
 func main() { os.Exit(cli.Run(context.Background(), command(), os.Args[1:], os.Stderr)) }
--- a/cmd/measure/members.go
+++ b/cmd/measure/members.go
@@ -13,7 +13,7 @@
 	"gonum.org/v1/plot/plotutil"
 	"gonum.org/v1/plot/vg"
 
-	"snowhall/internal/standin/rig"
+	"gapgap/internal/standin/rig"
 )
 
 // trouble is one row of the table of doors that share a ceiling.
--- a/cmd/measure/platform.go
+++ b/cmd/measure/platform.go
@@ -15,8 +15,8 @@
 	"syscall"
 	"time"
 
-	"snowhall/internal/standin/catalog"
-	"snowhall/internal/standin/flagserver"
+	"gapgap/internal/standin/catalog"
+	"gapgap/internal/standin/flagserver"
 )
 
 // platformSettings are those of a small deployment, in the platform's names.
--- a/cmd/measure/policy.go
+++ b/cmd/measure/policy.go
@@ -13,7 +13,7 @@
 	"strings"
 	"time"
 
-	"snowhall/internal/standin/rig"
+	"gapgap/internal/standin/rig"
 )
 
 // policyPlan lets through some hundred a second.
--- a/cmd/measure/pools.go
+++ b/cmd/measure/pools.go
@@ -11,8 +11,8 @@
 	"sync"
 	"time"
 
-	"snowhall/internal/standin/catalog"
-	"snowhall/internal/standin/flagserver"
+	"gapgap/internal/standin/catalog"
+	"gapgap/internal/standin/flagserver"
 )
 
 // poolsConfig has so many pools, the first being the default, and says whether they share the processor.
--- a/cmd/measure/power.go
+++ b/cmd/measure/power.go
@@ -14,7 +14,7 @@
 	"gonum.org/v1/plot/plotutil"
 	"gonum.org/v1/plot/vg"
 
-	"snowhall/internal/standin/rig"
+	"gapgap/internal/standin/rig"
 )
 
 // powerPlay is what is played around a loss of power.
--- a/cmd/rehearse/main.go
+++ b/cmd/rehearse/main.go
@@ -13,9 +13,9 @@
 
 	"github.com/spf13/cobra"
 
-	"snowhall/internal/cli"
-	"snowhall/internal/rehearse"
-	"snowhall/internal/rehearse/page"
+	"gapgap/internal/cli"
+	"gapgap/internal/rehearse"
+	"gapgap/internal/rehearse/page"
 )
 
 func main() { os.Exit(cli.Run(context.Background(), command(), os.Args[1:], os.Stderr)) }
--- a/cmd/rehearse/main_test.go
+++ b/cmd/rehearse/main_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"snowhall/internal/cli"
+	"gapgap/internal/cli"
 )
 
 // A run is printed, compared with itself and with one of another seed.
--- a/cmd/tryout/doors.go
+++ b/cmd/tryout/doors.go
@@ -13,7 +13,7 @@
 	"sync"
 	"time"
 
-	"snowhall/internal/service/hosted"
+	"gapgap/internal/service/hosted"
 )
 
 // Times of the show.
--- a/cmd/tryout/main.go
+++ b/cmd/tryout/main.go
@@ -20,11 +20,11 @@
 
 	"github.com/spf13/cobra"
 
-	"snowhall/internal/cli"
-	"snowhall/internal/service/hosted"
-	"snowhall/internal/standin/catalog"
-	"snowhall/internal/standin/flagserver"
-	"snowhall/internal/standin/quota"
+	"gapgap/internal/cli"
+	"gapgap/internal/service/hosted"
+	"gapgap/internal/standin/catalog"
+	"gapgap/internal/standin/flagserver"
+	"gapgap/internal/standin/quota"
 )
 
 const (
--- a/door.go
+++ b/door.go
@@ -14,7 +14,7 @@
 	"slices"
 	"time"
 
-	"snowhall/cold"
+	"gapgap/cold"
 )
 
 // Tuned values. Where no source is named, they are ours and were compared on simulated days only.
--- a/example_test.go
+++ b/example_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"snowhall"
+	"gapgap"
 )
 
 func Example() {
--- a/golden_test.go
+++ b/golden_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
-	"snowhall"
-	"snowhall/internal/golden"
-	"snowhall/share"
+	"gapgap"
+	"gapgap/internal/golden"
+	"gapgap/share"
 )
 
 // playLength is the virtual time of one play.
--- a/internal/agree/disk.go
+++ b/internal/agree/disk.go
@@ -11,8 +11,8 @@
 	"go.etcd.io/raft/v3"
 	"go.etcd.io/raft/v3/raftpb"
 
-	"snowhall/internal/disk"
-	"snowhall/internal/durable"
+	"gapgap/internal/disk"
+	"gapgap/internal/durable"
 )
 
 // Disk is a voter's log in one file, which is written whole or not at all, with a checksum: the log is short, as it is compacted each
--- a/internal/claims/model_test.go
+++ b/internal/claims/model_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"snowhall/internal/standin/race"
+	"gapgap/internal/standin/race"
 )
 
 // The model: three voters, two requests by one key at doors of their own. Words between them are a set: each may come at any time, any number of times,
--- a/internal/claimside/claimside.go
+++ b/internal/claimside/claimside.go
@@ -19,9 +19,9 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"snowhall/internal/claims"
-	"snowhall/internal/disk"
-	"snowhall/internal/wal"
+	"gapgap/internal/claims"
+	"gapgap/internal/disk"
+	"gapgap/internal/wal"
 )
 
 // Times and bounds.
--- a/internal/claimside/claimside_test.go
+++ b/internal/claimside/claimside_test.go
@@ -11,8 +11,8 @@
 
 	"go.uber.org/goleak"
 
-	"snowhall/internal/claims"
-	"snowhall/internal/disk"
+	"gapgap/internal/claims"
+	"gapgap/internal/disk"
 )
 
 // sides are some doors whose words to each other are lost, doubled and late.
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -16,15 +16,15 @@
 	"sync/atomic"
 	"time"
 
-	"snowhall"
-	"snowhall/internal/budget"
-	"snowhall/internal/figures"
-	"snowhall/internal/gate"
-	"snowhall/internal/loop"
-	"snowhall/internal/membership"
-	"snowhall/internal/route"
-	"snowhall/internal/trace"
-	"snowhall/internal/upstream"
+	"gapgap"
+	"gapgap/internal/budget"
+	"gapgap/internal/figures"
+	"gapgap/internal/gate"
+	"gapgap/internal/loop"
+	"gapgap/internal/membership"
+	"gapgap/internal/route"
+	"gapgap/internal/trace"
+	"gapgap/internal/upstream"
 )
 
 // Times of a shutdown.
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -6,10 +6,10 @@
 	"testing"
 	"time"
 
-	"snowhall"
-	"snowhall/internal/loop"
-	"snowhall/internal/membership"
-	"snowhall/internal/upstream"
+	"gapgap"
+	"gapgap/internal/loop"
+	"gapgap/internal/membership"
+	"gapgap/internal/upstream"
 )
 
 // sides stands in for all sides; the test says what they answer.
--- a/internal/core/guard.go
+++ b/internal/core/guard.go
@@ -6,7 +6,7 @@
 	"sync/atomic"
 	"time"
 
-	"snowhall"
+	"gapgap"
 )
 
 // Guard says until when a core may decide requests, and by which version of the policy. Many cores may share one. Any goroutine may change
--- a/internal/core/keys.go
+++ b/internal/core/keys.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"snowhall"
+	"gapgap"
 )
 
 // Claim is what became of a claim of a key.
--- a/internal/core/maintenance.go
+++ b/internal/core/maintenance.go
@@ -8,8 +8,8 @@
 	"slices"
 	"time"
 
-	"snowhall"
-	"snowhall/internal/membership"
+	"gapgap"
+	"gapgap/internal/membership"
 )
 
 // mostNames is how many names of backends are remembered that were listed once and are not now.
--- a/internal/core/names_test.go
+++ b/internal/core/names_test.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"testing"
 
-	"snowhall"
-	"snowhall/internal/membership"
+	"gapgap"
+	"gapgap/internal/membership"
 )
 
 func named(scope snowhall.Scope, state snowhall.State, all ...string) (u membership.Update) {
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -3,11 +3,11 @@
 import (
 	"time"
 
-	"snowhall"
-	"snowhall/internal/figures"
-	"snowhall/internal/loop"
-	"snowhall/internal/trace"
-	"snowhall/internal/upstream"
+	"gapgap"
+	"gapgap/internal/figures"
+	"gapgap/internal/loop"
+	"gapgap/internal/trace"
+	"gapgap/internal/upstream"
 )
 
 // Verdict is the kind of a final answer.
--- a/internal/core/rules.go
+++ b/internal/core/rules.go
@@ -3,8 +3,8 @@
 import (
 	"slices"
 
-	"snowhall"
-	"snowhall/internal/figures"
+	"gapgap"
+	"gapgap/internal/figures"
 )
 
 // Rules are what requests are read and decided by: the settings, with the names that clients use. They are never changed,
--- a/internal/core/rules_test.go
+++ b/internal/core/rules_test.go
@@ -9,10 +9,10 @@
 	"testing"
 	"time"
 
-	"snowhall"
-	"snowhall/internal/figures"
-	"snowhall/internal/loop"
-	"snowhall/internal/upstream"
+	"gapgap"
+	"gapgap/internal/figures"
+	"gapgap/internal/loop"
+	"gapgap/internal/upstream"
 )
 
 func rulesOf(defs ...any) (r Rules) {
--- a/internal/core/succession.go
+++ b/internal/core/succession.go
@@ -5,7 +5,7 @@
 	"errors"
 	"slices"
 
-	"snowhall"
+	"gapgap"
 )
 
 // Estate is what a core hands to the one of another process that takes its place. Classes and plans are numbered as its names
--- a/internal/counter/counter.go
+++ b/internal/counter/counter.go
@@ -14,9 +14,9 @@
 	"strconv"
 	"time"
 
-	"snowhall"
-	"snowhall/internal/loop"
-	"snowhall/internal/trace"
+	"gapgap"
+	"gapgap/internal/loop"
+	"gapgap/internal/trace"
 )
 
 const (
--- a/internal/counter/counter_test.go
+++ b/internal/counter/counter_test.go
@@ -1,8 +1,8 @@
 package counter
 
 import (
-	"snowhall/internal/loop"
-	"snowhall/internal/standin/peer"
+	"gapgap/internal/loop"
+	"gapgap/internal/standin/peer"
 
 	"fmt"
 	"slices"
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"snowhall"
+	"gapgap"
 )
 
 // rig is a counter on a loop that the test plays.
--- a/internal/durable/durable.go
+++ b/internal/durable/durable.go
@@ -10,7 +10,7 @@
 	"os"
 	"syscall"
 
-	"snowhall/internal/disk"
+	"gapgap/internal/disk"
 )
 
 // Errors of Load beside those of the file system. A file that is not there is [io/fs.ErrNotExist].
--- a/internal/emulator/ceilings_test.go
+++ b/internal/emulator/ceilings_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"snowhall"
+	"gapgap"
 )
 
 // the plan of the case that was measured from outside
--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -15,8 +15,8 @@
 	"strconv"
 	"time"
 
-	"snowhall"
-	"snowhall/internal/pq"
+	"gapgap"
+	"gapgap/internal/pq"
 )
 
 // World holds the clock and what is to come.
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -13,8 +13,8 @@
 	"cmp"
 	"slices"
 
-	"snowhall"
-	"snowhall/internal/membership"
+	"gapgap"
+	"gapgap/internal/membership"
 )
 
 // Out is what one pool is to be told: changes, never a whole list.
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -7,8 +7,8 @@
 
 	"pgregory.net/rapid"
 
-	"snowhall"
-	"snowhall/internal/membership"
+	"gapgap"
+	"gapgap/internal/membership"
 )
 
 func entryOf(name, addr string, state snowhall.State, started time.Duration) membership.Entry {
--- a/internal/fleetnode/fleetnode.go
+++ b/internal/fleetnode/fleetnode.go
@@ -9,8 +9,8 @@
 	"math/rand/v2"
 	"time"
 
-	"snowhall/internal/members"
-	"snowhall/internal/seats"
+	"gapgap/internal/members"
+	"gapgap/internal/seats"
 )
 
 // TickEvery is how often Tick is to be called.
--- a/internal/fleetnode/node_test.go
+++ b/internal/fleetnode/node_test.go
@@ -10,9 +10,9 @@
 	"testing"
 	"time"
 
-	"snowhall/internal/members"
-	"snowhall/internal/seats"
-	"snowhall/internal/standin/race"
+	"gapgap/internal/members"
+	"gapgap/internal/seats"
+	"gapgap/internal/standin/race"
 )
 
 // chaos plays a random schedule: doors die, come back, stop and go on, lose their disks; lines drop, delay and double, fleets are cut in
--- a/internal/fleetnode/world_test.go
+++ b/internal/fleetnode/world_test.go
@@ -8,9 +8,9 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"snowhall/internal/members"
-	"snowhall/internal/pq"
-	"snowhall/internal/seats"
+	"gapgap/internal/members"
+	"gapgap/internal/pq"
+	"gapgap/internal/seats"
 )
 
 // world is a fleet in virtual time. Each door has a clock of its own, and pools that go by its standing some time after it changed.
--- a/internal/front/authz/answer.go
+++ b/internal/front/authz/answer.go
@@ -8,9 +8,9 @@
 	"strconv"
 	"time"
 
-	"snowhall"
-	"snowhall/internal/account"
-	"snowhall/internal/core"
+	"gapgap"
+	"gapgap/internal/account"
+	"gapgap/internal/core"
 )
 
 // Names of the fields that answers carry, in canonical form.
--- a/internal/front/authz/authz_test.go
+++ b/internal/front/authz/authz_test.go
@@ -9,8 +9,8 @@
 
 	"pgregory.net/rapid"
 
-	"snowhall/internal/account"
-	"snowhall/internal/core"
+	"gapgap/internal/account"
+	"gapgap/internal/core"
 )
 
 // However the fields of a check are written, reading them gives an error or a target that is whole; and what rules see
--- a/internal/front/authz/check.go
+++ b/internal/front/authz/check.go
@@ -13,10 +13,10 @@
 	"strings"
 	"time"
 
-	"snowhall/internal/account"
-	"snowhall/internal/core"
-	"snowhall/internal/route"
-	"snowhall/internal/verdict"
+	"gapgap/internal/account"
+	"gapgap/internal/core"
+	"gapgap/internal/route"
+	"gapgap/internal/verdict"
 )
 
 // target is the end client's request as the proxy tells of it.
--- a/internal/front/authz/config.go
+++ b/internal/front/authz/config.go
@@ -14,7 +14,7 @@
 	"strings"
 	"time"
 
-	"snowhall/internal/account"
+	"gapgap/internal/account"
 )
 
 // Dialect is the form in which a kind of proxy asks and understands answers.
--- a/internal/front/authz/conn.go
+++ b/internal/front/authz/conn.go
@@ -7,8 +7,8 @@
 	"sync/atomic"
 	"time"
 
-	"snowhall/internal/core"
-	"snowhall/internal/gate"
+	"gapgap/internal/core"
+	"gapgap/internal/gate"
 )
 
 // idleLeast is how long nothing may have gone by on a connection before it may be closed for another: less would cross
--- a/internal/front/authz/front.go
+++ b/internal/front/authz/front.go
@@ -9,8 +9,8 @@
 	"slices"
 	"time"
 
-	"snowhall/internal/budget"
-	"snowhall/internal/core"
+	"gapgap/internal/budget"
+	"gapgap/internal/core"
 )
 
 const (
--- a/internal/front/authz/shared.go
+++ b/internal/front/authz/shared.go
@@ -11,11 +11,11 @@
 	"sync/atomic"
 	"time"
 
-	"snowhall/internal/account"
-	"snowhall/internal/core"
-	"snowhall/internal/pq"
-	"snowhall/internal/route"
-	"snowhall/internal/verdict"
+	"gapgap/internal/account"
+	"gapgap/internal/core"
+	"gapgap/internal/pq"
+	"gapgap/internal/route"
+	"gapgap/internal/verdict"
 )
 
 // refusedKeep is for how long a refusal is told to repeats at least: a proxy's second try comes at once, and a client
--- a/internal/front/resp2/client.go
+++ b/internal/front/resp2/client.go
@@ -13,12 +13,12 @@
 
 	"github.com/tidwall/redcon"
 
-	"snowhall/internal/budget"
-	"snowhall/internal/core"
-	"snowhall/internal/gate"
-	"snowhall/internal/handover"
-	"snowhall/internal/resp"
-	"snowhall/internal/sock"
+	"gapgap/internal/budget"
+	"gapgap/internal/core"
+	"gapgap/internal/gate"
+	"gapgap/internal/handover"
+	"gapgap/internal/resp"
+	"gapgap/internal/sock"
 )
 
 const (
--- a/internal/front/resp2/front.go
+++ b/internal/front/resp2/front.go
@@ -14,10 +14,10 @@
 	"syscall"
 	"time"
 
-	"snowhall/internal/account"
-	"snowhall/internal/budget"
-	"snowhall/internal/core"
-	"snowhall/internal/route"
+	"gapgap/internal/account"
+	"gapgap/internal/budget"
+	"gapgap/internal/core"
+	"gapgap/internal/route"
 )
 
 const emptyWithin = 10 * time.Millisecond // for the connections that wait in a listener's queue as it is closed
--- a/internal/front/resp2/front_test.go
+++ b/internal/front/resp2/front_test.go
@@ -7,11 +7,11 @@
 	"testing"
 	"time"
 
-	"snowhall/internal/budget"
-	"snowhall/internal/core"
-	"snowhall/internal/resp"
-	"snowhall/internal/sock"
-	"snowhall/internal/standin/peer"
+	"gapgap/internal/budget"
+	"gapgap/internal/core"
+	"gapgap/internal/resp"
+	"gapgap/internal/sock"
+	"gapgap/internal/standin/peer"
 )
 
 func TestBusyAnswer(t *testing.T) {
--- a/internal/front/resp2/request.go
+++ b/internal/front/resp2/request.go
@@ -12,11 +12,11 @@
 
 	"github.com/tidwall/redcon"
 
-	"snowhall"
-	"snowhall/internal/core"
-	"snowhall/internal/resp"
-	"snowhall/internal/route"
-	"snowhall/internal/sock"
+	"gapgap"
+	"gapgap/internal/core"
+	"gapgap/internal/resp"
+	"gapgap/internal/route"
+	"gapgap/internal/sock"
 )
 
 // lateAsk is how much longer than its class's time a client may say that it waits.
--- a/internal/front/resp2/stream.go
+++ b/internal/front/resp2/stream.go
@@ -5,7 +5,7 @@
 	"errors"
 	"time"
 
-	"snowhall/internal/upstream"
+	"gapgap/internal/upstream"
 )
 
 // stall is how long a client may take nothing of a long value before it is given up: the default. A piece is 32 KiB at most.
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"snowhall/internal/pq"
+	"gapgap/internal/pq"
 )
 
 // Gate lets so many turns run at once. Any goroutine may use it.
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -16,7 +16,7 @@
 
 	"go.uber.org/goleak"
 
-	"snowhall/internal/standin/peer"
+	"gapgap/internal/standin/peer"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/layout/layout_test.go
+++ b/internal/layout/layout_test.go
@@ -32,71 +32,71 @@
 // What the platform runs stays lean, and no program that serves links a stand-in.
 func TestServingProgramsLinkNoStandIn(t *testing.T) {
 	heavy := []string{"google.golang.org/grpc", "go.etcd.io/bbolt", "modernc.org/sqlite", "github.com/envoyproxy",
-		"snowhall/internal/standin", "snowhall/internal/front/authz", "testing"}
-	none(t, "snowhall/cmd/gapgap", heavy...)
-	none(t, "snowhall/cmd/drill", heavy...)
+		"gapgap/internal/standin", "gapgap/internal/front/authz", "testing"}
+	none(t, "gapgap/cmd/gapgap", heavy...)
+	none(t, "gapgap/cmd/drill", heavy...)
 }
 
 // Judgement does no input or output.
 func TestJudgementIsFreeOfIO(t *testing.T) {
-	none(t, "snowhall", "net", "os/exec", "snowhall/internal")
-	none(t, "snowhall/ceiling", "net", "os", "snowhall/internal")
-	none(t, "snowhall/size", "net", "os", "time", "snowhall/internal")
-	none(t, "snowhall/cold", "net", "os", "math/rand", "snowhall/internal")
-	none(t, "snowhall/internal/emulator", "net", "snowhall/internal/core", "snowhall/internal/loop")
-	none(t, "snowhall/internal/budget", "net")
+	none(t, "gapgap", "net", "os/exec", "gapgap/internal")
+	none(t, "gapgap/ceiling", "net", "os", "gapgap/internal")
+	none(t, "gapgap/size", "net", "os", "time", "gapgap/internal")
+	none(t, "gapgap/cold", "net", "os", "math/rand", "gapgap/internal")
+	none(t, "gapgap/internal/emulator", "net", "gapgap/internal/core", "gapgap/internal/loop")
+	none(t, "gapgap/internal/budget", "net")
 }
 
 // What doors know of each other is decided without input and output, and the platform's front door has none of it.
 func TestMembersFloors(t *testing.T) {
-	none(t, "snowhall/share", "net", "os", "snowhall/internal")
+	none(t, "gapgap/share", "net", "os", "gapgap/internal")
 	for _, p := range []string{"members", "seats", "fleetnode"} {
-		none(t, "snowhall/internal/"+p, "net", "os/exec", "snowhall/internal/core", "snowhall/internal/loop", "snowhall/internal/standin")
+		none(t, "gapgap/internal/"+p, "net", "os/exec", "gapgap/internal/core", "gapgap/internal/loop", "gapgap/internal/standin")
 	}
-	none(t, "snowhall/cmd/gapgap", "snowhall/internal/members", "snowhall/internal/seats", "snowhall/internal/fleetnode", "snowhall/internal/peers",
+	none(t, "gapgap/cmd/gapgap", "gapgap/internal/members", "gapgap/internal/seats", "gapgap/internal/fleetnode", "gapgap/internal/peers",
 		"github.com/fxamacker/cbor")
 }
 
 // How a policy takes hold is decided without input and output; the platform's front door has neither that nor its log, nor storage.
 func TestPolicyFloors(t *testing.T) {
-	none(t, "snowhall/internal/policy", "net", "os/exec", "go.etcd.io", "snowhall/internal/core", "snowhall/internal/loop", "snowhall/internal/standin")
-	none(t, "snowhall/internal/agree", "net", "snowhall/internal/core", "snowhall/internal/policy", "snowhall/internal/standin")
-	none(t, "snowhall/cmd/gapgap", "snowhall/internal/policy", "snowhall/internal/policyside", "snowhall/internal/agree", "go.etcd.io", "github.com/gogo")
-	none(t, "snowhall/cmd/gapgapd", "github.com/anishathalye", "github.com/pmezard")
+	none(t, "gapgap/internal/policy", "net", "os/exec", "go.etcd.io", "gapgap/internal/core", "gapgap/internal/loop", "gapgap/internal/standin")
+	none(t, "gapgap/internal/agree", "net", "gapgap/internal/core", "gapgap/internal/policy", "gapgap/internal/standin")
+	none(t, "gapgap/cmd/gapgap", "gapgap/internal/policy", "gapgap/internal/policyside", "gapgap/internal/agree", "go.etcd.io", "github.com/gogo")
+	none(t, "gapgap/cmd/gapgapd", "github.com/anishathalye", "github.com/pmezard")
 }
 
 // The log for states of many records is ground: it knows nobody above it; the platform's front door has none of it, as no disk outlives it.
 func TestPowerFloors(t *testing.T) {
-	none(t, "snowhall/internal/wal", "net", "os/exec", "snowhall/internal/core", "snowhall/internal/service")
+	none(t, "gapgap/internal/wal", "net", "os/exec", "gapgap/internal/core", "gapgap/internal/service")
 	for _, p := range []string{"claims", "recovery", "clocks"} {
-		none(t, "snowhall/internal/"+p, "net", "os/exec", "math/rand", "snowhall/internal/core", "snowhall/internal/loop", "snowhall/internal/standin")
+		none(t, "gapgap/internal/"+p, "net", "os/exec", "math/rand", "gapgap/internal/core", "gapgap/internal/loop", "gapgap/internal/standin")
 	}
 	for _, p := range []string{"wal", "claims", "claimside", "recovery", "clocks"} {
-		none(t, "snowhall/cmd/gapgap", "snowhall/internal/"+p)
+		none(t, "gapgap/cmd/gapgap", "gapgap/internal/"+p)
 	}
 }
 
 // A floor imports only those below it.
 func TestFloors(t *testing.T) {
-	fronts := []string{"snowhall/internal/front", "snowhall/internal/service"}
-	sides := []string{"snowhall/internal/upstream", "snowhall/internal/counter", "snowhall/internal/membership/discovery"}
-	none(t, "snowhall/internal/core", append(fronts, "snowhall/internal/counter", "snowhall/internal/membership/discovery",
-		"snowhall/internal/front")...)
+	fronts := []string{"gapgap/internal/front", "gapgap/internal/service"}
+	sides := []string{"gapgap/internal/upstream", "gapgap/internal/counter", "gapgap/internal/membership/discovery"}
+	none(t, "gapgap/internal/core", append(fronts, "gapgap/internal/counter", "gapgap/internal/membership/discovery",
+		"gapgap/internal/front")...)
 	for _, s := range sides {
-		none(t, s, append(fronts, "snowhall/internal/core")...)
+		none(t, s, append(fronts, "gapgap/internal/core")...)
 	}
-	none(t, "snowhall/internal/front/resp2", append(sides[1:], "snowhall/internal/service")...)
+	none(t, "gapgap/internal/front/resp2", append(sides[1:], "gapgap/internal/service")...)
 	for _, g := range []string{"loop", "resp", "sock", "budget"} {
-		none(t, "snowhall/internal/"+g, append(append(fronts, sides...), "snowhall/internal/core")...)
+		none(t, "gapgap/internal/"+g, append(append(fronts, sides...), "gapgap/internal/core")...)
 	}
 }
 
 // The service links no stand-in either; what decides for it does no input or output.
 func TestForwardAuthFloors(t *testing.T) {
-	none(t, "snowhall/cmd/gapgapd", "snowhall/internal/standin", "testing", "google.golang.org/grpc")
-	none(t, "snowhall/internal/verdict", "net", "os", "snowhall/internal/core", "snowhall/internal/front", "snowhall/internal/loop")
-	none(t, "snowhall/internal/account", "net/http", "snowhall/internal/front", "snowhall/internal/core")
-	none(t, "snowhall/internal/front/authz", "snowhall/internal/counter", "snowhall/internal/membership/discovery", "snowhall/internal/service")
+	none(t, "gapgap/cmd/gapgapd", "gapgap/internal/standin", "testing", "google.golang.org/grpc")
+	none(t, "gapgap/internal/verdict", "net", "os", "gapgap/internal/core", "gapgap/internal/front", "gapgap/internal/loop")
+	none(t, "gapgap/internal/account", "net/http", "gapgap/internal/front", "gapgap/internal/core")
+	none(t, "gapgap/internal/front/authz", "gapgap/internal/counter", "gapgap/internal/membership/discovery", "gapgap/internal/service")
 }
 
 // Nothing that serves on the platform is fitted to one deployment: no class, plan, kind or site of those that the project has met is named in its code. What is
@@ -106,8 +106,8 @@
 		"quote", "charge", "note", "stall", "chain", "tills", "look", "weave", "sell", "guest", "member", "guild", "crown", "looms"}
 	literal := regexp.MustCompile(`"(` + strings.Join(names, "|") + `)"`)
 	site := regexp.MustCompile(`(?i)cluj|yarmouk|amman|shared-fleet`)
-	out, err := exec.Command("go", "list", "-deps", "-f", `{{if not .Standard}}{{$d := .Dir}}{{if eq .Module.Path "snowhall"}}{{range .GoFiles}}{{$d}}/{{.}}{{"\n"}}{{end}}{{end}}{{end}}`,
-		"snowhall/cmd/gapgap", "snowhall/cmd/drill").Output()
+	out, err := exec.Command("go", "list", "-deps", "-f", `{{if not .Standard}}{{$d := .Dir}}{{if eq .Module.Path "gapgap"}}{{range .GoFiles}}{{$d}}/{{.}}{{"\n"}}{{end}}{{end}}{{end}}`,
+		"gapgap/cmd/gapgap", "gapgap/cmd/drill").Output()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/loop/bench_test.go
+++ b/internal/loop/bench_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"snowhall/internal/pq"
+	"gapgap/internal/pq"
 )
 
 // What a timer costs that is stopped while another is set, among 512: by the loop's own heap, and by the queue that others use.
--- a/internal/membership/discovery/crossings_test.go
+++ b/internal/membership/discovery/crossings_test.go
@@ -16,9 +16,9 @@
 	"testing/synctest"
 	"time"
 
-	"snowhall"
-	"snowhall/internal/loop"
-	"snowhall/internal/membership"
+	"gapgap"
+	"gapgap/internal/loop"
+	"gapgap/internal/membership"
 )
 
 // toldWithin is when a change counts as told, from when discovery had it and could be reached.
--- a/internal/membership/discovery/discovery.go
+++ b/internal/membership/discovery/discovery.go
@@ -12,10 +12,10 @@
 	"slices"
 	"time"
 
-	"snowhall"
-	"snowhall/backoff"
-	"snowhall/internal/loop"
-	"snowhall/internal/membership"
+	"gapgap"
+	"gapgap/backoff"
+	"gapgap/internal/loop"
+	"gapgap/internal/membership"
 )
 
 // Times of a watch. Whatever goes wrong with one call, the next has the list within 6 s of discovery having it and being reachable, which is when a
--- a/internal/membership/discovery/discovery_test.go
+++ b/internal/membership/discovery/discovery_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"snowhall/internal/loop"
-	"snowhall/internal/membership"
+	"gapgap/internal/loop"
+	"gapgap/internal/membership"
 )
 
 // follow starts a watch of an agent that turns the first calls away, and returns what it was told.
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,7 +1,7 @@
 // Package membership holds what the core is told of the list of backends, whoever tells it.
 package membership
 
-import "snowhall"
+import "gapgap"
 
 // Update is a list of backends or changes of it.
 type Update struct {
--- a/internal/peers/codec.go
+++ b/internal/peers/codec.go
@@ -13,7 +13,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"snowhall/internal/fleetnode"
+	"gapgap/internal/fleetnode"
 )
 
 // Form of a datagram: a version, the salt of its sender's process, a count, and the sealed message. Each process seals with a key of its
--- a/internal/peers/file.go
+++ b/internal/peers/file.go
@@ -9,8 +9,8 @@
 	"path/filepath"
 	"time"
 
-	"snowhall/internal/claims"
-	"snowhall/internal/tomlfile"
+	"gapgap/internal/claims"
+	"gapgap/internal/tomlfile"
 )
 
 // File is the section [fleet] of a configuration.
--- a/internal/peers/identity.go
+++ b/internal/peers/identity.go
@@ -9,8 +9,8 @@
 	"path/filepath"
 	"syscall"
 
-	"snowhall/internal/disk"
-	"snowhall/internal/durable"
+	"gapgap/internal/disk"
+	"gapgap/internal/durable"
 )
 
 // identity is what a door keeps of itself over its starts.
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -20,9 +20,9 @@
 	"sync/atomic"
 	"time"
 
-	"snowhall/internal/clocks"
-	"snowhall/internal/fleetnode"
-	"snowhall/internal/members"
+	"gapgap/internal/clocks"
+	"gapgap/internal/fleetnode"
+	"gapgap/internal/members"
 )
 
 // Bounds and times.
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -3,19 +3,19 @@
 import (
 	"bytes"
 	"errors"
+	"gapgap/internal/disk"
 	"io/fs"
 	"net/netip"
 	"os"
 	"path/filepath"
-	"snowhall/internal/disk"
 	"strings"
 	"testing"
 
 	"github.com/fxamacker/cbor/v2"
 
-	"snowhall/internal/fleetnode"
-	"snowhall/internal/members"
-	"snowhall/internal/seats"
+	"gapgap/internal/fleetnode"
+	"gapgap/internal/members"
+	"gapgap/internal/seats"
 )
 
 var key, names = []byte("0123456789abcdef"), []string{"n0", "n1", "n2"}
--- a/internal/policy/model_test.go
+++ b/internal/policy/model_test.go
@@ -13,8 +13,8 @@
 	"testing"
 	"time"
 
-	"snowhall/internal/members"
-	"snowhall/internal/standin/race"
+	"gapgap/internal/members"
+	"gapgap/internal/standin/race"
 )
 
 // A model of taking hold: three doors and the leader's chair, on the code that serves, over a log that is one register. Every interleaving of
--- a/internal/policy/state.go
+++ b/internal/policy/state.go
@@ -16,7 +16,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"snowhall/internal/members"
+	"gapgap/internal/members"
 )
 
 // Bounds.
--- a/internal/policy/world_test.go
+++ b/internal/policy/world_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"snowhall/internal/members"
-	"snowhall/internal/standin/race"
+	"gapgap/internal/members"
+	"gapgap/internal/standin/race"
 )
 
 // world is a fleet in virtual time: doors with clocks of their own, lines that lose, delay and double, processes that are killed and stopped,
--- a/internal/policyside/docs.go
+++ b/internal/policyside/docs.go
@@ -11,9 +11,9 @@
 	"strings"
 	"time"
 
-	"snowhall/internal/disk"
-	"snowhall/internal/durable"
-	"snowhall/internal/policy"
+	"gapgap/internal/disk"
+	"gapgap/internal/durable"
+	"gapgap/internal/policy"
 )
 
 const (
--- a/internal/policyside/fetch.go
+++ b/internal/policyside/fetch.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"snowhall/internal/policy"
+	"gapgap/internal/policy"
 )
 
 // Bounds of what is carried in parts.
--- a/internal/policyside/side.go
+++ b/internal/policyside/side.go
@@ -18,9 +18,9 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"snowhall/internal/agree"
-	"snowhall/internal/disk"
-	"snowhall/internal/policy"
+	"gapgap/internal/agree"
+	"gapgap/internal/disk"
+	"gapgap/internal/policy"
 )
 
 // Times and bounds.
--- a/internal/redlist/redlist_test.go
+++ b/internal/redlist/redlist_test.go
@@ -13,7 +13,7 @@
 
 func TestRead(t *testing.T) {
 	got, err := Read(strings.NewReader("# comment\n\nsnowhall/internal/x.TestOne; it is slow; issue 41\n"))
-	if err != nil || len(got) != 1 || got[0] != (Red{"snowhall/internal/x", "TestOne", "it is slow", "issue 41"}) {
+	if err != nil || len(got) != 1 || got[0] != (Red{"gapgap/internal/x", "TestOne", "it is slow", "issue 41"}) {
 		t.Errorf("%+v, %v", got, err)
 	}
 	line := func(n int) string { return fmt.Sprintf("a.Test%d; c; i\n", n) }
--- a/internal/redlist/redtest/main.go
+++ b/internal/redlist/redtest/main.go
@@ -15,7 +15,7 @@
 	"slices"
 	"strings"
 
-	"snowhall/internal/redlist"
+	"gapgap/internal/redlist"
 )
 
 const file = "KNOWN-RED.txt"
--- a/internal/rehearse/events.go
+++ b/internal/rehearse/events.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"snowhall"
+	"gapgap"
 )
 
 // begin lets an event happen, and its end and what comes after that.
--- a/internal/rehearse/page/page.go
+++ b/internal/rehearse/page/page.go
@@ -17,7 +17,7 @@
 	"gonum.org/v1/plot/vg/draw"
 	"gonum.org/v1/plot/vg/vgsvg"
 
-	"snowhall/internal/rehearse"
+	"gapgap/internal/rehearse"
 )
 
 const width, height = 11 * vg.Inch, 2.6 * vg.Inch
--- a/internal/rehearse/rehearse_test.go
+++ b/internal/rehearse/rehearse_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"snowhall"
-	"snowhall/internal/tomlfile"
+	"gapgap"
+	"gapgap/internal/tomlfile"
 )
 
 const namedDay = "../../rehearsals/all-slow-one-silent.toml"
--- a/internal/rehearse/run.go
+++ b/internal/rehearse/run.go
@@ -9,8 +9,8 @@
 	"slices"
 	"time"
 
-	"snowhall"
-	"snowhall/internal/emulator"
+	"gapgap"
+	"gapgap/internal/emulator"
 )
 
 // Report is what became of a run.
--- a/internal/rehearse/script.go
+++ b/internal/rehearse/script.go
@@ -11,9 +11,9 @@
 	"strings"
 	"time"
 
-	"snowhall"
-	"snowhall/internal/emulator"
-	"snowhall/internal/tomlfile"
+	"gapgap"
+	"gapgap/internal/emulator"
+	"gapgap/internal/tomlfile"
 )
 
 // Bounds of a script, so that a slip of the pen is an error and no run without end.
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -11,7 +11,7 @@
 
 	"github.com/tidwall/redcon"
 
-	"snowhall/internal/budget"
+	"gapgap/internal/budget"
 )
 
 const (
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"testing/iotest"
 
-	"snowhall/internal/budget"
+	"gapgap/internal/budget"
 )
 
 func TestRespReaderTakesPieces(t *testing.T) {
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -9,7 +9,7 @@
 
 	"pgregory.net/rapid"
 
-	"snowhall/internal/account"
+	"gapgap/internal/account"
 )
 
 func to(pool string) []Target { return []Target{{pool, 1}} }
--- a/internal/seats/model_test.go
+++ b/internal/seats/model_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"snowhall/internal/members"
-	"snowhall/internal/standin/race"
+	"gapgap/internal/members"
+	"gapgap/internal/standin/race"
 )
 
 // A model of one seat, its own door 0, door 1 that would use it, and three voters of which one may start anew: every interleaving of
--- a/internal/seats/seats.go
+++ b/internal/seats/seats.go
@@ -17,7 +17,7 @@
 	"fmt"
 	"time"
 
-	"snowhall/internal/members"
+	"gapgap/internal/members"
 )
 
 // Times; ours.
--- a/internal/service/attempts_test.go
+++ b/internal/service/attempts_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"snowhall/internal/standin/peer"
+	"gapgap/internal/standin/peer"
 )
 
 // An error from one backend leads to another attempt; its connection is good for more. After a break the value
--- a/internal/service/bans.go
+++ b/internal/service/bans.go
@@ -11,8 +11,8 @@
 	"sync"
 	"time"
 
-	"snowhall/internal/core"
-	"snowhall/internal/durable"
+	"gapgap/internal/core"
+	"gapgap/internal/durable"
 )
 
 const (
--- a/internal/service/clients_test.go
+++ b/internal/service/clients_test.go
@@ -1,8 +1,8 @@
 package service
 
 import (
-	"snowhall/internal/resp"
-	"snowhall/internal/standin/peer"
+	"gapgap/internal/resp"
+	"gapgap/internal/standin/peer"
 
 	"fmt"
 	"net"
--- a/internal/service/config.go
+++ b/internal/service/config.go
@@ -11,9 +11,9 @@
 	"strings"
 	"time"
 
-	"snowhall"
-	"snowhall/internal/membership/discovery"
-	"snowhall/internal/wire"
+	"gapgap"
+	"gapgap/internal/membership/discovery"
+	"gapgap/internal/wire"
 )
 
 // Config is what a front door is told at its start.
--- a/internal/service/config_test.go
+++ b/internal/service/config_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"snowhall"
+	"gapgap"
 )
 
 func TestReadConfig(t *testing.T) {
--- a/internal/service/crossings_test.go
+++ b/internal/service/crossings_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
-	"snowhall/internal/resp"
-	"snowhall/internal/standin/peer"
+	"gapgap/internal/resp"
+	"gapgap/internal/standin/peer"
 )
 
 // Here two events cross: each test holds one side back until the other has come. docs/design/crossings.md lists them.
--- a/internal/service/deployments_test.go
+++ b/internal/service/deployments_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"snowhall/internal/standin/flagserver"
+	"gapgap/internal/standin/flagserver"
 )
 
 // deployment is the text of a configuration with classes and plans of its own.
--- a/internal/service/discovery_test.go
+++ b/internal/service/discovery_test.go
@@ -1,8 +1,8 @@
 package service
 
 import (
-	"snowhall/internal/membership/discovery"
-	"snowhall/internal/standin/peer"
+	"gapgap/internal/membership/discovery"
+	"gapgap/internal/standin/peer"
 
 	"net/http"
 	"net/http/httptest"
--- a/internal/service/hosted/ceilings_test.go
+++ b/internal/service/hosted/ceilings_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"snowhall/internal/standin/peer"
+	"gapgap/internal/standin/peer"
 )
 
 // counted floods one account at doors for a time, by checks or over RESP2 or both, and returns what was let through by second.
--- a/internal/service/hosted/config.go
+++ b/internal/service/hosted/config.go
@@ -17,17 +17,17 @@
 	"strings"
 	"time"
 
-	"snowhall"
-	"snowhall/internal/account"
-	"snowhall/internal/disk"
-	"snowhall/internal/front/authz"
-	"snowhall/internal/peers"
-	"snowhall/internal/route"
-	"snowhall/internal/service"
-	"snowhall/internal/tomlfile"
-	"snowhall/internal/verdict"
-	"snowhall/internal/wire"
-	parting "snowhall/share"
+	"gapgap"
+	"gapgap/internal/account"
+	"gapgap/internal/disk"
+	"gapgap/internal/front/authz"
+	"gapgap/internal/peers"
+	"gapgap/internal/route"
+	"gapgap/internal/service"
+	"gapgap/internal/tomlfile"
+	"gapgap/internal/verdict"
+	"gapgap/internal/wire"
+	parting "gapgap/share"
 )
 
 // configFile is the form of the configuration file. deploy/gapgapd.toml explains each key.
--- a/internal/service/hosted/config_test.go
+++ b/internal/service/hosted/config_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"snowhall"
-	"snowhall/internal/front/authz"
+	"gapgap"
+	"gapgap/internal/front/authz"
 )
 
 func example(t testing.TB) string {
--- a/internal/service/hosted/document.go
+++ b/internal/service/hosted/document.go
@@ -9,9 +9,9 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"snowhall/internal/front/authz"
-	"snowhall/internal/peers"
-	"snowhall/internal/tomlfile"
+	"gapgap/internal/front/authz"
+	"gapgap/internal/peers"
+	"gapgap/internal/tomlfile"
 )
 
 // A configuration file has two parts: what is the node's own (addresses, memory, name, keys), and the policy, which may be one document of a
--- a/internal/service/hosted/fleet.go
+++ b/internal/service/hosted/fleet.go
@@ -13,10 +13,10 @@
 	"sync/atomic"
 	"time"
 
-	"snowhall"
-	"snowhall/internal/core"
-	"snowhall/internal/fleetnode"
-	"snowhall/internal/peers"
+	"gapgap"
+	"gapgap/internal/core"
+	"gapgap/internal/fleetnode"
+	"gapgap/internal/peers"
 )
 
 // fleetSide is this process's part in a fleet of front doors. Pools go by its standing; each takes the newest when its loop comes to it.
--- a/internal/service/hosted/fleet_test.go
+++ b/internal/service/hosted/fleet_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"snowhall"
-	parting "snowhall/share"
+	"gapgap"
+	parting "gapgap/share"
 )
 
 // fleetExample is an example of a fleet under deploy with paths that are there.
--- a/internal/service/hosted/forwardauth_conn_test.go
+++ b/internal/service/hosted/forwardauth_conn_test.go
@@ -26,8 +26,8 @@
 	"golang.org/x/net/http2"
 	"golang.org/x/net/http2/hpack"
 
-	"snowhall/internal/budget"
-	"snowhall/internal/standin/peer"
+	"gapgap/internal/budget"
+	"gapgap/internal/standin/peer"
 )
 
 // h2c is a client that speaks HTTP/2 without TLS, with prior knowledge.
--- a/internal/service/hosted/forwardauth_quota_test.go
+++ b/internal/service/hosted/forwardauth_quota_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"snowhall/internal/standin/peer"
+	"gapgap/internal/standin/peer"
 )
 
 // flood drives one account for a while from many clients at once, over RESP2, HTTP or both, through all doors, and
--- a/internal/service/hosted/forwardauth_test.go
+++ b/internal/service/hosted/forwardauth_test.go
@@ -14,9 +14,9 @@
 	"testing"
 	"time"
 
-	"snowhall/internal/front/authz"
-	"snowhall/internal/standin/peer"
-	"snowhall/internal/standin/proxy"
+	"gapgap/internal/front/authz"
+	"gapgap/internal/standin/peer"
+	"gapgap/internal/standin/proxy"
 )
 
 // What the clients of each proxy see: a request that may pass reaches the service with the account's name on it, and
--- a/internal/service/hosted/hosted.go
+++ b/internal/service/hosted/hosted.go
@@ -15,16 +15,16 @@
 	"sync/atomic"
 	"time"
 
-	"snowhall/internal/budget"
-	"snowhall/internal/claimside"
-	"snowhall/internal/core"
-	"snowhall/internal/disk"
-	"snowhall/internal/fleet"
-	"snowhall/internal/front/authz"
-	"snowhall/internal/front/resp2"
-	"snowhall/internal/gate"
-	"snowhall/internal/loop"
-	"snowhall/internal/service"
+	"gapgap/internal/budget"
+	"gapgap/internal/claimside"
+	"gapgap/internal/core"
+	"gapgap/internal/disk"
+	"gapgap/internal/fleet"
+	"gapgap/internal/front/authz"
+	"gapgap/internal/front/resp2"
+	"gapgap/internal/gate"
+	"gapgap/internal/loop"
+	"gapgap/internal/service"
 )
 
 const (
--- a/internal/service/hosted/keys.go
+++ b/internal/service/hosted/keys.go
@@ -3,11 +3,11 @@
 import (
 	"fmt"
 
-	"snowhall/internal/claims"
-	"snowhall/internal/claimside"
-	"snowhall/internal/core"
-	"snowhall/internal/peers"
-	"snowhall/internal/policyside"
+	"gapgap/internal/claims"
+	"gapgap/internal/claimside"
+	"gapgap/internal/core"
+	"gapgap/internal/peers"
+	"gapgap/internal/policyside"
 )
 
 // newKeys opens what this door remembers of keys.
--- a/internal/service/hosted/metrics.go
+++ b/internal/service/hosted/metrics.go
@@ -8,7 +8,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
-	"snowhall/internal/core"
+	"gapgap/internal/core"
 )
 
 // metrics are the figures that a listener of the protocol "metrics" shows, in Prometheus' text form. Each process has its
--- a/internal/service/hosted/policy.go
+++ b/internal/service/hosted/policy.go
@@ -13,10 +13,10 @@
 	"sync"
 	"time"
 
-	"snowhall/internal/core"
-	"snowhall/internal/peers"
-	"snowhall/internal/policy"
-	"snowhall/internal/policyside"
+	"gapgap/internal/core"
+	"gapgap/internal/peers"
+	"gapgap/internal/policy"
+	"gapgap/internal/policyside"
 )
 
 // policySide has this process go by the fleet's policy. It implements [policyside.Host].
--- a/internal/service/hosted/pool.go
+++ b/internal/service/hosted/pool.go
@@ -7,14 +7,14 @@
 	"sync"
 	"sync/atomic"
 
-	"snowhall"
-
-	"snowhall/internal/core"
-	"snowhall/internal/fleet"
-	"snowhall/internal/gate"
-	"snowhall/internal/membership"
-	"snowhall/internal/route"
-	"snowhall/internal/service"
+	"gapgap"
+
+	"gapgap/internal/core"
+	"gapgap/internal/fleet"
+	"gapgap/internal/gate"
+	"gapgap/internal/membership"
+	"gapgap/internal/route"
+	"gapgap/internal/service"
 )
 
 // pool is one service behind the fronts: a core with a loop of its own. It owns that loop's goroutine.
--- a/internal/service/hosted/pools_test.go
+++ b/internal/service/hosted/pools_test.go
@@ -17,10 +17,10 @@
 	"testing"
 	"time"
 
-	"snowhall/internal/route"
-	"snowhall/internal/standin/catalog"
-	"snowhall/internal/standin/flagserver"
-	"snowhall/internal/standin/peer"
+	"gapgap/internal/route"
+	"gapgap/internal/standin/catalog"
+	"gapgap/internal/standin/flagserver"
+	"gapgap/internal/standin/peer"
 )
 
 // poolText is one pool; the arguments are its name, discovery and counter.
--- a/internal/service/hosted/recovery.go
+++ b/internal/service/hosted/recovery.go
@@ -8,8 +8,8 @@
 	"sync"
 	"time"
 
-	"snowhall/internal/core"
-	"snowhall/internal/recovery"
+	"gapgap/internal/core"
+	"gapgap/internal/recovery"
 )
 
 const (
--- a/internal/service/hosted/shares.go
+++ b/internal/service/hosted/shares.go
@@ -4,10 +4,10 @@
 	"slices"
 	"sync/atomic"
 
-	"snowhall"
-	"snowhall/internal/budget"
-	"snowhall/internal/core"
-	"snowhall/internal/service"
+	"gapgap"
+	"gapgap/internal/budget"
+	"gapgap/internal/core"
+	"gapgap/internal/service"
 )
 
 // shares are the parts that the pools of a process have of what they hold in common: bytes of clients, connections of
--- a/internal/service/hosted/toml.go
+++ b/internal/service/hosted/toml.go
@@ -1,6 +1,6 @@
 package hosted
 
-import "snowhall/internal/tomlfile"
+import "gapgap/internal/tomlfile"
 
 // Error is a fault of a configuration file, where it stands.
 type Error = tomlfile.Error
--- a/internal/service/hosted/world_test.go
+++ b/internal/service/hosted/world_test.go
@@ -11,10 +11,10 @@
 	"testing"
 	"time"
 
-	"snowhall/internal/standin/catalog"
-	"snowhall/internal/standin/flagserver"
-	"snowhall/internal/standin/peer"
-	"snowhall/internal/standin/quota"
+	"gapgap/internal/standin/catalog"
+	"gapgap/internal/standin/flagserver"
+	"gapgap/internal/standin/peer"
+	"gapgap/internal/standin/quota"
 )
 
 // world is a number of front doors with what stands round them, all on loopback.
--- a/internal/service/long_test.go
+++ b/internal/service/long_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"snowhall/internal/standin/peer"
+	"gapgap/internal/standin/peer"
 )
 
 const longSize = 3 << 20
--- a/internal/service/maintenance_test.go
+++ b/internal/service/maintenance_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"snowhall/internal/standin/peer"
+	"gapgap/internal/standin/peer"
 )
 
 // operate makes a front door answer operators' calls.
--- a/internal/service/reload.go
+++ b/internal/service/reload.go
@@ -8,8 +8,8 @@
 	"sort"
 	"strings"
 
-	"snowhall"
-	"snowhall/internal/core"
+	"gapgap"
+	"gapgap/internal/core"
 )
 
 // Rules are what requests are read and decided by under the configuration.
--- a/internal/service/shutdown_test.go
+++ b/internal/service/shutdown_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"snowhall/internal/standin/peer"
+	"gapgap/internal/standin/peer"
 )
 
 // After SIGTERM connections and requests are still taken for a while; all that was taken is answered; then
--- a/internal/service/upgrade.go
+++ b/internal/service/upgrade.go
@@ -11,10 +11,10 @@
 	"syscall"
 	"time"
 
-	"snowhall/internal/core"
-	"snowhall/internal/front/resp2"
-	"snowhall/internal/handover"
-	"snowhall/internal/membership/discovery"
+	"gapgap/internal/core"
+	"gapgap/internal/front/resp2"
+	"gapgap/internal/handover"
+	"gapgap/internal/membership/discovery"
 )
 
 const (
--- a/internal/standin/flagserver/flagserver.go
+++ b/internal/standin/flagserver/flagserver.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"snowhall/internal/standin/serve"
+	"gapgap/internal/standin/serve"
 )
 
 // Sent is one command that came whole.
--- a/internal/standin/peer/peer.go
+++ b/internal/standin/peer/peer.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"snowhall/internal/loop"
+	"gapgap/internal/loop"
 )
 
 // Patient bounds every wait; none is expected to take a noticeable part of it.
--- a/internal/standin/power/power.go
+++ b/internal/standin/power/power.go
@@ -17,7 +17,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"snowhall/internal/disk"
+	"gapgap/internal/disk"
 )
 
 // inode is a file, whatever its name.
--- a/internal/standin/program/program.go
+++ b/internal/standin/program/program.go
@@ -13,7 +13,7 @@
 // takes it away again.
 func Built(name string) (build func() (string, error), remove func()) { return BuiltFrom(name, ".") }
 
-// BuiltFrom is Built of another package than the present folder's, such as snowhall/cmd/gapgapd, with further arguments for go build.
+// BuiltFrom is Built of another package than the present folder's, such as gapgap/cmd/gapgapd, with further arguments for go build.
 func BuiltFrom(name, pkg string, args ...string) (build func() (string, error), remove func()) {
 	dir := ""
 	build = sync.OnceValues(func() (path string, err error) {
--- a/internal/standin/rig/power.go
+++ b/internal/standin/rig/power.go
@@ -15,9 +15,9 @@
 	"sync"
 	"time"
 
-	"snowhall/internal/standin/catalog"
-	"snowhall/internal/standin/flagserver"
-	"snowhall/internal/standin/power"
+	"gapgap/internal/standin/catalog"
+	"gapgap/internal/standin/flagserver"
+	"gapgap/internal/standin/power"
 )
 
 // What clients of changes and of calm accounts go by.
--- a/internal/standin/rig/rig.go
+++ b/internal/standin/rig/rig.go
@@ -25,10 +25,10 @@
 	"syscall"
 	"time"
 
-	"snowhall/internal/standin/catalog"
-	"snowhall/internal/standin/flagserver"
-	"snowhall/internal/standin/power"
-	"snowhall/internal/standin/quota"
+	"gapgap/internal/standin/catalog"
+	"gapgap/internal/standin/flagserver"
+	"gapgap/internal/standin/power"
+	"gapgap/internal/standin/quota"
 )
 
 const (
--- a/internal/upstream/hold_test.go
+++ b/internal/upstream/hold_test.go
@@ -3,8 +3,8 @@
 import (
 	"testing"
 
-	"snowhall"
-	"snowhall/internal/standin/peer"
+	"gapgap"
+	"gapgap/internal/standin/peer"
 )
 
 // Nothing reaches a backend that is held: not on a connection held ready, nor by one that is still being dialled, nor a probe,
--- a/internal/upstream/long.go
+++ b/internal/upstream/long.go
@@ -6,8 +6,8 @@
 	"strconv"
 	"time"
 
-	"snowhall"
-	"snowhall/internal/resp"
+	"gapgap"
+	"gapgap/internal/resp"
 )
 
 var errUnwanted = errors.New("nobody takes the value")
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -15,13 +15,13 @@
 
 	"github.com/tidwall/redcon"
 
-	"snowhall"
-	"snowhall/internal/budget"
-	"snowhall/internal/loop"
-	"snowhall/internal/membership"
-	"snowhall/internal/resp"
-	"snowhall/internal/sock"
-	"snowhall/internal/trace"
+	"gapgap"
+	"gapgap/internal/budget"
+	"gapgap/internal/loop"
+	"gapgap/internal/membership"
+	"gapgap/internal/resp"
+	"gapgap/internal/sock"
+	"gapgap/internal/trace"
 )
 
 const (
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -1,10 +1,10 @@
 package upstream
 
 import (
-	"snowhall/internal/loop"
-	"snowhall/internal/membership"
-	"snowhall/internal/sock"
-	"snowhall/internal/standin/peer"
+	"gapgap/internal/loop"
+	"gapgap/internal/membership"
+	"gapgap/internal/sock"
+	"gapgap/internal/standin/peer"
 
 	"fmt"
 	"net"
@@ -13,7 +13,7 @@
 
 	"github.com/tidwall/redcon"
 
-	"snowhall"
+	"gapgap"
 )
 
 func TestReadReply(t *testing.T) {
--- a/internal/upstream/values_test.go
+++ b/internal/upstream/values_test.go
@@ -8,9 +8,9 @@
 	"testing"
 	"time"
 
-	"snowhall"
-	"snowhall/internal/budget"
-	"snowhall/internal/standin/peer"
+	"gapgap"
+	"gapgap/internal/budget"
+	"gapgap/internal/standin/peer"
 )
 
 // sink takes a long value.
--- a/internal/upstream/window_test.go
+++ b/internal/upstream/window_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"snowhall"
-	"snowhall/internal/standin/peer"
+	"gapgap"
+	"gapgap/internal/standin/peer"
 )
 
 // An attempt that has a time by which it is to be written is not written after that: while its connection comes up it ends unsent when the time comes, and one that
--- a/internal/verdict/verdict.go
+++ b/internal/verdict/verdict.go
@@ -14,7 +14,7 @@
 	"errors"
 	"time"
 
-	"snowhall/internal/pq"
+	"gapgap/internal/pq"
 )
 
 // Config bounds a Memory.
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -22,7 +22,7 @@
 	"strconv"
 	"strings"
 
-	"snowhall/internal/disk"
+	"gapgap/internal/disk"
 )
 
 // Errors of Open beside those of the file system.
--- a/internal/wal/wal_test.go
+++ b/internal/wal/wal_test.go
@@ -8,8 +8,8 @@
 	"syscall"
 	"testing"
 
-	"snowhall/internal/disk"
-	"snowhall/internal/standin/power"
+	"gapgap/internal/disk"
+	"gapgap/internal/standin/power"
 )
 
 func options(fs disk.FS) Options {
--- a/internal/wire/print.go
+++ b/internal/wire/print.go
@@ -3,7 +3,7 @@
 import (
 	"strconv"
 
-	"snowhall"
+	"gapgap"
 )
 
 // Append prints one action of an instance as a line.
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"snowhall"
+	"gapgap"
 )
 
 // pairs holds the path=value settings and the first error met in reading them.
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"snowhall"
+	"gapgap"
 )
 
 // Item is one thing of a batch that concerns an instance.
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"snowhall"
+	"gapgap"
 )
 
 const provision = "PROVISION door/3 51 peers-total=2 rank=0 resolution-us=2000 discovery=pushed new.key=x " +
--- a/lend.go
+++ b/lend.go
@@ -13,7 +13,7 @@
 	"math"
 	"time"
 
-	"snowhall/ceiling"
+	"gapgap/ceiling"
 )
 
 // Tuned values, ours; compared in virtual time (internal/emulator).
--- a/many.go
+++ b/many.go
@@ -5,7 +5,7 @@
 	"math"
 	"time"
 
-	"snowhall/ceiling"
+	"gapgap/ceiling"
 )
 
 // Tuned values, ours.
--- a/sharing.go
+++ b/sharing.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"snowhall/share"
+	"gapgap/share"
 )
 
 // Sharing says how this door stands among the others, from now on.
--- a/sharing_test.go
+++ b/sharing_test.go
@@ -7,7 +7,7 @@
 
 	"pgregory.net/rapid"
 
-	"snowhall/share"
+	"gapgap/share"
 )
 
 // sharers are doors without a counter that share one ceiling by views. The parts are leased by hand.
--- a/state.go
+++ b/state.go
@@ -10,12 +10,12 @@
 	"slices"
 	"time"
 
-	"snowhall/ceiling"
-	"snowhall/cold"
-	"snowhall/pace"
-	"snowhall/share"
-	"snowhall/size"
-	"snowhall/subset"
+	"gapgap/ceiling"
+	"gapgap/cold"
+	"gapgap/pace"
+	"gapgap/share"
+	"gapgap/size"
+	"gapgap/subset"
 )
 
 // What a door remembers, and how its queues are kept. Nothing here decides.
