--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -8,7 +8,7 @@
 	"io"
 	"os"
 
-	"gapgap"
+	"gapgap/internal/balancer"
 	"gapgap/internal/wire"
 )
 
@@ -22,7 +22,7 @@
 // run answers batches until the input ends.
 func run(in io.Reader, out io.Writer) error {
 	r, w := wire.NewReader(in), bufio.NewWriterSize(out, 1<<20)
-	doors := map[string]*snowhall.Door{}
+	doors := map[string]*balancer.Door{}
 	var line []byte
 	for {
 		b, err := r.Next()
@@ -36,7 +36,7 @@
 			it := b.Items[i]
 			switch {
 			case it.Start:
-				d, err := snowhall.New(it.Settings, it.Seed)
+				d, err := balancer.New(it.Settings, it.Seed)
 				if err != nil {
 					return fmt.Errorf("settings of %s: %w", it.Door, err)
 				}
@@ -50,7 +50,7 @@
 				i++
 				continue
 			}
-			var events []snowhall.Event
+			var events []balancer.Event
 			for ; i < len(b.Items) && b.Items[i].Door == it.Door && b.Items[i].Event != nil; i++ {
 				events = append(events, b.Items[i].Event)
 			}
--- a/cmd/gapgap/alone_test.go
+++ b/cmd/gapgap/alone_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"gapgap/internal/standin/flagserver"
+	"gapgap/internal/fake/flagserver"
 )
 
 // The platform's front door knows the others by the counter alone: it listens where it is told to, hears no datagrams, and that is all.
--- a/cmd/gapgap/descriptors_test.go
+++ b/cmd/gapgap/descriptors_test.go
@@ -12,9 +12,9 @@
 
 	"golang.org/x/sys/unix"
 
-	"gapgap/internal/standin/catalog"
-	"gapgap/internal/standin/flagserver"
-	"gapgap/internal/standin/peer"
+	"gapgap/internal/fake/catalog"
+	"gapgap/internal/fake/flagserver"
+	"gapgap/internal/fake/peer"
 )
 
 // edit changes the configuration of a node before a process starts.
--- a/cmd/gapgap/signals_test.go
+++ b/cmd/gapgap/signals_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
-	"gapgap/internal/standin/catalog"
-	"gapgap/internal/standin/flagserver"
-	"gapgap/internal/standin/peer"
+	"gapgap/internal/fake/catalog"
+	"gapgap/internal/fake/flagserver"
+	"gapgap/internal/fake/peer"
 )
 
 // SIGTERM with a request in flight, SIGHUP with new settings right behind it and SIGTERM once more: the request has its answer, by its own settings, what rests is
--- a/cmd/gapgap/upgrade_test.go
+++ b/cmd/gapgap/upgrade_test.go
@@ -18,11 +18,11 @@
 	"testing"
 	"time"
 
+	"gapgap/internal/fake/catalog"
+	"gapgap/internal/fake/flagserver"
+	"gapgap/internal/fake/peer"
+	"gapgap/internal/fake/program"
 	"gapgap/internal/handover"
-	"gapgap/internal/standin/catalog"
-	"gapgap/internal/standin/flagserver"
-	"gapgap/internal/standin/peer"
-	"gapgap/internal/standin/program"
 )
 
 // binary is the real program, built once.
--- a/cmd/gapgapctl/fleet.go
+++ b/cmd/gapgapctl/fleet.go
@@ -19,7 +19,7 @@
 	"github.com/spf13/cobra"
 
 	"gapgap/internal/cli"
-	"gapgap/internal/peers"
+	"gapgap/internal/peer"
 	"gapgap/internal/recovery"
 	"gapgap/internal/service/hosted"
 )
@@ -43,7 +43,7 @@
 			if err != nil {
 				return err
 			}
-			var v peers.View
+			var v peer.View
 			if err := json.Unmarshal(body, &v); err != nil {
 				return fmt.Errorf("the door's answer: %w", err)
 			}
@@ -119,7 +119,7 @@
 type recovered struct {
 	hosted.RecoveryView
 	Others map[string]string `json:"others"`
-	fleet  peers.View
+	fleet  peer.View
 }
 
 func (r *recovered) print(out io.Writer) error {
@@ -186,7 +186,7 @@
 }
 
 // table prints how a fleet is seen.
-func table(out io.Writer, v *peers.View, now time.Time) error {
+func table(out io.Writer, v *peer.View, now time.Time) error {
 	t := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintf(t, "DOOR\tSTATE\tFOR\tINCARNATION\tPART\tSEEN AS\tCAUSE\n")
 	for _, d := range v.Doors {
--- a/cmd/gapgapctl/fleet_test.go
+++ b/cmd/gapgapctl/fleet_test.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"gapgap/internal/cli"
-	"gapgap/internal/peers"
+	"gapgap/internal/peer"
 )
 
 // The commands call at a door's socket, and say by their exit codes what came of it.
@@ -23,7 +23,7 @@
 		t.Fatal(err)
 	}
 	half := 0.5
-	view := peers.View{Name: "n0", Rival: true, Doors: []peers.Member{
+	view := peer.View{Name: "n0", Rival: true, Doors: []peer.Member{
 		{Name: "n0", State: "alive", Incarnation: 7, Part: &half, Since: time.Now().Add(-90 * time.Second), SeenBy: map[string]string{"n0": "alive", "n1": "dead"}, Disagree: true},
 		{Name: "n1", State: "dead", Cause: "no sign of life for 1.5s", SeenBy: map[string]string{"n0": "dead"}}}}
 	var left bool
--- a/cmd/gapgapd/disk_powertest.go
+++ b/cmd/gapgapd/disk_powertest.go
@@ -6,16 +6,16 @@
 	"os"
 	"time"
 
-	"gapgap/internal/disk"
+	"gapgap/internal/vfs"
 )
 
 // stateDisk records what is done to the state directory where the rig asks for that, so that it can make of it what a power cut leaves.
-func stateDisk(dir string) (disk.FS, error) {
+func stateDisk(dir string) (vfs.FS, error) {
 	record := os.Getenv("GAPGAP_POWER_RECORD")
 	if record == "" || dir == "" {
-		return disk.OS{}, nil
+		return vfs.OS{}, nil
 	}
-	return disk.NewRecorder(dir, record, os.Getenv("GAPGAP_POWER_FAULT"))
+	return vfs.NewRecorder(dir, record, os.Getenv("GAPGAP_POWER_FAULT"))
 }
 
 // clockAhead is by how much the clock is wrong, as the rig says.
--- a/cmd/gapgapd/main_test.go
+++ b/cmd/gapgapd/main_test.go
@@ -20,11 +20,11 @@
 	"time"
 
 	"gapgap/internal/cli"
-	"gapgap/internal/standin/catalog"
-	"gapgap/internal/standin/flagserver"
-	"gapgap/internal/standin/peer"
-	"gapgap/internal/standin/program"
-	"gapgap/internal/standin/quota"
+	"gapgap/internal/fake/catalog"
+	"gapgap/internal/fake/flagserver"
+	"gapgap/internal/fake/peer"
+	"gapgap/internal/fake/program"
+	"gapgap/internal/fake/quota"
 )
 
 // binary is the real program, built once.
--- a/cmd/gapgapd/members_test.go
+++ b/cmd/gapgapd/members_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"gapgap/internal/standin/rig"
+	"gapgap/internal/fake/rig"
 )
 
 // yields has a dead door's part used whole by the others, and a door that is alone have none: what a test of parts can see best.
--- a/cmd/gapgapd/policy_test.go
+++ b/cmd/gapgapd/policy_test.go
@@ -19,7 +19,7 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"gapgap/internal/standin/rig"
+	"gapgap/internal/fake/rig"
 )
 
 const ceiling3 = "rate = 2.0\nburst = 4.0\nover_worth = 0.2\nceiling_rate = 3.0\nceiling_depth = 6.0\n"
--- a/cmd/gapgapd/power_test.go
+++ b/cmd/gapgapd/power_test.go
@@ -16,11 +16,11 @@
 	"testing"
 	"time"
 
+	"gapgap/internal/fake/power"
+	"gapgap/internal/fake/program"
+	"gapgap/internal/fake/race"
+	"gapgap/internal/fake/rig"
 	"gapgap/internal/service/hosted"
-	"gapgap/internal/standin/power"
-	"gapgap/internal/standin/program"
-	"gapgap/internal/standin/race"
-	"gapgap/internal/standin/rig"
 )
 
 // recorder is the real program with a disk that is written down.
--- a/cmd/measure/ceilings.go
+++ b/cmd/measure/ceilings.go
@@ -13,29 +13,29 @@
 	"gonum.org/v1/plot/plotutil"
 	"gonum.org/v1/plot/vg"
 
-	"gapgap"
-	"gapgap/internal/emulator"
+	"gapgap/internal/balancer"
+	"gapgap/internal/simulator"
 )
 
 // ceilingPlan is the plan of the case that was measured from outside.
-var ceilingPlan = snowhall.Plan{Rate: 5, Burst: 10, Factor: 1, OverWorth: 0.2, CeilingRate: 10, CeilingDepth: 20}
+var ceilingPlan = balancer.Plan{Rate: 5, Burst: 10, Factor: 1, OverWorth: 0.2, CeilingRate: 10, CeilingDepth: 20}
 
-func ceilingSettings(doors int, lend bool) snowhall.Settings {
-	return snowhall.Settings{Doors: doors, Resolution: 2 * time.Millisecond, MaxAttempts: 3, MayCancel: true, RetryAfter: true,
+func ceilingSettings(doors int, lend bool) balancer.Settings {
+	return balancer.Settings{Doors: doors, Resolution: 2 * time.Millisecond, MaxAttempts: 3, MayCancel: true, RetryAfter: true,
 		MaxRetryAfter: 5 * time.Second, StopSendingWithin: 250 * time.Millisecond, FallMultiple: 3, FallWindow: 3 * time.Second, ColdFrom: 0.26,
 		WarmWithin: 15 * time.Second, Counter: true, CounterTimeout: 50 * time.Millisecond, MaxUnits: 1, LendCeilings: lend,
-		Classes: []snowhall.Class{{Worth: 1, Aim: time.Second, GiveUp: 3 * time.Second}}, Plans: []snowhall.Plan{ceilingPlan}}
+		Classes: []balancer.Class{{Worth: 1, Aim: time.Second, GiveUp: 3 * time.Second}}, Plans: []balancer.Plan{ceilingPlan}}
 }
 
 // ceilingRun floods one account at ten times its ceiling for a minute and tells what part of the ceiling was sent on from the
 // fifth second on, and the counter calls a request that was sent on.
 func ceilingRun(doors int, lend bool, door func(now time.Duration, n int) int) (part, calls float64, bySecond []float64, err error) {
 	const lasts = 60
-	w := emulator.New(1, 10)
+	w := simulator.New(1, 10)
 	bySecond = make([]float64, lasts+1)
 	for range doors {
 		d := w.AddDoor(ceilingSettings(doors, lend))
-		d.Sent = func(r *emulator.Request) { bySecond[int((w.Now-emulator.Start)/time.Second)] += r.Units }
+		d.Sent = func(r *simulator.Request) { bySecond[int((w.Now-simulator.Start)/time.Second)] += r.Units }
 		if err := d.Start(); err != nil {
 			return 0, 0, nil, err
 		}
@@ -43,12 +43,12 @@
 	n := 0
 	var next func()
 	next = func() {
-		w.Doors[door(w.Now-emulator.Start, n)].Ask(&emulator.Request{Customer: "c", Units: 1, Grant: n%2 == 0, Left: 2 * time.Second})
+		w.Doors[door(w.Now-simulator.Start, n)].Ask(&simulator.Request{Customer: "c", Units: 1, Grant: n%2 == 0, Left: 2 * time.Second})
 		n++
 		w.After(10*time.Millisecond, next)
 	}
 	w.After(0, next)
-	w.Run(emulator.Start + lasts*time.Second)
+	w.Run(simulator.Start + lasts*time.Second)
 	sum := 0.0
 	for _, u := range bySecond[5:lasts] {
 		sum += u
@@ -139,7 +139,7 @@
 		runtime.ReadMemStats(&m)
 		return float64(m.HeapAlloc)
 	}
-	w := emulator.New(1, 10)
+	w := simulator.New(1, 10)
 	d := w.AddDoor(ceilingSettings(2, lend))
 	if err := d.Start(); err != nil {
 		return 0, 0, err
@@ -148,7 +148,7 @@
 	ask := func(n, times int) {
 		for i := range n {
 			for range times {
-				d.Ask(&emulator.Request{Customer: fmt.Sprint(i), Units: 1, Grant: true, Left: 2 * time.Second})
+				d.Ask(&simulator.Request{Customer: fmt.Sprint(i), Units: 1, Grant: true, Left: 2 * time.Second})
 			}
 			w.Run(w.Now + 100*time.Microsecond)
 		}
--- a/cmd/measure/forwardauth.go
+++ b/cmd/measure/forwardauth.go
@@ -14,9 +14,9 @@
 	"sync"
 	"time"
 
-	"gapgap/internal/standin/catalog"
-	"gapgap/internal/standin/flagserver"
-	"gapgap/internal/standin/quota"
+	"gapgap/internal/fake/catalog"
+	"gapgap/internal/fake/flagserver"
+	"gapgap/internal/fake/quota"
 )
 
 const (
--- a/cmd/measure/members.go
+++ b/cmd/measure/members.go
@@ -13,7 +13,7 @@
 	"gonum.org/v1/plot/plotutil"
 	"gonum.org/v1/plot/vg"
 
-	"gapgap/internal/standin/rig"
+	"gapgap/internal/fake/rig"
 )
 
 // trouble is one row of the table of doors that share a ceiling.
--- a/cmd/measure/platform.go
+++ b/cmd/measure/platform.go
@@ -15,8 +15,8 @@
 	"syscall"
 	"time"
 
-	"gapgap/internal/standin/catalog"
-	"gapgap/internal/standin/flagserver"
+	"gapgap/internal/fake/catalog"
+	"gapgap/internal/fake/flagserver"
 )
 
 // platformSettings are those of a small deployment, in the platform's names.
--- a/cmd/measure/policy.go
+++ b/cmd/measure/policy.go
@@ -13,7 +13,7 @@
 	"strings"
 	"time"
 
-	"gapgap/internal/standin/rig"
+	"gapgap/internal/fake/rig"
 )
 
 // policyPlan lets through some hundred a second.
--- a/cmd/measure/pools.go
+++ b/cmd/measure/pools.go
@@ -11,8 +11,8 @@
 	"sync"
 	"time"
 
-	"gapgap/internal/standin/catalog"
-	"gapgap/internal/standin/flagserver"
+	"gapgap/internal/fake/catalog"
+	"gapgap/internal/fake/flagserver"
 )
 
 // poolsConfig has so many pools, the first being the default, and says whether they share the processor.
--- a/cmd/measure/power.go
+++ b/cmd/measure/power.go
@@ -14,7 +14,7 @@
 	"gonum.org/v1/plot/plotutil"
 	"gonum.org/v1/plot/vg"
 
-	"gapgap/internal/standin/rig"
+	"gapgap/internal/fake/rig"
 )
 
 // powerPlay is what is played around a loss of power.
--- a/cmd/rehearse/main.go
+++ b/cmd/rehearse/main.go
@@ -14,8 +14,8 @@
 	"github.com/spf13/cobra"
 
 	"gapgap/internal/cli"
-	"gapgap/internal/rehearse"
-	"gapgap/internal/rehearse/page"
+	"gapgap/internal/scenario"
+	"gapgap/internal/scenario/page"
 )
 
 func main() { os.Exit(cli.Run(context.Background(), command(), os.Args[1:], os.Stderr)) }
@@ -32,14 +32,14 @@
 	var html string
 	c := &cobra.Command{Use: "run SCRIPT", Short: "Play a script; it fails if a rule is broken", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			s, err := rehearse.Load(args[0])
+			s, err := scenario.Load(args[0])
 			if err != nil {
 				return err
 			}
 			if c.Flags().Changed("seed") {
 				s.Seed = uint64(seed)
 			}
-			r, err := rehearse.Play(s)
+			r, err := scenario.Play(s)
 			if err != nil {
 				return err
 			}
@@ -71,7 +71,7 @@
 }
 
 // text prints a report for people.
-func text(w io.Writer, r *rehearse.Report) {
+func text(w io.Writer, r *scenario.Report) {
 	fmt.Fprintf(w, "%s, seed %d, %s: service %.4f\n", r.Script, r.Seed, r.Driver, r.Service)
 	t := r.Totals
 	fmt.Fprintf(w, "asked %d: in time %d, late %d, refused %d, failed %d, lost %d; %d calls to the counter; %d events in %v; trace %s\n\n",
@@ -98,7 +98,7 @@
 	var within float64
 	c := &cobra.Command{Use: "diff A B", Short: "Compare two reports in JSON; it fails past the tolerance", Args: cobra.ExactArgs(2),
 		RunE: func(c *cobra.Command, args []string) error {
-			var all [2]rehearse.Report
+			var all [2]scenario.Report
 			for i, name := range args {
 				data, err := os.ReadFile(name)
 				if err == nil {
@@ -133,7 +133,7 @@
 func check() *cobra.Command {
 	return &cobra.Command{Use: "check SCRIPT", Short: "Say what is wrong with a script, without playing it", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			if _, err := rehearse.Load(args[0]); err != nil {
+			if _, err := scenario.Load(args[0]); err != nil {
 				return err
 			}
 			fmt.Fprintln(c.OutOrStdout(), args[0]+": good")
--- a/cmd/tryout/main.go
+++ b/cmd/tryout/main.go
@@ -21,10 +21,10 @@
 	"github.com/spf13/cobra"
 
 	"gapgap/internal/cli"
+	"gapgap/internal/fake/catalog"
+	"gapgap/internal/fake/flagserver"
+	"gapgap/internal/fake/quota"
 	"gapgap/internal/service/hosted"
-	"gapgap/internal/standin/catalog"
-	"gapgap/internal/standin/flagserver"
-	"gapgap/internal/standin/quota"
 )
 
 const (
--- a/api.go
+++ b/internal/balancer/api.go
@@ -1,16 +1,16 @@
-// Package snowhall makes the decisions of one front door ("door") that meters many customers' use of one
+// Package balancer makes the decisions of one front door ("door") that meters many customers' use of one
 // shared service: which requests go on, to which backend, when, how often, and which are refused.
 //
 // A [Door] does no input or output and starts no goroutine. The caller hands it what happened as [Event]
 // values and carries out the [Action] values that come back, in their order. All times are time.Duration
 // values on the caller's clock, which may start anywhere and must not go back. The same settings, seed and
 // events give the same actions. A Door is not safe for concurrent use; different Doors share nothing.
-package snowhall
+package balancer
 
 import (
 	"time"
 
-	"gapgap/share"
+	"gapgap/internal/balancer/quotashare"
 )
 
 // Effect says what repeating a request of a class may do.
@@ -50,15 +50,15 @@
 
 // Plan describes the quota of each customer on it, over all doors together.
 type Plan struct {
-	Rate         float64    // units a second by which the customer's store fills; 0: no such quota
-	Burst        float64    // units the store holds; it starts full
-	AtOnce       int        // attempts out at once; 0: no such quota
-	Factor       float64    // factor on the worth
-	OverWorth    float64    // share of its worth that a request beyond the quota earns
-	OverCost     float64    // share of its worth that a request beyond the quota costs
-	CeilingRate  float64    // units a second by which the hard ceiling's store fills; 0: no ceiling
-	CeilingDepth float64    // units the ceiling's store holds; it starts full
-	CutOff       share.Rule // with ByViews: what of it a door keeps that no lease stands behind
+	Rate         float64         // units a second by which the customer's store fills; 0: no such quota
+	Burst        float64         // units the store holds; it starts full
+	AtOnce       int             // attempts out at once; 0: no such quota
+	Factor       float64         // factor on the worth
+	OverWorth    float64         // share of its worth that a request beyond the quota earns
+	OverCost     float64         // share of its worth that a request beyond the quota costs
+	CeilingRate  float64         // units a second by which the hard ceiling's store fills; 0: no ceiling
+	CeilingDepth float64         // units the ceiling's store holds; it starts full
+	CutOff       quotashare.Rule // with ByViews: what of it a door keeps that no lease stands behind
 }
 
 // Settings is what a Door is told at its start. The slices belong to the Door from then on.
--- a/pace/pace_test.go
+++ b/internal/balancer/callpacer/pace_test.go
@@ -1,4 +1,4 @@
-package pace
+package callpacer
 
 import (
 	"math/rand/v2"
--- a/causes_test.go
+++ b/internal/balancer/causes_test.go
@@ -1,4 +1,4 @@
-package snowhall
+package balancer
 
 // One test for each cause found on the second deployment (docs/design/second-deployment.md) that has none beside its code.
 
--- a/ceiling/ceiling.go
+++ b/internal/balancer/ceilinglease/ceiling.go
@@ -1,4 +1,4 @@
-// Package ceiling is the arithmetic by which front doors share what a hard ceiling allows beyond the quota: units are leased
+// Package ceilinglease is the arithmetic by which front doors share what a hard ceiling allows beyond the quota: units are leased
 // from one number on the shared counter in tumbling windows, so the whole of it is there for whichever door has the demand.
 //
 // A ceiling is a store of units (rate C, depth D, starts full). Inside the quota (rate R, burst B) the quota's own ledger on
@@ -11,7 +11,7 @@
 //
 // Nothing here does input or output; the time is handed in and is one clock for all doors. A clock that is off by e lets
 // X*e more go out, once.
-package ceiling
+package ceilinglease
 
 import (
 	"math"
--- a/ceiling/ceiling_test.go
+++ b/internal/balancer/ceilinglease/ceiling_test.go
@@ -1,4 +1,4 @@
-package ceiling
+package ceilinglease
 
 import (
 	"math"
--- a/size/size.go
+++ b/internal/balancer/costmodel/size.go
@@ -1,4 +1,4 @@
-// Package size learns how much work a request is from the units that it declares: a quota may count a request's size, and then
+// Package costmodel learns how much work a request is from the units that it declares: a quota may count a request's size, and then
 // one of four units holds a server several times as long as one of one unit. Whoever takes all requests of a class for alike
 // expects the small ones late and the large ones soon, and counts places instead of work.
 //
@@ -7,7 +7,7 @@
 // where all requests count one unit has one range, and every size there is exactly 1.
 //
 // Nothing here does input or output or reads a clock.
-package size
+package costmodel
 
 import "math"
 
--- a/size/size_test.go
+++ b/internal/balancer/costmodel/size_test.go
@@ -1,4 +1,4 @@
-package size
+package costmodel
 
 import (
 	"math"
--- a/door.go
+++ b/internal/balancer/door.go
@@ -1,4 +1,4 @@
-package snowhall
+package balancer
 
 // The decisions of a door. The types are in api.go. The mechanism is that of J. Andersson and M. Kihl, "Load
 // Balancing and Admission Control of a Parlay X Application Server", NTS 17, 2004, sections 3.1 and 4: a
@@ -14,7 +14,7 @@
 	"slices"
 	"time"
 
-	"gapgap/cold"
+	"gapgap/internal/balancer/slowstart"
 )
 
 // Tuned values. Where no source is named, they are ours and were compared on simulated days only.
@@ -776,7 +776,7 @@
 
 // coldFull says that a cold server has had its budget: package cold says what that is.
 func (d *Door) coldFull(s *server) bool {
-	w := cold.Warmth{Now: d.warmth(s), Then: d.warmthAt(s, d.now-d.set.FallWindow)}
+	w := slowstart.Warmth{Now: d.warmth(s), Then: d.warmthAt(s, d.now-d.set.FallWindow)}
 	return w.Now < 1 && s.book.Full(d.now, d.coldTerms(), d.rate*s.weight*s.share, w, d.rng.Float64)
 }
 
--- a/golden_test.go
+++ b/internal/balancer/golden_test.go
@@ -1,4 +1,4 @@
-package snowhall_test
+package balancer_test
 
 import (
 	"fmt"
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
-	"gapgap"
+	"gapgap/internal/balancer"
+	"gapgap/internal/balancer/quotashare"
 	"gapgap/internal/golden"
-	"gapgap/share"
 )
 
 // playLength is the virtual time of one play.
@@ -29,7 +29,7 @@
 type play struct {
 	name     string
 	seed     uint64
-	settings snowhall.Settings
+	settings balancer.Settings
 	gateways int // instances that are driven; the settings may name more
 	backends int
 	calls    int // requests a round at most, of each instance
@@ -43,7 +43,7 @@
 
 // attempt is a dispatched attempt that has no result yet.
 type attempt struct {
-	snowhall.Send
+	balancer.Send
 	number int
 	sentAt time.Duration
 	begun  bool
@@ -53,13 +53,13 @@
 // delayed is an event that reaches an instance at a time.
 type delayed struct {
 	at    time.Duration
-	event snowhall.Event
+	event balancer.Event
 }
 
 // instance is one driven gateway.
 type instance struct {
 	index    int
-	module   *snowhall.Door
+	module   *balancer.Door
 	lastID   uint64
 	attempts []*attempt
 	counts   map[uint64]int // attempts so far, by request
@@ -74,7 +74,7 @@
 	now       time.Duration
 	trace     *golden.Trace
 	instances []*instance
-	list      []snowhall.Backend
+	list      []balancer.Backend
 	totals    map[uint64]float64
 	lastCalls map[string]time.Duration
 }
@@ -90,7 +90,7 @@
 		totals: map[uint64]float64{},
 	}
 	for i := range p.backends {
-		r.list = append(r.list, snowhall.Backend{
+		r.list = append(r.list, balancer.Backend{
 			Name:   fmt.Sprint("b-", i),
 			Zone:   i % 3,
 			Cell:   i / 2,
@@ -124,7 +124,7 @@
 	settings.Rank = index
 	settings.Classes = slices.Clone(settings.Classes)
 	settings.Plans = slices.Clone(settings.Plans)
-	module, err := snowhall.New(settings, r.seed*1000+uint64(index))
+	module, err := balancer.New(settings, r.seed*1000+uint64(index))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -134,9 +134,9 @@
 	} else {
 		r.instances = append(r.instances, in)
 	}
-	r.step(in, []snowhall.Event{snowhall.List{Scope: snowhall.Cached, Entries: slices.Clone(r.list)}})
+	r.step(in, []balancer.Event{balancer.List{Scope: balancer.Cached, Entries: slices.Clone(r.list)}})
 	if r.loans {
-		r.step(in, []snowhall.Event{snowhall.Sharing{Part: 1 / float64(r.gateways), Until: r.now + 2*time.Second}})
+		r.step(in, []balancer.Event{balancer.Sharing{Part: 1 / float64(r.gateways), Until: r.now + 2*time.Second}})
 	}
 	return in
 }
@@ -161,22 +161,22 @@
 		for _, in := range r.instances {
 			own := settings
 			own.Rank = in.index
-			r.step(in, []snowhall.Event{snowhall.Retune{Settings: own, From: from}})
+			r.step(in, []balancer.Event{balancer.Retune{Settings: own, From: from}})
 		}
 	}
 	if r.handover {
 		for i, in := range r.instances {
-			var state snowhall.Memory
-			for _, action := range r.step(in, []snowhall.Event{snowhall.Leave{}}) {
-				if handed, ok := action.(snowhall.Handed); ok {
+			var state balancer.Memory
+			for _, action := range r.step(in, []balancer.Event{balancer.Leave{}}) {
+				if handed, ok := action.(balancer.Handed); ok {
 					state = handed.Memory
 				}
 			}
 			if i%2 == 1 { // it comes to nothing: the old one goes on
-				r.step(in, []snowhall.Event{snowhall.Recall{Memory: state}})
+				r.step(in, []balancer.Event{balancer.Recall{Memory: state}})
 				continue
 			}
-			r.step(r.start(t, i), []snowhall.Event{snowhall.Recall{Memory: state}})
+			r.step(r.start(t, i), []balancer.Event{balancer.Recall{Memory: state}})
 		}
 	}
 }
@@ -188,17 +188,17 @@
 	}
 	at := r.rng.IntN(len(r.list))
 	entry := &r.list[at]
-	entry.State = snowhall.State(r.rng.IntN(3))
+	entry.State = balancer.State(r.rng.IntN(3))
 	if r.rng.IntN(2) == 0 {
-		entry.State = snowhall.InService
+		entry.State = balancer.InService
 		entry.Started = r.now
 	}
-	update := snowhall.List{Scope: snowhall.Delta, Entries: []snowhall.Backend{*entry}}
+	update := balancer.List{Scope: balancer.Delta, Entries: []balancer.Backend{*entry}}
 	switch r.rng.IntN(5) {
 	case 0:
-		update = snowhall.List{Scope: snowhall.Whole, Entries: slices.Clone(r.list)}
+		update = balancer.List{Scope: balancer.Whole, Entries: slices.Clone(r.list)}
 	case 1:
-		update = snowhall.List{Scope: snowhall.ListFailed}
+		update = balancer.List{Scope: balancer.ListFailed}
 	}
 	for _, in := range r.instances {
 		in.inbox = append(in.inbox, delayed{r.now + time.Duration(r.rng.IntN(300))*time.Millisecond, update})
@@ -206,9 +206,9 @@
 	if r.admin {
 		name := r.list[r.rng.IntN(len(r.list))].Name
 		for _, in := range r.instances {
-			var event snowhall.Event = snowhall.Detach{Backend: name, At: r.now}
+			var event balancer.Event = balancer.Detach{Backend: name, At: r.now}
 			if r.rng.IntN(2) == 0 {
-				event = snowhall.Attach{Backend: name}
+				event = balancer.Attach{Backend: name}
 			}
 			in.inbox = append(in.inbox, delayed{r.now, event})
 		}
@@ -216,7 +216,7 @@
 }
 
 // events are what reaches an instance in this round.
-func (r *run) events(in *instance) (events []snowhall.Event) {
+func (r *run) events(in *instance) (events []balancer.Event) {
 	kept := in.inbox[:0]
 	for _, d := range in.inbox {
 		if d.at <= r.now {
@@ -231,7 +231,7 @@
 		events = append(events, r.request(in))
 	}
 	if r.rng.IntN(60) == 0 && in.lastID > 4 {
-		events = append(events, snowhall.Gone{ID: in.lastID - uint64(r.rng.IntN(4))})
+		events = append(events, balancer.Gone{ID: in.lastID - uint64(r.rng.IntN(4))})
 	}
 	if r.loans && r.rng.IntN(60) == 0 {
 		events = append(events, r.shareLease())
@@ -240,8 +240,8 @@
 }
 
 // shareLease is a renewal, a change or a loss of an instance's leased share.
-func (r *run) shareLease() snowhall.Event {
-	lease := snowhall.Sharing{Part: 1 / float64(r.gateways), Until: r.now + time.Duration(500+r.rng.IntN(1500))*time.Millisecond}
+func (r *run) shareLease() balancer.Event {
+	lease := balancer.Sharing{Part: 1 / float64(r.gateways), Until: r.now + time.Duration(500+r.rng.IntN(1500))*time.Millisecond}
 	switch r.rng.IntN(6) {
 	case 0:
 		lease.Part /= 2
@@ -254,13 +254,13 @@
 }
 
 // request is a new request of a client.
-func (r *run) request(in *instance) snowhall.Event {
+func (r *run) request(in *instance) balancer.Event {
 	in.lastID++
 	customer, plan := r.rng.IntN(12), r.rng.IntN(len(r.settings.Plans))
 	if r.settings.LendCeilings { // a plan that changes while a lease is asked for is a case of its own
 		plan = customer % len(r.settings.Plans)
 	}
-	request := snowhall.Request{
+	request := balancer.Request{
 		ID:       in.lastID,
 		Class:    r.rng.IntN(len(r.settings.Classes)),
 		Plan:     plan,
@@ -284,14 +284,14 @@
 }
 
 // results are the ends of attempts that are due.
-func (r *run) results(in *instance) (events []snowhall.Event) {
+func (r *run) results(in *instance) (events []balancer.Event) {
 	kept := in.attempts[:0]
 	for _, a := range in.attempts {
 		streamed := r.settings.Classes[0].Stream && !a.begun && r.rng.IntN(4) == 0
 		switch {
 		case r.now < a.due && streamed:
 			a.begun = true
-			events = append(events, snowhall.FirstByte{ID: a.ID, Attempt: a.number})
+			events = append(events, balancer.FirstByte{ID: a.ID, Attempt: a.number})
 			kept = append(kept, a)
 			continue
 		case r.now < a.due:
@@ -305,37 +305,37 @@
 }
 
 // status is how an attempt ends that is due.
-func (r *run) status(a *attempt) snowhall.Status {
+func (r *run) status(a *attempt) balancer.Status {
 	if r.now >= a.sentAt+a.Timeout {
-		return snowhall.Timeout
+		return balancer.Timeout
 	}
 	if r.rng.Float64() < r.faults.attempt {
-		return snowhall.Status(r.rng.IntN(int(snowhall.Moot) + 1))
+		return balancer.Status(r.rng.IntN(int(balancer.Moot) + 1))
 	}
-	return snowhall.OK
+	return balancer.OK
 }
 
-func (r *run) result(in *instance, a *attempt, status snowhall.Status) snowhall.Event {
-	result := snowhall.Outcome{
+func (r *run) result(in *instance, a *attempt, status balancer.Status) balancer.Event {
+	result := balancer.Outcome{
 		ID:      a.ID,
 		Attempt: a.number,
 		Backend: a.Backend,
 		Status:  status,
 		Latency: r.now - a.sentAt,
-		Closed:  status == snowhall.OK || !in.open[a.ID],
+		Closed:  status == balancer.OK || !in.open[a.ID],
 		Used:    r.rng.IntN(120),
 	}
-	if r.settings.TruedUp && status == snowhall.OK {
+	if r.settings.TruedUp && status == balancer.OK {
 		result.Units = float64(r.rng.IntN(4))
 	}
-	if status == snowhall.OK {
+	if status == balancer.OK {
 		delete(in.open, a.ID)
 	}
 	return result
 }
 
 // step hands events to an instance, adds what it wants to the trace and carries it out.
-func (r *run) step(in *instance, events []snowhall.Event) []snowhall.Action {
+func (r *run) step(in *instance, events []balancer.Event) []balancer.Action {
 	actions := slices.Clone(in.module.Step(r.now, events))
 	r.trace.Int(int64(in.index))
 	r.trace.Duration(r.now)
@@ -348,12 +348,12 @@
 }
 
 // carryOut does what an action asks for.
-func (r *run) carryOut(in *instance, action snowhall.Action) {
-	later := func(d time.Duration, event snowhall.Event) {
+func (r *run) carryOut(in *instance, action balancer.Action) {
+	later := func(d time.Duration, event balancer.Event) {
 		in.inbox = append(in.inbox, delayed{r.now + d, event})
 	}
 	switch action := action.(type) {
-	case snowhall.Send:
+	case balancer.Send:
 		number := in.counts[action.ID]
 		in.counts[action.ID]++
 		takes := time.Duration(5+r.rng.ExpFloat64()*60) * time.Millisecond
@@ -366,50 +366,50 @@
 			sentAt: r.now,
 			due:    r.now + min(takes, action.Timeout),
 		})
-	case snowhall.Cancel:
+	case balancer.Cancel:
 		for i, a := range in.attempts {
 			if a.ID == action.ID && a.number == action.Attempt {
 				in.attempts = slices.Delete(in.attempts, i, i+1)
-				later(0, r.result(in, a, snowhall.Cancelled))
+				later(0, r.result(in, a, balancer.Cancelled))
 				break
 			}
 		}
-	case snowhall.Refuse:
+	case balancer.Refuse:
 		delete(in.open, action.ID)
-	case snowhall.Fail:
+	case balancer.Fail:
 		delete(in.open, action.ID)
-	case snowhall.Grant:
+	case balancer.Grant:
 		delete(in.open, action.ID)
 		if r.rng.IntN(2) == 0 {
-			later(time.Duration(r.rng.IntN(300))*time.Millisecond, snowhall.Gone{ID: action.ID})
+			later(time.Duration(r.rng.IntN(300))*time.Millisecond, balancer.Gone{ID: action.ID})
 		}
-	case snowhall.Count:
+	case balancer.Count:
 		r.count(in, action)
-	case snowhall.SetTimer:
-		later(max(time.Millisecond, action.At-r.now), snowhall.Timer{Cookie: action.Cookie})
-	case snowhall.Probe:
-		status := snowhall.OK
+	case balancer.SetTimer:
+		later(max(time.Millisecond, action.At-r.now), balancer.Timer{Cookie: action.Cookie})
+	case balancer.Probe:
+		status := balancer.OK
 		if r.rng.Float64() < r.faults.attempt {
-			status = snowhall.Timeout
+			status = balancer.Timeout
 		}
-		later(5*time.Millisecond, snowhall.Probed{Backend: action.Backend, Status: status})
-	case snowhall.Watch, snowhall.Fetch:
-		later(20*time.Millisecond, snowhall.List{Scope: snowhall.Whole, Entries: slices.Clone(r.list)})
-	case snowhall.Finding:
+		later(5*time.Millisecond, balancer.Probed{Backend: action.Backend, Status: status})
+	case balancer.Watch, balancer.Fetch:
+		later(20*time.Millisecond, balancer.List{Scope: balancer.Whole, Entries: slices.Clone(r.list)})
+	case balancer.Finding:
 		for _, other := range r.instances {
 			if other != in {
 				other.inbox = append(other.inbox, delayed{r.now, action})
 			}
 		}
-	case snowhall.Borrow:
+	case balancer.Borrow:
 		for _, other := range r.instances {
 			if other != in {
-				event := snowhall.Wanted{From: in.index, Customer: action.Customer, Plan: action.Plan, At: action.At}
+				event := balancer.Wanted{From: in.index, Customer: action.Customer, Plan: action.Plan, At: action.At}
 				other.inbox = append(other.inbox, delayed{r.now + 2*time.Millisecond, event})
 			}
 		}
-	case snowhall.Lend:
-		loan := snowhall.Loaned{From: in.index, Customer: action.Customer, Plan: action.Plan, At: action.At,
+	case balancer.Lend:
+		loan := balancer.Loaned{From: in.index, Customer: action.Customer, Plan: action.Plan, At: action.At,
 			Rate: action.Rate, Depth: action.Depth}
 		to := r.instances[action.To]
 		to.inbox = append(to.inbox, delayed{r.now + 2*time.Millisecond, loan})
@@ -417,85 +417,85 @@
 }
 
 // count adds to a number of the counter and answers in time, late or never.
-func (r *run) count(in *instance, call snowhall.Count) {
-	answer := func(d time.Duration, event snowhall.Event) {
+func (r *run) count(in *instance, call balancer.Count) {
+	answer := func(d time.Duration, event balancer.Event) {
 		in.inbox = append(in.inbox, delayed{r.now + d, event})
 	}
 	takes := time.Duration(1+r.rng.IntN(20)) * time.Millisecond
 	if r.rng.Float64() >= r.faults.counter {
 		r.totals[call.Name] += call.Amount
-		answer(takes, snowhall.Counted{Name: call.Name, Status: snowhall.OK, Total: r.totals[call.Name]})
+		answer(takes, balancer.Counted{Name: call.Name, Status: balancer.OK, Total: r.totals[call.Name]})
 		return
 	}
-	status := []snowhall.Status{snowhall.Failed, snowhall.Full, snowhall.Timeout, snowhall.ConnectFailed, snowhall.Timeout}[r.rng.IntN(5)]
-	if status == snowhall.Timeout {
+	status := []balancer.Status{balancer.Failed, balancer.Full, balancer.Timeout, balancer.ConnectFailed, balancer.Timeout}[r.rng.IntN(5)]
+	if status == balancer.Timeout {
 		takes = r.settings.CounterTimeout
 	}
-	if status == snowhall.Failed || status == snowhall.Timeout {
+	if status == balancer.Failed || status == balancer.Timeout {
 		r.totals[call.Name] += call.Amount
 	}
-	answer(takes, snowhall.Counted{Name: call.Name, Status: status})
-	if status == snowhall.Timeout && r.rng.Float64() < r.faults.late {
-		late := snowhall.Late{Ticket: call.Ticket, Status: snowhall.OK, Total: r.totals[call.Name]}
+	answer(takes, balancer.Counted{Name: call.Name, Status: status})
+	if status == balancer.Timeout && r.rng.Float64() < r.faults.late {
+		late := balancer.Late{Ticket: call.Ticket, Status: balancer.OK, Total: r.totals[call.Name]}
 		answer(takes+time.Duration(r.rng.IntN(900))*time.Millisecond, late)
 	}
 }
 
 // record adds an action to a trace: a number for its kind, then each field.
-func record(trace *golden.Trace, action snowhall.Action) {
+func record(trace *golden.Trace, action balancer.Action) {
 	switch a := action.(type) {
-	case snowhall.Send:
+	case balancer.Send:
 		trace.Int(1)
 		trace.Uint(a.ID)
 		trace.String(a.Backend)
 		trace.Duration(a.Timeout)
 		trace.Duration(a.By)
-	case snowhall.Refuse:
+	case balancer.Refuse:
 		trace.Int(2)
 		trace.Uint(a.ID)
 		trace.Duration(a.Pause)
 		trace.Int(int64(a.Why))
-	case snowhall.Fail:
+	case balancer.Fail:
 		trace.Int(3)
 		trace.Uint(a.ID)
 		trace.Int(int64(a.Why))
-	case snowhall.Grant:
+	case balancer.Grant:
 		trace.Int(4)
 		trace.Uint(a.ID)
-	case snowhall.Cancel:
+	case balancer.Cancel:
 		trace.Int(5)
 		trace.Uint(a.ID)
 		trace.Int(int64(a.Attempt))
-	case snowhall.Probe:
+	case balancer.Probe:
 		trace.Int(6)
 		trace.String(a.Backend)
-	case snowhall.Count:
+	case balancer.Count:
 		trace.Int(7)
 		trace.Uint(a.Name)
 		trace.Float(a.Amount)
 		trace.Duration(a.Keep)
 		trace.Uint(a.Ticket)
-	case snowhall.SetTimer:
+	case balancer.SetTimer:
 		trace.Int(8)
 		trace.Duration(a.At)
 		trace.Uint(a.Cookie)
-	case snowhall.Watch:
+	case balancer.Watch:
 		trace.Int(9)
-	case snowhall.Fetch:
+	case balancer.Fetch:
 		trace.Int(10)
-	case snowhall.Finding:
+	case balancer.Finding:
 		trace.Int(11)
 		trace.String(a.Backend)
 		trace.Int(int64(a.Health))
 		trace.Duration(a.Since)
-	case snowhall.Log:
+	case balancer.Log:
 		trace.Int(12)
-	case snowhall.Borrow:
+	case balancer.Borrow:
 		trace.Int(13)
 		trace.String(a.Customer)
 		trace.Int(int64(a.Plan))
 		trace.Duration(a.At)
-	case snowhall.Lend:
+	case balancer.Lend:
 		trace.Int(14)
 		trace.Int(int64(a.To))
 		trace.String(a.Customer)
@@ -503,7 +503,7 @@
 		trace.Duration(a.At)
 		trace.Float(a.Rate)
 		trace.Float(a.Depth)
-	case snowhall.Handed:
+	case balancer.Handed:
 		trace.Int(15)
 		recordState(trace, a.Memory)
 	default:
@@ -512,7 +512,7 @@
 }
 
 // recordState adds what is handed over to a trace, each field.
-func recordState(trace *golden.Trace, m snowhall.Memory) {
+func recordState(trace *golden.Trace, m balancer.Memory) {
 	trace.Duration(m.At)
 	for _, c := range m.Classes {
 		trace.Float(c.Base)
@@ -557,8 +557,8 @@
 }
 
 // deployment is the settings of a deployment with all kinds of classes and plans. The classes are those of the sites in deploy/sites.
-func deployment(site string, gateways int) snowhall.Settings {
-	settings := snowhall.Settings{
+func deployment(site string, gateways int) balancer.Settings {
+	settings := balancer.Settings{
 		Doors:             gateways,
 		Zone:              1,
 		Resolution:        4 * time.Millisecond,
@@ -578,7 +578,7 @@
 		CounterTimeout:    50 * time.Millisecond,
 		CounterFee:        0.004,
 		MaxUnits:          4,
-		Plans: []snowhall.Plan{
+		Plans: []balancer.Plan{
 			{Rate: 4, Burst: 8, Factor: 1, OverCost: 0.5},
 			{Rate: 10, Burst: 20, Factor: 1.5, OverWorth: 0.2, CeilingRate: 20, CeilingDepth: 40},
 			{Factor: 1},
@@ -589,29 +589,29 @@
 	millis := func(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 	switch site {
 	case "tight":
-		settings.Classes = []snowhall.Class{
-			{Worth: 1, Aim: millis(400), GiveUp: millis(1000), Effect: snowhall.Safe},
-			{Worth: 8, Aim: millis(500), GiveUp: millis(1200), Effect: snowhall.Unsafe},
-			{Worth: 3, LateWorth: 0.1, Aim: millis(400), GiveUp: millis(1200), Effect: snowhall.Keyed, Group: snowhall.GroupCell, Window: millis(700)},
+		settings.Classes = []balancer.Class{
+			{Worth: 1, Aim: millis(400), GiveUp: millis(1000), Effect: balancer.Safe},
+			{Worth: 8, Aim: millis(500), GiveUp: millis(1200), Effect: balancer.Unsafe},
+			{Worth: 3, LateWorth: 0.1, Aim: millis(400), GiveUp: millis(1200), Effect: balancer.Keyed, Group: balancer.GroupCell, Window: millis(700)},
 		}
 	case "wide":
 		settings.CounterFee = 0.02
 		settings.MayProbe = false
 		settings.OnRequest = true
 		settings.AskEvery = 2 * time.Second
-		settings.Classes = []snowhall.Class{
-			{Worth: 1, LateWorth: 0.2, Aim: millis(1500), GiveUp: millis(5000), Effect: snowhall.Safe, Stream: true},
-			{Worth: 4, LateWorth: 0.3, Aim: millis(3000), GiveUp: millis(10000), Effect: snowhall.Safe},
-			{Worth: 7, LateWorth: 0.1, Aim: millis(2000), GiveUp: millis(8000), Effect: snowhall.Keyed, Group: snowhall.GroupZone, Window: millis(5000)},
+		settings.Classes = []balancer.Class{
+			{Worth: 1, LateWorth: 0.2, Aim: millis(1500), GiveUp: millis(5000), Effect: balancer.Safe, Stream: true},
+			{Worth: 4, LateWorth: 0.3, Aim: millis(3000), GiveUp: millis(10000), Effect: balancer.Safe},
+			{Worth: 7, LateWorth: 0.1, Aim: millis(2000), GiveUp: millis(8000), Effect: balancer.Keyed, Group: balancer.GroupZone, Window: millis(5000)},
 		}
 	default:
 		settings.TruedUp = true
 		settings.MayCancel = false
 		settings.RetryAfter = false
-		settings.Classes = []snowhall.Class{
-			{Worth: 2, Aim: millis(300), GiveUp: millis(900), Effect: snowhall.Keyed, Group: snowhall.GroupAll, Window: millis(900)},
-			{Worth: 1, Aim: millis(200), GiveUp: millis(600), Effect: snowhall.Safe, Dropped: true},
-			{Worth: 5, Aim: millis(800), GiveUp: millis(2000), Effect: snowhall.Unsafe, Remembered: true},
+		settings.Classes = []balancer.Class{
+			{Worth: 2, Aim: millis(300), GiveUp: millis(900), Effect: balancer.Keyed, Group: balancer.GroupAll, Window: millis(900)},
+			{Worth: 1, Aim: millis(200), GiveUp: millis(600), Effect: balancer.Safe, Dropped: true},
+			{Worth: 5, Aim: millis(800), GiveUp: millis(2000), Effect: balancer.Unsafe, Remembered: true},
 		}
 	}
 	return settings
@@ -643,7 +643,7 @@
 			viewed := deployment(site, 3)
 			viewed.ByViews = true
 			for i := range viewed.Plans {
-				viewed.Plans[i].CutOff = []share.Rule{share.KeepQuota, share.KeepAll, share.KeepNone}[i%3]
+				viewed.Plans[i].CutOff = []quotashare.Rule{quotashare.KeepQuota, quotashare.KeepAll, quotashare.KeepNone}[i%3]
 			}
 			add(play{name: site + "/leased", settings: viewed, gateways: 3, backends: 6, calls: 3, loans: true, admin: true}, level)
 			add(play{name: site + "/changed", settings: deployment(site, 2), gateways: 2, backends: 5, calls: 4, reload: true, handover: true, admin: true}, level)
--- a/grant_test.go
+++ b/internal/balancer/grant_test.go
@@ -1,4 +1,4 @@
-package snowhall
+package balancer
 
 import (
 	"fmt"
--- a/handover.go
+++ b/internal/balancer/handover.go
@@ -1,4 +1,4 @@
-package snowhall
+package balancer
 
 // What a door hands to the one that takes its place while both still run. Nothing here decides: it writes down what the rules
 // need to hold over the pair, and what would take the other seconds to learn. What is handed on is no longer this door's.
--- a/late.go
+++ b/internal/balancer/late.go
@@ -1,4 +1,4 @@
-package snowhall
+package balancer
 
 // What became of counter calls that ended as Timeout. Such a call has taken a block from its customer's store, or may yet,
 // and no request had any use of it: where the counter is slow, each call that is given up shortens the customer's quota by what its
--- a/lend.go
+++ b/internal/balancer/lend.go
@@ -1,4 +1,4 @@
-package snowhall
+package balancer
 
 // How a customer's ceiling is lent to the doors where its demand is (Settings.LendCeilings). The arithmetic of what goes out
 // beyond the quota is package ceiling's; docs/design/ceilings.md has the argument that no more than the ceiling goes out.
@@ -13,10 +13,10 @@
 	"math"
 	"time"
 
-	"gapgap/ceiling"
+	"gapgap/internal/balancer/ceilinglease"
 )
 
-// Tuned values, ours; compared in virtual time (internal/emulator).
+// Tuned values, ours; compared in virtual time (internal/simulator).
 const (
 	overfullLent = 0.1                    // ... where the ceiling hangs on it
 	failedMost   = 2                      // calls failed in a row from which nothing is lent
@@ -43,7 +43,7 @@
 // lent is on what terms a request's ceiling is lent now; nil: it is not, and this door goes by its even
 // share. A counter that does not answer lends nothing: then all doors go by their shares, from which what
 // they sent on meanwhile was taken (see draw), so together they hold no more than the ceiling's store does.
-func (d *Door) lent(r *request) *ceiling.Terms {
+func (d *Door) lent(r *request) *ceilinglease.Terms {
 	if t := &d.terms[r.plan]; t.Rate > 0 && r.c.doors > 1 && d.now >= d.lendFrom {
 		return t
 	}
@@ -140,7 +140,7 @@
 }
 
 // leased says whether what was leased beyond the quota has a request's units, and asks for more.
-func (d *Door) leased(r *request, t *ceiling.Terms, late bool) verdict {
+func (d *Door) leased(r *request, t *ceilinglease.Terms, late bool) verdict {
 	c := r.c
 	p := &d.set.Plans[r.plan]
 	switch {
@@ -206,7 +206,7 @@
 }
 
 // callLease asks the counter for units of a customer's ceiling beyond the quota, in the window of now.
-func (d *Door) callLease(c *customer, t ceiling.Terms, block float64) {
+func (d *Door) callLease(c *customer, t ceilinglease.Terms, block float64) {
 	window := t.Index(d.now)
 	name := counterName(fmt.Sprint(c.name, " beyond ", t.Window), window) // doors with other terms share nothing
 	d.asks[name] = append(d.asks[name], &call{c: c, block: block, window: window, at: d.now, kind: forLease})
--- a/many.go
+++ b/internal/balancer/many.go
@@ -1,11 +1,11 @@
-package snowhall
+package balancer
 
 import (
 	"cmp"
 	"math"
 	"time"
 
-	"gapgap/ceiling"
+	"gapgap/internal/balancer/ceilinglease"
 )
 
 // Tuned values, ours.
@@ -70,12 +70,12 @@
 }
 
 // turns are a customer's at the doors, where each one's share of what is beyond the quota is less than a unit.
-func (d *Door) turns(c *customer, p *Plan) (ceiling.Turns, bool) {
-	return ceiling.TurnsOf(manyRate*(p.CeilingRate-p.Rate), p.CeilingDepth-manyTakes*p.Burst, c.doors)
+func (d *Door) turns(c *customer, p *Plan) (ceilinglease.Turns, bool) {
+	return ceilinglease.TurnsOf(manyRate*(p.CeilingRate-p.Rate), p.CeilingDepth-manyTakes*p.Burst, c.doors)
 }
 
 // turnOf tells the share of a customer at a door that has turns. A door that has just begun may have used its turn before.
-func (d *Door) turnOf(c *customer, t ceiling.Turns) float64 {
+func (d *Door) turnOf(c *customer, t ceilinglease.Turns) float64 {
 	c.ceil, c.ceilAt, c.kept = 0, d.now, 0
 	turn, open := t.Now(d.now, d.set.Rank)
 	if began, _ := t.Now(d.begun, d.set.Rank); open && turn > c.turn && turn > began {
--- a/share/share.go
+++ b/internal/balancer/quotashare/share.go
@@ -1,4 +1,4 @@
-// Package share is the arithmetic of what one door may hand out of a store that all doors have in common, while the doors'
+// Package quotashare is the arithmetic of what one door may hand out of a store that all doors have in common, while the doors'
 // views of each other change and differ.
 //
 // A ceiling's store (rate C, depth D) is cut into two. The kept part belongs to the doors of the list for good, evenly: no door
@@ -15,7 +15,7 @@
 // once only after the longest time that a request may be open: until then another door may have requests open under it.
 //
 // Nothing here does input or output; the time is handed in. It has to be one that runs on while a process is stopped.
-package share
+package quotashare
 
 import "time"
 
--- a/sharing.go
+++ b/internal/balancer/sharing.go
@@ -1,4 +1,4 @@
-package snowhall
+package balancer
 
 // How many doors there are, and what part of what they share is this door's, while it runs (Settings.ByViews). The arithmetic and
 // the argument are package share's. Without views each door has its even part for good.
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"gapgap/share"
+	"gapgap/internal/balancer/quotashare"
 )
 
 // Sharing says how this door stands among the others, from now on.
@@ -55,8 +55,8 @@
 // where the plan yields.
 func (d *Door) fillSpare(c *customer, p *Plan) {
 	part := 1 / c.doors
-	if d.set.ByViews && p.CutOff == share.KeepNone && p.CeilingRate > 0 {
-		if part = share.Among(d.view.Part(d.now), c.doors, float64(d.set.Doors)); d.out {
+	if d.set.ByViews && p.CutOff == quotashare.KeepNone && p.CeilingRate > 0 {
+		if part = quotashare.Among(d.view.Part(d.now), c.doors, float64(d.set.Doors)); d.out {
 			part = 0
 		}
 		c.spare = min(c.spare, p.Burst*part)
@@ -89,12 +89,12 @@
 }
 
 // share is this door's part of a customer's ceiling.
-func (d *Door) share(c *customer, p *Plan) share.Store {
+func (d *Door) share(c *customer, p *Plan) quotashare.Store {
 	if !d.set.ByViews {
-		return share.Store{Rate: p.CeilingRate / c.doors, Depth: p.CeilingDepth / c.doors}
+		return quotashare.Store{Rate: p.CeilingRate / c.doors, Depth: p.CeilingDepth / c.doors}
 	}
 	if d.out {
-		return share.Store{}
+		return quotashare.Store{}
 	}
 	own := d.ownShare(c, p, d.view.Part(d.now))
 	if c.loans.Some() {
@@ -104,9 +104,9 @@
 }
 
 // ownShare is what is this door's own with a leased part, whatever is lent.
-func (d *Door) ownShare(c *customer, p *Plan, part float64) share.Store {
-	return p.CutOff.Of(share.Store{Rate: p.CeilingRate, Depth: p.CeilingDepth}, share.Store{Rate: p.Rate, Depth: p.Burst}, 1/c.doors,
-		share.Among(part, c.doors, float64(d.set.Doors)))
+func (d *Door) ownShare(c *customer, p *Plan, part float64) quotashare.Store {
+	return p.CutOff.Of(quotashare.Store{Rate: p.CeilingRate, Depth: p.CeilingDepth}, quotashare.Store{Rate: p.Rate, Depth: p.Burst}, 1/c.doors,
+		quotashare.Among(part, c.doors, float64(d.set.Doors)))
 }
 
 // Borrow asks the other doors to lend what they don't need of a customer's ceiling: each is to have a Wanted.
@@ -193,8 +193,8 @@
 	d.ceiling(c, p)
 	c.usedAt = d.now // its loan is kept in mind
 	part, until := d.view.Part(d.now), d.view.Until()
-	if until < d.now+share.LoanHold {
-		part, until = 0, d.now+share.LoanHold // only what this door keeps for good
+	if until < d.now+quotashare.LoanHold {
+		part, until = 0, d.now+quotashare.LoanHold // only what this door keeps for good
 	}
 	own, gap := d.ownShare(c, p, part), d.now-c.demandAt
 	demand := c.demand * math.Exp(-gap.Seconds()/lendGap.Seconds())
@@ -217,7 +217,7 @@
 		return
 	}
 	d.ceiling(c, &d.set.Plans[c.plan])
-	c.loans.Borrow(d.now, ev.From, share.Store{Rate: ev.Rate, Depth: ev.Depth}, ev.At+share.LoanLength)
+	c.loans.Borrow(d.now, ev.From, quotashare.Store{Rate: ev.Rate, Depth: ev.Depth}, ev.At+quotashare.LoanLength)
 	d.serve(c)
 }
 
@@ -244,10 +244,10 @@
 	if d.set.ByViews && d.out {
 		return 0
 	}
-	if !d.set.ByViews || p.CutOff != share.KeepNone {
+	if !d.set.ByViews || p.CutOff != quotashare.KeepNone {
 		return float64(p.AtOnce) / c.doors
 	}
-	return float64(p.AtOnce) * share.Among(d.view.Open(d.now), c.doors, float64(d.set.Doors))
+	return float64(p.AtOnce) * quotashare.Among(d.view.Open(d.now), c.doors, float64(d.set.Doors))
 }
 
 // filledFrom is since when a store that is met for the first time has filled.
--- a/sharing_test.go
+++ b/internal/balancer/sharing_test.go
@@ -1,4 +1,4 @@
-package snowhall
+package balancer
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 
 	"pgregory.net/rapid"
 
-	"gapgap/share"
+	"gapgap/internal/balancer/quotashare"
 )
 
 // sharers are doors without a counter that share one ceiling by views. The parts are leased by hand.
@@ -17,7 +17,7 @@
 	parts  []float64
 	until  []time.Duration
 	ids    uint64
-	store  share.Store
+	store  quotashare.Store
 	left   float64 // of a store that empties with each grant
 	at     time.Duration
 	over   float64
@@ -38,8 +38,8 @@
 	ev Event
 }
 
-func newSharers(t *rapid.T, n int, rule share.Rule) *sharers {
-	s := &sharers{store: share.Store{Rate: 10, Depth: 20}, left: 20, parts: make([]float64, n), until: make([]time.Duration, n),
+func newSharers(t *rapid.T, n int, rule quotashare.Rule) *sharers {
+	s := &sharers{store: quotashare.Store{Rate: 10, Depth: 20}, left: 20, parts: make([]float64, n), until: make([]time.Duration, n),
 		ghost: make([]float64, n), until2: make([]time.Duration, n), late: func() time.Duration { return 0 }}
 	s.set = Settings{Doors: n, MaxAttempts: 1, ByViews: true, RetryAfter: true, MaxRetryAfter: time.Second, Classes: []Class{{Worth: 1, Aim: time.Second, GiveUp: time.Second}},
 		Plans: []Plan{{Rate: 5, Burst: 10, Factor: 1, OverWorth: 0.2, CeilingRate: s.store.Rate, CeilingDepth: s.store.Depth, CutOff: rule}}}
@@ -73,7 +73,7 @@
 		s.left--
 		s.over = max(s.over, -s.left)
 	}
-	sum := share.Store{}
+	sum := quotashare.Store{}
 	for _, d := range s.doors {
 		d.Step(now, nil)
 		if c := d.customers["c"]; c != nil {
@@ -146,7 +146,7 @@
 
 func playShares(t *rapid.T, broken bool) float64 {
 	n := rapid.IntRange(1, 6).Draw(t, "doors")
-	s := newSharers(t, n, rapid.SampledFrom([]share.Rule{share.KeepQuota, share.KeepAll, share.KeepNone}).Draw(t, "rule"))
+	s := newSharers(t, n, rapid.SampledFrom([]quotashare.Rule{quotashare.KeepQuota, quotashare.KeepAll, quotashare.KeepNone}).Draw(t, "rule"))
 	s.late = func() time.Duration { return time.Duration(rapid.IntRange(0, 1500).Draw(t, "late")) * time.Millisecond }
 	now := time.Hour
 	for range rapid.IntRange(100, 300).Draw(t, "steps") {
@@ -188,7 +188,7 @@
 	for _, lasts := range []bool{false, true} {
 		worst := 0.0
 		rapid.Check(t, func(t *rapid.T) {
-			s := newSharers(t, 3, share.KeepNone)
+			s := newSharers(t, 3, quotashare.KeepNone)
 			s.lasts = lasts
 			s.late = func() time.Duration { return time.Duration(rapid.IntRange(0, 700).Draw(t, "late")) * time.Millisecond }
 			for i := range s.doors {
@@ -214,7 +214,7 @@
 // all doors, each has its own part.
 func TestSharesAreLentToWhereTheDemandIs(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		for _, rule := range []share.Rule{share.KeepQuota, share.KeepAll, share.KeepNone} {
+		for _, rule := range []quotashare.Rule{quotashare.KeepQuota, quotashare.KeepAll, quotashare.KeepNone} {
 			s := newSharers(t, 3, rule)
 			for i := range s.doors {
 				s.lease(i, 1.0/3, time.Hour, time.Hour, false)
@@ -245,7 +245,7 @@
 	for _, known := range []bool{true, false} {
 		t.Run(fmt.Sprint("known ", known), func(t *testing.T) {
 			rapid.Check(t, func(t *rapid.T) {
-				s := newSharers(t, 2, share.KeepNone)
+				s := newSharers(t, 2, quotashare.KeepNone)
 				s.mute = true
 				now := time.Hour
 				s.lease(0, 0.5, now, time.Minute, false)
@@ -275,7 +275,7 @@
 // A lease that is over is worth nothing at the next decision, however long the door stood still before it.
 func TestSharesEndWithTheirLease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := newSharers(t, 3, share.KeepNone)
+		s := newSharers(t, 3, quotashare.KeepNone)
 		s.lease(0, 1, time.Hour, 2*time.Second, false)
 		if !s.ask(0, time.Hour+1900*time.Millisecond) {
 			t.Fatal("nothing inside the lease")
@@ -288,7 +288,7 @@
 
 // What is kept without a lease is served by a door that is alone: the quota's even part, all of the even part, or nothing.
 func TestSharesKeptWhenAlone(t *testing.T) {
-	for rule, want := range map[share.Rule]int{share.KeepQuota: 50, share.KeepAll: 100, share.KeepNone: 0} {
+	for rule, want := range map[quotashare.Rule]int{quotashare.KeepQuota: 50, quotashare.KeepAll: 100, quotashare.KeepNone: 0} {
 		rapid.Check(t, func(t *rapid.T) {
 			s := newSharers(t, 3, rule)
 			if s.ask(0, time.Hour+5*time.Second) {
@@ -311,7 +311,7 @@
 // A part that grew counts for a cap on what is open at once only when what others had open must be over.
 func TestSharesOpenRequestsOfTheFormerHolder(t *testing.T) {
 	set := Settings{Doors: 2, MaxAttempts: 1, ByViews: true, Classes: []Class{{Worth: 1, GiveUp: 3 * time.Second}},
-		Plans: []Plan{{Rate: 1000, Burst: 1000, Factor: 1, AtOnce: 10, CutOff: share.KeepNone}}}
+		Plans: []Plan{{Rate: 1000, Burst: 1000, Factor: 1, AtOnce: 10, CutOff: quotashare.KeepNone}}}
 	d, err := New(set, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -339,7 +339,7 @@
 // What doors share without a bound that must hold goes by those that live, and what a yielding plan has for the counter's silence by the lease.
 func TestSharesOfThoseThatLive(t *testing.T) {
 	set := Settings{Doors: 5, MaxAttempts: 1, ByViews: true, Counter: true, CounterTimeout: 50 * time.Millisecond, Classes: []Class{{Worth: 1, GiveUp: 3 * time.Second}},
-		Plans: []Plan{{Rate: 5, Burst: 10, Factor: 1, OverWorth: 0.2, CeilingRate: 10, CeilingDepth: 20, CutOff: share.KeepNone}}}
+		Plans: []Plan{{Rate: 5, Burst: 10, Factor: 1, OverWorth: 0.2, CeilingRate: 10, CeilingDepth: 20, CutOff: quotashare.KeepNone}}}
 	d, err := New(set, 1)
 	if err != nil {
 		t.Fatal(err)
--- a/cold/cold.go
+++ b/internal/balancer/slowstart/cold.go
@@ -1,4 +1,4 @@
-// Package cold is how much one of many doors may send to a backend that has started a short while ago and does not bear yet what it will. It
+// Package slowstart is how much one of many doors may send to a backend that has started a short while ago and does not bear yet what it will. It
 // decides by values alone: no clock, no random source, no input or output.
 //
 // A backend falls over when all doors together send it more than a multiple of what it can do then, over a window. A door knows neither what the
@@ -10,7 +10,7 @@
 //     of them is within the same multiple of what it can do. Where a backend can't follow, its answers and with them the budgets shrink.
 //
 // The larger of the two is the budget. Where both are under one send, a door has a turn now and then, the first by chance.
-package cold
+package slowstart
 
 import (
 	"slices"
--- a/cold/cold_test.go
+++ b/internal/balancer/slowstart/cold_test.go
@@ -1,4 +1,4 @@
-package cold
+package slowstart
 
 import (
 	"cmp"
--- a/state.go
+++ b/internal/balancer/state.go
@@ -1,4 +1,4 @@
-package snowhall
+package balancer
 
 import (
 	"cmp"
@@ -10,12 +10,12 @@
 	"slices"
 	"time"
 
-	"gapgap/ceiling"
-	"gapgap/cold"
-	"gapgap/pace"
-	"gapgap/share"
-	"gapgap/size"
-	"gapgap/subset"
+	"gapgap/internal/balancer/callpacer"
+	"gapgap/internal/balancer/ceilinglease"
+	"gapgap/internal/balancer/costmodel"
+	"gapgap/internal/balancer/quotashare"
+	"gapgap/internal/balancer/slowstart"
+	"gapgap/internal/balancer/subsetting"
 )
 
 // What a door remembers, and how its queues are kept. Nothing here decides.
@@ -41,7 +41,7 @@
 	queue               [lowest + 1][]*entry
 	count               [lowest + 1]int
 	queued              int
-	book                cold.Book           // while it is cold
+	book                slowstart.Book      // while it is cold
 	load                float64             // the work of outs, in mean requests
 	work                [lowest + 1]float64 // of what is queued, so too
 	waits               float64             // the sum of work
@@ -111,15 +111,15 @@
 	ceil             float64
 	ceilAt           time.Duration
 	ceilQueued       float64
-	loans            share.Loans   // of the ceiling, with ByViews
-	borrowAt         time.Duration // not asked for before this
-	turn             int64         // the last turn used, where the share is under a unit
-	lease            ceiling.Lease // what of the ceiling is beyond the quota, where it is lent
-	knownAt          time.Duration // since when the counter's word on the store is known
-	looks            bool          // asks what the store holds
-	carried          int64         // the window of the store that was last looked at for what is carried into it ...
-	carriedAt        time.Duration // ... and from when on it holds that
-	seenIn           int64         // window in which the counter's number was last seen, and that
+	loans            quotashare.Loans   // of the ceiling, with ByViews
+	borrowAt         time.Duration      // not asked for before this
+	turn             int64              // the last turn used, where the share is under a unit
+	lease            ceilinglease.Lease // what of the ceiling is beyond the quota, where it is lent
+	knownAt          time.Duration      // since when the counter's word on the store is known
+	looks            bool               // asks what the store holds
+	carried          int64              // the window of the store that was last looked at for what is carried into it ...
+	carriedAt        time.Duration      // ... and from when on it holds that
+	seenIn           int64              // window in which the counter's number was last seen, and that
 	seen             float64
 	leave, kept      float64 // units a second of what wants leave only; of ceil, what is kept for that
 	live             int
@@ -160,21 +160,21 @@
 
 // experience is what a door has learned of one class.
 type experience struct {
-	base     float64       // mean latency, seconds
-	floor    float64       // ... on an idle fleet
-	answers  int           // that these are of
-	size     size.Profile  // how the work grows with units
-	mostLeft time.Duration // the most time that a client gave
+	base     float64           // mean latency, seconds
+	floor    float64           // ... on an idle fleet
+	answers  int               // that these are of
+	size     costmodel.Profile // how the work grows with units
+	mostLeft time.Duration     // the most time that a client gave
 }
 
 // Door decides for one front door.
 type Door struct {
 	set        Settings
-	learned    []experience    // of each class
-	terms      []ceiling.Terms // by plan, on which its ceiling is lent; zero: it is not
-	fills      time.Duration   // the longest that a ceiling that is lent takes to fill
-	failed     int             // counter calls in a row
-	lendFrom   time.Duration   // ceilings are lent from then on
+	learned    []experience         // of each class
+	terms      []ceilinglease.Terms // by plan, on which its ceiling is lent; zero: it is not
+	fills      time.Duration        // the longest that a ceiling that is lent takes to fill
+	failed     int                  // counter calls in a row
+	lendFrom   time.Duration        // ceilings are lent from then on
 	rng        *rand.Rand
 	now, begun time.Duration
 	lastAt     time.Duration // the Step before
@@ -183,7 +183,7 @@
 	servers    map[string]*server
 	ring       []*server
 	byHand     map[string]time.Duration // servers that are taken out by hand, since when
-	view       share.View               // with ByViews: what this door has leased of all shares ...
+	view       quotashare.View          // with ByViews: what this door has leased of all shares ...
 	gone       []int                    // ... and the ranks of doors that do not serve
 	out        bool                     // ... and whether it has nothing at all, since when
 	keptFrom   time.Duration
@@ -207,9 +207,9 @@
 	fleet      float64            // the last answers of all servers, in their classes' means
 	fleetAt    time.Duration
 	counterAt  time.Duration
-	cutAt      time.Duration // when callShare last shrank
-	calls      *pace.Pace    // to the counter, where doors are many
-	beatAt     time.Duration // last check of what no event tells
+	cutAt      time.Duration   // when callShare last shrank
+	calls      *callpacer.Pace // to the counter, where doors are many
+	beatAt     time.Duration   // last check of what no event tells
 	topWorth   float64
 	short      float64 // part of the requests inside their quotas that find no free place
 	bestWorth  float64 // of the classes'
@@ -264,10 +264,10 @@
 // tuned takes settings, at the start or later. Evidence is kept by class and goes on as told.
 func (d *Door) tuned(set Settings, from []int) {
 	d.set, d.fills, d.bestWorth, d.topWorth = set, 0, 0, 0
-	d.terms = make([]ceiling.Terms, len(set.Plans))
+	d.terms = make([]ceilinglease.Terms, len(set.Plans))
 	for i, p := range set.Plans {
 		if set.LendCeilings && set.Counter && p.CeilingRate > 0 {
-			d.terms[i], _ = ceiling.TermsOf(p.Rate, p.Burst, p.CeilingRate, p.CeilingDepth, 1)
+			d.terms[i], _ = ceilinglease.TermsOf(p.Rate, p.Burst, p.CeilingRate, p.CeilingDepth, 1)
 			d.fills = max(d.fills, time.Duration(p.CeilingDepth/p.CeilingRate*float64(time.Second)))
 		}
 	}
@@ -277,7 +277,7 @@
 		if i < len(from) && from[i] >= 0 && from[i] < len(old) {
 			d.learned[i] = old[from[i]]
 		} else {
-			d.learned[i] = experience{base: max(0.001, cmp.Or(c.Aim, c.GiveUp).Seconds()*priorShare), size: size.New(set.MaxUnits)}
+			d.learned[i] = experience{base: max(0.001, cmp.Or(c.Aim, c.GiveUp).Seconds()*priorShare), size: costmodel.New(set.MaxUnits)}
 		}
 		if c.Dropped {
 			continue
@@ -370,7 +370,7 @@
 	d.lastAt, d.now = d.now, max(d.now, now)
 	if !d.running {
 		d.running, d.begun, d.rateAt, d.turn = true, d.now, d.now, d.rng.IntN(1<<16)
-		d.calls = pace.New(pace.Terms{Start: callsStart / d.living(), Least: callsLow / d.living(),
+		d.calls = callpacer.New(callpacer.Terms{Start: callsStart / d.living(), Least: callsLow / d.living(),
 			Most: callsHigh, Depth: callsDepth, Wait: d.set.CounterTimeout / 4, CutEvery: 2 * d.set.CounterTimeout}, d.now)
 		d.prime()
 	}
@@ -570,11 +570,11 @@
 	}
 	using := d.set.Doors // few doors meet all servers often enough
 	if using >= crowdFrom {
-		using = subset.Doors(using, d.sized, memberOf)
+		using = subsetting.Doors(using, d.sized, memberOf)
 	}
 	d.users = using
 	for _, s := range d.ring {
-		s.member = subset.HasAmong(s.name, d.set.Rank, d.set.Doors, using, d.gone)
+		s.member = subsetting.HasAmong(s.name, d.set.Rank, d.set.Doors, using, d.gone)
 	}
 }
 
@@ -617,7 +617,7 @@
 		d.order = append(d.order, c)
 	}
 	if c.plan != ev.Plan {
-		c.lease = ceiling.Lease{} // another plan's windows
+		c.lease = ceilinglease.Lease{} // another plan's windows
 	}
 	c.plan, c.doors = ev.Plan, n
 	return c
@@ -727,7 +727,7 @@
 // warmth is the share of its capacity that a server has at least.
 func (d *Door) warmth(s *server) float64 {
 	if !s.cold || d.now-s.coldAt >= d.set.WarmWithin {
-		s.cold, s.book = false, cold.Book{}
+		s.cold, s.book = false, slowstart.Book{}
 		return 1
 	}
 	return d.warmthAt(s, d.now)
@@ -739,8 +739,8 @@
 }
 
 // coldTerms are what a cold server bears, and how many doors use each.
-func (d *Door) coldTerms() cold.Terms {
-	return cold.Terms{Multiple: d.set.FallMultiple, Window: d.set.FallWindow, Doors: float64(max(1, d.users))}
+func (d *Door) coldTerms() slowstart.Terms {
+	return slowstart.Terms{Multiple: d.set.FallMultiple, Window: d.set.FallWindow, Doors: float64(max(1, d.users))}
 }
 
 // What is kept of customers is bounded: a client may name as many as it likes, and each takes some 400 bytes.
--- a/subset/subset.go
+++ b/internal/balancer/subsetting/subset.go
@@ -1,11 +1,11 @@
-// Package subset says which of many servers one of many doors uses as a rule, so that each door has evidence of those it uses and
+// Package subsetting says which of many servers one of many doors uses as a rule, so that each door has evidence of those it uses and
 // keeps few connections, and each server has few doors. It does no input or output.
 //
 // The choice is made from the server's side: of all doors those whose hashes with its name are lowest use it (rendezvous
 // hashing, Thaler and Ravishankar 1998), always the same number. So every server has exactly as many doors as any other, which
 // subsets drawn by each door would miss by a fifth; a server that comes or goes changes nothing for the others; and doors need
 // not have the same list. What varies is how many servers a door has, which does no harm.
-package subset
+package subsetting
 
 import (
 	"hash/fnv"
--- a/subset/subset_test.go
+++ b/internal/balancer/subsetting/subset_test.go
@@ -1,4 +1,4 @@
-package subset
+package subsetting
 
 import (
 	"fmt"
--- a/internal/clocks/clocks.go
+++ b/internal/clockskew/clocks.go
@@ -1,9 +1,9 @@
-// Package clocks judges whether a door's clock can be right, by what the other doors of its fleet say of theirs. Doors name the counter's numbers by the time, so
+// Package clockskew judges whether a door's clock can be right, by what the other doors of its fleet say of theirs. Doors name the counter's numbers by the time, so
 // one whose clock is an hour off shares no number with the others and lets through all of a quota and of a ceiling for itself.
 //
 // A door that hears a majority of the list agree with each other and not with itself takes itself for the one that is wrong. Doors that are few, or that do not
 // agree, prove nothing: the loss of contact alone takes the counter from nobody. Nothing here does input or output; a [Judge] belongs to one goroutine.
-package clocks
+package clockskew
 
 import (
 	"slices"
--- a/internal/clocks/clocks_test.go
+++ b/internal/clockskew/clocks_test.go
@@ -1,4 +1,4 @@
-package clocks
+package clockskew
 
 import (
 	"math/rand/v2"
--- a/internal/fleetnode/fleetnode.go
+++ b/internal/cluster/fleetnode.go
@@ -1,7 +1,7 @@
-// Package fleetnode is one door's part in a fleet: it knows the others (package members), holds and gives leases (package seats), and says
+// Package cluster is one door's part in a fleet: it knows the others (package members), holds and gives leases (package seats), and says
 // what this door may hand out now. Messages and time come in, messages and a [Standing] go out. It does no input or output; a [Node] belongs
 // to one goroutine, which drives it by Tick some ten times a second and by Heard.
-package fleetnode
+package cluster
 
 import (
 	"errors"
@@ -9,8 +9,8 @@
 	"math/rand/v2"
 	"time"
 
-	"gapgap/internal/members"
-	"gapgap/internal/seats"
+	"gapgap/internal/membership"
+	"gapgap/internal/quotalease"
 )
 
 // TickEvery is how often Tick is to be called.
@@ -26,9 +26,9 @@
 
 // Msg is what one door tells another: one of its fields is set.
 type Msg struct {
-	Beat  *members.Beat `cbor:"1,keyasint,omitempty"`
-	Claim *seats.Claim  `cbor:"2,keyasint,omitempty"`
-	Grant *seats.Grant  `cbor:"3,keyasint,omitempty"`
+	Beat  *membership.Beat  `cbor:"1,keyasint,omitempty"`
+	Claim *quotalease.Claim `cbor:"2,keyasint,omitempty"`
+	Grant *quotalease.Grant `cbor:"3,keyasint,omitempty"`
 }
 
 // Out is a message to a door.
@@ -50,15 +50,15 @@
 // Config says which door this is, of how many.
 type Config struct {
 	Rank, Doors int
-	ID          members.ID
+	ID          membership.ID
 }
 
 // Node is one door.
 type Node struct {
 	cfg           Config
-	table         *members.Table
-	holder        *seats.Holder
-	voter         *seats.Voter // nil: this door does not vote
+	table         *membership.Table
+	holder        *quotalease.Holder
+	voter         *quotalease.Voter // nil: this door does not vote
 	begun         time.Duration
 	heard         map[int]bool // doors that have spoken since the start; until it serves
 	serves        bool
@@ -72,10 +72,10 @@
 
 // New makes a door that has just started.
 func New(cfg Config, now time.Duration, rng *rand.Rand) *Node {
-	n := &Node{cfg: cfg, begun: now, heard: map[int]bool{}, table: members.New(members.Config{Rank: cfg.Rank, Doors: cfg.Doors, Hubs: seats.Voters(cfg.Doors), ID: cfg.ID}, now, rng),
-		holder: seats.NewHolder(cfg.Doors, cfg.Rank, cfg.ID)}
-	if cfg.Rank < seats.Voters(cfg.Doors) {
-		n.voter = seats.NewVoter(cfg.Doors, now)
+	n := &Node{cfg: cfg, begun: now, heard: map[int]bool{}, table: membership.New(membership.Config{Rank: cfg.Rank, Doors: cfg.Doors, Hubs: quotalease.Voters(cfg.Doors), ID: cfg.ID}, now, rng),
+		holder: quotalease.NewHolder(cfg.Doors, cfg.Rank, cfg.ID)}
+	if cfg.Rank < quotalease.Voters(cfg.Doors) {
+		n.voter = quotalease.NewVoter(cfg.Doors, now)
 	}
 	return n
 }
@@ -117,12 +117,12 @@
 		n.table.Begin(now)
 	}
 	voters := 0
-	for v := range seats.Voters(n.cfg.Doors) {
+	for v := range quotalease.Voters(n.cfg.Doors) {
 		if v == n.cfg.Rank || !n.isGone(now, v) {
 			voters++
 		}
 	}
-	if 2*voters <= seats.Voters(n.cfg.Doors) {
+	if 2*voters <= quotalease.Voters(n.cfg.Doors) {
 		return // it is rather this door that is cut off: others are taken to be where they were
 	}
 	n.gone = n.gone[:0]
@@ -136,9 +136,9 @@
 // isGone says that others may use what a door had. One that was never heard of may still come, for as long as a door is given to die.
 func (n *Node) isGone(now time.Duration, rank int) bool {
 	switch s := n.table.State(rank); s {
-	case members.Dead, members.Left:
+	case membership.Dead, membership.Left:
 		return true
-	case members.Absent:
+	case membership.Absent:
 		return now-n.begun >= beginMost
 	}
 	return false
@@ -146,12 +146,12 @@
 
 func (n *Node) there(rank int) bool {
 	s := n.table.State(rank)
-	return s.Serves() && s != members.Joining
+	return s.Serves() && s != membership.Joining
 }
 
 // claim asks the voters for what this door wants. What it gives up it first ceases to use.
 func (n *Node) claim(now time.Duration) []Out {
-	want := seats.Wanted(n.cfg.Doors, n.cfg.Rank, func(r int) bool { return n.isGone(now, r) }, n.there)
+	want := quotalease.Wanted(n.cfg.Doors, n.cfg.Rank, func(r int) bool { return n.isGone(now, r) }, n.there)
 	if n.holder.Cease(now, want) {
 		n.gen++
 		n.due = n.gen
@@ -166,8 +166,8 @@
 	return n.ask(now, c)
 }
 
-func (n *Node) ask(now time.Duration, c seats.Claim) (out []Out) {
-	for v := range seats.Voters(n.cfg.Doors) {
+func (n *Node) ask(now time.Duration, c quotalease.Claim) (out []Out) {
+	for v := range quotalease.Voters(n.cfg.Doors) {
 		if v != n.cfg.Rank {
 			out = append(out, Out{To: v, Msg: Msg{Claim: &c}})
 		} else if g, ok := n.voter.Asked(now, v, c); ok {
@@ -204,7 +204,7 @@
 		n.look(now)
 		return out, nil
 	case m.Claim != nil:
-		if err := seats.Check(n.cfg.Doors, m.Claim.Seats); err != nil {
+		if err := quotalease.Check(n.cfg.Doors, m.Claim.Seats); err != nil {
 			return nil, err
 		}
 		if n.voter == nil {
@@ -218,7 +218,7 @@
 		}
 		return nil, nil
 	case m.Grant != nil:
-		if err := seats.Check(n.cfg.Doors, m.Grant.Seats); err != nil {
+		if err := quotalease.Check(n.cfg.Doors, m.Grant.Seats); err != nil {
 			return nil, err
 		}
 		n.holder.Granted(from, *m.Grant)
@@ -250,7 +250,7 @@
 
 // goes tells the voters that this door has no seats.
 func (n *Node) goes(now time.Duration) (out []Out) {
-	if c, ok := n.holder.Claim(now, seats.NewSet(n.cfg.Doors)); ok && n.serves && !n.rival {
+	if c, ok := n.holder.Claim(now, quotalease.NewSet(n.cfg.Doors)); ok && n.serves && !n.rival {
 		out = n.ask(now, c)
 	}
 	n.left = true
@@ -266,16 +266,16 @@
 func (n *Node) Forget(now time.Duration, rank int) error { return n.table.Forget(now, rank) }
 
 // Members tells of all doors as they are seen from here.
-func (n *Node) Members() []members.Member { return n.table.Members() }
+func (n *Node) Members() []membership.Member { return n.table.Members() }
 
 // Changes returns the transitions since it was last called.
-func (n *Node) Changes() []members.Change { return n.table.Changes() }
+func (n *Node) Changes() []membership.Change { return n.table.Changes() }
 
 // Rival says that another process has this door's name, and goes before it.
-func (n *Node) Rival(now time.Duration) (members.ID, bool) { return n.table.Rival(now) }
+func (n *Node) Rival(now time.Duration) (membership.ID, bool) { return n.table.Rival(now) }
 
 // ID is this process. It may take a higher incarnation than it started with; Adopted says so once.
-func (n *Node) ID() members.ID { return n.cfg.ID }
+func (n *Node) ID() membership.ID { return n.cfg.ID }
 
 // Adopted says, once, that the incarnation has changed and is to be kept on disk.
 func (n *Node) Adopted() bool { return n.table.Adopted() }
@@ -283,5 +283,5 @@
 // Seats is how many seats this door holds, of how many.
 func (n *Node) Seats(now time.Duration) (held, of int) {
 	held, _ = n.holder.Held(now)
-	return held, n.cfg.Doors * seats.Each(n.cfg.Doors)
+	return held, n.cfg.Doors * quotalease.Each(n.cfg.Doors)
 }
--- a/internal/fleetnode/node_test.go
+++ b/internal/cluster/node_test.go
@@ -1,4 +1,4 @@
-package fleetnode
+package cluster
 
 import (
 	"errors"
@@ -10,9 +10,9 @@
 	"testing"
 	"time"
 
-	"gapgap/internal/members"
-	"gapgap/internal/seats"
-	"gapgap/internal/standin/race"
+	"gapgap/internal/fake/race"
+	"gapgap/internal/membership"
+	"gapgap/internal/quotalease"
 )
 
 // chaos plays a random schedule: doors die, come back, stop and go on, lose their disks; lines drop, delay and double, fleets are cut in
@@ -138,7 +138,7 @@
 	}
 }
 
-func (w *world) knows(rank int, want ...members.State) func() error {
+func (w *world) knows(rank int, want ...membership.State) func() error {
 	return func() error {
 		for _, d := range w.doors {
 			if d.rank == rank || !d.alive || d.stopped {
@@ -182,21 +182,21 @@
 				d := w.doors[(i*7+1)%n]
 				d.kill()
 				begun := w.now
-				deaths = append(deaths, w.within(t, 2*time.Second, "death", w.knows(d.rank, members.Dead)))
+				deaths = append(deaths, w.within(t, 2*time.Second, "death", w.knows(d.rank, membership.Dead)))
 				dead = max(dead, deaths[i])
 				w.within(t, 5*time.Second, "takeover", full)
 				again = max(again, w.now-begun)
 				d.start()
-				joined = max(joined, w.within(t, time.Second, "join", w.knows(d.rank, members.Joining, members.Alive, members.Returned)))
+				joined = max(joined, w.within(t, time.Second, "join", w.knows(d.rank, membership.Joining, membership.Alive, membership.Returned)))
 				w.within(t, 5*time.Second, "seats back", func() error {
-					if held, _ := d.node.Seats(d.clock()); held != seats.Each(n) {
+					if held, _ := d.node.Seats(d.clock()); held != quotalease.Each(n) {
 						return fmt.Errorf("%d seats held", held)
 					}
 					return full()
 				})
 				d.node.Leave()
 				d.stand()
-				left = max(left, w.within(t, 500*time.Millisecond, "leave", w.knows(d.rank, members.Left)))
+				left = max(left, w.within(t, 500*time.Millisecond, "leave", w.knows(d.rank, membership.Left)))
 				w.within(t, 5*time.Second, "takeover after a leave", full)
 				d.kill()
 				d.start()
@@ -309,7 +309,7 @@
 	w.run(w.now+5*time.Second, 20*time.Millisecond)
 	// The other one is a further process whose rank is that of door 1; door 1 has the lower number.
 	twin := &door{w: w, rank: 1, drift: 1}
-	twin.startAs(members.ID{Incarnation: 1, Nonce: ^uint32(0)})
+	twin.startAs(membership.ID{Incarnation: 1, Nonce: ^uint32(0)})
 	begun := w.now
 	for _, d := range w.doors { // what goes to door 1 comes to both
 		if d.rank == 1 {
@@ -373,7 +373,7 @@
 		if beats := float64(w.sent["beat"]) / each; beats > 70 {
 			t.Errorf("%d doors: %.1f beats a second and door", n, beats)
 		}
-		if claims := float64(w.sent["claim"]) / each; claims > seats.MostVoters*5.1 {
+		if claims := float64(w.sent["claim"]) / each; claims > quotalease.MostVoters*5.1 {
 			t.Errorf("%d doors: %.1f claims a second and door", n, claims)
 		}
 	}
--- a/internal/fleetnode/world_test.go
+++ b/internal/cluster/world_test.go
@@ -1,4 +1,4 @@
-package fleetnode
+package cluster
 
 import (
 	"fmt"
@@ -8,16 +8,16 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"gapgap/internal/members"
-	"gapgap/internal/pq"
-	"gapgap/internal/seats"
+	"gapgap/internal/membership"
+	"gapgap/internal/priorityqueue"
+	"gapgap/internal/quotalease"
 )
 
 // world is a fleet in virtual time. Each door has a clock of its own, and pools that go by its standing some time after it changed.
 type world struct {
 	rng   *rand.Rand
 	now   time.Duration
-	queue *pq.Queue[event]
+	queue *priorityqueue.Queue[event]
 	no    int
 	doors []*door
 	line  func(from, to int) (lost bool, late time.Duration)
@@ -69,7 +69,7 @@
 
 func newWorld(seed uint64, n int) *world {
 	w := &world{rng: rand.New(rand.NewPCG(seed, 9)), now: time.Hour, sent: map[string]int{},
-		queue: pq.New(func(a, b event) bool { return a.at < b.at || a.at == b.at && a.no < b.no })}
+		queue: priorityqueue.New(func(a, b event) bool { return a.at < b.at || a.at == b.at && a.no < b.no })}
 	w.line = func(int, int) (bool, time.Duration) { return false, time.Millisecond }
 	w.lag = 5 * time.Millisecond
 	for i := range n {
@@ -100,7 +100,7 @@
 }
 
 func (w *world) check() {
-	users := make([]int, len(w.doors)*seats.Each(len(w.doors)))
+	users := make([]int, len(w.doors)*quotalease.Each(len(w.doors)))
 	for _, d := range w.doors {
 		if !d.alive || d.stopped || d.clock() >= d.until && !w.flaws.noExpiry {
 			continue
@@ -121,17 +121,17 @@
 			sum += float64(len(d.uses))
 		}
 	}
-	return sum / float64(len(w.doors)*seats.Each(len(w.doors)))
+	return sum / float64(len(w.doors)*quotalease.Each(len(w.doors)))
 }
 
 func (d *door) clock() time.Duration { return d.offset + time.Duration(float64(d.w.now)*d.drift) }
 
 func (d *door) start() {
 	d.inc++
-	d.startAs(members.ID{Incarnation: d.inc, Nonce: d.w.rng.Uint32()})
+	d.startAs(membership.ID{Incarnation: d.inc, Nonce: d.w.rng.Uint32()})
 }
 
-func (d *door) startAs(id members.ID) {
+func (d *door) startAs(id membership.ID) {
 	d.life++
 	d.alive, d.stopped, d.uses, d.until, d.held = true, false, nil, 0, nil
 	d.node = New(Config{Rank: d.rank, Doors: len(d.w.doors), ID: id}, d.clock(), rand.New(rand.NewPCG(uint64(d.rank), uint64(d.life))))
@@ -143,7 +143,7 @@
 }
 
 func (d *door) forget() {
-	d.node.voter = seats.NewVoter(len(d.w.doors), d.clock()-time.Hour)
+	d.node.voter = quotalease.NewVoter(len(d.w.doors), d.clock()-time.Hour)
 	d.w.after(time.Second, d.here(d.forget))
 }
 
@@ -187,7 +187,7 @@
 // stand has the pools go by what the node says, a little later.
 func (d *door) stand() {
 	for _, c := range d.node.Changes() {
-		if c.To == members.Dead && d.w.doors[c.Rank].alive && !d.w.doors[c.Rank].stopped {
+		if c.To == membership.Dead && d.w.doors[c.Rank].alive && !d.w.doors[c.Rank].stopped {
 			d.w.false++
 		}
 	}
@@ -197,7 +197,7 @@
 		d.node.Applied(st.Gen)
 	}
 	var uses []int
-	for i := range len(d.w.doors) * seats.Each(len(d.w.doors)) {
+	for i := range len(d.w.doors) * quotalease.Each(len(d.w.doors)) {
 		if !st.Out && d.node.holder.Has(i, now) {
 			uses = append(uses, i)
 		}
@@ -259,7 +259,7 @@
 	}
 	if m.Grant != nil && f.anyIsEnough {
 		voters = nil
-		for v := range seats.Voters(len(d.w.doors)) {
+		for v := range quotalease.Voters(len(d.w.doors)) {
 			voters = append(voters, v)
 		}
 	}
@@ -283,7 +283,7 @@
 		}
 		for _, m := range d.node.Members() {
 			o := w.doors[m.Rank]
-			if live := o.alive && !o.stopped; live != (m.State == members.Alive || m.State == members.Returned) {
+			if live := o.alive && !o.stopped; live != (m.State == membership.Alive || m.State == membership.Returned) {
 				return fmt.Errorf("door %d, alive %v, is %v at %d: %s", m.Rank, live, m.State, d.rank, m.Cause)
 			}
 		}
--- a/internal/counter/counter.go
+++ b/internal/counter/counter.go
@@ -14,8 +14,8 @@
 	"strconv"
 	"time"
 
-	"gapgap"
-	"gapgap/internal/loop"
+	"gapgap/internal/balancer"
+	"gapgap/internal/eventloop"
 	"gapgap/internal/trace"
 )
 
@@ -37,15 +37,15 @@
 	Timeout     time.Duration // a call with no answer by then ends as Timeout
 	DialTimeout time.Duration
 	// Late is told by the loop goroutine of calls that have ended as Timeout and were added after all; nil: nobody is.
-	Late  func(snowhall.Late)
+	Late  func(balancer.Late)
 	Trace *trace.Log
 }
 
 // Counter calls the quota counter. The calls of one name go by one connection, one behind another. The loop owns it.
 type Counter struct {
-	l     *loop.Loop
+	l     *eventloop.Loop
 	cfg   Config
-	sink  func(snowhall.Counted)
+	sink  func(balancer.Counted)
 	addr  string
 	lines [conns]*line
 	space uint64
@@ -55,7 +55,7 @@
 // line is a place for a connection to the counter, and the calls that go by it. The loop owns it.
 type line struct {
 	c     *Counter
-	l     *loop.Loop
+	l     *eventloop.Loop
 	addr  string
 	nc    net.Conn // nil: none yet
 	dials bool
@@ -76,12 +76,12 @@
 	text    []byte
 	written bool // it may have reached the counter
 	ended   bool
-	result  snowhall.Counted // once it has ended
-	timeout *loop.Timer
+	result  balancer.Counted // once it has ended
+	timeout *eventloop.Timer
 }
 
 // New makes a counter. The sink is told the one answer of each call, by the loop goroutine.
-func New(l *loop.Loop, cfg Config, sink func(snowhall.Counted)) *Counter {
+func New(l *eventloop.Loop, cfg Config, sink func(balancer.Counted)) *Counter {
 	c := &Counter{l: l, cfg: cfg, sink: sink, open: map[uint64][]*call{}}
 	if cfg.Space != "" {
 		h := fnv.New64a()
@@ -135,12 +135,12 @@
 }
 
 // Add makes a call.
-func (c *Counter) Add(a snowhall.Count) {
+func (c *Counter) Add(a balancer.Count) {
 	l := c.lines[a.Name%conns]
 	k := &call{name: a.Name, ticket: a.Ticket, at: c.l.Now(), line: l}
 	c.open[k.name] = append(c.open[k.name], k)
 	if !c.cfg.Enabled || c.cfg.Cut != nil && c.cfg.Cut() || len(l.calls) >= owedMost {
-		l.end(k, snowhall.ConnectFailed, 0)
+		l.end(k, balancer.ConnectFailed, 0)
 		return
 	}
 	k.text = fmt.Appendf(nil, "add %d %s %d\r\n", a.Name^c.space, strconv.FormatFloat(a.Amount, 'f', -1, 64),
@@ -159,7 +159,7 @@
 // any more; for the others the place among the answers is kept.
 func (l *line) giveUp(k *call) {
 	if k.written {
-		l.end(k, snowhall.Timeout, 0)
+		l.end(k, balancer.Timeout, 0)
 		return
 	}
 	for i, o := range l.calls {
@@ -168,12 +168,12 @@
 			break
 		}
 	}
-	l.end(k, snowhall.ConnectFailed, 0)
+	l.end(k, balancer.ConnectFailed, 0)
 }
 
 // end gives the one answer to a call, once those for the calls of its name before it are given: after a move
 // two connections may owe answers for one name.
-func (l *line) end(k *call, status snowhall.Status, total float64) {
+func (l *line) end(k *call, status balancer.Status, total float64) {
 	if k.ended {
 		return
 	}
@@ -181,7 +181,7 @@
 	if l.c.cfg.Trace.On() {
 		l.c.cfg.Trace.Line("count", "line=%d status=%d took=%.1f written=%t", k.name%conns, status, trace.MS(l.l.Now()-k.at), k.written)
 	}
-	k.result = snowhall.Counted{Name: k.name, Status: status, Total: total}
+	k.result = balancer.Counted{Name: k.name, Status: status, Total: total}
 	k.timeout.Stop()
 	open := l.c.open
 	all := open[k.name]
@@ -261,7 +261,7 @@
 	for {
 		text, err := in.ReadSlice('\n')
 		if err == nil {
-			var status snowhall.Status
+			var status balancer.Status
 			var total float64
 			if status, total, err = readCount(text); err == nil {
 				l.l.Post(func() { l.answered(epoch, status, total) })
@@ -271,7 +271,7 @@
 		}
 		if errors.Is(err, errSpoilt) { // the counter has had its turn with the first call, and says so unreadably
 			l.l.Post(func() {
-				l.answered(epoch, snowhall.Failed, 0)
+				l.answered(epoch, balancer.Failed, 0)
 				l.broke(epoch)
 			})
 			return
@@ -286,24 +286,24 @@
 var errSpoilt = errors.New("counter: an answer that can't be read")
 
 // readCount reads one answer.
-func readCount(text []byte) (snowhall.Status, float64, error) {
+func readCount(text []byte) (balancer.Status, float64, error) {
 	text = bytes.TrimRight(text, "\r\n")
 	if v, ok := bytes.CutPrefix(text, []byte("ok ")); ok {
 		total, err := strconv.ParseFloat(string(v), 64)
 		if err != nil || math.IsNaN(total) || math.IsInf(total, 0) {
 			return 0, 0, fmt.Errorf("%w: total %.40q", errSpoilt, v)
 		}
-		return snowhall.OK, total, nil
+		return balancer.OK, total, nil
 	}
 	switch string(text) {
 	case "busy", "error":
-		return snowhall.Full, 0, nil
+		return balancer.Full, 0, nil
 	}
 	return 0, 0, fmt.Errorf("%w: %.40q", errSpoilt, text)
 }
 
 // answered takes the answer to the call that is first in line.
-func (l *line) answered(epoch int, status snowhall.Status, total float64) {
+func (l *line) answered(epoch int, status balancer.Status, total float64) {
 	if epoch != l.epoch || l.nc == nil {
 		return
 	}
@@ -316,8 +316,8 @@
 	l.calls = l.calls[1:]
 	l.used = l.l.Now()
 	l.owed = l.used
-	if late := l.c.cfg.Late; k.ended && k.ticket != 0 && late != nil && (status == snowhall.OK || status == snowhall.Failed) {
-		late(snowhall.Late{Ticket: k.ticket, Status: status, Total: total})
+	if late := l.c.cfg.Late; k.ended && k.ticket != 0 && late != nil && (status == balancer.OK || status == balancer.Failed) {
+		late(balancer.Late{Ticket: k.ticket, Status: status, Total: total})
 	}
 	l.end(k, status, total)
 	if l.left && len(l.calls) == 0 {
@@ -335,9 +335,9 @@
 	l.calls = nil
 	for _, k := range calls {
 		if k.written {
-			l.end(k, snowhall.Timeout, 0)
+			l.end(k, balancer.Timeout, 0)
 		} else {
-			l.end(k, snowhall.ConnectFailed, 0)
+			l.end(k, balancer.ConnectFailed, 0)
 		}
 	}
 }
--- a/internal/counter/counter_test.go
+++ b/internal/counter/counter_test.go
@@ -1,8 +1,8 @@
 package counter
 
 import (
-	"gapgap/internal/loop"
-	"gapgap/internal/standin/peer"
+	"gapgap/internal/eventloop"
+	"gapgap/internal/fake/peer"
 
 	"fmt"
 	"slices"
@@ -10,32 +10,32 @@
 	"testing"
 	"time"
 
-	"gapgap"
+	"gapgap/internal/balancer"
 )
 
 // rig is a counter on a loop that the test plays.
 type rig struct {
-	*loop.Loop
+	*eventloop.Loop
 	counter *Counter
-	events  []snowhall.Counted
+	events  []balancer.Counted
 }
 
 func idle(t *testing.T) *rig {
 	t.Helper()
-	f := &rig{Loop: loop.New()}
+	f := &rig{Loop: eventloop.New()}
 	f.counter = New(f.Loop, Config{Addr: "127.0.0.1:1", Enabled: true, Timeout: 50 * time.Millisecond,
-		DialTimeout: 5 * time.Second}, func(ev snowhall.Counted) { f.events = append(f.events, ev) })
+		DialTimeout: 5 * time.Second}, func(ev balancer.Counted) { f.events = append(f.events, ev) })
 	t.Cleanup(f.Close)
 	return f
 }
 
 // count makes a call and returns nothing: the answer comes as an event.
 func count(f *rig, name uint64, amount float64) {
-	f.counter.Add(snowhall.Count{Name: name, Amount: amount, Keep: 4 * time.Second})
+	f.counter.Add(balancer.Count{Name: name, Amount: amount, Keep: 4 * time.Second})
 }
 
 // counted returns the answers told so far.
-func counted(f *rig) []snowhall.Counted { return f.events }
+func counted(f *rig) []balancer.Counted { return f.events }
 
 // giveUpCalls lets the time of all calls that are out run out.
 func giveUpCalls(f *rig) { f.RunDue(f.Now() + f.counter.cfg.Timeout) }
@@ -50,7 +50,7 @@
 	peer.Pump(t, f.Loop, func() bool { return f.counter.lines[0].nc != nil })
 	p.Reads("add 8 -2.5 4000\r\n")
 	giveUpCalls(f)
-	if got := counted(f); len(got) != 1 || got[0].Status != snowhall.Timeout {
+	if got := counted(f); len(got) != 1 || got[0].Status != balancer.Timeout {
 		t.Fatalf("a written call without an answer: %+v", got)
 	}
 	f.events = nil
@@ -60,8 +60,8 @@
 	p.Reads("add 4 1 4000\r\nadd 12 1 4000\r\nadd 16 1 4000\r\n")
 	p.Write("ok 1\r\nok 22.5\r\nbusy\r\nerror\r\n")
 	peer.Pump(t, f.Loop, func() bool { return len(counted(f)) == 3 })
-	want := []snowhall.Counted{{Name: 4, Status: snowhall.OK, Total: 22.5}, {Name: 12, Status: snowhall.Full},
-		{Name: 16, Status: snowhall.Full}}
+	want := []balancer.Counted{{Name: 4, Status: balancer.OK, Total: 22.5}, {Name: 12, Status: balancer.Full},
+		{Name: 16, Status: balancer.Full}}
 	if got := counted(f); fmt.Sprint(got) != fmt.Sprint(want) {
 		t.Errorf("got %+v", got)
 	}
@@ -75,7 +75,7 @@
 	count(f, 8, 1)
 	p := peer.Accept(t, ln) // the connection is up, but the loop has not heard of it
 	giveUpCalls(f)
-	if got := counted(f); len(got) != 1 || got[0].Status != snowhall.ConnectFailed {
+	if got := counted(f); len(got) != 1 || got[0].Status != balancer.ConnectFailed {
 		t.Fatalf("got %+v", got)
 	}
 	peer.Pump(t, f.Loop, func() bool { return f.counter.lines[0].nc != nil })
@@ -90,9 +90,9 @@
 	f.counter.Move(ln.Addr().String())
 	for _, odd := range []string{"", "what\r\n", "ok x\r\n", "ok nan\r\n", strings.Repeat("o", 2*lineMost)} {
 		f.events = nil
-		want := []snowhall.Status{snowhall.Failed, snowhall.Timeout} // its turn is over; the next one's may be, too
+		want := []balancer.Status{balancer.Failed, balancer.Timeout} // its turn is over; the next one's may be, too
 		if odd == "" {
-			want[0] = snowhall.Timeout
+			want[0] = balancer.Timeout
 		}
 		count(f, 8, 1)
 		count(f, 12, 2) // by the same connection
@@ -112,7 +112,7 @@
 	f.events = nil
 	count(f, 8, 1)
 	peer.Pump(t, f.Loop, func() bool { return len(counted(f)) > 0 })
-	if got := counted(f); len(got) != 1 || got[0].Status != snowhall.ConnectFailed {
+	if got := counted(f); len(got) != 1 || got[0].Status != balancer.ConnectFailed {
 		t.Errorf("refused: %+v", got)
 	}
 }
@@ -181,10 +181,10 @@
 	ln := peer.Listen(t)
 	f := idle(t)
 	var late []uint64
-	f.counter.cfg.Late = func(ev snowhall.Late) { late = append(late, ev.Ticket) }
+	f.counter.cfg.Late = func(ev balancer.Late) { late = append(late, ev.Ticket) }
 	f.counter.Move(ln.Addr().String())
 	for i, name := range []uint64{4, 8, 12, 16} { // all by one connection
-		f.counter.Add(snowhall.Count{Name: name, Amount: 1, Keep: 4 * time.Second, Ticket: uint64(i + 1)})
+		f.counter.Add(balancer.Count{Name: name, Amount: 1, Keep: 4 * time.Second, Ticket: uint64(i + 1)})
 	}
 	p := peer.Accept(t, ln)
 	peer.Pump(t, f.Loop, func() bool { return f.counter.lines[0].nc != nil })
--- a/internal/gate/gate.go
+++ b/internal/cpuscheduler/gate.go
@@ -1,14 +1,14 @@
-// Package gate shares the processor between flows, which are pools, by weight. Work is let in in short turns that never
+// Package cpuscheduler shares the processor between flows, which are pools, by weight. Work is let in in short turns that never
 // block; while more wants in than the processor's cores can do, the flow that has had least for its weight goes next
 // (start-time fair queueing: Goyal, Vin and Cheng, SIGCOMM 1996). What waits is not runnable, so a flooded pool's thousand
 // connections don't stand before a quiet pool's one in the scheduler's queue. With room for all nobody waits.
-package gate
+package cpuscheduler
 
 import (
 	"sync"
 	"time"
 
-	"gapgap/internal/pq"
+	"gapgap/internal/priorityqueue"
 )
 
 // Gate lets so many turns run at once. Any goroutine may use it.
@@ -19,12 +19,12 @@
 	v      float64       // virtual time: the start of the turn that was let in last
 	worked time.Duration // since a time
 	since  time.Time
-	queue  *pq.Queue[*Flow] // those for which somebody waits, by virtual time
+	queue  *priorityqueue.Queue[*Flow] // those for which somebody waits, by virtual time
 }
 
 // New makes a gate for so many cores.
 func New(cores int) *Gate {
-	return &Gate{slots: max(1, cores), queue: pq.New(func(a, b *Flow) bool { return a.v < b.v })}
+	return &Gate{slots: max(1, cores), queue: priorityqueue.New(func(a, b *Flow) bool { return a.v < b.v })}
 }
 
 // Flow is one party to a Gate. A nil Flow lets everything in at once.
@@ -33,7 +33,7 @@
 	weight  float64
 	v       float64 // where its next turn starts, in seconds over its weight
 	waiting []chan struct{}
-	place   pq.Item[*Flow] // in the queue
+	place   priorityqueue.Item[*Flow] // in the queue
 	turns   uint64
 	waited  uint64
 	used    time.Duration
--- a/internal/gate/gate_test.go
+++ b/internal/cpuscheduler/gate_test.go
@@ -1,4 +1,4 @@
-package gate
+package cpuscheduler
 
 import (
 	"math"
--- a/internal/verdict/verdict.go
+++ b/internal/decisioncache/verdict.go
@@ -1,4 +1,4 @@
-// Package verdict remembers what was decided for a check, so that a check that is asked again (by a proxy whose own
+// Package decisioncache remembers what was decided for a check, so that a check that is asked again (by a proxy whose own
 // timeout was shorter than the answer's way) joins the open one or is told the same, and is charged once.
 //
 // It decides without I/O: the time is handed in, nothing is started. One goroutine at a time may use a Memory.
@@ -8,13 +8,13 @@
 // not remembered. At the number in all the account that holds most gives way, so one account's flood can't push out
 // the verdicts of the others. A check is told a bounded number of times and then turned away until it is forgotten: a
 // client that sends one nonce for everything gets no further than that, and what is known is never charged twice.
-package verdict
+package decisioncache
 
 import (
 	"errors"
 	"time"
 
-	"gapgap/internal/pq"
+	"gapgap/internal/priorityqueue"
 )
 
 // Config bounds a Memory.
@@ -87,7 +87,7 @@
 	no    uint32
 	size  int
 	given ends
-	place pq.Item[*account] // among the accounts by size
+	place priorityqueue.Item[*account] // among the accounts by size
 }
 
 // Figures count what a Memory did.
@@ -105,9 +105,9 @@
 	names   map[string]*account
 	numbers map[uint32]*account
 	lastNo  uint32
-	bySize  *pq.Queue[*account] // the one with most checks first
-	pages   [][]slot[V]         // a page has pageSize slots and never moves, so growing costs no copy
-	made    int                 // slots in pages, used or free
+	bySize  *priorityqueue.Queue[*account] // the one with most checks first
+	pages   [][]slot[V]                    // a page has pageSize slots and never moves, so growing costs no copy
+	made    int                            // slots in pages, used or free
 	free    Entry
 	find    map[id]Entry
 	waiting map[Entry][]W // of the open ones that were asked again
@@ -123,7 +123,7 @@
 	}
 	return &Memory[V, W]{cfg: cfg, names: map[string]*account{}, numbers: map[uint32]*account{}, free: none,
 		find: map[id]Entry{}, waiting: map[Entry][]W{}, given: ends{none, none},
-		bySize: pq.New(func(a, b *account) bool { return a.size > b.size })}, nil
+		bySize: priorityqueue.New(func(a, b *account) bool { return a.size > b.size })}, nil
 }
 
 // pageSize is how many slots are made at a time.
--- a/internal/verdict/verdict_test.go
+++ b/internal/decisioncache/verdict_test.go
@@ -1,4 +1,4 @@
-package verdict
+package decisioncache
 
 import (
 	"encoding/binary"
--- a/internal/membership/discovery/crossings_test.go
+++ b/internal/discovery/crossings_test.go
@@ -16,9 +16,9 @@
 	"testing/synctest"
 	"time"
 
-	"gapgap"
-	"gapgap/internal/loop"
-	"gapgap/internal/membership"
+	"gapgap/internal/balancer"
+	"gapgap/internal/endpoint"
+	"gapgap/internal/eventloop"
 )
 
 // toldWithin is when a change counts as told, from when discovery had it and could be reached.
@@ -135,19 +135,19 @@
 }
 
 // play follows an agent and returns when the change was heard, and the watch's loop for whoever moves it meanwhile.
-func (a *agent) play(t *testing.T, cfg Config, meanwhile func(*loop.Loop, *Watch)) (heard time.Duration) {
+func (a *agent) play(t *testing.T, cfg Config, meanwhile func(*eventloop.Loop, *Watch)) (heard time.Duration) {
 	synctest.Test(t, func(t *testing.T) {
 		a.began = time.Now()
 		if a.does == nil {
 			a.does = func(int) string { return "" }
 		}
-		l := loop.New()
+		l := eventloop.New()
 		drains := make(chan time.Duration, 1)
 		cfg.Addr, cfg.Dial = "agent:1", a.dial
 		cfg.Known = Members{Index: 1, Endpoints: []Endpoint{{Name: `s"}{`, Address: "127.0.0.1:1", Status: "SERVING"}}}
-		d := New(l, slog.New(slog.NewTextHandler(io.Discard, nil)), cfg, func(u membership.Update) {
+		d := New(l, slog.New(slog.NewTextHandler(io.Discard, nil)), cfg, func(u endpoint.Update) {
 			for _, e := range u.Entries {
-				if e.State == snowhall.Terminating {
+				if e.State == balancer.Terminating {
 					select {
 					case drains <- a.at():
 					default:
@@ -271,9 +271,9 @@
 						rng := rand.New(rand.NewPCG(seed, 5))
 						s := make(rng)
 						s.agent.indent, s.agent.noEnd, s.agent.pieces = seed%2 == 0, seed%3 == 0, []int{0, 1, 7}[seed%3]
-						var meanwhile func(*loop.Loop, *Watch)
+						var meanwhile func(*eventloop.Loop, *Watch)
 						if s.move > 0 {
-							meanwhile = func(l *loop.Loop, d *Watch) {
+							meanwhile = func(l *eventloop.Loop, d *Watch) {
 								time.Sleep(s.move)
 								l.Post(func() { d.Follow("other:1") })
 							}
@@ -306,7 +306,7 @@
 // An older list, whole or not, changes nothing, wherever it comes from: one that is behind would bring back what drains.
 func TestOlderListChangesNothing(t *testing.T) {
 	var told []string
-	d := New(loop.New(), slog.New(slog.NewTextHandler(io.Discard, nil)), Config{}, func(u membership.Update) {
+	d := New(eventloop.New(), slog.New(slog.NewTextHandler(io.Discard, nil)), Config{}, func(u endpoint.Update) {
 		for _, e := range u.Entries {
 			told = append(told, fmt.Sprint(e.Name, e.State))
 		}
@@ -318,7 +318,7 @@
 	entry(6, false, "DRAINING")
 	entry(5, true, "SERVING")
 	entry(4, false, "SERVING")
-	if want := []string{fmt.Sprint("s", snowhall.InService), fmt.Sprint("s", snowhall.Terminating)}; fmt.Sprint(told) != fmt.Sprint(want) {
+	if want := []string{fmt.Sprint("s", balancer.InService), fmt.Sprint("s", balancer.Terminating)}; fmt.Sprint(told) != fmt.Sprint(want) {
 		t.Errorf("told %v, want %v", told, want)
 	}
 	if d.index != 6 {
--- a/internal/membership/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -12,10 +12,10 @@
 	"slices"
 	"time"
 
-	"gapgap"
-	"gapgap/backoff"
-	"gapgap/internal/loop"
-	"gapgap/internal/membership"
+	"gapgap/internal/backoff"
+	"gapgap/internal/balancer"
+	"gapgap/internal/endpoint"
+	"gapgap/internal/eventloop"
 )
 
 // Times of a watch. Whatever goes wrong with one call, the next has the list within 6 s of discovery having it and being reachable, which is when a
@@ -95,8 +95,8 @@
 	SinceMS int64 `json:"since_ms"`
 }
 
-var statuses = map[string]snowhall.State{"SERVING": snowhall.InService, "DRAINING": snowhall.Terminating,
-	"DELETED": snowhall.Terminated}
+var statuses = map[string]balancer.State{"SERVING": balancer.InService, "DRAINING": balancer.Terminating,
+	"DELETED": balancer.Terminated}
 
 // Config says where the list is and how its words become the module's numbers.
 type Config struct {
@@ -113,10 +113,10 @@
 
 // Watch follows the list of backends. The loop owns it; the goroutines that read are given an address.
 type Watch struct {
-	l      *loop.Loop
+	l      *eventloop.Loop
 	log    *slog.Logger
 	cfg    Config
-	sink   func(membership.Update)
+	sink   func(endpoint.Update)
 	http   *http.Client
 	addr   string
 	index  int64 // of the list as the loop has it
@@ -128,7 +128,7 @@
 }
 
 // New makes a watch that begins with Follow. The sink is called by the loop goroutine.
-func New(l *loop.Loop, log *slog.Logger, cfg Config, sink func(membership.Update)) *Watch {
+func New(l *eventloop.Loop, log *slog.Logger, cfg Config, sink func(endpoint.Update)) *Watch {
 	turned := backoff.For(cfg.Doors, rewatchesAll, backoff.Terms{First: rewatchFirst, Most: rewatchMost, Grow: rewatchGrow})
 	turned.First, turned.Most = min(turned.First, turnedAwayMost), min(turned.Most, turnedAwayMost)
 	ended := turned
@@ -145,7 +145,7 @@
 func (d *Watch) Addr() string { return d.addr }
 
 // Known hands on the list as last had.
-func (d *Watch) Known() { d.take(d.cfg.Known, snowhall.Cached) }
+func (d *Watch) Known() { d.take(d.cfg.Known, balancer.Cached) }
 
 // List is the list as it is known now, in a form that Config.Known takes. Only the loop goroutine may call it.
 func (d *Watch) List() Members {
@@ -357,18 +357,18 @@
 	if m.Index < d.index {
 		return
 	}
-	scope := snowhall.Delta
+	scope := balancer.Delta
 	if m.Snapshot {
-		scope = snowhall.Whole
+		scope = balancer.Whole
 	}
 	d.index = m.Index
 	d.take(m, scope)
 }
 
 // take reads a list or its changes and hands them on.
-func (d *Watch) take(m Members, scope snowhall.Scope) {
-	u := membership.Update{Scope: scope}
-	if scope != snowhall.Delta {
+func (d *Watch) take(m Members, scope balancer.Scope) {
+	u := endpoint.Update{Scope: scope}
+	if scope != balancer.Delta {
 		clear(d.all)
 	}
 	for _, e := range m.Endpoints {
@@ -377,13 +377,13 @@
 			d.log.Warn("an entry of the list that makes no sense", "name", e.Name, "status", e.Status)
 			continue
 		}
-		if d.all[e.Name] = e; state == snowhall.Terminated {
+		if d.all[e.Name] = e; state == balancer.Terminated {
 			delete(d.all, e.Name)
 		}
-		b := snowhall.Backend{Name: e.Name, Zone: max(0, slices.Index(d.cfg.Zones, e.Zone)),
+		b := balancer.Backend{Name: e.Name, Zone: max(0, slices.Index(d.cfg.Zones, e.Zone)),
 			Kind: max(0, slices.Index(d.cfg.Kinds, e.Type)), Cell: e.Group, State: state, Weight: e.Weight,
 			Started: time.Duration(e.SinceMS) * time.Millisecond}
-		u.Entries = append(u.Entries, membership.Entry{Backend: b, Addr: e.Address})
+		u.Entries = append(u.Entries, endpoint.Entry{Backend: b, Addr: e.Address})
 	}
 	d.sink(u)
 }
--- a/internal/membership/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -11,18 +11,18 @@
 	"testing"
 	"time"
 
-	"gapgap/internal/loop"
-	"gapgap/internal/membership"
+	"gapgap/internal/endpoint"
+	"gapgap/internal/eventloop"
 )
 
 // follow starts a watch of an agent that turns the first calls away, and returns what it was told.
-func follow(t *testing.T, doors, turnsAway int) (told <-chan membership.Update, calls *atomic.Int32) {
+func follow(t *testing.T, doors, turnsAway int) (told <-chan endpoint.Update, calls *atomic.Int32) {
 	t.Helper()
 	return watch(t, Config{Doors: doors}, turnsAway, nil)
 }
 
 // watch is follow with more of a configuration, of an agent that is silent, without an answer, until a channel is closed.
-func watch(t *testing.T, cfg Config, turnsAway int, silent <-chan struct{}) (told <-chan membership.Update, calls *atomic.Int32) {
+func watch(t *testing.T, cfg Config, turnsAway int, silent <-chan struct{}) (told <-chan endpoint.Update, calls *atomic.Int32) {
 	t.Helper()
 	calls = &atomic.Int32{}
 	agent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -43,11 +43,11 @@
 		w.(http.Flusher).Flush()
 		<-r.Context().Done()
 	}))
-	l := loop.New()
-	updates := make(chan membership.Update, 16)
+	l := eventloop.New()
+	updates := make(chan endpoint.Update, 16)
 	cfg.Addr, cfg.Seed = strings.TrimPrefix(agent.URL, "http://"), 1
 	d := New(l, slog.New(slog.NewTextHandler(io.Discard, nil)), cfg,
-		func(u membership.Update) { updates <- u })
+		func(u endpoint.Update) { updates <- u })
 	stop, ended := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(ended)
@@ -85,7 +85,7 @@
 // Where many front doors share a discovery that turns them away, each waits for longer, as it would never catch up; but for no longer than leaves time
 // to be told within 6 s.
 func TestManyFrontDoorsAskSeldom(t *testing.T) {
-	l := loop.New()
+	l := eventloop.New()
 	defer l.Close()
 	few := New(l, nil, Config{Doors: 3}, nil)
 	many := New(l, nil, Config{Doors: 80}, nil)
--- a/internal/membership/membership.go
+++ b/internal/endpoint/membership.go
@@ -1,16 +1,16 @@
-// Package membership holds what the core is told of the list of backends, whoever tells it.
-package membership
+// Package endpoint holds what the core is told of the list of backends, whoever tells it.
+package endpoint
 
-import "gapgap"
+import "gapgap/internal/balancer"
 
 // Update is a list of backends or changes of it.
 type Update struct {
-	Scope   snowhall.Scope
+	Scope   balancer.Scope
 	Entries []Entry
 }
 
 // Entry is one backend and where it listens.
 type Entry struct {
-	snowhall.Backend
+	balancer.Backend
 	Addr string // host:port
 }
--- a/internal/loop/bench_test.go
+++ b/internal/eventloop/bench_test.go
@@ -1,10 +1,10 @@
-package loop
+package eventloop
 
 import (
 	"testing"
 	"time"
 
-	"gapgap/internal/pq"
+	"gapgap/internal/priorityqueue"
 )
 
 // What a timer costs that is stopped while another is set, among 512: by the loop's own heap, and by the queue that others use.
@@ -27,10 +27,10 @@
 		type timer struct {
 			at    time.Duration
 			do    func()
-			place pq.Item[*timer]
+			place priorityqueue.Item[*timer]
 			l     *Loop
 		}
-		q := pq.New(func(a, b *timer) bool { return a.at < b.at })
+		q := priorityqueue.New(func(a, b *timer) bool { return a.at < b.at })
 		set := func(i int) *timer {
 			t := &timer{at: due(i), do: func() {}, l: nil}
 			t.place.Value = t
--- a/internal/loop/loop.go
+++ b/internal/eventloop/loop.go
@@ -1,7 +1,7 @@
-// Package loop is the one goroutine's ground: a queue of tasks, timers, and the clock that both go by. Whoever
+// Package eventloop is the one goroutine's ground: a queue of tasks, timers, and the clock that both go by. Whoever
 // calls [Loop.Wait] again and again is the loop goroutine; it alone runs tasks and timers, and it alone may
 // touch what they own. All other goroutines only [Loop.Post].
-package loop
+package eventloop
 
 import (
 	"container/heap"
--- a/internal/loop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -1,4 +1,4 @@
-package loop
+package eventloop
 
 import (
 	"testing"
--- a/internal/standin/flagserver/flagserver.go
+++ b/internal/fake/flagserver/flagserver.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"gapgap/internal/standin/serve"
+	"gapgap/internal/fake/serve"
 )
 
 // Sent is one command that came whole.
--- a/internal/standin/peer/peer.go
+++ b/internal/fake/peer/peer.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"gapgap/internal/loop"
+	"gapgap/internal/eventloop"
 )
 
 // Patient bounds every wait; none is expected to take a noticeable part of it.
@@ -193,7 +193,7 @@
 }
 
 // Pump runs a loop's tasks until something holds.
-func Pump(t testing.TB, l *loop.Loop, until func() bool) {
+func Pump(t testing.TB, l *eventloop.Loop, until func() bool) {
 	t.Helper()
 	for end := time.Now().Add(Patient); !until(); {
 		if !l.RunTask() {
--- a/internal/standin/power/power.go
+++ b/internal/fake/power/power.go
@@ -17,13 +17,13 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"gapgap/internal/disk"
+	"gapgap/internal/vfs"
 )
 
 // inode is a file, whatever its name.
 type inode struct {
 	safe    []byte // as of the last sync
-	pending []disk.Op
+	pending []vfs.Op
 	live    []byte
 }
 
@@ -60,36 +60,36 @@
 }
 
 // Do takes what was done.
-func (m *Model) Do(op disk.Op) {
+func (m *Model) Do(op vfs.Op) {
 	m.Ops++
 	n := m.files[op.ID]
 	dir := filepath.Dir(op.Path)
 	switch op.Kind {
-	case disk.Make:
+	case vfs.Make:
 		n = &inode{}
 		m.files[op.ID], m.live[op.Path] = n, n
 		m.pending[dir] = append(m.pending[dir], change{to: op.Path, node: n})
-	case disk.Open:
+	case vfs.Open:
 		m.files[op.ID] = m.live[op.Path]
-	case disk.Write, disk.Truncate:
+	case vfs.Write, vfs.Truncate:
 		op.Data = bytes.Clone(op.Data)
 		n.pending = append(n.pending, op)
 		n.live = apply(n.live, op, len(op.Data))
-	case disk.Sync:
+	case vfs.Sync:
 		n.safe, n.pending = bytes.Clone(n.live), nil
-	case disk.Rename:
+	case vfs.Rename:
 		c := change{from: op.Path, to: op.To, node: m.live[op.Path]}
 		m.pending[dir] = append(m.pending[dir], c)
 		c.do(m.live)
-	case disk.Remove:
+	case vfs.Remove:
 		c := change{from: op.Path}
 		m.pending[dir] = append(m.pending[dir], c)
 		c.do(m.live)
-	case disk.Mkdir:
+	case vfs.Mkdir:
 		c := change{to: op.Path, dir: true}
 		m.pending[dir] = append(m.pending[dir], c)
 		c.do(m.live)
-	case disk.SyncDir:
+	case vfs.SyncDir:
 		for _, c := range m.pending[op.Path] {
 			c.do(m.safe)
 		}
@@ -107,8 +107,8 @@
 }
 
 // apply does a write, or its first bytes, or a truncate.
-func apply(b []byte, op disk.Op, bytes int) []byte {
-	if op.Kind == disk.Truncate {
+func apply(b []byte, op vfs.Op, bytes int) []byte {
+	if op.Kind == vfs.Truncate {
 		if op.Off <= int64(len(b)) {
 			return b[:op.Off:op.Off]
 		}
@@ -161,7 +161,7 @@
 			case how == Order && i < until, how == Any && rng.IntN(2) == 0:
 				b = apply(b, op, len(op.Data))
 			case how == Order && i == until, how == Any && rng.IntN(3) == 0:
-				if op.Kind == disk.Write {
+				if op.Kind == vfs.Write {
 					b = apply(b, op, rng.IntN(len(op.Data)+1))
 				}
 			}
@@ -187,7 +187,7 @@
 func Replay(image map[string][]byte, record []byte) *Model {
 	m := NewModel(image)
 	for len(record) > 0 {
-		var op disk.Op
+		var op vfs.Op
 		rest, err := cbor.UnmarshalFirst(record, &op)
 		if err != nil {
 			break
@@ -252,7 +252,7 @@
 // NewDisk makes one that has an image.
 func NewDisk(image map[string][]byte) *Disk { return &Disk{Model: NewModel(image)} }
 
-func (d *Disk) do(op disk.Op) error {
+func (d *Disk) do(op vfs.Op) error {
 	if d.CutAt > 0 && d.Ops >= d.CutAt {
 		return ErrCut
 	}
@@ -265,8 +265,8 @@
 
 func rel(name string) string { return strings.TrimPrefix(filepath.Clean(name), "/") }
 
-// OpenFile implements [disk.FS].
-func (d *Disk) OpenFile(name string, flag int, _ fs.FileMode) (disk.File, error) {
+// OpenFile implements [vfs.FS].
+func (d *Disk) OpenFile(name string, flag int, _ fs.FileMode) (vfs.File, error) {
 	path := rel(name)
 	n, there := d.live[path]
 	if there && n == nil || !there && flag&os.O_CREATE == 0 {
@@ -279,49 +279,49 @@
 	}
 	d.last++
 	f.id = d.last
-	op := disk.Op{Kind: disk.Open, ID: f.id, Path: path}
+	op := vfs.Op{Kind: vfs.Open, ID: f.id, Path: path}
 	if !there {
-		op.Kind = disk.Make
+		op.Kind = vfs.Make
 	}
 	err := d.do(op)
 	if err == nil && there && flag&os.O_TRUNC != 0 {
-		err = d.do(disk.Op{Kind: disk.Truncate, ID: f.id})
+		err = d.do(vfs.Op{Kind: vfs.Truncate, ID: f.id})
 	}
 	f.n = d.files[f.id]
 	return f, err
 }
 
-// CreateTemp implements [disk.FS].
-func (d *Disk) CreateTemp(dir, pattern string) (disk.File, error) {
+// CreateTemp implements [vfs.FS].
+func (d *Disk) CreateTemp(dir, pattern string) (vfs.File, error) {
 	d.temps++
 	return d.OpenFile(filepath.Join(dir, strings.Replace(pattern, "*", string(rune('a'+d.temps%26)), 1)), os.O_CREATE|os.O_RDWR|os.O_TRUNC, 0)
 }
 
-// Rename implements [disk.FS].
+// Rename implements [vfs.FS].
 func (d *Disk) Rename(from, to string) error {
-	return d.do(disk.Op{Kind: disk.Rename, Path: rel(from), To: rel(to)})
+	return d.do(vfs.Op{Kind: vfs.Rename, Path: rel(from), To: rel(to)})
 }
 
-// Remove implements [disk.FS].
+// Remove implements [vfs.FS].
 func (d *Disk) Remove(name string) error {
 	if _, there := d.live[rel(name)]; !there {
 		return &fs.PathError{Op: "remove", Path: name, Err: fs.ErrNotExist}
 	}
-	return d.do(disk.Op{Kind: disk.Remove, Path: rel(name)})
+	return d.do(vfs.Op{Kind: vfs.Remove, Path: rel(name)})
 }
 
-// MkdirAll implements [disk.FS].
+// MkdirAll implements [vfs.FS].
 func (d *Disk) MkdirAll(name string, _ fs.FileMode) error {
 	if _, there := d.live[rel(name)]; there {
 		return nil
 	}
-	return d.do(disk.Op{Kind: disk.Mkdir, Path: rel(name)})
+	return d.do(vfs.Op{Kind: vfs.Mkdir, Path: rel(name)})
 }
 
-// SyncDir implements [disk.FS].
-func (d *Disk) SyncDir(name string) error { return d.do(disk.Op{Kind: disk.SyncDir, Path: rel(name)}) }
+// SyncDir implements [vfs.FS].
+func (d *Disk) SyncDir(name string) error { return d.do(vfs.Op{Kind: vfs.SyncDir, Path: rel(name)}) }
 
-// ReadDir implements [disk.FS].
+// ReadDir implements [vfs.FS].
 func (d *Disk) ReadDir(name string) (all []fs.DirEntry, err error) {
 	for _, path := range slices.Sorted(maps.Keys(d.live)) {
 		if path != "." && filepath.Dir(path) == rel(name) {
@@ -362,9 +362,9 @@
 func (f *file) Name() string               { return f.name }
 func (f *file) Close() error               { return nil }
 func (f *file) Stat() (fs.FileInfo, error) { return entry{f.n, rel(f.name)}, nil }
-func (f *file) Sync() error                { return f.d.do(disk.Op{Kind: disk.Sync, ID: f.id}) }
+func (f *file) Sync() error                { return f.d.do(vfs.Op{Kind: vfs.Sync, ID: f.id}) }
 func (f *file) Truncate(size int64) error {
-	return f.d.do(disk.Op{Kind: disk.Truncate, ID: f.id, Off: size})
+	return f.d.do(vfs.Op{Kind: vfs.Truncate, ID: f.id, Off: size})
 }
 
 func (f *file) Read(b []byte) (int, error) {
@@ -378,7 +378,7 @@
 }
 
 func (f *file) Write(b []byte) (int, error) {
-	if err := f.d.do(disk.Op{Kind: disk.Write, ID: f.id, Off: f.at, Data: b}); err != nil {
+	if err := f.d.do(vfs.Op{Kind: vfs.Write, ID: f.id, Off: f.at, Data: b}); err != nil {
 		return 0, err
 	}
 	f.at += int64(len(b))
--- a/internal/standin/rig/power.go
+++ b/internal/fake/rig/power.go
@@ -15,9 +15,9 @@
 	"sync"
 	"time"
 
-	"gapgap/internal/standin/catalog"
-	"gapgap/internal/standin/flagserver"
-	"gapgap/internal/standin/power"
+	"gapgap/internal/fake/catalog"
+	"gapgap/internal/fake/flagserver"
+	"gapgap/internal/fake/power"
 )
 
 // What clients of changes and of calm accounts go by.
--- a/internal/standin/rig/rig.go
+++ b/internal/fake/rig/rig.go
@@ -25,10 +25,10 @@
 	"syscall"
 	"time"
 
-	"gapgap/internal/standin/catalog"
-	"gapgap/internal/standin/flagserver"
-	"gapgap/internal/standin/power"
-	"gapgap/internal/standin/quota"
+	"gapgap/internal/fake/catalog"
+	"gapgap/internal/fake/flagserver"
+	"gapgap/internal/fake/power"
+	"gapgap/internal/fake/quota"
 )
 
 const (
--- a/internal/front/control/control.go
+++ b/internal/frontend/admin/control.go
@@ -1,7 +1,7 @@
-// Package control is the line by which operators call a front door: one line to a connection, one answer. It decides
+// Package admin is the line by which operators call a front door: one line to a connection, one answer. It decides
 // nothing; what the calls do is behind [Service]. Each connection has a goroutine of its own, so that an answer waits
 // neither for other callers nor for requests.
-package control
+package admin
 
 import (
 	"bytes"
--- a/internal/front/control/control_test.go
+++ b/internal/frontend/admin/control_test.go
@@ -1,4 +1,4 @@
-package control
+package admin
 
 import (
 	"bufio"
@@ -14,7 +14,7 @@
 
 	"go.uber.org/goleak"
 
-	"gapgap/internal/standin/peer"
+	"gapgap/internal/fake/peer"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/front/authz/answer.go
+++ b/internal/frontend/extauthz/answer.go
@@ -1,4 +1,4 @@
-package authz
+package extauthz
 
 import (
 	"encoding/json"
@@ -8,9 +8,9 @@
 	"strconv"
 	"time"
 
-	"gapgap"
 	"gapgap/internal/account"
-	"gapgap/internal/core"
+	"gapgap/internal/balancer"
+	"gapgap/internal/proxy"
 )
 
 // Names of the fields that answers carry, in canonical form.
@@ -33,7 +33,7 @@
 	fr    *Front
 	rt    *Route // nil: no dialect is known
 	acct  *account.Account
-	plans []snowhall.Plan // of the pool
+	plans []balancer.Plan // of the pool
 	held  *charge         // what the check costs
 }
 
@@ -113,7 +113,7 @@
 }
 
 // Policies are the values of RateLimit-Policy for plans that have a quota: the burst, over the time in which it fills.
-func Policies(names []string, plans []snowhall.Plan) map[string][]string {
+func Policies(names []string, plans []balancer.Plan) map[string][]string {
 	all := map[string][]string{}
 	for i, p := range plans {
 		if p.Rate > 0 && p.Burst > 0 {
@@ -161,4 +161,4 @@
 	a.w.Write(body)
 }
 
-var _ core.Front = (*Front)(nil)
+var _ proxy.Front = (*Front)(nil)
--- a/internal/front/authz/authz_test.go
+++ b/internal/frontend/extauthz/authz_test.go
@@ -1,4 +1,4 @@
-package authz
+package extauthz
 
 import (
 	"net/http"
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 
 	"gapgap/internal/account"
-	"gapgap/internal/core"
+	"gapgap/internal/proxy"
 )
 
 // However the fields of a check are written, reading them gives an error or a target that is whole; and what rules see
@@ -57,7 +57,7 @@
 			part.Draw(t, name) + "x", rapid.IntRange(1, 2).Draw(t, name)}
 	}
 	key := func(a all) *check {
-		c := &check{Request: core.Request{Units: float64(a.units)}}
+		c := &check{Request: proxy.Request{Units: float64(a.units)}}
 		if ok, err := rt.sameness(c, &account.Account{Customer: a.account}, target{a.method, a.scheme, a.host, a.uri},
 			http.Header{"X-Request-Id": {a.id}}); !ok || err != nil {
 			t.Fatal(ok, err)
@@ -82,7 +82,7 @@
 func TestForwardAuthHolds(t *testing.T) {
 	h := newHolds(3)
 	for i, id := range []uint64{1, 2, 3, 4} {
-		if ok := h.add(id, &core.Request{}, time.Duration(10+i), 0); ok != (i < 3) {
+		if ok := h.add(id, &proxy.Request{}, time.Duration(10+i), 0); ok != (i < 3) {
 			t.Errorf("%d: %v", id, ok)
 		}
 	}
--- a/internal/front/authz/check.go
+++ b/internal/frontend/extauthz/check.go
@@ -1,4 +1,4 @@
-package authz
+package extauthz
 
 import (
 	"crypto/sha256"
@@ -14,9 +14,9 @@
 	"time"
 
 	"gapgap/internal/account"
-	"gapgap/internal/core"
+	"gapgap/internal/decisioncache"
+	"gapgap/internal/proxy"
 	"gapgap/internal/route"
-	"gapgap/internal/verdict"
 )
 
 // target is the end client's request as the proxy tells of it.
@@ -203,9 +203,9 @@
 	switch {
 	case o.shut:
 		a.undecided("policy")
-	case !ok || o.verdict != core.Granted && o.verdict != core.Refused:
+	case !ok || o.verdict != proxy.Granted && o.verdict != proxy.Refused:
 		a.undecided("core")
-	case o.verdict == core.Granted:
+	case o.verdict == proxy.Granted:
 		fr.s.Figures.Allowed.Add(1)
 		a.allowed(o)
 	default:
@@ -310,7 +310,7 @@
 		}
 	}
 	c.p = p
-	c.Request = core.Request{Caller: c, Class: class, Plan: acct.Plan, Customer: acct.Customer, At: fr.env.Now(),
+	c.Request = proxy.Request{Caller: c, Class: class, Plan: acct.Plan, Customer: acct.Customer, At: fr.env.Now(),
 		Wait: rt.within(r.Header), Units: units, Doors: acct.Doors, Grant: true}
 	if a.plans[acct.Plan].AtOnce > 0 {
 		c.Hold = acct.Hold
@@ -361,6 +361,6 @@
 	b = strconv.AppendFloat(b, c.Units, 'g', -1, 64)
 	b = strconv.AppendInt(append(b, ' '), int64(c.Class), 10)
 	sum := sha256.Sum256(b)
-	c.key = verdict.Key(sum[:16])
+	c.key = decisioncache.Key(sum[:16])
 	return true, nil
 }
--- a/internal/front/authz/config.go
+++ b/internal/frontend/extauthz/config.go
@@ -1,10 +1,10 @@
-// Package authz is the front that answers HTTP authorization checks (forward authentication): a web proxy asks whether a
+// Package extauthz is the front that answers HTTP authorization checks (forward authentication): a web proxy asks whether a
 // request may pass before it goes to a customer's own service. Each check becomes a request for leave at the core, so
 // quotas, ceilings and at-once caps are those of the other fronts; see docs/design/forward-auth.md.
 //
 // Handlers run on net/http's goroutines: they read, check and write. The memory of verdicts and the holds belong to the
 // core's loop goroutine, which handlers reach by posting tasks.
-package authz
+package extauthz
 
 import (
 	"errors"
--- a/internal/front/authz/conn.go
+++ b/internal/frontend/extauthz/conn.go
@@ -1,4 +1,4 @@
-package authz
+package extauthz
 
 import (
 	"errors"
@@ -7,8 +7,8 @@
 	"sync/atomic"
 	"time"
 
-	"gapgap/internal/core"
-	"gapgap/internal/gate"
+	"gapgap/internal/cpuscheduler"
+	"gapgap/internal/proxy"
 )
 
 // idleLeast is how long nothing may have gone by on a connection before it may be closed for another: less would cross
@@ -19,9 +19,9 @@
 type conn struct {
 	net.Conn
 	fr      *Front
-	trusted bool                      // by its address
-	pool    atomic.Pointer[core.Core] // that it asked last; nil: none yet
-	leave   atomic.Bool               // to be closed with its next answer
+	trusted bool                       // by its address
+	pool    atomic.Pointer[proxy.Core] // that it asked last; nil: none yet
+	leave   atomic.Bool                // to be closed with its next answer
 	born    time.Duration
 	open    atomic.Int32 // requests that a handler has
 	last    atomic.Int64 // when bytes last went by, on the loop's clock
@@ -55,7 +55,7 @@
 }
 
 // gate is the way to the processor of the pool that it asked last.
-func (c *conn) gate() *gate.Flow {
+func (c *conn) gate() *cpuscheduler.Flow {
 	if p := c.pool.Load(); p != nil && p.Gate != nil {
 		return p.Gate
 	}
@@ -64,7 +64,7 @@
 
 // join takes the connection to a pool, whose part of the connections bears it from here on. false: the pool has no place
 // for a newcomer.
-func (c *conn) join(p *core.Core) bool {
+func (c *conn) join(p *proxy.Core) bool {
 	if c.pool.Load() == p {
 		return true
 	}
--- a/internal/front/authz/front.go
+++ b/internal/frontend/extauthz/front.go
@@ -1,4 +1,4 @@
-package authz
+package extauthz
 
 import (
 	"context"
@@ -9,8 +9,8 @@
 	"slices"
 	"time"
 
-	"gapgap/internal/budget"
-	"gapgap/internal/core"
+	"gapgap/internal/proxy"
+	"gapgap/internal/resourcelimit"
 )
 
 const (
@@ -20,7 +20,7 @@
 
 // Front answers checks on one listener.
 type Front struct {
-	env     *core.Env
+	env     *proxy.Env
 	s       *Shared
 	cfg     Config
 	log     *slog.Logger
@@ -62,7 +62,7 @@
 // Addr is where the front listens.
 func (fr *Front) Addr() net.Addr { return fr.ln.Addr() }
 
-// Serve implements [core.Front].
+// Serve implements [proxy.Front].
 func (fr *Front) Serve() {
 	l := &listener{Listener: fr.ln, fr: fr}
 	if fr.tls != nil {
@@ -76,17 +76,17 @@
 // endLate ends the connections whose time is over.
 func (fr *Front) endLate() {
 	now := fr.env.Now()
-	for _, c := range budget.Of[*conn](fr.env.Conns) {
+	for _, c := range resourcelimit.Of[*conn](fr.env.Conns) {
 		if c.fr == fr && c.late(now) {
 			c.Close()
 		}
 	}
 }
 
-// CloseListeners implements [core.Front].
+// CloseListeners implements [proxy.Front].
 func (fr *Front) CloseListeners() { fr.ln.Close() }
 
-// Drain implements [core.Front]: connections between two checks are closed, the others with their last answer.
+// Drain implements [proxy.Front]: connections between two checks are closed, the others with their last answer.
 func (fr *Front) Drain() bool {
 	if fr.drained == nil {
 		fr.drained = make(chan struct{})
@@ -95,7 +95,7 @@
 			fr.srv.Shutdown(context.Background())
 		}()
 	}
-	for _, c := range budget.Of[*conn](fr.env.Conns) {
+	for _, c := range resourcelimit.Of[*conn](fr.env.Conns) {
 		if c.fr == fr {
 			c.GiveWay() // those on which nothing whole was asked: net/http would wait for them
 		}
@@ -184,12 +184,12 @@
 
 // charge is what a check costs in bytes, and who bears it: the process until its pool is known.
 type charge struct {
-	mem  *budget.Bytes
+	mem  *resourcelimit.Bytes
 	cost int64
 }
 
 // move lets a pool's part bear it, if that has room; nil: the process goes on bearing it.
-func (c *charge) move(to *budget.Bytes) bool {
+func (c *charge) move(to *resourcelimit.Bytes) bool {
 	if to == nil || to == c.mem {
 		return true
 	}
@@ -247,7 +247,7 @@
 }
 
 // post hands a pool's loop a task, unless it takes none until then.
-func (fr *Front) post(c *core.Core, task func(), until time.Duration) bool {
+func (fr *Front) post(c *proxy.Core, task func(), until time.Duration) bool {
 	for {
 		pulse := *fr.s.pulse.Load()
 		if c.PostUntil(task, pulse) {
--- a/internal/front/authz/shared.go
+++ b/internal/frontend/extauthz/shared.go
@@ -1,4 +1,4 @@
-package authz
+package extauthz
 
 import (
 	"crypto/rand"
@@ -12,10 +12,10 @@
 	"time"
 
 	"gapgap/internal/account"
-	"gapgap/internal/core"
-	"gapgap/internal/pq"
+	"gapgap/internal/decisioncache"
+	"gapgap/internal/priorityqueue"
+	"gapgap/internal/proxy"
 	"gapgap/internal/route"
-	"gapgap/internal/verdict"
 )
 
 // refusedKeep is for how long a refusal is told to repeats at least: a proxy's second try comes at once, and a client
@@ -24,15 +24,15 @@
 
 // SharedConfig bounds what all listeners of a process share.
 type SharedConfig struct {
-	Memory    verdict.Config
+	Memory    decisioncache.Config
 	MostHolds int // granted requests whose end is awaited
 }
 
 // Shared is what all listeners of a process have together. Any goroutine may use it.
 type Shared struct {
 	cfg     SharedConfig
-	env     *core.Env
-	pools   atomic.Pointer[map[*core.Core]*pool]
+	env     *proxy.Env
+	pools   atomic.Pointer[map[*proxy.Core]*pool]
 	table   atomic.Pointer[account.Table] // whose credentials are known
 	mu      sync.Mutex                    // held to change pools
 	fronts  []*Front
@@ -55,10 +55,10 @@
 // pool is what a pool's checks have together: the memory of verdicts, so that a check asked again by another way is known,
 // and the grants whose end is awaited. The pool's loop goroutine owns all but the table.
 type pool struct {
-	core   *core.Core
+	core   *proxy.Core
 	s      *Shared
 	table  atomic.Pointer[account.Table]
-	memory *verdict.Memory[outcome, *check]
+	memory *decisioncache.Memory[outcome, *check]
 	holds  holds
 }
 
@@ -135,14 +135,14 @@
 }
 
 // NewShared makes what the listeners of a process share. It knows no pool yet.
-func NewShared(env *core.Env, cfg SharedConfig) (*Shared, error) {
+func NewShared(env *proxy.Env, cfg SharedConfig) (*Shared, error) {
 	if err := cfg.Memory.Check(); err != nil {
 		return nil, err
 	}
 	var b [8]byte
 	rand.Read(b[:])
 	s := &Shared{cfg: cfg, env: env, prefix: hex.EncodeToString(b[:]) + "-", stop: make(chan struct{})}
-	s.pools.Store(&map[*core.Core]*pool{})
+	s.pools.Store(&map[*proxy.Core]*pool{})
 	first := make(chan struct{})
 	s.pulse.Store(&first)
 	return s, nil
@@ -150,7 +150,7 @@
 
 // Add makes a pool known, with its accounts; for one that is known the accounts are swapped. Checks that were read before
 // go by the old ones.
-func (s *Shared) Add(c *core.Core, t *account.Table) {
+func (s *Shared) Add(c *proxy.Core, t *account.Table) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	old := *s.pools.Load()
@@ -158,7 +158,7 @@
 		p.table.Store(t)
 		return
 	}
-	m, err := verdict.NewMemory[outcome, *check](s.cfg.Memory)
+	m, err := decisioncache.NewMemory[outcome, *check](s.cfg.Memory)
 	if err != nil {
 		panic(err) // the bounds were checked
 	}
@@ -170,7 +170,7 @@
 }
 
 // Remove forgets a pool that no request holds any more.
-func (s *Shared) Remove(c *core.Core) {
+func (s *Shared) Remove(c *proxy.Core) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	next := maps.Clone(*s.pools.Load())
@@ -182,7 +182,7 @@
 func (s *Shared) Len() int { return len(*s.pools.Load()) }
 
 // of finds what is kept of a pool.
-func (s *Shared) of(c *core.Core) *pool { return (*s.pools.Load())[c] }
+func (s *Shared) of(c *proxy.Core) *pool { return (*s.pools.Load())[c] }
 
 // identities is a table by which credentials are known: those of all pools are the same.
 func (s *Shared) identities() *account.Table { return s.table.Load() }
@@ -191,7 +191,7 @@
 func (s *Shared) SetIdentities(t *account.Table) { s.table.Store(t) }
 
 // Account finds what is configured for a customer in a pool; nil: nothing.
-func (s *Shared) Account(c *core.Core, customer string) *account.Account {
+func (s *Shared) Account(c *proxy.Core, customer string) *account.Account {
 	if p := s.of(c); p != nil {
 		return p.table.Load().ByCustomer(customer)
 	}
@@ -200,23 +200,23 @@
 
 // check is one check from when its account is known.
 type check struct {
-	core.Request
+	proxy.Request
 	p     *pool
 	acct  *account.Account
 	query route.Query // by which its pool was found
 	watch bool        // a repeat of it can be told
-	key   verdict.Key
-	entry verdict.Entry // where remembered
-	kept  bool          // it is remembered
+	key   decisioncache.Key
+	entry decisioncache.Entry // where remembered
+	kept  bool                // it is remembered
 	done  chan outcome
 }
 
 // outcome is what was decided. It has no pointers, as the memory holds many.
 type outcome struct {
-	verdict core.Verdict
+	verdict proxy.Verdict
 	pause   time.Duration
 	at      time.Duration // when it was decided, on the loop's clock
-	quota   core.Quota
+	quota   proxy.Quota
 	id      uint64 // of the granted request, for its end
 	repeat  bool   // told before
 	shut    bool   // nothing could be decided
@@ -236,11 +236,11 @@
 		now := p.core.Coarse()
 		e, state := p.memory.Ask(now, c.Customer, c.key, c)
 		switch state {
-		case verdict.Open:
+		case decisioncache.Open:
 			s.Figures.Repeated.Add(1)
 			p.core.Release()
 			return
-		case verdict.Given:
+		case decisioncache.Given:
 			s.Figures.Repeated.Add(1)
 			p.core.Release()
 			o := p.memory.Verdict(e)
@@ -248,36 +248,36 @@
 			o.repeat = true
 			c.done <- o
 			return
-		case verdict.Worn:
+		case decisioncache.Worn:
 			s.Figures.Worn.Add(1)
 			p.core.Release()
-			c.done <- outcome{verdict: core.Refused, pause: max(refusedKeep, p.memory.Left(now, e)), at: now, repeat: true}
+			c.done <- outcome{verdict: proxy.Refused, pause: max(refusedKeep, p.memory.Left(now, e)), at: now, repeat: true}
 			return
-		case verdict.Unwatched:
+		case decisioncache.Unwatched:
 			s.Figures.Unwatched.Add(1)
-		case verdict.New:
+		case decisioncache.New:
 			c.entry, c.kept = e, true
 		}
 	}
 	p.core.Submit(&c.Request)
 }
 
-// Forward implements [core.Caller]. A grant has no backend.
+// Forward implements [proxy.Caller]. A grant has no backend.
 func (c *check) Forward(time.Duration) []byte { return nil }
 
-// Answer implements [core.Caller].
-func (c *check) Answer(a core.Answer) {
+// Answer implements [proxy.Caller].
+func (c *check) Answer(a proxy.Answer) {
 	p, s := c.p, c.p.s
 	o := outcome{verdict: a.Verdict, pause: a.Pause, at: p.core.Coarse(), quota: a.Quota, shut: a.Shut, version: a.Version}
 	keep := time.Duration(0) // what was not decided is decided anew when it is asked again
 	switch a.Verdict {
-	case core.Granted:
+	case proxy.Granted:
 		o.id = s.lastID.Add(1)
 		keep = time.Duration(1<<63 - 1)
 		if c.Hold > 0 && !p.holds.add(o.id, &c.Request, o.at+c.Hold, o.at) {
 			s.Figures.HoldsLost.Add(1)
 		}
-	case core.Refused:
+	case proxy.Refused:
 		if !a.Shut {
 			keep = max(refusedKeep, a.Pause)
 		}
@@ -313,22 +313,22 @@
 type holds struct {
 	most int
 	byID map[uint64]*held
-	due  *pq.Queue[*held] // by when the module lets go
+	due  *priorityqueue.Queue[*held] // by when the module lets go
 }
 
 type held struct {
 	id    uint64
-	r     *core.Request
+	r     *proxy.Request
 	until time.Duration
-	place pq.Item[*held]
+	place priorityqueue.Item[*held]
 }
 
 func newHolds(most int) holds {
-	return holds{most, map[uint64]*held{}, pq.New(func(a, b *held) bool { return a.until < b.until })}
+	return holds{most, map[uint64]*held{}, priorityqueue.New(func(a, b *held) bool { return a.until < b.until })}
 }
 
 // add keeps a grant; false: there is no room, and only its hold will end it.
-func (h *holds) add(id uint64, r *core.Request, until, now time.Duration) bool {
+func (h *holds) add(id uint64, r *proxy.Request, until, now time.Duration) bool {
 	h.expire(now)
 	if len(h.byID) >= h.most {
 		return false
@@ -340,7 +340,7 @@
 	return true
 }
 
-func (h *holds) take(id uint64, now time.Duration) *core.Request {
+func (h *holds) take(id uint64, now time.Duration) *proxy.Request {
 	h.expire(now)
 	e := h.byID[id]
 	if e == nil {
--- a/internal/front/resp2/client.go
+++ b/internal/frontend/resp2/client.go
@@ -13,12 +13,12 @@
 
 	"github.com/tidwall/redcon"
 
-	"gapgap/internal/budget"
-	"gapgap/internal/core"
-	"gapgap/internal/gate"
+	"gapgap/internal/cpuscheduler"
 	"gapgap/internal/handover"
+	"gapgap/internal/proxy"
+	"gapgap/internal/resourcelimit"
 	"gapgap/internal/resp"
-	"gapgap/internal/sock"
+	"gapgap/internal/socket"
 )
 
 const (
@@ -44,7 +44,7 @@
 	ready  bool
 	ask    *ask  // nil for what the front door answers by itself
 	cost   int64 // taken from the budget until it is answered
-	mem    *budget.Bytes
+	mem    *resourcelimit.Bytes
 	stream *stream // that passes a long value on; nil: there is none
 }
 
@@ -57,22 +57,22 @@
 	timed bool      // a read deadline is set
 	bad   int       // commands in a row that could not be used
 
-	pool   *core.Core   // that it asked last; nil: none, or they are not told apart. The reader's
-	gate   *gate.Flow   // the way to that pool's processor
-	spoken atomic.Bool  // it has asked something
-	idle   atomic.Int64 // since when no request is open, on the loop's clock; 0: one is
+	pool   *proxy.Core        // that it asked last; nil: none, or they are not told apart. The reader's
+	gate   *cpuscheduler.Flow // the way to that pool's processor
+	spoken atomic.Bool        // it has asked something
+	idle   atomic.Int64       // since when no request is open, on the loop's clock; 0: one is
 
 	mu      sync.Mutex
-	room    *sync.Cond    // slots have become free, or the connection has ended
-	slots   []*slot       // in the order of the commands
-	out     []byte        // answers to be written
-	mem     *budget.Bytes // bears out: that of the pool that it asked last
-	writing bool          // a goroutine writes
-	behind  bool          // bytes were read and not yet looked through for commands
-	last    bool          // to be ended once all is answered: what is read from now on is refused
-	shut    bool          // ... as it is: nothing more is written, and the client's own end is awaited
-	refused bool          // what comes is refused: its rest is awaited for longer
-	lingers bool          // counted in Front.lingering
+	room    *sync.Cond           // slots have become free, or the connection has ended
+	slots   []*slot              // in the order of the commands
+	out     []byte               // answers to be written
+	mem     *resourcelimit.Bytes // bears out: that of the pool that it asked last
+	writing bool                 // a goroutine writes
+	behind  bool                 // bytes were read and not yet looked through for commands
+	last    bool                 // to be ended once all is answered: what is read from now on is refused
+	shut    bool                 // ... as it is: nothing more is written, and the client's own end is awaited
+	refused bool                 // what comes is refused: its rest is awaited for longer
+	lingers bool                 // counted in Front.lingering
 	closed  bool
 
 	readAt time.Duration // when the bytes were read in which the last command ended, on the loop's clock. The reader's
@@ -117,7 +117,7 @@
 			return
 		}
 		c.due = time.Time{}
-		if c.held && sock.Left(c.nc) {
+		if c.held && socket.Left(c.nc) {
 			return
 		}
 		c.held = false
@@ -261,7 +261,7 @@
 }
 
 // read1 finds a command's pool and reads it, in a turn of the pool that this connection asked last.
-func (c *client) read1(name string, args [][]byte) (*core.Core, *ask, error) {
+func (c *client) read1(name string, args [][]byte) (*proxy.Core, *ask, error) {
 	gate := c.gate
 	began := gate.Enter()
 	defer gate.Leave(began)
@@ -280,7 +280,7 @@
 
 // join takes the connection to a pool: from here on its part of the processor, the memory and the connections bears it.
 // false: the pool has no place for a newcomer.
-func (c *client) join(pool *core.Core) bool {
+func (c *client) join(pool *proxy.Core) bool {
 	if c.pool == pool {
 		return true
 	}
@@ -305,7 +305,7 @@
 }
 
 // ready says whether a pool can serve, and gives it back. Where nothing is said of where a request would go, any may do.
-func ready(p *core.Core) bool {
+func ready(p *proxy.Core) bool {
 	if p == nil {
 		return true // what is asked says more, and is told so if it leads nowhere
 	}
@@ -398,7 +398,7 @@
 
 // writeSome writes what the socket takes at once. The caller holds mu.
 func (c *client) writeSome() {
-	n, err := sock.WriteNow(c.nc, c.out)
+	n, err := socket.WriteNow(c.nc, c.out)
 	c.mem.Give(int64(n))
 	if c.out = c.out[n:]; len(c.out) == 0 {
 		c.out = nil
@@ -487,12 +487,12 @@
 	}
 }
 
-// Idle implements [budget.Holder].
+// Idle implements [resourcelimit.Holder].
 func (c *client) Idle() (time.Duration, bool) {
 	return time.Duration(c.idle.Load()), c.spoken.Load()
 }
 
-// GiveWay implements [budget.Holder]. The place is wanted now: the client's own end is not waited for.
+// GiveWay implements [resourcelimit.Holder]. The place is wanted now: the client's own end is not waited for.
 func (c *client) GiveWay() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/front/resp2/front.go
+++ b/internal/frontend/resp2/front.go
@@ -15,8 +15,8 @@
 	"time"
 
 	"gapgap/internal/account"
-	"gapgap/internal/budget"
-	"gapgap/internal/core"
+	"gapgap/internal/proxy"
+	"gapgap/internal/resourcelimit"
 	"gapgap/internal/route"
 )
 
@@ -32,12 +32,12 @@
 	Routes bool
 	// Accounts finds what is configured for a customer; nil, or a nil result: nothing, and the request's own plan and
 	// set of front doors hold. Any goroutine calls it.
-	Accounts func(pool *core.Core, customer string) *account.Account
+	Accounts func(pool *proxy.Core, customer string) *account.Account
 }
 
 // Front takes connections and reads requests from them.
 type Front struct {
-	env   *core.Env
+	env   *proxy.Env
 	cfg   Config
 	log   *slog.Logger
 	ln    net.Listener
@@ -55,16 +55,16 @@
 }
 
 // New makes a front on a listener, which it closes.
-func New(env *core.Env, cfg Config, ln net.Listener, log *slog.Logger) *Front {
+func New(env *proxy.Env, cfg Config, ln net.Listener, log *slog.Logger) *Front {
 	fr := &Front{env: env, cfg: cfg, ln: ln, log: log, plain: &route.Query{Listener: cfg.Listener}}
 	fr.resumed = sync.NewCond(&fr.mu)
 	return fr
 }
 
-// Serve implements [core.Front].
+// Serve implements [proxy.Front].
 func (fr *Front) Serve() { go fr.accept() }
 
-// CloseListeners implements [core.Front]. It does nothing from Pause until Move or Resume.
+// CloseListeners implements [proxy.Front]. It does nothing from Pause until Move or Resume.
 func (fr *Front) CloseListeners() {
 	fr.mu.Lock()
 	defer fr.mu.Unlock()
@@ -199,7 +199,7 @@
 
 // clients are this front's connections.
 func (fr *Front) clients() (all []*client) {
-	for _, c := range budget.Of[*client](fr.env.Conns) {
+	for _, c := range resourcelimit.Of[*client](fr.env.Conns) {
 		if c.fr == fr {
 			all = append(all, c)
 		}
@@ -207,7 +207,7 @@
 	return all
 }
 
-// Drain implements [core.Front]: it closes the connections that stand between two requests, and the others with their
+// Drain implements [proxy.Front]: it closes the connections that stand between two requests, and the others with their
 // last answer. It does nothing from Pause until Move or Resume.
 func (fr *Front) Drain() bool {
 	fr.mu.Lock()
@@ -242,17 +242,17 @@
 	return append(strconv.AppendInt([]byte("-BUSY "), int64(ms), 10), "\r\n"...)
 }
 
-// Answer implements [core.Caller].
-func (a *ask) Answer(ans core.Answer) {
+// Answer implements [proxy.Caller].
+func (a *ask) Answer(ans proxy.Answer) {
 	var line []byte
 	switch ans.Verdict {
-	case core.Served:
+	case proxy.Served:
 		line = ans.Value
-	case core.Refused:
+	case proxy.Refused:
 		line = busyAnswer(ans.Pause)
-	case core.Overdue:
+	case proxy.Overdue:
 		line = []byte("-ERR no answer in time\r\n")
-	case core.Duplicate:
+	case proxy.Duplicate:
 		line = []byte("-ERR the id is that of an open request\r\n")
 	default:
 		line = []byte("-ERR failed\r\n")
--- a/internal/front/resp2/front_test.go
+++ b/internal/frontend/resp2/front_test.go
@@ -7,11 +7,11 @@
 	"testing"
 	"time"
 
-	"gapgap/internal/budget"
-	"gapgap/internal/core"
+	"gapgap/internal/fake/peer"
+	"gapgap/internal/proxy"
+	"gapgap/internal/resourcelimit"
 	"gapgap/internal/resp"
-	"gapgap/internal/sock"
-	"gapgap/internal/standin/peer"
+	"gapgap/internal/socket"
 )
 
 func TestBusyAnswer(t *testing.T) {
@@ -27,7 +27,7 @@
 func TestRefusalOverUnreadBytes(t *testing.T) {
 	ln := peer.Listen(t)
 	now := func() time.Duration { return 1 }
-	env := &core.Env{Memory: budget.NewBytes(1 << 20), Conns: budget.NewConns(64, now), Now: now, Coarse: now}
+	env := &proxy.Env{Memory: resourcelimit.NewBytes(1 << 20), Conns: resourcelimit.NewConns(64, now), Now: now, Coarse: now}
 	fr := New(env, Config{}, ln, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	for range 4 {
 		c := peer.Dial(t, ln.Addr().String())
@@ -36,7 +36,7 @@
 			t.Fatal(err)
 		}
 		c.Write(peer.Command("Q.ASK", peer.Customer, "1", peer.List, strings.Repeat("b", resp.MostValue)))
-		for sock.Quiet(nc) {
+		for socket.Quiet(nc) {
 			time.Sleep(time.Millisecond)
 		}
 		fr.turnAway(nc)
--- a/internal/front/resp2/request.go
+++ b/internal/frontend/resp2/request.go
@@ -12,11 +12,11 @@
 
 	"github.com/tidwall/redcon"
 
-	"gapgap"
-	"gapgap/internal/core"
+	"gapgap/internal/balancer"
+	"gapgap/internal/proxy"
 	"gapgap/internal/resp"
 	"gapgap/internal/route"
-	"gapgap/internal/sock"
+	"gapgap/internal/socket"
 )
 
 // lateAsk is how much longer than its class's time a client may say that it waits.
@@ -24,8 +24,8 @@
 
 // ask is a client's request as its connection read it.
 type ask struct {
-	core.Request
-	pool     *core.Core
+	proxy.Request
+	pool     *proxy.Core
 	conn     *client
 	slot     *slot
 	args     [][]byte // the command as it came
@@ -63,7 +63,7 @@
 }
 
 // parse reads a request. What it can't read goes nowhere.
-func (fr *Front) parse(pool *core.Core, name string, args [][]byte, at time.Duration) (*ask, error) {
+func (fr *Front) parse(pool *proxy.Core, name string, args [][]byte, at time.Duration) (*ask, error) {
 	if len(args) != 4 && len(args) != 5 {
 		return nil, fmt.Errorf("wrong number of arguments for '%s'", name)
 	}
@@ -137,16 +137,16 @@
 		return nil, errors.New("ill-formed or unknown d")
 	}
 	switch effect := class.Effect; {
-	case (effect == snowhall.Safe) != (name == "Q.ASK"):
+	case (effect == balancer.Safe) != (name == "Q.ASK"):
 		return nil, fmt.Errorf("class not served by %s", name)
-	case (effect == snowhall.Keyed || class.Remembered) && !key:
+	case (effect == balancer.Keyed || class.Remembered) && !key:
 		return nil, errors.New("k is missing")
 	}
 	return a, nil
 }
 
 // pool finds where a command leads, by what it names: its class, its customer and, where it has one, its host.
-func (fr *Front) pool(args [][]byte) *core.Core {
+func (fr *Front) pool(args [][]byte) *proxy.Core {
 	if !fr.cfg.Routes {
 		return fr.env.Router.Route(fr.plain)
 	}
@@ -184,7 +184,7 @@
 	return nil
 }
 
-// Forward implements [core.Caller]. The command for a backend is as it came but for d, which tells how long this front door will wait.
+// Forward implements [proxy.Caller]. The command for a backend is as it came but for d, which tells how long this front door will wait.
 func (a *ask) Forward(wait time.Duration) []byte {
 	b := redcon.AppendArray(nil, len(a.args))
 	for i, arg := range a.args {
@@ -198,9 +198,9 @@
 	return b
 }
 
-// Left implements [core.Leaver]. The connection of a client that has left is closed, or who waits on it would wait on.
+// Left implements [proxy.Leaver]. The connection of a client that has left is closed, or who waits on it would wait on.
 func (a *ask) Left() bool {
-	if !sock.Left(a.conn.nc) {
+	if !socket.Left(a.conn.nc) {
 		return false
 	}
 	a.conn.mu.Lock()
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -16,7 +16,7 @@
 
 	"go.uber.org/goleak"
 
-	"gapgap/internal/standin/peer"
+	"gapgap/internal/fake/peer"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/claims/claims.go
+++ b/internal/idempotency/claims.go
@@ -1,10 +1,10 @@
-// Package claims decides which request alone may go out by an idempotency key, over all front doors of a fleet: a [Door] asks the voters for the key, and
+// Package idempotency decides which request alone may go out by an idempotency key, over all front doors of a fleet: a [Door] asks the voters for the key, and
 // goes on when a majority has said yes; a [Voter] says yes to one request for each key, once that outlives a power loss, and no to any other for as long as
 // keys are remembered. Two majorities share a voter, so two requests are never let out by one key, whatever is lost, late or doubled on the way, and
 // whoever is cut off or has lost power.
 //
 // It does no input or output; the time is handed in, from a clock that runs on while a process is stopped. Neither type is safe for concurrent use.
-package claims
+package idempotency
 
 import (
 	"crypto/sha256"
--- a/internal/claims/model_test.go
+++ b/internal/idempotency/model_test.go
@@ -1,4 +1,4 @@
-package claims
+package idempotency
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"gapgap/internal/standin/race"
+	"gapgap/internal/fake/race"
 )
 
 // The model: three voters, two requests by one key at doors of their own. Words between them are a set: each may come at any time, any number of times,
--- a/internal/claimside/claimside.go
+++ b/internal/idempotency/replica/claimside.go
@@ -1,8 +1,8 @@
-// Package claimside is a door's part in remembering the keys of changes over all doors of a fleet: it drives a [claims.Door], and where this door votes
-// a [claims.Voter] with its log on disk.
+// Package replica is a door's part in remembering the keys of changes over all doors of a fleet: it drives a [idempotency.Door], and where this door votes
+// a [idempotency.Voter] with its log on disk.
 //
 // One goroutine owns the door's claims, another the voter and its log, which waits for the disk: all that has come meanwhile is kept by one sync.
-package claimside
+package replica
 
 import (
 	"context"
@@ -19,8 +19,8 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"gapgap/internal/claims"
-	"gapgap/internal/disk"
+	"gapgap/internal/idempotency"
+	"gapgap/internal/vfs"
 	"gapgap/internal/wal"
 )
 
@@ -44,7 +44,7 @@
 	Rank   int
 	Doors  int
 	Voters []int
-	FS     disk.FS
+	FS     vfs.FS
 	Dir    string // the door's state directory; the log has one of its own in it
 	Inc    uint32 // the incarnation with which this process started
 	Keep   time.Duration
@@ -56,14 +56,14 @@
 
 // wire is one datagram.
 type wire struct {
-	Process uint64          `cbor:"1,keyasint"` // that says it
-	Asks    []claims.Ask    `cbor:"2,keyasint,omitempty"`
-	To      uint64          `cbor:"3,keyasint,omitempty"` // the process that the answers are for
-	Answers []claims.Answer `cbor:"4,keyasint,omitempty"`
-	Hello   *claims.Hello   `cbor:"5,keyasint,omitempty"`
-	Back    bool            `cbor:"6,keyasint,omitempty"` // the Hello answers one
-	Ping    bool            `cbor:"7,keyasint,omitempty"` // asks a voter whether it speaks of keys ...
-	Pong    bool            `cbor:"8,keyasint,omitempty"` // ... and says that it does
+	Process uint64               `cbor:"1,keyasint"` // that says it
+	Asks    []idempotency.Ask    `cbor:"2,keyasint,omitempty"`
+	To      uint64               `cbor:"3,keyasint,omitempty"` // the process that the answers are for
+	Answers []idempotency.Answer `cbor:"4,keyasint,omitempty"`
+	Hello   *idempotency.Hello   `cbor:"5,keyasint,omitempty"`
+	Back    bool                 `cbor:"6,keyasint,omitempty"` // the Hello answers one
+	Ping    bool                 `cbor:"7,keyasint,omitempty"` // asks a voter whether it speaks of keys ...
+	Pong    bool                 `cbor:"8,keyasint,omitempty"` // ... and says that it does
 }
 
 type said struct {
@@ -72,8 +72,8 @@
 }
 
 type call struct {
-	key  claims.Key
-	done func(claims.Verdict)
+	key  idempotency.Key
+	done func(idempotency.Verdict)
 	end  uint64 // ends this one instead
 	ran  bool
 }
@@ -110,15 +110,15 @@
 	away            atomic.Bool   // too few voters answer: a claim would wait in vain
 
 	// The door's goroutine's.
-	door    *claims.Door
+	door    *idempotency.Door
 	heard   map[int]time.Duration // of voters
 	began   map[uint64]time.Duration
 	pinged  time.Duration
 	numbers map[uint64]uint64 // a caller's number: the door's
-	waits   map[uint64]func(claims.Verdict)
+	waits   map[uint64]func(idempotency.Verdict)
 
 	// The voter's goroutine's.
-	voter  *claims.Voter // nil: this door does not vote
+	voter  *idempotency.Voter // nil: this door does not vote
 	log    *wal.Log
 	turn   uint64 // segment with which this stretch began
 	failed bool
@@ -143,8 +143,8 @@
 // New opens what the door's disk has. Its errors say in one line what is wrong.
 func New(cfg Config) (*Side, error) {
 	s := &Side{cfg: cfg, process: number(), doorIn: make(chan said, inboxMost), voterIn: make(chan said, inboxMost), calls: make(chan call, callsMost),
-		heard: map[int]time.Duration{}, began: map[uint64]time.Duration{}, numbers: map[uint64]uint64{}, waits: map[uint64]func(claims.Verdict){}}
-	s.door = claims.NewDoor(s.process, cfg.Voters)
+		heard: map[int]time.Duration{}, began: map[uint64]time.Duration{}, numbers: map[uint64]uint64{}, waits: map[uint64]func(idempotency.Verdict){}}
+	s.door = idempotency.NewDoor(s.process, cfg.Voters)
 	s.ctx, s.stop = context.WithCancel(context.Background())
 	s.view.Store(&View{})
 	s.away.Store(true)
@@ -155,16 +155,16 @@
 	if err := errors.Join(cfg.FS.MkdirAll(dir, 0o700), cfg.FS.SyncDir(cfg.Dir)); err != nil {
 		return nil, err
 	}
-	vc := claims.VoterConfig{Rank: cfg.Rank, Voters: cfg.Voters, Process: s.process, Keep: cfg.Keep, Most: cfg.Most, Number: number(), Inc: cfg.Inc}
+	vc := idempotency.VoterConfig{Rank: cfg.Rank, Voters: cfg.Voters, Process: s.process, Keep: cfg.Keep, Most: cfg.Most, Number: number(), Inc: cfg.Inc}
 	if err := vc.Check(); err != nil {
 		return nil, err
 	}
 	var log *wal.Log
 	var found wal.Found
 	var err error
-	voter, _ := claims.NewVoter(vc, cfg.Now(), func(yield func(claims.Record) bool) {
+	voter, _ := idempotency.NewVoter(vc, cfg.Now(), func(yield func(idempotency.Record) bool) {
 		log, found, err = wal.Open(wal.Options{FS: cfg.FS, Dir: dir, Kind: "gapgap keys", Version: 1, Segment: segmentBytes, Most: segmentsMost}, func(b []byte) error {
-			var r claims.Record
+			var r idempotency.Record
 			if err := decoder.Unmarshal(b, &r); err != nil {
 				return err
 			}
@@ -203,7 +203,7 @@
 	return s.log.Drop(first)
 }
 
-func (s *Side) append(all []claims.Record) error {
+func (s *Side) append(all []idempotency.Record) error {
 	for i := range all {
 		b, err := cbor.Marshal(&all[i])
 		if err != nil {
@@ -282,7 +282,7 @@
 
 // Claim claims a key, and has done called once, by another goroutine, unless End comes first. It returns the claim's number; 0: there is no place for
 // it now, or too few voters answer. Any goroutine may call it.
-func (s *Side) Claim(key claims.Key, done func(claims.Verdict)) uint64 {
+func (s *Side) Claim(key idempotency.Key, done func(idempotency.Verdict)) uint64 {
 	if s.away.Load() {
 		s.Figures.Away.Add(1)
 		return 0
@@ -385,7 +385,7 @@
 	n, err := s.door.Begin(now, c.key)
 	if err != nil {
 		s.Figures.Crowded.Add(1)
-		c.done(claims.Crowded)
+		c.done(idempotency.Crowded)
 		return
 	}
 	s.numbers[c.end], s.waits[n], s.began[n] = n, c.done, now
@@ -399,9 +399,9 @@
 			continue
 		}
 		switch r.Verdict {
-		case claims.Won:
+		case idempotency.Won:
 			s.Figures.Won.Add(1)
-		case claims.Lost:
+		case idempotency.Lost:
 			s.Figures.Lost.Add(1)
 		default:
 			s.Figures.Crowded.Add(1)
@@ -416,7 +416,7 @@
 
 // ask tells the voters what is to be asked now.
 func (s *Side) ask() {
-	by := map[int][]claims.Ask{}
+	by := map[int][]idempotency.Ask{}
 	for _, o := range s.door.Tick(s.cfg.Now()) {
 		by[o.To] = append(by[o.To], o.Ask)
 	}
@@ -432,7 +432,7 @@
 	defer tick.Stop()
 	s.hello()
 	for {
-		out := map[int]map[uint64][]claims.Answer{}
+		out := map[int]map[uint64][]idempotency.Answer{}
 		var hellos []said
 		select {
 		case <-s.ctx.Done():
@@ -464,7 +464,7 @@
 }
 
 // asked takes a datagram; what is to be said goes out once it is kept.
-func (s *Side) asked(in said, out map[int]map[uint64][]claims.Answer, hellos *[]said) error {
+func (s *Side) asked(in said, out map[int]map[uint64][]idempotency.Answer, hellos *[]said) error {
 	if s.failed {
 		return nil
 	}
@@ -490,7 +490,7 @@
 			continue
 		}
 		if out[in.from] == nil {
-			out[in.from] = map[uint64][]claims.Answer{}
+			out[in.from] = map[uint64][]idempotency.Answer{}
 		}
 		out[in.from][in.w.Process] = append(out[in.from][in.w.Process], answer)
 	}
--- a/internal/claimside/claimside_test.go
+++ b/internal/idempotency/replica/claimside_test.go
@@ -1,4 +1,4 @@
-package claimside
+package replica
 
 import (
 	"fmt"
@@ -11,8 +11,8 @@
 
 	"go.uber.org/goleak"
 
-	"gapgap/internal/claims"
-	"gapgap/internal/disk"
+	"gapgap/internal/idempotency"
+	"gapgap/internal/vfs"
 )
 
 // sides are some doors whose words to each other are lost, doubled and late.
@@ -55,7 +55,7 @@
 
 func (f *sides) open(i int) {
 	f.incs[i]++
-	s, err := New(Config{Rank: i, Doors: len(f.all), Voters: []int{0, 1, 2}, FS: disk.OS{}, Dir: f.dirs[i], Inc: f.incs[i], Keep: f.keep, Most: f.most,
+	s, err := New(Config{Rank: i, Doors: len(f.all), Voters: []int{0, 1, 2}, FS: vfs.OS{}, Dir: f.dirs[i], Inc: f.incs[i], Keep: f.keep, Most: f.most,
 		Now: f.now, Log: slog.New(slog.DiscardHandler), Tell: func(to int, b []byte) { f.carry(i, to, b) }})
 	if err != nil {
 		f.t.Fatal(err)
@@ -113,15 +113,15 @@
 }
 
 // claim claims a key at a door and waits.
-func (f *sides) claim(i int, key string) (n uint64, v claims.Verdict, ok bool) {
-	got := make(chan claims.Verdict, 1)
+func (f *sides) claim(i int, key string) (n uint64, v idempotency.Verdict, ok bool) {
+	got := make(chan idempotency.Verdict, 1)
 	f.mu.RLock()
 	s := f.all[i]
 	f.mu.RUnlock()
 	if s == nil {
 		return 0, 0, false
 	}
-	if n = s.Claim(claims.KeyOf(key), func(v claims.Verdict) { got <- v }); n == 0 {
+	if n = s.Claim(idempotency.KeyOf(key), func(v idempotency.Verdict) { got <- v }); n == 0 {
 		return 0, 0, false
 	}
 	select {
@@ -152,7 +152,7 @@
 					continue
 				}
 				mu.Lock()
-				if answered++; v == claims.Won {
+				if answered++; v == idempotency.Won {
 					won[key]++
 				}
 				mu.Unlock()
@@ -183,7 +183,7 @@
 	f.reach()
 	for round := range 3 { // nothing had gone out: the key is as new
 		n, v, ok := f.claim(3, "given back")
-		if !ok || v != claims.Won {
+		if !ok || v != idempotency.Won {
 			t.Fatalf("round %d: %v, %v", round, v, ok)
 		}
 		f.all[3].End(n, false)
@@ -205,7 +205,7 @@
 			for n := 0; clock.Add(int64(600*time.Microsecond)) < int64(4*time.Second); n++ {
 				id, v, ok := f.claim(worker%3, fmt.Sprint("key ", worker, " ", n))
 				if ok {
-					if v == claims.Crowded {
+					if v == idempotency.Crowded {
 						crowded.Add(1)
 					}
 					f.all[worker%3].End(id, true)
@@ -244,7 +244,7 @@
 			t.Fatal("a door without a majority goes on claiming")
 		}
 	}
-	if n := f.all[0].Claim(claims.KeyOf("alone"), func(claims.Verdict) {}); n != 0 {
+	if n := f.all[0].Claim(idempotency.KeyOf("alone"), func(idempotency.Verdict) {}); n != 0 {
 		t.Error("a claim without a majority is not refused at once")
 	}
 }
@@ -252,14 +252,14 @@
 func FuzzPowerWords(f *testing.F) {
 	f.Add([]byte{0xa0})
 	f.Add([]byte{0xa2, 0x01, 0x05, 0x07, 0xf5})
-	s, err := New(Config{Rank: 0, Doors: 3, Voters: []int{0, 1, 2}, FS: disk.OS{}, Dir: f.TempDir(), Inc: 1, Keep: time.Minute, Most: 100,
+	s, err := New(Config{Rank: 0, Doors: 3, Voters: []int{0, 1, 2}, FS: vfs.OS{}, Dir: f.TempDir(), Inc: 1, Keep: time.Minute, Most: 100,
 		Now: func() time.Duration { return 0 }, Log: slog.New(slog.DiscardHandler), Tell: func(int, []byte) {}})
 	if err != nil {
 		f.Fatal(err)
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
 		s.Heard(1, b)
-		out := map[int]map[uint64][]claims.Answer{}
+		out := map[int]map[uint64][]idempotency.Answer{}
 		var hellos []said
 		for len(s.voterIn) > 0 {
 			if err := s.asked(<-s.voterIn, out, &hellos); err != nil {
--- a/internal/claims/voter.go
+++ b/internal/idempotency/voter.go
@@ -1,4 +1,4 @@
-package claims
+package idempotency
 
 import (
 	"fmt"
--- a/internal/redlist/redlist.go
+++ b/internal/knownfailures/redlist.go
@@ -1,7 +1,7 @@
-// Package redlist judges a run of go test by a short list of tests that are known to fail: only those may, each is told of, and the list can't go stale. What
+// Package knownfailures judges a run of go test by a short list of tests that are known to fail: only those may, each is told of, and the list can't go stale. What
 // says more than that one test failed is never excused: a build that fails, a panic, a data race, a package that ran out of time, or one that failed with no test
 // failing.
-package redlist
+package knownfailures
 
 import (
 	"bufio"
--- a/internal/redlist/redlist_test.go
+++ b/internal/knownfailures/redlist_test.go
@@ -1,4 +1,4 @@
-package redlist
+package knownfailures
 
 import (
 	"bytes"
--- a/internal/redlist/redtest/main.go
+++ b/internal/knownfailures/testrunner/main.go
@@ -15,7 +15,7 @@
 	"slices"
 	"strings"
 
-	"gapgap/internal/redlist"
+	"gapgap/internal/knownfailures"
 )
 
 const file = "KNOWN-RED.txt"
@@ -49,11 +49,11 @@
 		result <- err
 	}()
 	exit := func() error { return <-result }
-	return redlist.Judge(events, os.Stdout, list, slices.Contains(args, "./..."), exit)
+	return knownfailures.Judge(events, os.Stdout, list, slices.Contains(args, "./..."), exit)
 }
 
 // readList reads the list of known failures; no such file is an empty list.
-func readList() ([]redlist.Red, error) {
+func readList() ([]knownfailures.Red, error) {
 	f, err := os.Open(file)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
@@ -62,7 +62,7 @@
 		return nil, err
 	}
 	defer f.Close()
-	return redlist.Read(f)
+	return knownfailures.Read(f)
 }
 
 // plan returns the arguments of each run of go test: one for the packages that may be tested side by side, one for those named by alone.
--- a/internal/layout/layout_test.go
+++ b/internal/layout/layout_test.go
@@ -39,7 +39,7 @@
 
 // Judgement does no input or output.
 func TestJudgementIsFreeOfIO(t *testing.T) {
-	none(t, "gapgap", "net", "os/exec", "gapgap/internal")
+	none(t, "gapgap/internal/balancer", "net", "os/exec", "gapgap/internal")
 	none(t, "gapgap/ceiling", "net", "os", "gapgap/internal")
 	none(t, "gapgap/size", "net", "os", "time", "gapgap/internal")
 	none(t, "gapgap/cold", "net", "os", "math/rand", "gapgap/internal")
--- a/internal/members/members.go
+++ b/internal/membership/members.go
@@ -1,11 +1,11 @@
-// Package members is what one door of a fleet knows of the others: who is there and who has failed. Doors gossip heartbeats (van Renesse,
+// Package membership is what one door of a fleet knows of the others: who is there and who has failed. Doors gossip heartbeats (van Renesse,
 // Minsky, Hayden, "A Gossip-Style Failure Detection Service", 1998): each counts up, each message carries the counts that its sender
 // knows, and a door is judged by how long its count has not grown here, by whatever way the news came.
 //
 // Nothing here does input or output. The caller hands in the time, a random source and what came, and sends what is returned. All times
 // are those of one clock that does not go back and runs on while the process is stopped; other doors may have other clocks. A [Table]
 // belongs to one goroutine.
-package members
+package membership
 
 import (
 	"cmp"
--- a/internal/peers/codec.go
+++ b/internal/peer/codec.go
@@ -1,4 +1,4 @@
-package peers
+package peer
 
 import (
 	"crypto/aes"
@@ -13,7 +13,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"gapgap/internal/fleetnode"
+	"gapgap/internal/cluster"
 )
 
 // Form of a datagram: a version, the salt of its sender's process, a count, and the sealed message. Each process seals with a key of its
@@ -29,17 +29,17 @@
 
 // message is what is sealed.
 type message struct {
-	List   uint32         `cbor:"1,keyasint"` // a hash of the names: doors with different lists do not understand each other
-	From   uint16         `cbor:"2,keyasint"`
-	To     uint16         `cbor:"3,keyasint"`
-	Msg    *fleetnode.Msg `cbor:"4,keyasint,omitempty"`
-	Ask    uint32         `cbor:"5,keyasint,omitempty"` // for the receiver's view, by a number
-	Answer *answer        `cbor:"6,keyasint,omitempty"`
-	Want   *Want          `cbor:"7,keyasint,omitempty"`
-	Loan   *Loan          `cbor:"8,keyasint,omitempty"`
-	Policy []byte         `cbor:"9,keyasint,omitempty"`
-	Keys   []byte         `cbor:"10,keyasint,omitempty"`
-	At     int64          `cbor:"11,keyasint,omitempty"` // its sender's clock, Unix nanoseconds; with a beat
+	List   uint32       `cbor:"1,keyasint"` // a hash of the names: doors with different lists do not understand each other
+	From   uint16       `cbor:"2,keyasint"`
+	To     uint16       `cbor:"3,keyasint"`
+	Msg    *cluster.Msg `cbor:"4,keyasint,omitempty"`
+	Ask    uint32       `cbor:"5,keyasint,omitempty"` // for the receiver's view, by a number
+	Answer *answer      `cbor:"6,keyasint,omitempty"`
+	Want   *Want        `cbor:"7,keyasint,omitempty"`
+	Loan   *Loan        `cbor:"8,keyasint,omitempty"`
+	Policy []byte       `cbor:"9,keyasint,omitempty"`
+	Keys   []byte       `cbor:"10,keyasint,omitempty"`
+	At     int64        `cbor:"11,keyasint,omitempty"` // its sender's clock, Unix nanoseconds; with a beat
 }
 
 // MostPolicy bounds what one datagram carries of policy, or of keys.
--- a/internal/peers/file.go
+++ b/internal/peer/file.go
@@ -1,4 +1,4 @@
-package peers
+package peer
 
 import (
 	"bytes"
@@ -9,7 +9,7 @@
 	"path/filepath"
 	"time"
 
-	"gapgap/internal/claims"
+	"gapgap/internal/idempotency"
 	"gapgap/internal/tomlfile"
 )
 
@@ -143,10 +143,10 @@
 	if r := f.Remember; r != nil {
 		s.Remember = &Remember{cmp.Or(time.Duration(r.For), rememberUsual), cmp.Or(r.Most, rememberMost)}
 		switch {
-		case s.Remember.For < claims.LeastKeep || s.Remember.For > claims.MostKeep:
-			return nil, wrong("remember.for", "is not from %v to %v", claims.LeastKeep, claims.MostKeep)
-		case s.Remember.Most < 1 || s.Remember.Most > claims.MostKeys:
-			return nil, wrong("remember.most", "is not from 1 to %d", claims.MostKeys)
+		case s.Remember.For < idempotency.LeastKeep || s.Remember.For > idempotency.MostKeep:
+			return nil, wrong("remember.for", "is not from %v to %v", idempotency.LeastKeep, idempotency.MostKeep)
+		case s.Remember.Most < 1 || s.Remember.Most > idempotency.MostKeys:
+			return nil, wrong("remember.most", "is not from 1 to %d", idempotency.MostKeys)
 		}
 	}
 	return s, nil
--- a/internal/peers/identity.go
+++ b/internal/peer/identity.go
@@ -1,4 +1,4 @@
-package peers
+package peer
 
 import (
 	"errors"
@@ -9,8 +9,8 @@
 	"path/filepath"
 	"syscall"
 
-	"gapgap/internal/disk"
-	"gapgap/internal/durable"
+	"gapgap/internal/statefile"
+	"gapgap/internal/vfs"
 )
 
 // identity is what a door keeps of itself over its starts.
@@ -19,11 +19,11 @@
 	Incarnation uint32 `json:"incarnation"`
 }
 
-var identityForm = durable.Form{Kind: "gapgap door", Version: 1, Most: 4 << 10}
+var identityForm = statefile.Form{Kind: "gapgap door", Version: 1, Most: 4 << 10}
 
 // Disk is a door's state directory, which one process has at a time.
 type Disk struct {
-	fs   disk.FS
+	fs   vfs.FS
 	path string
 	lock *os.File
 	is   identity
@@ -31,7 +31,7 @@
 
 // OpenDisk takes the state directory of a door and counts its incarnation up. Its errors say in one line what is wrong: another process
 // has it, it is another door's, or the file is damaged or of a newer version. Then nothing has been changed.
-func OpenDisk(fsys disk.FS, dir, name string) (*Disk, error) {
+func OpenDisk(fsys vfs.FS, dir, name string) (*Disk, error) {
 	d := &Disk{fs: fsys, path: filepath.Join(dir, "door.json")}
 	lock, err := os.OpenFile(filepath.Join(dir, "door.lock"), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
--- a/internal/peers/peers.go
+++ b/internal/peer/peers.go
@@ -1,9 +1,9 @@
-// Package peers carries what doors of one fleet tell each other, by datagrams that are sealed with a shared key: a stranger is neither
-// heard nor told. It drives one [fleetnode.Node], and has whoever hands out what is shared go by its standing.
+// Package peer carries what doors of one fleet tell each other, by datagrams that are sealed with a shared key: a stranger is neither
+// heard nor told. It drives one [cluster.Node], and has whoever hands out what is shared go by its standing.
 //
 // One goroutine owns the node; one reads the socket and opens datagrams. A door is told at the address that the list gives for it,
 // wherever its own words came from.
-package peers
+package peer
 
 import (
 	"context"
@@ -20,9 +20,9 @@
 	"sync/atomic"
 	"time"
 
-	"gapgap/internal/clocks"
-	"gapgap/internal/fleetnode"
-	"gapgap/internal/members"
+	"gapgap/internal/clockskew"
+	"gapgap/internal/cluster"
+	"gapgap/internal/membership"
 )
 
 // Bounds and times.
@@ -51,7 +51,7 @@
 	Log    *slog.Logger
 
 	// Apply has those who hand out go by a standing, soon; Applied is the generation that all of them go by. Both return at once.
-	Apply   func(fleetnode.Standing)
+	Apply   func(cluster.Standing)
 	Applied func() uint64
 
 	// Clock is told whether this door's clock must be wrong, by what the others say of theirs, whenever that changes. It returns at once.
@@ -89,7 +89,7 @@
 	addrs   []netip.AddrPort
 	codec   *codec // seals: the loop's
 	opener  *codec // opens: the reader's
-	node    *fleetnode.Node
+	node    *cluster.Node
 	inbox   chan inMessage
 	calls   chan func()
 	outbox  chan outMessage // of loans
@@ -97,16 +97,16 @@
 	ctx     context.Context
 	stop    context.CancelFunc
 	wg      sync.WaitGroup
-	clocks  *clocks.Judge
-	wrong   bool               // the loop's ...
-	clockAt time.Duration      // ... and when it looks at that again
-	last    fleetnode.Standing // the loop's
+	clocks  *clockskew.Judge
+	wrong   bool             // the loop's ...
+	clockAt time.Duration    // ... and when it looks at that again
+	last    cluster.Standing // the loop's
 	rival   bool
 	oddAt   time.Time // the reader's
 	asks    map[uint32]chan viewed
 	lastAsk uint32
 	view    atomic.Pointer[View]
-	id      atomic.Pointer[members.ID]
+	id      atomic.Pointer[membership.ID]
 }
 
 type inMessage struct {
@@ -153,11 +153,11 @@
 		return nil, err
 	}
 	p.sock.SetReadBuffer(readBuffer)
-	p.clocks = clocks.New(len(p.names))
+	p.clocks = clockskew.New(len(p.names))
 	var seed [20]byte
 	rand.Read(seed[:])
-	id := members.ID{Incarnation: cfg.Disk.Incarnation(), Nonce: binary.BigEndian.Uint32(seed[16:])}
-	p.node = fleetnode.New(fleetnode.Config{Rank: p.rank, Doors: len(p.names), ID: id}, cfg.Now(),
+	id := membership.ID{Incarnation: cfg.Disk.Incarnation(), Nonce: binary.BigEndian.Uint32(seed[16:])}
+	p.node = cluster.New(cluster.Config{Rank: p.rank, Doors: len(p.names), ID: id}, cfg.Now(),
 		mrand.New(mrand.NewPCG(binary.BigEndian.Uint64(seed[:]), binary.BigEndian.Uint64(seed[8:]))))
 	p.ctx, p.stop = context.WithCancel(context.Background())
 	p.publish(cfg.Now())
@@ -215,7 +215,7 @@
 // loop owns the node.
 func (p *Peers) loop() {
 	defer close(p.done)
-	tick := time.NewTicker(fleetnode.TickEvery)
+	tick := time.NewTicker(cluster.TickEvery)
 	defer tick.Stop()
 	for {
 		select {
@@ -297,7 +297,7 @@
 func (p *Peers) TellKeys(to int, b []byte) { p.put(outMessage{to, &message{Keys: b}}) }
 
 // ID is this process. It may take a higher incarnation than it started with.
-func (p *Peers) ID() members.ID { return *p.id.Load() }
+func (p *Peers) ID() membership.ID { return *p.id.Load() }
 
 // Lend answers a door's Want.
 func (p *Peers) Lend(to int, l Loan) { p.put(outMessage{to, &message{Loan: &l}}) }
@@ -327,7 +327,7 @@
 	}
 }
 
-func (p *Peers) send(outs []fleetnode.Out, back netip.AddrPort) {
+func (p *Peers) send(outs []cluster.Out, back netip.AddrPort) {
 	if len(outs) == 0 {
 		return
 	}
@@ -375,7 +375,7 @@
 
 // standing is what this door may hand out. One whose clock is wrong hands out nothing: the others lend all of a ceiling by the counter's numbers, which it
 // can't name. It keeps its seats, as pools go by this a little later.
-func (p *Peers) standing(now time.Duration) fleetnode.Standing {
+func (p *Peers) standing(now time.Duration) cluster.Standing {
 	s := p.node.Standing(now)
 	if p.wrong {
 		s.Out, s.Part = true, 0
@@ -459,7 +459,7 @@
 
 // There says whether the door was heard of a moment ago.
 func (m *Member) There() bool {
-	return m.State == members.Alive.String() || m.State == members.Joining.String() || m.State == members.Returned.String()
+	return m.State == membership.Alive.String() || m.State == membership.Joining.String() || m.State == membership.Returned.String()
 }
 
 func (p *Peers) publish(now time.Duration) {
@@ -531,7 +531,7 @@
 				if _, twice := m.SeenBy[p.names[a.rank]]; !twice && i == 0 {
 					answered++
 				}
-				m.SeenBy[p.names[a.rank]] = members.State(s).String()
+				m.SeenBy[p.names[a.rank]] = membership.State(s).String()
 			}
 			v.Doors[a.rank].Part, v.Doors[a.rank].Recovery = &a.a.Part, a.a.Step[:min(len(a.a.Step), mostStep)]
 			continue
@@ -544,7 +544,7 @@
 		m := &v.Doors[i]
 		serves := 0
 		for _, s := range m.SeenBy {
-			if s != members.Dead.String() && s != members.Left.String() && s != members.Absent.String() {
+			if s != membership.Dead.String() && s != membership.Left.String() && s != membership.Absent.String() {
 				serves++
 			}
 		}
@@ -567,7 +567,7 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(fleetnode.TickEvery):
+		case <-time.After(cluster.TickEvery):
 		}
 	}
 	return nil
--- a/internal/peers/peers_test.go
+++ b/internal/peer/peers_test.go
@@ -1,9 +1,8 @@
-package peers
+package peer
 
 import (
 	"bytes"
 	"errors"
-	"gapgap/internal/disk"
 	"io/fs"
 	"net/netip"
 	"os"
@@ -11,11 +10,13 @@
 	"strings"
 	"testing"
 
+	"gapgap/internal/vfs"
+
 	"github.com/fxamacker/cbor/v2"
 
-	"gapgap/internal/fleetnode"
-	"gapgap/internal/members"
-	"gapgap/internal/seats"
+	"gapgap/internal/cluster"
+	"gapgap/internal/membership"
+	"gapgap/internal/quotalease"
 )
 
 var key, names = []byte("0123456789abcdef"), []string{"n0", "n1", "n2"}
@@ -29,8 +30,8 @@
 	return c
 }
 
-func beat() *fleetnode.Msg {
-	return &fleetnode.Msg{Beat: &members.Beat{Entries: []members.Entry{{Rank: 1, ID: members.ID{Incarnation: 3, Nonce: 4}, Count: 5, Phase: members.Serving, Age: 6}}}}
+func beat() *cluster.Msg {
+	return &cluster.Msg{Beat: &membership.Beat{Entries: []membership.Entry{{Rank: 1, ID: membership.ID{Incarnation: 3, Nonce: 4}, Count: 5, Phase: membership.Serving, Age: 6}}}}
 }
 
 // A door hears what a door of its fleet seals for it, and nobody else.
@@ -83,7 +84,7 @@
 // Whatever a door of the fleet says, a node takes it or says what is wrong; it holds no more than before.
 func FuzzMembersMessages(f *testing.F) {
 	for _, m := range []*message{{Msg: beat()}, {Ask: 3}, {Answer: &answer{Ask: 1, States: []byte{1, 2, 3}, Incs: []uint32{1, 2, 3}}},
-		{Msg: &fleetnode.Msg{Claim: &seats.Claim{Seq: 1, Seats: seats.NewSet(3)}}}, {Msg: &fleetnode.Msg{Grant: &seats.Grant{Seq: 1, Seats: seats.NewSet(3)}}}, {Msg: &fleetnode.Msg{}}} {
+		{Msg: &cluster.Msg{Claim: &quotalease.Claim{Seq: 1, Seats: quotalease.NewSet(3)}}}, {Msg: &cluster.Msg{Grant: &quotalease.Grant{Seq: 1, Seats: quotalease.NewSet(3)}}}, {Msg: &cluster.Msg{}}} {
 		m.List, m.From = listOf(names), 1
 		b, err := cbor.Marshal(m)
 		if err != nil {
@@ -96,7 +97,7 @@
 		if decoder.Unmarshal(b, m) != nil || m.Msg == nil {
 			return
 		}
-		n := fleetnode.New(fleetnode.Config{Rank: 0, Doors: 3, ID: members.ID{Incarnation: 1}}, 1, nil)
+		n := cluster.New(cluster.Config{Rank: 0, Doors: 3, ID: membership.ID{Incarnation: 1}}, 1, nil)
 		outs, err := n.Heard(1, int(m.From), *m.Msg)
 		if err != nil && len(outs) > 0 || len(outs) > 1 {
 			t.Errorf("%d answers, %v", len(outs), err)
@@ -167,11 +168,11 @@
 func TestMembersDisk(t *testing.T) {
 	dir := t.TempDir()
 	for want := uint32(1); want < 4; want++ {
-		d, err := OpenDisk(disk.OS{}, dir, "n0")
+		d, err := OpenDisk(vfs.OS{}, dir, "n0")
 		if err != nil || d.Incarnation() != want {
 			t.Fatalf("%v, %v", d, err)
 		}
-		if _, err := OpenDisk(disk.OS{}, dir, "n0"); err == nil || !strings.Contains(err.Error(), "another process has it") {
+		if _, err := OpenDisk(vfs.OS{}, dir, "n0"); err == nil || !strings.Contains(err.Error(), "another process has it") {
 			t.Errorf("a second process: %v", err)
 		}
 		if want == 2 {
@@ -181,7 +182,7 @@
 		}
 		d.Close()
 	}
-	if _, err := OpenDisk(disk.OS{}, filepath.Join(dir, "none"), "n0"); !errors.Is(err, fs.ErrNotExist) {
+	if _, err := OpenDisk(vfs.OS{}, filepath.Join(dir, "none"), "n0"); !errors.Is(err, fs.ErrNotExist) {
 		t.Errorf("no directory: %v", err)
 	}
 }
--- a/internal/policy/model_test.go
+++ b/internal/policy/model_test.go
@@ -13,8 +13,8 @@
 	"testing"
 	"time"
 
-	"gapgap/internal/members"
-	"gapgap/internal/standin/race"
+	"gapgap/internal/fake/race"
+	"gapgap/internal/membership"
 )
 
 // A model of taking hold: three doors and the leader's chair, on the code that serves, over a log that is one register. Every interleaving of
@@ -80,7 +80,7 @@
 	m.state.Present, m.state.Mode = Version{1, hashN(1)}, b.mode
 	m.chair = NewChair(m.now-time.Hour/2, time.Hour)
 	for i := range b.doors {
-		ref := Ref{Rank: uint16(i), ID: members.ID{Incarnation: 1}}
+		ref := Ref{Rank: uint16(i), ID: membership.ID{Incarnation: 1}}
 		d := &modelDoor{Door: NewDoor(ref), disk: map[Hash]bool{hashN(1): true}, inc: 1}
 		d.ready[hashN(1)] = true
 		d.has, d.mode, d.until = m.state.Present, b.mode, Forever
@@ -399,7 +399,7 @@
 	d := m.doors[i]
 	d.inc++
 	has := d.has
-	d.Door = NewDoor(Ref{Rank: uint16(i), ID: members.ID{Incarnation: d.inc}})
+	d.Door = NewDoor(Ref{Rank: uint16(i), ID: membership.ID{Incarnation: d.inc}})
 	d.asked, d.told = m.now-1, m.now-1
 	for h := range d.disk {
 		d.ready[h] = true
--- a/internal/policy/state.go
+++ b/internal/policy/state.go
@@ -16,7 +16,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"gapgap/internal/members"
+	"gapgap/internal/membership"
 )
 
 // Bounds.
@@ -54,9 +54,9 @@
 
 // Ref is one process of a door.
 type Ref struct {
-	_    struct{}   `cbor:",toarray"`
-	Rank uint16     `json:"rank"`
-	ID   members.ID `json:"id"`
+	_    struct{}      `cbor:",toarray"`
+	Rank uint16        `json:"rank"`
+	ID   membership.ID `json:"id"`
 }
 
 // Mode is what a change does about doors that can't be reached.
@@ -185,15 +185,15 @@
 
 // State is what the log's entries come to. All voters have the same at the same index.
 type State struct {
-	Present Version               `cbor:"1,keyasint"`
-	Serving map[uint16]members.ID `cbor:"2,keyasint"` // which process of each door may decide
-	Change  *Change               `cbor:"3,keyasint,omitempty"`
-	Past    []Outcome             `cbor:"4,keyasint"`           // the last MostPast
-	Mode    Mode                  `cbor:"5,keyasint,omitempty"` // of the fleet, from its beginning: whether doors hold leases
+	Present Version                  `cbor:"1,keyasint"`
+	Serving map[uint16]membership.ID `cbor:"2,keyasint"` // which process of each door may decide
+	Change  *Change                  `cbor:"3,keyasint,omitempty"`
+	Past    []Outcome                `cbor:"4,keyasint"`           // the last MostPast
+	Mode    Mode                     `cbor:"5,keyasint,omitempty"` // of the fleet, from its beginning: whether doors hold leases
 }
 
 // NewState is that of an empty log.
-func NewState() *State { return &State{Serving: map[uint16]members.ID{}} }
+func NewState() *State { return &State{Serving: map[uint16]membership.ID{}} }
 
 // Find is the outcome of the change with an id; nil: it is not known.
 func (s *State) Find(id string) *Outcome {
--- a/internal/policy/world_test.go
+++ b/internal/policy/world_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"gapgap/internal/members"
-	"gapgap/internal/standin/race"
+	"gapgap/internal/fake/race"
+	"gapgap/internal/membership"
 )
 
 // world is a fleet in virtual time: doors with clocks of their own, lines that lose, delay and double, processes that are killed and stopped,
@@ -123,7 +123,7 @@
 	d.life++
 	d.inc++
 	d.alive, d.stopped, d.held, d.applied, d.leadsTo = true, false, nil, 0, 0
-	cfg := Config{Ref: Ref{Rank: uint16(d.rank), ID: members.ID{Incarnation: d.inc}}, Doors: len(d.w.doors), GiveUp: 3 * time.Second}
+	cfg := Config{Ref: Ref{Rank: uint16(d.rank), ID: membership.ID{Incarnation: d.inc}}, Doors: len(d.w.doors), GiveUp: 3 * time.Second}
 	for v := range voters {
 		cfg.Voters = append(cfg.Voters, v)
 	}
--- a/internal/policyside/docs.go
+++ b/internal/policyreplica/docs.go
@@ -1,4 +1,4 @@
-package policyside
+package policyreplica
 
 import (
 	"encoding/json"
@@ -11,9 +11,9 @@
 	"strings"
 	"time"
 
-	"gapgap/internal/disk"
-	"gapgap/internal/durable"
 	"gapgap/internal/policy"
+	"gapgap/internal/statefile"
+	"gapgap/internal/vfs"
 )
 
 const (
@@ -23,11 +23,11 @@
 
 // docs are the documents that a door has on its disk, each in a file that is named by its hash.
 type docs struct {
-	fs  disk.FS
+	fs  vfs.FS
 	dir string
 }
 
-func openDocs(fsys disk.FS, dir string) (*docs, error) {
+func openDocs(fsys vfs.FS, dir string) (*docs, error) {
 	d := &docs{fsys, filepath.Join(dir, "policies")}
 	if err := fsys.MkdirAll(d.dir, 0o700); err != nil {
 		return nil, err
@@ -54,7 +54,7 @@
 
 // get reads a document.
 func (d *docs) get(h policy.Hash) ([]byte, error) {
-	b, err := disk.ReadFile(d.fs, d.path(h), policy.MostBytes)
+	b, err := vfs.ReadFile(d.fs, d.path(h), policy.MostBytes)
 	if err != nil {
 		return nil, err
 	}
@@ -72,7 +72,7 @@
 		os.Chtimes(d.path(h), now, now)
 		return d.fs.SyncDir(d.dir) // a process that was killed after its rename may not have come to that
 	}
-	if err := disk.Replace(d.fs, d.path(h), b); err != nil {
+	if err := vfs.Replace(d.fs, d.path(h), b); err != nil {
 		return err
 	}
 	d.prune(append(keep, h))
@@ -126,11 +126,11 @@
 	Version policy.Version `json:"version"`
 }
 
-var lastForm = durable.Form{Kind: "gapgap policy version", Version: 1, Most: 4 << 10}
+var lastForm = statefile.Form{Kind: "gapgap policy version", Version: 1, Most: 4 << 10}
 
 func lastPath(dir string) string { return filepath.Join(dir, "policy.json") }
 
-func loadLast(fsys disk.FS, dir string) (v policy.Version, err error) {
+func loadLast(fsys vfs.FS, dir string) (v policy.Version, err error) {
 	var l last
 	if err = lastForm.LoadFrom(fsys, lastPath(dir), &l); errors.Is(err, fs.ErrNotExist) {
 		return policy.Version{}, nil
@@ -140,7 +140,7 @@
 	return l.Version, nil
 }
 
-func saveLast(fsys disk.FS, dir string, v policy.Version) error {
+func saveLast(fsys vfs.FS, dir string, v policy.Version) error {
 	return lastForm.SaveTo(fsys, lastPath(dir), last{v})
 }
 
--- a/internal/policyside/fetch.go
+++ b/internal/policyreplica/fetch.go
@@ -1,4 +1,4 @@
-package policyside
+package policyreplica
 
 import (
 	"time"
--- a/internal/policyside/side.go
+++ b/internal/policyreplica/side.go
@@ -1,10 +1,10 @@
-// Package policyside is a door's part in agreeing on policy, with its disk and its words to the other doors: it drives one
+// Package policyreplica is a door's part in agreeing on policy, with its disk and its words to the other doors: it drives one
 // [policy.Node], the voters' log where this door votes (package agree), and the documents. Whoever serves is told what to go by, and until
 // when, through [Host].
 //
 // One goroutine owns the node and the log, and never waits for the disk: a voter's log, the version that the door goes by and documents are
 // written by others, each one at a time.
-package policyside
+package policyreplica
 
 import (
 	"context"
@@ -18,9 +18,9 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"gapgap/internal/agree"
-	"gapgap/internal/disk"
 	"gapgap/internal/policy"
+	"gapgap/internal/raftlog"
+	"gapgap/internal/vfs"
 )
 
 // Times and bounds.
@@ -52,7 +52,7 @@
 	Name   string
 	Rank   int
 	Names  []string // of all doors, by rank
-	FS     disk.FS  // of its state directory ...
+	FS     vfs.FS   // of its state directory ...
 	Dir    string   // ... which this process has
 	Now    func() time.Duration
 	Log    *slog.Logger
@@ -112,8 +112,8 @@
 type Side struct {
 	cfg    Config
 	node   *policy.Node
-	log    *agree.Log  // nil: this door does not vote
-	disk   *agree.Disk // likewise
+	log    *raftlog.Log  // nil: this door does not vote
+	disk   *raftlog.Disk // likewise
 	docs   *docs
 	voters []int
 
@@ -174,14 +174,14 @@
 	}
 	nc := policy.Config{Ref: s.ref, Doors: len(cfg.Names), Voters: s.voters, GiveUp: cfg.GiveUp}
 	if slices.Contains(s.voters, cfg.Rank) {
-		if s.disk, err = agree.OpenDisk(cfg.FS, cfg.Dir); err != nil {
+		if s.disk, err = raftlog.OpenDisk(cfg.FS, cfg.Dir); err != nil {
 			return nil, err
 		}
 		nc.Log = (*voterLog)(s)
 	}
 	s.node = policy.NewNode(nc)
 	if s.disk != nil {
-		s.log, err = agree.New(agree.Config{Rank: cfg.Rank, Voters: s.voters, Disk: s.disk, Log: cfg.Log,
+		s.log, err = raftlog.New(raftlog.Config{Rank: cfg.Rank, Voters: s.voters, Disk: s.disk, Log: cfg.Log,
 			Send: func(to int, b []byte) { s.tell(to, &wire{Log: b}) }, Applied: s.node.Applied,
 			Read:     func(token uint64) { s.send(s.node.Read(cfg.Now(), token)) },
 			Snapshot: s.node.Snapshot, Restore: s.node.Restore, Write: s.write})
--- a/internal/pq/pq.go
+++ b/internal/priorityqueue/pq.go
@@ -1,5 +1,5 @@
-// Package pq is a priority queue whose items can be moved and taken out: container/heap with the places kept.
-package pq
+// Package priorityqueue is a priority queue whose items can be moved and taken out: container/heap with the places kept.
+package priorityqueue
 
 import "container/heap"
 
--- a/internal/pq/pq_test.go
+++ b/internal/priorityqueue/pq_test.go
@@ -1,4 +1,4 @@
-package pq
+package priorityqueue
 
 import (
 	"testing"
--- a/internal/core/core.go
+++ b/internal/proxy/core.go
@@ -1,10 +1,10 @@
-// Package core carries events from fronts and sides to one snowhall.Door and the Door's actions back. It decides
+// Package proxy carries events from fronts and sides to one snowhall.Door and the Door's actions back. It decides
 // nothing itself. One loop goroutine alone owns the Door, the requests, the attempts and the timers; fronts and
 // sides read, write and dial on goroutines of their own and post tasks.
 //
 // Fronts hand requests in by [Core.Submit] and get one final answer each; they know no backend and no quota. The
 // sides are behind the interfaces [Upstream], [Counter] and [Membership].
-package core
+package proxy
 
 import (
 	"context"
@@ -16,13 +16,13 @@
 	"sync/atomic"
 	"time"
 
-	"gapgap"
-	"gapgap/internal/budget"
-	"gapgap/internal/figures"
-	"gapgap/internal/gate"
-	"gapgap/internal/loop"
-	"gapgap/internal/membership"
+	"gapgap/internal/balancer"
+	"gapgap/internal/cpuscheduler"
+	"gapgap/internal/endpoint"
+	"gapgap/internal/eventloop"
+	"gapgap/internal/resourcelimit"
 	"gapgap/internal/route"
+	"gapgap/internal/stats"
 	"gapgap/internal/trace"
 	"gapgap/internal/upstream"
 )
@@ -44,9 +44,9 @@
 	Send(*upstream.Attempt)   // ends as one outcome at the attempt's owner
 	Cancel(*upstream.Attempt) // one that has ended is passed over
 	Probe(backend string)
-	Listed(b snowhall.Backend, addr string)
+	Listed(b balancer.Backend, addr string)
 	Yield(n int64, addr string) // closes idle connections that others want
-	KeepOnly([]membership.Entry)
+	KeepOnly([]endpoint.Entry)
 	Most(n int)                   // connections at once from now on
 	Hold(backend string, on bool) // keeps what is not yet written from it, whatever the list says, or no longer
 	Sweep()                       // called about once a second
@@ -55,7 +55,7 @@
 
 // Counter adds to numbers that all front doors share. Each Add is answered once.
 type Counter interface {
-	Add(snowhall.Count)
+	Add(balancer.Count)
 	Move(addr string)
 	Addr() string
 	Sweep()
@@ -93,32 +93,32 @@
 
 // Env is what the fronts of a process share, whatever pools stand behind them. Any goroutine may use it.
 type Env struct {
-	Memory      *budget.Bytes // what clients of all fronts may make the process hold
-	Conns       *budget.Conns // the clients' connections of all fronts
+	Memory      *resourcelimit.Bytes // what clients of all fronts may make the process hold
+	Conns       *resourcelimit.Conns // the clients' connections of all fronts
 	Now, Coarse func() time.Duration
 	Router      Router
-	Gate        *gate.Flow // for work whose pool is not known yet; nil: there is one pool
+	Gate        *cpuscheduler.Flow // for work whose pool is not known yet; nil: there is one pool
 }
 
 // Config is what a Core is made of beside its sides.
 type Config struct {
-	Name  string     // of the pool
-	Start Rules      // what holds at the start
-	Gate  *gate.Flow // the pool's way to the processor; nil: it has it alone
+	Name  string             // of the pool
+	Start Rules              // what holds at the start
+	Gate  *cpuscheduler.Flow // the pool's way to the processor; nil: it has it alone
 
 	// Figures counts what becomes of requests; nil: figures of its own, which nobody reads.
-	Figures *figures.Figures
+	Figures *stats.Figures
 
-	Memory  *budget.Bytes // what requests for the pool may hold; nil: the process's whole
-	Clients *budget.Group // the clients' connections that asked it last; nil: not told apart
+	Memory  *resourcelimit.Bytes // what requests for the pool may hold; nil: the process's whole
+	Clients *resourcelimit.Group // the clients' connections that asked it last; nil: not told apart
 
 	// Found takes what this door has found out about a backend, for other pools that have the same server; nil: there are
 	// none. The loop goroutine calls it.
-	Found func(snowhall.Finding)
+	Found func(balancer.Finding)
 
-	// Others takes what the Door tells the other doors of its fleet, as a [snowhall.Borrow] or [snowhall.Lend]; nil: there are none. The
+	// Others takes what the Door tells the other doors of its fleet, as a [balancer.Borrow] or [balancer.Lend]; nil: there are none. The
 	// loop goroutine calls it.
-	Others func(snowhall.Action)
+	Others func(balancer.Action)
 
 	// Observe takes each final answer and the time that it took; nil: nobody asks. The loop goroutine calls it.
 	Observe func(class int, v Verdict, took time.Duration)
@@ -132,10 +132,10 @@
 // Core is one front door.
 type Core struct {
 	Config
-	*loop.Loop
+	*eventloop.Loop
 	log    *slog.Logger
-	door   *snowhall.Door
-	events []snowhall.Event // for the next Step
+	door   *balancer.Door
+	events []balancer.Event // for the next Step
 	ready  atomic.Bool      // a backend in service has been known, so requests can be served
 	rules  atomic.Pointer[Rules]
 
@@ -145,8 +145,8 @@
 	dropped    map[int]time.Duration // numbers of classes that clients can't name any more, since when
 	leaving    []*Request            // the Door is to hear with the next Step that their clients have left
 	names      names
-	handed     snowhall.Memory  // what the Door has just handed on
-	inherited  *snowhall.Memory // what it is to begin with; nil: nothing
+	handed     balancer.Memory  // what the Door has just handed on
+	inherited  *balancer.Memory // what it is to begin with; nil: nothing
 	left       bool             // another process has taken over
 	lastID     uint64
 	upstream   Upstream
@@ -190,13 +190,13 @@
 }
 
 // New makes a core on a loop. It needs Connect before Run.
-func New(l *loop.Loop, cfg Config, log *slog.Logger) (*Core, error) {
-	door, err := snowhall.New(cfg.Start.Settings, cfg.Seed)
+func New(l *eventloop.Loop, cfg Config, log *slog.Logger) (*Core, error) {
+	door, err := balancer.New(cfg.Start.Settings, cfg.Seed)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	if cfg.Figures == nil {
-		cfg.Figures = figures.New()
+		cfg.Figures = stats.New()
 	}
 	c := &Core{Config: cfg, Loop: l, log: log, door: door, requests: map[uint64]*Request{}, open: map[string]bool{},
 		dropped: map[int]time.Duration{}, names: newNames()}
@@ -210,19 +210,19 @@
 }
 
 // Tell keeps an event for the next Step. Only the loop goroutine may call it.
-func (c *Core) Tell(ev snowhall.Event) { c.events = append(c.events, ev) }
+func (c *Core) Tell(ev balancer.Event) { c.events = append(c.events, ev) }
 
 // Probed takes the result of a probe.
-func (c *Core) Probed(ev snowhall.Probed) { c.Tell(ev) }
+func (c *Core) Probed(ev balancer.Probed) { c.Tell(ev) }
 
 // Counted takes the answer of the counter.
-func (c *Core) Counted(ev snowhall.Counted) { c.Tell(ev) }
+func (c *Core) Counted(ev balancer.Counted) { c.Tell(ev) }
 
 // Listed takes news of the backends to the upstream and to the Door.
-func (c *Core) Listed(u membership.Update) {
-	list := snowhall.List{Scope: u.Scope}
+func (c *Core) Listed(u endpoint.Update) {
+	list := balancer.List{Scope: u.Scope}
 	for _, e := range u.Entries {
-		if e.State == snowhall.InService {
+		if e.State == balancer.InService {
 			c.ready.Store(true)
 		}
 		list.Entries = append(list.Entries, e.Backend)
@@ -231,7 +231,7 @@
 	for _, e := range u.Entries {
 		c.upstream.Listed(e.Backend, e.Addr)
 	}
-	if u.Scope == snowhall.Whole || u.Scope == snowhall.Cached {
+	if u.Scope == balancer.Whole || u.Scope == balancer.Cached {
 		c.upstream.KeepOnly(u.Entries)
 	}
 	c.names.listed(u)
@@ -332,7 +332,7 @@
 			c.dropped[i] = now
 		}
 	}
-	c.Tell(snowhall.Retune{Settings: next.Settings, From: from})
+	c.Tell(balancer.Retune{Settings: next.Settings, From: from})
 	c.rules.Store(next.counted(c.Figures, before))
 }
 
@@ -413,48 +413,48 @@
 	c.leaving = c.leaving[:0]
 }
 
-func (c *Core) act(a snowhall.Action) {
+func (c *Core) act(a balancer.Action) {
 	switch a := a.(type) {
-	case snowhall.Send:
+	case balancer.Send:
 		if r := c.requests[a.ID]; r != nil {
 			c.send(r, a)
 		}
-	case snowhall.Cancel:
+	case balancer.Cancel:
 		if r := c.requests[a.ID]; r != nil && a.Attempt < len(r.attempts) {
 			c.upstream.Cancel(&r.attempts[a.Attempt].Attempt)
 		}
-	case snowhall.Refuse:
+	case balancer.Refuse:
 		c.answer(c.requests[a.ID], Answer{Verdict: Refused, Pause: a.Pause, why: a.Why})
-	case snowhall.Fail:
+	case balancer.Fail:
 		c.answer(c.requests[a.ID], Answer{Verdict: Failed, why: a.Why})
-	case snowhall.Grant:
+	case balancer.Grant:
 		c.grant(c.requests[a.ID])
-	case snowhall.Probe:
+	case balancer.Probe:
 		c.Trace.Line("probe", "to=%s", a.Backend)
 		c.upstream.Probe(a.Backend)
-	case snowhall.Count:
+	case balancer.Count:
 		c.counter.Add(a)
-	case snowhall.SetTimer:
-		c.At(a.At, func() { c.Tell(snowhall.Timer{Cookie: a.Cookie}) })
-	case snowhall.Watch, snowhall.Fetch:
+	case balancer.SetTimer:
+		c.At(a.At, func() { c.Tell(balancer.Timer{Cookie: a.Cookie}) })
+	case balancer.Watch, balancer.Fetch:
 		c.membership.Fetch()
-	case snowhall.Handed:
+	case balancer.Handed:
 		c.handed = a.Memory
-	case snowhall.Borrow, snowhall.Lend:
+	case balancer.Borrow, balancer.Lend:
 		if c.Others != nil {
 			c.Others(a)
 		}
-	case snowhall.Finding:
+	case balancer.Finding:
 		if c.Found != nil {
 			c.Found(a)
 		}
-	case snowhall.Log:
+	case balancer.Log:
 		c.log.Info(a.Text)
 	}
 }
 
 // Heard takes what another pool has found out about a server of this one. Only the loop goroutine may call it.
-func (c *Core) Heard(f snowhall.Finding) { c.Tell(f) }
+func (c *Core) Heard(f balancer.Finding) { c.Tell(f) }
 
 // Yield gives back idle connections to servers that other pools want, from any goroutine; to one address only, if it is
 // given.
--- a/internal/core/guard.go
+++ b/internal/proxy/guard.go
@@ -1,4 +1,4 @@
-package core
+package proxy
 
 import (
 	"math"
@@ -6,7 +6,7 @@
 	"sync/atomic"
 	"time"
 
-	"gapgap"
+	"gapgap/internal/balancer"
 )
 
 // Guard says until when a core may decide requests, and by which version of the policy. Many cores may share one. Any goroutine may change
@@ -133,7 +133,7 @@
 			r.leaving = true // it is kept until the Door has heard
 			c.leaving = append(c.leaving, r)
 			c.answer(r, Answer{Verdict: Refused, Pause: lapsePause, Shut: true})
-			c.Tell(snowhall.Gone{ID: r.id})
+			c.Tell(balancer.Gone{ID: r.id})
 		}
 	}
 }
--- a/internal/core/keys.go
+++ b/internal/proxy/keys.go
@@ -1,9 +1,9 @@
-package core
+package proxy
 
 import (
 	"time"
 
-	"gapgap"
+	"gapgap/internal/balancer"
 )
 
 // Claim is what became of a claim of a key.
@@ -71,13 +71,13 @@
 	switch {
 	case r.ended:
 	case was == Held:
-		c.answer(r, Answer{Verdict: Failed, why: snowhall.NoRetry})
+		c.answer(r, Answer{Verdict: Failed, why: balancer.NoRetry})
 	case was == Crowded:
 		c.answer(r, Answer{Verdict: Refused, Pause: claimPause, Shut: true})
 	case a != nil:
 		r.claim.waits = nil
 		if a.At = c.Now(); a.Until <= a.At {
-			a.End(snowhall.Moot)
+			a.End(balancer.Moot)
 			return
 		}
 		a.given = true
--- a/internal/core/maintenance.go
+++ b/internal/proxy/maintenance.go
@@ -1,4 +1,4 @@
-package core
+package proxy
 
 import (
 	"cmp"
@@ -8,8 +8,8 @@
 	"slices"
 	"time"
 
-	"gapgap"
-	"gapgap/internal/membership"
+	"gapgap/internal/balancer"
+	"gapgap/internal/endpoint"
 )
 
 // mostNames is how many names of backends are remembered that were listed once and are not now.
@@ -30,11 +30,11 @@
 func newNames() names { return names{all: map[string]uint64{}, banned: map[string]bool{}} }
 
 // listed takes a list or changes of it.
-func (n *names) listed(u membership.Update) {
+func (n *names) listed(u endpoint.Update) {
 	named := map[string]bool{}
 	for _, e := range u.Entries {
 		_, known := n.all[e.Name]
-		if e.State != snowhall.Terminated {
+		if e.State != balancer.Terminated {
 			if n.all[e.Name] > 0 {
 				n.gone--
 			}
@@ -43,7 +43,7 @@
 			n.left(e.Name)
 		}
 	}
-	if u.Scope == snowhall.Delta {
+	if u.Scope == balancer.Delta {
 		return
 	}
 	for name, left := range n.all {
@@ -107,7 +107,7 @@
 	return c.byHand(ctx, backend, func() {
 		delete(c.names.banned, backend)
 		c.upstream.Hold(backend, false)
-		c.Tell(snowhall.Attach{Backend: backend})
+		c.Tell(balancer.Attach{Backend: backend})
 	})
 }
 
@@ -121,7 +121,7 @@
 
 func (c *Core) hold(backend string, since time.Duration) {
 	c.names.banned[backend] = true
-	c.Tell(snowhall.Detach{Backend: backend, At: since})
+	c.Tell(balancer.Detach{Backend: backend, At: since})
 	c.upstream.Hold(backend, true)
 }
 
@@ -155,7 +155,7 @@
 // call it.
 //
 // It returns when the last loan is over that the Door has given: what it has lent of a part that is taken away is in use until then.
-func (c *Core) Stand(ev snowhall.Sharing) (lentUntil time.Duration) {
+func (c *Core) Stand(ev balancer.Sharing) (lentUntil time.Duration) {
 	c.Tell(ev)
 	c.Step()
 	return c.door.LentUntil()
--- a/internal/core/names_test.go
+++ b/internal/proxy/names_test.go
@@ -1,17 +1,17 @@
-package core
+package proxy
 
 import (
 	"fmt"
 	"testing"
 
-	"gapgap"
-	"gapgap/internal/membership"
+	"gapgap/internal/balancer"
+	"gapgap/internal/endpoint"
 )
 
-func named(scope snowhall.Scope, state snowhall.State, all ...string) (u membership.Update) {
+func named(scope balancer.Scope, state balancer.State, all ...string) (u endpoint.Update) {
 	u.Scope = scope
 	for _, n := range all {
-		u.Entries = append(u.Entries, membership.Entry{Backend: snowhall.Backend{Name: n, State: state}})
+		u.Entries = append(u.Entries, endpoint.Entry{Backend: balancer.Backend{Name: n, State: state}})
 	}
 	return u
 }
@@ -20,14 +20,14 @@
 // same again push nothing out.
 func TestNamesAreBounded(t *testing.T) {
 	n := newNames()
-	n.listed(named(snowhall.Whole, snowhall.InService, "stays", "banned", "left"))
+	n.listed(named(balancer.Whole, balancer.InService, "stays", "banned", "left"))
 	n.banned["banned"] = true
-	n.listed(named(snowhall.Delta, snowhall.Terminated, "banned", "left", "never listed"))
+	n.listed(named(balancer.Delta, balancer.Terminated, "banned", "left", "never listed"))
 	if n.has("never listed") || !n.has("left") || n.gone != 2 {
 		t.Errorf("%v", n.all)
 	}
 	for range 20000 {
-		n.listed(named(snowhall.Whole, snowhall.InService, "stays"))
+		n.listed(named(balancer.Whole, balancer.InService, "stays"))
 	}
 	if !n.has("left") || n.gone != 2 {
 		t.Errorf("lists that say the same push names out: %v", n.all)
@@ -37,7 +37,7 @@
 		for j := range 1000 {
 			all = append(all, fmt.Sprint(i, "-", j))
 		}
-		n.listed(named(snowhall.Whole, snowhall.InService, all...))
+		n.listed(named(balancer.Whole, balancer.InService, all...))
 		if len(n.all) > mostNames+1100 {
 			t.Fatalf("%d names", len(n.all))
 		}
