--- a/internal/core/request.go
+++ b/internal/proxy/request.go
@@ -1,11 +1,11 @@
-package core
+package proxy
 
 import (
 	"time"
 
-	"gapgap"
-	"gapgap/internal/figures"
-	"gapgap/internal/loop"
+	"gapgap/internal/balancer"
+	"gapgap/internal/eventloop"
+	"gapgap/internal/stats"
 	"gapgap/internal/trace"
 	"gapgap/internal/upstream"
 )
@@ -30,12 +30,12 @@
 	Quota   Quota         // with Granted, and with Refused of a request with Grant
 	Version uint64        // of the policy by which it was taken in; 0: not told
 	Shut    bool          // with Refused: nothing could be decided, by no fault of the customer's
-	why     snowhall.Reason
+	why     balancer.Reason
 }
 
 // Quota is how the customer stands with its plan's quota.
 type Quota struct {
-	snowhall.Quota
+	balancer.Quota
 	Told bool // else there is no such quota, or nothing is known
 }
 
@@ -84,10 +84,10 @@
 	Key         string        // by which a repeat of it is known; looked at where the class is remembered
 
 	claim    claim
-	count    *figures.Class // where it is counted
+	count    *stats.Class // where it is counted
 	id       uint64
 	due      time.Duration // when the client gives up
-	overdue  *loop.Timer
+	overdue  *eventloop.Timer
 	attempts []*attempt
 	out      int // attempts without an outcome
 	ended    bool
@@ -110,7 +110,7 @@
 	}
 	a.r.overdue.Stop()
 	a.begun = true
-	a.c.Tell(snowhall.FirstByte{ID: a.r.id, Attempt: a.no})
+	a.c.Tell(balancer.FirstByte{ID: a.r.id, Attempt: a.no})
 	return to.Stream(size)
 }
 
@@ -135,19 +135,19 @@
 
 // Ended implements [upstream.Owner]. A value ends the request, and the outcome says so.
 func (a *attempt) Ended(res upstream.Result) {
-	if res.Status == snowhall.OK {
+	if res.Status == balancer.OK {
 		a.c.answer(a.r, Answer{Verdict: Served, Value: res.Value})
 	} else if a.begun { // nothing else may be answered
 		a.c.answer(a.r, Answer{Verdict: Failed})
 	}
 	a.r.out--
-	if a.given && res.Status != snowhall.Full && res.Status != snowhall.ConnectFailed && res.Status != snowhall.Moot {
+	if a.given && res.Status != balancer.Full && res.Status != balancer.ConnectFailed && res.Status != balancer.Moot {
 		a.r.claim.ran = true
 	}
 	if a.c.Trace.On() {
 		a.c.Trace.Line("attempt", "id=%d no=%d class=%d to=%s status=%d took=%.1f", a.r.id, a.no, a.r.Class, a.Backend, res.Status, trace.MS(a.c.Now()-a.At))
 	}
-	a.c.Tell(snowhall.Outcome{ID: a.r.id, Attempt: a.no, Backend: a.Backend, Status: res.Status,
+	a.c.Tell(balancer.Outcome{ID: a.r.id, Attempt: a.no, Backend: a.Backend, Status: res.Status,
 		Latency: a.Took(a.c.Now()), Closed: a.r.ended, Used: res.Used})
 	a.c.forget(a.r)
 }
@@ -185,7 +185,7 @@
 	} else {
 		c.watch(r)
 	}
-	c.Tell(snowhall.Request{ID: r.id, Class: r.Class, Plan: r.Plan, Customer: r.Customer,
+	c.Tell(balancer.Request{ID: r.id, Class: r.Class, Plan: r.Plan, Customer: r.Customer,
 		Left: max(0, r.due-c.Coarse()), Units: r.Units, Doors: r.Doors, Retry: r.Retry, Grant: r.Grant, Hold: r.Hold})
 }
 
@@ -204,7 +204,7 @@
 	r.overdue = c.At(r.due, func() {
 		c.log.Error("the module left a request unanswered", "id", r.id)
 		c.abandon(r)
-		r.count.Ended(figures.Faulted)
+		r.count.Ended(stats.Faulted)
 		if c.Observe != nil {
 			c.Observe(r.Class, Overdue, c.Now()-r.At)
 		}
@@ -227,14 +227,14 @@
 	r.leaving = true
 	c.leaving = append(c.leaving, r)
 	c.leave(r)
-	c.Tell(snowhall.Gone{ID: r.id})
+	c.Tell(balancer.Gone{ID: r.id})
 }
 
 // Finish says that the work for which a request was granted is over, so that another may have its place. One that was not
 // granted, or whose hold has run out, is passed over. Only the loop goroutine may call it.
 func (c *Core) Finish(r *Request) {
 	if r.Grant && r.ended {
-		c.Tell(snowhall.Gone{ID: r.id})
+		c.Tell(balancer.Gone{ID: r.id})
 	}
 }
 
@@ -270,7 +270,7 @@
 	r.overdue.Stop()
 	if a := r.claim.waits; a != nil {
 		r.claim.waits = nil
-		a.End(snowhall.Moot)
+		a.End(balancer.Moot)
 	}
 	for _, a := range r.attempts {
 		c.upstream.Cancel(&a.Attempt)
@@ -289,7 +289,7 @@
 }
 
 // send starts an attempt.
-func (c *Core) send(r *Request, s snowhall.Send) {
+func (c *Core) send(r *Request, s balancer.Send) {
 	now := c.Now()
 	a := &attempt{c: c, r: r, no: len(r.attempts)}
 	a.Attempt = upstream.Attempt{Backend: s.Backend, At: now, Until: r.due, By: s.By, Owner: a}
@@ -299,7 +299,7 @@
 	r.attempts = append(r.attempts, a)
 	r.out++
 	if r.ended || a.Until <= now || c.clientGone(r, r.At) || r.out > 1 && !c.Rules().Settings.SecondCopies {
-		a.End(snowhall.Moot)
+		a.End(balancer.Moot)
 		return
 	}
 	if c.Keys != nil && c.Rules().Settings.Classes[r.Class].Remembered && r.claim.state != won {
--- a/internal/core/rules.go
+++ b/internal/proxy/rules.go
@@ -1,10 +1,10 @@
-package core
+package proxy
 
 import (
 	"slices"
 
-	"gapgap"
-	"gapgap/internal/figures"
+	"gapgap/internal/balancer"
+	"gapgap/internal/stats"
 )
 
 // Rules are what requests are read and decided by: the settings, with the names that clients use. They are never changed,
@@ -12,16 +12,16 @@
 type Rules struct {
 	Classes  []string // their names, by the module's indices; empty: no class, clients can't name it
 	Plans    []string // likewise
-	Settings snowhall.Settings
+	Settings balancer.Settings
 	MostOpen int // requests that may be open at once; 0: no bound
 
-	counts []*figures.Class // by the module's indices
+	counts []*stats.Class // by the module's indices
 }
 
 // counted gives rules the places where their classes are counted. One without a name is counted where it was under the rules
 // before, or among the others.
-func (r Rules) counted(f *figures.Figures, before *Rules) *Rules {
-	r.counts = make([]*figures.Class, len(r.Settings.Classes))
+func (r Rules) counted(f *stats.Figures, before *Rules) *Rules {
+	r.counts = make([]*stats.Class, len(r.Settings.Classes))
 	for i := range r.counts {
 		switch {
 		case i < len(r.Classes) && r.Classes[i] != "":
@@ -29,7 +29,7 @@
 		case before != nil && i < len(before.counts):
 			r.counts[i] = before.counts[i]
 		default:
-			r.counts[i] = f.Class(figures.Others)
+			r.counts[i] = f.Class(stats.Others)
 		}
 	}
 	return &r
@@ -58,28 +58,28 @@
 // TurnAway counts a request that is refused unseen. Any goroutine may call it.
 func (c *Core) TurnAway(r *Request) {
 	c.Take(r)
-	r.count.Ended(figures.Throttled)
+	r.count.Ended(stats.Throttled)
 }
 
 // outcome is a verdict as operators count it.
-func (v Verdict) outcome() figures.Outcome {
+func (v Verdict) outcome() stats.Outcome {
 	switch v {
 	case Served, Granted:
-		return figures.Fulfilled
+		return stats.Fulfilled
 	case Refused:
-		return figures.Throttled
+		return stats.Throttled
 	}
-	return figures.Faulted
+	return stats.Faulted
 }
 
 // Next makes the rules that follow others: the new settings, whose classes and plans are named as listed, with the numbers
 // that requests may still hold. A class that is as it was keeps its number; one that is dropped or changed keeps it too,
 // for the requests that came under it, and clients can't name it any more. free says which numbers may be used again.
-// from is for [snowhall.Retune].
+// from is for [balancer.Retune].
 func (r *Rules) Next(now Rules, free func(number int) bool) (next Rules, from []int) {
 	next = now
 	next.Classes = append([]string(nil), r.Classes...)
-	next.Settings.Classes = append([]snowhall.Class(nil), r.Settings.Classes...)
+	next.Settings.Classes = append([]balancer.Class(nil), r.Settings.Classes...)
 	from = make([]int, len(next.Classes))
 	for i := range from {
 		from[i] = i
@@ -92,7 +92,7 @@
 		if old < 0 || r.Settings.Classes[old] != def {
 			if at = r.spare(next.Classes, free); at < 0 {
 				at = len(next.Classes)
-				next.Classes, next.Settings.Classes = append(next.Classes, ""), append(next.Settings.Classes, snowhall.Class{})
+				next.Classes, next.Settings.Classes = append(next.Classes, ""), append(next.Settings.Classes, balancer.Class{})
 				from = append(from, -1)
 			}
 			from[at] = old
@@ -100,7 +100,7 @@
 		next.Classes[at], next.Settings.Classes[at] = name, def
 	}
 	next.Plans = append([]string(nil), r.Plans...)
-	next.Settings.Plans = append([]snowhall.Plan(nil), r.Settings.Plans...)
+	next.Settings.Plans = append([]balancer.Plan(nil), r.Settings.Plans...)
 	for i := range next.Plans {
 		next.Plans[i] = ""
 	}
@@ -108,7 +108,7 @@
 		at := slices.Index(r.Plans, name)
 		if at < 0 {
 			at = len(next.Plans)
-			next.Plans, next.Settings.Plans = append(next.Plans, ""), append(next.Settings.Plans, snowhall.Plan{})
+			next.Plans, next.Settings.Plans = append(next.Plans, ""), append(next.Settings.Plans, balancer.Plan{})
 		}
 		next.Plans[at], next.Settings.Plans[at] = name, now.Settings.Plans[j]
 	}
--- a/internal/core/rules_test.go
+++ b/internal/proxy/rules_test.go
@@ -1,4 +1,4 @@
-package core
+package proxy
 
 import (
 	"fmt"
@@ -9,18 +9,18 @@
 	"testing"
 	"time"
 
-	"gapgap"
-	"gapgap/internal/figures"
-	"gapgap/internal/loop"
+	"gapgap/internal/balancer"
+	"gapgap/internal/eventloop"
+	"gapgap/internal/stats"
 	"gapgap/internal/upstream"
 )
 
 func rulesOf(defs ...any) (r Rules) {
 	for i := 0; i < len(defs); i += 2 {
 		r.Classes = append(r.Classes, defs[i].(string))
-		r.Settings.Classes = append(r.Settings.Classes, snowhall.Class{Worth: 1, GiveUp: time.Second, Effect: defs[i+1].(snowhall.Effect)})
+		r.Settings.Classes = append(r.Settings.Classes, balancer.Class{Worth: 1, GiveUp: time.Second, Effect: defs[i+1].(balancer.Effect)})
 	}
-	r.Plans, r.Settings.Plans = []string{"p"}, []snowhall.Plan{{Factor: 1}}
+	r.Plans, r.Settings.Plans = []string{"p"}, []balancer.Plan{{Factor: 1}}
 	r.Settings.Doors, r.Settings.MaxAttempts = 1, 1
 	return r
 }
@@ -29,19 +29,19 @@
 func always(int) bool { return true }
 
 func TestRulesNumberClassesOn(t *testing.T) {
-	first := rulesOf("a", snowhall.Safe, "b", snowhall.Keyed)
-	second, from := first.Next(rulesOf("b", snowhall.Unsafe, "c", snowhall.Safe), never)
+	first := rulesOf("a", balancer.Safe, "b", balancer.Keyed)
+	second, from := first.Next(rulesOf("b", balancer.Unsafe, "c", balancer.Safe), never)
 	if want := []string{"", "", "b", "c"}; !slices.Equal(second.Classes, want) || !slices.Equal(from, []int{0, 1, 1, -1}) {
 		t.Fatalf("%q from %v", second.Classes, from)
 	}
-	if c := second.Settings.Classes; !c[0].Dropped || !c[1].Dropped || c[1].Effect != snowhall.Keyed || c[2].Effect != snowhall.Unsafe || c[2].Dropped {
+	if c := second.Settings.Classes; !c[0].Dropped || !c[1].Dropped || c[1].Effect != balancer.Keyed || c[2].Effect != balancer.Unsafe || c[2].Dropped {
 		t.Errorf("%+v", c)
 	}
-	third, from := second.Next(rulesOf("b", snowhall.Unsafe, "d", snowhall.Safe), always) // a number that is free stands for another
+	third, from := second.Next(rulesOf("b", balancer.Unsafe, "d", balancer.Safe), always) // a number that is free stands for another
 	if want := []string{"d", "", "b", ""}; !slices.Equal(third.Classes, want) || from[0] != -1 || from[2] != 2 {
 		t.Errorf("%q from %v", third.Classes, from)
 	}
-	same, from := third.Next(rulesOf("d", snowhall.Safe, "b", snowhall.Unsafe), always) // the order in the file is no matter
+	same, from := third.Next(rulesOf("d", balancer.Safe, "b", balancer.Unsafe), always) // the order in the file is no matter
 	if !slices.Equal(same.Classes, third.Classes) || !slices.Equal(from, []int{0, 1, 2, 3}) {
 		t.Errorf("%q from %v", same.Classes, from)
 	}
@@ -49,9 +49,9 @@
 
 // Classes that come and go for ever take no more numbers than are in use within the longest wait.
 func TestRulesAreBounded(t *testing.T) {
-	r := rulesOf("c0", snowhall.Safe)
+	r := rulesOf("c0", balancer.Safe)
 	for i := range 1000 {
-		r, _ = r.Next(rulesOf(fmt.Sprint("c", i), snowhall.Safe, fmt.Sprint("x", i), snowhall.Keyed), always)
+		r, _ = r.Next(rulesOf(fmt.Sprint("c", i), balancer.Safe, fmt.Sprint("x", i), balancer.Keyed), always)
 	}
 	if len(r.Classes) > 4 {
 		t.Errorf("%d numbers", len(r.Classes))
@@ -62,16 +62,16 @@
 func TestFiguresAddUp(t *testing.T) {
 	for seed := range uint64(60) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		set := snowhall.Settings{Doors: 1, MaxAttempts: 2, Classes: []snowhall.Class{{Worth: 1, GiveUp: 30 * time.Second}, {Worth: 1, GiveUp: 30 * time.Second}},
-			Plans: []snowhall.Plan{{Factor: 1}}, MayCancel: true}
+		set := balancer.Settings{Doors: 1, MaxAttempts: 2, Classes: []balancer.Class{{Worth: 1, GiveUp: 30 * time.Second}, {Worth: 1, GiveUp: 30 * time.Second}},
+			Plans: []balancer.Plan{{Factor: 1}}, MayCancel: true}
 		start := Rules{Classes: []string{"a", "b"}, Plans: []string{"p"}, Settings: set, MostOpen: 12}
-		c, err := New(loop.New(), Config{Start: start, Figures: figures.New()}, slog.New(slog.NewTextHandler(io.Discard, nil)))
+		c, err := New(eventloop.New(), Config{Start: start, Figures: stats.New()}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 		if err != nil {
 			t.Fatal(err)
 		}
 		s := &sides{}
 		c.Connect(s, s, s)
-		c.Tell(snowhall.List{Scope: snowhall.Whole, Entries: []snowhall.Backend{{Name: "s"}, {Name: "u"}}})
+		c.Tell(balancer.List{Scope: balancer.Whole, Entries: []balancer.Backend{{Name: "s"}, {Name: "u"}}})
 		c.Step()
 		var reqs []*Request
 		var callers []*caller
@@ -106,20 +106,20 @@
 					i := rng.IntN(len(s.sent))
 					a := s.sent[i]
 					s.sent = slices.Delete(s.sent, i, i+1)
-					a.Owner.Ended(upstream.Result{Status: []snowhall.Status{snowhall.OK, snowhall.Failed, snowhall.Full}[rng.IntN(3)]})
+					a.Owner.Ended(upstream.Result{Status: []balancer.Status{balancer.OK, balancer.Failed, balancer.Full}[rng.IntN(3)]})
 				}
 			case 5:
 				if rng.IntN(4) == 0 {
 					next := start
 					next.Classes = [][]string{{"a", "b"}, {"b", "c"}, {"c", "a"}}[rng.IntN(3)]
 					next.Settings.Classes = slices.Clone(set.Classes)
-					next.Settings.Classes[0].Effect = snowhall.Effect(rng.IntN(3))
+					next.Settings.Classes[0].Effect = balancer.Effect(rng.IntN(3))
 					c.retune(next)
 				}
 			}
 			c.Step()
 		}
-		var told [figures.Faulted + 1]uint64
+		var told [stats.Faulted + 1]uint64
 		open := int64(0)
 		for i, r := range reqs {
 			if len(callers[i].answers) > 1 {
@@ -131,16 +131,16 @@
 				open++
 			}
 		}
-		var counted [figures.Faulted + 1]uint64
-		for _, name := range []string{"a", "b", "c", figures.Others} {
+		var counted [stats.Faulted + 1]uint64
+		for _, name := range []string{"a", "b", "c", stats.Others} {
 			for o := range counted {
-				counted[o] += c.Figures.Class(name).Count(figures.Outcome(o))
+				counted[o] += c.Figures.Class(name).Count(stats.Outcome(o))
 			}
 		}
 		if counted != told || c.Figures.Open() != open || c.Figures.Taken.Load() != taken {
 			t.Fatalf("seed %d: counted %v, told %v; open %d, are %d; taken %d, are %d", seed, counted, told, c.Figures.Open(), open, c.Figures.Taken.Load(), taken)
 		}
-		if told[figures.Fulfilled] == 0 || told[figures.Throttled] == 0 || told[figures.Faulted] == 0 || c.Figures.Gone.Load() == 0 {
+		if told[stats.Fulfilled] == 0 || told[stats.Throttled] == 0 || told[stats.Faulted] == 0 || c.Figures.Gone.Load() == 0 {
 			t.Logf("seed %d: %v, gone %d", seed, told, c.Figures.Gone.Load())
 		}
 	}
--- a/internal/seats/model_test.go
+++ b/internal/quotalease/model_test.go
@@ -1,4 +1,4 @@
-package seats
+package quotalease
 
 import (
 	"fmt"
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"gapgap/internal/members"
-	"gapgap/internal/standin/race"
+	"gapgap/internal/fake/race"
+	"gapgap/internal/membership"
 )
 
 // A model of one seat, its own door 0, door 1 that would use it, and three voters of which one may start anew: every interleaving of
@@ -61,7 +61,7 @@
 		m.voters = append(m.voters, one(NewVoter(3, 0)))
 	}
 	for i := range 2 {
-		h := NewHolder(3, i, members.ID{Incarnation: 1})
+		h := NewHolder(3, i, membership.ID{Incarnation: 1})
 		h.since = h.since[:1]
 		for v := range h.yes {
 			h.yes[v] = h.yes[v][:1]
--- a/internal/seats/seats.go
+++ b/internal/quotalease/seats.go
@@ -1,4 +1,4 @@
-// Package seats says which door of a fleet holds which part of what all doors share. The whole is cut into seats, so many for each door of
+// Package quotalease says which door of a fleet holds which part of what all doors share. The whole is cut into seats, so many for each door of
 // the list; a door holds a seat for the time of a lease to which a majority of the voters has said yes. So no seat is held by two
 // doors at once, whatever each believes of the others: any two majorities share a voter, and a voter that said yes to one door says
 // no to all others until that lease is over.
@@ -11,13 +11,13 @@
 // ceased to use a seat before it sends a claim without it: Cease takes it out of Held, Claim out of the next claim.
 //
 // Nothing here does input or output; the time is handed in. A [Holder] and a [Voter] belong to one goroutine.
-package seats
+package quotalease
 
 import (
 	"fmt"
 	"time"
 
-	"gapgap/internal/members"
+	"gapgap/internal/membership"
 )
 
 // Times; ours.
@@ -76,15 +76,15 @@
 // Claim is what a door asks a voter for.
 type Claim struct {
 	_     struct{} `cbor:",toarray"`
-	ID    members.ID
+	ID    membership.ID
 	Seq   uint32 // grows with each claim of a process
 	Seats Set    // that it holds or wants; others are free of it
 }
 
 // Grant answers a Claim.
 type Grant struct {
-	_     struct{}   `cbor:",toarray"`
-	ID    members.ID // of the claim
+	_     struct{}      `cbor:",toarray"`
+	ID    membership.ID // of the claim
 	Seq   uint32
 	Seats Set // to which the voter has said yes
 }
@@ -110,13 +110,13 @@
 
 type seat struct {
 	rank      int
-	id        members.ID
+	id        membership.ID
 	until     time.Duration
 	homeAsked time.Duration // when its own door last asked for it in vain; 0: not
 }
 
 type claimant struct {
-	id  members.ID
+	id  membership.ID
 	seq uint32
 }
 
@@ -170,7 +170,7 @@
 // Holder is a door that holds seats.
 type Holder struct {
 	doors, rank int
-	id          members.ID
+	id          membership.ID
 	seq         uint32
 	sent        []time.Duration // when the last claims went out, by seq, round
 	wants       Set             // what the last claim named
@@ -184,7 +184,7 @@
 const remembered = 16
 
 // NewHolder makes a door that holds nothing.
-func NewHolder(doors, rank int, id members.ID) *Holder {
+func NewHolder(doors, rank int, id membership.ID) *Holder {
 	h := &Holder{doors: doors, rank: rank, id: id, sent: make([]time.Duration, remembered), wants: NewSet(doors), ceased: NewSet(doors), since: make([]uint32, doors*Each(doors))}
 	for range Voters(doors) {
 		h.yes = append(h.yes, make([]uint32, doors*Each(doors)))
@@ -254,7 +254,7 @@
 func (h *Holder) Drop() { h.wants, h.ceased = NewSet(h.doors), NewSet(h.doors) }
 
 // Renamed goes on as another process: what the former one had is not held any more.
-func (h *Holder) Renamed(id members.ID) {
+func (h *Holder) Renamed(id membership.ID) {
 	h.Drop()
 	h.id = id
 }
--- a/internal/agree/agree.go
+++ b/internal/raftlog/agree.go
@@ -1,11 +1,11 @@
-// Package agree is a log that a few voters agree on, by the raft of etcd (go.etcd.io/raft/v3), kept in a file. What voters tell each
+// Package raftlog is a log that a few voters agree on, by the raft of etcd (go.etcd.io/raft/v3), kept in a file. What voters tell each
 // other is handed in and out as bytes, and the time by ticks; the file is all that it does of input and output. A [Log] belongs to one
 // goroutine, and need not wait for its disk (Config.Write): until a write is done, raft goes on with all that does not hang on it.
 //
 // A fleet's log begins once, when all its voters are there with empty disks. A voter whose disk is empty later may have voted before it
 // was lost, so it takes no part until it is replaced ([Log.Replace]): the others leave the lost disk out and then take in the new one, by its
 // number, and it begins in their term with its vote there spent.
-package agree
+package raftlog
 
 import (
 	"encoding/binary"
--- a/internal/agree/agree_test.go
+++ b/internal/raftlog/agree_test.go
@@ -1,10 +1,9 @@
-package agree
+package raftlog
 
 import (
 	"encoding/binary"
 	"errors"
 	"fmt"
-	"gapgap/internal/disk"
 	"io"
 	"log/slog"
 	"math/rand/v2"
@@ -13,6 +12,8 @@
 	"slices"
 	"strings"
 	"testing"
+
+	"gapgap/internal/vfs"
 )
 
 // fleet is some voters in one goroutine: what they send goes into a list, and is lost by chance.
@@ -57,7 +58,7 @@
 
 func (f *fleet) start(i int) {
 	f.t.Helper()
-	kept, err := OpenDisk(disk.OS{}, f.dirs[i])
+	kept, err := OpenDisk(vfs.OS{}, f.dirs[i])
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -318,7 +319,7 @@
 		if err := os.WriteFile(filepath.Join(dir, "policy.log"), b, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		d, err := OpenDisk(disk.OS{}, dir)
+		d, err := OpenDisk(vfs.OS{}, dir)
 		if err == nil {
 			_, err = d.load()
 		}
--- a/internal/agree/disk.go
+++ b/internal/raftlog/disk.go
@@ -1,4 +1,4 @@
-package agree
+package raftlog
 
 import (
 	"crypto/rand"
@@ -11,17 +11,17 @@
 	"go.etcd.io/raft/v3"
 	"go.etcd.io/raft/v3/raftpb"
 
-	"gapgap/internal/disk"
-	"gapgap/internal/durable"
+	"gapgap/internal/statefile"
+	"gapgap/internal/vfs"
 )
 
 // Disk is a voter's log in one file, which is written whole or not at all, with a checksum: the log is short, as it is compacted each
 // mostEntries, and grows by a few entries a change. (bbolt was used first: of a damaged page it panics on a goroutine of its own, which no caller
 // can make a refusal of.)
 type Disk struct {
-	fs   disk.FS
+	fs   vfs.FS
 	path string
-	form durable.Form
+	form statefile.Form
 	is   kept
 }
 
@@ -42,15 +42,15 @@
 var ErrDamaged = errors.New("the voter's log is damaged")
 
 // OpenDisk opens the file in a directory, or makes it. Its errors say in one line what is wrong; then nothing has been changed.
-func OpenDisk(fsys disk.FS, dir string) (*Disk, error) {
-	d := &Disk{fs: fsys, path: filepath.Join(dir, "policy.log"), form: durable.Form{Kind: "gapgap policy log", Version: 1, Most: mostDisk}}
+func OpenDisk(fsys vfs.FS, dir string) (*Disk, error) {
+	d := &Disk{fs: fsys, path: filepath.Join(dir, "policy.log"), form: statefile.Form{Kind: "gapgap policy log", Version: 1, Most: mostDisk}}
 	switch err := d.form.LoadFrom(fsys, d.path, &d.is); {
 	case errors.Is(err, fs.ErrNotExist):
 		var b [8]byte
 		rand.Read(b[:])
 		d.is.Number = binary.BigEndian.Uint64(b[:])>>1 | 1
 		return d, d.write()
-	case errors.Is(err, durable.ErrDamaged):
+	case errors.Is(err, statefile.ErrDamaged):
 		return nil, fmt.Errorf("%s: %w: %w", d.path, ErrDamaged, err)
 	case err != nil:
 		return nil, fmt.Errorf("%s: %w", d.path, err)
@@ -83,7 +83,7 @@
 
 // put writes what encode made; when it returns nil that outlives a power loss. Any goroutine may call it, one at a time.
 func (d *Disk) put(b []byte) error {
-	if err := disk.Replace(d.fs, d.path, b); err != nil {
+	if err := vfs.Replace(d.fs, d.path, b); err != nil {
 		return fmt.Errorf("%s: %w", d.path, err)
 	}
 	return nil
--- a/internal/agree/recover.go
+++ b/internal/raftlog/recover.go
@@ -1,4 +1,4 @@
-package agree
+package raftlog
 
 import (
 	"cmp"
--- a/internal/budget/bytes.go
+++ b/internal/resourcelimit/bytes.go
@@ -1,6 +1,6 @@
-// Package budget bounds what clients together, over all fronts, can make the process hold: bytes and connections. Where
+// Package resourcelimit bounds what clients together, over all fronts, can make the process hold: bytes and connections. Where
 // there are several pools, each has a guaranteed minimum and borrows beyond it.
-package budget
+package resourcelimit
 
 import "sync/atomic"
 
--- a/internal/budget/conns_test.go
+++ b/internal/resourcelimit/conns_test.go
@@ -1,4 +1,4 @@
-package budget
+package resourcelimit
 
 import (
 	"testing"
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -11,7 +11,7 @@
 
 	"github.com/tidwall/redcon"
 
-	"gapgap/internal/budget"
+	"gapgap/internal/resourcelimit"
 )
 
 const (
@@ -34,9 +34,9 @@
 // can't tell a message that is not yet complete from one that never will be, so frame goes first.
 type Reader struct {
 	From   io.Reader
-	Memory *budget.Bytes // for what goes beyond the usual buffer; nil: unbounded
-	Most   int           // bytes of a value; 0: MostValue
-	Longer int           // bytes of a value that an array may begin with, if it is longer than Most; 0: none is
+	Memory *resourcelimit.Bytes // for what goes beyond the usual buffer; nil: unbounded
+	Most   int                  // bytes of a value; 0: MostValue
+	Longer int                  // bytes of a value that an array may begin with, if it is longer than Most; 0: none is
 	buf    []byte
 	start  int // of what is not yet used
 }
@@ -85,7 +85,7 @@
 }
 
 // Charge moves what the buffer costs to another budget, which holds for what follows.
-func (r *Reader) Charge(to *budget.Bytes) {
+func (r *Reader) Charge(to *resourcelimit.Bytes) {
 	if n := int64(cap(r.buf) - usualBuffer); n > 0 && r.Memory != to {
 		r.Memory.Give(n)
 		to.Force(n)
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"testing/iotest"
 
-	"gapgap/internal/budget"
+	"gapgap/internal/resourcelimit"
 )
 
 func TestRespReaderTakesPieces(t *testing.T) {
@@ -57,7 +57,7 @@
 func TestRespReaderLongValues(t *testing.T) {
 	const long = 300 << 10
 	text := "*2\r\n$307200\r\n" + strings.Repeat("x", long) + "\r\n$-1\r\n"
-	mem := budget.NewBytes(2 * long)
+	mem := resourcelimit.NewBytes(2 * long)
 	in := &Reader{From: iotest.HalfReader(strings.NewReader(text)), Most: long, Memory: mem}
 	if m, err := in.Next(); err != nil || len(m.Raw) != len(text) {
 		t.Fatalf("%d of %d bytes, %v", len(m.Raw), len(text), err)
@@ -69,7 +69,7 @@
 	if mem.Held() != 0 {
 		t.Errorf("%d bytes still charged", mem.Held())
 	}
-	for name, r := range map[string]*Reader{"too long": {Most: long - 1}, "as usual": {}, "no room": {Most: long, Memory: budget.NewBytes(long / 2)}} {
+	for name, r := range map[string]*Reader{"too long": {Most: long - 1}, "as usual": {}, "no room": {Most: long, Memory: resourcelimit.NewBytes(long / 2)}} {
 		r.From = strings.NewReader(text)
 		want := ErrMalformed
 		if r.Memory != nil {
--- a/internal/rehearse/events.go
+++ b/internal/scenario/events.go
@@ -1,4 +1,4 @@
-package rehearse
+package scenario
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"gapgap"
+	"gapgap/internal/balancer"
 )
 
 // begin lets an event happen, and its end and what comes after that.
@@ -80,7 +80,7 @@
 	// Those that come back have started anew; discovery tells that to each door after its time.
 	back := func(s *server) {
 		s.Start()
-		x.tell(s, snowhall.InService)
+		x.tell(s, balancer.InService)
 	}
 	switch e.Do {
 	case Slow:
@@ -95,8 +95,8 @@
 		each(func(s *server) { s.Die() })
 		end = func() { each(back) }
 	case Drain:
-		each(func(s *server) { x.tell(s, snowhall.Terminating) })
-		end = func() { each(func(s *server) { x.tell(s, snowhall.InService) }) }
+		each(func(s *server) { x.tell(s, balancer.Terminating) })
+		end = func() { each(func(s *server) { x.tell(s, balancer.InService) }) }
 	}
 	return named(all, func(s *server) string { return s.Name }), end
 }
@@ -118,19 +118,19 @@
 }
 
 // tell lets discovery tell each front door of a server's state, each at a time of its own within what the script says.
-func (x *run) tell(s *server, state snowhall.State) {
+func (x *run) tell(s *server, state balancer.State) {
 	now := x.w.Now
 	started := time.Duration(0)
-	if state == snowhall.InService {
+	if state == balancer.InService {
 		started = s.Started()
 	}
 	for i, d := range x.w.Doors {
 		late := time.Duration(x.w.Rand("told", s.Name, now, i).Float64() * float64(x.s.Told))
 		x.w.After(late, func() {
-			if s.told[i] = x.w.Now; state == snowhall.InService {
+			if s.told[i] = x.w.Now; state == balancer.InService {
 				s.told[i] = 0
 			}
-			d.Told(snowhall.Backend{Name: s.Name, Weight: 1, State: state, Started: started})
+			d.Told(balancer.Backend{Name: s.Name, Weight: 1, State: state, Started: started})
 		})
 	}
 }
--- a/internal/rehearse/page/page.go
+++ b/internal/scenario/page/page.go
@@ -17,7 +17,7 @@
 	"gonum.org/v1/plot/vg/draw"
 	"gonum.org/v1/plot/vg/vgsvg"
 
-	"gapgap/internal/rehearse"
+	"gapgap/internal/scenario"
 )
 
 const width, height = 11 * vg.Inch, 2.6 * vg.Inch
@@ -25,24 +25,24 @@
 // line is one curve of a plot.
 type line struct {
 	name string
-	of   func(*rehearse.Second) float64
+	of   func(*scenario.Second) float64
 }
 
 // Write writes the page.
-func Write(w io.Writer, r *rehearse.Report) error {
+func Write(w io.Writer, r *scenario.Report) error {
 	var plots []template.HTML
 	for _, p := range []struct {
 		title string
 		most  float64
 		lines []line
 	}{
-		{"Service: worth answered in time over the worth asked for", 1.05, []line{{"service", (*rehearse.Second).Service}}},
+		{"Service: worth answered in time over the worth asked for", 1.05, []line{{"service", (*scenario.Second).Service}}},
 		{"Requests by the second in which they were first asked", 0, []line{
-			{"asked", func(s *rehearse.Second) float64 { return float64(s.Asked) }},
-			{"in time", func(s *rehearse.Second) float64 { return float64(s.Served) }},
-			{"refused", func(s *rehearse.Second) float64 { return float64(s.Refused) }},
-			{"failed, late or lost", func(s *rehearse.Second) float64 { return float64(s.Failed + s.Late + s.Lost) }}}},
-		{"Requests that flag servers hold", 0, []line{{"held", func(s *rehearse.Second) float64 { return float64(s.Queue) }}}},
+			{"asked", func(s *scenario.Second) float64 { return float64(s.Asked) }},
+			{"in time", func(s *scenario.Second) float64 { return float64(s.Served) }},
+			{"refused", func(s *scenario.Second) float64 { return float64(s.Refused) }},
+			{"failed, late or lost", func(s *scenario.Second) float64 { return float64(s.Failed + s.Late + s.Lost) }}}},
+		{"Requests that flag servers hold", 0, []line{{"held", func(s *scenario.Second) float64 { return float64(s.Queue) }}}},
 	} {
 		svg, err := drawn(r, p.title, p.most, p.lines)
 		if err != nil {
@@ -54,7 +54,7 @@
 }
 
 // drawn draws the curves, with a line where the script did something.
-func drawn(r *rehearse.Report, title string, most float64, lines []line) (template.HTML, error) {
+func drawn(r *scenario.Report, title string, most float64, lines []line) (template.HTML, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Min = title, "second", 0
 	top := most
--- a/internal/rehearse/power_test.go
+++ b/internal/scenario/power_test.go
@@ -1,4 +1,4 @@
-package rehearse
+package scenario
 
 import (
 	"fmt"
--- a/internal/rehearse/rehearse_test.go
+++ b/internal/scenario/rehearse_test.go
@@ -1,4 +1,4 @@
-package rehearse
+package scenario
 
 import (
 	"errors"
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"gapgap"
+	"gapgap/internal/balancer"
 	"gapgap/internal/tomlfile"
 )
 
@@ -74,50 +74,50 @@
 		s.Events = events
 		return s
 	}
-	to := func(name string) func(a snowhall.Action) []snowhall.Action {
+	to := func(name string) func(a balancer.Action) []balancer.Action {
 		n := 0
-		return func(a snowhall.Action) []snowhall.Action {
-			if send, ok := a.(snowhall.Send); ok {
+		return func(a balancer.Action) []balancer.Action {
+			if send, ok := a.(balancer.Send); ok {
 				if n++; n%4 == 0 { // not all, or it would be turned away for want of room
 					send.Backend = name
 				}
 				a = send
 			}
-			return []snowhall.Action{a}
+			return []balancer.Action{a}
 		}
 	}
 	unanswered := load(t)
-	unanswered.breaks = func(a snowhall.Action) []snowhall.Action {
-		if _, ok := a.(snowhall.Refuse); ok {
+	unanswered.breaks = func(a balancer.Action) []balancer.Action {
+		if _, ok := a.(balancer.Refuse); ok {
 			return nil
 		}
-		return []snowhall.Action{a}
+		return []balancer.Action{a}
 	}
 	late := more(Event{Name: "x", Do: Pause, At: 10e9, For: 6e9})
-	late.breaks = func(a snowhall.Action) []snowhall.Action {
+	late.breaks = func(a balancer.Action) []balancer.Action {
 		switch b := a.(type) {
-		case snowhall.Send:
+		case balancer.Send:
 			b.Timeout += 10 * time.Second
-			return []snowhall.Action{b}
-		case snowhall.Cancel, snowhall.Refuse, snowhall.Fail:
+			return []balancer.Action{b}
+		case balancer.Cancel, balancer.Refuse, balancer.Fail:
 			return nil
 		}
-		return []snowhall.Action{a}
+		return []balancer.Action{a}
 	}
 	twice := load(t)
 	twice.Servers[0].Window[1] = 1
-	twice.breaks = func(a snowhall.Action) []snowhall.Action {
-		if _, ok := a.(snowhall.Send); ok {
-			return []snowhall.Action{a, a}
+	twice.breaks = func(a balancer.Action) []balancer.Action {
+		if _, ok := a.(balancer.Send); ok {
+			return []balancer.Action{a, a}
 		}
-		return []snowhall.Action{a}
+		return []balancer.Action{a}
 	}
 	drained := more(Event{Name: "x", Do: Drain, At: 10e9, Group: "more"})
 	drained.breaks = to("more-0")
 	pushed := more(Event{Name: "x", Do: Die, At: 10e9, For: 1e9, Group: "more"})
 	pushed.breaks = to("more-0")
 	ceiling := load(t)
-	ceiling.tamper = func(set *snowhall.Settings) { set.Doors, set.Rank = 1, 0 } // each takes the whole ceiling for its own
+	ceiling.tamper = func(set *balancer.Settings) { set.Doors, set.Rank = 1, 0 } // each takes the whole ceiling for its own
 	ceiling.Accounts[1].Spread = 0
 	for rule, s := range map[string]*Script{"no request lost": unanswered, "no request lost:": late, "no effect twice": twice, "drains are kept": drained,
 		"no cold server pushed over": pushed, "ceilings are kept": ceiling} {
--- a/internal/rehearse/run.go
+++ b/internal/scenario/run.go
@@ -1,4 +1,4 @@
-package rehearse
+package scenario
 
 import (
 	"cmp"
@@ -9,8 +9,8 @@
 	"slices"
 	"time"
 
-	"gapgap"
-	"gapgap/internal/emulator"
+	"gapgap/internal/balancer"
+	"gapgap/internal/simulator"
 )
 
 // Report is what became of a run.
@@ -73,7 +73,7 @@
 // run is a script being played in virtual time.
 type run struct {
 	s        *Script
-	w        *emulator.World
+	w        *simulator.World
 	r        *Report
 	servers  []*server
 	accounts []*account
@@ -85,7 +85,7 @@
 }
 
 type server struct {
-	*emulator.Backend
+	*simulator.Backend
 	group string
 	told  []time.Duration // by door: when it was told that this one drains; 0: it was not
 }
@@ -113,18 +113,18 @@
 	attempts int           // tries so far
 	answered int           // final answers of the present try
 	until    time.Duration
-	where    *emulator.Request
+	where    *simulator.Request
 }
 
 // Play plays a script in virtual time.
 func Play(s *Script) (*Report, error) {
-	x := &run{s: s, w: emulator.New(s.Seed, 0), r: &Report{Script: s.Name, Seed: s.Seed, Driver: "virtual", Seconds: make([]Second, int(math.Ceil(s.Lasts.Seconds())))},
+	x := &run{s: s, w: simulator.New(s.Seed, 0), r: &Report{Script: s.Name, Seed: s.Seed, Driver: "virtual", Seconds: make([]Second, int(math.Ceil(s.Lasts.Seconds())))},
 		open: map[*try]bool{}, ends: map[string]time.Duration{}, waits: map[string][]Event{}}
 	began := time.Now()
-	x.w.Backends = map[string]*emulator.Backend{}
+	x.w.Backends = map[string]*simulator.Backend{}
 	for _, g := range s.Servers {
 		for i := range g.Count {
-			b, err := emulator.NewBackend(fmt.Sprintf("%s-%d", g.Group, i), g.BackendConfig, x.w, x.w.Rand)
+			b, err := simulator.NewBackend(fmt.Sprintf("%s-%d", g.Group, i), g.BackendConfig, x.w, x.w.Rand)
 			if err != nil {
 				return nil, err
 			}
@@ -169,10 +169,10 @@
 			x.waits[e.After] = append(x.waits[e.After], e)
 			continue
 		}
-		x.w.At(emulator.Start+e.At, func() { x.begin(e) })
+		x.w.At(simulator.Start+e.At, func() { x.begin(e) })
 	}
 	for i := range x.r.Seconds {
-		x.w.At(emulator.Start+time.Duration(i+1)*time.Second, func() {
+		x.w.At(simulator.Start+time.Duration(i+1)*time.Second, func() {
 			for _, b := range x.servers {
 				x.r.Seconds[i].Queue += b.Held()
 			}
@@ -182,15 +182,15 @@
 	for _, c := range s.Classes {
 		longest = max(longest, c.GiveUp)
 	}
-	x.w.Run(emulator.Start + s.Lasts + time.Duration(s.Retries+1)*longest + time.Second)
+	x.w.Run(simulator.Start + s.Lasts + time.Duration(s.Retries+1)*longest + time.Second)
 	x.close()
 	x.r.Took = time.Since(began)
 	return x.r, nil
 }
 
 // settings are those of each front door.
-func (s *Script) settings() snowhall.Settings {
-	set := snowhall.Settings{Doors: s.Doors, Resolution: 2 * time.Millisecond, MaxAttempts: 3, MayCancel: true, MayProbe: true, RetryAfter: true,
+func (s *Script) settings() balancer.Settings {
+	set := balancer.Settings{Doors: s.Doors, Resolution: 2 * time.Millisecond, MaxAttempts: 3, MayCancel: true, MayProbe: true, RetryAfter: true,
 		MaxRetryAfter: 5 * time.Second, StopSendingWithin: 250 * time.Millisecond, FallMultiple: 3, FallWindow: 3 * time.Second, ColdFrom: 0.26,
 		WarmWithin: 15 * time.Second, Counter: s.Counter, CounterTimeout: 50 * time.Millisecond, MaxUnits: 1, LendCeilings: s.Lend}
 	if c := s.Servers[0].BackendConfig; c.ColdFrom > 0 && c.FallAt > 0 { // what the operators say of their servers
@@ -206,7 +206,7 @@
 }
 
 // now is the time since the start.
-func (x *run) now() time.Duration { return x.w.Now - emulator.Start }
+func (x *run) now() time.Duration { return x.w.Now - simulator.Start }
 
 func (x *run) note(format string, args ...any) {
 	x.r.Trace = append(x.r.Trace, fmt.Sprintf("%9.3f ", x.now().Seconds())+fmt.Sprintf(format, args...))
@@ -261,8 +261,8 @@
 	door := x.w.Doors[(t.a.first+rng.IntN(spread))%x.s.Doors]
 	c := &x.s.Classes[t.class]
 	t.until = x.w.Now + c.GiveUp
-	q := &emulator.Request{Customer: t.a.name, Name: t.name, Class: t.class, Plan: t.a.a.Plan, Units: 1, Left: c.GiveUp, Doors: t.a.a.Spread, Retry: t.attempts > 1}
-	if c.Effect == snowhall.Keyed {
+	q := &simulator.Request{Customer: t.a.name, Name: t.name, Class: t.class, Plan: t.a.a.Plan, Units: 1, Left: c.GiveUp, Doors: t.a.a.Spread, Retry: t.attempts > 1}
+	if c.Effect == balancer.Keyed {
 		if q.Key = t.name; !x.s.SameKey {
 			q.Key += fmt.Sprint("#", t.attempts)
 		}
@@ -271,13 +271,13 @@
 	t.where = q
 	x.open[t] = true
 	if !door.Ask(q) {
-		x.w.After(100*time.Millisecond, func() { x.again(t, 0, emulator.Failed) })
+		x.w.After(100*time.Millisecond, func() { x.again(t, 0, simulator.Failed) })
 		return
 	}
 	x.w.At(t.until+time.Millisecond, func() {
 		if x.open[t] && t.where == q && t.answered == 0 {
 			if x.w.Doors[q.Door].Alive && q.Life == x.w.Doors[q.Door].Life() {
-				x.broke("no request lost", "%s of %s has no answer from front door %d, asked at %.3f", t.name, c.Name, q.Door, (q.At - emulator.Start).Seconds())
+				x.broke("no request lost", "%s of %s has no answer from front door %d, asked at %.3f", t.name, c.Name, q.Door, (q.At - simulator.Start).Seconds())
 			}
 			x.count(t, Second{Lost: 1})
 			delete(x.open, t)
@@ -286,7 +286,7 @@
 }
 
 // done takes a final answer.
-func (x *run) done(q *emulator.Request, a emulator.Answer) {
+func (x *run) done(q *simulator.Request, a simulator.Answer) {
 	t := q.Of.(*try)
 	if t.where != q {
 		return
@@ -298,7 +298,7 @@
 	if x.w.Now > t.until {
 		x.broke("no request lost", "%s was answered %v after its time", t.name, x.w.Now-t.until)
 	}
-	if a != emulator.Served {
+	if a != simulator.Served {
 		x.again(t, q.Pause, a)
 		return
 	}
@@ -311,7 +311,7 @@
 }
 
 // again lets a client retry, or ends its request.
-func (x *run) again(t *try, pause time.Duration, a emulator.Answer) {
+func (x *run) again(t *try, pause time.Duration, a simulator.Answer) {
 	if !x.open[t] {
 		return
 	}
@@ -323,7 +323,7 @@
 		})
 		return
 	}
-	if a == emulator.Refused {
+	if a == simulator.Refused {
 		x.count(t, Second{Refused: 1})
 	} else {
 		x.count(t, Second{Failed: 1})
@@ -332,7 +332,7 @@
 }
 
 // sent counts a request's first attempt against its ceiling.
-func (x *run) sent(q *emulator.Request) {
+func (x *run) sent(q *simulator.Request) {
 	t := q.Of.(*try)
 	p := &x.s.Plans[t.a.a.Plan]
 	if p.CeilingRate == 0 {
@@ -351,7 +351,7 @@
 }
 
 // attempted looks at each attempt as it goes out.
-func (x *run) attempted(q *emulator.Request, backend string) {
+func (x *run) attempted(q *simulator.Request, backend string) {
 	t := q.Of.(*try)
 	if t.where == q && t.answered > 0 {
 		x.broke("one final answer", "%s goes out to %s after its answer", t.name, backend)
--- a/internal/rehearse/script.go
+++ b/internal/scenario/script.go
@@ -1,7 +1,7 @@
-// Package rehearse plays incidents that a script tells: which flag servers, front doors and accounts there are, and what
+// Package scenario plays incidents that a script tells: which flag servers, front doors and accounts there are, and what
 // happens to them when. This is its virtual driver: the decision module and emulated servers in virtual time, so a script and
 // a seed give the same run, event for event.
-package rehearse
+package scenario
 
 import (
 	"errors"
@@ -11,8 +11,8 @@
 	"strings"
 	"time"
 
-	"gapgap"
-	"gapgap/internal/emulator"
+	"gapgap/internal/balancer"
+	"gapgap/internal/simulator"
 	"gapgap/internal/tomlfile"
 )
 
@@ -42,28 +42,28 @@
 	Accounts []Accounts
 	Events   []Event
 
-	tamper func(*snowhall.Settings)                // of each front door; for tests of what the rig finds, as is
-	breaks func(snowhall.Action) []snowhall.Action // what a front door wants
+	tamper func(*balancer.Settings)                // of each front door; for tests of what the rig finds, as is
+	breaks func(balancer.Action) []balancer.Action // what a front door wants
 }
 
 // Class is a class of requests and its part of them.
 type Class struct {
 	Name  string
 	Share float64
-	snowhall.Class
+	balancer.Class
 }
 
 // Plan is a plan by its name.
 type Plan struct {
 	Name string
-	snowhall.Plan
+	balancer.Plan
 }
 
 // Servers is a group of flag servers that are alike.
 type Servers struct {
 	Group string
 	Count int
-	emulator.BackendConfig
+	simulator.BackendConfig
 }
 
 // Accounts is a group of accounts that are alike.
@@ -201,7 +201,7 @@
 	return s, err
 }
 
-var effects = map[string]snowhall.Effect{"safe": snowhall.Safe, "keyed": snowhall.Keyed, "unsafe": snowhall.Unsafe}
+var effects = map[string]balancer.Effect{"safe": balancer.Safe, "keyed": balancer.Keyed, "unsafe": balancer.Unsafe}
 
 func (f *file) script() (*Script, error) {
 	bad := func(key, format string, args ...any) (*Script, error) {
@@ -244,11 +244,11 @@
 			return bad(key("give_up"), "is not above 0")
 		case c.Aim <= 0 || c.Aim > c.GiveUp:
 			return bad(key("aim"), "is not above 0 and up to give_up")
-		case effect == snowhall.Keyed && c.Window <= 0:
+		case effect == balancer.Keyed && c.Window <= 0:
 			return bad(key("window"), "is not above 0, but the class is keyed")
 		}
 		parts += c.Share
-		s.Classes = append(s.Classes, Class{c.Name, c.Share, snowhall.Class{Worth: c.Worth, Aim: time.Duration(c.Aim), GiveUp: time.Duration(c.GiveUp),
+		s.Classes = append(s.Classes, Class{c.Name, c.Share, balancer.Class{Worth: c.Worth, Aim: time.Duration(c.Aim), GiveUp: time.Duration(c.GiveUp),
 			Effect: effect, Window: time.Duration(c.Window)}})
 	}
 	if !(parts > 0) {
@@ -264,7 +264,7 @@
 		if p.Factor == 0 {
 			p.Factor = 1
 		}
-		s.Plans = append(s.Plans, Plan{p.Name, snowhall.Plan{Rate: p.Rate, Burst: p.Burst, Factor: p.Factor, OverWorth: p.OverWorth, OverCost: p.OverCost,
+		s.Plans = append(s.Plans, Plan{p.Name, balancer.Plan{Rate: p.Rate, Burst: p.Burst, Factor: p.Factor, OverWorth: p.OverWorth, OverCost: p.OverCost,
 			CeilingRate: p.CeilingRate, CeilingDepth: p.CeilingDepth}})
 	}
 	sum := 0
@@ -276,14 +276,14 @@
 		if sum += g.Count; g.Count < 1 || sum > MostServers {
 			return bad(key+"count", "%d is under 1, or all are over %d", g.Count, MostServers)
 		}
-		c := emulator.BackendConfig{Cores: g.Cores, Slots: g.Slots, Room: g.Room, HeldFrom: g.HeldFrom, HeldEach: g.HeldEach, LeastSpeed: g.LeastSpeed,
+		c := simulator.BackendConfig{Cores: g.Cores, Slots: g.Slots, Room: g.Room, HeldFrom: g.HeldFrom, HeldEach: g.HeldEach, LeastSpeed: g.LeastSpeed,
 			ColdFrom: g.ColdFrom, WarmWithin: time.Duration(g.WarmWithin), FallAt: g.FallAt, FallWindow: time.Duration(g.FallWindow)}
 		for _, cl := range s.Classes {
 			kind := g.Kind
 			if kind == "" {
 				kind = "exponential"
 			}
-			c.Work = append(c.Work, emulator.Dist{Kind: kind, Mean: time.Duration(g.Work), CV: g.CV})
+			c.Work = append(c.Work, simulator.Dist{Kind: kind, Mean: time.Duration(g.Work), CV: g.CV})
 			c.Window = append(c.Window, cl.Window)
 		}
 		if err := c.Check(); err != nil {
--- a/internal/service/attempts_test.go
+++ b/internal/service/attempts_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"gapgap/internal/standin/peer"
+	"gapgap/internal/fake/peer"
 )
 
 // An error from one backend leads to another attempt; its connection is good for more. After a break the value
--- a/internal/service/bans.go
+++ b/internal/service/bans.go
@@ -11,8 +11,8 @@
 	"sync"
 	"time"
 
-	"gapgap/internal/core"
-	"gapgap/internal/durable"
+	"gapgap/internal/proxy"
+	"gapgap/internal/statefile"
 )
 
 const (
@@ -21,7 +21,7 @@
 	bansEvery = 100 * time.Millisecond // how often another process's bans are looked for
 )
 
-var bansForm = durable.Form{Kind: "gapgap-bans", Version: 1, Most: 1 << 20}
+var bansForm = statefile.Form{Kind: "gapgap-bans", Version: 1, Most: 1 << 20}
 
 // ban is a backend that is taken out by hand.
 type ban struct {
@@ -36,7 +36,7 @@
 // bans keeps which backends are taken out by hand, in a file that outlives the process and that the other one of an upgrade
 // reads and writes too. Without a path they last as long as the process.
 type bans struct {
-	core *core.Core
+	core *proxy.Core
 	path string
 	log  *slog.Logger
 
@@ -49,7 +49,7 @@
 
 // newBans reads the file and tells a core, which does not run yet. A file that can't be read is put aside, with a line in the
 // log: operators have to say again what is out.
-func newBans(c *core.Core, dir string, log *slog.Logger) *bans {
+func newBans(c *proxy.Core, dir string, log *slog.Logger) *bans {
 	b := &bans{core: c, log: log, have: map[string]int64{}, turns: make(chan struct{}, mostTurns)}
 	if dir == "" {
 		return b
@@ -133,7 +133,7 @@
 	if b.path == "" {
 		return nil
 	}
-	unlock, err := durable.Lock(b.path + ".lock")
+	unlock, err := statefile.Lock(b.path + ".lock")
 	if err != nil {
 		return err
 	}
--- a/internal/service/clients_test.go
+++ b/internal/service/clients_test.go
@@ -1,8 +1,8 @@
 package service
 
 import (
+	"gapgap/internal/fake/peer"
 	"gapgap/internal/resp"
-	"gapgap/internal/standin/peer"
 
 	"fmt"
 	"net"
--- a/internal/service/config.go
+++ b/internal/service/config.go
@@ -11,8 +11,8 @@
 	"strings"
 	"time"
 
-	"gapgap"
-	"gapgap/internal/membership/discovery"
+	"gapgap/internal/balancer"
+	"gapgap/internal/discovery"
 	"gapgap/internal/wire"
 )
 
@@ -26,7 +26,7 @@
 	Seed      uint64
 	MemoryMB  int
 	Sockets   int
-	Settings  snowhall.Settings
+	Settings  balancer.Settings
 	Transport wire.Transport
 	Known     discovery.Members // the list of backends as last had, maybe old
 	Dir       string            // outlives the process where the platform upgrades it; empty: nothing does
--- a/internal/service/config_test.go
+++ b/internal/service/config_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"gapgap"
+	"gapgap/internal/balancer"
 )
 
 func TestReadConfig(t *testing.T) {
@@ -15,7 +15,7 @@
 	if c.Name != "n1" || c.Seed != 0x8c1f30d27a5be964 || c.Sockets != 1024 || c.MemoryMB != 192 {
 		t.Errorf("%+v", c)
 	}
-	if len(s.Classes) != 3 || s.Classes[1].Effect != snowhall.Keyed || s.Classes[1].Window != 12*time.Second ||
+	if len(s.Classes) != 3 || s.Classes[1].Effect != balancer.Keyed || s.Classes[1].Window != 12*time.Second ||
 		len(s.Plans) != 2 || s.Plans[1].Rate != 2.5 || !s.Counter || s.StopSendingWithin != 250*time.Millisecond {
 		t.Errorf("settings %+v", s)
 	}
--- a/internal/service/crossings_test.go
+++ b/internal/service/crossings_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
+	"gapgap/internal/fake/peer"
 	"gapgap/internal/resp"
-	"gapgap/internal/standin/peer"
 )
 
 // Here two events cross: each test holds one side back until the other has come. docs/design/crossings.md lists them.
--- a/internal/service/deployments_test.go
+++ b/internal/service/deployments_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"gapgap/internal/standin/flagserver"
+	"gapgap/internal/fake/flagserver"
 )
 
 // deployment is the text of a configuration with classes and plans of its own.
--- a/internal/service/hosted/ceilings_test.go
+++ b/internal/service/hosted/ceilings_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"gapgap/internal/standin/peer"
+	"gapgap/internal/fake/peer"
 )
 
 // counted floods one account at doors for a time, by checks or over RESP2 or both, and returns what was let through by second.
@@ -55,7 +55,7 @@
 
 // Three front doors, one account with all its traffic at one of them, by checks, over RESP2, and by both with the door
 // changing each second: it gets what it pays for and no more. Even parts would give it a third of 40 a second, less than its
-// quota of 20. The part that is asked for here is over that third; how much it is, virtual time tells (internal/emulator), as
+// quota of 20. The part that is asked for here is over that third; how much it is, virtual time tells (internal/simulator), as
 // fresh front doors that start together sometimes find the quota's store put right twice, and have the rest only.
 func TestCeilingsOverThreeDoors(t *testing.T) {
 	for name, c := range map[string]struct {
--- a/internal/service/hosted/config.go
+++ b/internal/service/hosted/config.go
@@ -17,17 +17,17 @@
 	"strings"
 	"time"
 
-	"gapgap"
 	"gapgap/internal/account"
-	"gapgap/internal/disk"
-	"gapgap/internal/front/authz"
-	"gapgap/internal/peers"
+	"gapgap/internal/balancer"
+	parting "gapgap/internal/balancer/quotashare"
+	"gapgap/internal/decisioncache"
+	"gapgap/internal/frontend/extauthz"
+	"gapgap/internal/peer"
 	"gapgap/internal/route"
 	"gapgap/internal/service"
 	"gapgap/internal/tomlfile"
-	"gapgap/internal/verdict"
+	"gapgap/internal/vfs"
 	"gapgap/internal/wire"
-	parting "gapgap/share"
 )
 
 // configFile is the form of the configuration file. deploy/gapgapd.toml explains each key.
@@ -44,7 +44,7 @@
 		Ceilings                       string // demand or even
 		Allow                          []string
 	}
-	Fleet *peers.File
+	Fleet *peer.File
 	poolParts
 	Pool []struct {
 		Name, Discovery, Counter, Zone, Seed string
@@ -186,7 +186,7 @@
 	Name, Address string
 	RESP2         bool
 	Metrics       bool // figures by GET /metrics, for whoever reaches the address
-	Authz         authz.Config
+	Authz         extauthz.Config
 	TLS           *TLSFiles
 }
 
@@ -202,9 +202,9 @@
 	Several   bool // the file has pools, though it may be one
 	Listeners []Listener
 	Accounts  *account.Table // by whose credentials checks are known
-	Fleet     *peers.Section // nil: this door stands alone
-	Shared    authz.SharedConfig
-	Disk      disk.FS // that states are kept on; nil: the operating system's. Tests set it
+	Fleet     *peer.Section  // nil: this door stands alone
+	Shared    extauthz.SharedConfig
+	Disk      vfs.FS // that states are kept on; nil: the operating system's. Tests set it
 
 	Ahead time.Duration // by how much the clock goes ahead of the machine's. Tests set it
 
@@ -228,7 +228,7 @@
 		return nil, err
 	}
 	c, err := f.config()
-	var field *authz.Fault
+	var field *extauthz.Fault
 	if errors.As(err, &field) {
 		return nil, &Error{File: name, Line: tomlfile.LineOf(tomlfile.Lines(data), field.Field), Key: field.Field, Err: field.Err}
 	} else if err != nil {
@@ -239,7 +239,7 @@
 }
 
 func fault(key, format string, args ...any) error {
-	return &authz.Fault{Field: key, Err: fmt.Errorf(format, args...)}
+	return &extauthz.Fault{Field: key, Err: fmt.Errorf(format, args...)}
 }
 
 // config checks what was read.
@@ -298,11 +298,11 @@
 		c.Listeners = append(c.Listeners, l)
 	}
 	v := &f.Verdicts
-	c.Shared = authz.SharedConfig{MostHolds: cmp.Or(v.Holds, 10_000), Memory: verdict.Config{
+	c.Shared = extauthz.SharedConfig{MostHolds: cmp.Or(v.Holds, 10_000), Memory: decisioncache.Config{
 		Keep: cmp.Or(time.Duration(v.Keep), 10*time.Second), Most: cmp.Or(v.Most, 100_000),
 		PerAccount: cmp.Or(v.PerAccount, 2_000), Repeats: cmp.Or(v.Repeats, 3)}}
 	if err := c.Shared.Memory.Check(); err != nil {
-		return nil, &authz.Fault{Field: "verdicts", Err: err}
+		return nil, &extauthz.Fault{Field: "verdicts", Err: err}
 	}
 	if c.Shared.MostHolds < 0 {
 		return nil, fault("verdicts.holds", "is negative")
@@ -311,7 +311,7 @@
 }
 
 // fleet checks [fleet], and puts the number of doors and this one's rank where the rest of the file has them.
-func (f *configFile) fleet(allow []netip.Prefix) (*peers.Section, error) {
+func (f *configFile) fleet(allow []netip.Prefix) (*peer.Section, error) {
 	n := &f.Node
 	if f.Fleet == nil {
 		return nil, nil
@@ -320,7 +320,7 @@
 		return nil, fault("node.name", "is missing: a door of a fleet is known by it")
 	}
 	s, err := f.Fleet.Check(n.Name, func(a netip.Addr) bool { return isGiven(a, allow) }, plainName)
-	var field *peers.FieldError
+	var field *peer.FieldError
 	if errors.As(err, &field) {
 		return nil, fault("fleet."+field.Field, "%w", field.Err)
 	} else if err != nil {
@@ -448,21 +448,21 @@
 	var e *route.Error
 	if errors.As(err, &e) {
 		if e.Index < 0 {
-			return &authz.Fault{Field: "node.default_pool", Err: e.Err}
+			return &extauthz.Fault{Field: "node.default_pool", Err: e.Err}
 		}
 		field := e.Field
 		if field == "targets" {
 			field = "to"
 		}
-		return &authz.Fault{Field: fmt.Sprintf("route[%d].%s", e.Index, field), Err: fmt.Errorf("rule %q: %w", e.Rule, e.Err)}
+		return &extauthz.Fault{Field: fmt.Sprintf("route[%d].%s", e.Index, field), Err: fmt.Errorf("rule %q: %w", e.Rule, e.Err)}
 	}
 	return err
 }
 
 var cutOffs = map[string]parting.Rule{"keep": parting.KeepAll, "quota": parting.KeepQuota, "yield": parting.KeepNone}
-var effects = map[string]snowhall.Effect{"safe": snowhall.Safe, "keyed": snowhall.Keyed, "unsafe": snowhall.Unsafe}
-var groups = map[string]snowhall.Group{"": snowhall.GroupAll, "all": snowhall.GroupAll, "zone": snowhall.GroupZone,
-	"cell": snowhall.GroupCell}
+var effects = map[string]balancer.Effect{"safe": balancer.Safe, "keyed": balancer.Keyed, "unsafe": balancer.Unsafe}
+var groups = map[string]balancer.Group{"": balancer.GroupAll, "all": balancer.GroupAll, "zone": balancer.GroupZone,
+	"cell": balancer.GroupCell}
 
 // node checks what concerns the core and its sides.
 func (f *configFile) node(pf *poolFile) (*service.Config, error) {
@@ -471,7 +471,7 @@
 		return nil, fault("node.ceilings", "%q is not demand or even", n.Ceilings)
 	}
 	lend := n.Ceilings == "demand" || n.Ceilings == "" && f.Fleet != nil
-	set := snowhall.Settings{LendCeilings: lend && pf.counter != "", ByViews: f.Fleet != nil,
+	set := balancer.Settings{LendCeilings: lend && pf.counter != "", ByViews: f.Fleet != nil,
 		Doors: cmp.Or(n.Doors, 1), Rank: n.Rank, MaxAttempts: cmp.Or(pf.Limits.MaxAttempts, 3),
 		MayCancel: pf.Limits.Cancel == nil || *pf.Limits.Cancel, MayProbe: pf.Limits.Probe,
 		RetryAfter: pf.Limits.RetryAfter > 0, MaxRetryAfter: time.Duration(pf.Limits.RetryAfter),
@@ -528,20 +528,20 @@
 			return nil, fault(key("aim"), "is negative or over give_up")
 		case cl.Worth < 0 || cl.LateWorth < 0:
 			return nil, fault(key("worth"), "or late_worth is negative")
-		case effect == snowhall.Keyed && cl.Window <= 0:
+		case effect == balancer.Keyed && cl.Window <= 0:
 			return nil, fault(key("window"), "is not above 0, but the class is keyed")
 		case cl.Remember != "" && cl.Remember != "disk":
 			return nil, fault(key("remember"), "%q is not disk", cl.Remember)
-		case cl.Remember != "" && effect != snowhall.Keyed:
+		case cl.Remember != "" && effect != balancer.Keyed:
 			return nil, fault(key("remember"), "wants a keyed class")
 		case cl.Remember != "" && (f.Fleet == nil || f.Fleet.Remember == nil):
 			return nil, fault(key("remember"), "wants [fleet.remember]")
 		}
 		if cl.Remember != "" { // what servers remember of keys is lost with their power
-			effect = snowhall.Unsafe
+			effect = balancer.Unsafe
 		}
 		tr.Classes = append(tr.Classes, cl.Name)
-		set.Classes = append(set.Classes, snowhall.Class{Worth: cl.Worth, LateWorth: cl.LateWorth, Aim: time.Duration(cl.Aim),
+		set.Classes = append(set.Classes, balancer.Class{Worth: cl.Worth, LateWorth: cl.LateWorth, Aim: time.Duration(cl.Aim),
 			GiveUp: time.Duration(cl.GiveUp), Effect: effect, Group: group, Window: time.Duration(cl.Window),
 			Remembered: cl.Remember != ""})
 	}
@@ -571,7 +571,7 @@
 			return nil, fault(key("ceiling_depth"), "is negative, or missing where there is a ceiling_rate")
 		}
 		tr.Plans = append(tr.Plans, p.Name)
-		set.Plans = append(set.Plans, snowhall.Plan{Rate: p.Rate, Burst: p.Burst, AtOnce: p.AtOnce, Factor: cmp.Or(p.Factor, 1),
+		set.Plans = append(set.Plans, balancer.Plan{Rate: p.Rate, Burst: p.Burst, AtOnce: p.AtOnce, Factor: cmp.Or(p.Factor, 1),
 			OverWorth: p.OverWorth, OverCost: p.OverCost, CeilingRate: p.CeilingRate, CeilingDepth: p.CeilingDepth, CutOff: cutOffs[p.WhenCutOff]})
 	}
 	c := &service.Config{Name: pf.name, Discovery: pf.discovery, Counter: pf.counter, MemoryMB: n.MemoryMB,
@@ -599,7 +599,7 @@
 // plan, and its classes are those of the pools together.
 func (f *configFile) accounts(n *service.Config, pf *poolFile, several bool) (*account.Table, error) {
 	names := account.Names{Classes: n.Transport.Classes, Plans: n.Transport.Plans,
-		Policies: authz.Policies(n.Transport.Plans, n.Settings.Plans), Several: several}
+		Policies: extauthz.Policies(n.Transport.Plans, n.Settings.Plans), Several: several}
 	var specs []account.Spec
 	for i, a := range f.Account {
 		if a.Doors > n.Settings.Doors {
@@ -691,38 +691,38 @@
 	if err != nil {
 		return l, err
 	}
-	a := authz.Config{Name: l.Name, EndPath: in.EndPath, Trusted: trusted, TrustedCertificates: in.TrustedCertificates,
-		MaxHeaderBytes: cmp.Or(in.MaxHeaderBytes, authz.DefaultMaxHeaderBytes), MaxHeaders: cmp.Or(in.MaxHeaders, authz.DefaultMaxHeaders),
-		MaxBody: cmp.Or(in.MaxBody, authz.DefaultMaxBody), HeaderTimeout: cmp.Or(time.Duration(in.HeaderTimeout), authz.DefaultHeaderTimeout),
-		IdleTimeout: cmp.Or(time.Duration(in.IdleTimeout), authz.DefaultIdleTimeout), MaxStreams: cmp.Or(in.MaxStreams, authz.DefaultMaxStreams)}
+	a := extauthz.Config{Name: l.Name, EndPath: in.EndPath, Trusted: trusted, TrustedCertificates: in.TrustedCertificates,
+		MaxHeaderBytes: cmp.Or(in.MaxHeaderBytes, extauthz.DefaultMaxHeaderBytes), MaxHeaders: cmp.Or(in.MaxHeaders, extauthz.DefaultMaxHeaders),
+		MaxBody: cmp.Or(in.MaxBody, extauthz.DefaultMaxBody), HeaderTimeout: cmp.Or(time.Duration(in.HeaderTimeout), extauthz.DefaultHeaderTimeout),
+		IdleTimeout: cmp.Or(time.Duration(in.IdleTimeout), extauthz.DefaultIdleTimeout), MaxStreams: cmp.Or(in.MaxStreams, extauthz.DefaultMaxStreams)}
 	for j, r := range in.Check {
 		at := func(k string) string { return fmt.Sprintf("%s.check[%d].%s", base, j, k) }
-		dialect, ok := authz.Dialects[r.Dialect]
+		dialect, ok := extauthz.Dialects[r.Dialect]
 		if !ok {
 			return l, fault(at("dialect"), "%q is not nginx, traefik, caddy or envoy", r.Dialect)
 		}
-		repeat, ok := authz.Repeats[cmp.Or(r.Repeat, "never")]
+		repeat, ok := extauthz.Repeats[cmp.Or(r.Repeat, "never")]
 		if !ok {
 			return l, fault(at("repeat"), "%q is not never, request-id or nonce", r.Repeat)
 		}
-		rt := authz.Route{Path: r.Path, Dialect: dialect, Repeat: repeat, KeyHeader: authz.DefaultKeyHeader,
+		rt := extauthz.Route{Path: r.Path, Dialect: dialect, Repeat: repeat, KeyHeader: extauthz.DefaultKeyHeader,
 			AccountHeader: http.CanonicalHeaderKey(r.AccountHeader), CertificateHeader: http.CanonicalHeaderKey(r.CertificateHeader),
-			RequestIDHeader: http.CanonicalHeaderKey(cmp.Or(r.RequestIDHeader, authz.DefaultRequestID)),
-			NonceHeader:     http.CanonicalHeaderKey(cmp.Or(r.NonceHeader, authz.DefaultNonce)),
+			RequestIDHeader: http.CanonicalHeaderKey(cmp.Or(r.RequestIDHeader, extauthz.DefaultRequestID)),
+			NonceHeader:     http.CanonicalHeaderKey(cmp.Or(r.NonceHeader, extauthz.DefaultNonce)),
 			UnitsHeader:     http.CanonicalHeaderKey(r.UnitsHeader), DefaultClass: r.DefaultClass,
-			Within: cmp.Or(time.Duration(r.Within), authz.DefaultWithin)}
+			Within: cmp.Or(time.Duration(r.Within), extauthz.DefaultWithin)}
 		if r.KeyHeader != nil {
 			rt.KeyHeader = http.CanonicalHeaderKey(*r.KeyHeader)
 		}
 		for k, id := range r.Identify {
-			v, ok := authz.Identities[id]
+			v, ok := extauthz.Identities[id]
 			if !ok {
 				return l, fault(fmt.Sprintf("%s[%d]", at("identify"), k), "%q is not key, header or certificate", id)
 			}
 			rt.Identify = append(rt.Identify, v)
 		}
 		if len(r.Identify) == 0 {
-			rt.Identify = []authz.Identity{authz.ByKey}
+			rt.Identify = []extauthz.Identity{extauthz.ByKey}
 		}
 		if r.DefaultClass != "" && !slices.Contains(classes, r.DefaultClass) {
 			return l, fault(at("default_class"), "no class is named %q", r.DefaultClass)
@@ -740,9 +740,9 @@
 		a.Routes = append(a.Routes, rt)
 	}
 	if err := a.Check(); err != nil {
-		var e *authz.Fault
+		var e *extauthz.Fault
 		errors.As(err, &e)
-		return l, &authz.Fault{Field: key(e.Field), Err: e.Err}
+		return l, &extauthz.Fault{Field: key(e.Field), Err: e.Err}
 	}
 	l.Authz = a
 	return l, nil
--- a/internal/service/hosted/config_test.go
+++ b/internal/service/hosted/config_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"gapgap"
-	"gapgap/internal/front/authz"
+	"gapgap/internal/balancer"
+	"gapgap/internal/frontend/extauthz"
 )
 
 func example(t testing.TB) string {
@@ -27,7 +27,7 @@
 		t.Fatal(err)
 	}
 	s := c.Node.Settings
-	if s.Doors != 3 || s.MaxRetryAfter != 5*time.Second || s.Classes[1].Effect != snowhall.Keyed || s.Plans[1].CeilingRate != 40 ||
+	if s.Doors != 3 || s.MaxRetryAfter != 5*time.Second || s.Classes[1].Effect != balancer.Keyed || s.Plans[1].CeilingRate != 40 ||
 		s.StopSendingWithin != 250*time.Millisecond || !s.Counter || s.MaxUnits != 10 {
 		t.Errorf("settings %+v", s)
 	}
@@ -35,8 +35,8 @@
 		t.Fatalf("listeners %+v", c.Listeners)
 	}
 	r := c.Listeners[1].Authz.Routes
-	if r[0].Dialect != authz.Nginx || r[0].Repeat != authz.ByRequestID || r[0].DefaultClass != "evaluate" || r[1].NonceHeader != "Idempotency-Key" ||
-		r[3].Identify[0] != authz.ByCertificate || r[3].UnitsHeader != "X-Units" {
+	if r[0].Dialect != extauthz.Nginx || r[0].Repeat != extauthz.ByRequestID || r[0].DefaultClass != "evaluate" || r[1].NonceHeader != "Idempotency-Key" ||
+		r[3].Identify[0] != extauthz.ByCertificate || r[3].UnitsHeader != "X-Units" {
 		t.Errorf("routes %+v", r)
 	}
 	if a := c.Accounts.ByName("acme"); a == nil || a.Plan != 1 || a.Hold != 30*time.Second {
--- a/internal/service/hosted/document.go
+++ b/internal/service/hosted/document.go
@@ -9,8 +9,8 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"gapgap/internal/front/authz"
-	"gapgap/internal/peers"
+	"gapgap/internal/frontend/extauthz"
+	"gapgap/internal/peer"
 	"gapgap/internal/tomlfile"
 )
 
@@ -60,7 +60,7 @@
 	f := &own
 	f.poolParts, f.Pool, f.Route, f.Account = common.poolParts, common.Pool, common.Route, common.Account
 	c, err := f.config()
-	var field *authz.Fault
+	var field *extauthz.Fault
 	switch {
 	case errors.As(err, &field):
 		root, _, _ := strings.Cut(field.Field, ".")
@@ -89,4 +89,4 @@
 }
 
 // policyOn says that the fleet has one policy.
-func policyOn(s *peers.Section) bool { return s != nil && s.Policy != nil }
+func policyOn(s *peer.Section) bool { return s != nil && s.Policy != nil }
--- a/internal/service/hosted/fleet.go
+++ b/internal/service/hosted/fleet.go
@@ -13,16 +13,16 @@
 	"sync/atomic"
 	"time"
 
-	"gapgap"
-	"gapgap/internal/core"
-	"gapgap/internal/fleetnode"
-	"gapgap/internal/peers"
+	"gapgap/internal/balancer"
+	"gapgap/internal/cluster"
+	"gapgap/internal/peer"
+	"gapgap/internal/proxy"
 )
 
 // fleetSide is this process's part in a fleet of front doors. Pools go by its standing; each takes the newest when its loop comes to it.
 type fleetSide struct {
-	peers   *peers.Peers
-	disk    *peers.Disk
+	peers   *peer.Peers
+	disk    *peer.Disk
 	control net.Listener // of operators; nil: none
 	srv     *http.Server
 
@@ -32,27 +32,27 @@
 	wrongClock atomic.Bool // this door asks the counter for nothing: it would name other numbers than the others
 
 	mu    sync.Mutex
-	last  fleetnode.Standing
-	pools map[*core.Core]*posted
+	last  cluster.Standing
+	pools map[*proxy.Core]*posted
 }
 
 // posted is what one pool is to go by.
 type posted struct {
-	core    *core.Core
+	core    *proxy.Core
 	name    string // by which other doors know it
-	next    atomic.Pointer[fleetnode.Standing]
+	next    atomic.Pointer[cluster.Standing]
 	waits   atomic.Bool // a task that takes it is on its way
 	applied atomic.Uint64
 }
 
 // newFleet takes the state directory and the addresses.
-func (s *Service) newFleet(cfg *peers.Section, name string) (*fleetSide, error) {
-	f := &fleetSide{pools: map[*core.Core]*posted{}, last: fleetnode.Standing{Out: true}}
+func (s *Service) newFleet(cfg *peer.Section, name string) (*fleetSide, error) {
+	f := &fleetSide{pools: map[*proxy.Core]*posted{}, last: cluster.Standing{Out: true}}
 	var err error
-	if f.disk, err = peers.OpenDisk(s.disk, cfg.StateDir, name); err != nil {
+	if f.disk, err = peer.OpenDisk(s.disk, cfg.StateDir, name); err != nil {
 		return nil, fmt.Errorf("fleet.state_dir: %w", err)
 	}
-	f.peers, err = peers.New(peers.Config{Name: name, Listen: cfg.Listen, Doors: cfg.Doors, Key: cfg.Key, Disk: f.disk, Now: s.clock.Now, Log: s.log,
+	f.peers, err = peer.New(peer.Config{Name: name, Listen: cfg.Listen, Doors: cfg.Doors, Key: cfg.Key, Disk: f.disk, Now: s.clock.Now, Log: s.log,
 		Apply: f.apply, Applied: f.applied, Wanted: f.wanted, Loaned: f.loaned, Clock: f.wrongClock.Store, Policy: f.ofPolicy, Step: func() string { return f.recovery.step() }, Keys: func(from int, b []byte) {
 			if k := s.keys; k != nil {
 				k.Heard(from, b)
@@ -78,7 +78,7 @@
 }
 
 // join has a pool go by the standing.
-func (f *fleetSide) join(c *core.Core, name string) {
+func (f *fleetSide) join(c *proxy.Core, name string) {
 	if f == nil {
 		return
 	}
@@ -90,7 +90,7 @@
 }
 
 // part forgets a pool whose loop has ended, or never began.
-func (f *fleetSide) part(c *core.Core) {
+func (f *fleetSide) part(c *proxy.Core) {
 	if f == nil {
 		return
 	}
@@ -99,8 +99,8 @@
 	delete(f.pools, c)
 }
 
-// apply implements [peers.Config].Apply.
-func (f *fleetSide) apply(s fleetnode.Standing) {
+// apply implements [peer.Config].Apply.
+func (f *fleetSide) apply(s cluster.Standing) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.last = s
@@ -109,7 +109,7 @@
 	}
 }
 
-func (p *posted) put(s fleetnode.Standing) {
+func (p *posted) put(s cluster.Standing) {
 	p.next.Store(&s)
 	if p.waits.CompareAndSwap(false, true) {
 		go p.core.Post(p.take) // it may wait for a place in the queue; the fleet's loop must not
@@ -120,7 +120,7 @@
 func (p *posted) take() {
 	p.waits.Store(false)
 	s := p.next.Load()
-	lent := p.core.Stand(snowhall.Sharing{Part: s.Part, Until: s.Until, Out: s.Out, Gone: s.Gone})
+	lent := p.core.Stand(balancer.Sharing{Part: s.Part, Until: s.Until, Out: s.Out, Gone: s.Gone})
 	if s.Gen == p.applied.Load() {
 		return
 	}
@@ -132,27 +132,27 @@
 }
 
 // others carries what a pool tells the other doors.
-func (f *fleetSide) others(name string) func(snowhall.Action) {
-	return func(a snowhall.Action) {
+func (f *fleetSide) others(name string) func(balancer.Action) {
+	return func(a balancer.Action) {
 		switch a := a.(type) {
-		case snowhall.Borrow:
-			f.peers.Want(peers.Want{Pool: name, Customer: a.Customer, Plan: uint16(a.Plan), At: int64(a.At)})
-		case snowhall.Lend:
-			f.peers.Lend(a.To, peers.Loan{Want: peers.Want{Pool: name, Customer: a.Customer, Plan: uint16(a.Plan), At: int64(a.At)}, Rate: a.Rate, Depth: a.Depth})
+		case balancer.Borrow:
+			f.peers.Want(peer.Want{Pool: name, Customer: a.Customer, Plan: uint16(a.Plan), At: int64(a.At)})
+		case balancer.Lend:
+			f.peers.Lend(a.To, peer.Loan{Want: peer.Want{Pool: name, Customer: a.Customer, Plan: uint16(a.Plan), At: int64(a.At)}, Rate: a.Rate, Depth: a.Depth})
 		}
 	}
 }
 
 // wanted and loaned carry what other doors tell a pool. They return at once; what the pool has no room for is said again.
-func (f *fleetSide) wanted(from int, w peers.Want) {
-	f.tell(w.Pool, snowhall.Wanted{From: from, Customer: w.Customer, Plan: int(w.Plan), At: time.Duration(w.At)})
+func (f *fleetSide) wanted(from int, w peer.Want) {
+	f.tell(w.Pool, balancer.Wanted{From: from, Customer: w.Customer, Plan: int(w.Plan), At: time.Duration(w.At)})
 }
 
-func (f *fleetSide) loaned(from int, l peers.Loan) {
-	f.tell(l.Want.Pool, snowhall.Loaned{From: from, Customer: l.Want.Customer, Plan: int(l.Want.Plan), At: time.Duration(l.Want.At), Rate: l.Rate, Depth: l.Depth})
+func (f *fleetSide) loaned(from int, l peer.Loan) {
+	f.tell(l.Want.Pool, balancer.Loaned{From: from, Customer: l.Want.Customer, Plan: int(l.Want.Plan), At: time.Duration(l.Want.At), Rate: l.Rate, Depth: l.Depth})
 }
 
-func (f *fleetSide) tell(pool string, ev snowhall.Event) {
+func (f *fleetSide) tell(pool string, ev balancer.Event) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for c, p := range f.pools { // few; of two of one name one is being removed
@@ -206,7 +206,7 @@
 	act := func(do func(context.Context, string) error) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
 			switch err := do(r.Context(), r.URL.Query().Get("name")); {
-			case errors.Is(err, peers.ErrNoDoor):
+			case errors.Is(err, peer.ErrNoDoor):
 				http.Error(w, err.Error(), http.StatusNotFound)
 			case err != nil:
 				http.Error(w, err.Error(), http.StatusConflict)
--- a/internal/service/hosted/fleet_test.go
+++ b/internal/service/hosted/fleet_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"gapgap"
-	parting "gapgap/share"
+	"gapgap/internal/balancer"
+	parting "gapgap/internal/balancer/quotashare"
 )
 
 // fleetExample is an example of a fleet under deploy with paths that are there.
@@ -87,7 +87,7 @@
 	if err != nil || c.Fleet.Remember == nil || c.Fleet.Remember.For != 10*time.Minute || c.Fleet.Remember.Most != 500_000 {
 		t.Fatalf("%+v, %v", c, err)
 	}
-	if cl := c.Node.Settings.Classes; cl[0].Remembered || !cl[1].Remembered || cl[1].Effect != snowhall.Unsafe {
+	if cl := c.Node.Settings.Classes; cl[0].Remembered || !cl[1].Remembered || cl[1].Effect != balancer.Unsafe {
 		t.Errorf("%+v", cl)
 	}
 	wrong(t, good, [][3]string{{`for = "10m"`, `for = "1s"`, "fleet.remember.for"}, {`most = 500000`, `most = -1`, "fleet.remember.most"},
--- a/internal/service/hosted/forwardauth_conn_test.go
+++ b/internal/service/hosted/forwardauth_conn_test.go
@@ -26,8 +26,8 @@
 	"golang.org/x/net/http2"
 	"golang.org/x/net/http2/hpack"
 
-	"gapgap/internal/budget"
-	"gapgap/internal/standin/peer"
+	"gapgap/internal/fake/peer"
+	"gapgap/internal/resourcelimit"
 )
 
 // h2c is a client that speaks HTTP/2 without TLS, with prior knowledge.
@@ -182,7 +182,7 @@
 	codes := make(chan int, 16)
 	n := d.Conns.Most()
 	for d.Conns.Len() > 0 { // those of spend end with their clients
-		for _, h := range budget.Of[budget.Holder](d.Conns) {
+		for _, h := range resourcelimit.Of[resourcelimit.Holder](d.Conns) {
 			h.GiveWay()
 		}
 		time.Sleep(time.Millisecond)
--- a/internal/service/hosted/forwardauth_quota_test.go
+++ b/internal/service/hosted/forwardauth_quota_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"gapgap/internal/standin/peer"
+	"gapgap/internal/fake/peer"
 )
 
 // flood drives one account for a while from many clients at once, over RESP2, HTTP or both, through all doors, and
--- a/internal/service/hosted/forwardauth_test.go
+++ b/internal/service/hosted/forwardauth_test.go
@@ -14,9 +14,9 @@
 	"testing"
 	"time"
 
-	"gapgap/internal/front/authz"
-	"gapgap/internal/standin/peer"
-	"gapgap/internal/standin/proxy"
+	"gapgap/internal/fake/peer"
+	"gapgap/internal/fake/proxy"
+	"gapgap/internal/frontend/extauthz"
 )
 
 // What the clients of each proxy see: a request that may pass reaches the service with the account's name on it, and
@@ -84,7 +84,7 @@
 	w := start(t, 1)
 	d, c := w.doors[0], client()
 	code, h, _ := ask(t, c, d.http+"/traefik", bearer("small")...)
-	if code != 200 || h.Get(authz.HeaderAccount) != "small" || h.Get(authz.HeaderPlan) != "starter" ||
+	if code != 200 || h.Get(extauthz.HeaderAccount) != "small" || h.Get(extauthz.HeaderPlan) != "starter" ||
 		h.Get("Ratelimit-Policy") != `"starter";q=6;w=60` || h.Get("Ratelimit") != `"starter";r=5;t=10` {
 		t.Errorf("allowed: %d %v", code, h)
 	}
@@ -101,7 +101,7 @@
 		t.Errorf("the body %q: %v", body, err)
 	}
 	secs, _ := strconv.Atoi(h.Get("Retry-After"))
-	ms, _ := strconv.Atoi(h.Get(authz.HeaderRetryAfterMS))
+	ms, _ := strconv.Atoi(h.Get(extauthz.HeaderRetryAfterMS))
 	if code != 429 || ms <= 0 || secs != (ms+999)/1000 || h.Get("Content-Type") != "application/problem+json" ||
 		h.Get("Ratelimit") == "" {
 		t.Errorf("refused: %d %v", code, h)
@@ -140,8 +140,8 @@
 			t.Errorf("%s: %d %v, want %d", name, code, h, c2.want)
 		}
 	}
-	if _, h, _ := ask(t, c, d.http+"/nginx", append(bearer("free"), "X-Original-Method", "")...); h.Get(authz.HeaderStatus) != "400" {
-		t.Errorf("nginx: the true status is %q", h.Get(authz.HeaderStatus))
+	if _, h, _ := ask(t, c, d.http+"/nginx", append(bearer("free"), "X-Original-Method", "")...); h.Get(extauthz.HeaderStatus) != "400" {
+		t.Errorf("nginx: the true status is %q", h.Get(extauthz.HeaderStatus))
 	}
 	req, _ := http.NewRequest(http.MethodGet, d.http+"/traefik", nil)
 	req.Header = http.Header{"X-Forwarded-Method": {"GET"}, "X-Forwarded-Uri": {"/a", "/b"}, "X-Forwarded-Host": {"x"},
@@ -222,7 +222,7 @@
 			case err != nil:
 				t.Error(err)
 			case code == 200:
-				ids[h.Get(authz.HeaderRequestID)]++
+				ids[h.Get(extauthz.HeaderRequestID)]++
 			case code == 429 && h.Get("Retry-After") != "":
 				refused++
 			}
@@ -261,7 +261,7 @@
 			if err != nil {
 				t.Error(err)
 			}
-			codes[i], ids[i], left[i] = code, h.Get(authz.HeaderRequestID), h.Get("Ratelimit")
+			codes[i], ids[i], left[i] = code, h.Get(extauthz.HeaderRequestID), h.Get("Ratelimit")
 		})
 		waiting(uint64(i))
 	}
@@ -271,8 +271,8 @@
 		t.Errorf("one check was answered %v %v", codes, ids)
 	}
 	code, h, _ := ask(t, client(), d.http+"/long", append(fields, "X-Forwarded-Uri", "/v1/y")...)
-	if h.Get(authz.HeaderRequestID) == ids[0] || code != 200 {
-		t.Errorf("another URI with that id: %d, %q", code, h.Get(authz.HeaderRequestID))
+	if h.Get(extauthz.HeaderRequestID) == ids[0] || code != 200 {
+		t.Errorf("another URI with that id: %d, %q", code, h.Get(extauthz.HeaderRequestID))
 	}
 	var first, next int
 	fmt.Sscanf(left[0], `"starter";r=%d`, &first)
@@ -287,10 +287,10 @@
 	if code != 429 {
 		t.Fatalf("%d", code)
 	}
-	first, _ = strconv.Atoi(h.Get(authz.HeaderRetryAfterMS))
+	first, _ = strconv.Atoi(h.Get(extauthz.HeaderRetryAfterMS))
 	refused := d.Shared.Figures.Repeated.Load()
 	code, h, _ = ask(t, client(), d.http+"/long", fields...)
-	second, _ := strconv.Atoi(h.Get(authz.HeaderRetryAfterMS))
+	second, _ := strconv.Atoi(h.Get(extauthz.HeaderRetryAfterMS))
 	if code != 429 || second > first || d.Shared.Figures.Repeated.Load() != refused+1 {
 		t.Errorf("refused again: %d, pause %d then %d", code, first, second)
 	}
@@ -352,8 +352,8 @@
 	fields := append(bearer("big"), "X-Request-Id", "lost")
 	_, h, _ := ask(t, client(), d.http+"/long", fields...)
 	_, again, _ := ask(t, client(), d.http+"/long", fields...)
-	if id := h.Get(authz.HeaderRequestID); id == "" || id != again.Get(authz.HeaderRequestID) {
-		t.Errorf("ids %q and %q", id, again.Get(authz.HeaderRequestID))
+	if id := h.Get(extauthz.HeaderRequestID); id == "" || id != again.Get(extauthz.HeaderRequestID) {
+		t.Errorf("ids %q and %q", id, again.Get(extauthz.HeaderRequestID))
 	}
 	// Started anew.
 	d.stop()
@@ -361,7 +361,7 @@
 	d = w.door(1, 0)
 	w.warm(d, "big")
 	_, again, _ = ask(t, client(), d.http+"/long", fields...)
-	if id := again.Get(authz.HeaderRequestID); id == "" || id == h.Get(authz.HeaderRequestID) {
+	if id := again.Get(extauthz.HeaderRequestID); id == "" || id == h.Get(extauthz.HeaderRequestID) {
 		t.Errorf("after a restart: %q", id)
 	}
 }
@@ -377,7 +377,7 @@
 		if code != 200 {
 			t.Fatalf("%d", code)
 		}
-		ids = append(ids, h.Get(authz.HeaderRequestID))
+		ids = append(ids, h.Get(extauthz.HeaderRequestID))
 	}
 	if code, h, _ := ask(t, c, d.http+"/traefik", bearer("seated")...); code != 429 || h.Get("Retry-After") == "" {
 		t.Errorf("a fourth: %d", code)
@@ -431,7 +431,7 @@
 		if allow && (code != 200 || f.UndecidedAllowed.Load() != 1) || !allow && (code != 503 || h.Get("Retry-After") == "" || f.UndecidedDenied.Load() != 1) {
 			t.Errorf("allow %v: %d %v", allow, code, h)
 		}
-		if h.Get(authz.HeaderUndecided) == "" {
+		if h.Get(extauthz.HeaderUndecided) == "" {
 			t.Error("nothing says that it was not decided")
 		}
 		if code, _, _ := ask(t, client(), d.http+"/long", bearer("free")...); code != 200 {
--- a/internal/service/hosted/hosted.go
+++ b/internal/service/hosted/hosted.go
@@ -15,16 +15,16 @@
 	"sync/atomic"
 	"time"
 
-	"gapgap/internal/budget"
-	"gapgap/internal/claimside"
-	"gapgap/internal/core"
-	"gapgap/internal/disk"
-	"gapgap/internal/fleet"
-	"gapgap/internal/front/authz"
-	"gapgap/internal/front/resp2"
-	"gapgap/internal/gate"
-	"gapgap/internal/loop"
+	"gapgap/internal/cpuscheduler"
+	"gapgap/internal/eventloop"
+	"gapgap/internal/frontend/extauthz"
+	"gapgap/internal/frontend/resp2"
+	"gapgap/internal/idempotency/replica"
+	"gapgap/internal/proxy"
+	"gapgap/internal/resourcelimit"
 	"gapgap/internal/service"
+	"gapgap/internal/sharedhealth"
+	"gapgap/internal/vfs"
 )
 
 const (
@@ -35,25 +35,25 @@
 
 // Service is a gapgapd that listens.
 type Service struct {
-	*core.Env
-	Shared   *authz.Shared
+	*proxy.Env
+	Shared   *extauthz.Shared
 	log      *slog.Logger
-	clock    *loop.Loop // whose time all loops share
+	clock    *eventloop.Loop // whose time all loops share
 	coarse   atomic.Int64
-	fronts   []core.Front
-	checks   []*authz.Front
+	fronts   []proxy.Front
+	checks   []*extauthz.Front
 	addrs    map[string]net.Addr
 	done     chan struct{}
 	router   router
 	members  members
-	gate     *gate.Gate      // nil: the file has no pools
-	shares   *shares         // nil: there is one pool
-	metrics  *metrics        // nil: no listener shows them
-	fleet    *fleetSide      // nil: it stands alone
-	policy   *policySide     // nil: its policy is its file's
-	keys     *claimside.Side // nil: no class's keys are remembered
-	disk     disk.FS         // of the state directory
-	recovery *comingBack     // nil: it stands alone
+	gate     *cpuscheduler.Gate // nil: the file has no pools
+	shares   *shares            // nil: there is one pool
+	metrics  *metrics           // nil: no listener shows them
+	fleet    *fleetSide         // nil: it stands alone
+	policy   *policySide        // nil: its policy is its file's
+	keys     *replica.Side      // nil: no class's keys are remembered
+	disk     vfs.FS             // of the state directory
+	recovery *comingBack        // nil: it stands alone
 
 	mu     sync.Mutex // held to change pools
 	cfg    *Config
@@ -64,22 +64,22 @@
 
 // New makes the service and opens its listeners; it takes no connection before Serve.
 func New(cfg *Config, log *slog.Logger) (_ *Service, err error) {
-	s := &Service{log: log, clock: loop.New(), addrs: map[string]net.Addr{}, done: make(chan struct{}), cfg: cfg, disk: disk.Or(cfg.Disk), pools: map[string]*pool{},
-		members: members{fleet: fleet.New(), boxes: map[string]*box{}}}
+	s := &Service{log: log, clock: eventloop.New(), addrs: map[string]net.Addr{}, done: make(chan struct{}), cfg: cfg, disk: vfs.Or(cfg.Disk), pools: map[string]*pool{},
+		members: members{fleet: sharedhealth.New(), boxes: map[string]*box{}}}
 	s.clock.Ahead(cfg.Ahead)
 	s.Env = service.NewEnv(s.clock, cfg.Node.MemoryMB, cfg.Node.Sockets, &s.router)
 	s.router.log = log
 	if s.shares = newShares(cfg, s.Conns.Most()); s.shares != nil {
-		s.Memory = budget.SharedBytes(s.shares.unread)
+		s.Memory = resourcelimit.SharedBytes(s.shares.unread)
 	}
 	s.coarse.Store(int64(s.clock.Now()))
 	s.Coarse = func() time.Duration { return time.Duration(s.coarse.Load()) }
-	if s.Shared, err = authz.NewShared(s.Env, cfg.Shared); err != nil {
+	if s.Shared, err = extauthz.NewShared(s.Env, cfg.Shared); err != nil {
 		return nil, err
 	}
 	s.Shared.SetIdentities(cfg.Accounts)
 	if cfg.Gated {
-		s.gate = gate.New(runtime.GOMAXPROCS(0))
+		s.gate = cpuscheduler.New(runtime.GOMAXPROCS(0))
 		s.Gate = s.gate.Flow(1)
 	}
 	if slices.ContainsFunc(cfg.Listeners, func(l Listener) bool { return l.Metrics }) {
@@ -152,7 +152,7 @@
 			// An account can't have two plans or two shares of its ceiling by coming through two fronts.
 			s.fronts = append(s.fronts, resp2.New(s.Env, resp2.Config{Listener: l.Name, Routes: true, Accounts: s.Shared.Account}, ln, log))
 		} else {
-			f := authz.New(s.Shared, l.Authz, ln, tc, log)
+			f := extauthz.New(s.Shared, l.Authz, ln, tc, log)
 			s.fronts, s.checks = append(s.fronts, f), append(s.checks, f)
 		}
 	}
@@ -239,8 +239,8 @@
 		longest = max(longest, p.core.Longest())
 	}
 	s.mu.Unlock()
-	finish := s.Now() + core.AcceptAfterTerm
-	give := finish + longest + core.AnswerMargin
+	finish := s.Now() + proxy.AcceptAfterTerm
+	give := finish + longest + proxy.AnswerMargin
 	for now := s.Now(); ; now = s.Now() {
 		s.coarse.Store(int64(now))
 		if now >= finish {
@@ -370,7 +370,7 @@
 	defer s.leaves.Done()
 	p.core.Retire()
 	p.core.Dismiss()
-	for end := s.Now() + p.core.Longest() + core.AnswerMargin; p.core.Busy() > 0 && s.Now() < end; {
+	for end := s.Now() + p.core.Longest() + proxy.AnswerMargin; p.core.Busy() > 0 && s.Now() < end; {
 		time.Sleep(drainEvery)
 	}
 	p.end()
--- a/internal/service/hosted/keys.go
+++ b/internal/service/hosted/keys.go
@@ -3,16 +3,16 @@
 import (
 	"fmt"
 
-	"gapgap/internal/claims"
-	"gapgap/internal/claimside"
-	"gapgap/internal/core"
-	"gapgap/internal/peers"
-	"gapgap/internal/policyside"
+	"gapgap/internal/idempotency"
+	"gapgap/internal/idempotency/replica"
+	"gapgap/internal/peer"
+	"gapgap/internal/policyreplica"
+	"gapgap/internal/proxy"
 )
 
 // newKeys opens what this door remembers of keys.
-func (s *Service) newKeys(cfg *peers.Section) (*claimside.Side, error) {
-	k, err := claimside.New(claimside.Config{Rank: cfg.Rank, Doors: len(cfg.Doors), Voters: policyside.Voters(len(cfg.Doors)), FS: s.disk, Dir: cfg.StateDir,
+func (s *Service) newKeys(cfg *peer.Section) (*replica.Side, error) {
+	k, err := replica.New(replica.Config{Rank: cfg.Rank, Doors: len(cfg.Doors), Voters: policyreplica.Voters(len(cfg.Doors)), FS: s.disk, Dir: cfg.StateDir,
 		Inc: s.fleet.disk.Incarnation(), Keep: cfg.Remember.For, Most: cfg.Remember.Most, Now: s.clock.Now, Log: s.log.With("of", "keys"), Tell: s.fleet.peers.TellKeys})
 	if err != nil {
 		return nil, fmt.Errorf("fleet.remember: %w", err)
@@ -20,16 +20,16 @@
 	return k, nil
 }
 
-// poolKeys claims keys for one pool. It implements [core.Keys].
+// poolKeys claims keys for one pool. It implements [proxy.Keys].
 type poolKeys struct {
-	side *claimside.Side
+	side *replica.Side
 	pool string // as other doors know it
 }
 
-var verdictOf = [...]core.Claim{claims.Won: core.Won, claims.Lost: core.Held, claims.Crowded: core.Crowded}
+var verdictOf = [...]proxy.Claim{idempotency.Won: proxy.Won, idempotency.Lost: proxy.Held, idempotency.Crowded: proxy.Crowded}
 
-func (p poolKeys) Claim(class, customer, key string, done func(core.Claim)) uint64 {
-	return p.side.Claim(claims.KeyOf(p.pool, class, customer, key), func(v claims.Verdict) { done(verdictOf[v]) })
+func (p poolKeys) Claim(class, customer, key string, done func(proxy.Claim)) uint64 {
+	return p.side.Claim(idempotency.KeyOf(p.pool, class, customer, key), func(v idempotency.Verdict) { done(verdictOf[v]) })
 }
 
 func (p poolKeys) End(n uint64, ran bool) { p.side.End(n, ran) }
--- a/internal/service/hosted/metrics.go
+++ b/internal/service/hosted/metrics.go
@@ -8,7 +8,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
-	"gapgap/internal/core"
+	"gapgap/internal/proxy"
 )
 
 // metrics are the figures that a listener of the protocol "metrics" shows, in Prometheus' text form. Each process has its
@@ -22,8 +22,8 @@
 // latencies are the upper bounds of the histogram's buckets in seconds: 100 us to 5 s, about three to each decade.
 var latencies = []float64{.0001, .00025, .0005, .001, .0025, .005, .01, .025, .05, .1, .25, .5, 1, 2.5, 5}
 
-var verdicts = [...]string{core.Served: "served", core.Refused: "refused", core.Failed: "failed", core.Overdue: "overdue",
-	core.Duplicate: "duplicate", core.Granted: "granted"}
+var verdicts = [...]string{proxy.Served: "served", proxy.Refused: "refused", proxy.Failed: "failed", proxy.Overdue: "overdue",
+	proxy.Duplicate: "duplicate", proxy.Granted: "granted"}
 
 func newMetrics(s *Service) *metrics {
 	m := &metrics{registry: prometheus.NewRegistry(), s: s, answers: prometheus.NewHistogramVec(prometheus.HistogramOpts{
@@ -34,14 +34,14 @@
 }
 
 // observer takes the answers of a pool; its series are made now, so that a request looks nothing up.
-func (m *metrics) observer(pool string, classes []string) func(class int, v core.Verdict, took time.Duration) {
+func (m *metrics) observer(pool string, classes []string) func(class int, v proxy.Verdict, took time.Duration) {
 	all := make([][len(verdicts)]prometheus.Observer, len(classes))
 	for i, class := range classes {
 		for v, name := range verdicts {
 			all[i][v] = m.answers.WithLabelValues(pool, class, name)
 		}
 	}
-	return func(class int, v core.Verdict, took time.Duration) { all[class][v].Observe(took.Seconds()) }
+	return func(class int, v proxy.Verdict, took time.Duration) { all[class][v].Observe(took.Seconds()) }
 }
 
 // forget takes the series of a pool away that is no longer there.
@@ -168,7 +168,7 @@
 	counter(descPolicyOdd, m.s.policy.side.Dropped())
 }
 
-// metricsFront serves the figures. It asks nothing of any pool. It implements [core.Front].
+// metricsFront serves the figures. It asks nothing of any pool. It implements [proxy.Front].
 type metricsFront struct {
 	ln  net.Listener
 	srv *http.Server
--- a/internal/service/hosted/policy.go
+++ b/internal/service/hosted/policy.go
@@ -13,18 +13,18 @@
 	"sync"
 	"time"
 
-	"gapgap/internal/core"
-	"gapgap/internal/peers"
+	"gapgap/internal/peer"
 	"gapgap/internal/policy"
-	"gapgap/internal/policyside"
+	"gapgap/internal/policyreplica"
+	"gapgap/internal/proxy"
 )
 
-// policySide has this process go by the fleet's policy. It implements [policyside.Host].
+// policySide has this process go by the fleet's policy. It implements [policyreplica.Host].
 type policySide struct {
 	s     *Service
-	side  *policyside.Side
+	side  *policyreplica.Side
 	names []string
-	guard *core.Guard
+	guard *proxy.Guard
 	mu    sync.Mutex // held to change until
 	until time.Duration
 }
@@ -35,24 +35,24 @@
 // newPolicy opens what the door's disk has of policy.
 func (s *Service) newPolicy(cfg *Config) (*policySide, error) {
 	sec := cfg.Fleet
-	p := &policySide{s: s, guard: core.NewGuard()}
+	p := &policySide{s: s, guard: proxy.NewGuard()}
 	for _, d := range sec.Doors {
 		p.names = append(p.names, d.Name)
 	}
-	pc := policyside.Config{Name: cfg.Node.Name, Rank: sec.Rank, Names: p.names, FS: s.disk, Dir: sec.StateDir, Now: s.clock.Now, Log: s.log.With("of", "policy"),
+	pc := policyreplica.Config{Name: cfg.Node.Name, Rank: sec.Rank, Names: p.names, FS: s.disk, Dir: sec.StateDir, Now: s.clock.Now, Log: s.log.With("of", "policy"),
 		Tell: s.fleet.peers.TellPolicy, ID: func() policy.Ref { return policy.Ref{Rank: uint16(sec.Rank), ID: s.fleet.peers.ID()} },
 		Begin: func() ([]byte, error) { return policyOf(cfg.text) }, GiveUp: sec.Policy.GiveUp, Fence: sec.Policy.Fence, Host: p}
 	if sec.Policy.Last {
 		pc.Last = sec.Policy.After
 	}
 	var err error
-	if p.side, err = policyside.New(pc); err != nil {
+	if p.side, err = policyreplica.New(pc); err != nil {
 		return nil, fmt.Errorf("fleet.policy: %w", err)
 	}
 	return p, nil
 }
 
-func (p *policySide) guardOf() *core.Guard {
+func (p *policySide) guardOf() *proxy.Guard {
 	if p == nil {
 		return nil
 	}
@@ -79,7 +79,7 @@
 	}
 }
 
-// Read implements [policyside.Host].
+// Read implements [policyreplica.Host].
 func (p *policySide) Read(doc []byte) (any, error) {
 	p.s.mu.Lock()
 	own := p.s.cfg
@@ -102,10 +102,10 @@
 	return ParseWith(cfg.file, cfg.text, "policy", doc)
 }
 
-// Stop implements [policyside.Host].
+// Stop implements [policyreplica.Host].
 func (p *policySide) Stop() { p.Until(0) }
 
-// Until implements [policyside.Host].
+// Until implements [policyreplica.Host].
 func (p *policySide) Until(t time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -119,7 +119,7 @@
 	}
 }
 
-func (p *policySide) cores() (all []*core.Core) {
+func (p *policySide) cores() (all []*proxy.Core) {
 	p.s.mu.Lock()
 	defer p.s.mu.Unlock()
 	for _, pl := range p.s.pools {
@@ -128,7 +128,7 @@
 	return all
 }
 
-// Apply implements [policyside.Host]. It returns once all loops go by the version.
+// Apply implements [policyreplica.Host]. It returns once all loops go by the version.
 func (p *policySide) Apply(version uint64, built any) error {
 	cfg, ok := built.(*Config)
 	if !ok {
@@ -306,7 +306,7 @@
 	mux.HandleFunc("POST /policy/propose", func(w http.ResponseWriter, r *http.Request) {
 		wait := proposeUsual
 		if d, err := time.ParseDuration(r.URL.Query().Get("wait")); err == nil && d > 0 {
-			wait = min(d, peers.MostWait)
+			wait = min(d, peer.MostWait)
 		}
 		ctx, cancel := within(w, r, wait)
 		defer cancel()
@@ -332,7 +332,7 @@
 		name := r.URL.Query().Get("name")
 		rank := slices.Index(p.names, name)
 		if rank < 0 {
-			http.Error(w, fmt.Sprintf("%q: %v", name, peers.ErrNoDoor), http.StatusNotFound)
+			http.Error(w, fmt.Sprintf("%q: %v", name, peer.ErrNoDoor), http.StatusNotFound)
 			return
 		}
 		for reason := ""; ; {
@@ -359,7 +359,7 @@
 		for _, name := range r.URL.Query()["lost"] {
 			rank := slices.Index(p.names, name)
 			if rank < 0 {
-				http.Error(w, fmt.Sprintf("%q: %v", name, peers.ErrNoDoor), http.StatusNotFound)
+				http.Error(w, fmt.Sprintf("%q: %v", name, peer.ErrNoDoor), http.StatusNotFound)
 				return
 			}
 			lost = append(lost, rank)
@@ -378,7 +378,7 @@
 		defer cancel()
 		rank := slices.Index(p.names, r.URL.Query().Get("name"))
 		if rank < 0 {
-			http.Error(w, fmt.Sprintf("%q: %v", r.URL.Query().Get("name"), peers.ErrNoDoor), http.StatusNotFound)
+			http.Error(w, fmt.Sprintf("%q: %v", r.URL.Query().Get("name"), peer.ErrNoDoor), http.StatusNotFound)
 			return
 		}
 		said, err := p.side.Ask(ctx, policy.Say{Forget: uint16(rank) + 1})
--- a/internal/service/hosted/pool.go
+++ b/internal/service/hosted/pool.go
@@ -7,20 +7,20 @@
 	"sync"
 	"sync/atomic"
 
-	"gapgap"
+	"gapgap/internal/balancer"
 
-	"gapgap/internal/core"
-	"gapgap/internal/fleet"
-	"gapgap/internal/gate"
-	"gapgap/internal/membership"
+	"gapgap/internal/cpuscheduler"
+	"gapgap/internal/endpoint"
+	"gapgap/internal/proxy"
 	"gapgap/internal/route"
 	"gapgap/internal/service"
+	"gapgap/internal/sharedhealth"
 )
 
 // pool is one service behind the fronts: a core with a loop of its own. It owns that loop's goroutine.
 type pool struct {
 	cfg     *Pool
-	core    *core.Core
+	core    *proxy.Core
 	share   *share // nil: there is one pool
 	box     *box
 	started bool
@@ -32,11 +32,11 @@
 func (s *Service) newPool(cfg *Pool) (*pool, error) {
 	p := &pool{cfg: cfg, share: s.shares.join(cfg.Node.Name), stop: make(chan struct{}), ended: make(chan struct{})}
 	parts := service.Parts{Space: cfg.Space, Gate: s.flow(cfg), Guard: s.policy.guardOf(),
-		Tell: func(c *core.Core) func(membership.Update) {
+		Tell: func(c *proxy.Core) func(endpoint.Update) {
 			p.box = s.members.add(c)
 			return p.box.tell
 		},
-		Found: func(*core.Core) func(snowhall.Finding) { return p.box.found }}
+		Found: func(*proxy.Core) func(balancer.Finding) { return p.box.found }}
 	if s.recovery != nil {
 		parts.Closed = s.recovery.closed
 	}
@@ -46,7 +46,7 @@
 	if s.fleet != nil {
 		parts.NoCounter = s.fleet.wrongClock.Load
 		others := s.fleet.others(s.abroad(cfg))
-		parts.Others = func(*core.Core) func(snowhall.Action) { return others }
+		parts.Others = func(*proxy.Core) func(balancer.Action) { return others }
 	}
 	if s.metrics != nil {
 		parts.Observe = s.metrics.observer(cfg.Node.Name, cfg.Node.Transport.Classes)
@@ -67,7 +67,7 @@
 // members brings what each pool's source tells of servers to all pools that have them.
 type members struct {
 	mu    sync.Mutex
-	fleet *fleet.Fleet
+	fleet *sharedhealth.Fleet
 	boxes map[string]*box
 	last  int
 }
@@ -77,18 +77,18 @@
 type box struct {
 	m       *members
 	key     string // one pool may be replaced by another of its name: each has its own
-	core    *core.Core
+	core    *proxy.Core
 	pending []news
 }
 
 // news is what a pool is to be told.
 type news struct {
-	update  membership.Update
-	finding snowhall.Finding
+	update  endpoint.Update
+	finding balancer.Finding
 	found   bool // it is a finding
 }
 
-func (m *members) add(c *core.Core) *box {
+func (m *members) add(c *proxy.Core) *box {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.last++
@@ -98,7 +98,7 @@
 }
 
 // tell takes what the pool's source says. Only the pool's loop goroutine may call it.
-func (b *box) tell(u membership.Update) {
+func (b *box) tell(u endpoint.Update) {
 	b.m.mu.Lock()
 	b.m.deliver(b.m.fleet.Tell(b.key, u), b)
 	b.m.mu.Unlock()
@@ -114,7 +114,7 @@
 }
 
 // deliver puts what is to be told into the boxes, and wakes the loops but for one. The caller holds mu.
-func (m *members) deliver(outs []fleet.Out, but *box) {
+func (m *members) deliver(outs []sharedhealth.Out, but *box) {
 	for _, o := range outs {
 		m.put(o.Pool, news{update: o.Update}, but)
 	}
@@ -155,7 +155,7 @@
 }
 
 // flow is a pool's way to the processor; nil where nothing is shared.
-func (s *Service) flow(cfg *Pool) *gate.Flow {
+func (s *Service) flow(cfg *Pool) *cpuscheduler.Flow {
 	if s.gate == nil {
 		return nil
 	}
@@ -186,19 +186,19 @@
 
 type view struct {
 	table *route.Table
-	pools map[string]*core.Core
+	pools map[string]*proxy.Core
 }
 
 func (r *router) swap(t *route.Table, pools map[string]*pool) {
-	v := &view{t, map[string]*core.Core{}}
+	v := &view{t, map[string]*proxy.Core{}}
 	for name, p := range pools {
 		v.pools[name] = p.core
 	}
 	r.view.Store(v)
 }
 
-// Route implements [core.Router].
-func (r *router) Route(q *route.Query) *core.Core {
+// Route implements [proxy.Router].
+func (r *router) Route(q *route.Query) *proxy.Core {
 	for {
 		v := r.view.Load()
 		m := v.table.Match(q)
--- a/internal/service/hosted/pools_test.go
+++ b/internal/service/hosted/pools_test.go
@@ -17,10 +17,10 @@
 	"testing"
 	"time"
 
+	"gapgap/internal/fake/catalog"
+	"gapgap/internal/fake/flagserver"
+	"gapgap/internal/fake/peer"
 	"gapgap/internal/route"
-	"gapgap/internal/standin/catalog"
-	"gapgap/internal/standin/flagserver"
-	"gapgap/internal/standin/peer"
 )
 
 // poolText is one pool; the arguments are its name, discovery and counter.
@@ -360,7 +360,7 @@
 // One pool is overwhelmed while another is quiet: by a flood, by a flood that changes pool in the middle, by servers that all
 // fall silent, by values of 60 MB, and by clients that take every connection. The quiet one's service figure is that of a run
 // alone; the flood's own clients take the processor too here, so a loaded machine has a tenth to spare. How long answers
-// take, and the figure with the flood in a process of its own, is measured by cmd/measure.
+// take, and the figure with the flood in a process of its own, is measured by cmd/benchmark.
 func TestPoolsQuietBesideOverwhelmed(t *testing.T) {
 	const times = 100
 	two := to("loud", "loud", `host = "loud.org"`) + to("quiet", "quiet", `host = "quiet.org"`)
--- a/internal/service/hosted/shares.go
+++ b/internal/service/hosted/shares.go
@@ -4,41 +4,41 @@
 	"slices"
 	"sync/atomic"
 
-	"gapgap"
-	"gapgap/internal/budget"
-	"gapgap/internal/core"
+	"gapgap/internal/balancer"
+	"gapgap/internal/proxy"
+	"gapgap/internal/resourcelimit"
 	"gapgap/internal/service"
 )
 
 // shares are the parts that the pools of a process have of what they hold in common: bytes of clients, connections of
 // clients, connections to servers. Each part has a guaranteed minimum (Pool.Guarantee) and borrows beyond it.
 type shares struct {
-	memory, sockets *budget.Pot
-	unread          *budget.Party // bytes of commands whose pool is not known yet
-	caps            *budget.Caps
+	memory, sockets *resourcelimit.Pot
+	unread          *resourcelimit.Party // bytes of commands whose pool is not known yet
+	caps            *resourcelimit.Caps
 	clients         int // places for clients' connections
 }
 
 // guaranteed is what all guarantees may cover together: the rest is for commands and connections whose pool is not known.
-const guaranteed = 1 - budget.NewcomersPart
+const guaranteed = 1 - resourcelimit.NewcomersPart
 
 // newShares makes the parts of a process; nil: it has one pool, and nothing is to be shared.
 func newShares(cfg *Config, clients int) *shares {
 	if !cfg.Several {
 		return nil
 	}
-	s := &shares{memory: budget.NewPot(service.ClientMemory(cfg.Node.MemoryMB)),
-		sockets: budget.NewPot(int64(max(1, service.BackendSockets(cfg.Node.Sockets)))), caps: budget.NewCaps(), clients: clients}
-	s.unread = s.memory.Join("", int64(float64(s.memory.Total())*budget.NewcomersPart), nil)
+	s := &shares{memory: resourcelimit.NewPot(service.ClientMemory(cfg.Node.MemoryMB)),
+		sockets: resourcelimit.NewPot(int64(max(1, service.BackendSockets(cfg.Node.Sockets)))), caps: resourcelimit.NewCaps(), clients: clients}
+	s.unread = s.memory.Join("", int64(float64(s.memory.Total())*resourcelimit.NewcomersPart), nil)
 	return s
 }
 
 // share is what one pool has.
 type share struct {
 	of      *shares
-	memory  *budget.Bytes
-	clients *budget.Group
-	places  *budget.Party
+	memory  *resourcelimit.Bytes
+	clients *resourcelimit.Group
+	places  *resourcelimit.Party
 	asked   atomic.Bool // to give sockets back, and has not yet
 }
 
@@ -47,7 +47,7 @@
 	if s == nil {
 		return nil
 	}
-	return &share{of: s, memory: budget.SharedBytes(s.memory.Join(name, 0, nil)), clients: budget.NewGroup(name, 0)}
+	return &share{of: s, memory: resourcelimit.SharedBytes(s.memory.Join(name, 0, nil)), clients: resourcelimit.NewGroup(name, 0)}
 }
 
 // set sets the guaranteed part, from 0 to 1.
@@ -80,12 +80,12 @@
 		return
 	}
 	to.Memory, to.Clients = p.memory, p.clients
-	to.Places = func(c *core.Core) *budget.Party {
+	to.Places = func(c *proxy.Core) *resourcelimit.Party {
 		p.places = p.of.sockets.Join(c.Name, 0, p.yield(c, ""))
 		return p.places
 	}
 	if most > 0 {
-		to.Cap = func(c *core.Core, addr string) *budget.Cap {
+		to.Cap = func(c *proxy.Core, addr string) *resourcelimit.Cap {
 			return p.of.caps.Join(addr, c.Name, most, p.yield(c, addr))
 		}
 	}
@@ -93,7 +93,7 @@
 
 // yield asks a pool's loop to close idle connections for another pool. One such task waits at a time, so that a pool which
 // is asked at each request of a flood is not flooded by that.
-func (p *share) yield(c *core.Core, addr string) func(int64) {
+func (p *share) yield(c *proxy.Core, addr string) func(int64) {
 	return func(n int64) {
 		if p.asked.CompareAndSwap(false, true) {
 			go func() { // it may wait for a place in the queue; who asks must not
@@ -106,7 +106,7 @@
 
 // found takes what a pool has found out about a server to the other pools that have it. Only the pool's loop goroutine may
 // call it.
-func (b *box) found(f snowhall.Finding) {
+func (b *box) found(f balancer.Finding) {
 	b.m.mu.Lock()
 	defer b.m.mu.Unlock()
 	for _, p := range b.m.fleet.Peers(b.key, f.Backend) {
@@ -119,7 +119,7 @@
 type PoolFigures struct {
 	Name           string
 	Requests       int // that hold the pool now
-	Memory, Places budget.PartyFigures
+	Memory, Places resourcelimit.PartyFigures
 	Clients        int    // connections that asked it last
 	Evicted        uint64 // connections that had to go for another pool's guarantee
 	Refused        uint64 // newcomers sent away, the pool having borrowed what there was
--- a/internal/service/hosted/world_test.go
+++ b/internal/service/hosted/world_test.go
@@ -11,10 +11,10 @@
 	"testing"
 	"time"
 
-	"gapgap/internal/standin/catalog"
-	"gapgap/internal/standin/flagserver"
-	"gapgap/internal/standin/peer"
-	"gapgap/internal/standin/quota"
+	"gapgap/internal/fake/catalog"
+	"gapgap/internal/fake/flagserver"
+	"gapgap/internal/fake/peer"
+	"gapgap/internal/fake/quota"
 )
 
 // world is a number of front doors with what stands round them, all on loopback.
--- a/internal/service/long_test.go
+++ b/internal/service/long_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"gapgap/internal/standin/peer"
+	"gapgap/internal/fake/peer"
 )
 
 const longSize = 3 << 20
--- a/internal/service/maintenance_test.go
+++ b/internal/service/maintenance_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"gapgap/internal/standin/peer"
+	"gapgap/internal/fake/peer"
 )
 
 // operate makes a front door answer operators' calls.
--- a/internal/service/reload.go
+++ b/internal/service/reload.go
@@ -8,13 +8,13 @@
 	"sort"
 	"strings"
 
-	"gapgap"
-	"gapgap/internal/core"
+	"gapgap/internal/balancer"
+	"gapgap/internal/proxy"
 )
 
 // Rules are what requests are read and decided by under the configuration.
-func (c *Config) Rules() core.Rules {
-	return core.Rules{Classes: c.Transport.Classes, Plans: c.Transport.Plans, Settings: c.Settings, MostOpen: c.Transport.MostOpen}
+func (c *Config) Rules() proxy.Rules {
+	return proxy.Rules{Classes: c.Transport.Classes, Plans: c.Transport.Plans, Settings: c.Settings, MostOpen: c.Transport.MostOpen}
 }
 
 // CheckReload says why a configuration can't take the place of one that is in use; the error names the field. Beyond what
@@ -53,7 +53,7 @@
 			return fmt.Errorf("%s: give-up-us is not a number above 0", at)
 		case cl.Aim < 0 || c.has("classes", "target-us") && cl.Aim == 0:
 			return fmt.Errorf("%s: target-us is not a number above 0", at)
-		case cl.Effect == snowhall.Keyed && cl.Window <= 0:
+		case cl.Effect == balancer.Keyed && cl.Window <= 0:
 			return fmt.Errorf("%s: window-us is not a number above 0", at)
 		}
 	}
--- a/internal/service/reload_test.go
+++ b/internal/service/reload_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"gapgap/internal/standin/peer"
+	"gapgap/internal/fake/peer"
 )
 
 const wholeConfig = `{"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -9,18 +9,18 @@
 	"sync/atomic"
 	"time"
 
-	"gapgap"
-	"gapgap/internal/budget"
-	"gapgap/internal/core"
+	"gapgap/internal/balancer"
 	"gapgap/internal/counter"
-	"gapgap/internal/figures"
-	"gapgap/internal/front/control"
-	"gapgap/internal/front/resp2"
-	"gapgap/internal/gate"
+	"gapgap/internal/cpuscheduler"
+	"gapgap/internal/discovery"
+	"gapgap/internal/endpoint"
+	"gapgap/internal/eventloop"
+	"gapgap/internal/frontend/admin"
+	"gapgap/internal/frontend/resp2"
 	"gapgap/internal/handover"
-	"gapgap/internal/loop"
-	"gapgap/internal/membership"
-	"gapgap/internal/membership/discovery"
+	"gapgap/internal/proxy"
+	"gapgap/internal/resourcelimit"
+	"gapgap/internal/stats"
 	"gapgap/internal/trace"
 	"gapgap/internal/upstream"
 )
@@ -34,43 +34,43 @@
 )
 
 // NewEnv makes what the fronts of a process share, on a loop's clock.
-func NewEnv(l *loop.Loop, memoryMB, sockets int, r core.Router) *core.Env {
-	return &core.Env{Memory: budget.NewBytes(ClientMemory(memoryMB)),
-		Conns: budget.NewConns(share(sockets, clientShare), l.Now), Now: l.Now, Coarse: l.Coarse, Router: r}
+func NewEnv(l *eventloop.Loop, memoryMB, sockets int, r proxy.Router) *proxy.Env {
+	return &proxy.Env{Memory: resourcelimit.NewBytes(ClientMemory(memoryMB)),
+		Conns: resourcelimit.NewConns(share(sockets, clientShare), l.Now), Now: l.Now, Coarse: l.Coarse, Router: r}
 }
 
 // Parts are what one pool of several has of its process. The zero value is that of a front door with one pool.
 type Parts struct {
 	Space     string                                   // keeps its numbers on the counter apart from those of other pools
-	Tell      func(*core.Core) func(membership.Update) // makes the way of what discovery tells; nil: to the core itself
-	Others    func(*core.Core) func(snowhall.Action)   // makes the way of what the core tells other doors; nil: nowhere
-	Found     func(*core.Core) func(snowhall.Finding)  // makes the way of what the core finds out; nil: nowhere
-	Gate      *gate.Flow                               // to the processor
-	Guard     *core.Guard                              // whether requests may be decided; nil: always
+	Tell      func(*proxy.Core) func(endpoint.Update)  // makes the way of what discovery tells; nil: to the core itself
+	Others    func(*proxy.Core) func(balancer.Action)  // makes the way of what the core tells other doors; nil: nowhere
+	Found     func(*proxy.Core) func(balancer.Finding) // makes the way of what the core finds out; nil: nowhere
+	Gate      *cpuscheduler.Flow                       // to the processor
+	Guard     *proxy.Guard                             // whether requests may be decided; nil: always
 	NoCounter func() bool                              // the counter is not asked, and its calls fail; nil: it always is
-	Closed    *core.Closed                             // while the door comes back; nil: it never is
-	Keys      core.Keys                                // claims keys of classes that are remembered; nil: there are none
-	Observe   func(class int, v core.Verdict, took time.Duration)
-	Figures   *figures.Figures // nil: nobody reads them
-	Memory    *budget.Bytes
-	Clients   *budget.Group
-	Places    func(*core.Core) *budget.Party              // of the sockets for backends
-	Cap       func(c *core.Core, addr string) *budget.Cap // of a server's connections
+	Closed    *proxy.Closed                            // while the door comes back; nil: it never is
+	Keys      proxy.Keys                               // claims keys of classes that are remembered; nil: there are none
+	Observe   func(class int, v proxy.Verdict, took time.Duration)
+	Figures   *stats.Figures // nil: nobody reads them
+	Memory    *resourcelimit.Bytes
+	Clients   *resourcelimit.Group
+	Places    func(*proxy.Core) *resourcelimit.Party              // of the sockets for backends
+	Cap       func(c *proxy.Core, addr string) *resourcelimit.Cap // of a server's connections
 }
 
 // NewCore makes the core of a front door, or of one pool of it, with its sides: connections to backends, the counter and
 // the platform's discovery.
-func NewCore(l *loop.Loop, cfg *Config, parts Parts, log *slog.Logger) (*core.Core, error) {
+func NewCore(l *eventloop.Loop, cfg *Config, parts Parts, log *slog.Logger) (*proxy.Core, error) {
 	c, _, err := newCore(l, cfg, parts, log)
 	return c, err
 }
 
-func newCore(l *loop.Loop, cfg *Config, parts Parts, log *slog.Logger) (*core.Core, *discovery.Watch, error) {
+func newCore(l *eventloop.Loop, cfg *Config, parts Parts, log *slog.Logger) (*proxy.Core, *discovery.Watch, error) {
 	var tr *trace.Log
 	if cfg.Trace != nil {
 		tr = trace.New(cfg.Trace, l.Now)
 	}
-	c, err := core.New(l, core.Config{Trace: tr, Name: cfg.Name, Gate: parts.Gate, Guard: parts.Guard, Closed: parts.Closed, Keys: parts.Keys, Memory: parts.Memory, Clients: parts.Clients, Observe: parts.Observe,
+	c, err := proxy.New(l, proxy.Config{Trace: tr, Name: cfg.Name, Gate: parts.Gate, Guard: parts.Guard, Closed: parts.Closed, Keys: parts.Keys, Memory: parts.Memory, Clients: parts.Clients, Observe: parts.Observe,
 		Start: cfg.Rules(), Seed: cfg.Seed, Figures: parts.Figures}, log)
 	if err != nil {
 		return nil, nil, err
@@ -88,12 +88,12 @@
 	up := upstream.Config{Most: max(1, BackendSockets(cfg.Sockets)), DialTimeout: cfg.Transport.DialTimeout, Idle: cfg.Transport.ConnIdle, Trace: tr}
 	up.Stall = cfg.Stall
 	up.Written = c.Figures.Relayed.Add
-	up.Values = budget.NewBytes(ClientMemory(cfg.MemoryMB) / 2)
+	up.Values = resourcelimit.NewBytes(ClientMemory(cfg.MemoryMB) / 2)
 	if parts.Places != nil {
 		up.Places = parts.Places(c)
 	}
 	if parts.Cap != nil {
-		up.Cap = func(addr string) *budget.Cap { return parts.Cap(c, addr) }
+		up.Cap = func(addr string) *resourcelimit.Cap { return parts.Cap(c, addr) }
 	}
 	watch := discovery.New(l, log, discovery.Config{Addr: cfg.Discovery, Known: cfg.Known, Zones: cfg.Transport.Zones,
 		Kinds: cfg.Transport.Kinds, Doors: cfg.Settings.Doors, Pushed: !cfg.Settings.OnRequest, Seed: cfg.Seed}, told)
@@ -101,7 +101,7 @@
 		upstream.New(l, up, c.Probed),
 		counter.New(l, counter.Config{Addr: cfg.Counter, Space: parts.Space, Enabled: cfg.Settings.Counter, Cut: parts.NoCounter,
 			Timeout: cfg.Settings.CounterTimeout, DialTimeout: cfg.Transport.DialTimeout,
-			Trace: tr, Late: func(ev snowhall.Late) { c.Tell(ev) }}, c.Counted),
+			Trace: tr, Late: func(ev balancer.Late) { c.Tell(ev) }}, c.Counted),
 		watch)
 	return c, watch, nil
 }
@@ -128,8 +128,8 @@
 
 // Platform is the lean front door that the platform runs: one core, one RESP2 listener.
 type Platform struct {
-	*core.Core
-	env   *core.Env
+	*proxy.Core
+	env   *proxy.Env
 	cfg   *Config
 	log   *slog.Logger
 	bans  *bans
@@ -147,8 +147,8 @@
 
 // NewPlatform makes one. It takes no connection before Serve.
 func NewPlatform(cfg *Config, log *slog.Logger) (*Platform, error) {
-	l := loop.New()
-	c, watch, err := newCore(l, cfg, Parts{Figures: figures.New()}, log)
+	l := eventloop.New()
+	c, watch, err := newCore(l, cfg, Parts{Figures: stats.New()}, log)
 	if err != nil {
 		return nil, err
 	}
@@ -189,7 +189,7 @@
 		wg.Go(func() { p.offers(beside, ctx, ln, clients) })
 		defer wg.Wait()
 		defer stop()
-		f := control.New(operators, calls{p}, p.log)
+		f := admin.New(operators, calls{p}, p.log)
 		f.Serve()
 		defer f.Close()
 	}
--- a/internal/service/shutdown_test.go
+++ b/internal/service/shutdown_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"gapgap/internal/standin/peer"
+	"gapgap/internal/fake/peer"
 )
 
 // After SIGTERM connections and requests are still taken for a while; all that was taken is answered; then
--- a/internal/service/upgrade.go
+++ b/internal/service/upgrade.go
@@ -11,10 +11,10 @@
 	"syscall"
 	"time"
 
-	"gapgap/internal/core"
-	"gapgap/internal/front/resp2"
+	"gapgap/internal/discovery"
+	"gapgap/internal/frontend/resp2"
 	"gapgap/internal/handover"
-	"gapgap/internal/membership/discovery"
+	"gapgap/internal/proxy"
 )
 
 const (
@@ -27,7 +27,7 @@
 // estate is what the old process of an upgrade leaves to the new one, beside sockets.
 type estate struct {
 	Listen string            `json:"Listen"`
-	Core   core.Estate       `json:"Core"`
+	Core   proxy.Estate      `json:"Core"`
 	Known  discovery.Members `json:"Known"`
 }
 
@@ -169,7 +169,7 @@
 	left, err := p.Leave(soon)
 	if err != nil {
 		link.Refuse(err)
-		p.serveOn(ctx, clients, core.Estate{})
+		p.serveOn(ctx, clients, proxy.Estate{})
 		return err
 	}
 	state, err := json.Marshal(estate{Listen: p.cfg.Listen, Core: left, Known: p.known(soon)})
@@ -187,7 +187,7 @@
 	link.Ended()
 	clients.Stay()
 	if serving.Err() == nil && ctx.Err() == nil {
-		p.serveOn(ctx, clients, core.Estate{})
+		p.serveOn(ctx, clients, proxy.Estate{})
 		return errors.New("the other process has ended")
 	}
 	return nil
@@ -212,7 +212,7 @@
 }
 
 // serveOn undoes a hand-over that has come to nothing.
-func (p *Platform) serveOn(ctx context.Context, clients *resp2.Front, back core.Estate) {
+func (p *Platform) serveOn(ctx context.Context, clients *resp2.Front, back proxy.Estate) {
 	if err := p.TakeBack(ctx, back); err != nil {
 		p.log.Error("what was to be handed over is lost", "error", err)
 	}
--- a/internal/service/world_test.go
+++ b/internal/service/world_test.go
@@ -1,8 +1,8 @@
 package service
 
 import (
-	"gapgap/internal/membership/discovery"
-	"gapgap/internal/standin/peer"
+	"gapgap/internal/discovery"
+	"gapgap/internal/fake/peer"
 
 	"context"
 	"encoding/json"
--- a/internal/fleet/fleet.go
+++ b/internal/sharedhealth/fleet.go
@@ -1,4 +1,4 @@
-// Package fleet decides what pools are told of servers that stand in several of them. A server is known by its address,
+// Package sharedhealth decides what pools are told of servers that stand in several of them. A server is known by its address,
 // whatever each pool calls it. What it bears is one thing:
 //
 //   - A drain told to one pool is told to all. A removal, or a move to another address, stops it in all; another pool
@@ -7,20 +7,20 @@
 //   - Each entry that has it in service gets an even part of what a cold one bears, so the budget holds over the sum.
 //
 // It does no input or output, and nothing but what pools are told hangs on it. One goroutine at a time may use a Fleet.
-package fleet
+package sharedhealth
 
 import (
 	"cmp"
 	"slices"
 
-	"gapgap"
-	"gapgap/internal/membership"
+	"gapgap/internal/balancer"
+	"gapgap/internal/endpoint"
 )
 
 // Out is what one pool is to be told: changes, never a whole list.
 type Out struct {
 	Pool   string
-	Update membership.Update
+	Update endpoint.Update
 }
 
 // Fleet holds what each pool's source has told.
@@ -29,24 +29,24 @@
 	at    map[string]map[*entry]struct{} // by address
 	dirty map[string]struct{}            // addresses to look at
 	gone  []Out                          // entries that their pool no longer has
-	sent  map[*entry]membership.Entry    // as the pool was told last
+	sent  map[*entry]endpoint.Entry      // as the pool was told last
 }
 
 type entry struct {
 	pool    string
-	told    membership.Entry
+	told    endpoint.Entry
 	stopped bool // another pool was told of a removal, and this one's source has not spoken since
 }
 
 // New makes a fleet of nothing.
 func New() *Fleet {
 	return &Fleet{pools: map[string]map[string]*entry{}, at: map[string]map[*entry]struct{}{}, dirty: map[string]struct{}{},
-		sent: map[*entry]membership.Entry{}}
+		sent: map[*entry]endpoint.Entry{}}
 }
 
 // Tell takes what a pool's source says and returns what pools are to be told, that pool among them.
-func (f *Fleet) Tell(pool string, u membership.Update) []Out {
-	if u.Scope == snowhall.ListFailed {
+func (f *Fleet) Tell(pool string, u endpoint.Update) []Out {
+	if u.Scope == balancer.ListFailed {
 		return []Out{{pool, u}}
 	}
 	p := f.pools[pool]
@@ -59,10 +59,10 @@
 		named[e.Name] = true
 		f.take(pool, p, e)
 	}
-	if u.Scope != snowhall.Delta {
+	if u.Scope != balancer.Delta {
 		for _, name := range sorted(p) {
 			if e := p[name]; !named[name] {
-				f.remove(p, e, u.Scope == snowhall.Whole) // what is missing from an old list says nothing
+				f.remove(p, e, u.Scope == balancer.Whole) // what is missing from an old list says nothing
 			}
 		}
 	}
@@ -110,9 +110,9 @@
 }
 
 // take takes one entry of a pool.
-func (f *Fleet) take(pool string, p map[string]*entry, told membership.Entry) {
+func (f *Fleet) take(pool string, p map[string]*entry, told endpoint.Entry) {
 	e := p[told.Name]
-	if told.State == snowhall.Terminated {
+	if told.State == balancer.Terminated {
 		if e != nil {
 			f.remove(p, e, true)
 		}
@@ -127,7 +127,7 @@
 		p[told.Name] = e
 	}
 	e.told = told
-	if told.State == snowhall.InService {
+	if told.State == balancer.InService {
 		e.stopped = false
 	}
 	if f.at[told.Addr] == nil {
@@ -145,9 +145,9 @@
 	f.unlink(e)
 	delete(p, e.told.Name)
 	last := e.told
-	last.State = snowhall.Terminated
+	last.State = balancer.Terminated
 	delete(f.sent, e)
-	f.gone = append(f.gone, Out{e.pool, membership.Update{Entries: []membership.Entry{last}}})
+	f.gone = append(f.gone, Out{e.pool, endpoint.Update{Entries: []endpoint.Entry{last}}})
 }
 
 // stop stops the server of an entry in all other pools.
@@ -169,7 +169,7 @@
 
 // settle looks at the servers of which something has changed, and says who is to be told what.
 func (f *Fleet) settle() []Out {
-	changes := map[string][]membership.Entry{}
+	changes := map[string][]endpoint.Entry{}
 	for _, o := range f.gone {
 		changes[o.Pool] = append(changes[o.Pool], o.Update.Entries...)
 	}
@@ -186,42 +186,42 @@
 	var outs []Out
 	for pool, list := range changes {
 		// Ends first, so that a name that has a new address is not ended after it; then by name, for the same order always.
-		slices.SortStableFunc(list, func(a, b membership.Entry) int {
+		slices.SortStableFunc(list, func(a, b endpoint.Entry) int {
 			return cmp.Or(cmp.Compare(ended(b), ended(a)), cmp.Compare(a.Name, b.Name))
 		})
-		outs = append(outs, Out{pool, membership.Update{Scope: snowhall.Delta, Entries: list}})
+		outs = append(outs, Out{pool, endpoint.Update{Scope: balancer.Delta, Entries: list}})
 	}
 	slices.SortFunc(outs, func(a, b Out) int { return cmp.Compare(a.Pool, b.Pool) })
 	return outs
 }
 
-func ended(e membership.Entry) int {
-	if e.State == snowhall.Terminated {
+func ended(e endpoint.Entry) int {
+	if e.State == balancer.Terminated {
 		return 1
 	}
 	return 0
 }
 
 // effective is what the pools of one server are to know of it.
-func (f *Fleet) effective(addr string) map[*entry]membership.Entry {
+func (f *Fleet) effective(addr string) map[*entry]endpoint.Entry {
 	all := f.at[addr]
 	drains := false
 	use := 0 // entries that have it in service: a pool may have a server under two names
-	var started = snowhall.Backend{}.Started
+	var started = balancer.Backend{}.Started
 	for e := range all {
-		drains = drains || e.told.State != snowhall.InService
+		drains = drains || e.told.State != balancer.InService
 		started = max(started, e.told.Started)
-		if e.told.State == snowhall.InService && !e.stopped {
+		if e.told.State == balancer.InService && !e.stopped {
 			use++
 		}
 	}
-	now := map[*entry]membership.Entry{}
+	now := map[*entry]endpoint.Entry{}
 	for e := range all {
 		n := e.told
 		n.Started = started
 		n.Share = 1 / float64(max(1, use))
 		if drains || e.stopped {
-			n.State = snowhall.Terminating
+			n.State = balancer.Terminating
 		}
 		now[e] = n
 	}
--- a/internal/fleet/fleet_test.go
+++ b/internal/sharedhealth/fleet_test.go
@@ -1,4 +1,4 @@
-package fleet
+package sharedhealth
 
 import (
 	"fmt"
@@ -7,28 +7,28 @@
 
 	"pgregory.net/rapid"
 
-	"gapgap"
-	"gapgap/internal/membership"
+	"gapgap/internal/balancer"
+	"gapgap/internal/endpoint"
 )
 
-func entryOf(name, addr string, state snowhall.State, started time.Duration) membership.Entry {
-	return membership.Entry{Backend: snowhall.Backend{Name: name, State: state, Started: started}, Addr: addr}
+func entryOf(name, addr string, state balancer.State, started time.Duration) endpoint.Entry {
+	return endpoint.Entry{Backend: balancer.Backend{Name: name, State: state, Started: started}, Addr: addr}
 }
 
-func list(scope snowhall.Scope, all ...membership.Entry) membership.Update {
-	return membership.Update{Scope: scope, Entries: all}
+func list(scope balancer.Scope, all ...endpoint.Entry) endpoint.Update {
+	return endpoint.Update{Scope: scope, Entries: all}
 }
 
 // pools keeps what each pool was told, as a core would.
-type pools map[string]map[string]membership.Entry
+type pools map[string]map[string]endpoint.Entry
 
 func (p pools) take(outs []Out) {
 	for _, o := range outs {
 		if p[o.Pool] == nil {
-			p[o.Pool] = map[string]membership.Entry{}
+			p[o.Pool] = map[string]endpoint.Entry{}
 		}
 		for _, e := range o.Update.Entries {
-			if e.State == snowhall.Terminated {
+			if e.State == balancer.Terminated {
 				delete(p[o.Pool], e.Name)
 			} else {
 				p[o.Pool][e.Name] = e
@@ -38,57 +38,57 @@
 }
 
 func TestPoolsSharedServer(t *testing.T) {
-	const in, out, gone = snowhall.InService, snowhall.Terminating, snowhall.Terminated
+	const in, out, gone = balancer.InService, balancer.Terminating, balancer.Terminated
 	f, p := New(), pools{}
-	tell := func(pool string, u membership.Update) { p.take(f.Tell(pool, u)) }
-	state := func(pool, name string, want snowhall.State, share float64) {
+	tell := func(pool string, u endpoint.Update) { p.take(f.Tell(pool, u)) }
+	state := func(pool, name string, want balancer.State, share float64) {
 		t.Helper()
 		if e, ok := p[pool][name]; !ok || e.State != want || e.Share != share {
 			t.Errorf("%s has %s as %+v, want state %v and share %v", pool, name, e, want, share)
 		}
 	}
-	tell("a", list(snowhall.Whole, entryOf("s1", "x", in, 0), entryOf("s2", "y", in, 0)))
+	tell("a", list(balancer.Whole, entryOf("s1", "x", in, 0), entryOf("s2", "y", in, 0)))
 	state("a", "s1", in, 1)
-	tell("b", list(snowhall.Whole, entryOf("t1", "x", in, 7))) // by another name; and newly started, as b knows
+	tell("b", list(balancer.Whole, entryOf("t1", "x", in, 7))) // by another name; and newly started, as b knows
 	state("a", "s1", in, 0.5)
 	state("b", "t1", in, 0.5)
 	state("a", "s2", in, 1)
 	if p["a"]["s1"].Started != 7 {
 		t.Error("a does not know of the start that b was told of")
 	}
-	tell("a", list(snowhall.Delta, entryOf("s1", "x", out, 0))) // a drain told to one
+	tell("a", list(balancer.Delta, entryOf("s1", "x", out, 0))) // a drain told to one
 	state("b", "t1", out, 1)
-	tell("b", list(snowhall.Delta, entryOf("t1", "x", in, 7))) // the other's source says nothing of it
+	tell("b", list(balancer.Delta, entryOf("t1", "x", in, 7))) // the other's source says nothing of it
 	state("b", "t1", out, 1)
-	tell("a", list(snowhall.Delta, entryOf("s1", "x", in, 9))) // it is back
+	tell("a", list(balancer.Delta, entryOf("s1", "x", in, 9))) // it is back
 	state("a", "s1", in, 0.5)
 	state("b", "t1", in, 0.5)
-	tell("a", list(snowhall.Delta, entryOf("s1", "x", gone, 0))) // removed from one
+	tell("a", list(balancer.Delta, entryOf("s1", "x", gone, 0))) // removed from one
 	if _, there := p["a"]["s1"]; there {
 		t.Error("a still has it")
 	}
 	if e := p["b"]["t1"]; e.State != out {
 		t.Errorf("b goes on with a removed server: %+v", e)
 	}
-	tell("b", list(snowhall.Delta, entryOf("t1", "x", in, 7))) // b's own source insists
+	tell("b", list(balancer.Delta, entryOf("t1", "x", in, 7))) // b's own source insists
 	state("b", "t1", in, 1)
-	tell("a", list(snowhall.Whole, entryOf("s2", "x", in, 0))) // another name now has that address, and y is left
+	tell("a", list(balancer.Whole, entryOf("s2", "x", in, 0))) // another name now has that address, and y is left
 	state("b", "t1", in, 0.5)
-	tell("b", list(snowhall.Delta, entryOf("t1", "z", in, 8))) // it returns under a new address
+	tell("b", list(balancer.Delta, entryOf("t1", "z", in, 8))) // it returns under a new address
 	state("b", "t1", in, 1)
 	if e := p["a"]["s2"]; e.State != out {
 		t.Errorf("a goes on with the address that b's server has left: %+v", e)
 	}
-	tell("b", list(snowhall.Cached)) // an old list that has nothing
+	tell("b", list(balancer.Cached)) // an old list that has nothing
 	if len(p["b"]) != 0 {
 		t.Errorf("b has %v", p["b"])
 	}
-	tell("a", list(snowhall.Whole, entryOf("s2", "x", in, 0)))
-	tell("b", list(snowhall.Whole, entryOf("t1", "x", in, 0)))
+	tell("a", list(balancer.Whole, entryOf("s2", "x", in, 0)))
+	tell("b", list(balancer.Whole, entryOf("t1", "x", in, 0)))
 	state("a", "s2", in, 0.5)
 	p.take(f.Drop("b")) // the pool is removed, not the server
 	state("a", "s2", in, 1)
-	if got := f.Tell("a", membership.Update{Scope: snowhall.ListFailed}); len(got) != 1 || got[0].Update.Scope != snowhall.ListFailed {
+	if got := f.Tell("a", endpoint.Update{Scope: balancer.ListFailed}); len(got) != 1 || got[0].Update.Scope != balancer.ListFailed {
 		t.Errorf("a failed list: %+v", got)
 	}
 }
@@ -99,7 +99,7 @@
 func TestPoolsSharedServerInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f, p := New(), pools{}
-		told := map[string]map[string]membership.Entry{}
+		told := map[string]map[string]endpoint.Entry{}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			pool := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "pool")
 			if rapid.IntRange(0, 15).Draw(t, "drop") == 0 {
@@ -108,11 +108,11 @@
 				delete(p, pool)
 				continue
 			}
-			u := membership.Update{Scope: rapid.SampledFrom([]snowhall.Scope{snowhall.Delta, snowhall.Delta, snowhall.Whole, snowhall.Cached}).Draw(t, "scope")}
+			u := endpoint.Update{Scope: rapid.SampledFrom([]balancer.Scope{balancer.Delta, balancer.Delta, balancer.Whole, balancer.Cached}).Draw(t, "scope")}
 			if told[pool] == nil {
-				told[pool] = map[string]membership.Entry{}
+				told[pool] = map[string]endpoint.Entry{}
 			}
-			if u.Scope != snowhall.Delta {
+			if u.Scope != balancer.Delta {
 				clear(told[pool])
 			}
 			for i := range 3 {
@@ -120,9 +120,9 @@
 					continue
 				}
 				e := entryOf(fmt.Sprint("s", i), rapid.SampledFrom([]string{"x", "y"}).Draw(t, "addr"),
-					snowhall.State(rapid.IntRange(0, 2).Draw(t, "state")), time.Duration(rapid.IntRange(0, 3).Draw(t, "started")))
+					balancer.State(rapid.IntRange(0, 2).Draw(t, "state")), time.Duration(rapid.IntRange(0, 3).Draw(t, "started")))
 				u.Entries = append(u.Entries, e)
-				if e.State == snowhall.Terminated {
+				if e.State == balancer.Terminated {
 					delete(told[pool], e.Name)
 				} else {
 					told[pool][e.Name] = e
@@ -132,7 +132,7 @@
 			drains, shares, started := map[string]bool{}, map[string]map[string]float64{}, map[string]time.Duration{}
 			for _, list := range told {
 				for _, e := range list {
-					drains[e.Addr] = drains[e.Addr] || e.State != snowhall.InService
+					drains[e.Addr] = drains[e.Addr] || e.State != balancer.InService
 					started[e.Addr] = max(started[e.Addr], e.Started)
 				}
 			}
@@ -145,7 +145,7 @@
 					if !ok || e.Addr != o.Addr || e.Started != started[e.Addr] {
 						t.Fatalf("%s has %s as %+v, its source says %+v", pool, name, e, o)
 					}
-					if e.State == snowhall.InService {
+					if e.State == balancer.InService {
 						if drains[e.Addr] {
 							t.Fatalf("%s uses %s, which drains", pool, e.Addr)
 						}
--- a/internal/emulator/backend_test.go
+++ b/internal/simulator/backend_test.go
@@ -1,4 +1,4 @@
-package emulator
+package simulator
 
 import (
 	"fmt"
--- a/internal/emulator/ceilings_test.go
+++ b/internal/simulator/ceilings_test.go
@@ -1,4 +1,4 @@
-package emulator
+package simulator
 
 import (
 	"fmt"
@@ -9,23 +9,23 @@
 	"testing"
 	"time"
 
-	"gapgap"
+	"gapgap/internal/balancer"
 )
 
 // the plan of the case that was measured from outside
-var business = snowhall.Plan{Rate: 5, Burst: 10, Factor: 1, OverWorth: 0.2, CeilingRate: 10, CeilingDepth: 20}
+var business = balancer.Plan{Rate: 5, Burst: 10, Factor: 1, OverWorth: 0.2, CeilingRate: 10, CeilingDepth: 20}
 
 // settings are those of so many doors.
-func settings(doors int, lend bool, plans ...snowhall.Plan) snowhall.Settings {
-	return snowhall.Settings{Doors: doors, Resolution: 2 * time.Millisecond, MaxAttempts: 3, MayCancel: true, RetryAfter: true,
+func settings(doors int, lend bool, plans ...balancer.Plan) balancer.Settings {
+	return balancer.Settings{Doors: doors, Resolution: 2 * time.Millisecond, MaxAttempts: 3, MayCancel: true, RetryAfter: true,
 		MaxRetryAfter: 5 * time.Second, StopSendingWithin: 250 * time.Millisecond, FallMultiple: 3, FallWindow: 3 * time.Second, ColdFrom: 0.26,
 		WarmWithin: 15 * time.Second, Counter: true, CounterTimeout: 50 * time.Millisecond, MaxUnits: 1, LendCeilings: lend,
-		Classes: []snowhall.Class{{Worth: 1, Aim: time.Second, GiveUp: 3 * time.Second}}, Plans: plans}
+		Classes: []balancer.Class{{Worth: 1, Aim: time.Second, GiveUp: 3 * time.Second}}, Plans: plans}
 }
 
 // store is the ceiling's store as the flag servers' own count has it.
 type store struct {
-	p          snowhall.Plan
+	p          balancer.Plan
 	level, low float64
 	at         time.Duration
 	sent       float64
@@ -50,7 +50,7 @@
 	asked  int
 }
 
-func newFlood(t testing.TB, seed uint64, doors int, lend bool, p snowhall.Plan) *flood {
+func newFlood(t testing.TB, seed uint64, doors int, lend bool, p balancer.Plan) *flood {
 	t.Helper()
 	f := &flood{World: New(seed, 6), store: store{p: p}, second: map[int]float64{}}
 	for range doors {
@@ -132,7 +132,7 @@
 	}
 	rate := 2 + 18*rng.Float64()
 	factor, burst := 1.7+rng.Float64(), rate*(1.3+1.3*rng.Float64())
-	p := snowhall.Plan{Rate: rate, Burst: burst, Factor: 1, OverWorth: 0.2, CeilingRate: rate * factor, CeilingDepth: burst * factor}
+	p := balancer.Plan{Rate: rate, Burst: burst, Factor: 1, OverWorth: 0.2, CeilingRate: rate * factor, CeilingDepth: burst * factor}
 	f := newFlood(t, seed, doors, true, p)
 	tell := func(format string, args ...any) {
 		story = append(story, fmt.Sprintf("%6.2f ", (f.Now-Start).Seconds())+fmt.Sprintf(format, args...))
@@ -355,7 +355,7 @@
 	w.After(0, next)
 	w.Run(Start + 60*time.Second)
 	for from := 0; from < 60; from += 10 {
-		p := []snowhall.Plan{business, low}[from/10%2]
+		p := []balancer.Plan{business, low}[from/10%2]
 		sum := 0.0
 		for s := from + 1; s < from+10; s++ {
 			sum += second[s]
--- a/internal/emulator/emulator.go
+++ b/internal/simulator/emulator.go
@@ -1,10 +1,10 @@
-// Package emulator plays front doors, the counter, flag servers and clients in virtual time: the decision module itself, as a
+// Package simulator plays front doors, the counter, flag servers and clients in virtual time: the decision module itself, as a
 // front door drives it, in a world of which every instant is decided by events in a queue. It does no input or output and
 // reads no clock. Randomness comes from the identity of what it is for, never from the order of events, so one delayed
 // message does not change all that follows, and a seed gives the same run.
 //
 // One goroutine owns a World and all in it.
-package emulator
+package simulator
 
 import (
 	"fmt"
@@ -15,8 +15,8 @@
 	"strconv"
 	"time"
 
-	"gapgap"
-	"gapgap/internal/pq"
+	"gapgap/internal/balancer"
+	"gapgap/internal/priorityqueue"
 )
 
 // World holds the clock and what is to come.
@@ -24,7 +24,7 @@
 	Seed    uint64
 	Now     time.Duration
 	Events  int // so far
-	queue   *pq.Queue[event]
+	queue   *priorityqueue.Queue[event]
 	last    uint64
 	Counter *Counter
 	Doors   []*Door
@@ -44,7 +44,7 @@
 
 // New makes a world of so many flag servers.
 func New(seed uint64, servers int) *World {
-	w := &World{Seed: seed, Now: Start, queue: pq.New(func(a, b event) bool { return a.at < b.at || a.at == b.at && a.no < b.no })}
+	w := &World{Seed: seed, Now: Start, queue: priorityqueue.New(func(a, b event) bool { return a.at < b.at || a.at == b.at && a.no < b.no })}
 	w.Counter = &Counter{w: w, names: map[uint64]*number{}, Takes: time.Millisecond}
 	for i := range servers {
 		w.Servers = append(w.Servers, &Server{w: w, Name: fmt.Sprint("s-", i), Takes: 20 * time.Millisecond})
@@ -53,7 +53,7 @@
 }
 
 // At does something at a time; what lies in the past is done now.
-func (w *World) At(at time.Duration, do func()) *pq.Item[event] {
+func (w *World) At(at time.Duration, do func()) *priorityqueue.Item[event] {
 	w.last++
 	return w.queue.Push(event{max(at, w.Now), w.last, do})
 }
@@ -105,11 +105,11 @@
 func (c *Counter) Empty() { clear(c.names) }
 
 // add takes one call and hands the answer to a function.
-func (c *Counter) add(a snowhall.Count, timeout time.Duration, answer func(snowhall.Event)) {
+func (c *Counter) add(a balancer.Count, timeout time.Duration, answer func(balancer.Event)) {
 	w := c.w
 	c.Calls++
 	if c.Gone {
-		w.After(time.Millisecond, func() { answer(snowhall.Counted{Name: a.Name, Status: snowhall.ConnectFailed}) })
+		w.After(time.Millisecond, func() { answer(balancer.Counted{Name: a.Name, Status: balancer.ConnectFailed}) })
 		return
 	}
 	half := c.Takes / 2
@@ -122,13 +122,13 @@
 		n.total += a.Amount
 		total := n.total
 		if c.Mute || c.Takes >= timeout {
-			w.After(max(0, timeout-half), func() { answer(snowhall.Counted{Name: a.Name, Status: snowhall.Timeout}) })
+			w.After(max(0, timeout-half), func() { answer(balancer.Counted{Name: a.Name, Status: balancer.Timeout}) })
 			if !c.Mute && a.Ticket != 0 {
-				w.After(c.Takes-half, func() { answer(snowhall.Late{Ticket: a.Ticket, Status: snowhall.OK, Total: total}) })
+				w.After(c.Takes-half, func() { answer(balancer.Late{Ticket: a.Ticket, Status: balancer.OK, Total: total}) })
 			}
 			return
 		}
-		w.After(c.Takes-half, func() { answer(snowhall.Counted{Name: a.Name, Status: snowhall.OK, Total: total}) })
+		w.After(c.Takes-half, func() { answer(balancer.Counted{Name: a.Name, Status: balancer.OK, Total: total}) })
 	})
 }
 
@@ -144,10 +144,10 @@
 type Door struct {
 	w        *World
 	Rank     int
-	door     *snowhall.Door
-	set      snowhall.Settings
+	door     *balancer.Door
+	set      balancer.Settings
 	life     int // goes up with each death: what was under way for a former one is void
-	events   []snowhall.Event
+	events   []balancer.Event
 	stepping bool
 	lastID   uint64
 	open     map[uint64]*Request
@@ -157,7 +157,7 @@
 	Sent func(*Request)
 	Done func(*Request, Answer)
 	// Break takes each action before it is carried out and gives what is done in its place: for tests of what a rig finds.
-	Break func(snowhall.Action) []snowhall.Action
+	Break func(balancer.Action) []balancer.Action
 	// Attempted is called when an attempt goes out to a Backend.
 	Attempted func(r *Request, backend string)
 }
@@ -189,13 +189,13 @@
 	Of       any           // what the caller keeps of it
 	Life     int           // of the door when it came
 	attempts int
-	ends     map[int]*pq.Item[event] // attempts out
+	ends     map[int]*priorityqueue.Item[event] // attempts out
 	cancels  map[int]func()
 	left     bool
 }
 
 // AddDoor makes a front door. It is started by Start.
-func (w *World) AddDoor(set snowhall.Settings) *Door {
+func (w *World) AddDoor(set balancer.Settings) *Door {
 	set.Rank = len(w.Doors)
 	d := &Door{w: w, Rank: set.Rank, set: set}
 	w.Doors = append(w.Doors, d)
@@ -205,23 +205,23 @@
 // Start starts the door anew: it knows nothing but the list of servers.
 func (d *Door) Start() error {
 	set := d.set
-	set.Classes, set.Plans = append([]snowhall.Class(nil), set.Classes...), append([]snowhall.Plan(nil), set.Plans...)
+	set.Classes, set.Plans = append([]balancer.Class(nil), set.Classes...), append([]balancer.Plan(nil), set.Plans...)
 	d.life++
 	var err error
-	if d.door, err = snowhall.New(set, d.w.Rand("door", d.Rank, d.life).Uint64()); err != nil {
+	if d.door, err = balancer.New(set, d.w.Rand("door", d.Rank, d.life).Uint64()); err != nil {
 		return fmt.Errorf("door %d: %w", d.Rank, err)
 	}
 	d.open, d.events, d.Alive = map[uint64]*Request{}, nil, true
-	var list []snowhall.Backend
+	var list []balancer.Backend
 	for _, s := range d.w.Servers {
-		list = append(list, snowhall.Backend{Name: s.Name, Weight: 1})
+		list = append(list, balancer.Backend{Name: s.Name, Weight: 1})
 	}
 	for _, name := range slices.Sorted(maps.Keys(d.w.Backends)) {
 		if b := d.w.Backends[name]; !b.drains {
-			list = append(list, snowhall.Backend{Name: name, Weight: 1, Started: max(0, b.started)})
+			list = append(list, balancer.Backend{Name: name, Weight: 1, Started: max(0, b.started)})
 		}
 	}
-	d.tell(snowhall.List{Scope: snowhall.Whole, Entries: list})
+	d.tell(balancer.List{Scope: balancer.Whole, Entries: list})
 	return nil
 }
 
@@ -238,16 +238,16 @@
 	}
 	d.lastID++
 	r.Life = d.life
-	r.Door, r.At, r.ends, r.cancels = d.Rank, d.w.Now, map[int]*pq.Item[event]{}, map[int]func(){}
+	r.Door, r.At, r.ends, r.cancels = d.Rank, d.w.Now, map[int]*priorityqueue.Item[event]{}, map[int]func(){}
 	d.open[d.lastID] = r
-	d.tell(snowhall.Request{ID: d.lastID, Class: r.Class, Plan: r.Plan, Customer: r.Customer, Left: r.Left, Units: r.Units, Doors: r.Doors, Retry: r.Retry, Grant: r.Grant})
+	d.tell(balancer.Request{ID: d.lastID, Class: r.Class, Plan: r.Plan, Customer: r.Customer, Left: r.Left, Units: r.Units, Doors: r.Doors, Retry: r.Retry, Grant: r.Grant})
 	return true
 }
 
 // Told tells the door of backends, as discovery does.
-func (d *Door) Told(list ...snowhall.Backend) {
+func (d *Door) Told(list ...balancer.Backend) {
 	if d.Alive {
-		d.tell(snowhall.List{Scope: snowhall.Delta, Entries: list})
+		d.tell(balancer.List{Scope: balancer.Delta, Entries: list})
 	}
 }
 
@@ -262,7 +262,7 @@
 }
 
 // tell hands the module an event, and carries out what it wants until it wants no more.
-func (d *Door) tell(ev snowhall.Event) {
+func (d *Door) tell(ev balancer.Event) {
 	d.events = append(d.events, ev)
 	if d.stepping {
 		return
@@ -284,13 +284,13 @@
 	d.stepping = false
 }
 
-func (d *Door) act(a snowhall.Action) {
+func (d *Door) act(a balancer.Action) {
 	w := d.w
 	switch a := a.(type) {
-	case snowhall.Send:
+	case balancer.Send:
 		r := d.open[a.ID]
 		if r == nil { // for what is over; a front door does the same
-			d.tell(snowhall.Outcome{ID: a.ID, Backend: a.Backend, Status: snowhall.Moot, Closed: true})
+			d.tell(balancer.Outcome{ID: a.ID, Backend: a.Backend, Status: balancer.Moot, Closed: true})
 			return
 		}
 		no := r.attempts
@@ -309,60 +309,60 @@
 				takes = s.Takes
 			}
 		}
-		o := snowhall.Outcome{ID: a.ID, Attempt: no, Backend: a.Backend, Status: snowhall.OK, Latency: takes, Closed: true}
+		o := balancer.Outcome{ID: a.ID, Attempt: no, Backend: a.Backend, Status: balancer.OK, Latency: takes, Closed: true}
 		if takes > a.Timeout {
-			o.Status, o.Latency, o.Closed = snowhall.Timeout, a.Timeout, false
+			o.Status, o.Latency, o.Closed = balancer.Timeout, a.Timeout, false
 		}
 		r.ends[no] = w.At(w.Now+o.Latency, d.here(func() {
 			delete(r.ends, no)
-			if o.Status == snowhall.OK {
+			if o.Status == balancer.OK {
 				d.end(a.ID, r, Served)
 			}
 			d.tell(o)
 			d.forget(a.ID, r)
 		}))
-	case snowhall.Cancel:
+	case balancer.Cancel:
 		if r := d.open[a.ID]; r != nil && r.ends[a.Attempt].In() {
 			w.queue.Remove(r.ends[a.Attempt])
 			delete(r.ends, a.Attempt)
 			if c := r.cancels[a.Attempt]; c != nil {
 				c()
 			}
-			d.tell(snowhall.Outcome{ID: a.ID, Attempt: a.Attempt, Status: snowhall.Cancelled, Closed: r.left})
+			d.tell(balancer.Outcome{ID: a.ID, Attempt: a.Attempt, Status: balancer.Cancelled, Closed: r.left})
 			d.forget(a.ID, r)
 		}
-	case snowhall.Grant:
+	case balancer.Grant:
 		if d.Sent != nil {
 			d.Sent(d.open[a.ID])
 		}
 		d.end(a.ID, d.open[a.ID], Served)
 		d.forget(a.ID, d.open[a.ID])
-	case snowhall.Refuse:
+	case balancer.Refuse:
 		if r := d.open[a.ID]; r != nil {
 			r.Pause = a.Pause
 		}
 		d.end(a.ID, d.open[a.ID], Refused)
 		d.forget(a.ID, d.open[a.ID])
-	case snowhall.Fail:
+	case balancer.Fail:
 		d.end(a.ID, d.open[a.ID], Failed)
 		d.forget(a.ID, d.open[a.ID])
-	case snowhall.Probe:
-		status, takes := snowhall.OK, time.Millisecond
+	case balancer.Probe:
+		status, takes := balancer.OK, time.Millisecond
 		if b := w.Backends[a.Backend]; b != nil {
-			if status, takes = b.probed(); status == snowhall.Timeout {
+			if status, takes = b.probed(); status == balancer.Timeout {
 				takes = probeTimeout
 			}
 		}
-		w.After(takes, d.here(func() { d.tell(snowhall.Probed{Backend: a.Backend, Status: status}) }))
-	case snowhall.Count:
+		w.After(takes, d.here(func() { d.tell(balancer.Probed{Backend: a.Backend, Status: status}) }))
+	case balancer.Count:
 		life := d.life
-		w.Counter.add(a, d.set.CounterTimeout, func(c snowhall.Event) {
+		w.Counter.add(a, d.set.CounterTimeout, func(c balancer.Event) {
 			if d.life == life {
 				d.tell(c)
 			}
 		})
-	case snowhall.SetTimer:
-		w.At(a.At-d.Skew, d.here(func() { d.tell(snowhall.Timer{Cookie: a.Cookie}) }))
+	case balancer.SetTimer:
+		w.At(a.At-d.Skew, d.here(func() { d.tell(balancer.Timer{Cookie: a.Cookie}) }))
 	}
 }
 
@@ -372,7 +372,7 @@
 )
 
 // send carries an attempt to a Backend and its reply back.
-func (d *Door) send(a snowhall.Send, r *Request, no int, b *Backend) {
+func (d *Door) send(a balancer.Send, r *Request, no int, b *Backend) {
 	w := d.w
 	if d.Attempted != nil {
 		d.Attempted(r, b.Name)
@@ -383,14 +383,14 @@
 		job.ID += "/" + strconv.Itoa(no)
 	}
 	ended := false
-	end := func(status snowhall.Status) {
+	end := func(status balancer.Status) {
 		if ended {
 			return
 		}
 		ended = true
 		delete(r.ends, no)
-		o := snowhall.Outcome{ID: a.ID, Attempt: no, Backend: b.Name, Status: status, Latency: w.Now - at, Closed: status == snowhall.OK || r.left}
-		if status == snowhall.OK {
+		o := balancer.Outcome{ID: a.ID, Attempt: no, Backend: b.Name, Status: status, Latency: w.Now - at, Closed: status == balancer.OK || r.left}
+		if status == balancer.OK {
 			d.end(a.ID, r, Served)
 		}
 		d.tell(o)
@@ -399,7 +399,7 @@
 	sent := false
 	limit := w.At(at+a.Timeout, d.here(func() {
 		b.Cancel(job)
-		end(snowhall.Timeout)
+		end(balancer.Timeout)
 	}))
 	r.ends[no] = limit // Cancel takes it out, and the job with it
 	r.cancels[no] = func() {
@@ -422,13 +422,13 @@
 				w.queue.Remove(limit)
 				switch {
 				case reply == TurnedAway:
-					end(snowhall.Full)
+					end(balancer.Full)
 				case reply == Broken && down:
-					end(snowhall.ConnectFailed)
+					end(balancer.ConnectFailed)
 				case reply == Broken:
-					end(snowhall.Reset)
+					end(balancer.Reset)
 				default:
-					end(snowhall.OK)
+					end(balancer.OK)
 				}
 			}))
 		})
@@ -436,14 +436,14 @@
 }
 
 // probed is what a probe of the server is answered.
-func (b *Backend) probed() (snowhall.Status, time.Duration) {
+func (b *Backend) probed() (balancer.Status, time.Duration) {
 	switch {
 	case b.silent || b.clock.Time() < b.paused:
-		return snowhall.Timeout, 0
+		return balancer.Timeout, 0
 	case b.down:
-		return snowhall.ConnectFailed, time.Millisecond
+		return balancer.ConnectFailed, time.Millisecond
 	}
-	return snowhall.OK, time.Millisecond
+	return balancer.OK, time.Millisecond
 }
 
 func (d *Door) end(id uint64, r *Request, a Answer) {
--- a/internal/sock/sock.go
+++ b/internal/socket/sock.go
@@ -1,5 +1,5 @@
-// Package sock uses sockets without waiting.
-package sock
+// Package socket uses sockets without waiting.
+package socket
 
 import (
 	"net"
--- a/internal/durable/durable.go
+++ b/internal/statefile/durable.go
@@ -1,6 +1,6 @@
-// Package durable keeps small states in files that another process, or the next one, reads: written whole or not at all, with
+// Package statefile keeps small states in files that another process, or the next one, reads: written whole or not at all, with
 // the version of their form and a checksum.
-package durable
+package statefile
 
 import (
 	"encoding/json"
@@ -10,7 +10,7 @@
 	"os"
 	"syscall"
 
-	"gapgap/internal/disk"
+	"gapgap/internal/vfs"
 )
 
 // Errors of Load beside those of the file system. A file that is not there is [io/fs.ErrNotExist].
@@ -70,24 +70,24 @@
 }
 
 // Save writes a state in the place of the one before, whole or not at all. When it returns nil the state outlives a power loss.
-func (f Form) Save(path string, state any) error { return f.SaveTo(disk.OS{}, path, state) }
+func (f Form) Save(path string, state any) error { return f.SaveTo(vfs.OS{}, path, state) }
 
 // SaveTo is Save on another file system.
-func (f Form) SaveTo(fs disk.FS, path string, state any) error {
+func (f Form) SaveTo(fs vfs.FS, path string, state any) error {
 	b, err := f.Encode(state)
 	if err != nil {
 		return err
 	}
-	return disk.Replace(fs, path, b)
+	return vfs.Replace(fs, path, b)
 }
 
 // Load reads a state.
-func (f Form) Load(path string, state any) error { return f.LoadFrom(disk.OS{}, path, state) }
+func (f Form) Load(path string, state any) error { return f.LoadFrom(vfs.OS{}, path, state) }
 
 // LoadFrom is Load on another file system.
-func (f Form) LoadFrom(fs disk.FS, path string, state any) error {
-	b, err := disk.ReadFile(fs, path, f.Most)
-	if errors.Is(err, disk.ErrLarge) {
+func (f Form) LoadFrom(fs vfs.FS, path string, state any) error {
+	b, err := vfs.ReadFile(fs, path, f.Most)
+	if errors.Is(err, vfs.ErrLarge) {
 		return fmt.Errorf("%w: over %d bytes", ErrDamaged, f.Most)
 	} else if err != nil {
 		return err
--- a/internal/durable/durable_test.go
+++ b/internal/statefile/durable_test.go
@@ -1,4 +1,4 @@
-package durable
+package statefile
 
 import (
 	"bytes"
--- a/internal/figures/figures.go
+++ b/internal/stats/figures.go
@@ -1,7 +1,7 @@
-// Package figures counts what operators read: requests taken and how they ended, attempts written, files read. Counts run
+// Package stats counts what operators read: requests taken and how they ended, attempts written, files read. Counts run
 // from the start of the process. One goroutine or many may count; anyone may read at any time, without waiting for who
 // counts.
-package figures
+package stats
 
 import (
 	"fmt"
--- a/internal/figures/figures_test.go
+++ b/internal/stats/figures_test.go
@@ -1,4 +1,4 @@
-package figures
+package stats
 
 import (
 	"fmt"
--- a/internal/upstream/hold_test.go
+++ b/internal/upstream/hold_test.go
@@ -3,8 +3,8 @@
 import (
 	"testing"
 
-	"gapgap"
-	"gapgap/internal/standin/peer"
+	"gapgap/internal/balancer"
+	"gapgap/internal/fake/peer"
 )
 
 // Nothing reaches a backend that is held: not on a connection held ready, nor by one that is still being dialled, nor a probe,
@@ -27,10 +27,10 @@
 	refused := func(when string) {
 		t.Helper()
 		try(t, f)
-		wantOutcome(t, f, snowhall.Moot)
+		wantOutcome(t, f, balancer.Moot)
 		f.probed = nil
 		f.pool.Probe("s-0")
-		if len(f.probed) != 1 || f.probed[0].Status != snowhall.Moot {
+		if len(f.probed) != 1 || f.probed[0].Status != balancer.Moot {
 			t.Errorf("%s: probed %+v", when, f.probed)
 		}
 	}
@@ -43,7 +43,7 @@
 	f.pool.Hold("s-0", false)
 	a := try(t, f) // waits for its connection
 	f.pool.Hold("s-0", true)
-	wantOutcome(t, f, snowhall.Moot)
+	wantOutcome(t, f, balancer.Moot)
 	if !a.ended {
 		t.Error("it still waits")
 	}
--- a/internal/upstream/long.go
+++ b/internal/upstream/long.go
@@ -6,7 +6,7 @@
 	"strconv"
 	"time"
 
-	"gapgap"
+	"gapgap/internal/balancer"
 	"gapgap/internal/resp"
 )
 
@@ -36,7 +36,7 @@
 	if err != nil {
 		return reply{}, err
 	}
-	r := reply{status: snowhall.OK}
+	r := reply{status: balancer.OK}
 	for i := 1; i < items; i++ {
 		m, err := c.in.Next()
 		if err != nil {
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -15,12 +15,12 @@
 
 	"github.com/tidwall/redcon"
 
-	"gapgap"
-	"gapgap/internal/budget"
-	"gapgap/internal/loop"
-	"gapgap/internal/membership"
+	"gapgap/internal/balancer"
+	"gapgap/internal/endpoint"
+	"gapgap/internal/eventloop"
+	"gapgap/internal/resourcelimit"
 	"gapgap/internal/resp"
-	"gapgap/internal/sock"
+	"gapgap/internal/socket"
 	"gapgap/internal/trace"
 )
 
@@ -40,8 +40,8 @@
 	Until   time.Duration // when it ends as Timeout
 	By      time.Duration // when its last byte is to be written, or it ends unsent; 0: there is no such time
 	Owner   Owner
-	timeout *loop.Timer
-	late    *loop.Timer // at By
+	timeout *eventloop.Timer
+	late    *eventloop.Timer // at By
 	conn    *conn
 	ended   bool
 	first   time.Duration // when a long value began to come; 0: none has
@@ -64,13 +64,13 @@
 
 // Result is the outcome of an attempt.
 type Result struct {
-	Status snowhall.Status
+	Status balancer.Status
 	Value  []byte // with OK: the value as a RESP2 bulk string; nil: the Sink has it
 	Used   int    // 1 + percent of the quota used; 0: not told
 }
 
 // End ends an attempt that Send has not been given.
-func (a *Attempt) End(status snowhall.Status) { a.end(Result{Status: status}) }
+func (a *Attempt) End(status balancer.Status) { a.end(Result{Status: status}) }
 
 func (a *Attempt) end(r Result) {
 	if a.ended {
@@ -91,11 +91,11 @@
 	Trace *trace.Log
 	// Written is told of each attempt whose last byte is written, by any goroutine; nil: nobody asks.
 	Written func(uint64) uint64
-	Stall   time.Duration // a long value that stops for so long is given up; 0: 5 s
-	Values  *budget.Bytes // for what long answers hold while they come in; nil: unbounded
-	Places  *budget.Party // of the connections that a process with several pools may have; nil: Most alone holds
+	Stall   time.Duration        // a long value that stops for so long is given up; 0: 5 s
+	Values  *resourcelimit.Bytes // for what long answers hold while they come in; nil: unbounded
+	Places  *resourcelimit.Party // of the connections that a process with several pools may have; nil: Most alone holds
 	// Cap joins a server's bound on connections, which pools share; nil: none is known.
-	Cap func(addr string) *budget.Cap
+	Cap func(addr string) *resourcelimit.Cap
 }
 
 // backend is what is known of one backend's address, and its connections.
@@ -108,7 +108,7 @@
 	conns      map[*conn]bool
 	idle       []*conn // the one used last at the end
 	heard      time.Duration
-	cap        *budget.Cap // nil: none is known
+	cap        *resourcelimit.Cap // nil: none is known
 }
 
 // conn is a connection to a backend. It carries one thing at a time, an attempt or a probe, and is closed when
@@ -122,7 +122,7 @@
 	probe   *probe
 	closed  bool
 	era     int // of the backend when it was dialled
-	cap     *budget.Cap
+	cap     *resourcelimit.Cap
 	idleAt  time.Duration
 	sent    atomic.Int32 // how far the command is that was last given to it
 	broken  atomic.Bool  // its reader has ended
@@ -146,21 +146,21 @@
 
 type probe struct {
 	backend string
-	timeout *loop.Timer
+	timeout *eventloop.Timer
 }
 
 // Pool holds the connections to all backends. The loop owns it.
 type Pool struct {
-	l      *loop.Loop
+	l      *eventloop.Loop
 	cfg    Config
-	probes func(snowhall.Probed)
+	probes func(balancer.Probed)
 	all    map[string]*backend
 	held   map[string]bool // backends that nothing may be sent to, whatever the list says
 	count  int             // connections, those being dialled too
 }
 
 // New makes an empty pool. The results of probes go to the function, by the loop goroutine.
-func New(l *loop.Loop, cfg Config, probes func(snowhall.Probed)) *Pool {
+func New(l *eventloop.Loop, cfg Config, probes func(balancer.Probed)) *Pool {
 	return &Pool{l: l, cfg: cfg, probes: probes, all: map[string]*backend{}, held: map[string]bool{}}
 }
 
@@ -178,7 +178,7 @@
 }
 
 // Listed takes what the list says of one backend.
-func (bs *Pool) Listed(e snowhall.Backend, addr string) {
+func (bs *Pool) Listed(e balancer.Backend, addr string) {
 	b := bs.all[e.Name]
 	if b == nil {
 		b = &backend{name: e.Name, conns: map[*conn]bool{}}
@@ -196,7 +196,7 @@
 		bs.closeIdle(b, bs.l.Now())
 		bs.dropDialled(b)
 	}
-	b.told = e.State == snowhall.InService
+	b.told = e.State == balancer.InService
 	if b.listed = b.told && !bs.held[e.Name]; !b.listed {
 		bs.retire(b)
 	}
@@ -224,7 +224,7 @@
 }
 
 // KeepOnly retires the backends that a whole list leaves out.
-func (bs *Pool) KeepOnly(list []membership.Entry) {
+func (bs *Pool) KeepOnly(list []endpoint.Entry) {
 	named := map[string]bool{}
 	for _, e := range list {
 		named[e.Name] = true
@@ -249,7 +249,7 @@
 func (bs *Pool) dropDialled(b *backend) {
 	for c := range b.conns {
 		if c.nc == nil {
-			bs.drop(c, snowhall.Moot)
+			bs.drop(c, balancer.Moot)
 		}
 	}
 }
@@ -316,7 +316,7 @@
 }
 
 // drop closes a connection and ends what it carried.
-func (bs *Pool) drop(c *conn, status snowhall.Status) {
+func (bs *Pool) drop(c *conn, status balancer.Status) {
 	a, p := c.attempt, c.probe
 	c.attempt, c.probe = nil, nil
 	bs.close(c) // first: the next attempt must not go out while this one still can be answered
@@ -333,19 +333,19 @@
 func (bs *Pool) Send(a *Attempt) {
 	b := bs.all[a.Backend]
 	if b == nil || !b.listed {
-		a.End(snowhall.Moot)
+		a.End(balancer.Moot)
 		return
 	}
 	c := bs.take(b)
 	if c == nil {
-		a.End(snowhall.Moot) // for want of sockets here, which is no fault of the backend
+		a.End(balancer.Moot) // for want of sockets here, which is no fault of the backend
 		return
 	}
 	c.attempt, a.conn = a, c
 	a.timeout = bs.l.At(a.Until, func() {
-		status := snowhall.Timeout
+		status := balancer.Timeout
 		if c.sent.Load() == unsent { // still dialling: it never ran
-			status = snowhall.ConnectFailed
+			status = balancer.ConnectFailed
 		}
 		bs.silent(b, a.At)
 		bs.drop(c, status)
@@ -362,9 +362,9 @@
 func (bs *Pool) tooLate(c *conn) {
 	switch c.sent.Load() {
 	case unsent:
-		bs.drop(c, snowhall.Moot)
+		bs.drop(c, balancer.Moot)
 	case sending:
-		bs.drop(c, snowhall.Reset)
+		bs.drop(c, balancer.Reset)
 	}
 }
 
@@ -385,7 +385,7 @@
 		b.idle = b.idle[:n-1]
 		// What came since the last answer would be taken for the next one, and a connection that has ended would
 		// leave it open whether the command has run.
-		if c.broken.Load() || !sock.Quiet(c.nc) {
+		if c.broken.Load() || !socket.Quiet(c.nc) {
 			bs.close(c)
 			continue
 		}
@@ -463,9 +463,9 @@
 	if a.ended || a.conn == nil {
 		return
 	}
-	status := snowhall.Cancelled
+	status := balancer.Cancelled
 	if a.conn.sent.Load() == unsent {
-		status = snowhall.Moot
+		status = balancer.Moot
 	}
 	bs.drop(a.conn, status)
 }
@@ -475,22 +475,22 @@
 	p := &probe{backend: name}
 	b := bs.all[name]
 	if b == nil || !b.listed {
-		bs.probed(p, snowhall.Moot)
+		bs.probed(p, balancer.Moot)
 		return
 	}
 	bs.closeIdle(b, bs.l.Now()) // a probe is to tell whether the backend can be reached anew
 	c := bs.take(b)
 	if c == nil {
-		bs.probed(p, snowhall.Moot)
+		bs.probed(p, balancer.Moot)
 		return
 	}
 	c.probe = p
-	p.timeout = bs.l.At(bs.l.Now()+2*bs.cfg.DialTimeout, func() { bs.drop(c, snowhall.Timeout) })
+	p.timeout = bs.l.At(bs.l.Now()+2*bs.cfg.DialTimeout, func() { bs.drop(c, balancer.Timeout) })
 }
 
-func (bs *Pool) probed(p *probe, status snowhall.Status) {
+func (bs *Pool) probed(p *probe, status balancer.Status) {
 	p.timeout.Stop()
-	bs.probes(snowhall.Probed{Backend: p.backend, Status: status})
+	bs.probes(balancer.Probed{Backend: p.backend, Status: status})
 }
 
 // run dials and then reads answers until the connection ends.
@@ -503,7 +503,7 @@
 		})
 	}
 	if err != nil {
-		c.p.l.Post(func() { c.p.drop(c, snowhall.ConnectFailed) })
+		c.p.l.Post(func() { c.p.drop(c, balancer.ConnectFailed) })
 		return
 	}
 	c.p.l.Post(func() {
@@ -588,7 +588,7 @@
 	}
 	c.asked.Add(1)
 	c.sent.Store(sending)
-	n, err := sock.WriteNow(c.nc, b)
+	n, err := socket.WriteNow(c.nc, b)
 	if n == len(b) || err != nil {
 		c.wrote(attempt, err)
 		return
@@ -624,13 +624,13 @@
 	if c.attempt != nil && c.asked.Load() > 1 {
 		bs.closeIdle(c.b, c.idleAt) // what has been idle for longer is no better
 	}
-	status := snowhall.Reset
+	status := balancer.Reset
 	if c.unwanted.Load() {
-		status = snowhall.Cancelled
+		status = balancer.Cancelled
 	} else if c.spoilt.Load() {
-		status = snowhall.Failed
+		status = balancer.Failed
 	} else if c.sent.Load() != whole {
-		status = snowhall.ConnectFailed
+		status = balancer.ConnectFailed
 	}
 	bs.drop(c, status)
 }
@@ -645,7 +645,7 @@
 	if a != nil {
 		a.conn = nil
 		if r.odd { // what no backend made for a request is no value to serve
-			r.status = snowhall.Failed
+			r.status = balancer.Failed
 		}
 	}
 	now := bs.l.Now()
@@ -670,7 +670,7 @@
 
 // reply is an answer of a backend.
 type reply struct {
-	status  snowhall.Status
+	status  balancer.Status
 	value   []byte // the value as a bulk string, to be passed on
 	used    int    // 1 + percent of the quota used; 0: not told
 	odd     bool   // it is no answer to a command ...
@@ -683,10 +683,10 @@
 func readReply(m redcon.RESP) reply {
 	switch m.Type {
 	case redcon.Error:
-		r := reply{status: snowhall.Failed}
+		r := reply{status: balancer.Failed}
 		switch word, _, _ := bytes.Cut(m.Data, []byte{' '}); string(word) {
 		case "BUSY":
-			r.status = snowhall.Full
+			r.status = balancer.Full
 		case "ERR":
 		default:
 			r.odd = true
@@ -698,13 +698,13 @@
 		}
 		return r
 	case redcon.String: // to a probe
-		return reply{status: snowhall.OK, odd: true, pong: true}
+		return reply{status: balancer.OK, odd: true, pong: true}
 	case redcon.Array:
-		r := reply{status: snowhall.Failed, odd: true}
+		r := reply{status: balancer.Failed, odd: true}
 		i := 0
 		m.ForEach(func(e redcon.RESP) bool {
 			if i == 0 && e.Type == redcon.Bulk && e.Data != nil {
-				r.status, r.odd, r.value = snowhall.OK, false, bytes.Clone(e.Raw)
+				r.status, r.odd, r.value = balancer.OK, false, bytes.Clone(e.Raw)
 			} else if i == 1 && e.Type == redcon.Bulk {
 				r.used = used(e.Data)
 			}
@@ -713,7 +713,7 @@
 		})
 		return r
 	}
-	return reply{status: snowhall.Failed, odd: true}
+	return reply{status: balancer.Failed, odd: true}
 }
 
 // used finds the figure in a list such as used=37,cost=4, as the module wants it: 1 more; 0 if there is none.
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -1,10 +1,10 @@
 package upstream
 
 import (
-	"gapgap/internal/loop"
-	"gapgap/internal/membership"
-	"gapgap/internal/sock"
-	"gapgap/internal/standin/peer"
+	"gapgap/internal/endpoint"
+	"gapgap/internal/eventloop"
+	"gapgap/internal/fake/peer"
+	"gapgap/internal/socket"
 
 	"fmt"
 	"net"
@@ -13,23 +13,23 @@
 
 	"github.com/tidwall/redcon"
 
-	"gapgap"
+	"gapgap/internal/balancer"
 )
 
 func TestReadReply(t *testing.T) {
 	for text, want := range map[string]reply{
-		"*3\r\n$2\r\nhi\r\n$14\r\nused=37,cost=4\r\n$-1\r\n": {status: snowhall.OK, value: []byte("$2\r\nhi\r\n"), used: 38},
-		"*3\r\n$0\r\n\r\n$-1\r\n$-1\r\n":                     {status: snowhall.OK, value: []byte("$0\r\n\r\n")},
-		"-ERR failed\r\n":                                    {status: snowhall.Failed},
-		"-ERR failed used=0 inflight=7\r\n":                  {status: snowhall.Failed, used: 1},
-		"-BUSY cost=1,used=120\r\n":                          {status: snowhall.Full, used: 121},
-		"-ER\x00 x used=3\r\n":                               {status: snowhall.Failed, odd: true, used: 4},
-		"-BUSY\r\n":                                          {status: snowhall.Full},
-		"+PONG\r\n":                                          {status: snowhall.OK, odd: true, pong: true},
-		"*1\r\n$-1\r\n":                                      {status: snowhall.Failed, odd: true},
-		"*0\r\n":                                             {status: snowhall.Failed, odd: true},
-		"$2\r\nhi\r\n":                                       {status: snowhall.Failed, odd: true},
-		":1\r\n":                                             {status: snowhall.Failed, odd: true},
+		"*3\r\n$2\r\nhi\r\n$14\r\nused=37,cost=4\r\n$-1\r\n": {status: balancer.OK, value: []byte("$2\r\nhi\r\n"), used: 38},
+		"*3\r\n$0\r\n\r\n$-1\r\n$-1\r\n":                     {status: balancer.OK, value: []byte("$0\r\n\r\n")},
+		"-ERR failed\r\n":                                    {status: balancer.Failed},
+		"-ERR failed used=0 inflight=7\r\n":                  {status: balancer.Failed, used: 1},
+		"-BUSY cost=1,used=120\r\n":                          {status: balancer.Full, used: 121},
+		"-ER\x00 x used=3\r\n":                               {status: balancer.Failed, odd: true, used: 4},
+		"-BUSY\r\n":                                          {status: balancer.Full},
+		"+PONG\r\n":                                          {status: balancer.OK, odd: true, pong: true},
+		"*1\r\n$-1\r\n":                                      {status: balancer.Failed, odd: true},
+		"*0\r\n":                                             {status: balancer.Failed, odd: true},
+		"$2\r\nhi\r\n":                                       {status: balancer.Failed, odd: true},
+		":1\r\n":                                             {status: balancer.Failed, odd: true},
 	} {
 		n, m := redcon.ReadNextRESP([]byte(text))
 		if got := readReply(m); n != len(text) || fmt.Sprint(got) != fmt.Sprint(want) {
@@ -40,10 +40,10 @@
 
 // rig is a pool on a loop that the test plays.
 type rig struct {
-	*loop.Loop
+	*eventloop.Loop
 	pool   *Pool
-	events []snowhall.Status // outcomes
-	probed []snowhall.Probed
+	events []balancer.Status // outcomes
+	probed []balancer.Probed
 	sink   *sink // of long values; nil: nobody wants them
 }
 
@@ -63,9 +63,9 @@
 // idle is a pool that knows the given backends.
 func idle(t *testing.T, addrs ...string) *rig {
 	t.Helper()
-	f := &rig{Loop: loop.New()}
+	f := &rig{Loop: eventloop.New()}
 	f.pool = New(f.Loop, Config{Most: 400, DialTimeout: 5 * time.Second, Idle: 30 * time.Second},
-		func(p snowhall.Probed) { f.probed = append(f.probed, p) })
+		func(p balancer.Probed) { f.probed = append(f.probed, p) })
 	for _, e := range entries(addrs...) {
 		f.pool.Listed(e.Backend, e.Addr)
 	}
@@ -73,9 +73,9 @@
 	return f
 }
 
-func entries(addrs ...string) (all []membership.Entry) {
+func entries(addrs ...string) (all []endpoint.Entry) {
 	for i, a := range addrs {
-		all = append(all, membership.Entry{Backend: snowhall.Backend{Name: fmt.Sprint("s-", i), Weight: 1}, Addr: a})
+		all = append(all, endpoint.Entry{Backend: balancer.Backend{Name: fmt.Sprint("s-", i), Weight: 1}, Addr: a})
 	}
 	return all
 }
@@ -98,7 +98,7 @@
 	return a
 }
 
-func wantOutcome(t *testing.T, f *rig, want snowhall.Status) {
+func wantOutcome(t *testing.T, f *rig, want balancer.Status) {
 	t.Helper()
 	if got := f.events; len(got) != 1 || got[0] != want {
 		t.Errorf("outcomes %+v, want one %v", got, want)
@@ -107,19 +107,19 @@
 
 func TestOneOutcomeForEachSend(t *testing.T) {
 	ends := map[string]struct {
-		want snowhall.Status
+		want balancer.Status
 		do   func(f *rig, a *Attempt, b *peer.Peer)
 	}{
-		"cancel":  {snowhall.Cancelled, func(f *rig, a *Attempt, b *peer.Peer) { f.pool.Cancel(a) }},
-		"timeout": {snowhall.Timeout, func(f *rig, a *Attempt, b *peer.Peer) { f.RunDue(a.Until) }},
-		"reset":   {snowhall.Reset, func(f *rig, a *Attempt, b *peer.Peer) { b.NC.Close() }},
-		"gone":    {snowhall.Cancelled, func(f *rig, a *Attempt, b *peer.Peer) { f.pool.Cancel(a) }},
-		"noise":   {snowhall.Failed, func(f *rig, a *Attempt, b *peer.Peer) { b.Write("\x00\x01\x02\r\n") }},
-		"length":  {snowhall.Failed, func(f *rig, a *Attempt, b *peer.Peer) { b.Write("*1\r\n$3000000000\r\nx") }},
-		"short":   {snowhall.Failed, func(f *rig, a *Attempt, b *peer.Peer) { b.Write("*1\r\n$20\r\nx\r\n") }}, // and no more
-		"line":    {snowhall.Failed, func(f *rig, a *Attempt, b *peer.Peer) { b.Write("-OOPS\r\n") }},
-		"full":    {snowhall.Full, func(f *rig, a *Attempt, b *peer.Peer) { b.Write("-BUSY\r\n") }},
-		"served":  {snowhall.OK, func(f *rig, a *Attempt, b *peer.Peer) { b.Write("*1\r\n$1\r\nx\r\n") }},
+		"cancel":  {balancer.Cancelled, func(f *rig, a *Attempt, b *peer.Peer) { f.pool.Cancel(a) }},
+		"timeout": {balancer.Timeout, func(f *rig, a *Attempt, b *peer.Peer) { f.RunDue(a.Until) }},
+		"reset":   {balancer.Reset, func(f *rig, a *Attempt, b *peer.Peer) { b.NC.Close() }},
+		"gone":    {balancer.Cancelled, func(f *rig, a *Attempt, b *peer.Peer) { f.pool.Cancel(a) }},
+		"noise":   {balancer.Failed, func(f *rig, a *Attempt, b *peer.Peer) { b.Write("\x00\x01\x02\r\n") }},
+		"length":  {balancer.Failed, func(f *rig, a *Attempt, b *peer.Peer) { b.Write("*1\r\n$3000000000\r\nx") }},
+		"short":   {balancer.Failed, func(f *rig, a *Attempt, b *peer.Peer) { b.Write("*1\r\n$20\r\nx\r\n") }}, // and no more
+		"line":    {balancer.Failed, func(f *rig, a *Attempt, b *peer.Peer) { b.Write("-OOPS\r\n") }},
+		"full":    {balancer.Full, func(f *rig, a *Attempt, b *peer.Peer) { b.Write("-BUSY\r\n") }},
+		"served":  {balancer.OK, func(f *rig, a *Attempt, b *peer.Peer) { b.Write("*1\r\n$1\r\nx\r\n") }},
 	}
 	for name, end := range ends {
 		t.Run(name, func(t *testing.T) {
@@ -140,7 +140,7 @@
 			f.RunDue(a.Until)
 			conn.ended()
 			wantOutcome(t, f, end.want)
-			if end.want != snowhall.Full && end.want != snowhall.OK {
+			if end.want != balancer.Full && end.want != balancer.OK {
 				b.WantsEnd()
 			}
 		})
@@ -153,7 +153,7 @@
 	for name, end := range map[string]func(f *rig, a *Attempt){
 		"drain": func(f *rig, a *Attempt) {
 			b := entries("")[0].Backend
-			b.State = snowhall.Terminating
+			b.State = balancer.Terminating
 			f.pool.Listed(b, f.pool.all["s-0"].addr)
 		},
 		"left out": func(f *rig, a *Attempt) { f.whole() },
@@ -166,7 +166,7 @@
 			a := try(t, f)
 			b := peer.Accept(t, ln) // the connection is up, but the loop has not heard of it
 			end(f, a)
-			wantOutcome(t, f, snowhall.Moot)
+			wantOutcome(t, f, balancer.Moot)
 			ended := make(chan struct{})
 			go func() {
 				defer close(ended)
@@ -195,7 +195,7 @@
 	p.Message()
 	other := &Attempt{Backend: "s-1", Until: a.Until, Owner: owner{f}}
 	f.pool.Send(other)
-	wantOutcome(t, f, snowhall.Moot)
+	wantOutcome(t, f, balancer.Moot)
 	for c := a.conn; c.sent.Load() != whole; {
 		time.Sleep(time.Millisecond)
 	}
@@ -211,7 +211,7 @@
 	f := idle(t, peer.FreeAddr(t))
 	a := try(t, f)
 	peer.Pump(t, f.Loop, func() bool { return a.ended })
-	wantOutcome(t, f, snowhall.ConnectFailed)
+	wantOutcome(t, f, balancer.ConnectFailed)
 }
 
 // A backend that has fallen silent may be a machine that is gone: connections that were idle since then are not
@@ -283,11 +283,11 @@
 	}
 	defer nc.Close()
 	p := peer.Accept(t, ln)
-	if !sock.Quiet(nc) {
+	if !socket.Quiet(nc) {
 		t.Error("nothing has come, and it is not quiet")
 	}
 	p.Write("x")
-	for end := time.Now().Add(peer.Patient); sock.Quiet(nc); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(peer.Patient); socket.Quiet(nc); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("what has come is not seen")
 		}
@@ -302,13 +302,13 @@
 	f.whole(next.Addr().String())
 	p.Write("*1\r\n$1\r\nx\r\n")
 	peer.Pump(t, f.Loop, func() bool { return a.ended })
-	wantOutcome(t, f, snowhall.OK)
+	wantOutcome(t, f, balancer.OK)
 	p.WantsEnd()
 	f.events = nil
 	a = try(t, f)
 	dialling := a.conn
 	f.whole(ln.Addr().String()) // it moves while it is being dialled
-	wantOutcome(t, f, snowhall.Moot)
+	wantOutcome(t, f, balancer.Moot)
 	if !dialling.closed {
 		t.Error("the dial to the old address goes on")
 	}
@@ -321,7 +321,7 @@
 	a, _ := inUse(t, f, ln)
 	f.whole()
 	f.RunDue(a.Until)
-	wantOutcome(t, f, snowhall.Timeout)
+	wantOutcome(t, f, balancer.Timeout)
 	if len(f.pool.all) != 0 || f.pool.count != 0 {
 		t.Errorf("%d backends and %d connections are kept", len(f.pool.all), f.pool.count)
 	}
@@ -331,7 +331,7 @@
 func TestProbe(t *testing.T) {
 	ln := peer.Listen(t)
 	f := idle(t, ln.Addr().String())
-	for text, want := range map[string]snowhall.Status{"+PONG\r\n": snowhall.OK, "-ERR no\r\n": snowhall.Failed} {
+	for text, want := range map[string]balancer.Status{"+PONG\r\n": balancer.OK, "-ERR no\r\n": balancer.Failed} {
 		f.probed = nil
 		f.pool.Probe("s-0")
 		p := peer.Accept(t, ln)
--- a/internal/upstream/values_test.go
+++ b/internal/upstream/values_test.go
@@ -8,9 +8,9 @@
 	"testing"
 	"time"
 
-	"gapgap"
-	"gapgap/internal/budget"
-	"gapgap/internal/standin/peer"
+	"gapgap/internal/balancer"
+	"gapgap/internal/fake/peer"
+	"gapgap/internal/resourcelimit"
 )
 
 // sink takes a long value.
@@ -45,7 +45,7 @@
 func TestLongValuesArePassedOn(t *testing.T) {
 	ln := peer.Listen(t)
 	f := idle(t, ln.Addr().String())
-	f.pool.cfg.Values = budget.NewBytes(64 << 10)
+	f.pool.cfg.Values = resourcelimit.NewBytes(64 << 10)
 	size := 300<<10 + 7
 	text0 := fmt.Sprintf("$%d\r\n%s\r\n", size, strings.Repeat("v", size))
 	var b *peer.Peer
@@ -65,7 +65,7 @@
 			}
 		}()
 		peer.Pump(t, f.Loop, func() bool { return len(f.events) > 0 })
-		wantOutcome(t, f, snowhall.OK)
+		wantOutcome(t, f, balancer.OK)
 		if f.sink.text() != text0 || f.sink.size != size || f.sink.most > longBuffer {
 			t.Errorf("%d bytes of %d came, %d at once", len(f.sink.got), len(text0), f.sink.most)
 		}
@@ -101,7 +101,7 @@
 	close(f.sink.wait)
 	b.Write(strings.Repeat("v", half) + "\r\n$-1\r\n$-1\r\n")
 	peer.Pump(t, f.Loop, func() bool { return len(f.events) > 0 })
-	wantOutcome(t, f, snowhall.OK)
+	wantOutcome(t, f, balancer.OK)
 }
 
 // Each way in which a long value can end badly has its outcome, and never looks whole.
@@ -112,16 +112,16 @@
 		text  string
 		close bool
 		sink  *sink
-		want  snowhall.Status
+		want  balancer.Status
 	}{
-		"dies halfway":         {head + body[:50<<10], true, &sink{}, snowhall.Reset},
-		"stops halfway":        {head + body[:50<<10], false, &sink{}, snowhall.Failed},
-		"too long":             {head + body + "v\r\n$-1\r\n$-1\r\n", false, &sink{}, snowhall.Failed},
-		"longer than allowed":  {fmt.Sprintf("*3\r\n$%d\r\n", mostLong+1) + body, false, &sink{}, snowhall.Failed},
-		"nobody wants it":      {head + body + "\r\n$-1\r\n$-1\r\n", false, nil, snowhall.Cancelled},
-		"the client has gone":  {head + body + "\r\n$-1\r\n$-1\r\n", false, &sink{fail: errors.New("gone")}, snowhall.Cancelled},
-		"no figures come":      {head + body + "\r\n", true, &sink{}, snowhall.OK},
-		"figures are nonsense": {head + body + "\r\nxyz\r\n", false, &sink{}, snowhall.OK},
+		"dies halfway":         {head + body[:50<<10], true, &sink{}, balancer.Reset},
+		"stops halfway":        {head + body[:50<<10], false, &sink{}, balancer.Failed},
+		"too long":             {head + body + "v\r\n$-1\r\n$-1\r\n", false, &sink{}, balancer.Failed},
+		"longer than allowed":  {fmt.Sprintf("*3\r\n$%d\r\n", mostLong+1) + body, false, &sink{}, balancer.Failed},
+		"nobody wants it":      {head + body + "\r\n$-1\r\n$-1\r\n", false, nil, balancer.Cancelled},
+		"the client has gone":  {head + body + "\r\n$-1\r\n$-1\r\n", false, &sink{fail: errors.New("gone")}, balancer.Cancelled},
+		"no figures come":      {head + body + "\r\n", true, &sink{}, balancer.OK},
+		"figures are nonsense": {head + body + "\r\nxyz\r\n", false, &sink{}, balancer.OK},
 	} {
 		t.Run(name, func(t *testing.T) {
 			ln := peer.Listen(t)
@@ -139,7 +139,7 @@
 			}()
 			peer.Pump(t, f.Loop, func() bool { return len(f.events) > 0 })
 			wantOutcome(t, f, c.want)
-			if c.sink != nil && c.want != snowhall.OK && strings.HasSuffix(c.sink.text(), "\r\n") && len(c.sink.got) > 20 && c.sink.fail == nil {
+			if c.sink != nil && c.want != balancer.OK && strings.HasSuffix(c.sink.text(), "\r\n") && len(c.sink.got) > 20 && c.sink.fail == nil {
 				t.Errorf("it looks whole: %d bytes", len(c.sink.got))
 			}
 			if n := len(f.pool.all["s-0"].idle); n != 0 {
--- a/internal/upstream/window_test.go
+++ b/internal/upstream/window_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"gapgap"
-	"gapgap/internal/standin/peer"
+	"gapgap/internal/balancer"
+	"gapgap/internal/fake/peer"
 )
 
 // An attempt that has a time by which it is to be written is not written after that: while its connection comes up it ends unsent when the time comes, and one that
@@ -23,7 +23,7 @@
 		for end := time.Now().Add(peer.Patient); len(f.events) == 0 && time.Now().Before(end); {
 			f.Wait(10*time.Millisecond, nil)
 		}
-		wantOutcome(t, f, snowhall.Moot)
+		wantOutcome(t, f, balancer.Moot)
 		if b := let(1500 * time.Millisecond); b != nil {
 			b.WantsEnd()
 		}
@@ -51,7 +51,7 @@
 		b := peer.Accept(t, ln)
 		time.Sleep(60 * time.Millisecond) // no task and no timer has been run
 		peer.Pump(t, f.Loop, func() bool { return len(f.events) > 0 })
-		wantOutcome(t, f, snowhall.Moot)
+		wantOutcome(t, f, balancer.Moot)
 		b.WantsEnd()
 	})
 	t.Run("half written", func(t *testing.T) {
@@ -69,7 +69,7 @@
 		for end := time.Now().Add(peer.Patient); len(f.events) == 0 && time.Now().Before(end); {
 			f.Wait(10*time.Millisecond, nil)
 		}
-		wantOutcome(t, f, snowhall.Reset)
+		wantOutcome(t, f, balancer.Reset)
 	})
 }
 
--- a/internal/disk/disk.go
+++ b/internal/vfs/disk.go
@@ -1,9 +1,9 @@
-// Package disk is the file system as states that must outlive a power loss see it. [OS] is the real one. Tests put another in its place, which
+// Package vfs is the file system as states that must outlive a power loss see it. [OS] is the real one. Tests put another in its place, which
 // writes down what was written and what was synced, so that what a disk has after a power cut can be made of that.
 //
 // What a caller may take for granted after a power cut is only: the bytes of a file as of its last Sync, and a directory's names as of its last
 // SyncDir. Of all that came later any part may be there.
-package disk
+package vfs
 
 import (
 	"errors"
--- a/internal/disk/op.go
+++ b/internal/vfs/op.go
@@ -1,4 +1,4 @@
-package disk
+package vfs
 
 // Kind is what an [Op] does.
 type Kind uint8
--- a/internal/disk/record.go
+++ b/internal/vfs/record.go
@@ -1,6 +1,6 @@
 //go:build powertest
 
-package disk
+package vfs
 
 import (
 	"errors"
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -22,7 +22,7 @@
 	"strconv"
 	"strings"
 
-	"gapgap/internal/disk"
+	"gapgap/internal/vfs"
 )
 
 // Errors of Open beside those of the file system.
@@ -39,7 +39,7 @@
 
 // Options say what a log is.
 type Options struct {
-	FS      disk.FS
+	FS      vfs.FS
 	Dir     string // exists; the log's files are the only ones with their ending there
 	Kind    string // what it is for: another kind's files are refused
 	Version uint16 // of the records; older ones are read, newer ones refused
@@ -75,7 +75,7 @@
 	o      Options
 	first  uint64 // segment
 	number uint64 // ... to which records are added
-	file   disk.File
+	file   vfs.File
 	chain  uint32
 	end    int64 // of what was written ...
 	synced int64 // ... and of what was synced
@@ -121,8 +121,8 @@
 	last := int64(0)
 	for i, number := range numbers { // one at a time, as together they may be large
 		path := filepath.Join(o.Dir, name(number))
-		b, err := disk.ReadFile(o.FS, path, o.Segment+2*mostFrame)
-		if errors.Is(err, disk.ErrLarge) {
+		b, err := vfs.ReadFile(o.FS, path, o.Segment+2*mostFrame)
+		if errors.Is(err, vfs.ErrLarge) {
 			return nil, found, fmt.Errorf("%s: %w: it is too long", path, ErrDamaged)
 		} else if err != nil {
 			return nil, found, err
--- a/internal/wal/wal_test.go
+++ b/internal/wal/wal_test.go
@@ -8,15 +8,15 @@
 	"syscall"
 	"testing"
 
-	"gapgap/internal/disk"
-	"gapgap/internal/standin/power"
+	"gapgap/internal/fake/power"
+	"gapgap/internal/vfs"
 )
 
-func options(fs disk.FS) Options {
+func options(fs vfs.FS) Options {
 	return Options{FS: fs, Dir: ".", Kind: "test", Version: 1, Segment: 400, Most: 64}
 }
 
-func open(fs disk.FS) (*Log, []string, Found, error) {
+func open(fs vfs.FS) (*Log, []string, Found, error) {
 	var all []string
 	l, found, err := Open(options(fs), func(b []byte) error { all = append(all, string(b)); return nil })
 	return l, all, found, err
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"gapgap"
+	"gapgap/internal/balancer"
 )
 
 // pairs holds the path=value settings and the first error met in reading them.
@@ -45,20 +45,20 @@
 	return v
 }
 
-var effects = map[string]snowhall.Effect{"safe": snowhall.Safe, "keyed": snowhall.Keyed, "unsafe": snowhall.Unsafe}
+var effects = map[string]balancer.Effect{"safe": balancer.Safe, "keyed": balancer.Keyed, "unsafe": balancer.Unsafe}
 
-var groups = map[string]snowhall.Group{"all": snowhall.GroupAll, "zone": snowhall.GroupZone,
-	"cell": snowhall.GroupCell, "": snowhall.GroupAll, "none": snowhall.GroupAll, "-": snowhall.GroupAll}
+var groups = map[string]balancer.Group{"all": balancer.GroupAll, "zone": balancer.GroupZone,
+	"cell": balancer.GroupCell, "": balancer.GroupAll, "none": balancer.GroupAll, "-": balancer.GroupAll}
 
 var discoveries = map[string]bool{"pushed": false, "on_request": true}
 
 // settings reads the path=value pairs of a PROVISION line.
-func settings(parts []string) (snowhall.Settings, error) {
+func settings(parts []string) (balancer.Settings, error) {
 	m := make(map[string]string, len(parts))
 	for _, s := range parts {
 		k, v, ok := strings.Cut(s, "=")
 		if !ok {
-			return snowhall.Settings{}, fmt.Errorf("setting %.40q is no pair", s)
+			return balancer.Settings{}, fmt.Errorf("setting %.40q is no pair", s)
 		}
 		m[k] = v
 	}
@@ -66,9 +66,9 @@
 }
 
 // Settings maps settings, by their paths, to those of the module. Unknown paths are passed over.
-func Settings(m map[string]string) (snowhall.Settings, error) {
+func Settings(m map[string]string) (balancer.Settings, error) {
 	p := &pairs{m: m}
-	set := snowhall.Settings{
+	set := balancer.Settings{
 		Doors: p.int("peers-total"), Rank: p.int("rank"), Zone: p.int("locality"),
 		Resolution: p.micros("resolution-us"), MaxAttempts: p.int("limits.max-attempts"),
 		SecondCopies: p.bool("limits.second-copies"), MayCancel: p.bool("limits.cancel"),
@@ -85,7 +85,7 @@
 	}
 	for i := range p.int("classes.count") {
 		k := fmt.Sprintf("classes.%d.", i)
-		set.Classes = append(set.Classes, snowhall.Class{
+		set.Classes = append(set.Classes, balancer.Class{
 			Worth: p.float(k + "worth"), LateWorth: p.float(k + "late-worth"), Aim: p.micros(k + "target-us"),
 			GiveUp: p.micros(k + "give-up-us"), Effect: word(p, k+"effect", effects),
 			Group: word(p, k+"group", groups), Window: p.micros(k + "window-us"), Stream: p.bool(k + "stream"),
@@ -93,7 +93,7 @@
 	}
 	for i := range p.int("tiers-of-service.count") {
 		k := fmt.Sprintf("tiers-of-service.%d.", i)
-		set.Plans = append(set.Plans, snowhall.Plan{
+		set.Plans = append(set.Plans, balancer.Plan{
 			Rate: p.float(k + "units-per-s"), Burst: p.float(k + "most-at-once"), AtOnce: p.int(k + "at-once"),
 			Factor: p.float(k + "value-factor"), OverWorth: p.float(k + "extra-worth"),
 			OverCost: p.float(k + "over-cost"), CeilingRate: p.float(k + "never-over-rate"),
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"gapgap"
+	"gapgap/internal/balancer"
 )
 
 // Item is one thing of a batch that concerns an instance.
@@ -19,8 +19,8 @@
 	Start    bool // an instance starts, with Seed and Settings
 	Stop     bool // the instance is killed
 	Seed     uint64
-	Settings snowhall.Settings
-	Event    snowhall.Event // otherwise
+	Settings balancer.Settings
+	Event    balancer.Event // otherwise
 }
 
 // Batch is what happened at one time, in order.
@@ -33,8 +33,8 @@
 // Reader reads batches.
 type Reader struct {
 	in    *bufio.Reader
-	lists map[int][]snowhall.Backend
-	fill  []snowhall.Backend // entries still to come belong to slot
+	lists map[int][]balancer.Backend
+	fill  []balancer.Backend // entries still to come belong to slot
 	slot  int
 	need  int
 	line  int
@@ -42,7 +42,7 @@
 
 // NewReader reads batches from r.
 func NewReader(r io.Reader) *Reader {
-	return &Reader{in: bufio.NewReaderSize(r, 1<<20), lists: map[int][]snowhall.Backend{}}
+	return &Reader{in: bufio.NewReaderSize(r, 1<<20), lists: map[int][]balancer.Backend{}}
 }
 
 // Next returns the next batch; io.EOF at the end of input between two batches.
@@ -94,7 +94,7 @@
 		if r.need < 0 {
 			return false, fmt.Errorf("negative number of entries")
 		}
-		r.fill = make([]snowhall.Backend, 0, min(r.need, 1<<16))
+		r.fill = make([]balancer.Backend, 0, min(r.need, 1<<16))
 		r.closeList()
 	case "BACKEND":
 		r.fill = append(r.fill, f.backend())
@@ -134,59 +134,59 @@
 		if !ok {
 			return it, fmt.Errorf("unknown scope")
 		}
-		ev := snowhall.List{Scope: scope}
+		ev := balancer.List{Scope: scope}
 		f.text()
-		if scope != snowhall.ListFailed {
+		if scope != balancer.ListFailed {
 			if ev.Entries, ok = r.lists[f.int()]; !ok && f.err == nil {
 				return it, fmt.Errorf("unknown list")
 			}
 		}
 		it.Event = ev
 	case "ACCEPT":
-		ev := snowhall.Request{ID: f.uint(), Class: f.int(), Plan: f.int(), Customer: f.text(), Left: f.micros()}
+		ev := balancer.Request{ID: f.uint(), Class: f.int(), Plan: f.int(), Customer: f.text(), Left: f.micros()}
 		ev.Units = f.optFloat(1)
 		ev.Doors = int(f.optUint(0))
 		f.optUint(0)
 		ev.Retry = f.optUint(0)&2 != 0
 		it.Event = ev
 	case "VERDICT":
-		ev := snowhall.Outcome{ID: f.uint(), Attempt: f.int(), Backend: f.text(), Status: f.status()}
+		ev := balancer.Outcome{ID: f.uint(), Attempt: f.int(), Backend: f.text(), Status: f.status()}
 		ev.Latency, ev.Closed = f.micros(), f.bool()
 		ev.Used, ev.Units = int(f.optUint(0)), f.optFloat(0)
 		it.Event = ev
 	case "COUNT_RESULT":
-		ev := snowhall.Counted{Name: f.uint(), Status: f.status()}
-		if ev.Status == snowhall.OK {
+		ev := balancer.Counted{Name: f.uint(), Status: f.status()}
+		if ev.Status == balancer.OK {
 			ev.Total = f.float()
 		} else {
 			f.optFloat(0)
 		}
 		it.Event = ev
 	case "REMINDER":
-		it.Event = snowhall.Timer{Cookie: f.uint()}
+		it.Event = balancer.Timer{Cookie: f.uint()}
 	case "ABORTED":
-		it.Event = snowhall.Gone{ID: f.uint()}
+		it.Event = balancer.Gone{ID: f.uint()}
 	case "FIRST_BYTE":
 		id := f.uint()
 		f.text()
-		it.Event = snowhall.FirstByte{ID: id, Attempt: f.int()}
+		it.Event = balancer.FirstByte{ID: id, Attempt: f.int()}
 	case "CHECKED":
 		f.micros()
 		st := f.status()
-		it.Event = snowhall.Probed{Status: st, Backend: f.text()}
+		it.Event = balancer.Probed{Status: st, Backend: f.text()}
 	case "FROM_PEER":
-		it.Event = snowhall.Message{From: f.int()}
+		it.Event = balancer.Message{From: f.int()}
 	default:
 		return it, fmt.Errorf("unknown message")
 	}
 	return it, f.err
 }
 
-var scopes = map[string]snowhall.Scope{"delta": snowhall.Delta, "full": snowhall.Whole,
-	"cached": snowhall.Cached, "failed": snowhall.ListFailed}
+var scopes = map[string]balancer.Scope{"delta": balancer.Delta, "full": balancer.Whole,
+	"cached": balancer.Cached, "failed": balancer.ListFailed}
 
-var states = map[string]snowhall.State{"in_service": snowhall.InService, "terminating": snowhall.Terminating,
-	"terminated": snowhall.Terminated}
+var states = map[string]balancer.State{"in_service": balancer.InService, "terminating": balancer.Terminating,
+	"terminated": balancer.Terminated}
 
 // fields reads a line's parts in order and keeps the first error.
 type fields struct {
@@ -281,16 +281,16 @@
 	return f.float()
 }
 
-func (f *fields) status() snowhall.Status {
+func (f *fields) status() balancer.Status {
 	v := f.int()
-	if v < int(snowhall.Failed) || v > int(snowhall.Moot) {
+	if v < int(balancer.Failed) || v > int(balancer.Moot) {
 		f.fail("an outcome", strconv.Itoa(v))
 	}
-	return snowhall.Status(v)
+	return balancer.Status(v)
 }
 
-func (f *fields) backend() snowhall.Backend {
-	b := snowhall.Backend{Name: f.text(), Zone: f.int(), Kind: f.int(), Cell: f.int()}
+func (f *fields) backend() balancer.Backend {
+	b := balancer.Backend{Name: f.text(), Zone: f.int(), Kind: f.int(), Cell: f.int()}
 	s := f.text()
 	st, ok := states[s]
 	if !ok {
