--- a/cmd/rehearse/main_test.go
+++ b/cmd/simulate/main_test.go
@@ -18,7 +18,7 @@
 		c.SetOut(&o)
 		return cli.Run(t.Context(), c, args, &e), o.String(), e.String()
 	}
-	scripts, err := filepath.Glob("../../rehearsals/*.toml")
+	scripts, err := filepath.Glob("../../scenarios/*.toml")
 	if err != nil || len(scripts) == 0 {
 		t.Fatal(err, "no scripts")
 	}
--- a/internal/layout/layout_test.go
+++ b/internal/layout/layout_test.go
@@ -34,7 +34,7 @@
 	heavy := []string{"google.golang.org/grpc", "go.etcd.io/bbolt", "modernc.org/sqlite", "github.com/envoyproxy",
 		"gapgap/internal/standin", "gapgap/internal/front/authz", "testing"}
 	none(t, "gapgap/cmd/gapgap", heavy...)
-	none(t, "gapgap/cmd/drill", heavy...)
+	none(t, "gapgap/cmd/simadapter", heavy...)
 }
 
 // Judgement does no input or output.
@@ -107,7 +107,7 @@
 	literal := regexp.MustCompile(`"(` + strings.Join(names, "|") + `)"`)
 	site := regexp.MustCompile(`(?i)cluj|yarmouk|amman|shared-fleet`)
 	out, err := exec.Command("go", "list", "-deps", "-f", `{{if not .Standard}}{{$d := .Dir}}{{if eq .Module.Path "gapgap"}}{{range .GoFiles}}{{$d}}/{{.}}{{"\n"}}{{end}}{{end}}{{end}}`,
-		"gapgap/cmd/gapgap", "gapgap/cmd/drill").Output()
+		"gapgap/cmd/gapgap", "gapgap/cmd/simadapter").Output()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/scenario/power_test.go
+++ b/internal/scenario/power_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-const powerLoss = "../../rehearsals/power-loss.toml"
+const powerLoss = "../../scenarios/power-loss.toml"
 
 // powered is the loss of power at so many front doors, with servers and accounts in proportion.
 func powered(t *testing.T, doors int, seed uint64) *Script {
--- a/internal/scenario/rehearse_test.go
+++ b/internal/scenario/rehearse_test.go
@@ -12,7 +12,7 @@
 	"gapgap/internal/tomlfile"
 )
 
-const namedDay = "../../rehearsals/all-slow-one-silent.toml"
+const namedDay = "../../scenarios/all-slow-one-silent.toml"
 
 func load(t *testing.T) *Script {
 	t.Helper()
