--- a/cmd/benchmark/ceilings.go
+++ b/cmd/benchmark/ceilings.go
@@ -18,13 +18,13 @@
 )
 
 // ceilingPlan is the plan of the case that was measured from outside.
-var ceilingPlan = balancer.Plan{Rate: 5, Burst: 10, Factor: 1, OverWorth: 0.2, CeilingRate: 10, CeilingDepth: 20}
+var ceilingPlan = balancer.Plan{Rate: 5, Burst: 10, PriorityFactor: 1, OverQuotaWeight: 0.2, CeilingRate: 10, CeilingBurst: 20}
 
 func ceilingSettings(doors int, lend bool) balancer.Settings {
-	return balancer.Settings{Doors: doors, Resolution: 2 * time.Millisecond, MaxAttempts: 3, MayCancel: true, RetryAfter: true,
-		MaxRetryAfter: 5 * time.Second, StopSendingWithin: 250 * time.Millisecond, FallMultiple: 3, FallWindow: 3 * time.Second, ColdFrom: 0.26,
-		WarmWithin: 15 * time.Second, Counter: true, CounterTimeout: 50 * time.Millisecond, MaxUnits: 1, LendCeilings: lend,
-		Classes: []balancer.Class{{Worth: 1, Aim: time.Second, GiveUp: 3 * time.Second}}, Plans: []balancer.Plan{ceilingPlan}}
+	return balancer.Settings{Gateways: doors, Resolution: 2 * time.Millisecond, MaxAttempts: 3, AllowCancel: true, SendRetryAfter: true,
+		MaxRetryAfter: 5 * time.Second, DrainGrace: 250 * time.Millisecond, OverloadMultiple: 3, OverloadWindow: 3 * time.Second, SlowStartCapacity: 0.26,
+		SlowStartDuration: 15 * time.Second, UseCounter: true, CounterTimeout: 50 * time.Millisecond, MaxRequestUnits: 1, LeaseCeilings: lend,
+		Classes: []balancer.Class{{PriorityWeight: 1, LatencyObjective: time.Second, ClientTimeout: 3 * time.Second}}, Plans: []balancer.Plan{ceilingPlan}}
 }
 
 // ceilingRun floods one account at ten times its ceiling for a minute and tells what part of the ceiling was sent on from the
--- a/cmd/gapgap/main.go
+++ b/cmd/gapgap/main.go
@@ -65,7 +65,7 @@
 			return fmt.Errorf("control: %w", err)
 		}
 	}
-	if err := cfg.Settings.Check(); err != nil { // all that can fail, before a process that serves is asked to hand over
+	if err := cfg.Settings.Validate(); err != nil { // all that can fail, before a process that serves is asked to hand over
 		return fmt.Errorf("settings: %w", err)
 	}
 	old, err := service.Inherit(cfg)
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -22,7 +22,7 @@
 // run answers batches until the input ends.
 func run(in io.Reader, out io.Writer) error {
 	r, w := wire.NewReader(in), bufio.NewWriterSize(out, 1<<20)
-	doors := map[string]*balancer.Door{}
+	doors := map[string]*balancer.Balancer{}
 	var line []byte
 	for {
 		b, err := r.Next()
--- a/internal/balancer/bounds_test.go
+++ b/internal/balancer/bounds_test.go
@@ -8,18 +8,18 @@
 
 // storm steps a door through a time in which so many customers a second come that were never seen and never come again.
 // Beside them it runs a function every tick.
-func storm(d *Door, from, to time.Duration, each int, beside func(at time.Duration)) (most int) {
+func storm(d *Balancer, from, to time.Duration, each int, beside func(at time.Duration)) (most int) {
 	id := uint64(1 << 32)
 	for at := from; at < to; at += tick {
-		evs := []Event{Timer{0}}
+		evs := []Event{TimerFired{0}}
 		for range each {
 			id++
-			evs = append(evs, Request{ID: id, Plan: int(id % 2), Customer: fmt.Sprint(id), Left: 2 * time.Second, Units: 1})
+			evs = append(evs, Request{ID: id, Plan: int(id % 2), Customer: fmt.Sprint(id), TimeLeft: 2 * time.Second, Units: 1})
 		}
 		for acts := d.Step(at, evs); len(acts) > 0; {
 			var outs []Event
-			for _, s := range only[Send](acts) {
-				outs = append(outs, Outcome{ID: s.ID, Backend: s.Backend, Status: OK, Latency: ms, Closed: true})
+			for _, s := range only[Dispatch](acts) {
+				outs = append(outs, AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Status: OK, Latency: ms, RequestClosed: true})
 			}
 			if outs == nil {
 				break
@@ -37,7 +37,7 @@
 // A million customers that are seen once take no more room than is stated, and are forgotten when they stop coming.
 func TestCustomersAreBounded(t *testing.T) {
 	set := quiet()
-	set.Plans[0], set.Plans[1] = Plan{Rate: 2, Burst: 8, Factor: 1}, Plan{Factor: 1, CeilingRate: 20, CeilingDepth: 40}
+	set.Plans[0], set.Plans[1] = Plan{Rate: 2, Burst: 8, PriorityFactor: 1}, Plan{PriorityFactor: 1, CeilingRate: 20, CeilingBurst: 40}
 	d := open(t, set, backends(3)...)
 	end := 200 * time.Second
 	if most := storm(d, 0, end, 100, nil); most > mostCustomers { // 5,000 a second
@@ -55,8 +55,8 @@
 // Whoever is known before a storm of names keeps its place: its ceiling holds, and it is served.
 func TestStormOfNamesKeepsCeilings(t *testing.T) {
 	set := quiet()
-	set.Plans[0] = Plan{Factor: 1}
-	set.Plans[1] = Plan{Factor: 1, CeilingRate: 2, CeilingDepth: 40}
+	set.Plans[0] = Plan{PriorityFactor: 1}
+	set.Plans[1] = Plan{PriorityFactor: 1, CeilingRate: 2, CeilingBurst: 40}
 	d := open(t, set, backends(3)...)
 	sent, id := 0, uint64(0)
 	end := 60 * time.Second
@@ -66,10 +66,10 @@
 		}
 		for range 60 { // every 4 s it wants more than it may have
 			id++
-			acts := d.Step(at, []Event{Request{ID: id, Plan: 1, Customer: "known", Left: 2 * time.Second, Units: 1}})
-			for _, s := range only[Send](acts) {
+			acts := d.Step(at, []Event{Request{ID: id, Plan: 1, Customer: "known", TimeLeft: 2 * time.Second, Units: 1}})
+			for _, s := range only[Dispatch](acts) {
 				sent++
-				d.Step(at, []Event{Outcome{ID: s.ID, Backend: s.Backend, Status: OK, Latency: ms, Closed: true}})
+				d.Step(at, []Event{AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Status: OK, Latency: ms, RequestClosed: true}})
 			}
 		}
 	})
--- a/internal/balancer/causes_test.go
+++ b/internal/balancer/causes_test.go
@@ -8,10 +8,10 @@
 )
 
 // alone is a door with no counter whose requests have neither quota nor ceiling (plan 2).
-func alone(t *testing.T, servers int) *Door {
+func alone(t *testing.T, servers int) *Balancer {
 	t.Helper()
 	set := basic()
-	set.Counter, set.Doors = false, 1
+	set.UseCounter, set.Gateways = false, 1
 	return open(t, set, backends(servers)...)
 }
 
@@ -25,7 +25,7 @@
 			took = 2 * ms
 		}
 		now := time.Duration(i) * 100 * ms
-		for _, s := range only[Send](d.Step(now, []Event{ask(i, 0, 2)})) {
+		for _, s := range only[Dispatch](d.Step(now, []Event{ask(i, 0, 2)})) {
 			d.Step(now+took, []Event{served(s, 0, took)})
 		}
 	}
@@ -37,23 +37,23 @@
 // A request that runs out of time is ended by its own timer, and its attempt called off. That is a time-out of the server's all the same.
 func TestTheEndOfARequestIsATimeOut(t *testing.T) {
 	d := alone(t, 1)
-	s := only[Send](d.Step(0, []Event{ask(1, 0, 2)}))[0]
+	s := only[Dispatch](d.Step(0, []Event{ask(1, 0, 2)}))[0]
 	end := 498 * ms // the aim, less the resolution
-	acts := d.Step(end, []Event{Timer{1<<1 | 1}})
-	if len(only[Cancel](acts)) != 1 || len(only[Refuse](acts)) != 1 {
+	acts := d.Step(end, []Event{TimerFired{1<<1 | 1}})
+	if len(only[CancelAttempt](acts)) != 1 || len(only[Reject](acts)) != 1 {
 		t.Fatalf("at the end of its time: %v", acts)
 	}
-	slots := d.servers[s.Backend].slots
-	d.Step(end, []Event{Outcome{ID: 1, Backend: s.Backend, Status: Cancelled, Latency: end, Closed: true}})
-	if b := d.servers[s.Backend]; b.slots >= slots || b.lost != 1 || b.slow <= 1 {
+	slots := d.servers[s.Endpoint].slots
+	d.Step(end, []Event{AttemptResult{ID: 1, Endpoint: s.Endpoint, Status: Cancelled, Latency: end, RequestClosed: true}})
+	if b := d.servers[s.Endpoint]; b.slots >= slots || b.lost != 1 || b.slow <= 1 {
 		t.Errorf("slots %v of %v, %d answers owed, slowness %v: nothing was learned of a server that took too long", b.slots, slots, b.lost, b.slow)
 	}
 	// One that its client gave up early says nothing of the server.
-	s = only[Send](d.Step(end+ms, []Event{ask(2, 0, 2)}))[0]
-	d.Step(end+5*ms, []Event{Gone{2}})
-	was := *d.servers[s.Backend]
-	d.Step(end+5*ms, []Event{Outcome{ID: 2, Backend: s.Backend, Status: Cancelled, Latency: 4 * ms, Closed: true}})
-	if b := d.servers[s.Backend]; b.slots != was.slots || b.lost != was.lost {
+	s = only[Dispatch](d.Step(end+ms, []Event{ask(2, 0, 2)}))[0]
+	d.Step(end+5*ms, []Event{RequestDone{2}})
+	was := *d.servers[s.Endpoint]
+	d.Step(end+5*ms, []Event{AttemptResult{ID: 2, Endpoint: s.Endpoint, Status: Cancelled, Latency: 4 * ms, RequestClosed: true}})
+	if b := d.servers[s.Endpoint]; b.slots != was.slots || b.lost != was.lost {
 		t.Error("a client that left is held against the server")
 	}
 }
@@ -62,10 +62,10 @@
 func TestWorthDecidesHowLongAQueueMayBe(t *testing.T) {
 	joined := func(class int) int {
 		set := basic()
-		set.Counter, set.Doors = false, 1
-		set.Plans[0] = Plan{Rate: 1e6, Burst: 1e6, Factor: 1}
+		set.UseCounter, set.Gateways = false, 1
+		set.Plans[0] = Plan{Rate: 1e6, Burst: 1e6, PriorityFactor: 1}
 		set.Classes = []Class{set.Classes[0], set.Classes[0]}
-		set.Classes[1].Worth = 8
+		set.Classes[1].PriorityWeight = 8
 		d := open(t, set, backends(1)...)
 		n := 0
 		for i := range uint64(100) {
@@ -87,14 +87,14 @@
 func TestNothingBeyondAQuotaUnderPressure(t *testing.T) {
 	sent := func(short float64) int {
 		set := basic()
-		set.Counter, set.Doors = false, 1
-		set.Plans[1].CeilingRate, set.Plans[1].CeilingDepth = 0, 0
+		set.UseCounter, set.Gateways = false, 1
+		set.Plans[1].CeilingRate, set.Plans[1].CeilingBurst = 0, 0
 		d := open(t, set, backends(8)...)
 		n := 0
 		for i := range uint64(400) {
 			now := time.Duration(i) * 5 * ms
 			d.short = short
-			for _, s := range only[Send](d.Step(now, []Event{ask(i, 0, 1)})) {
+			for _, s := range only[Dispatch](d.Step(now, []Event{ask(i, 0, 1)})) {
 				if d.reqs[i].level == lowest {
 					n++
 				}
@@ -111,8 +111,8 @@
 // The pressure is what paid requests meet: it rises while they find no free place and falls when they do.
 func TestPressureFollowsPaidRequests(t *testing.T) {
 	set := basic()
-	set.Counter, set.Doors = false, 1
-	set.Plans[0] = Plan{Rate: 1e6, Burst: 1e6, Factor: 1}
+	set.UseCounter, set.Gateways = false, 1
+	set.Plans[0] = Plan{Rate: 1e6, Burst: 1e6, PriorityFactor: 1}
 	d := open(t, set, backends(1)...)
 	for i := range uint64(60) { // nothing is answered
 		d.Step(time.Second, []Event{ask(i, 0, 0)})
@@ -125,7 +125,7 @@
 	d.short = high
 	for i := range uint64(200) {
 		now := time.Duration(i) * 20 * ms
-		for _, s := range only[Send](d.Step(now, []Event{ask(i, 0, 0)})) {
+		for _, s := range only[Dispatch](d.Step(now, []Event{ask(i, 0, 0)})) {
 			d.Step(now+5*ms, []Event{served(s, 0, 5*ms)})
 		}
 	}
@@ -142,7 +142,7 @@
 	for i := uint64(0); len(names) < 5 && i < 400; i++ { // calls for five customers
 		r := ask(i, 0, 0)
 		r.Customer = string(rune('a' + i%5))
-		for _, k := range only[Count](d.Step(now, []Event{r})) {
+		for _, k := range only[CounterAdd](d.Step(now, []Event{r})) {
 			names[k.Name] = true
 		}
 	}
@@ -152,7 +152,7 @@
 	before := d.callShare
 	var all []Event
 	for name := range names {
-		all = append(all, Counted{Name: name, Status: Timeout})
+		all = append(all, CounterResult{Name: name, Status: Timeout})
 	}
 	d.Step(now+50*ms, all)
 	if want := before * callsCut; d.callShare != want {
@@ -160,11 +160,11 @@
 	}
 	c := d.customers["a"]
 	c.pauseUntil, c.emptyUntil, c.spare, d.callShare = 0, 0, 0, 1
-	again := only[Count](d.Step(now+60*ms, []Event{func() Request { r := ask(900, 0, 0); r.Customer = "a"; return r }()}))
+	again := only[CounterAdd](d.Step(now+60*ms, []Event{func() Request { r := ask(900, 0, 0); r.Customer = "a"; return r }()}))
 	if len(again) != 1 {
 		t.Fatalf("%d calls after that", len(again))
 	}
-	d.Step(now+110*ms, []Event{Counted{Name: again[0].Name, Status: Timeout}})
+	d.Step(now+110*ms, []Event{CounterResult{Name: again[0].Name, Status: Timeout}})
 	if d.callShare != callsCut {
 		t.Errorf("a later failure does not count: %v", d.callShare)
 	}
@@ -174,14 +174,14 @@
 func TestLeasesReachFurtherByWhatACallCosts(t *testing.T) {
 	block := func(fee, full float64) float64 {
 		set := basic()
-		set.CounterFee, set.Plans[0] = fee, Plan{Rate: 10, Burst: 400, Factor: 1, OverCost: 0.5}
+		set.CounterCallCost, set.Plans[0] = fee, Plan{Rate: 10, Burst: 400, PriorityFactor: 1, OverQuotaCost: 0.5}
 		d := open(t, set, backends(2)...)
 		now := time.Second
 		d.Step(now, []Event{ask(1, 0, 0)})
 		c := d.customers["c"]
 		c.known, c.spare, c.tokens, c.demand = true, 0, 0, 10
 		c.store, c.storeAt = full*400, now
-		calls := only[Count](d.Step(now+ms, []Event{ask(2, 0, 0)}))
+		calls := only[CounterAdd](d.Step(now+ms, []Event{ask(2, 0, 0)}))
 		if len(calls) != 1 {
 			t.Fatalf("%d calls", len(calls))
 		}
@@ -198,14 +198,14 @@
 	sent := func(units float64) int {
 		d := schooled(t, backends(2)...)
 		now := 121 * time.Second
-		cold := Backend{Name: "cold", Weight: 1, Started: now}
+		cold := Endpoint{Name: "cold", Weight: 1, StartedAt: now}
 		left := backends(2)
-		left[0].State, left[1].State = Terminating, Terminating
-		d.Step(now, []Event{List{Scope: Delta, Entries: append(left, cold)}})
+		left[0].State, left[1].State = Draining, Draining
+		d.Step(now, []Event{EndpointUpdate{Kind: Delta, Entries: append(left, cold)}})
 		n := 0
 		b := &bearer{can: func(time.Duration) float64 { return 50 }, at: now}
 		send := func(at time.Duration, acts []Action) {
-			for _, s := range only[Send](acts) {
+			for _, s := range only[Dispatch](acts) {
 				n++
 				b.take(at, d, s, units)
 			}
@@ -228,7 +228,7 @@
 func TestNoPartOfAUnitIsTakenOfALentStore(t *testing.T) {
 	for held, want := range map[float64]float64{0.91: 0, 1.4: 1, 2: 2, 5: 3} {
 		set := basic()
-		set.LendCeilings, set.Doors, set.Plans[0] = true, 3, Plan{Rate: 5, Burst: 10, Factor: 1, OverWorth: 0.2, CeilingRate: 10, CeilingDepth: 20}
+		set.LeaseCeilings, set.Gateways, set.Plans[0] = true, 3, Plan{Rate: 5, Burst: 10, PriorityFactor: 1, OverQuotaWeight: 0.2, CeilingRate: 10, CeilingBurst: 20}
 		d := open(t, set, backends(2)...)
 		now := time.Second
 		d.Step(now, []Event{ask(1, 0, 0)})
@@ -239,7 +239,7 @@
 		d.acts = d.acts[:0]
 		d.grant(k, 10+5*(d.now%windowLen).Seconds()-held+3, d.now)
 		back := c.owed
-		for _, a := range only[Count](d.acts) {
+		for _, a := range only[CounterAdd](d.acts) {
 			back += a.Amount
 		}
 		if c.tokens != want || back < want-3-1e-9 || back > want-3+1e-9 {
@@ -252,22 +252,22 @@
 // connection may come up after that. A first attempt has no such time.
 func TestARepeatIsWrittenWithinItsWindow(t *testing.T) {
 	set := basic()
-	set.Classes[1].Group = GroupAll
+	set.Classes[1].DedupScope = DedupAll
 	d := open(t, set, backends(2)...)
 	now := time.Second
-	sent := only[Send](d.Step(now, []Event{ask(1, 1, 2)}))
-	if len(sent) != 1 || sent[0].By != 0 {
+	sent := only[Dispatch](d.Step(now, []Event{ask(1, 1, 2)}))
+	if len(sent) != 1 || sent[0].WriteBy != 0 {
 		t.Fatalf("sent %+v", sent)
 	}
-	again := only[Send](d.Step(now+100*ms, []Event{Outcome{ID: 1, Attempt: 0, Backend: sent[0].Backend, Status: Reset, Latency: 100 * ms}}))
-	if want := now + set.Classes[1].Window - repeatWay; len(again) != 1 || again[0].By != want {
+	again := only[Dispatch](d.Step(now+100*ms, []Event{AttemptResult{ID: 1, Attempt: 0, Endpoint: sent[0].Endpoint, Status: Reset, Latency: 100 * ms}}))
+	if want := now + set.Classes[1].DedupWindow - repeatWay; len(again) != 1 || again[0].WriteBy != want {
 		t.Fatalf("sent again %+v, want by %v", again, want)
 	}
 	// One that never ran may go at any time.
 	d = open(t, set, backends(2)...)
-	sent = only[Send](d.Step(now, []Event{ask(1, 1, 2)}))
-	again = only[Send](d.Step(now+100*ms, []Event{Outcome{ID: 1, Attempt: 0, Backend: sent[0].Backend, Status: ConnectFailed, Latency: 100 * ms}}))
-	if len(again) != 1 || again[0].By != 0 {
+	sent = only[Dispatch](d.Step(now, []Event{ask(1, 1, 2)}))
+	again = only[Dispatch](d.Step(now+100*ms, []Event{AttemptResult{ID: 1, Attempt: 0, Endpoint: sent[0].Endpoint, Status: ConnectFailed, Latency: 100 * ms}}))
+	if len(again) != 1 || again[0].WriteBy != 0 {
 		t.Fatalf("sent again %+v", again)
 	}
 }
--- a/internal/balancer/door.go
+++ b/internal/balancer/door.go
@@ -100,45 +100,45 @@
 )
 
 // prime sets what a door takes for granted before it has seen anything.
-func (d *Door) prime() {
+func (d *Balancer) prime() {
 	d.fleet = 1
-	if d.set.Counter {
+	if d.set.UseCounter {
 		d.callShare = 1
 	}
 	d.act(SetTimer{d.now + tick, 0})
-	if d.set.OnRequest {
-		d.act(Watch{})
+	if d.set.PollEndpoints {
+		d.act(WatchEndpoints{})
 	}
 }
 
 // admit takes a request in. Its tau is the time left, bounded by the aim where a late answer earns nothing
 // (a departure: the paper knows one limit; here the client waits longer than the answer has worth).
-func (d *Door) admit(ev Request) {
+func (d *Balancer) admit(ev Request) {
 	if d.reqs[ev.ID] != nil {
 		return
 	}
 	if ev.Class < 0 || ev.Class >= len(d.set.Classes) || ev.Plan < 0 || ev.Plan >= len(d.set.Plans) {
-		d.act(Refuse{ID: ev.ID, Why: Unknown})
+		d.act(Reject{ID: ev.ID, Reason: UnknownClass})
 		return
 	}
 	if d.noPlace(ev) {
 		return
 	}
 	cl := &d.set.Classes[ev.Class]
-	r := &request{id: ev.ID, class: ev.Class, plan: ev.Plan, units: max(0, ev.Units), at: d.now, tau: ev.Left,
-		most: d.set.MaxAttempts, retry: ev.Retry, grant: ev.Grant, hold: ev.Hold}
-	if cl.LateWorth == 0 && cl.Aim > 0 {
-		r.tau = min(r.tau, cl.Aim)
+	r := &request{id: ev.ID, class: ev.Class, plan: ev.Plan, units: max(0, ev.Units), at: d.now, tau: ev.TimeLeft,
+		most: d.set.MaxAttempts, retry: ev.ClientRetry, grant: ev.AdmitOnly, hold: ev.HoldFor}
+	if cl.LateWeightFraction == 0 && cl.LatencyObjective > 0 {
+		r.tau = min(r.tau, cl.LatencyObjective)
 	}
 	// What a door finds after it stood still has waited: first tries of a class have the same time at first.
-	d.learned[ev.Class].mostLeft = max(d.learned[ev.Class].mostLeft, ev.Left)
-	if d.now-d.lastAt > stalled && !ev.Retry {
-		r.tau = min(r.tau, cl.Aim-min(d.now-d.lastAt, d.learned[ev.Class].mostLeft-ev.Left))
+	d.learned[ev.Class].mostLeft = max(d.learned[ev.Class].mostLeft, ev.TimeLeft)
+	if d.now-d.lastAt > stalled && !ev.ClientRetry {
+		r.tau = min(r.tau, cl.LatencyObjective-min(d.now-d.lastAt, d.learned[ev.Class].mostLeft-ev.TimeLeft))
 	}
 	r.c, r.size = d.customer(ev), d.learned[ev.Class].size.Of(ev.Units)
 	d.reqs[r.id] = r
 	if r.tau.Seconds() <= d.latency(r, nil)/2 {
-		d.refuse(r, 0, TooLate)
+		d.refuse(r, 0, InsufficientTime)
 		return
 	}
 	if !r.grant { // a grant is given or refused now, but for the counter's answer
@@ -153,12 +153,12 @@
 	r.c.demandAt = d.now
 	// A line for the ceiling must stay short, or each that still goes out of it is nearly late; and what is
 	// worth less leaves the room to what is worth more. What asks for leave only has no line to join.
-	line := r.tau.Seconds() * ceilWait * cl.Worth / d.bestWorth
+	line := r.tau.Seconds() * ceilWait * cl.PriorityWeight / d.bestWorth
 	if r.grant {
 		line = 0
 	}
 	if fills := d.ceilingFills(r); fills > line {
-		d.refuse(r, time.Duration(fills*float64(time.Second)), OverCeiling)
+		d.refuse(r, time.Duration(fills*float64(time.Second)), CeilingExceeded)
 		return
 	}
 	if r.grant {
@@ -176,7 +176,7 @@
 }
 
 // settle carries a verdict out. The request must have left its customer's line: this may serve others of it.
-func (d *Door) settle(r *request, v verdict) {
+func (d *Balancer) settle(r *request, v verdict) {
 	if v == beyond {
 		d.beyond(r)
 	} else {
@@ -186,7 +186,7 @@
 
 // serve decides for a customer's requests in the order they came, until one has to wait: for the counter's
 // answer, for one of the customer's attempts to end, or for the ceiling's share to fill.
-func (d *Door) serve(c *customer) {
+func (d *Balancer) serve(c *customer) {
 	for len(c.waiting) > 0 {
 		r := c.waiting[0]
 		if r.ended {
@@ -209,7 +209,7 @@
 
 // serveGrants decides for what asks for leave only, past those that wait for the ceiling's share or for an
 // attempt to end: it waits for nothing but the counter (ours: a proxy's own client is held up by it).
-func (d *Door) serveGrants(c *customer) {
+func (d *Balancer) serveGrants(c *customer) {
 	for i := 0; i < len(c.waiting) && c.grants > 0; i++ {
 		r := c.waiting[i]
 		if !r.grant {
@@ -231,10 +231,10 @@
 
 // pay promotes a request whose units are in the local tokens (stage 2 of the paper). A request without quota
 // keeps its level by worth.
-func (d *Door) pay(r *request) verdict {
+func (d *Balancer) pay(r *request) verdict {
 	c, p := r.c, &d.set.Plans[r.plan]
 	late := (d.now-r.at).Seconds()+d.latency(r, nil) >= r.tau.Seconds()*margin
-	full := p.AtOnce > 0 && c.live >= d.atOnce(r, p)
+	full := p.MaxInFlight > 0 && c.live >= d.atOnce(r, p)
 	from, lent := fromShare, d.lent(r)
 	short := r.units - d.room(r, p)
 	if d.many(c, p) {
@@ -242,12 +242,12 @@
 	}
 	if full || short > 0 && lent == nil {
 		fills := short / d.share(c, p).Rate // seconds
-		if late || r.grant || !full && p.OverWorth > p.OverCost && fills > r.tau.Seconds()*ceilWait {
+		if late || r.grant || !full && p.OverQuotaWeight > p.OverQuotaCost && fills > r.tau.Seconds()*ceilWait {
 			return beyond
 		}
 		return wait
 	}
-	worth := max(1e-9, d.set.Classes[r.class].Worth*p.Factor*d.learned[r.class].size.Density(r.units))
+	worth := max(1e-9, d.set.Classes[r.class].PriorityWeight*p.PriorityFactor*d.learned[r.class].size.Density(r.units))
 	band := min(bands-1, max(0, int(steps*math.Log2(d.topWorth/worth))))
 	r.level = band
 	if p.Rate > 0 {
@@ -262,7 +262,7 @@
 			from = fromQuota
 		}
 	} else {
-		if p.AtOnce == 0 {
+		if p.MaxInFlight == 0 {
 			r.level += bands
 		}
 		if lent != nil {
@@ -279,26 +279,26 @@
 
 // atOnce is how many of a customer's requests may be under way here: this door's share of the cap, or, where
 // the counter tells that the others have less, what their demand leaves (a departure: traffic is uneven).
-func (d *Door) atOnce(r *request, p *Plan) int {
+func (d *Balancer) atOnce(r *request, p *Plan) int {
 	share := d.openShare(r.c, p)
 	if r.c.known && d.callShare > callsFew {
-		share = max(share, float64(p.AtOnce)-r.c.others/max(r.units, 1)*d.latency(r, nil)-atOnceRoom-p.OverCost)
+		share = max(share, float64(p.MaxInFlight)-r.c.others/max(r.units, 1)*d.latency(r, nil)-atOnceRoom-p.OverQuotaCost)
 	}
 	return max(1, int(share))
 }
 
 // beyond decides for a request that no tokens pay.
-func (d *Door) beyond(r *request) {
+func (d *Balancer) beyond(r *request) {
 	p := &d.set.Plans[r.plan]
-	full := p.AtOnce > 0 && r.c.live >= d.atOnce(r, p)
+	full := p.MaxInFlight > 0 && r.c.live >= d.atOnce(r, p)
 	from, room := fromShare, 0.0
 	if t := d.lent(r); t != nil {
 		from, room = fromLease, r.c.lease.Has(*t, d.now, !r.grant, r.c.leaves())
 	} else {
 		room = d.room(r, p)
 	}
-	if p.OverWorth <= p.OverCost || full || room < r.units {
-		d.refuse(r, d.refill(r.c, p, r.units), OverQuota)
+	if p.OverQuotaWeight <= p.OverQuotaCost || full || room < r.units {
+		d.refuse(r, d.refill(r.c, p, r.units), QuotaExceeded)
 		return
 	}
 	r.level = lowest
@@ -314,7 +314,7 @@
 // again until the customer's doors, taken together, would find it filled.
 // Where this door's share of the ceiling is short, only what the ledger gave counts, and only if the door has
 // known that for a while.
-func (d *Door) spend(r *request, p *Plan, short bool) verdict {
+func (d *Balancer) spend(r *request, p *Plan, short bool) verdict {
 	c := r.c
 	r.byLedger = false
 	if d.crowded() {
@@ -335,7 +335,7 @@
 		c.tokens = 0
 	}
 	d.fillSpare(c, p)
-	calls := d.set.Counter && !r.asked && d.now >= max(c.emptyUntil, c.pauseUntil) && d.mayCall()
+	calls := d.set.UseCounter && !r.asked && d.now >= max(c.emptyUntil, c.pauseUntil) && d.mayCall()
 	switch {
 	case short && !d.seasoned(c, p):
 		d.look(c)
@@ -359,7 +359,7 @@
 		r.asked = true
 		d.ask(c, p, r.units, short)
 		return wait
-	case !short && d.now >= c.emptyUntil && c.spare > 0 && (!r.retry || !d.set.Counter):
+	case !short && d.now >= c.emptyUntil && c.spare > 0 && (!r.retry || !d.set.UseCounter):
 		c.spare -= r.units
 		r.unsure = true
 		return paid
@@ -368,21 +368,21 @@
 }
 
 // mayCall says that the counter can be asked: it answers, or this door's turn to test it has come.
-func (d *Door) mayCall() bool {
+func (d *Balancer) mayCall() bool {
 	pause := max(counterTry, time.Duration(d.living())*counterEach)
 	return !d.away && len(d.asks) < mostAsks && (d.callShare > callsFew || d.now-d.counterAt >= pause)
 }
 
 // further is by how much a lease reaches further ahead where the customer's store is nearly full: units that
 // no other door misses may lie here, the longer the more a call costs.
-func (d *Door) further(c *customer, p *Plan) time.Duration {
+func (d *Balancer) further(c *customer, p *Plan) time.Duration {
 	full := max(0, d.level(c, p)/p.Burst-fullFrom) / (1 - fullFrom)
-	return time.Duration(full * min(float64(leaseFull), d.set.CounterFee*float64(fullAhead)))
+	return time.Duration(full * min(float64(leaseFull), d.set.CounterCallCost*float64(fullAhead)))
 }
 
 // ask adds a block on the counter: the units, or what this door's demand will use. What goes out past this
 // door's share of the ceiling must not be kept for long: the ceiling's store fills meanwhile.
-func (d *Door) ask(c *customer, p *Plan, units float64, short bool) {
+func (d *Balancer) ask(c *customer, p *Plan, units float64, short bool) {
 	ahead := leaseAhead + d.further(c, p)
 	if short {
 		ahead = shortLife
@@ -406,7 +406,7 @@
 
 // counted settles a call. The counter's state shows in its answers alone: each in time lets a larger part of
 // the requests call, each late or failed one a smaller.
-func (d *Door) counted(ev Counted) {
+func (d *Balancer) counted(ev CounterResult) {
 	k := d.answered(ev.Name)
 	if k == nil {
 		return
@@ -457,7 +457,7 @@
 // grant turns a total, as it was at a time, into tokens. What the store held over its burst has overflowed,
 // and what it seems to have gained over its rate since the last look the counter has lost: both are added, if
 // worth a call and not of long ago. What the store did not hold is given back.
-func (d *Door) grant(k *call, total float64, at time.Duration) {
+func (d *Balancer) grant(k *call, total float64, at time.Duration) {
 	c := k.c
 	p := &d.set.Plans[c.plan]
 	held := p.Burst + p.Rate*(at-time.Duration(k.window)*windowLen).Seconds() - total + k.amount
@@ -523,7 +523,7 @@
 
 // ceiling fills and tells this door's share of the customer's ceiling: rate and depth divided by the doors. A
 // fresh door may have spent its share before it was restarted, so it starts empty.
-func (d *Door) ceiling(c *customer, p *Plan) float64 {
+func (d *Balancer) ceiling(c *customer, p *Plan) float64 {
 	if p.CeilingRate == 0 {
 		return math.Inf(1)
 	}
@@ -531,7 +531,7 @@
 	own := d.share(c, p)
 	if d.many(c, p) {
 		own.Rate = manyRate * (p.CeilingRate - p.Rate) / c.doors
-		own.Depth = (p.CeilingDepth - manyTakes*p.Burst) / c.doors
+		own.Depth = (p.CeilingBurst - manyTakes*p.Burst) / c.doors
 		if t, ok := d.turns(c, p); ok {
 			return d.turnOf(c, t)
 		}
@@ -558,7 +558,7 @@
 
 // room is how much of this door's share of the ceiling a request can have now. What asks for leave joins no
 // line, those would take all of the share under a flood: by its part of the demand some is kept.
-func (d *Door) room(r *request, p *Plan) float64 {
+func (d *Balancer) room(r *request, p *Plan) float64 {
 	have := d.ceiling(r.c, p)
 	if r.grant {
 		return max(r.c.kept, have-r.c.ceilQueued)
@@ -567,7 +567,7 @@
 }
 
 // latency is the time an answer takes, by recent ones: the class's mean times size and the server's slowness.
-func (d *Door) latency(r *request, s *server) float64 {
+func (d *Balancer) latency(r *request, s *server) float64 {
 	if r.grant {
 		return 0
 	}
@@ -578,12 +578,12 @@
 }
 
 // thin says from 0 to 1 how little a door learns of one server by its own sends.
-func (d *Door) thin() float64 { return 1 - min(1, d.rate/evidence) }
+func (d *Balancer) thin() float64 { return 1 - min(1, d.rate/evidence) }
 
 // choose picks a server: round robin, passing over one on which more work waits for its weight and speed, and
 // one in its pause. Where a door sends to each so rarely that what it knows is old or luck, chance has a part
 // (a departure: then all doors together give each server by its weight and speed; none is found by all).
-func (d *Door) choose(r *request) *server {
+func (d *Balancer) choose(r *request) *server {
 	var best *server
 	low, chance := math.Inf(1), d.thin()
 	d.turn++
@@ -594,7 +594,7 @@
 		}
 		cost := (s.load + s.waits + 1) * s.slow / (s.weight * d.warmth(s))
 		if s.zone != d.set.Zone {
-			cost *= zoneLeast + zoneCost*d.set.CrossZone
+			cost *= zoneLeast + zoneCost*d.set.CrossZoneCost
 		}
 		if chance > 0 {
 			cost *= 1 - chance + chance*d.rng.ExpFloat64()
@@ -619,25 +619,25 @@
 }
 
 // mayRepeat says whether a request that may have run can go to a server (rule 2).
-func (d *Door) mayRepeat(r *request, s *server) bool {
+func (d *Balancer) mayRepeat(r *request, s *server) bool {
 	if !r.ran {
 		return true
 	}
 	cl := &d.set.Classes[r.class]
-	if cl.Effect != Keyed {
-		return cl.Effect == Safe
+	if cl.Idempotency != IdempotentByKey {
+		return cl.Idempotency == Idempotent
 	}
-	return d.now < d.repeatBy(r) && (cl.Group == GroupAll ||
-		s.zone == r.ranOn.zone && (cl.Group == GroupZone || s.cell == r.ranOn.cell))
+	return d.now < d.repeatBy(r) && (cl.DedupScope == DedupAll ||
+		s.zone == r.ranOn.zone && (cl.DedupScope == DedupZone || s.cell == r.ranOn.cell))
 }
 
 // repeatBy is when the window ends in which a repeat of a keyed request is known for one, less its way there.
-func (d *Door) repeatBy(r *request) time.Duration {
-	return r.ranAt + d.set.Classes[r.class].Window - repeatWay
+func (d *Balancer) repeatBy(r *request) time.Duration {
+	return r.ranAt + d.set.Classes[r.class].DedupWindow - repeatWay
 }
 
 // place queues a request at a server and releases what may go.
-func (d *Door) place(r *request) {
+func (d *Balancer) place(r *request) {
 	if r.grant {
 		d.allow(r)
 		return
@@ -648,7 +648,7 @@
 	}
 	s := d.choose(r)
 	if s == nil && d.shut() {
-		d.refuse(r, d.set.MaxRetryAfter, ByHand)
+		d.refuse(r, d.set.MaxRetryAfter, EndpointsEjected)
 		return
 	}
 	if s == nil && !r.ran {
@@ -656,7 +656,7 @@
 		return
 	}
 	if s == nil || d.hopeless(r, s) {
-		d.refuse(r, 0, Hopeless)
+		d.refuse(r, 0, QueueTooLong)
 		return
 	}
 	d.push(r, s)
@@ -665,15 +665,15 @@
 
 // allow is the one place that grants. It counts as sent on: the ceiling's units are spent here, and the cap
 // on what is open at once holds until the work is said to be done, or the hold runs out.
-func (d *Door) allow(r *request) {
+func (d *Balancer) allow(r *request) {
 	p := &d.set.Plans[r.plan]
 	if d.now >= r.at+r.tau || !d.draw(r, p) {
-		d.refuse(r, d.refill(r.c, p, r.units), OverCeiling)
+		d.refuse(r, d.refill(r.c, p, r.units), CeilingExceeded)
 		return
 	}
 	d.release(r, true)
 	r.granted, r.holdUntil = true, d.now+r.hold
-	d.act(Grant{r.id})
+	d.act(Admit{r.id})
 	if !r.live || r.hold <= 0 {
 		d.end(r)
 		return
@@ -684,7 +684,7 @@
 // hopeless is EQ 4 seen from the back of the queue: what would come to wait for most of its time is refused
 // while the client can still try again in time (a departure: the paper lets it wait until it is stale; under
 // overload every answer then comes at the last moment, and each client's next try too late).
-func (d *Door) hopeless(r *request, s *server) bool {
+func (d *Balancer) hopeless(r *request, s *server) bool {
 	free := d.free(s)
 	if r.paid && len(r.attempts) == 0 { // what the plan pays for tells how short the servers are
 		short := 0.0
@@ -717,12 +717,12 @@
 
 // free says whether a server has a free slot. Less than one slot means a pause between sends: with many doors
 // even one request each can be too much, and what a server turns away costs it work as well.
-func (d *Door) free(s *server) bool {
+func (d *Balancer) free(s *server) bool {
 	return s.load < math.Floor(max(1, s.slots)) && d.now >= s.restUntil
 }
 
 // fill releases requests to a server while it has a slot. With nothing queued it helps the longest queue.
-func (d *Door) fill(s *server) {
+func (d *Balancer) fill(s *server) {
 	for s.usable() && d.free(s) && !d.coldFull(s) {
 		from := s
 		if s.queued == 0 && d.queued == 0 {
@@ -747,7 +747,7 @@
 // stale, in the promoted levels too (a departure: what no longer can be in time only delays the rest). EQ 4
 // goes down the levels while their summed counts, times the latency and over the slots, stay under tau*f; the
 // first level with a request is always open. The oldest request of the open levels goes.
-func (d *Door) pick(from, to *server) *request {
+func (d *Balancer) pick(from, to *server) *request {
 	var best *request
 	sum := 0.0
 	for l := range from.queue {
@@ -756,7 +756,7 @@
 			if (d.now-r.at).Seconds()+d.latency(r, to) < r.tau.Seconds()*margin {
 				break
 			}
-			d.refuse(r, 0, Stale)
+			d.refuse(r, 0, StaleInQueue)
 		}
 		if from.count[l] == 0 {
 			continue
@@ -775,25 +775,25 @@
 }
 
 // coldFull says that a cold server has had its budget: package cold says what that is.
-func (d *Door) coldFull(s *server) bool {
-	w := slowstart.Warmth{Now: d.warmth(s), Then: d.warmthAt(s, d.now-d.set.FallWindow)}
+func (d *Balancer) coldFull(s *server) bool {
+	w := slowstart.Warmth{Now: d.warmth(s), Then: d.warmthAt(s, d.now-d.set.OverloadWindow)}
 	return w.Now < 1 && s.book.Full(d.now, d.coldTerms(), d.rate*s.weight*s.share, w, d.rng.Float64)
 }
 
 // send is the one place that sends. The guards come last here, whatever was decided before.
-func (d *Door) send(r *request, s *server, trial bool) {
+func (d *Balancer) send(r *request, s *server, trial bool) {
 	p := &d.set.Plans[r.plan]
 	switch {
 	case !s.listed: // drain: nothing new from the moment it is told
 		d.place(r)
 		return
 	case r.out > 0 || len(r.attempts) >= r.most || !d.mayRepeat(r, s) || d.now >= r.at+r.tau:
-		d.refuse(r, 0, Stale)
+		d.refuse(r, 0, StaleInQueue)
 		return
 	}
 	if len(r.attempts) == 0 {
 		if !d.draw(r, p) {
-			d.refuse(r, d.refill(r.c, p, r.units), OverCeiling)
+			d.refuse(r, d.refill(r.c, p, r.units), CeilingExceeded)
 			return
 		}
 	}
@@ -816,14 +816,14 @@
 		s.book.Sent(d.now, r.size)
 	}
 	by := time.Duration(0)
-	if r.ran && d.set.Classes[r.class].Effect == Keyed {
+	if r.ran && d.set.Classes[r.class].Idempotency == IdempotentByKey {
 		by = d.repeatBy(r)
 	}
-	d.act(Send{r.id, s.name, limit, by})
+	d.act(Dispatch{r.id, s.name, limit, by})
 }
 
 // outcome takes the end of an attempt.
-func (d *Door) outcome(ev Outcome) {
+func (d *Balancer) outcome(ev AttemptResult) {
 	r := d.reqs[ev.ID]
 	if r == nil || ev.Attempt < 0 || ev.Attempt >= len(r.attempts) || !r.attempts[ev.Attempt].open {
 		return
@@ -838,17 +838,17 @@
 		return
 	}
 	s.done(a)
-	if ev.Status == Moot {
+	if ev.Status == NotSent {
 		s.book.Unsent(a.at, r.size)
 	}
-	if !r.ran && ev.Status != Full && ev.Status != ConnectFailed && ev.Status != Moot {
+	if !r.ran && ev.Status != Rejected && ev.Status != ConnectFailed && ev.Status != NotSent {
 		r.ran, r.ranAt, r.ranOn = true, a.at, s
 	}
 	d.learn(s, a, ev)
-	if ev.Status == OK && d.set.TruedUp && ev.Units > 0 && r.paid {
+	if ev.Status == OK && d.set.EstimatedUnits && ev.Units > 0 && r.paid {
 		r.c.tokens -= ev.Units - r.units
 	}
-	if ev.Closed || ev.Status == OK {
+	if ev.RequestClosed || ev.Status == OK {
 		d.end(r)
 	}
 	if r.ended {
@@ -861,7 +861,7 @@
 
 // began takes the first byte of a streamed answer: the server's work is done, and how long it takes to pass
 // the rest on says nothing of it.
-func (d *Door) began(ev FirstByte) {
+func (d *Balancer) began(ev FirstByte) {
 	r := d.reqs[ev.ID]
 	if r == nil || ev.Attempt < 0 || ev.Attempt >= len(r.attempts) || !r.attempts[ev.Attempt].open || r.stream {
 		return
@@ -869,27 +869,27 @@
 	a := r.attempts[ev.Attempt]
 	r.stream, a.begun, r.ran, r.ranAt, r.ranOn = true, true, true, a.at, a.s
 	a.s.done(a)
-	d.learn(a.s, a, Outcome{Status: OK, Latency: d.now - a.at})
+	d.learn(a.s, a, AttemptResult{Status: OK, Latency: d.now - a.at})
 	d.fill(a.s)
 }
 
 // retry sends a request on again where its class allows it and an answer could still be in time.
-func (d *Door) retry(r *request) {
+func (d *Balancer) retry(r *request) {
 	if len(r.attempts) >= r.most || (d.now-r.at).Seconds()+d.latency(r, nil) >= r.tau.Seconds() {
-		d.refuse(r, 0, NoRetry)
+		d.refuse(r, 0, RetryNotPossible)
 		return
 	}
 	d.place(r)
 }
 
 // learn takes what an outcome tells of a server: latency, slots, signs of life.
-func (d *Door) learn(s *server, a *attempt, ev Outcome) {
+func (d *Balancer) learn(s *server, a *attempt, ev AttemptResult) {
 	k := &d.learned[a.r.class]
 	took := max(1e-3, ev.Latency.Seconds()) // within a tick counts as a millisecond
 	ratio := min(took/(k.base*a.r.size), 8) // one costly request says little of its server
 	news := min(ratio, fleetWorst)
-	if ev.Status == OK || ev.Status == Full || ev.Status == Timeout && !s.ejected {
-		if ev.Status == Full {
+	if ev.Status == OK || ev.Status == Rejected || ev.Status == Timeout && !s.ejected {
+		if ev.Status == Rejected {
 			news = fleetFull
 		}
 		d.fleet += min(fleetMost, (d.now-d.fleetAt).Seconds()/fleetOver) * (news - d.fleet)
@@ -912,14 +912,14 @@
 			s.slow += slowGain * (ratio - s.slow)
 			s.slots *= lateBy
 		}
-	case OK, Failed, Full:
+	case OK, Failed, Rejected:
 		s.heard, s.lost, s.fails = d.now, 0, 0
 		if s.ejected {
 			d.restore(s, a.trial)
 		}
 	}
 	switch ev.Status {
-	case Full:
+	case Rejected:
 		s.slots = min(1, s.slots) * fullBy
 	case OK:
 		s.slow = max(0.2, s.slow+slowGain*(ratio-s.slow))
@@ -951,7 +951,7 @@
 // servers, where no level counts and where work that nobody waits for any more goes on). That floor follows
 // the class's mean down at once, and up only while so few slots are open that waiting can't be the cause: so
 // a slowness of everything is told from overload.
-func (d *Door) pace(s *server, r *request) {
+func (d *Balancer) pace(s *server, r *request) {
 	k := &d.learned[r.class]
 	if k.base < k.floor || k.answers <= floorAfter { // the first few may be small or lucky ones
 		k.floor = k.base
@@ -968,26 +968,26 @@
 }
 
 // refuse gives the final answer: a refusal where the rules let it be said, else a failure (rule 2).
-func (d *Door) refuse(r *request, pause time.Duration, why Reason) {
+func (d *Balancer) refuse(r *request, pause time.Duration, why Reason) {
 	if r.ended {
 		return
 	}
 	cl := &d.set.Classes[r.class]
 	mayHaveRun := r.ran || r.out > 0
 	d.end(r)
-	if mayHaveRun && (cl.Effect == Unsafe || cl.Effect == Keyed && cl.Group != GroupAll) {
+	if mayHaveRun && (cl.Idempotency == NonIdempotent || cl.Idempotency == IdempotentByKey && cl.DedupScope != DedupAll) {
 		d.act(Fail{r.id, why})
 	} else {
-		if !d.set.RetryAfter {
+		if !d.set.SendRetryAfter {
 			pause = 0
 		}
-		d.act(Refuse{r.id, min(pause, d.set.MaxRetryAfter), why})
+		d.act(Reject{r.id, min(pause, d.set.MaxRetryAfter), why})
 	}
 	d.forget(r)
 }
 
 // end marks a request as over and calls off what is still out.
-func (d *Door) end(r *request) {
+func (d *Balancer) end(r *request) {
 	if r.ended {
 		return
 	}
@@ -995,8 +995,8 @@
 	d.unqueue(r)
 	d.release(r, false)
 	for _, a := range r.attempts {
-		if a.open && d.set.MayCancel && !r.stream {
-			d.act(Cancel{r.id, a.no})
+		if a.open && d.set.AllowCancel && !r.stream {
+			d.act(CancelAttempt{r.id, a.no})
 		}
 	}
 	if len(r.attempts) == 0 && !r.granted && r.paid && d.set.Plans[r.plan].Rate > 0 {
@@ -1011,7 +1011,7 @@
 }
 
 // beat looks for what no event tells: silence, waiting customers, free slots.
-func (d *Door) beat() {
+func (d *Balancer) beat() {
 	d.act(SetTimer{d.now + tick, 0})
 	for _, s := range d.ring {
 		if d.now-d.beatAt < stalled { // else this door stood still, and what came meanwhile is not yet read
@@ -1042,9 +1042,9 @@
 		d.serve(c)
 	}
 	d.forgetCustomers()
-	if d.set.OnRequest && d.set.AskEvery > 0 && d.now-d.listAt > d.set.AskEvery/2 {
+	if d.set.PollEndpoints && d.set.PollInterval > 0 && d.now-d.listAt > d.set.PollInterval/2 {
 		d.listAt = d.now
-		d.act(Fetch{})
+		d.act(FetchEndpoints{})
 	}
 }
 
@@ -1052,11 +1052,11 @@
 // answers take while nothing was heard. It covers hung, cut off and stopped machines. If fewer than a quarter
 // of the servers answer, it is not this server's fault. It could harm a server that got several costly
 // requests in a row; the first late answer brings such a one back.
-func (d *Door) watchServer(s *server) {
+func (d *Balancer) watchServer(s *server) {
 	if s.ejected {
-		if s.listed && d.set.MayProbe && d.now >= s.trialAt && !s.trying {
+		if s.listed && d.set.AllowHealthChecks && d.now >= s.trialAt && !s.trying {
 			s.trying = true
-			d.act(Probe{s.name})
+			d.act(HealthCheck{s.name})
 		}
 		return
 	}
@@ -1080,36 +1080,36 @@
 }
 
 // eject stops new work to a server, moves its queue on and calls back what could still be served elsewhere.
-func (d *Door) eject(s *server) {
+func (d *Balancer) eject(s *server) {
 	s.ejected, s.trying = true, false
 	s.trialPause = max(trialFirst, time.Duration(d.rng.Int64N(int64(d.living())*int64(trialEach))))
 	s.trialAt = d.now + s.trialPause
-	d.act(Log{"no longer used: " + s.name})
-	health := Silent
+	d.act(LogLine{"no longer used: " + s.name})
+	health := Unresponsive
 	if s.fails >= failsMost {
-		health = Broken
+		health = ConnectionsBroken
 	}
-	d.act(Finding{s.name, health, s.heard})
+	d.act(HealthReport{s.name, health, s.heard})
 	d.moveQueue(s)
-	if !d.set.MayCancel {
+	if !d.set.AllowCancel {
 		return
 	}
 	for _, a := range s.outs {
 		if !a.r.ended && !a.r.stream && (d.now-a.r.at).Seconds()+d.latency(a.r, nil) < a.r.tau.Seconds() {
-			d.act(Cancel{a.r.id, a.no})
+			d.act(CancelAttempt{a.r.id, a.no})
 		}
 	}
 }
 
-func (d *Door) nextTrial(s *server) {
+func (d *Balancer) nextTrial(s *server) {
 	s.trying = false
 	s.trialPause = min(max(trialMost, time.Duration(d.living())*trialEach), s.trialPause*3/2)
 	s.trialAt = d.now + s.trialPause
 }
 
 // trialServer gives an ejected server one safe request with time for another attempt, without probes.
-func (d *Door) trialServer(r *request) *server {
-	if d.set.MayProbe || d.set.Classes[r.class].Effect != Safe || len(r.attempts) > 0 || r.most < 2 ||
+func (d *Balancer) trialServer(r *request) *server {
+	if d.set.AllowHealthChecks || d.set.Classes[r.class].Idempotency != Idempotent || len(r.attempts) > 0 || r.most < 2 ||
 		r.tau.Seconds() < trialRoom*d.latency(r, nil) {
 		return nil
 	}
@@ -1121,8 +1121,8 @@
 	return nil
 }
 
-func (d *Door) probed(ev Probed) {
-	s := d.servers[ev.Backend]
+func (d *Balancer) probed(ev HealthCheckResult) {
+	s := d.servers[ev.Endpoint]
 	if s == nil || !s.ejected {
 		return
 	}
@@ -1133,13 +1133,13 @@
 }
 
 // restore takes a server back. One that comes back from silence may have started anew: it counts as cold.
-func (d *Door) restore(s *server, fresh bool) {
+func (d *Balancer) restore(s *server, fresh bool) {
 	fresh = fresh && d.now-s.heard > restartTime
 	s.ejected, s.trying, s.fails, s.lost, s.heard = false, false, 0, 0, d.now
-	d.act(Log{"used again: " + s.name})
+	d.act(LogLine{"used again: " + s.name})
 	if fresh {
 		s.cold, s.coldAt, s.slow, s.slots = true, d.now, 1, 1
-		d.act(Finding{s.name, Cold, d.now})
+		d.act(HealthReport{s.name, WarmingUp, d.now})
 	}
 }
 
@@ -1147,11 +1147,11 @@
 // counts as two answers owed, and on broken connections as all but one: an own sign of life since outweighs
 // it, and one attempt that goes the same way settles it. A server that came back cold is cold for this door
 // too, and asked at once if left out.
-func (d *Door) evidence(f Finding) {
-	s := d.servers[f.Backend]
+func (d *Balancer) evidence(f HealthReport) {
+	s := d.servers[f.Endpoint]
 	switch {
 	case s == nil || !s.listed:
-	case f.Health == Cold:
+	case f.Health == WarmingUp:
 		if !s.ejected && d.now-s.heard < restartTime {
 			return // it has answered here while it was silent there
 		}
@@ -1160,7 +1160,7 @@
 		}
 		s.trialAt = min(s.trialAt, d.now)
 	case s.ejected:
-	case f.Health == Broken:
+	case f.Health == ConnectionsBroken:
 		s.fails = max(s.fails, failsMost-1)
 	case s.heard <= f.Since || len(s.outs) > 0 && s.heard <= s.outs[0].at: // a send is no sign of life
 		s.lost = max(s.lost, evidenceLost)
@@ -1168,8 +1168,8 @@
 }
 
 // list takes news of the backends.
-func (d *Door) list(ev List) {
-	if ev.Scope == ListFailed {
+func (d *Balancer) list(ev EndpointUpdate) {
+	if ev.Kind == UpdateFailed {
 		if !d.listAsked {
 			d.listAsked = true
 			d.listWait = min(8*time.Second, max(500*time.Millisecond, 2*d.listWait))
@@ -1181,7 +1181,7 @@
 	for _, b := range ev.Entries {
 		d.entry(b)
 	}
-	if ev.Scope != Delta {
+	if ev.Kind != Delta {
 		d.retireMissing(ev.Entries)
 	}
 	d.prune()
@@ -1192,26 +1192,26 @@
 }
 
 // entry takes what the list says of one backend. One that was started lately is cold.
-func (d *Door) entry(b Backend) {
+func (d *Balancer) entry(b Endpoint) {
 	s := d.servers[b.Name]
 	if s == nil {
-		if b.State != InService {
+		if b.State != Serving {
 			return
 		}
 		s = &server{name: b.Name, started: -1, slots: max(slotsLeast, slotsStart/d.living())}
 		d.servers[b.Name] = s
 		d.ring = append(d.ring, s)
 	}
-	if b.Started != s.started {
-		s.started, s.heard, s.slow = b.Started, d.now, 1
+	if b.StartedAt != s.started {
+		s.started, s.heard, s.slow = b.StartedAt, d.now, 1
 		s.ejected, s.trying, s.fails, s.lost = false, false, 0, 0
-		if b.Started > 0 && d.now-b.Started < d.set.WarmWithin {
-			s.cold, s.coldAt, s.slots = true, b.Started, 1
+		if b.StartedAt > 0 && d.now-b.StartedAt < d.set.SlowStartDuration {
+			s.cold, s.coldAt, s.slots = true, b.StartedAt, 1
 		}
 	}
-	s.zone, s.cell, s.weight, s.share = b.Zone, b.Cell, cmp.Or(max(0, b.Weight), 1), cmp.Or(max(0, b.Share), 1)
+	s.zone, s.cell, s.weight, s.share = b.Zone, b.Cell, cmp.Or(max(0, b.Weight), 1), cmp.Or(max(0, b.SlowStartShare), 1)
 	_, banned := d.byHand[s.name]
-	s.inList = b.State == InService
+	s.inList = b.State == Serving
 	s.listed = (s.listed || s.inList) && !banned
 	if !s.inList {
 		d.retire(s)
@@ -1220,13 +1220,13 @@
 
 // attach lets a server serve again that was taken out by hand. It may have started anew meanwhile: it is
 // cold from when the list says that it started, if that was while it was out, else from now.
-func (d *Door) attach(name string) {
+func (d *Balancer) attach(name string) {
 	since, ok := d.byHand[name]
 	if !ok {
 		return
 	}
 	delete(d.byHand, name)
-	d.act(Log{"back by hand: " + name})
+	d.act(LogLine{"back by hand: " + name})
 	s := d.servers[name]
 	if s == nil || !s.inList {
 		return
--- a/internal/balancer/door_test.go
+++ b/internal/balancer/door_test.go
@@ -15,36 +15,36 @@
 // basic is a deployment with a hard plan, a soft one with a ceiling, and one without quota.
 func basic() Settings {
 	return Settings{
-		Doors: 2, Resolution: 2 * ms, MaxAttempts: 3, MayCancel: true, RetryAfter: true, MaxRetryAfter: time.Second,
-		AnswerSlack: 8 * ms, StopSendingWithin: 500 * ms, FallMultiple: 3, FallWindow: 2 * time.Second, ColdFrom: 0.25,
-		WarmWithin: 15 * time.Second, Counter: true, CounterTimeout: 50 * ms, MaxUnits: 4,
+		Gateways: 2, Resolution: 2 * ms, MaxAttempts: 3, AllowCancel: true, SendRetryAfter: true, MaxRetryAfter: time.Second,
+		DeadlineSlack: 8 * ms, DrainGrace: 500 * ms, OverloadMultiple: 3, OverloadWindow: 2 * time.Second, SlowStartCapacity: 0.25,
+		SlowStartDuration: 15 * time.Second, UseCounter: true, CounterTimeout: 50 * ms, MaxRequestUnits: 4,
 		Classes: []Class{
-			{Worth: 1, Aim: 500 * ms, GiveUp: 2 * time.Second, Effect: Safe},
-			{Worth: 5, Aim: 600 * ms, GiveUp: 2 * time.Second, Effect: Keyed, Group: GroupCell, Window: time.Second},
-			{Worth: 5, Aim: 600 * ms, GiveUp: 2 * time.Second, Effect: Unsafe},
+			{PriorityWeight: 1, LatencyObjective: 500 * ms, ClientTimeout: 2 * time.Second, Idempotency: Idempotent},
+			{PriorityWeight: 5, LatencyObjective: 600 * ms, ClientTimeout: 2 * time.Second, Idempotency: IdempotentByKey, DedupScope: DedupCell, DedupWindow: time.Second},
+			{PriorityWeight: 5, LatencyObjective: 600 * ms, ClientTimeout: 2 * time.Second, Idempotency: NonIdempotent},
 		},
 		Plans: []Plan{
-			{Rate: 2, Burst: 8, Factor: 1, OverCost: 0.5},
-			{Rate: 10, Burst: 20, Factor: 1, OverWorth: 0.2, CeilingRate: 20, CeilingDepth: 40},
-			{Factor: 1},
-			{Rate: 100, Burst: 100, AtOnce: 4, Factor: 1, OverCost: 0.5},
+			{Rate: 2, Burst: 8, PriorityFactor: 1, OverQuotaCost: 0.5},
+			{Rate: 10, Burst: 20, PriorityFactor: 1, OverQuotaWeight: 0.2, CeilingRate: 20, CeilingBurst: 40},
+			{PriorityFactor: 1},
+			{Rate: 100, Burst: 100, MaxInFlight: 4, PriorityFactor: 1, OverQuotaCost: 0.5},
 		},
 	}
 }
 
-func open(t testing.TB, set Settings, list ...Backend) *Door {
+func open(t testing.TB, set Settings, list ...Endpoint) *Balancer {
 	t.Helper()
 	d, err := New(set, 7)
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.Step(0, []Event{List{Scope: Cached, Entries: list}})
+	d.Step(0, []Event{EndpointUpdate{Kind: CachedSnapshot, Entries: list}})
 	return d
 }
 
-func backends(n int) (list []Backend) {
+func backends(n int) (list []Endpoint) {
 	for i := range n {
-		list = append(list, Backend{Name: fmt.Sprint("b", i), Cell: i / 2, Weight: 1})
+		list = append(list, Endpoint{Name: fmt.Sprint("b", i), Cell: i / 2, Weight: 1})
 	}
 	return list
 }
@@ -60,19 +60,19 @@
 }
 
 func ask(id uint64, class, plan int) Request {
-	return Request{ID: id, Class: class, Plan: plan, Customer: "c", Left: 2 * time.Second, Units: 1}
+	return Request{ID: id, Class: class, Plan: plan, Customer: "c", TimeLeft: 2 * time.Second, Units: 1}
 }
 
-func served(s Send, n int, took time.Duration) Outcome {
-	return Outcome{ID: s.ID, Attempt: n, Backend: s.Backend, Status: OK, Latency: took, Closed: true}
+func served(s Dispatch, n int, took time.Duration) AttemptResult {
+	return AttemptResult{ID: s.ID, Attempt: n, Endpoint: s.Endpoint, Status: OK, Latency: took, RequestClosed: true}
 }
 
 func TestNonsenseSettings(t *testing.T) {
 	for name, spoil := range map[string]func(*Settings){
-		"doors": func(s *Settings) { s.Doors = 0 }, "classes": func(s *Settings) { s.Classes = nil },
+		"doors": func(s *Settings) { s.Gateways = 0 }, "classes": func(s *Settings) { s.Classes = nil },
 		"plans": func(s *Settings) { s.Plans = nil }, "attempts": func(s *Settings) { s.MaxAttempts = 0 },
-		"rate": func(s *Settings) { s.Plans[0].Rate = -1 }, "aim": func(s *Settings) { s.Classes[0].Aim = -1 },
-		"window": func(s *Settings) { s.FallWindow = -1 },
+		"rate": func(s *Settings) { s.Plans[0].Rate = -1 }, "aim": func(s *Settings) { s.Classes[0].LatencyObjective = -1 },
+		"window": func(s *Settings) { s.OverloadWindow = -1 },
 	} {
 		set := basic()
 		if spoil(&set); true {
@@ -85,13 +85,13 @@
 
 func TestNewCustomerSpendsBurstOverDoors(t *testing.T) {
 	set := basic()
-	set.Counter = false
+	set.UseCounter = false
 	d := open(t, set, backends(8)...)
 	sent, refused := 0, 0
 	for i := range 8 {
 		acts := d.Step(ms, []Event{ask(uint64(i), 0, 0)})
-		sent += len(only[Send](acts))
-		refused += len(only[Refuse](acts))
+		sent += len(only[Dispatch](acts))
+		refused += len(only[Reject](acts))
 	}
 	if sent != 4 || refused != 4 {
 		t.Errorf("sent %d, refused %d of 8; want 4 and 4", sent, refused)
@@ -99,23 +99,23 @@
 }
 
 // drain spends a customer's fallback share and returns the counter call that the next request waits for.
-func drain(t *testing.T, d *Door, now time.Duration) Count {
+func drain(t *testing.T, d *Balancer, now time.Duration) CounterAdd {
 	t.Helper()
 	for i := range 20 {
-		if c := only[Count](d.Step(now, []Event{ask(uint64(100+i), 0, 0)})); len(c) == 1 {
+		if c := only[CounterAdd](d.Step(now, []Event{ask(uint64(100+i), 0, 0)})); len(c) == 1 {
 			return c[0]
 		}
 	}
 	t.Fatal("no lease was asked for")
-	return Count{}
+	return CounterAdd{}
 }
 
 func TestLeasePromotes(t *testing.T) {
 	d := open(t, basic(), backends(8)...)
 	c := drain(t, d, ms)
 	d.Step(2*ms, []Event{ask(1, 0, 0), ask(2, 0, 0), ask(3, 0, 0), ask(4, 0, 0), ask(5, 0, 0)})
-	acts := d.Step(4*ms, []Event{Counted{c.Name, OK, c.Amount}})
-	if len(only[Send](acts)) == 0 {
+	acts := d.Step(4*ms, []Event{CounterResult{c.Name, OK, c.Amount}})
+	if len(only[Dispatch](acts)) == 0 {
 		t.Errorf("a grant sent nothing on: %v", acts)
 	}
 }
@@ -124,8 +124,8 @@
 	d := open(t, basic(), backends(8)...)
 	c := drain(t, d, ms)
 	d.Step(2*ms, []Event{ask(1, 0, 0), ask(2, 0, 0), ask(3, 0, 0), ask(4, 0, 0), ask(5, 0, 0)})
-	acts := d.Step(4*ms, []Event{Counted{c.Name, OK, c.Amount + 30}})
-	if len(only[Refuse](acts)) == 0 || len(only[Send](acts)) != 0 {
+	acts := d.Step(4*ms, []Event{CounterResult{c.Name, OK, c.Amount + 30}})
+	if len(only[Reject](acts)) == 0 || len(only[Dispatch](acts)) != 0 {
 		t.Errorf("a spent store let requests in: %v", acts)
 	}
 }
@@ -135,14 +135,14 @@
 	now, c := ms, drain(t, d, ms)
 	for i := range 12 {
 		now += 60 * ms
-		acts := d.Step(now, []Event{Counted{c.Name, Timeout, 0}, ask(uint64(10+i), 0, 0)})
-		if got := only[Count](acts); len(got) == 1 {
+		acts := d.Step(now, []Event{CounterResult{c.Name, Timeout, 0}, ask(uint64(10+i), 0, 0)})
+		if got := only[CounterAdd](acts); len(got) == 1 {
 			c = got[0]
 		}
 	}
 	now += 3 * time.Second
 	acts := d.Step(now, []Event{ask(20, 0, 0)})
-	if len(only[Send](acts)) != 1 {
+	if len(only[Dispatch](acts)) != 1 {
 		t.Errorf("the fallback share did not fill while the counter was silent: %v", acts)
 	}
 }
@@ -158,26 +158,26 @@
 	t.Helper()
 	d := open(t, basic(), backends(8)...)
 	c := drain(t, d, ms)
-	for _, back := range only[Count](d.Step(3*ms, []Event{Counted{c.Name, OK, 30}})) {
-		d.Step(5*ms, []Event{Counted{back.Name, OK, 30 + back.Amount}}) // what the store did not hold
+	for _, back := range only[CounterAdd](d.Step(3*ms, []Event{CounterResult{c.Name, OK, 30}})) {
+		d.Step(5*ms, []Event{CounterResult{back.Name, OK, 30 + back.Amount}}) // what the store did not hold
 	}
 	now := 9 * time.Second
-	var again []Count
+	var again []CounterAdd
 	for i := range 6 {
-		again = append(again, only[Count](d.Step(now, []Event{ask(uint64(50+i), 0, 0)}))...)
+		again = append(again, only[CounterAdd](d.Step(now, []Event{ask(uint64(50+i), 0, 0)}))...)
 	}
 	if len(again) == 0 {
 		t.Fatal("no call after the store has filled again")
 	}
-	acts := d.Step(now+2*ms, []Event{Counted{again[0].Name, OK, again[0].Amount + others}})
-	if granted != (len(only[Send](acts)) > 0) {
+	acts := d.Step(now+2*ms, []Event{CounterResult{again[0].Name, OK, again[0].Amount + others}})
+	if granted != (len(only[Dispatch](acts)) > 0) {
 		t.Errorf("others added %v to an emptied counter: %v", others, acts)
 	}
 }
 
 func TestSoftPlanDropsToTheLowestLevel(t *testing.T) {
 	set := basic()
-	set.Counter = false
+	set.UseCounter = false
 	set.Plans[1].CeilingRate = 0
 	d := open(t, set, backends(20)...)
 	var evs []Event
@@ -185,19 +185,19 @@
 		evs = append(evs, ask(uint64(i), 0, 1))
 	}
 	acts := d.Step(ms, evs)
-	if len(only[Refuse](acts)) != 0 {
+	if len(only[Reject](acts)) != 0 {
 		t.Errorf("a soft plan was refused beyond its quota: %v", acts)
 	}
 }
 
 func TestStaleIsRefused(t *testing.T) {
 	d := open(t, basic(), backends(1)...)
-	sends := only[Send](d.Step(ms, []Event{ask(1, 0, 0), ask(2, 0, 0), ask(3, 0, 0), ask(4, 1, 0)}))
+	sends := only[Dispatch](d.Step(ms, []Event{ask(1, 0, 0), ask(2, 0, 0), ask(3, 0, 0), ask(4, 1, 0)}))
 	if len(sends) != 2 {
 		t.Fatalf("%d of 4 sent to one backend at once", len(sends))
 	}
 	acts := d.Step(480*ms, []Event{served(sends[0], 0, 479*ms), served(sends[1], 0, 479*ms)})
-	if n := len(only[Refuse](acts)); n != 2 || len(only[Send](acts)) != 0 {
+	if n := len(only[Reject](acts)); n != 2 || len(only[Dispatch](acts)) != 0 {
 		t.Errorf("stale requests: %v, want two refusals", acts)
 	}
 }
@@ -206,9 +206,9 @@
 	set := basic()
 	set.Plans[0].Burst = 20
 	d := open(t, set, backends(1)...)
-	first := only[Send](d.Step(ms, []Event{ask(1, 0, 0), ask(2, 0, 0), ask(3, 0, 0), ask(4, 0, 0)}))
+	first := only[Dispatch](d.Step(ms, []Event{ask(1, 0, 0), ask(2, 0, 0), ask(3, 0, 0), ask(4, 0, 0)}))
 	d.Step(2*ms, []Event{ask(5, 1, 0)})
-	next := only[Send](d.Step(151*ms, []Event{served(first[0], 0, 150*ms), served(first[1], 0, 150*ms)}))
+	next := only[Dispatch](d.Step(151*ms, []Event{served(first[0], 0, 150*ms), served(first[1], 0, 150*ms)}))
 	if len(next) == 0 || next[0].ID != 5 {
 		t.Errorf("after %v went %v, want the request with the most worth", first, next)
 	}
@@ -216,10 +216,10 @@
 
 func TestDrain(t *testing.T) {
 	d := open(t, basic(), backends(2)...)
-	d.Step(ms, []Event{List{Scope: Delta, Entries: []Backend{{Name: "b0", State: Terminating}}}})
+	d.Step(ms, []Event{EndpointUpdate{Kind: Delta, Entries: []Endpoint{{Name: "b0", State: Draining}}}})
 	for i := range 20 {
-		for _, s := range only[Send](d.Step(time.Duration(i+2)*ms, []Event{ask(uint64(i), 0, 2)})) {
-			if s.Backend == "b0" {
+		for _, s := range only[Dispatch](d.Step(time.Duration(i+2)*ms, []Event{ask(uint64(i), 0, 2)})) {
+			if s.Endpoint == "b0" {
 				t.Fatal("sent to a draining backend")
 			}
 		}
@@ -233,10 +233,10 @@
 		evs = append(evs, ask(uint64(i), i%2, 2))
 	}
 	d.Step(ms, evs)
-	acts := d.Step(2*ms, []Event{List{Scope: Whole, Entries: backends(2)}})
-	acts = append(acts, d.Step(3*ms, []Event{List{Scope: Whole}})...)
-	for _, s := range only[Send](acts) {
-		if s.Backend == "b2" {
+	acts := d.Step(2*ms, []Event{EndpointUpdate{Kind: Snapshot, Entries: backends(2)}})
+	acts = append(acts, d.Step(3*ms, []Event{EndpointUpdate{Kind: Snapshot}})...)
+	for _, s := range only[Dispatch](acts) {
+		if s.Endpoint == "b2" {
 			t.Error("sent to a gone backend")
 		}
 	}
@@ -245,14 +245,14 @@
 func TestNoEffectTwice(t *testing.T) {
 	for class, st := range map[int]Status{1: Failed, 2: Reset} {
 		d := open(t, basic(), backends(4)...)
-		s := only[Send](d.Step(ms, []Event{ask(1, class, 2)}))[0]
-		acts := d.Step(20*ms, []Event{Outcome{ID: 1, Backend: s.Backend, Status: st, Latency: 19 * ms}})
-		again, failed := only[Send](acts), only[Fail](acts)
+		s := only[Dispatch](d.Step(ms, []Event{ask(1, class, 2)}))[0]
+		acts := d.Step(20*ms, []Event{AttemptResult{ID: 1, Endpoint: s.Endpoint, Status: st, Latency: 19 * ms}})
+		again, failed := only[Dispatch](acts), only[Fail](acts)
 		if class == 2 && (len(again) != 0 || len(failed) != 1) {
 			t.Errorf("an unsafe request that may have run: %v", acts)
 		}
 		cell := map[string]int{"b0": 0, "b1": 0, "b2": 1, "b3": 1}
-		if class == 1 && (len(again) != 1 || cell[again[0].Backend] != cell[s.Backend]) {
+		if class == 1 && (len(again) != 1 || cell[again[0].Endpoint] != cell[s.Endpoint]) {
 			t.Errorf("a keyed request left its cell: %v after %v", acts, s)
 		}
 	}
@@ -260,14 +260,14 @@
 
 func TestColdBackendGetsLess(t *testing.T) {
 	list := backends(4)
-	list[0].Started = 99 * time.Second
+	list[0].StartedAt = 99 * time.Second
 	d, _ := New(basic(), 7)
-	d.Step(100*time.Second, []Event{List{Scope: Cached, Entries: list}})
+	d.Step(100*time.Second, []Event{EndpointUpdate{Kind: CachedSnapshot, Entries: list}})
 	got, now := map[string]int{}, 100*time.Second
 	for i := range 150 {
 		now += 10 * ms
-		for _, s := range only[Send](d.Step(now, []Event{ask(uint64(i), 0, 2)})) {
-			got[s.Backend]++
+		for _, s := range only[Dispatch](d.Step(now, []Event{ask(uint64(i), 0, 2)})) {
+			got[s.Endpoint]++
 			now += ms
 			d.Step(now, []Event{served(s, 0, ms)})
 		}
@@ -279,12 +279,12 @@
 
 func TestCeilingShareOfAFreshDoor(t *testing.T) {
 	set := basic()
-	set.Counter = false
+	set.UseCounter = false
 	d := open(t, set, backends(40)...)
 	sent := 0
 	for i := range 1000 {
 		now := time.Duration(i+1) * ms
-		for _, s := range only[Send](d.Step(now, []Event{ask(uint64(i), 0, 1)})) {
+		for _, s := range only[Dispatch](d.Step(now, []Event{ask(uint64(i), 0, 1)})) {
 			sent++
 			d.Step(now, []Event{served(s, 0, 0)})
 		}
@@ -300,7 +300,7 @@
 	for i := range 10 {
 		evs = append(evs, ask(uint64(i), 0, 3))
 	}
-	if n := len(only[Send](d.Step(ms, evs))); n != 2 {
+	if n := len(only[Dispatch](d.Step(ms, evs))); n != 2 {
 		t.Errorf("%d attempts out for a cap of 4 over 2 doors", n)
 	}
 }
@@ -309,7 +309,7 @@
 	set := basic()
 	for others, want := range map[float64]int{0: 3, 200: 2} {
 		d := open(t, set, backends(10)...)
-		for _, s := range only[Send](d.Step(ms, []Event{ask(1, 0, 3)})) {
+		for _, s := range only[Dispatch](d.Step(ms, []Event{ask(1, 0, 3)})) {
 			d.Step(51*ms, []Event{served(s, 0, 50*ms)})
 		}
 		c := d.customers["c"]
@@ -318,7 +318,7 @@
 		for i := range 10 {
 			evs = append(evs, ask(uint64(100+i), 0, 3))
 		}
-		if n := len(only[Send](d.Step(52*ms, evs))); n != want {
+		if n := len(only[Dispatch](d.Step(52*ms, evs))); n != want {
 			t.Errorf("others add %v a second: %d attempts out, want %d", others, n, want)
 		}
 	}
@@ -327,27 +327,27 @@
 func TestSilentBackendIsLeft(t *testing.T) {
 	d := open(t, basic(), backends(4)...)
 	now, id := ms, uint64(0)
-	var open, lost []Send
+	var open, lost []Dispatch
 	var openAt, lostAt []time.Duration
 	late, left := 0, false
 	for range 400 {
 		now += 5 * ms
 		id++
-		evs := []Event{ask(id, 0, 2), Timer{0}}
+		evs := []Event{ask(id, 0, 2), TimerFired{0}}
 		for len(open) > 0 && now >= openAt[0]+40*ms {
 			evs = append(evs, served(open[0], 0, 40*ms))
 			open, openAt = open[1:], openAt[1:]
 		}
 		for len(lost) > 0 && now >= lostAt[0]+lost[0].Timeout {
-			evs = append(evs, Outcome{ID: lost[0].ID, Backend: "b0", Status: Timeout, Latency: lost[0].Timeout})
+			evs = append(evs, AttemptResult{ID: lost[0].ID, Endpoint: "b0", Status: Timeout, Latency: lost[0].Timeout})
 			lost, lostAt = lost[1:], lostAt[1:]
 		}
 		acts := d.Step(now, evs)
-		for _, l := range only[Log](acts) {
+		for _, l := range only[LogLine](acts) {
 			left = left || l.Text == "no longer used: b0"
 		}
-		for _, s := range only[Send](acts) {
-			if s.Backend != "b0" {
+		for _, s := range only[Dispatch](acts) {
+			if s.Endpoint != "b0" {
 				open, openAt = append(open, s), append(openAt, now)
 			} else {
 				lost, lostAt = append(lost, s), append(lostAt, now)
@@ -366,16 +366,16 @@
 // attempts would be moved. Several in a row must, and an answer between them counts.
 func TestBrokenConnections(t *testing.T) {
 	set := basic()
-	set.MaxAttempts, set.Counter = 1, false
+	set.MaxAttempts, set.UseCounter = 1, false
 	d := open(t, set, backends(1)...)
 	s := d.servers["b0"]
 	for i, status := range []Status{Reset, Reset, OK, ConnectFailed, Reset, ConnectFailed} {
 		now := time.Duration(i) * 100 * ms
-		sends := only[Send](d.Step(now, []Event{ask(uint64(i+1), 0, 2)}))
+		sends := only[Dispatch](d.Step(now, []Event{ask(uint64(i+1), 0, 2)}))
 		if len(sends) != 1 || s.ejected {
 			t.Fatalf("before outcome %d: sent %v, left out %v", i, sends, s.ejected)
 		}
-		d.Step(now+10*ms, []Event{Outcome{ID: sends[0].ID, Backend: "b0", Status: status, Latency: 10 * ms, Closed: status == OK}})
+		d.Step(now+10*ms, []Event{AttemptResult{ID: sends[0].ID, Endpoint: "b0", Status: status, Latency: 10 * ms, RequestClosed: status == OK}})
 	}
 	if !s.ejected {
 		t.Error("three in a row, and it is still used")
@@ -402,19 +402,19 @@
 
 func TestOddEvents(t *testing.T) {
 	d := open(t, basic())
-	if acts := d.Step(ms, []Event{ask(1, 0, 2), Outcome{ID: 9}, Outcome{ID: 1, Attempt: 3}, Gone{77}, Timer{55}, Timer{2},
-		Counted{Name: 5}, FirstByte{ID: 4}, Probed{Backend: "x"}, Message{}, List{Scope: ListFailed}}); len(only[Send](acts)) != 0 {
+	if acts := d.Step(ms, []Event{ask(1, 0, 2), AttemptResult{ID: 9}, AttemptResult{ID: 1, Attempt: 3}, RequestDone{77}, TimerFired{55}, TimerFired{2},
+		CounterResult{Name: 5}, FirstByte{ID: 4}, HealthCheckResult{Endpoint: "x"}, Message{}, EndpointUpdate{Kind: UpdateFailed}}); len(only[Dispatch](acts)) != 0 {
 		t.Errorf("sent without a backend: %v", acts)
 	}
-	if acts := d.Step(500*ms, []Event{Timer{1<<1 | 1}}); len(only[Refuse](acts)) != 1 {
+	if acts := d.Step(500*ms, []Event{TimerFired{1<<1 | 1}}); len(only[Reject](acts)) != 1 {
 		t.Errorf("no final answer without a backend: %v", acts)
 	}
-	if acts := d.Step(501*ms, []Event{Timer{1<<1 | 1}, Gone{1}}); len(acts) != 0 {
+	if acts := d.Step(501*ms, []Event{TimerFired{1<<1 | 1}, RequestDone{1}}); len(acts) != 0 {
 		t.Errorf("a second answer: %v", acts)
 	}
 	short := ask(2, 0, 2)
-	short.Left = 0
-	if acts := d.Step(502*ms, []Event{short, Request{ID: 3, Class: 99}}); len(only[Refuse](acts)) != 2 {
+	short.TimeLeft = 0
+	if acts := d.Step(502*ms, []Event{short, Request{ID: 3, Class: 99}}); len(only[Reject](acts)) != 2 {
 		t.Errorf("no time left, unknown class: %v", acts)
 	}
 }
@@ -425,13 +425,13 @@
 	for i := range 500 {
 		r := ask(uint64(i), 0, 0)
 		r.Customer = fmt.Sprint("once", i)
-		for _, s := range only[Send](d.Step(ms, []Event{r})) {
+		for _, s := range only[Dispatch](d.Step(ms, []Event{r})) {
 			d.Step(ms, []Event{served(s, 0, 0)})
 		}
-		d.Step(ms, []Event{Gone{r.ID}})
+		d.Step(ms, []Event{RequestDone{r.ID}})
 	}
 	for i := range 200 {
-		d.Step(70*time.Second+time.Duration(i)*ms, []Event{Timer{0}})
+		d.Step(70*time.Second+time.Duration(i)*ms, []Event{TimerFired{0}})
 	}
 	if len(d.reqs) != 0 || len(d.customers) != 0 || len(d.order) != 0 {
 		t.Errorf("left: %d requests, %d customers", len(d.reqs), len(d.customers))
@@ -442,17 +442,17 @@
 // is refused at once, with the time to stay away; and the less it is worth, the sooner.
 func TestLineForTheCeilingStaysShort(t *testing.T) {
 	set := basic()
-	set.Counter = false
+	set.UseCounter = false
 	d := open(t, set, backends(2)...)
 	waits := map[int]int{}
 	id, told := uint64(1), 0
 	for class := range 2 {
 		for range 60 {
-			acts := d.Step(time.Second, []Event{Request{ID: id, Class: class, Plan: 1, Customer: "c", Left: 2 * time.Second,
+			acts := d.Step(time.Second, []Event{Request{ID: id, Class: class, Plan: 1, Customer: "c", TimeLeft: 2 * time.Second,
 				Units: 1}})
-			if refused := only[Refuse](acts); len(refused) == 0 && len(only[Send](acts)) == 0 && d.reqs[id].on == nil {
+			if refused := only[Reject](acts); len(refused) == 0 && len(only[Dispatch](acts)) == 0 && d.reqs[id].on == nil {
 				waits[class]++
-			} else if len(refused) > 0 && refused[0].Pause > 0 {
+			} else if len(refused) > 0 && refused[0].RetryAfter > 0 {
 				told++
 			}
 			id++
@@ -492,12 +492,12 @@
 	list := backends(5)
 	d := open(t, set, list...)
 	type sent struct {
-		Send
+		Dispatch
 		no int
 		at time.Duration
 	}
 	var outs []sent
-	var counts []Count
+	var counts []CounterAdd
 	var timers []SetTimer
 	due, class := map[uint64]time.Duration{}, map[uint64]int{}
 	tries, ran, dead, total := map[uint64]int{}, map[uint64]string{}, map[string]bool{}, map[uint64]float64{}
@@ -512,8 +512,8 @@
 			}
 			id++
 			r := Request{ID: id, Class: rng.IntN(3), Plan: rng.IntN(4), Customer: fmt.Sprint("c", rng.IntN(6)),
-				Left: time.Duration(rng.IntN(2000)) * ms, Units: 1 + float64(rng.IntN(3)), Doors: rng.IntN(3)}
-			due[id], class[id] = now+r.Left, r.Class
+				TimeLeft: time.Duration(rng.IntN(2000)) * ms, Units: 1 + float64(rng.IntN(3)), Gateways: rng.IntN(3)}
+			due[id], class[id] = now+r.TimeLeft, r.Class
 			evs = append(evs, r)
 		}
 		for i := 0; i < len(outs); i++ {
@@ -530,36 +530,36 @@
 			_, owed := due[o.ID]
 			if st == OK {
 				delete(due, o.ID)
-			} else if st != Full && st != ConnectFailed && st != Moot {
-				ran[o.ID] = o.Backend
+			} else if st != Rejected && st != ConnectFailed && st != NotSent {
+				ran[o.ID] = o.Endpoint
 			}
-			evs = append(evs, Outcome{ID: o.ID, Attempt: o.no, Backend: o.Backend, Status: st, Latency: now - o.at,
-				Closed: st == OK || !owed})
+			evs = append(evs, AttemptResult{ID: o.ID, Attempt: o.no, Endpoint: o.Endpoint, Status: st, Latency: now - o.at,
+				RequestClosed: st == OK || !owed})
 		}
 		for len(counts) > 0 && rng.IntN(2) == 0 {
 			c := counts[0]
 			counts = counts[1:]
-			st := []Status{OK, OK, OK, Timeout, Full}[rng.IntN(5)]
-			if st != Full {
+			st := []Status{OK, OK, OK, Timeout, Rejected}[rng.IntN(5)]
+			if st != Rejected {
 				total[c.Name] += c.Amount
 			}
 			if rng.IntN(50) == 0 {
 				total[c.Name] = 0
 			}
-			evs = append(evs, Counted{c.Name, st, total[c.Name]})
+			evs = append(evs, CounterResult{c.Name, st, total[c.Name]})
 		}
 		if rng.IntN(40) == 0 {
 			i := rng.IntN(len(list))
 			b := list[i]
-			b.State = State(rng.IntN(3))
-			b.Started = now * time.Duration(rng.IntN(2))
-			dead[b.Name] = b.State != InService
-			evs = append([]Event{List{Scope: Delta, Entries: []Backend{b}}}, evs...)
+			b.State = EndpointState(rng.IntN(3))
+			b.StartedAt = now * time.Duration(rng.IntN(2))
+			dead[b.Name] = b.State != Serving
+			evs = append([]Event{EndpointUpdate{Kind: Delta, Entries: []Endpoint{b}}}, evs...)
 		}
 		keep := timers[:0]
 		for _, x := range timers {
 			if x.At <= now {
-				evs = append(evs, Timer{x.Cookie})
+				evs = append(evs, TimerFired{x.Cookie})
 			} else {
 				keep = append(keep, x)
 			}
@@ -569,14 +569,14 @@
 		all = append(all, acts...)
 		for _, a := range acts {
 			switch a := a.(type) {
-			case Send:
+			case Dispatch:
 				if _, ok := due[a.ID]; !ok {
 					t.Fatalf("seed %d: sent after the end: %v", seed, a)
 				}
-				if dead[a.Backend] {
+				if dead[a.Endpoint] {
 					t.Fatalf("seed %d: sent to a backend that is draining: %v", seed, a)
 				}
-				if b, may := ran[a.ID]; may && (class[a.ID] == 2 || class[a.ID] == 1 && cellOf(list, b) != cellOf(list, a.Backend)) {
+				if b, may := ran[a.ID]; may && (class[a.ID] == 2 || class[a.ID] == 1 && cellOf(list, b) != cellOf(list, a.Endpoint)) {
 					t.Fatalf("seed %d: an effect twice: %v", seed, a)
 				}
 				if live[a.ID]++; live[a.ID] > 1 || tries[a.ID] >= set.MaxAttempts {
@@ -584,7 +584,7 @@
 				}
 				outs = append(outs, sent{a, tries[a.ID], now})
 				tries[a.ID]++
-			case Refuse:
+			case Reject:
 				if _, ok := due[a.ID]; !ok {
 					t.Fatalf("seed %d: refused after the end: %v", seed, a)
 				}
@@ -597,7 +597,7 @@
 					t.Fatalf("seed %d: failed after the end: %v", seed, a)
 				}
 				delete(due, a.ID)
-			case Count:
+			case CounterAdd:
 				counts = append(counts, a)
 			case SetTimer:
 				if a.At <= now {
@@ -615,7 +615,7 @@
 	return all
 }
 
-func cellOf(list []Backend, name string) int {
+func cellOf(list []Endpoint, name string) int {
 	for _, b := range list {
 		if b.Name == name {
 			return b.Cell
--- a/internal/balancer/evidence_test.go
+++ b/internal/balancer/evidence_test.go
@@ -8,7 +8,7 @@
 
 // fleetOf plays a door's servers: all answer within 50 ms but the silent one, on which attempts end by their time.
 type fleetOf struct {
-	d      *Door
+	d      *Balancer
 	silent string
 	now    time.Duration
 	id     uint64
@@ -16,7 +16,7 @@
 }
 
 type sentAt struct {
-	Send
+	Dispatch
 	until time.Duration
 }
 
@@ -29,19 +29,19 @@
 }
 
 type borne struct {
-	d    *Door
-	s    Send
+	d    *Balancer
+	s    Dispatch
 	size float64
 	at   time.Duration
 }
 
-func (b *bearer) take(now time.Duration, d *Door, s Send, size float64) {
+func (b *bearer) take(now time.Duration, d *Balancer, s Dispatch, size float64) {
 	b.line = append(b.line, borne{d, s, size, now})
 }
 
 // step answers what is done by now, and returns what the doors want then.
-func (b *bearer) step(now time.Duration) (acts map[*Door][]Action) {
-	acts = map[*Door][]Action{}
+func (b *bearer) step(now time.Duration) (acts map[*Balancer][]Action) {
+	acts = map[*Balancer][]Action{}
 	b.done += b.can(now) * (now - b.at).Seconds()
 	for b.at = now; len(b.line) > 0 && b.done >= b.line[0].size; b.line = b.line[1:] {
 		r := b.line[0]
@@ -57,23 +57,23 @@
 // warming is what a backend can do that has started at a time, and carries so much a second when it is warm.
 func warming(set Settings, start time.Duration, rate float64) func(time.Duration) float64 {
 	return func(now time.Duration) float64 {
-		return rate * (set.ColdFrom + (1-set.ColdFrom)*min(1, (now-start).Seconds()/set.WarmWithin.Seconds()))
+		return rate * (set.SlowStartCapacity + (1-set.SlowStartCapacity)*min(1, (now-start).Seconds()/set.SlowStartDuration.Seconds()))
 	}
 }
 
 // step goes on by 10 ms with so many new requests, and returns what the door says of its servers.
-func (f *fleetOf) step(asks int, more ...Event) []Finding {
+func (f *fleetOf) step(asks int, more ...Event) []HealthReport {
 	f.now += 10 * ms
-	evs := append(more, Timer{0})
+	evs := append(more, TimerFired{0})
 	var left []sentAt
 	for _, s := range f.out {
 		if f.now < s.until {
 			left = append(left, s)
 			continue
 		}
-		o := served(s.Send, 0, 50*ms)
-		if s.Backend == f.silent {
-			o.Status, o.Latency, o.Closed = Timeout, s.Timeout, true
+		o := served(s.Dispatch, 0, 50*ms)
+		if s.Endpoint == f.silent {
+			o.Status, o.Latency, o.RequestClosed = Timeout, s.Timeout, true
 		}
 		evs = append(evs, o)
 	}
@@ -84,14 +84,14 @@
 	}
 	acts := f.d.Step(f.now, evs)
 	f.sent(acts)
-	return only[Finding](acts)
+	return only[HealthReport](acts)
 }
 
 // sent notes what the door sends.
 func (f *fleetOf) sent(acts []Action) {
-	for _, s := range only[Send](acts) {
+	for _, s := range only[Dispatch](acts) {
 		until := f.now + 50*ms
-		if s.Backend == f.silent {
+		if s.Endpoint == f.silent {
 			until = f.now + s.Timeout
 		}
 		f.out = append(f.out, sentAt{s, until})
@@ -101,17 +101,17 @@
 // lend leaves what was just sent to b0 to a bearer.
 func (f *fleetOf) lend(b *bearer, sent *[]time.Duration) {
 	f.out = slices.DeleteFunc(f.out, func(s sentAt) bool {
-		if s.Backend != "b0" || s.until != f.now+50*ms {
+		if s.Endpoint != "b0" || s.until != f.now+50*ms {
 			return false
 		}
-		b.take(f.now, f.d, s.Send, 1)
+		b.take(f.now, f.d, s.Dispatch, 1)
 		*sent = append(*sent, f.now)
 		return true
 	})
 }
 
 // leaves goes on until the door leaves the silent server out, and says how long that took from its first attempt there.
-func (f *fleetOf) leaves(t *testing.T, asks int) (Finding, time.Duration) {
+func (f *fleetOf) leaves(t *testing.T, asks int) (HealthReport, time.Duration) {
 	t.Helper()
 	first := time.Duration(0)
 	for range 2000 {
@@ -124,12 +124,12 @@
 		}
 	}
 	t.Fatal("a server that says nothing is never left out")
-	return Finding{}, 0
+	return HealthReport{}, 0
 }
 
 func lone() Settings {
 	set := basic()
-	set.Doors, set.Counter, set.MayProbe = 1, false, true
+	set.Gateways, set.UseCounter, set.AllowHealthChecks = 1, false, true
 	return set
 }
 
@@ -145,7 +145,7 @@
 		return f
 	}
 	f := play()
-	if got, _ := f.leaves(t, 3); got.Health != Silent || got.Backend != "b0" || got.Since > f.now-quietLeast {
+	if got, _ := f.leaves(t, 3); got.Health != Unresponsive || got.Endpoint != "b0" || got.Since > f.now-quietLeast {
 		t.Fatalf("%+v at %v", got, f.now)
 	}
 	// A door that asks little, with and without the word of another.
@@ -155,7 +155,7 @@
 	for range 20 { // it has been quiet here since before the other's word
 		told.step(0)
 	}
-	told.step(0, Finding{"b0", Silent, told.now})
+	told.step(0, HealthReport{"b0", Unresponsive, told.now})
 	_, with := told.leaves(t, 1)
 	if with > quietLeast+100*ms || with >= without {
 		t.Errorf("left out after %v with the other's word, %v without", with, without)
@@ -167,7 +167,7 @@
 	for range 50 {
 		heard.step(1)
 	}
-	heard.step(0, Finding{"b0", Silent, since})
+	heard.step(0, HealthReport{"b0", Unresponsive, since})
 	if s := heard.d.servers["b0"]; s.lost > 0 || s.ejected {
 		t.Errorf("another's word outweighs an own sign of life: %+v", s)
 	}
@@ -178,19 +178,19 @@
 	breaks := func(told bool) (n int) {
 		d := open(t, lone(), backends(2)...)
 		if told {
-			d.Step(ms, []Event{Finding{"b0", Broken, 0}})
+			d.Step(ms, []Event{HealthReport{"b0", ConnectionsBroken, 0}})
 		}
 		for i := range 200 {
 			now := time.Duration(i+1) * 10 * ms
-			for _, s := range only[Send](d.Step(now, []Event{ask(uint64(i), 0, 2)})) {
-				if s.Backend != "b0" {
+			for _, s := range only[Dispatch](d.Step(now, []Event{ask(uint64(i), 0, 2)})) {
+				if s.Endpoint != "b0" {
 					d.Step(now+ms, []Event{served(s, 0, ms)})
 					continue
 				}
 				n++
-				acts := d.Step(now+ms, []Event{Outcome{ID: s.ID, Backend: "b0", Status: ConnectFailed}})
-				if f := only[Finding](acts); len(f) > 0 {
-					if f[0].Health != Broken || f[0].Backend != "b0" {
+				acts := d.Step(now+ms, []Event{AttemptResult{ID: s.ID, Endpoint: "b0", Status: ConnectFailed}})
+				if f := only[HealthReport](acts); len(f) > 0 {
+					if f[0].Health != ConnectionsBroken || f[0].Endpoint != "b0" {
 						t.Errorf("%+v", f)
 					}
 					return n
@@ -211,11 +211,11 @@
 	cold := func(busy bool) *server {
 		d := open(t, lone(), backends(1)...)
 		for now := 10 * ms; busy && now < back; now += 100 * ms {
-			for _, s := range only[Send](d.Step(now, []Event{ask(uint64(now), 0, 2)})) {
+			for _, s := range only[Dispatch](d.Step(now, []Event{ask(uint64(now), 0, 2)})) {
 				d.Step(now+ms, []Event{served(s, 0, ms)})
 			}
 		}
-		d.Step(back, []Event{Finding{"b0", Cold, back - ms}, Finding{"other", Cold, back}})
+		d.Step(back, []Event{HealthReport{"b0", WarmingUp, back - ms}, HealthReport{"other", WarmingUp, back}})
 		return d.servers["b0"]
 	}
 	if s := cold(false); !s.cold || s.coldAt != back-ms {
@@ -228,14 +228,14 @@
 	s, p := d.servers["b0"], &fleetOf{d: d, silent: "b0"}
 	f, _ := p.leaves(t, 3)
 	now := p.now
-	if !s.ejected || len(only[Probe](d.Step(now+20*ms, []Event{Timer{0}}))) > 0 {
+	if !s.ejected || len(only[HealthCheck](d.Step(now+20*ms, []Event{TimerFired{0}}))) > 0 {
 		t.Fatalf("%+v", f)
 	}
-	if p := only[Probe](d.Step(now+40*ms, []Event{Finding{"b0", Cold, now}, Timer{0}})); len(p) != 1 {
+	if p := only[HealthCheck](d.Step(now+40*ms, []Event{HealthReport{"b0", WarmingUp, now}, TimerFired{0}})); len(p) != 1 {
 		t.Error("it is not asked at once")
 	}
-	acts := d.Step(now+5*time.Second, []Event{Probed{"b0", OK}})
-	if c := only[Finding](acts); len(c) != 1 || c[0].Health != Cold {
+	acts := d.Step(now+5*time.Second, []Event{HealthCheckResult{"b0", OK}})
+	if c := only[HealthReport](acts); len(c) != 1 || c[0].Health != WarmingUp {
 		t.Errorf("a cold return is not told: %v", acts)
 	}
 }
@@ -243,7 +243,7 @@
 // Two pools that share a server send it, while it is cold and both are flooded, no more together than it bears in any window.
 func TestPoolsColdServerBearsOneBudget(t *testing.T) {
 	set := lone()
-	set.FallWindow = 2 * time.Second
+	set.OverloadWindow = 2 * time.Second
 	pools := []*fleetOf{{d: open(t, set, backends(4)...)}, {d: open(t, set, backends(4)...)}}
 	warm := 0
 	for range 3000 { // 30 s: what a warm server carries
@@ -254,7 +254,7 @@
 	}
 	capacity := float64(warm) / 30 / 4 // answers a second of one server, of both pools
 	start := pools[0].now
-	cold := Backend{Name: "b0", Weight: 1, Started: start, Share: 0.5}
+	cold := Endpoint{Name: "b0", Weight: 1, StartedAt: start, SlowStartShare: 0.5}
 	b := &bearer{can: warming(set, start, capacity), at: start}
 	var sent []time.Duration
 	for i := range 1700 { // longer than it takes to be warm
@@ -262,13 +262,13 @@
 			var more []Event
 			switch i {
 			case 0:
-				more = []Event{List{Entries: []Backend{cold}}}
+				more = []Event{EndpointUpdate{Entries: []Endpoint{cold}}}
 			case 100: // the worst case: it is all that is left
 				gone := backends(4)[1:]
 				for j := range gone {
-					gone[j].State = Terminating
+					gone[j].State = Draining
 				}
-				more = []Event{List{Entries: gone}}
+				more = []Event{EndpointUpdate{Entries: gone}}
 			}
 			p.step(6, more...)
 			p.lend(b, &sent)
@@ -288,17 +288,17 @@
 	for i, from := range sent {
 		n := 0
 		for _, at := range sent[i:] {
-			if at-from < set.FallWindow {
+			if at-from < set.OverloadWindow {
 				n++
 			}
 		}
 		age := (from - start).Seconds()
-		if age > set.WarmWithin.Seconds()-set.FallWindow.Seconds() {
+		if age > set.SlowStartDuration.Seconds()-set.OverloadWindow.Seconds() {
 			break
 		}
-		has := set.ColdFrom + (1-set.ColdFrom)*age/set.WarmWithin.Seconds()
-		if most := set.FallMultiple * has * capacity * set.FallWindow.Seconds(); float64(n) > most {
-			t.Fatalf("%d sends within %v at the age of %.1f s; it bears %.0f", n, set.FallWindow, age, most)
+		has := set.SlowStartCapacity + (1-set.SlowStartCapacity)*age/set.SlowStartDuration.Seconds()
+		if most := set.OverloadMultiple * has * capacity * set.OverloadWindow.Seconds(); float64(n) > most {
+			t.Fatalf("%d sends within %v at the age of %.1f s; it bears %.0f", n, set.OverloadWindow, age, most)
 		}
 	}
 }
--- a/internal/balancer/golden_test.go
+++ b/internal/balancer/golden_test.go
@@ -43,7 +43,7 @@
 
 // attempt is a dispatched attempt that has no result yet.
 type attempt struct {
-	balancer.Send
+	balancer.Dispatch
 	number int
 	sentAt time.Duration
 	begun  bool
@@ -59,7 +59,7 @@
 // instance is one driven gateway.
 type instance struct {
 	index    int
-	module   *balancer.Door
+	module   *balancer.Balancer
 	lastID   uint64
 	attempts []*attempt
 	counts   map[uint64]int // attempts so far, by request
@@ -74,7 +74,7 @@
 	now       time.Duration
 	trace     *golden.Trace
 	instances []*instance
-	list      []balancer.Backend
+	list      []balancer.Endpoint
 	totals    map[uint64]float64
 	lastCalls map[string]time.Duration
 }
@@ -90,7 +90,7 @@
 		totals: map[uint64]float64{},
 	}
 	for i := range p.backends {
-		r.list = append(r.list, balancer.Backend{
+		r.list = append(r.list, balancer.Endpoint{
 			Name:   fmt.Sprint("b-", i),
 			Zone:   i % 3,
 			Cell:   i / 2,
@@ -121,7 +121,7 @@
 func (r *run) start(t *testing.T, index int) *instance {
 	t.Helper()
 	settings := r.settings
-	settings.Rank = index
+	settings.Index = index
 	settings.Classes = slices.Clone(settings.Classes)
 	settings.Plans = slices.Clone(settings.Plans)
 	module, err := balancer.New(settings, r.seed*1000+uint64(index))
@@ -134,9 +134,9 @@
 	} else {
 		r.instances = append(r.instances, in)
 	}
-	r.step(in, []balancer.Event{balancer.List{Scope: balancer.Cached, Entries: slices.Clone(r.list)}})
+	r.step(in, []balancer.Event{balancer.EndpointUpdate{Kind: balancer.CachedSnapshot, Entries: slices.Clone(r.list)}})
 	if r.loans {
-		r.step(in, []balancer.Event{balancer.Sharing{Part: 1 / float64(r.gateways), Until: r.now + 2*time.Second}})
+		r.step(in, []balancer.Event{balancer.ShareUpdate{Fraction: 1 / float64(r.gateways), Until: r.now + 2*time.Second}})
 	}
 	return in
 }
@@ -147,7 +147,7 @@
 	if r.reload {
 		settings := r.settings
 		settings.Classes = append(slices.Clone(settings.Classes), settings.Classes[0])
-		settings.Classes[0].Worth *= 2
+		settings.Classes[0].PriorityWeight *= 2
 		settings.Plans = slices.Clone(settings.Plans)
 		for i := range settings.Plans {
 			settings.Plans[i].Rate *= 0.7
@@ -160,23 +160,23 @@
 		from = append(from, -1)
 		for _, in := range r.instances {
 			own := settings
-			own.Rank = in.index
-			r.step(in, []balancer.Event{balancer.Retune{Settings: own, From: from}})
+			own.Index = in.index
+			r.step(in, []balancer.Event{balancer.SettingsUpdate{Settings: own, EvidenceFrom: from}})
 		}
 	}
 	if r.handover {
 		for i, in := range r.instances {
-			var state balancer.Memory
-			for _, action := range r.step(in, []balancer.Event{balancer.Leave{}}) {
-				if handed, ok := action.(balancer.Handed); ok {
-					state = handed.Memory
+			var state balancer.HandoverState
+			for _, action := range r.step(in, []balancer.Event{balancer.BeginHandover{}}) {
+				if handed, ok := action.(balancer.HandoverReady); ok {
+					state = handed.State
 				}
 			}
 			if i%2 == 1 { // it comes to nothing: the old one goes on
-				r.step(in, []balancer.Event{balancer.Recall{Memory: state}})
+				r.step(in, []balancer.Event{balancer.ImportHandover{State: state}})
 				continue
 			}
-			r.step(r.start(t, i), []balancer.Event{balancer.Recall{Memory: state}})
+			r.step(r.start(t, i), []balancer.Event{balancer.ImportHandover{State: state}})
 		}
 	}
 }
@@ -188,17 +188,17 @@
 	}
 	at := r.rng.IntN(len(r.list))
 	entry := &r.list[at]
-	entry.State = balancer.State(r.rng.IntN(3))
+	entry.State = balancer.EndpointState(r.rng.IntN(3))
 	if r.rng.IntN(2) == 0 {
-		entry.State = balancer.InService
-		entry.Started = r.now
+		entry.State = balancer.Serving
+		entry.StartedAt = r.now
 	}
-	update := balancer.List{Scope: balancer.Delta, Entries: []balancer.Backend{*entry}}
+	update := balancer.EndpointUpdate{Kind: balancer.Delta, Entries: []balancer.Endpoint{*entry}}
 	switch r.rng.IntN(5) {
 	case 0:
-		update = balancer.List{Scope: balancer.Whole, Entries: slices.Clone(r.list)}
+		update = balancer.EndpointUpdate{Kind: balancer.Snapshot, Entries: slices.Clone(r.list)}
 	case 1:
-		update = balancer.List{Scope: balancer.ListFailed}
+		update = balancer.EndpointUpdate{Kind: balancer.UpdateFailed}
 	}
 	for _, in := range r.instances {
 		in.inbox = append(in.inbox, delayed{r.now + time.Duration(r.rng.IntN(300))*time.Millisecond, update})
@@ -206,9 +206,9 @@
 	if r.admin {
 		name := r.list[r.rng.IntN(len(r.list))].Name
 		for _, in := range r.instances {
-			var event balancer.Event = balancer.Detach{Backend: name, At: r.now}
+			var event balancer.Event = balancer.AdminEject{Endpoint: name, At: r.now}
 			if r.rng.IntN(2) == 0 {
-				event = balancer.Attach{Backend: name}
+				event = balancer.AdminRestore{Endpoint: name}
 			}
 			in.inbox = append(in.inbox, delayed{r.now, event})
 		}
@@ -231,7 +231,7 @@
 		events = append(events, r.request(in))
 	}
 	if r.rng.IntN(60) == 0 && in.lastID > 4 {
-		events = append(events, balancer.Gone{ID: in.lastID - uint64(r.rng.IntN(4))})
+		events = append(events, balancer.RequestDone{ID: in.lastID - uint64(r.rng.IntN(4))})
 	}
 	if r.loans && r.rng.IntN(60) == 0 {
 		events = append(events, r.shareLease())
@@ -241,14 +241,14 @@
 
 // shareLease is a renewal, a change or a loss of an instance's leased share.
 func (r *run) shareLease() balancer.Event {
-	lease := balancer.Sharing{Part: 1 / float64(r.gateways), Until: r.now + time.Duration(500+r.rng.IntN(1500))*time.Millisecond}
+	lease := balancer.ShareUpdate{Fraction: 1 / float64(r.gateways), Until: r.now + time.Duration(500+r.rng.IntN(1500))*time.Millisecond}
 	switch r.rng.IntN(6) {
 	case 0:
-		lease.Part /= 2
+		lease.Fraction /= 2
 	case 1:
-		lease.Out = true
+		lease.Excluded = true
 	case 2:
-		lease.Gone = []int{r.rng.IntN(r.settings.Doors)}
+		lease.DeadGateways = []int{r.rng.IntN(r.settings.Gateways)}
 	}
 	return lease
 }
@@ -257,27 +257,27 @@
 func (r *run) request(in *instance) balancer.Event {
 	in.lastID++
 	customer, plan := r.rng.IntN(12), r.rng.IntN(len(r.settings.Plans))
-	if r.settings.LendCeilings { // a plan that changes while a lease is asked for is a case of its own
+	if r.settings.LeaseCeilings { // a plan that changes while a lease is asked for is a case of its own
 		plan = customer % len(r.settings.Plans)
 	}
 	request := balancer.Request{
-		ID:       in.lastID,
-		Class:    r.rng.IntN(len(r.settings.Classes)),
-		Plan:     plan,
-		Customer: fmt.Sprint("c", customer),
-		Left:     time.Duration(20+r.rng.IntN(2500)) * time.Millisecond,
-		Units:    1,
-		Retry:    r.rng.IntN(8) == 0,
+		ID:          in.lastID,
+		Class:       r.rng.IntN(len(r.settings.Classes)),
+		Plan:        plan,
+		Customer:    fmt.Sprint("c", customer),
+		TimeLeft:    time.Duration(20+r.rng.IntN(2500)) * time.Millisecond,
+		Units:       1,
+		ClientRetry: r.rng.IntN(8) == 0,
 	}
-	if r.settings.MaxUnits > 1 {
-		request.Units += float64(r.rng.IntN(int(r.settings.MaxUnits)))
+	if r.settings.MaxRequestUnits > 1 {
+		request.Units += float64(r.rng.IntN(int(r.settings.MaxRequestUnits)))
 	}
 	if r.rng.IntN(6) == 0 {
-		request.Doors = 1 + r.rng.IntN(r.settings.Doors)
+		request.Gateways = 1 + r.rng.IntN(r.settings.Gateways)
 	}
 	if r.grants && r.rng.IntN(3) == 0 {
-		request.Grant = true
-		request.Hold = time.Duration(r.rng.IntN(400)) * time.Millisecond
+		request.AdmitOnly = true
+		request.HoldFor = time.Duration(r.rng.IntN(400)) * time.Millisecond
 	}
 	in.open[request.ID] = true
 	return request
@@ -287,7 +287,7 @@
 func (r *run) results(in *instance) (events []balancer.Event) {
 	kept := in.attempts[:0]
 	for _, a := range in.attempts {
-		streamed := r.settings.Classes[0].Stream && !a.begun && r.rng.IntN(4) == 0
+		streamed := r.settings.Classes[0].Streaming && !a.begun && r.rng.IntN(4) == 0
 		switch {
 		case r.now < a.due && streamed:
 			a.begun = true
@@ -310,22 +310,22 @@
 		return balancer.Timeout
 	}
 	if r.rng.Float64() < r.faults.attempt {
-		return balancer.Status(r.rng.IntN(int(balancer.Moot) + 1))
+		return balancer.Status(r.rng.IntN(int(balancer.NotSent) + 1))
 	}
 	return balancer.OK
 }
 
 func (r *run) result(in *instance, a *attempt, status balancer.Status) balancer.Event {
-	result := balancer.Outcome{
-		ID:      a.ID,
-		Attempt: a.number,
-		Backend: a.Backend,
-		Status:  status,
-		Latency: r.now - a.sentAt,
-		Closed:  status == balancer.OK || !in.open[a.ID],
-		Used:    r.rng.IntN(120),
-	}
-	if r.settings.TruedUp && status == balancer.OK {
+	result := balancer.AttemptResult{
+		ID:            a.ID,
+		Attempt:       a.number,
+		Endpoint:      a.Endpoint,
+		Status:        status,
+		Latency:       r.now - a.sentAt,
+		RequestClosed: status == balancer.OK || !in.open[a.ID],
+		QuotaUsed:     r.rng.IntN(120),
+	}
+	if r.settings.EstimatedUnits && status == balancer.OK {
 		result.Units = float64(r.rng.IntN(4))
 	}
 	if status == balancer.OK {
@@ -353,7 +353,7 @@
 		in.inbox = append(in.inbox, delayed{r.now + d, event})
 	}
 	switch action := action.(type) {
-	case balancer.Send:
+	case balancer.Dispatch:
 		number := in.counts[action.ID]
 		in.counts[action.ID]++
 		takes := time.Duration(5+r.rng.ExpFloat64()*60) * time.Millisecond
@@ -361,12 +361,12 @@
 			takes = action.Timeout
 		}
 		in.attempts = append(in.attempts, &attempt{
-			Send:   action,
-			number: number,
-			sentAt: r.now,
-			due:    r.now + min(takes, action.Timeout),
+			Dispatch: action,
+			number:   number,
+			sentAt:   r.now,
+			due:      r.now + min(takes, action.Timeout),
 		})
-	case balancer.Cancel:
+	case balancer.CancelAttempt:
 		for i, a := range in.attempts {
 			if a.ID == action.ID && a.number == action.Attempt {
 				in.attempts = slices.Delete(in.attempts, i, i+1)
@@ -374,42 +374,42 @@
 				break
 			}
 		}
-	case balancer.Refuse:
+	case balancer.Reject:
 		delete(in.open, action.ID)
 	case balancer.Fail:
 		delete(in.open, action.ID)
-	case balancer.Grant:
+	case balancer.Admit:
 		delete(in.open, action.ID)
 		if r.rng.IntN(2) == 0 {
-			later(time.Duration(r.rng.IntN(300))*time.Millisecond, balancer.Gone{ID: action.ID})
+			later(time.Duration(r.rng.IntN(300))*time.Millisecond, balancer.RequestDone{ID: action.ID})
 		}
-	case balancer.Count:
+	case balancer.CounterAdd:
 		r.count(in, action)
 	case balancer.SetTimer:
-		later(max(time.Millisecond, action.At-r.now), balancer.Timer{Cookie: action.Cookie})
-	case balancer.Probe:
+		later(max(time.Millisecond, action.At-r.now), balancer.TimerFired{Cookie: action.Cookie})
+	case balancer.HealthCheck:
 		status := balancer.OK
 		if r.rng.Float64() < r.faults.attempt {
 			status = balancer.Timeout
 		}
-		later(5*time.Millisecond, balancer.Probed{Backend: action.Backend, Status: status})
-	case balancer.Watch, balancer.Fetch:
-		later(20*time.Millisecond, balancer.List{Scope: balancer.Whole, Entries: slices.Clone(r.list)})
-	case balancer.Finding:
+		later(5*time.Millisecond, balancer.HealthCheckResult{Endpoint: action.Endpoint, Status: status})
+	case balancer.WatchEndpoints, balancer.FetchEndpoints:
+		later(20*time.Millisecond, balancer.EndpointUpdate{Kind: balancer.Snapshot, Entries: slices.Clone(r.list)})
+	case balancer.HealthReport:
 		for _, other := range r.instances {
 			if other != in {
 				other.inbox = append(other.inbox, delayed{r.now, action})
 			}
 		}
-	case balancer.Borrow:
+	case balancer.RequestLoan:
 		for _, other := range r.instances {
 			if other != in {
-				event := balancer.Wanted{From: in.index, Customer: action.Customer, Plan: action.Plan, At: action.At}
+				event := balancer.LoanRequest{From: in.index, Customer: action.Customer, Plan: action.Plan, At: action.At}
 				other.inbox = append(other.inbox, delayed{r.now + 2*time.Millisecond, event})
 			}
 		}
-	case balancer.Lend:
-		loan := balancer.Loaned{From: in.index, Customer: action.Customer, Plan: action.Plan, At: action.At,
+	case balancer.GrantLoan:
+		loan := balancer.LoanGranted{From: in.index, Customer: action.Customer, Plan: action.Plan, At: action.At,
 			Rate: action.Rate, Depth: action.Depth}
 		to := r.instances[action.To]
 		to.inbox = append(to.inbox, delayed{r.now + 2*time.Millisecond, loan})
@@ -417,26 +417,26 @@
 }
 
 // count adds to a number of the counter and answers in time, late or never.
-func (r *run) count(in *instance, call balancer.Count) {
+func (r *run) count(in *instance, call balancer.CounterAdd) {
 	answer := func(d time.Duration, event balancer.Event) {
 		in.inbox = append(in.inbox, delayed{r.now + d, event})
 	}
 	takes := time.Duration(1+r.rng.IntN(20)) * time.Millisecond
 	if r.rng.Float64() >= r.faults.counter {
 		r.totals[call.Name] += call.Amount
-		answer(takes, balancer.Counted{Name: call.Name, Status: balancer.OK, Total: r.totals[call.Name]})
+		answer(takes, balancer.CounterResult{Name: call.Name, Status: balancer.OK, Total: r.totals[call.Name]})
 		return
 	}
-	status := []balancer.Status{balancer.Failed, balancer.Full, balancer.Timeout, balancer.ConnectFailed, balancer.Timeout}[r.rng.IntN(5)]
+	status := []balancer.Status{balancer.Failed, balancer.Rejected, balancer.Timeout, balancer.ConnectFailed, balancer.Timeout}[r.rng.IntN(5)]
 	if status == balancer.Timeout {
 		takes = r.settings.CounterTimeout
 	}
 	if status == balancer.Failed || status == balancer.Timeout {
 		r.totals[call.Name] += call.Amount
 	}
-	answer(takes, balancer.Counted{Name: call.Name, Status: status})
+	answer(takes, balancer.CounterResult{Name: call.Name, Status: status})
 	if status == balancer.Timeout && r.rng.Float64() < r.faults.late {
-		late := balancer.Late{Ticket: call.Ticket, Status: balancer.OK, Total: r.totals[call.Name]}
+		late := balancer.LateCounterResult{Ticket: call.Ticket, Status: balancer.OK, Total: r.totals[call.Name]}
 		answer(takes+time.Duration(r.rng.IntN(900))*time.Millisecond, late)
 	}
 }
@@ -444,58 +444,58 @@
 // record adds an action to a trace: a number for its kind, then each field.
 func record(trace *golden.Trace, action balancer.Action) {
 	switch a := action.(type) {
-	case balancer.Send:
+	case balancer.Dispatch:
 		trace.Int(1)
 		trace.Uint(a.ID)
-		trace.String(a.Backend)
+		trace.String(a.Endpoint)
 		trace.Duration(a.Timeout)
-		trace.Duration(a.By)
-	case balancer.Refuse:
+		trace.Duration(a.WriteBy)
+	case balancer.Reject:
 		trace.Int(2)
 		trace.Uint(a.ID)
-		trace.Duration(a.Pause)
-		trace.Int(int64(a.Why))
+		trace.Duration(a.RetryAfter)
+		trace.Int(int64(a.Reason))
 	case balancer.Fail:
 		trace.Int(3)
 		trace.Uint(a.ID)
-		trace.Int(int64(a.Why))
-	case balancer.Grant:
+		trace.Int(int64(a.Reason))
+	case balancer.Admit:
 		trace.Int(4)
 		trace.Uint(a.ID)
-	case balancer.Cancel:
+	case balancer.CancelAttempt:
 		trace.Int(5)
 		trace.Uint(a.ID)
 		trace.Int(int64(a.Attempt))
-	case balancer.Probe:
+	case balancer.HealthCheck:
 		trace.Int(6)
-		trace.String(a.Backend)
-	case balancer.Count:
+		trace.String(a.Endpoint)
+	case balancer.CounterAdd:
 		trace.Int(7)
 		trace.Uint(a.Name)
 		trace.Float(a.Amount)
-		trace.Duration(a.Keep)
+		trace.Duration(a.TTL)
 		trace.Uint(a.Ticket)
 	case balancer.SetTimer:
 		trace.Int(8)
 		trace.Duration(a.At)
 		trace.Uint(a.Cookie)
-	case balancer.Watch:
+	case balancer.WatchEndpoints:
 		trace.Int(9)
-	case balancer.Fetch:
+	case balancer.FetchEndpoints:
 		trace.Int(10)
-	case balancer.Finding:
+	case balancer.HealthReport:
 		trace.Int(11)
-		trace.String(a.Backend)
+		trace.String(a.Endpoint)
 		trace.Int(int64(a.Health))
 		trace.Duration(a.Since)
-	case balancer.Log:
+	case balancer.LogLine:
 		trace.Int(12)
-	case balancer.Borrow:
+	case balancer.RequestLoan:
 		trace.Int(13)
 		trace.String(a.Customer)
 		trace.Int(int64(a.Plan))
 		trace.Duration(a.At)
-	case balancer.Lend:
+	case balancer.GrantLoan:
 		trace.Int(14)
 		trace.Int(int64(a.To))
 		trace.String(a.Customer)
@@ -503,16 +503,16 @@
 		trace.Duration(a.At)
 		trace.Float(a.Rate)
 		trace.Float(a.Depth)
-	case balancer.Handed:
+	case balancer.HandoverReady:
 		trace.Int(15)
-		recordState(trace, a.Memory)
+		recordState(trace, a.State)
 	default:
 		panic(fmt.Sprintf("an action of an unknown kind: %T", a))
 	}
 }
 
 // recordState adds what is handed over to a trace, each field.
-func recordState(trace *golden.Trace, m balancer.Memory) {
+func recordState(trace *golden.Trace, m balancer.HandoverState) {
 	trace.Duration(m.At)
 	for _, c := range m.Classes {
 		trace.Float(c.Base)
@@ -559,59 +559,59 @@
 // deployment is the settings of a deployment with all kinds of classes and plans. The classes are those of the sites in deploy/sites.
 func deployment(site string, gateways int) balancer.Settings {
 	settings := balancer.Settings{
-		Doors:             gateways,
+		Gateways:          gateways,
 		Zone:              1,
 		Resolution:        4 * time.Millisecond,
-		CrossZone:         0.01,
+		CrossZoneCost:     0.01,
 		MaxAttempts:       3,
-		MayCancel:         true,
-		MayProbe:          true,
-		RetryAfter:        true,
+		AllowCancel:       true,
+		AllowHealthChecks: true,
+		SendRetryAfter:    true,
 		MaxRetryAfter:     500 * time.Millisecond,
-		AnswerSlack:       10 * time.Millisecond,
-		StopSendingWithin: 300 * time.Millisecond,
-		FallMultiple:      2.5,
-		FallWindow:        2 * time.Second,
-		ColdFrom:          0.3,
-		WarmWithin:        8 * time.Second,
-		Counter:           true,
+		DeadlineSlack:     10 * time.Millisecond,
+		DrainGrace:        300 * time.Millisecond,
+		OverloadMultiple:  2.5,
+		OverloadWindow:    2 * time.Second,
+		SlowStartCapacity: 0.3,
+		SlowStartDuration: 8 * time.Second,
+		UseCounter:        true,
 		CounterTimeout:    50 * time.Millisecond,
-		CounterFee:        0.004,
-		MaxUnits:          4,
+		CounterCallCost:   0.004,
+		MaxRequestUnits:   4,
 		Plans: []balancer.Plan{
-			{Rate: 4, Burst: 8, Factor: 1, OverCost: 0.5},
-			{Rate: 10, Burst: 20, Factor: 1.5, OverWorth: 0.2, CeilingRate: 20, CeilingDepth: 40},
-			{Factor: 1},
-			{Rate: 100, Burst: 100, AtOnce: 4, Factor: 2, OverCost: 0.5},
-			{Rate: 5, Burst: 10, Factor: 1, OverCost: 1, CeilingRate: 8, CeilingDepth: 16},
+			{Rate: 4, Burst: 8, PriorityFactor: 1, OverQuotaCost: 0.5},
+			{Rate: 10, Burst: 20, PriorityFactor: 1.5, OverQuotaWeight: 0.2, CeilingRate: 20, CeilingBurst: 40},
+			{PriorityFactor: 1},
+			{Rate: 100, Burst: 100, MaxInFlight: 4, PriorityFactor: 2, OverQuotaCost: 0.5},
+			{Rate: 5, Burst: 10, PriorityFactor: 1, OverQuotaCost: 1, CeilingRate: 8, CeilingBurst: 16},
 		},
 	}
 	millis := func(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 	switch site {
 	case "tight":
 		settings.Classes = []balancer.Class{
-			{Worth: 1, Aim: millis(400), GiveUp: millis(1000), Effect: balancer.Safe},
-			{Worth: 8, Aim: millis(500), GiveUp: millis(1200), Effect: balancer.Unsafe},
-			{Worth: 3, LateWorth: 0.1, Aim: millis(400), GiveUp: millis(1200), Effect: balancer.Keyed, Group: balancer.GroupCell, Window: millis(700)},
+			{PriorityWeight: 1, LatencyObjective: millis(400), ClientTimeout: millis(1000), Idempotency: balancer.Idempotent},
+			{PriorityWeight: 8, LatencyObjective: millis(500), ClientTimeout: millis(1200), Idempotency: balancer.NonIdempotent},
+			{PriorityWeight: 3, LateWeightFraction: 0.1, LatencyObjective: millis(400), ClientTimeout: millis(1200), Idempotency: balancer.IdempotentByKey, DedupScope: balancer.DedupCell, DedupWindow: millis(700)},
 		}
 	case "wide":
-		settings.CounterFee = 0.02
-		settings.MayProbe = false
-		settings.OnRequest = true
-		settings.AskEvery = 2 * time.Second
+		settings.CounterCallCost = 0.02
+		settings.AllowHealthChecks = false
+		settings.PollEndpoints = true
+		settings.PollInterval = 2 * time.Second
 		settings.Classes = []balancer.Class{
-			{Worth: 1, LateWorth: 0.2, Aim: millis(1500), GiveUp: millis(5000), Effect: balancer.Safe, Stream: true},
-			{Worth: 4, LateWorth: 0.3, Aim: millis(3000), GiveUp: millis(10000), Effect: balancer.Safe},
-			{Worth: 7, LateWorth: 0.1, Aim: millis(2000), GiveUp: millis(8000), Effect: balancer.Keyed, Group: balancer.GroupZone, Window: millis(5000)},
+			{PriorityWeight: 1, LateWeightFraction: 0.2, LatencyObjective: millis(1500), ClientTimeout: millis(5000), Idempotency: balancer.Idempotent, Streaming: true},
+			{PriorityWeight: 4, LateWeightFraction: 0.3, LatencyObjective: millis(3000), ClientTimeout: millis(10000), Idempotency: balancer.Idempotent},
+			{PriorityWeight: 7, LateWeightFraction: 0.1, LatencyObjective: millis(2000), ClientTimeout: millis(8000), Idempotency: balancer.IdempotentByKey, DedupScope: balancer.DedupZone, DedupWindow: millis(5000)},
 		}
 	default:
-		settings.TruedUp = true
-		settings.MayCancel = false
-		settings.RetryAfter = false
+		settings.EstimatedUnits = true
+		settings.AllowCancel = false
+		settings.SendRetryAfter = false
 		settings.Classes = []balancer.Class{
-			{Worth: 2, Aim: millis(300), GiveUp: millis(900), Effect: balancer.Keyed, Group: balancer.GroupAll, Window: millis(900)},
-			{Worth: 1, Aim: millis(200), GiveUp: millis(600), Effect: balancer.Safe, Dropped: true},
-			{Worth: 5, Aim: millis(800), GiveUp: millis(2000), Effect: balancer.Unsafe, Remembered: true},
+			{PriorityWeight: 2, LatencyObjective: millis(300), ClientTimeout: millis(900), Idempotency: balancer.IdempotentByKey, DedupScope: balancer.DedupAll, DedupWindow: millis(900)},
+			{PriorityWeight: 1, LatencyObjective: millis(200), ClientTimeout: millis(600), Idempotency: balancer.Idempotent, Removed: true},
+			{PriorityWeight: 5, LatencyObjective: millis(800), ClientTimeout: millis(2000), Idempotency: balancer.NonIdempotent, KeyReserved: true},
 		}
 	}
 	return settings
@@ -638,12 +638,12 @@
 			add(play{name: site + "/few", settings: deployment(site, 3), gateways: 3, backends: 6, calls: 3}, level)
 			add(play{name: site + "/many", settings: deployment(site, 60), gateways: 4, backends: 40, calls: 2, grants: true}, level)
 			lent := deployment(site, 3)
-			lent.LendCeilings = true
+			lent.LeaseCeilings = true
 			add(play{name: site + "/lent", settings: lent, gateways: 3, backends: 6, calls: 3, grants: true, handover: true}, level)
 			viewed := deployment(site, 3)
-			viewed.ByViews = true
+			viewed.LeasedShares = true
 			for i := range viewed.Plans {
-				viewed.Plans[i].CutOff = []quotashare.Rule{quotashare.KeepQuota, quotashare.KeepAll, quotashare.KeepNone}[i%3]
+				viewed.Plans[i].PartitionPolicy = []quotashare.Rule{quotashare.KeepQuota, quotashare.KeepAll, quotashare.KeepNone}[i%3]
 			}
 			add(play{name: site + "/leased", settings: viewed, gateways: 3, backends: 6, calls: 3, loans: true, admin: true}, level)
 			add(play{name: site + "/changed", settings: deployment(site, 2), gateways: 2, backends: 5, calls: 4, reload: true, handover: true, admin: true}, level)
@@ -652,7 +652,7 @@
 		crowd := deployment(site, 300)
 		add(play{name: site + "/crowd", settings: crowd, gateways: 2, backends: 120, calls: 2, handover: true}, "rough")
 		both := deployment(site, 20)
-		both.ByViews, both.LendCeilings = true, true
+		both.LeasedShares, both.LeaseCeilings = true, true
 		add(play{name: site + "/both", settings: both, gateways: 5, backends: 12, calls: 2, loans: true, reload: true}, "rough")
 	}
 	return all
--- a/internal/balancer/grant_test.go
+++ b/internal/balancer/grant_test.go
@@ -9,7 +9,7 @@
 
 func leave(id uint64, plan int) Request {
 	r := ask(id, 0, plan)
-	r.Grant = true
+	r.AdmitOnly = true
 	return r
 }
 
@@ -17,30 +17,30 @@
 // a request that is sent on.
 func TestGrantSpendsTheQuota(t *testing.T) {
 	set := basic()
-	set.Doors, set.Counter = 1, false
+	set.Gateways, set.UseCounter = 1, false
 	d := open(t, set) // not one backend
 	granted, refused := 0, 0
 	for i := range 30 {
 		acts := d.Step(ms, []Event{leave(uint64(i), 0)})
-		granted += len(only[Grant](acts))
-		refused += len(only[Refuse](acts))
-		if len(only[Send](acts)) > 0 {
+		granted += len(only[Admit](acts))
+		refused += len(only[Reject](acts))
+		if len(only[Dispatch](acts)) > 0 {
 			t.Fatal("something was sent")
 		}
-		if r := only[Refuse](acts); len(r) > 0 && r[0].Pause <= 0 {
+		if r := only[Reject](acts); len(r) > 0 && r[0].RetryAfter <= 0 {
 			t.Errorf("a refusal that does not say when to come back")
 		}
 	}
 	if granted != 8 || refused != 22 {
 		t.Errorf("%d granted and %d refused of a burst of 8", granted, refused)
 	}
-	if q, ok := d.Quota("c"); !ok || q.Left >= 1 || q.Full < 3*time.Second {
+	if q, ok := d.QuotaStatus("c"); !ok || q.Remaining >= 1 || q.FullIn < 3*time.Second {
 		t.Errorf("quota %+v, %v", q, ok)
 	}
 	if len(d.reqs) != 0 {
 		t.Errorf("%d requests are kept", len(d.reqs))
 	}
-	if acts := d.Step(time.Second, []Event{leave(99, 0)}); len(only[Grant](acts)) != 1 {
+	if acts := d.Step(time.Second, []Event{leave(99, 0)}); len(only[Admit](acts)) != 1 {
 		t.Error("the store has filled, and nothing is granted")
 	}
 }
@@ -51,10 +51,10 @@
 	const doors = 3
 	for _, share := range []float64{0, 0.5, 1} { // of requests for leave
 		set := basic()
-		set.Doors, set.Counter = doors, false
-		set.Plans[1].OverCost = 0 // beyond the quota it still earns
+		set.Gateways, set.UseCounter = doors, false
+		set.Plans[1].OverQuotaCost = 0 // beyond the quota it still earns
 		rng := rand.New(rand.NewPCG(3, uint64(share*10)))
-		all := make([]*Door, doors)
+		all := make([]*Balancer, doors)
 		sends := make([]map[uint64]int, doors)
 		for i := range all {
 			all[i], sends[i] = open(t, set, backends(6)...), map[uint64]int{}
@@ -64,15 +64,15 @@
 			now := time.Duration(tick) * 5 * ms
 			i := rng.IntN(doors)
 			r := ask(uint64(tick), 0, 1)
-			r.Grant = rng.Float64() < share
-			todo := all[i].Step(now, []Event{r, Timer{0}})
+			r.AdmitOnly = rng.Float64() < share
+			todo := all[i].Step(now, []Event{r, TimerFired{0}})
 			for len(todo) > 0 {
 				var evs []Event
 				for _, a := range todo {
 					switch a := a.(type) {
-					case Grant:
+					case Admit:
 						went = append(went, now)
-					case Send:
+					case Dispatch:
 						if sends[i][a.ID] == 0 {
 							went = append(went, now)
 						}
@@ -89,7 +89,7 @@
 		p := set.Plans[1]
 		for i, from := range went {
 			for j := i; j < len(went); j += 7 {
-				if most := p.CeilingDepth + p.CeilingRate*(went[j]-from).Seconds() + 1; float64(j-i+1) > most {
+				if most := p.CeilingBurst + p.CeilingRate*(went[j]-from).Seconds() + 1; float64(j-i+1) > most {
 					t.Fatalf("share %v: %d went on within %v; the ceiling is %.0f", share, j-i+1, went[j]-from, most)
 				}
 			}
@@ -104,9 +104,9 @@
 // under the cap on what is open at once.
 func TestGrantJoinsNoLine(t *testing.T) {
 	set := basic()
-	set.Counter, set.Doors = false, 1
-	set.Plans[1].CeilingDepth = 2
-	set.Plans[1].OverCost = 0
+	set.UseCounter, set.Gateways = false, 1
+	set.Plans[1].CeilingBurst = 2
+	set.Plans[1].OverQuotaCost = 0
 	d := open(t, set, backends(2)...)
 	now := time.Second
 	for i := range 12 { // fills the line for the ceiling
@@ -115,7 +115,7 @@
 	if len(d.customers["c"].waiting) == 0 {
 		t.Fatal("no line")
 	}
-	if acts := d.Step(now, []Event{leave(50, 1)}); len(only[Refuse](acts)) != 1 {
+	if acts := d.Step(now, []Event{leave(50, 1)}); len(only[Reject](acts)) != 1 {
 		t.Errorf("behind the line for the ceiling: %v", acts)
 	}
 	d = open(t, set, backends(2)...)
@@ -127,7 +127,7 @@
 		t.Fatal("no line")
 	}
 	acts := d.Step(now, []Event{leave(50, 3)})
-	if r := only[Refuse](acts); len(r) != 1 || r[0].Pause <= 0 {
+	if r := only[Reject](acts); len(r) != 1 || r[0].RetryAfter <= 0 {
 		t.Errorf("behind the line for the cap: %v", acts)
 	}
 }
@@ -136,27 +136,27 @@
 // run out; then what waited for the place is served.
 func TestGrantHoldsItsPlace(t *testing.T) {
 	set := basic()
-	set.Counter, set.Doors = false, 1
+	set.UseCounter, set.Gateways = false, 1
 	d := open(t, set, backends(2)...)
 	var timers []SetTimer
 	for i := range 4 {
 		r := leave(uint64(i+1), 3)
-		r.Hold = time.Duration(i+1) * 100 * ms
+		r.HoldFor = time.Duration(i+1) * 100 * ms
 		acts := d.Step(ms, []Event{r})
-		if len(only[Grant](acts)) != 1 {
+		if len(only[Admit](acts)) != 1 {
 			t.Fatalf("number %d: %v", i, acts)
 		}
 		timers = append(timers, only[SetTimer](acts)...)
 	}
 	full := func(now time.Duration, id uint64) bool {
 		r := leave(id, 3)
-		r.Hold = time.Hour
-		return len(only[Refuse](d.Step(now, []Event{r}))) == 1
+		r.HoldFor = time.Hour
+		return len(only[Reject](d.Step(now, []Event{r}))) == 1
 	}
 	if !full(2*ms, 10) {
 		t.Error("a fifth is granted")
 	}
-	d.Step(3*ms, []Event{Gone{ID: 4}, Gone{ID: 4}}) // done, told twice
+	d.Step(3*ms, []Event{RequestDone{ID: 4}, RequestDone{ID: 4}}) // done, told twice
 	if full(4*ms, 11) {
 		t.Error("a place has become free, and nothing is granted")
 	}
@@ -167,12 +167,12 @@
 	if len(timers) != 4 {
 		t.Fatalf("timers %v", timers)
 	}
-	d.Step(50*ms, []Event{Timer{timers[0].Cookie}}) // too early
+	d.Step(50*ms, []Event{TimerFired{timers[0].Cookie}}) // too early
 	if d.customers["c"].live != 4 {
 		t.Error("the hold ended before its time")
 	}
-	acts := d.Step(timers[0].At, []Event{Timer{timers[0].Cookie}})
-	if len(only[Send](acts)) != 1 {
+	acts := d.Step(timers[0].At, []Event{TimerFired{timers[0].Cookie}})
+	if len(only[Dispatch](acts)) != 1 {
 		t.Errorf("the hold has run out, and what waits is not sent: %v", acts)
 	}
 }
@@ -182,29 +182,29 @@
 	for _, late := range []bool{false, true} {
 		d := open(t, basic(), backends(2)...)
 		var acts []Action
-		var calls []Count
+		var calls []CounterAdd
 		for id := uint64(1); len(calls) == 0 && id < 20; id++ { // until this door's own share is spent
 			r := leave(id, 0)
-			r.Left = 200 * ms
+			r.TimeLeft = 200 * ms
 			acts = d.Step(ms, []Event{r})
-			calls = only[Count](acts)
+			calls = only[CounterAdd](acts)
 		}
-		if len(calls) != 1 || len(only[Grant](acts)) != 0 {
+		if len(calls) != 1 || len(only[Admit](acts)) != 0 {
 			t.Fatalf("no share is left: %v", acts)
 		}
-		var cookie Timer
+		var cookie TimerFired
 		for _, s := range only[SetTimer](acts) {
-			cookie = Timer{s.Cookie}
+			cookie = TimerFired{s.Cookie}
 		}
 		now := 20 * ms
 		if late {
 			now = 300 * ms
-			if acts = d.Step(ms+200*ms, []Event{cookie}); len(only[Refuse](acts)) != 1 {
+			if acts = d.Step(ms+200*ms, []Event{cookie}); len(only[Reject](acts)) != 1 {
 				t.Errorf("its time is up: %v", acts)
 			}
 		}
-		acts = d.Step(now, []Event{Counted{calls[0].Name, OK, calls[0].Amount}})
-		if n := len(only[Grant](acts)); !late && n != 1 || late && n != 0 {
+		acts = d.Step(now, []Event{CounterResult{calls[0].Name, OK, calls[0].Amount}})
+		if n := len(only[Admit](acts)); !late && n != 1 || late && n != 0 {
 			t.Errorf("late %v: %d granted", late, n)
 		}
 	}
@@ -214,7 +214,7 @@
 // once.
 func TestGrantOfAQuietCustomer(t *testing.T) {
 	set := basic()
-	set.Counter, set.Doors = false, 1
+	set.UseCounter, set.Gateways = false, 1
 	d := open(t, set, backends(2)...)
 	for i := range 2000 {
 		r := leave(uint64(i), 1)
@@ -223,7 +223,7 @@
 		if i%400 == 0 {
 			q := leave(uint64(1e6+i), 0)
 			q.Customer = fmt.Sprint("quiet", i%800)
-			if acts := d.Step(time.Duration(i)*ms, []Event{q}); len(only[Grant](acts)) != 1 {
+			if acts := d.Step(time.Duration(i)*ms, []Event{q}); len(only[Admit](acts)) != 1 {
 				t.Fatalf("at %d: %v", i, acts)
 			}
 		}
@@ -235,26 +235,26 @@
 func TestGrantsGetTheirPartOfTheCeiling(t *testing.T) {
 	for _, share := range []float64{0, 0.05, 0.5, 0.95} {
 		set := basic()
-		set.Doors, set.Counter = 1, false
-		set.Plans[1].OverCost = 0
+		set.Gateways, set.UseCounter = 1, false
+		set.Plans[1].OverQuotaCost = 0
 		d := open(t, set, backends(6)...)
 		rng := rand.New(rand.NewPCG(5, uint64(share*100)))
 		sends, grants := 0.0, 0.0
 		for tick := range 6000 { // 30 s at 200 a second, ten times the ceiling
 			now := time.Duration(tick) * 5 * ms
 			r := ask(uint64(tick), 1, 1)
-			r.Left = time.Second
-			if r.Grant = rng.Float64() < share; r.Grant {
-				r.Left = 100 * ms
+			r.TimeLeft = time.Second
+			if r.AdmitOnly = rng.Float64() < share; r.AdmitOnly {
+				r.TimeLeft = 100 * ms
 			}
-			todo := d.Step(now, []Event{r, Timer{0}})
+			todo := d.Step(now, []Event{r, TimerFired{0}})
 			for len(todo) > 0 {
 				var evs []Event
 				for _, a := range todo {
 					switch a := a.(type) {
-					case Grant:
+					case Admit:
 						grants++
-					case Send:
+					case Dispatch:
 						sends++
 						evs = append(evs, served(a, 0, 20*ms))
 					}
--- a/internal/balancer/hand_test.go
+++ b/internal/balancer/hand_test.go
@@ -7,15 +7,15 @@
 )
 
 // feed steps a door with n requests at a time, answers all sends at once, and counts them by server.
-func feed(d *Door, at time.Duration, first uint64, n int) map[string]int {
+func feed(d *Balancer, at time.Duration, first uint64, n int) map[string]int {
 	to := map[string]int{}
 	for i := range uint64(n) {
 		acts := d.Step(at, []Event{ask(first+i, 0, 0)})
 		for len(acts) > 0 {
 			var evs []Event
-			for _, s := range only[Send](acts) {
-				to[s.Backend]++
-				evs = append(evs, Outcome{ID: s.ID, Backend: s.Backend, Status: OK, Latency: 5 * ms, Closed: true})
+			for _, s := range only[Dispatch](acts) {
+				to[s.Endpoint]++
+				evs = append(evs, AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Status: OK, Latency: 5 * ms, RequestClosed: true})
 			}
 			if evs == nil {
 				break
@@ -28,8 +28,8 @@
 
 func quiet() Settings {
 	set := basic()
-	set.Counter, set.Doors, set.MayProbe = false, 1, true
-	set.Plans[0] = Plan{Factor: 1}
+	set.UseCounter, set.Gateways, set.AllowHealthChecks = false, 1, true
+	set.Plans[0] = Plan{PriorityFactor: 1}
 	return set
 }
 
@@ -50,33 +50,33 @@
 		}
 		id += 100
 	}
-	out := Detach{Backend: list[0].Name}
+	out := AdminEject{Endpoint: list[0].Name}
 	d.Step(at, []Event{out})
 	d.Step(at, []Event{out}) // again
 	never("at once")
-	if listed, avoided := d.Rotation(); listed != 4 || avoided != 1 {
+	if listed, avoided := d.EndpointCounts(); listed != 4 || avoided != 1 {
 		t.Errorf("%d listed, %d avoided", listed, avoided)
 	}
 	again := list[0]
-	again.Started = at
-	d.Step(at, []Event{List{Scope: Delta, Entries: []Backend{again}}})
+	again.StartedAt = at
+	d.Step(at, []Event{EndpointUpdate{Kind: Delta, Entries: []Endpoint{again}}})
 	never("restarted and in service by the list")
-	d.Step(at, []Event{List{Scope: Whole, Entries: list}})
+	d.Step(at, []Event{EndpointUpdate{Kind: Snapshot, Entries: list}})
 	never("a whole list")
 	gone := list[0]
-	gone.State = Terminated
-	d.Step(at, []Event{List{Scope: Delta, Entries: []Backend{gone}}})
-	d.Step(at, []Event{List{Scope: Whole, Entries: list[1:]}})
-	d.Step(at, []Event{List{Scope: Delta, Entries: []Backend{again}}})
+	gone.State = Removed
+	d.Step(at, []Event{EndpointUpdate{Kind: Delta, Entries: []Endpoint{gone}}})
+	d.Step(at, []Event{EndpointUpdate{Kind: Snapshot, Entries: list[1:]}})
+	d.Step(at, []Event{EndpointUpdate{Kind: Delta, Entries: []Endpoint{again}}})
 	never("gone and back")
 	at += 100 * ms
 	for i := range 40 { // nor is it probed, or found silent
-		if n := len(only[Probe](d.Step(at+time.Duration(i)*tick, []Event{Timer{0}}))); n > 0 {
+		if n := len(only[HealthCheck](d.Step(at+time.Duration(i)*tick, []Event{TimerFired{0}}))); n > 0 {
 			t.Error("probed")
 		}
 	}
 	at += 40 * tick
-	d.Step(at, []Event{Attach{list[0].Name}})
+	d.Step(at, []Event{AdminRestore{list[0].Name}})
 	s := d.servers[list[0].Name]
 	if !s.usable() || !s.cold {
 		t.Fatalf("back: usable %t, cold %t", s.usable(), s.cold)
@@ -89,7 +89,7 @@
 	if used == 0 {
 		t.Error("not used for 5 s after it was let in again")
 	}
-	d.Step(at, []Event{Attach{list[0].Name}, Attach{"nobody"}}) // again: nothing is reset
+	d.Step(at, []Event{AdminRestore{list[0].Name}, AdminRestore{"nobody"}}) // again: nothing is reset
 	if s.coldAt > at-100*ms {
 		t.Error("a second call made it cold anew")
 	}
@@ -103,14 +103,14 @@
 	for i := range uint64(40) {
 		d.Step(time.Second, []Event{ask(i+1, 0, 0)})
 	}
-	d.Step(time.Second, []Event{Detach{Backend: list[0].Name}})
+	d.Step(time.Second, []Event{AdminEject{Endpoint: list[0].Name}})
 	if d.servers[list[0].Name].queued > 0 {
 		t.Error("still queued there")
 	}
-	acts := d.Step(time.Second+ms, []Event{Detach{Backend: list[1].Name}, ask(100, 0, 0)})
+	acts := d.Step(time.Second+ms, []Event{AdminEject{Endpoint: list[1].Name}, ask(100, 0, 0)})
 	refused := map[uint64]bool{}
-	for _, r := range only[Refuse](acts) {
-		refused[r.ID] = r.Why == ByHand && r.Pause > 0
+	for _, r := range only[Reject](acts) {
+		refused[r.ID] = r.Reason == EndpointsEjected && r.RetryAfter > 0
 	}
 	if !refused[100] {
 		t.Errorf("not refused at once: %+v", acts)
@@ -131,13 +131,13 @@
 	list := backends(3)
 	d := open(t, quiet(), list...)
 	at := 100 * time.Second
-	d.Step(at, []Event{Detach{Backend: list[0].Name, At: at - time.Second}})
+	d.Step(at, []Event{AdminEject{Endpoint: list[0].Name, At: at - time.Second}})
 	again := list[0]
-	again.Started = at + time.Second
-	d.Step(at+5*time.Second, []Event{List{Scope: Delta, Entries: []Backend{again}}})
-	d.Step(at+9*time.Second, []Event{Attach{list[0].Name}})
-	if got := d.servers[list[0].Name].coldAt; got != again.Started {
-		t.Errorf("cold from %v, started %v", got, again.Started)
+	again.StartedAt = at + time.Second
+	d.Step(at+5*time.Second, []Event{EndpointUpdate{Kind: Delta, Entries: []Endpoint{again}}})
+	d.Step(at+9*time.Second, []Event{AdminRestore{list[0].Name}})
+	if got := d.servers[list[0].Name].coldAt; got != again.StartedAt {
+		t.Errorf("cold from %v, started %v", got, again.StartedAt)
 	}
 }
 
@@ -146,7 +146,7 @@
 	d := open(t, quiet(), backends(2)...)
 	for i := range 10000 {
 		name := fmt.Sprint("x", i)
-		d.Step(time.Duration(i)*ms, []Event{Detach{Backend: name}, Attach{name}})
+		d.Step(time.Duration(i)*ms, []Event{AdminEject{Endpoint: name}, AdminRestore{name}})
 	}
 	if len(d.byHand) != 0 || len(d.servers) != 2 {
 		t.Errorf("%d bans, %d servers", len(d.byHand), len(d.servers))
@@ -163,11 +163,11 @@
 		feed(d, at+time.Duration(i)*tick, 100+i, 1)
 	}
 	at += time.Second
-	sends := only[Send](d.Step(at, []Event{ask(1, 0, 0)}))
+	sends := only[Dispatch](d.Step(at, []Event{ask(1, 0, 0)}))
 	if len(sends) != 1 {
 		t.Fatal(sends)
 	}
-	s := d.servers[sends[0].Backend]
+	s := d.servers[sends[0].Endpoint]
 	answers := d.learned[0].answers
 	first := FirstByte{ID: 1}
 	d.Step(at+5*ms, []Event{first, first, FirstByte{ID: 1, Attempt: 7}, FirstByte{ID: 99}})
@@ -176,9 +176,9 @@
 	}
 	slow := s.slow
 	for i := range 200 {
-		for _, a := range d.Step(at+time.Duration(i)*tick, []Event{Timer{0}, Timer{1<<1 | 1}}) {
+		for _, a := range d.Step(at+time.Duration(i)*tick, []Event{TimerFired{0}, TimerFired{1<<1 | 1}}) {
 			switch a := a.(type) {
-			case Refuse, Fail, Cancel, Send:
+			case Reject, Fail, CancelAttempt, Dispatch:
 				t.Fatalf("%+v while the value is passed on", a)
 			}
 		}
@@ -186,8 +186,8 @@
 	if s.ejected {
 		t.Error("the server is held to be silent")
 	}
-	acts := d.Step(at+4*time.Second, []Event{Outcome{ID: 1, Backend: s.name, Status: Reset, Latency: 5 * ms, Closed: true}})
-	if len(only[Send](acts)) > 0 || s.slow != slow || len(d.reqs) != 0 || s.load != 0 {
+	acts := d.Step(at+4*time.Second, []Event{AttemptResult{ID: 1, Endpoint: s.name, Status: Reset, Latency: 5 * ms, RequestClosed: true}})
+	if len(only[Dispatch](acts)) > 0 || s.slow != slow || len(d.reqs) != 0 || s.load != 0 {
 		t.Errorf("%+v, slow %v was %v, %d requests, load %v", acts, s.slow, slow, len(d.reqs), s.load)
 	}
 }
--- a/internal/balancer/handover.go
+++ b/internal/balancer/handover.go
@@ -14,27 +14,27 @@
 	ghosts     = 1 << 62 // from here on requests are numbered that are open at the door before
 )
 
-// Memory is what a door hands on. Classes and plans are numbered as in its settings.
-type Memory struct {
-	At        time.Duration    `json:"At"`
-	Classes   []ClassMemory    `json:"Classes"`
-	Customers []CustomerMemory `json:"Customers"`
-	Servers   []ServerMemory   `json:"Servers"`
-	Fleet     float64          `json:"Fleet"`
-	Rate      float64          `json:"Rate"`
-	Short     float64          `json:"Short"`
-	CallShare float64          `json:"CallShare"`
+// HandoverState is what a door hands on. Classes and plans are numbered as in its settings.
+type HandoverState struct {
+	At        time.Duration      `json:"At"`
+	Classes   []ClassHandover    `json:"Classes"`
+	Customers []CustomerHandover `json:"Customers"`
+	Servers   []EndpointHandover `json:"Servers"`
+	Fleet     float64            `json:"Fleet"`
+	Rate      float64            `json:"Rate"`
+	Short     float64            `json:"Short"`
+	CallShare float64            `json:"CallShare"`
 }
 
-// ClassMemory is what is known of a class.
-type ClassMemory struct {
+// ClassHandover is what is known of a class.
+type ClassHandover struct {
 	Base    float64 `json:"Base"`  // seconds
 	Floor   float64 `json:"Floor"` // seconds
 	Answers int     `json:"Answers"`
 }
 
-// CustomerMemory is how a customer stands.
-type CustomerMemory struct {
+// CustomerHandover is how a customer stands.
+type CustomerHandover struct {
 	Name       string          `json:"Name"`
 	Plan       int             `json:"Plan"`
 	Doors      float64         `json:"Doors"`
@@ -65,40 +65,40 @@
 	Open       []time.Duration `json:"Open"` // until when those are open at the latest that count against a cap
 }
 
-// ServerMemory is what is known of a backend.
-type ServerMemory struct {
-	Name    string        `json:"Name"`
-	Started time.Duration `json:"Started"`
-	ColdAt  time.Duration `json:"ColdAt"`
-	Cold    bool          `json:"Cold"`
-	Ejected bool          `json:"Ejected"`
-	Slow    float64       `json:"Slow"`
-	Slots   float64       `json:"Slots"`
-	Sends   []SendMemory  `json:"Sends"` // of the last cold window
+// EndpointHandover is what is known of a backend.
+type EndpointHandover struct {
+	Name    string          `json:"Name"`
+	Started time.Duration   `json:"Started"`
+	ColdAt  time.Duration   `json:"ColdAt"`
+	Cold    bool            `json:"Cold"`
+	Ejected bool            `json:"Ejected"`
+	Slow    float64         `json:"Slow"`
+	Slots   float64         `json:"Slots"`
+	Sends   []SlowStartSend `json:"Sends"` // of the last cold window
 }
 
-// SendMemory is one send to a cold backend.
-type SendMemory struct {
+// SlowStartSend is one send to a cold backend.
+type SlowStartSend struct {
 	At   time.Duration `json:"At"`
 	Size float64       `json:"Size"`
 }
 
-// Leave asks for what the door that takes this one's place needs; a Handed answers it. From then on this door ends what it has
+// BeginHandover asks for what the door that takes this one's place needs; a Handed answers it. From then on this door ends what it has
 // and spends nothing but what that has reserved, until a Recall gives something back.
-type Leave struct{}
+type BeginHandover struct{}
 
-// Handed answers a Leave.
-type Handed struct{ Memory Memory }
+// HandoverReady answers a Leave.
+type HandoverReady struct{ State HandoverState }
 
-// Recall gives a door what another one handed on, before its first request; or gives it back to the one that did.
-type Recall struct{ Memory Memory }
+// ImportHandover gives a door what another one handed on, before its first request; or gives it back to the one that did.
+type ImportHandover struct{ State HandoverState }
 
-func (Leave) event()   {}
-func (Recall) event()  {}
-func (Handed) action() {}
+func (BeginHandover) event()  {}
+func (ImportHandover) event() {}
+func (HandoverReady) action() {}
 
 // since is the seconds in which this door's shares have filled.
-func (d *Door) since(at time.Duration) float64 {
+func (d *Balancer) since(at time.Duration) float64 {
 	if d.away {
 		return 0
 	}
@@ -106,10 +106,10 @@
 }
 
 // leave writes down and gives away.
-func (d *Door) leave() {
-	m := Memory{At: d.now, Fleet: d.fleet, Rate: d.rate, Short: d.short, CallShare: d.callShare}
+func (d *Balancer) leave() {
+	m := HandoverState{At: d.now, Fleet: d.fleet, Rate: d.rate, Short: d.short, CallShare: d.callShare}
 	for _, k := range d.learned {
-		m.Classes = append(m.Classes, ClassMemory{k.base, k.floor, k.answers})
+		m.Classes = append(m.Classes, ClassHandover{k.base, k.floor, k.answers})
 	}
 	open := map[*customer][]time.Duration{}
 	for _, r := range d.reqs {
@@ -126,7 +126,7 @@
 		if len(m.Customers) < handedMost {
 			keeps := min(c.ceil, c.ceilQueued)
 			slices.Sort(open[c])
-			m.Customers = append(m.Customers, CustomerMemory{Name: c.name, Plan: c.plan, Doors: c.doors, Demand: c.demand,
+			m.Customers = append(m.Customers, CustomerHandover{Name: c.name, Plan: c.plan, Doors: c.doors, Demand: c.demand,
 				Leave: c.leave, DemandAt: c.demandAt, UsedAt: c.usedAt, Tokens: c.tokens, Owed: c.owed, Spare: c.spare,
 				Others: c.others, Store: c.store, Seen: c.seen, SpareAt: c.spareAt, GrantAt: c.grantAt, StoreAt: c.storeAt,
 				KnownAt: c.knownAt, TokensAt: c.tokensFrom, Known: c.known, SeenIn: c.seenIn, Carried: c.carried,
@@ -136,19 +136,19 @@
 		c.tokens, c.owed, c.spare, c.kept, c.ceil = 0, 0, min(0, c.spare), 0, min(c.ceil, c.ceilQueued)
 	}
 	for _, s := range d.ring {
-		sm := ServerMemory{Name: s.name, Started: s.started, ColdAt: s.coldAt, Cold: s.cold, Ejected: s.ejected, Slow: s.slow,
+		sm := EndpointHandover{Name: s.name, Started: s.started, ColdAt: s.coldAt, Cold: s.cold, Ejected: s.ejected, Slow: s.slow,
 			Slots: s.slots}
 		for _, e := range s.book.Sends() {
-			sm.Sends = append(sm.Sends, SendMemory(e))
+			sm.Sends = append(sm.Sends, SlowStartSend(e))
 		}
 		m.Servers = append(m.Servers, sm)
 	}
 	d.away = true
-	d.act(Handed{m})
+	d.act(HandoverReady{m})
 }
 
 // recall takes over what was handed on. A door that gets its own back adds it to what came in meanwhile.
-func (d *Door) recall(m Memory) {
+func (d *Balancer) recall(m HandoverState) {
 	back := d.away
 	d.away = false
 	for _, c := range d.customers { // what would have filled meanwhile was the other's
@@ -156,7 +156,7 @@
 	}
 	if !back {
 		d.fleet, d.fleetAt, d.rate, d.rateAt, d.short = cmp.Or(m.Fleet, d.fleet), d.now, m.Rate, d.now, m.Short
-		if d.set.Counter {
+		if d.set.UseCounter {
 			d.callShare = min(1, max(callsLeast, cmp.Or(m.CallShare, 1)))
 		}
 		for i, k := range m.Classes {
@@ -176,7 +176,7 @@
 	}
 }
 
-func (d *Door) recallServer(sm ServerMemory) {
+func (d *Balancer) recallServer(sm EndpointHandover) {
 	s := d.servers[sm.Name]
 	if s == nil || s.started != sm.Started {
 		return // another process, of which nothing is known
@@ -193,7 +193,7 @@
 	}
 }
 
-func (d *Door) recallCustomer(i int, cm CustomerMemory, back bool) {
+func (d *Balancer) recallCustomer(i int, cm CustomerHandover, back bool) {
 	p := &d.set.Plans[cm.Plan]
 	c := d.customers[cm.Name]
 	if back && c != nil {
@@ -205,15 +205,15 @@
 		return
 	}
 	if c == nil {
-		c = d.customer(Request{Customer: cm.Name, Plan: cm.Plan, Doors: int(cm.Doors)})
+		c = d.customer(Request{Customer: cm.Name, Plan: cm.Plan, Gateways: int(cm.Doors)})
 	}
 	c.demand, c.leave, c.demandAt, c.usedAt = cm.Demand, cm.Leave, cm.DemandAt, cm.UsedAt
 	c.tokens, c.owed, c.spare, c.spareAt = cm.Tokens, cm.Owed, min(cm.Spare, p.Burst/cm.Doors), cm.SpareAt
 	c.others, c.store, c.seen, c.seenIn = cm.Others, cm.Store, cm.Seen, cm.SeenIn
 	c.grantAt, c.storeAt, c.knownAt, c.tokensFrom = cm.GrantAt, cm.StoreAt, cm.KnownAt, cm.TokensAt
 	c.known, c.carried, c.carriedAt, c.emptyUntil = cm.Known, cm.Carried, cm.CarriedAt, cm.EmptyUntil
-	c.turn, c.ceil, c.kept, c.ceilAt = cm.Turn, min(cm.Ceil, p.CeilingDepth), cm.Kept, cm.CeilAt
-	for j, until := range cm.Open[:min(len(cm.Open), max(0, p.AtOnce))] {
+	c.turn, c.ceil, c.kept, c.ceilAt = cm.Turn, min(cm.Ceil, p.CeilingBurst), cm.Kept, cm.CeilAt
+	for j, until := range cm.Open[:min(len(cm.Open), max(0, p.MaxInFlight))] {
 		if until <= d.now {
 			continue
 		}
--- a/internal/balancer/handover_test.go
+++ b/internal/balancer/handover_test.go
@@ -9,17 +9,17 @@
 )
 
 // pass hands one door's memory to a fresh one, through the form in which processes send it.
-func pass(t *testing.T, from *Door, set Settings, at time.Duration, list ...Backend) (*Door, Memory) {
+func pass(t *testing.T, from *Balancer, set Settings, at time.Duration, list ...Endpoint) (*Balancer, HandoverState) {
 	t.Helper()
-	handed := only[Handed](from.Step(at, []Event{Leave{}}))
+	handed := only[HandoverReady](from.Step(at, []Event{BeginHandover{}}))
 	if len(handed) != 1 {
 		t.Fatalf("%d memories", len(handed))
 	}
-	text, err := json.Marshal(handed[0].Memory)
+	text, err := json.Marshal(handed[0].State)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var m Memory
+	var m HandoverState
 	if err := json.Unmarshal(text, &m); err != nil {
 		t.Fatal(err)
 	}
@@ -27,7 +27,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	to.Step(at, []Event{List{Scope: Cached, Entries: list}, Recall{m}})
+	to.Step(at, []Event{EndpointUpdate{Kind: CachedSnapshot, Entries: list}, ImportHandover{m}})
 	return to, m
 }
 
@@ -36,18 +36,18 @@
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 3))
 		set := basic()
-		set.Counter, set.Doors = false, 1
-		set.Plans[1] = Plan{Factor: 1, OverWorth: 0.2, CeilingRate: 20, CeilingDepth: 40}
+		set.UseCounter, set.Gateways = false, 1
+		set.Plans[1] = Plan{PriorityFactor: 1, OverQuotaWeight: 0.2, CeilingRate: 20, CeilingBurst: 40}
 		list := backends(3)
-		doors := []*Door{open(t, set, list...)}
+		doors := []*Balancer{open(t, set, list...)}
 		sent, id, at := 0.0, uint64(0), time.Duration(0)
 		type out struct {
-			d *Door
-			s Send
+			d *Balancer
+			s Dispatch
 		}
 		var outs []out
-		step := func(d *Door, evs ...Event) {
-			for _, s := range only[Send](d.Step(at, evs)) {
+		step := func(d *Balancer, evs ...Event) {
+			for _, s := range only[Dispatch](d.Step(at, evs)) {
 				sent++
 				outs = append(outs, out{d, s})
 			}
@@ -62,10 +62,10 @@
 			for len(outs) > 2 && rng.IntN(2) == 0 {
 				o := outs[0]
 				outs = outs[1:]
-				step(o.d, Outcome{ID: o.s.ID, Backend: o.s.Backend, Status: OK, Latency: 50 * ms, Closed: true})
+				step(o.d, AttemptResult{ID: o.s.ID, Endpoint: o.s.Endpoint, Status: OK, Latency: 50 * ms, RequestClosed: true})
 			}
 			for _, d := range doors {
-				step(d, Timer{0})
+				step(d, TimerFired{0})
 			}
 			if rng.IntN(40) == 0 {
 				next, _ := pass(t, last, set, at, list...)
@@ -84,7 +84,7 @@
 // Tokens and spare are handed on once: a customer of many successors gets no new burst from each.
 func TestQuotaIsHandedOnOnce(t *testing.T) {
 	set := basic()
-	set.Counter, set.Doors = false, 1
+	set.UseCounter, set.Gateways = false, 1
 	list := backends(3)
 	d := open(t, set, list...)
 	sent, id := 0, uint64(0)
@@ -92,9 +92,9 @@
 		at := time.Duration(i) * 100 * ms
 		for range 20 {
 			id++
-			for _, s := range only[Send](d.Step(at, []Event{ask(id, 0, 0)})) {
+			for _, s := range only[Dispatch](d.Step(at, []Event{ask(id, 0, 0)})) {
 				sent++
-				d.Step(at, []Event{Outcome{ID: s.ID, Backend: s.Backend, Status: OK, Latency: ms, Closed: true}})
+				d.Step(at, []Event{AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Status: OK, Latency: ms, RequestClosed: true}})
 			}
 		}
 		d, _ = pass(t, d, set, at, list...)
@@ -107,24 +107,24 @@
 // A cap on what is open at once counts what is open at the door before, until its time is over.
 func TestAtOnceCountsTheDoorBefore(t *testing.T) {
 	set := basic()
-	set.Counter, set.Doors = false, 1
+	set.UseCounter, set.Gateways = false, 1
 	list := backends(4)
 	old := open(t, set, list...)
 	for i := range uint64(3) {
-		if n := len(only[Send](old.Step(time.Second, []Event{ask(i+1, 0, 3)}))); n != 1 {
+		if n := len(only[Dispatch](old.Step(time.Second, []Event{ask(i+1, 0, 3)}))); n != 1 {
 			t.Fatalf("%d sends", n)
 		}
 	}
 	d, _ := pass(t, old, set, time.Second, list...)
 	sends := 0
 	for i := range uint64(4) {
-		sends += len(only[Send](d.Step(time.Second+ms, []Event{ask(i+1, 0, 3)})))
+		sends += len(only[Dispatch](d.Step(time.Second+ms, []Event{ask(i+1, 0, 3)})))
 	}
 	if sends != 1 {
 		t.Errorf("%d sent beside 3 at the old door; the cap is 4", sends)
 	}
 	c := d.customers["c"]
-	acts := d.Step(4*time.Second, []Event{Timer{(ghosts+1)<<1 | 1}, Timer{(ghosts+0)<<1 | 1}, Timer{(ghosts+2)<<1 | 1}})
+	acts := d.Step(4*time.Second, []Event{TimerFired{(ghosts+1)<<1 | 1}, TimerFired{(ghosts+0)<<1 | 1}, TimerFired{(ghosts+2)<<1 | 1}})
 	_ = acts
 	if c.live > 1 {
 		t.Errorf("%d still count when their time is over", c.live)
@@ -154,13 +154,13 @@
 		t.Error("a server that was left out is used")
 	}
 	again := list[0]
-	again.Started = 1500 * ms // another process than the one that is known
+	again.StartedAt = 1500 * ms // another process than the one that is known
 	fresh, err := New(set, 9)
 	if err != nil {
 		t.Fatal(err)
 	}
-	fresh.Step(2*time.Second, []Event{List{Scope: Cached, Entries: []Backend{again}}, Recall{m}})
-	if got := fresh.servers[again.Name]; got.slow == 2 || got.coldAt != again.Started {
+	fresh.Step(2*time.Second, []Event{EndpointUpdate{Kind: CachedSnapshot, Entries: []Endpoint{again}}, ImportHandover{m}})
+	if got := fresh.servers[again.Name]; got.slow == 2 || got.coldAt != again.StartedAt {
 		t.Errorf("what is known of another process: %+v", got)
 	}
 }
@@ -168,17 +168,17 @@
 // A door that gets back what nobody took goes on as before.
 func TestTakeBack(t *testing.T) {
 	set := basic()
-	set.Counter, set.Doors = false, 1
+	set.UseCounter, set.Gateways = false, 1
 	d := open(t, set, backends(2)...)
 	d.Step(time.Second, []Event{ask(1, 0, 1)})
 	c := d.customers["c"]
 	ceil, spare := d.ceiling(c, &set.Plans[1]), c.spare
-	handed := only[Handed](d.Step(time.Second, []Event{Leave{}}))
+	handed := only[HandoverReady](d.Step(time.Second, []Event{BeginHandover{}}))
 	if c.ceil > c.ceilQueued || c.spare > 0 {
 		t.Errorf("kept: ceiling %v, spare %v", c.ceil, c.spare)
 	}
 	d.Step(2*time.Second, []Event{ask(2, 0, 1)}) // it fills nothing meanwhile
-	d.Step(3*time.Second, []Event{Recall{handed[0].Memory}})
+	d.Step(3*time.Second, []Event{ImportHandover{handed[0].State}})
 	if math.Abs(c.ceil-ceil) > 1e-9 || math.Abs(c.spare-spare) > 1e-9 {
 		t.Errorf("ceiling %v, was %v; spare %v, was %v", c.ceil, ceil, c.spare, spare)
 	}
@@ -192,12 +192,12 @@
 	set := basic()
 	d := open(t, set, backends(1)...)
 	inf := math.Inf(1)
-	d.Step(time.Second, []Event{Recall{Memory{CallShare: -3, Rate: -1, Classes: make([]ClassMemory, 9),
-		Customers: []CustomerMemory{{Name: "a", Plan: 99, Doors: 1}, {Name: "b", Plan: -1}, {Name: "c", Plan: 0}, {Name: "d", Plan: 3, Doors: 1,
+	d.Step(time.Second, []Event{ImportHandover{HandoverState{CallShare: -3, Rate: -1, Classes: make([]ClassHandover, 9),
+		Customers: []CustomerHandover{{Name: "a", Plan: 99, Doors: 1}, {Name: "b", Plan: -1}, {Name: "c", Plan: 0}, {Name: "d", Plan: 3, Doors: 1,
 			Open: make([]time.Duration, 1000), Ceil: inf, Spare: inf}},
-		Servers: []ServerMemory{{Name: "nobody"}, {Name: "b0", Started: 0, Slots: -1, Slow: -1}}}}})
+		Servers: []EndpointHandover{{Name: "nobody"}, {Name: "b0", Started: 0, Slots: -1, Slow: -1}}}}})
 	for i := range uint64(20) {
-		d.Step(time.Second+time.Duration(i)*20*ms, []Event{ask(i+1, 0, int(i)%4), Timer{0}})
+		d.Step(time.Second+time.Duration(i)*20*ms, []Event{ask(i+1, 0, int(i)%4), TimerFired{0}})
 	}
 	if d.callShare < callsLeast || d.callShare > 1 {
 		t.Errorf("callShare %v", d.callShare)
--- a/internal/balancer/late.go
+++ b/internal/balancer/late.go
@@ -49,7 +49,7 @@
 
 // unanswered takes it that a call may have been added and that nobody heard of it. One that ended long before its time did so with
 // its connection: no late answer can come on that, and who waits may ask once more, now.
-func (d *Door) unanswered(k *call) {
+func (d *Balancer) unanswered(k *call) {
 	k.c.unheard = true
 	if d.now-k.at < d.set.CounterTimeout/2 {
 		k.c.askAnew()
@@ -67,7 +67,7 @@
 }
 
 // late takes the answer to a call that was given up, if it goes by the number of now: a window's number does not outlive it.
-func (d *Door) late(ev Late) {
+func (d *Balancer) late(ev LateCounterResult) {
 	k := d.lates.take(ev.Ticket)
 	if k == nil || k.window != int64(d.now/windowLen) || d.now-k.at > lateKeep {
 		return
--- a/internal/balancer/late_test.go
+++ b/internal/balancer/late_test.go
@@ -6,27 +6,27 @@
 )
 
 // called is a door with one call of the counter out, for a request that waits for it.
-func called(t *testing.T) (*Door, Count, time.Duration) {
+func called(t *testing.T) (*Balancer, CounterAdd, time.Duration) {
 	t.Helper()
 	return calledBy(t, 7)
 }
 
-func calledBy(t *testing.T, seed uint64) (*Door, Count, time.Duration) {
+func calledBy(t *testing.T, seed uint64) (*Balancer, CounterAdd, time.Duration) {
 	t.Helper()
 	d, err := New(basic(), seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.Step(0, []Event{List{Scope: Cached, Entries: backends(2)}})
+	d.Step(0, []Event{EndpointUpdate{Kind: CachedSnapshot, Entries: backends(2)}})
 	now := time.Second
 	for i := range uint64(40) { // the fresh door's share is spent first
 		now += ms
-		if calls := only[Count](d.Step(now, []Event{ask(i, 0, 0)})); len(calls) > 0 {
+		if calls := only[CounterAdd](d.Step(now, []Event{ask(i, 0, 0)})); len(calls) > 0 {
 			return d, calls[0], now
 		}
 	}
 	t.Fatal("no call of the counter")
-	return nil, Count{}, 0
+	return nil, CounterAdd{}, 0
 }
 
 // A call that is answered too late has taken its block: it is leased from then on, once, whatever is said twice or of other
@@ -34,16 +34,16 @@
 func TestLateAnswerIsALease(t *testing.T) {
 	d, call, now := called(t)
 	c := d.customers["c"]
-	d.Step(now+50*ms, []Event{Counted{Name: call.Name, Status: Timeout}})
-	if acts := d.Step(now+55*ms, []Event{ask(900, 0, 0)}); len(only[Count](acts)) != 0 {
+	d.Step(now+50*ms, []Event{CounterResult{Name: call.Name, Status: Timeout}})
+	if acts := d.Step(now+55*ms, []Event{ask(900, 0, 0)}); len(only[CounterAdd](acts)) != 0 {
 		t.Errorf("asked again before the first call is answered: %v", acts)
 	}
 	before := c.tokens
-	d.Step(now+60*ms, []Event{Late{Ticket: call.Ticket + 99, Status: OK}, Late{Status: OK}})
+	d.Step(now+60*ms, []Event{LateCounterResult{Ticket: call.Ticket + 99, Status: OK}, LateCounterResult{Status: OK}})
 	if c.tokens != before {
 		t.Errorf("%v tokens after news of other calls; want %v", c.tokens, before)
 	}
-	late := Late{call.Ticket, OK, call.Amount}
+	late := LateCounterResult{call.Ticket, OK, call.Amount}
 	d.Step(now+70*ms, []Event{late, late})
 	if got := c.tokens - before; got <= 0 || got > call.Amount {
 		t.Errorf("%v leased of the %v added", got, call.Amount)
@@ -59,9 +59,9 @@
 func TestLateAnswerThatIsSpoilt(t *testing.T) {
 	d, call, now := called(t)
 	c := d.customers["c"]
-	d.Step(now+50*ms, []Event{Counted{Name: call.Name, Status: Timeout}})
+	d.Step(now+50*ms, []Event{CounterResult{Name: call.Name, Status: Timeout}})
 	before := c.owed
-	d.Step(now+70*ms, []Event{Late{Ticket: call.Ticket, Status: Failed}})
+	d.Step(now+70*ms, []Event{LateCounterResult{Ticket: call.Ticket, Status: Failed}})
 	if got := before - c.owed; got <= 0 || got > call.Amount {
 		t.Errorf("%v given back of the %v added", got, call.Amount)
 	}
@@ -72,9 +72,9 @@
 	for _, after := range []time.Duration{windowLen, lateKeep + time.Second} {
 		d, call, now := called(t)
 		c := d.customers["c"]
-		d.Step(now+50*ms, []Event{Counted{Name: call.Name, Status: Timeout}})
+		d.Step(now+50*ms, []Event{CounterResult{Name: call.Name, Status: Timeout}})
 		before := c.tokens
-		d.Step(now+after, []Event{Late{call.Ticket, OK, call.Amount}})
+		d.Step(now+after, []Event{LateCounterResult{call.Ticket, OK, call.Amount}})
 		if c.tokens != before {
 			t.Errorf("%v later: %v tokens, want %v", after, c.tokens, before)
 		}
@@ -100,14 +100,14 @@
 func TestAfterSilenceTheLeastIsAsked(t *testing.T) {
 	d, call, now := called(t)
 	c := d.customers["c"]
-	d.Step(now+50*ms, []Event{Counted{Name: call.Name, Status: Timeout}})
+	d.Step(now+50*ms, []Event{CounterResult{Name: call.Name, Status: Timeout}})
 	c.demand = 100 // a flood, whose lease would be a large one
 	now += 50*ms + latePause
-	calls := only[Count](d.Step(now, []Event{ask(800, 0, 0)}))
+	calls := only[CounterAdd](d.Step(now, []Event{ask(800, 0, 0)}))
 	if len(calls) != 1 || calls[0].Amount > 1+1e-9 {
 		t.Fatalf("after a call without an answer: %v; want one for a single unit", calls)
 	}
-	d.Step(now+ms, []Event{Counted{Name: calls[0].Name, Status: OK, Total: 0}})
+	d.Step(now+ms, []Event{CounterResult{Name: calls[0].Name, Status: OK, Total: 0}})
 	if c.unheard {
 		t.Error("the counter was heard, and still the least is asked")
 	}
@@ -118,8 +118,8 @@
 	again := 0
 	for seed := range uint64(20) { // the part that calls has shrunk by the failure: for a few that means no
 		d, call, now := calledBy(t, seed)
-		acts := d.Step(now+3*ms, []Event{Counted{Name: call.Name, Status: Timeout}})
-		again += len(only[Count](acts))
+		acts := d.Step(now+3*ms, []Event{CounterResult{Name: call.Name, Status: Timeout}})
+		again += len(only[CounterAdd](acts))
 		if len(d.lates.calls) != 0 || d.customers["c"].pauseUntil != 0 {
 			t.Errorf("seed %d: a late answer is waited for on a connection that is gone", seed)
 		}
@@ -131,11 +131,11 @@
 
 // One that says it is busy, or takes no connection, is not asked again at once.
 func TestABusyCounterIsNotAskedAgain(t *testing.T) {
-	for _, status := range []Status{Full, ConnectFailed} {
+	for _, status := range []Status{Rejected, ConnectFailed} {
 		for seed := range uint64(20) { // whether a request calls is partly chance
 			d, call, now := calledBy(t, seed)
-			acts := d.Step(now+3*ms, []Event{Counted{Name: call.Name, Status: status}})
-			if again := only[Count](acts); len(again) != 0 {
+			acts := d.Step(now+3*ms, []Event{CounterResult{Name: call.Name, Status: status}})
+			if again := only[CounterAdd](acts); len(again) != 0 {
 				t.Errorf("status %d, seed %d: asked again at once: %v", status, seed, again)
 			}
 		}
@@ -148,10 +148,10 @@
 	d, call, now := called(t)
 	c := d.customers["c"]
 	p := d.set.Plans[0]
-	d.Step(now+50*ms, []Event{Counted{Name: call.Name, Status: Timeout}})
+	d.Step(now+50*ms, []Event{CounterResult{Name: call.Name, Status: Timeout}})
 	before := c.tokens
 	empty := p.Burst + p.Rate*now.Seconds() + call.Amount // a total at which the store held nothing then
-	d.Step(now+3*time.Second, []Event{Late{call.Ticket, OK, empty}})
+	d.Step(now+3*time.Second, []Event{LateCounterResult{call.Ticket, OK, empty}})
 	if c.tokens > before {
 		t.Errorf("%v granted from a store that was empty when it was asked", c.tokens-before)
 	}
@@ -161,19 +161,19 @@
 func TestLateAnswerAfterALaterOne(t *testing.T) {
 	d, call, now := called(t)
 	c := d.customers["c"]
-	d.Step(now+50*ms, []Event{Counted{Name: call.Name, Status: Timeout}})
+	d.Step(now+50*ms, []Event{CounterResult{Name: call.Name, Status: Timeout}})
 	now += 50*ms + latePause
-	later := only[Count](d.Step(now, []Event{ask(700, 0, 0)}))
+	later := only[CounterAdd](d.Step(now, []Event{ask(700, 0, 0)}))
 	if len(later) != 1 {
 		t.Fatalf("%d calls after the pause", len(later))
 	}
-	d.Step(now+ms, []Event{Counted{Name: later[0].Name, Status: OK, Total: 90}})
+	d.Step(now+ms, []Event{CounterResult{Name: later[0].Name, Status: OK, Total: 90}})
 	known, seen, store, at := c.knownAt, c.seen, c.store, c.storeAt
-	acts := d.Step(now+20*ms, []Event{Late{call.Ticket, OK, call.Amount}})
+	acts := d.Step(now+20*ms, []Event{LateCounterResult{call.Ticket, OK, call.Amount}})
 	if c.knownAt != known || c.seen != seen || c.store != store || c.storeAt != at {
 		t.Errorf("known since %v, seen %v, store %v at %v; want %v, %v, %v at %v", c.knownAt, c.seen, c.store, c.storeAt, known, seen, store, at)
 	}
-	for _, k := range only[Count](acts) {
+	for _, k := range only[CounterAdd](acts) {
 		if k.Amount > 0 {
 			t.Errorf("%v added to put a number right by an old total", k.Amount)
 		}
--- a/internal/balancer/lend.go
+++ b/internal/balancer/lend.go
@@ -43,7 +43,7 @@
 // lent is on what terms a request's ceiling is lent now; nil: it is not, and this door goes by its even
 // share. A counter that does not answer lends nothing: then all doors go by their shares, from which what
 // they sent on meanwhile was taken (see draw), so together they hold no more than the ceiling's store does.
-func (d *Door) lent(r *request) *ceilinglease.Terms {
+func (d *Balancer) lent(r *request) *ceilinglease.Terms {
 	if t := &d.terms[r.plan]; t.Rate > 0 && r.c.doors > 1 && d.now >= d.lendFrom {
 		return t
 	}
@@ -52,7 +52,7 @@
 
 // noted takes whether a counter call was answered. After a few failures in a row doors go by their even shares, and lend
 // again when the ceilings have had the time to fill since the last one.
-func (d *Door) noted(ok bool) {
+func (d *Balancer) noted(ok bool) {
 	if ok {
 		d.failed = 0
 	} else if d.failed++; d.failed >= failedMost || d.now < d.lendFrom {
@@ -62,7 +62,7 @@
 
 // sharers is how many doors a customer's demand is taken to come through: all that it names, or, where its ceiling is lent,
 // as many as what the others were seen to add speaks for.
-func (d *Door) sharers(c *customer) float64 {
+func (d *Balancer) sharers(c *customer) float64 {
 	if d.terms[c.plan].Rate == 0 {
 		return c.doors
 	}
@@ -71,13 +71,13 @@
 
 // seasoned says that this door has known a customer's store for as long as the ceiling takes to fill: a
 // counter that has lost its numbers tells who asks first that the store is full, and by then that is true.
-func (d *Door) seasoned(c *customer, p *Plan) bool {
-	return c.known && (d.now-c.knownAt).Seconds() >= p.CeilingDepth/p.CeilingRate &&
+func (d *Balancer) seasoned(c *customer, p *Plan) bool {
+	return c.known && (d.now-c.knownAt).Seconds() >= p.CeilingBurst/p.CeilingRate &&
 		c.carried == int64(d.now/windowLen) && d.now >= c.carriedAt
 }
 
 // look sees to it that a customer's store is known, and that what it lacked is carried into this window.
-func (d *Door) look(c *customer) {
+func (d *Balancer) look(c *customer) {
 	if d.terms[c.plan].Rate == 0 || !d.mayCall() {
 		return
 	}
@@ -94,7 +94,7 @@
 // carry takes what a customer's store held at the end of a window into the next: each window's number begins
 // anew, and no door may know better, where the demand moves among many. The first door that asks in a window
 // adds what the store lacked; the others give it the time for that.
-func (d *Door) carry(k *call, ev Counted) {
+func (d *Balancer) carry(k *call, ev CounterResult) {
 	c, p := k.c, &d.set.Plans[k.c.plan]
 	switch {
 	case k.kind == forLevel:
@@ -134,17 +134,17 @@
 			d.call(c, 0, lacks, 0)
 		}
 		if c.carriedAt = d.now + carryTime; ev.Total == 0 { // nobody asked, or the counter has lost it
-			c.carriedAt = d.now + time.Duration(p.CeilingDepth/p.CeilingRate*float64(time.Second))
+			c.carriedAt = d.now + time.Duration(p.CeilingBurst/p.CeilingRate*float64(time.Second))
 		}
 	}
 }
 
 // leased says whether what was leased beyond the quota has a request's units, and asks for more.
-func (d *Door) leased(r *request, t *ceilinglease.Terms, late bool) verdict {
+func (d *Balancer) leased(r *request, t *ceilinglease.Terms, late bool) verdict {
 	c := r.c
 	p := &d.set.Plans[r.plan]
 	switch {
-	case p.Rate > 0 && p.OverWorth <= p.OverCost:
+	case p.Rate > 0 && p.OverQuotaWeight <= p.OverQuotaCost:
 		return beyond
 	case c.lease.Has(*t, d.now, !r.grant, c.leaves()) >= r.units:
 		return paid
@@ -171,7 +171,7 @@
 // draw takes the units of a first attempt out of the ceiling; false: they are not there any more. What is
 // lent is taken from this door's even share too, which may go so far below nothing that all doors' shares
 // together are as empty as the ceiling's store can be.
-func (d *Door) draw(r *request, p *Plan) bool {
+func (d *Balancer) draw(r *request, p *Plan) bool {
 	c := r.c
 	if p.CeilingRate == 0 {
 		return true
@@ -201,40 +201,40 @@
 		}
 		r.lease = c.lease.Take(*t, d.now, r.units, !r.grant)
 	}
-	c.ceil = max(d.share(c, p).Depth-p.CeilingDepth, c.ceil-r.units)
+	c.ceil = max(d.share(c, p).Depth-p.CeilingBurst, c.ceil-r.units)
 	return true
 }
 
 // callLease asks the counter for units of a customer's ceiling beyond the quota, in the window of now.
-func (d *Door) callLease(c *customer, t ceilinglease.Terms, block float64) {
+func (d *Balancer) callLease(c *customer, t ceilinglease.Terms, block float64) {
 	window := t.Index(d.now)
 	name := counterName(fmt.Sprint(c.name, " beyond ", t.Window), window) // doors with other terms share nothing
 	d.asks[name] = append(d.asks[name], &call{c: c, block: block, window: window, at: d.now, kind: forLease})
-	d.act(Count{name, block, t.Keep(), 0})
+	d.act(CounterAdd{name, block, t.Keep(), 0})
 }
 
 // askFirst asks whether this door is the first that asks in a window of a customer's store.
-func (d *Door) askFirst(c *customer, window int64) {
+func (d *Balancer) askFirst(c *customer, window int64) {
 	d.aside(c, forFirst, window, counterName(c.name+" first", window), 1)
 }
 
 // askLast asks what the window before one came to.
-func (d *Door) askLast(c *customer, window int64) {
+func (d *Balancer) askLast(c *customer, window int64) {
 	d.aside(c, forLast, window, counterName(c.name, window-1), 0)
 }
 
 // askTest asks the counter for no customer.
-func (d *Door) askTest() { d.aside(nil, forTest, 0, counterName("test", int64(d.set.Rank)), 0) }
+func (d *Balancer) askTest() { d.aside(nil, forTest, 0, counterName("test", int64(d.set.Index)), 0) }
 
 // askLevel asks what a customer's store holds.
-func (d *Door) askLevel(c *customer) {
+func (d *Balancer) askLevel(c *customer) {
 	window := int64(d.now / windowLen)
 	d.aside(c, forLevel, window, counterName(c.name, window), 0)
 }
 
 // untaken is what a store holds whose number is still to be put right, by what this door last knew of it and what the number has
 // gained since: that others have taken.
-func (d *Door) untaken(c *customer, k *call, total float64) float64 {
+func (d *Balancer) untaken(c *customer, k *call, total float64) float64 {
 	if d.terms[c.plan].Rate == 0 || !c.known || c.seenIn != k.window {
 		return math.Inf(1)
 	}
@@ -244,7 +244,7 @@
 
 // taken is what a door takes of a block, of which the store has so much. Where the ceiling is lent tokens are not given back, so a part of a
 // unit stays in the store: here it would mostly lie until it is lost.
-func (d *Door) taken(k *call, has float64) float64 {
+func (d *Balancer) taken(k *call, has float64) float64 {
 	got := max(0, min(k.block, has))
 	if got < k.block && d.terms[k.c.plan].Rate > 0 {
 		got = min(got, max(0, math.Floor(got+k.c.tokens)-k.c.tokens))
@@ -254,7 +254,7 @@
 
 // apart is by what a pause is longer after which an empty store is looked at again. Doors that lend look each at its own time: else the same one
 // would find each unit first, for as long as all keep to their pace.
-func (d *Door) apart(c *customer) float64 {
+func (d *Balancer) apart(c *customer) float64 {
 	if d.terms[c.plan].Rate == 0 {
 		return 1
 	}
@@ -266,7 +266,7 @@
 // same surplus within one round trip, however calm the customer is. Who saw the store before anybody took of it adds at once, as it alone knows
 // what that held; so does the door of a calm customer, which saves calls. Whoever adds takes it back where the answer tells that another door
 // had added it already.
-func (d *Door) correct(c *customer, k *call, held, most, total float64) float64 {
+func (d *Balancer) correct(c *customer, k *call, held, most, total float64) float64 {
 	p := &d.set.Plans[c.plan]
 	lent, first, calm := d.terms[c.plan].Rate > 0, c.seenIn != k.window, c.demand*c.doors < p.Rate
 	seen := c.known && d.now-c.storeAt < trusted && k.kind != forLevel
@@ -295,14 +295,14 @@
 
 // alone says that nobody else has taken of a store since this door knew what it held: by a number that this door began, or that has gained
 // nothing besides since this door looked at it.
-func (d *Door) alone(c *customer, k *call, total float64) bool {
+func (d *Balancer) alone(c *customer, k *call, total float64) bool {
 	const some = 1e-6
 	return k.kind == forTokens && (total <= k.amount+some || c.known && c.seenIn == k.window && total-k.amount <= c.seen+some)
 }
 
 // least is what a store whose number is still to be put right holds at least, by what this door last knew and what others have taken since then:
 // just now, it may be, when the store had long been full.
-func (d *Door) least(c *customer, k *call, total float64) float64 {
+func (d *Balancer) least(c *customer, k *call, total float64) float64 {
 	p := &d.set.Plans[c.plan]
 	if c.seenIn == k.window {
 		total -= c.seen
@@ -311,33 +311,33 @@
 }
 
 // right adds to a store's number what it holds too much, when the number came to a total.
-func (d *Door) right(c *customer, window int64, amount, total float64) {
+func (d *Balancer) right(c *customer, window int64, amount, total float64) {
 	r := d.aside(c, forRight, window, counterName(c.name, window), amount)
 	r.amount, r.first = amount, total
 }
 
 // askFix asks for leave to add to a store's number what it holds over its burst, or seems to have gained. Doors that see it
 // at the same moment, as after a pause of the customer's, must not all add it: the store would be empty for as long again.
-func (d *Door) askFix(c *customer, window int64, amount, total float64) {
+func (d *Balancer) askFix(c *customer, window int64, amount, total float64) {
 	k := d.aside(c, forFix, window, counterName(c.name+" fix", int64(d.now/fixEach)), 1)
 	k.amount, k.first, k.total = amount, 1, total
 }
 
 // askFixed asks whether a door was given that leave in the stretch before this one: two that see the same store on both sides of an
 // edge would each be the first in theirs.
-func (d *Door) askFixed(c *customer, k *call) {
+func (d *Balancer) askFixed(c *customer, k *call) {
 	f := d.aside(c, forFixed, k.window, counterName(c.name+" fix", int64(k.at/fixEach)-1), 0)
 	f.amount, f.total = k.amount, k.total
 }
 
-func (d *Door) aside(c *customer, kind callKind, window int64, name uint64, amount float64) *call {
+func (d *Balancer) aside(c *customer, kind callKind, window int64, name uint64, amount float64) *call {
 	k := &call{c: c, window: window, at: d.now, kind: kind}
 	d.asks[name] = append(d.asks[name], k)
-	d.act(Count{name, amount, keepFor, 0})
+	d.act(CounterAdd{name, amount, keepFor, 0})
 	return k
 }
 
 // quotaMay says whether a request may be inside the quota, by what this door knows.
-func (d *Door) quotaMay(r *request, p *Plan) bool {
+func (d *Balancer) quotaMay(r *request, p *Plan) bool {
 	return p.Rate > 0 && (r.c.tokens >= r.units || r.c.asking || d.now >= r.c.emptyUntil)
 }
--- a/internal/balancer/many.go
+++ b/internal/balancer/many.go
@@ -38,20 +38,20 @@
 
 // many says that the doors of a customer are so many that each one's even share of the ceiling is a request or two. A plan that
 // caps what is open at once too keeps its even shares: payMany counts nothing that is open.
-func (d *Door) many(c *customer, p *Plan) bool {
-	return d.crowded() && p.CeilingRate > p.Rate && p.Rate > 0 && p.AtOnce == 0 && p.CeilingDepth > manyTakes*p.Burst && d.terms[c.plan].Rate == 0 &&
-		p.CeilingDepth/c.doors < manyDepth && p.OverWorth > p.OverCost
+func (d *Balancer) many(c *customer, p *Plan) bool {
+	return d.crowded() && p.CeilingRate > p.Rate && p.Rate > 0 && p.MaxInFlight == 0 && p.CeilingBurst > manyTakes*p.Burst && d.terms[c.plan].Rate == 0 &&
+		p.CeilingBurst/c.doors < manyDepth && p.OverQuotaWeight > p.OverQuotaCost
 }
 
 // crowded says that the doors are so many that the counter can't serve a call for each request that a door can't pay, and a
 // door meets most customers so seldom that a lease for them would lie unused.
-func (d *Door) crowded() bool {
-	return d.set.Counter && !d.set.LendCeilings && d.set.Doors >= crowdFrom // what is lent hangs on a ledger without reservations
+func (d *Balancer) crowded() bool {
+	return d.set.UseCounter && !d.set.LeaseCeilings && d.set.Gateways >= crowdFrom // what is lent hangs on a ledger without reservations
 }
 
 // mayAsk says whether the counter may be called for a request. The calls that there are go first to those for which they
 // decide most: a client's repeat was refused before, mostly for good reason, and a promotion only helps while servers are short.
-func (d *Door) mayAsk(r *request, leaves float64) bool {
+func (d *Balancer) mayAsk(r *request, leaves float64) bool {
 	c := r.c
 	if d.away || r.asked || d.now < max(c.emptyUntil, c.pauseUntil) || len(d.asks) >= mostAsks {
 		return false
@@ -63,34 +63,34 @@
 }
 
 // ledgerMay says whether the ledger may pay a request: a token is here, is asked for, or can be.
-func (d *Door) ledgerMay(r *request, p *Plan) bool {
+func (d *Balancer) ledgerMay(r *request, p *Plan) bool {
 	c := r.c
 	return c.tokens >= r.units && (c.tokensFrom-d.now).Seconds() <= r.tau.Seconds()*ceilWait || c.asking ||
 		d.now >= max(c.emptyUntil, c.pauseUntil)
 }
 
 // turns are a customer's at the doors, where each one's share of what is beyond the quota is less than a unit.
-func (d *Door) turns(c *customer, p *Plan) (ceilinglease.Turns, bool) {
-	return ceilinglease.TurnsOf(manyRate*(p.CeilingRate-p.Rate), p.CeilingDepth-manyTakes*p.Burst, c.doors)
+func (d *Balancer) turns(c *customer, p *Plan) (ceilinglease.Turns, bool) {
+	return ceilinglease.TurnsOf(manyRate*(p.CeilingRate-p.Rate), p.CeilingBurst-manyTakes*p.Burst, c.doors)
 }
 
 // turnOf tells the share of a customer at a door that has turns. A door that has just begun may have used its turn before.
-func (d *Door) turnOf(c *customer, t ceilinglease.Turns) float64 {
+func (d *Balancer) turnOf(c *customer, t ceilinglease.Turns) float64 {
 	c.ceil, c.ceilAt, c.kept = 0, d.now, 0
-	turn, open := t.Now(d.now, d.set.Rank)
-	if began, _ := t.Now(d.begun, d.set.Rank); open && turn > c.turn && turn > began {
+	turn, open := t.Now(d.now, d.set.Index)
+	if began, _ := t.Now(d.begun, d.set.Index); open && turn > c.turn && turn > began {
 		c.ceil = 1
 	}
 	return c.ceil
 }
 
 // hasWaited says that a request has waited for as long as it may for the counter, or for a turn to call it.
-func (d *Door) hasWaited(r *request) bool {
+func (d *Balancer) hasWaited(r *request) bool {
 	return (d.now - r.at).Seconds() > r.tau.Seconds()*crowdWait
 }
 
 // tidy gives back what a customer's lease has not used, with the next call, and fills its credit.
-func (d *Door) tidy(c *customer, p *Plan, least float64) {
+func (d *Balancer) tidy(c *customer, p *Plan, least float64) {
 	if w := int64(d.now / windowLen); c.owedIn != w { // what was taken of an older number can't be given back to this one
 		c.owedIn, c.owed = w, max(0, c.owed)
 	}
@@ -102,7 +102,7 @@
 }
 
 // spendFew is spend where doors are many.
-func (d *Door) spendFew(r *request, p *Plan) verdict {
+func (d *Balancer) spendFew(r *request, p *Plan) verdict {
 	c := r.c
 	d.tidy(c, p, 0)
 	switch {
@@ -134,7 +134,7 @@
 // credit is the chance that a request for which there is no call goes out unasked. A share of less than a unit is a unit by
 // chance; and the longer a door has run, the more likely is a customer that it has not met, or not found empty, one of the
 // many that stay well inside their quotas. Once for each customer, and again when its share has filled.
-func (d *Door) credit(c *customer, p *Plan) float64 {
+func (d *Balancer) credit(c *customer, p *Plan) float64 {
 	if c.spare <= 0 {
 		return 0
 	}
@@ -143,7 +143,7 @@
 
 // overfull puts a store right that holds more than its burst. Where it is much, as when all doors have just started, many see it at
 // once: the one whose call began the number does it; should that fail, one of those who ask leave of the counter.
-func (d *Door) overfull(c *customer, k *call, amount float64, began bool) {
+func (d *Balancer) overfull(c *customer, k *call, amount float64, began bool) {
 	switch {
 	case began || amount <= d.set.Plans[c.plan].Burst:
 		d.call(c, 0, amount, 0)
@@ -153,7 +153,7 @@
 }
 
 // slackOf is by how many bursts a store may be over its burst before a call is spent on it. Where a ceiling hangs on it, little.
-func (d *Door) slackOf(c *customer, p *Plan) float64 {
+func (d *Balancer) slackOf(c *customer, p *Plan) float64 {
 	if d.many(c, p) {
 		return manyOver
 	}
@@ -161,10 +161,10 @@
 }
 
 // payMany decides for a request of a soft plan whose doors are many.
-func (d *Door) payMany(r *request, p *Plan, short, late bool) verdict {
+func (d *Balancer) payMany(r *request, p *Plan, short, late bool) verdict {
 	c := r.c
 	r.byLedger = false
-	worth := max(1e-9, d.set.Classes[r.class].Worth*p.Factor*d.learned[r.class].size.Density(r.units))
+	worth := max(1e-9, d.set.Classes[r.class].PriorityWeight*p.PriorityFactor*d.learned[r.class].size.Density(r.units))
 	r.level = min(bands-1, max(0, int(steps*math.Log2(d.topWorth/worth))))
 	d.tidy(c, p, 1)
 	pressed := d.fleet > 1.5
@@ -202,13 +202,13 @@
 
 // patience is how far ahead units are reserved. Of a hard plan it is as long as a request of any class may wait: what comes later would
 // mostly lie unused, as the door may not meet the customer again for long.
-func (d *Door) patience(c *customer, p *Plan) time.Duration {
+func (d *Balancer) patience(c *customer, p *Plan) time.Duration {
 	least := promiseMost
 	if d.many(c, p) {
 		return least
 	}
 	for i := range d.set.Classes {
-		least = min(least, time.Duration(float64(cmp.Or(d.set.Classes[i].Aim, d.set.Classes[i].GiveUp))*ceilWait))
+		least = min(least, time.Duration(float64(cmp.Or(d.set.Classes[i].LatencyObjective, d.set.Classes[i].ClientTimeout))*ceilWait))
 	}
 	return least
 }
@@ -216,7 +216,7 @@
 // promise keeps what a call took of a store that did not hold it, where a door meets a customer so seldom that giving it back
 // would cost a call each time: it may be spent when the store has gained it. What would take too long is given back, and the
 // customer's doors, each pausing for a time of its own, ask a few times as often as there is a unit.
-func (d *Door) promise(k *call, has, got float64) {
+func (d *Balancer) promise(k *call, has, got float64) {
 	c, p := k.c, &d.set.Plans[k.c.plan]
 	lacks := k.block - has
 	fills := time.Duration(lacks / p.Rate * float64(time.Second))
--- a/internal/balancer/many_test.go
+++ b/internal/balancer/many_test.go
@@ -14,26 +14,26 @@
 }
 
 func (l *ledger) answer(acts []Action) (evs []Event) {
-	for _, c := range only[Count](acts) {
+	for _, c := range only[CounterAdd](acts) {
 		l.calls++
 		l.n[c.Name] += c.Amount
-		evs = append(evs, Counted{c.Name, OK, l.n[c.Name]})
+		evs = append(evs, CounterResult{c.Name, OK, l.n[c.Name]})
 	}
 	return evs
 }
 
-func many(t *testing.T, doors int, soft ...Plan) []*Door {
+func many(t *testing.T, doors int, soft ...Plan) []*Balancer {
 	t.Helper()
 	set := crowd(doors)
 	copy(set.Plans[1:], soft)
-	all := make([]*Door, doors)
+	all := make([]*Balancer, doors)
 	for i := range all {
-		set.Rank = i
+		set.Index = i
 		d, err := New(set, uint64(i)+1)
 		if err != nil {
 			t.Fatal(err)
 		}
-		d.Step(time.Second, []Event{List{Scope: Cached, Entries: backends(20)}})
+		d.Step(time.Second, []Event{EndpointUpdate{Kind: CachedSnapshot, Entries: backends(20)}})
 		all[i] = d
 	}
 	return all
@@ -41,7 +41,7 @@
 
 // play has requests of a plan come, for some time, a number each 50 ms; pick says at which door. The counter's answers come 50 ms
 // later, so doors that ask together all see each other's asks. It returns when each was sent.
-func play(all []*Door, l *ledger, plan int, first, last time.Duration, each func(now time.Duration) int, pick func(i int) int, lose time.Duration) (sent []time.Duration) {
+func play(all []*Balancer, l *ledger, plan int, first, last time.Duration, each func(now time.Duration) int, pick func(i int) int, lose time.Duration) (sent []time.Duration) {
 	id := uint64(0)
 	late := make([][]Event, len(all))
 	for now := first; now < last; now += 50 * ms {
@@ -50,7 +50,7 @@
 		}
 		evs := make([][]Event, len(all))
 		for i := range all {
-			evs[i] = append(late[i], Timer{0})
+			evs[i] = append(late[i], TimerFired{0})
 			late[i] = nil
 		}
 		for range each(now) {
@@ -63,7 +63,7 @@
 				acts := d.Step(now, todo)
 				todo = nil
 				late[i] = append(late[i], l.answer(acts)...)
-				for _, s := range only[Send](acts) {
+				for _, s := range only[Dispatch](acts) {
 					sent = append(sent, now)
 					todo = append(todo, served(s, 0, 20*ms))
 				}
@@ -76,7 +76,7 @@
 // However a flood comes to many doors, what goes out past their small shares by the ledger and what goes out by these stay
 // together within the ceiling, at the turn of the counter's numbers and when it loses them too.
 func TestManyDoorsKeepACeiling(t *testing.T) {
-	plans := []Plan{crowd(40).Plans[1], {Rate: 7.4, Burst: 10, Factor: 1, OverWorth: 0.2, CeilingRate: 16, CeilingDepth: 21}}
+	plans := []Plan{crowd(40).Plans[1], {Rate: 7.4, Burst: 10, PriorityFactor: 1, OverQuotaWeight: 0.2, CeilingRate: 16, CeilingBurst: 21}}
 	floods := map[string]func(now time.Duration) int{
 		"always": always(5),
 		"before a new number": func(now time.Duration) int { // after a calm time in which the store runs over
@@ -95,15 +95,15 @@
 				for _, lose := range []time.Duration{0, 20 * time.Second} {
 					t.Run(fmt.Sprint(name, when, i, lose > 0), func(t *testing.T) {
 						r := rand.New(rand.NewPCG(1, 2))
-						store, last, least := p.CeilingDepth, time.Duration(0), p.CeilingDepth
+						store, last, least := p.CeilingBurst, time.Duration(0), p.CeilingBurst
 						all := many(t, 40, p)
 						sent := play(all, &ledger{n: map[uint64]float64{}}, 1, 2*time.Second, 75*time.Second, each, func(int) int { return pick(r) }, lose)
 						for _, at := range sent {
-							store = min(p.CeilingDepth, store+p.CeilingRate*(at-last).Seconds()) - 1
+							store = min(p.CeilingBurst, store+p.CeilingRate*(at-last).Seconds()) - 1
 							last, least = at, min(least, store)
 						}
-						if least < -p.CeilingDepth/10-0.15*p.CeilingRate {
-							t.Errorf("the ceiling's store fell to %.1f of %v", least, p.CeilingDepth)
+						if least < -p.CeilingBurst/10-0.15*p.CeilingRate {
+							t.Errorf("the ceiling's store fell to %.1f of %v", least, p.CeilingBurst)
 						}
 						if rate := float64(len(sent)) / 73; when == "always" && rate < 0.6*p.Rate {
 							t.Errorf("%.1f a second went out; the quota is %v", rate, p.Rate)
@@ -146,32 +146,32 @@
 func TestManyDoorsSeldomCallTwice(t *testing.T) {
 	d := many(t, 100)[0]
 	now := 2 * time.Second
-	calls := only[Count](d.Step(now, []Event{ask(1, 0, 0)}))
+	calls := only[CounterAdd](d.Step(now, []Event{ask(1, 0, 0)}))
 	if len(calls) != 1 || calls[0].Amount != 1 {
 		t.Fatalf("calls: %v, want one of a unit", calls)
 	}
-	acts := d.Step(now, []Event{Counted{calls[0].Name, OK, 8 + 2*2 + 0.25}}) // short by a quarter of a unit: an eighth of a second
-	if len(only[Count](acts))+len(only[Send](acts))+len(only[Refuse](acts)) != 0 {
+	acts := d.Step(now, []Event{CounterResult{calls[0].Name, OK, 8 + 2*2 + 0.25}}) // short by a quarter of a unit: an eighth of a second
+	if len(only[CounterAdd](acts))+len(only[Dispatch](acts))+len(only[Reject](acts)) != 0 {
 		t.Fatalf("the request should wait for what the store gains: %v", acts)
 	}
 	for sent := false; !sent; now += 20 * ms {
-		acts = d.Step(now, []Event{Timer{0}})
-		if len(only[Count](acts)) != 0 || len(only[Refuse](acts)) != 0 || now > 2400*ms {
+		acts = d.Step(now, []Event{TimerFired{0}})
+		if len(only[CounterAdd](acts)) != 0 || len(only[Reject](acts)) != 0 || now > 2400*ms {
 			t.Fatalf("at %v: %v", now, acts)
 		}
-		if sent = len(only[Send](acts)) == 1; sent && now < 2120*ms {
+		if sent = len(only[Dispatch](acts)) == 1; sent && now < 2120*ms {
 			t.Errorf("sent at %v, before the store had gained it", now)
 		}
 	}
 
 	d = many(t, 100)[1]
 	now = 2 * time.Second
-	calls = only[Count](d.Step(now, []Event{ask(1, 0, 0)}))
-	acts = d.Step(now, []Event{Counted{calls[0].Name, OK, 8 + 2*2 + 20}})
-	if back := only[Count](acts); len(back) != 1 || back[0].Amount != -1 || len(only[Refuse](acts)) != 1 {
+	calls = only[CounterAdd](d.Step(now, []Event{ask(1, 0, 0)}))
+	acts = d.Step(now, []Event{CounterResult{calls[0].Name, OK, 8 + 2*2 + 20}})
+	if back := only[CounterAdd](acts); len(back) != 1 || back[0].Amount != -1 || len(only[Reject](acts)) != 1 {
 		t.Fatalf("short by 19: %v", acts)
 	}
-	if more := only[Count](d.Step(now+time.Second, []Event{ask(2, 0, 0)})); len(more) != 0 {
+	if more := only[CounterAdd](d.Step(now+time.Second, []Event{ask(2, 0, 0)})); len(more) != 0 {
 		t.Errorf("a store just seen empty was asked again: %v", more)
 	}
 }
@@ -180,12 +180,12 @@
 func TestManyDoorsWaitForALateAnswer(t *testing.T) {
 	d := many(t, 100)[0]
 	now := 2 * time.Second
-	calls := only[Count](d.Step(now, []Event{ask(1, 0, 0)}))
+	calls := only[CounterAdd](d.Step(now, []Event{ask(1, 0, 0)}))
 	now += 50 * ms
-	if acts := d.Step(now, []Event{Counted{calls[0].Name, Timeout, 0}, Timer{0}}); len(only[Refuse](acts)) != 0 {
+	if acts := d.Step(now, []Event{CounterResult{calls[0].Name, Timeout, 0}, TimerFired{0}}); len(only[Reject](acts)) != 0 {
 		t.Fatalf("refused at the time-out: %v", acts)
 	}
-	if acts := d.Step(now+20*ms, []Event{Late{calls[0].Ticket, OK, 1}}); len(only[Send](acts)) != 1 {
+	if acts := d.Step(now+20*ms, []Event{LateCounterResult{calls[0].Ticket, OK, 1}}); len(only[Dispatch](acts)) != 1 {
 		t.Errorf("the late answer sends it: %v", acts)
 	}
 }
@@ -193,27 +193,27 @@
 // A door of many keeps to its servers while they serve, and goes past them rather than refuse when they don't.
 func TestManyDoorsKeepToTheirServers(t *testing.T) {
 	set := crowd(80)
-	set.Rank = 5
+	set.Index = 5
 	d := open(t, set, backends(60)...)
 	used := map[string]int{}
 	now := time.Second
 	for id := uint64(1); id < 400; id++ {
 		now += 200 * ms
-		for _, s := range only[Send](d.Step(now, []Event{ask(id, 0, 2), Timer{0}})) {
-			used[s.Backend]++
+		for _, s := range only[Dispatch](d.Step(now, []Event{ask(id, 0, 2), TimerFired{0}})) {
+			used[s.Endpoint]++
 			d.Step(now+40*ms, []Event{served(s, 0, 40*ms)})
 		}
 	}
 	if len(used) < 6 || len(used) > 28 {
 		t.Errorf("%d of 60 servers used, one at a time", len(used))
 	}
-	var drained []Backend
+	var drained []Endpoint
 	for name := range used {
-		drained = append(drained, Backend{Name: name, State: Terminating})
+		drained = append(drained, Endpoint{Name: name, State: Draining})
 	}
 	now += time.Second
-	acts := d.Step(now, []Event{List{Scope: Delta, Entries: drained}, ask(1000, 0, 2)})
-	if s := only[Send](acts); len(s) != 1 || used[s[0].Backend] != 0 {
+	acts := d.Step(now, []Event{EndpointUpdate{Kind: Delta, Entries: drained}, ask(1000, 0, 2)})
+	if s := only[Dispatch](acts); len(s) != 1 || used[s[0].Endpoint] != 0 {
 		t.Errorf("with all its servers draining: %v", acts)
 	}
 }
@@ -221,12 +221,12 @@
 // Few doors use all servers, as they did.
 func TestFewDoorsUseAllServers(t *testing.T) {
 	set := basic()
-	set.Doors = 4
+	set.Gateways = 4
 	d := open(t, set, backends(60)...)
 	used := map[string]bool{}
 	for id := uint64(1); id <= 60; id++ {
-		for _, s := range only[Send](d.Step(time.Second, []Event{ask(id, 0, 2)})) {
-			used[s.Backend] = true
+		for _, s := range only[Dispatch](d.Step(time.Second, []Event{ask(id, 0, 2)})) {
+			used[s.Endpoint] = true
 		}
 	}
 	if len(used) != 60 {
@@ -259,14 +259,14 @@
 // A plan that caps what is open at once keeps the cap at many doors, and checks are answered soon.
 func TestManyDoorsKeepTheCapAndAnswerChecksSoon(t *testing.T) {
 	p := crowd(40).Plans[1]
-	p.AtOnce = 1
+	p.MaxInFlight = 1
 	all := many(t, 40, p)
 	sent := 0
 	counter := &ledger{n: map[uint64]float64{}}
 	for id := uint64(1); id <= 6; id++ {
 		for todo := []Event{ask(id, 0, 1)}; len(todo) > 0; {
 			acts := all[0].Step(10*time.Second, todo)
-			sent += len(only[Send](acts))
+			sent += len(only[Dispatch](acts))
 			todo = counter.answer(acts)
 		}
 	}
@@ -281,10 +281,10 @@
 	step := func(todo ...Event) {
 		for len(todo) > 0 {
 			acts := d.Step(now, todo)
-			for _, a := range only[Grant](acts) {
+			for _, a := range only[Admit](acts) {
 				answered[a.ID] = true
 			}
-			for _, a := range only[Refuse](acts) {
+			for _, a := range only[Reject](acts) {
 				answered[a.ID] = true
 			}
 			todo = l.answer(acts)
@@ -292,13 +292,13 @@
 	}
 	for id := uint64(1); id <= 60; id++ {
 		r := ask(id, 0, 1)
-		r.Grant = true
-		step(r, Timer{0})
+		r.AdmitOnly = true
+		step(r, TimerFired{0})
 		now += ms
 	}
 	for range 8 { // what waits for a turn to call does so for a fifth of its time, 100 ms
 		now += 20 * ms
-		step(Timer{0})
+		step(TimerFired{0})
 	}
 	if len(answered) != 60 {
 		t.Errorf("%d of 60 checks answered 160 ms after the last", len(answered))
--- a/internal/balancer/odd_test.go
+++ b/internal/balancer/odd_test.go
@@ -15,28 +15,28 @@
 			for seed := range uint64(6) {
 				rng := rand.New(rand.NewPCG(seed, uint64(doors)))
 				set := basic()
-				set.Doors, set.Rank, set.Zone = doors, rank, []int{0, -1, 99}[rng.IntN(3)]
+				set.Gateways, set.Index, set.Zone = doors, rank, []int{0, -1, 99}[rng.IntN(3)]
 				d, err := New(set, seed)
 				if err != nil {
 					t.Fatal(err)
 				}
-				entries := func() (list []Backend) {
+				entries := func() (list []Endpoint) {
 					for range rng.IntN(8) {
-						list = append(list, Backend{Name: fmt.Sprint("b", rng.IntN(4)), Zone: rng.IntN(5) - 1, Cell: rng.IntN(3) - 1,
-							State: State(rng.IntN(4)), Weight: []float64{0, 1, -3, math.Inf(1), math.NaN(), 1e300}[rng.IntN(6)],
-							Share: []float64{0, 1, -1, math.NaN()}[rng.IntN(4)], Started: time.Duration(rng.IntN(3)-1) * 10 * time.Second})
+						list = append(list, Endpoint{Name: fmt.Sprint("b", rng.IntN(4)), Zone: rng.IntN(5) - 1, Cell: rng.IntN(3) - 1,
+							State: EndpointState(rng.IntN(4)), Weight: []float64{0, 1, -3, math.Inf(1), math.NaN(), 1e300}[rng.IntN(6)],
+							SlowStartShare: []float64{0, 1, -1, math.NaN()}[rng.IntN(4)], StartedAt: time.Duration(rng.IntN(3)-1) * 10 * time.Second})
 					}
 					return list
 				}
 				owed := map[uint64]bool{}
 				at, id := time.Duration(0), uint64(0)
-				var outs []Send
+				var outs []Dispatch
 				take := func(acts []Action) {
 					for _, a := range acts {
 						switch a := a.(type) {
-						case Send:
+						case Dispatch:
 							outs = append(outs, a)
-						case Refuse:
+						case Reject:
 							delete(owed, a.ID)
 						case Fail:
 							delete(owed, a.ID)
@@ -45,18 +45,18 @@
 				}
 				for range 300 {
 					at += tick
-					evs := []Event{Timer{0}}
+					evs := []Event{TimerFired{0}}
 					switch rng.IntN(4) {
 					case 0:
-						evs = append(evs, List{Scope: Scope(rng.IntN(4)), Entries: entries()})
+						evs = append(evs, EndpointUpdate{Kind: UpdateKind(rng.IntN(4)), Entries: entries()})
 					case 1:
 						name := fmt.Sprint("b", rng.IntN(5))
-						evs = append(evs, Detach{Backend: name}, Attach{Backend: fmt.Sprint("b", rng.IntN(5))}, Probed{Backend: name, Status: OK})
+						evs = append(evs, AdminEject{Endpoint: name}, AdminRestore{Endpoint: fmt.Sprint("b", rng.IntN(5))}, HealthCheckResult{Endpoint: name, Status: OK})
 					default:
 						for range 3 {
 							id++
 							r := ask(id, rng.IntN(3), rng.IntN(4))
-							r.Doors, r.Units = rng.IntN(400)-50, []float64{1, 0, -1, math.NaN(), 1e12}[rng.IntN(5)]
+							r.Gateways, r.Units = rng.IntN(400)-50, []float64{1, 0, -1, math.NaN(), 1e12}[rng.IntN(5)]
 							owed[id] = true
 							evs = append(evs, r)
 						}
@@ -64,19 +64,19 @@
 					for len(outs) > 0 && rng.IntN(3) > 0 {
 						s := outs[0]
 						outs = outs[1:]
-						evs = append(evs, Outcome{ID: s.ID, Backend: s.Backend, Status: OK, Latency: 5 * ms, Closed: true})
+						evs = append(evs, AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Status: OK, Latency: 5 * ms, RequestClosed: true})
 						delete(owed, s.ID)
 					}
 					take(d.Step(at, evs))
 				}
 				for range 3 * int(time.Second/tick) { // every client has given up by then: a request's own timer is due
 					at += tick
-					evs := []Event{Timer{0}}
+					evs := []Event{TimerFired{0}}
 					for i := range owed {
-						evs = append(evs, Timer{i<<1 | 1})
+						evs = append(evs, TimerFired{i<<1 | 1})
 					}
 					for _, s := range outs {
-						evs = append(evs, Outcome{ID: s.ID, Backend: s.Backend, Status: Timeout, Latency: time.Second})
+						evs = append(evs, AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Status: Timeout, Latency: time.Second})
 					}
 					outs = nil
 					take(d.Step(at, evs))
--- a/internal/balancer/retune_test.go
+++ b/internal/balancer/retune_test.go
@@ -6,9 +6,9 @@
 )
 
 // sent1 is the one Send of a Step.
-func sent1(t *testing.T, acts []Action) Send {
+func sent1(t *testing.T, acts []Action) Dispatch {
 	t.Helper()
-	all := only[Send](acts)
+	all := only[Dispatch](acts)
 	if len(all) != 1 {
 		t.Fatalf("%d sends in %+v", len(all), acts)
 	}
@@ -19,8 +19,8 @@
 // keeps the old rules to its end.
 func TestRetuneKeepsOpenRequestsRules(t *testing.T) {
 	set := basic()
-	set.Counter, set.Doors, set.MaxAttempts = false, 1, 3
-	set.Plans[0] = Plan{Factor: 1}
+	set.UseCounter, set.Gateways, set.MaxAttempts = false, 1, 3
+	set.Plans[0] = Plan{PriorityFactor: 1}
 	d := open(t, set, backends(3)...)
 	first := sent1(t, d.Step(time.Second, []Event{ask(1, 0, 0)}))
 	d.learned[0].base, d.learned[0].answers = 0.123, 50
@@ -28,9 +28,9 @@
 	next := set
 	next.MaxAttempts = 1
 	unsafe := set.Classes[0]
-	unsafe.Effect = Unsafe
+	unsafe.Idempotency = NonIdempotent
 	old := set.Classes[0]
-	old.Dropped = true
+	old.Removed = true
 	next.Classes = append([]Class{old}, set.Classes[1:]...)
 	next.Classes = append(next.Classes, unsafe)
 	from := make([]int, len(next.Classes))
@@ -39,17 +39,17 @@
 	}
 	fresh := len(next.Classes) - 1
 	from[fresh] = 0
-	acts := d.Step(time.Second+ms, []Event{Retune{Settings: next, From: from}, ask(2, fresh, 0)})
+	acts := d.Step(time.Second+ms, []Event{SettingsUpdate{Settings: next, EvidenceFrom: from}, ask(2, fresh, 0)})
 	second := sent1(t, acts)
 	if d.learned[fresh].base != 0.123 {
 		t.Errorf("what was learned is lost: %v", d.learned[fresh].base)
 	}
 	// The old request may still be repeated, being of a safe class; the new one may not, having perhaps run.
-	if s := sent1(t, d.Step(time.Second+2*ms, []Event{Outcome{ID: 1, Backend: first.Backend, Status: Reset, Latency: ms}})); s.ID != 1 {
+	if s := sent1(t, d.Step(time.Second+2*ms, []Event{AttemptResult{ID: 1, Endpoint: first.Endpoint, Status: Reset, Latency: ms}})); s.ID != 1 {
 		t.Errorf("%+v", s)
 	}
-	for _, a := range d.Step(time.Second+3*ms, []Event{Outcome{ID: 2, Backend: second.Backend, Status: Reset, Latency: ms}}) {
-		if s, ok := a.(Send); ok && s.ID == 2 {
+	for _, a := range d.Step(time.Second+3*ms, []Event{AttemptResult{ID: 2, Endpoint: second.Endpoint, Status: Reset, Latency: ms}}) {
+		if s, ok := a.(Dispatch); ok && s.ID == 2 {
 			t.Error("a request of an unsafe class was sent again")
 		}
 	}
@@ -58,12 +58,12 @@
 // Fewer attempts hold for new requests only.
 func TestRetuneAttempts(t *testing.T) {
 	set := basic()
-	set.Counter, set.Doors, set.MaxAttempts = false, 1, 2
-	set.Plans[0] = Plan{Factor: 1}
+	set.UseCounter, set.Gateways, set.MaxAttempts = false, 1, 2
+	set.Plans[0] = Plan{PriorityFactor: 1}
 	d := open(t, set, backends(3)...)
 	again := func(id uint64, at time.Duration) (sends int) {
-		for _, a := range d.Step(at, []Event{Outcome{ID: id, Backend: d.reqs[id].attempts[0].s.name, Status: Full, Latency: ms}}) {
-			if _, ok := a.(Send); ok {
+		for _, a := range d.Step(at, []Event{AttemptResult{ID: id, Endpoint: d.reqs[id].attempts[0].s.name, Status: Rejected, Latency: ms}}) {
+			if _, ok := a.(Dispatch); ok {
 				sends++
 			}
 		}
@@ -72,7 +72,7 @@
 	d.Step(time.Second, []Event{ask(1, 0, 0)})
 	next := set
 	next.MaxAttempts = 1
-	d.Step(time.Second+ms, []Event{Retune{Settings: next, From: []int{0, 1, 2}}, ask(2, 0, 0)})
+	d.Step(time.Second+ms, []Event{SettingsUpdate{Settings: next, EvidenceFrom: []int{0, 1, 2}}, ask(2, 0, 0)})
 	if n := again(1, time.Second+2*ms); n != 1 {
 		t.Errorf("the open request had %d further attempts", n)
 	}
@@ -83,16 +83,16 @@
 
 func TestSettingsCheck(t *testing.T) {
 	set := basic()
-	if err := set.Check(); err != nil {
+	if err := set.Validate(); err != nil {
 		t.Fatal(err)
 	}
 	for i, spoil := range []func(*Settings){
-		func(s *Settings) { s.Doors = 0 }, func(s *Settings) { s.Classes = nil }, func(s *Settings) { s.Plans = nil },
-		func(s *Settings) { s.MaxAttempts = 0 }, func(s *Settings) { s.FallWindow = -1 },
+		func(s *Settings) { s.Gateways = 0 }, func(s *Settings) { s.Classes = nil }, func(s *Settings) { s.Plans = nil },
+		func(s *Settings) { s.MaxAttempts = 0 }, func(s *Settings) { s.OverloadWindow = -1 },
 	} {
 		bad := basic()
 		spoil(&bad)
-		if bad.Check() == nil {
+		if bad.Validate() == nil {
 			t.Errorf("%d passes", i)
 		}
 	}
--- a/internal/balancer/sharing.go
+++ b/internal/balancer/sharing.go
@@ -11,36 +11,36 @@
 	"gapgap/internal/balancer/quotashare"
 )
 
-// Sharing says how this door stands among the others, from now on.
-type Sharing struct {
-	Part  float64       // of what is leased of all ceilings, from 0 to 1; of all doors together 1 at most at each instant
-	Until time.Duration // the part is nothing from then on
-	Out   bool          // this door has nothing at all, not even what its plans keep without a lease
-	Gone  []int         // ranks of the doors that do not serve: the others use the backends that these used
+// ShareUpdate says how this door stands among the others, from now on.
+type ShareUpdate struct {
+	Fraction     float64       // of what is leased of all ceilings, from 0 to 1; of all doors together 1 at most at each instant
+	Until        time.Duration // the part is nothing from then on
+	Excluded     bool          // this door has nothing at all, not even what its plans keep without a lease
+	DeadGateways []int         // ranks of the doors that do not serve: the others use the backends that these used
 }
 
-func (Sharing) event() {}
+func (ShareUpdate) event() {}
 
 // leastRate keeps times from being endless where a door has no part, units a second.
 const leastRate = 1e-4
 
 // shared takes news of the doors.
-func (d *Door) shared(ev Sharing) {
+func (d *Balancer) shared(ev ShareUpdate) {
 	d.expire()
 	d.settleShares()
 	longest := time.Duration(0)
 	for i := range d.set.Classes {
-		longest = max(longest, d.set.Classes[i].GiveUp+d.set.AnswerSlack)
+		longest = max(longest, d.set.Classes[i].ClientTimeout+d.set.DeadlineSlack)
 	}
-	if ev.Out {
-		ev.Part = 0
+	if ev.Excluded {
+		ev.Fraction = 0
 	}
-	d.view.Take(d.now, ev.Part, ev.Until, longest)
-	if d.out != ev.Out {
-		d.out, d.keptFrom = ev.Out, d.now
+	d.view.Take(d.now, ev.Fraction, ev.Until, longest)
+	if d.out != ev.Excluded {
+		d.out, d.keptFrom = ev.Excluded, d.now
 	}
-	if !slices.Equal(ev.Gone, d.gone) {
-		d.gone = slices.Clone(ev.Gone)
+	if !slices.Equal(ev.DeadGateways, d.gone) {
+		d.gone = slices.Clone(ev.DeadGateways)
 		d.members()
 		d.calls.Floor(d.now, callsLow/d.living())
 	}
@@ -49,14 +49,14 @@
 // living is how many doors serve as far as this one knows. What they share without a bound that must hold goes by it: the least pace of calls
 // to the counter and of its tests, the first places at a server, the pace of trials. What a cold server bears goes by what warm ones are
 // seen to carry from this door, so by itself.
-func (d *Door) living() float64 { return float64(max(1, d.set.Doors-len(d.gone))) }
+func (d *Balancer) living() float64 { return float64(max(1, d.set.Gateways-len(d.gone))) }
 
 // fillSpare fills what this door holds of a customer's quota for when the counter does not say: its even part, for good, or what is leased
 // where the plan yields.
-func (d *Door) fillSpare(c *customer, p *Plan) {
+func (d *Balancer) fillSpare(c *customer, p *Plan) {
 	part := 1 / c.doors
-	if d.set.ByViews && p.CutOff == quotashare.KeepNone && p.CeilingRate > 0 {
-		if part = quotashare.Among(d.view.Part(d.now), c.doors, float64(d.set.Doors)); d.out {
+	if d.set.LeasedShares && p.PartitionPolicy == quotashare.KeepNone && p.CeilingRate > 0 {
+		if part = quotashare.Among(d.view.Part(d.now), c.doors, float64(d.set.Gateways)); d.out {
 			part = 0
 		}
 		c.spare = min(c.spare, p.Burst*part)
@@ -66,7 +66,7 @@
 }
 
 // expire ends a lease that is over: until its end the shares have filled, and not longer.
-func (d *Door) expire() {
+func (d *Balancer) expire() {
 	if !d.view.Ended(d.now) {
 		return
 	}
@@ -79,7 +79,7 @@
 }
 
 // settleShares fills all shares, and what is held for the counter's silence, up to now, by the parts as they are.
-func (d *Door) settleShares() {
+func (d *Balancer) settleShares() {
 	for _, c := range d.order {
 		if c.plan < len(d.set.Plans) && c.ceilAt < d.now {
 			d.ceiling(c, &d.set.Plans[c.plan])
@@ -89,9 +89,9 @@
 }
 
 // share is this door's part of a customer's ceiling.
-func (d *Door) share(c *customer, p *Plan) quotashare.Store {
-	if !d.set.ByViews {
-		return quotashare.Store{Rate: p.CeilingRate / c.doors, Depth: p.CeilingDepth / c.doors}
+func (d *Balancer) share(c *customer, p *Plan) quotashare.Store {
+	if !d.set.LeasedShares {
+		return quotashare.Store{Rate: p.CeilingRate / c.doors, Depth: p.CeilingBurst / c.doors}
 	}
 	if d.out {
 		return quotashare.Store{}
@@ -104,28 +104,28 @@
 }
 
 // ownShare is what is this door's own with a leased part, whatever is lent.
-func (d *Door) ownShare(c *customer, p *Plan, part float64) quotashare.Store {
-	return p.CutOff.Of(quotashare.Store{Rate: p.CeilingRate, Depth: p.CeilingDepth}, quotashare.Store{Rate: p.Rate, Depth: p.Burst}, 1/c.doors,
-		quotashare.Among(part, c.doors, float64(d.set.Doors)))
+func (d *Balancer) ownShare(c *customer, p *Plan, part float64) quotashare.Store {
+	return p.PartitionPolicy.Of(quotashare.Store{Rate: p.CeilingRate, Depth: p.CeilingBurst}, quotashare.Store{Rate: p.Rate, Depth: p.Burst}, 1/c.doors,
+		quotashare.Among(part, c.doors, float64(d.set.Gateways)))
 }
 
-// Borrow asks the other doors to lend what they don't need of a customer's ceiling: each is to have a Wanted.
-type Borrow struct {
+// RequestLoan asks the other doors to lend what they don't need of a customer's ceiling: each is to have a Wanted.
+type RequestLoan struct {
 	Customer string
 	Plan     int
 	At       time.Duration // on this door's clock: a loan counts from then
 }
 
-// Wanted says that another door asks for that.
-type Wanted struct {
+// LoanRequest says that another door asks for that.
+type LoanRequest struct {
 	From     int // its rank
 	Customer string
 	Plan     int
 	At       time.Duration // on its clock
 }
 
-// Lend answers a Wanted: the door that asked is to have a Loaned. Nothing answers where there is nothing to lend.
-type Lend struct {
+// GrantLoan answers a Wanted: the door that asked is to have a Loaned. Nothing answers where there is nothing to lend.
+type GrantLoan struct {
 	To          int
 	Customer    string
 	Plan        int
@@ -133,8 +133,8 @@
 	Rate, Depth float64
 }
 
-// Loaned says that another door has lent a part of a customer's ceiling.
-type Loaned struct {
+// LoanGranted says that another door has lent a part of a customer's ceiling.
+type LoanGranted struct {
 	From        int
 	Customer    string
 	Plan        int
@@ -142,10 +142,10 @@
 	Rate, Depth float64
 }
 
-func (Borrow) action() {}
-func (Wanted) event()  {}
-func (Lend) action()   {}
-func (Loaned) event()  {}
+func (RequestLoan) action() {}
+func (LoanRequest) event()  {}
+func (GrantLoan) action()   {}
+func (LoanGranted) event()  {}
 
 // Tuned values, ours.
 const (
@@ -158,8 +158,8 @@
 )
 
 // borrow asks for loans where this door's share of a customer's ceiling is short, or was until others lent.
-func (d *Door) borrow(c *customer, p *Plan, short bool) {
-	if !d.set.ByViews || d.out || d.set.Doors < 2 || c.doors < float64(d.set.Doors) || d.now < c.borrowAt || d.many(c, p) {
+func (d *Balancer) borrow(c *customer, p *Plan, short bool) {
+	if !d.set.LeasedShares || d.out || d.set.Gateways < 2 || c.doors < float64(d.set.Gateways) || d.now < c.borrowAt || d.many(c, p) {
 		return
 	}
 	if !short && !(c.loans.Some() && c.loans.In(d.now).Rate > 0 && c.demand > borrowFrom*d.ownShare(c, p, d.view.Part(d.now)).Rate) {
@@ -170,13 +170,13 @@
 	}
 	if d.borrows++; d.borrows <= borrowMost {
 		c.borrowAt = d.now + borrowEvery
-		d.act(Borrow{c.name, c.plan, d.now})
+		d.act(RequestLoan{c.name, c.plan, d.now})
 	}
 }
 
 // wanted lends what this door does not need of a customer's ceiling.
-func (d *Door) wanted(ev Wanted) {
-	if !d.set.ByViews || d.out || d.away || ev.Plan < 0 || ev.Plan >= len(d.set.Plans) || d.set.Plans[ev.Plan].CeilingRate == 0 {
+func (d *Balancer) wanted(ev LoanRequest) {
+	if !d.set.LeasedShares || d.out || d.away || ev.Plan < 0 || ev.Plan >= len(d.set.Plans) || d.set.Plans[ev.Plan].CeilingRate == 0 {
 		return
 	}
 	c := d.customers[ev.Customer]
@@ -187,7 +187,7 @@
 		c = d.customer(Request{Customer: ev.Customer, Plan: ev.Plan})
 	}
 	p := &d.set.Plans[c.plan]
-	if c.plan != ev.Plan || c.doors < float64(d.set.Doors) || d.many(c, p) {
+	if c.plan != ev.Plan || c.doors < float64(d.set.Gateways) || d.many(c, p) {
 		return
 	}
 	d.ceiling(c, p)
@@ -207,11 +207,11 @@
 	}
 	d.lentUntil = max(d.lentUntil, end)
 	d.ceiling(c, p) // what lies over the smaller store is gone
-	d.act(Lend{ev.From, ev.Customer, ev.Plan, ev.At, s.Rate, s.Depth})
+	d.act(GrantLoan{ev.From, ev.Customer, ev.Plan, ev.At, s.Rate, s.Depth})
 }
 
 // loaned takes a loan.
-func (d *Door) loaned(ev Loaned) {
+func (d *Balancer) loaned(ev LoanGranted) {
 	c := d.customers[ev.Customer]
 	if c == nil || c.plan != ev.Plan || ev.At > d.now {
 		return
@@ -222,7 +222,7 @@
 }
 
 // repay ends the loans of a customer that are over: until its end each has filled the share, and not longer.
-func (d *Door) repay(c *customer, p *Plan) {
+func (d *Balancer) repay(c *customer, p *Plan) {
 	if !c.loans.Some() {
 		return
 	}
@@ -236,21 +236,21 @@
 	c.loans.Drop(now)
 }
 
-// LentUntil is when the last loan is over that this door has given. Whoever takes a part away from it gives that to no other before.
-func (d *Door) LentUntil() time.Duration { return d.lentUntil }
+// LoansEndAt is when the last loan is over that this door has given. Whoever takes a part away from it gives that to no other before.
+func (d *Balancer) LoansEndAt() time.Duration { return d.lentUntil }
 
 // openShare is this door's part of a cap on what is open at once.
-func (d *Door) openShare(c *customer, p *Plan) float64 {
-	if d.set.ByViews && d.out {
+func (d *Balancer) openShare(c *customer, p *Plan) float64 {
+	if d.set.LeasedShares && d.out {
 		return 0
 	}
-	if !d.set.ByViews || p.CutOff != quotashare.KeepNone {
-		return float64(p.AtOnce) / c.doors
+	if !d.set.LeasedShares || p.PartitionPolicy != quotashare.KeepNone {
+		return float64(p.MaxInFlight) / c.doors
 	}
-	return float64(p.AtOnce) * quotashare.Among(d.view.Open(d.now), c.doors, float64(d.set.Doors))
+	return float64(p.MaxInFlight) * quotashare.Among(d.view.Open(d.now), c.doors, float64(d.set.Gateways))
 }
 
 // filledFrom is since when a store that is met for the first time has filled.
-func (d *Door) filledFrom() time.Duration {
+func (d *Balancer) filledFrom() time.Duration {
 	return max(d.begun, d.keptFrom, d.view.GrewAt())
 }
--- a/internal/balancer/sharing_test.go
+++ b/internal/balancer/sharing_test.go
@@ -12,7 +12,7 @@
 
 // sharers are doors without a counter that share one ceiling by views. The parts are leased by hand.
 type sharers struct {
-	doors  []*Door
+	doors  []*Balancer
 	set    Settings
 	parts  []float64
 	until  []time.Duration
@@ -41,11 +41,11 @@
 func newSharers(t *rapid.T, n int, rule quotashare.Rule) *sharers {
 	s := &sharers{store: quotashare.Store{Rate: 10, Depth: 20}, left: 20, parts: make([]float64, n), until: make([]time.Duration, n),
 		ghost: make([]float64, n), until2: make([]time.Duration, n), late: func() time.Duration { return 0 }}
-	s.set = Settings{Doors: n, MaxAttempts: 1, ByViews: true, RetryAfter: true, MaxRetryAfter: time.Second, Classes: []Class{{Worth: 1, Aim: time.Second, GiveUp: time.Second}},
-		Plans: []Plan{{Rate: 5, Burst: 10, Factor: 1, OverWorth: 0.2, CeilingRate: s.store.Rate, CeilingDepth: s.store.Depth, CutOff: rule}}}
+	s.set = Settings{Gateways: n, MaxAttempts: 1, LeasedShares: true, SendRetryAfter: true, MaxRetryAfter: time.Second, Classes: []Class{{PriorityWeight: 1, LatencyObjective: time.Second, ClientTimeout: time.Second}},
+		Plans: []Plan{{Rate: 5, Burst: 10, PriorityFactor: 1, OverQuotaWeight: 0.2, CeilingRate: s.store.Rate, CeilingBurst: s.store.Depth, PartitionPolicy: rule}}}
 	for i := range n {
 		set := s.set
-		set.Rank = i
+		set.Index = i
 		d, err := New(set, uint64(i))
 		if err != nil {
 			t.Fatal(err)
@@ -66,7 +66,7 @@
 			k = -1
 		}
 	}
-	granted = s.step(i, now, Request{ID: s.ids, Customer: "c", Units: 1, Left: time.Second, Grant: true})
+	granted = s.step(i, now, Request{ID: s.ids, Customer: "c", Units: 1, TimeLeft: time.Second, AdmitOnly: true})
 	s.left = min(s.store.Depth, s.left+s.store.Rate*(now-s.at).Seconds())
 	s.at = now
 	if granted {
@@ -86,7 +86,7 @@
 
 // step has something happen at a door, and carries what it says of loans; granted says that it let a request through.
 func (s *sharers) step(i int, now time.Duration, ev Event) (granted bool) {
-	if l, ok := ev.(Loaned); ok {
+	if l, ok := ev.(LoanGranted); ok {
 		s.loans++
 		if s.lasts {
 			l.At = now
@@ -95,20 +95,20 @@
 	}
 	acts := append([]Action(nil), s.doors[i].Step(now, []Event{ev})...)
 	for _, a := range acts {
-		if _, ok := a.(Grant); s.mute && !ok {
+		if _, ok := a.(Admit); s.mute && !ok {
 			continue
 		}
 		switch a := a.(type) {
-		case Grant:
+		case Admit:
 			granted = true
-		case Borrow:
+		case RequestLoan:
 			for j := range s.doors {
 				if j != i {
-					s.words = append(s.words, word{j, now + s.late(), Wanted{From: i, Customer: a.Customer, Plan: a.Plan, At: a.At}})
+					s.words = append(s.words, word{j, now + s.late(), LoanRequest{From: i, Customer: a.Customer, Plan: a.Plan, At: a.At}})
 				}
 			}
-		case Lend:
-			s.words = append(s.words, word{a.To, now + s.late(), Loaned{From: i, Customer: a.Customer, Plan: a.Plan, At: a.At, Rate: a.Rate, Depth: a.Depth}})
+		case GrantLoan:
+			s.words = append(s.words, word{a.To, now + s.late(), LoanGranted{From: i, Customer: a.Customer, Plan: a.Plan, At: a.At, Rate: a.Rate, Depth: a.Depth}})
 		}
 	}
 	return granted
@@ -121,10 +121,10 @@
 		part = max(0, part)
 	}
 	if was := s.mine(i, now); part < was || now+length < s.until[i] { // a lease that is given for less is taken away, too
-		s.ghost[i], s.until2[i] = max(was, s.ghost[i]), s.doors[i].LentUntil()
+		s.ghost[i], s.until2[i] = max(was, s.ghost[i]), s.doors[i].LoansEndAt()
 	}
 	s.parts[i], s.until[i] = part, now+length
-	s.doors[i].Step(now, []Event{Sharing{Part: part, Until: now + length}})
+	s.doors[i].Step(now, []Event{ShareUpdate{Fraction: part, Until: now + length}})
 }
 
 func (s *sharers) mine(i int, now time.Duration) float64 {
@@ -294,7 +294,7 @@
 			if s.ask(0, time.Hour+5*time.Second) {
 				t.Fatal("let through before it was told how it stands")
 			}
-			s.doors[0].Step(time.Hour+5*time.Second, []Event{Sharing{}})
+			s.doors[0].Step(time.Hour+5*time.Second, []Event{ShareUpdate{}})
 			got := 0
 			for now := time.Hour + 10*time.Second; now < time.Hour+40*time.Second; now += 20 * time.Millisecond {
 				if s.ask(0, now) {
@@ -310,27 +310,27 @@
 
 // A part that grew counts for a cap on what is open at once only when what others had open must be over.
 func TestSharesOpenRequestsOfTheFormerHolder(t *testing.T) {
-	set := Settings{Doors: 2, MaxAttempts: 1, ByViews: true, Classes: []Class{{Worth: 1, GiveUp: 3 * time.Second}},
-		Plans: []Plan{{Rate: 1000, Burst: 1000, Factor: 1, AtOnce: 10, CutOff: quotashare.KeepNone}}}
+	set := Settings{Gateways: 2, MaxAttempts: 1, LeasedShares: true, Classes: []Class{{PriorityWeight: 1, ClientTimeout: 3 * time.Second}},
+		Plans: []Plan{{Rate: 1000, Burst: 1000, PriorityFactor: 1, MaxInFlight: 10, PartitionPolicy: quotashare.KeepNone}}}
 	d, err := New(set, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.Step(time.Hour, []Event{Sharing{Part: 0.4, Until: 2 * time.Hour}})
+	d.Step(time.Hour, []Event{ShareUpdate{Fraction: 0.4, Until: 2 * time.Hour}})
 	c := &customer{doors: 2}
 	at := func(now time.Duration) float64 {
 		d.Step(now, nil)
 		return d.openShare(c, &d.set.Plans[0])
 	}
 	at(time.Hour + 10*time.Second)
-	d.Step(time.Hour+10*time.Second, []Event{Sharing{Part: 1, Until: 2 * time.Hour}})
+	d.Step(time.Hour+10*time.Second, []Event{ShareUpdate{Fraction: 1, Until: 2 * time.Hour}})
 	if got := at(time.Hour + 12*time.Second); got != 4 {
 		t.Errorf("%v open 2 s after the part grew", got)
 	}
 	if got := at(time.Hour + 13*time.Second); got != 10 {
 		t.Errorf("%v open 3 s after the part grew", got)
 	}
-	d.Step(time.Hour+14*time.Second, []Event{Sharing{Part: 0.2, Until: 2 * time.Hour}})
+	d.Step(time.Hour+14*time.Second, []Event{ShareUpdate{Fraction: 0.2, Until: 2 * time.Hour}})
 	if got := at(time.Hour + 14*time.Second); got != 2 {
 		t.Errorf("%v open after the part shrank", got)
 	}
@@ -338,14 +338,14 @@
 
 // What doors share without a bound that must hold goes by those that live, and what a yielding plan has for the counter's silence by the lease.
 func TestSharesOfThoseThatLive(t *testing.T) {
-	set := Settings{Doors: 5, MaxAttempts: 1, ByViews: true, Counter: true, CounterTimeout: 50 * time.Millisecond, Classes: []Class{{Worth: 1, GiveUp: 3 * time.Second}},
-		Plans: []Plan{{Rate: 5, Burst: 10, Factor: 1, OverWorth: 0.2, CeilingRate: 10, CeilingDepth: 20, CutOff: quotashare.KeepNone}}}
+	set := Settings{Gateways: 5, MaxAttempts: 1, LeasedShares: true, UseCounter: true, CounterTimeout: 50 * time.Millisecond, Classes: []Class{{PriorityWeight: 1, ClientTimeout: 3 * time.Second}},
+		Plans: []Plan{{Rate: 5, Burst: 10, PriorityFactor: 1, OverQuotaWeight: 0.2, CeilingRate: 10, CeilingBurst: 20, PartitionPolicy: quotashare.KeepNone}}}
 	d, err := New(set, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	now := time.Hour
-	d.Step(now, []Event{Sharing{Part: 0.2, Until: 2 * time.Hour}})
+	d.Step(now, []Event{ShareUpdate{Fraction: 0.2, Until: 2 * time.Hour}})
 	for i := range 200 { // failures, each counted
 		d.calls.Failed(now+time.Duration(i)*time.Second, now+time.Duration(i)*time.Second)
 	}
@@ -353,14 +353,14 @@
 		t.Errorf("%v calls a second at least, of five doors", got)
 	}
 	now += 300 * time.Second
-	d.Step(now, []Event{Sharing{Part: 0.5, Until: 2 * time.Hour, Gone: []int{1, 2, 3}}})
+	d.Step(now, []Event{ShareUpdate{Fraction: 0.5, Until: 2 * time.Hour, DeadGateways: []int{1, 2, 3}}})
 	if got := d.calls.Rate(); got != callsLow/2 {
 		t.Errorf("%v calls a second at least, of two doors that live", got)
 	}
 	c := &customer{doors: 5, spareAt: now}
 	d.callShare = 0
 	for part, want := range map[float64]float64{0.5: 5, 0.2: 2, 0: 0} {
-		d.Step(now, []Event{Sharing{Part: part, Until: now + time.Hour}})
+		d.Step(now, []Event{ShareUpdate{Fraction: part, Until: now + time.Hour}})
 		c.spareAt = d.now
 		d.now += time.Minute
 		if d.fillSpare(c, &d.set.Plans[0]); c.spare != want {
