--- a/internal/balancer/size_test.go
+++ b/internal/balancer/size_test.go
@@ -9,7 +9,7 @@
 // crowd is a deployment with more doors than a customer's burst has units.
 func crowd(doors int) Settings {
 	set := basic()
-	set.Doors = doors
+	set.Gateways = doors
 	return set
 }
 
@@ -17,21 +17,21 @@
 func TestManyDoorsKeepAColdBackendStanding(t *testing.T) {
 	const doors, warm = 100, 9
 	set := crowd(doors)
-	set.Counter = false
+	set.UseCounter = false
 	list := backends(warm + 1)
-	all := make([]*Door, doors)
+	all := make([]*Balancer, doors)
 	for i := range all {
-		set.Rank = i
+		set.Index = i
 		all[i], _ = New(set, uint64(i))
-		all[i].Step(0, []Event{List{Scope: Cached, Entries: list[:warm]}})
+		all[i].Step(0, []Event{EndpointUpdate{Kind: CachedSnapshot, Entries: list[:warm]}})
 	}
 	start, carried := 60*time.Second, 0
 	var cold []time.Duration
 	var b *bearer
-	send := func(d *Door, now time.Duration, acts []Action) {
-		for _, s := range only[Send](acts) {
-			if s.Backend == list[warm].Name {
-				if b.take(now, d, s, 1); now < start+set.WarmWithin {
+	send := func(d *Balancer, now time.Duration, acts []Action) {
+		for _, s := range only[Dispatch](acts) {
+			if s.Endpoint == list[warm].Name {
+				if b.take(now, d, s, 1); now < start+set.SlowStartDuration {
 					cold = append(cold, now)
 				}
 				continue
@@ -50,16 +50,16 @@
 				if b == nil { // it can do no more than a warm one is seen to carry
 					b = &bearer{can: warming(set, start, float64(carried)/warm/start.Seconds()), at: start}
 				}
-				list[warm].Started = start
-				evs = append(evs, List{Scope: Delta, Entries: list[warm:]})
+				list[warm].StartedAt = start
+				evs = append(evs, EndpointUpdate{Kind: Delta, Entries: list[warm:]})
 			case start + 2*time.Second: // the worst case: it is all that is left
 				for j := range list[:warm] {
-					list[j].State = Terminating
+					list[j].State = Draining
 				}
-				evs = append(evs, List{Scope: Delta, Entries: list[:warm]})
+				evs = append(evs, EndpointUpdate{Kind: Delta, Entries: list[:warm]})
 			}
 			id := uint64(tick*doors + i)
-			send(d, now, d.Step(now, append(evs, ask(id, 0, 2), Timer{0})))
+			send(d, now, d.Step(now, append(evs, ask(id, 0, 2), TimerFired{0})))
 		}
 		if b != nil {
 			for d, acts := range b.step(now + 50*ms) {
@@ -69,14 +69,14 @@
 	}
 	rate := float64(carried) / warm / start.Seconds() // what a warm backend carries: its capacity is no less
 	for i, from := range cold {
-		share := set.ColdFrom + (1-set.ColdFrom)*float64(from-start)/float64(set.WarmWithin)
+		share := set.SlowStartCapacity + (1-set.SlowStartCapacity)*float64(from-start)/float64(set.SlowStartDuration)
 		n := 0
 		for _, at := range cold[i:] {
-			if at < from+set.FallWindow {
+			if at < from+set.OverloadWindow {
 				n++
 			}
 		}
-		if most := set.FallMultiple * share * rate * set.FallWindow.Seconds(); float64(n) > most {
+		if most := set.OverloadMultiple * share * rate * set.OverloadWindow.Seconds(); float64(n) > most {
 			t.Fatalf("%d sends within a window %v after the start; its budget is %.0f", n, from-start, most)
 		}
 	}
@@ -86,19 +86,19 @@
 func TestThinCustomerAsksTheCounter(t *testing.T) {
 	for total, want := range map[float64]int{1: 1, 30: 0} {
 		d := open(t, crowd(100), backends(8)...)
-		calls := only[Count](d.Step(ms, []Event{ask(1, 0, 0)}))
+		calls := only[CounterAdd](d.Step(ms, []Event{ask(1, 0, 0)}))
 		if len(calls) != 1 || calls[0].Amount != 1 {
 			t.Fatalf("calls: %v, want one of a unit", calls)
 		}
-		acts := d.Step(3*ms, []Event{Counted{calls[0].Name, OK, total}})
-		if n := len(only[Send](acts)); n != want {
+		acts := d.Step(3*ms, []Event{CounterResult{calls[0].Name, OK, total}})
+		if n := len(only[Dispatch](acts)); n != want {
 			t.Errorf("total %v: %d sent, want %d", total, n, want)
 		}
 		if want == 0 {
-			if back := only[Count](acts); len(back) != 1 || back[0].Amount != -1 {
+			if back := only[CounterAdd](acts); len(back) != 1 || back[0].Amount != -1 {
 				t.Errorf("what the store did not hold was not given back: %v", acts)
 			}
-			if more := only[Count](d.Step(4*ms, []Event{ask(2, 0, 0)})); len(more) != 0 {
+			if more := only[CounterAdd](d.Step(4*ms, []Event{ask(2, 0, 0)})); len(more) != 0 {
 				t.Errorf("a store just seen empty was asked again: %v", more)
 			}
 		}
@@ -113,11 +113,11 @@
 		r := ask(uint64(i), 0, 0)
 		r.Customer = fmt.Sprint("c", i)
 		now := time.Duration(i+1) * 10 * ms
-		for _, c := range only[Count](d.Step(now, []Event{r, Timer{0}})) {
+		for _, c := range only[CounterAdd](d.Step(now, []Event{r, TimerFired{0}})) {
 			if i > 1000 {
 				late++
 			}
-			d.Step(now+5*ms, []Event{Counted{Name: c.Name, Status: Full}})
+			d.Step(now+5*ms, []Event{CounterResult{Name: c.Name, Status: Rejected}})
 		}
 	}
 	if late > 10 {
@@ -129,10 +129,10 @@
 func TestOverflowIsAddedToTheCounter(t *testing.T) {
 	d := open(t, crowd(100), backends(8)...)
 	now := 20 * time.Second
-	calls := only[Count](d.Step(now, []Event{ask(1, 0, 0)}))
-	acts := d.Step(now+2*ms, []Event{Counted{calls[0].Name, OK, 1}})
-	fixes := only[Count](acts)
-	if len(fixes) != 1 || fixes[0].Amount < 30 || len(only[Send](acts)) != 1 {
+	calls := only[CounterAdd](d.Step(now, []Event{ask(1, 0, 0)}))
+	acts := d.Step(now+2*ms, []Event{CounterResult{calls[0].Name, OK, 1}})
+	fixes := only[CounterAdd](acts)
+	if len(fixes) != 1 || fixes[0].Amount < 30 || len(only[Dispatch](acts)) != 1 {
 		t.Errorf("20 s of overflow at 2 a second: %v", acts)
 	}
 }
@@ -140,22 +140,22 @@
 // A door that stood still finds time-outs of its own making; no backend is left for it.
 func TestOwnStallIsNoSilence(t *testing.T) {
 	d := open(t, basic(), backends(4)...)
-	var sends []Send
+	var sends []Dispatch
 	now := ms
 	for i := range 40 {
 		now += 20 * ms
-		sends = append(sends, only[Send](d.Step(now, []Event{ask(uint64(i), 0, 2), Timer{0}}))...)
+		sends = append(sends, only[Dispatch](d.Step(now, []Event{ask(uint64(i), 0, 2), TimerFired{0}}))...)
 		if len(sends) > 14 {
 			d.Step(now, []Event{served(sends[0], 0, 40*ms)})
 			sends = sends[1:]
 		}
 	}
 	now += 2 * time.Second
-	evs := []Event{served(sends[0], 0, 40*ms), Timer{0}}
+	evs := []Event{served(sends[0], 0, 40*ms), TimerFired{0}}
 	for _, s := range sends[1:] {
 		evs = append(evs, served(s, 0, 40*ms))
 	}
-	if logs := only[Log](d.Step(now, evs)); len(logs) != 0 {
+	if logs := only[LogLine](d.Step(now, evs)); len(logs) != 0 {
 		t.Errorf("after a stall of this door: %v", logs)
 	}
 }
@@ -165,8 +165,8 @@
 	d := open(t, basic(), backends(4)...)
 	d.Step(ms, []Event{ask(1, 0, 2)})
 	old := ask(2, 0, 2)
-	old.Left = 2*time.Second - 490*ms
-	if acts := d.Step(time.Second, []Event{old}); len(only[Send](acts)) != 0 || len(only[Refuse](acts)) != 1 {
+	old.TimeLeft = 2*time.Second - 490*ms
+	if acts := d.Step(time.Second, []Event{old}); len(only[Dispatch](acts)) != 0 || len(only[Reject](acts)) != 1 {
 		t.Errorf("a request that has waited for 490 of its 500 ms: %v", acts)
 	}
 }
@@ -177,17 +177,17 @@
 	sent, attempts := 0, map[uint64]int{}
 	for i := range 3000 {
 		now := time.Duration(i+1) * 200 * ms
-		todo := only[Send](d.Step(now, []Event{ask(uint64(i), 0, 2), Timer{0}}))
+		todo := only[Dispatch](d.Step(now, []Event{ask(uint64(i), 0, 2), TimerFired{0}}))
 		for len(todo) > 0 { // ends: a request has three attempts at most
 			s := todo[0]
-			st := Outcome{ID: s.ID, Attempt: attempts[s.ID], Backend: s.Backend, Status: Full, Latency: ms}
+			st := AttemptResult{ID: s.ID, Attempt: attempts[s.ID], Endpoint: s.Endpoint, Status: Rejected, Latency: ms}
 			if i < 100 {
 				st = served(s, attempts[s.ID], 40*ms)
 			} else if i > 1500 {
 				sent++
 			}
 			attempts[s.ID]++
-			todo = append(todo[1:], only[Send](d.Step(now+ms, []Event{st}))...)
+			todo = append(todo[1:], only[Dispatch](d.Step(now+ms, []Event{st}))...)
 		}
 	}
 	if sent == 0 || sent > 300 {
--- a/internal/balancer/state.go
+++ b/internal/balancer/state.go
@@ -125,7 +125,7 @@
 	live             int
 	waiting          []*request
 	grants           int           // of them, those that want leave only
-	listed           bool          // in Door.waiters
+	listed           bool          // in Balancer.waiters
 	emptyUntil       time.Duration // the store was seen empty: not asked before then
 	pauseUntil       time.Duration // nor before then, as a call may yet be answered
 }
@@ -167,8 +167,8 @@
 	mostLeft time.Duration     // the most time that a client gave
 }
 
-// Door decides for one front door.
-type Door struct {
+// Balancer decides for one front door.
+type Balancer struct {
 	set        Settings
 	learned    []experience         // of each class
 	terms      []ceilinglease.Terms // by plan, on which its ceiling is lent; zero: it is not
@@ -220,10 +220,10 @@
 	listAsked  bool
 }
 
-// Check says what of the settings a Door can't decide by.
-func (set *Settings) Check() error {
+// Validate says what of the settings a Balancer can't decide by.
+func (set *Settings) Validate() error {
 	switch {
-	case set.Doors < 1:
+	case set.Gateways < 1:
 		return errors.New("snowhall: Doors is under 1")
 	case len(set.Classes) == 0:
 		return errors.New("snowhall: Classes is empty")
@@ -231,17 +231,17 @@
 		return errors.New("snowhall: Plans is empty")
 	case set.MaxAttempts < 1:
 		return errors.New("snowhall: MaxAttempts is under 1")
-	case set.Resolution < 0 || set.FallWindow < 0 || set.WarmWithin < 0 || set.AskEvery < 0:
+	case set.Resolution < 0 || set.OverloadWindow < 0 || set.SlowStartDuration < 0 || set.PollInterval < 0:
 		return errors.New("snowhall: Resolution, FallWindow, WarmWithin or AskEvery is negative")
-	case set.FallMultiple < 0 || set.ColdFrom < 0:
+	case set.OverloadMultiple < 0 || set.SlowStartCapacity < 0:
 		return errors.New("snowhall: FallMultiple or ColdFrom is negative")
 	}
 	for i, c := range set.Classes {
-		if c.Worth < 0 || c.Aim < 0 || c.GiveUp < 0 || c.Window < 0 {
+		if c.PriorityWeight < 0 || c.LatencyObjective < 0 || c.ClientTimeout < 0 || c.DedupWindow < 0 {
 			return fmt.Errorf("snowhall: Classes[%d] has a negative value", i)
 		}
 		for j, p := range set.Plans {
-			if p.Rate < 0 || p.Burst < 0 || p.AtOnce < 0 || p.CeilingRate < 0 || p.CeilingDepth < 0 {
+			if p.Rate < 0 || p.Burst < 0 || p.MaxInFlight < 0 || p.CeilingRate < 0 || p.CeilingBurst < 0 {
 				return fmt.Errorf("snowhall: Plans[%d] has a negative value", j)
 			}
 		}
@@ -250,25 +250,25 @@
 }
 
 // New makes a door that knows nothing yet. The seed is for its random numbers.
-func New(set Settings, seed uint64) (*Door, error) {
-	if err := set.Check(); err != nil {
+func New(set Settings, seed uint64) (*Balancer, error) {
+	if err := set.Validate(); err != nil {
 		return nil, err
 	}
-	d := &Door{byHand: map[string]time.Duration{}, rng: rand.New(rand.NewPCG(seed, 1)), servers: map[string]*server{},
+	d := &Balancer{byHand: map[string]time.Duration{}, rng: rand.New(rand.NewPCG(seed, 1)), servers: map[string]*server{},
 		reqs: map[uint64]*request{}, customers: map[string]*customer{}, asks: map[uint64][]*call{}}
-	d.out = set.ByViews // until it is told
+	d.out = set.LeasedShares // until it is told
 	d.tuned(set, nil)
 	return d, nil
 }
 
 // tuned takes settings, at the start or later. Evidence is kept by class and goes on as told.
-func (d *Door) tuned(set Settings, from []int) {
+func (d *Balancer) tuned(set Settings, from []int) {
 	d.set, d.fills, d.bestWorth, d.topWorth = set, 0, 0, 0
 	d.terms = make([]ceilinglease.Terms, len(set.Plans))
 	for i, p := range set.Plans {
-		if set.LendCeilings && set.Counter && p.CeilingRate > 0 {
-			d.terms[i], _ = ceilinglease.TermsOf(p.Rate, p.Burst, p.CeilingRate, p.CeilingDepth, 1)
-			d.fills = max(d.fills, time.Duration(p.CeilingDepth/p.CeilingRate*float64(time.Second)))
+		if set.LeaseCeilings && set.UseCounter && p.CeilingRate > 0 {
+			d.terms[i], _ = ceilinglease.TermsOf(p.Rate, p.Burst, p.CeilingRate, p.CeilingBurst, 1)
+			d.fills = max(d.fills, time.Duration(p.CeilingBurst/p.CeilingRate*float64(time.Second)))
 		}
 	}
 	old := d.learned
@@ -277,19 +277,19 @@
 		if i < len(from) && from[i] >= 0 && from[i] < len(old) {
 			d.learned[i] = old[from[i]]
 		} else {
-			d.learned[i] = experience{base: max(0.001, cmp.Or(c.Aim, c.GiveUp).Seconds()*priorShare), size: costmodel.New(set.MaxUnits)}
+			d.learned[i] = experience{base: max(0.001, cmp.Or(c.LatencyObjective, c.ClientTimeout).Seconds()*priorShare), size: costmodel.New(set.MaxRequestUnits)}
 		}
-		if c.Dropped {
+		if c.Removed {
 			continue
 		}
-		d.bestWorth = max(d.bestWorth, c.Worth)
+		d.bestWorth = max(d.bestWorth, c.PriorityWeight)
 		for _, p := range set.Plans {
-			d.topWorth = max(d.topWorth, c.Worth*p.Factor)
+			d.topWorth = max(d.topWorth, c.PriorityWeight*p.PriorityFactor)
 		}
 	}
 }
 
-func (d *Door) push(r *request, s *server) {
+func (d *Balancer) push(r *request, s *server) {
 	r.spot, r.on = &entry{r}, s
 	q := s.queue[r.level]
 	if len(r.attempts) > 0 { // a further attempt has waited already
@@ -306,7 +306,7 @@
 }
 
 // unqueue takes a request out of its queue; the empty place is passed over later.
-func (d *Door) unqueue(r *request) {
+func (d *Balancer) unqueue(r *request) {
 	if r.spot == nil {
 		return
 	}
@@ -334,18 +334,18 @@
 }
 
 // call adds an amount on the counter under the customer and the window.
-func (d *Door) call(c *customer, block, amount, owed float64) *call {
+func (d *Balancer) call(c *customer, block, amount, owed float64) *call {
 	window := int64(d.now / windowLen)
 	name := counterName(c.name, window)
 	k := &call{c: c, block: block, amount: amount, owed: owed, window: window, at: d.now, ticket: d.lates.ticket()}
 	d.asks[name] = append(d.asks[name], k)
 	d.calls.Take(d.now)
-	d.act(Count{name, amount, keepFor, k.ticket})
+	d.act(CounterAdd{name, amount, keepFor, k.ticket})
 	return k
 }
 
 // answered finds the call that an answer belongs to: those for one name come in the order of the calls.
-func (d *Door) answered(name uint64) *call {
+func (d *Balancer) answered(name uint64) *call {
 	all := d.asks[name]
 	if len(all) == 0 {
 		return nil
@@ -365,7 +365,7 @@
 
 // Step takes what happened at time now, in order, and returns what to do, in order. The slice is the caller's
 // until the next Step.
-func (d *Door) Step(now time.Duration, events []Event) []Action {
+func (d *Balancer) Step(now time.Duration, events []Event) []Action {
 	d.acts = d.acts[:0]
 	d.lastAt, d.now = d.now, max(d.now, now)
 	if !d.running {
@@ -379,38 +379,38 @@
 		switch ev := ev.(type) {
 		case Request:
 			d.admit(ev)
-		case Outcome:
+		case AttemptResult:
 			d.outcome(ev)
-		case Counted:
+		case CounterResult:
 			d.counted(ev)
-		case Late:
+		case LateCounterResult:
 			d.late(ev)
-		case Timer:
+		case TimerFired:
 			d.timer(ev.Cookie)
-		case List:
+		case EndpointUpdate:
 			d.list(ev)
-		case Probed:
+		case HealthCheckResult:
 			d.probed(ev)
-		case Finding:
+		case HealthReport:
 			d.evidence(ev)
-		case Detach:
+		case AdminEject:
 			d.detach(ev)
-		case Attach:
-			d.attach(ev.Backend)
-		case Leave:
+		case AdminRestore:
+			d.attach(ev.Endpoint)
+		case BeginHandover:
 			d.leave()
-		case Recall:
-			d.recall(ev.Memory)
-		case Retune:
+		case ImportHandover:
+			d.recall(ev.State)
+		case SettingsUpdate:
 			d.settleShares() // by the plans as they were
-			d.tuned(ev.Settings, ev.From)
-		case Sharing:
+			d.tuned(ev.Settings, ev.EvidenceFrom)
+		case ShareUpdate:
 			d.shared(ev)
-		case Wanted:
+		case LoanRequest:
 			d.wanted(ev)
-		case Loaned:
+		case LoanGranted:
 			d.loaned(ev)
-		case Gone:
+		case RequestDone:
 			if r := d.reqs[ev.ID]; r != nil {
 				d.end(r)
 			}
@@ -421,9 +421,9 @@
 	return d.acts
 }
 
-func (d *Door) act(a Action) { d.acts = append(d.acts, a) }
+func (d *Balancer) act(a Action) { d.acts = append(d.acts, a) }
 
-func (d *Door) forget(r *request) {
+func (d *Balancer) forget(r *request) {
 	if r.ended && r.out == 0 {
 		delete(d.reqs, r.id)
 	}
@@ -445,18 +445,18 @@
 	}
 }
 
-// Quota is how a customer stands with its quota, by what this door knows.
-type Quota struct {
-	Left  float64       // units that its store holds now
-	Full  time.Duration // until the store is full again if nothing is taken
-	Known bool          // the counter has told of the store; else only this door's share is
+// QuotaStatus is how a customer stands with its quota, by what this door knows.
+type QuotaStatus struct {
+	Remaining float64       // units that its store holds now
+	FullIn    time.Duration // until the store is full again if nothing is taken
+	Known     bool          // the counter has told of the store; else only this door's share is
 }
 
-// Quota tells how a customer stands. The second result says whether the door knows the customer.
-func (d *Door) Quota(name string) (Quota, bool) {
+// QuotaStatus tells how a customer stands. The second result says whether the door knows the customer.
+func (d *Balancer) QuotaStatus(name string) (QuotaStatus, bool) {
 	c := d.customers[name]
 	if c == nil || d.set.Plans[c.plan].Rate <= 0 {
-		return Quota{}, false
+		return QuotaStatus{}, false
 	}
 	p := &d.set.Plans[c.plan]
 	left := c.spare
@@ -464,11 +464,11 @@
 		left = d.level(c, p) + c.tokens
 	}
 	left = min(p.Burst, max(0, left))
-	return Quota{left, time.Duration((p.Burst - left) / p.Rate * float64(time.Second)), c.known}, true
+	return QuotaStatus{left, time.Duration((p.Burst - left) / p.Rate * float64(time.Second)), c.known}, true
 }
 
 // release gives back what a request holds while it is queued, which goes out now or never.
-func (d *Door) release(r *request, out bool) {
+func (d *Balancer) release(r *request, out bool) {
 	if !r.ceilHeld {
 		return
 	}
@@ -482,8 +482,8 @@
 }
 
 // hold counts a request as open where its plan bounds that, and keeps units of the ceiling for it; release gives these back.
-func (d *Door) hold(r *request, from payer) {
-	if d.set.Plans[r.plan].AtOnce > 0 {
+func (d *Balancer) hold(r *request, from payer) {
+	if d.set.Plans[r.plan].MaxInFlight > 0 {
 		r.live = true
 		r.c.live++
 	}
@@ -493,7 +493,7 @@
 		r.c.ceilQueued += r.units
 		if p := &d.set.Plans[r.plan]; d.many(r.c, p) {
 			if t, ok := d.turns(r.c, p); ok {
-				r.lease, _ = t.Now(d.now, d.set.Rank)
+				r.lease, _ = t.Now(d.now, d.set.Index)
 			}
 		}
 	case fromLease:
@@ -503,7 +503,7 @@
 
 // moveQueue places anew what is queued at a server that is no longer usable. All is taken out first: placing
 // one request may release others.
-func (d *Door) moveQueue(s *server) {
+func (d *Balancer) moveQueue(s *server) {
 	var all []*request
 	for l := range s.queue {
 		for _, e := range s.queue[l] {
@@ -523,19 +523,19 @@
 }
 
 // detach takes a server out of use by hand.
-func (d *Door) detach(ev Detach) {
-	if _, ok := d.byHand[ev.Backend]; !ok {
-		d.byHand[ev.Backend] = cmp.Or(ev.At, d.now)
-		d.act(Log{"taken out by hand: " + ev.Backend})
+func (d *Balancer) detach(ev AdminEject) {
+	if _, ok := d.byHand[ev.Endpoint]; !ok {
+		d.byHand[ev.Endpoint] = cmp.Or(ev.At, d.now)
+		d.act(LogLine{"taken out by hand: " + ev.Endpoint})
 	}
-	if s := d.servers[ev.Backend]; s != nil {
+	if s := d.servers[ev.Endpoint]; s != nil {
 		d.retire(s)
 		d.members()
 	}
 }
 
 // retire ends what new work goes to a server.
-func (d *Door) retire(s *server) {
+func (d *Balancer) retire(s *server) {
 	if s.listed {
 		s.listed = false
 		d.moveQueue(s)
@@ -543,7 +543,7 @@
 }
 
 // retireMissing takes servers that a whole list leaves out as gone.
-func (d *Door) retireMissing(list []Backend) {
+func (d *Balancer) retireMissing(list []Endpoint) {
 	named := map[string]bool{}
 	for _, b := range list {
 		named[b.Name] = true
@@ -558,7 +558,7 @@
 
 // members finds which servers this door uses as a rule. One that is known keeps its place while the number of servers stays near
 // what it was: a release that takes some out must not move the others' connections.
-func (d *Door) members() {
+func (d *Balancer) members() {
 	n := 0
 	for _, s := range d.ring {
 		if s.listed {
@@ -568,18 +568,18 @@
 	if n > d.sized*5/4 || n < d.sized*3/4 || d.sized == 0 {
 		d.sized = n
 	}
-	using := d.set.Doors // few doors meet all servers often enough
+	using := d.set.Gateways // few doors meet all servers often enough
 	if using >= crowdFrom {
 		using = subsetting.Doors(using, d.sized, memberOf)
 	}
 	d.users = using
 	for _, s := range d.ring {
-		s.member = subsetting.HasAmong(s.name, d.set.Rank, d.set.Doors, using, d.gone)
+		s.member = subsetting.HasAmong(s.name, d.set.Index, d.set.Gateways, using, d.gone)
 	}
 }
 
-// Rotation tells how many backends the list has, and how many of them this door avoids now.
-func (d *Door) Rotation() (listed, avoided int) {
+// EndpointCounts tells how many backends the list has, and how many of them this door avoids now.
+func (d *Balancer) EndpointCounts() (listed, avoided int) {
 	for _, s := range d.ring {
 		if s.inList {
 			listed++
@@ -592,7 +592,7 @@
 }
 
 // prune forgets servers that are gone and owe no outcome.
-func (d *Door) prune() {
+func (d *Balancer) prune() {
 	kept := d.ring[:0:0]
 	for _, s := range d.ring {
 		if s.inList || len(s.outs) > 0 {
@@ -604,9 +604,9 @@
 	d.ring = kept
 }
 
-func (d *Door) customer(ev Request) *customer {
+func (d *Balancer) customer(ev Request) *customer {
 	c, p := d.customers[ev.Customer], &d.set.Plans[ev.Plan]
-	n := float64(cmp.Or(max(0, ev.Doors), d.set.Doors))
+	n := float64(cmp.Or(max(0, ev.Gateways), d.set.Gateways))
 	if c == nil {
 		c = &customer{name: ev.Customer, plan: ev.Plan, doors: n, spare: p.Burst / n, spareAt: d.now,
 			demandAt: d.now, ceilAt: d.filledFrom(), store: p.Burst, storeAt: d.now}
@@ -624,12 +624,12 @@
 }
 
 // level is what the customer's store should hold now.
-func (d *Door) level(c *customer, p *Plan) float64 {
+func (d *Balancer) level(c *customer, p *Plan) float64 {
 	return min(p.Burst, c.store+p.Rate*(d.now-c.storeAt).Seconds())
 }
 
 // rateAdd keeps the mean rate of what a warm server carries, in mean requests: answers, as under overload more is sent.
-func (d *Door) rateAdd(size float64) {
+func (d *Balancer) rateAdd(size float64) {
 	n := 0.0
 	for _, s := range d.ring {
 		if s.usable() && !s.cold && s.member {
@@ -642,13 +642,13 @@
 }
 
 // refill is the time until the customer's store should hold the units.
-func (d *Door) refill(c *customer, p *Plan, units float64) time.Duration {
+func (d *Balancer) refill(c *customer, p *Plan, units float64) time.Duration {
 	return time.Duration(max(0.01, (units-d.level(c, p))/max(p.Rate, 0.1)) * float64(time.Second))
 }
 
 // ceilingFills is the time in seconds until this door's share of the ceiling has room for a request that would
 // join its customer's line.
-func (d *Door) ceilingFills(r *request) float64 {
+func (d *Balancer) ceilingFills(r *request) float64 {
 	p := &d.set.Plans[r.plan]
 	if p.CeilingRate == 0 {
 		return 0
@@ -689,7 +689,7 @@
 func (s *server) usable() bool { return s.listed && !s.ejected }
 
 // shut says that no server can be chosen since all that are listed are taken out by hand.
-func (d *Door) shut() bool {
+func (d *Balancer) shut() bool {
 	some := false
 	for _, s := range d.ring {
 		if s.listed {
@@ -709,24 +709,24 @@
 }
 
 // timer takes the request's own timer, the tick and the list's.
-func (d *Door) timer(cookie uint64) {
+func (d *Balancer) timer(cookie uint64) {
 	if cookie == 0 {
 		d.beat()
 	} else if cookie == 2 {
 		d.listAsked = false
-		d.act(Watch{})
+		d.act(WatchEndpoints{})
 	} else if r := d.reqs[cookie>>1]; r != nil && r.granted {
 		if d.now >= r.holdUntil {
 			d.end(r)
 		}
 	} else if r != nil && !r.stream {
-		d.refuse(r, 0, TimeUp)
+		d.refuse(r, 0, DeadlineExceeded)
 	}
 }
 
 // warmth is the share of its capacity that a server has at least.
-func (d *Door) warmth(s *server) float64 {
-	if !s.cold || d.now-s.coldAt >= d.set.WarmWithin {
+func (d *Balancer) warmth(s *server) float64 {
+	if !s.cold || d.now-s.coldAt >= d.set.SlowStartDuration {
 		s.cold, s.book = false, slowstart.Book{}
 		return 1
 	}
@@ -734,13 +734,13 @@
 }
 
 // warmthAt is how warm a cold server was at a time.
-func (d *Door) warmthAt(s *server, at time.Duration) float64 {
-	return d.set.ColdFrom + (1-d.set.ColdFrom)*max(0, float64(at-s.coldAt))/float64(d.set.WarmWithin)
+func (d *Balancer) warmthAt(s *server, at time.Duration) float64 {
+	return d.set.SlowStartCapacity + (1-d.set.SlowStartCapacity)*max(0, float64(at-s.coldAt))/float64(d.set.SlowStartDuration)
 }
 
 // coldTerms are what a cold server bears, and how many doors use each.
-func (d *Door) coldTerms() slowstart.Terms {
-	return slowstart.Terms{Multiple: d.set.FallMultiple, Window: d.set.FallWindow, Doors: float64(max(1, d.users))}
+func (d *Balancer) coldTerms() slowstart.Terms {
+	return slowstart.Terms{Multiple: d.set.OverloadMultiple, Window: d.set.OverloadWindow, Doors: float64(max(1, d.users))}
 }
 
 // What is kept of customers is bounded: a client may name as many as it likes, and each takes some 400 bytes.
@@ -752,7 +752,7 @@
 )
 
 // forgetCustomers looks at some customers and forgets those that are idle.
-func (d *Door) forgetCustomers() {
+func (d *Balancer) forgetCustomers() {
 	full := len(d.order) > mostCustomers/2
 	n := max(8, len(d.order)/sweepTicks)
 	if full {
@@ -772,7 +772,7 @@
 }
 
 // keeps is how long an idle customer is kept. One that is met again has full stores, so none is forgotten before they are.
-func (d *Door) keeps(c *customer, soon bool) time.Duration {
+func (d *Balancer) keeps(c *customer, soon bool) time.Duration {
 	p := &d.set.Plans[c.plan]
 	if !soon || d.many(c, p) {
 		return forgetAfter
@@ -782,21 +782,21 @@
 		fills = max(fills, p.Burst/p.Rate)
 	}
 	if p.CeilingRate > 0 {
-		fills = max(fills, p.CeilingDepth/p.CeilingRate)
+		fills = max(fills, p.CeilingBurst/p.CeilingRate)
 	}
 	return min(forgetAfter, time.Duration(fills*float64(time.Second)))
 }
 
 // noPlace refuses the request of a customer that is not known where no more can be.
-func (d *Door) noPlace(ev Request) bool {
+func (d *Balancer) noPlace(ev Request) bool {
 	if len(d.customers) < mostCustomers || d.customers[ev.Customer] != nil {
 		return false
 	}
 	pause := time.Duration(0)
-	if d.set.RetryAfter {
+	if d.set.SendRetryAfter {
 		pause = min(crowdForget, d.set.MaxRetryAfter)
 	}
-	d.act(Refuse{ID: ev.ID, Pause: pause, Why: NoPlace})
+	d.act(Reject{ID: ev.ID, RetryAfter: pause, Reason: TooManyCustomers})
 	return true
 }
 
--- a/internal/balancer/units_test.go
+++ b/internal/balancer/units_test.go
@@ -6,10 +6,10 @@
 )
 
 // schooled is a door that has seen requests of one unit take 40 ms and those of four 280 ms.
-func schooled(t *testing.T, list ...Backend) *Door {
+func schooled(t *testing.T, list ...Endpoint) *Balancer {
 	t.Helper()
 	set := basic()
-	set.Counter = false
+	set.UseCounter = false
 	d := open(t, set, list...)
 	for i := range uint64(400) {
 		r, took := ask(i, 0, 2), 40*ms
@@ -17,7 +17,7 @@
 			r.Units, took = 4, 280*ms
 		}
 		now := time.Duration(i) * 300 * ms
-		for _, s := range only[Send](d.Step(now, []Event{r})) {
+		for _, s := range only[Dispatch](d.Step(now, []Event{r})) {
 			d.Step(now+took, []Event{served(s, 0, took)})
 		}
 	}
@@ -30,12 +30,12 @@
 	now := 200 * time.Second
 	d.Step(now-ms, nil) // else it takes itself for one that stood still
 	small, large := ask(1000, 0, 2), ask(1001, 0, 2)
-	small.Left, large.Left, large.Units = 100*ms, 100*ms, 4
+	small.TimeLeft, large.TimeLeft, large.Units = 100*ms, 100*ms, 4
 	acts := d.Step(now, []Event{small, large})
-	if got := only[Send](acts); len(got) != 1 || got[0].ID != 1000 {
+	if got := only[Dispatch](acts); len(got) != 1 || got[0].ID != 1000 {
 		t.Errorf("sent on %v; want the small one, which 100 ms are enough for", got)
 	}
-	if got := only[Refuse](acts); len(got) != 1 || got[0].ID != 1001 {
+	if got := only[Reject](acts); len(got) != 1 || got[0].ID != 1001 {
 		t.Errorf("refused %v; want the large one at once", got)
 	}
 }
@@ -48,7 +48,7 @@
 		for i := range uint64(60) {
 			r := ask(2000+i, 0, 2)
 			r.Units = units
-			n += len(only[Send](d.Step(200*time.Second, []Event{r})))
+			n += len(only[Dispatch](d.Step(200*time.Second, []Event{r})))
 		}
 		return n
 	}
@@ -75,10 +75,10 @@
 // once for who waits, and once only.
 func TestSpoiltAnswerOfTheCounter(t *testing.T) {
 	d := open(t, basic(), backends(2)...)
-	var calls []Count
+	var calls []CounterAdd
 	now := ms
 	for i := range uint64(40) { // the fresh door's share is spent first
-		calls = only[Count](d.Step(now, []Event{ask(i, 0, 0)}))
+		calls = only[CounterAdd](d.Step(now, []Event{ask(i, 0, 0)}))
 		if len(calls) > 0 {
 			break
 		}
@@ -88,16 +88,16 @@
 	}
 	first := calls[0]
 	owed := d.customers["c"].owed
-	acts := d.Step(now+ms, []Event{Counted{Name: first.Name, Status: Failed}})
-	again := only[Count](acts)
-	if len(again) != 1 || len(only[Refuse](acts)) != 0 {
+	acts := d.Step(now+ms, []Event{CounterResult{Name: first.Name, Status: Failed}})
+	again := only[CounterAdd](acts)
+	if len(again) != 1 || len(only[Reject](acts)) != 0 {
 		t.Fatalf("after a spoilt answer: %v; want one more call and no refusal", acts)
 	}
 	if sum := first.Amount + again[0].Amount; sum >= 2*first.Amount+owed {
 		t.Errorf("%v and then %v added; want the first block given back", first.Amount, again[0].Amount)
 	}
-	acts = d.Step(now+2*ms, []Event{Counted{Name: again[0].Name, Status: Failed}})
-	if len(only[Count](acts)) != 0 || len(only[Refuse](acts)) != 1 {
+	acts = d.Step(now+2*ms, []Event{CounterResult{Name: again[0].Name, Status: Failed}})
+	if len(only[CounterAdd](acts)) != 0 || len(only[Reject](acts)) != 1 {
 		t.Errorf("after a second one: %v; want a refusal and no third call", acts)
 	}
 }
@@ -113,7 +113,7 @@
 		c.demand, c.tokens = 1, 0
 		now = windowLen + 100*ms // ... and ten seconds later there is a new number
 		c.store, c.storeAt = 0, now-200*ms
-		calls := only[Count](d.Step(now, []Event{ask(2, 0, 0)}))
+		calls := only[CounterAdd](d.Step(now, []Event{ask(2, 0, 0)}))
 		if len(calls) != 1 {
 			t.Fatalf("%s: %d calls", name, len(calls))
 		}
@@ -122,7 +122,7 @@
 			total += 3
 		}
 		carried := 0.0
-		for _, k := range only[Count](d.Step(now+5*ms, []Event{Counted{Name: calls[0].Name, Status: OK, Total: total}})) {
+		for _, k := range only[CounterAdd](d.Step(now+5*ms, []Event{CounterResult{Name: calls[0].Name, Status: OK, Total: total}})) {
 			carried += k.Amount
 		}
 		if burst := d.set.Plans[0].Burst; begins && carried < 0.8*burst || !begins && carried > 0 {
@@ -138,15 +138,15 @@
 func TestCrossingsHaveAPrice(t *testing.T) {
 	crossed := func(price float64) int {
 		set := basic()
-		set.Counter, set.CrossZone, set.Doors = false, price, 1
+		set.UseCounter, set.CrossZoneCost, set.Gateways = false, price, 1
 		list := backends(2)
 		list[1].Zone = 1
 		d := open(t, set, list...)
 		n := 0
 		for i := range uint64(200) {
 			now := time.Duration(i) * 20 * ms
-			for _, s := range only[Send](d.Step(now, []Event{ask(i, 0, 2)})) {
-				if s.Backend == list[1].Name {
+			for _, s := range only[Dispatch](d.Step(now, []Event{ask(i, 0, 2)})) {
+				if s.Endpoint == list[1].Name {
 					n++
 				}
 				d.Step(now+19*ms, []Event{served(s, 0, 19*ms)})
--- a/internal/counter/counter.go
+++ b/internal/counter/counter.go
@@ -37,7 +37,7 @@
 	Timeout     time.Duration // a call with no answer by then ends as Timeout
 	DialTimeout time.Duration
 	// Late is told by the loop goroutine of calls that have ended as Timeout and were added after all; nil: nobody is.
-	Late  func(balancer.Late)
+	Late  func(balancer.LateCounterResult)
 	Trace *trace.Log
 }
 
@@ -45,7 +45,7 @@
 type Counter struct {
 	l     *eventloop.Loop
 	cfg   Config
-	sink  func(balancer.Counted)
+	sink  func(balancer.CounterResult)
 	addr  string
 	lines [conns]*line
 	space uint64
@@ -76,12 +76,12 @@
 	text    []byte
 	written bool // it may have reached the counter
 	ended   bool
-	result  balancer.Counted // once it has ended
+	result  balancer.CounterResult // once it has ended
 	timeout *eventloop.Timer
 }
 
 // New makes a counter. The sink is told the one answer of each call, by the loop goroutine.
-func New(l *eventloop.Loop, cfg Config, sink func(balancer.Counted)) *Counter {
+func New(l *eventloop.Loop, cfg Config, sink func(balancer.CounterResult)) *Counter {
 	c := &Counter{l: l, cfg: cfg, sink: sink, open: map[uint64][]*call{}}
 	if cfg.Space != "" {
 		h := fnv.New64a()
@@ -135,7 +135,7 @@
 }
 
 // Add makes a call.
-func (c *Counter) Add(a balancer.Count) {
+func (c *Counter) Add(a balancer.CounterAdd) {
 	l := c.lines[a.Name%conns]
 	k := &call{name: a.Name, ticket: a.Ticket, at: c.l.Now(), line: l}
 	c.open[k.name] = append(c.open[k.name], k)
@@ -144,7 +144,7 @@
 		return
 	}
 	k.text = fmt.Appendf(nil, "add %d %s %d\r\n", a.Name^c.space, strconv.FormatFloat(a.Amount, 'f', -1, 64),
-		max(1, a.Keep.Milliseconds()))
+		max(1, a.TTL.Milliseconds()))
 	now := c.l.Now()
 	if len(l.calls) == 0 {
 		l.owed = now
@@ -181,7 +181,7 @@
 	if l.c.cfg.Trace.On() {
 		l.c.cfg.Trace.Line("count", "line=%d status=%d took=%.1f written=%t", k.name%conns, status, trace.MS(l.l.Now()-k.at), k.written)
 	}
-	k.result = balancer.Counted{Name: k.name, Status: status, Total: total}
+	k.result = balancer.CounterResult{Name: k.name, Status: status, Total: total}
 	k.timeout.Stop()
 	open := l.c.open
 	all := open[k.name]
@@ -297,7 +297,7 @@
 	}
 	switch string(text) {
 	case "busy", "error":
-		return balancer.Full, 0, nil
+		return balancer.Rejected, 0, nil
 	}
 	return 0, 0, fmt.Errorf("%w: %.40q", errSpoilt, text)
 }
@@ -317,7 +317,7 @@
 	l.used = l.l.Now()
 	l.owed = l.used
 	if late := l.c.cfg.Late; k.ended && k.ticket != 0 && late != nil && (status == balancer.OK || status == balancer.Failed) {
-		late(balancer.Late{Ticket: k.ticket, Status: status, Total: total})
+		late(balancer.LateCounterResult{Ticket: k.ticket, Status: status, Total: total})
 	}
 	l.end(k, status, total)
 	if l.left && len(l.calls) == 0 {
--- a/internal/counter/counter_test.go
+++ b/internal/counter/counter_test.go
@@ -17,25 +17,25 @@
 type rig struct {
 	*eventloop.Loop
 	counter *Counter
-	events  []balancer.Counted
+	events  []balancer.CounterResult
 }
 
 func idle(t *testing.T) *rig {
 	t.Helper()
 	f := &rig{Loop: eventloop.New()}
 	f.counter = New(f.Loop, Config{Addr: "127.0.0.1:1", Enabled: true, Timeout: 50 * time.Millisecond,
-		DialTimeout: 5 * time.Second}, func(ev balancer.Counted) { f.events = append(f.events, ev) })
+		DialTimeout: 5 * time.Second}, func(ev balancer.CounterResult) { f.events = append(f.events, ev) })
 	t.Cleanup(f.Close)
 	return f
 }
 
 // count makes a call and returns nothing: the answer comes as an event.
 func count(f *rig, name uint64, amount float64) {
-	f.counter.Add(balancer.Count{Name: name, Amount: amount, Keep: 4 * time.Second})
+	f.counter.Add(balancer.CounterAdd{Name: name, Amount: amount, TTL: 4 * time.Second})
 }
 
 // counted returns the answers told so far.
-func counted(f *rig) []balancer.Counted { return f.events }
+func counted(f *rig) []balancer.CounterResult { return f.events }
 
 // giveUpCalls lets the time of all calls that are out run out.
 func giveUpCalls(f *rig) { f.RunDue(f.Now() + f.counter.cfg.Timeout) }
@@ -60,8 +60,8 @@
 	p.Reads("add 4 1 4000\r\nadd 12 1 4000\r\nadd 16 1 4000\r\n")
 	p.Write("ok 1\r\nok 22.5\r\nbusy\r\nerror\r\n")
 	peer.Pump(t, f.Loop, func() bool { return len(counted(f)) == 3 })
-	want := []balancer.Counted{{Name: 4, Status: balancer.OK, Total: 22.5}, {Name: 12, Status: balancer.Full},
-		{Name: 16, Status: balancer.Full}}
+	want := []balancer.CounterResult{{Name: 4, Status: balancer.OK, Total: 22.5}, {Name: 12, Status: balancer.Rejected},
+		{Name: 16, Status: balancer.Rejected}}
 	if got := counted(f); fmt.Sprint(got) != fmt.Sprint(want) {
 		t.Errorf("got %+v", got)
 	}
@@ -181,10 +181,10 @@
 	ln := peer.Listen(t)
 	f := idle(t)
 	var late []uint64
-	f.counter.cfg.Late = func(ev balancer.Late) { late = append(late, ev.Ticket) }
+	f.counter.cfg.Late = func(ev balancer.LateCounterResult) { late = append(late, ev.Ticket) }
 	f.counter.Move(ln.Addr().String())
 	for i, name := range []uint64{4, 8, 12, 16} { // all by one connection
-		f.counter.Add(balancer.Count{Name: name, Amount: 1, Keep: 4 * time.Second, Ticket: uint64(i + 1)})
+		f.counter.Add(balancer.CounterAdd{Name: name, Amount: 1, TTL: 4 * time.Second, Ticket: uint64(i + 1)})
 	}
 	p := peer.Accept(t, ln)
 	peer.Pump(t, f.Loop, func() bool { return f.counter.lines[0].nc != nil })
--- a/internal/discovery/crossings_test.go
+++ b/internal/discovery/crossings_test.go
@@ -147,7 +147,7 @@
 		cfg.Known = Members{Index: 1, Endpoints: []Endpoint{{Name: `s"}{`, Address: "127.0.0.1:1", Status: "SERVING"}}}
 		d := New(l, slog.New(slog.NewTextHandler(io.Discard, nil)), cfg, func(u endpoint.Update) {
 			for _, e := range u.Entries {
-				if e.State == balancer.Terminating {
+				if e.State == balancer.Draining {
 					select {
 					case drains <- a.at():
 					default:
@@ -318,7 +318,7 @@
 	entry(6, false, "DRAINING")
 	entry(5, true, "SERVING")
 	entry(4, false, "SERVING")
-	if want := []string{fmt.Sprint("s", balancer.InService), fmt.Sprint("s", balancer.Terminating)}; fmt.Sprint(told) != fmt.Sprint(want) {
+	if want := []string{fmt.Sprint("s", balancer.Serving), fmt.Sprint("s", balancer.Draining)}; fmt.Sprint(told) != fmt.Sprint(want) {
 		t.Errorf("told %v, want %v", told, want)
 	}
 	if d.index != 6 {
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -95,8 +95,8 @@
 	SinceMS int64 `json:"since_ms"`
 }
 
-var statuses = map[string]balancer.State{"SERVING": balancer.InService, "DRAINING": balancer.Terminating,
-	"DELETED": balancer.Terminated}
+var statuses = map[string]balancer.EndpointState{"SERVING": balancer.Serving, "DRAINING": balancer.Draining,
+	"DELETED": balancer.Removed}
 
 // Config says where the list is and how its words become the module's numbers.
 type Config struct {
@@ -145,7 +145,7 @@
 func (d *Watch) Addr() string { return d.addr }
 
 // Known hands on the list as last had.
-func (d *Watch) Known() { d.take(d.cfg.Known, balancer.Cached) }
+func (d *Watch) Known() { d.take(d.cfg.Known, balancer.CachedSnapshot) }
 
 // List is the list as it is known now, in a form that Config.Known takes. Only the loop goroutine may call it.
 func (d *Watch) List() Members {
@@ -359,14 +359,14 @@
 	}
 	scope := balancer.Delta
 	if m.Snapshot {
-		scope = balancer.Whole
+		scope = balancer.Snapshot
 	}
 	d.index = m.Index
 	d.take(m, scope)
 }
 
 // take reads a list or its changes and hands them on.
-func (d *Watch) take(m Members, scope balancer.Scope) {
+func (d *Watch) take(m Members, scope balancer.UpdateKind) {
 	u := endpoint.Update{Scope: scope}
 	if scope != balancer.Delta {
 		clear(d.all)
@@ -377,13 +377,13 @@
 			d.log.Warn("an entry of the list that makes no sense", "name", e.Name, "status", e.Status)
 			continue
 		}
-		if d.all[e.Name] = e; state == balancer.Terminated {
+		if d.all[e.Name] = e; state == balancer.Removed {
 			delete(d.all, e.Name)
 		}
-		b := balancer.Backend{Name: e.Name, Zone: max(0, slices.Index(d.cfg.Zones, e.Zone)),
+		b := balancer.Endpoint{Name: e.Name, Zone: max(0, slices.Index(d.cfg.Zones, e.Zone)),
 			Kind: max(0, slices.Index(d.cfg.Kinds, e.Type)), Cell: e.Group, State: state, Weight: e.Weight,
-			Started: time.Duration(e.SinceMS) * time.Millisecond}
-		u.Entries = append(u.Entries, endpoint.Entry{Backend: b, Addr: e.Address})
+			StartedAt: time.Duration(e.SinceMS) * time.Millisecond}
+		u.Entries = append(u.Entries, endpoint.Entry{Endpoint: b, Addr: e.Address})
 	}
 	d.sink(u)
 }
--- a/internal/frontend/extauthz/answer.go
+++ b/internal/frontend/extauthz/answer.go
@@ -63,7 +63,7 @@
 	h := a.w.Header()
 	a.who(h)
 	o.by(h)
-	o.quota.Left = 0 // a share that fills meanwhile is of no use to who must stay away
+	o.quota.Remaining = 0 // a share that fills meanwhile is of no use to who must stay away
 	a.quota(h, o)
 	if o.pause > 0 {
 		retryAfter(h, o.pause)
@@ -137,8 +137,8 @@
 	h["Ratelimit-Policy"] = a.acct.Said.Policy
 	var room [96]byte
 	b := append(append(append(room[:0], '"'), a.acct.PlanName...), `";r=`...)
-	b = strconv.AppendInt(b, int64(o.quota.Left), 10)
-	b = strconv.AppendInt(append(b, ";t="...), int64(math.Ceil(o.quota.Full.Seconds())), 10)
+	b = strconv.AppendInt(b, int64(o.quota.Remaining), 10)
+	b = strconv.AppendInt(append(b, ";t="...), int64(math.Ceil(o.quota.FullIn.Seconds())), 10)
 	h["Ratelimit"] = []string{string(b)}
 }
 
--- a/internal/frontend/extauthz/check.go
+++ b/internal/frontend/extauthz/check.go
@@ -312,7 +312,7 @@
 	c.p = p
 	c.Request = proxy.Request{Caller: c, Class: class, Plan: acct.Plan, Customer: acct.Customer, At: fr.env.Now(),
 		Wait: rt.within(r.Header), Units: units, Doors: acct.Doors, Grant: true}
-	if a.plans[acct.Plan].AtOnce > 0 {
+	if a.plans[acct.Plan].MaxInFlight > 0 {
 		c.Hold = acct.Hold
 	}
 	if c.watch, err = rt.sameness(c, acct, tg, r.Header); err != nil {
--- a/internal/frontend/resp2/request.go
+++ b/internal/frontend/resp2/request.go
@@ -109,14 +109,14 @@
 			ok = v == "1" || v == "0"
 		case "units":
 			a.Units, ok = resp.Decimal(v)
-			ok = ok && a.Units > 0 && a.Units <= cmp.Or(rules.Settings.MaxUnits, 1e9)
+			ok = ok && a.Units > 0 && a.Units <= cmp.Or(rules.Settings.MaxRequestUnits, 1e9)
 		case "spread":
 			n, err := strconv.ParseUint(v, 10, 31)
-			ok = err == nil && n > 0 && int(n) <= rules.Settings.Doors
+			ok = err == nil && n > 0 && int(n) <= rules.Settings.Gateways
 			a.Doors = int(n)
 		case "first":
 			n, err := strconv.ParseUint(v, 10, 31)
-			ok = err == nil && int(n) < rules.Settings.Doors
+			ok = err == nil && int(n) < rules.Settings.Gateways
 			first = true
 		}
 		if !ok {
@@ -133,13 +133,13 @@
 	}
 	// A request and its timers are kept for as long as the client says that it waits.
 	class := &rules.Settings.Classes[a.Class]
-	if class.GiveUp > 0 && a.Wait > class.GiveUp+lateAsk {
+	if class.ClientTimeout > 0 && a.Wait > class.ClientTimeout+lateAsk {
 		return nil, errors.New("ill-formed or unknown d")
 	}
-	switch effect := class.Effect; {
-	case (effect == balancer.Safe) != (name == "Q.ASK"):
+	switch effect := class.Idempotency; {
+	case (effect == balancer.Idempotent) != (name == "Q.ASK"):
 		return nil, fmt.Errorf("class not served by %s", name)
-	case (effect == balancer.Keyed || class.Remembered) && !key:
+	case (effect == balancer.IdempotentByKey || class.KeyReserved) && !key:
 		return nil, errors.New("k is missing")
 	}
 	return a, nil
--- a/internal/proxy/core.go
+++ b/internal/proxy/core.go
@@ -44,7 +44,7 @@
 	Send(*upstream.Attempt)   // ends as one outcome at the attempt's owner
 	Cancel(*upstream.Attempt) // one that has ended is passed over
 	Probe(backend string)
-	Listed(b balancer.Backend, addr string)
+	Listed(b balancer.Endpoint, addr string)
 	Yield(n int64, addr string) // closes idle connections that others want
 	KeepOnly([]endpoint.Entry)
 	Most(n int)                   // connections at once from now on
@@ -55,7 +55,7 @@
 
 // Counter adds to numbers that all front doors share. Each Add is answered once.
 type Counter interface {
-	Add(balancer.Count)
+	Add(balancer.CounterAdd)
 	Move(addr string)
 	Addr() string
 	Sweep()
@@ -114,7 +114,7 @@
 
 	// Found takes what this door has found out about a backend, for other pools that have the same server; nil: there are
 	// none. The loop goroutine calls it.
-	Found func(balancer.Finding)
+	Found func(balancer.HealthReport)
 
 	// Others takes what the Door tells the other doors of its fleet, as a [balancer.Borrow] or [balancer.Lend]; nil: there are none. The
 	// loop goroutine calls it.
@@ -134,7 +134,7 @@
 	Config
 	*eventloop.Loop
 	log    *slog.Logger
-	door   *balancer.Door
+	door   *balancer.Balancer
 	events []balancer.Event // for the next Step
 	ready  atomic.Bool      // a backend in service has been known, so requests can be served
 	rules  atomic.Pointer[Rules]
@@ -145,9 +145,9 @@
 	dropped    map[int]time.Duration // numbers of classes that clients can't name any more, since when
 	leaving    []*Request            // the Door is to hear with the next Step that their clients have left
 	names      names
-	handed     balancer.Memory  // what the Door has just handed on
-	inherited  *balancer.Memory // what it is to begin with; nil: nothing
-	left       bool             // another process has taken over
+	handed     balancer.HandoverState  // what the Door has just handed on
+	inherited  *balancer.HandoverState // what it is to begin with; nil: nothing
+	left       bool                    // another process has taken over
 	lastID     uint64
 	upstream   Upstream
 	counter    Counter
@@ -213,25 +213,25 @@
 func (c *Core) Tell(ev balancer.Event) { c.events = append(c.events, ev) }
 
 // Probed takes the result of a probe.
-func (c *Core) Probed(ev balancer.Probed) { c.Tell(ev) }
+func (c *Core) Probed(ev balancer.HealthCheckResult) { c.Tell(ev) }
 
 // Counted takes the answer of the counter.
-func (c *Core) Counted(ev balancer.Counted) { c.Tell(ev) }
+func (c *Core) Counted(ev balancer.CounterResult) { c.Tell(ev) }
 
 // Listed takes news of the backends to the upstream and to the Door.
 func (c *Core) Listed(u endpoint.Update) {
-	list := balancer.List{Scope: u.Scope}
+	list := balancer.EndpointUpdate{Kind: u.Scope}
 	for _, e := range u.Entries {
-		if e.State == balancer.InService {
+		if e.State == balancer.Serving {
 			c.ready.Store(true)
 		}
-		list.Entries = append(list.Entries, e.Backend)
+		list.Entries = append(list.Entries, e.Endpoint)
 	}
 	c.Tell(list) // first: attempts that end with it must not lead to others at backends that it takes out
 	for _, e := range u.Entries {
-		c.upstream.Listed(e.Backend, e.Addr)
+		c.upstream.Listed(e.Endpoint, e.Addr)
 	}
-	if u.Scope == balancer.Whole || u.Scope == balancer.Cached {
+	if u.Scope == balancer.Snapshot || u.Scope == balancer.CachedSnapshot {
 		c.upstream.KeepOnly(u.Entries)
 	}
 	c.names.listed(u)
@@ -243,7 +243,7 @@
 
 // publish tells what only the module knows.
 func (c *Core) publish() {
-	listed, avoided := c.door.Rotation()
+	listed, avoided := c.door.EndpointCounts()
 	c.Figures.Listed.Store(int64(listed))
 	c.Figures.Avoided.Store(int64(avoided))
 }
@@ -297,7 +297,7 @@
 
 // Retune takes other rules, from any goroutine. It returns an error and changes nothing if the module can't go by them.
 func (c *Core) Retune(rules Rules) error {
-	if err := rules.Settings.Check(); err != nil {
+	if err := rules.Settings.Validate(); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
 	c.Post(func() { c.retune(rules) })
@@ -332,7 +332,7 @@
 			c.dropped[i] = now
 		}
 	}
-	c.Tell(balancer.Retune{Settings: next.Settings, From: from})
+	c.Tell(balancer.SettingsUpdate{Settings: next.Settings, EvidenceFrom: from})
 	c.rules.Store(next.counted(c.Figures, before))
 }
 
@@ -383,7 +383,7 @@
 func (c *Core) Longest() time.Duration {
 	most := time.Duration(0)
 	for _, cl := range c.Rules().Settings.Classes {
-		most = max(most, cl.GiveUp)
+		most = max(most, cl.ClientTimeout)
 	}
 	return most
 }
@@ -415,46 +415,46 @@
 
 func (c *Core) act(a balancer.Action) {
 	switch a := a.(type) {
-	case balancer.Send:
+	case balancer.Dispatch:
 		if r := c.requests[a.ID]; r != nil {
 			c.send(r, a)
 		}
-	case balancer.Cancel:
+	case balancer.CancelAttempt:
 		if r := c.requests[a.ID]; r != nil && a.Attempt < len(r.attempts) {
 			c.upstream.Cancel(&r.attempts[a.Attempt].Attempt)
 		}
-	case balancer.Refuse:
-		c.answer(c.requests[a.ID], Answer{Verdict: Refused, Pause: a.Pause, why: a.Why})
+	case balancer.Reject:
+		c.answer(c.requests[a.ID], Answer{Verdict: Refused, Pause: a.RetryAfter, why: a.Reason})
 	case balancer.Fail:
-		c.answer(c.requests[a.ID], Answer{Verdict: Failed, why: a.Why})
-	case balancer.Grant:
+		c.answer(c.requests[a.ID], Answer{Verdict: Failed, why: a.Reason})
+	case balancer.Admit:
 		c.grant(c.requests[a.ID])
-	case balancer.Probe:
-		c.Trace.Line("probe", "to=%s", a.Backend)
-		c.upstream.Probe(a.Backend)
-	case balancer.Count:
+	case balancer.HealthCheck:
+		c.Trace.Line("probe", "to=%s", a.Endpoint)
+		c.upstream.Probe(a.Endpoint)
+	case balancer.CounterAdd:
 		c.counter.Add(a)
 	case balancer.SetTimer:
-		c.At(a.At, func() { c.Tell(balancer.Timer{Cookie: a.Cookie}) })
-	case balancer.Watch, balancer.Fetch:
+		c.At(a.At, func() { c.Tell(balancer.TimerFired{Cookie: a.Cookie}) })
+	case balancer.WatchEndpoints, balancer.FetchEndpoints:
 		c.membership.Fetch()
-	case balancer.Handed:
-		c.handed = a.Memory
-	case balancer.Borrow, balancer.Lend:
+	case balancer.HandoverReady:
+		c.handed = a.State
+	case balancer.RequestLoan, balancer.GrantLoan:
 		if c.Others != nil {
 			c.Others(a)
 		}
-	case balancer.Finding:
+	case balancer.HealthReport:
 		if c.Found != nil {
 			c.Found(a)
 		}
-	case balancer.Log:
+	case balancer.LogLine:
 		c.log.Info(a.Text)
 	}
 }
 
 // Heard takes what another pool has found out about a server of this one. Only the loop goroutine may call it.
-func (c *Core) Heard(f balancer.Finding) { c.Tell(f) }
+func (c *Core) Heard(f balancer.HealthReport) { c.Tell(f) }
 
 // Yield gives back idle connections to servers that other pools want, from any goroutine; to one address only, if it is
 // given.
--- a/internal/proxy/core_test.go
+++ b/internal/proxy/core_test.go
@@ -18,23 +18,23 @@
 	cancelled []*upstream.Attempt
 }
 
-func (s *sides) Send(a *upstream.Attempt)        { s.sent = append(s.sent, a) }
-func (s *sides) Cancel(a *upstream.Attempt)      { s.cancelled = append(s.cancelled, a) }
-func (s *sides) Probe(string)                    {}
-func (s *sides) Listed(balancer.Backend, string) {}
-func (s *sides) KeepOnly([]endpoint.Entry)       {}
-func (s *sides) Most(int)                        {}
-func (s *sides) Hold(string, bool)               {}
-func (s *sides) Yield(int64, string)             {}
-func (s *sides) Sweep()                          {}
-func (s *sides) Close()                          {}
-func (s *sides) Add(balancer.Count)              {}
-func (s *sides) Move(string)                     {}
-func (s *sides) Addr() string                    { return "" }
-func (s *sides) Known()                          {}
-func (s *sides) Follow(string)                   {}
-func (s *sides) Fetch()                          {}
-func (s *sides) Stop()                           {}
+func (s *sides) Send(a *upstream.Attempt)         { s.sent = append(s.sent, a) }
+func (s *sides) Cancel(a *upstream.Attempt)       { s.cancelled = append(s.cancelled, a) }
+func (s *sides) Probe(string)                     {}
+func (s *sides) Listed(balancer.Endpoint, string) {}
+func (s *sides) KeepOnly([]endpoint.Entry)        {}
+func (s *sides) Most(int)                         {}
+func (s *sides) Hold(string, bool)                {}
+func (s *sides) Yield(int64, string)              {}
+func (s *sides) Sweep()                           {}
+func (s *sides) Close()                           {}
+func (s *sides) Add(balancer.CounterAdd)          {}
+func (s *sides) Move(string)                      {}
+func (s *sides) Addr() string                     { return "" }
+func (s *sides) Known()                           {}
+func (s *sides) Follow(string)                    {}
+func (s *sides) Fetch()                           {}
+func (s *sides) Stop()                            {}
 
 // caller keeps its answers.
 type caller struct{ answers []Answer }
@@ -44,8 +44,8 @@
 
 func idle(t *testing.T) (*Core, *sides) {
 	t.Helper()
-	set := balancer.Settings{Doors: 1, MaxAttempts: 2, Classes: []balancer.Class{{Worth: 1, GiveUp: 30 * time.Second}},
-		Plans: []balancer.Plan{{Factor: 1}}}
+	set := balancer.Settings{Gateways: 1, MaxAttempts: 2, Classes: []balancer.Class{{PriorityWeight: 1, ClientTimeout: 30 * time.Second}},
+		Plans: []balancer.Plan{{PriorityFactor: 1}}}
 	c, err := New(eventloop.New(), Config{Start: Rules{Settings: set, MostOpen: 3}}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
@@ -67,12 +67,12 @@
 	c, s := idle(t)
 	r, who := c.submitted("1")
 	c.events = nil // the module never hears of it
-	c.send(r, balancer.Send{ID: r.id, Backend: "s-0"})
+	c.send(r, balancer.Dispatch{ID: r.id, Endpoint: "s-0"})
 	c.RunDue(r.due)
 	if len(who.answers) != 1 || who.answers[0].Verdict != Overdue || len(s.cancelled) != 1 {
 		t.Fatalf("answers %v, %d attempts called off", who.answers, len(s.cancelled))
 	}
-	if _, ok := c.events[len(c.events)-1].(balancer.Gone); !ok || !r.ended {
+	if _, ok := c.events[len(c.events)-1].(balancer.RequestDone); !ok || !r.ended {
 		t.Errorf("events %+v", c.events)
 	}
 	s.sent[0].End(balancer.Cancelled)
@@ -107,10 +107,10 @@
 	c, s := idle(t)
 	r, who := c.submitted("1")
 	c.events = nil
-	c.send(r, balancer.Send{ID: r.id, Backend: "s-0"})
-	c.send(r, balancer.Send{ID: r.id, Backend: "s-1"}) // a second copy is not allowed
+	c.send(r, balancer.Dispatch{ID: r.id, Endpoint: "s-0"})
+	c.send(r, balancer.Dispatch{ID: r.id, Endpoint: "s-1"}) // a second copy is not allowed
 	s.sent[0].Owner.Ended(upstream.Result{Status: balancer.OK, Value: []byte("v")})
-	c.send(r, balancer.Send{ID: r.id, Backend: "s-1"})
+	c.send(r, balancer.Dispatch{ID: r.id, Endpoint: "s-1"})
 	if len(s.sent) != 1 || len(who.answers) != 1 || who.answers[0].Verdict != Served {
 		t.Errorf("%d sent, answers %v", len(s.sent), who.answers)
 	}
@@ -119,7 +119,7 @@
 // Leave is given without any side, a second end changes nothing, and the answer tells of the quota.
 func TestGrant(t *testing.T) {
 	c, s := idle(t)
-	c.Listed(endpoint.Update{Scope: balancer.Cached})
+	c.Listed(endpoint.Update{Scope: balancer.CachedSnapshot})
 	c.Step() // as Run does first
 	who := &caller{}
 	r := &Request{Caller: who, Customer: "a", At: c.Now(), Wait: time.Second, Units: 1, Grant: true, Hold: time.Hour}
@@ -141,7 +141,7 @@
 func TestClientLeavesAsItsRequestIsSent(t *testing.T) {
 	c, s := idle(t)
 	c.Rules().MostOpen = 0
-	c.Listed(endpoint.Update{Scope: balancer.Whole, Entries: []endpoint.Entry{{Backend: balancer.Backend{Name: "s-0"}}}})
+	c.Listed(endpoint.Update{Scope: balancer.Snapshot, Entries: []endpoint.Entry{{Endpoint: balancer.Endpoint{Name: "s-0"}}}})
 	c.Step()
 	for range 30 {
 		var queued *Request
--- a/internal/proxy/guard.go
+++ b/internal/proxy/guard.go
@@ -133,7 +133,7 @@
 			r.leaving = true // it is kept until the Door has heard
 			c.leaving = append(c.leaving, r)
 			c.answer(r, Answer{Verdict: Refused, Pause: lapsePause, Shut: true})
-			c.Tell(balancer.Gone{ID: r.id})
+			c.Tell(balancer.RequestDone{ID: r.id})
 		}
 	}
 }
--- a/internal/proxy/keys.go
+++ b/internal/proxy/keys.go
@@ -71,13 +71,13 @@
 	switch {
 	case r.ended:
 	case was == Held:
-		c.answer(r, Answer{Verdict: Failed, why: balancer.NoRetry})
+		c.answer(r, Answer{Verdict: Failed, why: balancer.RetryNotPossible})
 	case was == Crowded:
 		c.answer(r, Answer{Verdict: Refused, Pause: claimPause, Shut: true})
 	case a != nil:
 		r.claim.waits = nil
 		if a.At = c.Now(); a.Until <= a.At {
-			a.End(balancer.Moot)
+			a.End(balancer.NotSent)
 			return
 		}
 		a.given = true
--- a/internal/proxy/maintenance.go
+++ b/internal/proxy/maintenance.go
@@ -34,7 +34,7 @@
 	named := map[string]bool{}
 	for _, e := range u.Entries {
 		_, known := n.all[e.Name]
-		if e.State != balancer.Terminated {
+		if e.State != balancer.Removed {
 			if n.all[e.Name] > 0 {
 				n.gone--
 			}
@@ -107,7 +107,7 @@
 	return c.byHand(ctx, backend, func() {
 		delete(c.names.banned, backend)
 		c.upstream.Hold(backend, false)
-		c.Tell(balancer.Attach{Backend: backend})
+		c.Tell(balancer.AdminRestore{Endpoint: backend})
 	})
 }
 
@@ -121,7 +121,7 @@
 
 func (c *Core) hold(backend string, since time.Duration) {
 	c.names.banned[backend] = true
-	c.Tell(balancer.Detach{Backend: backend, At: since})
+	c.Tell(balancer.AdminEject{Endpoint: backend, At: since})
 	c.upstream.Hold(backend, true)
 }
 
@@ -155,8 +155,8 @@
 // call it.
 //
 // It returns when the last loan is over that the Door has given: what it has lent of a part that is taken away is in use until then.
-func (c *Core) Stand(ev balancer.Sharing) (lentUntil time.Duration) {
+func (c *Core) Stand(ev balancer.ShareUpdate) (lentUntil time.Duration) {
 	c.Tell(ev)
 	c.Step()
-	return c.door.LentUntil()
+	return c.door.LoansEndAt()
 }
--- a/internal/proxy/names_test.go
+++ b/internal/proxy/names_test.go
@@ -8,10 +8,10 @@
 	"gapgap/internal/endpoint"
 )
 
-func named(scope balancer.Scope, state balancer.State, all ...string) (u endpoint.Update) {
+func named(scope balancer.UpdateKind, state balancer.EndpointState, all ...string) (u endpoint.Update) {
 	u.Scope = scope
 	for _, n := range all {
-		u.Entries = append(u.Entries, endpoint.Entry{Backend: balancer.Backend{Name: n, State: state}})
+		u.Entries = append(u.Entries, endpoint.Entry{Endpoint: balancer.Endpoint{Name: n, State: state}})
 	}
 	return u
 }
@@ -20,14 +20,14 @@
 // same again push nothing out.
 func TestNamesAreBounded(t *testing.T) {
 	n := newNames()
-	n.listed(named(balancer.Whole, balancer.InService, "stays", "banned", "left"))
+	n.listed(named(balancer.Snapshot, balancer.Serving, "stays", "banned", "left"))
 	n.banned["banned"] = true
-	n.listed(named(balancer.Delta, balancer.Terminated, "banned", "left", "never listed"))
+	n.listed(named(balancer.Delta, balancer.Removed, "banned", "left", "never listed"))
 	if n.has("never listed") || !n.has("left") || n.gone != 2 {
 		t.Errorf("%v", n.all)
 	}
 	for range 20000 {
-		n.listed(named(balancer.Whole, balancer.InService, "stays"))
+		n.listed(named(balancer.Snapshot, balancer.Serving, "stays"))
 	}
 	if !n.has("left") || n.gone != 2 {
 		t.Errorf("lists that say the same push names out: %v", n.all)
@@ -37,7 +37,7 @@
 		for j := range 1000 {
 			all = append(all, fmt.Sprint(i, "-", j))
 		}
-		n.listed(named(balancer.Whole, balancer.InService, all...))
+		n.listed(named(balancer.Snapshot, balancer.Serving, all...))
 		if len(n.all) > mostNames+1100 {
 			t.Fatalf("%d names", len(n.all))
 		}
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -35,7 +35,7 @@
 
 // Quota is how the customer stands with its plan's quota.
 type Quota struct {
-	balancer.Quota
+	balancer.QuotaStatus
 	Told bool // else there is no such quota, or nothing is known
 }
 
@@ -141,14 +141,14 @@
 		a.c.answer(a.r, Answer{Verdict: Failed})
 	}
 	a.r.out--
-	if a.given && res.Status != balancer.Full && res.Status != balancer.ConnectFailed && res.Status != balancer.Moot {
+	if a.given && res.Status != balancer.Rejected && res.Status != balancer.ConnectFailed && res.Status != balancer.NotSent {
 		a.r.claim.ran = true
 	}
 	if a.c.Trace.On() {
 		a.c.Trace.Line("attempt", "id=%d no=%d class=%d to=%s status=%d took=%.1f", a.r.id, a.no, a.r.Class, a.Backend, res.Status, trace.MS(a.c.Now()-a.At))
 	}
-	a.c.Tell(balancer.Outcome{ID: a.r.id, Attempt: a.no, Backend: a.Backend, Status: res.Status,
-		Latency: a.Took(a.c.Now()), Closed: a.r.ended, Used: res.Used})
+	a.c.Tell(balancer.AttemptResult{ID: a.r.id, Attempt: a.no, Endpoint: a.Backend, Status: res.Status,
+		Latency: a.Took(a.c.Now()), RequestClosed: a.r.ended, QuotaUsed: res.Used})
 	a.c.forget(a.r)
 }
 
@@ -186,7 +186,7 @@
 		c.watch(r)
 	}
 	c.Tell(balancer.Request{ID: r.id, Class: r.Class, Plan: r.Plan, Customer: r.Customer,
-		Left: max(0, r.due-c.Coarse()), Units: r.Units, Doors: r.Doors, Retry: r.Retry, Grant: r.Grant, Hold: r.Hold})
+		TimeLeft: max(0, r.due-c.Coarse()), Units: r.Units, Gateways: r.Doors, ClientRetry: r.Retry, AdmitOnly: r.Grant, HoldFor: r.Hold})
 }
 
 // decline answers a request that is not taken in.
@@ -227,14 +227,14 @@
 	r.leaving = true
 	c.leaving = append(c.leaving, r)
 	c.leave(r)
-	c.Tell(balancer.Gone{ID: r.id})
+	c.Tell(balancer.RequestDone{ID: r.id})
 }
 
 // Finish says that the work for which a request was granted is over, so that another may have its place. One that was not
 // granted, or whose hold has run out, is passed over. Only the loop goroutine may call it.
 func (c *Core) Finish(r *Request) {
 	if r.Grant && r.ended {
-		c.Tell(balancer.Gone{ID: r.id})
+		c.Tell(balancer.RequestDone{ID: r.id})
 	}
 }
 
@@ -247,7 +247,7 @@
 		return
 	}
 	if r.Grant {
-		a.Quota.Quota, a.Quota.Told = c.door.Quota(r.Customer)
+		a.Quota.QuotaStatus, a.Quota.Told = c.door.QuotaStatus(r.Customer)
 	}
 	a.Version = r.version
 	c.leave(r)
@@ -270,7 +270,7 @@
 	r.overdue.Stop()
 	if a := r.claim.waits; a != nil {
 		r.claim.waits = nil
-		a.End(balancer.Moot)
+		a.End(balancer.NotSent)
 	}
 	for _, a := range r.attempts {
 		c.upstream.Cancel(&a.Attempt)
@@ -289,20 +289,20 @@
 }
 
 // send starts an attempt.
-func (c *Core) send(r *Request, s balancer.Send) {
+func (c *Core) send(r *Request, s balancer.Dispatch) {
 	now := c.Now()
 	a := &attempt{c: c, r: r, no: len(r.attempts)}
-	a.Attempt = upstream.Attempt{Backend: s.Backend, At: now, Until: r.due, By: s.By, Owner: a}
+	a.Attempt = upstream.Attempt{Backend: s.Endpoint, At: now, Until: r.due, By: s.WriteBy, Owner: a}
 	if s.Timeout > 0 {
 		a.Until = min(a.Until, now+s.Timeout)
 	}
 	r.attempts = append(r.attempts, a)
 	r.out++
-	if r.ended || a.Until <= now || c.clientGone(r, r.At) || r.out > 1 && !c.Rules().Settings.SecondCopies {
-		a.End(balancer.Moot)
+	if r.ended || a.Until <= now || c.clientGone(r, r.At) || r.out > 1 && !c.Rules().Settings.AllowHedging {
+		a.End(balancer.NotSent)
 		return
 	}
-	if c.Keys != nil && c.Rules().Settings.Classes[r.Class].Remembered && r.claim.state != won {
+	if c.Keys != nil && c.Rules().Settings.Classes[r.Class].KeyReserved && r.claim.state != won {
 		c.claimFor(a)
 		return
 	}
--- a/internal/proxy/rules.go
+++ b/internal/proxy/rules.go
@@ -83,7 +83,7 @@
 	from = make([]int, len(next.Classes))
 	for i := range from {
 		from[i] = i
-		next.Classes[i], next.Settings.Classes[i].Dropped = "", true
+		next.Classes[i], next.Settings.Classes[i].Removed = "", true
 	}
 	for j, name := range now.Classes {
 		def := now.Settings.Classes[j]
--- a/internal/proxy/rules_test.go
+++ b/internal/proxy/rules_test.go
@@ -18,10 +18,10 @@
 func rulesOf(defs ...any) (r Rules) {
 	for i := 0; i < len(defs); i += 2 {
 		r.Classes = append(r.Classes, defs[i].(string))
-		r.Settings.Classes = append(r.Settings.Classes, balancer.Class{Worth: 1, GiveUp: time.Second, Effect: defs[i+1].(balancer.Effect)})
+		r.Settings.Classes = append(r.Settings.Classes, balancer.Class{PriorityWeight: 1, ClientTimeout: time.Second, Idempotency: defs[i+1].(balancer.Idempotency)})
 	}
-	r.Plans, r.Settings.Plans = []string{"p"}, []balancer.Plan{{Factor: 1}}
-	r.Settings.Doors, r.Settings.MaxAttempts = 1, 1
+	r.Plans, r.Settings.Plans = []string{"p"}, []balancer.Plan{{PriorityFactor: 1}}
+	r.Settings.Gateways, r.Settings.MaxAttempts = 1, 1
 	return r
 }
 
@@ -29,19 +29,19 @@
 func always(int) bool { return true }
 
 func TestRulesNumberClassesOn(t *testing.T) {
-	first := rulesOf("a", balancer.Safe, "b", balancer.Keyed)
-	second, from := first.Next(rulesOf("b", balancer.Unsafe, "c", balancer.Safe), never)
+	first := rulesOf("a", balancer.Idempotent, "b", balancer.IdempotentByKey)
+	second, from := first.Next(rulesOf("b", balancer.NonIdempotent, "c", balancer.Idempotent), never)
 	if want := []string{"", "", "b", "c"}; !slices.Equal(second.Classes, want) || !slices.Equal(from, []int{0, 1, 1, -1}) {
 		t.Fatalf("%q from %v", second.Classes, from)
 	}
-	if c := second.Settings.Classes; !c[0].Dropped || !c[1].Dropped || c[1].Effect != balancer.Keyed || c[2].Effect != balancer.Unsafe || c[2].Dropped {
+	if c := second.Settings.Classes; !c[0].Removed || !c[1].Removed || c[1].Idempotency != balancer.IdempotentByKey || c[2].Idempotency != balancer.NonIdempotent || c[2].Removed {
 		t.Errorf("%+v", c)
 	}
-	third, from := second.Next(rulesOf("b", balancer.Unsafe, "d", balancer.Safe), always) // a number that is free stands for another
+	third, from := second.Next(rulesOf("b", balancer.NonIdempotent, "d", balancer.Idempotent), always) // a number that is free stands for another
 	if want := []string{"d", "", "b", ""}; !slices.Equal(third.Classes, want) || from[0] != -1 || from[2] != 2 {
 		t.Errorf("%q from %v", third.Classes, from)
 	}
-	same, from := third.Next(rulesOf("d", balancer.Safe, "b", balancer.Unsafe), always) // the order in the file is no matter
+	same, from := third.Next(rulesOf("d", balancer.Idempotent, "b", balancer.NonIdempotent), always) // the order in the file is no matter
 	if !slices.Equal(same.Classes, third.Classes) || !slices.Equal(from, []int{0, 1, 2, 3}) {
 		t.Errorf("%q from %v", same.Classes, from)
 	}
@@ -49,9 +49,9 @@
 
 // Classes that come and go for ever take no more numbers than are in use within the longest wait.
 func TestRulesAreBounded(t *testing.T) {
-	r := rulesOf("c0", balancer.Safe)
+	r := rulesOf("c0", balancer.Idempotent)
 	for i := range 1000 {
-		r, _ = r.Next(rulesOf(fmt.Sprint("c", i), balancer.Safe, fmt.Sprint("x", i), balancer.Keyed), always)
+		r, _ = r.Next(rulesOf(fmt.Sprint("c", i), balancer.Idempotent, fmt.Sprint("x", i), balancer.IdempotentByKey), always)
 	}
 	if len(r.Classes) > 4 {
 		t.Errorf("%d numbers", len(r.Classes))
@@ -62,8 +62,8 @@
 func TestFiguresAddUp(t *testing.T) {
 	for seed := range uint64(60) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		set := balancer.Settings{Doors: 1, MaxAttempts: 2, Classes: []balancer.Class{{Worth: 1, GiveUp: 30 * time.Second}, {Worth: 1, GiveUp: 30 * time.Second}},
-			Plans: []balancer.Plan{{Factor: 1}}, MayCancel: true}
+		set := balancer.Settings{Gateways: 1, MaxAttempts: 2, Classes: []balancer.Class{{PriorityWeight: 1, ClientTimeout: 30 * time.Second}, {PriorityWeight: 1, ClientTimeout: 30 * time.Second}},
+			Plans: []balancer.Plan{{PriorityFactor: 1}}, AllowCancel: true}
 		start := Rules{Classes: []string{"a", "b"}, Plans: []string{"p"}, Settings: set, MostOpen: 12}
 		c, err := New(eventloop.New(), Config{Start: start, Figures: stats.New()}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 		if err != nil {
@@ -71,7 +71,7 @@
 		}
 		s := &sides{}
 		c.Connect(s, s, s)
-		c.Tell(balancer.List{Scope: balancer.Whole, Entries: []balancer.Backend{{Name: "s"}, {Name: "u"}}})
+		c.Tell(balancer.EndpointUpdate{Kind: balancer.Snapshot, Entries: []balancer.Endpoint{{Name: "s"}, {Name: "u"}}})
 		c.Step()
 		var reqs []*Request
 		var callers []*caller
@@ -106,14 +106,14 @@
 					i := rng.IntN(len(s.sent))
 					a := s.sent[i]
 					s.sent = slices.Delete(s.sent, i, i+1)
-					a.Owner.Ended(upstream.Result{Status: []balancer.Status{balancer.OK, balancer.Failed, balancer.Full}[rng.IntN(3)]})
+					a.Owner.Ended(upstream.Result{Status: []balancer.Status{balancer.OK, balancer.Failed, balancer.Rejected}[rng.IntN(3)]})
 				}
 			case 5:
 				if rng.IntN(4) == 0 {
 					next := start
 					next.Classes = [][]string{{"a", "b"}, {"b", "c"}, {"c", "a"}}[rng.IntN(3)]
 					next.Settings.Classes = slices.Clone(set.Classes)
-					next.Settings.Classes[0].Effect = balancer.Effect(rng.IntN(3))
+					next.Settings.Classes[0].Idempotency = balancer.Idempotency(rng.IntN(3))
 					c.retune(next)
 				}
 			}
--- a/internal/proxy/succession.go
+++ b/internal/proxy/succession.go
@@ -11,10 +11,10 @@
 // Estate is what a core hands to the one of another process that takes its place. Classes and plans are numbered as its names
 // have them.
 type Estate struct {
-	Classes []string        `json:"Classes"`
-	Plans   []string        `json:"Plans"`
-	Gone    []string        `json:"Gone"` // backends that were listed once and are not now
-	Memory  balancer.Memory `json:"Memory"`
+	Classes []string               `json:"Classes"`
+	Plans   []string               `json:"Plans"`
+	Gone    []string               `json:"Gone"` // backends that were listed once and are not now
+	Memory  balancer.HandoverState `json:"Memory"`
 }
 
 // Leave makes the core end what it has and take nothing more upon itself: what it returns is another's from then on, or goes
@@ -24,12 +24,12 @@
 		if c.left {
 			return errors.New("another process has it already")
 		}
-		c.Tell(balancer.Leave{})
+		c.Tell(balancer.BeginHandover{})
 		c.Step()
 		c.left = true
 		rules := c.Rules()
 		e = Estate{Classes: rules.Classes, Plans: rules.Plans, Gone: c.names.oldest(), Memory: c.handed}
-		c.handed = balancer.Memory{}
+		c.handed = balancer.HandoverState{}
 		c.upstream.Yield(1<<20, "") // connections that carry nothing are for the other
 		return nil
 	})
@@ -41,7 +41,7 @@
 	return c.onLoop(ctx, func() error {
 		if c.left {
 			c.left = false
-			c.Tell(balancer.Recall{Memory: e.Memory})
+			c.Tell(balancer.ImportHandover{State: e.Memory})
 			c.Step()
 		}
 		return nil
@@ -55,7 +55,7 @@
 func (c *Core) Inherit(e Estate) {
 	rules := c.Rules()
 	m := e.Memory
-	classes := make([]balancer.ClassMemory, len(rules.Classes))
+	classes := make([]balancer.ClassHandover, len(rules.Classes))
 	for i, k := range m.Classes {
 		if i < len(e.Classes) && e.Classes[i] != "" {
 			if at := slices.Index(rules.Classes, e.Classes[i]); at >= 0 {
@@ -85,7 +85,7 @@
 // inherit tells the Door, once it knows the list.
 func (c *Core) inherit() {
 	if c.inherited != nil {
-		c.Tell(balancer.Recall{Memory: *c.inherited})
+		c.Tell(balancer.ImportHandover{State: *c.inherited})
 		c.inherited = nil
 	}
 }
--- a/internal/scenario/events.go
+++ b/internal/scenario/events.go
@@ -80,7 +80,7 @@
 	// Those that come back have started anew; discovery tells that to each door after its time.
 	back := func(s *server) {
 		s.Start()
-		x.tell(s, balancer.InService)
+		x.tell(s, balancer.Serving)
 	}
 	switch e.Do {
 	case Slow:
@@ -95,8 +95,8 @@
 		each(func(s *server) { s.Die() })
 		end = func() { each(back) }
 	case Drain:
-		each(func(s *server) { x.tell(s, balancer.Terminating) })
-		end = func() { each(func(s *server) { x.tell(s, balancer.InService) }) }
+		each(func(s *server) { x.tell(s, balancer.Draining) })
+		end = func() { each(func(s *server) { x.tell(s, balancer.Serving) }) }
 	}
 	return named(all, func(s *server) string { return s.Name }), end
 }
@@ -118,19 +118,19 @@
 }
 
 // tell lets discovery tell each front door of a server's state, each at a time of its own within what the script says.
-func (x *run) tell(s *server, state balancer.State) {
+func (x *run) tell(s *server, state balancer.EndpointState) {
 	now := x.w.Now
 	started := time.Duration(0)
-	if state == balancer.InService {
+	if state == balancer.Serving {
 		started = s.Started()
 	}
 	for i, d := range x.w.Doors {
 		late := time.Duration(x.w.Rand("told", s.Name, now, i).Float64() * float64(x.s.Told))
 		x.w.After(late, func() {
-			if s.told[i] = x.w.Now; state == balancer.InService {
+			if s.told[i] = x.w.Now; state == balancer.Serving {
 				s.told[i] = 0
 			}
-			d.Told(balancer.Backend{Name: s.Name, Weight: 1, State: state, Started: started})
+			d.Told(balancer.Endpoint{Name: s.Name, Weight: 1, State: state, StartedAt: started})
 		})
 	}
 }
--- a/internal/scenario/rehearse_test.go
+++ b/internal/scenario/rehearse_test.go
@@ -77,9 +77,9 @@
 	to := func(name string) func(a balancer.Action) []balancer.Action {
 		n := 0
 		return func(a balancer.Action) []balancer.Action {
-			if send, ok := a.(balancer.Send); ok {
+			if send, ok := a.(balancer.Dispatch); ok {
 				if n++; n%4 == 0 { // not all, or it would be turned away for want of room
-					send.Backend = name
+					send.Endpoint = name
 				}
 				a = send
 			}
@@ -88,7 +88,7 @@
 	}
 	unanswered := load(t)
 	unanswered.breaks = func(a balancer.Action) []balancer.Action {
-		if _, ok := a.(balancer.Refuse); ok {
+		if _, ok := a.(balancer.Reject); ok {
 			return nil
 		}
 		return []balancer.Action{a}
@@ -96,10 +96,10 @@
 	late := more(Event{Name: "x", Do: Pause, At: 10e9, For: 6e9})
 	late.breaks = func(a balancer.Action) []balancer.Action {
 		switch b := a.(type) {
-		case balancer.Send:
+		case balancer.Dispatch:
 			b.Timeout += 10 * time.Second
 			return []balancer.Action{b}
-		case balancer.Cancel, balancer.Refuse, balancer.Fail:
+		case balancer.CancelAttempt, balancer.Reject, balancer.Fail:
 			return nil
 		}
 		return []balancer.Action{a}
@@ -107,7 +107,7 @@
 	twice := load(t)
 	twice.Servers[0].Window[1] = 1
 	twice.breaks = func(a balancer.Action) []balancer.Action {
-		if _, ok := a.(balancer.Send); ok {
+		if _, ok := a.(balancer.Dispatch); ok {
 			return []balancer.Action{a, a}
 		}
 		return []balancer.Action{a}
@@ -117,7 +117,7 @@
 	pushed := more(Event{Name: "x", Do: Die, At: 10e9, For: 1e9, Group: "more"})
 	pushed.breaks = to("more-0")
 	ceiling := load(t)
-	ceiling.tamper = func(set *balancer.Settings) { set.Doors, set.Rank = 1, 0 } // each takes the whole ceiling for its own
+	ceiling.tamper = func(set *balancer.Settings) { set.Gateways, set.Index = 1, 0 } // each takes the whole ceiling for its own
 	ceiling.Accounts[1].Spread = 0
 	for rule, s := range map[string]*Script{"no request lost": unanswered, "no request lost:": late, "no effect twice": twice, "drains are kept": drained,
 		"no cold server pushed over": pushed, "ceilings are kept": ceiling} {
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -180,7 +180,7 @@
 	}
 	longest := time.Duration(0)
 	for _, c := range s.Classes {
-		longest = max(longest, c.GiveUp)
+		longest = max(longest, c.ClientTimeout)
 	}
 	x.w.Run(simulator.Start + s.Lasts + time.Duration(s.Retries+1)*longest + time.Second)
 	x.close()
@@ -190,11 +190,11 @@
 
 // settings are those of each front door.
 func (s *Script) settings() balancer.Settings {
-	set := balancer.Settings{Doors: s.Doors, Resolution: 2 * time.Millisecond, MaxAttempts: 3, MayCancel: true, MayProbe: true, RetryAfter: true,
-		MaxRetryAfter: 5 * time.Second, StopSendingWithin: 250 * time.Millisecond, FallMultiple: 3, FallWindow: 3 * time.Second, ColdFrom: 0.26,
-		WarmWithin: 15 * time.Second, Counter: s.Counter, CounterTimeout: 50 * time.Millisecond, MaxUnits: 1, LendCeilings: s.Lend}
+	set := balancer.Settings{Gateways: s.Doors, Resolution: 2 * time.Millisecond, MaxAttempts: 3, AllowCancel: true, AllowHealthChecks: true, SendRetryAfter: true,
+		MaxRetryAfter: 5 * time.Second, DrainGrace: 250 * time.Millisecond, OverloadMultiple: 3, OverloadWindow: 3 * time.Second, SlowStartCapacity: 0.26,
+		SlowStartDuration: 15 * time.Second, UseCounter: s.Counter, CounterTimeout: 50 * time.Millisecond, MaxRequestUnits: 1, LeaseCeilings: s.Lend}
 	if c := s.Servers[0].BackendConfig; c.ColdFrom > 0 && c.FallAt > 0 { // what the operators say of their servers
-		set.ColdFrom, set.WarmWithin, set.FallMultiple, set.FallWindow = c.ColdFrom, c.WarmWithin, c.FallAt, c.FallWindow
+		set.SlowStartCapacity, set.SlowStartDuration, set.OverloadMultiple, set.OverloadWindow = c.ColdFrom, c.WarmWithin, c.FallAt, c.FallWindow
 	}
 	for _, c := range s.Classes {
 		set.Classes = append(set.Classes, c.Class)
@@ -249,7 +249,7 @@
 }
 
 func (x *run) worth(t *try) float64 {
-	return x.s.Classes[t.class].Worth * x.s.Plans[t.a.a.Plan].Factor
+	return x.s.Classes[t.class].PriorityWeight * x.s.Plans[t.a.a.Plan].PriorityFactor
 }
 
 // try brings a request to one of its account's front doors; a dead one does not answer.
@@ -260,9 +260,9 @@
 	rng := x.w.Rand("try", t.name, t.attempts)
 	door := x.w.Doors[(t.a.first+rng.IntN(spread))%x.s.Doors]
 	c := &x.s.Classes[t.class]
-	t.until = x.w.Now + c.GiveUp
-	q := &simulator.Request{Customer: t.a.name, Name: t.name, Class: t.class, Plan: t.a.a.Plan, Units: 1, Left: c.GiveUp, Doors: t.a.a.Spread, Retry: t.attempts > 1}
-	if c.Effect == balancer.Keyed {
+	t.until = x.w.Now + c.ClientTimeout
+	q := &simulator.Request{Customer: t.a.name, Name: t.name, Class: t.class, Plan: t.a.a.Plan, Units: 1, Left: c.ClientTimeout, Doors: t.a.a.Spread, Retry: t.attempts > 1}
+	if c.Idempotency == balancer.IdempotentByKey {
 		if q.Key = t.name; !x.s.SameKey {
 			q.Key += fmt.Sprint("#", t.attempts)
 		}
@@ -302,7 +302,7 @@
 		x.again(t, q.Pause, a)
 		return
 	}
-	if c := &x.s.Classes[t.class]; x.w.Now-q.At <= c.Aim {
+	if c := &x.s.Classes[t.class]; x.w.Now-q.At <= c.LatencyObjective {
 		x.count(t, Second{Served: 1, Got: x.worth(t)})
 	} else {
 		x.count(t, Second{Late: 1})
@@ -340,11 +340,11 @@
 	}
 	a := t.a
 	if !a.ceilingKnown {
-		a.ceilingKnown, a.level, a.at = true, p.CeilingDepth, x.w.Now
+		a.ceilingKnown, a.level, a.at = true, p.CeilingBurst, x.w.Now
 	}
-	a.level = min(p.CeilingDepth, a.level+p.CeilingRate*(x.w.Now-a.at).Seconds()) - q.Units
+	a.level = min(p.CeilingBurst, a.level+p.CeilingRate*(x.w.Now-a.at).Seconds()) - q.Units
 	a.at = x.w.Now
-	if slack := max(q.Units, 0.1*p.CeilingDepth); a.level < -slack && a.level < a.low {
+	if slack := max(q.Units, 0.1*p.CeilingBurst); a.level < -slack && a.level < a.low {
 		x.broke("ceilings are kept", "%s is %.1f under its store with %s at front door %d; the slack is %.1f", a.name, -a.level, t.name, q.Door, slack)
 		a.low = a.level
 	}
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -201,7 +201,7 @@
 	return s, err
 }
 
-var effects = map[string]balancer.Effect{"safe": balancer.Safe, "keyed": balancer.Keyed, "unsafe": balancer.Unsafe}
+var effects = map[string]balancer.Idempotency{"safe": balancer.Idempotent, "keyed": balancer.IdempotentByKey, "unsafe": balancer.NonIdempotent}
 
 func (f *file) script() (*Script, error) {
 	bad := func(key, format string, args ...any) (*Script, error) {
@@ -244,12 +244,12 @@
 			return bad(key("give_up"), "is not above 0")
 		case c.Aim <= 0 || c.Aim > c.GiveUp:
 			return bad(key("aim"), "is not above 0 and up to give_up")
-		case effect == balancer.Keyed && c.Window <= 0:
+		case effect == balancer.IdempotentByKey && c.Window <= 0:
 			return bad(key("window"), "is not above 0, but the class is keyed")
 		}
 		parts += c.Share
-		s.Classes = append(s.Classes, Class{c.Name, c.Share, balancer.Class{Worth: c.Worth, Aim: time.Duration(c.Aim), GiveUp: time.Duration(c.GiveUp),
-			Effect: effect, Window: time.Duration(c.Window)}})
+		s.Classes = append(s.Classes, Class{c.Name, c.Share, balancer.Class{PriorityWeight: c.Worth, LatencyObjective: time.Duration(c.Aim), ClientTimeout: time.Duration(c.GiveUp),
+			Idempotency: effect, DedupWindow: time.Duration(c.Window)}})
 	}
 	if !(parts > 0) {
 		return bad("class[0].share", "no class has a part of the requests")
@@ -264,8 +264,8 @@
 		if p.Factor == 0 {
 			p.Factor = 1
 		}
-		s.Plans = append(s.Plans, Plan{p.Name, balancer.Plan{Rate: p.Rate, Burst: p.Burst, Factor: p.Factor, OverWorth: p.OverWorth, OverCost: p.OverCost,
-			CeilingRate: p.CeilingRate, CeilingDepth: p.CeilingDepth}})
+		s.Plans = append(s.Plans, Plan{p.Name, balancer.Plan{Rate: p.Rate, Burst: p.Burst, PriorityFactor: p.Factor, OverQuotaWeight: p.OverWorth, OverQuotaCost: p.OverCost,
+			CeilingRate: p.CeilingRate, CeilingBurst: p.CeilingDepth}})
 	}
 	sum := 0
 	for i, g := range f.Servers {
@@ -284,7 +284,7 @@
 				kind = "exponential"
 			}
 			c.Work = append(c.Work, simulator.Dist{Kind: kind, Mean: time.Duration(g.Work), CV: g.CV})
-			c.Window = append(c.Window, cl.Window)
+			c.Window = append(c.Window, cl.DedupWindow)
 		}
 		if err := c.Check(); err != nil {
 			field, _, _ := strings.Cut(err.Error(), ":")
--- a/internal/service/config.go
+++ b/internal/service/config.go
@@ -100,7 +100,7 @@
 func (c *Config) Check() error {
 	for _, a := range []struct{ what, addr string }{{"listen", c.Listen}, {"discovery", c.Discovery},
 		{"counter", c.Counter}, {"control", c.Control}} {
-		if a.addr == "" && (a.what == "counter" && !c.Settings.Counter || a.what == "control") {
+		if a.addr == "" && (a.what == "counter" && !c.Settings.UseCounter || a.what == "control") {
 			continue
 		}
 		if _, _, err := net.SplitHostPort(a.addr); err != nil {
--- a/internal/service/config_test.go
+++ b/internal/service/config_test.go
@@ -15,8 +15,8 @@
 	if c.Name != "n1" || c.Seed != 0x8c1f30d27a5be964 || c.Sockets != 1024 || c.MemoryMB != 192 {
 		t.Errorf("%+v", c)
 	}
-	if len(s.Classes) != 3 || s.Classes[1].Effect != balancer.Keyed || s.Classes[1].Window != 12*time.Second ||
-		len(s.Plans) != 2 || s.Plans[1].Rate != 2.5 || !s.Counter || s.StopSendingWithin != 250*time.Millisecond {
+	if len(s.Classes) != 3 || s.Classes[1].Idempotency != balancer.IdempotentByKey || s.Classes[1].DedupWindow != 12*time.Second ||
+		len(s.Plans) != 2 || s.Plans[1].Rate != 2.5 || !s.UseCounter || s.DrainGrace != 250*time.Millisecond {
 		t.Errorf("settings %+v", s)
 	}
 	if fmt.Sprint(tr.Classes, tr.Plans, tr.Zones, tr.Kinds) != "[evaluate change once] [open starter] [dc1] [std]" ||
--- a/internal/service/crossings_test.go
+++ b/internal/service/crossings_test.go
@@ -273,7 +273,7 @@
 	late, let := peer.ListenLate(t)
 	ln := peer.Listen(t)
 	w := start(t, []string{ln.Addr().String()}, func(c *Config, t *testing.T) {
-		c.Settings.MaxAttempts, c.Settings.Classes[1].Window = 2, 400*time.Millisecond
+		c.Settings.MaxAttempts, c.Settings.Classes[1].DedupWindow = 2, 400*time.Millisecond
 	})
 	c := w.dial()
 	c.Command("Q.DO", peer.Customer, "1", peer.Keyed, "body")
--- a/internal/service/hosted/config.go
+++ b/internal/service/hosted/config.go
@@ -273,7 +273,7 @@
 			return nil, err
 		}
 		for _, cl := range n.Settings.Classes {
-			most = min(most, cl.GiveUp)
+			most = min(most, cl.ClientTimeout)
 		}
 		classes = append(classes, n.Transport.Classes...)
 		c.Pools = append(c.Pools, p)
@@ -460,9 +460,9 @@
 }
 
 var cutOffs = map[string]parting.Rule{"keep": parting.KeepAll, "quota": parting.KeepQuota, "yield": parting.KeepNone}
-var effects = map[string]balancer.Effect{"safe": balancer.Safe, "keyed": balancer.Keyed, "unsafe": balancer.Unsafe}
-var groups = map[string]balancer.Group{"": balancer.GroupAll, "all": balancer.GroupAll, "zone": balancer.GroupZone,
-	"cell": balancer.GroupCell}
+var effects = map[string]balancer.Idempotency{"safe": balancer.Idempotent, "keyed": balancer.IdempotentByKey, "unsafe": balancer.NonIdempotent}
+var groups = map[string]balancer.DedupScope{"": balancer.DedupAll, "all": balancer.DedupAll, "zone": balancer.DedupZone,
+	"cell": balancer.DedupCell}
 
 // node checks what concerns the core and its sides.
 func (f *configFile) node(pf *poolFile) (*service.Config, error) {
@@ -471,15 +471,15 @@
 		return nil, fault("node.ceilings", "%q is not demand or even", n.Ceilings)
 	}
 	lend := n.Ceilings == "demand" || n.Ceilings == "" && f.Fleet != nil
-	set := balancer.Settings{LendCeilings: lend && pf.counter != "", ByViews: f.Fleet != nil,
-		Doors: cmp.Or(n.Doors, 1), Rank: n.Rank, MaxAttempts: cmp.Or(pf.Limits.MaxAttempts, 3),
-		MayCancel: pf.Limits.Cancel == nil || *pf.Limits.Cancel, MayProbe: pf.Limits.Probe,
-		RetryAfter: pf.Limits.RetryAfter > 0, MaxRetryAfter: time.Duration(pf.Limits.RetryAfter),
-		StopSendingWithin: cmp.Or(time.Duration(pf.Obligations.StopSending), 250*time.Millisecond),
-		FallMultiple:      cmp.Or(pf.Obligations.FallMultiple, 3), FallWindow: cmp.Or(time.Duration(pf.Obligations.FallWindow), 3*time.Second),
-		ColdFrom: cmp.Or(pf.Obligations.ColdFrom, 0.26), WarmWithin: cmp.Or(time.Duration(pf.Obligations.WarmWithin), 15*time.Second),
-		Counter: pf.counter != "", CounterTimeout: cmp.Or(time.Duration(pf.Limits.CounterTimeout), 50*time.Millisecond),
-		MaxUnits: cmp.Or(pf.Limits.MaxUnits, 1), Resolution: 2 * time.Millisecond}
+	set := balancer.Settings{LeaseCeilings: lend && pf.counter != "", LeasedShares: f.Fleet != nil,
+		Gateways: cmp.Or(n.Doors, 1), Index: n.Rank, MaxAttempts: cmp.Or(pf.Limits.MaxAttempts, 3),
+		AllowCancel: pf.Limits.Cancel == nil || *pf.Limits.Cancel, AllowHealthChecks: pf.Limits.Probe,
+		SendRetryAfter: pf.Limits.RetryAfter > 0, MaxRetryAfter: time.Duration(pf.Limits.RetryAfter),
+		DrainGrace:       cmp.Or(time.Duration(pf.Obligations.StopSending), 250*time.Millisecond),
+		OverloadMultiple: cmp.Or(pf.Obligations.FallMultiple, 3), OverloadWindow: cmp.Or(time.Duration(pf.Obligations.FallWindow), 3*time.Second),
+		SlowStartCapacity: cmp.Or(pf.Obligations.ColdFrom, 0.26), SlowStartDuration: cmp.Or(time.Duration(pf.Obligations.WarmWithin), 15*time.Second),
+		UseCounter: pf.counter != "", CounterTimeout: cmp.Or(time.Duration(pf.Limits.CounterTimeout), 50*time.Millisecond),
+		MaxRequestUnits: cmp.Or(pf.Limits.MaxUnits, 1), Resolution: 2 * time.Millisecond}
 	tr := wire.Transport{DialTimeout: cmp.Or(time.Duration(pf.Limits.DialTimeout), 250*time.Millisecond),
 		ConnIdle: cmp.Or(time.Duration(pf.Limits.ConnIdle), 30*time.Second), MostOpen: cmp.Or(pf.mostOpen, 10_000),
 		Zones: []string{pf.zone}, Kinds: []string{""}}
@@ -497,8 +497,8 @@
 			return nil, fault(d.key, "is negative")
 		}
 	}
-	if n.Rank < 0 || n.Rank >= set.Doors {
-		return nil, fault("node.rank", "is not from 0 to %d, under node.doors", set.Doors-1)
+	if n.Rank < 0 || n.Rank >= set.Gateways {
+		return nil, fault("node.rank", "is not from 0 to %d, under node.doors", set.Gateways-1)
 	}
 	for _, a := range []struct {
 		key, addr string
@@ -528,22 +528,22 @@
 			return nil, fault(key("aim"), "is negative or over give_up")
 		case cl.Worth < 0 || cl.LateWorth < 0:
 			return nil, fault(key("worth"), "or late_worth is negative")
-		case effect == balancer.Keyed && cl.Window <= 0:
+		case effect == balancer.IdempotentByKey && cl.Window <= 0:
 			return nil, fault(key("window"), "is not above 0, but the class is keyed")
 		case cl.Remember != "" && cl.Remember != "disk":
 			return nil, fault(key("remember"), "%q is not disk", cl.Remember)
-		case cl.Remember != "" && effect != balancer.Keyed:
+		case cl.Remember != "" && effect != balancer.IdempotentByKey:
 			return nil, fault(key("remember"), "wants a keyed class")
 		case cl.Remember != "" && (f.Fleet == nil || f.Fleet.Remember == nil):
 			return nil, fault(key("remember"), "wants [fleet.remember]")
 		}
 		if cl.Remember != "" { // what servers remember of keys is lost with their power
-			effect = balancer.Unsafe
+			effect = balancer.NonIdempotent
 		}
 		tr.Classes = append(tr.Classes, cl.Name)
-		set.Classes = append(set.Classes, balancer.Class{Worth: cl.Worth, LateWorth: cl.LateWorth, Aim: time.Duration(cl.Aim),
-			GiveUp: time.Duration(cl.GiveUp), Effect: effect, Group: group, Window: time.Duration(cl.Window),
-			Remembered: cl.Remember != ""})
+		set.Classes = append(set.Classes, balancer.Class{PriorityWeight: cl.Worth, LateWeightFraction: cl.LateWorth, LatencyObjective: time.Duration(cl.Aim),
+			ClientTimeout: time.Duration(cl.GiveUp), Idempotency: effect, DedupScope: group, DedupWindow: time.Duration(cl.Window),
+			KeyReserved: cl.Remember != ""})
 	}
 	if len(pf.Plan) == 0 {
 		return nil, fault(pf.prefix+"plan", "there is none")
@@ -571,8 +571,8 @@
 			return nil, fault(key("ceiling_depth"), "is negative, or missing where there is a ceiling_rate")
 		}
 		tr.Plans = append(tr.Plans, p.Name)
-		set.Plans = append(set.Plans, balancer.Plan{Rate: p.Rate, Burst: p.Burst, AtOnce: p.AtOnce, Factor: cmp.Or(p.Factor, 1),
-			OverWorth: p.OverWorth, OverCost: p.OverCost, CeilingRate: p.CeilingRate, CeilingDepth: p.CeilingDepth, CutOff: cutOffs[p.WhenCutOff]})
+		set.Plans = append(set.Plans, balancer.Plan{Rate: p.Rate, Burst: p.Burst, MaxInFlight: p.AtOnce, PriorityFactor: cmp.Or(p.Factor, 1),
+			OverQuotaWeight: p.OverWorth, OverQuotaCost: p.OverCost, CeilingRate: p.CeilingRate, CeilingBurst: p.CeilingDepth, PartitionPolicy: cutOffs[p.WhenCutOff]})
 	}
 	c := &service.Config{Name: pf.name, Discovery: pf.discovery, Counter: pf.counter, MemoryMB: n.MemoryMB,
 		Sockets: n.Sockets, Settings: set, Transport: tr}
@@ -602,7 +602,7 @@
 		Policies: extauthz.Policies(n.Transport.Plans, n.Settings.Plans), Several: several}
 	var specs []account.Spec
 	for i, a := range f.Account {
-		if a.Doors > n.Settings.Doors {
+		if a.Doors > n.Settings.Gateways {
 			return nil, fault(fmt.Sprintf("account[%d].doors", i), "is over node.doors")
 		}
 		specs = append(specs, account.Spec{Name: a.Name, Customer: a.Customer, Plan: a.Plan, Keys: a.Keys,
@@ -613,7 +613,7 @@
 	for _, r := range pf.Rule {
 		rules = append(rules, account.Rule{Host: r.Host, Methods: r.Methods, Path: r.Path, Class: r.Class, Units: r.Units})
 	}
-	t, err := account.Compile(specs, rules, names, n.Settings.MaxUnits)
+	t, err := account.Compile(specs, rules, names, n.Settings.MaxRequestUnits)
 	var e *account.Error
 	if errors.As(err, &e) && strings.HasPrefix(e.Field, "rule") {
 		e.Field = pf.prefix + e.Field
--- a/internal/service/hosted/config_test.go
+++ b/internal/service/hosted/config_test.go
@@ -27,8 +27,8 @@
 		t.Fatal(err)
 	}
 	s := c.Node.Settings
-	if s.Doors != 3 || s.MaxRetryAfter != 5*time.Second || s.Classes[1].Effect != balancer.Keyed || s.Plans[1].CeilingRate != 40 ||
-		s.StopSendingWithin != 250*time.Millisecond || !s.Counter || s.MaxUnits != 10 {
+	if s.Gateways != 3 || s.MaxRetryAfter != 5*time.Second || s.Classes[1].Idempotency != balancer.IdempotentByKey || s.Plans[1].CeilingRate != 40 ||
+		s.DrainGrace != 250*time.Millisecond || !s.UseCounter || s.MaxRequestUnits != 10 {
 		t.Errorf("settings %+v", s)
 	}
 	if len(c.Listeners) != 2 || !c.Listeners[0].RESP2 || len(c.Listeners[1].Authz.Routes) != 4 {
--- a/internal/service/hosted/fleet.go
+++ b/internal/service/hosted/fleet.go
@@ -120,7 +120,7 @@
 func (p *posted) take() {
 	p.waits.Store(false)
 	s := p.next.Load()
-	lent := p.core.Stand(balancer.Sharing{Part: s.Part, Until: s.Until, Out: s.Out, Gone: s.Gone})
+	lent := p.core.Stand(balancer.ShareUpdate{Fraction: s.Part, Until: s.Until, Excluded: s.Out, DeadGateways: s.Gone})
 	if s.Gen == p.applied.Load() {
 		return
 	}
@@ -135,9 +135,9 @@
 func (f *fleetSide) others(name string) func(balancer.Action) {
 	return func(a balancer.Action) {
 		switch a := a.(type) {
-		case balancer.Borrow:
+		case balancer.RequestLoan:
 			f.peers.Want(peer.Want{Pool: name, Customer: a.Customer, Plan: uint16(a.Plan), At: int64(a.At)})
-		case balancer.Lend:
+		case balancer.GrantLoan:
 			f.peers.Lend(a.To, peer.Loan{Want: peer.Want{Pool: name, Customer: a.Customer, Plan: uint16(a.Plan), At: int64(a.At)}, Rate: a.Rate, Depth: a.Depth})
 		}
 	}
@@ -145,11 +145,11 @@
 
 // wanted and loaned carry what other doors tell a pool. They return at once; what the pool has no room for is said again.
 func (f *fleetSide) wanted(from int, w peer.Want) {
-	f.tell(w.Pool, balancer.Wanted{From: from, Customer: w.Customer, Plan: int(w.Plan), At: time.Duration(w.At)})
+	f.tell(w.Pool, balancer.LoanRequest{From: from, Customer: w.Customer, Plan: int(w.Plan), At: time.Duration(w.At)})
 }
 
 func (f *fleetSide) loaned(from int, l peer.Loan) {
-	f.tell(l.Want.Pool, balancer.Loaned{From: from, Customer: l.Want.Customer, Plan: int(l.Want.Plan), At: time.Duration(l.Want.At), Rate: l.Rate, Depth: l.Depth})
+	f.tell(l.Want.Pool, balancer.LoanGranted{From: from, Customer: l.Want.Customer, Plan: int(l.Want.Plan), At: time.Duration(l.Want.At), Rate: l.Rate, Depth: l.Depth})
 }
 
 func (f *fleetSide) tell(pool string, ev balancer.Event) {
--- a/internal/service/hosted/fleet_test.go
+++ b/internal/service/hosted/fleet_test.go
@@ -34,7 +34,7 @@
 		t.Fatal(err)
 	}
 	s := c.Node.Settings
-	if !s.ByViews || !s.LendCeilings || s.Doors != 3 || s.Rank != 0 || s.Plans[0].CutOff != parting.KeepQuota || c.Fleet.Rank != 0 || len(c.Fleet.Doors) != 3 {
+	if !s.LeasedShares || !s.LeaseCeilings || s.Gateways != 3 || s.Index != 0 || s.Plans[0].PartitionPolicy != parting.KeepQuota || c.Fleet.Rank != 0 || len(c.Fleet.Doors) != 3 {
 		t.Errorf("%+v, %+v", s, c.Fleet)
 	}
 	for _, bad := range []struct{ old, new, key string }{
@@ -60,7 +60,7 @@
 	}
 	// Without [fleet] a door behaves as before, and what needs it is an error.
 	alone := example(t)
-	if c, err = Parse("x", []byte(alone)); err != nil || c.Fleet != nil || c.Node.Settings.ByViews || c.Node.Settings.LendCeilings {
+	if c, err = Parse("x", []byte(alone)); err != nil || c.Fleet != nil || c.Node.Settings.LeasedShares || c.Node.Settings.LeaseCeilings {
 		t.Errorf("%+v, %v", c, err)
 	}
 	if _, err := Parse("x", []byte(strings.Replace(alone, "ceiling_rate", "when_cut_off = \"keep\"\nceiling_rate", 1))); err == nil ||
@@ -87,7 +87,7 @@
 	if err != nil || c.Fleet.Remember == nil || c.Fleet.Remember.For != 10*time.Minute || c.Fleet.Remember.Most != 500_000 {
 		t.Fatalf("%+v, %v", c, err)
 	}
-	if cl := c.Node.Settings.Classes; cl[0].Remembered || !cl[1].Remembered || cl[1].Effect != balancer.Unsafe {
+	if cl := c.Node.Settings.Classes; cl[0].KeyReserved || !cl[1].KeyReserved || cl[1].Idempotency != balancer.NonIdempotent {
 		t.Errorf("%+v", cl)
 	}
 	wrong(t, good, [][3]string{{`for = "10m"`, `for = "1s"`, "fleet.remember.for"}, {`most = 500000`, `most = -1`, "fleet.remember.most"},
--- a/internal/service/hosted/pool.go
+++ b/internal/service/hosted/pool.go
@@ -36,7 +36,7 @@
 			p.box = s.members.add(c)
 			return p.box.tell
 		},
-		Found: func(*proxy.Core) func(balancer.Finding) { return p.box.found }}
+		Found: func(*proxy.Core) func(balancer.HealthReport) { return p.box.found }}
 	if s.recovery != nil {
 		parts.Closed = s.recovery.closed
 	}
@@ -84,7 +84,7 @@
 // news is what a pool is to be told.
 type news struct {
 	update  endpoint.Update
-	finding balancer.Finding
+	finding balancer.HealthReport
 	found   bool // it is a finding
 }
 
--- a/internal/service/hosted/shares.go
+++ b/internal/service/hosted/shares.go
@@ -106,11 +106,11 @@
 
 // found takes what a pool has found out about a server to the other pools that have it. Only the pool's loop goroutine may
 // call it.
-func (b *box) found(f balancer.Finding) {
+func (b *box) found(f balancer.HealthReport) {
 	b.m.mu.Lock()
 	defer b.m.mu.Unlock()
-	for _, p := range b.m.fleet.Peers(b.key, f.Backend) {
-		f.Backend = p.Name
+	for _, p := range b.m.fleet.Peers(b.key, f.Endpoint) {
+		f.Endpoint = p.Name
 		b.m.put(p.Pool, news{finding: f, found: true}, nil)
 	}
 }
--- a/internal/service/reload.go
+++ b/internal/service/reload.go
@@ -34,7 +34,7 @@
 		sort.Strings(missing)
 		return fmt.Errorf("%s is missing", strings.ReplaceAll(missing[0], anyItem, "[]"))
 	}
-	if err := c.Settings.Check(); err != nil {
+	if err := c.Settings.Validate(); err != nil {
 		return err
 	}
 	if len(c.Transport.Plans) == 0 || len(c.Transport.Classes) == 0 {
@@ -49,11 +49,11 @@
 	for i, cl := range c.Settings.Classes {
 		at := fmt.Sprintf("settings.classes[%d] (%s)", i, c.Transport.Classes[i])
 		switch {
-		case cl.GiveUp <= 0:
+		case cl.ClientTimeout <= 0:
 			return fmt.Errorf("%s: give-up-us is not a number above 0", at)
-		case cl.Aim < 0 || c.has("classes", "target-us") && cl.Aim == 0:
+		case cl.LatencyObjective < 0 || c.has("classes", "target-us") && cl.LatencyObjective == 0:
 			return fmt.Errorf("%s: target-us is not a number above 0", at)
-		case cl.Effect == balancer.Keyed && cl.Window <= 0:
+		case cl.Idempotency == balancer.IdempotentByKey && cl.DedupWindow <= 0:
 			return fmt.Errorf("%s: window-us is not a number above 0", at)
 		}
 	}
--- a/internal/service/reload_test.go
+++ b/internal/service/reload_test.go
@@ -93,7 +93,7 @@
 		if err != nil {
 			return
 		}
-		if c.CheckReload(inUse) == nil && c.Settings.Check() != nil {
+		if c.CheckReload(inUse) == nil && c.Settings.Validate() != nil {
 			t.Error("taken, and the module can't go by it")
 		}
 	})
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -41,15 +41,15 @@
 
 // Parts are what one pool of several has of its process. The zero value is that of a front door with one pool.
 type Parts struct {
-	Space     string                                   // keeps its numbers on the counter apart from those of other pools
-	Tell      func(*proxy.Core) func(endpoint.Update)  // makes the way of what discovery tells; nil: to the core itself
-	Others    func(*proxy.Core) func(balancer.Action)  // makes the way of what the core tells other doors; nil: nowhere
-	Found     func(*proxy.Core) func(balancer.Finding) // makes the way of what the core finds out; nil: nowhere
-	Gate      *cpuscheduler.Flow                       // to the processor
-	Guard     *proxy.Guard                             // whether requests may be decided; nil: always
-	NoCounter func() bool                              // the counter is not asked, and its calls fail; nil: it always is
-	Closed    *proxy.Closed                            // while the door comes back; nil: it never is
-	Keys      proxy.Keys                               // claims keys of classes that are remembered; nil: there are none
+	Space     string                                        // keeps its numbers on the counter apart from those of other pools
+	Tell      func(*proxy.Core) func(endpoint.Update)       // makes the way of what discovery tells; nil: to the core itself
+	Others    func(*proxy.Core) func(balancer.Action)       // makes the way of what the core tells other doors; nil: nowhere
+	Found     func(*proxy.Core) func(balancer.HealthReport) // makes the way of what the core finds out; nil: nowhere
+	Gate      *cpuscheduler.Flow                            // to the processor
+	Guard     *proxy.Guard                                  // whether requests may be decided; nil: always
+	NoCounter func() bool                                   // the counter is not asked, and its calls fail; nil: it always is
+	Closed    *proxy.Closed                                 // while the door comes back; nil: it never is
+	Keys      proxy.Keys                                    // claims keys of classes that are remembered; nil: there are none
 	Observe   func(class int, v proxy.Verdict, took time.Duration)
 	Figures   *stats.Figures // nil: nobody reads them
 	Memory    *resourcelimit.Bytes
@@ -96,12 +96,12 @@
 		up.Cap = func(addr string) *resourcelimit.Cap { return parts.Cap(c, addr) }
 	}
 	watch := discovery.New(l, log, discovery.Config{Addr: cfg.Discovery, Known: cfg.Known, Zones: cfg.Transport.Zones,
-		Kinds: cfg.Transport.Kinds, Doors: cfg.Settings.Doors, Pushed: !cfg.Settings.OnRequest, Seed: cfg.Seed}, told)
+		Kinds: cfg.Transport.Kinds, Doors: cfg.Settings.Gateways, Pushed: !cfg.Settings.PollEndpoints, Seed: cfg.Seed}, told)
 	c.Connect(
 		upstream.New(l, up, c.Probed),
-		counter.New(l, counter.Config{Addr: cfg.Counter, Space: parts.Space, Enabled: cfg.Settings.Counter, Cut: parts.NoCounter,
+		counter.New(l, counter.Config{Addr: cfg.Counter, Space: parts.Space, Enabled: cfg.Settings.UseCounter, Cut: parts.NoCounter,
 			Timeout: cfg.Settings.CounterTimeout, DialTimeout: cfg.Transport.DialTimeout,
-			Trace: tr, Late: func(ev balancer.Late) { c.Tell(ev) }}, c.Counted),
+			Trace: tr, Late: func(ev balancer.LateCounterResult) { c.Tell(ev) }}, c.Counted),
 		watch)
 	return c, watch, nil
 }
--- a/internal/service/shutdown_test.go
+++ b/internal/service/shutdown_test.go
@@ -46,7 +46,7 @@
 	silent := peer.Listen(t) // takes connections and says nothing
 	w := start(t, []string{ln.Addr().String()}, func(c *Config, t *testing.T) {
 		c.Discovery, c.Counter = silent.Addr().String(), silent.Addr().String()
-		c.Settings.Counter = true
+		c.Settings.UseCounter = true
 	})
 	c := w.dial()
 	c.Command("Q.ASK", peer.Customer, "1", strings.Replace(peer.List, "t=open", "t=starter", 1))
--- a/internal/sharedhealth/fleet.go
+++ b/internal/sharedhealth/fleet.go
@@ -46,7 +46,7 @@
 
 // Tell takes what a pool's source says and returns what pools are to be told, that pool among them.
 func (f *Fleet) Tell(pool string, u endpoint.Update) []Out {
-	if u.Scope == balancer.ListFailed {
+	if u.Scope == balancer.UpdateFailed {
 		return []Out{{pool, u}}
 	}
 	p := f.pools[pool]
@@ -62,7 +62,7 @@
 	if u.Scope != balancer.Delta {
 		for _, name := range sorted(p) {
 			if e := p[name]; !named[name] {
-				f.remove(p, e, u.Scope == balancer.Whole) // what is missing from an old list says nothing
+				f.remove(p, e, u.Scope == balancer.Snapshot) // what is missing from an old list says nothing
 			}
 		}
 	}
@@ -112,7 +112,7 @@
 // take takes one entry of a pool.
 func (f *Fleet) take(pool string, p map[string]*entry, told endpoint.Entry) {
 	e := p[told.Name]
-	if told.State == balancer.Terminated {
+	if told.State == balancer.Removed {
 		if e != nil {
 			f.remove(p, e, true)
 		}
@@ -127,7 +127,7 @@
 		p[told.Name] = e
 	}
 	e.told = told
-	if told.State == balancer.InService {
+	if told.State == balancer.Serving {
 		e.stopped = false
 	}
 	if f.at[told.Addr] == nil {
@@ -145,7 +145,7 @@
 	f.unlink(e)
 	delete(p, e.told.Name)
 	last := e.told
-	last.State = balancer.Terminated
+	last.State = balancer.Removed
 	delete(f.sent, e)
 	f.gone = append(f.gone, Out{e.pool, endpoint.Update{Entries: []endpoint.Entry{last}}})
 }
@@ -196,7 +196,7 @@
 }
 
 func ended(e endpoint.Entry) int {
-	if e.State == balancer.Terminated {
+	if e.State == balancer.Removed {
 		return 1
 	}
 	return 0
@@ -207,21 +207,21 @@
 	all := f.at[addr]
 	drains := false
 	use := 0 // entries that have it in service: a pool may have a server under two names
-	var started = balancer.Backend{}.Started
+	var started = balancer.Endpoint{}.StartedAt
 	for e := range all {
-		drains = drains || e.told.State != balancer.InService
-		started = max(started, e.told.Started)
-		if e.told.State == balancer.InService && !e.stopped {
+		drains = drains || e.told.State != balancer.Serving
+		started = max(started, e.told.StartedAt)
+		if e.told.State == balancer.Serving && !e.stopped {
 			use++
 		}
 	}
 	now := map[*entry]endpoint.Entry{}
 	for e := range all {
 		n := e.told
-		n.Started = started
-		n.Share = 1 / float64(max(1, use))
+		n.StartedAt = started
+		n.SlowStartShare = 1 / float64(max(1, use))
 		if drains || e.stopped {
-			n.State = balancer.Terminating
+			n.State = balancer.Draining
 		}
 		now[e] = n
 	}
--- a/internal/sharedhealth/fleet_test.go
+++ b/internal/sharedhealth/fleet_test.go
@@ -11,11 +11,11 @@
 	"gapgap/internal/endpoint"
 )
 
-func entryOf(name, addr string, state balancer.State, started time.Duration) endpoint.Entry {
-	return endpoint.Entry{Backend: balancer.Backend{Name: name, State: state, Started: started}, Addr: addr}
+func entryOf(name, addr string, state balancer.EndpointState, started time.Duration) endpoint.Entry {
+	return endpoint.Entry{Endpoint: balancer.Endpoint{Name: name, State: state, StartedAt: started}, Addr: addr}
 }
 
-func list(scope balancer.Scope, all ...endpoint.Entry) endpoint.Update {
+func list(scope balancer.UpdateKind, all ...endpoint.Entry) endpoint.Update {
 	return endpoint.Update{Scope: scope, Entries: all}
 }
 
@@ -28,7 +28,7 @@
 			p[o.Pool] = map[string]endpoint.Entry{}
 		}
 		for _, e := range o.Update.Entries {
-			if e.State == balancer.Terminated {
+			if e.State == balancer.Removed {
 				delete(p[o.Pool], e.Name)
 			} else {
 				p[o.Pool][e.Name] = e
@@ -38,22 +38,22 @@
 }
 
 func TestPoolsSharedServer(t *testing.T) {
-	const in, out, gone = balancer.InService, balancer.Terminating, balancer.Terminated
+	const in, out, gone = balancer.Serving, balancer.Draining, balancer.Removed
 	f, p := New(), pools{}
 	tell := func(pool string, u endpoint.Update) { p.take(f.Tell(pool, u)) }
-	state := func(pool, name string, want balancer.State, share float64) {
+	state := func(pool, name string, want balancer.EndpointState, share float64) {
 		t.Helper()
-		if e, ok := p[pool][name]; !ok || e.State != want || e.Share != share {
+		if e, ok := p[pool][name]; !ok || e.State != want || e.SlowStartShare != share {
 			t.Errorf("%s has %s as %+v, want state %v and share %v", pool, name, e, want, share)
 		}
 	}
-	tell("a", list(balancer.Whole, entryOf("s1", "x", in, 0), entryOf("s2", "y", in, 0)))
+	tell("a", list(balancer.Snapshot, entryOf("s1", "x", in, 0), entryOf("s2", "y", in, 0)))
 	state("a", "s1", in, 1)
-	tell("b", list(balancer.Whole, entryOf("t1", "x", in, 7))) // by another name; and newly started, as b knows
+	tell("b", list(balancer.Snapshot, entryOf("t1", "x", in, 7))) // by another name; and newly started, as b knows
 	state("a", "s1", in, 0.5)
 	state("b", "t1", in, 0.5)
 	state("a", "s2", in, 1)
-	if p["a"]["s1"].Started != 7 {
+	if p["a"]["s1"].StartedAt != 7 {
 		t.Error("a does not know of the start that b was told of")
 	}
 	tell("a", list(balancer.Delta, entryOf("s1", "x", out, 0))) // a drain told to one
@@ -72,23 +72,23 @@
 	}
 	tell("b", list(balancer.Delta, entryOf("t1", "x", in, 7))) // b's own source insists
 	state("b", "t1", in, 1)
-	tell("a", list(balancer.Whole, entryOf("s2", "x", in, 0))) // another name now has that address, and y is left
+	tell("a", list(balancer.Snapshot, entryOf("s2", "x", in, 0))) // another name now has that address, and y is left
 	state("b", "t1", in, 0.5)
 	tell("b", list(balancer.Delta, entryOf("t1", "z", in, 8))) // it returns under a new address
 	state("b", "t1", in, 1)
 	if e := p["a"]["s2"]; e.State != out {
 		t.Errorf("a goes on with the address that b's server has left: %+v", e)
 	}
-	tell("b", list(balancer.Cached)) // an old list that has nothing
+	tell("b", list(balancer.CachedSnapshot)) // an old list that has nothing
 	if len(p["b"]) != 0 {
 		t.Errorf("b has %v", p["b"])
 	}
-	tell("a", list(balancer.Whole, entryOf("s2", "x", in, 0)))
-	tell("b", list(balancer.Whole, entryOf("t1", "x", in, 0)))
+	tell("a", list(balancer.Snapshot, entryOf("s2", "x", in, 0)))
+	tell("b", list(balancer.Snapshot, entryOf("t1", "x", in, 0)))
 	state("a", "s2", in, 0.5)
 	p.take(f.Drop("b")) // the pool is removed, not the server
 	state("a", "s2", in, 1)
-	if got := f.Tell("a", endpoint.Update{Scope: balancer.ListFailed}); len(got) != 1 || got[0].Update.Scope != balancer.ListFailed {
+	if got := f.Tell("a", endpoint.Update{Scope: balancer.UpdateFailed}); len(got) != 1 || got[0].Update.Scope != balancer.UpdateFailed {
 		t.Errorf("a failed list: %+v", got)
 	}
 }
@@ -108,7 +108,7 @@
 				delete(p, pool)
 				continue
 			}
-			u := endpoint.Update{Scope: rapid.SampledFrom([]balancer.Scope{balancer.Delta, balancer.Delta, balancer.Whole, balancer.Cached}).Draw(t, "scope")}
+			u := endpoint.Update{Scope: rapid.SampledFrom([]balancer.UpdateKind{balancer.Delta, balancer.Delta, balancer.Snapshot, balancer.CachedSnapshot}).Draw(t, "scope")}
 			if told[pool] == nil {
 				told[pool] = map[string]endpoint.Entry{}
 			}
@@ -120,9 +120,9 @@
 					continue
 				}
 				e := entryOf(fmt.Sprint("s", i), rapid.SampledFrom([]string{"x", "y"}).Draw(t, "addr"),
-					balancer.State(rapid.IntRange(0, 2).Draw(t, "state")), time.Duration(rapid.IntRange(0, 3).Draw(t, "started")))
+					balancer.EndpointState(rapid.IntRange(0, 2).Draw(t, "state")), time.Duration(rapid.IntRange(0, 3).Draw(t, "started")))
 				u.Entries = append(u.Entries, e)
-				if e.State == balancer.Terminated {
+				if e.State == balancer.Removed {
 					delete(told[pool], e.Name)
 				} else {
 					told[pool][e.Name] = e
@@ -132,8 +132,8 @@
 			drains, shares, started := map[string]bool{}, map[string]map[string]float64{}, map[string]time.Duration{}
 			for _, list := range told {
 				for _, e := range list {
-					drains[e.Addr] = drains[e.Addr] || e.State != balancer.InService
-					started[e.Addr] = max(started[e.Addr], e.Started)
+					drains[e.Addr] = drains[e.Addr] || e.State != balancer.Serving
+					started[e.Addr] = max(started[e.Addr], e.StartedAt)
 				}
 			}
 			for pool, list := range p {
@@ -142,17 +142,17 @@
 				}
 				for name, e := range list {
 					o, ok := told[pool][name]
-					if !ok || e.Addr != o.Addr || e.Started != started[e.Addr] {
+					if !ok || e.Addr != o.Addr || e.StartedAt != started[e.Addr] {
 						t.Fatalf("%s has %s as %+v, its source says %+v", pool, name, e, o)
 					}
-					if e.State == balancer.InService {
+					if e.State == balancer.Serving {
 						if drains[e.Addr] {
 							t.Fatalf("%s uses %s, which drains", pool, e.Addr)
 						}
 						if shares[e.Addr] == nil {
 							shares[e.Addr] = map[string]float64{}
 						}
-						shares[e.Addr][pool+" "+name] = e.Share
+						shares[e.Addr][pool+" "+name] = e.SlowStartShare
 					}
 				}
 			}
--- a/internal/simulator/ceilings_test.go
+++ b/internal/simulator/ceilings_test.go
@@ -13,14 +13,14 @@
 )
 
 // the plan of the case that was measured from outside
-var business = balancer.Plan{Rate: 5, Burst: 10, Factor: 1, OverWorth: 0.2, CeilingRate: 10, CeilingDepth: 20}
+var business = balancer.Plan{Rate: 5, Burst: 10, PriorityFactor: 1, OverQuotaWeight: 0.2, CeilingRate: 10, CeilingBurst: 20}
 
 // settings are those of so many doors.
 func settings(doors int, lend bool, plans ...balancer.Plan) balancer.Settings {
-	return balancer.Settings{Doors: doors, Resolution: 2 * time.Millisecond, MaxAttempts: 3, MayCancel: true, RetryAfter: true,
-		MaxRetryAfter: 5 * time.Second, StopSendingWithin: 250 * time.Millisecond, FallMultiple: 3, FallWindow: 3 * time.Second, ColdFrom: 0.26,
-		WarmWithin: 15 * time.Second, Counter: true, CounterTimeout: 50 * time.Millisecond, MaxUnits: 1, LendCeilings: lend,
-		Classes: []balancer.Class{{Worth: 1, Aim: time.Second, GiveUp: 3 * time.Second}}, Plans: plans}
+	return balancer.Settings{Gateways: doors, Resolution: 2 * time.Millisecond, MaxAttempts: 3, AllowCancel: true, SendRetryAfter: true,
+		MaxRetryAfter: 5 * time.Second, DrainGrace: 250 * time.Millisecond, OverloadMultiple: 3, OverloadWindow: 3 * time.Second, SlowStartCapacity: 0.26,
+		SlowStartDuration: 15 * time.Second, UseCounter: true, CounterTimeout: 50 * time.Millisecond, MaxRequestUnits: 1, LeaseCeilings: lend,
+		Classes: []balancer.Class{{PriorityWeight: 1, LatencyObjective: time.Second, ClientTimeout: 3 * time.Second}}, Plans: plans}
 }
 
 // store is the ceiling's store as the flag servers' own count has it.
@@ -33,9 +33,9 @@
 
 func (s *store) take(now time.Duration, units float64) {
 	if s.at == 0 {
-		s.level, s.at = s.p.CeilingDepth, now
+		s.level, s.at = s.p.CeilingBurst, now
 	}
-	s.level = min(s.p.CeilingDepth, s.level+s.p.CeilingRate*(now-s.at).Seconds())
+	s.level = min(s.p.CeilingBurst, s.level+s.p.CeilingRate*(now-s.at).Seconds())
 	s.at = now
 	s.level -= units
 	s.low = min(s.low, s.level)
@@ -102,7 +102,7 @@
 				f := newFlood(t, 1, 3, lend, business)
 				f.asks(0, 30*time.Second, rate, grant, door)
 				f.Run(Start + 30*time.Second)
-				if slack := max(1, 0.1*business.CeilingDepth); f.store.low < -slack {
+				if slack := max(1, 0.1*business.CeilingBurst); f.store.low < -slack {
 					t.Errorf("lent %v, %v a second: %.2f under the ceiling's store", lend, rate, -f.store.low)
 				}
 				return f
@@ -132,7 +132,7 @@
 	}
 	rate := 2 + 18*rng.Float64()
 	factor, burst := 1.7+rng.Float64(), rate*(1.3+1.3*rng.Float64())
-	p := balancer.Plan{Rate: rate, Burst: burst, Factor: 1, OverWorth: 0.2, CeilingRate: rate * factor, CeilingDepth: burst * factor}
+	p := balancer.Plan{Rate: rate, Burst: burst, PriorityFactor: 1, OverQuotaWeight: 0.2, CeilingRate: rate * factor, CeilingBurst: burst * factor}
 	f := newFlood(t, seed, doors, true, p)
 	tell := func(format string, args ...any) {
 		story = append(story, fmt.Sprintf("%6.2f ", (f.Now-Start).Seconds())+fmt.Sprintf(format, args...))
@@ -218,7 +218,7 @@
 			tell("sent %.0f level %.1f asked %d calls %d %s", f.store.sent-sent, f.store.level, f.asked, f.Counter.Calls, mark)
 		}
 	}
-	return -f.store.low / p.CeilingDepth, f.store.sent / (p.CeilingRate * lasts.Seconds()), story
+	return -f.store.low / p.CeilingBurst, f.store.sent / (p.CeilingRate * lasts.Seconds()), story
 }
 
 // Whatever the schedule, with 2 to 200 doors, the flag servers' own count stays within the ceiling and its slack, a tenth of
@@ -260,7 +260,7 @@
 		f.At(Start+at, f.Counter.Empty)
 	}
 	f.Run(Start + 20*time.Second)
-	if f.store.low > -0.5*business.CeilingDepth {
+	if f.store.low > -0.5*business.CeilingBurst {
 		t.Errorf("the store falls to %.1f only with a counter that forgets", f.store.low)
 	}
 }
@@ -289,7 +289,7 @@
 		t.Errorf("%.0f of 50 after the borrower was killed; by second %v", got, killed.second)
 	}
 	for name, f := range map[string]*flood{"moving": moving, "killed": killed} {
-		if f.store.low < -0.1*business.CeilingDepth {
+		if f.store.low < -0.1*business.CeilingBurst {
 			t.Errorf("%s: %.1f under the store", name, -f.store.low)
 		}
 	}
@@ -336,7 +336,7 @@
 // then is kept, and what a change lets out beside it is one window's.
 func TestCeilingsPlanChangesWhileLent(t *testing.T) {
 	low := business
-	low.Rate, low.Burst, low.CeilingRate, low.CeilingDepth = 2, 4, 4, 8
+	low.Rate, low.Burst, low.CeilingRate, low.CeilingBurst = 2, 4, 4, 8
 	w := New(1, 6)
 	second := map[int]float64{}
 	for range 3 {
@@ -360,7 +360,7 @@
 		for s := from + 1; s < from+10; s++ {
 			sum += second[s]
 		}
-		if most := p.CeilingDepth*1.1 + p.CeilingRate*9; sum > most {
+		if most := p.CeilingBurst*1.1 + p.CeilingRate*9; sum > most {
 			t.Errorf("%.0f in 9 s of a plan that gives %.0f: %v", sum, most, second)
 		}
 		if sum < 0.5*p.CeilingRate*9 {
--- a/internal/simulator/emulator.go
+++ b/internal/simulator/emulator.go
@@ -105,30 +105,30 @@
 func (c *Counter) Empty() { clear(c.names) }
 
 // add takes one call and hands the answer to a function.
-func (c *Counter) add(a balancer.Count, timeout time.Duration, answer func(balancer.Event)) {
+func (c *Counter) add(a balancer.CounterAdd, timeout time.Duration, answer func(balancer.Event)) {
 	w := c.w
 	c.Calls++
 	if c.Gone {
-		w.After(time.Millisecond, func() { answer(balancer.Counted{Name: a.Name, Status: balancer.ConnectFailed}) })
+		w.After(time.Millisecond, func() { answer(balancer.CounterResult{Name: a.Name, Status: balancer.ConnectFailed}) })
 		return
 	}
 	half := c.Takes / 2
 	w.After(half, func() {
 		n := c.names[a.Name]
 		if n == nil || n.until <= w.Now {
-			n = &number{until: w.Now + a.Keep}
+			n = &number{until: w.Now + a.TTL}
 			c.names[a.Name] = n
 		}
 		n.total += a.Amount
 		total := n.total
 		if c.Mute || c.Takes >= timeout {
-			w.After(max(0, timeout-half), func() { answer(balancer.Counted{Name: a.Name, Status: balancer.Timeout}) })
+			w.After(max(0, timeout-half), func() { answer(balancer.CounterResult{Name: a.Name, Status: balancer.Timeout}) })
 			if !c.Mute && a.Ticket != 0 {
-				w.After(c.Takes-half, func() { answer(balancer.Late{Ticket: a.Ticket, Status: balancer.OK, Total: total}) })
+				w.After(c.Takes-half, func() { answer(balancer.LateCounterResult{Ticket: a.Ticket, Status: balancer.OK, Total: total}) })
 			}
 			return
 		}
-		w.After(c.Takes-half, func() { answer(balancer.Counted{Name: a.Name, Status: balancer.OK, Total: total}) })
+		w.After(c.Takes-half, func() { answer(balancer.CounterResult{Name: a.Name, Status: balancer.OK, Total: total}) })
 	})
 }
 
@@ -144,7 +144,7 @@
 type Door struct {
 	w        *World
 	Rank     int
-	door     *balancer.Door
+	door     *balancer.Balancer
 	set      balancer.Settings
 	life     int // goes up with each death: what was under way for a former one is void
 	events   []balancer.Event
@@ -196,8 +196,8 @@
 
 // AddDoor makes a front door. It is started by Start.
 func (w *World) AddDoor(set balancer.Settings) *Door {
-	set.Rank = len(w.Doors)
-	d := &Door{w: w, Rank: set.Rank, set: set}
+	set.Index = len(w.Doors)
+	d := &Door{w: w, Rank: set.Index, set: set}
 	w.Doors = append(w.Doors, d)
 	return d
 }
@@ -212,16 +212,16 @@
 		return fmt.Errorf("door %d: %w", d.Rank, err)
 	}
 	d.open, d.events, d.Alive = map[uint64]*Request{}, nil, true
-	var list []balancer.Backend
+	var list []balancer.Endpoint
 	for _, s := range d.w.Servers {
-		list = append(list, balancer.Backend{Name: s.Name, Weight: 1})
+		list = append(list, balancer.Endpoint{Name: s.Name, Weight: 1})
 	}
 	for _, name := range slices.Sorted(maps.Keys(d.w.Backends)) {
 		if b := d.w.Backends[name]; !b.drains {
-			list = append(list, balancer.Backend{Name: name, Weight: 1, Started: max(0, b.started)})
+			list = append(list, balancer.Endpoint{Name: name, Weight: 1, StartedAt: max(0, b.started)})
 		}
 	}
-	d.tell(balancer.List{Scope: balancer.Whole, Entries: list})
+	d.tell(balancer.EndpointUpdate{Kind: balancer.Snapshot, Entries: list})
 	return nil
 }
 
@@ -240,14 +240,14 @@
 	r.Life = d.life
 	r.Door, r.At, r.ends, r.cancels = d.Rank, d.w.Now, map[int]*priorityqueue.Item[event]{}, map[int]func(){}
 	d.open[d.lastID] = r
-	d.tell(balancer.Request{ID: d.lastID, Class: r.Class, Plan: r.Plan, Customer: r.Customer, Left: r.Left, Units: r.Units, Doors: r.Doors, Retry: r.Retry, Grant: r.Grant})
+	d.tell(balancer.Request{ID: d.lastID, Class: r.Class, Plan: r.Plan, Customer: r.Customer, TimeLeft: r.Left, Units: r.Units, Gateways: r.Doors, ClientRetry: r.Retry, AdmitOnly: r.Grant})
 	return true
 }
 
 // Told tells the door of backends, as discovery does.
-func (d *Door) Told(list ...balancer.Backend) {
+func (d *Door) Told(list ...balancer.Endpoint) {
 	if d.Alive {
-		d.tell(balancer.List{Scope: balancer.Delta, Entries: list})
+		d.tell(balancer.EndpointUpdate{Kind: balancer.Delta, Entries: list})
 	}
 }
 
@@ -287,10 +287,10 @@
 func (d *Door) act(a balancer.Action) {
 	w := d.w
 	switch a := a.(type) {
-	case balancer.Send:
+	case balancer.Dispatch:
 		r := d.open[a.ID]
 		if r == nil { // for what is over; a front door does the same
-			d.tell(balancer.Outcome{ID: a.ID, Backend: a.Backend, Status: balancer.Moot, Closed: true})
+			d.tell(balancer.AttemptResult{ID: a.ID, Endpoint: a.Endpoint, Status: balancer.NotSent, RequestClosed: true})
 			return
 		}
 		no := r.attempts
@@ -298,20 +298,20 @@
 		if no == 0 && d.Sent != nil {
 			d.Sent(r)
 		}
-		if b := w.Backends[a.Backend]; b != nil {
+		if b := w.Backends[a.Endpoint]; b != nil {
 			d.send(a, r, no, b)
 			return
 		}
 		takes := time.Duration(math.MaxInt64)
 		for _, s := range w.Servers {
-			if s.Name == a.Backend {
+			if s.Name == a.Endpoint {
 				s.Came++
 				takes = s.Takes
 			}
 		}
-		o := balancer.Outcome{ID: a.ID, Attempt: no, Backend: a.Backend, Status: balancer.OK, Latency: takes, Closed: true}
+		o := balancer.AttemptResult{ID: a.ID, Attempt: no, Endpoint: a.Endpoint, Status: balancer.OK, Latency: takes, RequestClosed: true}
 		if takes > a.Timeout {
-			o.Status, o.Latency, o.Closed = balancer.Timeout, a.Timeout, false
+			o.Status, o.Latency, o.RequestClosed = balancer.Timeout, a.Timeout, false
 		}
 		r.ends[no] = w.At(w.Now+o.Latency, d.here(func() {
 			delete(r.ends, no)
@@ -321,40 +321,40 @@
 			d.tell(o)
 			d.forget(a.ID, r)
 		}))
-	case balancer.Cancel:
+	case balancer.CancelAttempt:
 		if r := d.open[a.ID]; r != nil && r.ends[a.Attempt].In() {
 			w.queue.Remove(r.ends[a.Attempt])
 			delete(r.ends, a.Attempt)
 			if c := r.cancels[a.Attempt]; c != nil {
 				c()
 			}
-			d.tell(balancer.Outcome{ID: a.ID, Attempt: a.Attempt, Status: balancer.Cancelled, Closed: r.left})
+			d.tell(balancer.AttemptResult{ID: a.ID, Attempt: a.Attempt, Status: balancer.Cancelled, RequestClosed: r.left})
 			d.forget(a.ID, r)
 		}
-	case balancer.Grant:
+	case balancer.Admit:
 		if d.Sent != nil {
 			d.Sent(d.open[a.ID])
 		}
 		d.end(a.ID, d.open[a.ID], Served)
 		d.forget(a.ID, d.open[a.ID])
-	case balancer.Refuse:
+	case balancer.Reject:
 		if r := d.open[a.ID]; r != nil {
-			r.Pause = a.Pause
+			r.Pause = a.RetryAfter
 		}
 		d.end(a.ID, d.open[a.ID], Refused)
 		d.forget(a.ID, d.open[a.ID])
 	case balancer.Fail:
 		d.end(a.ID, d.open[a.ID], Failed)
 		d.forget(a.ID, d.open[a.ID])
-	case balancer.Probe:
+	case balancer.HealthCheck:
 		status, takes := balancer.OK, time.Millisecond
-		if b := w.Backends[a.Backend]; b != nil {
+		if b := w.Backends[a.Endpoint]; b != nil {
 			if status, takes = b.probed(); status == balancer.Timeout {
 				takes = probeTimeout
 			}
 		}
-		w.After(takes, d.here(func() { d.tell(balancer.Probed{Backend: a.Backend, Status: status}) }))
-	case balancer.Count:
+		w.After(takes, d.here(func() { d.tell(balancer.HealthCheckResult{Endpoint: a.Endpoint, Status: status}) }))
+	case balancer.CounterAdd:
 		life := d.life
 		w.Counter.add(a, d.set.CounterTimeout, func(c balancer.Event) {
 			if d.life == life {
@@ -362,7 +362,7 @@
 			}
 		})
 	case balancer.SetTimer:
-		w.At(a.At-d.Skew, d.here(func() { d.tell(balancer.Timer{Cookie: a.Cookie}) }))
+		w.At(a.At-d.Skew, d.here(func() { d.tell(balancer.TimerFired{Cookie: a.Cookie}) }))
 	}
 }
 
@@ -372,7 +372,7 @@
 )
 
 // send carries an attempt to a Backend and its reply back.
-func (d *Door) send(a balancer.Send, r *Request, no int, b *Backend) {
+func (d *Door) send(a balancer.Dispatch, r *Request, no int, b *Backend) {
 	w := d.w
 	if d.Attempted != nil {
 		d.Attempted(r, b.Name)
@@ -389,7 +389,7 @@
 		}
 		ended = true
 		delete(r.ends, no)
-		o := balancer.Outcome{ID: a.ID, Attempt: no, Backend: b.Name, Status: status, Latency: w.Now - at, Closed: status == balancer.OK || r.left}
+		o := balancer.AttemptResult{ID: a.ID, Attempt: no, Endpoint: b.Name, Status: status, Latency: w.Now - at, RequestClosed: status == balancer.OK || r.left}
 		if status == balancer.OK {
 			d.end(a.ID, r, Served)
 		}
@@ -422,7 +422,7 @@
 				w.queue.Remove(limit)
 				switch {
 				case reply == TurnedAway:
-					end(balancer.Full)
+					end(balancer.Rejected)
 				case reply == Broken && down:
 					end(balancer.ConnectFailed)
 				case reply == Broken:
--- a/internal/upstream/hold_test.go
+++ b/internal/upstream/hold_test.go
@@ -27,10 +27,10 @@
 	refused := func(when string) {
 		t.Helper()
 		try(t, f)
-		wantOutcome(t, f, balancer.Moot)
+		wantOutcome(t, f, balancer.NotSent)
 		f.probed = nil
 		f.pool.Probe("s-0")
-		if len(f.probed) != 1 || f.probed[0].Status != balancer.Moot {
+		if len(f.probed) != 1 || f.probed[0].Status != balancer.NotSent {
 			t.Errorf("%s: probed %+v", when, f.probed)
 		}
 	}
@@ -43,7 +43,7 @@
 	f.pool.Hold("s-0", false)
 	a := try(t, f) // waits for its connection
 	f.pool.Hold("s-0", true)
-	wantOutcome(t, f, balancer.Moot)
+	wantOutcome(t, f, balancer.NotSent)
 	if !a.ended {
 		t.Error("it still waits")
 	}
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -153,14 +153,14 @@
 type Pool struct {
 	l      *eventloop.Loop
 	cfg    Config
-	probes func(balancer.Probed)
+	probes func(balancer.HealthCheckResult)
 	all    map[string]*backend
 	held   map[string]bool // backends that nothing may be sent to, whatever the list says
 	count  int             // connections, those being dialled too
 }
 
 // New makes an empty pool. The results of probes go to the function, by the loop goroutine.
-func New(l *eventloop.Loop, cfg Config, probes func(balancer.Probed)) *Pool {
+func New(l *eventloop.Loop, cfg Config, probes func(balancer.HealthCheckResult)) *Pool {
 	return &Pool{l: l, cfg: cfg, probes: probes, all: map[string]*backend{}, held: map[string]bool{}}
 }
 
@@ -178,14 +178,14 @@
 }
 
 // Listed takes what the list says of one backend.
-func (bs *Pool) Listed(e balancer.Backend, addr string) {
+func (bs *Pool) Listed(e balancer.Endpoint, addr string) {
 	b := bs.all[e.Name]
 	if b == nil {
 		b = &backend{name: e.Name, conns: map[*conn]bool{}}
 		bs.all[e.Name] = b
 	}
-	if b.addr != addr || b.started != e.Started { // another process: no old connection leads to it
-		b.addr, b.started = addr, e.Started
+	if b.addr != addr || b.started != e.StartedAt { // another process: no old connection leads to it
+		b.addr, b.started = addr, e.StartedAt
 		b.era++ // what is busy is closed with its answer
 		if b.cap != nil {
 			b.cap.Leave()
@@ -196,7 +196,7 @@
 		bs.closeIdle(b, bs.l.Now())
 		bs.dropDialled(b)
 	}
-	b.told = e.State == balancer.InService
+	b.told = e.State == balancer.Serving
 	if b.listed = b.told && !bs.held[e.Name]; !b.listed {
 		bs.retire(b)
 	}
@@ -249,7 +249,7 @@
 func (bs *Pool) dropDialled(b *backend) {
 	for c := range b.conns {
 		if c.nc == nil {
-			bs.drop(c, balancer.Moot)
+			bs.drop(c, balancer.NotSent)
 		}
 	}
 }
@@ -333,12 +333,12 @@
 func (bs *Pool) Send(a *Attempt) {
 	b := bs.all[a.Backend]
 	if b == nil || !b.listed {
-		a.End(balancer.Moot)
+		a.End(balancer.NotSent)
 		return
 	}
 	c := bs.take(b)
 	if c == nil {
-		a.End(balancer.Moot) // for want of sockets here, which is no fault of the backend
+		a.End(balancer.NotSent) // for want of sockets here, which is no fault of the backend
 		return
 	}
 	c.attempt, a.conn = a, c
@@ -362,7 +362,7 @@
 func (bs *Pool) tooLate(c *conn) {
 	switch c.sent.Load() {
 	case unsent:
-		bs.drop(c, balancer.Moot)
+		bs.drop(c, balancer.NotSent)
 	case sending:
 		bs.drop(c, balancer.Reset)
 	}
@@ -465,7 +465,7 @@
 	}
 	status := balancer.Cancelled
 	if a.conn.sent.Load() == unsent {
-		status = balancer.Moot
+		status = balancer.NotSent
 	}
 	bs.drop(a.conn, status)
 }
@@ -475,13 +475,13 @@
 	p := &probe{backend: name}
 	b := bs.all[name]
 	if b == nil || !b.listed {
-		bs.probed(p, balancer.Moot)
+		bs.probed(p, balancer.NotSent)
 		return
 	}
 	bs.closeIdle(b, bs.l.Now()) // a probe is to tell whether the backend can be reached anew
 	c := bs.take(b)
 	if c == nil {
-		bs.probed(p, balancer.Moot)
+		bs.probed(p, balancer.NotSent)
 		return
 	}
 	c.probe = p
@@ -490,7 +490,7 @@
 
 func (bs *Pool) probed(p *probe, status balancer.Status) {
 	p.timeout.Stop()
-	bs.probes(balancer.Probed{Backend: p.backend, Status: status})
+	bs.probes(balancer.HealthCheckResult{Endpoint: p.backend, Status: status})
 }
 
 // run dials and then reads answers until the connection ends.
@@ -686,7 +686,7 @@
 		r := reply{status: balancer.Failed}
 		switch word, _, _ := bytes.Cut(m.Data, []byte{' '}); string(word) {
 		case "BUSY":
-			r.status = balancer.Full
+			r.status = balancer.Rejected
 		case "ERR":
 		default:
 			r.odd = true
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -22,9 +22,9 @@
 		"*3\r\n$0\r\n\r\n$-1\r\n$-1\r\n":                     {status: balancer.OK, value: []byte("$0\r\n\r\n")},
 		"-ERR failed\r\n":                                    {status: balancer.Failed},
 		"-ERR failed used=0 inflight=7\r\n":                  {status: balancer.Failed, used: 1},
-		"-BUSY cost=1,used=120\r\n":                          {status: balancer.Full, used: 121},
+		"-BUSY cost=1,used=120\r\n":                          {status: balancer.Rejected, used: 121},
 		"-ER\x00 x used=3\r\n":                               {status: balancer.Failed, odd: true, used: 4},
-		"-BUSY\r\n":                                          {status: balancer.Full},
+		"-BUSY\r\n":                                          {status: balancer.Rejected},
 		"+PONG\r\n":                                          {status: balancer.OK, odd: true, pong: true},
 		"*1\r\n$-1\r\n":                                      {status: balancer.Failed, odd: true},
 		"*0\r\n":                                             {status: balancer.Failed, odd: true},
@@ -43,7 +43,7 @@
 	*eventloop.Loop
 	pool   *Pool
 	events []balancer.Status // outcomes
-	probed []balancer.Probed
+	probed []balancer.HealthCheckResult
 	sink   *sink // of long values; nil: nobody wants them
 }
 
@@ -65,9 +65,9 @@
 	t.Helper()
 	f := &rig{Loop: eventloop.New()}
 	f.pool = New(f.Loop, Config{Most: 400, DialTimeout: 5 * time.Second, Idle: 30 * time.Second},
-		func(p balancer.Probed) { f.probed = append(f.probed, p) })
+		func(p balancer.HealthCheckResult) { f.probed = append(f.probed, p) })
 	for _, e := range entries(addrs...) {
-		f.pool.Listed(e.Backend, e.Addr)
+		f.pool.Listed(e.Endpoint, e.Addr)
 	}
 	t.Cleanup(f.Close)
 	return f
@@ -75,7 +75,7 @@
 
 func entries(addrs ...string) (all []endpoint.Entry) {
 	for i, a := range addrs {
-		all = append(all, endpoint.Entry{Backend: balancer.Backend{Name: fmt.Sprint("s-", i), Weight: 1}, Addr: a})
+		all = append(all, endpoint.Entry{Endpoint: balancer.Endpoint{Name: fmt.Sprint("s-", i), Weight: 1}, Addr: a})
 	}
 	return all
 }
@@ -84,7 +84,7 @@
 func (f *rig) whole(addrs ...string) {
 	list := entries(addrs...)
 	for _, e := range list {
-		f.pool.Listed(e.Backend, e.Addr)
+		f.pool.Listed(e.Endpoint, e.Addr)
 	}
 	f.pool.KeepOnly(list)
 }
@@ -118,7 +118,7 @@
 		"length":  {balancer.Failed, func(f *rig, a *Attempt, b *peer.Peer) { b.Write("*1\r\n$3000000000\r\nx") }},
 		"short":   {balancer.Failed, func(f *rig, a *Attempt, b *peer.Peer) { b.Write("*1\r\n$20\r\nx\r\n") }}, // and no more
 		"line":    {balancer.Failed, func(f *rig, a *Attempt, b *peer.Peer) { b.Write("-OOPS\r\n") }},
-		"full":    {balancer.Full, func(f *rig, a *Attempt, b *peer.Peer) { b.Write("-BUSY\r\n") }},
+		"full":    {balancer.Rejected, func(f *rig, a *Attempt, b *peer.Peer) { b.Write("-BUSY\r\n") }},
 		"served":  {balancer.OK, func(f *rig, a *Attempt, b *peer.Peer) { b.Write("*1\r\n$1\r\nx\r\n") }},
 	}
 	for name, end := range ends {
@@ -140,7 +140,7 @@
 			f.RunDue(a.Until)
 			conn.ended()
 			wantOutcome(t, f, end.want)
-			if end.want != balancer.Full && end.want != balancer.OK {
+			if end.want != balancer.Rejected && end.want != balancer.OK {
 				b.WantsEnd()
 			}
 		})
@@ -152,8 +152,8 @@
 func TestPendingDialIsNotWritten(t *testing.T) {
 	for name, end := range map[string]func(f *rig, a *Attempt){
 		"drain": func(f *rig, a *Attempt) {
-			b := entries("")[0].Backend
-			b.State = balancer.Terminating
+			b := entries("")[0].Endpoint
+			b.State = balancer.Draining
 			f.pool.Listed(b, f.pool.all["s-0"].addr)
 		},
 		"left out": func(f *rig, a *Attempt) { f.whole() },
@@ -166,7 +166,7 @@
 			a := try(t, f)
 			b := peer.Accept(t, ln) // the connection is up, but the loop has not heard of it
 			end(f, a)
-			wantOutcome(t, f, balancer.Moot)
+			wantOutcome(t, f, balancer.NotSent)
 			ended := make(chan struct{})
 			go func() {
 				defer close(ended)
@@ -195,7 +195,7 @@
 	p.Message()
 	other := &Attempt{Backend: "s-1", Until: a.Until, Owner: owner{f}}
 	f.pool.Send(other)
-	wantOutcome(t, f, balancer.Moot)
+	wantOutcome(t, f, balancer.NotSent)
 	for c := a.conn; c.sent.Load() != whole; {
 		time.Sleep(time.Millisecond)
 	}
@@ -224,8 +224,8 @@
 		func() { f.pool.silent(b, f.Now()) },
 		func() {
 			e := entries(b.addr)[0]
-			e.Started = 5 * time.Millisecond
-			f.pool.Listed(e.Backend, e.Addr)
+			e.StartedAt = 5 * time.Millisecond
+			f.pool.Listed(e.Endpoint, e.Addr)
 		},
 	} {
 		a := try(t, f)
@@ -308,7 +308,7 @@
 	a = try(t, f)
 	dialling := a.conn
 	f.whole(ln.Addr().String()) // it moves while it is being dialled
-	wantOutcome(t, f, balancer.Moot)
+	wantOutcome(t, f, balancer.NotSent)
 	if !dialling.closed {
 		t.Error("the dial to the old address goes on")
 	}
--- a/internal/upstream/window_test.go
+++ b/internal/upstream/window_test.go
@@ -23,7 +23,7 @@
 		for end := time.Now().Add(peer.Patient); len(f.events) == 0 && time.Now().Before(end); {
 			f.Wait(10*time.Millisecond, nil)
 		}
-		wantOutcome(t, f, balancer.Moot)
+		wantOutcome(t, f, balancer.NotSent)
 		if b := let(1500 * time.Millisecond); b != nil {
 			b.WantsEnd()
 		}
@@ -51,7 +51,7 @@
 		b := peer.Accept(t, ln)
 		time.Sleep(60 * time.Millisecond) // no task and no timer has been run
 		peer.Pump(t, f.Loop, func() bool { return len(f.events) > 0 })
-		wantOutcome(t, f, balancer.Moot)
+		wantOutcome(t, f, balancer.NotSent)
 		b.WantsEnd()
 	})
 	t.Run("half written", func(t *testing.T) {
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -45,10 +45,10 @@
 	return v
 }
 
-var effects = map[string]balancer.Effect{"safe": balancer.Safe, "keyed": balancer.Keyed, "unsafe": balancer.Unsafe}
+var effects = map[string]balancer.Idempotency{"safe": balancer.Idempotent, "keyed": balancer.IdempotentByKey, "unsafe": balancer.NonIdempotent}
 
-var groups = map[string]balancer.Group{"all": balancer.GroupAll, "zone": balancer.GroupZone,
-	"cell": balancer.GroupCell, "": balancer.GroupAll, "none": balancer.GroupAll, "-": balancer.GroupAll}
+var groups = map[string]balancer.DedupScope{"all": balancer.DedupAll, "zone": balancer.DedupZone,
+	"cell": balancer.DedupCell, "": balancer.DedupAll, "none": balancer.DedupAll, "-": balancer.DedupAll}
 
 var discoveries = map[string]bool{"pushed": false, "on_request": true}
 
@@ -69,35 +69,35 @@
 func Settings(m map[string]string) (balancer.Settings, error) {
 	p := &pairs{m: m}
 	set := balancer.Settings{
-		Doors: p.int("peers-total"), Rank: p.int("rank"), Zone: p.int("locality"),
+		Gateways: p.int("peers-total"), Index: p.int("rank"), Zone: p.int("locality"),
 		Resolution: p.micros("resolution-us"), MaxAttempts: p.int("limits.max-attempts"),
-		SecondCopies: p.bool("limits.second-copies"), MayCancel: p.bool("limits.cancel"),
-		MayProbe: p.bool("limits.may-probe"), RetryAfter: p.bool("limits.retry-after"),
-		MaxRetryAfter: p.micros("limits.max-retry-after-us"), OnRequest: word(p, "discovery", discoveries),
-		AskEvery: p.micros("obligations.ask-every-us"), AnswerSlack: p.micros("obligations.answer-slack-us"),
-		StopSendingWithin: p.micros("obligations.stop-sending-within-us"),
-		FallMultiple:      p.float("obligations.fall-multiple"), FallWindow: p.micros("obligations.fall-us"),
-		ColdFrom: p.float("obligations.cold-from"), WarmWithin: p.micros("obligations.warm-within-us"),
-		Counter:        p.bool("specifics.shared-counter"),
-		CounterTimeout: p.micros("specifics.counter-timeout-us"), CounterFee: p.float("specifics.count-fee"),
-		CrossZone: p.float("charges.cross-zone"),
-		MaxUnits:  p.float("specifics.max-units"), TruedUp: p.bool("specifics.trued-up"),
+		AllowHedging: p.bool("limits.second-copies"), AllowCancel: p.bool("limits.cancel"),
+		AllowHealthChecks: p.bool("limits.may-probe"), SendRetryAfter: p.bool("limits.retry-after"),
+		MaxRetryAfter: p.micros("limits.max-retry-after-us"), PollEndpoints: word(p, "discovery", discoveries),
+		PollInterval: p.micros("obligations.ask-every-us"), DeadlineSlack: p.micros("obligations.answer-slack-us"),
+		DrainGrace:       p.micros("obligations.stop-sending-within-us"),
+		OverloadMultiple: p.float("obligations.fall-multiple"), OverloadWindow: p.micros("obligations.fall-us"),
+		SlowStartCapacity: p.float("obligations.cold-from"), SlowStartDuration: p.micros("obligations.warm-within-us"),
+		UseCounter:     p.bool("specifics.shared-counter"),
+		CounterTimeout: p.micros("specifics.counter-timeout-us"), CounterCallCost: p.float("specifics.count-fee"),
+		CrossZoneCost:   p.float("charges.cross-zone"),
+		MaxRequestUnits: p.float("specifics.max-units"), EstimatedUnits: p.bool("specifics.trued-up"),
 	}
 	for i := range p.int("classes.count") {
 		k := fmt.Sprintf("classes.%d.", i)
 		set.Classes = append(set.Classes, balancer.Class{
-			Worth: p.float(k + "worth"), LateWorth: p.float(k + "late-worth"), Aim: p.micros(k + "target-us"),
-			GiveUp: p.micros(k + "give-up-us"), Effect: word(p, k+"effect", effects),
-			Group: word(p, k+"group", groups), Window: p.micros(k + "window-us"), Stream: p.bool(k + "stream"),
+			PriorityWeight: p.float(k + "worth"), LateWeightFraction: p.float(k + "late-worth"), LatencyObjective: p.micros(k + "target-us"),
+			ClientTimeout: p.micros(k + "give-up-us"), Idempotency: word(p, k+"effect", effects),
+			DedupScope: word(p, k+"group", groups), DedupWindow: p.micros(k + "window-us"), Streaming: p.bool(k + "stream"),
 		})
 	}
 	for i := range p.int("tiers-of-service.count") {
 		k := fmt.Sprintf("tiers-of-service.%d.", i)
 		set.Plans = append(set.Plans, balancer.Plan{
-			Rate: p.float(k + "units-per-s"), Burst: p.float(k + "most-at-once"), AtOnce: p.int(k + "at-once"),
-			Factor: p.float(k + "value-factor"), OverWorth: p.float(k + "extra-worth"),
-			OverCost: p.float(k + "over-cost"), CeilingRate: p.float(k + "never-over-rate"),
-			CeilingDepth: p.float(k + "cap-depth"),
+			Rate: p.float(k + "units-per-s"), Burst: p.float(k + "most-at-once"), MaxInFlight: p.int(k + "at-once"),
+			PriorityFactor: p.float(k + "value-factor"), OverQuotaWeight: p.float(k + "extra-worth"),
+			OverQuotaCost: p.float(k + "over-cost"), CeilingRate: p.float(k + "never-over-rate"),
+			CeilingBurst: p.float(k + "cap-depth"),
 		})
 	}
 	return set, p.err
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -33,8 +33,8 @@
 // Reader reads batches.
 type Reader struct {
 	in    *bufio.Reader
-	lists map[int][]balancer.Backend
-	fill  []balancer.Backend // entries still to come belong to slot
+	lists map[int][]balancer.Endpoint
+	fill  []balancer.Endpoint // entries still to come belong to slot
 	slot  int
 	need  int
 	line  int
@@ -42,7 +42,7 @@
 
 // NewReader reads batches from r.
 func NewReader(r io.Reader) *Reader {
-	return &Reader{in: bufio.NewReaderSize(r, 1<<20), lists: map[int][]balancer.Backend{}}
+	return &Reader{in: bufio.NewReaderSize(r, 1<<20), lists: map[int][]balancer.Endpoint{}}
 }
 
 // Next returns the next batch; io.EOF at the end of input between two batches.
@@ -94,7 +94,7 @@
 		if r.need < 0 {
 			return false, fmt.Errorf("negative number of entries")
 		}
-		r.fill = make([]balancer.Backend, 0, min(r.need, 1<<16))
+		r.fill = make([]balancer.Endpoint, 0, min(r.need, 1<<16))
 		r.closeList()
 	case "BACKEND":
 		r.fill = append(r.fill, f.backend())
@@ -134,28 +134,28 @@
 		if !ok {
 			return it, fmt.Errorf("unknown scope")
 		}
-		ev := balancer.List{Scope: scope}
+		ev := balancer.EndpointUpdate{Kind: scope}
 		f.text()
-		if scope != balancer.ListFailed {
+		if scope != balancer.UpdateFailed {
 			if ev.Entries, ok = r.lists[f.int()]; !ok && f.err == nil {
 				return it, fmt.Errorf("unknown list")
 			}
 		}
 		it.Event = ev
 	case "ACCEPT":
-		ev := balancer.Request{ID: f.uint(), Class: f.int(), Plan: f.int(), Customer: f.text(), Left: f.micros()}
+		ev := balancer.Request{ID: f.uint(), Class: f.int(), Plan: f.int(), Customer: f.text(), TimeLeft: f.micros()}
 		ev.Units = f.optFloat(1)
-		ev.Doors = int(f.optUint(0))
+		ev.Gateways = int(f.optUint(0))
 		f.optUint(0)
-		ev.Retry = f.optUint(0)&2 != 0
+		ev.ClientRetry = f.optUint(0)&2 != 0
 		it.Event = ev
 	case "VERDICT":
-		ev := balancer.Outcome{ID: f.uint(), Attempt: f.int(), Backend: f.text(), Status: f.status()}
-		ev.Latency, ev.Closed = f.micros(), f.bool()
-		ev.Used, ev.Units = int(f.optUint(0)), f.optFloat(0)
+		ev := balancer.AttemptResult{ID: f.uint(), Attempt: f.int(), Endpoint: f.text(), Status: f.status()}
+		ev.Latency, ev.RequestClosed = f.micros(), f.bool()
+		ev.QuotaUsed, ev.Units = int(f.optUint(0)), f.optFloat(0)
 		it.Event = ev
 	case "COUNT_RESULT":
-		ev := balancer.Counted{Name: f.uint(), Status: f.status()}
+		ev := balancer.CounterResult{Name: f.uint(), Status: f.status()}
 		if ev.Status == balancer.OK {
 			ev.Total = f.float()
 		} else {
@@ -163,9 +163,9 @@
 		}
 		it.Event = ev
 	case "REMINDER":
-		it.Event = balancer.Timer{Cookie: f.uint()}
+		it.Event = balancer.TimerFired{Cookie: f.uint()}
 	case "ABORTED":
-		it.Event = balancer.Gone{ID: f.uint()}
+		it.Event = balancer.RequestDone{ID: f.uint()}
 	case "FIRST_BYTE":
 		id := f.uint()
 		f.text()
@@ -173,7 +173,7 @@
 	case "CHECKED":
 		f.micros()
 		st := f.status()
-		it.Event = balancer.Probed{Status: st, Backend: f.text()}
+		it.Event = balancer.HealthCheckResult{Status: st, Endpoint: f.text()}
 	case "FROM_PEER":
 		it.Event = balancer.Message{From: f.int()}
 	default:
@@ -182,11 +182,11 @@
 	return it, f.err
 }
 
-var scopes = map[string]balancer.Scope{"delta": balancer.Delta, "full": balancer.Whole,
-	"cached": balancer.Cached, "failed": balancer.ListFailed}
+var scopes = map[string]balancer.UpdateKind{"delta": balancer.Delta, "full": balancer.Snapshot,
+	"cached": balancer.CachedSnapshot, "failed": balancer.UpdateFailed}
 
-var states = map[string]balancer.State{"in_service": balancer.InService, "terminating": balancer.Terminating,
-	"terminated": balancer.Terminated}
+var states = map[string]balancer.EndpointState{"in_service": balancer.Serving, "terminating": balancer.Draining,
+	"terminated": balancer.Removed}
 
 // fields reads a line's parts in order and keeps the first error.
 type fields struct {
@@ -283,14 +283,14 @@
 
 func (f *fields) status() balancer.Status {
 	v := f.int()
-	if v < int(balancer.Failed) || v > int(balancer.Moot) {
+	if v < int(balancer.Failed) || v > int(balancer.NotSent) {
 		f.fail("an outcome", strconv.Itoa(v))
 	}
 	return balancer.Status(v)
 }
 
-func (f *fields) backend() balancer.Backend {
-	b := balancer.Backend{Name: f.text(), Zone: f.int(), Kind: f.int(), Cell: f.int()}
+func (f *fields) backend() balancer.Endpoint {
+	b := balancer.Endpoint{Name: f.text(), Zone: f.int(), Kind: f.int(), Cell: f.int()}
 	s := f.text()
 	st, ok := states[s]
 	if !ok {
@@ -298,7 +298,7 @@
 	}
 	b.State, b.Weight = st, f.optFloat(1)
 	if !f.absent() {
-		b.Started = f.micros()
+		b.StartedAt = f.micros()
 	}
 	return b
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -45,19 +45,19 @@
 	}
 	it := got[0].Items
 	set := it[0].Settings
-	if set.Doors != 2 || set.Classes[0].Effect != balancer.Keyed || set.Classes[0].Group != balancer.GroupCell ||
-		set.Classes[0].Aim != 500*time.Millisecond || set.Plans[0].Rate != 1.9 || !set.MayCancel {
+	if set.Gateways != 2 || set.Classes[0].Idempotency != balancer.IdempotentByKey || set.Classes[0].DedupScope != balancer.DedupCell ||
+		set.Classes[0].LatencyObjective != 500*time.Millisecond || set.Plans[0].Rate != 1.9 || !set.AllowCancel {
 		t.Errorf("settings: %+v", set)
 	}
-	list := it[1].Event.(balancer.List)
-	if len(list.Entries) != 2 || list.Entries[1].State != balancer.Terminating ||
-		list.Entries[1].Started != 6100*time.Millisecond {
+	list := it[1].Event.(balancer.EndpointUpdate)
+	if len(list.Entries) != 2 || list.Entries[1].State != balancer.Draining ||
+		list.Entries[1].StartedAt != 6100*time.Millisecond {
 		t.Errorf("list: %+v", list)
 	}
-	if r := it[3].Event.(balancer.Request); r.Units != 1 || r.Doors != 0 {
+	if r := it[3].Event.(balancer.Request); r.Units != 1 || r.Gateways != 0 {
 		t.Errorf("left out fields: %+v", r)
 	}
-	if o := it[4].Event.(balancer.Outcome); o.Status != balancer.OK || !o.Closed || o.Used != 86 || o.Units != 3 {
+	if o := it[4].Event.(balancer.AttemptResult); o.Status != balancer.OK || !o.RequestClosed || o.QuotaUsed != 86 || o.Units != 3 {
 		t.Errorf("outcome: %+v", o)
 	}
 }
@@ -87,16 +87,16 @@
 
 func TestAppend(t *testing.T) {
 	for want, a := range map[string]balancer.Action{
-		"HAND_OFF d 7 80000 b:1\n":      balancer.Send{ID: 7, Backend: "b:1", Timeout: 80 * time.Millisecond},
-		"TURN_AWAY d 7 5000\n":          balancer.Refuse{ID: 7, Pause: 5 * time.Millisecond},
+		"HAND_OFF d 7 80000 b:1\n":      balancer.Dispatch{ID: 7, Endpoint: "b:1", Timeout: 80 * time.Millisecond},
+		"TURN_AWAY d 7 5000\n":          balancer.Reject{ID: 7, RetryAfter: 5 * time.Millisecond},
 		"SURRENDER d 7\n":               balancer.Fail{ID: 7},
-		"WITHDRAW d 7 1\n":              balancer.Cancel{ID: 7, Attempt: 1},
-		"SAMPLE d b:1\n":                balancer.Probe{Backend: "b:1"},
-		"CHARGE_COUNTER d 9 2.5 1000\n": balancer.Count{Name: 9, Amount: 2.5, Keep: time.Millisecond},
+		"WITHDRAW d 7 1\n":              balancer.CancelAttempt{ID: 7, Attempt: 1},
+		"SAMPLE d b:1\n":                balancer.HealthCheck{Endpoint: "b:1"},
+		"CHARGE_COUNTER d 9 2.5 1000\n": balancer.CounterAdd{Name: 9, Amount: 2.5, TTL: time.Millisecond},
 		"REMIND d 3000 5\n":             balancer.SetTimer{At: 3 * time.Millisecond, Cookie: 5},
-		"OBSERVE d 1\n":                 balancer.Watch{},
-		"PULL d\n":                      balancer.Fetch{},
-		"JOURNAL_LINE d hi you\n":       balancer.Log{Text: "hi you"},
+		"OBSERVE d 1\n":                 balancer.WatchEndpoints{},
+		"PULL d\n":                      balancer.FetchEndpoints{},
+		"JOURNAL_LINE d hi you\n":       balancer.LogLine{Text: "hi you"},
 	} {
 		if got := string(Append(nil, "d", a)); got != want {
 			t.Errorf("got %q, want %q", got, want)
