--- a/internal/balancer/bounds_test.go
+++ b/internal/balancer/bounds_test.go
@@ -10,7 +10,7 @@
 // Beside them it runs a function every tick.
 func storm(d *Balancer, from, to time.Duration, each int, beside func(at time.Duration)) (most int) {
 	id := uint64(1 << 32)
-	for at := from; at < to; at += tick {
+	for at := from; at < to; at += tickInterval {
 		evs := []Event{TimerFired{0}}
 		for range each {
 			id++
@@ -40,15 +40,15 @@
 	set.Plans[0], set.Plans[1] = Plan{Rate: 2, Burst: 8, PriorityFactor: 1}, Plan{PriorityFactor: 1, CeilingRate: 20, CeilingBurst: 40}
 	d := open(t, set, backends(3)...)
 	end := 200 * time.Second
-	if most := storm(d, 0, end, 100, nil); most > mostCustomers { // 5,000 a second
-		t.Errorf("%d customers are known, %d at most", most, mostCustomers)
+	if most := storm(d, 0, end, 100, nil); most > maxCustomers { // 5,000 a second
+		t.Errorf("%d customers are known, %d at most", most, maxCustomers)
 	}
-	if len(d.order) != len(d.customers) {
-		t.Errorf("%d in the order, %d known", len(d.order), len(d.customers))
+	if len(d.customerOrder) != len(d.customers) {
+		t.Errorf("%d in the order, %d known", len(d.customerOrder), len(d.customers))
 	}
-	storm(d, end, end+forgetAfter+20*time.Second, 0, nil)
-	if len(d.customers) > 0 || len(d.reqs) > 0 {
-		t.Errorf("%d customers and %d requests are left", len(d.customers), len(d.reqs))
+	storm(d, end, end+customerTTL+20*time.Second, 0, nil)
+	if len(d.customers) > 0 || len(d.requests) > 0 {
+		t.Errorf("%d customers and %d requests are left", len(d.customers), len(d.requests))
 	}
 }
 
--- a/internal/balancer/causes_test.go
+++ b/internal/balancer/causes_test.go
@@ -29,8 +29,8 @@
 			d.Step(now+took, []Event{served(s, 0, took)})
 		}
 	}
-	if d.learned[0].floor < 0.06 {
-		t.Errorf("an idle fleet is taken to answer in %.0f ms; all but the first answer took 80", 1000*d.learned[0].floor)
+	if d.classes[0].idleLatency < 0.06 {
+		t.Errorf("an idle fleet is taken to answer in %.0f ms; all but the first answer took 80", 1000*d.classes[0].idleLatency)
 	}
 }
 
@@ -43,17 +43,17 @@
 	if len(only[CancelAttempt](acts)) != 1 || len(only[Reject](acts)) != 1 {
 		t.Fatalf("at the end of its time: %v", acts)
 	}
-	slots := d.servers[s.Endpoint].slots
+	slots := d.endpoints[s.Endpoint].concurrencyLimit
 	d.Step(end, []Event{AttemptResult{ID: 1, Endpoint: s.Endpoint, Status: Cancelled, Latency: end, RequestClosed: true}})
-	if b := d.servers[s.Endpoint]; b.slots >= slots || b.lost != 1 || b.slow <= 1 {
-		t.Errorf("slots %v of %v, %d answers owed, slowness %v: nothing was learned of a server that took too long", b.slots, slots, b.lost, b.slow)
+	if b := d.endpoints[s.Endpoint]; b.concurrencyLimit >= slots || b.timeouts != 1 || b.latencyFactor <= 1 {
+		t.Errorf("slots %v of %v, %d answers owed, slowness %v: nothing was learned of a server that took too long", b.concurrencyLimit, slots, b.timeouts, b.latencyFactor)
 	}
 	// One that its client gave up early says nothing of the server.
 	s = only[Dispatch](d.Step(end+ms, []Event{ask(2, 0, 2)}))[0]
 	d.Step(end+5*ms, []Event{RequestDone{2}})
-	was := *d.servers[s.Endpoint]
+	was := *d.endpoints[s.Endpoint]
 	d.Step(end+5*ms, []Event{AttemptResult{ID: 2, Endpoint: s.Endpoint, Status: Cancelled, Latency: 4 * ms, RequestClosed: true}})
-	if b := d.servers[s.Endpoint]; b.slots != was.slots || b.lost != was.lost {
+	if b := d.endpoints[s.Endpoint]; b.concurrencyLimit != was.concurrencyLimit || b.timeouts != was.timeouts {
 		t.Error("a client that left is held against the server")
 	}
 }
@@ -71,8 +71,8 @@
 		for i := range uint64(100) {
 			d.Step(time.Second, []Event{ask(i, class, 0)})
 		}
-		for _, r := range d.reqs {
-			if r.out == 0 {
+		for _, r := range d.requests {
+			if r.attemptsOut == 0 {
 				n++
 			}
 		}
@@ -93,9 +93,9 @@
 		n := 0
 		for i := range uint64(400) {
 			now := time.Duration(i) * 5 * ms
-			d.short = short
+			d.shortage = short
 			for _, s := range only[Dispatch](d.Step(now, []Event{ask(i, 0, 1)})) {
-				if d.reqs[i].level == lowest {
+				if d.requests[i].level == lowestLevel {
 					n++
 				}
 				d.Step(now+4*ms, []Event{served(s, 0, 4*ms)})
@@ -117,20 +117,20 @@
 	for i := range uint64(60) { // nothing is answered
 		d.Step(time.Second, []Event{ask(i, 0, 0)})
 	}
-	high := d.short
+	high := d.shortage
 	if high < 0.3 {
 		t.Fatalf("%.2f of the paid requests are taken to find no place, while the one server answers nothing", high)
 	}
 	d = open(t, set, backends(1)...)
-	d.short = high
+	d.shortage = high
 	for i := range uint64(200) {
 		now := time.Duration(i) * 20 * ms
 		for _, s := range only[Dispatch](d.Step(now, []Event{ask(i, 0, 0)})) {
 			d.Step(now+5*ms, []Event{served(s, 0, 5*ms)})
 		}
 	}
-	if d.short > high/5 {
-		t.Errorf("%.2f, and %.2f after two hundred that all found a place", high, d.short)
+	if d.shortage > high/5 {
+		t.Errorf("%.2f, and %.2f after two hundred that all found a place", high, d.shortage)
 	}
 }
 
@@ -149,24 +149,24 @@
 	if len(names) != 5 {
 		t.Fatalf("%d customers call", len(names))
 	}
-	before := d.callShare
+	before := d.callFraction
 	var all []Event
 	for name := range names {
 		all = append(all, CounterResult{Name: name, Status: Timeout})
 	}
 	d.Step(now+50*ms, all)
-	if want := before * callsCut; d.callShare != want {
-		t.Errorf("the part that calls is %v after five calls that ended together; want %v as after one", d.callShare, want)
+	if want := before * callFractionDecrease; d.callFraction != want {
+		t.Errorf("the part that calls is %v after five calls that ended together; want %v as after one", d.callFraction, want)
 	}
 	c := d.customers["a"]
-	c.pauseUntil, c.emptyUntil, c.spare, d.callShare = 0, 0, 0, 1
+	c.callsPausedUntil, c.storeEmptyUntil, c.fallbackTokens, d.callFraction = 0, 0, 0, 1
 	again := only[CounterAdd](d.Step(now+60*ms, []Event{func() Request { r := ask(900, 0, 0); r.Customer = "a"; return r }()}))
 	if len(again) != 1 {
 		t.Fatalf("%d calls after that", len(again))
 	}
 	d.Step(now+110*ms, []Event{CounterResult{Name: again[0].Name, Status: Timeout}})
-	if d.callShare != callsCut {
-		t.Errorf("a later failure does not count: %v", d.callShare)
+	if d.callFraction != callFractionDecrease {
+		t.Errorf("a later failure does not count: %v", d.callFraction)
 	}
 }
 
@@ -179,13 +179,13 @@
 		now := time.Second
 		d.Step(now, []Event{ask(1, 0, 0)})
 		c := d.customers["c"]
-		c.known, c.spare, c.tokens, c.demand = true, 0, 0, 10
-		c.store, c.storeAt = full*400, now
+		c.storeKnown, c.fallbackTokens, c.tokens, c.demand = true, 0, 0, 10
+		c.storeLevel, c.storeLevelAt = full*400, now
 		calls := only[CounterAdd](d.Step(now+ms, []Event{ask(2, 0, 0)}))
 		if len(calls) != 1 {
 			t.Fatalf("%d calls", len(calls))
 		}
-		return calls[0].Amount - c.owed
+		return calls[0].Amount - c.debt
 	}
 	free, dear, scarce := block(0, 1), block(0.02, 1), block(0.02, 0.5)
 	if dear < 3*free || scarce > free+1 {
@@ -234,12 +234,12 @@
 		d.Step(now, []Event{ask(1, 0, 0)})
 		d.now = now + 100*ms
 		c := d.customers["c"]
-		c.known, c.store, c.storeAt, c.tokens, c.owed = true, held, now, 0, 0
-		k := &call{c: c, block: 3, amount: 3, window: int64(d.now / windowLen), at: d.now}
-		d.acts = d.acts[:0]
-		d.grant(k, 10+5*(d.now%windowLen).Seconds()-held+3, d.now)
-		back := c.owed
-		for _, a := range only[CounterAdd](d.acts) {
+		c.storeKnown, c.storeLevel, c.storeLevelAt, c.tokens, c.debt = true, held, now, 0, 0
+		k := &counterCall{customer: c, block: 3, amount: 3, window: int64(d.now / counterWindow), sentAt: d.now}
+		d.actions = d.actions[:0]
+		d.creditLease(k, 10+5*(d.now%counterWindow).Seconds()-held+3, d.now)
+		back := c.debt
+		for _, a := range only[CounterAdd](d.actions) {
 			back += a.Amount
 		}
 		if c.tokens != want || back < want-3-1e-9 || back > want-3+1e-9 {
@@ -260,7 +260,7 @@
 		t.Fatalf("sent %+v", sent)
 	}
 	again := only[Dispatch](d.Step(now+100*ms, []Event{AttemptResult{ID: 1, Attempt: 0, Endpoint: sent[0].Endpoint, Status: Reset, Latency: 100 * ms}}))
-	if want := now + set.Classes[1].DedupWindow - repeatWay; len(again) != 1 || again[0].WriteBy != want {
+	if want := now + set.Classes[1].DedupWindow - retryWriteMargin; len(again) != 1 || again[0].WriteBy != want {
 		t.Fatalf("sent again %+v, want by %v", again, want)
 	}
 	// One that never ran may go at any time.
--- a/internal/balancer/door.go
+++ b/internal/balancer/door.go
@@ -19,294 +19,294 @@
 
 // Tuned values. Where no source is named, they are ours and were compared on simulated days only.
 const (
-	margin       = 0.9                     // f of EQ 3 and EQ 4 (the design page)
-	patience     = 0.5                     // share of tau*f that the open levels may be expected to take
-	joins        = 0.8                     // ... and that a request of the top level may on joining
-	bands        = 6                       // levels by worth ...
-	steps        = 2                       // ... and how many of them halve it
-	lowest       = 2 * bands               // level of what is beyond a soft quota; promoted bands come first
-	priorShare   = 0.1                     // latency before the first answer, as a share of the aim
-	baseGain     = 0.03                    // weight of an answer in a class's mean latency: a second's worth
-	slowGain     = 0.15                    // weight of an answer in a server's slowness against its peers
-	evidence     = 1.0                     // answers a second of each server that make what is known current
-	fleetOver    = 2.0                     // else the answers of all servers are averaged over these seconds ...
-	fleetMost    = 0.2                     // ... one weighing this at most ...
-	fleetWorst   = 4.0                     // ... and counting as this many of its class's means ...
-	fleetFull    = 6.0                     // ... a refusal by a server as these
-	thinFrom     = 0.4                     // part of tau*f that waiting in servers takes when some are refused
-	thinAll      = 0.8                     // ... and at which all are ...
-	thinMost     = 0.97                    // ... but for a few, whose answers tell when it is over
-	thinSlope    = 1.5                     // what the lowest level adds to that part, as a multiple
-	shortGain    = 0.02                    // weight of a request in the part that finds no free place ...
-	shortMost    = 2.0                     // ... and over how much of it nothing beyond a quota is sent
-	zoneLeast    = 1.05                    // what a server of another zone counts for in the choice ...
-	zoneCost     = 30.0                    // ... and by how much more, times the price of a crossing
-	slotsStart   = 4.0                     // slots of a server at first, over all doors
-	slotsMost    = 32.0                    // slots at most
-	slotsLeast   = 0.1                     // and at least: under one, pauses between sends
-	growBy       = 0.5                     // slots gained by each answer in time, over the slots
-	shrinkAbove  = 0.4                     // slots shrink when latency is over this share of tau*f ...
-	shrinkRatio  = 2.2                     // ... or this many times an idle fleet's latency, and grow ...
-	growShare    = 0.7                     // ... while it is under this share of both ("well under")
-	squeezed     = 3.0                     // slots over all doors at which waiting can't explain latency
-	floorAfter   = 30                      // answers from which a mean can be a floor
-	floorGain    = 0.015                   // weight of an answer by which the idle latency then rises
-	shrinkBy     = 0.93                    // factor for each late answer
-	lateBy       = 0.8                     // factor for an attempt out of time: it may still hold its place
-	fullBy       = 0.7                     // factor for a refusal or a broken connection
-	leaseAhead   = 1500 * time.Millisecond // demand that one lease should cover: few calls
-	atOnceRoom   = 0.5                     // attempts that other doors may have out beyond their mean
-	leaveLeast   = 0.01                    // part of the demand from which some of the ceiling is kept for leave
-	ceilWait     = 0.3                     // part of its time that a request waits for the ceiling's share
-	fullFrom     = 0.75                    // part of a store from which a lease may reach further ...
-	fullAhead    = 400 * time.Second       // ... by this, times what a call for each request costs ...
-	leaseFull    = 8 * time.Second         // ... but by no more than this
-	askAhead     = 300 * time.Millisecond  // demand the tokens left must cover, else the next is asked for
-	demandOver   = 2 * time.Second         // demand is averaged over this
-	leaseLife    = 3 * time.Second         // tokens not spent by then are given back with the next call
-	windowLen    = 30 * time.Second        // a counter's name serves this long ...
-	keepFor      = 50 * time.Second        // ... and is kept this long (the counter keeps nothing over 60 s)
-	mostAsks     = 32                      // counter calls out at once
-	standsFor    = 3.0                     // requests that one call of a thin customer stands for at most
-	callsLeast   = 0.1                     // part of the requests without tokens that call, at least
-	callTakes    = 0.7                     // part of its time-out that a call should take at most ...
-	callsGrow    = 0.2                     // ... else fewer call; growth of their part by an instant answer
-	callsCut     = 0.8                     // factor for each call failed
-	overfull     = 0.5                     // parts of a burst over its most at which a store is put right
-	carryLeast   = 0.05                    // ... and part of one from which it is carried into a window's number
-	emptyDoors   = 4.0                     // doors that an empty store serves in the time it gains a unit
-	emptyMost    = 8 * time.Second         // and no door waits longer than this to ask again
-	callsFew     = 0.2                     // part at which the counter is taken to be silent or swamped
-	counterTry   = 100 * time.Millisecond  // pause between calls that then test it, at least ...
-	counterEach  = 5 * time.Millisecond    // ... and for each door
-	aheadLeast   = 2.0                     // requests in a lease's life from which the next lease is asked ahead
-	tick         = 20 * time.Millisecond   // pace of the checks that no event brings
-	stalled      = 5 * tick                // a check that comes so late says that this door stood still
-	failsMost    = 3                       // broken connections in a row at which a server is left out
-	quietSum     = 12.0                    // waits of all attempts out, in latencies, that mean silence ...
-	quietLeast   = 200 * time.Millisecond  // and no silence is shorter than this
-	quietEach    = 5.0                     // ... one attempt adding no more (it may be a costly one)
-	trialFirst   = 400 * time.Millisecond  // pause before the first trial of an ejected server
-	trialMost    = 2 * time.Second         // and the longest later one
-	trialEach    = 50 * time.Millisecond   // ... and for each door
-	trialRoom    = 7.0                     // latencies of time that a request must have to serve as a trial ...
-	trialWait    = 4.0                     // ... and that the trial may take of it
-	restartTime  = 2 * time.Second         // a server silent for longer may have been started anew
-	rateOver     = 3.0                     // seconds over which the sends to a warm server are averaged
-	attachUse    = 2 * time.Second         // with few doors, a server back by hand is used within this
-	evidenceLost = 2                       // answers owed as which another door's word on a silence counts
-	forgetAfter  = 60 * time.Second        // an idle customer is forgotten
-	repeatWay    = 20 * time.Millisecond   // a repeat is written whole so long before its window ends
+	latencyHeadroomFraction     = 0.9                     // f of EQ 3 and EQ 4 (the design page)
+	queueShareOfDeadline        = 0.5                     // share of tau*f that the open levels may be expected to take
+	joinShareOfDeadline         = 0.8                     // ... and that a request of the top level may on joining
+	priorityBands               = 6                       // levels by worth ...
+	bandsPerHalving             = 2                       // ... and how many of them halve it
+	lowestLevel                 = 2 * priorityBands       // level of what is beyond a soft quota; promoted bands come first
+	initialLatencyFraction      = 0.1                     // latency before the first answer, as a share of the aim
+	meanLatencyGain             = 0.03                    // weight of an answer in a class's mean latency: a second's worth
+	latencyFactorGain           = 0.15                    // weight of an answer in a server's slowness against its peers
+	currentEvidenceRate         = 1.0                     // answers a second of each server that make what is known current
+	fleetSlowdownSeconds        = 2.0                     // else the answers of all servers are averaged over these seconds ...
+	fleetSlowdownMaxGain        = 0.2                     // ... one weighing this at most ...
+	fleetSlowdownMax            = 4.0                     // ... and counting as this many of its class's means ...
+	fleetSlowdownRejected       = 6.0                     // ... a refusal by a server as these
+	shedFromFraction            = 0.4                     // part of tau*f that waiting in servers takes when some are refused
+	shedAllFraction             = 0.8                     // ... and at which all are ...
+	shedMaxProbability          = 0.97                    // ... but for a few, whose answers tell when it is over
+	shedLevelSlope              = 1.5                     // what the lowest level adds to that part, as a multiple
+	shortageGain                = 0.02                    // weight of a request in the part that finds no free place ...
+	shortageShedFactor          = 2.0                     // ... and over how much of it nothing beyond a quota is sent
+	zonePenaltyMin              = 1.05                    // what a server of another zone counts for in the choice ...
+	zonePenaltyPerCost          = 30.0                    // ... and by how much more, times the price of a crossing
+	initialConcurrency          = 4.0                     // slots of a server at first, over all doors
+	maxConcurrency              = 32.0                    // slots at most
+	minConcurrency              = 0.1                     // and at least: under one, pauses between sends
+	concurrencyIncrease         = 0.5                     // slots gained by each answer in time, over the slots
+	shrinkDeadlineFraction      = 0.4                     // slots shrink when latency is over this share of tau*f ...
+	shrinkLatencyRatio          = 2.2                     // ... or this many times an idle fleet's latency, and grow ...
+	growLatencyFraction         = 0.7                     // ... while it is under this share of both ("well under")
+	minimalConcurrency          = 3.0                     // slots over all doors at which waiting can't explain latency
+	idleLatencyMinAnswers       = 30                      // answers from which a mean can be a floor
+	idleLatencyGain             = 0.015                   // weight of an answer by which the idle latency then rises
+	lateDecrease                = 0.93                    // factor for each late answer
+	timeoutDecrease             = 0.8                     // factor for an attempt out of time: it may still hold its place
+	rejectedDecrease            = 0.7                     // factor for a refusal or a broken connection
+	leaseHorizon                = 1500 * time.Millisecond // demand that one lease should cover: few calls
+	inFlightSlack               = 0.5                     // attempts that other doors may have out beyond their mean
+	minAdmitOnlyFraction        = 0.01                    // part of the demand from which some of the ceiling is kept for leave
+	maxCeilingWaitFraction      = 0.3                     // part of its time that a request waits for the ceiling's share
+	extraLeaseFromLevel         = 0.75                    // part of a store from which a lease may reach further ...
+	extraLeasePerCost           = 400 * time.Second       // ... by this, times what a call for each request costs ...
+	maxExtraLease               = 8 * time.Second         // ... but by no more than this
+	renewAhead                  = 300 * time.Millisecond  // demand the tokens left must cover, else the next is asked for
+	demandWindow                = 2 * time.Second         // demand is averaged over this
+	tokenLeaseTTL               = 3 * time.Second         // tokens not spent by then are given back with the next call
+	counterWindow               = 30 * time.Second        // a counter's name serves this long ...
+	counterTTL                  = 50 * time.Second        // ... and is kept this long (the counter keeps nothing over 60 s)
+	maxCallsOut                 = 32                      // counter calls out at once
+	maxRequestsPerCall          = 3.0                     // requests that one call of a thin customer stands for at most
+	minCallFraction             = 0.1                     // part of the requests without tokens that call, at least
+	callLatencyTarget           = 0.7                     // part of its time-out that a call should take at most ...
+	callFractionGrowth          = 0.2                     // ... else fewer call; growth of their part by an instant answer
+	callFractionDecrease        = 0.8                     // factor for each call failed
+	overfullFraction            = 0.5                     // parts of a burst over its most at which a store is put right
+	minCarryFraction            = 0.05                    // ... and part of one from which it is carried into a window's number
+	gatewaysPerRefill           = 4.0                     // doors that an empty store serves in the time it gains a unit
+	maxEmptyPause               = 8 * time.Second         // and no door waits longer than this to ask again
+	degradedCallFraction        = 0.2                     // part at which the counter is taken to be silent or swamped
+	counterProbePause           = 100 * time.Millisecond  // pause between calls that then test it, at least ...
+	counterProbePausePerGateway = 5 * time.Millisecond    // ... and for each door
+	minRenewRequests            = 2.0                     // requests in a lease's life from which the next lease is asked ahead
+	tickInterval                = 20 * time.Millisecond   // pace of the checks that no event brings
+	stallThreshold              = 5 * tickInterval        // a check that comes so late says that this door stood still
+	maxConnectionFailures       = 3                       // broken connections in a row at which a server is left out
+	silenceLatencies            = 12.0                    // waits of all attempts out, in latencies, that mean silence ...
+	minSilence                  = 200 * time.Millisecond  // and no silence is shorter than this
+	maxSilencePerAttempt        = 5.0                     // ... one attempt adding no more (it may be a costly one)
+	firstProbePause             = 400 * time.Millisecond  // pause before the first trial of an ejected server
+	maxProbePause               = 2 * time.Second         // and the longest later one
+	probePausePerGateway        = 50 * time.Millisecond   // ... and for each door
+	probeTimeLatencies          = 7.0                     // latencies of time that a request must have to serve as a trial ...
+	probeTimeoutLatencies       = 4.0                     // ... and that the trial may take of it
+	restartSilence              = 2 * time.Second         // a server silent for longer may have been started anew
+	warmRateSeconds             = 3.0                     // seconds over which the sends to a warm server are averaged
+	adminRestoreSpread          = 2 * time.Second         // with few doors, a server back by hand is used within this
+	reportedTimeouts            = 2                       // answers owed as which another door's word on a silence counts
+	customerTTL                 = 60 * time.Second        // an idle customer is forgotten
+	retryWriteMargin            = 20 * time.Millisecond   // a repeat is written whole so long before its window ends
 )
 
-// prime sets what a door takes for granted before it has seen anything.
-func (d *Balancer) prime() {
-	d.fleet = 1
-	if d.set.UseCounter {
-		d.callShare = 1
+// start sets what a door takes for granted before it has seen anything.
+func (d *Balancer) start() {
+	d.fleetSlowdown = 1
+	if d.settings.UseCounter {
+		d.callFraction = 1
 	}
-	d.act(SetTimer{d.now + tick, 0})
-	if d.set.PollEndpoints {
-		d.act(WatchEndpoints{})
+	d.emit(SetTimer{d.now + tickInterval, 0})
+	if d.settings.PollEndpoints {
+		d.emit(WatchEndpoints{})
 	}
 }
 
 // admit takes a request in. Its tau is the time left, bounded by the aim where a late answer earns nothing
 // (a departure: the paper knows one limit; here the client waits longer than the answer has worth).
 func (d *Balancer) admit(ev Request) {
-	if d.reqs[ev.ID] != nil {
+	if d.requests[ev.ID] != nil {
 		return
 	}
-	if ev.Class < 0 || ev.Class >= len(d.set.Classes) || ev.Plan < 0 || ev.Plan >= len(d.set.Plans) {
-		d.act(Reject{ID: ev.ID, Reason: UnknownClass})
+	if ev.Class < 0 || ev.Class >= len(d.settings.Classes) || ev.Plan < 0 || ev.Plan >= len(d.settings.Plans) {
+		d.emit(Reject{ID: ev.ID, Reason: UnknownClass})
 		return
 	}
-	if d.noPlace(ev) {
+	if d.rejectIfTableFull(ev) {
 		return
 	}
-	cl := &d.set.Classes[ev.Class]
-	r := &request{id: ev.ID, class: ev.Class, plan: ev.Plan, units: max(0, ev.Units), at: d.now, tau: ev.TimeLeft,
-		most: d.set.MaxAttempts, retry: ev.ClientRetry, grant: ev.AdmitOnly, hold: ev.HoldFor}
+	cl := &d.settings.Classes[ev.Class]
+	r := &request{id: ev.ID, class: ev.Class, plan: ev.Plan, units: max(0, ev.Units), arrivedAt: d.now, timeLimit: ev.TimeLeft,
+		maxAttempts: d.settings.MaxAttempts, clientRetry: ev.ClientRetry, admitOnly: ev.AdmitOnly, holdFor: ev.HoldFor}
 	if cl.LateWeightFraction == 0 && cl.LatencyObjective > 0 {
-		r.tau = min(r.tau, cl.LatencyObjective)
+		r.timeLimit = min(r.timeLimit, cl.LatencyObjective)
 	}
 	// What a door finds after it stood still has waited: first tries of a class have the same time at first.
-	d.learned[ev.Class].mostLeft = max(d.learned[ev.Class].mostLeft, ev.TimeLeft)
-	if d.now-d.lastAt > stalled && !ev.ClientRetry {
-		r.tau = min(r.tau, cl.LatencyObjective-min(d.now-d.lastAt, d.learned[ev.Class].mostLeft-ev.TimeLeft))
-	}
-	r.c, r.size = d.customer(ev), d.learned[ev.Class].size.Of(ev.Units)
-	d.reqs[r.id] = r
-	if r.tau.Seconds() <= d.latency(r, nil)/2 {
-		d.refuse(r, 0, InsufficientTime)
+	d.classes[ev.Class].maxTimeLeft = max(d.classes[ev.Class].maxTimeLeft, ev.TimeLeft)
+	if d.now-d.previousStepAt > stallThreshold && !ev.ClientRetry {
+		r.timeLimit = min(r.timeLimit, cl.LatencyObjective-min(d.now-d.previousStepAt, d.classes[ev.Class].maxTimeLeft-ev.TimeLeft))
+	}
+	r.customer, r.cost = d.customerFor(ev), d.classes[ev.Class].costProfile.Of(ev.Units)
+	d.requests[r.id] = r
+	if r.timeLimit.Seconds() <= d.expectedLatency(r, nil)/2 {
+		d.reject(r, 0, InsufficientTime)
 		return
 	}
-	if !r.grant { // a grant is given or refused now, but for the counter's answer
-		d.act(SetTimer{d.now + r.tau - d.set.Resolution, r.id<<1 | 1})
+	if !r.admitOnly { // a grant is given or refused now, but for the counter's answer
+		d.emit(SetTimer{d.now + r.timeLimit - d.settings.Resolution, r.id<<1 | 1})
 	}
-	r.c.usedAt = d.now
-	gap := (d.now - r.c.demandAt).Seconds() / demandOver.Seconds()
-	r.c.demand = r.c.demand*math.Exp(-gap) + r.units/demandOver.Seconds()
-	if r.c.leave *= math.Exp(-gap); r.grant {
-		r.c.leave += r.units / demandOver.Seconds()
+	r.customer.lastUsedAt = d.now
+	gap := (d.now - r.customer.demandAt).Seconds() / demandWindow.Seconds()
+	r.customer.demand = r.customer.demand*math.Exp(-gap) + r.units/demandWindow.Seconds()
+	if r.customer.admitOnlyDemand *= math.Exp(-gap); r.admitOnly {
+		r.customer.admitOnlyDemand += r.units / demandWindow.Seconds()
 	}
-	r.c.demandAt = d.now
+	r.customer.demandAt = d.now
 	// A line for the ceiling must stay short, or each that still goes out of it is nearly late; and what is
 	// worth less leaves the room to what is worth more. What asks for leave only has no line to join.
-	line := r.tau.Seconds() * ceilWait * cl.PriorityWeight / d.bestWorth
-	if r.grant {
+	line := r.timeLimit.Seconds() * maxCeilingWaitFraction * cl.PriorityWeight / d.maxClassWeight
+	if r.admitOnly {
 		line = 0
 	}
-	if fills := d.ceilingFills(r); fills > line {
-		d.refuse(r, time.Duration(fills*float64(time.Second)), CeilingExceeded)
+	if fills := d.ceilingWait(r); fills > line {
+		d.reject(r, time.Duration(fills*float64(time.Second)), CeilingExceeded)
 		return
 	}
-	if r.grant {
-		if v := d.pay(r); v != wait {
-			d.settle(r, v)
+	if r.admitOnly {
+		if v := d.checkQuota(r); v != quotaPending {
+			d.applyQuotaDecision(r, v)
 			return
 		}
 	}
-	r.c.waiting = append(r.c.waiting, r)
-	if r.grant {
-		r.c.grants++
-		d.act(SetTimer{d.now + r.tau - d.set.Resolution, r.id<<1 | 1})
+	r.customer.waiting = append(r.customer.waiting, r)
+	if r.admitOnly {
+		r.customer.admitOnlyWaiting++
+		d.emit(SetTimer{d.now + r.timeLimit - d.settings.Resolution, r.id<<1 | 1})
 	}
-	d.serve(r.c)
+	d.serveWaiting(r.customer)
 }
 
-// settle carries a verdict out. The request must have left its customer's line: this may serve others of it.
-func (d *Balancer) settle(r *request, v verdict) {
-	if v == beyond {
-		d.beyond(r)
+// applyQuotaDecision carries a verdict out. The request must have left its customer's line: this may serve others of it.
+func (d *Balancer) applyQuotaDecision(r *request, v quotaDecision) {
+	if v == quotaExceeded {
+		d.handleOverQuota(r)
 	} else {
-		d.place(r)
+		d.assign(r)
 	}
 }
 
-// serve decides for a customer's requests in the order they came, until one has to wait: for the counter's
+// serveWaiting decides for a customer's requests in the order they came, until one has to wait: for the counter's
 // answer, for one of the customer's attempts to end, or for the ceiling's share to fill.
-func (d *Balancer) serve(c *customer) {
+func (d *Balancer) serveWaiting(c *customer) {
 	for len(c.waiting) > 0 {
 		r := c.waiting[0]
 		if r.ended {
-			c.shift(r)
+			c.popWaiting(r)
 			continue
 		}
-		v := d.pay(r)
-		if v == wait {
+		v := d.checkQuota(r)
+		if v == quotaPending {
 			break
 		}
-		c.shift(r)
-		d.settle(r, v)
+		c.popWaiting(r)
+		d.applyQuotaDecision(r, v)
 	}
-	d.serveGrants(c)
-	if len(c.waiting) > 0 && !c.listed {
-		c.listed = true
-		d.waiters = append(d.waiters, c)
+	d.serveAdmitOnly(c)
+	if len(c.waiting) > 0 && !c.inWaitingList {
+		c.inWaitingList = true
+		d.waitingCustomers = append(d.waitingCustomers, c)
 	}
 }
 
-// serveGrants decides for what asks for leave only, past those that wait for the ceiling's share or for an
+// serveAdmitOnly decides for what asks for leave only, past those that wait for the ceiling's share or for an
 // attempt to end: it waits for nothing but the counter (ours: a proxy's own client is held up by it).
-func (d *Balancer) serveGrants(c *customer) {
-	for i := 0; i < len(c.waiting) && c.grants > 0; i++ {
+func (d *Balancer) serveAdmitOnly(c *customer) {
+	for i := 0; i < len(c.waiting) && c.admitOnlyWaiting > 0; i++ {
 		r := c.waiting[i]
-		if !r.grant {
+		if !r.admitOnly {
 			continue
 		}
-		v := wait
+		v := quotaPending
 		if !r.ended {
-			if v = d.pay(r); v == wait {
+			if v = d.checkQuota(r); v == quotaPending {
 				continue
 			}
 		}
 		c.waiting = slices.Delete(c.waiting, i, i+1)
-		c.grants--
+		c.admitOnlyWaiting--
 		if i = -1; !r.ended { // this may serve others, so the line is looked at anew
-			d.settle(r, v)
+			d.applyQuotaDecision(r, v)
 		}
 	}
 }
 
-// pay promotes a request whose units are in the local tokens (stage 2 of the paper). A request without quota
+// checkQuota promotes a request whose units are in the local tokens (stage 2 of the paper). A request without quota
 // keeps its level by worth.
-func (d *Balancer) pay(r *request) verdict {
-	c, p := r.c, &d.set.Plans[r.plan]
-	late := (d.now-r.at).Seconds()+d.latency(r, nil) >= r.tau.Seconds()*margin
-	full := p.MaxInFlight > 0 && c.live >= d.atOnce(r, p)
-	from, lent := fromShare, d.lent(r)
-	short := r.units - d.room(r, p)
-	if d.many(c, p) {
-		return d.payMany(r, p, short > 0, late)
+func (d *Balancer) checkQuota(r *request) quotaDecision {
+	c, p := r.customer, &d.settings.Plans[r.plan]
+	late := (d.now-r.arrivedAt).Seconds()+d.expectedLatency(r, nil) >= r.timeLimit.Seconds()*latencyHeadroomFraction
+	full := p.MaxInFlight > 0 && c.inFlight >= d.inFlightLimit(r, p)
+	from, lent := fromEvenShare, d.ceilingLeaseTerms(r)
+	short := r.units - d.ceilingRoom(r, p)
+	if d.hasSparseShares(c, p) {
+		return d.checkQuotaSparse(r, p, short > 0, late)
 	}
 	if full || short > 0 && lent == nil {
-		fills := short / d.share(c, p).Rate // seconds
-		if late || r.grant || !full && p.OverQuotaWeight > p.OverQuotaCost && fills > r.tau.Seconds()*ceilWait {
-			return beyond
+		fills := short / d.ceilingShare(c, p).Rate // seconds
+		if late || r.admitOnly || !full && p.OverQuotaWeight > p.OverQuotaCost && fills > r.timeLimit.Seconds()*maxCeilingWaitFraction {
+			return quotaExceeded
 		}
-		return wait
+		return quotaPending
 	}
-	worth := max(1e-9, d.set.Classes[r.class].PriorityWeight*p.PriorityFactor*d.learned[r.class].size.Density(r.units))
-	band := min(bands-1, max(0, int(steps*math.Log2(d.topWorth/worth))))
+	worth := max(1e-9, d.settings.Classes[r.class].PriorityWeight*p.PriorityFactor*d.classes[r.class].costProfile.Density(r.units))
+	band := min(priorityBands-1, max(0, int(bandsPerHalving*math.Log2(d.maxPriority/worth))))
 	r.level = band
 	if p.Rate > 0 {
-		switch v := d.spend(r, p, short > 0); {
-		case v == beyond && lent != nil && d.leased(r, lent, late) == wait:
-			return wait
-		case v != paid:
+		switch v := d.spendTokens(r, p, short > 0); {
+		case v == quotaExceeded && lent != nil && d.leaseCeiling(r, lent, late) == quotaPending:
+			return quotaPending
+		case v != quotaCovered:
 			return v
-		case r.unsure:
-			r.level += bands
-		case lent != nil && r.byLedger && d.seasoned(c, p):
+		case r.onCredit:
+			r.level += priorityBands
+		case lent != nil && r.paidByCounter && d.isStoreSettled(c, p):
 			from = fromQuota
 		}
 	} else {
 		if p.MaxInFlight == 0 {
-			r.level += bands
+			r.level += priorityBands
 		}
 		if lent != nil {
-			if v := d.leased(r, lent, late); v != paid {
+			if v := d.leaseCeiling(r, lent, late); v != quotaCovered {
 				return v
 			}
 			from = fromLease
 		}
 	}
-	r.paid = r.level < bands
-	d.hold(r, from)
-	return paid
+	r.withinQuota = r.level < priorityBands
+	d.reserveCeiling(r, from)
+	return quotaCovered
 }
 
-// atOnce is how many of a customer's requests may be under way here: this door's share of the cap, or, where
+// inFlightLimit is how many of a customer's requests may be under way here: this door's share of the cap, or, where
 // the counter tells that the others have less, what their demand leaves (a departure: traffic is uneven).
-func (d *Balancer) atOnce(r *request, p *Plan) int {
-	share := d.openShare(r.c, p)
-	if r.c.known && d.callShare > callsFew {
-		share = max(share, float64(p.MaxInFlight)-r.c.others/max(r.units, 1)*d.latency(r, nil)-atOnceRoom-p.OverQuotaCost)
+func (d *Balancer) inFlightLimit(r *request, p *Plan) int {
+	share := d.inFlightShare(r.customer, p)
+	if r.customer.storeKnown && d.callFraction > degradedCallFraction {
+		share = max(share, float64(p.MaxInFlight)-r.customer.peerDemand/max(r.units, 1)*d.expectedLatency(r, nil)-inFlightSlack-p.OverQuotaCost)
 	}
 	return max(1, int(share))
 }
 
-// beyond decides for a request that no tokens pay.
-func (d *Balancer) beyond(r *request) {
-	p := &d.set.Plans[r.plan]
-	full := p.MaxInFlight > 0 && r.c.live >= d.atOnce(r, p)
-	from, room := fromShare, 0.0
-	if t := d.lent(r); t != nil {
-		from, room = fromLease, r.c.lease.Has(*t, d.now, !r.grant, r.c.leaves())
+// handleOverQuota decides for a request that no tokens pay.
+func (d *Balancer) handleOverQuota(r *request) {
+	p := &d.settings.Plans[r.plan]
+	full := p.MaxInFlight > 0 && r.customer.inFlight >= d.inFlightLimit(r, p)
+	from, room := fromEvenShare, 0.0
+	if t := d.ceilingLeaseTerms(r); t != nil {
+		from, room = fromLease, r.customer.ceilingLease.Has(*t, d.now, !r.admitOnly, r.customer.admitOnlyFraction())
 	} else {
-		room = d.room(r, p)
+		room = d.ceilingRoom(r, p)
 	}
 	if p.OverQuotaWeight <= p.OverQuotaCost || full || room < r.units {
-		d.refuse(r, d.refill(r.c, p, r.units), QuotaExceeded)
+		d.reject(r, d.refillTime(r.customer, p, r.units), QuotaExceeded)
 		return
 	}
-	r.level = lowest
-	d.hold(r, from)
-	d.place(r)
+	r.level = lowestLevel
+	d.reserveCeiling(r, from)
+	d.assign(r)
 }
 
-// spend takes units from the lease, else from this door's own share, and calls the counter for more. The
+// spendTokens takes units from the lease, else from this door's own share, and calls the counter for more. The
 // store itself lies on the counter: all that leaves it, spent or overflowed, is added, so one call tells its
 // level to a door that has never seen the customer. Only a part of the requests calls, as large as the
 // counter can serve; each such call stands for the others too, and these go by the door's share, into debt by
@@ -314,301 +314,303 @@
 // again until the customer's doors, taken together, would find it filled.
 // Where this door's share of the ceiling is short, only what the ledger gave counts, and only if the door has
 // known that for a while.
-func (d *Balancer) spend(r *request, p *Plan, short bool) verdict {
-	c := r.c
-	r.byLedger = false
-	if d.crowded() {
-		return d.spendFew(r, p)
+func (d *Balancer) spendTokens(r *request, p *Plan, short bool) quotaDecision {
+	c := r.customer
+	r.paidByCounter = false
+	if d.isLargeFleet() {
+		return d.spendTokensLargeFleet(r, p)
 	}
-	lent := d.terms[r.plan].Rate > 0
-	life := leaseLife
-	if c.known {
-		life += d.further(c, p)
+	lent := d.leaseTerms[r.plan].Rate > 0
+	life := tokenLeaseTTL
+	if c.storeKnown {
+		life += d.extraLeaseTime(c, p)
 	}
 	if lent && short {
 		life = shortLife
 	}
-	if c.tokens > 0 && !c.asking && d.now-c.grantAt > life {
+	if c.tokens > 0 && !c.callPending && d.now-c.leasedAt > life {
 		if !lent { // else it is lost: the ceiling hangs on no full store being given more
-			c.owed -= c.tokens // what the store holds now may differ from what it held then
+			c.debt -= c.tokens // what the store holds now may differ from what it held then
 		}
 		c.tokens = 0
 	}
-	d.fillSpare(c, p)
-	calls := d.set.UseCounter && !r.asked && d.now >= max(c.emptyUntil, c.pauseUntil) && d.mayCall()
+	d.refillFallback(c, p)
+	calls := d.settings.UseCounter && !r.counterCalled && d.now >= max(c.storeEmptyUntil, c.callsPausedUntil) && d.canCallCounter()
 	switch {
-	case short && !d.seasoned(c, p):
-		d.look(c)
-		return beyond
+	case short && !d.isStoreSettled(c, p):
+		d.learnStore(c)
+		return quotaExceeded
 	case c.tokens >= r.units:
 		c.tokens -= r.units
-		r.byLedger = true
-		if use := c.demand * leaseLife.Seconds(); calls && !c.asking && c.tokens < c.demand*askAhead.Seconds() &&
-			use >= aheadLeast*r.units {
-			d.ask(c, p, r.units, short)
+		r.paidByCounter = true
+		if use := c.demand * tokenLeaseTTL.Seconds(); calls && !c.callPending && c.tokens < c.demand*renewAhead.Seconds() &&
+			use >= minRenewRequests*r.units {
+			d.leaseTokens(c, p, r.units, short)
 		}
-		return paid
-	case !short && c.spare+max(0, c.tokens) >= r.units:
-		c.spare -= r.units - max(0, c.tokens)
-		c.owed += r.units - max(0, c.tokens)
+		return quotaCovered
+	case !short && c.fallbackTokens+max(0, c.tokens) >= r.units:
+		c.fallbackTokens -= r.units - max(0, c.tokens)
+		c.debt += r.units - max(0, c.tokens)
 		c.tokens = min(0, c.tokens)
-		return paid
-	case c.asking:
-		return wait
-	case calls && (d.rng.Float64() < d.callShare || c.spare <= 0 && !r.retry && d.callShare > callsFew):
-		r.asked = true
-		d.ask(c, p, r.units, short)
-		return wait
-	case !short && d.now >= c.emptyUntil && c.spare > 0 && (!r.retry || !d.set.UseCounter):
-		c.spare -= r.units
-		r.unsure = true
-		return paid
-	}
-	return beyond
+		return quotaCovered
+	case c.callPending:
+		return quotaPending
+	case calls && (d.rng.Float64() < d.callFraction || c.fallbackTokens <= 0 && !r.clientRetry && d.callFraction > degradedCallFraction):
+		r.counterCalled = true
+		d.leaseTokens(c, p, r.units, short)
+		return quotaPending
+	case !short && d.now >= c.storeEmptyUntil && c.fallbackTokens > 0 && (!r.clientRetry || !d.settings.UseCounter):
+		c.fallbackTokens -= r.units
+		r.onCredit = true
+		return quotaCovered
+	}
+	return quotaExceeded
 }
 
-// mayCall says that the counter can be asked: it answers, or this door's turn to test it has come.
-func (d *Balancer) mayCall() bool {
-	pause := max(counterTry, time.Duration(d.living())*counterEach)
-	return !d.away && len(d.asks) < mostAsks && (d.callShare > callsFew || d.now-d.counterAt >= pause)
+// canCallCounter says that the counter can be asked: it answers, or this door's turn to test it has come.
+func (d *Balancer) canCallCounter() bool {
+	pause := max(counterProbePause, time.Duration(d.liveGateways())*counterProbePausePerGateway)
+	return !d.handedOver && len(d.callsOut) < maxCallsOut && (d.callFraction > degradedCallFraction || d.now-d.lastCounterCallAt >= pause)
 }
 
-// further is by how much a lease reaches further ahead where the customer's store is nearly full: units that
+// extraLeaseTime is by how much a lease reaches further ahead where the customer's store is nearly full: units that
 // no other door misses may lie here, the longer the more a call costs.
-func (d *Balancer) further(c *customer, p *Plan) time.Duration {
-	full := max(0, d.level(c, p)/p.Burst-fullFrom) / (1 - fullFrom)
-	return time.Duration(full * min(float64(leaseFull), d.set.CounterCallCost*float64(fullAhead)))
+func (d *Balancer) extraLeaseTime(c *customer, p *Plan) time.Duration {
+	full := max(0, d.currentStoreLevel(c, p)/p.Burst-extraLeaseFromLevel) / (1 - extraLeaseFromLevel)
+	return time.Duration(full * min(float64(maxExtraLease), d.settings.CounterCallCost*float64(extraLeasePerCost)))
 }
 
-// ask adds a block on the counter: the units, or what this door's demand will use. What goes out past this
+// leaseTokens adds a block on the counter: the units, or what this door's demand will use. What goes out past this
 // door's share of the ceiling must not be kept for long: the ceiling's store fills meanwhile.
-func (d *Balancer) ask(c *customer, p *Plan, units float64, short bool) {
-	ahead := leaseAhead + d.further(c, p)
+func (d *Balancer) leaseTokens(c *customer, p *Plan, units float64, short bool) {
+	ahead := leaseHorizon + d.extraLeaseTime(c, p)
 	if short {
 		ahead = shortLife
 	}
-	block := max(units, math.Floor(min(c.demand*ahead.Seconds(), d.level(c, p)/c.doors)))
-	c.asking, d.counterAt = true, d.now
+	block := max(units, math.Floor(min(c.demand*ahead.Seconds(), d.currentStoreLevel(c, p)/c.gateways)))
+	c.callPending, d.lastCounterCallAt = true, d.now
 	if short {
-		d.look(c)
+		d.learnStore(c)
 	}
-	amount := block / max(d.callShare, 1/standsFor)
-	if d.crowded() { // a door's requests are so few that each is counted
-		block = max(units, math.Floor(min(c.demand*ahead.Seconds(), d.level(c, p)/crowdPart)))
+	amount := block / max(d.callFraction, 1/maxRequestsPerCall)
+	if d.isLargeFleet() { // a door's requests are so few that each is counted
+		block = max(units, math.Floor(min(c.demand*ahead.Seconds(), d.currentStoreLevel(c, p)/crowdPart)))
 		amount = block
 	}
-	if c.unheard || !c.known && d.terms[c.plan].Rate > 0 { // it may be lost, or all doors take it at once
+	if c.lastCallLost || !c.storeKnown && d.leaseTerms[c.plan].Rate > 0 { // it may be lost, or all doors take it at once
 		block, amount = units, units
 	}
-	d.call(c, block, amount+c.owed, c.owed).short = short
-	c.owed = 0
+	d.callCounter(c, block, amount+c.debt, c.debt).short = short
+	c.debt = 0
 }
 
-// counted settles a call. The counter's state shows in its answers alone: each in time lets a larger part of
+// handleCounterResult settles a call. The counter's state shows in its answers alone: each in time lets a larger part of
 // the requests call, each late or failed one a smaller.
-func (d *Balancer) counted(ev CounterResult) {
-	k := d.answered(ev.Name)
+func (d *Balancer) handleCounterResult(ev CounterResult) {
+	k := d.takeCall(ev.Name)
 	if k == nil {
 		return
 	}
 	if ev.Status == OK {
-		d.calls.Answered(d.now, d.now-k.at)
+		d.callPacer.Answered(d.now, d.now-k.sentAt)
 	} else if ev.Status != Failed {
-		d.calls.Failed(d.now, k.at)
+		d.callPacer.Failed(d.now, k.sentAt)
 	}
 	if ev.Status == Failed { // the counter lives, and this says nothing of how much it bears
 	} else if ev.Status != OK {
-		if k.at >= d.cutAt { // the calls of one connection end together, and say no more than one of them
-			d.callShare, d.cutAt = max(callsLeast, d.callShare*callsCut), d.now
+		if k.sentAt >= d.callFractionCutAt { // the calls of one connection end together, and say no more than one of them
+			d.callFraction, d.callFractionCutAt = max(minCallFraction, d.callFraction*callFractionDecrease), d.now
 		}
 	} else {
-		took := (d.now - k.at).Seconds() / d.set.CounterTimeout.Seconds()
-		d.callShare = min(1, max(callsFew, d.callShare*(1+callsGrow*(1-took/callTakes))))
+		took := (d.now - k.sentAt).Seconds() / d.settings.CounterTimeout.Seconds()
+		d.callFraction = min(1, max(degradedCallFraction, d.callFraction*(1+callFractionGrowth*(1-took/callLatencyTarget))))
 	}
-	d.noted(ev.Status == OK)
+	d.recordCallOutcome(ev.Status == OK)
 	if k.kind == forTest {
 		return
 	}
-	if t := d.terms[k.c.plan]; k.kind == forLease {
+	if t := d.leaseTerms[k.customer.plan]; k.kind == forLease {
 		if ev.Status == OK {
-			k.c.lease.Answered(t, d.now, k.window, k.block, ev.Total)
+			k.customer.ceilingLease.Answered(t, d.now, k.window, k.block, ev.Total)
 		} else {
-			k.c.lease.Failed(d.now, counterTry)
+			k.customer.ceilingLease.Failed(d.now, counterProbePause)
 		}
 	} else if k.kind != forTokens {
-		d.carry(k, ev)
+		d.handleStoreCall(k, ev)
 	} else if k.block > 0 {
-		k.c.asking = false
+		k.customer.callPending = false
 		switch ev.Status {
 		case OK:
-			d.grant(k, ev.Total, d.now)
+			d.creditLease(k, ev.Total, d.now)
 		case Failed: // all was added, and no units come of the block: it is given back
-			k.c.owed -= k.block
-			k.c.askAnew()
+			k.customer.debt -= k.block
+			k.customer.allowAnotherCall()
 		case Timeout:
-			d.unanswered(k)
+			d.handleCallTimeout(k)
 		default:
-			k.c.owed += k.owed
+			k.customer.debt += k.debt
 		}
 	}
-	d.serve(k.c)
+	d.serveWaiting(k.customer)
 }
 
-// grant turns a total, as it was at a time, into tokens. What the store held over its burst has overflowed,
+// creditLease turns a total, as it was at a time, into tokens. What the store held over its burst has overflowed,
 // and what it seems to have gained over its rate since the last look the counter has lost: both are added, if
 // worth a call and not of long ago. What the store did not hold is given back.
-func (d *Balancer) grant(k *call, total float64, at time.Duration) {
-	c := k.c
-	p := &d.set.Plans[c.plan]
-	held := p.Burst + p.Rate*(at-time.Duration(k.window)*windowLen).Seconds() - total + k.amount
+func (d *Balancer) creditLease(k *counterCall, total float64, at time.Duration) {
+	c := k.customer
+	p := &d.settings.Plans[c.plan]
+	held := p.Burst + p.Rate*(at-time.Duration(k.window)*counterWindow).Seconds() - total + k.amount
 	most := p.Burst
-	if c.known {
-		most = d.level(c, p)
-		if gap := (d.now - c.storeAt).Seconds(); gap > 0 && at == d.now {
-			c.others += (1 - math.Exp(-gap/demandOver.Seconds())) * (max(0, most-held)/gap - c.others)
+	if c.storeKnown {
+		most = d.currentStoreLevel(c, p)
+		if gap := (d.now - c.storeLevelAt).Seconds(); gap > 0 && at == d.now {
+			c.peerDemand += (1 - math.Exp(-gap/demandWindow.Seconds())) * (max(0, most-held)/gap - c.peerDemand)
 		}
 	}
-	over := p.Burst * overfull
+	over := p.Burst * overfullFraction
 	if k.short {
 		over = p.Burst * overfullLent
 	}
 	switch {
 	case at < d.now: // an old total puts nothing right
 		held = min(held, most)
-	case c.known && c.seenIn != k.window && d.terms[c.plan].Rate == 0: // it knows nothing of the last number
-		if total <= k.amount+1e-6*math.Abs(k.amount) && held > most+p.Burst*carryLeast {
-			d.call(c, 0, held-most, 0) // it was this door's call that began it
+	case c.storeKnown && c.seenWindow != k.window && d.leaseTerms[c.plan].Rate == 0: // it knows nothing of the last number
+		if total <= k.amount+1e-6*math.Abs(k.amount) && held > most+p.Burst*minCarryFraction {
+			d.callCounter(c, 0, held-most, 0) // it was this door's call that began it
 		}
 		held = min(held, most)
-	case d.crowded(): // asks of other doors that were given back look like a gain: only much of it is put right
-		most = p.Burst * (1 + d.slackOf(c, p))
+	case d.isLargeFleet(): // asks of other doors that were given back look like a gain: only much of it is put right
+		most = p.Burst * (1 + d.overfullSlack(c, p))
 		if held > most {
-			d.overfull(c, k, held-p.Burst, total <= k.amount)
+			d.correctOverfull(c, k, held-p.Burst, total <= k.amount)
 		}
 		held = min(held, most)
 	case held > most+over:
-		most = min(most, d.untaken(c, k, total))
-		held = d.correct(c, k, held, most, total)
+		most = min(most, d.storeAfterPeers(c, k, total))
+		held = d.correctStore(c, k, held, most, total)
 	}
-	has := held - k.owed
-	if d.many(c, p) {
+	has := held - k.debt
+	if d.hasSparseShares(c, p) {
 		has -= manyKeep * p.Burst
 	}
-	got := d.taken(k, has)
-	if got < k.block && d.crowded() {
-		d.promise(k, has, got)
+	got := d.acceptedTokens(k, has)
+	if got < k.block && d.isLargeFleet() {
+		d.reserveAhead(k, has, got)
 	} else if got < k.block {
-		if d.thin() == 0 && c.demand*leaseLife.Seconds() >= aheadLeast*k.block { // another call comes soon
-			c.owed += got + k.owed - k.amount
+		if d.evidenceScarcity() == 0 && c.demand*tokenLeaseTTL.Seconds() >= minRenewRequests*k.block { // another call comes soon
+			c.debt += got + k.debt - k.amount
 		} else {
-			d.call(c, 0, got+k.owed-k.amount, 0)
+			d.callCounter(c, 0, got+k.debt-k.amount, 0)
 		}
-		k.amount = got + k.owed
-		pause := max(k.block-held, d.sharers(c)/emptyDoors) / p.Rate * d.apart(c)
-		c.emptyUntil = d.now + min(emptyMost, time.Duration(pause*float64(time.Second)))
+		k.amount = got + k.debt
+		pause := max(k.block-held, d.activeGateways(c)/gatewaysPerRefill) / p.Rate * d.pauseSpread(c)
+		c.storeEmptyUntil = d.now + min(maxEmptyPause, time.Duration(pause*float64(time.Second)))
 	}
-	if !c.known {
-		c.known, c.knownAt, c.spare = true, d.now, min(c.spare, 0)
+	if !c.storeKnown {
+		c.storeKnown, c.storeKnownAt, c.fallbackTokens = true, d.now, min(c.fallbackTokens, 0)
 	}
-	c.tokens, c.grantAt, c.unheard = c.tokens+got, d.now, false
-	if at < c.storeAt {
+	c.tokens, c.leasedAt, c.lastCallLost = c.tokens+got, d.now, false
+	if at < c.storeLevelAt {
 		return // a later call has told more
 	}
-	if c.seenIn == k.window && c.seen-total > max(lostLeast*p.Burst, c.seen/2) {
-		c.knownAt = d.now // the counter has lost its numbers: what it tells is to season anew
+	if c.seenWindow == k.window && c.seenTotal-total > max(lostLeast*p.Burst, c.seenTotal/2) {
+		c.storeKnownAt = d.now // the counter has lost its numbers: what it tells is to season anew
 	}
-	c.seenIn, c.seen = k.window, total
-	c.store, c.storeAt = max(held-k.amount, -p.Burst/2), at
+	c.seenWindow, c.seenTotal = k.window, total
+	c.storeLevel, c.storeLevelAt = max(held-k.amount, -p.Burst/2), at
 }
 
-// ceiling fills and tells this door's share of the customer's ceiling: rate and depth divided by the doors. A
+// refillCeiling fills and tells this door's share of the customer's ceiling: rate and depth divided by the doors. A
 // fresh door may have spent its share before it was restarted, so it starts empty.
-func (d *Balancer) ceiling(c *customer, p *Plan) float64 {
+func (d *Balancer) refillCeiling(c *customer, p *Plan) float64 {
 	if p.CeilingRate == 0 {
 		return math.Inf(1)
 	}
-	d.repay(c, p)
-	own := d.share(c, p)
-	if d.many(c, p) {
-		own.Rate = manyRate * (p.CeilingRate - p.Rate) / c.doors
-		own.Depth = (p.CeilingBurst - manyTakes*p.Burst) / c.doors
-		if t, ok := d.turns(c, p); ok {
-			return d.turnOf(c, t)
+	d.expireLoans(c, p)
+	own := d.ceilingShare(c, p)
+	if d.hasSparseShares(c, p) {
+		own.Rate = manyRate * (p.CeilingRate - p.Rate) / c.gateways
+		own.Depth = (p.CeilingBurst - manyTakes*p.Burst) / c.gateways
+		if t, ok := d.ceilingTurns(c, p); ok {
+			return d.refillTurn(c, t)
 		}
 	}
-	c.ceil += own.Rate * d.since(c.ceilAt)
-	c.ceil = min(c.ceil, own.Depth)
-	if g := c.leaves(); g > 0 {
-		c.kept += g * own.Rate * d.since(c.ceilAt)
-		c.kept = max(0, min(c.kept, c.ceil, max(1, g*own.Depth)))
+	c.ceilingTokens += own.Rate * d.refillSeconds(c.ceilingAt)
+	c.ceilingTokens = min(c.ceilingTokens, own.Depth)
+	if g := c.admitOnlyFraction(); g > 0 {
+		c.ceilingKept += g * own.Rate * d.refillSeconds(c.ceilingAt)
+		c.ceilingKept = max(0, min(c.ceilingKept, c.ceilingTokens, max(1, g*own.Depth)))
 	} else {
-		c.kept = 0
+		c.ceilingKept = 0
 	}
-	c.ceilAt = d.now
-	return c.ceil
+	c.ceilingAt = d.now
+	return c.ceilingTokens
 }
 
-// leaves is the part of a customer's demand that asks for leave only.
-func (c *customer) leaves() float64 {
-	if c.leave < leaveLeast*c.demand {
+// admitOnlyFraction is the part of a customer's demand that asks for leave only.
+func (c *customer) admitOnlyFraction() float64 {
+	if c.admitOnlyDemand < minAdmitOnlyFraction*c.demand {
 		return 0
 	}
-	return min(1, c.leave/c.demand)
+	return min(1, c.admitOnlyDemand/c.demand)
 }
 
-// room is how much of this door's share of the ceiling a request can have now. What asks for leave joins no
+// ceilingRoom is how much of this door's share of the ceiling a request can have now. What asks for leave joins no
 // line, those would take all of the share under a flood: by its part of the demand some is kept.
-func (d *Balancer) room(r *request, p *Plan) float64 {
-	have := d.ceiling(r.c, p)
-	if r.grant {
-		return max(r.c.kept, have-r.c.ceilQueued)
+func (d *Balancer) ceilingRoom(r *request, p *Plan) float64 {
+	have := d.refillCeiling(r.customer, p)
+	if r.admitOnly {
+		return max(r.customer.ceilingKept, have-r.customer.ceilingQueued)
 	}
-	return have - r.c.kept - r.c.ceilQueued
+	return have - r.customer.ceilingKept - r.customer.ceilingQueued
 }
 
-// latency is the time an answer takes, by recent ones: the class's mean times size and the server's slowness.
-func (d *Balancer) latency(r *request, s *server) float64 {
-	if r.grant {
+// expectedLatency is the time an answer takes, by recent ones: the class's mean times size and the server's slowness.
+func (d *Balancer) expectedLatency(r *request, s *endpoint) float64 {
+	if r.admitOnly {
 		return 0
 	}
 	if s != nil {
-		return d.learned[r.class].base * r.size * s.slow
+		return d.classes[r.class].meanLatency * r.cost * s.latencyFactor
 	}
-	return d.learned[r.class].base * r.size
+	return d.classes[r.class].meanLatency * r.cost
 }
 
-// thin says from 0 to 1 how little a door learns of one server by its own sends.
-func (d *Balancer) thin() float64 { return 1 - min(1, d.rate/evidence) }
+// evidenceScarcity says from 0 to 1 how little a door learns of one server by its own sends.
+func (d *Balancer) evidenceScarcity() float64 {
+	return 1 - min(1, d.warmEndpointRate/currentEvidenceRate)
+}
 
-// choose picks a server: round robin, passing over one on which more work waits for its weight and speed, and
+// selectEndpoint picks a server: round robin, passing over one on which more work waits for its weight and speed, and
 // one in its pause. Where a door sends to each so rarely that what it knows is old or luck, chance has a part
 // (a departure: then all doors together give each server by its weight and speed; none is found by all).
-func (d *Balancer) choose(r *request) *server {
-	var best *server
-	low, chance := math.Inf(1), d.thin()
-	d.turn++
-	for i := range d.ring {
-		s := d.ring[(d.turn+i)%len(d.ring)]
-		if !s.usable() || !d.mayRepeat(r, s) {
+func (d *Balancer) selectEndpoint(r *request) *endpoint {
+	var best *endpoint
+	low, chance := math.Inf(1), d.evidenceScarcity()
+	d.roundRobin++
+	for i := range d.endpointOrder {
+		s := d.endpointOrder[(d.roundRobin+i)%len(d.endpointOrder)]
+		if !s.isUsable() || !d.canRetryOn(r, s) {
 			continue
 		}
-		cost := (s.load + s.waits + 1) * s.slow / (s.weight * d.warmth(s))
-		if s.zone != d.set.Zone {
-			cost *= zoneLeast + zoneCost*d.set.CrossZoneCost
+		cost := (s.inFlightWork + s.queuedWork + 1) * s.latencyFactor / (s.weight * d.capacityFraction(s))
+		if s.zone != d.settings.Zone {
+			cost *= zonePenaltyMin + zonePenaltyPerCost*d.settings.CrossZoneCost
 		}
 		if chance > 0 {
 			cost *= 1 - chance + chance*d.rng.ExpFloat64()
 		}
-		if !s.member {
+		if !s.inSubset {
 			cost += 500 // before one that is not free
 		}
-		if s.owed { // else the warm ones might take all for seconds
+		if s.overdue { // else the warm ones might take all for seconds
 			cost = 0
 		}
-		if !d.free(s) {
-			cost = cost*10/min(1, s.slots) + 1e3
+		if !d.hasFreeSlot(s) {
+			cost = cost*10/min(1, s.concurrencyLimit) + 1e3
 		}
-		if d.coldFull(s) {
+		if d.slowStartExhausted(s) {
 			cost += 1e6
 		}
 		if cost < low-1e-9 {
@@ -618,626 +620,626 @@
 	return best
 }
 
-// mayRepeat says whether a request that may have run can go to a server (rule 2).
-func (d *Balancer) mayRepeat(r *request, s *server) bool {
-	if !r.ran {
+// canRetryOn says whether a request that may have run can go to a server (rule 2).
+func (d *Balancer) canRetryOn(r *request, s *endpoint) bool {
+	if !r.mayHaveRun {
 		return true
 	}
-	cl := &d.set.Classes[r.class]
+	cl := &d.settings.Classes[r.class]
 	if cl.Idempotency != IdempotentByKey {
 		return cl.Idempotency == Idempotent
 	}
-	return d.now < d.repeatBy(r) && (cl.DedupScope == DedupAll ||
-		s.zone == r.ranOn.zone && (cl.DedupScope == DedupZone || s.cell == r.ranOn.cell))
+	return d.now < d.retryDeadline(r) && (cl.DedupScope == DedupAll ||
+		s.zone == r.firstRunOn.zone && (cl.DedupScope == DedupZone || s.cell == r.firstRunOn.cell))
 }
 
-// repeatBy is when the window ends in which a repeat of a keyed request is known for one, less its way there.
-func (d *Balancer) repeatBy(r *request) time.Duration {
-	return r.ranAt + d.set.Classes[r.class].DedupWindow - repeatWay
+// retryDeadline is when the window ends in which a repeat of a keyed request is known for one, less its way there.
+func (d *Balancer) retryDeadline(r *request) time.Duration {
+	return r.firstRunAt + d.settings.Classes[r.class].DedupWindow - retryWriteMargin
 }
 
-// place queues a request at a server and releases what may go.
-func (d *Balancer) place(r *request) {
-	if r.grant {
-		d.allow(r)
+// assign queues a request at a server and releases what may go.
+func (d *Balancer) assign(r *request) {
+	if r.admitOnly {
+		d.grantAdmission(r)
 		return
 	}
-	if t := d.trialServer(r); t != nil {
-		d.send(r, t, true)
+	if t := d.probeCandidate(r); t != nil {
+		d.dispatch(r, t, true)
 		return
 	}
-	s := d.choose(r)
-	if s == nil && d.shut() {
-		d.refuse(r, d.set.MaxRetryAfter, EndpointsEjected)
+	s := d.selectEndpoint(r)
+	if s == nil && d.allAdminEjected() {
+		d.reject(r, d.settings.MaxRetryAfter, EndpointsEjected)
 		return
 	}
-	if s == nil && !r.ran {
-		d.stuck = append(d.stuck, r)
+	if s == nil && !r.mayHaveRun {
+		d.unplaced = append(d.unplaced, r)
 		return
 	}
-	if s == nil || d.hopeless(r, s) {
-		d.refuse(r, 0, QueueTooLong)
+	if s == nil || d.shouldShed(r, s) {
+		d.reject(r, 0, QueueTooLong)
 		return
 	}
-	d.push(r, s)
-	d.fill(s)
+	d.enqueue(r, s)
+	d.dispatchQueued(s)
 }
 
-// allow is the one place that grants. It counts as sent on: the ceiling's units are spent here, and the cap
+// grantAdmission is the one place that grants. It counts as sent on: the ceiling's units are spent here, and the cap
 // on what is open at once holds until the work is said to be done, or the hold runs out.
-func (d *Balancer) allow(r *request) {
-	p := &d.set.Plans[r.plan]
-	if d.now >= r.at+r.tau || !d.draw(r, p) {
-		d.refuse(r, d.refill(r.c, p, r.units), CeilingExceeded)
+func (d *Balancer) grantAdmission(r *request) {
+	p := &d.settings.Plans[r.plan]
+	if d.now >= r.arrivedAt+r.timeLimit || !d.drawCeiling(r, p) {
+		d.reject(r, d.refillTime(r.customer, p, r.units), CeilingExceeded)
 		return
 	}
-	d.release(r, true)
-	r.granted, r.holdUntil = true, d.now+r.hold
-	d.act(Admit{r.id})
-	if !r.live || r.hold <= 0 {
-		d.end(r)
+	d.releaseCeiling(r, true)
+	r.admitted, r.holdUntil = true, d.now+r.holdFor
+	d.emit(Admit{r.id})
+	if !r.inFlight || r.holdFor <= 0 {
+		d.finish(r)
 		return
 	}
-	d.act(SetTimer{r.holdUntil, r.id<<1 | 1})
+	d.emit(SetTimer{r.holdUntil, r.id<<1 | 1})
 }
 
-// hopeless is EQ 4 seen from the back of the queue: what would come to wait for most of its time is refused
+// shouldShed is EQ 4 seen from the back of the queue: what would come to wait for most of its time is refused
 // while the client can still try again in time (a departure: the paper lets it wait until it is stale; under
 // overload every answer then comes at the last moment, and each client's next try too late).
-func (d *Balancer) hopeless(r *request, s *server) bool {
-	free := d.free(s)
-	if r.paid && len(r.attempts) == 0 { // what the plan pays for tells how short the servers are
+func (d *Balancer) shouldShed(r *request, s *endpoint) bool {
+	free := d.hasFreeSlot(s)
+	if r.withinQuota && len(r.attempts) == 0 { // what the plan pays for tells how short the servers are
 		short := 0.0
 		if !free {
 			short = 1
 		}
-		d.short += shortGain * (short - d.short)
+		d.shortage += shortageGain * (short - d.shortage)
 	}
-	if r.level == lowest && d.rng.Float64() < d.short*shortMost {
+	if r.level == lowestLevel && d.rng.Float64() < d.shortage*shortageShedFactor {
 		return true // a free place is needed for more than this soon
 	}
 	if free { // with many doors the queue is inside the servers, and latency tells of it (a departure)
-		lat := d.learned[r.class].base * max(1, d.fleet) * r.size
-		idle := cmp.Or(d.learned[r.class].floor*r.size, lat)
-		part := (lat - idle) / max(1e-3, r.tau.Seconds()*margin-idle) *
-			(1 + thinSlope*float64(r.level)/lowest)
-		return d.rng.Float64() < min(1, 2*d.thin())*min(thinMost, (part-thinFrom)/(thinAll-thinFrom))
+		lat := d.classes[r.class].meanLatency * max(1, d.fleetSlowdown) * r.cost
+		idle := cmp.Or(d.classes[r.class].idleLatency*r.cost, lat)
+		part := (lat - idle) / max(1e-3, r.timeLimit.Seconds()*latencyHeadroomFraction-idle) *
+			(1 + shedLevelSlope*float64(r.level)/lowestLevel)
+		return d.rng.Float64() < min(1, 2*d.evidenceScarcity())*min(shedMaxProbability, (part-shedFromFraction)/(shedAllFraction-shedFromFraction))
 	}
 	if len(r.attempts) > 0 {
 		return false
 	}
-	ahead := r.size
+	ahead := r.cost
 	for l := 0; l <= r.level; l++ {
-		ahead += s.work[l]
+		ahead += s.levelWork[l]
 	}
-	lat := d.learned[r.class].base * s.slow
-	share := joins * math.Pow(1-float64(r.level)/(2*bands), 2) // the lower the level, the sooner
-	return (d.now-r.at).Seconds()+ahead*lat/s.slots+d.latency(r, s) >= r.tau.Seconds()*margin*share
+	lat := d.classes[r.class].meanLatency * s.latencyFactor
+	share := joinShareOfDeadline * math.Pow(1-float64(r.level)/(2*priorityBands), 2) // the lower the level, the sooner
+	return (d.now-r.arrivedAt).Seconds()+ahead*lat/s.concurrencyLimit+d.expectedLatency(r, s) >= r.timeLimit.Seconds()*latencyHeadroomFraction*share
 }
 
-// free says whether a server has a free slot. Less than one slot means a pause between sends: with many doors
+// hasFreeSlot says whether a server has a free slot. Less than one slot means a pause between sends: with many doors
 // even one request each can be too much, and what a server turns away costs it work as well.
-func (d *Balancer) free(s *server) bool {
-	return s.load < math.Floor(max(1, s.slots)) && d.now >= s.restUntil
+func (d *Balancer) hasFreeSlot(s *endpoint) bool {
+	return s.inFlightWork < math.Floor(max(1, s.concurrencyLimit)) && d.now >= s.pausedUntil
 }
 
-// fill releases requests to a server while it has a slot. With nothing queued it helps the longest queue.
-func (d *Balancer) fill(s *server) {
-	for s.usable() && d.free(s) && !d.coldFull(s) {
+// dispatchQueued releases requests to a server while it has a slot. With nothing queued it helps the longest queue.
+func (d *Balancer) dispatchQueued(s *endpoint) {
+	for s.isUsable() && d.hasFreeSlot(s) && !d.slowStartExhausted(s) {
 		from := s
-		if s.queued == 0 && d.queued == 0 {
+		if s.queued == 0 && d.queuedRequests == 0 {
 			return
 		} else if s.queued == 0 {
-			for _, o := range d.ring {
-				if o.queued > from.queued && !d.free(o) {
+			for _, o := range d.endpointOrder {
+				if o.queued > from.queued && !d.hasFreeSlot(o) {
 					from = o
 				}
 			}
 		}
-		r := d.pick(from, s)
+		r := d.nextRequest(from, s)
 		if r == nil {
 			return
 		}
-		d.unqueue(r)
-		d.send(r, s, false)
+		d.dequeue(r)
+		d.dispatch(r, s, false)
 	}
 }
 
-// pick chooses from the queues of one server for a slot of another (mostly the same). EQ 3 refuses what is
+// nextRequest chooses from the queues of one server for a slot of another (mostly the same). EQ 3 refuses what is
 // stale, in the promoted levels too (a departure: what no longer can be in time only delays the rest). EQ 4
 // goes down the levels while their summed counts, times the latency and over the slots, stay under tau*f; the
 // first level with a request is always open. The oldest request of the open levels goes.
-func (d *Balancer) pick(from, to *server) *request {
+func (d *Balancer) nextRequest(from, to *endpoint) *request {
 	var best *request
 	sum := 0.0
 	for l := range from.queue {
-		for from.count[l] > 0 {
+		for from.levelCount[l] > 0 {
 			r := from.head(l)
-			if (d.now-r.at).Seconds()+d.latency(r, to) < r.tau.Seconds()*margin {
+			if (d.now-r.arrivedAt).Seconds()+d.expectedLatency(r, to) < r.timeLimit.Seconds()*latencyHeadroomFraction {
 				break
 			}
-			d.refuse(r, 0, StaleInQueue)
+			d.reject(r, 0, StaleInQueue)
 		}
-		if from.count[l] == 0 {
+		if from.levelCount[l] == 0 {
 			continue
 		}
 		r := from.head(l)
-		sum += from.work[l]
-		ahead := (sum + to.load) * d.learned[r.class].base * to.slow / to.slots
-		if best != nil && ahead >= r.tau.Seconds()*margin*patience {
+		sum += from.levelWork[l]
+		ahead := (sum + to.inFlightWork) * d.classes[r.class].meanLatency * to.latencyFactor / to.concurrencyLimit
+		if best != nil && ahead >= r.timeLimit.Seconds()*latencyHeadroomFraction*queueShareOfDeadline {
 			break
 		}
-		if (best == nil || r.at < best.at) && d.mayRepeat(r, to) {
+		if (best == nil || r.arrivedAt < best.arrivedAt) && d.canRetryOn(r, to) {
 			best = r
 		}
 	}
 	return best
 }
 
-// coldFull says that a cold server has had its budget: package cold says what that is.
-func (d *Balancer) coldFull(s *server) bool {
-	w := slowstart.Warmth{Now: d.warmth(s), Then: d.warmthAt(s, d.now-d.set.OverloadWindow)}
-	return w.Now < 1 && s.book.Full(d.now, d.coldTerms(), d.rate*s.weight*s.share, w, d.rng.Float64)
+// slowStartExhausted says that a cold server has had its budget: package cold says what that is.
+func (d *Balancer) slowStartExhausted(s *endpoint) bool {
+	w := slowstart.Warmth{Now: d.capacityFraction(s), Then: d.capacityFractionAt(s, d.now-d.settings.OverloadWindow)}
+	return w.Now < 1 && s.slowStart.Full(d.now, d.slowStartTerms(), d.warmEndpointRate*s.weight*s.slowStartShare, w, d.rng.Float64)
 }
 
-// send is the one place that sends. The guards come last here, whatever was decided before.
-func (d *Balancer) send(r *request, s *server, trial bool) {
-	p := &d.set.Plans[r.plan]
+// dispatch is the one place that sends. The guards come last here, whatever was decided before.
+func (d *Balancer) dispatch(r *request, s *endpoint, trial bool) {
+	p := &d.settings.Plans[r.plan]
 	switch {
-	case !s.listed: // drain: nothing new from the moment it is told
-		d.place(r)
+	case !s.inService: // drain: nothing new from the moment it is told
+		d.assign(r)
 		return
-	case r.out > 0 || len(r.attempts) >= r.most || !d.mayRepeat(r, s) || d.now >= r.at+r.tau:
-		d.refuse(r, 0, StaleInQueue)
+	case r.attemptsOut > 0 || len(r.attempts) >= r.maxAttempts || !d.canRetryOn(r, s) || d.now >= r.arrivedAt+r.timeLimit:
+		d.reject(r, 0, StaleInQueue)
 		return
 	}
 	if len(r.attempts) == 0 {
-		if !d.draw(r, p) {
-			d.refuse(r, d.refill(r.c, p, r.units), CeilingExceeded)
+		if !d.drawCeiling(r, p) {
+			d.reject(r, d.refillTime(r.customer, p, r.units), CeilingExceeded)
 			return
 		}
 	}
-	d.release(r, true)
-	a := &attempt{r: r, no: len(r.attempts), s: s, at: d.now, trial: trial, open: true}
-	limit := r.at + r.tau - d.now
+	d.releaseCeiling(r, true)
+	a := &attempt{request: r, number: len(r.attempts), endpoint: s, sentAt: d.now, probe: trial, open: true}
+	limit := r.arrivedAt + r.timeLimit - d.now
 	if trial {
-		s.trying = true
-		limit = min(limit, time.Duration(trialWait*d.latency(r, nil)*float64(time.Second)))
+		s.probing = true
+		limit = min(limit, time.Duration(probeTimeoutLatencies*d.expectedLatency(r, nil)*float64(time.Second)))
 	}
-	if len(s.outs) == 0 {
-		s.heard = max(s.heard, d.now)
+	if len(s.inFlight) == 0 {
+		s.lastResponseAt = max(s.lastResponseAt, d.now)
 	}
 	r.attempts = append(r.attempts, a)
-	r.out++
-	s.outs = append(s.outs, a)
-	s.owed = false
-	s.load += r.size
-	if s.cold {
-		s.book.Sent(d.now, r.size)
+	r.attemptsOut++
+	s.inFlight = append(s.inFlight, a)
+	s.overdue = false
+	s.inFlightWork += r.cost
+	if s.warmingUp {
+		s.slowStart.Sent(d.now, r.cost)
 	}
 	by := time.Duration(0)
-	if r.ran && d.set.Classes[r.class].Idempotency == IdempotentByKey {
-		by = d.repeatBy(r)
+	if r.mayHaveRun && d.settings.Classes[r.class].Idempotency == IdempotentByKey {
+		by = d.retryDeadline(r)
 	}
-	d.act(Dispatch{r.id, s.name, limit, by})
+	d.emit(Dispatch{r.id, s.name, limit, by})
 }
 
-// outcome takes the end of an attempt.
-func (d *Balancer) outcome(ev AttemptResult) {
-	r := d.reqs[ev.ID]
+// handleAttemptResult takes the end of an attempt.
+func (d *Balancer) handleAttemptResult(ev AttemptResult) {
+	r := d.requests[ev.ID]
 	if r == nil || ev.Attempt < 0 || ev.Attempt >= len(r.attempts) || !r.attempts[ev.Attempt].open {
 		return
 	}
 	a := r.attempts[ev.Attempt]
 	a.open = false
-	r.out--
-	s := a.s
-	if a.begun {
-		d.end(r)
-		d.forget(r)
+	r.attemptsOut--
+	s := a.endpoint
+	if a.responseStarted {
+		d.finish(r)
+		d.forgetIfDone(r)
 		return
 	}
-	s.done(a)
+	s.completeAttempt(a)
 	if ev.Status == NotSent {
-		s.book.Unsent(a.at, r.size)
+		s.slowStart.Unsent(a.sentAt, r.cost)
 	}
-	if !r.ran && ev.Status != Rejected && ev.Status != ConnectFailed && ev.Status != NotSent {
-		r.ran, r.ranAt, r.ranOn = true, a.at, s
+	if !r.mayHaveRun && ev.Status != Rejected && ev.Status != ConnectFailed && ev.Status != NotSent {
+		r.mayHaveRun, r.firstRunAt, r.firstRunOn = true, a.sentAt, s
 	}
-	d.learn(s, a, ev)
-	if ev.Status == OK && d.set.EstimatedUnits && ev.Units > 0 && r.paid {
-		r.c.tokens -= ev.Units - r.units
+	d.recordResult(s, a, ev)
+	if ev.Status == OK && d.settings.EstimatedUnits && ev.Units > 0 && r.withinQuota {
+		r.customer.tokens -= ev.Units - r.units
 	}
 	if ev.RequestClosed || ev.Status == OK {
-		d.end(r)
+		d.finish(r)
 	}
 	if r.ended {
-		d.forget(r)
-	} else if !r.stream && r.out == 0 {
+		d.forgetIfDone(r)
+	} else if !r.streaming && r.attemptsOut == 0 {
 		d.retry(r)
 	}
-	d.fill(s)
+	d.dispatchQueued(s)
 }
 
-// began takes the first byte of a streamed answer: the server's work is done, and how long it takes to pass
+// handleFirstByte takes the first byte of a streamed answer: the server's work is done, and how long it takes to pass
 // the rest on says nothing of it.
-func (d *Balancer) began(ev FirstByte) {
-	r := d.reqs[ev.ID]
-	if r == nil || ev.Attempt < 0 || ev.Attempt >= len(r.attempts) || !r.attempts[ev.Attempt].open || r.stream {
+func (d *Balancer) handleFirstByte(ev FirstByte) {
+	r := d.requests[ev.ID]
+	if r == nil || ev.Attempt < 0 || ev.Attempt >= len(r.attempts) || !r.attempts[ev.Attempt].open || r.streaming {
 		return
 	}
 	a := r.attempts[ev.Attempt]
-	r.stream, a.begun, r.ran, r.ranAt, r.ranOn = true, true, true, a.at, a.s
-	a.s.done(a)
-	d.learn(a.s, a, AttemptResult{Status: OK, Latency: d.now - a.at})
-	d.fill(a.s)
+	r.streaming, a.responseStarted, r.mayHaveRun, r.firstRunAt, r.firstRunOn = true, true, true, a.sentAt, a.endpoint
+	a.endpoint.completeAttempt(a)
+	d.recordResult(a.endpoint, a, AttemptResult{Status: OK, Latency: d.now - a.sentAt})
+	d.dispatchQueued(a.endpoint)
 }
 
 // retry sends a request on again where its class allows it and an answer could still be in time.
 func (d *Balancer) retry(r *request) {
-	if len(r.attempts) >= r.most || (d.now-r.at).Seconds()+d.latency(r, nil) >= r.tau.Seconds() {
-		d.refuse(r, 0, RetryNotPossible)
+	if len(r.attempts) >= r.maxAttempts || (d.now-r.arrivedAt).Seconds()+d.expectedLatency(r, nil) >= r.timeLimit.Seconds() {
+		d.reject(r, 0, RetryNotPossible)
 		return
 	}
-	d.place(r)
+	d.assign(r)
 }
 
-// learn takes what an outcome tells of a server: latency, slots, signs of life.
-func (d *Balancer) learn(s *server, a *attempt, ev AttemptResult) {
-	k := &d.learned[a.r.class]
-	took := max(1e-3, ev.Latency.Seconds()) // within a tick counts as a millisecond
-	ratio := min(took/(k.base*a.r.size), 8) // one costly request says little of its server
-	news := min(ratio, fleetWorst)
+// recordResult takes what an outcome tells of a server: latency, slots, signs of life.
+func (d *Balancer) recordResult(s *endpoint, a *attempt, ev AttemptResult) {
+	k := &d.classes[a.request.class]
+	took := max(1e-3, ev.Latency.Seconds())              // within a tick counts as a millisecond
+	ratio := min(took/(k.meanLatency*a.request.cost), 8) // one costly request says little of its server
+	news := min(ratio, fleetSlowdownMax)
 	if ev.Status == OK || ev.Status == Rejected || ev.Status == Timeout && !s.ejected {
 		if ev.Status == Rejected {
-			news = fleetFull
+			news = fleetSlowdownRejected
 		}
-		d.fleet += min(fleetMost, (d.now-d.fleetAt).Seconds()/fleetOver) * (news - d.fleet)
-		d.fleetAt = d.now
+		d.fleetSlowdown += min(fleetSlowdownMaxGain, (d.now-d.fleetSlowdownAt).Seconds()/fleetSlowdownSeconds) * (news - d.fleetSlowdown)
+		d.fleetSlowdownAt = d.now
 	}
-	if ev.Status == Cancelled && a.r.ended && d.now >= a.r.at+a.r.tau-tick {
+	if ev.Status == Cancelled && a.request.ended && d.now >= a.request.arrivedAt+a.request.timeLimit-tickInterval {
 		ev.Status = Timeout // the request's own end came first
 	}
 	switch ev.Status {
 	case Reset, ConnectFailed:
-		if s.fails++; s.fails > 1 { // one broken connection says nothing of its server
-			s.slots *= fullBy
+		if s.connectionFailures++; s.connectionFailures > 1 { // one broken connection says nothing of its server
+			s.concurrencyLimit *= rejectedDecrease
 		}
-		if s.fails >= failsMost && !s.ejected {
+		if s.connectionFailures >= maxConnectionFailures && !s.ejected {
 			d.eject(s)
 		}
 	case Timeout:
 		if !s.ejected {
-			s.lost++
-			s.slow += slowGain * (ratio - s.slow)
-			s.slots *= lateBy
+			s.timeouts++
+			s.latencyFactor += latencyFactorGain * (ratio - s.latencyFactor)
+			s.concurrencyLimit *= timeoutDecrease
 		}
 	case OK, Failed, Rejected:
-		s.heard, s.lost, s.fails = d.now, 0, 0
+		s.lastResponseAt, s.timeouts, s.connectionFailures = d.now, 0, 0
 		if s.ejected {
-			d.restore(s, a.trial)
+			d.reinstate(s, a.probe)
 		}
 	}
 	switch ev.Status {
 	case Rejected:
-		s.slots = min(1, s.slots) * fullBy
+		s.concurrencyLimit = min(1, s.concurrencyLimit) * rejectedDecrease
 	case OK:
-		s.slow = max(0.2, s.slow+slowGain*(ratio-s.slow))
-		if !s.cold {
-			d.rateAdd(a.r.size)
-		} else if took <= a.r.tau.Seconds() {
-			s.book.Answered(d.now, a.r.size)
+		s.latencyFactor = max(0.2, s.latencyFactor+latencyFactorGain*(ratio-s.latencyFactor))
+		if !s.warmingUp {
+			d.recordWarmRate(a.request.cost)
+		} else if took <= a.request.timeLimit.Seconds() {
+			s.slowStart.Answered(d.now, a.request.cost)
 		}
 		k.answers++
-		k.size.Add(a.r.units, took/k.base, true)
-		k.base += max(baseGain, 1/float64(k.answers)) * (took/a.r.size - k.base)
-		d.pace(s, a.r)
+		k.costProfile.Add(a.request.units, took/k.meanLatency, true)
+		k.meanLatency += max(meanLatencyGain, 1/float64(k.answers)) * (took/a.request.cost - k.meanLatency)
+		d.adjustConcurrency(s, a.request)
 	}
-	if !s.ejected && (ev.Status == Timeout || ev.Status == Cancelled && d.now >= a.r.at+a.r.tau-tick) {
-		k.size.Add(a.r.units, took/k.base, false)
+	if !s.ejected && (ev.Status == Timeout || ev.Status == Cancelled && d.now >= a.request.arrivedAt+a.request.timeLimit-tickInterval) {
+		k.costProfile.Add(a.request.units, took/k.meanLatency, false)
 	}
-	if a.trial && s.ejected {
-		d.nextTrial(s)
+	if a.probe && s.ejected {
+		d.scheduleProbe(s)
 	}
-	s.slots = max(slotsLeast, s.slots)
-	if s.slots < 1 && d.now >= s.restUntil {
-		rest := d.latency(a.r, s) * (1/s.slots - 1)
-		s.restUntil = d.now + time.Duration(rest*float64(time.Second))
+	s.concurrencyLimit = max(minConcurrency, s.concurrencyLimit)
+	if s.concurrencyLimit < 1 && d.now >= s.pausedUntil {
+		rest := d.expectedLatency(a.request, s) * (1/s.concurrencyLimit - 1)
+		s.pausedUntil = d.now + time.Duration(rest*float64(time.Second))
 	}
 }
 
-// pace grows the slots while latency is well under tau*f and all are in use, and shrinks them when it is not.
+// adjustConcurrency grows the slots while latency is well under tau*f and all are in use, and shrinks them when it is not.
 // It also keeps latency near that of an idle fleet (a departure: tau*f alone lets queues form inside the
 // servers, where no level counts and where work that nobody waits for any more goes on). That floor follows
 // the class's mean down at once, and up only while so few slots are open that waiting can't be the cause: so
 // a slowness of everything is told from overload.
-func (d *Balancer) pace(s *server, r *request) {
-	k := &d.learned[r.class]
-	if k.base < k.floor || k.answers <= floorAfter { // the first few may be small or lucky ones
-		k.floor = k.base
-	} else if s.slots*d.living() <= squeezed {
-		k.floor += floorGain * (k.base - k.floor)
-	}
-	high := min(r.tau.Seconds()*margin*shrinkAbove, shrinkRatio*k.floor)
-	switch lat := k.base * s.slow; {
-	case lat > high && s.slots*d.living() > 0.7*squeezed:
-		s.slots *= shrinkBy
-	case lat < high*growShare && s.load+1 >= math.Floor(s.slots):
-		s.slots = min(slotsMost, s.slots+growBy/max(1, s.slots))
+func (d *Balancer) adjustConcurrency(s *endpoint, r *request) {
+	k := &d.classes[r.class]
+	if k.meanLatency < k.idleLatency || k.answers <= idleLatencyMinAnswers { // the first few may be small or lucky ones
+		k.idleLatency = k.meanLatency
+	} else if s.concurrencyLimit*d.liveGateways() <= minimalConcurrency {
+		k.idleLatency += idleLatencyGain * (k.meanLatency - k.idleLatency)
+	}
+	high := min(r.timeLimit.Seconds()*latencyHeadroomFraction*shrinkDeadlineFraction, shrinkLatencyRatio*k.idleLatency)
+	switch lat := k.meanLatency * s.latencyFactor; {
+	case lat > high && s.concurrencyLimit*d.liveGateways() > 0.7*minimalConcurrency:
+		s.concurrencyLimit *= lateDecrease
+	case lat < high*growLatencyFraction && s.inFlightWork+1 >= math.Floor(s.concurrencyLimit):
+		s.concurrencyLimit = min(maxConcurrency, s.concurrencyLimit+concurrencyIncrease/max(1, s.concurrencyLimit))
 	}
 }
 
-// refuse gives the final answer: a refusal where the rules let it be said, else a failure (rule 2).
-func (d *Balancer) refuse(r *request, pause time.Duration, why Reason) {
+// reject gives the final answer: a refusal where the rules let it be said, else a failure (rule 2).
+func (d *Balancer) reject(r *request, pause time.Duration, why Reason) {
 	if r.ended {
 		return
 	}
-	cl := &d.set.Classes[r.class]
-	mayHaveRun := r.ran || r.out > 0
-	d.end(r)
+	cl := &d.settings.Classes[r.class]
+	mayHaveRun := r.mayHaveRun || r.attemptsOut > 0
+	d.finish(r)
 	if mayHaveRun && (cl.Idempotency == NonIdempotent || cl.Idempotency == IdempotentByKey && cl.DedupScope != DedupAll) {
-		d.act(Fail{r.id, why})
+		d.emit(Fail{r.id, why})
 	} else {
-		if !d.set.SendRetryAfter {
+		if !d.settings.SendRetryAfter {
 			pause = 0
 		}
-		d.act(Reject{r.id, min(pause, d.set.MaxRetryAfter), why})
+		d.emit(Reject{r.id, min(pause, d.settings.MaxRetryAfter), why})
 	}
-	d.forget(r)
+	d.forgetIfDone(r)
 }
 
-// end marks a request as over and calls off what is still out.
-func (d *Balancer) end(r *request) {
+// finish marks a request as over and calls off what is still out.
+func (d *Balancer) finish(r *request) {
 	if r.ended {
 		return
 	}
 	r.ended = true
-	d.unqueue(r)
-	d.release(r, false)
+	d.dequeue(r)
+	d.releaseCeiling(r, false)
 	for _, a := range r.attempts {
-		if a.open && d.set.AllowCancel && !r.stream {
-			d.act(CancelAttempt{r.id, a.no})
+		if a.open && d.settings.AllowCancel && !r.streaming {
+			d.emit(CancelAttempt{r.id, a.number})
 		}
 	}
-	if len(r.attempts) == 0 && !r.granted && r.paid && d.set.Plans[r.plan].Rate > 0 {
-		r.c.tokens += r.units
+	if len(r.attempts) == 0 && !r.admitted && r.withinQuota && d.settings.Plans[r.plan].Rate > 0 {
+		r.customer.tokens += r.units
 	}
-	if r.live {
-		r.live = false
-		r.c.live--
-		d.serve(r.c)
+	if r.inFlight {
+		r.inFlight = false
+		r.customer.inFlight--
+		d.serveWaiting(r.customer)
 	}
-	d.forget(r)
+	d.forgetIfDone(r)
 }
 
-// beat looks for what no event tells: silence, waiting customers, free slots.
-func (d *Balancer) beat() {
-	d.act(SetTimer{d.now + tick, 0})
-	for _, s := range d.ring {
-		if d.now-d.beatAt < stalled { // else this door stood still, and what came meanwhile is not yet read
-			d.watchServer(s)
+// tick looks for what no event tells: silence, waiting customers, free slots.
+func (d *Balancer) tick() {
+	d.emit(SetTimer{d.now + tickInterval, 0})
+	for _, s := range d.endpointOrder {
+		if d.now-d.tickedAt < stallThreshold { // else this door stood still, and what came meanwhile is not yet read
+			d.checkSilence(s)
 		}
 	}
-	d.beatAt = d.now
-	if d.now < d.lendFrom && d.mayCall() { // else doors with few requests go by shares while others lend
-		d.counterAt = d.now
-		d.askTest()
+	d.tickedAt = d.now
+	if d.now < d.leasingFrom && d.canCallCounter() { // else doors with few requests go by shares while others lend
+		d.lastCounterCallAt = d.now
+		d.callTest()
 	}
-	stuck := d.stuck
-	d.stuck = nil
+	stuck := d.unplaced
+	d.unplaced = nil
 	for _, r := range stuck {
 		if !r.ended {
-			d.place(r)
+			d.assign(r)
 		}
 	}
-	if d.queued > 0 {
-		for _, s := range d.ring {
-			d.fill(s)
+	if d.queuedRequests > 0 {
+		for _, s := range d.endpointOrder {
+			d.dispatchQueued(s)
 		}
 	}
-	list := d.waiters
-	d.waiters = nil
+	list := d.waitingCustomers
+	d.waitingCustomers = nil
 	for _, c := range list {
-		c.listed = false
-		d.serve(c)
+		c.inWaitingList = false
+		d.serveWaiting(c)
 	}
-	d.forgetCustomers()
-	if d.set.PollEndpoints && d.set.PollInterval > 0 && d.now-d.listAt > d.set.PollInterval/2 {
-		d.listAt = d.now
-		d.act(FetchEndpoints{})
+	d.sweepCustomers()
+	if d.settings.PollEndpoints && d.settings.PollInterval > 0 && d.now-d.endpointsUpdatedAt > d.settings.PollInterval/2 {
+		d.endpointsUpdatedAt = d.now
+		d.emit(FetchEndpoints{})
 	}
 }
 
-// watchServer finds a server silent when the attempts out there have waited, summed up, far longer than
+// checkSilence finds a server silent when the attempts out there have waited, summed up, far longer than
 // answers take while nothing was heard. It covers hung, cut off and stopped machines. If fewer than a quarter
 // of the servers answer, it is not this server's fault. It could harm a server that got several costly
 // requests in a row; the first late answer brings such a one back.
-func (d *Balancer) watchServer(s *server) {
+func (d *Balancer) checkSilence(s *endpoint) {
 	if s.ejected {
-		if s.listed && d.set.AllowHealthChecks && d.now >= s.trialAt && !s.trying {
-			s.trying = true
-			d.act(HealthCheck{s.name})
+		if s.inService && d.settings.AllowHealthChecks && d.now >= s.nextProbeAt && !s.probing {
+			s.probing = true
+			d.emit(HealthCheck{s.name})
 		}
 		return
 	}
-	sum := quietEach * float64(s.lost)
-	for _, a := range s.outs {
-		quiet := (d.now - max(a.at, s.heard)).Seconds()
-		sum += min(quietEach, quiet/d.latency(a.r, s))
+	sum := maxSilencePerAttempt * float64(s.timeouts)
+	for _, a := range s.inFlight {
+		quiet := (d.now - max(a.sentAt, s.lastResponseAt)).Seconds()
+		sum += min(maxSilencePerAttempt, quiet/d.expectedLatency(a.request, s))
 	}
-	if sum < quietSum || d.now-s.heard < quietLeast {
+	if sum < silenceLatencies || d.now-s.lastResponseAt < minSilence {
 		return
 	}
 	live := 0
-	for _, o := range d.ring {
-		if o.usable() && d.now-o.heard < d.now-s.heard && d.now-o.heard < 500*time.Millisecond {
+	for _, o := range d.endpointOrder {
+		if o.isUsable() && d.now-o.lastResponseAt < d.now-s.lastResponseAt && d.now-o.lastResponseAt < 500*time.Millisecond {
 			live++
 		}
 	}
-	if 4*live >= len(d.ring) && live > 0 {
+	if 4*live >= len(d.endpointOrder) && live > 0 {
 		d.eject(s)
 	}
 }
 
 // eject stops new work to a server, moves its queue on and calls back what could still be served elsewhere.
-func (d *Balancer) eject(s *server) {
-	s.ejected, s.trying = true, false
-	s.trialPause = max(trialFirst, time.Duration(d.rng.Int64N(int64(d.living())*int64(trialEach))))
-	s.trialAt = d.now + s.trialPause
-	d.act(LogLine{"no longer used: " + s.name})
+func (d *Balancer) eject(s *endpoint) {
+	s.ejected, s.probing = true, false
+	s.probePause = max(firstProbePause, time.Duration(d.rng.Int64N(int64(d.liveGateways())*int64(probePausePerGateway))))
+	s.nextProbeAt = d.now + s.probePause
+	d.emit(LogLine{"no longer used: " + s.name})
 	health := Unresponsive
-	if s.fails >= failsMost {
+	if s.connectionFailures >= maxConnectionFailures {
 		health = ConnectionsBroken
 	}
-	d.act(HealthReport{s.name, health, s.heard})
-	d.moveQueue(s)
-	if !d.set.AllowCancel {
+	d.emit(HealthReport{s.name, health, s.lastResponseAt})
+	d.reassignQueue(s)
+	if !d.settings.AllowCancel {
 		return
 	}
-	for _, a := range s.outs {
-		if !a.r.ended && !a.r.stream && (d.now-a.r.at).Seconds()+d.latency(a.r, nil) < a.r.tau.Seconds() {
-			d.act(CancelAttempt{a.r.id, a.no})
+	for _, a := range s.inFlight {
+		if !a.request.ended && !a.request.streaming && (d.now-a.request.arrivedAt).Seconds()+d.expectedLatency(a.request, nil) < a.request.timeLimit.Seconds() {
+			d.emit(CancelAttempt{a.request.id, a.number})
 		}
 	}
 }
 
-func (d *Balancer) nextTrial(s *server) {
-	s.trying = false
-	s.trialPause = min(max(trialMost, time.Duration(d.living())*trialEach), s.trialPause*3/2)
-	s.trialAt = d.now + s.trialPause
+func (d *Balancer) scheduleProbe(s *endpoint) {
+	s.probing = false
+	s.probePause = min(max(maxProbePause, time.Duration(d.liveGateways())*probePausePerGateway), s.probePause*3/2)
+	s.nextProbeAt = d.now + s.probePause
 }
 
-// trialServer gives an ejected server one safe request with time for another attempt, without probes.
-func (d *Balancer) trialServer(r *request) *server {
-	if d.set.AllowHealthChecks || d.set.Classes[r.class].Idempotency != Idempotent || len(r.attempts) > 0 || r.most < 2 ||
-		r.tau.Seconds() < trialRoom*d.latency(r, nil) {
+// probeCandidate gives an ejected server one safe request with time for another attempt, without probes.
+func (d *Balancer) probeCandidate(r *request) *endpoint {
+	if d.settings.AllowHealthChecks || d.settings.Classes[r.class].Idempotency != Idempotent || len(r.attempts) > 0 || r.maxAttempts < 2 ||
+		r.timeLimit.Seconds() < probeTimeLatencies*d.expectedLatency(r, nil) {
 		return nil
 	}
-	for _, s := range d.ring {
-		if s.listed && s.ejected && !s.trying && d.now >= s.trialAt && !d.coldFull(s) {
+	for _, s := range d.endpointOrder {
+		if s.inService && s.ejected && !s.probing && d.now >= s.nextProbeAt && !d.slowStartExhausted(s) {
 			return s
 		}
 	}
 	return nil
 }
 
-func (d *Balancer) probed(ev HealthCheckResult) {
-	s := d.servers[ev.Endpoint]
+func (d *Balancer) handleHealthCheckResult(ev HealthCheckResult) {
+	s := d.endpoints[ev.Endpoint]
 	if s == nil || !s.ejected {
 		return
 	}
-	d.nextTrial(s)
+	d.scheduleProbe(s)
 	if ev.Status == OK {
-		d.restore(s, true)
+		d.reinstate(s, true)
 	}
 }
 
-// restore takes a server back. One that comes back from silence may have started anew: it counts as cold.
-func (d *Balancer) restore(s *server, fresh bool) {
-	fresh = fresh && d.now-s.heard > restartTime
-	s.ejected, s.trying, s.fails, s.lost, s.heard = false, false, 0, 0, d.now
-	d.act(LogLine{"used again: " + s.name})
+// reinstate takes a server back. One that comes back from silence may have started anew: it counts as cold.
+func (d *Balancer) reinstate(s *endpoint, fresh bool) {
+	fresh = fresh && d.now-s.lastResponseAt > restartSilence
+	s.ejected, s.probing, s.connectionFailures, s.timeouts, s.lastResponseAt = false, false, 0, 0, d.now
+	d.emit(LogLine{"used again: " + s.name})
 	if fresh {
-		s.cold, s.coldAt, s.slow, s.slots = true, d.now, 1, 1
-		d.act(HealthReport{s.name, WarmingUp, d.now})
+		s.warmingUp, s.warmUpFrom, s.latencyFactor, s.concurrencyLimit = true, d.now, 1, 1
+		d.emit(HealthReport{s.name, WarmingUp, d.now})
 	}
 }
 
-// evidence takes what another door of this process has found out about a server (ours). Its word on silence
+// handleHealthReport takes what another door of this process has found out about a server (ours). Its word on silence
 // counts as two answers owed, and on broken connections as all but one: an own sign of life since outweighs
 // it, and one attempt that goes the same way settles it. A server that came back cold is cold for this door
 // too, and asked at once if left out.
-func (d *Balancer) evidence(f HealthReport) {
-	s := d.servers[f.Endpoint]
+func (d *Balancer) handleHealthReport(f HealthReport) {
+	s := d.endpoints[f.Endpoint]
 	switch {
-	case s == nil || !s.listed:
+	case s == nil || !s.inService:
 	case f.Health == WarmingUp:
-		if !s.ejected && d.now-s.heard < restartTime {
+		if !s.ejected && d.now-s.lastResponseAt < restartSilence {
 			return // it has answered here while it was silent there
 		}
-		if !s.cold || s.coldAt < f.Since {
-			s.cold, s.coldAt, s.slots = true, f.Since, min(1, s.slots)
+		if !s.warmingUp || s.warmUpFrom < f.Since {
+			s.warmingUp, s.warmUpFrom, s.concurrencyLimit = true, f.Since, min(1, s.concurrencyLimit)
 		}
-		s.trialAt = min(s.trialAt, d.now)
+		s.nextProbeAt = min(s.nextProbeAt, d.now)
 	case s.ejected:
 	case f.Health == ConnectionsBroken:
-		s.fails = max(s.fails, failsMost-1)
-	case s.heard <= f.Since || len(s.outs) > 0 && s.heard <= s.outs[0].at: // a send is no sign of life
-		s.lost = max(s.lost, evidenceLost)
+		s.connectionFailures = max(s.connectionFailures, maxConnectionFailures-1)
+	case s.lastResponseAt <= f.Since || len(s.inFlight) > 0 && s.lastResponseAt <= s.inFlight[0].sentAt: // a send is no sign of life
+		s.timeouts = max(s.timeouts, reportedTimeouts)
 	}
 }
 
-// list takes news of the backends.
-func (d *Balancer) list(ev EndpointUpdate) {
+// handleEndpointUpdate takes news of the backends.
+func (d *Balancer) handleEndpointUpdate(ev EndpointUpdate) {
 	if ev.Kind == UpdateFailed {
-		if !d.listAsked {
-			d.listAsked = true
-			d.listWait = min(8*time.Second, max(500*time.Millisecond, 2*d.listWait))
-			d.act(SetTimer{d.now + d.listWait, 2})
+		if !d.watchRetryPending {
+			d.watchRetryPending = true
+			d.watchBackoff = min(8*time.Second, max(500*time.Millisecond, 2*d.watchBackoff))
+			d.emit(SetTimer{d.now + d.watchBackoff, 2})
 		}
 		return
 	}
-	d.listAt, d.listWait = d.now, 0
+	d.endpointsUpdatedAt, d.watchBackoff = d.now, 0
 	for _, b := range ev.Entries {
-		d.entry(b)
+		d.applyEntry(b)
 	}
 	if ev.Kind != Delta {
-		d.retireMissing(ev.Entries)
+		d.removeUnlisted(ev.Entries)
 	}
-	d.prune()
-	d.members()
-	for _, s := range d.ring {
-		d.fill(s)
+	d.removeGoneEndpoints()
+	d.updateSubset()
+	for _, s := range d.endpointOrder {
+		d.dispatchQueued(s)
 	}
 }
 
-// entry takes what the list says of one backend. One that was started lately is cold.
-func (d *Balancer) entry(b Endpoint) {
-	s := d.servers[b.Name]
+// applyEntry takes what the list says of one backend. One that was started lately is cold.
+func (d *Balancer) applyEntry(b Endpoint) {
+	s := d.endpoints[b.Name]
 	if s == nil {
 		if b.State != Serving {
 			return
 		}
-		s = &server{name: b.Name, started: -1, slots: max(slotsLeast, slotsStart/d.living())}
-		d.servers[b.Name] = s
-		d.ring = append(d.ring, s)
-	}
-	if b.StartedAt != s.started {
-		s.started, s.heard, s.slow = b.StartedAt, d.now, 1
-		s.ejected, s.trying, s.fails, s.lost = false, false, 0, 0
-		if b.StartedAt > 0 && d.now-b.StartedAt < d.set.SlowStartDuration {
-			s.cold, s.coldAt, s.slots = true, b.StartedAt, 1
+		s = &endpoint{name: b.Name, startedAt: -1, concurrencyLimit: max(minConcurrency, initialConcurrency/d.liveGateways())}
+		d.endpoints[b.Name] = s
+		d.endpointOrder = append(d.endpointOrder, s)
+	}
+	if b.StartedAt != s.startedAt {
+		s.startedAt, s.lastResponseAt, s.latencyFactor = b.StartedAt, d.now, 1
+		s.ejected, s.probing, s.connectionFailures, s.timeouts = false, false, 0, 0
+		if b.StartedAt > 0 && d.now-b.StartedAt < d.settings.SlowStartDuration {
+			s.warmingUp, s.warmUpFrom, s.concurrencyLimit = true, b.StartedAt, 1
 		}
 	}
-	s.zone, s.cell, s.weight, s.share = b.Zone, b.Cell, cmp.Or(max(0, b.Weight), 1), cmp.Or(max(0, b.SlowStartShare), 1)
-	_, banned := d.byHand[s.name]
-	s.inList = b.State == Serving
-	s.listed = (s.listed || s.inList) && !banned
-	if !s.inList {
-		d.retire(s)
+	s.zone, s.cell, s.weight, s.slowStartShare = b.Zone, b.Cell, cmp.Or(max(0, b.Weight), 1), cmp.Or(max(0, b.SlowStartShare), 1)
+	_, banned := d.adminEjected[s.name]
+	s.listed = b.State == Serving
+	s.inService = (s.inService || s.listed) && !banned
+	if !s.listed {
+		d.stopSending(s)
 	}
 }
 
-// attach lets a server serve again that was taken out by hand. It may have started anew meanwhile: it is
+// handleAdminRestore lets a server serve again that was taken out by hand. It may have started anew meanwhile: it is
 // cold from when the list says that it started, if that was while it was out, else from now.
-func (d *Balancer) attach(name string) {
-	since, ok := d.byHand[name]
+func (d *Balancer) handleAdminRestore(name string) {
+	since, ok := d.adminEjected[name]
 	if !ok {
 		return
 	}
-	delete(d.byHand, name)
-	d.act(LogLine{"back by hand: " + name})
-	s := d.servers[name]
-	if s == nil || !s.inList {
+	delete(d.adminEjected, name)
+	d.emit(LogLine{"back by hand: " + name})
+	s := d.endpoints[name]
+	if s == nil || !s.listed {
 		return
 	}
-	s.listed, s.ejected, s.trying, s.fails, s.lost, s.heard = true, false, false, 0, 0, d.now
-	s.cold, s.coldAt, s.slow, s.slots, s.owed = true, d.now, 1, 1, true
-	if s.started > since {
-		s.coldAt = s.started
+	s.inService, s.ejected, s.probing, s.connectionFailures, s.timeouts, s.lastResponseAt = true, false, false, 0, 0, d.now
+	s.warmingUp, s.warmUpFrom, s.latencyFactor, s.concurrencyLimit, s.overdue = true, d.now, 1, 1, true
+	if s.startedAt > since {
+		s.warmUpFrom = s.startedAt
 	}
-	soon := attachUse * time.Duration(max(1, int(d.living())/crowdFrom))
-	s.book.Hold(d.now + 1 + time.Duration(d.rng.Int64N(int64(soon))))
-	d.members()
-	d.fill(s)
+	soon := adminRestoreSpread * time.Duration(max(1, int(d.liveGateways())/crowdFrom))
+	s.slowStart.Hold(d.now + 1 + time.Duration(d.rng.Int64N(int64(soon))))
+	d.updateSubset()
+	d.dispatchQueued(s)
 }
--- a/internal/balancer/door_test.go
+++ b/internal/balancer/door_test.go
@@ -313,7 +313,7 @@
 			d.Step(51*ms, []Event{served(s, 0, 50*ms)})
 		}
 		c := d.customers["c"]
-		c.known, c.others, c.tokens, c.grantAt = true, others, 20, ms
+		c.storeKnown, c.peerDemand, c.tokens, c.leasedAt = true, others, 20, ms
 		var evs []Event
 		for i := range 10 {
 			evs = append(evs, ask(uint64(100+i), 0, 3))
@@ -368,7 +368,7 @@
 	set := basic()
 	set.MaxAttempts, set.UseCounter = 1, false
 	d := open(t, set, backends(1)...)
-	s := d.servers["b0"]
+	s := d.endpoints["b0"]
 	for i, status := range []Status{Reset, Reset, OK, ConnectFailed, Reset, ConnectFailed} {
 		now := time.Duration(i) * 100 * ms
 		sends := only[Dispatch](d.Step(now, []Event{ask(uint64(i+1), 0, 2)}))
@@ -385,18 +385,18 @@
 // What was queued and has ended must leave nothing behind at a server from which nobody picks.
 func TestQueuesLeaveNothingBehind(t *testing.T) {
 	d := open(t, basic(), backends(1)...)
-	s := d.servers["b0"]
+	s := d.endpoints["b0"]
 	var all []*request
 	for i := range 3 {
 		r := &request{id: uint64(i), level: 2}
-		d.push(r, s)
+		d.enqueue(r, s)
 		all = append(all, r)
 	}
 	for _, r := range all {
-		d.unqueue(r)
+		d.dequeue(r)
 	}
-	if len(s.queue[2]) != 0 || s.queued != 0 || d.queued != 0 {
-		t.Errorf("%d places are kept, %d and %d counted", len(s.queue[2]), s.queued, d.queued)
+	if len(s.queue[2]) != 0 || s.queued != 0 || d.queuedRequests != 0 {
+		t.Errorf("%d places are kept, %d and %d counted", len(s.queue[2]), s.queued, d.queuedRequests)
 	}
 }
 
@@ -433,8 +433,8 @@
 	for i := range 200 {
 		d.Step(70*time.Second+time.Duration(i)*ms, []Event{TimerFired{0}})
 	}
-	if len(d.reqs) != 0 || len(d.customers) != 0 || len(d.order) != 0 {
-		t.Errorf("left: %d requests, %d customers", len(d.reqs), len(d.customers))
+	if len(d.requests) != 0 || len(d.customers) != 0 || len(d.customerOrder) != 0 {
+		t.Errorf("left: %d requests, %d customers", len(d.requests), len(d.customers))
 	}
 }
 
@@ -450,7 +450,7 @@
 		for range 60 {
 			acts := d.Step(time.Second, []Event{Request{ID: id, Class: class, Plan: 1, Customer: "c", TimeLeft: 2 * time.Second,
 				Units: 1}})
-			if refused := only[Reject](acts); len(refused) == 0 && len(only[Dispatch](acts)) == 0 && d.reqs[id].on == nil {
+			if refused := only[Reject](acts); len(refused) == 0 && len(only[Dispatch](acts)) == 0 && d.requests[id].queuedOn == nil {
 				waits[class]++
 			} else if len(refused) > 0 && refused[0].RetryAfter > 0 {
 				told++
--- a/internal/balancer/evidence_test.go
+++ b/internal/balancer/evidence_test.go
@@ -116,7 +116,7 @@
 	first := time.Duration(0)
 	for range 2000 {
 		found := f.step(asks)
-		if first == 0 && len(f.d.servers[f.silent].outs) > 0 {
+		if first == 0 && len(f.d.endpoints[f.silent].inFlight) > 0 {
 			first = f.now
 		}
 		if len(found) > 0 {
@@ -145,7 +145,7 @@
 		return f
 	}
 	f := play()
-	if got, _ := f.leaves(t, 3); got.Health != Unresponsive || got.Endpoint != "b0" || got.Since > f.now-quietLeast {
+	if got, _ := f.leaves(t, 3); got.Health != Unresponsive || got.Endpoint != "b0" || got.Since > f.now-minSilence {
 		t.Fatalf("%+v at %v", got, f.now)
 	}
 	// A door that asks little, with and without the word of another.
@@ -157,7 +157,7 @@
 	}
 	told.step(0, HealthReport{"b0", Unresponsive, told.now})
 	_, with := told.leaves(t, 1)
-	if with > quietLeast+100*ms || with >= without {
+	if with > minSilence+100*ms || with >= without {
 		t.Errorf("left out after %v with the other's word, %v without", with, without)
 	}
 	// One that has heard from the server after that goes by its own experience.
@@ -168,7 +168,7 @@
 		heard.step(1)
 	}
 	heard.step(0, HealthReport{"b0", Unresponsive, since})
-	if s := heard.d.servers["b0"]; s.lost > 0 || s.ejected {
+	if s := heard.d.endpoints["b0"]; s.timeouts > 0 || s.ejected {
 		t.Errorf("another's word outweighs an own sign of life: %+v", s)
 	}
 }
@@ -199,7 +199,7 @@
 		}
 		return n
 	}
-	if alone, told := breaks(false), breaks(true); alone != failsMost || told != 1 {
+	if alone, told := breaks(false), breaks(true); alone != maxConnectionFailures || told != 1 {
 		t.Errorf("left out after %d broken connections, and %d with the other's word", alone, told)
 	}
 }
@@ -208,7 +208,7 @@
 // out is asked at once. One that has answered here all along is not.
 func TestEvidenceOfAColdReturn(t *testing.T) {
 	const back = 20 * time.Second
-	cold := func(busy bool) *server {
+	cold := func(busy bool) *endpoint {
 		d := open(t, lone(), backends(1)...)
 		for now := 10 * ms; busy && now < back; now += 100 * ms {
 			for _, s := range only[Dispatch](d.Step(now, []Event{ask(uint64(now), 0, 2)})) {
@@ -216,16 +216,16 @@
 			}
 		}
 		d.Step(back, []Event{HealthReport{"b0", WarmingUp, back - ms}, HealthReport{"other", WarmingUp, back}})
-		return d.servers["b0"]
+		return d.endpoints["b0"]
 	}
-	if s := cold(false); !s.cold || s.coldAt != back-ms {
+	if s := cold(false); !s.warmingUp || s.warmUpFrom != back-ms {
 		t.Errorf("a server that was started anew is not cold: %+v", s)
 	}
-	if s := cold(true); s.cold {
+	if s := cold(true); s.warmingUp {
 		t.Error("a server that answered all along is taken for cold")
 	}
 	d := open(t, lone(), backends(2)...)
-	s, p := d.servers["b0"], &fleetOf{d: d, silent: "b0"}
+	s, p := d.endpoints["b0"], &fleetOf{d: d, silent: "b0"}
 	f, _ := p.leaves(t, 3)
 	now := p.now
 	if !s.ejected || len(only[HealthCheck](d.Step(now+20*ms, []Event{TimerFired{0}}))) > 0 {
--- a/internal/balancer/golden_test.go
+++ b/internal/balancer/golden_test.go
@@ -44,10 +44,10 @@
 // attempt is a dispatched attempt that has no result yet.
 type attempt struct {
 	balancer.Dispatch
-	number int
-	sentAt time.Duration
-	begun  bool
-	due    time.Duration
+	number          int
+	sentAt          time.Duration
+	responseStarted bool
+	due             time.Duration
 }
 
 // delayed is an event that reaches an instance at a time.
@@ -287,10 +287,10 @@
 func (r *run) results(in *instance) (events []balancer.Event) {
 	kept := in.attempts[:0]
 	for _, a := range in.attempts {
-		streamed := r.settings.Classes[0].Streaming && !a.begun && r.rng.IntN(4) == 0
+		streamed := r.settings.Classes[0].Streaming && !a.responseStarted && r.rng.IntN(4) == 0
 		switch {
 		case r.now < a.due && streamed:
-			a.begun = true
+			a.responseStarted = true
 			events = append(events, balancer.FirstByte{ID: a.ID, Attempt: a.number})
 			kept = append(kept, a)
 			continue
--- a/internal/balancer/grant_test.go
+++ b/internal/balancer/grant_test.go
@@ -37,8 +37,8 @@
 	if q, ok := d.QuotaStatus("c"); !ok || q.Remaining >= 1 || q.FullIn < 3*time.Second {
 		t.Errorf("quota %+v, %v", q, ok)
 	}
-	if len(d.reqs) != 0 {
-		t.Errorf("%d requests are kept", len(d.reqs))
+	if len(d.requests) != 0 {
+		t.Errorf("%d requests are kept", len(d.requests))
 	}
 	if acts := d.Step(time.Second, []Event{leave(99, 0)}); len(only[Admit](acts)) != 1 {
 		t.Error("the store has filled, and nothing is granted")
@@ -168,7 +168,7 @@
 		t.Fatalf("timers %v", timers)
 	}
 	d.Step(50*ms, []Event{TimerFired{timers[0].Cookie}}) // too early
-	if d.customers["c"].live != 4 {
+	if d.customers["c"].inFlight != 4 {
 		t.Error("the hold ended before its time")
 	}
 	acts := d.Step(timers[0].At, []Event{TimerFired{timers[0].Cookie}})
--- a/internal/balancer/hand_test.go
+++ b/internal/balancer/hand_test.go
@@ -71,15 +71,15 @@
 	never("gone and back")
 	at += 100 * ms
 	for i := range 40 { // nor is it probed, or found silent
-		if n := len(only[HealthCheck](d.Step(at+time.Duration(i)*tick, []Event{TimerFired{0}}))); n > 0 {
+		if n := len(only[HealthCheck](d.Step(at+time.Duration(i)*tickInterval, []Event{TimerFired{0}}))); n > 0 {
 			t.Error("probed")
 		}
 	}
-	at += 40 * tick
+	at += 40 * tickInterval
 	d.Step(at, []Event{AdminRestore{list[0].Name}})
-	s := d.servers[list[0].Name]
-	if !s.usable() || !s.cold {
-		t.Fatalf("back: usable %t, cold %t", s.usable(), s.cold)
+	s := d.endpoints[list[0].Name]
+	if !s.isUsable() || !s.warmingUp {
+		t.Fatalf("back: usable %t, cold %t", s.isUsable(), s.warmingUp)
 	}
 	used := 0
 	for end := at + 5*time.Second; at < end && used == 0; at += 200 * ms { // though warm ones are idle all the time
@@ -90,7 +90,7 @@
 		t.Error("not used for 5 s after it was let in again")
 	}
 	d.Step(at, []Event{AdminRestore{list[0].Name}, AdminRestore{"nobody"}}) // again: nothing is reset
-	if s.coldAt > at-100*ms {
+	if s.warmUpFrom > at-100*ms {
 		t.Error("a second call made it cold anew")
 	}
 }
@@ -104,7 +104,7 @@
 		d.Step(time.Second, []Event{ask(i+1, 0, 0)})
 	}
 	d.Step(time.Second, []Event{AdminEject{Endpoint: list[0].Name}})
-	if d.servers[list[0].Name].queued > 0 {
+	if d.endpoints[list[0].Name].queued > 0 {
 		t.Error("still queued there")
 	}
 	acts := d.Step(time.Second+ms, []Event{AdminEject{Endpoint: list[1].Name}, ask(100, 0, 0)})
@@ -116,8 +116,8 @@
 		t.Errorf("not refused at once: %+v", acts)
 	}
 	open := 0
-	for _, r := range d.reqs {
-		if r.out == 0 && !r.ended {
+	for _, r := range d.requests {
+		if r.attemptsOut == 0 && !r.ended {
 			open++
 		}
 	}
@@ -136,7 +136,7 @@
 	again.StartedAt = at + time.Second
 	d.Step(at+5*time.Second, []Event{EndpointUpdate{Kind: Delta, Entries: []Endpoint{again}}})
 	d.Step(at+9*time.Second, []Event{AdminRestore{list[0].Name}})
-	if got := d.servers[list[0].Name].coldAt; got != again.StartedAt {
+	if got := d.endpoints[list[0].Name].warmUpFrom; got != again.StartedAt {
 		t.Errorf("cold from %v, started %v", got, again.StartedAt)
 	}
 }
@@ -148,8 +148,8 @@
 		name := fmt.Sprint("x", i)
 		d.Step(time.Duration(i)*ms, []Event{AdminEject{Endpoint: name}, AdminRestore{name}})
 	}
-	if len(d.byHand) != 0 || len(d.servers) != 2 {
-		t.Errorf("%d bans, %d servers", len(d.byHand), len(d.servers))
+	if len(d.adminEjected) != 0 || len(d.endpoints) != 2 {
+		t.Errorf("%d bans, %d servers", len(d.adminEjected), len(d.endpoints))
 	}
 }
 
@@ -160,23 +160,23 @@
 	d := open(t, set, backends(4)...)
 	at := time.Second
 	for i := range uint64(40) { // it knows how long answers take
-		feed(d, at+time.Duration(i)*tick, 100+i, 1)
+		feed(d, at+time.Duration(i)*tickInterval, 100+i, 1)
 	}
 	at += time.Second
 	sends := only[Dispatch](d.Step(at, []Event{ask(1, 0, 0)}))
 	if len(sends) != 1 {
 		t.Fatal(sends)
 	}
-	s := d.servers[sends[0].Endpoint]
-	answers := d.learned[0].answers
+	s := d.endpoints[sends[0].Endpoint]
+	answers := d.classes[0].answers
 	first := FirstByte{ID: 1}
 	d.Step(at+5*ms, []Event{first, first, FirstByte{ID: 1, Attempt: 7}, FirstByte{ID: 99}})
-	if s.load != 0 || len(s.outs) != 0 || d.learned[0].answers != answers+1 {
-		t.Errorf("load %v, %d out, %d answers learned", s.load, len(s.outs), d.learned[0].answers-answers)
+	if s.inFlightWork != 0 || len(s.inFlight) != 0 || d.classes[0].answers != answers+1 {
+		t.Errorf("load %v, %d out, %d answers learned", s.inFlightWork, len(s.inFlight), d.classes[0].answers-answers)
 	}
-	slow := s.slow
+	slow := s.latencyFactor
 	for i := range 200 {
-		for _, a := range d.Step(at+time.Duration(i)*tick, []Event{TimerFired{0}, TimerFired{1<<1 | 1}}) {
+		for _, a := range d.Step(at+time.Duration(i)*tickInterval, []Event{TimerFired{0}, TimerFired{1<<1 | 1}}) {
 			switch a := a.(type) {
 			case Reject, Fail, CancelAttempt, Dispatch:
 				t.Fatalf("%+v while the value is passed on", a)
@@ -187,7 +187,7 @@
 		t.Error("the server is held to be silent")
 	}
 	acts := d.Step(at+4*time.Second, []Event{AttemptResult{ID: 1, Endpoint: s.name, Status: Reset, Latency: 5 * ms, RequestClosed: true}})
-	if len(only[Dispatch](acts)) > 0 || s.slow != slow || len(d.reqs) != 0 || s.load != 0 {
-		t.Errorf("%+v, slow %v was %v, %d requests, load %v", acts, s.slow, slow, len(d.reqs), s.load)
+	if len(only[Dispatch](acts)) > 0 || s.latencyFactor != slow || len(d.requests) != 0 || s.inFlightWork != 0 {
+		t.Errorf("%+v, slow %v was %v, %d requests, load %v", acts, s.latencyFactor, slow, len(d.requests), s.inFlightWork)
 	}
 }
--- a/internal/balancer/handover.go
+++ b/internal/balancer/handover.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	handedMost = 4096    // customers that are handed on, those seen last; the others are met anew
-	ghosts     = 1 << 62 // from here on requests are numbered that are open at the door before
+	maxHandoverCustomers = 4096    // customers that are handed on, those seen last; the others are met anew
+	handoverRequestIDs   = 1 << 62 // from here on requests are numbered that are open at the door before
 )
 
 // HandoverState is what a door hands on. Classes and plans are numbered as in its settings.
@@ -97,129 +97,129 @@
 func (ImportHandover) event() {}
 func (HandoverReady) action() {}
 
-// since is the seconds in which this door's shares have filled.
-func (d *Balancer) since(at time.Duration) float64 {
-	if d.away {
+// refillSeconds is the seconds in which this door's shares have filled.
+func (d *Balancer) refillSeconds(at time.Duration) float64 {
+	if d.handedOver {
 		return 0
 	}
 	return (d.now - at).Seconds()
 }
 
-// leave writes down and gives away.
-func (d *Balancer) leave() {
-	m := HandoverState{At: d.now, Fleet: d.fleet, Rate: d.rate, Short: d.short, CallShare: d.callShare}
-	for _, k := range d.learned {
-		m.Classes = append(m.Classes, ClassHandover{k.base, k.floor, k.answers})
+// handleBeginHandover writes down and gives away.
+func (d *Balancer) handleBeginHandover() {
+	m := HandoverState{At: d.now, Fleet: d.fleetSlowdown, Rate: d.warmEndpointRate, Short: d.shortage, CallShare: d.callFraction}
+	for _, k := range d.classes {
+		m.Classes = append(m.Classes, ClassHandover{k.meanLatency, k.idleLatency, k.answers})
 	}
 	open := map[*customer][]time.Duration{}
-	for _, r := range d.reqs {
-		if r.live {
-			open[r.c] = append(open[r.c], max(r.at+r.tau, r.holdUntil))
+	for _, r := range d.requests {
+		if r.inFlight {
+			open[r.customer] = append(open[r.customer], max(r.arrivedAt+r.timeLimit, r.holdUntil))
 		}
 	}
-	all := slices.Clone(d.order)
+	all := slices.Clone(d.customerOrder)
 	slices.SortFunc(all, func(a, b *customer) int {
-		return cmp.Or(cmp.Compare(b.usedAt, a.usedAt), cmp.Compare(a.name, b.name))
+		return cmp.Or(cmp.Compare(b.lastUsedAt, a.lastUsedAt), cmp.Compare(a.name, b.name))
 	})
 	for _, c := range all {
-		d.ceiling(c, &d.set.Plans[c.plan]) // up to now
-		if len(m.Customers) < handedMost {
-			keeps := min(c.ceil, c.ceilQueued)
+		d.refillCeiling(c, &d.settings.Plans[c.plan]) // up to now
+		if len(m.Customers) < maxHandoverCustomers {
+			keeps := min(c.ceilingTokens, c.ceilingQueued)
 			slices.Sort(open[c])
-			m.Customers = append(m.Customers, CustomerHandover{Name: c.name, Plan: c.plan, Doors: c.doors, Demand: c.demand,
-				Leave: c.leave, DemandAt: c.demandAt, UsedAt: c.usedAt, Tokens: c.tokens, Owed: c.owed, Spare: c.spare,
-				Others: c.others, Store: c.store, Seen: c.seen, SpareAt: c.spareAt, GrantAt: c.grantAt, StoreAt: c.storeAt,
-				KnownAt: c.knownAt, TokensAt: c.tokensFrom, Known: c.known, SeenIn: c.seenIn, Carried: c.carried,
-				Turn: c.turn, CarriedAt: c.carriedAt, EmptyUntil: c.emptyUntil, Ceil: c.ceil - keeps, Kept: c.kept,
-				CeilAt: c.ceilAt, Open: open[c]})
+			m.Customers = append(m.Customers, CustomerHandover{Name: c.name, Plan: c.plan, Doors: c.gateways, Demand: c.demand,
+				Leave: c.admitOnlyDemand, DemandAt: c.demandAt, UsedAt: c.lastUsedAt, Tokens: c.tokens, Owed: c.debt, Spare: c.fallbackTokens,
+				Others: c.peerDemand, Store: c.storeLevel, Seen: c.seenTotal, SpareAt: c.fallbackAt, GrantAt: c.leasedAt, StoreAt: c.storeLevelAt,
+				KnownAt: c.storeKnownAt, TokensAt: c.tokensValidFrom, Known: c.storeKnown, SeenIn: c.seenWindow, Carried: c.carriedWindow,
+				Turn: c.lastTurn, CarriedAt: c.carriedAt, EmptyUntil: c.storeEmptyUntil, Ceil: c.ceilingTokens - keeps, Kept: c.ceilingKept,
+				CeilAt: c.ceilingAt, Open: open[c]})
 		}
-		c.tokens, c.owed, c.spare, c.kept, c.ceil = 0, 0, min(0, c.spare), 0, min(c.ceil, c.ceilQueued)
+		c.tokens, c.debt, c.fallbackTokens, c.ceilingKept, c.ceilingTokens = 0, 0, min(0, c.fallbackTokens), 0, min(c.ceilingTokens, c.ceilingQueued)
 	}
-	for _, s := range d.ring {
-		sm := EndpointHandover{Name: s.name, Started: s.started, ColdAt: s.coldAt, Cold: s.cold, Ejected: s.ejected, Slow: s.slow,
-			Slots: s.slots}
-		for _, e := range s.book.Sends() {
+	for _, s := range d.endpointOrder {
+		sm := EndpointHandover{Name: s.name, Started: s.startedAt, ColdAt: s.warmUpFrom, Cold: s.warmingUp, Ejected: s.ejected, Slow: s.latencyFactor,
+			Slots: s.concurrencyLimit}
+		for _, e := range s.slowStart.Sends() {
 			sm.Sends = append(sm.Sends, SlowStartSend(e))
 		}
 		m.Servers = append(m.Servers, sm)
 	}
-	d.away = true
-	d.act(HandoverReady{m})
+	d.handedOver = true
+	d.emit(HandoverReady{m})
 }
 
-// recall takes over what was handed on. A door that gets its own back adds it to what came in meanwhile.
-func (d *Balancer) recall(m HandoverState) {
-	back := d.away
-	d.away = false
+// handleImportHandover takes over what was handed on. A door that gets its own back adds it to what came in meanwhile.
+func (d *Balancer) handleImportHandover(m HandoverState) {
+	back := d.handedOver
+	d.handedOver = false
 	for _, c := range d.customers { // what would have filled meanwhile was the other's
-		c.spareAt, c.ceilAt = max(c.spareAt, d.now), max(c.ceilAt, d.now)
+		c.fallbackAt, c.ceilingAt = max(c.fallbackAt, d.now), max(c.ceilingAt, d.now)
 	}
 	if !back {
-		d.fleet, d.fleetAt, d.rate, d.rateAt, d.short = cmp.Or(m.Fleet, d.fleet), d.now, m.Rate, d.now, m.Short
-		if d.set.UseCounter {
-			d.callShare = min(1, max(callsLeast, cmp.Or(m.CallShare, 1)))
+		d.fleetSlowdown, d.fleetSlowdownAt, d.warmEndpointRate, d.warmEndpointRateAt, d.shortage = cmp.Or(m.Fleet, d.fleetSlowdown), d.now, m.Rate, d.now, m.Short
+		if d.settings.UseCounter {
+			d.callFraction = min(1, max(minCallFraction, cmp.Or(m.CallShare, 1)))
 		}
 		for i, k := range m.Classes {
-			if i < len(d.learned) && k.Answers > 0 && k.Base > 0 {
-				l := &d.learned[i]
-				l.base, l.floor, l.answers = k.Base, k.Floor, k.Answers
+			if i < len(d.classes) && k.Answers > 0 && k.Base > 0 {
+				l := &d.classes[i]
+				l.meanLatency, l.idleLatency, l.answers = k.Base, k.Floor, k.Answers
 			}
 		}
 		for _, sm := range m.Servers {
-			d.recallServer(sm)
+			d.importEndpoint(sm)
 		}
 	}
 	for i, cm := range m.Customers {
-		if cm.Plan >= 0 && cm.Plan < len(d.set.Plans) && cm.Doors > 0 {
-			d.recallCustomer(i, cm, back)
+		if cm.Plan >= 0 && cm.Plan < len(d.settings.Plans) && cm.Doors > 0 {
+			d.importCustomer(i, cm, back)
 		}
 	}
 }
 
-func (d *Balancer) recallServer(sm EndpointHandover) {
-	s := d.servers[sm.Name]
-	if s == nil || s.started != sm.Started {
+func (d *Balancer) importEndpoint(sm EndpointHandover) {
+	s := d.endpoints[sm.Name]
+	if s == nil || s.startedAt != sm.Started {
 		return // another process, of which nothing is known
 	}
-	s.cold, s.coldAt, s.slots = sm.Cold, sm.ColdAt, min(slotsMost, max(slotsLeast, sm.Slots))
+	s.warmingUp, s.warmUpFrom, s.concurrencyLimit = sm.Cold, sm.ColdAt, min(maxConcurrency, max(minConcurrency, sm.Slots))
 	if sm.Slow > 0 {
-		s.slow = sm.Slow
+		s.latencyFactor = sm.Slow
 	}
 	for _, e := range sm.Sends {
-		s.book.Sent(e.At, e.Size)
+		s.slowStart.Sent(e.At, e.Size)
 	}
-	if s.listed && sm.Ejected && !s.ejected {
+	if s.inService && sm.Ejected && !s.ejected {
 		d.eject(s)
 	}
 }
 
-func (d *Balancer) recallCustomer(i int, cm CustomerHandover, back bool) {
-	p := &d.set.Plans[cm.Plan]
+func (d *Balancer) importCustomer(i int, cm CustomerHandover, back bool) {
+	p := &d.settings.Plans[cm.Plan]
 	c := d.customers[cm.Name]
 	if back && c != nil {
 		c.tokens += cm.Tokens
-		c.owed += cm.Owed
-		c.spare += max(0, cm.Spare)
-		c.kept += cm.Kept
-		c.ceil += cm.Ceil
+		c.debt += cm.Owed
+		c.fallbackTokens += max(0, cm.Spare)
+		c.ceilingKept += cm.Kept
+		c.ceilingTokens += cm.Ceil
 		return
 	}
 	if c == nil {
-		c = d.customer(Request{Customer: cm.Name, Plan: cm.Plan, Gateways: int(cm.Doors)})
+		c = d.customerFor(Request{Customer: cm.Name, Plan: cm.Plan, Gateways: int(cm.Doors)})
 	}
-	c.demand, c.leave, c.demandAt, c.usedAt = cm.Demand, cm.Leave, cm.DemandAt, cm.UsedAt
-	c.tokens, c.owed, c.spare, c.spareAt = cm.Tokens, cm.Owed, min(cm.Spare, p.Burst/cm.Doors), cm.SpareAt
-	c.others, c.store, c.seen, c.seenIn = cm.Others, cm.Store, cm.Seen, cm.SeenIn
-	c.grantAt, c.storeAt, c.knownAt, c.tokensFrom = cm.GrantAt, cm.StoreAt, cm.KnownAt, cm.TokensAt
-	c.known, c.carried, c.carriedAt, c.emptyUntil = cm.Known, cm.Carried, cm.CarriedAt, cm.EmptyUntil
-	c.turn, c.ceil, c.kept, c.ceilAt = cm.Turn, min(cm.Ceil, p.CeilingBurst), cm.Kept, cm.CeilAt
+	c.demand, c.admitOnlyDemand, c.demandAt, c.lastUsedAt = cm.Demand, cm.Leave, cm.DemandAt, cm.UsedAt
+	c.tokens, c.debt, c.fallbackTokens, c.fallbackAt = cm.Tokens, cm.Owed, min(cm.Spare, p.Burst/cm.Doors), cm.SpareAt
+	c.peerDemand, c.storeLevel, c.seenTotal, c.seenWindow = cm.Others, cm.Store, cm.Seen, cm.SeenIn
+	c.leasedAt, c.storeLevelAt, c.storeKnownAt, c.tokensValidFrom = cm.GrantAt, cm.StoreAt, cm.KnownAt, cm.TokensAt
+	c.storeKnown, c.carriedWindow, c.carriedAt, c.storeEmptyUntil = cm.Known, cm.Carried, cm.CarriedAt, cm.EmptyUntil
+	c.lastTurn, c.ceilingTokens, c.ceilingKept, c.ceilingAt = cm.Turn, min(cm.Ceil, p.CeilingBurst), cm.Kept, cm.CeilAt
 	for j, until := range cm.Open[:min(len(cm.Open), max(0, p.MaxInFlight))] {
 		if until <= d.now {
 			continue
 		}
-		r := &request{id: ghosts + uint64(i)<<20 + uint64(j), c: c, plan: cm.Plan, at: d.now, granted: true, live: true, holdUntil: until}
-		d.reqs[r.id] = r
-		c.live++
-		d.act(SetTimer{until, r.id<<1 | 1})
+		r := &request{id: handoverRequestIDs + uint64(i)<<20 + uint64(j), customer: c, plan: cm.Plan, arrivedAt: d.now, admitted: true, inFlight: true, holdUntil: until}
+		d.requests[r.id] = r
+		c.inFlight++
+		d.emit(SetTimer{until, r.id<<1 | 1})
 	}
 }
--- a/internal/balancer/handover_test.go
+++ b/internal/balancer/handover_test.go
@@ -124,10 +124,10 @@
 		t.Errorf("%d sent beside 3 at the old door; the cap is 4", sends)
 	}
 	c := d.customers["c"]
-	acts := d.Step(4*time.Second, []Event{TimerFired{(ghosts+1)<<1 | 1}, TimerFired{(ghosts+0)<<1 | 1}, TimerFired{(ghosts+2)<<1 | 1}})
+	acts := d.Step(4*time.Second, []Event{TimerFired{(handoverRequestIDs+1)<<1 | 1}, TimerFired{(handoverRequestIDs+0)<<1 | 1}, TimerFired{(handoverRequestIDs+2)<<1 | 1}})
 	_ = acts
-	if c.live > 1 {
-		t.Errorf("%d still count when their time is over", c.live)
+	if c.inFlight > 1 {
+		t.Errorf("%d still count when their time is over", c.inFlight)
 	}
 }
 
@@ -137,20 +137,20 @@
 	list := backends(4)
 	old := open(t, set, list...)
 	old.Step(time.Second, []Event{ask(1, 0, 0)})
-	old.learned[0] = experience{base: 0.2, floor: 0.1, answers: 77}
-	s := old.servers[list[0].Name]
-	s.cold, s.coldAt, s.slow, s.slots = true, time.Second, 2, 3
-	s.book.Sent(time.Second, 1)
-	old.eject(old.servers[list[1].Name])
+	old.classes[0] = classEstimate{meanLatency: 0.2, idleLatency: 0.1, answers: 77}
+	s := old.endpoints[list[0].Name]
+	s.warmingUp, s.warmUpFrom, s.latencyFactor, s.concurrencyLimit = true, time.Second, 2, 3
+	s.slowStart.Sent(time.Second, 1)
+	old.eject(old.endpoints[list[1].Name])
 	d, m := pass(t, old, set, 2*time.Second, list...)
-	if k := d.learned[0]; k.base != 0.2 || k.floor != 0.1 || k.answers != 77 {
+	if k := d.classes[0]; k.meanLatency != 0.2 || k.idleLatency != 0.1 || k.answers != 77 {
 		t.Errorf("%+v", k)
 	}
-	got := d.servers[list[0].Name]
-	if !got.cold || got.coldAt != time.Second || got.slow != 2 || got.slots != 3 || len(got.book.Sends()) != 1 {
+	got := d.endpoints[list[0].Name]
+	if !got.warmingUp || got.warmUpFrom != time.Second || got.latencyFactor != 2 || got.concurrencyLimit != 3 || len(got.slowStart.Sends()) != 1 {
 		t.Errorf("%+v", got)
 	}
-	if !d.servers[list[1].Name].ejected {
+	if !d.endpoints[list[1].Name].ejected {
 		t.Error("a server that was left out is used")
 	}
 	again := list[0]
@@ -160,7 +160,7 @@
 		t.Fatal(err)
 	}
 	fresh.Step(2*time.Second, []Event{EndpointUpdate{Kind: CachedSnapshot, Entries: []Endpoint{again}}, ImportHandover{m}})
-	if got := fresh.servers[again.Name]; got.slow == 2 || got.coldAt != again.StartedAt {
+	if got := fresh.endpoints[again.Name]; got.latencyFactor == 2 || got.warmUpFrom != again.StartedAt {
 		t.Errorf("what is known of another process: %+v", got)
 	}
 }
@@ -172,17 +172,17 @@
 	d := open(t, set, backends(2)...)
 	d.Step(time.Second, []Event{ask(1, 0, 1)})
 	c := d.customers["c"]
-	ceil, spare := d.ceiling(c, &set.Plans[1]), c.spare
+	ceil, spare := d.refillCeiling(c, &set.Plans[1]), c.fallbackTokens
 	handed := only[HandoverReady](d.Step(time.Second, []Event{BeginHandover{}}))
-	if c.ceil > c.ceilQueued || c.spare > 0 {
-		t.Errorf("kept: ceiling %v, spare %v", c.ceil, c.spare)
+	if c.ceilingTokens > c.ceilingQueued || c.fallbackTokens > 0 {
+		t.Errorf("kept: ceiling %v, spare %v", c.ceilingTokens, c.fallbackTokens)
 	}
 	d.Step(2*time.Second, []Event{ask(2, 0, 1)}) // it fills nothing meanwhile
 	d.Step(3*time.Second, []Event{ImportHandover{handed[0].State}})
-	if math.Abs(c.ceil-ceil) > 1e-9 || math.Abs(c.spare-spare) > 1e-9 {
-		t.Errorf("ceiling %v, was %v; spare %v, was %v", c.ceil, ceil, c.spare, spare)
+	if math.Abs(c.ceilingTokens-ceil) > 1e-9 || math.Abs(c.fallbackTokens-spare) > 1e-9 {
+		t.Errorf("ceiling %v, was %v; spare %v, was %v", c.ceilingTokens, ceil, c.fallbackTokens, spare)
 	}
-	if d.away {
+	if d.handedOver {
 		t.Error("still away")
 	}
 }
@@ -199,7 +199,7 @@
 	for i := range uint64(20) {
 		d.Step(time.Second+time.Duration(i)*20*ms, []Event{ask(i+1, 0, int(i)%4), TimerFired{0}})
 	}
-	if d.callShare < callsLeast || d.callShare > 1 {
-		t.Errorf("callShare %v", d.callShare)
+	if d.callFraction < minCallFraction || d.callFraction > 1 {
+		t.Errorf("callShare %v", d.callFraction)
 	}
 }
--- a/internal/balancer/late.go
+++ b/internal/balancer/late.go
@@ -17,29 +17,29 @@
 	latePause = 400 * time.Millisecond // in which nothing more is asked for the customer
 )
 
-// lates are the calls that ended as Timeout, by their tickets. The zero value is ready.
-type lates struct {
-	calls map[uint64]*call
+// timedOutCalls are the calls that ended as Timeout, by their tickets. The zero value is ready.
+type timedOutCalls struct {
+	calls map[uint64]*counterCall
 	order []uint64 // oldest first
 	last  uint64   // ticket given
 }
 
-// ticket makes a new one; 0 is none.
-func (l *lates) ticket() uint64 {
+// nextTicket makes a new one; 0 is none.
+func (l *timedOutCalls) nextTicket() uint64 {
 	l.last++
 	return l.last
 }
 
 // keep remembers a call that has ended without an answer.
-func (l *lates) keep(k *call, now time.Duration) {
+func (l *timedOutCalls) keep(k *counterCall, now time.Duration) {
 	if l.calls == nil {
-		l.calls = map[uint64]*call{}
+		l.calls = map[uint64]*counterCall{}
 	}
 	l.calls[k.ticket] = k
 	l.order = append(l.order, k.ticket)
 	for len(l.order) > 0 {
 		old := l.calls[l.order[0]]
-		if old != nil && len(l.order) <= lateMost && now-old.at <= lateKeep {
+		if old != nil && len(l.order) <= lateMost && now-old.sentAt <= lateKeep {
 			break
 		}
 		delete(l.calls, l.order[0])
@@ -47,36 +47,36 @@
 	}
 }
 
-// unanswered takes it that a call may have been added and that nobody heard of it. One that ended long before its time did so with
+// handleCallTimeout takes it that a call may have been added and that nobody heard of it. One that ended long before its time did so with
 // its connection: no late answer can come on that, and who waits may ask once more, now.
-func (d *Balancer) unanswered(k *call) {
-	k.c.unheard = true
-	if d.now-k.at < d.set.CounterTimeout/2 {
-		k.c.askAnew()
+func (d *Balancer) handleCallTimeout(k *counterCall) {
+	k.customer.lastCallLost = true
+	if d.now-k.sentAt < d.settings.CounterTimeout/2 {
+		k.customer.allowAnotherCall()
 		return
 	}
-	d.lates.keep(k, d.now)
-	k.c.pauseUntil = d.now + latePause
+	d.timedOutCalls.keep(k, d.now)
+	k.customer.callsPausedUntil = d.now + latePause
 }
 
 // take is the call of a ticket, which is then forgotten; nil: nothing is known of it, or no longer.
-func (l *lates) take(ticket uint64) *call {
+func (l *timedOutCalls) take(ticket uint64) *counterCall {
 	k := l.calls[ticket]
 	delete(l.calls, ticket)
 	return k
 }
 
-// late takes the answer to a call that was given up, if it goes by the number of now: a window's number does not outlive it.
-func (d *Balancer) late(ev LateCounterResult) {
-	k := d.lates.take(ev.Ticket)
-	if k == nil || k.window != int64(d.now/windowLen) || d.now-k.at > lateKeep {
+// handleLateCounterResult takes the answer to a call that was given up, if it goes by the number of now: a window's number does not outlive it.
+func (d *Balancer) handleLateCounterResult(ev LateCounterResult) {
+	k := d.timedOutCalls.take(ev.Ticket)
+	if k == nil || k.window != int64(d.now/counterWindow) || d.now-k.sentAt > lateKeep {
 		return
 	}
-	k.c.pauseUntil = 0
+	k.customer.callsPausedUntil = 0
 	if ev.Status == OK {
-		d.grant(k, ev.Total, k.at) // what the store has gained since may be spent by others
+		d.creditLease(k, ev.Total, k.sentAt) // what the store has gained since may be spent by others
 	} else {
-		k.c.owed -= k.block
+		k.customer.debt -= k.block
 	}
-	d.serve(k.c)
+	d.serveWaiting(k.customer)
 }
--- a/internal/balancer/late_test.go
+++ b/internal/balancer/late_test.go
@@ -50,7 +50,7 @@
 	}
 	before = c.tokens
 	d.Step(now+80*ms, []Event{ask(901, 0, 0)}) // the servers are full, but it is paid for
-	if r := d.reqs[901]; before >= 1 && (r == nil || !r.paid || c.tokens != before-1) {
+	if r := d.requests[901]; before >= 1 && (r == nil || !r.withinQuota || c.tokens != before-1) {
 		t.Errorf("a request inside the lease of %v is not paid by it", before)
 	}
 }
@@ -60,16 +60,16 @@
 	d, call, now := called(t)
 	c := d.customers["c"]
 	d.Step(now+50*ms, []Event{CounterResult{Name: call.Name, Status: Timeout}})
-	before := c.owed
+	before := c.debt
 	d.Step(now+70*ms, []Event{LateCounterResult{Ticket: call.Ticket, Status: Failed}})
-	if got := before - c.owed; got <= 0 || got > call.Amount {
+	if got := before - c.debt; got <= 0 || got > call.Amount {
 		t.Errorf("%v given back of the %v added", got, call.Amount)
 	}
 }
 
 // What is late by a window belongs to a number that nobody asks any more, and what is stale is forgotten.
 func TestLateAnswerOfAnotherWindow(t *testing.T) {
-	for _, after := range []time.Duration{windowLen, lateKeep + time.Second} {
+	for _, after := range []time.Duration{counterWindow, lateKeep + time.Second} {
 		d, call, now := called(t)
 		c := d.customers["c"]
 		d.Step(now+50*ms, []Event{CounterResult{Name: call.Name, Status: Timeout}})
@@ -83,14 +83,14 @@
 
 // A counter that is silent for ever leaves no more behind than the bound.
 func TestLatesAreBounded(t *testing.T) {
-	var l lates
+	var l timedOutCalls
 	for i := range 10 * lateMost {
-		l.keep(&call{ticket: l.ticket(), at: time.Duration(i)}, time.Duration(i))
+		l.keep(&counterCall{ticket: l.nextTicket(), sentAt: time.Duration(i)}, time.Duration(i))
 		if len(l.calls) > lateMost || len(l.order) > lateMost {
 			t.Fatalf("%d calls, %d tickets kept; want %d at most", len(l.calls), len(l.order), lateMost)
 		}
 	}
-	l.keep(&call{ticket: l.ticket(), at: time.Hour}, time.Hour)
+	l.keep(&counterCall{ticket: l.nextTicket(), sentAt: time.Hour}, time.Hour)
 	if len(l.calls) != 1 || len(l.order) != 1 {
 		t.Errorf("%d calls and %d tickets after an hour; want the new one", len(l.calls), len(l.order))
 	}
@@ -108,7 +108,7 @@
 		t.Fatalf("after a call without an answer: %v; want one for a single unit", calls)
 	}
 	d.Step(now+ms, []Event{CounterResult{Name: calls[0].Name, Status: OK, Total: 0}})
-	if c.unheard {
+	if c.lastCallLost {
 		t.Error("the counter was heard, and still the least is asked")
 	}
 }
@@ -120,7 +120,7 @@
 		d, call, now := calledBy(t, seed)
 		acts := d.Step(now+3*ms, []Event{CounterResult{Name: call.Name, Status: Timeout}})
 		again += len(only[CounterAdd](acts))
-		if len(d.lates.calls) != 0 || d.customers["c"].pauseUntil != 0 {
+		if len(d.timedOutCalls.calls) != 0 || d.customers["c"].callsPausedUntil != 0 {
 			t.Errorf("seed %d: a late answer is waited for on a connection that is gone", seed)
 		}
 	}
@@ -147,7 +147,7 @@
 func TestLateAnswerGrantsNoRefillSince(t *testing.T) {
 	d, call, now := called(t)
 	c := d.customers["c"]
-	p := d.set.Plans[0]
+	p := d.settings.Plans[0]
 	d.Step(now+50*ms, []Event{CounterResult{Name: call.Name, Status: Timeout}})
 	before := c.tokens
 	empty := p.Burst + p.Rate*now.Seconds() + call.Amount // a total at which the store held nothing then
@@ -168,10 +168,10 @@
 		t.Fatalf("%d calls after the pause", len(later))
 	}
 	d.Step(now+ms, []Event{CounterResult{Name: later[0].Name, Status: OK, Total: 90}})
-	known, seen, store, at := c.knownAt, c.seen, c.store, c.storeAt
+	known, seen, store, at := c.storeKnownAt, c.seenTotal, c.storeLevel, c.storeLevelAt
 	acts := d.Step(now+20*ms, []Event{LateCounterResult{call.Ticket, OK, call.Amount}})
-	if c.knownAt != known || c.seen != seen || c.store != store || c.storeAt != at {
-		t.Errorf("known since %v, seen %v, store %v at %v; want %v, %v, %v at %v", c.knownAt, c.seen, c.store, c.storeAt, known, seen, store, at)
+	if c.storeKnownAt != known || c.seenTotal != seen || c.storeLevel != store || c.storeLevelAt != at {
+		t.Errorf("known since %v, seen %v, store %v at %v; want %v, %v, %v at %v", c.storeKnownAt, c.seenTotal, c.storeLevel, c.storeLevelAt, known, seen, store, at)
 	}
 	for _, k := range only[CounterAdd](acts) {
 		if k.Amount > 0 {
--- a/internal/balancer/many.go
+++ b/internal/balancer/many.go
@@ -36,200 +36,200 @@
 	pauseMost   = 12 * time.Second
 )
 
-// many says that the doors of a customer are so many that each one's even share of the ceiling is a request or two. A plan that
+// hasSparseShares says that the doors of a customer are so many that each one's even share of the ceiling is a request or two. A plan that
 // caps what is open at once too keeps its even shares: payMany counts nothing that is open.
-func (d *Balancer) many(c *customer, p *Plan) bool {
-	return d.crowded() && p.CeilingRate > p.Rate && p.Rate > 0 && p.MaxInFlight == 0 && p.CeilingBurst > manyTakes*p.Burst && d.terms[c.plan].Rate == 0 &&
-		p.CeilingBurst/c.doors < manyDepth && p.OverQuotaWeight > p.OverQuotaCost
+func (d *Balancer) hasSparseShares(c *customer, p *Plan) bool {
+	return d.isLargeFleet() && p.CeilingRate > p.Rate && p.Rate > 0 && p.MaxInFlight == 0 && p.CeilingBurst > manyTakes*p.Burst && d.leaseTerms[c.plan].Rate == 0 &&
+		p.CeilingBurst/c.gateways < manyDepth && p.OverQuotaWeight > p.OverQuotaCost
 }
 
-// crowded says that the doors are so many that the counter can't serve a call for each request that a door can't pay, and a
+// isLargeFleet says that the doors are so many that the counter can't serve a call for each request that a door can't pay, and a
 // door meets most customers so seldom that a lease for them would lie unused.
-func (d *Balancer) crowded() bool {
-	return d.set.UseCounter && !d.set.LeaseCeilings && d.set.Gateways >= crowdFrom // what is lent hangs on a ledger without reservations
+func (d *Balancer) isLargeFleet() bool {
+	return d.settings.UseCounter && !d.settings.LeaseCeilings && d.settings.Gateways >= crowdFrom // what is lent hangs on a ledger without reservations
 }
 
-// mayAsk says whether the counter may be called for a request. The calls that there are go first to those for which they
+// canCallFor says whether the counter may be called for a request. The calls that there are go first to those for which they
 // decide most: a client's repeat was refused before, mostly for good reason, and a promotion only helps while servers are short.
-func (d *Balancer) mayAsk(r *request, leaves float64) bool {
-	c := r.c
-	if d.away || r.asked || d.now < max(c.emptyUntil, c.pauseUntil) || len(d.asks) >= mostAsks {
+func (d *Balancer) canCallFor(r *request, leaves float64) bool {
+	c := r.customer
+	if d.handedOver || r.counterCalled || d.now < max(c.storeEmptyUntil, c.callsPausedUntil) || len(d.callsOut) >= maxCallsOut {
 		return false
 	}
-	if r.retry {
+	if r.clientRetry {
 		leaves += callsRetry
 	}
-	return d.calls.May(d.now, leaves)
+	return d.callPacer.May(d.now, leaves)
 }
 
-// ledgerMay says whether the ledger may pay a request: a token is here, is asked for, or can be.
-func (d *Balancer) ledgerMay(r *request, p *Plan) bool {
-	c := r.c
-	return c.tokens >= r.units && (c.tokensFrom-d.now).Seconds() <= r.tau.Seconds()*ceilWait || c.asking ||
-		d.now >= max(c.emptyUntil, c.pauseUntil)
+// counterMayCover says whether the ledger may pay a request: a token is here, is asked for, or can be.
+func (d *Balancer) counterMayCover(r *request, p *Plan) bool {
+	c := r.customer
+	return c.tokens >= r.units && (c.tokensValidFrom-d.now).Seconds() <= r.timeLimit.Seconds()*maxCeilingWaitFraction || c.callPending ||
+		d.now >= max(c.storeEmptyUntil, c.callsPausedUntil)
 }
 
-// turns are a customer's at the doors, where each one's share of what is beyond the quota is less than a unit.
-func (d *Balancer) turns(c *customer, p *Plan) (ceilinglease.Turns, bool) {
-	return ceilinglease.TurnsOf(manyRate*(p.CeilingRate-p.Rate), p.CeilingBurst-manyTakes*p.Burst, c.doors)
+// ceilingTurns are a customer's at the doors, where each one's share of what is beyond the quota is less than a unit.
+func (d *Balancer) ceilingTurns(c *customer, p *Plan) (ceilinglease.Turns, bool) {
+	return ceilinglease.TurnsOf(manyRate*(p.CeilingRate-p.Rate), p.CeilingBurst-manyTakes*p.Burst, c.gateways)
 }
 
-// turnOf tells the share of a customer at a door that has turns. A door that has just begun may have used its turn before.
-func (d *Balancer) turnOf(c *customer, t ceilinglease.Turns) float64 {
-	c.ceil, c.ceilAt, c.kept = 0, d.now, 0
-	turn, open := t.Now(d.now, d.set.Index)
-	if began, _ := t.Now(d.begun, d.set.Index); open && turn > c.turn && turn > began {
-		c.ceil = 1
+// refillTurn tells the share of a customer at a door that has turns. A door that has just begun may have used its turn before.
+func (d *Balancer) refillTurn(c *customer, t ceilinglease.Turns) float64 {
+	c.ceilingTokens, c.ceilingAt, c.ceilingKept = 0, d.now, 0
+	turn, open := t.Now(d.now, d.settings.Index)
+	if began, _ := t.Now(d.startedAt, d.settings.Index); open && turn > c.lastTurn && turn > began {
+		c.ceilingTokens = 1
 	}
-	return c.ceil
+	return c.ceilingTokens
 }
 
-// hasWaited says that a request has waited for as long as it may for the counter, or for a turn to call it.
-func (d *Balancer) hasWaited(r *request) bool {
-	return (d.now - r.at).Seconds() > r.tau.Seconds()*crowdWait
+// hasWaitedForCounter says that a request has waited for as long as it may for the counter, or for a turn to call it.
+func (d *Balancer) hasWaitedForCounter(r *request) bool {
+	return (d.now - r.arrivedAt).Seconds() > r.timeLimit.Seconds()*crowdWait
 }
 
-// tidy gives back what a customer's lease has not used, with the next call, and fills its credit.
-func (d *Balancer) tidy(c *customer, p *Plan, least float64) {
-	if w := int64(d.now / windowLen); c.owedIn != w { // what was taken of an older number can't be given back to this one
-		c.owedIn, c.owed = w, max(0, c.owed)
+// returnUnusedTokens gives back what a customer's lease has not used, with the next call, and fills its credit.
+func (d *Balancer) returnUnusedTokens(c *customer, p *Plan, least float64) {
+	if w := int64(d.now / counterWindow); c.debtWindow != w { // what was taken of an older number can't be given back to this one
+		c.debtWindow, c.debt = w, max(0, c.debt)
 	}
-	if c.tokens > 0 && !c.asking && d.now-max(c.grantAt, c.tokensFrom) > crowdLife {
-		c.owed -= c.tokens
+	if c.tokens > 0 && !c.callPending && d.now-max(c.leasedAt, c.tokensValidFrom) > crowdLife {
+		c.debt -= c.tokens
 		c.tokens = 0
 	}
-	c.spare, c.spareAt = min(max(c.spare, least, p.Burst/c.doors), c.spare+p.Rate/c.doors*d.since(c.spareAt)), d.now
+	c.fallbackTokens, c.fallbackAt = min(max(c.fallbackTokens, least, p.Burst/c.gateways), c.fallbackTokens+p.Rate/c.gateways*d.refillSeconds(c.fallbackAt)), d.now
 }
 
-// spendFew is spend where doors are many.
-func (d *Balancer) spendFew(r *request, p *Plan) verdict {
-	c := r.c
-	d.tidy(c, p, 0)
+// spendTokensLargeFleet is spend where doors are many.
+func (d *Balancer) spendTokensLargeFleet(r *request, p *Plan) quotaDecision {
+	c := r.customer
+	d.returnUnusedTokens(c, p, 0)
 	switch {
-	case c.tokens >= r.units && d.now >= c.tokensFrom:
+	case c.tokens >= r.units && d.now >= c.tokensValidFrom:
 		c.tokens -= r.units
-		r.byLedger = true
-		return paid
-	case c.tokens >= r.units && (c.tokensFrom-d.now).Seconds() <= r.tau.Seconds()*ceilWait, c.asking:
-		return wait
-	case r.asked && d.now < c.pauseUntil && !d.hasWaited(r): // the answer may come yet
-		return wait
-	case d.mayAsk(r, 0):
-		r.asked = true
-		d.ask(c, p, r.units, false)
-		return wait
-	case r.retry || d.now < c.emptyUntil:
-		return beyond
-	case !r.asked && !d.hasWaited(r):
-		return wait
-	case d.rng.Float64()*r.units < d.credit(c, p):
-		c.spare -= r.units
-		c.owed += r.units
-		r.unsure = true
-		return paid
+		r.paidByCounter = true
+		return quotaCovered
+	case c.tokens >= r.units && (c.tokensValidFrom-d.now).Seconds() <= r.timeLimit.Seconds()*maxCeilingWaitFraction, c.callPending:
+		return quotaPending
+	case r.counterCalled && d.now < c.callsPausedUntil && !d.hasWaitedForCounter(r): // the answer may come yet
+		return quotaPending
+	case d.canCallFor(r, 0):
+		r.counterCalled = true
+		d.leaseTokens(c, p, r.units, false)
+		return quotaPending
+	case r.clientRetry || d.now < c.storeEmptyUntil:
+		return quotaExceeded
+	case !r.counterCalled && !d.hasWaitedForCounter(r):
+		return quotaPending
+	case d.rng.Float64()*r.units < d.creditProbability(c, p):
+		c.fallbackTokens -= r.units
+		c.debt += r.units
+		r.onCredit = true
+		return quotaCovered
 	}
-	return beyond
+	return quotaExceeded
 }
 
-// credit is the chance that a request for which there is no call goes out unasked. A share of less than a unit is a unit by
+// creditProbability is the chance that a request for which there is no call goes out unasked. A share of less than a unit is a unit by
 // chance; and the longer a door has run, the more likely is a customer that it has not met, or not found empty, one of the
 // many that stay well inside their quotas. Once for each customer, and again when its share has filled.
-func (d *Balancer) credit(c *customer, p *Plan) float64 {
-	if c.spare <= 0 {
+func (d *Balancer) creditProbability(c *customer, p *Plan) float64 {
+	if c.fallbackTokens <= 0 {
 		return 0
 	}
-	return max(c.spare, min(creditMost, (d.now-d.begun).Seconds()*p.Rate/c.doors*creditSoon))
+	return max(c.fallbackTokens, min(creditMost, (d.now-d.startedAt).Seconds()*p.Rate/c.gateways*creditSoon))
 }
 
-// overfull puts a store right that holds more than its burst. Where it is much, as when all doors have just started, many see it at
+// correctOverfull puts a store right that holds more than its burst. Where it is much, as when all doors have just started, many see it at
 // once: the one whose call began the number does it; should that fail, one of those who ask leave of the counter.
-func (d *Balancer) overfull(c *customer, k *call, amount float64, began bool) {
+func (d *Balancer) correctOverfull(c *customer, k *counterCall, amount float64, began bool) {
 	switch {
-	case began || amount <= d.set.Plans[c.plan].Burst:
-		d.call(c, 0, amount, 0)
-	case d.many(c, &d.set.Plans[c.plan]) || d.rng.Float64() < crowdFix:
-		d.askFix(c, k.window, amount, 0)
+	case began || amount <= d.settings.Plans[c.plan].Burst:
+		d.callCounter(c, 0, amount, 0)
+	case d.hasSparseShares(c, &d.settings.Plans[c.plan]) || d.rng.Float64() < crowdFix:
+		d.callCorrectionLock(c, k.window, amount, 0)
 	}
 }
 
-// slackOf is by how many bursts a store may be over its burst before a call is spent on it. Where a ceiling hangs on it, little.
-func (d *Balancer) slackOf(c *customer, p *Plan) float64 {
-	if d.many(c, p) {
+// overfullSlack is by how many bursts a store may be over its burst before a call is spent on it. Where a ceiling hangs on it, little.
+func (d *Balancer) overfullSlack(c *customer, p *Plan) float64 {
+	if d.hasSparseShares(c, p) {
 		return manyOver
 	}
 	return crowdOver
 }
 
-// payMany decides for a request of a soft plan whose doors are many.
-func (d *Balancer) payMany(r *request, p *Plan, short, late bool) verdict {
-	c := r.c
-	r.byLedger = false
-	worth := max(1e-9, d.set.Classes[r.class].PriorityWeight*p.PriorityFactor*d.learned[r.class].size.Density(r.units))
-	r.level = min(bands-1, max(0, int(steps*math.Log2(d.topWorth/worth))))
-	d.tidy(c, p, 1)
-	pressed := d.fleet > 1.5
+// checkQuotaSparse decides for a request of a soft plan whose doors are many.
+func (d *Balancer) checkQuotaSparse(r *request, p *Plan, short, late bool) quotaDecision {
+	c := r.customer
+	r.paidByCounter = false
+	worth := max(1e-9, d.settings.Classes[r.class].PriorityWeight*p.PriorityFactor*d.classes[r.class].costProfile.Density(r.units))
+	r.level = min(priorityBands-1, max(0, int(bandsPerHalving*math.Log2(d.maxPriority/worth))))
+	d.returnUnusedTokens(c, p, 1)
+	pressed := d.fleetSlowdown > 1.5
 	switch {
-	case !short && c.spare >= r.units:
-		c.spare -= r.units
-		c.owed += r.units
-		d.hold(r, fromShare)
-	case c.tokens >= r.units && d.now >= c.tokensFrom:
+	case !short && c.fallbackTokens >= r.units:
+		c.fallbackTokens -= r.units
+		c.debt += r.units
+		d.reserveCeiling(r, fromEvenShare)
+	case c.tokens >= r.units && d.now >= c.tokensValidFrom:
 		c.tokens -= r.units
-		d.hold(r, fromQuota)
-	case c.asking:
-		return wait
-	case short && c.tokens >= r.units && (c.tokensFrom-d.now).Seconds() <= r.tau.Seconds()*ceilWait:
-		return wait
-	case short && r.asked && d.now < c.pauseUntil && !d.hasWaited(r):
-		return wait
-	case c.tokens < r.units && (short && d.mayAsk(r, 0) || !short && pressed && d.mayAsk(r, callsSoft)):
-		r.asked = true
-		d.ask(c, p, r.units, false)
-		return wait
-	case short && !r.asked && !late && d.now >= max(c.emptyUntil, c.pauseUntil) && !d.hasWaited(r): // for a turn to call
-		return wait
+		d.reserveCeiling(r, fromQuota)
+	case c.callPending:
+		return quotaPending
+	case short && c.tokens >= r.units && (c.tokensValidFrom-d.now).Seconds() <= r.timeLimit.Seconds()*maxCeilingWaitFraction:
+		return quotaPending
+	case short && r.counterCalled && d.now < c.callsPausedUntil && !d.hasWaitedForCounter(r):
+		return quotaPending
+	case c.tokens < r.units && (short && d.canCallFor(r, 0) || !short && pressed && d.canCallFor(r, callsSoft)):
+		r.counterCalled = true
+		d.leaseTokens(c, p, r.units, false)
+		return quotaPending
+	case short && !r.counterCalled && !late && d.now >= max(c.storeEmptyUntil, c.callsPausedUntil) && !d.hasWaitedForCounter(r): // for a turn to call
+		return quotaPending
 	case !short:
-		c.owed += r.units
-		return beyond
-	case late || r.grant || (r.units-d.room(r, p))*c.doors/(manyRate*(p.CeilingRate-p.Rate)) > r.tau.Seconds()*ceilWait:
-		return beyond
+		c.debt += r.units
+		return quotaExceeded
+	case late || r.admitOnly || (r.units-d.ceilingRoom(r, p))*c.gateways/(manyRate*(p.CeilingRate-p.Rate)) > r.timeLimit.Seconds()*maxCeilingWaitFraction:
+		return quotaExceeded
 	default:
-		return wait
+		return quotaPending
 	}
-	r.paid = true
-	return paid
+	r.withinQuota = true
+	return quotaCovered
 }
 
-// patience is how far ahead units are reserved. Of a hard plan it is as long as a request of any class may wait: what comes later would
+// reservationHorizon is how far ahead units are reserved. Of a hard plan it is as long as a request of any class may wait: what comes later would
 // mostly lie unused, as the door may not meet the customer again for long.
-func (d *Balancer) patience(c *customer, p *Plan) time.Duration {
+func (d *Balancer) reservationHorizon(c *customer, p *Plan) time.Duration {
 	least := promiseMost
-	if d.many(c, p) {
+	if d.hasSparseShares(c, p) {
 		return least
 	}
-	for i := range d.set.Classes {
-		least = min(least, time.Duration(float64(cmp.Or(d.set.Classes[i].LatencyObjective, d.set.Classes[i].ClientTimeout))*ceilWait))
+	for i := range d.settings.Classes {
+		least = min(least, time.Duration(float64(cmp.Or(d.settings.Classes[i].LatencyObjective, d.settings.Classes[i].ClientTimeout))*maxCeilingWaitFraction))
 	}
 	return least
 }
 
-// promise keeps what a call took of a store that did not hold it, where a door meets a customer so seldom that giving it back
+// reserveAhead keeps what a call took of a store that did not hold it, where a door meets a customer so seldom that giving it back
 // would cost a call each time: it may be spent when the store has gained it. What would take too long is given back, and the
 // customer's doors, each pausing for a time of its own, ask a few times as often as there is a unit.
-func (d *Balancer) promise(k *call, has, got float64) {
-	c, p := k.c, &d.set.Plans[k.c.plan]
+func (d *Balancer) reserveAhead(k *counterCall, has, got float64) {
+	c, p := k.customer, &d.settings.Plans[k.customer.plan]
 	lacks := k.block - has
 	fills := time.Duration(lacks / p.Rate * float64(time.Second))
-	if fills <= d.patience(c, p) && k.kind == forTokens && got < k.block {
+	if fills <= d.reservationHorizon(c, p) && k.kind == forTokens && got < k.block {
 		c.tokens += k.block - got // the rest is added by grant
-		c.tokensFrom = d.now + fills
-		c.owed += k.block + k.owed - k.amount
-		k.amount = k.block + k.owed
-		c.emptyUntil = d.now + fills
+		c.tokensValidFrom = d.now + fills
+		c.debt += k.block + k.debt - k.amount
+		k.amount = k.block + k.debt
+		c.storeEmptyUntil = d.now + fills
 		return
 	}
-	d.call(c, 0, got+k.owed-k.amount, 0)
-	k.amount = got + k.owed
-	pause := min(pauseMost.Seconds(), max(lacks, c.doors/pauseDoors)/p.Rate) * (0.5 + d.rng.Float64())
-	c.emptyUntil = d.now + time.Duration(pause*float64(time.Second))
+	d.callCounter(c, 0, got+k.debt-k.amount, 0)
+	k.amount = got + k.debt
+	pause := min(pauseMost.Seconds(), max(lacks, c.gateways/pauseDoors)/p.Rate) * (0.5 + d.rng.Float64())
+	c.storeEmptyUntil = d.now + time.Duration(pause*float64(time.Second))
 }
--- a/internal/balancer/many_test.go
+++ b/internal/balancer/many_test.go
@@ -238,11 +238,11 @@
 // the time left do, but for a few whose answers tell when it is over.
 func TestLittleEvidenceRefusesLate(t *testing.T) {
 	d := open(t, crowd(80), backends(20)...)
-	d.learned[1].base, d.learned[1].floor = 0.05, 0.05
+	d.classes[1].meanLatency, d.classes[1].idleLatency = 0.05, 0.05
 	refused := func(slower float64) (n int) {
-		d.fleet = slower
+		d.fleetSlowdown = slower
 		for range 1000 {
-			if d.hopeless(&request{class: 1, size: 1, tau: 600 * ms}, d.ring[0]) {
+			if d.shouldShed(&request{class: 1, cost: 1, timeLimit: 600 * ms}, d.endpointOrder[0]) {
 				n++
 			}
 		}
--- a/internal/balancer/odd_test.go
+++ b/internal/balancer/odd_test.go
@@ -44,7 +44,7 @@
 					}
 				}
 				for range 300 {
-					at += tick
+					at += tickInterval
 					evs := []Event{TimerFired{0}}
 					switch rng.IntN(4) {
 					case 0:
@@ -69,8 +69,8 @@
 					}
 					take(d.Step(at, evs))
 				}
-				for range 3 * int(time.Second/tick) { // every client has given up by then: a request's own timer is due
-					at += tick
+				for range 3 * int(time.Second/tickInterval) { // every client has given up by then: a request's own timer is due
+					at += tickInterval
 					evs := []Event{TimerFired{0}}
 					for i := range owed {
 						evs = append(evs, TimerFired{i<<1 | 1})
--- a/internal/balancer/retune_test.go
+++ b/internal/balancer/retune_test.go
@@ -23,7 +23,7 @@
 	set.Plans[0] = Plan{PriorityFactor: 1}
 	d := open(t, set, backends(3)...)
 	first := sent1(t, d.Step(time.Second, []Event{ask(1, 0, 0)}))
-	d.learned[0].base, d.learned[0].answers = 0.123, 50
+	d.classes[0].meanLatency, d.classes[0].answers = 0.123, 50
 
 	next := set
 	next.MaxAttempts = 1
@@ -41,8 +41,8 @@
 	from[fresh] = 0
 	acts := d.Step(time.Second+ms, []Event{SettingsUpdate{Settings: next, EvidenceFrom: from}, ask(2, fresh, 0)})
 	second := sent1(t, acts)
-	if d.learned[fresh].base != 0.123 {
-		t.Errorf("what was learned is lost: %v", d.learned[fresh].base)
+	if d.classes[fresh].meanLatency != 0.123 {
+		t.Errorf("what was learned is lost: %v", d.classes[fresh].meanLatency)
 	}
 	// The old request may still be repeated, being of a safe class; the new one may not, having perhaps run.
 	if s := sent1(t, d.Step(time.Second+2*ms, []Event{AttemptResult{ID: 1, Endpoint: first.Endpoint, Status: Reset, Latency: ms}})); s.ID != 1 {
@@ -62,7 +62,7 @@
 	set.Plans[0] = Plan{PriorityFactor: 1}
 	d := open(t, set, backends(3)...)
 	again := func(id uint64, at time.Duration) (sends int) {
-		for _, a := range d.Step(at, []Event{AttemptResult{ID: id, Endpoint: d.reqs[id].attempts[0].s.name, Status: Rejected, Latency: ms}}) {
+		for _, a := range d.Step(at, []Event{AttemptResult{ID: id, Endpoint: d.requests[id].attempts[0].endpoint.name, Status: Rejected, Latency: ms}}) {
 			if _, ok := a.(Dispatch); ok {
 				sends++
 			}
--- a/internal/balancer/sharing.go
+++ b/internal/balancer/sharing.go
@@ -21,92 +21,94 @@
 
 func (ShareUpdate) event() {}
 
-// leastRate keeps times from being endless where a door has no part, units a second.
-const leastRate = 1e-4
+// minCeilingRate keeps times from being endless where a door has no part, units a second.
+const minCeilingRate = 1e-4
 
-// shared takes news of the doors.
-func (d *Balancer) shared(ev ShareUpdate) {
-	d.expire()
-	d.settleShares()
+// handleShareUpdate takes news of the doors.
+func (d *Balancer) handleShareUpdate(ev ShareUpdate) {
+	d.expireShareLease()
+	d.refillAllShares()
 	longest := time.Duration(0)
-	for i := range d.set.Classes {
-		longest = max(longest, d.set.Classes[i].ClientTimeout+d.set.DeadlineSlack)
+	for i := range d.settings.Classes {
+		longest = max(longest, d.settings.Classes[i].ClientTimeout+d.settings.DeadlineSlack)
 	}
 	if ev.Excluded {
 		ev.Fraction = 0
 	}
-	d.view.Take(d.now, ev.Fraction, ev.Until, longest)
-	if d.out != ev.Excluded {
-		d.out, d.keptFrom = ev.Excluded, d.now
+	d.shareLease.Take(d.now, ev.Fraction, ev.Until, longest)
+	if d.excluded != ev.Excluded {
+		d.excluded, d.excludedChangedAt = ev.Excluded, d.now
 	}
-	if !slices.Equal(ev.DeadGateways, d.gone) {
-		d.gone = slices.Clone(ev.DeadGateways)
-		d.members()
-		d.calls.Floor(d.now, callsLow/d.living())
+	if !slices.Equal(ev.DeadGateways, d.deadGateways) {
+		d.deadGateways = slices.Clone(ev.DeadGateways)
+		d.updateSubset()
+		d.callPacer.Floor(d.now, callsLow/d.liveGateways())
 	}
 }
 
-// living is how many doors serve as far as this one knows. What they share without a bound that must hold goes by it: the least pace of calls
+// liveGateways is how many doors serve as far as this one knows. What they share without a bound that must hold goes by it: the least pace of calls
 // to the counter and of its tests, the first places at a server, the pace of trials. What a cold server bears goes by what warm ones are
 // seen to carry from this door, so by itself.
-func (d *Balancer) living() float64 { return float64(max(1, d.set.Gateways-len(d.gone))) }
+func (d *Balancer) liveGateways() float64 {
+	return float64(max(1, d.settings.Gateways-len(d.deadGateways)))
+}
 
-// fillSpare fills what this door holds of a customer's quota for when the counter does not say: its even part, for good, or what is leased
+// refillFallback fills what this door holds of a customer's quota for when the counter does not say: its even part, for good, or what is leased
 // where the plan yields.
-func (d *Balancer) fillSpare(c *customer, p *Plan) {
-	part := 1 / c.doors
-	if d.set.LeasedShares && p.PartitionPolicy == quotashare.KeepNone && p.CeilingRate > 0 {
-		if part = quotashare.Among(d.view.Part(d.now), c.doors, float64(d.set.Gateways)); d.out {
+func (d *Balancer) refillFallback(c *customer, p *Plan) {
+	part := 1 / c.gateways
+	if d.settings.LeasedShares && p.PartitionPolicy == quotashare.KeepNone && p.CeilingRate > 0 {
+		if part = quotashare.Among(d.shareLease.Part(d.now), c.gateways, float64(d.settings.Gateways)); d.excluded {
 			part = 0
 		}
-		c.spare = min(c.spare, p.Burst*part)
+		c.fallbackTokens = min(c.fallbackTokens, p.Burst*part)
 	}
-	fill := p.Rate * part * (1 - d.callShare) * d.since(c.spareAt)
-	c.spare, c.spareAt = min(max(c.spare, p.Burst*part), c.spare+fill), d.now
+	fill := p.Rate * part * (1 - d.callFraction) * d.refillSeconds(c.fallbackAt)
+	c.fallbackTokens, c.fallbackAt = min(max(c.fallbackTokens, p.Burst*part), c.fallbackTokens+fill), d.now
 }
 
-// expire ends a lease that is over: until its end the shares have filled, and not longer.
-func (d *Balancer) expire() {
-	if !d.view.Ended(d.now) {
+// expireShareLease ends a lease that is over: until its end the shares have filled, and not longer.
+func (d *Balancer) expireShareLease() {
+	if !d.shareLease.Ended(d.now) {
 		return
 	}
 	now := d.now
-	d.now = d.view.Until() - 1
-	d.settleShares()
+	d.now = d.shareLease.Until() - 1
+	d.refillAllShares()
 	d.now = now
-	d.view.Take(now, 0, now, 0)
-	d.settleShares()
+	d.shareLease.Take(now, 0, now, 0)
+	d.refillAllShares()
 }
 
-// settleShares fills all shares, and what is held for the counter's silence, up to now, by the parts as they are.
-func (d *Balancer) settleShares() {
-	for _, c := range d.order {
-		if c.plan < len(d.set.Plans) && c.ceilAt < d.now {
-			d.ceiling(c, &d.set.Plans[c.plan])
-			d.fillSpare(c, &d.set.Plans[c.plan])
+// refillAllShares fills all shares, and what is held for the counter's silence, up to now, by the parts as they are.
+func (d *Balancer) refillAllShares() {
+	for _, c := range d.customerOrder {
+		if c.plan < len(d.settings.Plans) && c.ceilingAt < d.now {
+			d.refillCeiling(c, &d.settings.Plans[c.plan])
+			d.refillFallback(c, &d.settings.Plans[c.plan])
 		}
 	}
 }
 
-// share is this door's part of a customer's ceiling.
-func (d *Balancer) share(c *customer, p *Plan) quotashare.Store {
-	if !d.set.LeasedShares {
-		return quotashare.Store{Rate: p.CeilingRate / c.doors, Depth: p.CeilingBurst / c.doors}
+// ceilingShare is this door's part of a customer's ceiling.
+func (d *Balancer) ceilingShare(c *customer, p *Plan) quotashare.Store {
+	if !d.settings.LeasedShares {
+		return quotashare.Store{Rate: p.CeilingRate / c.gateways, Depth: p.CeilingBurst / c.gateways}
 	}
-	if d.out {
+	if d.excluded {
 		return quotashare.Store{}
 	}
-	own := d.ownShare(c, p, d.view.Part(d.now))
+	own := d.ownCeilingShare(c, p, d.shareLease.Part(d.now))
 	if c.loans.Some() {
 		own = own.Less(c.loans.Out(d.now, -1)).Plus(c.loans.In(d.now))
 	}
 	return own
 }
 
-// ownShare is what is this door's own with a leased part, whatever is lent.
-func (d *Balancer) ownShare(c *customer, p *Plan, part float64) quotashare.Store {
-	return p.PartitionPolicy.Of(quotashare.Store{Rate: p.CeilingRate, Depth: p.CeilingBurst}, quotashare.Store{Rate: p.Rate, Depth: p.Burst}, 1/c.doors,
-		quotashare.Among(part, c.doors, float64(d.set.Gateways)))
+// ownCeilingShare is what is this door's own with a leased part, whatever is lent.
+func (d *Balancer) ownCeilingShare(c *customer, p *Plan, part float64) quotashare.Store {
+	return p.PartitionPolicy.Of(quotashare.Store{Rate: p.CeilingRate, Depth: p.CeilingBurst}, quotashare.Store{Rate: p.Rate, Depth: p.Burst}, 1/c.gateways,
+		quotashare.Among(part, c.gateways, float64(d.settings.Gateways)))
 }
 
 // RequestLoan asks the other doors to lend what they don't need of a customer's ceiling: each is to have a Wanted.
@@ -157,46 +159,46 @@
 	borrowFrom  = 0.8                    // of its own rate: a customer that has loans and this demand has them renewed
 )
 
-// borrow asks for loans where this door's share of a customer's ceiling is short, or was until others lent.
-func (d *Balancer) borrow(c *customer, p *Plan, short bool) {
-	if !d.set.LeasedShares || d.out || d.set.Gateways < 2 || c.doors < float64(d.set.Gateways) || d.now < c.borrowAt || d.many(c, p) {
+// requestLoan asks for loans where this door's share of a customer's ceiling is short, or was until others lent.
+func (d *Balancer) requestLoan(c *customer, p *Plan, short bool) {
+	if !d.settings.LeasedShares || d.excluded || d.settings.Gateways < 2 || c.gateways < float64(d.settings.Gateways) || d.now < c.nextLoanRequestAt || d.hasSparseShares(c, p) {
 		return
 	}
-	if !short && !(c.loans.Some() && c.loans.In(d.now).Rate > 0 && c.demand > borrowFrom*d.ownShare(c, p, d.view.Part(d.now)).Rate) {
+	if !short && !(c.loans.Some() && c.loans.In(d.now).Rate > 0 && c.demand > borrowFrom*d.ownCeilingShare(c, p, d.shareLease.Part(d.now)).Rate) {
 		return
 	}
-	if d.now >= d.borrowAt+borrowEvery {
-		d.borrowAt, d.borrows = d.now, 0
+	if d.now >= d.loanRequestsSince+borrowEvery {
+		d.loanRequestsSince, d.loanRequests = d.now, 0
 	}
-	if d.borrows++; d.borrows <= borrowMost {
-		c.borrowAt = d.now + borrowEvery
-		d.act(RequestLoan{c.name, c.plan, d.now})
+	if d.loanRequests++; d.loanRequests <= borrowMost {
+		c.nextLoanRequestAt = d.now + borrowEvery
+		d.emit(RequestLoan{c.name, c.plan, d.now})
 	}
 }
 
-// wanted lends what this door does not need of a customer's ceiling.
-func (d *Balancer) wanted(ev LoanRequest) {
-	if !d.set.LeasedShares || d.out || d.away || ev.Plan < 0 || ev.Plan >= len(d.set.Plans) || d.set.Plans[ev.Plan].CeilingRate == 0 {
+// handleLoanRequest lends what this door does not need of a customer's ceiling.
+func (d *Balancer) handleLoanRequest(ev LoanRequest) {
+	if !d.settings.LeasedShares || d.excluded || d.handedOver || ev.Plan < 0 || ev.Plan >= len(d.settings.Plans) || d.settings.Plans[ev.Plan].CeilingRate == 0 {
 		return
 	}
 	c := d.customers[ev.Customer]
 	if c == nil {
-		if len(d.customers) >= mostCustomers {
+		if len(d.customers) >= maxCustomers {
 			return
 		}
-		c = d.customer(Request{Customer: ev.Customer, Plan: ev.Plan})
+		c = d.customerFor(Request{Customer: ev.Customer, Plan: ev.Plan})
 	}
-	p := &d.set.Plans[c.plan]
-	if c.plan != ev.Plan || c.doors < float64(d.set.Gateways) || d.many(c, p) {
+	p := &d.settings.Plans[c.plan]
+	if c.plan != ev.Plan || c.gateways < float64(d.settings.Gateways) || d.hasSparseShares(c, p) {
 		return
 	}
-	d.ceiling(c, p)
-	c.usedAt = d.now // its loan is kept in mind
-	part, until := d.view.Part(d.now), d.view.Until()
+	d.refillCeiling(c, p)
+	c.lastUsedAt = d.now // its loan is kept in mind
+	part, until := d.shareLease.Part(d.now), d.shareLease.Until()
 	if until < d.now+quotashare.LoanHold {
 		part, until = 0, d.now+quotashare.LoanHold // only what this door keeps for good
 	}
-	own, gap := d.ownShare(c, p, part), d.now-c.demandAt
+	own, gap := d.ownCeilingShare(c, p, part), d.now-c.demandAt
 	demand := c.demand * math.Exp(-gap.Seconds()/lendGap.Seconds())
 	if c.demand > 0 && gap < lendCalm { // it may come again, and is not to find all lent
 		demand = max(demand, lendKeeps*own.Rate)
@@ -205,31 +207,31 @@
 	if !ok {
 		return
 	}
-	d.lentUntil = max(d.lentUntil, end)
-	d.ceiling(c, p) // what lies over the smaller store is gone
-	d.act(GrantLoan{ev.From, ev.Customer, ev.Plan, ev.At, s.Rate, s.Depth})
+	d.loansEndAt = max(d.loansEndAt, end)
+	d.refillCeiling(c, p) // what lies over the smaller store is gone
+	d.emit(GrantLoan{ev.From, ev.Customer, ev.Plan, ev.At, s.Rate, s.Depth})
 }
 
-// loaned takes a loan.
-func (d *Balancer) loaned(ev LoanGranted) {
+// handleLoanGranted takes a loan.
+func (d *Balancer) handleLoanGranted(ev LoanGranted) {
 	c := d.customers[ev.Customer]
 	if c == nil || c.plan != ev.Plan || ev.At > d.now {
 		return
 	}
-	d.ceiling(c, &d.set.Plans[c.plan])
+	d.refillCeiling(c, &d.settings.Plans[c.plan])
 	c.loans.Borrow(d.now, ev.From, quotashare.Store{Rate: ev.Rate, Depth: ev.Depth}, ev.At+quotashare.LoanLength)
-	d.serve(c)
+	d.serveWaiting(c)
 }
 
-// repay ends the loans of a customer that are over: until its end each has filled the share, and not longer.
-func (d *Balancer) repay(c *customer, p *Plan) {
+// expireLoans ends the loans of a customer that are over: until its end each has filled the share, and not longer.
+func (d *Balancer) expireLoans(c *customer, p *Plan) {
 	if !c.loans.Some() {
 		return
 	}
 	now := d.now
 	for at := c.loans.Due(now); at > 0; at = c.loans.Due(now) {
-		d.now = max(c.ceilAt, at-1)
-		d.ceiling(c, p)
+		d.now = max(c.ceilingAt, at-1)
+		d.refillCeiling(c, p)
 		c.loans.Drop(at)
 	}
 	d.now = now
@@ -237,20 +239,20 @@
 }
 
 // LoansEndAt is when the last loan is over that this door has given. Whoever takes a part away from it gives that to no other before.
-func (d *Balancer) LoansEndAt() time.Duration { return d.lentUntil }
+func (d *Balancer) LoansEndAt() time.Duration { return d.loansEndAt }
 
-// openShare is this door's part of a cap on what is open at once.
-func (d *Balancer) openShare(c *customer, p *Plan) float64 {
-	if d.set.LeasedShares && d.out {
+// inFlightShare is this door's part of a cap on what is open at once.
+func (d *Balancer) inFlightShare(c *customer, p *Plan) float64 {
+	if d.settings.LeasedShares && d.excluded {
 		return 0
 	}
-	if !d.set.LeasedShares || p.PartitionPolicy != quotashare.KeepNone {
-		return float64(p.MaxInFlight) / c.doors
+	if !d.settings.LeasedShares || p.PartitionPolicy != quotashare.KeepNone {
+		return float64(p.MaxInFlight) / c.gateways
 	}
-	return float64(p.MaxInFlight) * quotashare.Among(d.view.Open(d.now), c.doors, float64(d.set.Gateways))
+	return float64(p.MaxInFlight) * quotashare.Among(d.shareLease.Open(d.now), c.gateways, float64(d.settings.Gateways))
 }
 
-// filledFrom is since when a store that is met for the first time has filled.
-func (d *Balancer) filledFrom() time.Duration {
-	return max(d.begun, d.keptFrom, d.view.GrewAt())
+// storeFilledSince is since when a store that is met for the first time has filled.
+func (d *Balancer) storeFilledSince() time.Duration {
+	return max(d.startedAt, d.excludedChangedAt, d.shareLease.GrewAt())
 }
--- a/internal/balancer/sharing_test.go
+++ b/internal/balancer/sharing_test.go
@@ -77,7 +77,7 @@
 	for _, d := range s.doors {
 		d.Step(now, nil)
 		if c := d.customers["c"]; c != nil {
-			sum = sum.Plus(d.share(c, &d.set.Plans[0]))
+			sum = sum.Plus(d.ceilingShare(c, &d.settings.Plans[0]))
 		}
 	}
 	s.sums = max(s.sums, sum.Rate-s.store.Rate, sum.Depth-s.store.Depth)
@@ -317,10 +317,10 @@
 		t.Fatal(err)
 	}
 	d.Step(time.Hour, []Event{ShareUpdate{Fraction: 0.4, Until: 2 * time.Hour}})
-	c := &customer{doors: 2}
+	c := &customer{gateways: 2}
 	at := func(now time.Duration) float64 {
 		d.Step(now, nil)
-		return d.openShare(c, &d.set.Plans[0])
+		return d.inFlightShare(c, &d.settings.Plans[0])
 	}
 	at(time.Hour + 10*time.Second)
 	d.Step(time.Hour+10*time.Second, []Event{ShareUpdate{Fraction: 1, Until: 2 * time.Hour}})
@@ -347,24 +347,24 @@
 	now := time.Hour
 	d.Step(now, []Event{ShareUpdate{Fraction: 0.2, Until: 2 * time.Hour}})
 	for i := range 200 { // failures, each counted
-		d.calls.Failed(now+time.Duration(i)*time.Second, now+time.Duration(i)*time.Second)
+		d.callPacer.Failed(now+time.Duration(i)*time.Second, now+time.Duration(i)*time.Second)
 	}
-	if got := d.calls.Rate(); got != callsLow/5 {
+	if got := d.callPacer.Rate(); got != callsLow/5 {
 		t.Errorf("%v calls a second at least, of five doors", got)
 	}
 	now += 300 * time.Second
 	d.Step(now, []Event{ShareUpdate{Fraction: 0.5, Until: 2 * time.Hour, DeadGateways: []int{1, 2, 3}}})
-	if got := d.calls.Rate(); got != callsLow/2 {
+	if got := d.callPacer.Rate(); got != callsLow/2 {
 		t.Errorf("%v calls a second at least, of two doors that live", got)
 	}
-	c := &customer{doors: 5, spareAt: now}
-	d.callShare = 0
+	c := &customer{gateways: 5, fallbackAt: now}
+	d.callFraction = 0
 	for part, want := range map[float64]float64{0.5: 5, 0.2: 2, 0: 0} {
 		d.Step(now, []Event{ShareUpdate{Fraction: part, Until: now + time.Hour}})
-		c.spareAt = d.now
+		c.fallbackAt = d.now
 		d.now += time.Minute
-		if d.fillSpare(c, &d.set.Plans[0]); c.spare != want {
-			t.Errorf("%v units at once by a part of %v", c.spare, part)
+		if d.refillFallback(c, &d.settings.Plans[0]); c.fallbackTokens != want {
+			t.Errorf("%v units at once by a part of %v", c.fallbackTokens, part)
 		}
 		now = d.now
 	}
--- a/internal/balancer/units_test.go
+++ b/internal/balancer/units_test.go
@@ -64,7 +64,7 @@
 		r := ask(4000+uint64(units), 0, 2)
 		r.Units = units
 		d.Step(200*time.Second, []Event{r})
-		return d.reqs[r.ID].level
+		return d.requests[r.ID].level
 	}
 	if one, four := level(1), level(4); one >= four {
 		t.Errorf("level %d for one unit, %d for four; want the small one first", one, four)
@@ -87,7 +87,7 @@
 		t.Fatal("no call of the counter")
 	}
 	first := calls[0]
-	owed := d.customers["c"].owed
+	owed := d.customers["c"].debt
 	acts := d.Step(now+ms, []Event{CounterResult{Name: first.Name, Status: Failed}})
 	again := only[CounterAdd](acts)
 	if len(again) != 1 || len(only[Reject](acts)) != 0 {
@@ -109,10 +109,10 @@
 		now := 20 * time.Second
 		d.Step(now, []Event{ask(1, 0, 0)})
 		c := d.customers["c"]
-		c.known, c.spare, c.store, c.storeAt, c.seenIn = true, 0, 0, now, int64(now/windowLen) // the store is empty ...
+		c.storeKnown, c.fallbackTokens, c.storeLevel, c.storeLevelAt, c.seenWindow = true, 0, 0, now, int64(now/counterWindow) // the store is empty ...
 		c.demand, c.tokens = 1, 0
-		now = windowLen + 100*ms // ... and ten seconds later there is a new number
-		c.store, c.storeAt = 0, now-200*ms
+		now = counterWindow + 100*ms // ... and ten seconds later there is a new number
+		c.storeLevel, c.storeLevelAt = 0, now-200*ms
 		calls := only[CounterAdd](d.Step(now, []Event{ask(2, 0, 0)}))
 		if len(calls) != 1 {
 			t.Fatalf("%s: %d calls", name, len(calls))
@@ -125,7 +125,7 @@
 		for _, k := range only[CounterAdd](d.Step(now+5*ms, []Event{CounterResult{Name: calls[0].Name, Status: OK, Total: total}})) {
 			carried += k.Amount
 		}
-		if burst := d.set.Plans[0].Burst; begins && carried < 0.8*burst || !begins && carried > 0 {
+		if burst := d.settings.Plans[0].Burst; begins && carried < 0.8*burst || !begins && carried > 0 {
 			t.Errorf("%s: %.2f carried into the new number of a store of %v that was empty", name, carried, burst)
 		}
 		if c.tokens > 1 {
