--- a/internal/balancer/bounds_test.go
+++ b/internal/balancer/bounds_test.go
@@ -8,7 +8,7 @@
 
 // storm steps a door through a time in which so many customers a second come that were never seen and never come again.
 // Beside them it runs a function every tick.
-func storm(d *Balancer, from, to time.Duration, each int, beside func(at time.Duration)) (most int) {
+func storm(b *Balancer, from, to time.Duration, each int, beside func(at time.Duration)) (most int) {
 	id := uint64(1 << 32)
 	for at := from; at < to; at += tickInterval {
 		evs := []Event{TimerFired{0}}
@@ -16,7 +16,7 @@
 			id++
 			evs = append(evs, Request{ID: id, Plan: int(id % 2), Customer: fmt.Sprint(id), TimeLeft: 2 * time.Second, Units: 1})
 		}
-		for acts := d.Step(at, evs); len(acts) > 0; {
+		for acts := b.Step(at, evs); len(acts) > 0; {
 			var outs []Event
 			for _, s := range only[Dispatch](acts) {
 				outs = append(outs, AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Status: OK, Latency: ms, RequestClosed: true})
@@ -24,52 +24,52 @@
 			if outs == nil {
 				break
 			}
-			acts = d.Step(at, outs)
+			acts = b.Step(at, outs)
 		}
 		if beside != nil {
 			beside(at)
 		}
-		most = max(most, len(d.customers))
+		most = max(most, len(b.customers))
 	}
 	return most
 }
 
 // A million customers that are seen once take no more room than is stated, and are forgotten when they stop coming.
 func TestCustomersAreBounded(t *testing.T) {
-	set := quiet()
-	set.Plans[0], set.Plans[1] = Plan{Rate: 2, Burst: 8, PriorityFactor: 1}, Plan{PriorityFactor: 1, CeilingRate: 20, CeilingBurst: 40}
-	d := open(t, set, backends(3)...)
+	settings := quiet()
+	settings.Plans[0], settings.Plans[1] = Plan{Rate: 2, Burst: 8, PriorityFactor: 1}, Plan{PriorityFactor: 1, CeilingRate: 20, CeilingBurst: 40}
+	b := open(t, settings, backends(3)...)
 	end := 200 * time.Second
-	if most := storm(d, 0, end, 100, nil); most > maxCustomers { // 5,000 a second
+	if most := storm(b, 0, end, 100, nil); most > maxCustomers { // 5,000 a second
 		t.Errorf("%d customers are known, %d at most", most, maxCustomers)
 	}
-	if len(d.customerOrder) != len(d.customers) {
-		t.Errorf("%d in the order, %d known", len(d.customerOrder), len(d.customers))
+	if len(b.customerOrder) != len(b.customers) {
+		t.Errorf("%d in the order, %d known", len(b.customerOrder), len(b.customers))
 	}
-	storm(d, end, end+customerTTL+20*time.Second, 0, nil)
-	if len(d.customers) > 0 || len(d.requests) > 0 {
-		t.Errorf("%d customers and %d requests are left", len(d.customers), len(d.requests))
+	storm(b, end, end+customerTTL+20*time.Second, 0, nil)
+	if len(b.customers) > 0 || len(b.requests) > 0 {
+		t.Errorf("%d customers and %d requests are left", len(b.customers), len(b.requests))
 	}
 }
 
 // Whoever is known before a storm of names keeps its place: its ceiling holds, and it is served.
 func TestStormOfNamesKeepsCeilings(t *testing.T) {
-	set := quiet()
-	set.Plans[0] = Plan{PriorityFactor: 1}
-	set.Plans[1] = Plan{PriorityFactor: 1, CeilingRate: 2, CeilingBurst: 40}
-	d := open(t, set, backends(3)...)
+	settings := quiet()
+	settings.Plans[0] = Plan{PriorityFactor: 1}
+	settings.Plans[1] = Plan{PriorityFactor: 1, CeilingRate: 2, CeilingBurst: 40}
+	b := open(t, settings, backends(3)...)
 	sent, id := 0, uint64(0)
 	end := 60 * time.Second
-	storm(d, 0, end, 100, func(at time.Duration) {
+	storm(b, 0, end, 100, func(at time.Duration) {
 		if at%(4*time.Second) != 0 {
 			return
 		}
 		for range 60 { // every 4 s it wants more than it may have
 			id++
-			acts := d.Step(at, []Event{Request{ID: id, Plan: 1, Customer: "known", TimeLeft: 2 * time.Second, Units: 1}})
+			acts := b.Step(at, []Event{Request{ID: id, Plan: 1, Customer: "known", TimeLeft: 2 * time.Second, Units: 1}})
 			for _, s := range only[Dispatch](acts) {
 				sent++
-				d.Step(at, []Event{AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Status: OK, Latency: ms, RequestClosed: true}})
+				b.Step(at, []Event{AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Status: OK, Latency: ms, RequestClosed: true}})
 			}
 		}
 	})
--- a/internal/balancer/causes_test.go
+++ b/internal/balancer/causes_test.go
@@ -10,50 +10,50 @@
 // alone is a door with no counter whose requests have neither quota nor ceiling (plan 2).
 func alone(t *testing.T, servers int) *Balancer {
 	t.Helper()
-	set := basic()
-	set.UseCounter, set.Gateways = false, 1
-	return open(t, set, backends(servers)...)
+	settings := basic()
+	settings.UseCounter, settings.Gateways = false, 1
+	return open(t, settings, backends(servers)...)
 }
 
 // The first answer may be a lucky one. What an idle fleet takes is learned from more than that, or every later answer looks slow and
 // the places shrink to nothing.
 func TestIdleLatencyOutlivesALuckyAnswer(t *testing.T) {
-	d := alone(t, 2)
+	b := alone(t, 2)
 	for i := range uint64(60) {
 		took := 80 * ms
 		if i == 0 {
 			took = 2 * ms
 		}
 		now := time.Duration(i) * 100 * ms
-		for _, s := range only[Dispatch](d.Step(now, []Event{ask(i, 0, 2)})) {
-			d.Step(now+took, []Event{served(s, 0, took)})
+		for _, s := range only[Dispatch](b.Step(now, []Event{ask(i, 0, 2)})) {
+			b.Step(now+took, []Event{served(s, 0, took)})
 		}
 	}
-	if d.classes[0].idleLatency < 0.06 {
-		t.Errorf("an idle fleet is taken to answer in %.0f ms; all but the first answer took 80", 1000*d.classes[0].idleLatency)
+	if b.classes[0].idleLatency < 0.06 {
+		t.Errorf("an idle fleet is taken to answer in %.0f ms; all but the first answer took 80", 1000*b.classes[0].idleLatency)
 	}
 }
 
 // A request that runs out of time is ended by its own timer, and its attempt called off. That is a time-out of the server's all the same.
 func TestTheEndOfARequestIsATimeOut(t *testing.T) {
-	d := alone(t, 1)
-	s := only[Dispatch](d.Step(0, []Event{ask(1, 0, 2)}))[0]
+	b := alone(t, 1)
+	s := only[Dispatch](b.Step(0, []Event{ask(1, 0, 2)}))[0]
 	end := 498 * ms // the aim, less the resolution
-	acts := d.Step(end, []Event{TimerFired{1<<1 | 1}})
+	acts := b.Step(end, []Event{TimerFired{1<<1 | 1}})
 	if len(only[CancelAttempt](acts)) != 1 || len(only[Reject](acts)) != 1 {
 		t.Fatalf("at the end of its time: %v", acts)
 	}
-	slots := d.endpoints[s.Endpoint].concurrencyLimit
-	d.Step(end, []Event{AttemptResult{ID: 1, Endpoint: s.Endpoint, Status: Cancelled, Latency: end, RequestClosed: true}})
-	if b := d.endpoints[s.Endpoint]; b.concurrencyLimit >= slots || b.timeouts != 1 || b.latencyFactor <= 1 {
+	slots := b.endpoints[s.Endpoint].concurrencyLimit
+	b.Step(end, []Event{AttemptResult{ID: 1, Endpoint: s.Endpoint, Status: Cancelled, Latency: end, RequestClosed: true}})
+	if b := b.endpoints[s.Endpoint]; b.concurrencyLimit >= slots || b.timeouts != 1 || b.latencyFactor <= 1 {
 		t.Errorf("slots %v of %v, %d answers owed, slowness %v: nothing was learned of a server that took too long", b.concurrencyLimit, slots, b.timeouts, b.latencyFactor)
 	}
 	// One that its client gave up early says nothing of the server.
-	s = only[Dispatch](d.Step(end+ms, []Event{ask(2, 0, 2)}))[0]
-	d.Step(end+5*ms, []Event{RequestDone{2}})
-	was := *d.endpoints[s.Endpoint]
-	d.Step(end+5*ms, []Event{AttemptResult{ID: 2, Endpoint: s.Endpoint, Status: Cancelled, Latency: 4 * ms, RequestClosed: true}})
-	if b := d.endpoints[s.Endpoint]; b.concurrencyLimit != was.concurrencyLimit || b.timeouts != was.timeouts {
+	s = only[Dispatch](b.Step(end+ms, []Event{ask(2, 0, 2)}))[0]
+	b.Step(end+5*ms, []Event{RequestDone{2}})
+	was := *b.endpoints[s.Endpoint]
+	b.Step(end+5*ms, []Event{AttemptResult{ID: 2, Endpoint: s.Endpoint, Status: Cancelled, Latency: 4 * ms, RequestClosed: true}})
+	if b := b.endpoints[s.Endpoint]; b.concurrencyLimit != was.concurrencyLimit || b.timeouts != was.timeouts {
 		t.Error("a client that left is held against the server")
 	}
 }
@@ -61,18 +61,18 @@
 // Of what joins a queue, the worth decides how much of its time it may be expected to wait.
 func TestWorthDecidesHowLongAQueueMayBe(t *testing.T) {
 	joined := func(class int) int {
-		set := basic()
-		set.UseCounter, set.Gateways = false, 1
-		set.Plans[0] = Plan{Rate: 1e6, Burst: 1e6, PriorityFactor: 1}
-		set.Classes = []Class{set.Classes[0], set.Classes[0]}
-		set.Classes[1].PriorityWeight = 8
-		d := open(t, set, backends(1)...)
+		settings := basic()
+		settings.UseCounter, settings.Gateways = false, 1
+		settings.Plans[0] = Plan{Rate: 1e6, Burst: 1e6, PriorityFactor: 1}
+		settings.Classes = []Class{settings.Classes[0], settings.Classes[0]}
+		settings.Classes[1].PriorityWeight = 8
+		b := open(t, settings, backends(1)...)
 		n := 0
 		for i := range uint64(100) {
-			d.Step(time.Second, []Event{ask(i, class, 0)})
+			b.Step(time.Second, []Event{ask(i, class, 0)})
 		}
-		for _, r := range d.requests {
-			if r.attemptsOut == 0 {
+		for _, req := range b.requests {
+			if req.attemptsOut == 0 {
 				n++
 			}
 		}
@@ -86,19 +86,19 @@
 // What is beyond a quota finds a free place as long as paid requests do, and none once many of them do not.
 func TestNothingBeyondAQuotaUnderPressure(t *testing.T) {
 	sent := func(short float64) int {
-		set := basic()
-		set.UseCounter, set.Gateways = false, 1
-		set.Plans[1].CeilingRate, set.Plans[1].CeilingBurst = 0, 0
-		d := open(t, set, backends(8)...)
+		settings := basic()
+		settings.UseCounter, settings.Gateways = false, 1
+		settings.Plans[1].CeilingRate, settings.Plans[1].CeilingBurst = 0, 0
+		b := open(t, settings, backends(8)...)
 		n := 0
 		for i := range uint64(400) {
 			now := time.Duration(i) * 5 * ms
-			d.shortage = short
-			for _, s := range only[Dispatch](d.Step(now, []Event{ask(i, 0, 1)})) {
-				if d.requests[i].level == lowestLevel {
+			b.shortage = short
+			for _, s := range only[Dispatch](b.Step(now, []Event{ask(i, 0, 1)})) {
+				if b.requests[i].level == lowestLevel {
 					n++
 				}
-				d.Step(now+4*ms, []Event{served(s, 0, 4*ms)})
+				b.Step(now+4*ms, []Event{served(s, 0, 4*ms)})
 			}
 		}
 		return n
@@ -110,82 +110,82 @@
 
 // The pressure is what paid requests meet: it rises while they find no free place and falls when they do.
 func TestPressureFollowsPaidRequests(t *testing.T) {
-	set := basic()
-	set.UseCounter, set.Gateways = false, 1
-	set.Plans[0] = Plan{Rate: 1e6, Burst: 1e6, PriorityFactor: 1}
-	d := open(t, set, backends(1)...)
+	settings := basic()
+	settings.UseCounter, settings.Gateways = false, 1
+	settings.Plans[0] = Plan{Rate: 1e6, Burst: 1e6, PriorityFactor: 1}
+	b := open(t, settings, backends(1)...)
 	for i := range uint64(60) { // nothing is answered
-		d.Step(time.Second, []Event{ask(i, 0, 0)})
+		b.Step(time.Second, []Event{ask(i, 0, 0)})
 	}
-	high := d.shortage
+	high := b.shortage
 	if high < 0.3 {
 		t.Fatalf("%.2f of the paid requests are taken to find no place, while the one server answers nothing", high)
 	}
-	d = open(t, set, backends(1)...)
-	d.shortage = high
+	b = open(t, settings, backends(1)...)
+	b.shortage = high
 	for i := range uint64(200) {
 		now := time.Duration(i) * 20 * ms
-		for _, s := range only[Dispatch](d.Step(now, []Event{ask(i, 0, 0)})) {
-			d.Step(now+5*ms, []Event{served(s, 0, 5*ms)})
+		for _, s := range only[Dispatch](b.Step(now, []Event{ask(i, 0, 0)})) {
+			b.Step(now+5*ms, []Event{served(s, 0, 5*ms)})
 		}
 	}
-	if d.shortage > high/5 {
-		t.Errorf("%.2f, and %.2f after two hundred that all found a place", high, d.shortage)
+	if b.shortage > high/5 {
+		t.Errorf("%.2f, and %.2f after two hundred that all found a place", high, b.shortage)
 	}
 }
 
 // Calls of one connection end together. They say no more of the counter than one of them; one that was made after they ended does.
 func TestCallsThatFailTogetherCountOnce(t *testing.T) {
-	d := open(t, basic(), backends(2)...)
+	b := open(t, basic(), backends(2)...)
 	now := time.Second
 	names := map[uint64]bool{}
 	for i := uint64(0); len(names) < 5 && i < 400; i++ { // calls for five customers
 		r := ask(i, 0, 0)
 		r.Customer = string(rune('a' + i%5))
-		for _, k := range only[CounterAdd](d.Step(now, []Event{r})) {
+		for _, k := range only[CounterAdd](b.Step(now, []Event{r})) {
 			names[k.Name] = true
 		}
 	}
 	if len(names) != 5 {
 		t.Fatalf("%d customers call", len(names))
 	}
-	before := d.callFraction
+	before := b.callFraction
 	var all []Event
 	for name := range names {
 		all = append(all, CounterResult{Name: name, Status: Timeout})
 	}
-	d.Step(now+50*ms, all)
-	if want := before * callFractionDecrease; d.callFraction != want {
-		t.Errorf("the part that calls is %v after five calls that ended together; want %v as after one", d.callFraction, want)
+	b.Step(now+50*ms, all)
+	if want := before * callFractionDecrease; b.callFraction != want {
+		t.Errorf("the part that calls is %v after five calls that ended together; want %v as after one", b.callFraction, want)
 	}
-	c := d.customers["a"]
-	c.callsPausedUntil, c.storeEmptyUntil, c.fallbackTokens, d.callFraction = 0, 0, 0, 1
-	again := only[CounterAdd](d.Step(now+60*ms, []Event{func() Request { r := ask(900, 0, 0); r.Customer = "a"; return r }()}))
+	cust := b.customers["a"]
+	cust.callsPausedUntil, cust.storeEmptyUntil, cust.fallbackTokens, b.callFraction = 0, 0, 0, 1
+	again := only[CounterAdd](b.Step(now+60*ms, []Event{func() Request { r := ask(900, 0, 0); r.Customer = "a"; return r }()}))
 	if len(again) != 1 {
 		t.Fatalf("%d calls after that", len(again))
 	}
-	d.Step(now+110*ms, []Event{CounterResult{Name: again[0].Name, Status: Timeout}})
-	if d.callFraction != callFractionDecrease {
-		t.Errorf("a later failure does not count: %v", d.callFraction)
+	b.Step(now+110*ms, []Event{CounterResult{Name: again[0].Name, Status: Timeout}})
+	if b.callFraction != callFractionDecrease {
+		t.Errorf("a later failure does not count: %v", b.callFraction)
 	}
 }
 
 // Where calls cost, a lease of a nearly full store reaches further ahead; one of a store that is running out never does.
 func TestLeasesReachFurtherByWhatACallCosts(t *testing.T) {
 	block := func(fee, full float64) float64 {
-		set := basic()
-		set.CounterCallCost, set.Plans[0] = fee, Plan{Rate: 10, Burst: 400, PriorityFactor: 1, OverQuotaCost: 0.5}
-		d := open(t, set, backends(2)...)
+		settings := basic()
+		settings.CounterCallCost, settings.Plans[0] = fee, Plan{Rate: 10, Burst: 400, PriorityFactor: 1, OverQuotaCost: 0.5}
+		b := open(t, settings, backends(2)...)
 		now := time.Second
-		d.Step(now, []Event{ask(1, 0, 0)})
-		c := d.customers["c"]
-		c.storeKnown, c.fallbackTokens, c.tokens, c.demand = true, 0, 0, 10
-		c.storeLevel, c.storeLevelAt = full*400, now
-		calls := only[CounterAdd](d.Step(now+ms, []Event{ask(2, 0, 0)}))
+		b.Step(now, []Event{ask(1, 0, 0)})
+		cust := b.customers["c"]
+		cust.storeKnown, cust.fallbackTokens, cust.tokens, cust.demand = true, 0, 0, 10
+		cust.storeLevel, cust.storeLevelAt = full*400, now
+		calls := only[CounterAdd](b.Step(now+ms, []Event{ask(2, 0, 0)}))
 		if len(calls) != 1 {
 			t.Fatalf("%d calls", len(calls))
 		}
-		return calls[0].Amount - c.debt
+		return calls[0].Amount - cust.debt
 	}
 	free, dear, scarce := block(0, 1), block(0.02, 1), block(0.02, 0.5)
 	if dear < 3*free || scarce > free+1 {
@@ -196,26 +196,26 @@
 // A cold server bears so much work, not so many requests.
 func TestAColdServerBearsWork(t *testing.T) {
 	sent := func(units float64) int {
-		d := schooled(t, backends(2)...)
+		b := schooled(t, backends(2)...)
 		now := 121 * time.Second
 		cold := Endpoint{Name: "cold", Weight: 1, StartedAt: now}
 		left := backends(2)
 		left[0].State, left[1].State = Draining, Draining
-		d.Step(now, []Event{EndpointUpdate{Kind: Delta, Entries: append(left, cold)}})
+		b.Step(now, []Event{EndpointUpdate{Kind: Delta, Entries: append(left, cold)}})
 		n := 0
-		b := &bearer{can: func(time.Duration) float64 { return 50 }, at: now}
+		backend := &bearer{can: func(time.Duration) float64 { return 50 }, at: now}
 		send := func(at time.Duration, acts []Action) {
 			for _, s := range only[Dispatch](acts) {
 				n++
-				b.take(at, d, s, units)
+				backend.take(at, b, s, units)
 			}
 		}
 		for i := range uint64(300) {
 			r := ask(5000+i, 0, 2)
 			r.Units = units
 			at := now + time.Duration(i)*5*ms
-			send(at, d.Step(at, []Event{r}))
-			send(at+ms, b.step(at + ms)[d])
+			send(at, b.Step(at, []Event{r}))
+			send(at+ms, backend.step(at + ms)[b])
 		}
 		return n
 	}
@@ -227,23 +227,23 @@
 // Where the ceiling is lent a door does not keep a part of a unit, which would lie there until it is lost: all of the block goes back.
 func TestNoPartOfAUnitIsTakenOfALentStore(t *testing.T) {
 	for held, want := range map[float64]float64{0.91: 0, 1.4: 1, 2: 2, 5: 3} {
-		set := basic()
-		set.LeaseCeilings, set.Gateways, set.Plans[0] = true, 3, Plan{Rate: 5, Burst: 10, PriorityFactor: 1, OverQuotaWeight: 0.2, CeilingRate: 10, CeilingBurst: 20}
-		d := open(t, set, backends(2)...)
+		settings := basic()
+		settings.LeaseCeilings, settings.Gateways, settings.Plans[0] = true, 3, Plan{Rate: 5, Burst: 10, PriorityFactor: 1, OverQuotaWeight: 0.2, CeilingRate: 10, CeilingBurst: 20}
+		b := open(t, settings, backends(2)...)
 		now := time.Second
-		d.Step(now, []Event{ask(1, 0, 0)})
-		d.now = now + 100*ms
-		c := d.customers["c"]
-		c.storeKnown, c.storeLevel, c.storeLevelAt, c.tokens, c.debt = true, held, now, 0, 0
-		k := &counterCall{customer: c, block: 3, amount: 3, window: int64(d.now / counterWindow), sentAt: d.now}
-		d.actions = d.actions[:0]
-		d.creditLease(k, 10+5*(d.now%counterWindow).Seconds()-held+3, d.now)
-		back := c.debt
-		for _, a := range only[CounterAdd](d.actions) {
+		b.Step(now, []Event{ask(1, 0, 0)})
+		b.now = now + 100*ms
+		cust := b.customers["c"]
+		cust.storeKnown, cust.storeLevel, cust.storeLevelAt, cust.tokens, cust.debt = true, held, now, 0, 0
+		call := &counterCall{customer: cust, block: 3, amount: 3, window: int64(b.now / counterWindow), sentAt: b.now}
+		b.actions = b.actions[:0]
+		b.creditLease(call, 10+5*(b.now%counterWindow).Seconds()-held+3, b.now)
+		back := cust.debt
+		for _, a := range only[CounterAdd](b.actions) {
 			back += a.Amount
 		}
-		if c.tokens != want || back < want-3-1e-9 || back > want-3+1e-9 {
-			t.Errorf("of %v units in the store %v are taken, and %v of 3 go back", held, c.tokens, -back)
+		if cust.tokens != want || back < want-3-1e-9 || back > want-3+1e-9 {
+			t.Errorf("of %v units in the store %v are taken, and %v of 3 go back", held, cust.tokens, -back)
 		}
 	}
 }
@@ -251,22 +251,22 @@
 // A repeat of a keyed request that may have run is to be written within the window in which backends know it for one, and not only to be decided on then: its
 // connection may come up after that. A first attempt has no such time.
 func TestARepeatIsWrittenWithinItsWindow(t *testing.T) {
-	set := basic()
-	set.Classes[1].DedupScope = DedupAll
-	d := open(t, set, backends(2)...)
+	settings := basic()
+	settings.Classes[1].DedupScope = DedupAll
+	b := open(t, settings, backends(2)...)
 	now := time.Second
-	sent := only[Dispatch](d.Step(now, []Event{ask(1, 1, 2)}))
+	sent := only[Dispatch](b.Step(now, []Event{ask(1, 1, 2)}))
 	if len(sent) != 1 || sent[0].WriteBy != 0 {
 		t.Fatalf("sent %+v", sent)
 	}
-	again := only[Dispatch](d.Step(now+100*ms, []Event{AttemptResult{ID: 1, Attempt: 0, Endpoint: sent[0].Endpoint, Status: Reset, Latency: 100 * ms}}))
-	if want := now + set.Classes[1].DedupWindow - retryWriteMargin; len(again) != 1 || again[0].WriteBy != want {
+	again := only[Dispatch](b.Step(now+100*ms, []Event{AttemptResult{ID: 1, Attempt: 0, Endpoint: sent[0].Endpoint, Status: Reset, Latency: 100 * ms}}))
+	if want := now + settings.Classes[1].DedupWindow - retryWriteMargin; len(again) != 1 || again[0].WriteBy != want {
 		t.Fatalf("sent again %+v, want by %v", again, want)
 	}
 	// One that never ran may go at any time.
-	d = open(t, set, backends(2)...)
-	sent = only[Dispatch](d.Step(now, []Event{ask(1, 1, 2)}))
-	again = only[Dispatch](d.Step(now+100*ms, []Event{AttemptResult{ID: 1, Attempt: 0, Endpoint: sent[0].Endpoint, Status: ConnectFailed, Latency: 100 * ms}}))
+	b = open(t, settings, backends(2)...)
+	sent = only[Dispatch](b.Step(now, []Event{ask(1, 1, 2)}))
+	again = only[Dispatch](b.Step(now+100*ms, []Event{AttemptResult{ID: 1, Attempt: 0, Endpoint: sent[0].Endpoint, Status: ConnectFailed, Latency: 100 * ms}}))
 	if len(again) != 1 || again[0].WriteBy != 0 {
 		t.Fatalf("sent again %+v", again)
 	}
--- a/internal/balancer/door.go
+++ b/internal/balancer/door.go
@@ -100,210 +100,210 @@
 )
 
 // start sets what a door takes for granted before it has seen anything.
-func (d *Balancer) start() {
-	d.fleetSlowdown = 1
-	if d.settings.UseCounter {
-		d.callFraction = 1
+func (b *Balancer) start() {
+	b.fleetSlowdown = 1
+	if b.settings.UseCounter {
+		b.callFraction = 1
 	}
-	d.emit(SetTimer{d.now + tickInterval, 0})
-	if d.settings.PollEndpoints {
-		d.emit(WatchEndpoints{})
+	b.emit(SetTimer{b.now + tickInterval, 0})
+	if b.settings.PollEndpoints {
+		b.emit(WatchEndpoints{})
 	}
 }
 
 // admit takes a request in. Its tau is the time left, bounded by the aim where a late answer earns nothing
 // (a departure: the paper knows one limit; here the client waits longer than the answer has worth).
-func (d *Balancer) admit(ev Request) {
-	if d.requests[ev.ID] != nil {
+func (b *Balancer) admit(ev Request) {
+	if b.requests[ev.ID] != nil {
 		return
 	}
-	if ev.Class < 0 || ev.Class >= len(d.settings.Classes) || ev.Plan < 0 || ev.Plan >= len(d.settings.Plans) {
-		d.emit(Reject{ID: ev.ID, Reason: UnknownClass})
+	if ev.Class < 0 || ev.Class >= len(b.settings.Classes) || ev.Plan < 0 || ev.Plan >= len(b.settings.Plans) {
+		b.emit(Reject{ID: ev.ID, Reason: UnknownClass})
 		return
 	}
-	if d.rejectIfTableFull(ev) {
+	if b.rejectIfTableFull(ev) {
 		return
 	}
-	cl := &d.settings.Classes[ev.Class]
-	r := &request{id: ev.ID, class: ev.Class, plan: ev.Plan, units: max(0, ev.Units), arrivedAt: d.now, timeLimit: ev.TimeLeft,
-		maxAttempts: d.settings.MaxAttempts, clientRetry: ev.ClientRetry, admitOnly: ev.AdmitOnly, holdFor: ev.HoldFor}
-	if cl.LateWeightFraction == 0 && cl.LatencyObjective > 0 {
-		r.timeLimit = min(r.timeLimit, cl.LatencyObjective)
+	class := &b.settings.Classes[ev.Class]
+	req := &request{id: ev.ID, class: ev.Class, plan: ev.Plan, units: max(0, ev.Units), arrivedAt: b.now, timeLimit: ev.TimeLeft,
+		maxAttempts: b.settings.MaxAttempts, clientRetry: ev.ClientRetry, admitOnly: ev.AdmitOnly, holdFor: ev.HoldFor}
+	if class.LateWeightFraction == 0 && class.LatencyObjective > 0 {
+		req.timeLimit = min(req.timeLimit, class.LatencyObjective)
 	}
 	// What a door finds after it stood still has waited: first tries of a class have the same time at first.
-	d.classes[ev.Class].maxTimeLeft = max(d.classes[ev.Class].maxTimeLeft, ev.TimeLeft)
-	if d.now-d.previousStepAt > stallThreshold && !ev.ClientRetry {
-		r.timeLimit = min(r.timeLimit, cl.LatencyObjective-min(d.now-d.previousStepAt, d.classes[ev.Class].maxTimeLeft-ev.TimeLeft))
-	}
-	r.customer, r.cost = d.customerFor(ev), d.classes[ev.Class].costProfile.Of(ev.Units)
-	d.requests[r.id] = r
-	if r.timeLimit.Seconds() <= d.expectedLatency(r, nil)/2 {
-		d.reject(r, 0, InsufficientTime)
+	b.classes[ev.Class].maxTimeLeft = max(b.classes[ev.Class].maxTimeLeft, ev.TimeLeft)
+	if b.now-b.previousStepAt > stallThreshold && !ev.ClientRetry {
+		req.timeLimit = min(req.timeLimit, class.LatencyObjective-min(b.now-b.previousStepAt, b.classes[ev.Class].maxTimeLeft-ev.TimeLeft))
+	}
+	req.customer, req.cost = b.customerFor(ev), b.classes[ev.Class].costProfile.Of(ev.Units)
+	b.requests[req.id] = req
+	if req.timeLimit.Seconds() <= b.expectedLatency(req, nil)/2 {
+		b.reject(req, 0, InsufficientTime)
 		return
 	}
-	if !r.admitOnly { // a grant is given or refused now, but for the counter's answer
-		d.emit(SetTimer{d.now + r.timeLimit - d.settings.Resolution, r.id<<1 | 1})
+	if !req.admitOnly { // a grant is given or refused now, but for the counter's answer
+		b.emit(SetTimer{b.now + req.timeLimit - b.settings.Resolution, req.id<<1 | 1})
 	}
-	r.customer.lastUsedAt = d.now
-	gap := (d.now - r.customer.demandAt).Seconds() / demandWindow.Seconds()
-	r.customer.demand = r.customer.demand*math.Exp(-gap) + r.units/demandWindow.Seconds()
-	if r.customer.admitOnlyDemand *= math.Exp(-gap); r.admitOnly {
-		r.customer.admitOnlyDemand += r.units / demandWindow.Seconds()
+	req.customer.lastUsedAt = b.now
+	gap := (b.now - req.customer.demandAt).Seconds() / demandWindow.Seconds()
+	req.customer.demand = req.customer.demand*math.Exp(-gap) + req.units/demandWindow.Seconds()
+	if req.customer.admitOnlyDemand *= math.Exp(-gap); req.admitOnly {
+		req.customer.admitOnlyDemand += req.units / demandWindow.Seconds()
 	}
-	r.customer.demandAt = d.now
+	req.customer.demandAt = b.now
 	// A line for the ceiling must stay short, or each that still goes out of it is nearly late; and what is
 	// worth less leaves the room to what is worth more. What asks for leave only has no line to join.
-	line := r.timeLimit.Seconds() * maxCeilingWaitFraction * cl.PriorityWeight / d.maxClassWeight
-	if r.admitOnly {
+	line := req.timeLimit.Seconds() * maxCeilingWaitFraction * class.PriorityWeight / b.maxClassWeight
+	if req.admitOnly {
 		line = 0
 	}
-	if fills := d.ceilingWait(r); fills > line {
-		d.reject(r, time.Duration(fills*float64(time.Second)), CeilingExceeded)
+	if fills := b.ceilingWait(req); fills > line {
+		b.reject(req, time.Duration(fills*float64(time.Second)), CeilingExceeded)
 		return
 	}
-	if r.admitOnly {
-		if v := d.checkQuota(r); v != quotaPending {
-			d.applyQuotaDecision(r, v)
+	if req.admitOnly {
+		if v := b.checkQuota(req); v != quotaPending {
+			b.applyQuotaDecision(req, v)
 			return
 		}
 	}
-	r.customer.waiting = append(r.customer.waiting, r)
-	if r.admitOnly {
-		r.customer.admitOnlyWaiting++
-		d.emit(SetTimer{d.now + r.timeLimit - d.settings.Resolution, r.id<<1 | 1})
+	req.customer.waiting = append(req.customer.waiting, req)
+	if req.admitOnly {
+		req.customer.admitOnlyWaiting++
+		b.emit(SetTimer{b.now + req.timeLimit - b.settings.Resolution, req.id<<1 | 1})
 	}
-	d.serveWaiting(r.customer)
+	b.serveWaiting(req.customer)
 }
 
 // applyQuotaDecision carries a verdict out. The request must have left its customer's line: this may serve others of it.
-func (d *Balancer) applyQuotaDecision(r *request, v quotaDecision) {
+func (b *Balancer) applyQuotaDecision(req *request, v quotaDecision) {
 	if v == quotaExceeded {
-		d.handleOverQuota(r)
+		b.handleOverQuota(req)
 	} else {
-		d.assign(r)
+		b.assign(req)
 	}
 }
 
 // serveWaiting decides for a customer's requests in the order they came, until one has to wait: for the counter's
 // answer, for one of the customer's attempts to end, or for the ceiling's share to fill.
-func (d *Balancer) serveWaiting(c *customer) {
-	for len(c.waiting) > 0 {
-		r := c.waiting[0]
-		if r.ended {
-			c.popWaiting(r)
+func (b *Balancer) serveWaiting(cust *customer) {
+	for len(cust.waiting) > 0 {
+		req := cust.waiting[0]
+		if req.ended {
+			cust.popWaiting(req)
 			continue
 		}
-		v := d.checkQuota(r)
+		v := b.checkQuota(req)
 		if v == quotaPending {
 			break
 		}
-		c.popWaiting(r)
-		d.applyQuotaDecision(r, v)
+		cust.popWaiting(req)
+		b.applyQuotaDecision(req, v)
 	}
-	d.serveAdmitOnly(c)
-	if len(c.waiting) > 0 && !c.inWaitingList {
-		c.inWaitingList = true
-		d.waitingCustomers = append(d.waitingCustomers, c)
+	b.serveAdmitOnly(cust)
+	if len(cust.waiting) > 0 && !cust.inWaitingList {
+		cust.inWaitingList = true
+		b.waitingCustomers = append(b.waitingCustomers, cust)
 	}
 }
 
 // serveAdmitOnly decides for what asks for leave only, past those that wait for the ceiling's share or for an
 // attempt to end: it waits for nothing but the counter (ours: a proxy's own client is held up by it).
-func (d *Balancer) serveAdmitOnly(c *customer) {
-	for i := 0; i < len(c.waiting) && c.admitOnlyWaiting > 0; i++ {
-		r := c.waiting[i]
-		if !r.admitOnly {
+func (b *Balancer) serveAdmitOnly(cust *customer) {
+	for i := 0; i < len(cust.waiting) && cust.admitOnlyWaiting > 0; i++ {
+		req := cust.waiting[i]
+		if !req.admitOnly {
 			continue
 		}
 		v := quotaPending
-		if !r.ended {
-			if v = d.checkQuota(r); v == quotaPending {
+		if !req.ended {
+			if v = b.checkQuota(req); v == quotaPending {
 				continue
 			}
 		}
-		c.waiting = slices.Delete(c.waiting, i, i+1)
-		c.admitOnlyWaiting--
-		if i = -1; !r.ended { // this may serve others, so the line is looked at anew
-			d.applyQuotaDecision(r, v)
+		cust.waiting = slices.Delete(cust.waiting, i, i+1)
+		cust.admitOnlyWaiting--
+		if i = -1; !req.ended { // this may serve others, so the line is looked at anew
+			b.applyQuotaDecision(req, v)
 		}
 	}
 }
 
 // checkQuota promotes a request whose units are in the local tokens (stage 2 of the paper). A request without quota
 // keeps its level by worth.
-func (d *Balancer) checkQuota(r *request) quotaDecision {
-	c, p := r.customer, &d.settings.Plans[r.plan]
-	late := (d.now-r.arrivedAt).Seconds()+d.expectedLatency(r, nil) >= r.timeLimit.Seconds()*latencyHeadroomFraction
-	full := p.MaxInFlight > 0 && c.inFlight >= d.inFlightLimit(r, p)
-	from, lent := fromEvenShare, d.ceilingLeaseTerms(r)
-	short := r.units - d.ceilingRoom(r, p)
-	if d.hasSparseShares(c, p) {
-		return d.checkQuotaSparse(r, p, short > 0, late)
+func (b *Balancer) checkQuota(req *request) quotaDecision {
+	cust, plan := req.customer, &b.settings.Plans[req.plan]
+	late := (b.now-req.arrivedAt).Seconds()+b.expectedLatency(req, nil) >= req.timeLimit.Seconds()*latencyHeadroomFraction
+	full := plan.MaxInFlight > 0 && cust.inFlight >= b.inFlightLimit(req, plan)
+	from, lent := fromEvenShare, b.ceilingLeaseTerms(req)
+	short := req.units - b.ceilingRoom(req, plan)
+	if b.hasSparseShares(cust, plan) {
+		return b.checkQuotaSparse(req, plan, short > 0, late)
 	}
 	if full || short > 0 && lent == nil {
-		fills := short / d.ceilingShare(c, p).Rate // seconds
-		if late || r.admitOnly || !full && p.OverQuotaWeight > p.OverQuotaCost && fills > r.timeLimit.Seconds()*maxCeilingWaitFraction {
+		fills := short / b.ceilingShare(cust, plan).Rate // seconds
+		if late || req.admitOnly || !full && plan.OverQuotaWeight > plan.OverQuotaCost && fills > req.timeLimit.Seconds()*maxCeilingWaitFraction {
 			return quotaExceeded
 		}
 		return quotaPending
 	}
-	worth := max(1e-9, d.settings.Classes[r.class].PriorityWeight*p.PriorityFactor*d.classes[r.class].costProfile.Density(r.units))
-	band := min(priorityBands-1, max(0, int(bandsPerHalving*math.Log2(d.maxPriority/worth))))
-	r.level = band
-	if p.Rate > 0 {
-		switch v := d.spendTokens(r, p, short > 0); {
-		case v == quotaExceeded && lent != nil && d.leaseCeiling(r, lent, late) == quotaPending:
+	worth := max(1e-9, b.settings.Classes[req.class].PriorityWeight*plan.PriorityFactor*b.classes[req.class].costProfile.Density(req.units))
+	band := min(priorityBands-1, max(0, int(bandsPerHalving*math.Log2(b.maxPriority/worth))))
+	req.level = band
+	if plan.Rate > 0 {
+		switch v := b.spendTokens(req, plan, short > 0); {
+		case v == quotaExceeded && lent != nil && b.leaseCeiling(req, lent, late) == quotaPending:
 			return quotaPending
 		case v != quotaCovered:
 			return v
-		case r.onCredit:
-			r.level += priorityBands
-		case lent != nil && r.paidByCounter && d.isStoreSettled(c, p):
+		case req.onCredit:
+			req.level += priorityBands
+		case lent != nil && req.paidByCounter && b.isStoreSettled(cust, plan):
 			from = fromQuota
 		}
 	} else {
-		if p.MaxInFlight == 0 {
-			r.level += priorityBands
+		if plan.MaxInFlight == 0 {
+			req.level += priorityBands
 		}
 		if lent != nil {
-			if v := d.leaseCeiling(r, lent, late); v != quotaCovered {
+			if v := b.leaseCeiling(req, lent, late); v != quotaCovered {
 				return v
 			}
 			from = fromLease
 		}
 	}
-	r.withinQuota = r.level < priorityBands
-	d.reserveCeiling(r, from)
+	req.withinQuota = req.level < priorityBands
+	b.reserveCeiling(req, from)
 	return quotaCovered
 }
 
 // inFlightLimit is how many of a customer's requests may be under way here: this door's share of the cap, or, where
 // the counter tells that the others have less, what their demand leaves (a departure: traffic is uneven).
-func (d *Balancer) inFlightLimit(r *request, p *Plan) int {
-	share := d.inFlightShare(r.customer, p)
-	if r.customer.storeKnown && d.callFraction > degradedCallFraction {
-		share = max(share, float64(p.MaxInFlight)-r.customer.peerDemand/max(r.units, 1)*d.expectedLatency(r, nil)-inFlightSlack-p.OverQuotaCost)
+func (b *Balancer) inFlightLimit(req *request, plan *Plan) int {
+	share := b.inFlightShare(req.customer, plan)
+	if req.customer.storeKnown && b.callFraction > degradedCallFraction {
+		share = max(share, float64(plan.MaxInFlight)-req.customer.peerDemand/max(req.units, 1)*b.expectedLatency(req, nil)-inFlightSlack-plan.OverQuotaCost)
 	}
 	return max(1, int(share))
 }
 
 // handleOverQuota decides for a request that no tokens pay.
-func (d *Balancer) handleOverQuota(r *request) {
-	p := &d.settings.Plans[r.plan]
-	full := p.MaxInFlight > 0 && r.customer.inFlight >= d.inFlightLimit(r, p)
+func (b *Balancer) handleOverQuota(req *request) {
+	plan := &b.settings.Plans[req.plan]
+	full := plan.MaxInFlight > 0 && req.customer.inFlight >= b.inFlightLimit(req, plan)
 	from, room := fromEvenShare, 0.0
-	if t := d.ceilingLeaseTerms(r); t != nil {
-		from, room = fromLease, r.customer.ceilingLease.Has(*t, d.now, !r.admitOnly, r.customer.admitOnlyFraction())
+	if t := b.ceilingLeaseTerms(req); t != nil {
+		from, room = fromLease, req.customer.ceilingLease.Has(*t, b.now, !req.admitOnly, req.customer.admitOnlyFraction())
 	} else {
-		room = d.ceilingRoom(r, p)
+		room = b.ceilingRoom(req, plan)
 	}
-	if p.OverQuotaWeight <= p.OverQuotaCost || full || room < r.units {
-		d.reject(r, d.refillTime(r.customer, p, r.units), QuotaExceeded)
+	if plan.OverQuotaWeight <= plan.OverQuotaCost || full || room < req.units {
+		b.reject(req, b.refillTime(req.customer, plan, req.units), QuotaExceeded)
 		return
 	}
-	r.level = lowestLevel
-	d.reserveCeiling(r, from)
-	d.assign(r)
+	req.level = lowestLevel
+	b.reserveCeiling(req, from)
+	b.assign(req)
 }
 
 // spendTokens takes units from the lease, else from this door's own share, and calls the counter for more. The
@@ -314,434 +314,434 @@
 // again until the customer's doors, taken together, would find it filled.
 // Where this door's share of the ceiling is short, only what the ledger gave counts, and only if the door has
 // known that for a while.
-func (d *Balancer) spendTokens(r *request, p *Plan, short bool) quotaDecision {
-	c := r.customer
-	r.paidByCounter = false
-	if d.isLargeFleet() {
-		return d.spendTokensLargeFleet(r, p)
+func (b *Balancer) spendTokens(req *request, plan *Plan, short bool) quotaDecision {
+	cust := req.customer
+	req.paidByCounter = false
+	if b.isLargeFleet() {
+		return b.spendTokensLargeFleet(req, plan)
 	}
-	lent := d.leaseTerms[r.plan].Rate > 0
+	lent := b.leaseTerms[req.plan].Rate > 0
 	life := tokenLeaseTTL
-	if c.storeKnown {
-		life += d.extraLeaseTime(c, p)
+	if cust.storeKnown {
+		life += b.extraLeaseTime(cust, plan)
 	}
 	if lent && short {
 		life = shortLife
 	}
-	if c.tokens > 0 && !c.callPending && d.now-c.leasedAt > life {
+	if cust.tokens > 0 && !cust.callPending && b.now-cust.leasedAt > life {
 		if !lent { // else it is lost: the ceiling hangs on no full store being given more
-			c.debt -= c.tokens // what the store holds now may differ from what it held then
+			cust.debt -= cust.tokens // what the store holds now may differ from what it held then
 		}
-		c.tokens = 0
+		cust.tokens = 0
 	}
-	d.refillFallback(c, p)
-	calls := d.settings.UseCounter && !r.counterCalled && d.now >= max(c.storeEmptyUntil, c.callsPausedUntil) && d.canCallCounter()
+	b.refillFallback(cust, plan)
+	calls := b.settings.UseCounter && !req.counterCalled && b.now >= max(cust.storeEmptyUntil, cust.callsPausedUntil) && b.canCallCounter()
 	switch {
-	case short && !d.isStoreSettled(c, p):
-		d.learnStore(c)
+	case short && !b.isStoreSettled(cust, plan):
+		b.learnStore(cust)
 		return quotaExceeded
-	case c.tokens >= r.units:
-		c.tokens -= r.units
-		r.paidByCounter = true
-		if use := c.demand * tokenLeaseTTL.Seconds(); calls && !c.callPending && c.tokens < c.demand*renewAhead.Seconds() &&
-			use >= minRenewRequests*r.units {
-			d.leaseTokens(c, p, r.units, short)
+	case cust.tokens >= req.units:
+		cust.tokens -= req.units
+		req.paidByCounter = true
+		if use := cust.demand * tokenLeaseTTL.Seconds(); calls && !cust.callPending && cust.tokens < cust.demand*renewAhead.Seconds() &&
+			use >= minRenewRequests*req.units {
+			b.leaseTokens(cust, plan, req.units, short)
 		}
 		return quotaCovered
-	case !short && c.fallbackTokens+max(0, c.tokens) >= r.units:
-		c.fallbackTokens -= r.units - max(0, c.tokens)
-		c.debt += r.units - max(0, c.tokens)
-		c.tokens = min(0, c.tokens)
+	case !short && cust.fallbackTokens+max(0, cust.tokens) >= req.units:
+		cust.fallbackTokens -= req.units - max(0, cust.tokens)
+		cust.debt += req.units - max(0, cust.tokens)
+		cust.tokens = min(0, cust.tokens)
 		return quotaCovered
-	case c.callPending:
+	case cust.callPending:
 		return quotaPending
-	case calls && (d.rng.Float64() < d.callFraction || c.fallbackTokens <= 0 && !r.clientRetry && d.callFraction > degradedCallFraction):
-		r.counterCalled = true
-		d.leaseTokens(c, p, r.units, short)
+	case calls && (b.rng.Float64() < b.callFraction || cust.fallbackTokens <= 0 && !req.clientRetry && b.callFraction > degradedCallFraction):
+		req.counterCalled = true
+		b.leaseTokens(cust, plan, req.units, short)
 		return quotaPending
-	case !short && d.now >= c.storeEmptyUntil && c.fallbackTokens > 0 && (!r.clientRetry || !d.settings.UseCounter):
-		c.fallbackTokens -= r.units
-		r.onCredit = true
+	case !short && b.now >= cust.storeEmptyUntil && cust.fallbackTokens > 0 && (!req.clientRetry || !b.settings.UseCounter):
+		cust.fallbackTokens -= req.units
+		req.onCredit = true
 		return quotaCovered
 	}
 	return quotaExceeded
 }
 
 // canCallCounter says that the counter can be asked: it answers, or this door's turn to test it has come.
-func (d *Balancer) canCallCounter() bool {
-	pause := max(counterProbePause, time.Duration(d.liveGateways())*counterProbePausePerGateway)
-	return !d.handedOver && len(d.callsOut) < maxCallsOut && (d.callFraction > degradedCallFraction || d.now-d.lastCounterCallAt >= pause)
+func (b *Balancer) canCallCounter() bool {
+	pause := max(counterProbePause, time.Duration(b.liveGateways())*counterProbePausePerGateway)
+	return !b.handedOver && len(b.callsOut) < maxCallsOut && (b.callFraction > degradedCallFraction || b.now-b.lastCounterCallAt >= pause)
 }
 
 // extraLeaseTime is by how much a lease reaches further ahead where the customer's store is nearly full: units that
 // no other door misses may lie here, the longer the more a call costs.
-func (d *Balancer) extraLeaseTime(c *customer, p *Plan) time.Duration {
-	full := max(0, d.currentStoreLevel(c, p)/p.Burst-extraLeaseFromLevel) / (1 - extraLeaseFromLevel)
-	return time.Duration(full * min(float64(maxExtraLease), d.settings.CounterCallCost*float64(extraLeasePerCost)))
+func (b *Balancer) extraLeaseTime(cust *customer, plan *Plan) time.Duration {
+	full := max(0, b.currentStoreLevel(cust, plan)/plan.Burst-extraLeaseFromLevel) / (1 - extraLeaseFromLevel)
+	return time.Duration(full * min(float64(maxExtraLease), b.settings.CounterCallCost*float64(extraLeasePerCost)))
 }
 
 // leaseTokens adds a block on the counter: the units, or what this door's demand will use. What goes out past this
 // door's share of the ceiling must not be kept for long: the ceiling's store fills meanwhile.
-func (d *Balancer) leaseTokens(c *customer, p *Plan, units float64, short bool) {
-	ahead := leaseHorizon + d.extraLeaseTime(c, p)
+func (b *Balancer) leaseTokens(cust *customer, plan *Plan, units float64, short bool) {
+	ahead := leaseHorizon + b.extraLeaseTime(cust, plan)
 	if short {
 		ahead = shortLife
 	}
-	block := max(units, math.Floor(min(c.demand*ahead.Seconds(), d.currentStoreLevel(c, p)/c.gateways)))
-	c.callPending, d.lastCounterCallAt = true, d.now
+	block := max(units, math.Floor(min(cust.demand*ahead.Seconds(), b.currentStoreLevel(cust, plan)/cust.gateways)))
+	cust.callPending, b.lastCounterCallAt = true, b.now
 	if short {
-		d.learnStore(c)
+		b.learnStore(cust)
 	}
-	amount := block / max(d.callFraction, 1/maxRequestsPerCall)
-	if d.isLargeFleet() { // a door's requests are so few that each is counted
-		block = max(units, math.Floor(min(c.demand*ahead.Seconds(), d.currentStoreLevel(c, p)/crowdPart)))
+	amount := block / max(b.callFraction, 1/maxRequestsPerCall)
+	if b.isLargeFleet() { // a door's requests are so few that each is counted
+		block = max(units, math.Floor(min(cust.demand*ahead.Seconds(), b.currentStoreLevel(cust, plan)/crowdPart)))
 		amount = block
 	}
-	if c.lastCallLost || !c.storeKnown && d.leaseTerms[c.plan].Rate > 0 { // it may be lost, or all doors take it at once
+	if cust.lastCallLost || !cust.storeKnown && b.leaseTerms[cust.plan].Rate > 0 { // it may be lost, or all doors take it at once
 		block, amount = units, units
 	}
-	d.callCounter(c, block, amount+c.debt, c.debt).short = short
-	c.debt = 0
+	b.callCounter(cust, block, amount+cust.debt, cust.debt).short = short
+	cust.debt = 0
 }
 
 // handleCounterResult settles a call. The counter's state shows in its answers alone: each in time lets a larger part of
 // the requests call, each late or failed one a smaller.
-func (d *Balancer) handleCounterResult(ev CounterResult) {
-	k := d.takeCall(ev.Name)
-	if k == nil {
+func (b *Balancer) handleCounterResult(ev CounterResult) {
+	call := b.takeCall(ev.Name)
+	if call == nil {
 		return
 	}
 	if ev.Status == OK {
-		d.callPacer.Answered(d.now, d.now-k.sentAt)
+		b.callPacer.Answered(b.now, b.now-call.sentAt)
 	} else if ev.Status != Failed {
-		d.callPacer.Failed(d.now, k.sentAt)
+		b.callPacer.Failed(b.now, call.sentAt)
 	}
 	if ev.Status == Failed { // the counter lives, and this says nothing of how much it bears
 	} else if ev.Status != OK {
-		if k.sentAt >= d.callFractionCutAt { // the calls of one connection end together, and say no more than one of them
-			d.callFraction, d.callFractionCutAt = max(minCallFraction, d.callFraction*callFractionDecrease), d.now
+		if call.sentAt >= b.callFractionCutAt { // the calls of one connection end together, and say no more than one of them
+			b.callFraction, b.callFractionCutAt = max(minCallFraction, b.callFraction*callFractionDecrease), b.now
 		}
 	} else {
-		took := (d.now - k.sentAt).Seconds() / d.settings.CounterTimeout.Seconds()
-		d.callFraction = min(1, max(degradedCallFraction, d.callFraction*(1+callFractionGrowth*(1-took/callLatencyTarget))))
+		took := (b.now - call.sentAt).Seconds() / b.settings.CounterTimeout.Seconds()
+		b.callFraction = min(1, max(degradedCallFraction, b.callFraction*(1+callFractionGrowth*(1-took/callLatencyTarget))))
 	}
-	d.recordCallOutcome(ev.Status == OK)
-	if k.kind == forTest {
+	b.recordCallOutcome(ev.Status == OK)
+	if call.kind == forTest {
 		return
 	}
-	if t := d.leaseTerms[k.customer.plan]; k.kind == forLease {
+	if t := b.leaseTerms[call.customer.plan]; call.kind == forLease {
 		if ev.Status == OK {
-			k.customer.ceilingLease.Answered(t, d.now, k.window, k.block, ev.Total)
+			call.customer.ceilingLease.Answered(t, b.now, call.window, call.block, ev.Total)
 		} else {
-			k.customer.ceilingLease.Failed(d.now, counterProbePause)
+			call.customer.ceilingLease.Failed(b.now, counterProbePause)
 		}
-	} else if k.kind != forTokens {
-		d.handleStoreCall(k, ev)
-	} else if k.block > 0 {
-		k.customer.callPending = false
+	} else if call.kind != forTokens {
+		b.handleStoreCall(call, ev)
+	} else if call.block > 0 {
+		call.customer.callPending = false
 		switch ev.Status {
 		case OK:
-			d.creditLease(k, ev.Total, d.now)
+			b.creditLease(call, ev.Total, b.now)
 		case Failed: // all was added, and no units come of the block: it is given back
-			k.customer.debt -= k.block
-			k.customer.allowAnotherCall()
+			call.customer.debt -= call.block
+			call.customer.allowAnotherCall()
 		case Timeout:
-			d.handleCallTimeout(k)
+			b.handleCallTimeout(call)
 		default:
-			k.customer.debt += k.debt
+			call.customer.debt += call.debt
 		}
 	}
-	d.serveWaiting(k.customer)
+	b.serveWaiting(call.customer)
 }
 
 // creditLease turns a total, as it was at a time, into tokens. What the store held over its burst has overflowed,
 // and what it seems to have gained over its rate since the last look the counter has lost: both are added, if
 // worth a call and not of long ago. What the store did not hold is given back.
-func (d *Balancer) creditLease(k *counterCall, total float64, at time.Duration) {
-	c := k.customer
-	p := &d.settings.Plans[c.plan]
-	held := p.Burst + p.Rate*(at-time.Duration(k.window)*counterWindow).Seconds() - total + k.amount
-	most := p.Burst
-	if c.storeKnown {
-		most = d.currentStoreLevel(c, p)
-		if gap := (d.now - c.storeLevelAt).Seconds(); gap > 0 && at == d.now {
-			c.peerDemand += (1 - math.Exp(-gap/demandWindow.Seconds())) * (max(0, most-held)/gap - c.peerDemand)
+func (b *Balancer) creditLease(call *counterCall, total float64, at time.Duration) {
+	cust := call.customer
+	plan := &b.settings.Plans[cust.plan]
+	held := plan.Burst + plan.Rate*(at-time.Duration(call.window)*counterWindow).Seconds() - total + call.amount
+	most := plan.Burst
+	if cust.storeKnown {
+		most = b.currentStoreLevel(cust, plan)
+		if gap := (b.now - cust.storeLevelAt).Seconds(); gap > 0 && at == b.now {
+			cust.peerDemand += (1 - math.Exp(-gap/demandWindow.Seconds())) * (max(0, most-held)/gap - cust.peerDemand)
 		}
 	}
-	over := p.Burst * overfullFraction
-	if k.short {
-		over = p.Burst * overfullLent
+	over := plan.Burst * overfullFraction
+	if call.short {
+		over = plan.Burst * overfullLent
 	}
 	switch {
-	case at < d.now: // an old total puts nothing right
+	case at < b.now: // an old total puts nothing right
 		held = min(held, most)
-	case c.storeKnown && c.seenWindow != k.window && d.leaseTerms[c.plan].Rate == 0: // it knows nothing of the last number
-		if total <= k.amount+1e-6*math.Abs(k.amount) && held > most+p.Burst*minCarryFraction {
-			d.callCounter(c, 0, held-most, 0) // it was this door's call that began it
+	case cust.storeKnown && cust.seenWindow != call.window && b.leaseTerms[cust.plan].Rate == 0: // it knows nothing of the last number
+		if total <= call.amount+1e-6*math.Abs(call.amount) && held > most+plan.Burst*minCarryFraction {
+			b.callCounter(cust, 0, held-most, 0) // it was this door's call that began it
 		}
 		held = min(held, most)
-	case d.isLargeFleet(): // asks of other doors that were given back look like a gain: only much of it is put right
-		most = p.Burst * (1 + d.overfullSlack(c, p))
+	case b.isLargeFleet(): // asks of other doors that were given back look like a gain: only much of it is put right
+		most = plan.Burst * (1 + b.overfullSlack(cust, plan))
 		if held > most {
-			d.correctOverfull(c, k, held-p.Burst, total <= k.amount)
+			b.correctOverfull(cust, call, held-plan.Burst, total <= call.amount)
 		}
 		held = min(held, most)
 	case held > most+over:
-		most = min(most, d.storeAfterPeers(c, k, total))
-		held = d.correctStore(c, k, held, most, total)
-	}
-	has := held - k.debt
-	if d.hasSparseShares(c, p) {
-		has -= manyKeep * p.Burst
-	}
-	got := d.acceptedTokens(k, has)
-	if got < k.block && d.isLargeFleet() {
-		d.reserveAhead(k, has, got)
-	} else if got < k.block {
-		if d.evidenceScarcity() == 0 && c.demand*tokenLeaseTTL.Seconds() >= minRenewRequests*k.block { // another call comes soon
-			c.debt += got + k.debt - k.amount
+		most = min(most, b.storeAfterPeers(cust, call, total))
+		held = b.correctStore(cust, call, held, most, total)
+	}
+	has := held - call.debt
+	if b.hasSparseShares(cust, plan) {
+		has -= manyKeep * plan.Burst
+	}
+	got := b.acceptedTokens(call, has)
+	if got < call.block && b.isLargeFleet() {
+		b.reserveAhead(call, has, got)
+	} else if got < call.block {
+		if b.evidenceScarcity() == 0 && cust.demand*tokenLeaseTTL.Seconds() >= minRenewRequests*call.block { // another call comes soon
+			cust.debt += got + call.debt - call.amount
 		} else {
-			d.callCounter(c, 0, got+k.debt-k.amount, 0)
+			b.callCounter(cust, 0, got+call.debt-call.amount, 0)
 		}
-		k.amount = got + k.debt
-		pause := max(k.block-held, d.activeGateways(c)/gatewaysPerRefill) / p.Rate * d.pauseSpread(c)
-		c.storeEmptyUntil = d.now + min(maxEmptyPause, time.Duration(pause*float64(time.Second)))
+		call.amount = got + call.debt
+		pause := max(call.block-held, b.activeGateways(cust)/gatewaysPerRefill) / plan.Rate * b.pauseSpread(cust)
+		cust.storeEmptyUntil = b.now + min(maxEmptyPause, time.Duration(pause*float64(time.Second)))
 	}
-	if !c.storeKnown {
-		c.storeKnown, c.storeKnownAt, c.fallbackTokens = true, d.now, min(c.fallbackTokens, 0)
+	if !cust.storeKnown {
+		cust.storeKnown, cust.storeKnownAt, cust.fallbackTokens = true, b.now, min(cust.fallbackTokens, 0)
 	}
-	c.tokens, c.leasedAt, c.lastCallLost = c.tokens+got, d.now, false
-	if at < c.storeLevelAt {
+	cust.tokens, cust.leasedAt, cust.lastCallLost = cust.tokens+got, b.now, false
+	if at < cust.storeLevelAt {
 		return // a later call has told more
 	}
-	if c.seenWindow == k.window && c.seenTotal-total > max(lostLeast*p.Burst, c.seenTotal/2) {
-		c.storeKnownAt = d.now // the counter has lost its numbers: what it tells is to season anew
+	if cust.seenWindow == call.window && cust.seenTotal-total > max(lostLeast*plan.Burst, cust.seenTotal/2) {
+		cust.storeKnownAt = b.now // the counter has lost its numbers: what it tells is to season anew
 	}
-	c.seenWindow, c.seenTotal = k.window, total
-	c.storeLevel, c.storeLevelAt = max(held-k.amount, -p.Burst/2), at
+	cust.seenWindow, cust.seenTotal = call.window, total
+	cust.storeLevel, cust.storeLevelAt = max(held-call.amount, -plan.Burst/2), at
 }
 
 // refillCeiling fills and tells this door's share of the customer's ceiling: rate and depth divided by the doors. A
 // fresh door may have spent its share before it was restarted, so it starts empty.
-func (d *Balancer) refillCeiling(c *customer, p *Plan) float64 {
-	if p.CeilingRate == 0 {
+func (b *Balancer) refillCeiling(cust *customer, plan *Plan) float64 {
+	if plan.CeilingRate == 0 {
 		return math.Inf(1)
 	}
-	d.expireLoans(c, p)
-	own := d.ceilingShare(c, p)
-	if d.hasSparseShares(c, p) {
-		own.Rate = manyRate * (p.CeilingRate - p.Rate) / c.gateways
-		own.Depth = (p.CeilingBurst - manyTakes*p.Burst) / c.gateways
-		if t, ok := d.ceilingTurns(c, p); ok {
-			return d.refillTurn(c, t)
+	b.expireLoans(cust, plan)
+	own := b.ceilingShare(cust, plan)
+	if b.hasSparseShares(cust, plan) {
+		own.Rate = manyRate * (plan.CeilingRate - plan.Rate) / cust.gateways
+		own.Depth = (plan.CeilingBurst - manyTakes*plan.Burst) / cust.gateways
+		if t, ok := b.ceilingTurns(cust, plan); ok {
+			return b.refillTurn(cust, t)
 		}
 	}
-	c.ceilingTokens += own.Rate * d.refillSeconds(c.ceilingAt)
-	c.ceilingTokens = min(c.ceilingTokens, own.Depth)
-	if g := c.admitOnlyFraction(); g > 0 {
-		c.ceilingKept += g * own.Rate * d.refillSeconds(c.ceilingAt)
-		c.ceilingKept = max(0, min(c.ceilingKept, c.ceilingTokens, max(1, g*own.Depth)))
+	cust.ceilingTokens += own.Rate * b.refillSeconds(cust.ceilingAt)
+	cust.ceilingTokens = min(cust.ceilingTokens, own.Depth)
+	if g := cust.admitOnlyFraction(); g > 0 {
+		cust.ceilingKept += g * own.Rate * b.refillSeconds(cust.ceilingAt)
+		cust.ceilingKept = max(0, min(cust.ceilingKept, cust.ceilingTokens, max(1, g*own.Depth)))
 	} else {
-		c.ceilingKept = 0
+		cust.ceilingKept = 0
 	}
-	c.ceilingAt = d.now
-	return c.ceilingTokens
+	cust.ceilingAt = b.now
+	return cust.ceilingTokens
 }
 
 // admitOnlyFraction is the part of a customer's demand that asks for leave only.
-func (c *customer) admitOnlyFraction() float64 {
-	if c.admitOnlyDemand < minAdmitOnlyFraction*c.demand {
+func (cust *customer) admitOnlyFraction() float64 {
+	if cust.admitOnlyDemand < minAdmitOnlyFraction*cust.demand {
 		return 0
 	}
-	return min(1, c.admitOnlyDemand/c.demand)
+	return min(1, cust.admitOnlyDemand/cust.demand)
 }
 
 // ceilingRoom is how much of this door's share of the ceiling a request can have now. What asks for leave joins no
 // line, those would take all of the share under a flood: by its part of the demand some is kept.
-func (d *Balancer) ceilingRoom(r *request, p *Plan) float64 {
-	have := d.refillCeiling(r.customer, p)
-	if r.admitOnly {
-		return max(r.customer.ceilingKept, have-r.customer.ceilingQueued)
+func (b *Balancer) ceilingRoom(req *request, plan *Plan) float64 {
+	have := b.refillCeiling(req.customer, plan)
+	if req.admitOnly {
+		return max(req.customer.ceilingKept, have-req.customer.ceilingQueued)
 	}
-	return have - r.customer.ceilingKept - r.customer.ceilingQueued
+	return have - req.customer.ceilingKept - req.customer.ceilingQueued
 }
 
 // expectedLatency is the time an answer takes, by recent ones: the class's mean times size and the server's slowness.
-func (d *Balancer) expectedLatency(r *request, s *endpoint) float64 {
-	if r.admitOnly {
+func (b *Balancer) expectedLatency(req *request, ep *endpoint) float64 {
+	if req.admitOnly {
 		return 0
 	}
-	if s != nil {
-		return d.classes[r.class].meanLatency * r.cost * s.latencyFactor
+	if ep != nil {
+		return b.classes[req.class].meanLatency * req.cost * ep.latencyFactor
 	}
-	return d.classes[r.class].meanLatency * r.cost
+	return b.classes[req.class].meanLatency * req.cost
 }
 
 // evidenceScarcity says from 0 to 1 how little a door learns of one server by its own sends.
-func (d *Balancer) evidenceScarcity() float64 {
-	return 1 - min(1, d.warmEndpointRate/currentEvidenceRate)
+func (b *Balancer) evidenceScarcity() float64 {
+	return 1 - min(1, b.warmEndpointRate/currentEvidenceRate)
 }
 
 // selectEndpoint picks a server: round robin, passing over one on which more work waits for its weight and speed, and
 // one in its pause. Where a door sends to each so rarely that what it knows is old or luck, chance has a part
 // (a departure: then all doors together give each server by its weight and speed; none is found by all).
-func (d *Balancer) selectEndpoint(r *request) *endpoint {
+func (b *Balancer) selectEndpoint(req *request) *endpoint {
 	var best *endpoint
-	low, chance := math.Inf(1), d.evidenceScarcity()
-	d.roundRobin++
-	for i := range d.endpointOrder {
-		s := d.endpointOrder[(d.roundRobin+i)%len(d.endpointOrder)]
-		if !s.isUsable() || !d.canRetryOn(r, s) {
+	low, chance := math.Inf(1), b.evidenceScarcity()
+	b.roundRobin++
+	for i := range b.endpointOrder {
+		ep := b.endpointOrder[(b.roundRobin+i)%len(b.endpointOrder)]
+		if !ep.isUsable() || !b.canRetryOn(req, ep) {
 			continue
 		}
-		cost := (s.inFlightWork + s.queuedWork + 1) * s.latencyFactor / (s.weight * d.capacityFraction(s))
-		if s.zone != d.settings.Zone {
-			cost *= zonePenaltyMin + zonePenaltyPerCost*d.settings.CrossZoneCost
+		cost := (ep.inFlightWork + ep.queuedWork + 1) * ep.latencyFactor / (ep.weight * b.capacityFraction(ep))
+		if ep.zone != b.settings.Zone {
+			cost *= zonePenaltyMin + zonePenaltyPerCost*b.settings.CrossZoneCost
 		}
 		if chance > 0 {
-			cost *= 1 - chance + chance*d.rng.ExpFloat64()
+			cost *= 1 - chance + chance*b.rng.ExpFloat64()
 		}
-		if !s.inSubset {
+		if !ep.inSubset {
 			cost += 500 // before one that is not free
 		}
-		if s.overdue { // else the warm ones might take all for seconds
+		if ep.overdue { // else the warm ones might take all for seconds
 			cost = 0
 		}
-		if !d.hasFreeSlot(s) {
-			cost = cost*10/min(1, s.concurrencyLimit) + 1e3
+		if !b.hasFreeSlot(ep) {
+			cost = cost*10/min(1, ep.concurrencyLimit) + 1e3
 		}
-		if d.slowStartExhausted(s) {
+		if b.slowStartExhausted(ep) {
 			cost += 1e6
 		}
 		if cost < low-1e-9 {
-			best, low = s, cost
+			best, low = ep, cost
 		}
 	}
 	return best
 }
 
 // canRetryOn says whether a request that may have run can go to a server (rule 2).
-func (d *Balancer) canRetryOn(r *request, s *endpoint) bool {
-	if !r.mayHaveRun {
+func (b *Balancer) canRetryOn(req *request, ep *endpoint) bool {
+	if !req.mayHaveRun {
 		return true
 	}
-	cl := &d.settings.Classes[r.class]
-	if cl.Idempotency != IdempotentByKey {
-		return cl.Idempotency == Idempotent
+	class := &b.settings.Classes[req.class]
+	if class.Idempotency != IdempotentByKey {
+		return class.Idempotency == Idempotent
 	}
-	return d.now < d.retryDeadline(r) && (cl.DedupScope == DedupAll ||
-		s.zone == r.firstRunOn.zone && (cl.DedupScope == DedupZone || s.cell == r.firstRunOn.cell))
+	return b.now < b.retryDeadline(req) && (class.DedupScope == DedupAll ||
+		ep.zone == req.firstRunOn.zone && (class.DedupScope == DedupZone || ep.cell == req.firstRunOn.cell))
 }
 
 // retryDeadline is when the window ends in which a repeat of a keyed request is known for one, less its way there.
-func (d *Balancer) retryDeadline(r *request) time.Duration {
-	return r.firstRunAt + d.settings.Classes[r.class].DedupWindow - retryWriteMargin
+func (b *Balancer) retryDeadline(req *request) time.Duration {
+	return req.firstRunAt + b.settings.Classes[req.class].DedupWindow - retryWriteMargin
 }
 
 // assign queues a request at a server and releases what may go.
-func (d *Balancer) assign(r *request) {
-	if r.admitOnly {
-		d.grantAdmission(r)
+func (b *Balancer) assign(req *request) {
+	if req.admitOnly {
+		b.grantAdmission(req)
 		return
 	}
-	if t := d.probeCandidate(r); t != nil {
-		d.dispatch(r, t, true)
+	if t := b.probeCandidate(req); t != nil {
+		b.dispatch(req, t, true)
 		return
 	}
-	s := d.selectEndpoint(r)
-	if s == nil && d.allAdminEjected() {
-		d.reject(r, d.settings.MaxRetryAfter, EndpointsEjected)
+	ep := b.selectEndpoint(req)
+	if ep == nil && b.allAdminEjected() {
+		b.reject(req, b.settings.MaxRetryAfter, EndpointsEjected)
 		return
 	}
-	if s == nil && !r.mayHaveRun {
-		d.unplaced = append(d.unplaced, r)
+	if ep == nil && !req.mayHaveRun {
+		b.unplaced = append(b.unplaced, req)
 		return
 	}
-	if s == nil || d.shouldShed(r, s) {
-		d.reject(r, 0, QueueTooLong)
+	if ep == nil || b.shouldShed(req, ep) {
+		b.reject(req, 0, QueueTooLong)
 		return
 	}
-	d.enqueue(r, s)
-	d.dispatchQueued(s)
+	b.enqueue(req, ep)
+	b.dispatchQueued(ep)
 }
 
 // grantAdmission is the one place that grants. It counts as sent on: the ceiling's units are spent here, and the cap
 // on what is open at once holds until the work is said to be done, or the hold runs out.
-func (d *Balancer) grantAdmission(r *request) {
-	p := &d.settings.Plans[r.plan]
-	if d.now >= r.arrivedAt+r.timeLimit || !d.drawCeiling(r, p) {
-		d.reject(r, d.refillTime(r.customer, p, r.units), CeilingExceeded)
+func (b *Balancer) grantAdmission(req *request) {
+	plan := &b.settings.Plans[req.plan]
+	if b.now >= req.arrivedAt+req.timeLimit || !b.drawCeiling(req, plan) {
+		b.reject(req, b.refillTime(req.customer, plan, req.units), CeilingExceeded)
 		return
 	}
-	d.releaseCeiling(r, true)
-	r.admitted, r.holdUntil = true, d.now+r.holdFor
-	d.emit(Admit{r.id})
-	if !r.inFlight || r.holdFor <= 0 {
-		d.finish(r)
+	b.releaseCeiling(req, true)
+	req.admitted, req.holdUntil = true, b.now+req.holdFor
+	b.emit(Admit{req.id})
+	if !req.inFlight || req.holdFor <= 0 {
+		b.finish(req)
 		return
 	}
-	d.emit(SetTimer{r.holdUntil, r.id<<1 | 1})
+	b.emit(SetTimer{req.holdUntil, req.id<<1 | 1})
 }
 
 // shouldShed is EQ 4 seen from the back of the queue: what would come to wait for most of its time is refused
 // while the client can still try again in time (a departure: the paper lets it wait until it is stale; under
 // overload every answer then comes at the last moment, and each client's next try too late).
-func (d *Balancer) shouldShed(r *request, s *endpoint) bool {
-	free := d.hasFreeSlot(s)
-	if r.withinQuota && len(r.attempts) == 0 { // what the plan pays for tells how short the servers are
+func (b *Balancer) shouldShed(req *request, ep *endpoint) bool {
+	free := b.hasFreeSlot(ep)
+	if req.withinQuota && len(req.attempts) == 0 { // what the plan pays for tells how short the servers are
 		short := 0.0
 		if !free {
 			short = 1
 		}
-		d.shortage += shortageGain * (short - d.shortage)
+		b.shortage += shortageGain * (short - b.shortage)
 	}
-	if r.level == lowestLevel && d.rng.Float64() < d.shortage*shortageShedFactor {
+	if req.level == lowestLevel && b.rng.Float64() < b.shortage*shortageShedFactor {
 		return true // a free place is needed for more than this soon
 	}
 	if free { // with many doors the queue is inside the servers, and latency tells of it (a departure)
-		lat := d.classes[r.class].meanLatency * max(1, d.fleetSlowdown) * r.cost
-		idle := cmp.Or(d.classes[r.class].idleLatency*r.cost, lat)
-		part := (lat - idle) / max(1e-3, r.timeLimit.Seconds()*latencyHeadroomFraction-idle) *
-			(1 + shedLevelSlope*float64(r.level)/lowestLevel)
-		return d.rng.Float64() < min(1, 2*d.evidenceScarcity())*min(shedMaxProbability, (part-shedFromFraction)/(shedAllFraction-shedFromFraction))
+		lat := b.classes[req.class].meanLatency * max(1, b.fleetSlowdown) * req.cost
+		idle := cmp.Or(b.classes[req.class].idleLatency*req.cost, lat)
+		part := (lat - idle) / max(1e-3, req.timeLimit.Seconds()*latencyHeadroomFraction-idle) *
+			(1 + shedLevelSlope*float64(req.level)/lowestLevel)
+		return b.rng.Float64() < min(1, 2*b.evidenceScarcity())*min(shedMaxProbability, (part-shedFromFraction)/(shedAllFraction-shedFromFraction))
 	}
-	if len(r.attempts) > 0 {
+	if len(req.attempts) > 0 {
 		return false
 	}
-	ahead := r.cost
-	for l := 0; l <= r.level; l++ {
-		ahead += s.levelWork[l]
+	ahead := req.cost
+	for l := 0; l <= req.level; l++ {
+		ahead += ep.levelWork[l]
 	}
-	lat := d.classes[r.class].meanLatency * s.latencyFactor
-	share := joinShareOfDeadline * math.Pow(1-float64(r.level)/(2*priorityBands), 2) // the lower the level, the sooner
-	return (d.now-r.arrivedAt).Seconds()+ahead*lat/s.concurrencyLimit+d.expectedLatency(r, s) >= r.timeLimit.Seconds()*latencyHeadroomFraction*share
+	lat := b.classes[req.class].meanLatency * ep.latencyFactor
+	share := joinShareOfDeadline * math.Pow(1-float64(req.level)/(2*priorityBands), 2) // the lower the level, the sooner
+	return (b.now-req.arrivedAt).Seconds()+ahead*lat/ep.concurrencyLimit+b.expectedLatency(req, ep) >= req.timeLimit.Seconds()*latencyHeadroomFraction*share
 }
 
 // hasFreeSlot says whether a server has a free slot. Less than one slot means a pause between sends: with many doors
 // even one request each can be too much, and what a server turns away costs it work as well.
-func (d *Balancer) hasFreeSlot(s *endpoint) bool {
-	return s.inFlightWork < math.Floor(max(1, s.concurrencyLimit)) && d.now >= s.pausedUntil
+func (b *Balancer) hasFreeSlot(ep *endpoint) bool {
+	return ep.inFlightWork < math.Floor(max(1, ep.concurrencyLimit)) && b.now >= ep.pausedUntil
 }
 
 // dispatchQueued releases requests to a server while it has a slot. With nothing queued it helps the longest queue.
-func (d *Balancer) dispatchQueued(s *endpoint) {
-	for s.isUsable() && d.hasFreeSlot(s) && !d.slowStartExhausted(s) {
-		from := s
-		if s.queued == 0 && d.queuedRequests == 0 {
+func (b *Balancer) dispatchQueued(ep *endpoint) {
+	for ep.isUsable() && b.hasFreeSlot(ep) && !b.slowStartExhausted(ep) {
+		from := ep
+		if ep.queued == 0 && b.queuedRequests == 0 {
 			return
-		} else if s.queued == 0 {
-			for _, o := range d.endpointOrder {
-				if o.queued > from.queued && !d.hasFreeSlot(o) {
-					from = o
+		} else if ep.queued == 0 {
+			for _, other := range b.endpointOrder {
+				if other.queued > from.queued && !b.hasFreeSlot(other) {
+					from = other
 				}
 			}
 		}
-		r := d.nextRequest(from, s)
-		if r == nil {
+		req := b.nextRequest(from, ep)
+		if req == nil {
 			return
 		}
-		d.dequeue(r)
-		d.dispatch(r, s, false)
+		b.dequeue(req)
+		b.dispatch(req, ep, false)
 	}
 }
 
@@ -749,202 +749,202 @@
 // stale, in the promoted levels too (a departure: what no longer can be in time only delays the rest). EQ 4
 // goes down the levels while their summed counts, times the latency and over the slots, stay under tau*f; the
 // first level with a request is always open. The oldest request of the open levels goes.
-func (d *Balancer) nextRequest(from, to *endpoint) *request {
+func (b *Balancer) nextRequest(from, to *endpoint) *request {
 	var best *request
 	sum := 0.0
 	for l := range from.queue {
 		for from.levelCount[l] > 0 {
-			r := from.head(l)
-			if (d.now-r.arrivedAt).Seconds()+d.expectedLatency(r, to) < r.timeLimit.Seconds()*latencyHeadroomFraction {
+			req := from.head(l)
+			if (b.now-req.arrivedAt).Seconds()+b.expectedLatency(req, to) < req.timeLimit.Seconds()*latencyHeadroomFraction {
 				break
 			}
-			d.reject(r, 0, StaleInQueue)
+			b.reject(req, 0, StaleInQueue)
 		}
 		if from.levelCount[l] == 0 {
 			continue
 		}
-		r := from.head(l)
+		req := from.head(l)
 		sum += from.levelWork[l]
-		ahead := (sum + to.inFlightWork) * d.classes[r.class].meanLatency * to.latencyFactor / to.concurrencyLimit
-		if best != nil && ahead >= r.timeLimit.Seconds()*latencyHeadroomFraction*queueShareOfDeadline {
+		ahead := (sum + to.inFlightWork) * b.classes[req.class].meanLatency * to.latencyFactor / to.concurrencyLimit
+		if best != nil && ahead >= req.timeLimit.Seconds()*latencyHeadroomFraction*queueShareOfDeadline {
 			break
 		}
-		if (best == nil || r.arrivedAt < best.arrivedAt) && d.canRetryOn(r, to) {
-			best = r
+		if (best == nil || req.arrivedAt < best.arrivedAt) && b.canRetryOn(req, to) {
+			best = req
 		}
 	}
 	return best
 }
 
 // slowStartExhausted says that a cold server has had its budget: package cold says what that is.
-func (d *Balancer) slowStartExhausted(s *endpoint) bool {
-	w := slowstart.Warmth{Now: d.capacityFraction(s), Then: d.capacityFractionAt(s, d.now-d.settings.OverloadWindow)}
-	return w.Now < 1 && s.slowStart.Full(d.now, d.slowStartTerms(), d.warmEndpointRate*s.weight*s.slowStartShare, w, d.rng.Float64)
+func (b *Balancer) slowStartExhausted(ep *endpoint) bool {
+	w := slowstart.Warmth{Now: b.capacityFraction(ep), Then: b.capacityFractionAt(ep, b.now-b.settings.OverloadWindow)}
+	return w.Now < 1 && ep.slowStart.Full(b.now, b.slowStartTerms(), b.warmEndpointRate*ep.weight*ep.slowStartShare, w, b.rng.Float64)
 }
 
 // dispatch is the one place that sends. The guards come last here, whatever was decided before.
-func (d *Balancer) dispatch(r *request, s *endpoint, trial bool) {
-	p := &d.settings.Plans[r.plan]
+func (b *Balancer) dispatch(req *request, ep *endpoint, trial bool) {
+	plan := &b.settings.Plans[req.plan]
 	switch {
-	case !s.inService: // drain: nothing new from the moment it is told
-		d.assign(r)
+	case !ep.inService: // drain: nothing new from the moment it is told
+		b.assign(req)
 		return
-	case r.attemptsOut > 0 || len(r.attempts) >= r.maxAttempts || !d.canRetryOn(r, s) || d.now >= r.arrivedAt+r.timeLimit:
-		d.reject(r, 0, StaleInQueue)
+	case req.attemptsOut > 0 || len(req.attempts) >= req.maxAttempts || !b.canRetryOn(req, ep) || b.now >= req.arrivedAt+req.timeLimit:
+		b.reject(req, 0, StaleInQueue)
 		return
 	}
-	if len(r.attempts) == 0 {
-		if !d.drawCeiling(r, p) {
-			d.reject(r, d.refillTime(r.customer, p, r.units), CeilingExceeded)
+	if len(req.attempts) == 0 {
+		if !b.drawCeiling(req, plan) {
+			b.reject(req, b.refillTime(req.customer, plan, req.units), CeilingExceeded)
 			return
 		}
 	}
-	d.releaseCeiling(r, true)
-	a := &attempt{request: r, number: len(r.attempts), endpoint: s, sentAt: d.now, probe: trial, open: true}
-	limit := r.arrivedAt + r.timeLimit - d.now
+	b.releaseCeiling(req, true)
+	a := &attempt{request: req, number: len(req.attempts), endpoint: ep, sentAt: b.now, probe: trial, open: true}
+	limit := req.arrivedAt + req.timeLimit - b.now
 	if trial {
-		s.probing = true
-		limit = min(limit, time.Duration(probeTimeoutLatencies*d.expectedLatency(r, nil)*float64(time.Second)))
+		ep.probing = true
+		limit = min(limit, time.Duration(probeTimeoutLatencies*b.expectedLatency(req, nil)*float64(time.Second)))
 	}
-	if len(s.inFlight) == 0 {
-		s.lastResponseAt = max(s.lastResponseAt, d.now)
+	if len(ep.inFlight) == 0 {
+		ep.lastResponseAt = max(ep.lastResponseAt, b.now)
 	}
-	r.attempts = append(r.attempts, a)
-	r.attemptsOut++
-	s.inFlight = append(s.inFlight, a)
-	s.overdue = false
-	s.inFlightWork += r.cost
-	if s.warmingUp {
-		s.slowStart.Sent(d.now, r.cost)
+	req.attempts = append(req.attempts, a)
+	req.attemptsOut++
+	ep.inFlight = append(ep.inFlight, a)
+	ep.overdue = false
+	ep.inFlightWork += req.cost
+	if ep.warmingUp {
+		ep.slowStart.Sent(b.now, req.cost)
 	}
 	by := time.Duration(0)
-	if r.mayHaveRun && d.settings.Classes[r.class].Idempotency == IdempotentByKey {
-		by = d.retryDeadline(r)
+	if req.mayHaveRun && b.settings.Classes[req.class].Idempotency == IdempotentByKey {
+		by = b.retryDeadline(req)
 	}
-	d.emit(Dispatch{r.id, s.name, limit, by})
+	b.emit(Dispatch{req.id, ep.name, limit, by})
 }
 
 // handleAttemptResult takes the end of an attempt.
-func (d *Balancer) handleAttemptResult(ev AttemptResult) {
-	r := d.requests[ev.ID]
-	if r == nil || ev.Attempt < 0 || ev.Attempt >= len(r.attempts) || !r.attempts[ev.Attempt].open {
+func (b *Balancer) handleAttemptResult(ev AttemptResult) {
+	req := b.requests[ev.ID]
+	if req == nil || ev.Attempt < 0 || ev.Attempt >= len(req.attempts) || !req.attempts[ev.Attempt].open {
 		return
 	}
-	a := r.attempts[ev.Attempt]
+	a := req.attempts[ev.Attempt]
 	a.open = false
-	r.attemptsOut--
-	s := a.endpoint
+	req.attemptsOut--
+	ep := a.endpoint
 	if a.responseStarted {
-		d.finish(r)
-		d.forgetIfDone(r)
+		b.finish(req)
+		b.forgetIfDone(req)
 		return
 	}
-	s.completeAttempt(a)
+	ep.completeAttempt(a)
 	if ev.Status == NotSent {
-		s.slowStart.Unsent(a.sentAt, r.cost)
+		ep.slowStart.Unsent(a.sentAt, req.cost)
 	}
-	if !r.mayHaveRun && ev.Status != Rejected && ev.Status != ConnectFailed && ev.Status != NotSent {
-		r.mayHaveRun, r.firstRunAt, r.firstRunOn = true, a.sentAt, s
+	if !req.mayHaveRun && ev.Status != Rejected && ev.Status != ConnectFailed && ev.Status != NotSent {
+		req.mayHaveRun, req.firstRunAt, req.firstRunOn = true, a.sentAt, ep
 	}
-	d.recordResult(s, a, ev)
-	if ev.Status == OK && d.settings.EstimatedUnits && ev.Units > 0 && r.withinQuota {
-		r.customer.tokens -= ev.Units - r.units
+	b.recordResult(ep, a, ev)
+	if ev.Status == OK && b.settings.EstimatedUnits && ev.Units > 0 && req.withinQuota {
+		req.customer.tokens -= ev.Units - req.units
 	}
 	if ev.RequestClosed || ev.Status == OK {
-		d.finish(r)
+		b.finish(req)
 	}
-	if r.ended {
-		d.forgetIfDone(r)
-	} else if !r.streaming && r.attemptsOut == 0 {
-		d.retry(r)
+	if req.ended {
+		b.forgetIfDone(req)
+	} else if !req.streaming && req.attemptsOut == 0 {
+		b.retry(req)
 	}
-	d.dispatchQueued(s)
+	b.dispatchQueued(ep)
 }
 
 // handleFirstByte takes the first byte of a streamed answer: the server's work is done, and how long it takes to pass
 // the rest on says nothing of it.
-func (d *Balancer) handleFirstByte(ev FirstByte) {
-	r := d.requests[ev.ID]
-	if r == nil || ev.Attempt < 0 || ev.Attempt >= len(r.attempts) || !r.attempts[ev.Attempt].open || r.streaming {
+func (b *Balancer) handleFirstByte(ev FirstByte) {
+	req := b.requests[ev.ID]
+	if req == nil || ev.Attempt < 0 || ev.Attempt >= len(req.attempts) || !req.attempts[ev.Attempt].open || req.streaming {
 		return
 	}
-	a := r.attempts[ev.Attempt]
-	r.streaming, a.responseStarted, r.mayHaveRun, r.firstRunAt, r.firstRunOn = true, true, true, a.sentAt, a.endpoint
+	a := req.attempts[ev.Attempt]
+	req.streaming, a.responseStarted, req.mayHaveRun, req.firstRunAt, req.firstRunOn = true, true, true, a.sentAt, a.endpoint
 	a.endpoint.completeAttempt(a)
-	d.recordResult(a.endpoint, a, AttemptResult{Status: OK, Latency: d.now - a.sentAt})
-	d.dispatchQueued(a.endpoint)
+	b.recordResult(a.endpoint, a, AttemptResult{Status: OK, Latency: b.now - a.sentAt})
+	b.dispatchQueued(a.endpoint)
 }
 
 // retry sends a request on again where its class allows it and an answer could still be in time.
-func (d *Balancer) retry(r *request) {
-	if len(r.attempts) >= r.maxAttempts || (d.now-r.arrivedAt).Seconds()+d.expectedLatency(r, nil) >= r.timeLimit.Seconds() {
-		d.reject(r, 0, RetryNotPossible)
+func (b *Balancer) retry(req *request) {
+	if len(req.attempts) >= req.maxAttempts || (b.now-req.arrivedAt).Seconds()+b.expectedLatency(req, nil) >= req.timeLimit.Seconds() {
+		b.reject(req, 0, RetryNotPossible)
 		return
 	}
-	d.assign(r)
+	b.assign(req)
 }
 
 // recordResult takes what an outcome tells of a server: latency, slots, signs of life.
-func (d *Balancer) recordResult(s *endpoint, a *attempt, ev AttemptResult) {
-	k := &d.classes[a.request.class]
+func (b *Balancer) recordResult(ep *endpoint, a *attempt, ev AttemptResult) {
+	k := &b.classes[a.request.class]
 	took := max(1e-3, ev.Latency.Seconds())              // within a tick counts as a millisecond
 	ratio := min(took/(k.meanLatency*a.request.cost), 8) // one costly request says little of its server
 	news := min(ratio, fleetSlowdownMax)
-	if ev.Status == OK || ev.Status == Rejected || ev.Status == Timeout && !s.ejected {
+	if ev.Status == OK || ev.Status == Rejected || ev.Status == Timeout && !ep.ejected {
 		if ev.Status == Rejected {
 			news = fleetSlowdownRejected
 		}
-		d.fleetSlowdown += min(fleetSlowdownMaxGain, (d.now-d.fleetSlowdownAt).Seconds()/fleetSlowdownSeconds) * (news - d.fleetSlowdown)
-		d.fleetSlowdownAt = d.now
+		b.fleetSlowdown += min(fleetSlowdownMaxGain, (b.now-b.fleetSlowdownAt).Seconds()/fleetSlowdownSeconds) * (news - b.fleetSlowdown)
+		b.fleetSlowdownAt = b.now
 	}
-	if ev.Status == Cancelled && a.request.ended && d.now >= a.request.arrivedAt+a.request.timeLimit-tickInterval {
+	if ev.Status == Cancelled && a.request.ended && b.now >= a.request.arrivedAt+a.request.timeLimit-tickInterval {
 		ev.Status = Timeout // the request's own end came first
 	}
 	switch ev.Status {
 	case Reset, ConnectFailed:
-		if s.connectionFailures++; s.connectionFailures > 1 { // one broken connection says nothing of its server
-			s.concurrencyLimit *= rejectedDecrease
+		if ep.connectionFailures++; ep.connectionFailures > 1 { // one broken connection says nothing of its server
+			ep.concurrencyLimit *= rejectedDecrease
 		}
-		if s.connectionFailures >= maxConnectionFailures && !s.ejected {
-			d.eject(s)
+		if ep.connectionFailures >= maxConnectionFailures && !ep.ejected {
+			b.eject(ep)
 		}
 	case Timeout:
-		if !s.ejected {
-			s.timeouts++
-			s.latencyFactor += latencyFactorGain * (ratio - s.latencyFactor)
-			s.concurrencyLimit *= timeoutDecrease
+		if !ep.ejected {
+			ep.timeouts++
+			ep.latencyFactor += latencyFactorGain * (ratio - ep.latencyFactor)
+			ep.concurrencyLimit *= timeoutDecrease
 		}
 	case OK, Failed, Rejected:
-		s.lastResponseAt, s.timeouts, s.connectionFailures = d.now, 0, 0
-		if s.ejected {
-			d.reinstate(s, a.probe)
+		ep.lastResponseAt, ep.timeouts, ep.connectionFailures = b.now, 0, 0
+		if ep.ejected {
+			b.reinstate(ep, a.probe)
 		}
 	}
 	switch ev.Status {
 	case Rejected:
-		s.concurrencyLimit = min(1, s.concurrencyLimit) * rejectedDecrease
+		ep.concurrencyLimit = min(1, ep.concurrencyLimit) * rejectedDecrease
 	case OK:
-		s.latencyFactor = max(0.2, s.latencyFactor+latencyFactorGain*(ratio-s.latencyFactor))
-		if !s.warmingUp {
-			d.recordWarmRate(a.request.cost)
+		ep.latencyFactor = max(0.2, ep.latencyFactor+latencyFactorGain*(ratio-ep.latencyFactor))
+		if !ep.warmingUp {
+			b.recordWarmRate(a.request.cost)
 		} else if took <= a.request.timeLimit.Seconds() {
-			s.slowStart.Answered(d.now, a.request.cost)
+			ep.slowStart.Answered(b.now, a.request.cost)
 		}
 		k.answers++
 		k.costProfile.Add(a.request.units, took/k.meanLatency, true)
 		k.meanLatency += max(meanLatencyGain, 1/float64(k.answers)) * (took/a.request.cost - k.meanLatency)
-		d.adjustConcurrency(s, a.request)
+		b.adjustConcurrency(ep, a.request)
 	}
-	if !s.ejected && (ev.Status == Timeout || ev.Status == Cancelled && d.now >= a.request.arrivedAt+a.request.timeLimit-tickInterval) {
+	if !ep.ejected && (ev.Status == Timeout || ev.Status == Cancelled && b.now >= a.request.arrivedAt+a.request.timeLimit-tickInterval) {
 		k.costProfile.Add(a.request.units, took/k.meanLatency, false)
 	}
-	if a.probe && s.ejected {
-		d.scheduleProbe(s)
+	if a.probe && ep.ejected {
+		b.scheduleProbe(ep)
 	}
-	s.concurrencyLimit = max(minConcurrency, s.concurrencyLimit)
-	if s.concurrencyLimit < 1 && d.now >= s.pausedUntil {
-		rest := d.expectedLatency(a.request, s) * (1/s.concurrencyLimit - 1)
-		s.pausedUntil = d.now + time.Duration(rest*float64(time.Second))
+	ep.concurrencyLimit = max(minConcurrency, ep.concurrencyLimit)
+	if ep.concurrencyLimit < 1 && b.now >= ep.pausedUntil {
+		rest := b.expectedLatency(a.request, ep) * (1/ep.concurrencyLimit - 1)
+		ep.pausedUntil = b.now + time.Duration(rest*float64(time.Second))
 	}
 }
 
@@ -953,100 +953,100 @@
 // servers, where no level counts and where work that nobody waits for any more goes on). That floor follows
 // the class's mean down at once, and up only while so few slots are open that waiting can't be the cause: so
 // a slowness of everything is told from overload.
-func (d *Balancer) adjustConcurrency(s *endpoint, r *request) {
-	k := &d.classes[r.class]
+func (b *Balancer) adjustConcurrency(ep *endpoint, req *request) {
+	k := &b.classes[req.class]
 	if k.meanLatency < k.idleLatency || k.answers <= idleLatencyMinAnswers { // the first few may be small or lucky ones
 		k.idleLatency = k.meanLatency
-	} else if s.concurrencyLimit*d.liveGateways() <= minimalConcurrency {
+	} else if ep.concurrencyLimit*b.liveGateways() <= minimalConcurrency {
 		k.idleLatency += idleLatencyGain * (k.meanLatency - k.idleLatency)
 	}
-	high := min(r.timeLimit.Seconds()*latencyHeadroomFraction*shrinkDeadlineFraction, shrinkLatencyRatio*k.idleLatency)
-	switch lat := k.meanLatency * s.latencyFactor; {
-	case lat > high && s.concurrencyLimit*d.liveGateways() > 0.7*minimalConcurrency:
-		s.concurrencyLimit *= lateDecrease
-	case lat < high*growLatencyFraction && s.inFlightWork+1 >= math.Floor(s.concurrencyLimit):
-		s.concurrencyLimit = min(maxConcurrency, s.concurrencyLimit+concurrencyIncrease/max(1, s.concurrencyLimit))
+	high := min(req.timeLimit.Seconds()*latencyHeadroomFraction*shrinkDeadlineFraction, shrinkLatencyRatio*k.idleLatency)
+	switch lat := k.meanLatency * ep.latencyFactor; {
+	case lat > high && ep.concurrencyLimit*b.liveGateways() > 0.7*minimalConcurrency:
+		ep.concurrencyLimit *= lateDecrease
+	case lat < high*growLatencyFraction && ep.inFlightWork+1 >= math.Floor(ep.concurrencyLimit):
+		ep.concurrencyLimit = min(maxConcurrency, ep.concurrencyLimit+concurrencyIncrease/max(1, ep.concurrencyLimit))
 	}
 }
 
 // reject gives the final answer: a refusal where the rules let it be said, else a failure (rule 2).
-func (d *Balancer) reject(r *request, pause time.Duration, why Reason) {
-	if r.ended {
+func (b *Balancer) reject(req *request, pause time.Duration, why Reason) {
+	if req.ended {
 		return
 	}
-	cl := &d.settings.Classes[r.class]
-	mayHaveRun := r.mayHaveRun || r.attemptsOut > 0
-	d.finish(r)
-	if mayHaveRun && (cl.Idempotency == NonIdempotent || cl.Idempotency == IdempotentByKey && cl.DedupScope != DedupAll) {
-		d.emit(Fail{r.id, why})
+	class := &b.settings.Classes[req.class]
+	mayHaveRun := req.mayHaveRun || req.attemptsOut > 0
+	b.finish(req)
+	if mayHaveRun && (class.Idempotency == NonIdempotent || class.Idempotency == IdempotentByKey && class.DedupScope != DedupAll) {
+		b.emit(Fail{req.id, why})
 	} else {
-		if !d.settings.SendRetryAfter {
+		if !b.settings.SendRetryAfter {
 			pause = 0
 		}
-		d.emit(Reject{r.id, min(pause, d.settings.MaxRetryAfter), why})
+		b.emit(Reject{req.id, min(pause, b.settings.MaxRetryAfter), why})
 	}
-	d.forgetIfDone(r)
+	b.forgetIfDone(req)
 }
 
 // finish marks a request as over and calls off what is still out.
-func (d *Balancer) finish(r *request) {
-	if r.ended {
+func (b *Balancer) finish(req *request) {
+	if req.ended {
 		return
 	}
-	r.ended = true
-	d.dequeue(r)
-	d.releaseCeiling(r, false)
-	for _, a := range r.attempts {
-		if a.open && d.settings.AllowCancel && !r.streaming {
-			d.emit(CancelAttempt{r.id, a.number})
+	req.ended = true
+	b.dequeue(req)
+	b.releaseCeiling(req, false)
+	for _, a := range req.attempts {
+		if a.open && b.settings.AllowCancel && !req.streaming {
+			b.emit(CancelAttempt{req.id, a.number})
 		}
 	}
-	if len(r.attempts) == 0 && !r.admitted && r.withinQuota && d.settings.Plans[r.plan].Rate > 0 {
-		r.customer.tokens += r.units
+	if len(req.attempts) == 0 && !req.admitted && req.withinQuota && b.settings.Plans[req.plan].Rate > 0 {
+		req.customer.tokens += req.units
 	}
-	if r.inFlight {
-		r.inFlight = false
-		r.customer.inFlight--
-		d.serveWaiting(r.customer)
+	if req.inFlight {
+		req.inFlight = false
+		req.customer.inFlight--
+		b.serveWaiting(req.customer)
 	}
-	d.forgetIfDone(r)
+	b.forgetIfDone(req)
 }
 
 // tick looks for what no event tells: silence, waiting customers, free slots.
-func (d *Balancer) tick() {
-	d.emit(SetTimer{d.now + tickInterval, 0})
-	for _, s := range d.endpointOrder {
-		if d.now-d.tickedAt < stallThreshold { // else this door stood still, and what came meanwhile is not yet read
-			d.checkSilence(s)
+func (b *Balancer) tick() {
+	b.emit(SetTimer{b.now + tickInterval, 0})
+	for _, ep := range b.endpointOrder {
+		if b.now-b.tickedAt < stallThreshold { // else this door stood still, and what came meanwhile is not yet read
+			b.checkSilence(ep)
 		}
 	}
-	d.tickedAt = d.now
-	if d.now < d.leasingFrom && d.canCallCounter() { // else doors with few requests go by shares while others lend
-		d.lastCounterCallAt = d.now
-		d.callTest()
+	b.tickedAt = b.now
+	if b.now < b.leasingFrom && b.canCallCounter() { // else doors with few requests go by shares while others lend
+		b.lastCounterCallAt = b.now
+		b.callTest()
 	}
-	stuck := d.unplaced
-	d.unplaced = nil
-	for _, r := range stuck {
-		if !r.ended {
-			d.assign(r)
+	stuck := b.unplaced
+	b.unplaced = nil
+	for _, req := range stuck {
+		if !req.ended {
+			b.assign(req)
 		}
 	}
-	if d.queuedRequests > 0 {
-		for _, s := range d.endpointOrder {
-			d.dispatchQueued(s)
+	if b.queuedRequests > 0 {
+		for _, ep := range b.endpointOrder {
+			b.dispatchQueued(ep)
 		}
 	}
-	list := d.waitingCustomers
-	d.waitingCustomers = nil
-	for _, c := range list {
-		c.inWaitingList = false
-		d.serveWaiting(c)
+	list := b.waitingCustomers
+	b.waitingCustomers = nil
+	for _, cust := range list {
+		cust.inWaitingList = false
+		b.serveWaiting(cust)
 	}
-	d.sweepCustomers()
-	if d.settings.PollEndpoints && d.settings.PollInterval > 0 && d.now-d.endpointsUpdatedAt > d.settings.PollInterval/2 {
-		d.endpointsUpdatedAt = d.now
-		d.emit(FetchEndpoints{})
+	b.sweepCustomers()
+	if b.settings.PollEndpoints && b.settings.PollInterval > 0 && b.now-b.endpointsUpdatedAt > b.settings.PollInterval/2 {
+		b.endpointsUpdatedAt = b.now
+		b.emit(FetchEndpoints{})
 	}
 }
 
@@ -1054,94 +1054,94 @@
 // answers take while nothing was heard. It covers hung, cut off and stopped machines. If fewer than a quarter
 // of the servers answer, it is not this server's fault. It could harm a server that got several costly
 // requests in a row; the first late answer brings such a one back.
-func (d *Balancer) checkSilence(s *endpoint) {
-	if s.ejected {
-		if s.inService && d.settings.AllowHealthChecks && d.now >= s.nextProbeAt && !s.probing {
-			s.probing = true
-			d.emit(HealthCheck{s.name})
+func (b *Balancer) checkSilence(ep *endpoint) {
+	if ep.ejected {
+		if ep.inService && b.settings.AllowHealthChecks && b.now >= ep.nextProbeAt && !ep.probing {
+			ep.probing = true
+			b.emit(HealthCheck{ep.name})
 		}
 		return
 	}
-	sum := maxSilencePerAttempt * float64(s.timeouts)
-	for _, a := range s.inFlight {
-		quiet := (d.now - max(a.sentAt, s.lastResponseAt)).Seconds()
-		sum += min(maxSilencePerAttempt, quiet/d.expectedLatency(a.request, s))
+	sum := maxSilencePerAttempt * float64(ep.timeouts)
+	for _, a := range ep.inFlight {
+		quiet := (b.now - max(a.sentAt, ep.lastResponseAt)).Seconds()
+		sum += min(maxSilencePerAttempt, quiet/b.expectedLatency(a.request, ep))
 	}
-	if sum < silenceLatencies || d.now-s.lastResponseAt < minSilence {
+	if sum < silenceLatencies || b.now-ep.lastResponseAt < minSilence {
 		return
 	}
 	live := 0
-	for _, o := range d.endpointOrder {
-		if o.isUsable() && d.now-o.lastResponseAt < d.now-s.lastResponseAt && d.now-o.lastResponseAt < 500*time.Millisecond {
+	for _, other := range b.endpointOrder {
+		if other.isUsable() && b.now-other.lastResponseAt < b.now-ep.lastResponseAt && b.now-other.lastResponseAt < 500*time.Millisecond {
 			live++
 		}
 	}
-	if 4*live >= len(d.endpointOrder) && live > 0 {
-		d.eject(s)
+	if 4*live >= len(b.endpointOrder) && live > 0 {
+		b.eject(ep)
 	}
 }
 
 // eject stops new work to a server, moves its queue on and calls back what could still be served elsewhere.
-func (d *Balancer) eject(s *endpoint) {
-	s.ejected, s.probing = true, false
-	s.probePause = max(firstProbePause, time.Duration(d.rng.Int64N(int64(d.liveGateways())*int64(probePausePerGateway))))
-	s.nextProbeAt = d.now + s.probePause
-	d.emit(LogLine{"no longer used: " + s.name})
+func (b *Balancer) eject(ep *endpoint) {
+	ep.ejected, ep.probing = true, false
+	ep.probePause = max(firstProbePause, time.Duration(b.rng.Int64N(int64(b.liveGateways())*int64(probePausePerGateway))))
+	ep.nextProbeAt = b.now + ep.probePause
+	b.emit(LogLine{"no longer used: " + ep.name})
 	health := Unresponsive
-	if s.connectionFailures >= maxConnectionFailures {
+	if ep.connectionFailures >= maxConnectionFailures {
 		health = ConnectionsBroken
 	}
-	d.emit(HealthReport{s.name, health, s.lastResponseAt})
-	d.reassignQueue(s)
-	if !d.settings.AllowCancel {
+	b.emit(HealthReport{ep.name, health, ep.lastResponseAt})
+	b.reassignQueue(ep)
+	if !b.settings.AllowCancel {
 		return
 	}
-	for _, a := range s.inFlight {
-		if !a.request.ended && !a.request.streaming && (d.now-a.request.arrivedAt).Seconds()+d.expectedLatency(a.request, nil) < a.request.timeLimit.Seconds() {
-			d.emit(CancelAttempt{a.request.id, a.number})
+	for _, a := range ep.inFlight {
+		if !a.request.ended && !a.request.streaming && (b.now-a.request.arrivedAt).Seconds()+b.expectedLatency(a.request, nil) < a.request.timeLimit.Seconds() {
+			b.emit(CancelAttempt{a.request.id, a.number})
 		}
 	}
 }
 
-func (d *Balancer) scheduleProbe(s *endpoint) {
-	s.probing = false
-	s.probePause = min(max(maxProbePause, time.Duration(d.liveGateways())*probePausePerGateway), s.probePause*3/2)
-	s.nextProbeAt = d.now + s.probePause
+func (b *Balancer) scheduleProbe(ep *endpoint) {
+	ep.probing = false
+	ep.probePause = min(max(maxProbePause, time.Duration(b.liveGateways())*probePausePerGateway), ep.probePause*3/2)
+	ep.nextProbeAt = b.now + ep.probePause
 }
 
 // probeCandidate gives an ejected server one safe request with time for another attempt, without probes.
-func (d *Balancer) probeCandidate(r *request) *endpoint {
-	if d.settings.AllowHealthChecks || d.settings.Classes[r.class].Idempotency != Idempotent || len(r.attempts) > 0 || r.maxAttempts < 2 ||
-		r.timeLimit.Seconds() < probeTimeLatencies*d.expectedLatency(r, nil) {
+func (b *Balancer) probeCandidate(req *request) *endpoint {
+	if b.settings.AllowHealthChecks || b.settings.Classes[req.class].Idempotency != Idempotent || len(req.attempts) > 0 || req.maxAttempts < 2 ||
+		req.timeLimit.Seconds() < probeTimeLatencies*b.expectedLatency(req, nil) {
 		return nil
 	}
-	for _, s := range d.endpointOrder {
-		if s.inService && s.ejected && !s.probing && d.now >= s.nextProbeAt && !d.slowStartExhausted(s) {
-			return s
+	for _, ep := range b.endpointOrder {
+		if ep.inService && ep.ejected && !ep.probing && b.now >= ep.nextProbeAt && !b.slowStartExhausted(ep) {
+			return ep
 		}
 	}
 	return nil
 }
 
-func (d *Balancer) handleHealthCheckResult(ev HealthCheckResult) {
-	s := d.endpoints[ev.Endpoint]
-	if s == nil || !s.ejected {
+func (b *Balancer) handleHealthCheckResult(ev HealthCheckResult) {
+	ep := b.endpoints[ev.Endpoint]
+	if ep == nil || !ep.ejected {
 		return
 	}
-	d.scheduleProbe(s)
+	b.scheduleProbe(ep)
 	if ev.Status == OK {
-		d.reinstate(s, true)
+		b.reinstate(ep, true)
 	}
 }
 
 // reinstate takes a server back. One that comes back from silence may have started anew: it counts as cold.
-func (d *Balancer) reinstate(s *endpoint, fresh bool) {
-	fresh = fresh && d.now-s.lastResponseAt > restartSilence
-	s.ejected, s.probing, s.connectionFailures, s.timeouts, s.lastResponseAt = false, false, 0, 0, d.now
-	d.emit(LogLine{"used again: " + s.name})
+func (b *Balancer) reinstate(ep *endpoint, fresh bool) {
+	fresh = fresh && b.now-ep.lastResponseAt > restartSilence
+	ep.ejected, ep.probing, ep.connectionFailures, ep.timeouts, ep.lastResponseAt = false, false, 0, 0, b.now
+	b.emit(LogLine{"used again: " + ep.name})
 	if fresh {
-		s.warmingUp, s.warmUpFrom, s.latencyFactor, s.concurrencyLimit = true, d.now, 1, 1
-		d.emit(HealthReport{s.name, WarmingUp, d.now})
+		ep.warmingUp, ep.warmUpFrom, ep.latencyFactor, ep.concurrencyLimit = true, b.now, 1, 1
+		b.emit(HealthReport{ep.name, WarmingUp, b.now})
 	}
 }
 
@@ -1149,97 +1149,97 @@
 // counts as two answers owed, and on broken connections as all but one: an own sign of life since outweighs
 // it, and one attempt that goes the same way settles it. A server that came back cold is cold for this door
 // too, and asked at once if left out.
-func (d *Balancer) handleHealthReport(f HealthReport) {
-	s := d.endpoints[f.Endpoint]
+func (b *Balancer) handleHealthReport(f HealthReport) {
+	ep := b.endpoints[f.Endpoint]
 	switch {
-	case s == nil || !s.inService:
+	case ep == nil || !ep.inService:
 	case f.Health == WarmingUp:
-		if !s.ejected && d.now-s.lastResponseAt < restartSilence {
+		if !ep.ejected && b.now-ep.lastResponseAt < restartSilence {
 			return // it has answered here while it was silent there
 		}
-		if !s.warmingUp || s.warmUpFrom < f.Since {
-			s.warmingUp, s.warmUpFrom, s.concurrencyLimit = true, f.Since, min(1, s.concurrencyLimit)
+		if !ep.warmingUp || ep.warmUpFrom < f.Since {
+			ep.warmingUp, ep.warmUpFrom, ep.concurrencyLimit = true, f.Since, min(1, ep.concurrencyLimit)
 		}
-		s.nextProbeAt = min(s.nextProbeAt, d.now)
-	case s.ejected:
+		ep.nextProbeAt = min(ep.nextProbeAt, b.now)
+	case ep.ejected:
 	case f.Health == ConnectionsBroken:
-		s.connectionFailures = max(s.connectionFailures, maxConnectionFailures-1)
-	case s.lastResponseAt <= f.Since || len(s.inFlight) > 0 && s.lastResponseAt <= s.inFlight[0].sentAt: // a send is no sign of life
-		s.timeouts = max(s.timeouts, reportedTimeouts)
+		ep.connectionFailures = max(ep.connectionFailures, maxConnectionFailures-1)
+	case ep.lastResponseAt <= f.Since || len(ep.inFlight) > 0 && ep.lastResponseAt <= ep.inFlight[0].sentAt: // a send is no sign of life
+		ep.timeouts = max(ep.timeouts, reportedTimeouts)
 	}
 }
 
 // handleEndpointUpdate takes news of the backends.
-func (d *Balancer) handleEndpointUpdate(ev EndpointUpdate) {
+func (b *Balancer) handleEndpointUpdate(ev EndpointUpdate) {
 	if ev.Kind == UpdateFailed {
-		if !d.watchRetryPending {
-			d.watchRetryPending = true
-			d.watchBackoff = min(8*time.Second, max(500*time.Millisecond, 2*d.watchBackoff))
-			d.emit(SetTimer{d.now + d.watchBackoff, 2})
+		if !b.watchRetryPending {
+			b.watchRetryPending = true
+			b.watchBackoff = min(8*time.Second, max(500*time.Millisecond, 2*b.watchBackoff))
+			b.emit(SetTimer{b.now + b.watchBackoff, 2})
 		}
 		return
 	}
-	d.endpointsUpdatedAt, d.watchBackoff = d.now, 0
-	for _, b := range ev.Entries {
-		d.applyEntry(b)
+	b.endpointsUpdatedAt, b.watchBackoff = b.now, 0
+	for _, entry := range ev.Entries {
+		b.applyEntry(entry)
 	}
 	if ev.Kind != Delta {
-		d.removeUnlisted(ev.Entries)
+		b.removeUnlisted(ev.Entries)
 	}
-	d.removeGoneEndpoints()
-	d.updateSubset()
-	for _, s := range d.endpointOrder {
-		d.dispatchQueued(s)
+	b.removeGoneEndpoints()
+	b.updateSubset()
+	for _, ep := range b.endpointOrder {
+		b.dispatchQueued(ep)
 	}
 }
 
 // applyEntry takes what the list says of one backend. One that was started lately is cold.
-func (d *Balancer) applyEntry(b Endpoint) {
-	s := d.endpoints[b.Name]
-	if s == nil {
-		if b.State != Serving {
+func (b *Balancer) applyEntry(entry Endpoint) {
+	ep := b.endpoints[entry.Name]
+	if ep == nil {
+		if entry.State != Serving {
 			return
 		}
-		s = &endpoint{name: b.Name, startedAt: -1, concurrencyLimit: max(minConcurrency, initialConcurrency/d.liveGateways())}
-		d.endpoints[b.Name] = s
-		d.endpointOrder = append(d.endpointOrder, s)
-	}
-	if b.StartedAt != s.startedAt {
-		s.startedAt, s.lastResponseAt, s.latencyFactor = b.StartedAt, d.now, 1
-		s.ejected, s.probing, s.connectionFailures, s.timeouts = false, false, 0, 0
-		if b.StartedAt > 0 && d.now-b.StartedAt < d.settings.SlowStartDuration {
-			s.warmingUp, s.warmUpFrom, s.concurrencyLimit = true, b.StartedAt, 1
+		ep = &endpoint{name: entry.Name, startedAt: -1, concurrencyLimit: max(minConcurrency, initialConcurrency/b.liveGateways())}
+		b.endpoints[entry.Name] = ep
+		b.endpointOrder = append(b.endpointOrder, ep)
+	}
+	if entry.StartedAt != ep.startedAt {
+		ep.startedAt, ep.lastResponseAt, ep.latencyFactor = entry.StartedAt, b.now, 1
+		ep.ejected, ep.probing, ep.connectionFailures, ep.timeouts = false, false, 0, 0
+		if entry.StartedAt > 0 && b.now-entry.StartedAt < b.settings.SlowStartDuration {
+			ep.warmingUp, ep.warmUpFrom, ep.concurrencyLimit = true, entry.StartedAt, 1
 		}
 	}
-	s.zone, s.cell, s.weight, s.slowStartShare = b.Zone, b.Cell, cmp.Or(max(0, b.Weight), 1), cmp.Or(max(0, b.SlowStartShare), 1)
-	_, banned := d.adminEjected[s.name]
-	s.listed = b.State == Serving
-	s.inService = (s.inService || s.listed) && !banned
-	if !s.listed {
-		d.stopSending(s)
+	ep.zone, ep.cell, ep.weight, ep.slowStartShare = entry.Zone, entry.Cell, cmp.Or(max(0, entry.Weight), 1), cmp.Or(max(0, entry.SlowStartShare), 1)
+	_, banned := b.adminEjected[ep.name]
+	ep.listed = entry.State == Serving
+	ep.inService = (ep.inService || ep.listed) && !banned
+	if !ep.listed {
+		b.stopSending(ep)
 	}
 }
 
 // handleAdminRestore lets a server serve again that was taken out by hand. It may have started anew meanwhile: it is
 // cold from when the list says that it started, if that was while it was out, else from now.
-func (d *Balancer) handleAdminRestore(name string) {
-	since, ok := d.adminEjected[name]
+func (b *Balancer) handleAdminRestore(name string) {
+	since, ok := b.adminEjected[name]
 	if !ok {
 		return
 	}
-	delete(d.adminEjected, name)
-	d.emit(LogLine{"back by hand: " + name})
-	s := d.endpoints[name]
-	if s == nil || !s.listed {
+	delete(b.adminEjected, name)
+	b.emit(LogLine{"back by hand: " + name})
+	ep := b.endpoints[name]
+	if ep == nil || !ep.listed {
 		return
 	}
-	s.inService, s.ejected, s.probing, s.connectionFailures, s.timeouts, s.lastResponseAt = true, false, false, 0, 0, d.now
-	s.warmingUp, s.warmUpFrom, s.latencyFactor, s.concurrencyLimit, s.overdue = true, d.now, 1, 1, true
-	if s.startedAt > since {
-		s.warmUpFrom = s.startedAt
+	ep.inService, ep.ejected, ep.probing, ep.connectionFailures, ep.timeouts, ep.lastResponseAt = true, false, false, 0, 0, b.now
+	ep.warmingUp, ep.warmUpFrom, ep.latencyFactor, ep.concurrencyLimit, ep.overdue = true, b.now, 1, 1, true
+	if ep.startedAt > since {
+		ep.warmUpFrom = ep.startedAt
 	}
-	soon := adminRestoreSpread * time.Duration(max(1, int(d.liveGateways())/crowdFrom))
-	s.slowStart.Hold(d.now + 1 + time.Duration(d.rng.Int64N(int64(soon))))
-	d.updateSubset()
-	d.dispatchQueued(s)
+	soon := adminRestoreSpread * time.Duration(max(1, int(b.liveGateways())/crowdFrom))
+	ep.slowStart.Hold(b.now + 1 + time.Duration(b.rng.Int64N(int64(soon))))
+	b.updateSubset()
+	b.dispatchQueued(ep)
 }
--- a/internal/balancer/door_test.go
+++ b/internal/balancer/door_test.go
@@ -32,14 +32,14 @@
 	}
 }
 
-func open(t testing.TB, set Settings, list ...Endpoint) *Balancer {
+func open(t testing.TB, settings Settings, list ...Endpoint) *Balancer {
 	t.Helper()
-	d, err := New(set, 7)
+	b, err := New(settings, 7)
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.Step(0, []Event{EndpointUpdate{Kind: CachedSnapshot, Entries: list}})
-	return d
+	b.Step(0, []Event{EndpointUpdate{Kind: CachedSnapshot, Entries: list}})
+	return b
 }
 
 func backends(n int) (list []Endpoint) {
@@ -74,9 +74,9 @@
 		"rate": func(s *Settings) { s.Plans[0].Rate = -1 }, "aim": func(s *Settings) { s.Classes[0].LatencyObjective = -1 },
 		"window": func(s *Settings) { s.OverloadWindow = -1 },
 	} {
-		set := basic()
-		if spoil(&set); true {
-			if _, err := New(set, 1); err == nil {
+		settings := basic()
+		if spoil(&settings); true {
+			if _, err := New(settings, 1); err == nil {
 				t.Errorf("%s: no error", name)
 			}
 		}
@@ -84,12 +84,12 @@
 }
 
 func TestNewCustomerSpendsBurstOverDoors(t *testing.T) {
-	set := basic()
-	set.UseCounter = false
-	d := open(t, set, backends(8)...)
+	settings := basic()
+	settings.UseCounter = false
+	b := open(t, settings, backends(8)...)
 	sent, refused := 0, 0
 	for i := range 8 {
-		acts := d.Step(ms, []Event{ask(uint64(i), 0, 0)})
+		acts := b.Step(ms, []Event{ask(uint64(i), 0, 0)})
 		sent += len(only[Dispatch](acts))
 		refused += len(only[Reject](acts))
 	}
@@ -99,10 +99,10 @@
 }
 
 // drain spends a customer's fallback share and returns the counter call that the next request waits for.
-func drain(t *testing.T, d *Balancer, now time.Duration) CounterAdd {
+func drain(t *testing.T, b *Balancer, now time.Duration) CounterAdd {
 	t.Helper()
 	for i := range 20 {
-		if c := only[CounterAdd](d.Step(now, []Event{ask(uint64(100+i), 0, 0)})); len(c) == 1 {
+		if c := only[CounterAdd](b.Step(now, []Event{ask(uint64(100+i), 0, 0)})); len(c) == 1 {
 			return c[0]
 		}
 	}
@@ -111,37 +111,37 @@
 }
 
 func TestLeasePromotes(t *testing.T) {
-	d := open(t, basic(), backends(8)...)
-	c := drain(t, d, ms)
-	d.Step(2*ms, []Event{ask(1, 0, 0), ask(2, 0, 0), ask(3, 0, 0), ask(4, 0, 0), ask(5, 0, 0)})
-	acts := d.Step(4*ms, []Event{CounterResult{c.Name, OK, c.Amount}})
+	b := open(t, basic(), backends(8)...)
+	c := drain(t, b, ms)
+	b.Step(2*ms, []Event{ask(1, 0, 0), ask(2, 0, 0), ask(3, 0, 0), ask(4, 0, 0), ask(5, 0, 0)})
+	acts := b.Step(4*ms, []Event{CounterResult{c.Name, OK, c.Amount}})
 	if len(only[Dispatch](acts)) == 0 {
 		t.Errorf("a grant sent nothing on: %v", acts)
 	}
 }
 
 func TestFullStoreRefusesHardPlan(t *testing.T) {
-	d := open(t, basic(), backends(8)...)
-	c := drain(t, d, ms)
-	d.Step(2*ms, []Event{ask(1, 0, 0), ask(2, 0, 0), ask(3, 0, 0), ask(4, 0, 0), ask(5, 0, 0)})
-	acts := d.Step(4*ms, []Event{CounterResult{c.Name, OK, c.Amount + 30}})
+	b := open(t, basic(), backends(8)...)
+	c := drain(t, b, ms)
+	b.Step(2*ms, []Event{ask(1, 0, 0), ask(2, 0, 0), ask(3, 0, 0), ask(4, 0, 0), ask(5, 0, 0)})
+	acts := b.Step(4*ms, []Event{CounterResult{c.Name, OK, c.Amount + 30}})
 	if len(only[Reject](acts)) == 0 || len(only[Dispatch](acts)) != 0 {
 		t.Errorf("a spent store let requests in: %v", acts)
 	}
 }
 
 func TestSilentCounter(t *testing.T) {
-	d := open(t, basic(), backends(8)...)
-	now, c := ms, drain(t, d, ms)
+	b := open(t, basic(), backends(8)...)
+	now, c := ms, drain(t, b, ms)
 	for i := range 12 {
 		now += 60 * ms
-		acts := d.Step(now, []Event{CounterResult{c.Name, Timeout, 0}, ask(uint64(10+i), 0, 0)})
+		acts := b.Step(now, []Event{CounterResult{c.Name, Timeout, 0}, ask(uint64(10+i), 0, 0)})
 		if got := only[CounterAdd](acts); len(got) == 1 {
 			c = got[0]
 		}
 	}
 	now += 3 * time.Second
-	acts := d.Step(now, []Event{ask(20, 0, 0)})
+	acts := b.Step(now, []Event{ask(20, 0, 0)})
 	if len(only[Dispatch](acts)) != 1 {
 		t.Errorf("the fallback share did not fill while the counter was silent: %v", acts)
 	}
@@ -156,69 +156,69 @@
 // emptied lets the counter lose its numbers, after which the other doors add some units.
 func emptied(t *testing.T, others float64, granted bool) {
 	t.Helper()
-	d := open(t, basic(), backends(8)...)
-	c := drain(t, d, ms)
-	for _, back := range only[CounterAdd](d.Step(3*ms, []Event{CounterResult{c.Name, OK, 30}})) {
-		d.Step(5*ms, []Event{CounterResult{back.Name, OK, 30 + back.Amount}}) // what the store did not hold
+	b := open(t, basic(), backends(8)...)
+	c := drain(t, b, ms)
+	for _, back := range only[CounterAdd](b.Step(3*ms, []Event{CounterResult{c.Name, OK, 30}})) {
+		b.Step(5*ms, []Event{CounterResult{back.Name, OK, 30 + back.Amount}}) // what the store did not hold
 	}
 	now := 9 * time.Second
 	var again []CounterAdd
 	for i := range 6 {
-		again = append(again, only[CounterAdd](d.Step(now, []Event{ask(uint64(50+i), 0, 0)}))...)
+		again = append(again, only[CounterAdd](b.Step(now, []Event{ask(uint64(50+i), 0, 0)}))...)
 	}
 	if len(again) == 0 {
 		t.Fatal("no call after the store has filled again")
 	}
-	acts := d.Step(now+2*ms, []Event{CounterResult{again[0].Name, OK, again[0].Amount + others}})
+	acts := b.Step(now+2*ms, []Event{CounterResult{again[0].Name, OK, again[0].Amount + others}})
 	if granted != (len(only[Dispatch](acts)) > 0) {
 		t.Errorf("others added %v to an emptied counter: %v", others, acts)
 	}
 }
 
 func TestSoftPlanDropsToTheLowestLevel(t *testing.T) {
-	set := basic()
-	set.UseCounter = false
-	set.Plans[1].CeilingRate = 0
-	d := open(t, set, backends(20)...)
+	settings := basic()
+	settings.UseCounter = false
+	settings.Plans[1].CeilingRate = 0
+	b := open(t, settings, backends(20)...)
 	var evs []Event
 	for i := range 15 {
 		evs = append(evs, ask(uint64(i), 0, 1))
 	}
-	acts := d.Step(ms, evs)
+	acts := b.Step(ms, evs)
 	if len(only[Reject](acts)) != 0 {
 		t.Errorf("a soft plan was refused beyond its quota: %v", acts)
 	}
 }
 
 func TestStaleIsRefused(t *testing.T) {
-	d := open(t, basic(), backends(1)...)
-	sends := only[Dispatch](d.Step(ms, []Event{ask(1, 0, 0), ask(2, 0, 0), ask(3, 0, 0), ask(4, 1, 0)}))
+	b := open(t, basic(), backends(1)...)
+	sends := only[Dispatch](b.Step(ms, []Event{ask(1, 0, 0), ask(2, 0, 0), ask(3, 0, 0), ask(4, 1, 0)}))
 	if len(sends) != 2 {
 		t.Fatalf("%d of 4 sent to one backend at once", len(sends))
 	}
-	acts := d.Step(480*ms, []Event{served(sends[0], 0, 479*ms), served(sends[1], 0, 479*ms)})
+	acts := b.Step(480*ms, []Event{served(sends[0], 0, 479*ms), served(sends[1], 0, 479*ms)})
 	if n := len(only[Reject](acts)); n != 2 || len(only[Dispatch](acts)) != 0 {
 		t.Errorf("stale requests: %v, want two refusals", acts)
 	}
 }
 
 func TestHighWorthGoesFirstUnderBacklog(t *testing.T) {
-	set := basic()
-	set.Plans[0].Burst = 20
-	d := open(t, set, backends(1)...)
-	first := only[Dispatch](d.Step(ms, []Event{ask(1, 0, 0), ask(2, 0, 0), ask(3, 0, 0), ask(4, 0, 0)}))
-	d.Step(2*ms, []Event{ask(5, 1, 0)})
-	next := only[Dispatch](d.Step(151*ms, []Event{served(first[0], 0, 150*ms), served(first[1], 0, 150*ms)}))
+	settings := basic()
+	settings.Plans[0].Burst = 20
+	b := open(t, settings, backends(1)...)
+	first := only[Dispatch](b.Step(ms, []Event{ask(1, 0, 0), ask(2, 0, 0), ask(3, 0, 0), ask(4, 0, 0)}))
+	b.Step(2*ms, []Event{ask(5, 1, 0)})
+	next := only[Dispatch](b.Step(151*ms, []Event{served(first[0], 0, 150*ms), served(first[1], 0, 150*ms)}))
 	if len(next) == 0 || next[0].ID != 5 {
 		t.Errorf("after %v went %v, want the request with the most worth", first, next)
 	}
 }
 
 func TestDrain(t *testing.T) {
-	d := open(t, basic(), backends(2)...)
-	d.Step(ms, []Event{EndpointUpdate{Kind: Delta, Entries: []Endpoint{{Name: "b0", State: Draining}}}})
+	b := open(t, basic(), backends(2)...)
+	b.Step(ms, []Event{EndpointUpdate{Kind: Delta, Entries: []Endpoint{{Name: "b0", State: Draining}}}})
 	for i := range 20 {
-		for _, s := range only[Dispatch](d.Step(time.Duration(i+2)*ms, []Event{ask(uint64(i), 0, 2)})) {
+		for _, s := range only[Dispatch](b.Step(time.Duration(i+2)*ms, []Event{ask(uint64(i), 0, 2)})) {
 			if s.Endpoint == "b0" {
 				t.Fatal("sent to a draining backend")
 			}
@@ -227,14 +227,14 @@
 }
 
 func TestQueueMovesOnFromAGoneBackend(t *testing.T) { // a panic of the first version
-	d := open(t, basic(), backends(3)...)
+	b := open(t, basic(), backends(3)...)
 	var evs []Event
 	for i := range 30 {
 		evs = append(evs, ask(uint64(i), i%2, 2))
 	}
-	d.Step(ms, evs)
-	acts := d.Step(2*ms, []Event{EndpointUpdate{Kind: Snapshot, Entries: backends(2)}})
-	acts = append(acts, d.Step(3*ms, []Event{EndpointUpdate{Kind: Snapshot}})...)
+	b.Step(ms, evs)
+	acts := b.Step(2*ms, []Event{EndpointUpdate{Kind: Snapshot, Entries: backends(2)}})
+	acts = append(acts, b.Step(3*ms, []Event{EndpointUpdate{Kind: Snapshot}})...)
 	for _, s := range only[Dispatch](acts) {
 		if s.Endpoint == "b2" {
 			t.Error("sent to a gone backend")
@@ -244,9 +244,9 @@
 
 func TestNoEffectTwice(t *testing.T) {
 	for class, st := range map[int]Status{1: Failed, 2: Reset} {
-		d := open(t, basic(), backends(4)...)
-		s := only[Dispatch](d.Step(ms, []Event{ask(1, class, 2)}))[0]
-		acts := d.Step(20*ms, []Event{AttemptResult{ID: 1, Endpoint: s.Endpoint, Status: st, Latency: 19 * ms}})
+		b := open(t, basic(), backends(4)...)
+		s := only[Dispatch](b.Step(ms, []Event{ask(1, class, 2)}))[0]
+		acts := b.Step(20*ms, []Event{AttemptResult{ID: 1, Endpoint: s.Endpoint, Status: st, Latency: 19 * ms}})
 		again, failed := only[Dispatch](acts), only[Fail](acts)
 		if class == 2 && (len(again) != 0 || len(failed) != 1) {
 			t.Errorf("an unsafe request that may have run: %v", acts)
@@ -261,15 +261,15 @@
 func TestColdBackendGetsLess(t *testing.T) {
 	list := backends(4)
 	list[0].StartedAt = 99 * time.Second
-	d, _ := New(basic(), 7)
-	d.Step(100*time.Second, []Event{EndpointUpdate{Kind: CachedSnapshot, Entries: list}})
+	b, _ := New(basic(), 7)
+	b.Step(100*time.Second, []Event{EndpointUpdate{Kind: CachedSnapshot, Entries: list}})
 	got, now := map[string]int{}, 100*time.Second
 	for i := range 150 {
 		now += 10 * ms
-		for _, s := range only[Dispatch](d.Step(now, []Event{ask(uint64(i), 0, 2)})) {
+		for _, s := range only[Dispatch](b.Step(now, []Event{ask(uint64(i), 0, 2)})) {
 			got[s.Endpoint]++
 			now += ms
-			d.Step(now, []Event{served(s, 0, ms)})
+			b.Step(now, []Event{served(s, 0, ms)})
 		}
 	}
 	if got["b0"]*2 > got["b1"] {
@@ -278,15 +278,15 @@
 }
 
 func TestCeilingShareOfAFreshDoor(t *testing.T) {
-	set := basic()
-	set.UseCounter = false
-	d := open(t, set, backends(40)...)
+	settings := basic()
+	settings.UseCounter = false
+	b := open(t, settings, backends(40)...)
 	sent := 0
 	for i := range 1000 {
 		now := time.Duration(i+1) * ms
-		for _, s := range only[Dispatch](d.Step(now, []Event{ask(uint64(i), 0, 1)})) {
+		for _, s := range only[Dispatch](b.Step(now, []Event{ask(uint64(i), 0, 1)})) {
 			sent++
-			d.Step(now, []Event{served(s, 0, 0)})
+			b.Step(now, []Event{served(s, 0, 0)})
 		}
 	}
 	if sent > 10 {
@@ -295,37 +295,37 @@
 }
 
 func TestAtOnceShare(t *testing.T) {
-	d := open(t, basic(), backends(10)...)
+	b := open(t, basic(), backends(10)...)
 	var evs []Event
 	for i := range 10 {
 		evs = append(evs, ask(uint64(i), 0, 3))
 	}
-	if n := len(only[Dispatch](d.Step(ms, evs))); n != 2 {
+	if n := len(only[Dispatch](b.Step(ms, evs))); n != 2 {
 		t.Errorf("%d attempts out for a cap of 4 over 2 doors", n)
 	}
 }
 
 func TestAtOnceFollowsTheOtherDoors(t *testing.T) {
-	set := basic()
+	settings := basic()
 	for others, want := range map[float64]int{0: 3, 200: 2} {
-		d := open(t, set, backends(10)...)
-		for _, s := range only[Dispatch](d.Step(ms, []Event{ask(1, 0, 3)})) {
-			d.Step(51*ms, []Event{served(s, 0, 50*ms)})
+		b := open(t, settings, backends(10)...)
+		for _, s := range only[Dispatch](b.Step(ms, []Event{ask(1, 0, 3)})) {
+			b.Step(51*ms, []Event{served(s, 0, 50*ms)})
 		}
-		c := d.customers["c"]
-		c.storeKnown, c.peerDemand, c.tokens, c.leasedAt = true, others, 20, ms
+		cust := b.customers["c"]
+		cust.storeKnown, cust.peerDemand, cust.tokens, cust.leasedAt = true, others, 20, ms
 		var evs []Event
 		for i := range 10 {
 			evs = append(evs, ask(uint64(100+i), 0, 3))
 		}
-		if n := len(only[Dispatch](d.Step(52*ms, evs))); n != want {
+		if n := len(only[Dispatch](b.Step(52*ms, evs))); n != want {
 			t.Errorf("others add %v a second: %d attempts out, want %d", others, n, want)
 		}
 	}
 }
 
 func TestSilentBackendIsLeft(t *testing.T) {
-	d := open(t, basic(), backends(4)...)
+	b := open(t, basic(), backends(4)...)
 	now, id := ms, uint64(0)
 	var open, lost []Dispatch
 	var openAt, lostAt []time.Duration
@@ -342,7 +342,7 @@
 			evs = append(evs, AttemptResult{ID: lost[0].ID, Endpoint: "b0", Status: Timeout, Latency: lost[0].Timeout})
 			lost, lostAt = lost[1:], lostAt[1:]
 		}
-		acts := d.Step(now, evs)
+		acts := b.Step(now, evs)
 		for _, l := range only[LogLine](acts) {
 			left = left || l.Text == "no longer used: b0"
 		}
@@ -365,92 +365,92 @@
 // A broken connection now and then, from any server alike, must not leave servers out: each time their queues and
 // attempts would be moved. Several in a row must, and an answer between them counts.
 func TestBrokenConnections(t *testing.T) {
-	set := basic()
-	set.MaxAttempts, set.UseCounter = 1, false
-	d := open(t, set, backends(1)...)
-	s := d.endpoints["b0"]
+	settings := basic()
+	settings.MaxAttempts, settings.UseCounter = 1, false
+	b := open(t, settings, backends(1)...)
+	ep := b.endpoints["b0"]
 	for i, status := range []Status{Reset, Reset, OK, ConnectFailed, Reset, ConnectFailed} {
 		now := time.Duration(i) * 100 * ms
-		sends := only[Dispatch](d.Step(now, []Event{ask(uint64(i+1), 0, 2)}))
-		if len(sends) != 1 || s.ejected {
-			t.Fatalf("before outcome %d: sent %v, left out %v", i, sends, s.ejected)
+		sends := only[Dispatch](b.Step(now, []Event{ask(uint64(i+1), 0, 2)}))
+		if len(sends) != 1 || ep.ejected {
+			t.Fatalf("before outcome %d: sent %v, left out %v", i, sends, ep.ejected)
 		}
-		d.Step(now+10*ms, []Event{AttemptResult{ID: sends[0].ID, Endpoint: "b0", Status: status, Latency: 10 * ms, RequestClosed: status == OK}})
+		b.Step(now+10*ms, []Event{AttemptResult{ID: sends[0].ID, Endpoint: "b0", Status: status, Latency: 10 * ms, RequestClosed: status == OK}})
 	}
-	if !s.ejected {
+	if !ep.ejected {
 		t.Error("three in a row, and it is still used")
 	}
 }
 
 // What was queued and has ended must leave nothing behind at a server from which nobody picks.
 func TestQueuesLeaveNothingBehind(t *testing.T) {
-	d := open(t, basic(), backends(1)...)
-	s := d.endpoints["b0"]
+	b := open(t, basic(), backends(1)...)
+	ep := b.endpoints["b0"]
 	var all []*request
 	for i := range 3 {
-		r := &request{id: uint64(i), level: 2}
-		d.enqueue(r, s)
-		all = append(all, r)
+		req := &request{id: uint64(i), level: 2}
+		b.enqueue(req, ep)
+		all = append(all, req)
 	}
-	for _, r := range all {
-		d.dequeue(r)
+	for _, req := range all {
+		b.dequeue(req)
 	}
-	if len(s.queue[2]) != 0 || s.queued != 0 || d.queuedRequests != 0 {
-		t.Errorf("%d places are kept, %d and %d counted", len(s.queue[2]), s.queued, d.queuedRequests)
+	if len(ep.queue[2]) != 0 || ep.queued != 0 || b.queuedRequests != 0 {
+		t.Errorf("%d places are kept, %d and %d counted", len(ep.queue[2]), ep.queued, b.queuedRequests)
 	}
 }
 
 func TestOddEvents(t *testing.T) {
-	d := open(t, basic())
-	if acts := d.Step(ms, []Event{ask(1, 0, 2), AttemptResult{ID: 9}, AttemptResult{ID: 1, Attempt: 3}, RequestDone{77}, TimerFired{55}, TimerFired{2},
+	b := open(t, basic())
+	if acts := b.Step(ms, []Event{ask(1, 0, 2), AttemptResult{ID: 9}, AttemptResult{ID: 1, Attempt: 3}, RequestDone{77}, TimerFired{55}, TimerFired{2},
 		CounterResult{Name: 5}, FirstByte{ID: 4}, HealthCheckResult{Endpoint: "x"}, Message{}, EndpointUpdate{Kind: UpdateFailed}}); len(only[Dispatch](acts)) != 0 {
 		t.Errorf("sent without a backend: %v", acts)
 	}
-	if acts := d.Step(500*ms, []Event{TimerFired{1<<1 | 1}}); len(only[Reject](acts)) != 1 {
+	if acts := b.Step(500*ms, []Event{TimerFired{1<<1 | 1}}); len(only[Reject](acts)) != 1 {
 		t.Errorf("no final answer without a backend: %v", acts)
 	}
-	if acts := d.Step(501*ms, []Event{TimerFired{1<<1 | 1}, RequestDone{1}}); len(acts) != 0 {
+	if acts := b.Step(501*ms, []Event{TimerFired{1<<1 | 1}, RequestDone{1}}); len(acts) != 0 {
 		t.Errorf("a second answer: %v", acts)
 	}
 	short := ask(2, 0, 2)
 	short.TimeLeft = 0
-	if acts := d.Step(502*ms, []Event{short, Request{ID: 3, Class: 99}}); len(only[Reject](acts)) != 2 {
+	if acts := b.Step(502*ms, []Event{short, Request{ID: 3, Class: 99}}); len(only[Reject](acts)) != 2 {
 		t.Errorf("no time left, unknown class: %v", acts)
 	}
 }
 
 func TestStateIsForgotten(t *testing.T) {
-	set := basic()
-	d := open(t, set, backends(4)...)
+	settings := basic()
+	b := open(t, settings, backends(4)...)
 	for i := range 500 {
 		r := ask(uint64(i), 0, 0)
 		r.Customer = fmt.Sprint("once", i)
-		for _, s := range only[Dispatch](d.Step(ms, []Event{r})) {
-			d.Step(ms, []Event{served(s, 0, 0)})
+		for _, s := range only[Dispatch](b.Step(ms, []Event{r})) {
+			b.Step(ms, []Event{served(s, 0, 0)})
 		}
-		d.Step(ms, []Event{RequestDone{r.ID}})
+		b.Step(ms, []Event{RequestDone{r.ID}})
 	}
 	for i := range 200 {
-		d.Step(70*time.Second+time.Duration(i)*ms, []Event{TimerFired{0}})
+		b.Step(70*time.Second+time.Duration(i)*ms, []Event{TimerFired{0}})
 	}
-	if len(d.requests) != 0 || len(d.customers) != 0 || len(d.customerOrder) != 0 {
-		t.Errorf("left: %d requests, %d customers", len(d.requests), len(d.customers))
+	if len(b.requests) != 0 || len(b.customers) != 0 || len(b.customerOrder) != 0 {
+		t.Errorf("left: %d requests, %d customers", len(b.requests), len(b.customers))
 	}
 }
 
 // A customer far beyond its ceiling keeps no line in which all that goes out is nearly late: what would wait long
 // is refused at once, with the time to stay away; and the less it is worth, the sooner.
 func TestLineForTheCeilingStaysShort(t *testing.T) {
-	set := basic()
-	set.UseCounter = false
-	d := open(t, set, backends(2)...)
+	settings := basic()
+	settings.UseCounter = false
+	b := open(t, settings, backends(2)...)
 	waits := map[int]int{}
 	id, told := uint64(1), 0
 	for class := range 2 {
 		for range 60 {
-			acts := d.Step(time.Second, []Event{Request{ID: id, Class: class, Plan: 1, Customer: "c", TimeLeft: 2 * time.Second,
+			acts := b.Step(time.Second, []Event{Request{ID: id, Class: class, Plan: 1, Customer: "c", TimeLeft: 2 * time.Second,
 				Units: 1}})
-			if refused := only[Reject](acts); len(refused) == 0 && len(only[Dispatch](acts)) == 0 && d.requests[id].queuedOn == nil {
+			if refused := only[Reject](acts); len(refused) == 0 && len(only[Dispatch](acts)) == 0 && b.requests[id].queuedOn == nil {
 				waits[class]++
 			} else if len(refused) > 0 && refused[0].RetryAfter > 0 {
 				told++
@@ -488,9 +488,9 @@
 // ordeal plays a random but legal order of events and checks what must hold after any of them.
 func ordeal(t testing.TB, seed uint64) (all []Action) {
 	rng := rand.New(rand.NewPCG(seed, 2))
-	set := basic()
+	settings := basic()
 	list := backends(5)
-	d := open(t, set, list...)
+	b := open(t, settings, list...)
 	type sent struct {
 		Dispatch
 		no int
@@ -550,11 +550,11 @@
 		}
 		if rng.IntN(40) == 0 {
 			i := rng.IntN(len(list))
-			b := list[i]
-			b.State = EndpointState(rng.IntN(3))
-			b.StartedAt = now * time.Duration(rng.IntN(2))
-			dead[b.Name] = b.State != Serving
-			evs = append([]Event{EndpointUpdate{Kind: Delta, Entries: []Endpoint{b}}}, evs...)
+			entry := list[i]
+			entry.State = EndpointState(rng.IntN(3))
+			entry.StartedAt = now * time.Duration(rng.IntN(2))
+			dead[entry.Name] = entry.State != Serving
+			evs = append([]Event{EndpointUpdate{Kind: Delta, Entries: []Endpoint{entry}}}, evs...)
 		}
 		keep := timers[:0]
 		for _, x := range timers {
@@ -565,7 +565,7 @@
 			}
 		}
 		timers = keep
-		acts := append([]Action(nil), d.Step(now, evs)...)
+		acts := append([]Action(nil), b.Step(now, evs)...)
 		all = append(all, acts...)
 		for _, a := range acts {
 			switch a := a.(type) {
@@ -579,7 +579,7 @@
 				if b, may := ran[a.ID]; may && (class[a.ID] == 2 || class[a.ID] == 1 && cellOf(list, b) != cellOf(list, a.Endpoint)) {
 					t.Fatalf("seed %d: an effect twice: %v", seed, a)
 				}
-				if live[a.ID]++; live[a.ID] > 1 || tries[a.ID] >= set.MaxAttempts {
+				if live[a.ID]++; live[a.ID] > 1 || tries[a.ID] >= settings.MaxAttempts {
 					t.Fatalf("seed %d: too many attempts: %v", seed, a)
 				}
 				outs = append(outs, sent{a, tries[a.ID], now})
@@ -616,9 +616,9 @@
 }
 
 func cellOf(list []Endpoint, name string) int {
-	for _, b := range list {
-		if b.Name == name {
-			return b.Cell
+	for _, entry := range list {
+		if entry.Name == name {
+			return entry.Cell
 		}
 	}
 	return -1
--- a/internal/balancer/evidence_test.go
+++ b/internal/balancer/evidence_test.go
@@ -35,29 +35,29 @@
 	at   time.Duration
 }
 
-func (b *bearer) take(now time.Duration, d *Balancer, s Dispatch, size float64) {
-	b.line = append(b.line, borne{d, s, size, now})
+func (backend *bearer) take(now time.Duration, b *Balancer, s Dispatch, size float64) {
+	backend.line = append(backend.line, borne{b, s, size, now})
 }
 
 // step answers what is done by now, and returns what the doors want then.
-func (b *bearer) step(now time.Duration) (acts map[*Balancer][]Action) {
+func (backend *bearer) step(now time.Duration) (acts map[*Balancer][]Action) {
 	acts = map[*Balancer][]Action{}
-	b.done += b.can(now) * (now - b.at).Seconds()
-	for b.at = now; len(b.line) > 0 && b.done >= b.line[0].size; b.line = b.line[1:] {
-		r := b.line[0]
-		b.done -= r.size
+	backend.done += backend.can(now) * (now - backend.at).Seconds()
+	for backend.at = now; len(backend.line) > 0 && backend.done >= backend.line[0].size; backend.line = backend.line[1:] {
+		r := backend.line[0]
+		backend.done -= r.size
 		acts[r.d] = append(acts[r.d], r.d.Step(now, []Event{served(r.s, 0, now-r.at)})...)
 	}
-	if len(b.line) == 0 {
-		b.done = min(b.done, 1)
+	if len(backend.line) == 0 {
+		backend.done = min(backend.done, 1)
 	}
 	return acts
 }
 
 // warming is what a backend can do that has started at a time, and carries so much a second when it is warm.
-func warming(set Settings, start time.Duration, rate float64) func(time.Duration) float64 {
+func warming(settings Settings, start time.Duration, rate float64) func(time.Duration) float64 {
 	return func(now time.Duration) float64 {
-		return rate * (set.SlowStartCapacity + (1-set.SlowStartCapacity)*min(1, (now-start).Seconds()/set.SlowStartDuration.Seconds()))
+		return rate * (settings.SlowStartCapacity + (1-settings.SlowStartCapacity)*min(1, (now-start).Seconds()/settings.SlowStartDuration.Seconds()))
 	}
 }
 
@@ -99,12 +99,12 @@
 }
 
 // lend leaves what was just sent to b0 to a bearer.
-func (f *fleetOf) lend(b *bearer, sent *[]time.Duration) {
+func (f *fleetOf) lend(backend *bearer, sent *[]time.Duration) {
 	f.out = slices.DeleteFunc(f.out, func(s sentAt) bool {
 		if s.Endpoint != "b0" || s.until != f.now+50*ms {
 			return false
 		}
-		b.take(f.now, f.d, s.Dispatch, 1)
+		backend.take(f.now, f.d, s.Dispatch, 1)
 		*sent = append(*sent, f.now)
 		return true
 	})
@@ -128,9 +128,9 @@
 }
 
 func lone() Settings {
-	set := basic()
-	set.Gateways, set.UseCounter, set.AllowHealthChecks = 1, false, true
-	return set
+	settings := basic()
+	settings.Gateways, settings.UseCounter, settings.AllowHealthChecks = 1, false, true
+	return settings
 }
 
 // What another door says of a server's silence counts as answers owed: one attempt that goes the same way leaves it out,
@@ -168,27 +168,27 @@
 		heard.step(1)
 	}
 	heard.step(0, HealthReport{"b0", Unresponsive, since})
-	if s := heard.d.endpoints["b0"]; s.timeouts > 0 || s.ejected {
-		t.Errorf("another's word outweighs an own sign of life: %+v", s)
+	if ep := heard.d.endpoints["b0"]; ep.timeouts > 0 || ep.ejected {
+		t.Errorf("another's word outweighs an own sign of life: %+v", ep)
 	}
 }
 
 // A server that another door found broken is left out with the first connection that breaks here, not the third.
 func TestEvidenceOfBrokenConnections(t *testing.T) {
 	breaks := func(told bool) (n int) {
-		d := open(t, lone(), backends(2)...)
+		b := open(t, lone(), backends(2)...)
 		if told {
-			d.Step(ms, []Event{HealthReport{"b0", ConnectionsBroken, 0}})
+			b.Step(ms, []Event{HealthReport{"b0", ConnectionsBroken, 0}})
 		}
 		for i := range 200 {
 			now := time.Duration(i+1) * 10 * ms
-			for _, s := range only[Dispatch](d.Step(now, []Event{ask(uint64(i), 0, 2)})) {
+			for _, s := range only[Dispatch](b.Step(now, []Event{ask(uint64(i), 0, 2)})) {
 				if s.Endpoint != "b0" {
-					d.Step(now+ms, []Event{served(s, 0, ms)})
+					b.Step(now+ms, []Event{served(s, 0, ms)})
 					continue
 				}
 				n++
-				acts := d.Step(now+ms, []Event{AttemptResult{ID: s.ID, Endpoint: "b0", Status: ConnectFailed}})
+				acts := b.Step(now+ms, []Event{AttemptResult{ID: s.ID, Endpoint: "b0", Status: ConnectFailed}})
 				if f := only[HealthReport](acts); len(f) > 0 {
 					if f[0].Health != ConnectionsBroken || f[0].Endpoint != "b0" {
 						t.Errorf("%+v", f)
@@ -209,32 +209,32 @@
 func TestEvidenceOfAColdReturn(t *testing.T) {
 	const back = 20 * time.Second
 	cold := func(busy bool) *endpoint {
-		d := open(t, lone(), backends(1)...)
+		b := open(t, lone(), backends(1)...)
 		for now := 10 * ms; busy && now < back; now += 100 * ms {
-			for _, s := range only[Dispatch](d.Step(now, []Event{ask(uint64(now), 0, 2)})) {
-				d.Step(now+ms, []Event{served(s, 0, ms)})
+			for _, s := range only[Dispatch](b.Step(now, []Event{ask(uint64(now), 0, 2)})) {
+				b.Step(now+ms, []Event{served(s, 0, ms)})
 			}
 		}
-		d.Step(back, []Event{HealthReport{"b0", WarmingUp, back - ms}, HealthReport{"other", WarmingUp, back}})
-		return d.endpoints["b0"]
+		b.Step(back, []Event{HealthReport{"b0", WarmingUp, back - ms}, HealthReport{"other", WarmingUp, back}})
+		return b.endpoints["b0"]
 	}
-	if s := cold(false); !s.warmingUp || s.warmUpFrom != back-ms {
-		t.Errorf("a server that was started anew is not cold: %+v", s)
+	if ep := cold(false); !ep.warmingUp || ep.warmUpFrom != back-ms {
+		t.Errorf("a server that was started anew is not cold: %+v", ep)
 	}
-	if s := cold(true); s.warmingUp {
+	if ep := cold(true); ep.warmingUp {
 		t.Error("a server that answered all along is taken for cold")
 	}
-	d := open(t, lone(), backends(2)...)
-	s, p := d.endpoints["b0"], &fleetOf{d: d, silent: "b0"}
+	b := open(t, lone(), backends(2)...)
+	ep, p := b.endpoints["b0"], &fleetOf{d: b, silent: "b0"}
 	f, _ := p.leaves(t, 3)
 	now := p.now
-	if !s.ejected || len(only[HealthCheck](d.Step(now+20*ms, []Event{TimerFired{0}}))) > 0 {
+	if !ep.ejected || len(only[HealthCheck](b.Step(now+20*ms, []Event{TimerFired{0}}))) > 0 {
 		t.Fatalf("%+v", f)
 	}
-	if p := only[HealthCheck](d.Step(now+40*ms, []Event{HealthReport{"b0", WarmingUp, now}, TimerFired{0}})); len(p) != 1 {
+	if p := only[HealthCheck](b.Step(now+40*ms, []Event{HealthReport{"b0", WarmingUp, now}, TimerFired{0}})); len(p) != 1 {
 		t.Error("it is not asked at once")
 	}
-	acts := d.Step(now+5*time.Second, []Event{HealthCheckResult{"b0", OK}})
+	acts := b.Step(now+5*time.Second, []Event{HealthCheckResult{"b0", OK}})
 	if c := only[HealthReport](acts); len(c) != 1 || c[0].Health != WarmingUp {
 		t.Errorf("a cold return is not told: %v", acts)
 	}
@@ -242,9 +242,9 @@
 
 // Two pools that share a server send it, while it is cold and both are flooded, no more together than it bears in any window.
 func TestPoolsColdServerBearsOneBudget(t *testing.T) {
-	set := lone()
-	set.OverloadWindow = 2 * time.Second
-	pools := []*fleetOf{{d: open(t, set, backends(4)...)}, {d: open(t, set, backends(4)...)}}
+	settings := lone()
+	settings.OverloadWindow = 2 * time.Second
+	pools := []*fleetOf{{d: open(t, settings, backends(4)...)}, {d: open(t, settings, backends(4)...)}}
 	warm := 0
 	for range 3000 { // 30 s: what a warm server carries
 		for _, p := range pools {
@@ -255,7 +255,7 @@
 	capacity := float64(warm) / 30 / 4 // answers a second of one server, of both pools
 	start := pools[0].now
 	cold := Endpoint{Name: "b0", Weight: 1, StartedAt: start, SlowStartShare: 0.5}
-	b := &bearer{can: warming(set, start, capacity), at: start}
+	backend := &bearer{can: warming(settings, start, capacity), at: start}
 	var sent []time.Duration
 	for i := range 1700 { // longer than it takes to be warm
 		for _, p := range pools {
@@ -271,13 +271,13 @@
 				more = []Event{EndpointUpdate{Entries: gone}}
 			}
 			p.step(6, more...)
-			p.lend(b, &sent)
+			p.lend(backend, &sent)
 		}
-		for d, acts := range b.step(pools[0].now) {
+		for b, acts := range backend.step(pools[0].now) {
 			for _, p := range pools {
-				if p.d == d {
+				if p.d == b {
 					p.sent(acts)
-					p.lend(b, &sent)
+					p.lend(backend, &sent)
 				}
 			}
 		}
@@ -288,17 +288,17 @@
 	for i, from := range sent {
 		n := 0
 		for _, at := range sent[i:] {
-			if at-from < set.OverloadWindow {
+			if at-from < settings.OverloadWindow {
 				n++
 			}
 		}
 		age := (from - start).Seconds()
-		if age > set.SlowStartDuration.Seconds()-set.OverloadWindow.Seconds() {
+		if age > settings.SlowStartDuration.Seconds()-settings.OverloadWindow.Seconds() {
 			break
 		}
-		has := set.SlowStartCapacity + (1-set.SlowStartCapacity)*age/set.SlowStartDuration.Seconds()
-		if most := set.OverloadMultiple * has * capacity * set.OverloadWindow.Seconds(); float64(n) > most {
-			t.Fatalf("%d sends within %v at the age of %.1f s; it bears %.0f", n, set.OverloadWindow, age, most)
+		has := settings.SlowStartCapacity + (1-settings.SlowStartCapacity)*age/settings.SlowStartDuration.Seconds()
+		if most := settings.OverloadMultiple * has * capacity * settings.OverloadWindow.Seconds(); float64(n) > most {
+			t.Fatalf("%d sends within %v at the age of %.1f s; it bears %.0f", n, settings.OverloadWindow, age, most)
 		}
 	}
 }
--- a/internal/balancer/grant_test.go
+++ b/internal/balancer/grant_test.go
@@ -16,12 +16,12 @@
 // A request for leave is answered by the module alone: no backend, no probe, and its units are drawn as those of
 // a request that is sent on.
 func TestGrantSpendsTheQuota(t *testing.T) {
-	set := basic()
-	set.Gateways, set.UseCounter = 1, false
-	d := open(t, set) // not one backend
+	settings := basic()
+	settings.Gateways, settings.UseCounter = 1, false
+	b := open(t, settings) // not one backend
 	granted, refused := 0, 0
 	for i := range 30 {
-		acts := d.Step(ms, []Event{leave(uint64(i), 0)})
+		acts := b.Step(ms, []Event{leave(uint64(i), 0)})
 		granted += len(only[Admit](acts))
 		refused += len(only[Reject](acts))
 		if len(only[Dispatch](acts)) > 0 {
@@ -34,13 +34,13 @@
 	if granted != 8 || refused != 22 {
 		t.Errorf("%d granted and %d refused of a burst of 8", granted, refused)
 	}
-	if q, ok := d.QuotaStatus("c"); !ok || q.Remaining >= 1 || q.FullIn < 3*time.Second {
+	if q, ok := b.QuotaStatus("c"); !ok || q.Remaining >= 1 || q.FullIn < 3*time.Second {
 		t.Errorf("quota %+v, %v", q, ok)
 	}
-	if len(d.requests) != 0 {
-		t.Errorf("%d requests are kept", len(d.requests))
+	if len(b.requests) != 0 {
+		t.Errorf("%d requests are kept", len(b.requests))
 	}
-	if acts := d.Step(time.Second, []Event{leave(99, 0)}); len(only[Admit](acts)) != 1 {
+	if acts := b.Step(time.Second, []Event{leave(99, 0)}); len(only[Admit](acts)) != 1 {
 		t.Error("the store has filled, and nothing is granted")
 	}
 }
@@ -50,14 +50,14 @@
 func TestGrantsAndSendsShareTheCeiling(t *testing.T) {
 	const doors = 3
 	for _, share := range []float64{0, 0.5, 1} { // of requests for leave
-		set := basic()
-		set.Gateways, set.UseCounter = doors, false
-		set.Plans[1].OverQuotaCost = 0 // beyond the quota it still earns
+		settings := basic()
+		settings.Gateways, settings.UseCounter = doors, false
+		settings.Plans[1].OverQuotaCost = 0 // beyond the quota it still earns
 		rng := rand.New(rand.NewPCG(3, uint64(share*10)))
 		all := make([]*Balancer, doors)
 		sends := make([]map[uint64]int, doors)
 		for i := range all {
-			all[i], sends[i] = open(t, set, backends(6)...), map[uint64]int{}
+			all[i], sends[i] = open(t, settings, backends(6)...), map[uint64]int{}
 		}
 		var went []time.Duration
 		for tick := range 6000 { // 30 s at 200 a second, ten times the ceiling
@@ -86,15 +86,15 @@
 				}
 			}
 		}
-		p := set.Plans[1]
+		plan := settings.Plans[1]
 		for i, from := range went {
 			for j := i; j < len(went); j += 7 {
-				if most := p.CeilingBurst + p.CeilingRate*(went[j]-from).Seconds() + 1; float64(j-i+1) > most {
+				if most := plan.CeilingBurst + plan.CeilingRate*(went[j]-from).Seconds() + 1; float64(j-i+1) > most {
 					t.Fatalf("share %v: %d went on within %v; the ceiling is %.0f", share, j-i+1, went[j]-from, most)
 				}
 			}
 		}
-		if float64(len(went)) < 0.8*p.CeilingRate*30 {
+		if float64(len(went)) < 0.8*plan.CeilingRate*30 {
 			t.Errorf("share %v: only %d went on", share, len(went))
 		}
 	}
@@ -103,30 +103,30 @@
 // What asks for leave waits behind nothing but the counter: not for the ceiling's share to fill, and not for a place
 // under the cap on what is open at once.
 func TestGrantJoinsNoLine(t *testing.T) {
-	set := basic()
-	set.UseCounter, set.Gateways = false, 1
-	set.Plans[1].CeilingBurst = 2
-	set.Plans[1].OverQuotaCost = 0
-	d := open(t, set, backends(2)...)
+	settings := basic()
+	settings.UseCounter, settings.Gateways = false, 1
+	settings.Plans[1].CeilingBurst = 2
+	settings.Plans[1].OverQuotaCost = 0
+	b := open(t, settings, backends(2)...)
 	now := time.Second
 	for i := range 12 { // fills the line for the ceiling
-		d.Step(now, []Event{ask(uint64(i), 1, 1)})
+		b.Step(now, []Event{ask(uint64(i), 1, 1)})
 	}
-	if len(d.customers["c"].waiting) == 0 {
+	if len(b.customers["c"].waiting) == 0 {
 		t.Fatal("no line")
 	}
-	if acts := d.Step(now, []Event{leave(50, 1)}); len(only[Reject](acts)) != 1 {
+	if acts := b.Step(now, []Event{leave(50, 1)}); len(only[Reject](acts)) != 1 {
 		t.Errorf("behind the line for the ceiling: %v", acts)
 	}
-	d = open(t, set, backends(2)...)
+	b = open(t, settings, backends(2)...)
 	for i := range 8 { // the cap is 4
 		r := ask(uint64(i), 0, 3)
-		d.Step(now, []Event{r})
+		b.Step(now, []Event{r})
 	}
-	if len(d.customers["c"].waiting) == 0 {
+	if len(b.customers["c"].waiting) == 0 {
 		t.Fatal("no line")
 	}
-	acts := d.Step(now, []Event{leave(50, 3)})
+	acts := b.Step(now, []Event{leave(50, 3)})
 	if r := only[Reject](acts); len(r) != 1 || r[0].RetryAfter <= 0 {
 		t.Errorf("behind the line for the cap: %v", acts)
 	}
@@ -135,14 +135,14 @@
 // A granted request counts under the cap on what is open at once until its work is said to be done, or its hold has
 // run out; then what waited for the place is served.
 func TestGrantHoldsItsPlace(t *testing.T) {
-	set := basic()
-	set.UseCounter, set.Gateways = false, 1
-	d := open(t, set, backends(2)...)
+	settings := basic()
+	settings.UseCounter, settings.Gateways = false, 1
+	b := open(t, settings, backends(2)...)
 	var timers []SetTimer
 	for i := range 4 {
 		r := leave(uint64(i+1), 3)
 		r.HoldFor = time.Duration(i+1) * 100 * ms
-		acts := d.Step(ms, []Event{r})
+		acts := b.Step(ms, []Event{r})
 		if len(only[Admit](acts)) != 1 {
 			t.Fatalf("number %d: %v", i, acts)
 		}
@@ -151,27 +151,27 @@
 	full := func(now time.Duration, id uint64) bool {
 		r := leave(id, 3)
 		r.HoldFor = time.Hour
-		return len(only[Reject](d.Step(now, []Event{r}))) == 1
+		return len(only[Reject](b.Step(now, []Event{r}))) == 1
 	}
 	if !full(2*ms, 10) {
 		t.Error("a fifth is granted")
 	}
-	d.Step(3*ms, []Event{RequestDone{ID: 4}, RequestDone{ID: 4}}) // done, told twice
+	b.Step(3*ms, []Event{RequestDone{ID: 4}, RequestDone{ID: 4}}) // done, told twice
 	if full(4*ms, 11) {
 		t.Error("a place has become free, and nothing is granted")
 	}
 	if !full(5*ms, 12) {
 		t.Error("one end has freed two places")
 	}
-	d.Step(6*ms, []Event{ask(20, 0, 3)}) // waits for a place
+	b.Step(6*ms, []Event{ask(20, 0, 3)}) // waits for a place
 	if len(timers) != 4 {
 		t.Fatalf("timers %v", timers)
 	}
-	d.Step(50*ms, []Event{TimerFired{timers[0].Cookie}}) // too early
-	if d.customers["c"].inFlight != 4 {
+	b.Step(50*ms, []Event{TimerFired{timers[0].Cookie}}) // too early
+	if b.customers["c"].inFlight != 4 {
 		t.Error("the hold ended before its time")
 	}
-	acts := d.Step(timers[0].At, []Event{TimerFired{timers[0].Cookie}})
+	acts := b.Step(timers[0].At, []Event{TimerFired{timers[0].Cookie}})
 	if len(only[Dispatch](acts)) != 1 {
 		t.Errorf("the hold has run out, and what waits is not sent: %v", acts)
 	}
@@ -180,13 +180,13 @@
 // What asks for leave waits for the counter's answer, and no longer than its own time if that never comes.
 func TestGrantWaitsForTheCounter(t *testing.T) {
 	for _, late := range []bool{false, true} {
-		d := open(t, basic(), backends(2)...)
+		b := open(t, basic(), backends(2)...)
 		var acts []Action
 		var calls []CounterAdd
 		for id := uint64(1); len(calls) == 0 && id < 20; id++ { // until this door's own share is spent
 			r := leave(id, 0)
 			r.TimeLeft = 200 * ms
-			acts = d.Step(ms, []Event{r})
+			acts = b.Step(ms, []Event{r})
 			calls = only[CounterAdd](acts)
 		}
 		if len(calls) != 1 || len(only[Admit](acts)) != 0 {
@@ -199,11 +199,11 @@
 		now := 20 * ms
 		if late {
 			now = 300 * ms
-			if acts = d.Step(ms+200*ms, []Event{cookie}); len(only[Reject](acts)) != 1 {
+			if acts = b.Step(ms+200*ms, []Event{cookie}); len(only[Reject](acts)) != 1 {
 				t.Errorf("its time is up: %v", acts)
 			}
 		}
-		acts = d.Step(now, []Event{CounterResult{calls[0].Name, OK, calls[0].Amount}})
+		acts = b.Step(now, []Event{CounterResult{calls[0].Name, OK, calls[0].Amount}})
 		if n := len(only[Admit](acts)); !late && n != 1 || late && n != 0 {
 			t.Errorf("late %v: %d granted", late, n)
 		}
@@ -213,17 +213,17 @@
 // Customers' grants do not hang on one another: one that floods takes nothing from another, whose leave comes at
 // once.
 func TestGrantOfAQuietCustomer(t *testing.T) {
-	set := basic()
-	set.UseCounter, set.Gateways = false, 1
-	d := open(t, set, backends(2)...)
+	settings := basic()
+	settings.UseCounter, settings.Gateways = false, 1
+	b := open(t, settings, backends(2)...)
 	for i := range 2000 {
 		r := leave(uint64(i), 1)
 		r.Customer = "loud"
-		d.Step(time.Duration(i)*ms, []Event{r})
+		b.Step(time.Duration(i)*ms, []Event{r})
 		if i%400 == 0 {
 			q := leave(uint64(1e6+i), 0)
 			q.Customer = fmt.Sprint("quiet", i%800)
-			if acts := d.Step(time.Duration(i)*ms, []Event{q}); len(only[Admit](acts)) != 1 {
+			if acts := b.Step(time.Duration(i)*ms, []Event{q}); len(only[Admit](acts)) != 1 {
 				t.Fatalf("at %d: %v", i, acts)
 			}
 		}
@@ -234,10 +234,10 @@
 // part of the demand; and what does not ask for leave loses nothing where nothing does.
 func TestGrantsGetTheirPartOfTheCeiling(t *testing.T) {
 	for _, share := range []float64{0, 0.05, 0.5, 0.95} {
-		set := basic()
-		set.Gateways, set.UseCounter = 1, false
-		set.Plans[1].OverQuotaCost = 0
-		d := open(t, set, backends(6)...)
+		settings := basic()
+		settings.Gateways, settings.UseCounter = 1, false
+		settings.Plans[1].OverQuotaCost = 0
+		b := open(t, settings, backends(6)...)
 		rng := rand.New(rand.NewPCG(5, uint64(share*100)))
 		sends, grants := 0.0, 0.0
 		for tick := range 6000 { // 30 s at 200 a second, ten times the ceiling
@@ -247,7 +247,7 @@
 			if r.AdmitOnly = rng.Float64() < share; r.AdmitOnly {
 				r.TimeLeft = 100 * ms
 			}
-			todo := d.Step(now, []Event{r, TimerFired{0}})
+			todo := b.Step(now, []Event{r, TimerFired{0}})
 			for len(todo) > 0 {
 				var evs []Event
 				for _, a := range todo {
@@ -260,11 +260,11 @@
 					}
 				}
 				if todo = nil; len(evs) > 0 {
-					todo = append(todo, d.Step(now, evs)...)
+					todo = append(todo, b.Step(now, evs)...)
 				}
 			}
 		}
-		total := set.Plans[1].CeilingRate * 30
+		total := settings.Plans[1].CeilingRate * 30
 		if got := grants / (grants + sends); grants+sends < 0.8*total || got < 0.7*share || got > 0.1+1.2*share {
 			t.Errorf("%v of the demand asks for leave: %.0f granted and %.0f sent of %.0f", share, grants, sends, total)
 		}
--- a/internal/balancer/handover.go
+++ b/internal/balancer/handover.go
@@ -98,128 +98,128 @@
 func (HandoverReady) action() {}
 
 // refillSeconds is the seconds in which this door's shares have filled.
-func (d *Balancer) refillSeconds(at time.Duration) float64 {
-	if d.handedOver {
+func (b *Balancer) refillSeconds(at time.Duration) float64 {
+	if b.handedOver {
 		return 0
 	}
-	return (d.now - at).Seconds()
+	return (b.now - at).Seconds()
 }
 
 // handleBeginHandover writes down and gives away.
-func (d *Balancer) handleBeginHandover() {
-	m := HandoverState{At: d.now, Fleet: d.fleetSlowdown, Rate: d.warmEndpointRate, Short: d.shortage, CallShare: d.callFraction}
-	for _, k := range d.classes {
+func (b *Balancer) handleBeginHandover() {
+	m := HandoverState{At: b.now, Fleet: b.fleetSlowdown, Rate: b.warmEndpointRate, Short: b.shortage, CallShare: b.callFraction}
+	for _, k := range b.classes {
 		m.Classes = append(m.Classes, ClassHandover{k.meanLatency, k.idleLatency, k.answers})
 	}
 	open := map[*customer][]time.Duration{}
-	for _, r := range d.requests {
-		if r.inFlight {
-			open[r.customer] = append(open[r.customer], max(r.arrivedAt+r.timeLimit, r.holdUntil))
+	for _, req := range b.requests {
+		if req.inFlight {
+			open[req.customer] = append(open[req.customer], max(req.arrivedAt+req.timeLimit, req.holdUntil))
 		}
 	}
-	all := slices.Clone(d.customerOrder)
+	all := slices.Clone(b.customerOrder)
 	slices.SortFunc(all, func(a, b *customer) int {
 		return cmp.Or(cmp.Compare(b.lastUsedAt, a.lastUsedAt), cmp.Compare(a.name, b.name))
 	})
-	for _, c := range all {
-		d.refillCeiling(c, &d.settings.Plans[c.plan]) // up to now
+	for _, cust := range all {
+		b.refillCeiling(cust, &b.settings.Plans[cust.plan]) // up to now
 		if len(m.Customers) < maxHandoverCustomers {
-			keeps := min(c.ceilingTokens, c.ceilingQueued)
-			slices.Sort(open[c])
-			m.Customers = append(m.Customers, CustomerHandover{Name: c.name, Plan: c.plan, Doors: c.gateways, Demand: c.demand,
-				Leave: c.admitOnlyDemand, DemandAt: c.demandAt, UsedAt: c.lastUsedAt, Tokens: c.tokens, Owed: c.debt, Spare: c.fallbackTokens,
-				Others: c.peerDemand, Store: c.storeLevel, Seen: c.seenTotal, SpareAt: c.fallbackAt, GrantAt: c.leasedAt, StoreAt: c.storeLevelAt,
-				KnownAt: c.storeKnownAt, TokensAt: c.tokensValidFrom, Known: c.storeKnown, SeenIn: c.seenWindow, Carried: c.carriedWindow,
-				Turn: c.lastTurn, CarriedAt: c.carriedAt, EmptyUntil: c.storeEmptyUntil, Ceil: c.ceilingTokens - keeps, Kept: c.ceilingKept,
-				CeilAt: c.ceilingAt, Open: open[c]})
+			keeps := min(cust.ceilingTokens, cust.ceilingQueued)
+			slices.Sort(open[cust])
+			m.Customers = append(m.Customers, CustomerHandover{Name: cust.name, Plan: cust.plan, Doors: cust.gateways, Demand: cust.demand,
+				Leave: cust.admitOnlyDemand, DemandAt: cust.demandAt, UsedAt: cust.lastUsedAt, Tokens: cust.tokens, Owed: cust.debt, Spare: cust.fallbackTokens,
+				Others: cust.peerDemand, Store: cust.storeLevel, Seen: cust.seenTotal, SpareAt: cust.fallbackAt, GrantAt: cust.leasedAt, StoreAt: cust.storeLevelAt,
+				KnownAt: cust.storeKnownAt, TokensAt: cust.tokensValidFrom, Known: cust.storeKnown, SeenIn: cust.seenWindow, Carried: cust.carriedWindow,
+				Turn: cust.lastTurn, CarriedAt: cust.carriedAt, EmptyUntil: cust.storeEmptyUntil, Ceil: cust.ceilingTokens - keeps, Kept: cust.ceilingKept,
+				CeilAt: cust.ceilingAt, Open: open[cust]})
 		}
-		c.tokens, c.debt, c.fallbackTokens, c.ceilingKept, c.ceilingTokens = 0, 0, min(0, c.fallbackTokens), 0, min(c.ceilingTokens, c.ceilingQueued)
+		cust.tokens, cust.debt, cust.fallbackTokens, cust.ceilingKept, cust.ceilingTokens = 0, 0, min(0, cust.fallbackTokens), 0, min(cust.ceilingTokens, cust.ceilingQueued)
 	}
-	for _, s := range d.endpointOrder {
-		sm := EndpointHandover{Name: s.name, Started: s.startedAt, ColdAt: s.warmUpFrom, Cold: s.warmingUp, Ejected: s.ejected, Slow: s.latencyFactor,
-			Slots: s.concurrencyLimit}
-		for _, e := range s.slowStart.Sends() {
+	for _, ep := range b.endpointOrder {
+		sm := EndpointHandover{Name: ep.name, Started: ep.startedAt, ColdAt: ep.warmUpFrom, Cold: ep.warmingUp, Ejected: ep.ejected, Slow: ep.latencyFactor,
+			Slots: ep.concurrencyLimit}
+		for _, e := range ep.slowStart.Sends() {
 			sm.Sends = append(sm.Sends, SlowStartSend(e))
 		}
 		m.Servers = append(m.Servers, sm)
 	}
-	d.handedOver = true
-	d.emit(HandoverReady{m})
+	b.handedOver = true
+	b.emit(HandoverReady{m})
 }
 
 // handleImportHandover takes over what was handed on. A door that gets its own back adds it to what came in meanwhile.
-func (d *Balancer) handleImportHandover(m HandoverState) {
-	back := d.handedOver
-	d.handedOver = false
-	for _, c := range d.customers { // what would have filled meanwhile was the other's
-		c.fallbackAt, c.ceilingAt = max(c.fallbackAt, d.now), max(c.ceilingAt, d.now)
+func (b *Balancer) handleImportHandover(m HandoverState) {
+	back := b.handedOver
+	b.handedOver = false
+	for _, cust := range b.customers { // what would have filled meanwhile was the other's
+		cust.fallbackAt, cust.ceilingAt = max(cust.fallbackAt, b.now), max(cust.ceilingAt, b.now)
 	}
 	if !back {
-		d.fleetSlowdown, d.fleetSlowdownAt, d.warmEndpointRate, d.warmEndpointRateAt, d.shortage = cmp.Or(m.Fleet, d.fleetSlowdown), d.now, m.Rate, d.now, m.Short
-		if d.settings.UseCounter {
-			d.callFraction = min(1, max(minCallFraction, cmp.Or(m.CallShare, 1)))
+		b.fleetSlowdown, b.fleetSlowdownAt, b.warmEndpointRate, b.warmEndpointRateAt, b.shortage = cmp.Or(m.Fleet, b.fleetSlowdown), b.now, m.Rate, b.now, m.Short
+		if b.settings.UseCounter {
+			b.callFraction = min(1, max(minCallFraction, cmp.Or(m.CallShare, 1)))
 		}
 		for i, k := range m.Classes {
-			if i < len(d.classes) && k.Answers > 0 && k.Base > 0 {
-				l := &d.classes[i]
+			if i < len(b.classes) && k.Answers > 0 && k.Base > 0 {
+				l := &b.classes[i]
 				l.meanLatency, l.idleLatency, l.answers = k.Base, k.Floor, k.Answers
 			}
 		}
 		for _, sm := range m.Servers {
-			d.importEndpoint(sm)
+			b.importEndpoint(sm)
 		}
 	}
 	for i, cm := range m.Customers {
-		if cm.Plan >= 0 && cm.Plan < len(d.settings.Plans) && cm.Doors > 0 {
-			d.importCustomer(i, cm, back)
+		if cm.Plan >= 0 && cm.Plan < len(b.settings.Plans) && cm.Doors > 0 {
+			b.importCustomer(i, cm, back)
 		}
 	}
 }
 
-func (d *Balancer) importEndpoint(sm EndpointHandover) {
-	s := d.endpoints[sm.Name]
-	if s == nil || s.startedAt != sm.Started {
+func (b *Balancer) importEndpoint(sm EndpointHandover) {
+	ep := b.endpoints[sm.Name]
+	if ep == nil || ep.startedAt != sm.Started {
 		return // another process, of which nothing is known
 	}
-	s.warmingUp, s.warmUpFrom, s.concurrencyLimit = sm.Cold, sm.ColdAt, min(maxConcurrency, max(minConcurrency, sm.Slots))
+	ep.warmingUp, ep.warmUpFrom, ep.concurrencyLimit = sm.Cold, sm.ColdAt, min(maxConcurrency, max(minConcurrency, sm.Slots))
 	if sm.Slow > 0 {
-		s.latencyFactor = sm.Slow
+		ep.latencyFactor = sm.Slow
 	}
 	for _, e := range sm.Sends {
-		s.slowStart.Sent(e.At, e.Size)
+		ep.slowStart.Sent(e.At, e.Size)
 	}
-	if s.inService && sm.Ejected && !s.ejected {
-		d.eject(s)
+	if ep.inService && sm.Ejected && !ep.ejected {
+		b.eject(ep)
 	}
 }
 
-func (d *Balancer) importCustomer(i int, cm CustomerHandover, back bool) {
-	p := &d.settings.Plans[cm.Plan]
-	c := d.customers[cm.Name]
-	if back && c != nil {
-		c.tokens += cm.Tokens
-		c.debt += cm.Owed
-		c.fallbackTokens += max(0, cm.Spare)
-		c.ceilingKept += cm.Kept
-		c.ceilingTokens += cm.Ceil
+func (b *Balancer) importCustomer(i int, cm CustomerHandover, back bool) {
+	plan := &b.settings.Plans[cm.Plan]
+	cust := b.customers[cm.Name]
+	if back && cust != nil {
+		cust.tokens += cm.Tokens
+		cust.debt += cm.Owed
+		cust.fallbackTokens += max(0, cm.Spare)
+		cust.ceilingKept += cm.Kept
+		cust.ceilingTokens += cm.Ceil
 		return
 	}
-	if c == nil {
-		c = d.customerFor(Request{Customer: cm.Name, Plan: cm.Plan, Gateways: int(cm.Doors)})
+	if cust == nil {
+		cust = b.customerFor(Request{Customer: cm.Name, Plan: cm.Plan, Gateways: int(cm.Doors)})
 	}
-	c.demand, c.admitOnlyDemand, c.demandAt, c.lastUsedAt = cm.Demand, cm.Leave, cm.DemandAt, cm.UsedAt
-	c.tokens, c.debt, c.fallbackTokens, c.fallbackAt = cm.Tokens, cm.Owed, min(cm.Spare, p.Burst/cm.Doors), cm.SpareAt
-	c.peerDemand, c.storeLevel, c.seenTotal, c.seenWindow = cm.Others, cm.Store, cm.Seen, cm.SeenIn
-	c.leasedAt, c.storeLevelAt, c.storeKnownAt, c.tokensValidFrom = cm.GrantAt, cm.StoreAt, cm.KnownAt, cm.TokensAt
-	c.storeKnown, c.carriedWindow, c.carriedAt, c.storeEmptyUntil = cm.Known, cm.Carried, cm.CarriedAt, cm.EmptyUntil
-	c.lastTurn, c.ceilingTokens, c.ceilingKept, c.ceilingAt = cm.Turn, min(cm.Ceil, p.CeilingBurst), cm.Kept, cm.CeilAt
-	for j, until := range cm.Open[:min(len(cm.Open), max(0, p.MaxInFlight))] {
-		if until <= d.now {
+	cust.demand, cust.admitOnlyDemand, cust.demandAt, cust.lastUsedAt = cm.Demand, cm.Leave, cm.DemandAt, cm.UsedAt
+	cust.tokens, cust.debt, cust.fallbackTokens, cust.fallbackAt = cm.Tokens, cm.Owed, min(cm.Spare, plan.Burst/cm.Doors), cm.SpareAt
+	cust.peerDemand, cust.storeLevel, cust.seenTotal, cust.seenWindow = cm.Others, cm.Store, cm.Seen, cm.SeenIn
+	cust.leasedAt, cust.storeLevelAt, cust.storeKnownAt, cust.tokensValidFrom = cm.GrantAt, cm.StoreAt, cm.KnownAt, cm.TokensAt
+	cust.storeKnown, cust.carriedWindow, cust.carriedAt, cust.storeEmptyUntil = cm.Known, cm.Carried, cm.CarriedAt, cm.EmptyUntil
+	cust.lastTurn, cust.ceilingTokens, cust.ceilingKept, cust.ceilingAt = cm.Turn, min(cm.Ceil, plan.CeilingBurst), cm.Kept, cm.CeilAt
+	for j, until := range cm.Open[:min(len(cm.Open), max(0, plan.MaxInFlight))] {
+		if until <= b.now {
 			continue
 		}
-		r := &request{id: handoverRequestIDs + uint64(i)<<20 + uint64(j), customer: c, plan: cm.Plan, arrivedAt: d.now, admitted: true, inFlight: true, holdUntil: until}
-		d.requests[r.id] = r
-		c.inFlight++
-		d.emit(SetTimer{until, r.id<<1 | 1})
+		req := &request{id: handoverRequestIDs + uint64(i)<<20 + uint64(j), customer: cust, plan: cm.Plan, arrivedAt: b.now, admitted: true, inFlight: true, holdUntil: until}
+		b.requests[req.id] = req
+		cust.inFlight++
+		b.emit(SetTimer{until, req.id<<1 | 1})
 	}
 }
--- a/internal/balancer/handover_test.go
+++ b/internal/balancer/handover_test.go
@@ -9,7 +9,7 @@
 )
 
 // pass hands one door's memory to a fresh one, through the form in which processes send it.
-func pass(t *testing.T, from *Balancer, set Settings, at time.Duration, list ...Endpoint) (*Balancer, HandoverState) {
+func pass(t *testing.T, from *Balancer, settings Settings, at time.Duration, list ...Endpoint) (*Balancer, HandoverState) {
 	t.Helper()
 	handed := only[HandoverReady](from.Step(at, []Event{BeginHandover{}}))
 	if len(handed) != 1 {
@@ -23,7 +23,7 @@
 	if err := json.Unmarshal(text, &m); err != nil {
 		t.Fatal(err)
 	}
-	to, err := New(set, 8)
+	to, err := New(settings, 8)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -35,21 +35,21 @@
 func TestCeilingHoldsOverSuccessors(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 3))
-		set := basic()
-		set.UseCounter, set.Gateways = false, 1
-		set.Plans[1] = Plan{PriorityFactor: 1, OverQuotaWeight: 0.2, CeilingRate: 20, CeilingBurst: 40}
+		settings := basic()
+		settings.UseCounter, settings.Gateways = false, 1
+		settings.Plans[1] = Plan{PriorityFactor: 1, OverQuotaWeight: 0.2, CeilingRate: 20, CeilingBurst: 40}
 		list := backends(3)
-		doors := []*Balancer{open(t, set, list...)}
+		doors := []*Balancer{open(t, settings, list...)}
 		sent, id, at := 0.0, uint64(0), time.Duration(0)
 		type out struct {
 			d *Balancer
 			s Dispatch
 		}
 		var outs []out
-		step := func(d *Balancer, evs ...Event) {
-			for _, s := range only[Dispatch](d.Step(at, evs)) {
+		step := func(b *Balancer, evs ...Event) {
+			for _, s := range only[Dispatch](b.Step(at, evs)) {
 				sent++
-				outs = append(outs, out{d, s})
+				outs = append(outs, out{b, s})
 			}
 		}
 		for at < 30*time.Second {
@@ -64,11 +64,11 @@
 				outs = outs[1:]
 				step(o.d, AttemptResult{ID: o.s.ID, Endpoint: o.s.Endpoint, Status: OK, Latency: 50 * ms, RequestClosed: true})
 			}
-			for _, d := range doors {
-				step(d, TimerFired{0})
+			for _, b := range doors {
+				step(b, TimerFired{0})
 			}
 			if rng.IntN(40) == 0 {
-				next, _ := pass(t, last, set, at, list...)
+				next, _ := pass(t, last, settings, at, list...)
 				doors = append(doors, next)
 			}
 			if most := 40 + 20*at.Seconds() + 1; sent > most {
@@ -83,79 +83,79 @@
 
 // Tokens and spare are handed on once: a customer of many successors gets no new burst from each.
 func TestQuotaIsHandedOnOnce(t *testing.T) {
-	set := basic()
-	set.UseCounter, set.Gateways = false, 1
+	settings := basic()
+	settings.UseCounter, settings.Gateways = false, 1
 	list := backends(3)
-	d := open(t, set, list...)
+	b := open(t, settings, list...)
 	sent, id := 0, uint64(0)
 	for i := range 10 {
 		at := time.Duration(i) * 100 * ms
 		for range 20 {
 			id++
-			for _, s := range only[Dispatch](d.Step(at, []Event{ask(id, 0, 0)})) {
+			for _, s := range only[Dispatch](b.Step(at, []Event{ask(id, 0, 0)})) {
 				sent++
-				d.Step(at, []Event{AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Status: OK, Latency: ms, RequestClosed: true}})
+				b.Step(at, []Event{AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Status: OK, Latency: ms, RequestClosed: true}})
 			}
 		}
-		d, _ = pass(t, d, set, at, list...)
+		b, _ = pass(t, b, settings, at, list...)
 	}
-	if p := set.Plans[0]; float64(sent) > p.Burst+p.Rate+1 {
-		t.Errorf("%d sent in a second of a quota of %v and %v", sent, p.Rate, p.Burst)
+	if plan := settings.Plans[0]; float64(sent) > plan.Burst+plan.Rate+1 {
+		t.Errorf("%d sent in a second of a quota of %v and %v", sent, plan.Rate, plan.Burst)
 	}
 }
 
 // A cap on what is open at once counts what is open at the door before, until its time is over.
 func TestAtOnceCountsTheDoorBefore(t *testing.T) {
-	set := basic()
-	set.UseCounter, set.Gateways = false, 1
+	settings := basic()
+	settings.UseCounter, settings.Gateways = false, 1
 	list := backends(4)
-	old := open(t, set, list...)
+	old := open(t, settings, list...)
 	for i := range uint64(3) {
 		if n := len(only[Dispatch](old.Step(time.Second, []Event{ask(i+1, 0, 3)}))); n != 1 {
 			t.Fatalf("%d sends", n)
 		}
 	}
-	d, _ := pass(t, old, set, time.Second, list...)
+	b, _ := pass(t, old, settings, time.Second, list...)
 	sends := 0
 	for i := range uint64(4) {
-		sends += len(only[Dispatch](d.Step(time.Second+ms, []Event{ask(i+1, 0, 3)})))
+		sends += len(only[Dispatch](b.Step(time.Second+ms, []Event{ask(i+1, 0, 3)})))
 	}
 	if sends != 1 {
 		t.Errorf("%d sent beside 3 at the old door; the cap is 4", sends)
 	}
-	c := d.customers["c"]
-	acts := d.Step(4*time.Second, []Event{TimerFired{(handoverRequestIDs+1)<<1 | 1}, TimerFired{(handoverRequestIDs+0)<<1 | 1}, TimerFired{(handoverRequestIDs+2)<<1 | 1}})
+	cust := b.customers["c"]
+	acts := b.Step(4*time.Second, []Event{TimerFired{(handoverRequestIDs+1)<<1 | 1}, TimerFired{(handoverRequestIDs+0)<<1 | 1}, TimerFired{(handoverRequestIDs+2)<<1 | 1}})
 	_ = acts
-	if c.inFlight > 1 {
-		t.Errorf("%d still count when their time is over", c.inFlight)
+	if cust.inFlight > 1 {
+		t.Errorf("%d still count when their time is over", cust.inFlight)
 	}
 }
 
 // What a door has learned goes along: classes, slow and cold servers, those left out, and sends to cold ones.
 func TestKnowledgeIsHandedOn(t *testing.T) {
-	set := quiet()
+	settings := quiet()
 	list := backends(4)
-	old := open(t, set, list...)
+	old := open(t, settings, list...)
 	old.Step(time.Second, []Event{ask(1, 0, 0)})
 	old.classes[0] = classEstimate{meanLatency: 0.2, idleLatency: 0.1, answers: 77}
-	s := old.endpoints[list[0].Name]
-	s.warmingUp, s.warmUpFrom, s.latencyFactor, s.concurrencyLimit = true, time.Second, 2, 3
-	s.slowStart.Sent(time.Second, 1)
+	ep := old.endpoints[list[0].Name]
+	ep.warmingUp, ep.warmUpFrom, ep.latencyFactor, ep.concurrencyLimit = true, time.Second, 2, 3
+	ep.slowStart.Sent(time.Second, 1)
 	old.eject(old.endpoints[list[1].Name])
-	d, m := pass(t, old, set, 2*time.Second, list...)
-	if k := d.classes[0]; k.meanLatency != 0.2 || k.idleLatency != 0.1 || k.answers != 77 {
+	b, m := pass(t, old, settings, 2*time.Second, list...)
+	if k := b.classes[0]; k.meanLatency != 0.2 || k.idleLatency != 0.1 || k.answers != 77 {
 		t.Errorf("%+v", k)
 	}
-	got := d.endpoints[list[0].Name]
+	got := b.endpoints[list[0].Name]
 	if !got.warmingUp || got.warmUpFrom != time.Second || got.latencyFactor != 2 || got.concurrencyLimit != 3 || len(got.slowStart.Sends()) != 1 {
 		t.Errorf("%+v", got)
 	}
-	if !d.endpoints[list[1].Name].ejected {
+	if !b.endpoints[list[1].Name].ejected {
 		t.Error("a server that was left out is used")
 	}
 	again := list[0]
 	again.StartedAt = 1500 * ms // another process than the one that is known
-	fresh, err := New(set, 9)
+	fresh, err := New(settings, 9)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -167,39 +167,39 @@
 
 // A door that gets back what nobody took goes on as before.
 func TestTakeBack(t *testing.T) {
-	set := basic()
-	set.UseCounter, set.Gateways = false, 1
-	d := open(t, set, backends(2)...)
-	d.Step(time.Second, []Event{ask(1, 0, 1)})
-	c := d.customers["c"]
-	ceil, spare := d.refillCeiling(c, &set.Plans[1]), c.fallbackTokens
-	handed := only[HandoverReady](d.Step(time.Second, []Event{BeginHandover{}}))
-	if c.ceilingTokens > c.ceilingQueued || c.fallbackTokens > 0 {
-		t.Errorf("kept: ceiling %v, spare %v", c.ceilingTokens, c.fallbackTokens)
-	}
-	d.Step(2*time.Second, []Event{ask(2, 0, 1)}) // it fills nothing meanwhile
-	d.Step(3*time.Second, []Event{ImportHandover{handed[0].State}})
-	if math.Abs(c.ceilingTokens-ceil) > 1e-9 || math.Abs(c.fallbackTokens-spare) > 1e-9 {
-		t.Errorf("ceiling %v, was %v; spare %v, was %v", c.ceilingTokens, ceil, c.fallbackTokens, spare)
-	}
-	if d.handedOver {
+	settings := basic()
+	settings.UseCounter, settings.Gateways = false, 1
+	b := open(t, settings, backends(2)...)
+	b.Step(time.Second, []Event{ask(1, 0, 1)})
+	cust := b.customers["c"]
+	ceil, spare := b.refillCeiling(cust, &settings.Plans[1]), cust.fallbackTokens
+	handed := only[HandoverReady](b.Step(time.Second, []Event{BeginHandover{}}))
+	if cust.ceilingTokens > cust.ceilingQueued || cust.fallbackTokens > 0 {
+		t.Errorf("kept: ceiling %v, spare %v", cust.ceilingTokens, cust.fallbackTokens)
+	}
+	b.Step(2*time.Second, []Event{ask(2, 0, 1)}) // it fills nothing meanwhile
+	b.Step(3*time.Second, []Event{ImportHandover{handed[0].State}})
+	if math.Abs(cust.ceilingTokens-ceil) > 1e-9 || math.Abs(cust.fallbackTokens-spare) > 1e-9 {
+		t.Errorf("ceiling %v, was %v; spare %v, was %v", cust.ceilingTokens, ceil, cust.fallbackTokens, spare)
+	}
+	if b.handedOver {
 		t.Error("still away")
 	}
 }
 
 // A memory may be of another form of the settings, or nonsense.
 func TestRecallOfNonsense(t *testing.T) {
-	set := basic()
-	d := open(t, set, backends(1)...)
+	settings := basic()
+	b := open(t, settings, backends(1)...)
 	inf := math.Inf(1)
-	d.Step(time.Second, []Event{ImportHandover{HandoverState{CallShare: -3, Rate: -1, Classes: make([]ClassHandover, 9),
+	b.Step(time.Second, []Event{ImportHandover{HandoverState{CallShare: -3, Rate: -1, Classes: make([]ClassHandover, 9),
 		Customers: []CustomerHandover{{Name: "a", Plan: 99, Doors: 1}, {Name: "b", Plan: -1}, {Name: "c", Plan: 0}, {Name: "d", Plan: 3, Doors: 1,
 			Open: make([]time.Duration, 1000), Ceil: inf, Spare: inf}},
 		Servers: []EndpointHandover{{Name: "nobody"}, {Name: "b0", Started: 0, Slots: -1, Slow: -1}}}}})
 	for i := range uint64(20) {
-		d.Step(time.Second+time.Duration(i)*20*ms, []Event{ask(i+1, 0, int(i)%4), TimerFired{0}})
+		b.Step(time.Second+time.Duration(i)*20*ms, []Event{ask(i+1, 0, int(i)%4), TimerFired{0}})
 	}
-	if d.callFraction < minCallFraction || d.callFraction > 1 {
-		t.Errorf("callShare %v", d.callFraction)
+	if b.callFraction < minCallFraction || b.callFraction > 1 {
+		t.Errorf("callShare %v", b.callFraction)
 	}
 }
--- a/internal/balancer/late.go
+++ b/internal/balancer/late.go
@@ -31,12 +31,12 @@
 }
 
 // keep remembers a call that has ended without an answer.
-func (l *timedOutCalls) keep(k *counterCall, now time.Duration) {
+func (l *timedOutCalls) keep(call *counterCall, now time.Duration) {
 	if l.calls == nil {
 		l.calls = map[uint64]*counterCall{}
 	}
-	l.calls[k.ticket] = k
-	l.order = append(l.order, k.ticket)
+	l.calls[call.ticket] = call
+	l.order = append(l.order, call.ticket)
 	for len(l.order) > 0 {
 		old := l.calls[l.order[0]]
 		if old != nil && len(l.order) <= lateMost && now-old.sentAt <= lateKeep {
@@ -49,34 +49,34 @@
 
 // handleCallTimeout takes it that a call may have been added and that nobody heard of it. One that ended long before its time did so with
 // its connection: no late answer can come on that, and who waits may ask once more, now.
-func (d *Balancer) handleCallTimeout(k *counterCall) {
-	k.customer.lastCallLost = true
-	if d.now-k.sentAt < d.settings.CounterTimeout/2 {
-		k.customer.allowAnotherCall()
+func (b *Balancer) handleCallTimeout(call *counterCall) {
+	call.customer.lastCallLost = true
+	if b.now-call.sentAt < b.settings.CounterTimeout/2 {
+		call.customer.allowAnotherCall()
 		return
 	}
-	d.timedOutCalls.keep(k, d.now)
-	k.customer.callsPausedUntil = d.now + latePause
+	b.timedOutCalls.keep(call, b.now)
+	call.customer.callsPausedUntil = b.now + latePause
 }
 
 // take is the call of a ticket, which is then forgotten; nil: nothing is known of it, or no longer.
 func (l *timedOutCalls) take(ticket uint64) *counterCall {
-	k := l.calls[ticket]
+	call := l.calls[ticket]
 	delete(l.calls, ticket)
-	return k
+	return call
 }
 
 // handleLateCounterResult takes the answer to a call that was given up, if it goes by the number of now: a window's number does not outlive it.
-func (d *Balancer) handleLateCounterResult(ev LateCounterResult) {
-	k := d.timedOutCalls.take(ev.Ticket)
-	if k == nil || k.window != int64(d.now/counterWindow) || d.now-k.sentAt > lateKeep {
+func (b *Balancer) handleLateCounterResult(ev LateCounterResult) {
+	call := b.timedOutCalls.take(ev.Ticket)
+	if call == nil || call.window != int64(b.now/counterWindow) || b.now-call.sentAt > lateKeep {
 		return
 	}
-	k.customer.callsPausedUntil = 0
+	call.customer.callsPausedUntil = 0
 	if ev.Status == OK {
-		d.creditLease(k, ev.Total, k.sentAt) // what the store has gained since may be spent by others
+		b.creditLease(call, ev.Total, call.sentAt) // what the store has gained since may be spent by others
 	} else {
-		k.customer.debt -= k.block
+		call.customer.debt -= call.block
 	}
-	d.serveWaiting(k.customer)
+	b.serveWaiting(call.customer)
 }
--- a/internal/balancer/late_test.go
+++ b/internal/balancer/late_test.go
@@ -13,16 +13,16 @@
 
 func calledBy(t *testing.T, seed uint64) (*Balancer, CounterAdd, time.Duration) {
 	t.Helper()
-	d, err := New(basic(), seed)
+	b, err := New(basic(), seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.Step(0, []Event{EndpointUpdate{Kind: CachedSnapshot, Entries: backends(2)}})
+	b.Step(0, []Event{EndpointUpdate{Kind: CachedSnapshot, Entries: backends(2)}})
 	now := time.Second
 	for i := range uint64(40) { // the fresh door's share is spent first
 		now += ms
-		if calls := only[CounterAdd](d.Step(now, []Event{ask(i, 0, 0)})); len(calls) > 0 {
-			return d, calls[0], now
+		if calls := only[CounterAdd](b.Step(now, []Event{ask(i, 0, 0)})); len(calls) > 0 {
+			return b, calls[0], now
 		}
 	}
 	t.Fatal("no call of the counter")
@@ -32,37 +32,37 @@
 // A call that is answered too late has taken its block: it is leased from then on, once, whatever is said twice or of other
 // calls; and meanwhile nothing more is asked.
 func TestLateAnswerIsALease(t *testing.T) {
-	d, call, now := called(t)
-	c := d.customers["c"]
-	d.Step(now+50*ms, []Event{CounterResult{Name: call.Name, Status: Timeout}})
-	if acts := d.Step(now+55*ms, []Event{ask(900, 0, 0)}); len(only[CounterAdd](acts)) != 0 {
+	b, call, now := called(t)
+	cust := b.customers["c"]
+	b.Step(now+50*ms, []Event{CounterResult{Name: call.Name, Status: Timeout}})
+	if acts := b.Step(now+55*ms, []Event{ask(900, 0, 0)}); len(only[CounterAdd](acts)) != 0 {
 		t.Errorf("asked again before the first call is answered: %v", acts)
 	}
-	before := c.tokens
-	d.Step(now+60*ms, []Event{LateCounterResult{Ticket: call.Ticket + 99, Status: OK}, LateCounterResult{Status: OK}})
-	if c.tokens != before {
-		t.Errorf("%v tokens after news of other calls; want %v", c.tokens, before)
+	before := cust.tokens
+	b.Step(now+60*ms, []Event{LateCounterResult{Ticket: call.Ticket + 99, Status: OK}, LateCounterResult{Status: OK}})
+	if cust.tokens != before {
+		t.Errorf("%v tokens after news of other calls; want %v", cust.tokens, before)
 	}
 	late := LateCounterResult{call.Ticket, OK, call.Amount}
-	d.Step(now+70*ms, []Event{late, late})
-	if got := c.tokens - before; got <= 0 || got > call.Amount {
+	b.Step(now+70*ms, []Event{late, late})
+	if got := cust.tokens - before; got <= 0 || got > call.Amount {
 		t.Errorf("%v leased of the %v added", got, call.Amount)
 	}
-	before = c.tokens
-	d.Step(now+80*ms, []Event{ask(901, 0, 0)}) // the servers are full, but it is paid for
-	if r := d.requests[901]; before >= 1 && (r == nil || !r.withinQuota || c.tokens != before-1) {
+	before = cust.tokens
+	b.Step(now+80*ms, []Event{ask(901, 0, 0)}) // the servers are full, but it is paid for
+	if req := b.requests[901]; before >= 1 && (req == nil || !req.withinQuota || cust.tokens != before-1) {
 		t.Errorf("a request inside the lease of %v is not paid by it", before)
 	}
 }
 
 // One whose total can't be read is given back.
 func TestLateAnswerThatIsSpoilt(t *testing.T) {
-	d, call, now := called(t)
-	c := d.customers["c"]
-	d.Step(now+50*ms, []Event{CounterResult{Name: call.Name, Status: Timeout}})
-	before := c.debt
-	d.Step(now+70*ms, []Event{LateCounterResult{Ticket: call.Ticket, Status: Failed}})
-	if got := before - c.debt; got <= 0 || got > call.Amount {
+	b, call, now := called(t)
+	cust := b.customers["c"]
+	b.Step(now+50*ms, []Event{CounterResult{Name: call.Name, Status: Timeout}})
+	before := cust.debt
+	b.Step(now+70*ms, []Event{LateCounterResult{Ticket: call.Ticket, Status: Failed}})
+	if got := before - cust.debt; got <= 0 || got > call.Amount {
 		t.Errorf("%v given back of the %v added", got, call.Amount)
 	}
 }
@@ -70,13 +70,13 @@
 // What is late by a window belongs to a number that nobody asks any more, and what is stale is forgotten.
 func TestLateAnswerOfAnotherWindow(t *testing.T) {
 	for _, after := range []time.Duration{counterWindow, lateKeep + time.Second} {
-		d, call, now := called(t)
-		c := d.customers["c"]
-		d.Step(now+50*ms, []Event{CounterResult{Name: call.Name, Status: Timeout}})
-		before := c.tokens
-		d.Step(now+after, []Event{LateCounterResult{call.Ticket, OK, call.Amount}})
-		if c.tokens != before {
-			t.Errorf("%v later: %v tokens, want %v", after, c.tokens, before)
+		b, call, now := called(t)
+		cust := b.customers["c"]
+		b.Step(now+50*ms, []Event{CounterResult{Name: call.Name, Status: Timeout}})
+		before := cust.tokens
+		b.Step(now+after, []Event{LateCounterResult{call.Ticket, OK, call.Amount}})
+		if cust.tokens != before {
+			t.Errorf("%v later: %v tokens, want %v", after, cust.tokens, before)
 		}
 	}
 }
@@ -98,17 +98,17 @@
 
 // A block that nobody hears of is lost to the customer, so the next call asks for one request only; an answer makes it whole again.
 func TestAfterSilenceTheLeastIsAsked(t *testing.T) {
-	d, call, now := called(t)
-	c := d.customers["c"]
-	d.Step(now+50*ms, []Event{CounterResult{Name: call.Name, Status: Timeout}})
-	c.demand = 100 // a flood, whose lease would be a large one
+	b, call, now := called(t)
+	cust := b.customers["c"]
+	b.Step(now+50*ms, []Event{CounterResult{Name: call.Name, Status: Timeout}})
+	cust.demand = 100 // a flood, whose lease would be a large one
 	now += 50*ms + latePause
-	calls := only[CounterAdd](d.Step(now, []Event{ask(800, 0, 0)}))
+	calls := only[CounterAdd](b.Step(now, []Event{ask(800, 0, 0)}))
 	if len(calls) != 1 || calls[0].Amount > 1+1e-9 {
 		t.Fatalf("after a call without an answer: %v; want one for a single unit", calls)
 	}
-	d.Step(now+ms, []Event{CounterResult{Name: calls[0].Name, Status: OK, Total: 0}})
-	if c.lastCallLost {
+	b.Step(now+ms, []Event{CounterResult{Name: calls[0].Name, Status: OK, Total: 0}})
+	if cust.lastCallLost {
 		t.Error("the counter was heard, and still the least is asked")
 	}
 }
@@ -117,10 +117,10 @@
 func TestCallOfABrokenConnectionIsMadeAgain(t *testing.T) {
 	again := 0
 	for seed := range uint64(20) { // the part that calls has shrunk by the failure: for a few that means no
-		d, call, now := calledBy(t, seed)
-		acts := d.Step(now+3*ms, []Event{CounterResult{Name: call.Name, Status: Timeout}})
+		b, call, now := calledBy(t, seed)
+		acts := b.Step(now+3*ms, []Event{CounterResult{Name: call.Name, Status: Timeout}})
 		again += len(only[CounterAdd](acts))
-		if len(d.timedOutCalls.calls) != 0 || d.customers["c"].callsPausedUntil != 0 {
+		if len(b.timedOutCalls.calls) != 0 || b.customers["c"].callsPausedUntil != 0 {
 			t.Errorf("seed %d: a late answer is waited for on a connection that is gone", seed)
 		}
 	}
@@ -133,8 +133,8 @@
 func TestABusyCounterIsNotAskedAgain(t *testing.T) {
 	for _, status := range []Status{Rejected, ConnectFailed} {
 		for seed := range uint64(20) { // whether a request calls is partly chance
-			d, call, now := calledBy(t, seed)
-			acts := d.Step(now+3*ms, []Event{CounterResult{Name: call.Name, Status: status}})
+			b, call, now := calledBy(t, seed)
+			acts := b.Step(now+3*ms, []Event{CounterResult{Name: call.Name, Status: status}})
 			if again := only[CounterAdd](acts); len(again) != 0 {
 				t.Errorf("status %d, seed %d: asked again at once: %v", status, seed, again)
 			}
@@ -145,33 +145,33 @@
 // A late answer tells what the store held when the call was made. What it has gained since may be spent by others: it is not
 // granted on the strength of an old total.
 func TestLateAnswerGrantsNoRefillSince(t *testing.T) {
-	d, call, now := called(t)
-	c := d.customers["c"]
-	p := d.settings.Plans[0]
-	d.Step(now+50*ms, []Event{CounterResult{Name: call.Name, Status: Timeout}})
-	before := c.tokens
-	empty := p.Burst + p.Rate*now.Seconds() + call.Amount // a total at which the store held nothing then
-	d.Step(now+3*time.Second, []Event{LateCounterResult{call.Ticket, OK, empty}})
-	if c.tokens > before {
-		t.Errorf("%v granted from a store that was empty when it was asked", c.tokens-before)
+	b, call, now := called(t)
+	cust := b.customers["c"]
+	plan := b.settings.Plans[0]
+	b.Step(now+50*ms, []Event{CounterResult{Name: call.Name, Status: Timeout}})
+	before := cust.tokens
+	empty := plan.Burst + plan.Rate*now.Seconds() + call.Amount // a total at which the store held nothing then
+	b.Step(now+3*time.Second, []Event{LateCounterResult{call.Ticket, OK, empty}})
+	if cust.tokens > before {
+		t.Errorf("%v granted from a store that was empty when it was asked", cust.tokens-before)
 	}
 }
 
 // A late total is older than what a later call has told: it neither looks like a loss of the counter nor is taken for the newest.
 func TestLateAnswerAfterALaterOne(t *testing.T) {
-	d, call, now := called(t)
-	c := d.customers["c"]
-	d.Step(now+50*ms, []Event{CounterResult{Name: call.Name, Status: Timeout}})
+	b, call, now := called(t)
+	cust := b.customers["c"]
+	b.Step(now+50*ms, []Event{CounterResult{Name: call.Name, Status: Timeout}})
 	now += 50*ms + latePause
-	later := only[CounterAdd](d.Step(now, []Event{ask(700, 0, 0)}))
+	later := only[CounterAdd](b.Step(now, []Event{ask(700, 0, 0)}))
 	if len(later) != 1 {
 		t.Fatalf("%d calls after the pause", len(later))
 	}
-	d.Step(now+ms, []Event{CounterResult{Name: later[0].Name, Status: OK, Total: 90}})
-	known, seen, store, at := c.storeKnownAt, c.seenTotal, c.storeLevel, c.storeLevelAt
-	acts := d.Step(now+20*ms, []Event{LateCounterResult{call.Ticket, OK, call.Amount}})
-	if c.storeKnownAt != known || c.seenTotal != seen || c.storeLevel != store || c.storeLevelAt != at {
-		t.Errorf("known since %v, seen %v, store %v at %v; want %v, %v, %v at %v", c.storeKnownAt, c.seenTotal, c.storeLevel, c.storeLevelAt, known, seen, store, at)
+	b.Step(now+ms, []Event{CounterResult{Name: later[0].Name, Status: OK, Total: 90}})
+	known, seen, store, at := cust.storeKnownAt, cust.seenTotal, cust.storeLevel, cust.storeLevelAt
+	acts := b.Step(now+20*ms, []Event{LateCounterResult{call.Ticket, OK, call.Amount}})
+	if cust.storeKnownAt != known || cust.seenTotal != seen || cust.storeLevel != store || cust.storeLevelAt != at {
+		t.Errorf("known since %v, seen %v, store %v at %v; want %v, %v, %v at %v", cust.storeKnownAt, cust.seenTotal, cust.storeLevel, cust.storeLevelAt, known, seen, store, at)
 	}
 	for _, k := range only[CounterAdd](acts) {
 		if k.Amount > 0 {
--- a/internal/balancer/lend.go
+++ b/internal/balancer/lend.go
@@ -43,8 +43,8 @@
 // ceilingLeaseTerms is on what terms a request's ceiling is lent now; nil: it is not, and this door goes by its even
 // share. A counter that does not answer lends nothing: then all doors go by their shares, from which what
 // they sent on meanwhile was taken (see draw), so together they hold no more than the ceiling's store does.
-func (d *Balancer) ceilingLeaseTerms(r *request) *ceilinglease.Terms {
-	if t := &d.leaseTerms[r.plan]; t.Rate > 0 && r.customer.gateways > 1 && d.now >= d.leasingFrom {
+func (b *Balancer) ceilingLeaseTerms(req *request) *ceilinglease.Terms {
+	if t := &b.leaseTerms[req.plan]; t.Rate > 0 && req.customer.gateways > 1 && b.now >= b.leasingFrom {
 		return t
 	}
 	return nil
@@ -52,117 +52,117 @@
 
 // recordCallOutcome takes whether a counter call was answered. After a few failures in a row doors go by their even shares, and lend
 // again when the ceilings have had the time to fill since the last one.
-func (d *Balancer) recordCallOutcome(ok bool) {
+func (b *Balancer) recordCallOutcome(ok bool) {
 	if ok {
-		d.failedCalls = 0
-	} else if d.failedCalls++; d.failedCalls >= failedMost || d.now < d.leasingFrom {
-		d.leasingFrom = d.now + d.longestCeilingFill
+		b.failedCalls = 0
+	} else if b.failedCalls++; b.failedCalls >= failedMost || b.now < b.leasingFrom {
+		b.leasingFrom = b.now + b.longestCeilingFill
 	}
 }
 
 // activeGateways is how many doors a customer's demand is taken to come through: all that it names, or, where its ceiling is lent,
 // as many as what the others were seen to add speaks for.
-func (d *Balancer) activeGateways(c *customer) float64 {
-	if d.leaseTerms[c.plan].Rate == 0 {
-		return c.gateways
+func (b *Balancer) activeGateways(cust *customer) float64 {
+	if b.leaseTerms[cust.plan].Rate == 0 {
+		return cust.gateways
 	}
-	return min(c.gateways, 1+c.peerDemand*c.gateways/max(d.settings.Plans[c.plan].Rate, c.peerDemand))
+	return min(cust.gateways, 1+cust.peerDemand*cust.gateways/max(b.settings.Plans[cust.plan].Rate, cust.peerDemand))
 }
 
 // isStoreSettled says that this door has known a customer's store for as long as the ceiling takes to fill: a
 // counter that has lost its numbers tells who asks first that the store is full, and by then that is true.
-func (d *Balancer) isStoreSettled(c *customer, p *Plan) bool {
-	return c.storeKnown && (d.now-c.storeKnownAt).Seconds() >= p.CeilingBurst/p.CeilingRate &&
-		c.carriedWindow == int64(d.now/counterWindow) && d.now >= c.carriedAt
+func (b *Balancer) isStoreSettled(cust *customer, plan *Plan) bool {
+	return cust.storeKnown && (b.now-cust.storeKnownAt).Seconds() >= plan.CeilingBurst/plan.CeilingRate &&
+		cust.carriedWindow == int64(b.now/counterWindow) && b.now >= cust.carriedAt
 }
 
 // learnStore sees to it that a customer's store is known, and that what it lacked is carried into this window.
-func (d *Balancer) learnStore(c *customer) {
-	if d.leaseTerms[c.plan].Rate == 0 || !d.canCallCounter() {
+func (b *Balancer) learnStore(cust *customer) {
+	if b.leaseTerms[cust.plan].Rate == 0 || !b.canCallCounter() {
 		return
 	}
-	if !c.storeKnown && !c.levelCallPending {
-		c.levelCallPending = true
-		d.callStoreLevel(c)
+	if !cust.storeKnown && !cust.levelCallPending {
+		cust.levelCallPending = true
+		b.callStoreLevel(cust)
 	}
-	if w := int64(d.now / counterWindow); c.carriedWindow != w {
-		c.carriedWindow, c.carriedAt = w, math.MaxInt64
-		d.callFirstInWindow(c, w)
+	if w := int64(b.now / counterWindow); cust.carriedWindow != w {
+		cust.carriedWindow, cust.carriedAt = w, math.MaxInt64
+		b.callFirstInWindow(cust, w)
 	}
 }
 
 // handleStoreCall takes what a customer's store held at the end of a window into the next: each window's number begins
 // anew, and no door may know better, where the demand moves among many. The first door that asks in a window
 // adds what the store lacked; the others give it the time for that.
-func (d *Balancer) handleStoreCall(k *counterCall, ev CounterResult) {
-	c, p := k.customer, &d.settings.Plans[k.customer.plan]
+func (b *Balancer) handleStoreCall(call *counterCall, ev CounterResult) {
+	cust, plan := call.customer, &b.settings.Plans[call.customer.plan]
 	switch {
-	case k.kind == forLevel:
-		if c.levelCallPending = false; ev.Status == OK {
-			d.creditLease(k, ev.Total, d.now)
+	case call.kind == forLevel:
+		if cust.levelCallPending = false; ev.Status == OK {
+			b.creditLease(call, ev.Total, b.now)
 		}
-	case k.kind == forFix || k.kind == forFixed:
-		if ev.Status != OK || ev.Total > k.firstTotal || k.window != int64(d.now/counterWindow) {
+	case call.kind == forFix || call.kind == forFixed:
+		if ev.Status != OK || ev.Total > call.firstTotal || call.window != int64(b.now/counterWindow) {
 			return
 		}
-		if k.kind == forFix && d.leaseTerms[c.plan].Rate > 0 && k.sentAt%fixEach < fixEdge*d.settings.CounterTimeout {
-			d.callPreviousCorrectionLock(c, k)
+		if call.kind == forFix && b.leaseTerms[cust.plan].Rate > 0 && call.sentAt%fixEach < fixEdge*b.settings.CounterTimeout {
+			b.callPreviousCorrectionLock(cust, call)
 			return
 		}
-		if d.leaseTerms[c.plan].Rate == 0 {
-			d.callCounter(c, 0, k.amount, 0)
+		if b.leaseTerms[cust.plan].Rate == 0 {
+			b.callCounter(cust, 0, call.amount, 0)
 		} else {
-			d.addSurplus(c, k.window, k.amount, k.total)
+			b.addSurplus(cust, call.window, call.amount, call.total)
 		}
-	case k.kind == forRight:
-		if ev.Status == OK && k.window == int64(d.now/counterWindow) && ev.Total-k.firstTotal-k.amount > fixTwice*k.amount {
-			d.callCounter(c, 0, -k.amount, 0)
+	case call.kind == forRight:
+		if ev.Status == OK && call.window == int64(b.now/counterWindow) && ev.Total-call.firstTotal-call.amount > fixTwice*call.amount {
+			b.callCounter(cust, 0, -call.amount, 0)
 		}
-	case c.carriedWindow != k.window:
+	case cust.carriedWindow != call.window:
 	case ev.Status != OK:
-		c.carriedWindow = 0 // asked again with the next lease
-	case k.kind == forFirst && ev.Total > 1:
-		c.carriedAt = d.now + carryTime
-	case k.kind == forFirst:
-		d.callPreviousWindow(c, k.window)
+		cust.carriedWindow = 0 // asked again with the next lease
+	case call.kind == forFirst && ev.Total > 1:
+		cust.carriedAt = b.now + carryTime
+	case call.kind == forFirst:
+		b.callPreviousWindow(cust, call.window)
 	default:
-		lacks := min(p.Burst+p.Rate*carryMost.Seconds(), ev.Total-p.Rate*counterWindow.Seconds())
-		if filled := p.Rate * (k.sentAt - time.Duration(k.window)*counterWindow).Seconds(); filled > p.Burst*overfullLent {
+		lacks := min(plan.Burst+plan.Rate*carryMost.Seconds(), ev.Total-plan.Rate*counterWindow.Seconds())
+		if filled := plan.Rate * (call.sentAt - time.Duration(call.window)*counterWindow).Seconds(); filled > plan.Burst*overfullLent {
 			lacks -= filled // before anybody asked in this window: that was put right as a surplus
 		}
 		if lacks > 0 {
-			d.callCounter(c, 0, lacks, 0)
+			b.callCounter(cust, 0, lacks, 0)
 		}
-		if c.carriedAt = d.now + carryTime; ev.Total == 0 { // nobody asked, or the counter has lost it
-			c.carriedAt = d.now + time.Duration(p.CeilingBurst/p.CeilingRate*float64(time.Second))
+		if cust.carriedAt = b.now + carryTime; ev.Total == 0 { // nobody asked, or the counter has lost it
+			cust.carriedAt = b.now + time.Duration(plan.CeilingBurst/plan.CeilingRate*float64(time.Second))
 		}
 	}
 }
 
 // leaseCeiling says whether what was leased beyond the quota has a request's units, and asks for more.
-func (d *Balancer) leaseCeiling(r *request, t *ceilinglease.Terms, late bool) quotaDecision {
-	c := r.customer
-	p := &d.settings.Plans[r.plan]
+func (b *Balancer) leaseCeiling(req *request, t *ceilinglease.Terms, late bool) quotaDecision {
+	cust := req.customer
+	plan := &b.settings.Plans[req.plan]
 	switch {
-	case p.Rate > 0 && p.OverQuotaWeight <= p.OverQuotaCost:
+	case plan.Rate > 0 && plan.OverQuotaWeight <= plan.OverQuotaCost:
 		return quotaExceeded
-	case c.ceilingLease.Has(*t, d.now, !r.admitOnly, c.admitOnlyFraction()) >= r.units:
+	case cust.ceilingLease.Has(*t, b.now, !req.admitOnly, cust.admitOnlyFraction()) >= req.units:
 		return quotaCovered
 	case late:
 		return quotaExceeded
-	case c.ceilingLease.Asking():
+	case cust.ceilingLease.Asking():
 		return quotaPending
-	case r.admitOnly && r.leaseRequested:
+	case req.admitOnly && req.leaseRequested:
 		return quotaExceeded
 	}
-	if d.canCallCounter() {
-		if block := c.ceilingLease.Ask(*t, d.now, r.units, c.demand); block > 0 {
-			d.callCeilingLease(c, *t, block)
-			r.leaseRequested = true
+	if b.canCallCounter() {
+		if block := cust.ceilingLease.Ask(*t, b.now, req.units, cust.demand); block > 0 {
+			b.callCeilingLease(cust, *t, block)
+			req.leaseRequested = true
 			return quotaPending
 		}
 	}
-	if r.admitOnly || c.ceilingLease.Opens(*t, d.now).Seconds() > r.timeLimit.Seconds()*maxCeilingWaitFraction {
+	if req.admitOnly || cust.ceilingLease.Opens(*t, b.now).Seconds() > req.timeLimit.Seconds()*maxCeilingWaitFraction {
 		return quotaExceeded
 	}
 	return quotaPending
@@ -171,96 +171,96 @@
 // drawCeiling takes the units of a first attempt out of the ceiling; false: they are not there any more. What is
 // lent is taken from this door's even share too, which may go so far below nothing that all doors' shares
 // together are as empty as the ceiling's store can be.
-func (d *Balancer) drawCeiling(r *request, p *Plan) bool {
-	c := r.customer
-	if p.CeilingRate == 0 {
+func (b *Balancer) drawCeiling(req *request, plan *Plan) bool {
+	cust := req.customer
+	if plan.CeilingRate == 0 {
 		return true
 	}
-	have := d.refillCeiling(c, p)
-	switch t := &d.leaseTerms[r.plan]; {
-	case r.ceilingSource == fromQuota && d.hasSparseShares(c, p):
+	have := b.refillCeiling(cust, plan)
+	switch t := &b.leaseTerms[req.plan]; {
+	case req.ceilingSource == fromQuota && b.hasSparseShares(cust, plan):
 		return true
-	case r.ceilingSource == fromEvenShare && r.leaseWindow > 0: // its turn was there when it was placed
-		if c.lastTurn >= r.leaseWindow {
+	case req.ceilingSource == fromEvenShare && req.leaseWindow > 0: // its turn was there when it was placed
+		if cust.lastTurn >= req.leaseWindow {
 			return false
 		}
-		c.lastTurn = r.leaseWindow
+		cust.lastTurn = req.leaseWindow
 		return true
-	case r.ceilingSource == fromEvenShare:
-		if have < r.units {
+	case req.ceilingSource == fromEvenShare:
+		if have < req.units {
 			return false
 		}
-		c.ceilingTokens -= r.units
-		if r.admitOnly {
-			c.ceilingKept = max(0, c.ceilingKept-r.units)
+		cust.ceilingTokens -= req.units
+		if req.admitOnly {
+			cust.ceilingKept = max(0, cust.ceilingKept-req.units)
 		}
 		return true
-	case r.ceilingSource == fromLease && t.Index(d.now) != r.leaseWindow:
-		if c.ceilingLease.Has(*t, d.now, !r.admitOnly, c.admitOnlyFraction()) < r.units {
+	case req.ceilingSource == fromLease && t.Index(b.now) != req.leaseWindow:
+		if cust.ceilingLease.Has(*t, b.now, !req.admitOnly, cust.admitOnlyFraction()) < req.units {
 			return false
 		}
-		r.leaseWindow = c.ceilingLease.Take(*t, d.now, r.units, !r.admitOnly)
+		req.leaseWindow = cust.ceilingLease.Take(*t, b.now, req.units, !req.admitOnly)
 	}
-	c.ceilingTokens = max(d.ceilingShare(c, p).Depth-p.CeilingBurst, c.ceilingTokens-r.units)
+	cust.ceilingTokens = max(b.ceilingShare(cust, plan).Depth-plan.CeilingBurst, cust.ceilingTokens-req.units)
 	return true
 }
 
 // callCeilingLease asks the counter for units of a customer's ceiling beyond the quota, in the window of now.
-func (d *Balancer) callCeilingLease(c *customer, t ceilinglease.Terms, block float64) {
-	window := t.Index(d.now)
-	name := counterName(fmt.Sprint(c.name, " beyond ", t.Window), window) // doors with other terms share nothing
-	d.callsOut[name] = append(d.callsOut[name], &counterCall{customer: c, block: block, window: window, sentAt: d.now, kind: forLease})
-	d.emit(CounterAdd{name, block, t.Keep(), 0})
+func (b *Balancer) callCeilingLease(cust *customer, t ceilinglease.Terms, block float64) {
+	window := t.Index(b.now)
+	name := counterName(fmt.Sprint(cust.name, " beyond ", t.Window), window) // doors with other terms share nothing
+	b.callsOut[name] = append(b.callsOut[name], &counterCall{customer: cust, block: block, window: window, sentAt: b.now, kind: forLease})
+	b.emit(CounterAdd{name, block, t.Keep(), 0})
 }
 
 // callFirstInWindow asks whether this door is the first that asks in a window of a customer's store.
-func (d *Balancer) callFirstInWindow(c *customer, window int64) {
-	d.callAuxiliary(c, forFirst, window, counterName(c.name+" first", window), 1)
+func (b *Balancer) callFirstInWindow(cust *customer, window int64) {
+	b.callAuxiliary(cust, forFirst, window, counterName(cust.name+" first", window), 1)
 }
 
 // callPreviousWindow asks what the window before one came to.
-func (d *Balancer) callPreviousWindow(c *customer, window int64) {
-	d.callAuxiliary(c, forLast, window, counterName(c.name, window-1), 0)
+func (b *Balancer) callPreviousWindow(cust *customer, window int64) {
+	b.callAuxiliary(cust, forLast, window, counterName(cust.name, window-1), 0)
 }
 
 // callTest asks the counter for no customer.
-func (d *Balancer) callTest() {
-	d.callAuxiliary(nil, forTest, 0, counterName("test", int64(d.settings.Index)), 0)
+func (b *Balancer) callTest() {
+	b.callAuxiliary(nil, forTest, 0, counterName("test", int64(b.settings.Index)), 0)
 }
 
 // callStoreLevel asks what a customer's store holds.
-func (d *Balancer) callStoreLevel(c *customer) {
-	window := int64(d.now / counterWindow)
-	d.callAuxiliary(c, forLevel, window, counterName(c.name, window), 0)
+func (b *Balancer) callStoreLevel(cust *customer) {
+	window := int64(b.now / counterWindow)
+	b.callAuxiliary(cust, forLevel, window, counterName(cust.name, window), 0)
 }
 
 // storeAfterPeers is what a store holds whose number is still to be put right, by what this door last knew of it and what the number has
 // gained since: that others have taken.
-func (d *Balancer) storeAfterPeers(c *customer, k *counterCall, total float64) float64 {
-	if d.leaseTerms[c.plan].Rate == 0 || !c.storeKnown || c.seenWindow != k.window {
+func (b *Balancer) storeAfterPeers(cust *customer, call *counterCall, total float64) float64 {
+	if b.leaseTerms[cust.plan].Rate == 0 || !cust.storeKnown || cust.seenWindow != call.window {
 		return math.Inf(1)
 	}
-	p := &d.settings.Plans[c.plan]
-	return max(-p.Burst/2, c.storeLevel+p.Rate*(d.now-c.storeLevelAt).Seconds()-max(0, total-k.amount-c.seenTotal))
+	plan := &b.settings.Plans[cust.plan]
+	return max(-plan.Burst/2, cust.storeLevel+plan.Rate*(b.now-cust.storeLevelAt).Seconds()-max(0, total-call.amount-cust.seenTotal))
 }
 
 // acceptedTokens is what a door takes of a block, of which the store has so much. Where the ceiling is lent tokens are not given back, so a part of a
 // unit stays in the store: here it would mostly lie until it is lost.
-func (d *Balancer) acceptedTokens(k *counterCall, has float64) float64 {
-	got := max(0, min(k.block, has))
-	if got < k.block && d.leaseTerms[k.customer.plan].Rate > 0 {
-		got = min(got, max(0, math.Floor(got+k.customer.tokens)-k.customer.tokens))
+func (b *Balancer) acceptedTokens(call *counterCall, has float64) float64 {
+	got := max(0, min(call.block, has))
+	if got < call.block && b.leaseTerms[call.customer.plan].Rate > 0 {
+		got = min(got, max(0, math.Floor(got+call.customer.tokens)-call.customer.tokens))
 	}
 	return got
 }
 
 // pauseSpread is by what a pause is longer after which an empty store is looked at again. Doors that lend look each at its own time: else the same one
 // would find each unit first, for as long as all keep to their pace.
-func (d *Balancer) pauseSpread(c *customer) float64 {
-	if d.leaseTerms[c.plan].Rate == 0 {
+func (b *Balancer) pauseSpread(cust *customer) float64 {
+	if b.leaseTerms[cust.plan].Rate == 0 {
 		return 1
 	}
-	return pauseApart + 2*(1-pauseApart)*d.rng.Float64()
+	return pauseApart + 2*(1-pauseApart)*b.rng.Float64()
 }
 
 // correctStore puts a store's number right by what it holds too much, and returns what this door takes it to hold. Where the ceiling hangs on it only
@@ -268,28 +268,28 @@
 // same surplus within one round trip, however calm the customer is. Who saw the store before anybody took of it adds at once, as it alone knows
 // what that held; so does the door of a calm customer, which saves calls. Whoever adds takes it back where the answer tells that another door
 // had added it already.
-func (d *Balancer) correctStore(c *customer, k *counterCall, held, most, total float64) float64 {
-	p := &d.settings.Plans[c.plan]
-	lent, first, calm := d.leaseTerms[c.plan].Rate > 0, c.seenWindow != k.window, c.demand*c.gateways < p.Rate
-	seen := c.storeKnown && d.now-c.storeLevelAt < trusted && k.kind != forLevel
+func (b *Balancer) correctStore(cust *customer, call *counterCall, held, most, total float64) float64 {
+	plan := &b.settings.Plans[cust.plan]
+	lent, first, calm := b.leaseTerms[cust.plan].Rate > 0, cust.seenWindow != call.window, cust.demand*cust.gateways < plan.Rate
+	seen := cust.storeKnown && b.now-cust.storeLevelAt < trusted && call.kind != forLevel
 	least := most
-	if c.storeKnown && !calm {
-		least = min(most, d.storeAtLeast(c, k, total))
+	if cust.storeKnown && !calm {
+		least = min(most, b.storeAtLeast(cust, call, total))
 	}
 	switch {
 	case !lent:
-		d.callCounter(c, 0, held-most, 0)
-	case d.isOnlyUser(c, k, total) && !first, calm && seen:
-		d.addSurplus(c, k.window, held-most, total)
-	case d.isOnlyUser(c, k, total) && held > p.Burst*(1+overfullLent): // what it lacked before that is carried
-		d.addSurplus(c, k.window, held-p.Burst, total)
-		d.learnStore(c)
+		b.callCounter(cust, 0, held-most, 0)
+	case b.isOnlyUser(cust, call, total) && !first, calm && seen:
+		b.addSurplus(cust, call.window, held-most, total)
+	case b.isOnlyUser(cust, call, total) && held > plan.Burst*(1+overfullLent): // what it lacked before that is carried
+		b.addSurplus(cust, call.window, held-plan.Burst, total)
+		b.learnStore(cust)
 	case calm && !seen: // a flood that begins at all doors at once looks like this at first, and what this door may take is known without
-	case c.carriedWindow == k.window && d.now >= c.carriedAt && (!first || calm):
-		d.callCorrectionLock(c, k.window, held-least, total)
+	case cust.carriedWindow == call.window && b.now >= cust.carriedAt && (!first || calm):
+		b.callCorrectionLock(cust, call.window, held-least, total)
 		return least
 	default:
-		d.learnStore(c)
+		b.learnStore(cust)
 		return least
 	}
 	return most
@@ -297,49 +297,49 @@
 
 // isOnlyUser says that nobody else has taken of a store since this door knew what it held: by a number that this door began, or that has gained
 // nothing besides since this door looked at it.
-func (d *Balancer) isOnlyUser(c *customer, k *counterCall, total float64) bool {
+func (b *Balancer) isOnlyUser(cust *customer, call *counterCall, total float64) bool {
 	const some = 1e-6
-	return k.kind == forTokens && (total <= k.amount+some || c.storeKnown && c.seenWindow == k.window && total-k.amount <= c.seenTotal+some)
+	return call.kind == forTokens && (total <= call.amount+some || cust.storeKnown && cust.seenWindow == call.window && total-call.amount <= cust.seenTotal+some)
 }
 
 // storeAtLeast is what a store whose number is still to be put right holds at least, by what this door last knew and what others have taken since then:
 // just now, it may be, when the store had long been full.
-func (d *Balancer) storeAtLeast(c *customer, k *counterCall, total float64) float64 {
-	p := &d.settings.Plans[c.plan]
-	if c.seenWindow == k.window {
-		total -= c.seenTotal
+func (b *Balancer) storeAtLeast(cust *customer, call *counterCall, total float64) float64 {
+	plan := &b.settings.Plans[cust.plan]
+	if cust.seenWindow == call.window {
+		total -= cust.seenTotal
 	}
-	return max(-p.Burst/2, d.currentStoreLevel(c, p)-max(0, total-k.amount))
+	return max(-plan.Burst/2, b.currentStoreLevel(cust, plan)-max(0, total-call.amount))
 }
 
 // addSurplus adds to a store's number what it holds too much, when the number came to a total.
-func (d *Balancer) addSurplus(c *customer, window int64, amount, total float64) {
-	r := d.callAuxiliary(c, forRight, window, counterName(c.name, window), amount)
+func (b *Balancer) addSurplus(cust *customer, window int64, amount, total float64) {
+	r := b.callAuxiliary(cust, forRight, window, counterName(cust.name, window), amount)
 	r.amount, r.firstTotal = amount, total
 }
 
 // callCorrectionLock asks for leave to add to a store's number what it holds over its burst, or seems to have gained. Doors that see it
 // at the same moment, as after a pause of the customer's, must not all add it: the store would be empty for as long again.
-func (d *Balancer) callCorrectionLock(c *customer, window int64, amount, total float64) {
-	k := d.callAuxiliary(c, forFix, window, counterName(c.name+" fix", int64(d.now/fixEach)), 1)
-	k.amount, k.firstTotal, k.total = amount, 1, total
+func (b *Balancer) callCorrectionLock(cust *customer, window int64, amount, total float64) {
+	call := b.callAuxiliary(cust, forFix, window, counterName(cust.name+" fix", int64(b.now/fixEach)), 1)
+	call.amount, call.firstTotal, call.total = amount, 1, total
 }
 
 // callPreviousCorrectionLock asks whether a door was given that leave in the stretch before this one: two that see the same store on both sides of an
 // edge would each be the first in theirs.
-func (d *Balancer) callPreviousCorrectionLock(c *customer, k *counterCall) {
-	f := d.callAuxiliary(c, forFixed, k.window, counterName(c.name+" fix", int64(k.sentAt/fixEach)-1), 0)
-	f.amount, f.total = k.amount, k.total
+func (b *Balancer) callPreviousCorrectionLock(cust *customer, call *counterCall) {
+	f := b.callAuxiliary(cust, forFixed, call.window, counterName(cust.name+" fix", int64(call.sentAt/fixEach)-1), 0)
+	f.amount, f.total = call.amount, call.total
 }
 
-func (d *Balancer) callAuxiliary(c *customer, kind callKind, window int64, name uint64, amount float64) *counterCall {
-	k := &counterCall{customer: c, window: window, sentAt: d.now, kind: kind}
-	d.callsOut[name] = append(d.callsOut[name], k)
-	d.emit(CounterAdd{name, amount, counterTTL, 0})
-	return k
+func (b *Balancer) callAuxiliary(cust *customer, kind callKind, window int64, name uint64, amount float64) *counterCall {
+	call := &counterCall{customer: cust, window: window, sentAt: b.now, kind: kind}
+	b.callsOut[name] = append(b.callsOut[name], call)
+	b.emit(CounterAdd{name, amount, counterTTL, 0})
+	return call
 }
 
 // quotaMayCover says whether a request may be inside the quota, by what this door knows.
-func (d *Balancer) quotaMayCover(r *request, p *Plan) bool {
-	return p.Rate > 0 && (r.customer.tokens >= r.units || r.customer.callPending || d.now >= r.customer.storeEmptyUntil)
+func (b *Balancer) quotaMayCover(req *request, plan *Plan) bool {
+	return plan.Rate > 0 && (req.customer.tokens >= req.units || req.customer.callPending || b.now >= req.customer.storeEmptyUntil)
 }
