--- a/internal/balancer/many_test.go
+++ b/internal/balancer/many_test.go
@@ -24,17 +24,17 @@
 
 func many(t *testing.T, doors int, soft ...Plan) []*Balancer {
 	t.Helper()
-	set := crowd(doors)
-	copy(set.Plans[1:], soft)
+	settings := crowd(doors)
+	copy(settings.Plans[1:], soft)
 	all := make([]*Balancer, doors)
 	for i := range all {
-		set.Index = i
-		d, err := New(set, uint64(i)+1)
+		settings.Index = i
+		b, err := New(settings, uint64(i)+1)
 		if err != nil {
 			t.Fatal(err)
 		}
-		d.Step(time.Second, []Event{EndpointUpdate{Kind: CachedSnapshot, Entries: backends(20)}})
-		all[i] = d
+		b.Step(time.Second, []Event{EndpointUpdate{Kind: CachedSnapshot, Entries: backends(20)}})
+		all[i] = b
 	}
 	return all
 }
@@ -58,9 +58,9 @@
 			i := pick(int(id))
 			evs[i] = append(evs[i], ask(id, 0, plan))
 		}
-		for i, d := range all {
+		for i, b := range all {
 			for todo := evs[i]; len(todo) > 0; {
-				acts := d.Step(now, todo)
+				acts := b.Step(now, todo)
 				todo = nil
 				late[i] = append(late[i], l.answer(acts)...)
 				for _, s := range only[Dispatch](acts) {
@@ -91,22 +91,22 @@
 		"mostly at a few": func(r *rand.Rand) int { return min(r.IntN(40), r.IntN(40), r.IntN(40)) },
 	} {
 		for when, each := range floods {
-			for i, p := range plans {
+			for i, plan := range plans {
 				for _, lose := range []time.Duration{0, 20 * time.Second} {
 					t.Run(fmt.Sprint(name, when, i, lose > 0), func(t *testing.T) {
 						r := rand.New(rand.NewPCG(1, 2))
-						store, last, least := p.CeilingBurst, time.Duration(0), p.CeilingBurst
-						all := many(t, 40, p)
+						store, last, least := plan.CeilingBurst, time.Duration(0), plan.CeilingBurst
+						all := many(t, 40, plan)
 						sent := play(all, &ledger{n: map[uint64]float64{}}, 1, 2*time.Second, 75*time.Second, each, func(int) int { return pick(r) }, lose)
 						for _, at := range sent {
-							store = min(p.CeilingBurst, store+p.CeilingRate*(at-last).Seconds()) - 1
+							store = min(plan.CeilingBurst, store+plan.CeilingRate*(at-last).Seconds()) - 1
 							last, least = at, min(least, store)
 						}
-						if least < -p.CeilingBurst/10-0.15*p.CeilingRate {
-							t.Errorf("the ceiling's store fell to %.1f of %v", least, p.CeilingBurst)
+						if least < -plan.CeilingBurst/10-0.15*plan.CeilingRate {
+							t.Errorf("the ceiling's store fell to %.1f of %v", least, plan.CeilingBurst)
 						}
-						if rate := float64(len(sent)) / 73; when == "always" && rate < 0.6*p.Rate {
-							t.Errorf("%.1f a second went out; the quota is %v", rate, p.Rate)
+						if rate := float64(len(sent)) / 73; when == "always" && rate < 0.6*plan.Rate {
+							t.Errorf("%.1f a second went out; the quota is %v", rate, plan.Rate)
 						}
 					})
 				}
@@ -134,9 +134,9 @@
 // would be empty for a while for each of them; and asks that are given back are no gain to be put right either.
 func TestManyDoorsThatStartTogetherLeaveTheQuota(t *testing.T) {
 	r := rand.New(rand.NewPCG(5, 6))
-	p := crowd(60).Plans[0]
+	plan := crowd(60).Plans[0]
 	sent := play(many(t, 60), &ledger{n: map[uint64]float64{}}, 0, 20*time.Second, 50*time.Second, always(1), func(int) int { return r.IntN(60) }, 0)
-	if n, most := float64(len(sent)), p.Burst+30*p.Rate; n < 0.75*most || n > 1.5*most {
+	if n, most := float64(len(sent)), plan.Burst+30*plan.Rate; n < 0.75*most || n > 1.5*most {
 		t.Errorf("%.0f sent in 30 s for a customer that asks for ten times its quota, which gives %.0f", n, most)
 	}
 }
@@ -144,18 +144,18 @@
 // Where doors are many, a call that finds the store a little short costs no second one: what it took is spent when the store has
 // gained it. Only what would take too long is given back.
 func TestManyDoorsSeldomCallTwice(t *testing.T) {
-	d := many(t, 100)[0]
+	b := many(t, 100)[0]
 	now := 2 * time.Second
-	calls := only[CounterAdd](d.Step(now, []Event{ask(1, 0, 0)}))
+	calls := only[CounterAdd](b.Step(now, []Event{ask(1, 0, 0)}))
 	if len(calls) != 1 || calls[0].Amount != 1 {
 		t.Fatalf("calls: %v, want one of a unit", calls)
 	}
-	acts := d.Step(now, []Event{CounterResult{calls[0].Name, OK, 8 + 2*2 + 0.25}}) // short by a quarter of a unit: an eighth of a second
+	acts := b.Step(now, []Event{CounterResult{calls[0].Name, OK, 8 + 2*2 + 0.25}}) // short by a quarter of a unit: an eighth of a second
 	if len(only[CounterAdd](acts))+len(only[Dispatch](acts))+len(only[Reject](acts)) != 0 {
 		t.Fatalf("the request should wait for what the store gains: %v", acts)
 	}
 	for sent := false; !sent; now += 20 * ms {
-		acts = d.Step(now, []Event{TimerFired{0}})
+		acts = b.Step(now, []Event{TimerFired{0}})
 		if len(only[CounterAdd](acts)) != 0 || len(only[Reject](acts)) != 0 || now > 2400*ms {
 			t.Fatalf("at %v: %v", now, acts)
 		}
@@ -164,44 +164,44 @@
 		}
 	}
 
-	d = many(t, 100)[1]
+	b = many(t, 100)[1]
 	now = 2 * time.Second
-	calls = only[CounterAdd](d.Step(now, []Event{ask(1, 0, 0)}))
-	acts = d.Step(now, []Event{CounterResult{calls[0].Name, OK, 8 + 2*2 + 20}})
+	calls = only[CounterAdd](b.Step(now, []Event{ask(1, 0, 0)}))
+	acts = b.Step(now, []Event{CounterResult{calls[0].Name, OK, 8 + 2*2 + 20}})
 	if back := only[CounterAdd](acts); len(back) != 1 || back[0].Amount != -1 || len(only[Reject](acts)) != 1 {
 		t.Fatalf("short by 19: %v", acts)
 	}
-	if more := only[CounterAdd](d.Step(now+time.Second, []Event{ask(2, 0, 0)})); len(more) != 0 {
+	if more := only[CounterAdd](b.Step(now+time.Second, []Event{ask(2, 0, 0)})); len(more) != 0 {
 		t.Errorf("a store just seen empty was asked again: %v", more)
 	}
 }
 
 // A call that is answered late still serves the request that it was made for.
 func TestManyDoorsWaitForALateAnswer(t *testing.T) {
-	d := many(t, 100)[0]
+	b := many(t, 100)[0]
 	now := 2 * time.Second
-	calls := only[CounterAdd](d.Step(now, []Event{ask(1, 0, 0)}))
+	calls := only[CounterAdd](b.Step(now, []Event{ask(1, 0, 0)}))
 	now += 50 * ms
-	if acts := d.Step(now, []Event{CounterResult{calls[0].Name, Timeout, 0}, TimerFired{0}}); len(only[Reject](acts)) != 0 {
+	if acts := b.Step(now, []Event{CounterResult{calls[0].Name, Timeout, 0}, TimerFired{0}}); len(only[Reject](acts)) != 0 {
 		t.Fatalf("refused at the time-out: %v", acts)
 	}
-	if acts := d.Step(now+20*ms, []Event{LateCounterResult{calls[0].Ticket, OK, 1}}); len(only[Dispatch](acts)) != 1 {
+	if acts := b.Step(now+20*ms, []Event{LateCounterResult{calls[0].Ticket, OK, 1}}); len(only[Dispatch](acts)) != 1 {
 		t.Errorf("the late answer sends it: %v", acts)
 	}
 }
 
 // A door of many keeps to its servers while they serve, and goes past them rather than refuse when they don't.
 func TestManyDoorsKeepToTheirServers(t *testing.T) {
-	set := crowd(80)
-	set.Index = 5
-	d := open(t, set, backends(60)...)
+	settings := crowd(80)
+	settings.Index = 5
+	b := open(t, settings, backends(60)...)
 	used := map[string]int{}
 	now := time.Second
 	for id := uint64(1); id < 400; id++ {
 		now += 200 * ms
-		for _, s := range only[Dispatch](d.Step(now, []Event{ask(id, 0, 2), TimerFired{0}})) {
+		for _, s := range only[Dispatch](b.Step(now, []Event{ask(id, 0, 2), TimerFired{0}})) {
 			used[s.Endpoint]++
-			d.Step(now+40*ms, []Event{served(s, 0, 40*ms)})
+			b.Step(now+40*ms, []Event{served(s, 0, 40*ms)})
 		}
 	}
 	if len(used) < 6 || len(used) > 28 {
@@ -212,7 +212,7 @@
 		drained = append(drained, Endpoint{Name: name, State: Draining})
 	}
 	now += time.Second
-	acts := d.Step(now, []Event{EndpointUpdate{Kind: Delta, Entries: drained}, ask(1000, 0, 2)})
+	acts := b.Step(now, []Event{EndpointUpdate{Kind: Delta, Entries: drained}, ask(1000, 0, 2)})
 	if s := only[Dispatch](acts); len(s) != 1 || used[s[0].Endpoint] != 0 {
 		t.Errorf("with all its servers draining: %v", acts)
 	}
@@ -220,12 +220,12 @@
 
 // Few doors use all servers, as they did.
 func TestFewDoorsUseAllServers(t *testing.T) {
-	set := basic()
-	set.Gateways = 4
-	d := open(t, set, backends(60)...)
+	settings := basic()
+	settings.Gateways = 4
+	b := open(t, settings, backends(60)...)
 	used := map[string]bool{}
 	for id := uint64(1); id <= 60; id++ {
-		for _, s := range only[Dispatch](d.Step(time.Second, []Event{ask(id, 0, 2)})) {
+		for _, s := range only[Dispatch](b.Step(time.Second, []Event{ask(id, 0, 2)})) {
 			used[s.Endpoint] = true
 		}
 	}
@@ -237,12 +237,12 @@
 // Where a door has little evidence, answers that are slow for a moment refuse nothing of the highest worth; those that take most of
 // the time left do, but for a few whose answers tell when it is over.
 func TestLittleEvidenceRefusesLate(t *testing.T) {
-	d := open(t, crowd(80), backends(20)...)
-	d.classes[1].meanLatency, d.classes[1].idleLatency = 0.05, 0.05
+	b := open(t, crowd(80), backends(20)...)
+	b.classes[1].meanLatency, b.classes[1].idleLatency = 0.05, 0.05
 	refused := func(slower float64) (n int) {
-		d.fleetSlowdown = slower
+		b.fleetSlowdown = slower
 		for range 1000 {
-			if d.shouldShed(&request{class: 1, cost: 1, timeLimit: 600 * ms}, d.endpointOrder[0]) {
+			if b.shouldShed(&request{class: 1, cost: 1, timeLimit: 600 * ms}, b.endpointOrder[0]) {
 				n++
 			}
 		}
@@ -258,9 +258,9 @@
 
 // A plan that caps what is open at once keeps the cap at many doors, and checks are answered soon.
 func TestManyDoorsKeepTheCapAndAnswerChecksSoon(t *testing.T) {
-	p := crowd(40).Plans[1]
-	p.MaxInFlight = 1
-	all := many(t, 40, p)
+	plan := crowd(40).Plans[1]
+	plan.MaxInFlight = 1
+	all := many(t, 40, plan)
 	sent := 0
 	counter := &ledger{n: map[uint64]float64{}}
 	for id := uint64(1); id <= 6; id++ {
@@ -275,12 +275,12 @@
 	}
 
 	l := &ledger{n: map[uint64]float64{}}
-	d := many(t, 40)[0]
+	b := many(t, 40)[0]
 	answered := map[uint64]bool{}
 	now := 10 * time.Second
 	step := func(todo ...Event) {
 		for len(todo) > 0 {
-			acts := d.Step(now, todo)
+			acts := b.Step(now, todo)
 			for _, a := range only[Admit](acts) {
 				answered[a.ID] = true
 			}
--- a/internal/balancer/odd_test.go
+++ b/internal/balancer/odd_test.go
@@ -14,9 +14,9 @@
 		for _, rank := range []int{-1, 0, doors - 1, doors, 1 << 40} {
 			for seed := range uint64(6) {
 				rng := rand.New(rand.NewPCG(seed, uint64(doors)))
-				set := basic()
-				set.Gateways, set.Index, set.Zone = doors, rank, []int{0, -1, 99}[rng.IntN(3)]
-				d, err := New(set, seed)
+				settings := basic()
+				settings.Gateways, settings.Index, settings.Zone = doors, rank, []int{0, -1, 99}[rng.IntN(3)]
+				b, err := New(settings, seed)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -67,7 +67,7 @@
 						evs = append(evs, AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Status: OK, Latency: 5 * ms, RequestClosed: true})
 						delete(owed, s.ID)
 					}
-					take(d.Step(at, evs))
+					take(b.Step(at, evs))
 				}
 				for range 3 * int(time.Second/tickInterval) { // every client has given up by then: a request's own timer is due
 					at += tickInterval
@@ -79,7 +79,7 @@
 						evs = append(evs, AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Status: Timeout, Latency: time.Second})
 					}
 					outs = nil
-					take(d.Step(at, evs))
+					take(b.Step(at, evs))
 				}
 				if len(owed) > 0 {
 					t.Fatalf("doors %d, rank %d, seed %d: %d requests without an answer", doors, rank, seed, len(owed))
--- a/internal/balancer/retune_test.go
+++ b/internal/balancer/retune_test.go
@@ -18,20 +18,20 @@
 // A class that is changed has a new number, under which what was learned goes on; a request that came under the old number
 // keeps the old rules to its end.
 func TestRetuneKeepsOpenRequestsRules(t *testing.T) {
-	set := basic()
-	set.UseCounter, set.Gateways, set.MaxAttempts = false, 1, 3
-	set.Plans[0] = Plan{PriorityFactor: 1}
-	d := open(t, set, backends(3)...)
-	first := sent1(t, d.Step(time.Second, []Event{ask(1, 0, 0)}))
-	d.classes[0].meanLatency, d.classes[0].answers = 0.123, 50
+	settings := basic()
+	settings.UseCounter, settings.Gateways, settings.MaxAttempts = false, 1, 3
+	settings.Plans[0] = Plan{PriorityFactor: 1}
+	b := open(t, settings, backends(3)...)
+	first := sent1(t, b.Step(time.Second, []Event{ask(1, 0, 0)}))
+	b.classes[0].meanLatency, b.classes[0].answers = 0.123, 50
 
-	next := set
+	next := settings
 	next.MaxAttempts = 1
-	unsafe := set.Classes[0]
+	unsafe := settings.Classes[0]
 	unsafe.Idempotency = NonIdempotent
-	old := set.Classes[0]
+	old := settings.Classes[0]
 	old.Removed = true
-	next.Classes = append([]Class{old}, set.Classes[1:]...)
+	next.Classes = append([]Class{old}, settings.Classes[1:]...)
 	next.Classes = append(next.Classes, unsafe)
 	from := make([]int, len(next.Classes))
 	for i := range from {
@@ -39,16 +39,16 @@
 	}
 	fresh := len(next.Classes) - 1
 	from[fresh] = 0
-	acts := d.Step(time.Second+ms, []Event{SettingsUpdate{Settings: next, EvidenceFrom: from}, ask(2, fresh, 0)})
+	acts := b.Step(time.Second+ms, []Event{SettingsUpdate{Settings: next, EvidenceFrom: from}, ask(2, fresh, 0)})
 	second := sent1(t, acts)
-	if d.classes[fresh].meanLatency != 0.123 {
-		t.Errorf("what was learned is lost: %v", d.classes[fresh].meanLatency)
+	if b.classes[fresh].meanLatency != 0.123 {
+		t.Errorf("what was learned is lost: %v", b.classes[fresh].meanLatency)
 	}
 	// The old request may still be repeated, being of a safe class; the new one may not, having perhaps run.
-	if s := sent1(t, d.Step(time.Second+2*ms, []Event{AttemptResult{ID: 1, Endpoint: first.Endpoint, Status: Reset, Latency: ms}})); s.ID != 1 {
+	if s := sent1(t, b.Step(time.Second+2*ms, []Event{AttemptResult{ID: 1, Endpoint: first.Endpoint, Status: Reset, Latency: ms}})); s.ID != 1 {
 		t.Errorf("%+v", s)
 	}
-	for _, a := range d.Step(time.Second+3*ms, []Event{AttemptResult{ID: 2, Endpoint: second.Endpoint, Status: Reset, Latency: ms}}) {
+	for _, a := range b.Step(time.Second+3*ms, []Event{AttemptResult{ID: 2, Endpoint: second.Endpoint, Status: Reset, Latency: ms}}) {
 		if s, ok := a.(Dispatch); ok && s.ID == 2 {
 			t.Error("a request of an unsafe class was sent again")
 		}
@@ -57,22 +57,22 @@
 
 // Fewer attempts hold for new requests only.
 func TestRetuneAttempts(t *testing.T) {
-	set := basic()
-	set.UseCounter, set.Gateways, set.MaxAttempts = false, 1, 2
-	set.Plans[0] = Plan{PriorityFactor: 1}
-	d := open(t, set, backends(3)...)
+	settings := basic()
+	settings.UseCounter, settings.Gateways, settings.MaxAttempts = false, 1, 2
+	settings.Plans[0] = Plan{PriorityFactor: 1}
+	b := open(t, settings, backends(3)...)
 	again := func(id uint64, at time.Duration) (sends int) {
-		for _, a := range d.Step(at, []Event{AttemptResult{ID: id, Endpoint: d.requests[id].attempts[0].endpoint.name, Status: Rejected, Latency: ms}}) {
+		for _, a := range b.Step(at, []Event{AttemptResult{ID: id, Endpoint: b.requests[id].attempts[0].endpoint.name, Status: Rejected, Latency: ms}}) {
 			if _, ok := a.(Dispatch); ok {
 				sends++
 			}
 		}
 		return sends
 	}
-	d.Step(time.Second, []Event{ask(1, 0, 0)})
-	next := set
+	b.Step(time.Second, []Event{ask(1, 0, 0)})
+	next := settings
 	next.MaxAttempts = 1
-	d.Step(time.Second+ms, []Event{SettingsUpdate{Settings: next, EvidenceFrom: []int{0, 1, 2}}, ask(2, 0, 0)})
+	b.Step(time.Second+ms, []Event{SettingsUpdate{Settings: next, EvidenceFrom: []int{0, 1, 2}}, ask(2, 0, 0)})
 	if n := again(1, time.Second+2*ms); n != 1 {
 		t.Errorf("the open request had %d further attempts", n)
 	}
@@ -82,8 +82,8 @@
 }
 
 func TestSettingsCheck(t *testing.T) {
-	set := basic()
-	if err := set.Validate(); err != nil {
+	settings := basic()
+	if err := settings.Validate(); err != nil {
 		t.Fatal(err)
 	}
 	for i, spoil := range []func(*Settings){
--- a/internal/balancer/sharing.go
+++ b/internal/balancer/sharing.go
@@ -25,90 +25,90 @@
 const minCeilingRate = 1e-4
 
 // handleShareUpdate takes news of the doors.
-func (d *Balancer) handleShareUpdate(ev ShareUpdate) {
-	d.expireShareLease()
-	d.refillAllShares()
+func (b *Balancer) handleShareUpdate(ev ShareUpdate) {
+	b.expireShareLease()
+	b.refillAllShares()
 	longest := time.Duration(0)
-	for i := range d.settings.Classes {
-		longest = max(longest, d.settings.Classes[i].ClientTimeout+d.settings.DeadlineSlack)
+	for i := range b.settings.Classes {
+		longest = max(longest, b.settings.Classes[i].ClientTimeout+b.settings.DeadlineSlack)
 	}
 	if ev.Excluded {
 		ev.Fraction = 0
 	}
-	d.shareLease.Take(d.now, ev.Fraction, ev.Until, longest)
-	if d.excluded != ev.Excluded {
-		d.excluded, d.excludedChangedAt = ev.Excluded, d.now
+	b.shareLease.Take(b.now, ev.Fraction, ev.Until, longest)
+	if b.excluded != ev.Excluded {
+		b.excluded, b.excludedChangedAt = ev.Excluded, b.now
 	}
-	if !slices.Equal(ev.DeadGateways, d.deadGateways) {
-		d.deadGateways = slices.Clone(ev.DeadGateways)
-		d.updateSubset()
-		d.callPacer.Floor(d.now, callsLow/d.liveGateways())
+	if !slices.Equal(ev.DeadGateways, b.deadGateways) {
+		b.deadGateways = slices.Clone(ev.DeadGateways)
+		b.updateSubset()
+		b.callPacer.Floor(b.now, callsLow/b.liveGateways())
 	}
 }
 
 // liveGateways is how many doors serve as far as this one knows. What they share without a bound that must hold goes by it: the least pace of calls
 // to the counter and of its tests, the first places at a server, the pace of trials. What a cold server bears goes by what warm ones are
 // seen to carry from this door, so by itself.
-func (d *Balancer) liveGateways() float64 {
-	return float64(max(1, d.settings.Gateways-len(d.deadGateways)))
+func (b *Balancer) liveGateways() float64 {
+	return float64(max(1, b.settings.Gateways-len(b.deadGateways)))
 }
 
 // refillFallback fills what this door holds of a customer's quota for when the counter does not say: its even part, for good, or what is leased
 // where the plan yields.
-func (d *Balancer) refillFallback(c *customer, p *Plan) {
-	part := 1 / c.gateways
-	if d.settings.LeasedShares && p.PartitionPolicy == quotashare.KeepNone && p.CeilingRate > 0 {
-		if part = quotashare.Among(d.shareLease.Part(d.now), c.gateways, float64(d.settings.Gateways)); d.excluded {
+func (b *Balancer) refillFallback(cust *customer, plan *Plan) {
+	part := 1 / cust.gateways
+	if b.settings.LeasedShares && plan.PartitionPolicy == quotashare.KeepNone && plan.CeilingRate > 0 {
+		if part = quotashare.Among(b.shareLease.Part(b.now), cust.gateways, float64(b.settings.Gateways)); b.excluded {
 			part = 0
 		}
-		c.fallbackTokens = min(c.fallbackTokens, p.Burst*part)
+		cust.fallbackTokens = min(cust.fallbackTokens, plan.Burst*part)
 	}
-	fill := p.Rate * part * (1 - d.callFraction) * d.refillSeconds(c.fallbackAt)
-	c.fallbackTokens, c.fallbackAt = min(max(c.fallbackTokens, p.Burst*part), c.fallbackTokens+fill), d.now
+	fill := plan.Rate * part * (1 - b.callFraction) * b.refillSeconds(cust.fallbackAt)
+	cust.fallbackTokens, cust.fallbackAt = min(max(cust.fallbackTokens, plan.Burst*part), cust.fallbackTokens+fill), b.now
 }
 
 // expireShareLease ends a lease that is over: until its end the shares have filled, and not longer.
-func (d *Balancer) expireShareLease() {
-	if !d.shareLease.Ended(d.now) {
+func (b *Balancer) expireShareLease() {
+	if !b.shareLease.Ended(b.now) {
 		return
 	}
-	now := d.now
-	d.now = d.shareLease.Until() - 1
-	d.refillAllShares()
-	d.now = now
-	d.shareLease.Take(now, 0, now, 0)
-	d.refillAllShares()
+	now := b.now
+	b.now = b.shareLease.Until() - 1
+	b.refillAllShares()
+	b.now = now
+	b.shareLease.Take(now, 0, now, 0)
+	b.refillAllShares()
 }
 
 // refillAllShares fills all shares, and what is held for the counter's silence, up to now, by the parts as they are.
-func (d *Balancer) refillAllShares() {
-	for _, c := range d.customerOrder {
-		if c.plan < len(d.settings.Plans) && c.ceilingAt < d.now {
-			d.refillCeiling(c, &d.settings.Plans[c.plan])
-			d.refillFallback(c, &d.settings.Plans[c.plan])
+func (b *Balancer) refillAllShares() {
+	for _, cust := range b.customerOrder {
+		if cust.plan < len(b.settings.Plans) && cust.ceilingAt < b.now {
+			b.refillCeiling(cust, &b.settings.Plans[cust.plan])
+			b.refillFallback(cust, &b.settings.Plans[cust.plan])
 		}
 	}
 }
 
 // ceilingShare is this door's part of a customer's ceiling.
-func (d *Balancer) ceilingShare(c *customer, p *Plan) quotashare.Store {
-	if !d.settings.LeasedShares {
-		return quotashare.Store{Rate: p.CeilingRate / c.gateways, Depth: p.CeilingBurst / c.gateways}
+func (b *Balancer) ceilingShare(cust *customer, plan *Plan) quotashare.Store {
+	if !b.settings.LeasedShares {
+		return quotashare.Store{Rate: plan.CeilingRate / cust.gateways, Depth: plan.CeilingBurst / cust.gateways}
 	}
-	if d.excluded {
+	if b.excluded {
 		return quotashare.Store{}
 	}
-	own := d.ownCeilingShare(c, p, d.shareLease.Part(d.now))
-	if c.loans.Some() {
-		own = own.Less(c.loans.Out(d.now, -1)).Plus(c.loans.In(d.now))
+	own := b.ownCeilingShare(cust, plan, b.shareLease.Part(b.now))
+	if cust.loans.Some() {
+		own = own.Less(cust.loans.Out(b.now, -1)).Plus(cust.loans.In(b.now))
 	}
 	return own
 }
 
 // ownCeilingShare is what is this door's own with a leased part, whatever is lent.
-func (d *Balancer) ownCeilingShare(c *customer, p *Plan, part float64) quotashare.Store {
-	return p.PartitionPolicy.Of(quotashare.Store{Rate: p.CeilingRate, Depth: p.CeilingBurst}, quotashare.Store{Rate: p.Rate, Depth: p.Burst}, 1/c.gateways,
-		quotashare.Among(part, c.gateways, float64(d.settings.Gateways)))
+func (b *Balancer) ownCeilingShare(cust *customer, plan *Plan, part float64) quotashare.Store {
+	return plan.PartitionPolicy.Of(quotashare.Store{Rate: plan.CeilingRate, Depth: plan.CeilingBurst}, quotashare.Store{Rate: plan.Rate, Depth: plan.Burst}, 1/cust.gateways,
+		quotashare.Among(part, cust.gateways, float64(b.settings.Gateways)))
 }
 
 // RequestLoan asks the other doors to lend what they don't need of a customer's ceiling: each is to have a Wanted.
@@ -160,99 +160,99 @@
 )
 
 // requestLoan asks for loans where this door's share of a customer's ceiling is short, or was until others lent.
-func (d *Balancer) requestLoan(c *customer, p *Plan, short bool) {
-	if !d.settings.LeasedShares || d.excluded || d.settings.Gateways < 2 || c.gateways < float64(d.settings.Gateways) || d.now < c.nextLoanRequestAt || d.hasSparseShares(c, p) {
+func (b *Balancer) requestLoan(cust *customer, plan *Plan, short bool) {
+	if !b.settings.LeasedShares || b.excluded || b.settings.Gateways < 2 || cust.gateways < float64(b.settings.Gateways) || b.now < cust.nextLoanRequestAt || b.hasSparseShares(cust, plan) {
 		return
 	}
-	if !short && !(c.loans.Some() && c.loans.In(d.now).Rate > 0 && c.demand > borrowFrom*d.ownCeilingShare(c, p, d.shareLease.Part(d.now)).Rate) {
+	if !short && !(cust.loans.Some() && cust.loans.In(b.now).Rate > 0 && cust.demand > borrowFrom*b.ownCeilingShare(cust, plan, b.shareLease.Part(b.now)).Rate) {
 		return
 	}
-	if d.now >= d.loanRequestsSince+borrowEvery {
-		d.loanRequestsSince, d.loanRequests = d.now, 0
+	if b.now >= b.loanRequestsSince+borrowEvery {
+		b.loanRequestsSince, b.loanRequests = b.now, 0
 	}
-	if d.loanRequests++; d.loanRequests <= borrowMost {
-		c.nextLoanRequestAt = d.now + borrowEvery
-		d.emit(RequestLoan{c.name, c.plan, d.now})
+	if b.loanRequests++; b.loanRequests <= borrowMost {
+		cust.nextLoanRequestAt = b.now + borrowEvery
+		b.emit(RequestLoan{cust.name, cust.plan, b.now})
 	}
 }
 
 // handleLoanRequest lends what this door does not need of a customer's ceiling.
-func (d *Balancer) handleLoanRequest(ev LoanRequest) {
-	if !d.settings.LeasedShares || d.excluded || d.handedOver || ev.Plan < 0 || ev.Plan >= len(d.settings.Plans) || d.settings.Plans[ev.Plan].CeilingRate == 0 {
+func (b *Balancer) handleLoanRequest(ev LoanRequest) {
+	if !b.settings.LeasedShares || b.excluded || b.handedOver || ev.Plan < 0 || ev.Plan >= len(b.settings.Plans) || b.settings.Plans[ev.Plan].CeilingRate == 0 {
 		return
 	}
-	c := d.customers[ev.Customer]
-	if c == nil {
-		if len(d.customers) >= maxCustomers {
+	cust := b.customers[ev.Customer]
+	if cust == nil {
+		if len(b.customers) >= maxCustomers {
 			return
 		}
-		c = d.customerFor(Request{Customer: ev.Customer, Plan: ev.Plan})
+		cust = b.customerFor(Request{Customer: ev.Customer, Plan: ev.Plan})
 	}
-	p := &d.settings.Plans[c.plan]
-	if c.plan != ev.Plan || c.gateways < float64(d.settings.Gateways) || d.hasSparseShares(c, p) {
+	plan := &b.settings.Plans[cust.plan]
+	if cust.plan != ev.Plan || cust.gateways < float64(b.settings.Gateways) || b.hasSparseShares(cust, plan) {
 		return
 	}
-	d.refillCeiling(c, p)
-	c.lastUsedAt = d.now // its loan is kept in mind
-	part, until := d.shareLease.Part(d.now), d.shareLease.Until()
-	if until < d.now+quotashare.LoanHold {
-		part, until = 0, d.now+quotashare.LoanHold // only what this door keeps for good
+	b.refillCeiling(cust, plan)
+	cust.lastUsedAt = b.now // its loan is kept in mind
+	part, until := b.shareLease.Part(b.now), b.shareLease.Until()
+	if until < b.now+quotashare.LoanHold {
+		part, until = 0, b.now+quotashare.LoanHold // only what this door keeps for good
 	}
-	own, gap := d.ownCeilingShare(c, p, part), d.now-c.demandAt
-	demand := c.demand * math.Exp(-gap.Seconds()/lendGap.Seconds())
-	if c.demand > 0 && gap < lendCalm { // it may come again, and is not to find all lent
+	own, gap := b.ownCeilingShare(cust, plan, part), b.now-cust.demandAt
+	demand := cust.demand * math.Exp(-gap.Seconds()/lendGap.Seconds())
+	if cust.demand > 0 && gap < lendCalm { // it may come again, and is not to find all lent
 		demand = max(demand, lendKeeps*own.Rate)
 	}
-	s, end, ok := c.loans.Lend(d.now, ev.From, own, until, demand)
+	s, end, ok := cust.loans.Lend(b.now, ev.From, own, until, demand)
 	if !ok {
 		return
 	}
-	d.loansEndAt = max(d.loansEndAt, end)
-	d.refillCeiling(c, p) // what lies over the smaller store is gone
-	d.emit(GrantLoan{ev.From, ev.Customer, ev.Plan, ev.At, s.Rate, s.Depth})
+	b.loansEndAt = max(b.loansEndAt, end)
+	b.refillCeiling(cust, plan) // what lies over the smaller store is gone
+	b.emit(GrantLoan{ev.From, ev.Customer, ev.Plan, ev.At, s.Rate, s.Depth})
 }
 
 // handleLoanGranted takes a loan.
-func (d *Balancer) handleLoanGranted(ev LoanGranted) {
-	c := d.customers[ev.Customer]
-	if c == nil || c.plan != ev.Plan || ev.At > d.now {
+func (b *Balancer) handleLoanGranted(ev LoanGranted) {
+	cust := b.customers[ev.Customer]
+	if cust == nil || cust.plan != ev.Plan || ev.At > b.now {
 		return
 	}
-	d.refillCeiling(c, &d.settings.Plans[c.plan])
-	c.loans.Borrow(d.now, ev.From, quotashare.Store{Rate: ev.Rate, Depth: ev.Depth}, ev.At+quotashare.LoanLength)
-	d.serveWaiting(c)
+	b.refillCeiling(cust, &b.settings.Plans[cust.plan])
+	cust.loans.Borrow(b.now, ev.From, quotashare.Store{Rate: ev.Rate, Depth: ev.Depth}, ev.At+quotashare.LoanLength)
+	b.serveWaiting(cust)
 }
 
 // expireLoans ends the loans of a customer that are over: until its end each has filled the share, and not longer.
-func (d *Balancer) expireLoans(c *customer, p *Plan) {
-	if !c.loans.Some() {
+func (b *Balancer) expireLoans(cust *customer, plan *Plan) {
+	if !cust.loans.Some() {
 		return
 	}
-	now := d.now
-	for at := c.loans.Due(now); at > 0; at = c.loans.Due(now) {
-		d.now = max(c.ceilingAt, at-1)
-		d.refillCeiling(c, p)
-		c.loans.Drop(at)
+	now := b.now
+	for at := cust.loans.Due(now); at > 0; at = cust.loans.Due(now) {
+		b.now = max(cust.ceilingAt, at-1)
+		b.refillCeiling(cust, plan)
+		cust.loans.Drop(at)
 	}
-	d.now = now
-	c.loans.Drop(now)
+	b.now = now
+	cust.loans.Drop(now)
 }
 
 // LoansEndAt is when the last loan is over that this door has given. Whoever takes a part away from it gives that to no other before.
-func (d *Balancer) LoansEndAt() time.Duration { return d.loansEndAt }
+func (b *Balancer) LoansEndAt() time.Duration { return b.loansEndAt }
 
 // inFlightShare is this door's part of a cap on what is open at once.
-func (d *Balancer) inFlightShare(c *customer, p *Plan) float64 {
-	if d.settings.LeasedShares && d.excluded {
+func (b *Balancer) inFlightShare(cust *customer, plan *Plan) float64 {
+	if b.settings.LeasedShares && b.excluded {
 		return 0
 	}
-	if !d.settings.LeasedShares || p.PartitionPolicy != quotashare.KeepNone {
-		return float64(p.MaxInFlight) / c.gateways
+	if !b.settings.LeasedShares || plan.PartitionPolicy != quotashare.KeepNone {
+		return float64(plan.MaxInFlight) / cust.gateways
 	}
-	return float64(p.MaxInFlight) * quotashare.Among(d.shareLease.Open(d.now), c.gateways, float64(d.settings.Gateways))
+	return float64(plan.MaxInFlight) * quotashare.Among(b.shareLease.Open(b.now), cust.gateways, float64(b.settings.Gateways))
 }
 
 // storeFilledSince is since when a store that is met for the first time has filled.
-func (d *Balancer) storeFilledSince() time.Duration {
-	return max(d.startedAt, d.excludedChangedAt, d.shareLease.GrewAt())
+func (b *Balancer) storeFilledSince() time.Duration {
+	return max(b.startedAt, b.excludedChangedAt, b.shareLease.GrewAt())
 }
--- a/internal/balancer/sharing_test.go
+++ b/internal/balancer/sharing_test.go
@@ -44,14 +44,14 @@
 	s.set = Settings{Gateways: n, MaxAttempts: 1, LeasedShares: true, SendRetryAfter: true, MaxRetryAfter: time.Second, Classes: []Class{{PriorityWeight: 1, LatencyObjective: time.Second, ClientTimeout: time.Second}},
 		Plans: []Plan{{Rate: 5, Burst: 10, PriorityFactor: 1, OverQuotaWeight: 0.2, CeilingRate: s.store.Rate, CeilingBurst: s.store.Depth, PartitionPolicy: rule}}}
 	for i := range n {
-		set := s.set
-		set.Index = i
-		d, err := New(set, uint64(i))
+		settings := s.set
+		settings.Index = i
+		b, err := New(settings, uint64(i))
 		if err != nil {
 			t.Fatal(err)
 		}
-		d.Step(time.Hour, nil)
-		s.doors = append(s.doors, d)
+		b.Step(time.Hour, nil)
+		s.doors = append(s.doors, b)
 	}
 	s.at = time.Hour
 	return s
@@ -74,10 +74,10 @@
 		s.over = max(s.over, -s.left)
 	}
 	sum := quotashare.Store{}
-	for _, d := range s.doors {
-		d.Step(now, nil)
-		if c := d.customers["c"]; c != nil {
-			sum = sum.Plus(d.ceilingShare(c, &d.settings.Plans[0]))
+	for _, b := range s.doors {
+		b.Step(now, nil)
+		if cust := b.customers["c"]; cust != nil {
+			sum = sum.Plus(b.ceilingShare(cust, &b.settings.Plans[0]))
 		}
 	}
 	s.sums = max(s.sums, sum.Rate-s.store.Rate, sum.Depth-s.store.Depth)
@@ -310,27 +310,27 @@
 
 // A part that grew counts for a cap on what is open at once only when what others had open must be over.
 func TestSharesOpenRequestsOfTheFormerHolder(t *testing.T) {
-	set := Settings{Gateways: 2, MaxAttempts: 1, LeasedShares: true, Classes: []Class{{PriorityWeight: 1, ClientTimeout: 3 * time.Second}},
+	settings := Settings{Gateways: 2, MaxAttempts: 1, LeasedShares: true, Classes: []Class{{PriorityWeight: 1, ClientTimeout: 3 * time.Second}},
 		Plans: []Plan{{Rate: 1000, Burst: 1000, PriorityFactor: 1, MaxInFlight: 10, PartitionPolicy: quotashare.KeepNone}}}
-	d, err := New(set, 1)
+	b, err := New(settings, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.Step(time.Hour, []Event{ShareUpdate{Fraction: 0.4, Until: 2 * time.Hour}})
-	c := &customer{gateways: 2}
+	b.Step(time.Hour, []Event{ShareUpdate{Fraction: 0.4, Until: 2 * time.Hour}})
+	cust := &customer{gateways: 2}
 	at := func(now time.Duration) float64 {
-		d.Step(now, nil)
-		return d.inFlightShare(c, &d.settings.Plans[0])
+		b.Step(now, nil)
+		return b.inFlightShare(cust, &b.settings.Plans[0])
 	}
 	at(time.Hour + 10*time.Second)
-	d.Step(time.Hour+10*time.Second, []Event{ShareUpdate{Fraction: 1, Until: 2 * time.Hour}})
+	b.Step(time.Hour+10*time.Second, []Event{ShareUpdate{Fraction: 1, Until: 2 * time.Hour}})
 	if got := at(time.Hour + 12*time.Second); got != 4 {
 		t.Errorf("%v open 2 s after the part grew", got)
 	}
 	if got := at(time.Hour + 13*time.Second); got != 10 {
 		t.Errorf("%v open 3 s after the part grew", got)
 	}
-	d.Step(time.Hour+14*time.Second, []Event{ShareUpdate{Fraction: 0.2, Until: 2 * time.Hour}})
+	b.Step(time.Hour+14*time.Second, []Event{ShareUpdate{Fraction: 0.2, Until: 2 * time.Hour}})
 	if got := at(time.Hour + 14*time.Second); got != 2 {
 		t.Errorf("%v open after the part shrank", got)
 	}
@@ -338,34 +338,34 @@
 
 // What doors share without a bound that must hold goes by those that live, and what a yielding plan has for the counter's silence by the lease.
 func TestSharesOfThoseThatLive(t *testing.T) {
-	set := Settings{Gateways: 5, MaxAttempts: 1, LeasedShares: true, UseCounter: true, CounterTimeout: 50 * time.Millisecond, Classes: []Class{{PriorityWeight: 1, ClientTimeout: 3 * time.Second}},
+	settings := Settings{Gateways: 5, MaxAttempts: 1, LeasedShares: true, UseCounter: true, CounterTimeout: 50 * time.Millisecond, Classes: []Class{{PriorityWeight: 1, ClientTimeout: 3 * time.Second}},
 		Plans: []Plan{{Rate: 5, Burst: 10, PriorityFactor: 1, OverQuotaWeight: 0.2, CeilingRate: 10, CeilingBurst: 20, PartitionPolicy: quotashare.KeepNone}}}
-	d, err := New(set, 1)
+	b, err := New(settings, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	now := time.Hour
-	d.Step(now, []Event{ShareUpdate{Fraction: 0.2, Until: 2 * time.Hour}})
+	b.Step(now, []Event{ShareUpdate{Fraction: 0.2, Until: 2 * time.Hour}})
 	for i := range 200 { // failures, each counted
-		d.callPacer.Failed(now+time.Duration(i)*time.Second, now+time.Duration(i)*time.Second)
+		b.callPacer.Failed(now+time.Duration(i)*time.Second, now+time.Duration(i)*time.Second)
 	}
-	if got := d.callPacer.Rate(); got != callsLow/5 {
+	if got := b.callPacer.Rate(); got != callsLow/5 {
 		t.Errorf("%v calls a second at least, of five doors", got)
 	}
 	now += 300 * time.Second
-	d.Step(now, []Event{ShareUpdate{Fraction: 0.5, Until: 2 * time.Hour, DeadGateways: []int{1, 2, 3}}})
-	if got := d.callPacer.Rate(); got != callsLow/2 {
+	b.Step(now, []Event{ShareUpdate{Fraction: 0.5, Until: 2 * time.Hour, DeadGateways: []int{1, 2, 3}}})
+	if got := b.callPacer.Rate(); got != callsLow/2 {
 		t.Errorf("%v calls a second at least, of two doors that live", got)
 	}
-	c := &customer{gateways: 5, fallbackAt: now}
-	d.callFraction = 0
+	cust := &customer{gateways: 5, fallbackAt: now}
+	b.callFraction = 0
 	for part, want := range map[float64]float64{0.5: 5, 0.2: 2, 0: 0} {
-		d.Step(now, []Event{ShareUpdate{Fraction: part, Until: now + time.Hour}})
-		c.fallbackAt = d.now
-		d.now += time.Minute
-		if d.refillFallback(c, &d.settings.Plans[0]); c.fallbackTokens != want {
-			t.Errorf("%v units at once by a part of %v", c.fallbackTokens, part)
+		b.Step(now, []Event{ShareUpdate{Fraction: part, Until: now + time.Hour}})
+		cust.fallbackAt = b.now
+		b.now += time.Minute
+		if b.refillFallback(cust, &b.settings.Plans[0]); cust.fallbackTokens != want {
+			t.Errorf("%v units at once by a part of %v", cust.fallbackTokens, part)
 		}
-		now = d.now
+		now = b.now
 	}
 }
--- a/internal/balancer/state.go
+++ b/internal/balancer/state.go
@@ -221,27 +221,27 @@
 }
 
 // Validate says what of the settings a Balancer can't decide by.
-func (set *Settings) Validate() error {
+func (settings *Settings) Validate() error {
 	switch {
-	case set.Gateways < 1:
+	case settings.Gateways < 1:
 		return errors.New("snowhall: Doors is under 1")
-	case len(set.Classes) == 0:
+	case len(settings.Classes) == 0:
 		return errors.New("snowhall: Classes is empty")
-	case len(set.Plans) == 0:
+	case len(settings.Plans) == 0:
 		return errors.New("snowhall: Plans is empty")
-	case set.MaxAttempts < 1:
+	case settings.MaxAttempts < 1:
 		return errors.New("snowhall: MaxAttempts is under 1")
-	case set.Resolution < 0 || set.OverloadWindow < 0 || set.SlowStartDuration < 0 || set.PollInterval < 0:
+	case settings.Resolution < 0 || settings.OverloadWindow < 0 || settings.SlowStartDuration < 0 || settings.PollInterval < 0:
 		return errors.New("snowhall: Resolution, FallWindow, WarmWithin or AskEvery is negative")
-	case set.OverloadMultiple < 0 || set.SlowStartCapacity < 0:
+	case settings.OverloadMultiple < 0 || settings.SlowStartCapacity < 0:
 		return errors.New("snowhall: FallMultiple or ColdFrom is negative")
 	}
-	for i, c := range set.Classes {
+	for i, c := range settings.Classes {
 		if c.PriorityWeight < 0 || c.LatencyObjective < 0 || c.ClientTimeout < 0 || c.DedupWindow < 0 {
 			return fmt.Errorf("snowhall: Classes[%d] has a negative value", i)
 		}
-		for j, p := range set.Plans {
-			if p.Rate < 0 || p.Burst < 0 || p.MaxInFlight < 0 || p.CeilingRate < 0 || p.CeilingBurst < 0 {
+		for j, plan := range settings.Plans {
+			if plan.Rate < 0 || plan.Burst < 0 || plan.MaxInFlight < 0 || plan.CeilingRate < 0 || plan.CeilingBurst < 0 {
 				return fmt.Errorf("snowhall: Plans[%d] has a negative value", j)
 			}
 		}
@@ -250,108 +250,108 @@
 }
 
 // New makes a door that knows nothing yet. The seed is for its random numbers.
-func New(set Settings, seed uint64) (*Balancer, error) {
-	if err := set.Validate(); err != nil {
+func New(settings Settings, seed uint64) (*Balancer, error) {
+	if err := settings.Validate(); err != nil {
 		return nil, err
 	}
-	d := &Balancer{adminEjected: map[string]time.Duration{}, rng: rand.New(rand.NewPCG(seed, 1)), endpoints: map[string]*endpoint{},
+	b := &Balancer{adminEjected: map[string]time.Duration{}, rng: rand.New(rand.NewPCG(seed, 1)), endpoints: map[string]*endpoint{},
 		requests: map[uint64]*request{}, customers: map[string]*customer{}, callsOut: map[uint64][]*counterCall{}}
-	d.excluded = set.LeasedShares // until it is told
-	d.applySettings(set, nil)
-	return d, nil
+	b.excluded = settings.LeasedShares // until it is told
+	b.applySettings(settings, nil)
+	return b, nil
 }
 
 // applySettings takes settings, at the start or later. Evidence is kept by class and goes on as told.
-func (d *Balancer) applySettings(set Settings, from []int) {
-	d.settings, d.longestCeilingFill, d.maxClassWeight, d.maxPriority = set, 0, 0, 0
-	d.leaseTerms = make([]ceilinglease.Terms, len(set.Plans))
-	for i, p := range set.Plans {
-		if set.LeaseCeilings && set.UseCounter && p.CeilingRate > 0 {
-			d.leaseTerms[i], _ = ceilinglease.TermsOf(p.Rate, p.Burst, p.CeilingRate, p.CeilingBurst, 1)
-			d.longestCeilingFill = max(d.longestCeilingFill, time.Duration(p.CeilingBurst/p.CeilingRate*float64(time.Second)))
+func (b *Balancer) applySettings(settings Settings, from []int) {
+	b.settings, b.longestCeilingFill, b.maxClassWeight, b.maxPriority = settings, 0, 0, 0
+	b.leaseTerms = make([]ceilinglease.Terms, len(settings.Plans))
+	for i, plan := range settings.Plans {
+		if settings.LeaseCeilings && settings.UseCounter && plan.CeilingRate > 0 {
+			b.leaseTerms[i], _ = ceilinglease.TermsOf(plan.Rate, plan.Burst, plan.CeilingRate, plan.CeilingBurst, 1)
+			b.longestCeilingFill = max(b.longestCeilingFill, time.Duration(plan.CeilingBurst/plan.CeilingRate*float64(time.Second)))
 		}
 	}
-	old := d.classes
-	d.classes = make([]classEstimate, len(set.Classes))
-	for i, c := range set.Classes {
+	old := b.classes
+	b.classes = make([]classEstimate, len(settings.Classes))
+	for i, c := range settings.Classes {
 		if i < len(from) && from[i] >= 0 && from[i] < len(old) {
-			d.classes[i] = old[from[i]]
+			b.classes[i] = old[from[i]]
 		} else {
-			d.classes[i] = classEstimate{meanLatency: max(0.001, cmp.Or(c.LatencyObjective, c.ClientTimeout).Seconds()*initialLatencyFraction), costProfile: costmodel.New(set.MaxRequestUnits)}
+			b.classes[i] = classEstimate{meanLatency: max(0.001, cmp.Or(c.LatencyObjective, c.ClientTimeout).Seconds()*initialLatencyFraction), costProfile: costmodel.New(settings.MaxRequestUnits)}
 		}
 		if c.Removed {
 			continue
 		}
-		d.maxClassWeight = max(d.maxClassWeight, c.PriorityWeight)
-		for _, p := range set.Plans {
-			d.maxPriority = max(d.maxPriority, c.PriorityWeight*p.PriorityFactor)
+		b.maxClassWeight = max(b.maxClassWeight, c.PriorityWeight)
+		for _, plan := range settings.Plans {
+			b.maxPriority = max(b.maxPriority, c.PriorityWeight*plan.PriorityFactor)
 		}
 	}
 }
 
-func (d *Balancer) enqueue(r *request, s *endpoint) {
-	r.queuePosition, r.queuedOn = &queueEntry{r}, s
-	q := s.queue[r.level]
-	if len(r.attempts) > 0 { // a further attempt has waited already
-		q = append([]*queueEntry{r.queuePosition}, q...)
+func (b *Balancer) enqueue(req *request, ep *endpoint) {
+	req.queuePosition, req.queuedOn = &queueEntry{req}, ep
+	q := ep.queue[req.level]
+	if len(req.attempts) > 0 { // a further attempt has waited already
+		q = append([]*queueEntry{req.queuePosition}, q...)
 	} else {
-		q = append(q, r.queuePosition)
+		q = append(q, req.queuePosition)
 	}
-	s.queue[r.level] = q
-	s.levelCount[r.level]++
-	s.levelWork[r.level] += r.cost
-	s.queuedWork += r.cost
-	s.queued++
-	d.queuedRequests++
+	ep.queue[req.level] = q
+	ep.levelCount[req.level]++
+	ep.levelWork[req.level] += req.cost
+	ep.queuedWork += req.cost
+	ep.queued++
+	b.queuedRequests++
 }
 
 // dequeue takes a request out of its queue; the empty place is passed over later.
-func (d *Balancer) dequeue(r *request) {
-	if r.queuePosition == nil {
+func (b *Balancer) dequeue(req *request) {
+	if req.queuePosition == nil {
 		return
 	}
-	r.queuePosition.request = nil
-	r.queuedOn.levelWork[r.level] -= r.cost
-	r.queuedOn.queuedWork -= r.cost
-	if r.queuedOn.levelCount[r.level]--; r.queuedOn.levelCount[r.level] == 0 {
-		r.queuedOn.queue[r.level] = nil // only empty places are left, and nobody may come to pick here
-		r.queuedOn.levelWork[r.level] = 0
+	req.queuePosition.request = nil
+	req.queuedOn.levelWork[req.level] -= req.cost
+	req.queuedOn.queuedWork -= req.cost
+	if req.queuedOn.levelCount[req.level]--; req.queuedOn.levelCount[req.level] == 0 {
+		req.queuedOn.queue[req.level] = nil // only empty places are left, and nobody may come to pick here
+		req.queuedOn.levelWork[req.level] = 0
 	}
-	if r.queuedOn.queued--; r.queuedOn.queued == 0 {
-		r.queuedOn.queuedWork = 0
+	if req.queuedOn.queued--; req.queuedOn.queued == 0 {
+		req.queuedOn.queuedWork = 0
 	}
-	d.queuedRequests--
-	r.queuePosition, r.queuedOn = nil, nil
+	b.queuedRequests--
+	req.queuePosition, req.queuedOn = nil, nil
 }
 
-func (s *endpoint) head(l int) *request {
-	q := s.queue[l]
+func (ep *endpoint) head(l int) *request {
+	q := ep.queue[l]
 	for q[0].request == nil {
 		q = q[1:]
 	}
-	s.queue[l] = q
+	ep.queue[l] = q
 	return q[0].request
 }
 
 // callCounter adds an amount on the counter under the customer and the window.
-func (d *Balancer) callCounter(c *customer, block, amount, owed float64) *counterCall {
-	window := int64(d.now / counterWindow)
-	name := counterName(c.name, window)
-	k := &counterCall{customer: c, block: block, amount: amount, debt: owed, window: window, sentAt: d.now, ticket: d.timedOutCalls.nextTicket()}
-	d.callsOut[name] = append(d.callsOut[name], k)
-	d.callPacer.Take(d.now)
-	d.emit(CounterAdd{name, amount, counterTTL, k.ticket})
-	return k
+func (b *Balancer) callCounter(cust *customer, block, amount, owed float64) *counterCall {
+	window := int64(b.now / counterWindow)
+	name := counterName(cust.name, window)
+	call := &counterCall{customer: cust, block: block, amount: amount, debt: owed, window: window, sentAt: b.now, ticket: b.timedOutCalls.nextTicket()}
+	b.callsOut[name] = append(b.callsOut[name], call)
+	b.callPacer.Take(b.now)
+	b.emit(CounterAdd{name, amount, counterTTL, call.ticket})
+	return call
 }
 
 // takeCall finds the call that an answer belongs to: those for one name come in the order of the calls.
-func (d *Balancer) takeCall(name uint64) *counterCall {
-	all := d.callsOut[name]
+func (b *Balancer) takeCall(name uint64) *counterCall {
+	all := b.callsOut[name]
 	if len(all) == 0 {
 		return nil
 	}
-	if d.callsOut[name] = all[1:]; len(all) == 1 {
-		delete(d.callsOut, name)
+	if b.callsOut[name] = all[1:]; len(all) == 1 {
+		delete(b.callsOut, name)
 	}
 	return all[0]
 }
@@ -365,83 +365,83 @@
 
 // Step takes what happened at time now, in order, and returns what to do, in order. The slice is the caller's
 // until the next Step.
-func (d *Balancer) Step(now time.Duration, events []Event) []Action {
-	d.actions = d.actions[:0]
-	d.previousStepAt, d.now = d.now, max(d.now, now)
-	if !d.running {
-		d.running, d.startedAt, d.warmEndpointRateAt, d.roundRobin = true, d.now, d.now, d.rng.IntN(1<<16)
-		d.callPacer = callpacer.New(callpacer.Terms{Start: callsStart / d.liveGateways(), Least: callsLow / d.liveGateways(),
-			Most: callsHigh, Depth: callsDepth, Wait: d.settings.CounterTimeout / 4, CutEvery: 2 * d.settings.CounterTimeout}, d.now)
-		d.start()
-	}
-	d.expireShareLease()
+func (b *Balancer) Step(now time.Duration, events []Event) []Action {
+	b.actions = b.actions[:0]
+	b.previousStepAt, b.now = b.now, max(b.now, now)
+	if !b.running {
+		b.running, b.startedAt, b.warmEndpointRateAt, b.roundRobin = true, b.now, b.now, b.rng.IntN(1<<16)
+		b.callPacer = callpacer.New(callpacer.Terms{Start: callsStart / b.liveGateways(), Least: callsLow / b.liveGateways(),
+			Most: callsHigh, Depth: callsDepth, Wait: b.settings.CounterTimeout / 4, CutEvery: 2 * b.settings.CounterTimeout}, b.now)
+		b.start()
+	}
+	b.expireShareLease()
 	for _, ev := range events {
 		switch ev := ev.(type) {
 		case Request:
-			d.admit(ev)
+			b.admit(ev)
 		case AttemptResult:
-			d.handleAttemptResult(ev)
+			b.handleAttemptResult(ev)
 		case CounterResult:
-			d.handleCounterResult(ev)
+			b.handleCounterResult(ev)
 		case LateCounterResult:
-			d.handleLateCounterResult(ev)
+			b.handleLateCounterResult(ev)
 		case TimerFired:
-			d.handleTimer(ev.Cookie)
+			b.handleTimer(ev.Cookie)
 		case EndpointUpdate:
-			d.handleEndpointUpdate(ev)
+			b.handleEndpointUpdate(ev)
 		case HealthCheckResult:
-			d.handleHealthCheckResult(ev)
+			b.handleHealthCheckResult(ev)
 		case HealthReport:
-			d.handleHealthReport(ev)
+			b.handleHealthReport(ev)
 		case AdminEject:
-			d.handleAdminEject(ev)
+			b.handleAdminEject(ev)
 		case AdminRestore:
-			d.handleAdminRestore(ev.Endpoint)
+			b.handleAdminRestore(ev.Endpoint)
 		case BeginHandover:
-			d.handleBeginHandover()
+			b.handleBeginHandover()
 		case ImportHandover:
-			d.handleImportHandover(ev.State)
+			b.handleImportHandover(ev.State)
 		case SettingsUpdate:
-			d.refillAllShares() // by the plans as they were
-			d.applySettings(ev.Settings, ev.EvidenceFrom)
+			b.refillAllShares() // by the plans as they were
+			b.applySettings(ev.Settings, ev.EvidenceFrom)
 		case ShareUpdate:
-			d.handleShareUpdate(ev)
+			b.handleShareUpdate(ev)
 		case LoanRequest:
-			d.handleLoanRequest(ev)
+			b.handleLoanRequest(ev)
 		case LoanGranted:
-			d.handleLoanGranted(ev)
+			b.handleLoanGranted(ev)
 		case RequestDone:
-			if r := d.requests[ev.ID]; r != nil {
-				d.finish(r)
+			if req := b.requests[ev.ID]; req != nil {
+				b.finish(req)
 			}
 		case FirstByte:
-			d.handleFirstByte(ev)
+			b.handleFirstByte(ev)
 		}
 	}
-	return d.actions
+	return b.actions
 }
 
-func (d *Balancer) emit(a Action) { d.actions = append(d.actions, a) }
+func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
 
-func (d *Balancer) forgetIfDone(r *request) {
-	if r.ended && r.attemptsOut == 0 {
-		delete(d.requests, r.id)
+func (b *Balancer) forgetIfDone(req *request) {
+	if req.ended && req.attemptsOut == 0 {
+		delete(b.requests, req.id)
 	}
 }
 
 // allowAnotherCall lets each request in a customer's line call the counter once more.
-func (c *customer) allowAnotherCall() {
-	for _, r := range c.waiting {
-		r.counterCalled, r.counterCalledTwice = r.counterCalled && r.counterCalledTwice, true
+func (cust *customer) allowAnotherCall() {
+	for _, req := range cust.waiting {
+		req.counterCalled, req.counterCalledTwice = req.counterCalled && req.counterCalledTwice, true
 	}
 }
 
 // popWaiting takes a request out of the head of its customer's line.
-func (c *customer) popWaiting(r *request) {
-	c.waiting[0] = nil
-	c.waiting = c.waiting[1:]
-	if r.admitOnly {
-		c.admitOnlyWaiting--
+func (cust *customer) popWaiting(req *request) {
+	cust.waiting[0] = nil
+	cust.waiting = cust.waiting[1:]
+	if req.admitOnly {
+		cust.admitOnlyWaiting--
 	}
 }
 
@@ -453,137 +453,137 @@
 }
 
 // QuotaStatus tells how a customer stands. The second result says whether the door knows the customer.
-func (d *Balancer) QuotaStatus(name string) (QuotaStatus, bool) {
-	c := d.customers[name]
-	if c == nil || d.settings.Plans[c.plan].Rate <= 0 {
+func (b *Balancer) QuotaStatus(name string) (QuotaStatus, bool) {
+	cust := b.customers[name]
+	if cust == nil || b.settings.Plans[cust.plan].Rate <= 0 {
 		return QuotaStatus{}, false
 	}
-	p := &d.settings.Plans[c.plan]
-	left := c.fallbackTokens
-	if c.storeKnown {
-		left = d.currentStoreLevel(c, p) + c.tokens
+	plan := &b.settings.Plans[cust.plan]
+	left := cust.fallbackTokens
+	if cust.storeKnown {
+		left = b.currentStoreLevel(cust, plan) + cust.tokens
 	}
-	left = min(p.Burst, max(0, left))
-	return QuotaStatus{left, time.Duration((p.Burst - left) / p.Rate * float64(time.Second)), c.storeKnown}, true
+	left = min(plan.Burst, max(0, left))
+	return QuotaStatus{left, time.Duration((plan.Burst - left) / plan.Rate * float64(time.Second)), cust.storeKnown}, true
 }
 
 // releaseCeiling gives back what a request holds while it is queued, which goes out now or never.
-func (d *Balancer) releaseCeiling(r *request, out bool) {
-	if !r.ceilingReserved {
+func (b *Balancer) releaseCeiling(req *request, out bool) {
+	if !req.ceilingReserved {
 		return
 	}
-	r.ceilingReserved = false
+	req.ceilingReserved = false
 	switch {
-	case r.ceilingSource == fromEvenShare:
-		r.customer.ceilingQueued -= r.units
-	case r.ceilingSource == fromLease && !out:
-		r.customer.ceilingLease.Give(d.leaseTerms[r.plan], d.now, r.leaseWindow, r.units, !r.admitOnly)
+	case req.ceilingSource == fromEvenShare:
+		req.customer.ceilingQueued -= req.units
+	case req.ceilingSource == fromLease && !out:
+		req.customer.ceilingLease.Give(b.leaseTerms[req.plan], b.now, req.leaseWindow, req.units, !req.admitOnly)
 	}
 }
 
 // reserveCeiling counts a request as open where its plan bounds that, and keeps units of the ceiling for it; release gives these back.
-func (d *Balancer) reserveCeiling(r *request, from ceilingSource) {
-	if d.settings.Plans[r.plan].MaxInFlight > 0 {
-		r.inFlight = true
-		r.customer.inFlight++
+func (b *Balancer) reserveCeiling(req *request, from ceilingSource) {
+	if b.settings.Plans[req.plan].MaxInFlight > 0 {
+		req.inFlight = true
+		req.customer.inFlight++
 	}
-	r.ceilingReserved, r.ceilingSource, r.leaseWindow = true, from, 0
+	req.ceilingReserved, req.ceilingSource, req.leaseWindow = true, from, 0
 	switch from {
 	case fromEvenShare:
-		r.customer.ceilingQueued += r.units
-		if p := &d.settings.Plans[r.plan]; d.hasSparseShares(r.customer, p) {
-			if t, ok := d.ceilingTurns(r.customer, p); ok {
-				r.leaseWindow, _ = t.Now(d.now, d.settings.Index)
+		req.customer.ceilingQueued += req.units
+		if plan := &b.settings.Plans[req.plan]; b.hasSparseShares(req.customer, plan) {
+			if t, ok := b.ceilingTurns(req.customer, plan); ok {
+				req.leaseWindow, _ = t.Now(b.now, b.settings.Index)
 			}
 		}
 	case fromLease:
-		r.leaseWindow = r.customer.ceilingLease.Take(d.leaseTerms[r.plan], d.now, r.units, !r.admitOnly)
+		req.leaseWindow = req.customer.ceilingLease.Take(b.leaseTerms[req.plan], b.now, req.units, !req.admitOnly)
 	}
 }
 
 // reassignQueue places anew what is queued at a server that is no longer usable. All is taken out first: placing
 // one request may release others.
-func (d *Balancer) reassignQueue(s *endpoint) {
+func (b *Balancer) reassignQueue(ep *endpoint) {
 	var all []*request
-	for l := range s.queue {
-		for _, e := range s.queue[l] {
+	for l := range ep.queue {
+		for _, e := range ep.queue[l] {
 			if e.request != nil {
 				all = append(all, e.request)
 			}
 		}
 	}
-	for _, r := range all {
-		d.dequeue(r)
+	for _, req := range all {
+		b.dequeue(req)
 	}
-	for _, r := range all {
-		if !r.ended {
-			d.assign(r)
+	for _, req := range all {
+		if !req.ended {
+			b.assign(req)
 		}
 	}
 }
 
 // handleAdminEject takes a server out of use by hand.
-func (d *Balancer) handleAdminEject(ev AdminEject) {
-	if _, ok := d.adminEjected[ev.Endpoint]; !ok {
-		d.adminEjected[ev.Endpoint] = cmp.Or(ev.At, d.now)
-		d.emit(LogLine{"taken out by hand: " + ev.Endpoint})
+func (b *Balancer) handleAdminEject(ev AdminEject) {
+	if _, ok := b.adminEjected[ev.Endpoint]; !ok {
+		b.adminEjected[ev.Endpoint] = cmp.Or(ev.At, b.now)
+		b.emit(LogLine{"taken out by hand: " + ev.Endpoint})
 	}
-	if s := d.endpoints[ev.Endpoint]; s != nil {
-		d.stopSending(s)
-		d.updateSubset()
+	if ep := b.endpoints[ev.Endpoint]; ep != nil {
+		b.stopSending(ep)
+		b.updateSubset()
 	}
 }
 
 // stopSending ends what new work goes to a server.
-func (d *Balancer) stopSending(s *endpoint) {
-	if s.inService {
-		s.inService = false
-		d.reassignQueue(s)
+func (b *Balancer) stopSending(ep *endpoint) {
+	if ep.inService {
+		ep.inService = false
+		b.reassignQueue(ep)
 	}
 }
 
 // removeUnlisted takes servers that a whole list leaves out as gone.
-func (d *Balancer) removeUnlisted(list []Endpoint) {
+func (b *Balancer) removeUnlisted(list []Endpoint) {
 	named := map[string]bool{}
-	for _, b := range list {
-		named[b.Name] = true
+	for _, entry := range list {
+		named[entry.Name] = true
 	}
-	for _, s := range d.endpointOrder {
-		if !named[s.name] {
-			s.listed = false
-			d.stopSending(s)
+	for _, ep := range b.endpointOrder {
+		if !named[ep.name] {
+			ep.listed = false
+			b.stopSending(ep)
 		}
 	}
 }
 
 // updateSubset finds which servers this door uses as a rule. One that is known keeps its place while the number of servers stays near
 // what it was: a release that takes some out must not move the others' connections.
-func (d *Balancer) updateSubset() {
+func (b *Balancer) updateSubset() {
 	n := 0
-	for _, s := range d.endpointOrder {
-		if s.inService {
+	for _, ep := range b.endpointOrder {
+		if ep.inService {
 			n++
 		}
 	}
-	if n > d.subsetSizedFor*5/4 || n < d.subsetSizedFor*3/4 || d.subsetSizedFor == 0 {
-		d.subsetSizedFor = n
+	if n > b.subsetSizedFor*5/4 || n < b.subsetSizedFor*3/4 || b.subsetSizedFor == 0 {
+		b.subsetSizedFor = n
 	}
-	using := d.settings.Gateways // few doors meet all servers often enough
+	using := b.settings.Gateways // few doors meet all servers often enough
 	if using >= crowdFrom {
-		using = subsetting.Doors(using, d.subsetSizedFor, memberOf)
+		using = subsetting.Doors(using, b.subsetSizedFor, memberOf)
 	}
-	d.gatewaysPerEndpoint = using
-	for _, s := range d.endpointOrder {
-		s.inSubset = subsetting.HasAmong(s.name, d.settings.Index, d.settings.Gateways, using, d.deadGateways)
+	b.gatewaysPerEndpoint = using
+	for _, ep := range b.endpointOrder {
+		ep.inSubset = subsetting.HasAmong(ep.name, b.settings.Index, b.settings.Gateways, using, b.deadGateways)
 	}
 }
 
 // EndpointCounts tells how many backends the list has, and how many of them this door avoids now.
-func (d *Balancer) EndpointCounts() (listed, avoided int) {
-	for _, s := range d.endpointOrder {
-		if s.listed {
+func (b *Balancer) EndpointCounts() (listed, avoided int) {
+	for _, ep := range b.endpointOrder {
+		if ep.listed {
 			listed++
-			if !s.isUsable() {
+			if !ep.isUsable() {
 				avoided++
 			}
 		}
@@ -592,155 +592,155 @@
 }
 
 // removeGoneEndpoints forgets servers that are gone and owe no outcome.
-func (d *Balancer) removeGoneEndpoints() {
-	kept := d.endpointOrder[:0:0]
-	for _, s := range d.endpointOrder {
-		if s.listed || len(s.inFlight) > 0 {
-			kept = append(kept, s)
+func (b *Balancer) removeGoneEndpoints() {
+	kept := b.endpointOrder[:0:0]
+	for _, ep := range b.endpointOrder {
+		if ep.listed || len(ep.inFlight) > 0 {
+			kept = append(kept, ep)
 		} else {
-			delete(d.endpoints, s.name)
+			delete(b.endpoints, ep.name)
 		}
 	}
-	d.endpointOrder = kept
+	b.endpointOrder = kept
 }
 
-func (d *Balancer) customerFor(ev Request) *customer {
-	c, p := d.customers[ev.Customer], &d.settings.Plans[ev.Plan]
-	n := float64(cmp.Or(max(0, ev.Gateways), d.settings.Gateways))
-	if c == nil {
-		c = &customer{name: ev.Customer, plan: ev.Plan, gateways: n, fallbackTokens: p.Burst / n, fallbackAt: d.now,
-			demandAt: d.now, ceilingAt: d.storeFilledSince(), storeLevel: p.Burst, storeLevelAt: d.now}
-		if d.hasSparseShares(c, p) {
-			c.ceilingTokens = manyFirst
+func (b *Balancer) customerFor(ev Request) *customer {
+	cust, plan := b.customers[ev.Customer], &b.settings.Plans[ev.Plan]
+	n := float64(cmp.Or(max(0, ev.Gateways), b.settings.Gateways))
+	if cust == nil {
+		cust = &customer{name: ev.Customer, plan: ev.Plan, gateways: n, fallbackTokens: plan.Burst / n, fallbackAt: b.now,
+			demandAt: b.now, ceilingAt: b.storeFilledSince(), storeLevel: plan.Burst, storeLevelAt: b.now}
+		if b.hasSparseShares(cust, plan) {
+			cust.ceilingTokens = manyFirst
 		}
-		d.customers[c.name] = c
-		d.customerOrder = append(d.customerOrder, c)
+		b.customers[cust.name] = cust
+		b.customerOrder = append(b.customerOrder, cust)
 	}
-	if c.plan != ev.Plan {
-		c.ceilingLease = ceilinglease.Lease{} // another plan's windows
+	if cust.plan != ev.Plan {
+		cust.ceilingLease = ceilinglease.Lease{} // another plan's windows
 	}
-	c.plan, c.gateways = ev.Plan, n
-	return c
+	cust.plan, cust.gateways = ev.Plan, n
+	return cust
 }
 
 // currentStoreLevel is what the customer's store should hold now.
-func (d *Balancer) currentStoreLevel(c *customer, p *Plan) float64 {
-	return min(p.Burst, c.storeLevel+p.Rate*(d.now-c.storeLevelAt).Seconds())
+func (b *Balancer) currentStoreLevel(cust *customer, plan *Plan) float64 {
+	return min(plan.Burst, cust.storeLevel+plan.Rate*(b.now-cust.storeLevelAt).Seconds())
 }
 
 // recordWarmRate keeps the mean rate of what a warm server carries, in mean requests: answers, as under overload more is sent.
-func (d *Balancer) recordWarmRate(size float64) {
+func (b *Balancer) recordWarmRate(size float64) {
 	n := 0.0
-	for _, s := range d.endpointOrder {
-		if s.isUsable() && !s.warmingUp && s.inSubset {
+	for _, ep := range b.endpointOrder {
+		if ep.isUsable() && !ep.warmingUp && ep.inSubset {
 			n++
 		}
 	}
-	gap := (d.now - d.warmEndpointRateAt).Seconds() / warmRateSeconds
-	d.warmEndpointRate = d.warmEndpointRate*math.Exp(-gap) + size/(warmRateSeconds*max(1, n))
-	d.warmEndpointRateAt = d.now
+	gap := (b.now - b.warmEndpointRateAt).Seconds() / warmRateSeconds
+	b.warmEndpointRate = b.warmEndpointRate*math.Exp(-gap) + size/(warmRateSeconds*max(1, n))
+	b.warmEndpointRateAt = b.now
 }
 
 // refillTime is the time until the customer's store should hold the units.
-func (d *Balancer) refillTime(c *customer, p *Plan, units float64) time.Duration {
-	return time.Duration(max(0.01, (units-d.currentStoreLevel(c, p))/max(p.Rate, 0.1)) * float64(time.Second))
+func (b *Balancer) refillTime(cust *customer, plan *Plan, units float64) time.Duration {
+	return time.Duration(max(0.01, (units-b.currentStoreLevel(cust, plan))/max(plan.Rate, 0.1)) * float64(time.Second))
 }
 
 // ceilingWait is the time in seconds until this door's share of the ceiling has room for a request that would
 // join its customer's line.
-func (d *Balancer) ceilingWait(r *request) float64 {
-	p := &d.settings.Plans[r.plan]
-	if p.CeilingRate == 0 {
+func (b *Balancer) ceilingWait(req *request) float64 {
+	plan := &b.settings.Plans[req.plan]
+	if plan.CeilingRate == 0 {
 		return 0
 	}
-	if t := d.ceilingLeaseTerms(r); t != nil {
-		wait := r.customer.ceilingLease.Opens(*t, d.now)
-		if wait == 0 || d.quotaMayCover(r, p) {
+	if t := b.ceilingLeaseTerms(req); t != nil {
+		wait := req.customer.ceilingLease.Opens(*t, b.now)
+		if wait == 0 || b.quotaMayCover(req, plan) {
 			return 0
 		}
-		for _, o := range r.customer.waiting {
+		for _, o := range req.customer.waiting {
 			if !o.ended {
 				wait += time.Duration(o.units / t.Rate * float64(time.Second))
 			}
 		}
 		return wait.Seconds()
 	}
-	if d.hasSparseShares(r.customer, p) && d.counterMayCover(r, p) {
+	if b.hasSparseShares(req.customer, plan) && b.counterMayCover(req, plan) {
 		return 0
 	}
-	short := r.units - d.ceilingRoom(r, p)
-	d.requestLoan(r.customer, p, short > 0)
-	if r.admitOnly && r.customer.ceilingKept >= r.units {
+	short := req.units - b.ceilingRoom(req, plan)
+	b.requestLoan(req.customer, plan, short > 0)
+	if req.admitOnly && req.customer.ceilingKept >= req.units {
 		return 0
 	}
-	for _, o := range r.customer.waiting {
+	for _, o := range req.customer.waiting {
 		if !o.ended {
 			short += o.units
 		}
 	}
-	rate := max(minCeilingRate, d.ceilingShare(r.customer, p).Rate)
-	if !r.admitOnly {
-		rate *= max(0.1, 1-r.customer.admitOnlyFraction())
+	rate := max(minCeilingRate, b.ceilingShare(req.customer, plan).Rate)
+	if !req.admitOnly {
+		rate *= max(0.1, 1-req.customer.admitOnlyFraction())
 	}
 	return max(0, short) / rate
 }
 
 // isUsable says whether new work may go to a server on the ordinary path.
-func (s *endpoint) isUsable() bool { return s.inService && !s.ejected }
+func (ep *endpoint) isUsable() bool { return ep.inService && !ep.ejected }
 
 // allAdminEjected says that no server can be chosen since all that are listed are taken out by hand.
-func (d *Balancer) allAdminEjected() bool {
+func (b *Balancer) allAdminEjected() bool {
 	some := false
-	for _, s := range d.endpointOrder {
-		if s.inService {
+	for _, ep := range b.endpointOrder {
+		if ep.inService {
 			return false
 		}
-		some = some || s.listed
+		some = some || ep.listed
 	}
 	return some
 }
 
 // completeAttempt takes an attempt off its server.
-func (s *endpoint) completeAttempt(a *attempt) {
-	s.inFlight = slices.DeleteFunc(s.inFlight, func(o *attempt) bool { return o == a })
-	if s.inFlightWork -= a.request.cost; len(s.inFlight) == 0 {
-		s.inFlightWork = 0
+func (ep *endpoint) completeAttempt(a *attempt) {
+	ep.inFlight = slices.DeleteFunc(ep.inFlight, func(o *attempt) bool { return o == a })
+	if ep.inFlightWork -= a.request.cost; len(ep.inFlight) == 0 {
+		ep.inFlightWork = 0
 	}
 }
 
 // handleTimer takes the request's own timer, the tick and the list's.
-func (d *Balancer) handleTimer(cookie uint64) {
+func (b *Balancer) handleTimer(cookie uint64) {
 	if cookie == 0 {
-		d.tick()
+		b.tick()
 	} else if cookie == 2 {
-		d.watchRetryPending = false
-		d.emit(WatchEndpoints{})
-	} else if r := d.requests[cookie>>1]; r != nil && r.admitted {
-		if d.now >= r.holdUntil {
-			d.finish(r)
+		b.watchRetryPending = false
+		b.emit(WatchEndpoints{})
+	} else if req := b.requests[cookie>>1]; req != nil && req.admitted {
+		if b.now >= req.holdUntil {
+			b.finish(req)
 		}
-	} else if r != nil && !r.streaming {
-		d.reject(r, 0, DeadlineExceeded)
+	} else if req != nil && !req.streaming {
+		b.reject(req, 0, DeadlineExceeded)
 	}
 }
 
 // capacityFraction is the share of its capacity that a server has at least.
-func (d *Balancer) capacityFraction(s *endpoint) float64 {
-	if !s.warmingUp || d.now-s.warmUpFrom >= d.settings.SlowStartDuration {
-		s.warmingUp, s.slowStart = false, slowstart.Book{}
+func (b *Balancer) capacityFraction(ep *endpoint) float64 {
+	if !ep.warmingUp || b.now-ep.warmUpFrom >= b.settings.SlowStartDuration {
+		ep.warmingUp, ep.slowStart = false, slowstart.Book{}
 		return 1
 	}
-	return d.capacityFractionAt(s, d.now)
+	return b.capacityFractionAt(ep, b.now)
 }
 
 // capacityFractionAt is how warm a cold server was at a time.
-func (d *Balancer) capacityFractionAt(s *endpoint, at time.Duration) float64 {
-	return d.settings.SlowStartCapacity + (1-d.settings.SlowStartCapacity)*max(0, float64(at-s.warmUpFrom))/float64(d.settings.SlowStartDuration)
+func (b *Balancer) capacityFractionAt(ep *endpoint, at time.Duration) float64 {
+	return b.settings.SlowStartCapacity + (1-b.settings.SlowStartCapacity)*max(0, float64(at-ep.warmUpFrom))/float64(b.settings.SlowStartDuration)
 }
 
 // slowStartTerms are what a cold server bears, and how many doors use each.
-func (d *Balancer) slowStartTerms() slowstart.Terms {
-	return slowstart.Terms{Multiple: d.settings.OverloadMultiple, Window: d.settings.OverloadWindow, Doors: float64(max(1, d.gatewaysPerEndpoint))}
+func (b *Balancer) slowStartTerms() slowstart.Terms {
+	return slowstart.Terms{Multiple: b.settings.OverloadMultiple, Window: b.settings.OverloadWindow, Doors: float64(max(1, b.gatewaysPerEndpoint))}
 }
 
 // What is kept of customers is bounded: a client may name as many as it likes, and each takes some 400 bytes.
@@ -752,51 +752,51 @@
 )
 
 // sweepCustomers looks at some customers and forgets those that are idle.
-func (d *Balancer) sweepCustomers() {
-	full := len(d.customerOrder) > maxCustomers/2
-	n := max(8, len(d.customerOrder)/sweepTicks)
+func (b *Balancer) sweepCustomers() {
+	full := len(b.customerOrder) > maxCustomers/2
+	n := max(8, len(b.customerOrder)/sweepTicks)
 	if full {
-		n = len(d.customerOrder) / crowdTicks
+		n = len(b.customerOrder) / crowdTicks
 	}
-	for i := 0; i < n && len(d.customerOrder) > 0; i++ {
-		d.sweepIndex = (d.sweepIndex + 1) % len(d.customerOrder)
-		c := d.customerOrder[d.sweepIndex]
-		if c.callPending || c.inFlight > 0 || len(c.waiting) > 0 || d.now-c.lastUsedAt <= d.retention(c, full) {
+	for i := 0; i < n && len(b.customerOrder) > 0; i++ {
+		b.sweepIndex = (b.sweepIndex + 1) % len(b.customerOrder)
+		cust := b.customerOrder[b.sweepIndex]
+		if cust.callPending || cust.inFlight > 0 || len(cust.waiting) > 0 || b.now-cust.lastUsedAt <= b.retention(cust, full) {
 			continue
 		}
-		delete(d.customers, c.name)
-		d.customerOrder[d.sweepIndex] = d.customerOrder[len(d.customerOrder)-1]
-		d.customerOrder[len(d.customerOrder)-1] = nil
-		d.customerOrder = d.customerOrder[:len(d.customerOrder)-1]
+		delete(b.customers, cust.name)
+		b.customerOrder[b.sweepIndex] = b.customerOrder[len(b.customerOrder)-1]
+		b.customerOrder[len(b.customerOrder)-1] = nil
+		b.customerOrder = b.customerOrder[:len(b.customerOrder)-1]
 	}
 }
 
 // retention is how long an idle customer is kept. One that is met again has full stores, so none is forgotten before they are.
-func (d *Balancer) retention(c *customer, soon bool) time.Duration {
-	p := &d.settings.Plans[c.plan]
-	if !soon || d.hasSparseShares(c, p) {
+func (b *Balancer) retention(cust *customer, soon bool) time.Duration {
+	plan := &b.settings.Plans[cust.plan]
+	if !soon || b.hasSparseShares(cust, plan) {
 		return customerTTL
 	}
-	fills := max(crowdForget.Seconds(), d.longestCeilingFill.Seconds())
-	if p.Rate > 0 {
-		fills = max(fills, p.Burst/p.Rate)
+	fills := max(crowdForget.Seconds(), b.longestCeilingFill.Seconds())
+	if plan.Rate > 0 {
+		fills = max(fills, plan.Burst/plan.Rate)
 	}
-	if p.CeilingRate > 0 {
-		fills = max(fills, p.CeilingBurst/p.CeilingRate)
+	if plan.CeilingRate > 0 {
+		fills = max(fills, plan.CeilingBurst/plan.CeilingRate)
 	}
 	return min(customerTTL, time.Duration(fills*float64(time.Second)))
 }
 
 // rejectIfTableFull refuses the request of a customer that is not known where no more can be.
-func (d *Balancer) rejectIfTableFull(ev Request) bool {
-	if len(d.customers) < maxCustomers || d.customers[ev.Customer] != nil {
+func (b *Balancer) rejectIfTableFull(ev Request) bool {
+	if len(b.customers) < maxCustomers || b.customers[ev.Customer] != nil {
 		return false
 	}
 	pause := time.Duration(0)
-	if d.settings.SendRetryAfter {
-		pause = min(crowdForget, d.settings.MaxRetryAfter)
+	if b.settings.SendRetryAfter {
+		pause = min(crowdForget, b.settings.MaxRetryAfter)
 	}
-	d.emit(Reject{ID: ev.ID, RetryAfter: pause, Reason: TooManyCustomers})
+	b.emit(Reject{ID: ev.ID, RetryAfter: pause, Reason: TooManyCustomers})
 	return true
 }
 
--- a/internal/balancer/units_test.go
+++ b/internal/balancer/units_test.go
@@ -8,30 +8,30 @@
 // schooled is a door that has seen requests of one unit take 40 ms and those of four 280 ms.
 func schooled(t *testing.T, list ...Endpoint) *Balancer {
 	t.Helper()
-	set := basic()
-	set.UseCounter = false
-	d := open(t, set, list...)
+	settings := basic()
+	settings.UseCounter = false
+	b := open(t, settings, list...)
 	for i := range uint64(400) {
 		r, took := ask(i, 0, 2), 40*ms
 		if i%2 == 1 {
 			r.Units, took = 4, 280*ms
 		}
 		now := time.Duration(i) * 300 * ms
-		for _, s := range only[Dispatch](d.Step(now, []Event{r})) {
-			d.Step(now+took, []Event{served(s, 0, took)})
+		for _, s := range only[Dispatch](b.Step(now, []Event{r})) {
+			b.Step(now+took, []Event{served(s, 0, took)})
 		}
 	}
-	return d
+	return b
 }
 
 // Under a backlog a request of one unit still has time where one of four has none: the class's mean fits neither.
 func TestLatencyGoesByUnits(t *testing.T) {
-	d := schooled(t, backends(2)...)
+	b := schooled(t, backends(2)...)
 	now := 200 * time.Second
-	d.Step(now-ms, nil) // else it takes itself for one that stood still
+	b.Step(now-ms, nil) // else it takes itself for one that stood still
 	small, large := ask(1000, 0, 2), ask(1001, 0, 2)
 	small.TimeLeft, large.TimeLeft, large.Units = 100*ms, 100*ms, 4
-	acts := d.Step(now, []Event{small, large})
+	acts := b.Step(now, []Event{small, large})
 	if got := only[Dispatch](acts); len(got) != 1 || got[0].ID != 1000 {
 		t.Errorf("sent on %v; want the small one, which 100 ms are enough for", got)
 	}
@@ -43,12 +43,12 @@
 // Places are filled by work: in the room of a few large requests there are many small ones.
 func TestPlacesAreWork(t *testing.T) {
 	count := func(units float64) int {
-		d := schooled(t, backends(1)...)
+		b := schooled(t, backends(1)...)
 		n := 0
 		for i := range uint64(60) {
 			r := ask(2000+i, 0, 2)
 			r.Units = units
-			n += len(only[Dispatch](d.Step(200*time.Second, []Event{r})))
+			n += len(only[Dispatch](b.Step(200*time.Second, []Event{r})))
 		}
 		return n
 	}
@@ -59,12 +59,12 @@
 
 // What brings more worth for its work goes first, also if it is of fewer units.
 func TestWorthOfTheWork(t *testing.T) {
-	d := schooled(t, backends(1)...)
+	b := schooled(t, backends(1)...)
 	level := func(units float64) int {
 		r := ask(4000+uint64(units), 0, 2)
 		r.Units = units
-		d.Step(200*time.Second, []Event{r})
-		return d.requests[r.ID].level
+		b.Step(200*time.Second, []Event{r})
+		return b.requests[r.ID].level
 	}
 	if one, four := level(1), level(4); one >= four {
 		t.Errorf("level %d for one unit, %d for four; want the small one first", one, four)
@@ -74,11 +74,11 @@
 // A counter whose answer can't be read has added the block all the same: it is given back with the next call, which is made at
 // once for who waits, and once only.
 func TestSpoiltAnswerOfTheCounter(t *testing.T) {
-	d := open(t, basic(), backends(2)...)
+	b := open(t, basic(), backends(2)...)
 	var calls []CounterAdd
 	now := ms
 	for i := range uint64(40) { // the fresh door's share is spent first
-		calls = only[CounterAdd](d.Step(now, []Event{ask(i, 0, 0)}))
+		calls = only[CounterAdd](b.Step(now, []Event{ask(i, 0, 0)}))
 		if len(calls) > 0 {
 			break
 		}
@@ -87,8 +87,8 @@
 		t.Fatal("no call of the counter")
 	}
 	first := calls[0]
-	owed := d.customers["c"].debt
-	acts := d.Step(now+ms, []Event{CounterResult{Name: first.Name, Status: Failed}})
+	owed := b.customers["c"].debt
+	acts := b.Step(now+ms, []Event{CounterResult{Name: first.Name, Status: Failed}})
 	again := only[CounterAdd](acts)
 	if len(again) != 1 || len(only[Reject](acts)) != 0 {
 		t.Fatalf("after a spoilt answer: %v; want one more call and no refusal", acts)
@@ -96,7 +96,7 @@
 	if sum := first.Amount + again[0].Amount; sum >= 2*first.Amount+owed {
 		t.Errorf("%v and then %v added; want the first block given back", first.Amount, again[0].Amount)
 	}
-	acts = d.Step(now+2*ms, []Event{CounterResult{Name: again[0].Name, Status: Failed}})
+	acts = b.Step(now+2*ms, []Event{CounterResult{Name: again[0].Name, Status: Failed}})
 	if len(only[CounterAdd](acts)) != 0 || len(only[Reject](acts)) != 1 {
 		t.Errorf("after a second one: %v; want a refusal and no third call", acts)
 	}
@@ -105,15 +105,15 @@
 // The door that begins a window's number carries into it what the store lacked; one that comes later does not do so again.
 func TestWindowsCarryWhatTheStoreLacked(t *testing.T) {
 	for name, begins := range map[string]bool{"begins": true, "comes later": false} {
-		d := open(t, basic(), backends(2)...)
+		b := open(t, basic(), backends(2)...)
 		now := 20 * time.Second
-		d.Step(now, []Event{ask(1, 0, 0)})
-		c := d.customers["c"]
-		c.storeKnown, c.fallbackTokens, c.storeLevel, c.storeLevelAt, c.seenWindow = true, 0, 0, now, int64(now/counterWindow) // the store is empty ...
-		c.demand, c.tokens = 1, 0
+		b.Step(now, []Event{ask(1, 0, 0)})
+		cust := b.customers["c"]
+		cust.storeKnown, cust.fallbackTokens, cust.storeLevel, cust.storeLevelAt, cust.seenWindow = true, 0, 0, now, int64(now/counterWindow) // the store is empty ...
+		cust.demand, cust.tokens = 1, 0
 		now = counterWindow + 100*ms // ... and ten seconds later there is a new number
-		c.storeLevel, c.storeLevelAt = 0, now-200*ms
-		calls := only[CounterAdd](d.Step(now, []Event{ask(2, 0, 0)}))
+		cust.storeLevel, cust.storeLevelAt = 0, now-200*ms
+		calls := only[CounterAdd](b.Step(now, []Event{ask(2, 0, 0)}))
 		if len(calls) != 1 {
 			t.Fatalf("%s: %d calls", name, len(calls))
 		}
@@ -122,14 +122,14 @@
 			total += 3
 		}
 		carried := 0.0
-		for _, k := range only[CounterAdd](d.Step(now+5*ms, []Event{CounterResult{Name: calls[0].Name, Status: OK, Total: total}})) {
+		for _, k := range only[CounterAdd](b.Step(now+5*ms, []Event{CounterResult{Name: calls[0].Name, Status: OK, Total: total}})) {
 			carried += k.Amount
 		}
-		if burst := d.settings.Plans[0].Burst; begins && carried < 0.8*burst || !begins && carried > 0 {
+		if burst := b.settings.Plans[0].Burst; begins && carried < 0.8*burst || !begins && carried > 0 {
 			t.Errorf("%s: %.2f carried into the new number of a store of %v that was empty", name, carried, burst)
 		}
-		if c.tokens > 1 {
-			t.Errorf("%s: %.2f tokens from a store that was empty", name, c.tokens)
+		if cust.tokens > 1 {
+			t.Errorf("%s: %.2f tokens from a store that was empty", name, cust.tokens)
 		}
 	}
 }
@@ -137,19 +137,19 @@
 // Where a crossing has a price, a server of the own zone is taken until it has clearly more to do.
 func TestCrossingsHaveAPrice(t *testing.T) {
 	crossed := func(price float64) int {
-		set := basic()
-		set.UseCounter, set.CrossZoneCost, set.Gateways = false, price, 1
+		settings := basic()
+		settings.UseCounter, settings.CrossZoneCost, settings.Gateways = false, price, 1
 		list := backends(2)
 		list[1].Zone = 1
-		d := open(t, set, list...)
+		b := open(t, settings, list...)
 		n := 0
 		for i := range uint64(200) {
 			now := time.Duration(i) * 20 * ms
-			for _, s := range only[Dispatch](d.Step(now, []Event{ask(i, 0, 2)})) {
+			for _, s := range only[Dispatch](b.Step(now, []Event{ask(i, 0, 2)})) {
 				if s.Endpoint == list[1].Name {
 					n++
 				}
-				d.Step(now+19*ms, []Event{served(s, 0, 19*ms)})
+				b.Step(now+19*ms, []Event{served(s, 0, 19*ms)})
 			}
 		}
 		return n
