--- a/internal/balancer/callpacer/pace.go
+++ b/internal/balancer/callpacer/pace.go
@@ -1,9 +1,11 @@
-// Package callpacer says how many calls a second one of many callers may make to a service that they share, when none of them knows
+// Package callpacer says how many calls a second one of many callers may make to a service that they share, when none
+// of them knows
 // how many there are or how much it bears. It does no input or output and reads no clock.
 //
-// It is additive in spirit to congestion control by delay (TCP Vegas, Brakmo and Peterson 1995): the time that calls take beyond
-// what they take at an idle service is the queue there; while that is short the rate grows, as it lengthens the growth ends and
-// turns, and a call that is turned away or not answered cuts it. Calls are drawn from a bucket that fills at that rate, so
+// It is additive in spirit to congestion control by delay (TCP Vegas, Brakmo and Peterson 1995): the time that calls
+// take beyond what they take at an idle service is the queue there; while that is short the rate grows, as it lengthens
+// the growth ends and turns, and a call that is turned away or not answered cuts it. Calls are drawn from a bucket that
+// fills at that rate, so
 // calls of less worth can be held to what is left over.
 package callpacer
 
@@ -88,7 +90,8 @@
 	return time.Duration(math.Ceil(lacks / p.rate * float64(time.Second)))
 }
 
-// Answered takes the time that an answered call took. A rate that nobody uses says nothing of the service and does not grow.
+// Answered takes the time that an answered call took. A rate that nobody uses says nothing of the service and does not
+// grow.
 func (p *Pace) Answered(now, took time.Duration) {
 	if p.idle == 0 || took < p.idle {
 		p.idle = took
--- a/internal/balancer/ceilinglease/ceiling.go
+++ b/internal/balancer/ceilinglease/ceiling.go
@@ -1,15 +1,20 @@
-// Package ceilinglease is the arithmetic by which front doors share what a hard ceiling allows beyond the quota: units are leased
-// from one number on the shared counter in tumbling windows, so the whole of it is there for whichever door has the demand.
+// Package ceilinglease is the arithmetic by which front doors share what a hard ceiling allows beyond the quota: units
+// are leased from one number on the shared counter in tumbling windows, so the whole of it is there for whichever door
+// has the demand.
 //
-// A ceiling is a store of units (rate C, depth D, starts full). Inside the quota (rate R, burst B) the quota's own ledger on
+// A ceiling is a store of units (rate C, depth D, starts full). Inside the quota (rate R, burst B) the quota's own
+// ledger on
 // the counter bounds what all doors send on: R*t+B in any time t. What is left for the rest is X = C-R a second and
-// Dx = (D-B)/1.5 at once. Time is cut into windows of W = Dx/(2X), and in each window all doors together may send Dx/2 = X*W
+// Dx = (D-B)/1.5 at once. Time is cut into windows of W = Dx/(2X), and in each window all doors together may send Dx/2
+// = X*W
 // (in whole units, and W as much shorter).
-// Any time t touches t/W+2 windows at most, so no more than X*t+Dx goes out in it: that of a store, without one number that
-// must be carried from window to window, corrected, or found again by a door that has lost its memory. Of D-B, Dx/2 is left
+// Any time t touches t/W+2 windows at most, so no more than X*t+Dx goes out in it: that of a store, without one number
+// that must be carried from window to window, corrected, or found again by a door that has lost its memory. Of D-B,
+// Dx/2 is left
 // over for the one window in which the counter loses its numbers.
 //
-// Nothing here does input or output; the time is handed in and is one clock for all doors. A clock that is off by e lets
+// Nothing here does input or output; the time is handed in and is one clock for all doors. A clock that is off by e
+// lets
 // X*e more go out, once.
 package ceilinglease
 
@@ -32,8 +37,9 @@
 	shortest = 50 * time.Millisecond // a window shorter than this costs more calls than it is worth
 )
 
-// TermsOf makes the terms of a plan: the quota's rate and burst, the ceiling's rate and depth, and the units that one window
-// must give at least. A request of more units than Each goes out inside the quota only. ok: no; the plan leaves nothing to
+// TermsOf makes the terms of a plan: the quota's rate and burst, the ceiling's rate and depth, and the units that one
+// window must give at least. A request of more units than Each goes out inside the quota only. ok: no; the plan leaves
+// nothing to
 // lend, or so little that it is not worth the calls.
 func TermsOf(rate, burst, ceilingRate, ceilingDepth, leastUnits float64) (t Terms, ok bool) {
 	x, depth := ceilingRate-rate, (ceilingDepth-burst)/lostOnce
@@ -78,7 +84,8 @@
 	}
 }
 
-// Has is how many units may be spent now by something that may wait (line) or may not: of a window's units the part kept is
+// Has is how many units may be spent now by something that may wait (line) or may not: of a window's units the part
+// kept is
 // left to what can't wait, as the line would else take all at each window's beginning.
 func (l *Lease) Has(t Terms, now time.Duration, line bool, kept float64) float64 {
 	l.at(t, now)
@@ -119,7 +126,8 @@
 	return min(t.Each, max(units, math.Ceil(min(demand*t.Left(now).Seconds(), t.Each/parts))))
 }
 
-// Answered takes the counter's answer to an Ask of a window: the total after the block was added. It returns what the door
+// Answered takes the counter's answer to an Ask of a window: the total after the block was added. It returns what the
+// door
 // has got.
 func (l *Lease) Answered(t Terms, now time.Duration, window int64, block, total float64) float64 {
 	l.asking = false
@@ -151,14 +159,16 @@
 // Asking says that an answer is awaited.
 func (l *Lease) Asking() bool { return l.asking }
 
-// Turns are how many doors share a store of which each would hold less than a unit: a door has a unit at a time of its own, for a
+// Turns are how many doors share a store of which each would hold less than a unit: a door has a unit at a time of its
+// own, for a
 // while, and what it has not used by then is gone. Rate and depth are the store's, for all doors together.
 type Turns struct {
 	every, open time.Duration // from one turn of a door to the next; of it, how long the unit is there
 	doors       int64
 }
 
-// TurnsOf is what doors have of a store; false: each holds a unit or more, or there is nothing to hold. The turns of all doors
+// TurnsOf is what doors have of a store; false: each holds a unit or more, or there is nothing to hold. The turns of
+// all doors
 // are spread evenly, so in any time t they are at most rate*t+depth, and one more for the instant at which they begin.
 func TurnsOf(rate, depth, doors float64) (Turns, bool) {
 	n := math.Ceil(doors)
--- a/internal/balancer/costmodel/size.go
+++ b/internal/balancer/costmodel/size.go
@@ -1,9 +1,11 @@
-// Package costmodel learns how much work a request is from the units that it declares: a quota may count a request's size, and then
-// one of four units holds a server several times as long as one of one unit. Whoever takes all requests of a class for alike
+// Package costmodel learns how much work a request is from the units that it declares: a quota may count a request's
+// size, and then one of four units holds a server several times as long as one of one unit. Whoever takes all requests
+// of a class for alike
 // expects the small ones late and the large ones soon, and counts places instead of work.
 //
-// Nothing is told of how work grows with units, so it is measured: units are cut into ranges, and for each the mean of the
-// answers' times is kept, in the mean time of the class at that moment (so a day that turns slow changes no size). A deployment
+// Nothing is told of how work grows with units, so it is measured: units are cut into ranges, and for each the mean of
+// the answers' times is kept, in the mean time of the class at that moment (so a day that turns slow changes no size).
+// A deployment
 // where all requests count one unit has one range, and every size there is exactly 1.
 //
 // Nothing here does input or output or reads a clock.
@@ -55,7 +57,8 @@
 	return int(max(1, min(float64(p.n), math.Ceil(units*float64(p.n)/p.top)))) - 1 // units over top count as top
 }
 
-// Of is the work of a request of so many units, in that of the mean request of its class: 1 as long as nothing else is known.
+// Of is the work of a request of so many units, in that of the mean request of its class: 1 as long as nothing else is
+// known.
 func (p *Profile) Of(units float64) float64 {
 	m := &p.each[p.rangeOf(units)]
 	if p.n <= 1 || m.count == 0 || p.all.is <= 0 {
@@ -65,7 +68,8 @@
 	return max(least, (n*m.is/p.all.is+doubt)/(n+doubt))
 }
 
-// Add takes the end of an attempt for a request of so many units: its time, in the mean time of the class now, and whether it
+// Add takes the end of an attempt for a request of so many units: its time, in the mean time of the class now, and
+// whether it
 // was answered in it. One that was not took that time at least, for nothing.
 func (p *Profile) Add(units, took float64, answered bool) {
 	if !(took >= 0) {
@@ -83,8 +87,9 @@
 	p.unit.add(max(0, units))
 }
 
-// Density is how many units a request of so many brings for its work, in those of the mean request: what a unit is worth is
-// worth so much the more where it takes less work, and so much the less where it is often in vain. With one range it is the units alone.
+// Density is how many units a request of so many brings for its work, in those of the mean request: what a unit is
+// worth is worth so much the more where it takes less work, and so much the less where it is often in vain. With one
+// range it is the units alone.
 func (p *Profile) Density(units float64) float64 {
 	if p.n <= 1 || p.unit.is <= 0 {
 		return units
--- a/internal/balancer/handover.go
+++ b/internal/balancer/handover.go
@@ -1,8 +1,5 @@
 package balancer
 
-// What a door hands to the one that takes its place while both still run. Nothing here decides: it writes down what the rules
-// need to hold over the pair, and what would take the other seconds to learn. What is handed on is no longer this door's.
-
 import (
 	"cmp"
 	"slices"
@@ -83,31 +80,15 @@
 	Size float64       `json:"Size"`
 }
 
-// BeginHandover asks for what the door that takes this one's place needs; a Handed answers it. From then on this door ends what it has
-// and spends nothing but what that has reserved, until a Recall gives something back.
-type BeginHandover struct{}
-
-// HandoverReady answers a Leave.
-type HandoverReady struct{ State HandoverState }
-
-// ImportHandover gives a door what another one handed on, before its first request; or gives it back to the one that did.
-type ImportHandover struct{ State HandoverState }
-
-func (BeginHandover) event()  {}
-func (ImportHandover) event() {}
-func (HandoverReady) action() {}
-
-// refillSeconds is the seconds in which this door's shares have filled.
-func (b *Balancer) refillSeconds(at time.Duration) float64 {
-	if b.handedOver {
-		return 0
-	}
-	return (b.now - at).Seconds()
-}
-
 // handleBeginHandover writes down and gives away.
 func (b *Balancer) handleBeginHandover() {
-	m := HandoverState{At: b.now, Fleet: b.fleetSlowdown, Rate: b.warmEndpointRate, Short: b.shortage, CallShare: b.callFraction}
+	m := HandoverState{
+		At:        b.now,
+		Fleet:     b.fleetSlowdown,
+		Rate:      b.warmEndpointRate,
+		Short:     b.shortage,
+		CallShare: b.callFraction,
+	}
 	for _, k := range b.classes {
 		m.Classes = append(m.Classes, ClassHandover{k.meanLatency, k.idleLatency, k.answers})
 	}
@@ -126,18 +107,58 @@
 		if len(m.Customers) < maxHandoverCustomers {
 			keeps := min(cust.ceilingTokens, cust.ceilingQueued)
 			slices.Sort(open[cust])
-			m.Customers = append(m.Customers, CustomerHandover{Name: cust.name, Plan: cust.plan, Doors: cust.gateways, Demand: cust.demand,
-				Leave: cust.admitOnlyDemand, DemandAt: cust.demandAt, UsedAt: cust.lastUsedAt, Tokens: cust.tokens, Owed: cust.debt, Spare: cust.fallbackTokens,
-				Others: cust.peerDemand, Store: cust.storeLevel, Seen: cust.seenTotal, SpareAt: cust.fallbackAt, GrantAt: cust.leasedAt, StoreAt: cust.storeLevelAt,
-				KnownAt: cust.storeKnownAt, TokensAt: cust.tokensValidFrom, Known: cust.storeKnown, SeenIn: cust.seenWindow, Carried: cust.carriedWindow,
-				Turn: cust.lastTurn, CarriedAt: cust.carriedAt, EmptyUntil: cust.storeEmptyUntil, Ceil: cust.ceilingTokens - keeps, Kept: cust.ceilingKept,
-				CeilAt: cust.ceilingAt, Open: open[cust]})
+			m.Customers = append(
+				m.Customers,
+				CustomerHandover{
+					Name:       cust.name,
+					Plan:       cust.plan,
+					Doors:      cust.gateways,
+					Demand:     cust.demand,
+					Leave:      cust.admitOnlyDemand,
+					DemandAt:   cust.demandAt,
+					UsedAt:     cust.lastUsedAt,
+					Tokens:     cust.tokens,
+					Owed:       cust.debt,
+					Spare:      cust.fallbackTokens,
+					Others:     cust.peerDemand,
+					Store:      cust.storeLevel,
+					Seen:       cust.seenTotal,
+					SpareAt:    cust.fallbackAt,
+					GrantAt:    cust.leasedAt,
+					StoreAt:    cust.storeLevelAt,
+					KnownAt:    cust.storeKnownAt,
+					TokensAt:   cust.tokensValidFrom,
+					Known:      cust.storeKnown,
+					SeenIn:     cust.seenWindow,
+					Carried:    cust.carriedWindow,
+					Turn:       cust.lastTurn,
+					CarriedAt:  cust.carriedAt,
+					EmptyUntil: cust.storeEmptyUntil,
+					Ceil:       cust.ceilingTokens - keeps,
+					Kept:       cust.ceilingKept,
+					CeilAt:     cust.ceilingAt,
+					Open:       open[cust],
+				},
+			)
 		}
-		cust.tokens, cust.debt, cust.fallbackTokens, cust.ceilingKept, cust.ceilingTokens = 0, 0, min(0, cust.fallbackTokens), 0, min(cust.ceilingTokens, cust.ceilingQueued)
+		cust.tokens, cust.debt, cust.fallbackTokens, cust.ceilingKept, cust.ceilingTokens = 0, 0, min(
+			0,
+			cust.fallbackTokens,
+		), 0, min(
+			cust.ceilingTokens,
+			cust.ceilingQueued,
+		)
 	}
 	for _, ep := range b.endpointOrder {
-		sm := EndpointHandover{Name: ep.name, Started: ep.startedAt, ColdAt: ep.warmUpFrom, Cold: ep.warmingUp, Ejected: ep.ejected, Slow: ep.latencyFactor,
-			Slots: ep.concurrencyLimit}
+		sm := EndpointHandover{
+			Name:    ep.name,
+			Started: ep.startedAt,
+			ColdAt:  ep.warmUpFrom,
+			Cold:    ep.warmingUp,
+			Ejected: ep.ejected,
+			Slow:    ep.latencyFactor,
+			Slots:   ep.concurrencyLimit,
+		}
 		for _, e := range ep.slowStart.Sends() {
 			sm.Sends = append(sm.Sends, SlowStartSend(e))
 		}
@@ -155,7 +176,10 @@
 		cust.fallbackAt, cust.ceilingAt = max(cust.fallbackAt, b.now), max(cust.ceilingAt, b.now)
 	}
 	if !back {
-		b.fleetSlowdown, b.fleetSlowdownAt, b.warmEndpointRate, b.warmEndpointRateAt, b.shortage = cmp.Or(m.Fleet, b.fleetSlowdown), b.now, m.Rate, b.now, m.Short
+		b.fleetSlowdown, b.fleetSlowdownAt, b.warmEndpointRate, b.warmEndpointRateAt, b.shortage = cmp.Or(
+			m.Fleet,
+			b.fleetSlowdown,
+		), b.now, m.Rate, b.now, m.Short
 		if b.settings.UseCounter {
 			b.callFraction = min(1, max(minCallFraction, cmp.Or(m.CallShare, 1)))
 		}
@@ -181,7 +205,10 @@
 	if ep == nil || ep.startedAt != sm.Started {
 		return // another process, of which nothing is known
 	}
-	ep.warmingUp, ep.warmUpFrom, ep.concurrencyLimit = sm.Cold, sm.ColdAt, min(maxConcurrency, max(minConcurrency, sm.Slots))
+	ep.warmingUp, ep.warmUpFrom, ep.concurrencyLimit = sm.Cold, sm.ColdAt, min(
+		maxConcurrency,
+		max(minConcurrency, sm.Slots),
+	)
 	if sm.Slow > 0 {
 		ep.latencyFactor = sm.Slow
 	}
@@ -208,16 +235,32 @@
 		cust = b.customerFor(Request{Customer: cm.Name, Plan: cm.Plan, Gateways: int(cm.Doors)})
 	}
 	cust.demand, cust.admitOnlyDemand, cust.demandAt, cust.lastUsedAt = cm.Demand, cm.Leave, cm.DemandAt, cm.UsedAt
-	cust.tokens, cust.debt, cust.fallbackTokens, cust.fallbackAt = cm.Tokens, cm.Owed, min(cm.Spare, plan.Burst/cm.Doors), cm.SpareAt
+	cust.tokens, cust.debt, cust.fallbackTokens, cust.fallbackAt = cm.Tokens, cm.Owed, min(
+		cm.Spare,
+		plan.Burst/cm.Doors,
+	), cm.SpareAt
 	cust.peerDemand, cust.storeLevel, cust.seenTotal, cust.seenWindow = cm.Others, cm.Store, cm.Seen, cm.SeenIn
-	cust.leasedAt, cust.storeLevelAt, cust.storeKnownAt, cust.tokensValidFrom = cm.GrantAt, cm.StoreAt, cm.KnownAt, cm.TokensAt
-	cust.storeKnown, cust.carriedWindow, cust.carriedAt, cust.storeEmptyUntil = cm.Known, cm.Carried, cm.CarriedAt, cm.EmptyUntil
-	cust.lastTurn, cust.ceilingTokens, cust.ceilingKept, cust.ceilingAt = cm.Turn, min(cm.Ceil, plan.CeilingBurst), cm.Kept, cm.CeilAt
+	cust.leasedAt, cust.storeLevelAt, cust.storeKnownAt, cust.tokensValidFrom = cm.GrantAt, cm.StoreAt,
+		cm.KnownAt, cm.TokensAt
+	cust.storeKnown, cust.carriedWindow, cust.carriedAt, cust.storeEmptyUntil = cm.Known, cm.Carried,
+		cm.CarriedAt, cm.EmptyUntil
+	cust.lastTurn, cust.ceilingTokens, cust.ceilingKept, cust.ceilingAt = cm.Turn, min(
+		cm.Ceil,
+		plan.CeilingBurst,
+	), cm.Kept, cm.CeilAt
 	for j, until := range cm.Open[:min(len(cm.Open), max(0, plan.MaxInFlight))] {
 		if until <= b.now {
 			continue
 		}
-		req := &request{id: handoverRequestIDs + uint64(i)<<20 + uint64(j), customer: cust, plan: cm.Plan, arrivedAt: b.now, admitted: true, inFlight: true, holdUntil: until}
+		req := &request{
+			id:        handoverRequestIDs + uint64(i)<<20 + uint64(j),
+			customer:  cust,
+			plan:      cm.Plan,
+			arrivedAt: b.now,
+			admitted:  true,
+			inFlight:  true,
+			holdUntil: until,
+		}
 		b.requests[req.id] = req
 		cust.inFlight++
 		b.emit(SetTimer{until, req.id<<1 | 1})
--- a/internal/balancer/many.go
+++ b/internal/balancer/largefleet.go
@@ -8,52 +8,55 @@
 	"gapgap/internal/balancer/ceilinglease"
 )
 
-// Tuned values, ours.
 const (
-	manyDepth   = 4.0 // units: where a door's even share of a ceiling holds fewer, the doors are many
-	crowdFrom   = 12  // doors
-	crowdWait   = 0.2 // of its time that a request waits for the counter
-	crowdLife   = 12 * time.Second
-	crowdPart   = 4.0    // of a store that one lease may take
-	callsStart  = 260.0  // calls a second of all doors at first ...
-	callsLow    = 40.0   // ... and at least
-	callsHigh   = 1000.0 // and of one at most
-	callsDepth  = 4.0
-	callsRetry  = 1.0
-	callsSoft   = 1.5
-	manyFirst   = 1.0  // units of a share that a door has at its start: what it had before may be spent
-	manyRate    = 0.97 // part of the rate beyond the quota that shares give: the rest is for what a new window's number gives twice
+	manyDepth = 4.0 // units: where a door's even share of a ceiling holds fewer, the doors are many
+	crowdFrom = 12  // doors
+	crowdWait = 0.2 // of its time that a request waits for the counter
+	crowdLife = 12 * time.Second
+	crowdPart = 4.0 // of a store that one lease may take
+	manyFirst = 1.0 // units of a share that a door has at its start: what it had before may be spent
+	// part of the rate beyond the quota that shares give: the rest is for what a new window's number gives twice
+	manyRate    = 0.97
 	manyOver    = 0.25 // bursts over its burst at which the ledger is put right
 	manyTakes   = 1.0  // bursts that the ledger may let out at once: (1+manyOver-manyKeep), and again with a new number
 	manyKeep    = 0.75 // part of a burst that the ledger keeps back for the loss of the counter's numbers
 	promiseMost = time.Second
 	pauseDoors  = 2.0
-	memberOf    = 16  // servers that a door uses as a rule, in the mean, where there are more
 	creditMost  = 0.9 // chance ...
 	creditSoon  = 4.0 // ... and in which part of the time it has that in which a door's share fills by a unit
 	crowdOver   = 0.5 // bursts over its burst at which a store is put right
 	crowdFix    = 0.1 // of the doors that see it and are not the first
 	pauseMost   = 12 * time.Second
+	callsRetry  = 1.0
+	callsSoft   = 1.5
 )
 
-// hasSparseShares says that the doors of a customer are so many that each one's even share of the ceiling is a request or two. A plan that
+// hasSparseShares says that the doors of a customer are so many that each one's even share of the ceiling is a request
+// or two. A plan that
 // caps what is open at once too keeps its even shares: payMany counts nothing that is open.
 func (b *Balancer) hasSparseShares(cust *customer, plan *Plan) bool {
-	return b.isLargeFleet() && plan.CeilingRate > plan.Rate && plan.Rate > 0 && plan.MaxInFlight == 0 && plan.CeilingBurst > manyTakes*plan.Burst && b.leaseTerms[cust.plan].Rate == 0 &&
-		plan.CeilingBurst/cust.gateways < manyDepth && plan.OverQuotaWeight > plan.OverQuotaCost
+	return b.isLargeFleet() && plan.CeilingRate > plan.Rate && plan.Rate > 0 && plan.MaxInFlight == 0 &&
+		plan.CeilingBurst > manyTakes*plan.Burst &&
+		b.leaseTerms[cust.plan].Rate == 0 &&
+		plan.CeilingBurst/cust.gateways < manyDepth &&
+		plan.OverQuotaWeight > plan.OverQuotaCost
 }
 
-// isLargeFleet says that the doors are so many that the counter can't serve a call for each request that a door can't pay, and a
+// isLargeFleet says that the doors are so many that the counter can't serve a call for each request that a door can't
+// pay, and a
 // door meets most customers so seldom that a lease for them would lie unused.
 func (b *Balancer) isLargeFleet() bool {
-	return b.settings.UseCounter && !b.settings.LeaseCeilings && b.settings.Gateways >= crowdFrom // what is lent hangs on a ledger without reservations
+	return b.settings.UseCounter && !b.settings.LeaseCeilings &&
+		b.settings.Gateways >= crowdFrom // what is lent hangs on a ledger without reservations
 }
 
-// canCallFor says whether the counter may be called for a request. The calls that there are go first to those for which they
-// decide most: a client's repeat was refused before, mostly for good reason, and a promotion only helps while servers are short.
+// canCallFor says whether the counter may be called for a request. The calls that there are go first to those for which
+// they decide most: a client's repeat was refused before, mostly for good reason, and a promotion only helps while
+// servers are short.
 func (b *Balancer) canCallFor(req *request, leaves float64) bool {
 	cust := req.customer
-	if b.handedOver || req.counterCalled || b.now < max(cust.storeEmptyUntil, cust.callsPausedUntil) || len(b.callsOut) >= maxCallsOut {
+	if b.handedOver || req.counterCalled || b.now < max(cust.storeEmptyUntil, cust.callsPausedUntil) ||
+		len(b.callsOut) >= maxCallsOut {
 		return false
 	}
 	if req.clientRetry {
@@ -65,16 +68,23 @@
 // counterMayCover says whether the ledger may pay a request: a token is here, is asked for, or can be.
 func (b *Balancer) counterMayCover(req *request, plan *Plan) bool {
 	cust := req.customer
-	return cust.tokens >= req.units && (cust.tokensValidFrom-b.now).Seconds() <= req.timeLimit.Seconds()*maxCeilingWaitFraction || cust.callPending ||
+	return cust.tokens >= req.units &&
+		(cust.tokensValidFrom-b.now).Seconds() <= req.timeLimit.Seconds()*maxCeilingWaitFraction ||
+		cust.callPending ||
 		b.now >= max(cust.storeEmptyUntil, cust.callsPausedUntil)
 }
 
 // ceilingTurns are a customer's at the doors, where each one's share of what is beyond the quota is less than a unit.
 func (b *Balancer) ceilingTurns(cust *customer, plan *Plan) (ceilinglease.Turns, bool) {
-	return ceilinglease.TurnsOf(manyRate*(plan.CeilingRate-plan.Rate), plan.CeilingBurst-manyTakes*plan.Burst, cust.gateways)
+	return ceilinglease.TurnsOf(
+		manyRate*(plan.CeilingRate-plan.Rate),
+		plan.CeilingBurst-manyTakes*plan.Burst,
+		cust.gateways,
+	)
 }
 
-// refillTurn tells the share of a customer at a door that has turns. A door that has just begun may have used its turn before.
+// refillTurn tells the share of a customer at a door that has turns. A door that has just begun may have used its turn
+// before.
 func (b *Balancer) refillTurn(cust *customer, t ceilinglease.Turns) float64 {
 	cust.ceilingTokens, cust.ceilingAt, cust.ceilingKept = 0, b.now, 0
 	turn, open := t.Now(b.now, b.settings.Index)
@@ -91,14 +101,19 @@
 
 // returnUnusedTokens gives back what a customer's lease has not used, with the next call, and fills its credit.
 func (b *Balancer) returnUnusedTokens(cust *customer, plan *Plan, least float64) {
-	if w := int64(b.now / counterWindow); cust.debtWindow != w { // what was taken of an older number can't be given back to this one
+	if w := int64(
+		b.now / counterWindow,
+	); cust.debtWindow != w { // what was taken of an older number can't be given back to this one
 		cust.debtWindow, cust.debt = w, max(0, cust.debt)
 	}
 	if cust.tokens > 0 && !cust.callPending && b.now-max(cust.leasedAt, cust.tokensValidFrom) > crowdLife {
 		cust.debt -= cust.tokens
 		cust.tokens = 0
 	}
-	cust.fallbackTokens, cust.fallbackAt = min(max(cust.fallbackTokens, least, plan.Burst/cust.gateways), cust.fallbackTokens+plan.Rate/cust.gateways*b.refillSeconds(cust.fallbackAt)), b.now
+	cust.fallbackTokens, cust.fallbackAt = min(
+		max(cust.fallbackTokens, least, plan.Burst/cust.gateways),
+		cust.fallbackTokens+plan.Rate/cust.gateways*b.refillSeconds(cust.fallbackAt),
+	), b.now
 }
 
 // spendTokensLargeFleet is spend where doors are many.
@@ -110,7 +125,9 @@
 		cust.tokens -= req.units
 		req.paidByCounter = true
 		return quotaCovered
-	case cust.tokens >= req.units && (cust.tokensValidFrom-b.now).Seconds() <= req.timeLimit.Seconds()*maxCeilingWaitFraction, cust.callPending:
+	case cust.tokens >= req.units &&
+		(cust.tokensValidFrom-b.now).Seconds() <= req.timeLimit.Seconds()*maxCeilingWaitFraction,
+		cust.callPending:
 		return quotaPending
 	case req.counterCalled && b.now < cust.callsPausedUntil && !b.hasWaitedForCounter(req): // the answer may come yet
 		return quotaPending
@@ -131,8 +148,9 @@
 	return quotaExceeded
 }
 
-// creditProbability is the chance that a request for which there is no call goes out unasked. A share of less than a unit is a unit by
-// chance; and the longer a door has run, the more likely is a customer that it has not met, or not found empty, one of the
+// creditProbability is the chance that a request for which there is no call goes out unasked. A share of less than a
+// unit is a unit by chance; and the longer a door has run, the more likely is a customer that it has not met, or not
+// found empty, one of the
 // many that stay well inside their quotas. Once for each customer, and again when its share has filled.
 func (b *Balancer) creditProbability(cust *customer, plan *Plan) float64 {
 	if cust.fallbackTokens <= 0 {
@@ -141,7 +159,8 @@
 	return max(cust.fallbackTokens, min(creditMost, (b.now-b.startedAt).Seconds()*plan.Rate/cust.gateways*creditSoon))
 }
 
-// correctOverfull puts a store right that holds more than its burst. Where it is much, as when all doors have just started, many see it at
+// correctOverfull puts a store right that holds more than its burst. Where it is much, as when all doors have just
+// started, many see it at
 // once: the one whose call began the number does it; should that fail, one of those who ask leave of the counter.
 func (b *Balancer) correctOverfull(cust *customer, call *counterCall, amount float64, began bool) {
 	switch {
@@ -152,7 +171,8 @@
 	}
 }
 
-// overfullSlack is by how many bursts a store may be over its burst before a call is spent on it. Where a ceiling hangs on it, little.
+// overfullSlack is by how many bursts a store may be over its burst before a call is spent on it. Where a ceiling hangs
+// on it, little.
 func (b *Balancer) overfullSlack(cust *customer, plan *Plan) float64 {
 	if b.hasSparseShares(cust, plan) {
 		return manyOver
@@ -164,7 +184,12 @@
 func (b *Balancer) checkQuotaSparse(req *request, plan *Plan, short, late bool) quotaDecision {
 	cust := req.customer
 	req.paidByCounter = false
-	worth := max(1e-9, b.settings.Classes[req.class].PriorityWeight*plan.PriorityFactor*b.classes[req.class].costProfile.Density(req.units))
+	worth := max(
+		1e-9,
+		b.settings.Classes[req.class].PriorityWeight*plan.PriorityFactor*b.classes[req.class].costProfile.Density(
+			req.units,
+		),
+	)
 	req.level = min(priorityBands-1, max(0, int(bandsPerHalving*math.Log2(b.maxPriority/worth))))
 	b.returnUnusedTokens(cust, plan, 1)
 	pressed := b.fleetSlowdown > 1.5
@@ -178,7 +203,8 @@
 		b.reserveCeiling(req, fromQuota)
 	case cust.callPending:
 		return quotaPending
-	case short && cust.tokens >= req.units && (cust.tokensValidFrom-b.now).Seconds() <= req.timeLimit.Seconds()*maxCeilingWaitFraction:
+	case short && cust.tokens >= req.units &&
+		(cust.tokensValidFrom-b.now).Seconds() <= req.timeLimit.Seconds()*maxCeilingWaitFraction:
 		return quotaPending
 	case short && req.counterCalled && b.now < cust.callsPausedUntil && !b.hasWaitedForCounter(req):
 		return quotaPending
@@ -186,12 +212,15 @@
 		req.counterCalled = true
 		b.leaseTokens(cust, plan, req.units, false)
 		return quotaPending
-	case short && !req.counterCalled && !late && b.now >= max(cust.storeEmptyUntil, cust.callsPausedUntil) && !b.hasWaitedForCounter(req): // for a turn to call
+	// for a turn to call
+	case short && !req.counterCalled && !late && b.now >= max(cust.storeEmptyUntil, cust.callsPausedUntil) &&
+		!b.hasWaitedForCounter(req):
 		return quotaPending
 	case !short:
 		cust.debt += req.units
 		return quotaExceeded
-	case late || req.admitOnly || (req.units-b.ceilingRoom(req, plan))*cust.gateways/(manyRate*(plan.CeilingRate-plan.Rate)) > req.timeLimit.Seconds()*maxCeilingWaitFraction:
+	case late || req.admitOnly || (req.units-b.ceilingRoom(req,
+		plan))*cust.gateways/(manyRate*(plan.CeilingRate-plan.Rate)) > req.timeLimit.Seconds()*maxCeilingWaitFraction:
 		return quotaExceeded
 	default:
 		return quotaPending
@@ -200,7 +229,8 @@
 	return quotaCovered
 }
 
-// reservationHorizon is how far ahead units are reserved. Of a hard plan it is as long as a request of any class may wait: what comes later would
+// reservationHorizon is how far ahead units are reserved. Of a hard plan it is as long as a request of any class may
+// wait: what comes later would
 // mostly lie unused, as the door may not meet the customer again for long.
 func (b *Balancer) reservationHorizon(cust *customer, plan *Plan) time.Duration {
 	least := promiseMost
@@ -208,13 +238,21 @@
 		return least
 	}
 	for i := range b.settings.Classes {
-		least = min(least, time.Duration(float64(cmp.Or(b.settings.Classes[i].LatencyObjective, b.settings.Classes[i].ClientTimeout))*maxCeilingWaitFraction))
+		least = min(
+			least,
+			time.Duration(
+				float64(
+					cmp.Or(b.settings.Classes[i].LatencyObjective, b.settings.Classes[i].ClientTimeout),
+				)*maxCeilingWaitFraction,
+			),
+		)
 	}
 	return least
 }
 
-// reserveAhead keeps what a call took of a store that did not hold it, where a door meets a customer so seldom that giving it back
-// would cost a call each time: it may be spent when the store has gained it. What would take too long is given back, and the
+// reserveAhead keeps what a call took of a store that did not hold it, where a door meets a customer so seldom that
+// giving it back would cost a call each time: it may be spent when the store has gained it. What would take too long is
+// given back, and the
 // customer's doors, each pausing for a time of its own, ask a few times as often as there is a unit.
 func (b *Balancer) reserveAhead(call *counterCall, has, got float64) {
 	cust, plan := call.customer, &b.settings.Plans[call.customer.plan]
--- a/internal/balancer/quotashare/loans.go
+++ b/internal/balancer/quotashare/loans.go
@@ -6,9 +6,10 @@
 	"time"
 )
 
-// Doors lend each other parts of one customer's ceiling where the demand is at one of them and nobody else lends (package ceiling does, by the
-// counter). A loan is for LoanLength, counted by the borrower from when it asked and by the lender from when it heard, and longer by what
-// clocks may drift apart. While it lasts the lender's store is smaller by it and the borrower's greater: so the doors' stores together
+// Doors lend each other parts of one customer's ceiling where the demand is at one of them and nobody else lends
+// (package ceiling does, by the counter). A loan is for LoanLength, counted by the borrower from when it asked and by
+// the lender from when it heard, and longer by what clocks may drift apart. While it lasts the lender's store is
+// smaller by it and the borrower's greater: so the doors' stores together
 // stay what they were.
 const (
 	LoanLength = time.Second
@@ -99,9 +100,16 @@
 	return s
 }
 
-// Lend decides what a door that asks is lent of this door's own store, which is not to be lent for longer than until; demand is what this
-// door itself needs, units a second. It returns the loan and when it is over by this door's clock; ok: no, there is none.
-func (l *Loans) Lend(now time.Duration, to int, own Store, until time.Duration, demand float64) (s Store, end time.Duration, ok bool) {
+// Lend decides what a door that asks is lent of this door's own store, which is not to be lent for longer than until;
+// demand is what this door itself needs, units a second. It returns the loan and when it is over by this door's clock;
+// ok: no, there is none.
+func (l *Loans) Lend(
+	now time.Duration,
+	to int,
+	own Store,
+	until time.Duration,
+	demand float64,
+) (s Store, end time.Duration, ok bool) {
 	l.Drop(now)
 	if end = now + LoanHold; end > until || own.Rate <= 0 || len(l.out) >= mostBorrowers {
 		return Store{}, 0, false
--- a/internal/balancer/slowstart/cold.go
+++ b/internal/balancer/slowstart/cold.go
@@ -1,15 +1,22 @@
-// Package slowstart is how much one of many doors may send to a backend that has started a short while ago and does not bear yet what it will. It
+// Package slowstart is how much one of many doors may send to a backend that has started a short while ago and does not
+// bear yet what it will. It
 // decides by values alone: no clock, no random source, no input or output.
 //
-// A backend falls over when all doors together send it more than a multiple of what it can do then, over a window. A door knows neither what the
+// A backend falls over when all doors together send it more than a multiple of what it can do then, over a window. A
+// door knows neither what the
 // others send nor what the backend can do. Two things it does know:
 //
-//   - what a warm backend is seen to carry from this door (rate), of which a cold one can do a share (warmth). The rates of all doors add up to what
-//     a backend carries, so the budgets add up to a part of what it may be sent.
-//   - what this backend has answered to this door in the last window. The answers to all doors add up to what the backend has done, so a multiple
-//     of them is within the same multiple of what it can do. Where a backend can't follow, its answers and with them the budgets shrink.
+// - what a warm backend is seen to carry from this door (rate), of which a cold one can do a share (warmth). The rates
+// of all doors add up to what
 //
-// The larger of the two is the budget. Where both are under one send, a door has a turn now and then, the first by chance.
+//	a backend carries, so the budgets add up to a part of what it may be sent.
+//
+// - what this backend has answered to this door in the last window. The answers to all doors add up to what the backend
+// has done, so a multiple of them is within the same multiple of what it can do. Where a backend can't follow, its
+// answers and with them the budgets shrink.
+//
+// The larger of the two is the budget. Where both are under one send, a door has a turn now and then, the first by
+// chance.
 package slowstart
 
 import (
@@ -79,12 +86,14 @@
 	return all
 }
 
-// Warmth is what part of its usual work a backend can do, by the settings. What a budget allows counts for a window, so it goes by how warm the backend was
+// Warmth is what part of its usual work a backend can do, by the settings. What a budget allows counts for a window, so
+// it goes by how warm the backend was
 // when that began.
 type Warmth struct{ Then, Now float64 } // a window ago, and now
 
-// Full says that the backend has had its budget. rate is what a warm backend is seen to carry from this door, a second, with this one's weight and this
-// door's share in it. chance draws from 0 to 1. A budget holds a part of a send for some of the doors and not for others, by chance: rounded up at each, thirty
+// Full says that the backend has had its budget. rate is what a warm backend is seen to carry from this door, a second,
+// with this one's weight and this door's share in it. chance draws from 0 to 1. A budget holds a part of a send for
+// some of the doors and not for others, by chance: rounded up at each, thirty
 // budgets of 1.4 would be sixty sends. A few doors round up.
 func (b *Book) Full(now time.Duration, t Terms, rate float64, w Warmth, chance func() float64) bool {
 	span := t.Window
