--- /dev/null
+++ b/internal/frontend/admin/golden_test.go
@@ -0,0 +1,27 @@
+package admin
+
+import (
+	"bytes"
+	"fmt"
+	"strings"
+	"testing"
+
+	"gapgap/internal/golden"
+)
+
+// What operators are answered keeps its form to the byte.
+func TestGoldenAnswers(t *testing.T) {
+	_, addr := start(t, &desk{})
+	_, unready := start(t, &desk{unready: fmt.Errorf("no backend is known yet")})
+	var out bytes.Buffer
+	lines := []string{
+		"PING", "ping", "INFO", "info\r", "DETACH s-1", "detach  s-1 ", "ATTACH s-1", "DETACH s-2", "DETACH", "ATTACH",
+		"DETACH s-1 s-2", "PING x", "", "   ", "HELLO", "PI\x01NG", strings.Repeat("x", 300),
+	}
+	for _, line := range lines {
+		fmt.Fprintf(&out, "%q: %q\n", line, ask(t, addr, line+"\n", false))
+	}
+	fmt.Fprintf(&out, "unready, PING: %q\n", ask(t, unready, "PING\n", false))
+	fmt.Fprintf(&out, "no line end, PING: %q\n", ask(t, addr, "PING", true))
+	golden.CheckBytes(t, "testdata/golden/answers.txt", out.Bytes())
+}
--- /dev/null
+++ b/internal/handover/golden_test.go
@@ -0,0 +1,20 @@
+package handover
+
+import (
+	"encoding/json"
+	"fmt"
+	"testing"
+
+	"gapgap/internal/golden"
+)
+
+// The packets between two processes of an upgrade keep their form: kinds, the first packet's text, sizes.
+func TestGoldenPackets(t *testing.T) {
+	text, err := json.Marshal(hello{Version, 4711})
+	if err != nil {
+		t.Fatal(err)
+	}
+	kinds := []byte{kindHello, kindRefused, kindState, kindListen, kindConfirm, kindConn}
+	out := fmt.Sprintf("%s %s %s %d %d %d %d %s\n", kinds, text, socketName, mostState, chunk, packet, MostUnread, stepWithin)
+	golden.CheckBytes(t, "testdata/golden/packets.txt", []byte(out))
+}
--- /dev/null
+++ b/internal/service/golden_test.go
@@ -0,0 +1,121 @@
+package service
+
+import (
+	"bytes"
+	"encoding/json"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+	"time"
+
+	"gapgap/internal/balancer"
+	"gapgap/internal/discovery"
+	"gapgap/internal/golden"
+	"gapgap/internal/proxy"
+	"gapgap/internal/stats"
+)
+
+// fill sets every field of a value to something other than zero, each to another value.
+func fill(t *testing.T, v reflect.Value, next *int) {
+	t.Helper()
+	*next++
+	switch v.Kind() {
+	case reflect.Struct:
+		for i := range v.NumField() {
+			fill(t, v.Field(i), next)
+		}
+	case reflect.Slice:
+		v.Set(reflect.MakeSlice(v.Type(), 2, 2))
+		for i := range v.Len() {
+			fill(t, v.Index(i), next)
+		}
+	case reflect.String:
+		v.SetString("text-" + string(rune('a'+*next%26)))
+	case reflect.Bool:
+		v.SetBool(true)
+	case reflect.Int, reflect.Int64:
+		v.SetInt(int64(*next))
+	case reflect.Float64:
+		v.SetFloat(float64(*next) + 0.25)
+	default:
+		t.Fatalf("a field of kind %s", v.Kind())
+	}
+}
+
+// What an old process leaves to a new one keeps its form: each may be of another version of the program.
+func TestGoldenHandoverState(t *testing.T) {
+	var state estate
+	next := 0
+	fill(t, reflect.ValueOf(&state).Elem(), &next)
+	text, err := json.Marshal(state)
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.CheckBytes(t, "testdata/golden/handover-state.json", text)
+	var back estate
+	if err := json.Unmarshal(golden.Read(t, "testdata/golden/handover-state.json"), &back); err != nil {
+		t.Fatal(err)
+	}
+	if !reflect.DeepEqual(back, state) {
+		t.Errorf("read back as\n%+v\nwant\n%+v", back, state)
+	}
+}
+
+// The types of a hand-over's state are all of the recorded one.
+var _ = estate{Core: proxy.Estate{Memory: balancer.HandoverState{}}, Known: discovery.Members{}}
+
+func TestGoldenBansFile(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "bans.json")
+	list := banList{Bans: []ban{{Backend: "s-1", SinceMS: 1796290000123}, {Backend: "s-2", SinceMS: 7}}}
+	if err := bansForm.Save(path, list); err != nil {
+		t.Fatal(err)
+	}
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.CheckBytes(t, "testdata/golden/bans.json", text)
+	var back banList
+	if err := bansForm.Load("testdata/golden/bans.json", &back); err != nil {
+		t.Fatal(err)
+	}
+	if !reflect.DeepEqual(back, list) {
+		t.Errorf("read back as %+v, want %+v", back, list)
+	}
+}
+
+func TestGoldenOperatorFigures(t *testing.T) {
+	f := stats.New()
+	f.Taken.Store(20)
+	f.Gone.Store(2)
+	f.Relayed.Store(30)
+	f.Listed.Store(5)
+	f.Avoided.Store(1)
+	f.Accepted.Store(3)
+	f.Invalid.Store(4)
+	for class, ended := range map[string]int{"a": 3, "b": 2} {
+		for outcome := range stats.Outcome(3) {
+			for range ended + int(outcome) {
+				f.Class(class).Ended(outcome)
+			}
+		}
+	}
+	var out bytes.Buffer
+	if err := f.Write(&out); err != nil {
+		t.Fatal(err)
+	}
+	golden.CheckBytes(t, "testdata/golden/info.txt", out.Bytes())
+}
+
+// The limits that both processes of an upgrade go by are part of its protocol.
+func TestGoldenUpgradeLimits(t *testing.T) {
+	trace := golden.NewTrace()
+	for _, limit := range []time.Duration{takeWithin, takeAgain, leaveWithin, bansEvery} {
+		trace.Duration(limit)
+	}
+	trace.Float(besidePart)
+	trace.Int(mostBans)
+	trace.Int(mostTurns)
+	golden.LoadHashes(t, "testdata/golden/limits.txt").Check(t, "upgrade", trace.Sum())
+}
--- /dev/null
+++ b/internal/service/hosted/golden_test.go
@@ -0,0 +1,50 @@
+package hosted
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"testing"
+
+	"github.com/prometheus/client_golang/prometheus"
+
+	"gapgap/internal/golden"
+	"gapgap/internal/policy"
+	"gapgap/internal/recovery"
+)
+
+// Names, help texts and labels of metrics are what operators' dashboards go by.
+func TestGoldenMetrics(t *testing.T) {
+	descs := make(chan *prometheus.Desc, 100)
+	(&metrics{answers: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+		Namespace: "gapgap", Name: "answer_seconds", Buckets: latencies,
+	}, []string{"pool"})}).Describe(descs)
+	close(descs)
+	var out bytes.Buffer
+	for desc := range descs {
+		fmt.Fprintln(&out, desc)
+	}
+	fmt.Fprintln(&out, latencies)
+	golden.CheckBytes(t, "testdata/golden/metrics.txt", out.Bytes())
+}
+
+// The JSON that gapgapctl reads of a process.
+func TestGoldenViews(t *testing.T) {
+	version := policy.Version{N: 7, Hash: policy.Hash{1, 2, 3}}
+	views := []any{
+		PolicyStatus{Name: "a", Version: version, Decides: true, Present: &version, Mode: "wait", Leader: "b",
+			Change: &policy.Change{ID: "c", Base: 6, Hash: policy.Hash{4}, Bytes: 10, Mode: 1, Who: "w", Note: "n", At: 5, From: 2, Begin: true},
+			Waits:  "x", Serving: []string{"a", "b"}},
+		PolicyStatus{},
+		PolicyResult{ID: "c", Known: true, Taken: true, Version: 7, Reason: "r", Waits: "w"},
+		RecoveryView{Name: "a", Open: true, Steps: []recovery.View{{}}, Trusted: []string{"bans"}},
+	}
+	var out bytes.Buffer
+	encoder := json.NewEncoder(&out)
+	for _, view := range views {
+		if err := encoder.Encode(view); err != nil {
+			t.Fatal(err)
+		}
+	}
+	golden.CheckBytes(t, "testdata/golden/views.jsonl", out.Bytes())
+}
