--- a/cmd/benchmark/forwardauth.go
+++ b/cmd/benchmark/forwardauth.go
@@ -164,7 +164,7 @@
 		return err
 	}
 	defer counter.Close()
-	dir, err := os.MkdirTemp("", "measure")
+	dir, err := os.MkdirTemp("", "benchmark")
 	if err != nil {
 		return err
 	}
--- a/cmd/benchmark/main.go
+++ b/cmd/benchmark/main.go
@@ -1,14 +1,14 @@
-// Command measure takes the figures of docs/measured.md. Servers run as processes of their own with one core's worth of
+// Command benchmark takes the figures of docs/measured.md. Servers run as processes of their own with one core's worth of
 // threads; the load comes from this one. Each figure is a ratio within one run.
 //
-//	measure forward-auth [--for 5s] [--rounds 3]            checks against a bare handler; a quiet account beside a flood
-//	measure pools [--for 5s] [--rounds 3]                   a quiet pool beside a flooded one; what pools cost
-//	measure ceilings [--svg docs/ceilings.svg]              what of a ceiling is served by the skew of the demand
-//	measure members [--fleet] GAPGAPD                       what three doors let through of a ceiling around a death, a stop and a cut
-//	measure members-curves BEFORE NOW                       the same by 100 ms, of two builds, as a plot
-//	measure members-cost GAPGAPD                            a door's processor time a request, in a fleet against alone
-//	measure policy [--doors 3] [--mode wait] [--down up] GAPGAPD   a change of the fleet's policy under load
-//	measure platform [--for 5s] [--rounds 3] [--value 5,65536] [--figures] GAPGAP...   builds of cmd/gapgap under the same load
+//	benchmark forward-auth [--for 5s] [--rounds 3]            checks against a bare handler; a quiet account beside a flood
+//	benchmark pools [--for 5s] [--rounds 3]                   a quiet pool beside a flooded one; what pools cost
+//	benchmark ceilings [--svg docs/ceilings.svg]              what of a ceiling is served by the skew of the demand
+//	benchmark members [--fleet] GAPGAPD                       what three doors let through of a ceiling around a death, a stop and a cut
+//	benchmark members-curves BEFORE NOW                       the same by 100 ms, of two builds, as a plot
+//	benchmark members-cost GAPGAPD                            a door's processor time a request, in a fleet against alone
+//	benchmark policy [--doors 3] [--mode wait] [--down up] GAPGAPD   a change of the fleet's policy under load
+//	benchmark platform [--for 5s] [--rounds 3] [--value 5,65536] [--figures] GAPGAP...   builds of cmd/gapgap under the same load
 package main
 
 import (
@@ -40,7 +40,7 @@
 func main() { os.Exit(cli.Run(context.Background(), command(), os.Args[1:], os.Stderr)) }
 
 func command() *cobra.Command {
-	root := &cobra.Command{Use: "measure", Short: "Take the figures of docs/measured.md"}
+	root := &cobra.Command{Use: "benchmark", Short: "Take the figures of docs/measured.md"}
 	var lasts time.Duration
 	var rounds int
 	root.PersistentFlags().DurationVar(&lasts, "for", 5*time.Second, "length of each stretch")
--- a/cmd/benchmark/members.go
+++ b/cmd/benchmark/members.go
@@ -123,7 +123,7 @@
 		return rigs, nil, err
 	}
 	for i, c := range cfgs {
-		if c.Dir, err = os.MkdirTemp("", "measure"); err != nil {
+		if c.Dir, err = os.MkdirTemp("", "benchmark"); err != nil {
 			break
 		}
 		ends = append(ends, func() { os.RemoveAll(c.Dir) })
--- a/cmd/benchmark/platform.go
+++ b/cmd/benchmark/platform.go
@@ -35,7 +35,7 @@
 // platform runs builds of cmd/gapgap one after the other under the same load, and prints what each holds and uses.
 func platform(builds []string, what carried, lasts time.Duration, rounds int) error {
 	if len(builds) == 0 {
-		return errors.New("usage: measure platform [-for 5s] [-rounds 3] GAPGAP [GAPGAP]")
+		return errors.New("usage: benchmark platform [-for 5s] [-rounds 3] GAPGAP [GAPGAP]")
 	}
 	s, err := flagserver.Start(flagserver.Config{Value: "value"})
 	if err != nil {
@@ -52,7 +52,7 @@
 	if err != nil {
 		return err
 	}
-	dir, err := os.MkdirTemp("", "measure")
+	dir, err := os.MkdirTemp("", "benchmark")
 	if err != nil {
 		return err
 	}
--- a/cmd/benchmark/pools.go
+++ b/cmd/benchmark/pools.go
@@ -72,7 +72,7 @@
 		return err
 	}
 	defer agent.Close()
-	dir, err := os.MkdirTemp("", "measure")
+	dir, err := os.MkdirTemp("", "benchmark")
 	if err != nil {
 		return err
 	}
--- a/cmd/demo/doors.go
+++ b/cmd/demo/doors.go
@@ -74,7 +74,7 @@
 // runDoors shows several doors that know each other: an account floods all of them, the last one leaves and is started again. The counter
 // is not there, so that what is served goes by the doors' parts. With once it ends then, else it goes on until the context ends.
 func runDoors(ctx context.Context, n int, agent string, once bool, out io.Writer) error {
-	dir, err := os.MkdirTemp("", "tryout")
+	dir, err := os.MkdirTemp("", "demo")
 	if err != nil {
 		return err
 	}
@@ -104,7 +104,7 @@
 			return err
 		}
 		text := fmt.Sprintf(config, agent, "", "127.0.0.1:0", checks[i], customer, keySum())
-		text = strings.Replace(text, "[node]\nname = \"tryout\"", fmt.Sprintf("[node]\nname = %q", d.name), 1)
+		text = strings.Replace(text, "[node]\nname = \"demo\"", fmt.Sprintf("[node]\nname = %q", d.name), 1)
 		text = strings.Replace(text, "ceiling_depth = 20.0", "ceiling_depth = 20.0\nwhen_cut_off = \"yield\"", 1)
 		text += fmt.Sprintf("[fleet]\nlisten = %q\nkey_file = %q\nstate_dir = %q\ncontrol = %q\n", udp[i], filepath.Join(dir, "key"), state,
 			filepath.Join(state, "ctl")) + list.String()
--- a/cmd/demo/main.go
+++ b/cmd/demo/main.go
@@ -1,4 +1,4 @@
-// Command tryout starts a front door with a RESP2 listener and one for HTTP authorization checks, and stand-ins for all
+// Command demo starts a front door with a RESP2 listener and one for HTTP authorization checks, and stand-ins for all
 // that it needs: flag servers, the quota counter and discovery, on loopback. It prints lines to try by hand. With -once
 // it tries them itself and ends. With --doors it shows several that know each other.
 package main
@@ -28,13 +28,13 @@
 )
 
 const (
-	key      = "tryout"
+	key      = "demo"
 	customer = "00000000b4d65521"
 )
 
 const config = `
 [node]
-name = "tryout"
+name = "demo"
 discovery = %q
 counter = %q
 [limits]
@@ -80,7 +80,7 @@
 	var resp, checks string
 	var once bool
 	var doors int
-	root := &cobra.Command{Use: "tryout", Short: "Start a front door with stand-ins for all that it needs, on loopback", Args: cobra.NoArgs,
+	root := &cobra.Command{Use: "demo", Short: "Start a front door with stand-ins for all that it needs, on loopback", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			return run(c.Context(), resp, checks, doors, once, c.OutOrStdout())
 		}}
@@ -117,7 +117,7 @@
 		return err
 	}
 	defer counter.Close()
-	cfg, err := hosted.Parse("tryout", fmt.Appendf(nil, config, agent.Addr(), counter.Addr(), resp, checks, customer, keySum()))
+	cfg, err := hosted.Parse("demo", fmt.Appendf(nil, config, agent.Addr(), counter.Addr(), resp, checks, customer, keySum()))
 	if err != nil {
 		return err
 	}
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Command drill hosts one snowhall.Door for each instance on the simulator's wire.
+// Command simadapter hosts one balancer.Balancer for each instance on the simulator's wire.
 package main
 
 import (
@@ -14,7 +14,7 @@
 
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "drill:", err)
+		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
 	}
 }
--- a/cmd/simulate/main.go
+++ b/cmd/simulate/main.go
@@ -1,4 +1,4 @@
-// Command rehearse plays incidents that scripts tell, in virtual time, and compares runs. `rehearse --help` says what it can do.
+// Command simulate plays incidents that scripts tell, in virtual time, and compares runs. `simulate --help` says what it can do.
 package main
 
 import (
@@ -21,7 +21,7 @@
 func main() { os.Exit(cli.Run(context.Background(), command(), os.Args[1:], os.Stderr)) }
 
 func command() *cobra.Command {
-	root := &cobra.Command{Use: "rehearse", Short: "Play scripted incidents against front doors in virtual time"}
+	root := &cobra.Command{Use: "simulate", Short: "Play scripted incidents against front doors in virtual time"}
 	root.AddCommand(run(), diff(), check())
 	return root
 }
@@ -66,7 +66,7 @@
 		}}
 	c.Flags().Int64Var(&seed, "seed", 0, "a seed in place of the script's")
 	c.Flags().StringVar(&html, "html", "", "write a page with plots to a file")
-	c.Flags().BoolVar(&asJSON, "json", false, "print JSON, for rehearse diff")
+	c.Flags().BoolVar(&asJSON, "json", false, "print JSON, for simulate diff")
 	return c
 }
 
@@ -105,7 +105,7 @@
 					err = json.Unmarshal(data, &all[i])
 				}
 				if err == nil && all[i].Digest == "" {
-					err = errors.New("is no report of rehearse run --json")
+					err = errors.New("is no report of simulate run --json")
 				}
 				if err != nil {
 					return fmt.Errorf("%s: %w", name, err)
