--- a/internal/layout/layout_test.go
+++ b/internal/layout/layout_test.go
@@ -5,6 +5,7 @@
 	"os"
 	"os/exec"
 	"regexp"
+	"slices"
 	"strings"
 	"testing"
 )
@@ -18,85 +19,121 @@
 	return strings.Fields(string(out))
 }
 
+// none checks that a package imports none of the packages given, nor any below them. A package of this module that is
+// given must exist: one that was renamed would else be looked for in vain.
 func none(t *testing.T, pkg string, forbidden ...string) {
 	t.Helper()
-	for _, d := range deps(t, pkg) {
-		for _, f := range forbidden {
-			if d == f || strings.HasPrefix(d, f+"/") {
-				t.Errorf("%s imports %s", pkg, d)
+	mustExist(t, forbidden)
+	for _, dep := range deps(t, pkg) {
+		for _, path := range forbidden {
+			if isBelow(dep, path) {
+				t.Errorf("%s imports %s", pkg, dep)
 			}
 		}
 	}
 }
 
+// onlyBalancer checks that of this module a package imports the decision module's packages alone.
+func onlyBalancer(t *testing.T, pkg string) {
+	t.Helper()
+	for _, dep := range deps(t, pkg) {
+		if isBelow(dep, "gapgap") && !isBelow(dep, "gapgap/internal/balancer") {
+			t.Errorf("%s imports %s", pkg, dep)
+		}
+	}
+}
+
+// isBelow tells whether a package has a path or lies below it.
+func isBelow(pkg, path string) bool { return pkg == path || strings.HasPrefix(pkg, path+"/") }
+
+// mustExist checks that each path of this module is that of a package or of a folder of packages.
+func mustExist(t *testing.T, paths []string) {
+	t.Helper()
+	out, err := exec.Command("go", "list", "gapgap/...").Output()
+	if err != nil {
+		t.Fatalf("go list: %v", err)
+	}
+	all := strings.Fields(string(out))
+	for _, path := range paths {
+		if isBelow(path, "gapgap") && !slices.ContainsFunc(all, func(pkg string) bool { return isBelow(pkg, path) }) {
+			t.Errorf("there is no package %s", path)
+		}
+	}
+}
+
 // What the platform runs stays lean, and no program that serves links a stand-in.
-func TestServingProgramsLinkNoStandIn(t *testing.T) {
-	heavy := []string{"google.golang.org/grpc", "go.etcd.io/bbolt", "modernc.org/sqlite", "github.com/envoyproxy",
-		"gapgap/internal/standin", "gapgap/internal/front/authz", "testing"}
-	none(t, "gapgap/cmd/gapgap", heavy...)
-	none(t, "gapgap/cmd/simadapter", heavy...)
+func TestServingProgramsLinkNoFake(t *testing.T) {
+	forbidden := []string{"google.golang.org/grpc", "go.etcd.io/bbolt", "modernc.org/sqlite", "github.com/envoyproxy",
+		"gapgap/internal/fake", "gapgap/internal/frontend/extauthz", "testing"}
+	none(t, "gapgap/cmd/gapgap", forbidden...)
+	none(t, "gapgap/cmd/simadapter", forbidden...)
 }
 
 // Judgement does no input or output.
-func TestJudgementIsFreeOfIO(t *testing.T) {
-	none(t, "gapgap/internal/balancer", "net", "os/exec", "gapgap/internal")
-	none(t, "gapgap/ceiling", "net", "os", "gapgap/internal")
-	none(t, "gapgap/size", "net", "os", "time", "gapgap/internal")
-	none(t, "gapgap/cold", "net", "os", "math/rand", "gapgap/internal")
-	none(t, "gapgap/internal/emulator", "net", "gapgap/internal/core", "gapgap/internal/loop")
-	none(t, "gapgap/internal/budget", "net")
+func TestDecisionsAreFreeOfIO(t *testing.T) {
+	none(t, "gapgap/internal/balancer", "net", "os/exec")
+	onlyBalancer(t, "gapgap/internal/balancer")
+	none(t, "gapgap/internal/balancer/ceilinglease", "net", "os")
+	onlyBalancer(t, "gapgap/internal/balancer/ceilinglease")
+	none(t, "gapgap/internal/balancer/costmodel", "net", "os", "time")
+	onlyBalancer(t, "gapgap/internal/balancer/costmodel")
+	none(t, "gapgap/internal/balancer/slowstart", "net", "os", "math/rand")
+	onlyBalancer(t, "gapgap/internal/balancer/slowstart")
+	none(t, "gapgap/internal/simulator", "net", "gapgap/internal/proxy", "gapgap/internal/eventloop")
+	none(t, "gapgap/internal/resourcelimit", "net")
 }
 
 // What doors know of each other is decided without input and output, and the platform's front door has none of it.
-func TestMembersFloors(t *testing.T) {
-	none(t, "gapgap/share", "net", "os", "gapgap/internal")
-	for _, p := range []string{"members", "seats", "fleetnode"} {
-		none(t, "gapgap/internal/"+p, "net", "os/exec", "gapgap/internal/core", "gapgap/internal/loop", "gapgap/internal/standin")
+func TestMembershipImports(t *testing.T) {
+	none(t, "gapgap/internal/balancer/quotashare", "net", "os")
+	onlyBalancer(t, "gapgap/internal/balancer/quotashare")
+	for _, p := range []string{"membership", "quotalease", "cluster"} {
+		none(t, "gapgap/internal/"+p, "net", "os/exec", "gapgap/internal/proxy", "gapgap/internal/eventloop", "gapgap/internal/fake")
 	}
-	none(t, "gapgap/cmd/gapgap", "gapgap/internal/members", "gapgap/internal/seats", "gapgap/internal/fleetnode", "gapgap/internal/peers",
+	none(t, "gapgap/cmd/gapgap", "gapgap/internal/membership", "gapgap/internal/quotalease", "gapgap/internal/cluster", "gapgap/internal/peer",
 		"github.com/fxamacker/cbor")
 }
 
 // How a policy takes hold is decided without input and output; the platform's front door has neither that nor its log, nor storage.
-func TestPolicyFloors(t *testing.T) {
-	none(t, "gapgap/internal/policy", "net", "os/exec", "go.etcd.io", "gapgap/internal/core", "gapgap/internal/loop", "gapgap/internal/standin")
-	none(t, "gapgap/internal/agree", "net", "gapgap/internal/core", "gapgap/internal/policy", "gapgap/internal/standin")
-	none(t, "gapgap/cmd/gapgap", "gapgap/internal/policy", "gapgap/internal/policyside", "gapgap/internal/agree", "go.etcd.io", "github.com/gogo")
+func TestPolicyImports(t *testing.T) {
+	none(t, "gapgap/internal/policy", "net", "os/exec", "go.etcd.io", "gapgap/internal/proxy", "gapgap/internal/eventloop", "gapgap/internal/fake")
+	none(t, "gapgap/internal/raftlog", "net", "gapgap/internal/proxy", "gapgap/internal/policy", "gapgap/internal/fake")
+	none(t, "gapgap/cmd/gapgap", "gapgap/internal/policy", "gapgap/internal/policyreplica", "gapgap/internal/raftlog", "go.etcd.io", "github.com/gogo")
 	none(t, "gapgap/cmd/gapgapd", "github.com/anishathalye", "github.com/pmezard")
 }
 
 // The log for states of many records is ground: it knows nobody above it; the platform's front door has none of it, as no disk outlives it.
-func TestPowerFloors(t *testing.T) {
-	none(t, "gapgap/internal/wal", "net", "os/exec", "gapgap/internal/core", "gapgap/internal/service")
-	for _, p := range []string{"claims", "recovery", "clocks"} {
-		none(t, "gapgap/internal/"+p, "net", "os/exec", "math/rand", "gapgap/internal/core", "gapgap/internal/loop", "gapgap/internal/standin")
+func TestRecoveryImports(t *testing.T) {
+	none(t, "gapgap/internal/wal", "net", "os/exec", "gapgap/internal/proxy", "gapgap/internal/service")
+	for _, p := range []string{"idempotency", "recovery", "clockskew"} {
+		none(t, "gapgap/internal/"+p, "net", "os/exec", "math/rand", "gapgap/internal/proxy", "gapgap/internal/eventloop", "gapgap/internal/fake")
 	}
-	for _, p := range []string{"wal", "claims", "claimside", "recovery", "clocks"} {
+	for _, p := range []string{"wal", "idempotency", "idempotency/replica", "recovery", "clockskew"} {
 		none(t, "gapgap/cmd/gapgap", "gapgap/internal/"+p)
 	}
 }
 
 // A floor imports only those below it.
-func TestFloors(t *testing.T) {
-	fronts := []string{"gapgap/internal/front", "gapgap/internal/service"}
-	sides := []string{"gapgap/internal/upstream", "gapgap/internal/counter", "gapgap/internal/membership/discovery"}
-	none(t, "gapgap/internal/core", append(fronts, "gapgap/internal/counter", "gapgap/internal/membership/discovery",
-		"gapgap/internal/front")...)
-	for _, s := range sides {
-		none(t, s, append(fronts, "gapgap/internal/core")...)
+func TestLayerImports(t *testing.T) {
+	frontends := []string{"gapgap/internal/frontend", "gapgap/internal/service"}
+	clients := []string{"gapgap/internal/upstream", "gapgap/internal/counter", "gapgap/internal/discovery"}
+	none(t, "gapgap/internal/proxy", append(frontends, "gapgap/internal/counter", "gapgap/internal/discovery",
+		"gapgap/internal/frontend")...)
+	for _, s := range clients {
+		none(t, s, append(frontends, "gapgap/internal/proxy")...)
 	}
-	none(t, "gapgap/internal/front/resp2", append(sides[1:], "gapgap/internal/service")...)
-	for _, g := range []string{"loop", "resp", "sock", "budget"} {
-		none(t, "gapgap/internal/"+g, append(append(fronts, sides...), "gapgap/internal/core")...)
+	none(t, "gapgap/internal/frontend/resp2", append(clients[1:], "gapgap/internal/service")...)
+	for _, g := range []string{"eventloop", "resp", "socket", "resourcelimit"} {
+		none(t, "gapgap/internal/"+g, append(append(frontends, clients...), "gapgap/internal/proxy")...)
 	}
 }
 
 // The service links no stand-in either; what decides for it does no input or output.
-func TestForwardAuthFloors(t *testing.T) {
-	none(t, "gapgap/cmd/gapgapd", "gapgap/internal/standin", "testing", "google.golang.org/grpc")
-	none(t, "gapgap/internal/verdict", "net", "os", "gapgap/internal/core", "gapgap/internal/front", "gapgap/internal/loop")
-	none(t, "gapgap/internal/account", "net/http", "gapgap/internal/front", "gapgap/internal/core")
-	none(t, "gapgap/internal/front/authz", "gapgap/internal/counter", "gapgap/internal/membership/discovery", "gapgap/internal/service")
+func TestExternalAuthorizationImports(t *testing.T) {
+	none(t, "gapgap/cmd/gapgapd", "gapgap/internal/fake", "testing", "google.golang.org/grpc")
+	none(t, "gapgap/internal/decisioncache", "net", "os", "gapgap/internal/proxy", "gapgap/internal/frontend", "gapgap/internal/eventloop")
+	none(t, "gapgap/internal/account", "net/http", "gapgap/internal/frontend", "gapgap/internal/proxy")
+	none(t, "gapgap/internal/frontend/extauthz", "gapgap/internal/counter", "gapgap/internal/discovery", "gapgap/internal/service")
 }
 
 // Nothing that serves on the platform is fitted to one deployment: no class, plan, kind or site of those that the project has met is named in its code. What is
