--- a/internal/cpuscheduler/scheduler.go
+++ b/internal/cpuscheduler/scheduler.go
@@ -11,8 +11,8 @@
 	"gapgap/internal/priorityqueue"
 )
 
-// Gate lets so many turns run at once. Any goroutine may use it.
-type Gate struct {
+// Scheduler lets so many turns run at once. Any goroutine may use it.
+type Scheduler struct {
 	mu     sync.Mutex
 	slots  int
 	busy   int
@@ -23,13 +23,13 @@
 }
 
 // New makes a gate for so many cores.
-func New(cores int) *Gate {
-	return &Gate{slots: max(1, cores), queue: priorityqueue.New(func(a, b *Flow) bool { return a.v < b.v })}
+func New(cores int) *Scheduler {
+	return &Scheduler{slots: max(1, cores), queue: priorityqueue.New(func(a, b *Flow) bool { return a.v < b.v })}
 }
 
-// Flow is one party to a Gate. A nil Flow lets everything in at once.
+// Flow is one party to a Scheduler. A nil Flow lets everything in at once.
 type Flow struct {
-	g       *Gate
+	g       *Scheduler
 	weight  float64
 	v       float64 // where its next turn starts, in seconds over its weight
 	waiting []chan struct{}
@@ -40,7 +40,7 @@
 }
 
 // Flow makes a party. Its weight, above 0, is to compare with the others'.
-func (g *Gate) Flow(weight float64) *Flow {
+func (g *Scheduler) Flow(weight float64) *Flow {
 	f := &Flow{g: g, weight: weight}
 	f.place.Value = f
 	return f
@@ -81,7 +81,7 @@
 
 // breathes says whether it is time for that: a quantum of work is done, and in little more time than it took. Otherwise
 // the processor has room anyway.
-func (g *Gate) breathes(now time.Time, took time.Duration) bool {
+func (g *Scheduler) breathes(now time.Time, took time.Duration) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.worked += took; g.worked < quantum {
@@ -136,18 +136,18 @@
 	close(turn)
 }
 
-// Figures tell of a flow: turns, how many of them waited, and the time that they took in all.
-type Figures struct {
+// Stats tell of a flow: turns, how many of them waited, and the time that they took in all.
+type Stats struct {
 	Turns, Waited uint64
 	Used          time.Duration
 }
 
-// Figures tells of the flow so far.
-func (f *Flow) Figures() Figures {
+// Stats tells of the flow so far.
+func (f *Flow) Stats() Stats {
 	if f == nil {
-		return Figures{}
+		return Stats{}
 	}
 	f.g.mu.Lock()
 	defer f.g.mu.Unlock()
-	return Figures{f.turns, f.waited, f.used}
+	return Stats{f.turns, f.waited, f.used}
 }
--- a/internal/cpuscheduler/scheduler_test.go
+++ b/internal/cpuscheduler/scheduler_test.go
@@ -122,13 +122,13 @@
 func TestPoolsGateUnderRace(t *testing.T) {
 	var none *Flow
 	none.Leave(none.Enter())
-	if none.Figures() != (Figures{}) {
+	if none.Stats() != (Stats{}) {
 		t.Error("a nil flow has figures")
 	}
 	g := New(2)
 	a, b := g.Flow(1), g.Flow(2)
 	a.Leave(a.Enter())
-	if f := a.Figures(); f.Turns != 1 || f.Waited != 0 {
+	if f := a.Stats(); f.Turns != 1 || f.Waited != 0 {
 		t.Errorf("%+v", f)
 	}
 	var wg sync.WaitGroup
@@ -141,7 +141,7 @@
 		})
 	}
 	wg.Wait()
-	if f, h := a.Figures(), b.Figures(); f.Turns != 8001 || h.Turns != 8000 || g.busy != 0 || g.queue.Len() != 0 {
+	if f, h := a.Stats(), b.Stats(); f.Turns != 8001 || h.Turns != 8000 || g.busy != 0 || g.queue.Len() != 0 {
 		t.Errorf("%+v %+v, %d busy", f, h, g.busy)
 	}
 }
--- a/internal/decisioncache/cache.go
+++ b/internal/decisioncache/cache.go
@@ -1,7 +1,7 @@
 // Package decisioncache remembers what was decided for a check, so that a check that is asked again (by a proxy whose own
 // timeout was shorter than the answer's way) joins the open one or is told the same, and is charged once.
 //
-// It decides without I/O: the time is handed in, nothing is started. One goroutine at a time may use a Memory.
+// It decides without I/O: the time is handed in, nothing is started. One goroutine at a time may use a Cache.
 //
 // The memory is bounded three ways: by the time a verdict is kept, by a number for each account, and by a number in all.
 // An account that is at its number gives up its own oldest verdict; where all of its checks are open the newcomer is
@@ -17,7 +17,7 @@
 	"gapgap/internal/priorityqueue"
 )
 
-// Config bounds a Memory.
+// Config bounds a Cache.
 type Config struct {
 	Keep       time.Duration // for which a verdict is remembered, from when it was given
 	Most       int           // checks remembered in all
@@ -25,8 +25,8 @@
 	Repeats    int           // how often one check may be asked again
 }
 
-// Check says what is wrong with the bounds.
-func (c Config) Check() error {
+// Validate says what is wrong with the bounds.
+func (c Config) Validate() error {
 	switch {
 	case c.Keep <= 0:
 		return errors.New("keep is not above 0")
@@ -90,8 +90,8 @@
 	place priorityqueue.Item[*account] // among the accounts by size
 }
 
-// Figures count what a Memory did.
-type Figures struct {
+// Stats count what a Cache did.
+type Stats struct {
 	Joined    uint64 // checks that joined an open one
 	Repeated  uint64 // checks that were told a verdict already given
 	Forgotten uint64 // verdicts given up for want of room before their time
@@ -99,8 +99,8 @@
 	Worn      uint64 // checks asked more often than may be, and turned away
 }
 
-// Memory remembers checks. V is what is decided, W who waits for it.
-type Memory[V, W any] struct {
+// Cache remembers checks. V is what is decided, W who waits for it.
+type Cache[V, W any] struct {
 	cfg     Config
 	names   map[string]*account
 	numbers map[uint32]*account
@@ -113,15 +113,15 @@
 	waiting map[Entry][]W // of the open ones that were asked again
 	size    int
 	given   ends // of all accounts, by when they were settled
-	Figures Figures
+	Figures Stats
 }
 
-// NewMemory makes an empty memory.
-func NewMemory[V, W any](cfg Config) (*Memory[V, W], error) {
-	if err := cfg.Check(); err != nil {
+// NewCache makes an empty memory.
+func NewCache[V, W any](cfg Config) (*Cache[V, W], error) {
+	if err := cfg.Validate(); err != nil {
 		return nil, err
 	}
-	return &Memory[V, W]{cfg: cfg, names: map[string]*account{}, numbers: map[uint32]*account{}, free: none,
+	return &Cache[V, W]{cfg: cfg, names: map[string]*account{}, numbers: map[uint32]*account{}, free: none,
 		find: map[id]Entry{}, waiting: map[Entry][]W{}, given: ends{none, none},
 		bySize: priorityqueue.New(func(a, b *account) bool { return a.size > b.size })}, nil
 }
@@ -129,33 +129,33 @@
 // pageSize is how many slots are made at a time.
 const pageSize = 1 << 10
 
-func (m *Memory[V, W]) at(e Entry) *slot[V] { return &m.pages[e/pageSize][e%pageSize] }
+func (m *Cache[V, W]) at(e Entry) *slot[V] { return &m.pages[e/pageSize][e%pageSize] }
 
 // Len is how many checks are remembered.
-func (m *Memory[V, W]) Len() int { return m.size }
+func (m *Cache[V, W]) Len() int { return m.size }
 
 // Of is how many of an account are remembered.
-func (m *Memory[V, W]) Of(name string) int {
+func (m *Cache[V, W]) Of(name string) int {
 	if a := m.names[name]; a != nil {
 		return a.size
 	}
 	return 0
 }
 
-// Verdict is what was decided for a check that is Given.
-func (m *Memory[V, W]) Verdict(e Entry) V { return m.at(e).verdict }
+// Decision is what was decided for a check that is Given.
+func (m *Cache[V, W]) Decision(e Entry) V { return m.at(e).verdict }
 
-// Left is for how long a check is still remembered; 0: it is open.
-func (m *Memory[V, W]) Left(now time.Duration, e Entry) time.Duration {
+// TTL is for how long a check is still remembered; 0: it is open.
+func (m *Cache[V, W]) TTL(now time.Duration, e Entry) time.Duration {
 	if s := m.at(e); s.settled {
 		return max(0, s.until-now)
 	}
 	return 0
 }
 
-// Ask takes a check. With New the caller decides it, calls Settle and tells the asker; with Open the waiter comes back
+// Lookup takes a check. With New the caller decides it, calls Settle and tells the asker; with Open the waiter comes back
 // from that Settle. Unwatched has no Entry.
-func (m *Memory[V, W]) Ask(now time.Duration, name string, key Key, who W) (Entry, State) {
+func (m *Cache[V, W]) Lookup(now time.Duration, name string, key Key, who W) (Entry, State) {
 	m.expire(now)
 	if a := m.names[name]; a != nil {
 		if e, ok := m.find[id{a.no, key}]; ok {
@@ -210,7 +210,7 @@
 }
 
 // room sees to it that one more check of an account can be remembered.
-func (m *Memory[V, W]) room(a *account) bool {
+func (m *Cache[V, W]) room(a *account) bool {
 	if a != nil && a.size >= m.cfg.PerAccount {
 		return m.giveUp(a)
 	}
@@ -225,7 +225,7 @@
 }
 
 // giveUp forgets an account's oldest verdict, if there is one.
-func (m *Memory[V, W]) giveUp(a *account) bool {
+func (m *Cache[V, W]) giveUp(a *account) bool {
 	if a.given.first == none {
 		return false
 	}
@@ -234,9 +234,9 @@
 	return true
 }
 
-// Settle gives an open check its verdict, once, and returns who has joined it since; the first asker is the caller's
+// Complete gives an open check its verdict, once, and returns who has joined it since; the first asker is the caller's
 // own. It is remembered for the time given, and no longer than the bound; 0 forgets it at once.
-func (m *Memory[V, W]) Settle(now time.Duration, e Entry, v V, keep time.Duration) []W {
+func (m *Cache[V, W]) Complete(now time.Duration, e Entry, v V, keep time.Duration) []W {
 	s := m.at(e)
 	if s.settled {
 		return nil
@@ -258,7 +258,7 @@
 }
 
 // link puts a check at the end of a list.
-func (m *Memory[V, W]) link(l *ends, e Entry, of func(*slot[V]) *links) {
+func (m *Cache[V, W]) link(l *ends, e Entry, of func(*slot[V]) *links) {
 	*of(m.at(e)) = links{l.last, none}
 	if l.last == none {
 		l.first = e
@@ -269,7 +269,7 @@
 }
 
 // unlink takes a check out of a list.
-func (m *Memory[V, W]) unlink(l *ends, e Entry, of func(*slot[V]) *links) {
+func (m *Cache[V, W]) unlink(l *ends, e Entry, of func(*slot[V]) *links) {
 	at := *of(m.at(e))
 	if at.prev == none {
 		l.first = at.next
@@ -284,7 +284,7 @@
 }
 
 // forget forgets a settled check.
-func (m *Memory[V, W]) forget(e Entry) {
+func (m *Cache[V, W]) forget(e Entry) {
 	s := m.at(e)
 	a := m.numbers[s.id.account]
 	m.unlink(&a.given, e, func(s *slot[V]) *links { return &s.account })
@@ -305,7 +305,7 @@
 
 // expire forgets what has been kept for its time. A verdict kept for less than the bound may stay a little longer in
 // memory, behind one kept for the whole of it, but is not told any more.
-func (m *Memory[V, W]) expire(now time.Duration) {
+func (m *Cache[V, W]) expire(now time.Duration) {
 	for m.given.first != none && m.at(m.given.first).until <= now {
 		m.forget(m.given.first)
 	}
--- a/internal/decisioncache/cache_test.go
+++ b/internal/decisioncache/cache_test.go
@@ -15,9 +15,9 @@
 	return k
 }
 
-func memory(t *testing.T, cfg Config) *Memory[int, int] {
+func memory(t *testing.T, cfg Config) *Cache[int, int] {
 	t.Helper()
-	m, err := NewMemory[int, int](cfg)
+	m, err := NewCache[int, int](cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -29,7 +29,7 @@
 func TestForwardAuthBoundsAreChecked(t *testing.T) {
 	for _, bad := range []Config{{}, {Keep: 1, Most: 1, PerAccount: 1}, {Keep: 1, Most: 1, Repeats: 1},
 		{Keep: 1, PerAccount: 2, Most: 1, Repeats: 1}, {Most: 1, PerAccount: 1, Repeats: 1}} {
-		if _, err := NewMemory[int, int](bad); err == nil {
+		if _, err := NewCache[int, int](bad); err == nil {
 			t.Errorf("%+v is taken", bad)
 		}
 	}
@@ -39,41 +39,41 @@
 // as that is kept and as often as may be.
 func TestForwardAuthJoinAndRepeat(t *testing.T) {
 	m := memory(t, usual)
-	e, s := m.Ask(0, "a", key(1), 1)
+	e, s := m.Lookup(0, "a", key(1), 1)
 	if s != New {
 		t.Fatal(s)
 	}
-	if _, s := m.Ask(1, "a", key(1), 2); s != Open {
+	if _, s := m.Lookup(1, "a", key(1), 2); s != Open {
 		t.Errorf("an open check: %v", s)
 	}
-	if _, s := m.Ask(1, "b", key(1), 9); s != New {
+	if _, s := m.Lookup(1, "b", key(1), 9); s != New {
 		t.Errorf("another account's check of that key: %v", s)
 	}
-	if who := m.Settle(2, e, 7, time.Hour); !slices.Equal(who, []int{2}) {
+	if who := m.Complete(2, e, 7, time.Hour); !slices.Equal(who, []int{2}) {
 		t.Errorf("told %v", who)
 	}
-	if who := m.Settle(2, e, 8, time.Hour); who != nil || m.Verdict(e) != 7 {
-		t.Errorf("settled twice: told %v, %d", who, m.Verdict(e))
+	if who := m.Complete(2, e, 8, time.Hour); who != nil || m.Decision(e) != 7 {
+		t.Errorf("settled twice: told %v, %d", who, m.Decision(e))
 	}
 	for range 2 {
-		if e, s := m.Ask(3, "a", key(1), 3); s != Given || m.Verdict(e) != 7 {
+		if e, s := m.Lookup(3, "a", key(1), 3); s != Given || m.Decision(e) != 7 {
 			t.Errorf("a settled check: %v", s)
 		}
 	}
-	if e, s := m.Ask(4, "a", key(1), 4); s != Worn || m.Left(4, e) != usual.Keep-2 { // asked too often
+	if e, s := m.Lookup(4, "a", key(1), 4); s != Worn || m.TTL(4, e) != usual.Keep-2 { // asked too often
 		t.Errorf("a worn check: %v", s)
 	}
-	if _, s := m.Ask(2+usual.Keep, "a", key(1), 4); s != New {
+	if _, s := m.Lookup(2+usual.Keep, "a", key(1), 4); s != New {
 		t.Errorf("a worn check that is forgotten: %v", s)
 	}
-	e, _ = m.Ask(5, "a", key(2), 1)
-	m.Settle(5, e, 1, time.Second)
-	if _, s := m.Ask(5+time.Second, "a", key(2), 1); s != New {
+	e, _ = m.Lookup(5, "a", key(2), 1)
+	m.Complete(5, e, 1, time.Second)
+	if _, s := m.Lookup(5+time.Second, "a", key(2), 1); s != New {
 		t.Errorf("one that was kept for a second: %v", s)
 	}
-	e, _ = m.Ask(6, "a", key(3), 1)
-	m.Settle(6, e, 1, 0)
-	if _, s := m.Ask(6, "a", key(3), 1); s != New {
+	e, _ = m.Lookup(6, "a", key(3), 1)
+	m.Complete(6, e, 1, 0)
+	if _, s := m.Lookup(6, "a", key(3), 1); s != New {
 		t.Errorf("one that was not to be kept: %v", s)
 	}
 }
@@ -83,18 +83,18 @@
 	for _, settle := range []bool{true, false} {
 		m := memory(t, usual)
 		for i := range 9 {
-			e, _ := m.Ask(0, "quiet", key(i), 0)
-			m.Settle(0, e, i, time.Hour)
+			e, _ := m.Lookup(0, "quiet", key(i), 0)
+			m.Complete(0, e, i, time.Hour)
 		}
 		for i := range 5000 {
-			e, s := m.Ask(1, "loud", key(i), 0)
+			e, s := m.Lookup(1, "loud", key(i), 0)
 			if s == New && settle {
-				m.Settle(1, e, i, time.Hour)
+				m.Complete(1, e, i, time.Hour)
 			}
 		}
 		kept := 0
 		for i := range 9 {
-			if e, s := m.Ask(3, "quiet", key(i), 0); s == Given && m.Verdict(e) == i {
+			if e, s := m.Lookup(3, "quiet", key(i), 0); s == Given && m.Decision(e) == i {
 				kept++
 			}
 		}
@@ -109,14 +109,14 @@
 		}
 	}
 	m := memory(t, usual)
-	e, _ := m.Ask(0, "quiet", key(1), 0)
-	m.Settle(0, e, 1, time.Hour)
+	e, _ := m.Lookup(0, "quiet", key(1), 0)
+	m.Complete(0, e, 1, time.Hour)
 	for i := range 100_000 {
-		if e, s := m.Ask(1, fmt.Sprint("loud", i%3), key(i), 0); s == New {
-			m.Settle(1, e, i, time.Hour)
+		if e, s := m.Lookup(1, fmt.Sprint("loud", i%3), key(i), 0); s == New {
+			m.Complete(1, e, i, time.Hour)
 		}
 	}
-	if _, s := m.Ask(2, "quiet", key(1), 0); s != Given {
+	if _, s := m.Lookup(2, "quiet", key(1), 0); s != Given {
 		t.Errorf("three floods pushed a quiet account's verdict out")
 	}
 }
@@ -137,7 +137,7 @@
 		cfg := Config{Keep: time.Duration(rapid.IntRange(1, 20).Draw(t, "keep")),
 			PerAccount: rapid.IntRange(1, 4).Draw(t, "per account"), Repeats: rapid.IntRange(1, 3).Draw(t, "repeats")}
 		cfg.Most = cfg.PerAccount + rapid.IntRange(0, 6).Draw(t, "more")
-		m, err := NewMemory[int, int](cfg)
+		m, err := NewCache[int, int](cfg)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -150,7 +150,7 @@
 			c := check{rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "account"), rapid.IntRange(0, 5).Draw(t, "key")}
 			if e, ok := open[c]; ok && rapid.Bool().Draw(t, "settle") {
 				keep := time.Duration(rapid.IntRange(0, 25).Draw(t, "for"))
-				if who := m.Settle(now, e, step, keep); !slices.Equal(who, waiting[c]) {
+				if who := m.Complete(now, e, step, keep); !slices.Equal(who, waiting[c]) {
 					t.Fatalf("told %v, waiting %v", who, waiting[c])
 				}
 				facts[c] = &fact{verdict: step, until: now + min(keep, cfg.Keep), told: len(waiting[c])}
@@ -158,7 +158,7 @@
 				delete(waiting, c)
 				continue
 			}
-			switch e, s := m.Ask(now, c.account, key(c.key), step); s {
+			switch e, s := m.Lookup(now, c.account, key(c.key), step); s {
 			case New:
 				if _, ok := open[c]; ok {
 					t.Fatal("an open check is new")
@@ -174,8 +174,8 @@
 				}
 			case Given:
 				f := facts[c]
-				if f == nil || f.until <= now || m.Verdict(e) != f.verdict {
-					t.Fatalf("told %d, which was not decided or is too old", m.Verdict(e))
+				if f == nil || f.until <= now || m.Decision(e) != f.verdict {
+					t.Fatalf("told %d, which was not decided or is too old", m.Decision(e))
 				}
 				if f.told++; f.told > cfg.Repeats {
 					t.Fatal("told too often")
--- a/internal/discovery/crossings_test.go
+++ b/internal/discovery/crossings_test.go
@@ -278,7 +278,7 @@
 								l.Post(func() { d.Follow("other:1") })
 							}
 						}
-						took := s.agent.play(t, Config{Doors: doors, Pushed: pushed, Seed: seed}, meanwhile) - s.from
+						took := s.agent.play(t, Config{Gateways: doors, Pushed: pushed, Seed: seed}, meanwhile) - s.from
 						if worst = max(worst, took); took > toldWithin {
 							t.Fatalf("seed %d: heard %v after it was there to be had", seed, took)
 						}
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -103,7 +103,7 @@
 	Addr         string   // host:port of the agent
 	Known        Members  // the list as last had
 	Zones, Kinds []string // names, in the order of the module's indices
-	Doors        int      // front doors that ask the same discovery
+	Gateways     int      // front doors that ask the same discovery
 	Pushed       bool     // the agent has the list without being asked: what it has counts as told, and asking it costs nothing
 	Seed         uint64   // for the pauses between tries
 
@@ -129,7 +129,7 @@
 
 // New makes a watch that begins with Follow. The sink is called by the loop goroutine.
 func New(l *eventloop.Loop, log *slog.Logger, cfg Config, sink func(endpoint.Update)) *Watch {
-	turned := backoff.For(cfg.Doors, rewatchesAll, backoff.Terms{First: rewatchFirst, Most: rewatchMost, Grow: rewatchGrow})
+	turned := backoff.For(cfg.Gateways, rewatchesAll, backoff.Terms{First: rewatchFirst, Most: rewatchMost, Grow: rewatchGrow})
 	turned.First, turned.Most = min(turned.First, turnedAwayMost), min(turned.Most, turnedAwayMost)
 	ended := turned
 	ended.First, ended.Most = min(ended.First, endedMost), min(ended.Most, endedMost)
@@ -367,7 +367,7 @@
 
 // take reads a list or its changes and hands them on.
 func (d *Watch) take(m Members, scope balancer.UpdateKind) {
-	u := endpoint.Update{Scope: scope}
+	u := endpoint.Update{Kind: scope}
 	if scope != balancer.Delta {
 		clear(d.all)
 	}
@@ -383,7 +383,7 @@
 		b := balancer.Endpoint{Name: e.Name, Zone: max(0, slices.Index(d.cfg.Zones, e.Zone)),
 			Kind: max(0, slices.Index(d.cfg.Kinds, e.Type)), Cell: e.Group, State: state, Weight: e.Weight,
 			StartedAt: time.Duration(e.SinceMS) * time.Millisecond}
-		u.Entries = append(u.Entries, endpoint.Entry{Endpoint: b, Addr: e.Address})
+		u.Entries = append(u.Entries, endpoint.Entry{Endpoint: b, Address: e.Address})
 	}
 	d.sink(u)
 }
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -18,7 +18,7 @@
 // follow starts a watch of an agent that turns the first calls away, and returns what it was told.
 func follow(t *testing.T, doors, turnsAway int) (told <-chan endpoint.Update, calls *atomic.Int32) {
 	t.Helper()
-	return watch(t, Config{Doors: doors}, turnsAway, nil)
+	return watch(t, Config{Gateways: doors}, turnsAway, nil)
 }
 
 // watch is follow with more of a configuration, of an agent that is silent, without an answer, until a channel is closed.
@@ -87,8 +87,8 @@
 func TestManyFrontDoorsAskSeldom(t *testing.T) {
 	l := eventloop.New()
 	defer l.Close()
-	few := New(l, nil, Config{Doors: 3}, nil)
-	many := New(l, nil, Config{Doors: 80}, nil)
+	few := New(l, nil, Config{Gateways: 3}, nil)
+	many := New(l, nil, Config{Gateways: 80}, nil)
 	if few.turned.First > 200*time.Millisecond || few.turned.Most > time.Second {
 		t.Errorf("three front doors wait %v to %v", few.turned.First, few.turned.Most)
 	}
@@ -96,7 +96,7 @@
 		t.Errorf("80 front doors wait %v to %v; discovery needs %v to answer each once", many.turned.First, many.turned.Most, all)
 	}
 	for _, doors := range []int{1, 3, 80, 300, 10_000} {
-		d := New(l, nil, Config{Doors: doors}, nil)
+		d := New(l, nil, Config{Gateways: doors}, nil)
 		const room = 200 * time.Millisecond // a call's own wait in discovery's queue counts for nobody
 		if sum := signWithin + d.ended.Most*3/2 + listWithin; sum > toldWithin-room {
 			t.Errorf("%d front doors: %v after a watch that fell silent", doors, sum)
@@ -121,7 +121,7 @@
 // hears it before a drain binds. Before, each of 321 waited for 4 to 12 seconds, and then for longer.
 func TestSilentAgentIsHeardAtOnceWhenItIsBack(t *testing.T) {
 	back := make(chan struct{})
-	told, calls := watch(t, Config{Doors: 321, Pushed: true}, 0, back)
+	told, calls := watch(t, Config{Gateways: 321, Pushed: true}, 0, back)
 	for calls.Load() < 4 { // without a word a watch has not begun
 		time.Sleep(time.Millisecond)
 	}
@@ -138,7 +138,7 @@
 
 // An agent that takes its time is heard all the same; one that turns this door away is asked again by the terms of the fleet.
 func TestTurnedAwayWatchOfPushedLists(t *testing.T) {
-	told, calls := watch(t, Config{Doors: 2, Pushed: true}, 3, nil)
+	told, calls := watch(t, Config{Gateways: 2, Pushed: true}, 3, nil)
 	<-told
 	if n := calls.Load(); n != 4 {
 		t.Errorf("%d calls", n)
--- a/internal/endpoint/endpoint.go
+++ b/internal/endpoint/endpoint.go
@@ -5,12 +5,12 @@
 
 // Update is a list of backends or changes of it.
 type Update struct {
-	Scope   balancer.UpdateKind
+	Kind    balancer.UpdateKind
 	Entries []Entry
 }
 
 // Entry is one backend and where it listens.
 type Entry struct {
 	balancer.Endpoint
-	Addr string // host:port
+	Address string // host:port
 }
--- a/internal/frontend/extauthz/answer.go
+++ b/internal/frontend/extauthz/answer.go
@@ -161,4 +161,4 @@
 	a.w.Write(body)
 }
 
-var _ proxy.Front = (*Front)(nil)
+var _ proxy.Frontend = (*Front)(nil)
--- a/internal/frontend/extauthz/check.go
+++ b/internal/frontend/extauthz/check.go
@@ -203,9 +203,9 @@
 	switch {
 	case o.shut:
 		a.undecided("policy")
-	case !ok || o.verdict != proxy.Granted && o.verdict != proxy.Refused:
+	case !ok || o.verdict != proxy.Admitted && o.verdict != proxy.Rejected:
 		a.undecided("core")
-	case o.verdict == proxy.Granted:
+	case o.verdict == proxy.Admitted:
 		fr.s.Figures.Allowed.Add(1)
 		a.allowed(o)
 	default:
@@ -311,9 +311,9 @@
 	}
 	c.p = p
 	c.Request = proxy.Request{Caller: c, Class: class, Plan: acct.Plan, Customer: acct.Customer, At: fr.env.Now(),
-		Wait: rt.within(r.Header), Units: units, Doors: acct.Doors, Grant: true}
+		Timeout: rt.within(r.Header), Units: units, Gateways: acct.Doors, AdmitOnly: true}
 	if a.plans[acct.Plan].MaxInFlight > 0 {
-		c.Hold = acct.Hold
+		c.HoldFor = acct.Hold
 	}
 	if c.watch, err = rt.sameness(c, acct, tg, r.Header); err != nil {
 		s.Figures.Bad.Add(1)
--- a/internal/frontend/extauthz/conn.go
+++ b/internal/frontend/extauthz/conn.go
@@ -19,9 +19,9 @@
 type conn struct {
 	net.Conn
 	fr      *Front
-	trusted bool                       // by its address
-	pool    atomic.Pointer[proxy.Core] // that it asked last; nil: none yet
-	leave   atomic.Bool                // to be closed with its next answer
+	trusted bool                        // by its address
+	pool    atomic.Pointer[proxy.Proxy] // that it asked last; nil: none yet
+	leave   atomic.Bool                 // to be closed with its next answer
 	born    time.Duration
 	open    atomic.Int32 // requests that a handler has
 	last    atomic.Int64 // when bytes last went by, on the loop's clock
@@ -56,15 +56,15 @@
 
 // gate is the way to the processor of the pool that it asked last.
 func (c *conn) gate() *cpuscheduler.Flow {
-	if p := c.pool.Load(); p != nil && p.Gate != nil {
-		return p.Gate
+	if p := c.pool.Load(); p != nil && p.Scheduler != nil {
+		return p.Scheduler
 	}
-	return c.fr.env.Gate
+	return c.fr.env.Scheduler
 }
 
 // join takes the connection to a pool, whose part of the connections bears it from here on. false: the pool has no place
 // for a newcomer.
-func (c *conn) join(p *proxy.Core) bool {
+func (c *conn) join(p *proxy.Proxy) bool {
 	if c.pool.Load() == p {
 		return true
 	}
@@ -158,7 +158,7 @@
 			time.Sleep(10 * time.Millisecond)
 			continue
 		}
-		if !l.fr.env.Conns.Room() {
+		if !l.fr.env.Conns.HasCapacity() {
 			l.fr.s.Figures.NoRoom.Add(1)
 			nc.SetWriteDeadline(time.Now().Add(time.Second))
 			nc.Write(l.full)
--- a/internal/frontend/extauthz/front.go
+++ b/internal/frontend/extauthz/front.go
@@ -247,7 +247,7 @@
 }
 
 // post hands a pool's loop a task, unless it takes none until then.
-func (fr *Front) post(c *proxy.Core, task func(), until time.Duration) bool {
+func (fr *Front) post(c *proxy.Proxy, task func(), until time.Duration) bool {
 	for {
 		pulse := *fr.s.pulse.Load()
 		if c.PostUntil(task, pulse) {
@@ -266,7 +266,7 @@
 
 // decide asks the core. false: it gave no answer in time.
 func (fr *Front) decide(c *check) (outcome, bool) {
-	until := c.At + c.Wait + answerGrace
+	until := c.At + c.Timeout + answerGrace
 	if !fr.post(c.p.core, c.arrive, until) {
 		c.p.core.Release()
 		return outcome{}, false
--- a/internal/frontend/extauthz/shared.go
+++ b/internal/frontend/extauthz/shared.go
@@ -32,7 +32,7 @@
 type Shared struct {
 	cfg     SharedConfig
 	env     *proxy.Env
-	pools   atomic.Pointer[map[*proxy.Core]*pool]
+	pools   atomic.Pointer[map[*proxy.Proxy]*pool]
 	table   atomic.Pointer[account.Table] // whose credentials are known
 	mu      sync.Mutex                    // held to change pools
 	fronts  []*Front
@@ -55,10 +55,10 @@
 // pool is what a pool's checks have together: the memory of verdicts, so that a check asked again by another way is known,
 // and the grants whose end is awaited. The pool's loop goroutine owns all but the table.
 type pool struct {
-	core   *proxy.Core
+	core   *proxy.Proxy
 	s      *Shared
 	table  atomic.Pointer[account.Table]
-	memory *decisioncache.Memory[outcome, *check]
+	memory *decisioncache.Cache[outcome, *check]
 	holds  holds
 }
 
@@ -136,13 +136,13 @@
 
 // NewShared makes what the listeners of a process share. It knows no pool yet.
 func NewShared(env *proxy.Env, cfg SharedConfig) (*Shared, error) {
-	if err := cfg.Memory.Check(); err != nil {
+	if err := cfg.Memory.Validate(); err != nil {
 		return nil, err
 	}
 	var b [8]byte
 	rand.Read(b[:])
 	s := &Shared{cfg: cfg, env: env, prefix: hex.EncodeToString(b[:]) + "-", stop: make(chan struct{})}
-	s.pools.Store(&map[*proxy.Core]*pool{})
+	s.pools.Store(&map[*proxy.Proxy]*pool{})
 	first := make(chan struct{})
 	s.pulse.Store(&first)
 	return s, nil
@@ -150,7 +150,7 @@
 
 // Add makes a pool known, with its accounts; for one that is known the accounts are swapped. Checks that were read before
 // go by the old ones.
-func (s *Shared) Add(c *proxy.Core, t *account.Table) {
+func (s *Shared) Add(c *proxy.Proxy, t *account.Table) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	old := *s.pools.Load()
@@ -158,7 +158,7 @@
 		p.table.Store(t)
 		return
 	}
-	m, err := decisioncache.NewMemory[outcome, *check](s.cfg.Memory)
+	m, err := decisioncache.NewCache[outcome, *check](s.cfg.Memory)
 	if err != nil {
 		panic(err) // the bounds were checked
 	}
@@ -170,7 +170,7 @@
 }
 
 // Remove forgets a pool that no request holds any more.
-func (s *Shared) Remove(c *proxy.Core) {
+func (s *Shared) Remove(c *proxy.Proxy) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	next := maps.Clone(*s.pools.Load())
@@ -182,7 +182,7 @@
 func (s *Shared) Len() int { return len(*s.pools.Load()) }
 
 // of finds what is kept of a pool.
-func (s *Shared) of(c *proxy.Core) *pool { return (*s.pools.Load())[c] }
+func (s *Shared) of(c *proxy.Proxy) *pool { return (*s.pools.Load())[c] }
 
 // identities is a table by which credentials are known: those of all pools are the same.
 func (s *Shared) identities() *account.Table { return s.table.Load() }
@@ -191,7 +191,7 @@
 func (s *Shared) SetIdentities(t *account.Table) { s.table.Store(t) }
 
 // Account finds what is configured for a customer in a pool; nil: nothing.
-func (s *Shared) Account(c *proxy.Core, customer string) *account.Account {
+func (s *Shared) Account(c *proxy.Proxy, customer string) *account.Account {
 	if p := s.of(c); p != nil {
 		return p.table.Load().ByCustomer(customer)
 	}
@@ -213,7 +213,7 @@
 
 // outcome is what was decided. It has no pointers, as the memory holds many.
 type outcome struct {
-	verdict proxy.Verdict
+	verdict proxy.Outcome
 	pause   time.Duration
 	at      time.Duration // when it was decided, on the loop's clock
 	quota   proxy.Quota
@@ -234,7 +234,7 @@
 	s := p.s
 	if c.watch {
 		now := p.core.Coarse()
-		e, state := p.memory.Ask(now, c.Customer, c.key, c)
+		e, state := p.memory.Lookup(now, c.Customer, c.key, c)
 		switch state {
 		case decisioncache.Open:
 			s.Figures.Repeated.Add(1)
@@ -243,7 +243,7 @@
 		case decisioncache.Given:
 			s.Figures.Repeated.Add(1)
 			p.core.Release()
-			o := p.memory.Verdict(e)
+			o := p.memory.Decision(e)
 			o.pause = max(0, o.pause-(now-o.at))
 			o.repeat = true
 			c.done <- o
@@ -251,7 +251,7 @@
 		case decisioncache.Worn:
 			s.Figures.Worn.Add(1)
 			p.core.Release()
-			c.done <- outcome{verdict: proxy.Refused, pause: max(refusedKeep, p.memory.Left(now, e)), at: now, repeat: true}
+			c.done <- outcome{verdict: proxy.Rejected, pause: max(refusedKeep, p.memory.TTL(now, e)), at: now, repeat: true}
 			return
 		case decisioncache.Unwatched:
 			s.Figures.Unwatched.Add(1)
@@ -268,24 +268,24 @@
 // Answer implements [proxy.Caller].
 func (c *check) Answer(a proxy.Answer) {
 	p, s := c.p, c.p.s
-	o := outcome{verdict: a.Verdict, pause: a.Pause, at: p.core.Coarse(), quota: a.Quota, shut: a.Shut, version: a.Version}
+	o := outcome{verdict: a.Outcome, pause: a.RetryAfter, at: p.core.Coarse(), quota: a.Quota, shut: a.Unavailable, version: a.Version}
 	keep := time.Duration(0) // what was not decided is decided anew when it is asked again
-	switch a.Verdict {
-	case proxy.Granted:
+	switch a.Outcome {
+	case proxy.Admitted:
 		o.id = s.lastID.Add(1)
 		keep = time.Duration(1<<63 - 1)
-		if c.Hold > 0 && !p.holds.add(o.id, &c.Request, o.at+c.Hold, o.at) {
+		if c.HoldFor > 0 && !p.holds.add(o.id, &c.Request, o.at+c.HoldFor, o.at) {
 			s.Figures.HoldsLost.Add(1)
 		}
-	case proxy.Refused:
-		if !a.Shut {
-			keep = max(refusedKeep, a.Pause)
+	case proxy.Rejected:
+		if !a.Unavailable {
+			keep = max(refusedKeep, a.RetryAfter)
 		}
 	}
 	c.done <- o
 	if c.kept {
 		o.repeat = true
-		for _, w := range p.memory.Settle(o.at, c.entry, o, keep) {
+		for _, w := range p.memory.Complete(o.at, c.entry, o, keep) {
 			w.done <- o
 		}
 	}
@@ -305,7 +305,7 @@
 		return false
 	}
 	p.s.Figures.Ended.Add(1)
-	p.core.Finish(r)
+	p.core.FinishAdmitted(r)
 	return true
 }
 
--- a/internal/frontend/resp2/client.go
+++ b/internal/frontend/resp2/client.go
@@ -57,7 +57,7 @@
 	timed bool      // a read deadline is set
 	bad   int       // commands in a row that could not be used
 
-	pool   *proxy.Core        // that it asked last; nil: none, or they are not told apart. The reader's
+	pool   *proxy.Proxy       // that it asked last; nil: none, or they are not told apart. The reader's
 	gate   *cpuscheduler.Flow // the way to that pool's processor
 	spoken atomic.Bool        // it has asked something
 	idle   atomic.Int64       // since when no request is open, on the loop's clock; 0: one is
@@ -80,7 +80,7 @@
 }
 
 func newClient(fr *Front, nc net.Conn) *client {
-	c := &client{fr: fr, gate: fr.env.Gate, mem: fr.env.Memory, nc: nc, due: time.Now().Add(firstWithin), readAt: fr.env.Now()}
+	c := &client{fr: fr, gate: fr.env.Scheduler, mem: fr.env.Memory, nc: nc, due: time.Now().Add(firstWithin), readAt: fr.env.Now()}
 	c.room = sync.NewCond(&c.mu)
 	c.in = resp.Reader{From: c, Memory: fr.env.Memory}
 	c.idle.Store(int64(fr.env.Now()))
@@ -245,7 +245,7 @@
 		a.conn = c
 		cost := int64(len(m.Raw)) + askCost
 		if !c.mem.Take(cost) { // the reader alone changes mem
-			pool.TurnAway(&a.Request)
+			pool.CountRejected(&a.Request)
 			pool.Release()
 			return c.reply(string(busyAnswer(comeBack)))
 		}
@@ -253,7 +253,7 @@
 			pool.Release()
 			return false
 		}
-		pool.Take(&a.Request)
+		pool.CountRequest(&a.Request)
 		pool.Post(func() { pool.Submit(&a.Request) })
 		return true
 	}
@@ -261,7 +261,7 @@
 }
 
 // read1 finds a command's pool and reads it, in a turn of the pool that this connection asked last.
-func (c *client) read1(name string, args [][]byte) (*proxy.Core, *ask, error) {
+func (c *client) read1(name string, args [][]byte) (*proxy.Proxy, *ask, error) {
 	gate := c.gate
 	began := gate.Enter()
 	defer gate.Leave(began)
@@ -280,7 +280,7 @@
 
 // join takes the connection to a pool: from here on its part of the processor, the memory and the connections bears it.
 // false: the pool has no place for a newcomer.
-func (c *client) join(pool *proxy.Core) bool {
+func (c *client) join(pool *proxy.Proxy) bool {
 	if c.pool == pool {
 		return true
 	}
@@ -288,8 +288,8 @@
 		return false
 	}
 	c.pool = pool
-	if pool.Gate != nil {
-		c.gate = pool.Gate
+	if pool.Scheduler != nil {
+		c.gate = pool.Scheduler
 	}
 	if pool.Memory == nil {
 		return true
@@ -305,7 +305,7 @@
 }
 
 // ready says whether a pool can serve, and gives it back. Where nothing is said of where a request would go, any may do.
-func ready(p *proxy.Core) bool {
+func ready(p *proxy.Proxy) bool {
 	if p == nil {
 		return true // what is asked says more, and is told so if it leads nowhere
 	}
@@ -566,6 +566,6 @@
 	c.in.Release()
 	c.fr.env.Conns.Remove(c)
 	for _, a := range left {
-		a.pool.Post(func() { a.pool.Gone(&a.Request) })
+		a.pool.Post(func() { a.pool.ClientGone(&a.Request) })
 	}
 }
--- a/internal/frontend/resp2/front.go
+++ b/internal/frontend/resp2/front.go
@@ -32,7 +32,7 @@
 	Routes bool
 	// Accounts finds what is configured for a customer; nil, or a nil result: nothing, and the request's own plan and
 	// set of front doors hold. Any goroutine calls it.
-	Accounts func(pool *proxy.Core, customer string) *account.Account
+	Accounts func(pool *proxy.Proxy, customer string) *account.Account
 }
 
 // Front takes connections and reads requests from them.
@@ -99,7 +99,7 @@
 			time.Sleep(10 * time.Millisecond)
 			continue
 		}
-		if !fr.env.Conns.Room() {
+		if !fr.env.Conns.HasCapacity() {
 			fr.turnAway(nc)
 			continue
 		}
@@ -112,7 +112,7 @@
 // mostLingering is how many connections that were refused may wait for the client's own end: few against those that may be held,
 // as some of them are not counted there.
 func (fr *Front) mostLingering() int64 {
-	return int64(max(1, min(mostLingering, fr.env.Conns.Most()/32)))
+	return int64(max(1, min(mostLingering, fr.env.Conns.Max()/32)))
 }
 
 // turnAway refuses a connection for which there is no room. Nothing is taken of what comes on it, so nothing has run; it is read for
@@ -245,12 +245,12 @@
 // Answer implements [proxy.Caller].
 func (a *ask) Answer(ans proxy.Answer) {
 	var line []byte
-	switch ans.Verdict {
+	switch ans.Outcome {
 	case proxy.Served:
 		line = ans.Value
-	case proxy.Refused:
-		line = busyAnswer(ans.Pause)
-	case proxy.Overdue:
+	case proxy.Rejected:
+		line = busyAnswer(ans.RetryAfter)
+	case proxy.TimedOut:
 		line = []byte("-ERR no answer in time\r\n")
 	case proxy.Duplicate:
 		line = []byte("-ERR the id is that of an open request\r\n")
--- a/internal/frontend/resp2/front_test.go
+++ b/internal/frontend/resp2/front_test.go
@@ -27,7 +27,7 @@
 func TestRefusalOverUnreadBytes(t *testing.T) {
 	ln := peer.Listen(t)
 	now := func() time.Duration { return 1 }
-	env := &proxy.Env{Memory: resourcelimit.NewBytes(1 << 20), Conns: resourcelimit.NewConns(64, now), Now: now, Coarse: now}
+	env := &proxy.Env{Memory: resourcelimit.NewBytes(1 << 20), Conns: resourcelimit.NewClientLimit(64, now), Now: now, Coarse: now}
 	fr := New(env, Config{}, ln, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	for range 4 {
 		c := peer.Dial(t, ln.Addr().String())
--- a/internal/frontend/resp2/request.go
+++ b/internal/frontend/resp2/request.go
@@ -25,7 +25,7 @@
 // ask is a client's request as its connection read it.
 type ask struct {
 	proxy.Request
-	pool     *proxy.Core
+	pool     *proxy.Proxy
 	conn     *client
 	slot     *slot
 	args     [][]byte // the command as it came
@@ -63,7 +63,7 @@
 }
 
 // parse reads a request. What it can't read goes nowhere.
-func (fr *Front) parse(pool *proxy.Core, name string, args [][]byte, at time.Duration) (*ask, error) {
+func (fr *Front) parse(pool *proxy.Proxy, name string, args [][]byte, at time.Duration) (*ask, error) {
 	if len(args) != 4 && len(args) != 5 {
 		return nil, fmt.Errorf("wrong number of arguments for '%s'", name)
 	}
@@ -99,13 +99,13 @@
 		case "d":
 			ms, err := strconv.ParseUint(v, 10, 31)
 			ok = err == nil && ms > 0
-			a.Wait = time.Duration(ms) * time.Millisecond
+			a.Timeout = time.Duration(ms) * time.Millisecond
 			a.waitFrom, a.waitTo = at+2, at+len(item)
 		case "k":
 			ok = v != ""
 			key, a.Key = true, v
 		case "r":
-			a.Retry = v == "1"
+			a.ClientRetry = v == "1"
 			ok = v == "1" || v == "0"
 		case "units":
 			a.Units, ok = resp.Decimal(v)
@@ -113,7 +113,7 @@
 		case "spread":
 			n, err := strconv.ParseUint(v, 10, 31)
 			ok = err == nil && n > 0 && int(n) <= rules.Settings.Gateways
-			a.Doors = int(n)
+			a.Gateways = int(n)
 		case "first":
 			n, err := strconv.ParseUint(v, 10, 31)
 			ok = err == nil && int(n) < rules.Settings.Gateways
@@ -125,7 +125,7 @@
 		at += len(item) + 1
 	}
 	switch {
-	case a.Class < 0, a.Plan < 0, a.Wait == 0, a.Units == 0, a.Doors == 0, !first:
+	case a.Class < 0, a.Plan < 0, a.Timeout == 0, a.Units == 0, a.Gateways == 0, !first:
 		return nil, errors.New("one of c, t, d, units, spread and first is missing")
 	}
 	if err := fr.configured(a); err != nil {
@@ -133,7 +133,7 @@
 	}
 	// A request and its timers are kept for as long as the client says that it waits.
 	class := &rules.Settings.Classes[a.Class]
-	if class.ClientTimeout > 0 && a.Wait > class.ClientTimeout+lateAsk {
+	if class.ClientTimeout > 0 && a.Timeout > class.ClientTimeout+lateAsk {
 		return nil, errors.New("ill-formed or unknown d")
 	}
 	switch effect := class.Idempotency; {
@@ -146,7 +146,7 @@
 }
 
 // pool finds where a command leads, by what it names: its class, its customer and, where it has one, its host.
-func (fr *Front) pool(args [][]byte) *proxy.Core {
+func (fr *Front) pool(args [][]byte) *proxy.Proxy {
 	if !fr.cfg.Routes {
 		return fr.env.Router.Route(fr.plain)
 	}
@@ -180,7 +180,7 @@
 	case !acct.Entitled(a.Class):
 		return errors.New("the account is not entitled to the class")
 	}
-	a.Doors = acct.Doors
+	a.Gateways = acct.Doors
 	return nil
 }
 
--- a/internal/proxy/decisionlease.go
+++ b/internal/proxy/decisionlease.go
@@ -9,42 +9,44 @@
 	"gapgap/internal/balancer"
 )
 
-// Guard says until when a core may decide requests, and by which version of the policy. Many cores may share one. Any goroutine may change
+// DecisionLease says until when a core may decide requests, and by which version of the policy. Many cores may share one. Any goroutine may change
 // it; a core looks at it with each request that it takes in.
-type Guard struct{ until atomic.Int64 }
+type DecisionLease struct{ until atomic.Int64 }
 
 // Unbounded is a right to decide that no time ends.
 const Unbounded = time.Duration(math.MaxInt64)
 
-// NewGuard makes one that lets nothing be decided yet.
-func NewGuard() *Guard { return &Guard{} }
+// NewDecisionLease makes one that lets nothing be decided yet.
+func NewDecisionLease() *DecisionLease { return &DecisionLease{} }
 
-// Until sets until when cores may decide, on their clock. Where that is later than it was, [Core.Resume] follows.
-func (g *Guard) Until(t time.Duration) { g.until.Store(int64(t)) }
+// Extend sets until when cores may decide, on their clock. Where that is later than it was, [Proxy.Resume] follows.
+func (g *DecisionLease) Extend(t time.Duration) { g.until.Store(int64(t)) }
 
-// May says whether requests may be decided at a time.
-func (g *Guard) May(now time.Duration) bool { return g == nil || now < time.Duration(g.until.Load()) }
+// IsValid says whether requests may be decided at a time.
+func (g *DecisionLease) IsValid(now time.Duration) bool {
+	return g == nil || now < time.Duration(g.until.Load())
+}
 
 // bounded says that the time has to be looked at.
-func (g *Guard) bounded() bool { return g != nil && g.until.Load() != int64(Unbounded) }
+func (g *DecisionLease) bounded() bool { return g != nil && g.until.Load() != int64(Unbounded) }
 
-// Closed has cores refuse all requests at once, until Open. Many cores may share one. Any goroutine may use it.
-type Closed struct {
+// StartupBarrier has cores refuse all requests at once, until Open. Many cores may share one. Any goroutine may use it.
+type StartupBarrier struct {
 	pause atomic.Pointer[func() time.Duration]
 }
 
-// NewClosed makes one that is closed: clients are told to come back after what a function says, which any goroutine calls.
-func NewClosed(pause func() time.Duration) *Closed {
-	c := &Closed{}
+// NewStartupBarrier makes one that is closed: clients are told to come back after what a function says, which any goroutine calls.
+func NewStartupBarrier(pause func() time.Duration) *StartupBarrier {
+	c := &StartupBarrier{}
 	c.pause.Store(&pause)
 	return c
 }
 
 // Open ends it for good.
-func (c *Closed) Open() { c.pause.Store(nil) }
+func (c *StartupBarrier) Open() { c.pause.Store(nil) }
 
 // told is what a client is to be told; false: requests are taken.
-func (c *Closed) told() (time.Duration, bool) {
+func (c *StartupBarrier) told() (time.Duration, bool) {
 	if c == nil {
 		return 0, false
 	}
@@ -64,11 +66,11 @@
 // lapsePause is what a client is told that was refused since the right to decide had ended.
 const lapsePause = 250 * time.Millisecond
 
-// Version is the version of the policy by which requests are decided now. Any goroutine may call it.
-func (c *Core) Version() uint64 { return c.version.Load() }
+// PolicyVersion is the version of the policy by which requests are decided now. Any goroutine may call it.
+func (c *Proxy) PolicyVersion() uint64 { return c.version.Load() }
 
-// Stamp sets it, from any goroutine, for requests that are taken in from here on. done is called then.
-func (c *Core) Stamp(version uint64, done func()) {
+// SetPolicyVersion sets it, from any goroutine, for requests that are taken in from here on. done is called then.
+func (c *Proxy) SetPolicyVersion(version uint64, done func()) {
 	c.Post(func() {
 		c.version.Store(version)
 		if done != nil {
@@ -78,7 +80,7 @@
 }
 
 // Resume takes in what was held while the core could not decide, from any goroutine.
-func (c *Core) Resume() {
+func (c *Proxy) Resume() {
 	c.Post(func() {
 		held := c.held
 		c.held = nil
@@ -91,36 +93,36 @@
 	})
 }
 
-// Dismiss refuses what is held, from any goroutine: another core has come in this one's place.
-func (c *Core) Dismiss() {
+// RejectHeld refuses what is held, from any goroutine: another core has come in this one's place.
+func (c *Proxy) RejectHeld() {
 	c.Post(func() {
 		held := c.held
 		c.held = nil
 		for _, r := range held {
 			r.overdue.Stop()
-			c.declineFor(r, Refused, lapsePause)
+			c.declineFor(r, Rejected, lapsePause)
 		}
 	})
 }
 
 // shelve keeps a request that can't be decided now, for as long as its client waits.
-func (c *Core) shelve(r *Request) {
+func (c *Proxy) shelve(r *Request) {
 	if len(c.held) >= mostHeld {
-		c.declineFor(r, Refused, lapsePause)
+		c.declineFor(r, Rejected, lapsePause)
 		return
 	}
 	c.held = append(c.held, r)
-	r.overdue = c.At(r.At+r.Wait-heldMargin, func() {
+	r.overdue = c.At(r.At+r.Timeout-heldMargin, func() {
 		if i := slices.Index(c.held, r); i >= 0 {
 			c.held = slices.Delete(c.held, i, i+1)
-			c.declineFor(r, Refused, lapsePause)
+			c.declineFor(r, Rejected, lapsePause)
 		}
 	})
 }
 
 // lapse refuses what came in time and is not decided yet, once the right to decide is over: nothing may be let in by it any more.
-func (c *Core) lapse() {
-	if !c.Guard.bounded() || c.Guard.May(c.Now()) {
+func (c *Proxy) lapse() {
+	if !c.DecisionLease.bounded() || c.DecisionLease.IsValid(c.Now()) {
 		c.lapsed = false
 		return
 	}
@@ -132,8 +134,8 @@
 		if !r.ended && len(r.attempts) == 0 {
 			r.leaving = true // it is kept until the Door has heard
 			c.leaving = append(c.leaving, r)
-			c.answer(r, Answer{Verdict: Refused, Pause: lapsePause, Shut: true})
-			c.Tell(balancer.RequestDone{ID: r.id})
+			c.answer(r, Answer{Outcome: Rejected, RetryAfter: lapsePause, Unavailable: true})
+			c.Enqueue(balancer.RequestDone{ID: r.id})
 		}
 	}
 }
--- a/internal/proxy/handover.go
+++ b/internal/proxy/handover.go
@@ -8,51 +8,51 @@
 	"gapgap/internal/balancer"
 )
 
-// Estate is what a core hands to the one of another process that takes its place. Classes and plans are numbered as its names
+// HandoverState is what a core hands to the one of another process that takes its place. Classes and plans are numbered as its names
 // have them.
-type Estate struct {
+type HandoverState struct {
 	Classes []string               `json:"Classes"`
 	Plans   []string               `json:"Plans"`
 	Gone    []string               `json:"Gone"` // backends that were listed once and are not now
 	Memory  balancer.HandoverState `json:"Memory"`
 }
 
-// Leave makes the core end what it has and take nothing more upon itself: what it returns is another's from then on, or goes
+// BeginHandover makes the core end what it has and take nothing more upon itself: what it returns is another's from then on, or goes
 // to TakeBack. Any goroutine may call it.
-func (c *Core) Leave(ctx context.Context) (e Estate, err error) {
+func (c *Proxy) BeginHandover(ctx context.Context) (e HandoverState, err error) {
 	err = c.onLoop(ctx, func() error {
-		if c.left {
+		if c.handedOver {
 			return errors.New("another process has it already")
 		}
-		c.Tell(balancer.BeginHandover{})
+		c.Enqueue(balancer.BeginHandover{})
 		c.Step()
-		c.left = true
+		c.handedOver = true
 		rules := c.Rules()
-		e = Estate{Classes: rules.Classes, Plans: rules.Plans, Gone: c.names.oldest(), Memory: c.handed}
-		c.handed = balancer.HandoverState{}
+		e = HandoverState{Classes: rules.Classes, Plans: rules.Plans, Gone: c.names.oldest(), Memory: c.handoverState}
+		c.handoverState = balancer.HandoverState{}
 		c.upstream.Yield(1<<20, "") // connections that carry nothing are for the other
 		return nil
 	})
 	return e, err
 }
 
-// TakeBack undoes Leave. What was handed on and has perhaps been spent does not come back: then the estate is empty.
-func (c *Core) TakeBack(ctx context.Context, e Estate) error {
+// AbortHandover undoes Leave. What was handed on and has perhaps been spent does not come back: then the estate is empty.
+func (c *Proxy) AbortHandover(ctx context.Context, e HandoverState) error {
 	return c.onLoop(ctx, func() error {
-		if c.left {
-			c.left = false
-			c.Tell(balancer.ImportHandover{State: e.Memory})
+		if c.handedOver {
+			c.handedOver = false
+			c.Enqueue(balancer.ImportHandover{State: e.Memory})
 			c.Step()
 		}
 		return nil
 	})
 }
 
-// Left says whether another process has taken over. Only the loop goroutine may call it.
-func (c *Core) Left() bool { return c.left }
+// IsHandedOver says whether another process has taken over. Only the loop goroutine may call it.
+func (c *Proxy) IsHandedOver() bool { return c.handedOver }
 
-// Inherit gives the core what another process has left, before Run.
-func (c *Core) Inherit(e Estate) {
+// ImportHandover gives the core what another process has left, before Run.
+func (c *Proxy) ImportHandover(e HandoverState) {
 	rules := c.Rules()
 	m := e.Memory
 	classes := make([]balancer.ClassHandover, len(rules.Classes))
@@ -82,13 +82,13 @@
 	c.inherited = &m
 }
 
-// inherit tells the Door, once it knows the list.
-func (c *Core) inherit() {
+// importHandover tells the Door, once it knows the list.
+func (c *Proxy) importHandover() {
 	if c.inherited != nil {
-		c.Tell(balancer.ImportHandover{State: *c.inherited})
+		c.Enqueue(balancer.ImportHandover{State: *c.inherited})
 		c.inherited = nil
 	}
 }
 
-// Most sets how many connections to backends there may be. Any goroutine may call it.
-func (c *Core) Most(n int) { c.Post(func() { c.upstream.Most(n) }) }
+// SetMaxConnections sets how many connections to backends there may be. Any goroutine may call it.
+func (c *Proxy) SetMaxConnections(n int) { c.Post(func() { c.upstream.Most(n) }) }
--- a/internal/proxy/keys.go
+++ b/internal/proxy/keys.go
@@ -6,13 +6,13 @@
 	"gapgap/internal/balancer"
 )
 
-// Claim is what became of a claim of a key.
-type Claim int
+// Reservation is what became of a claim of a key.
+type Reservation int
 
 const (
-	Won     Claim = iota // the request alone may go out by its key
-	Held                 // another request by the key may have run
-	Crowded              // there is no place for it now
+	Won     Reservation = iota // the request alone may go out by its key
+	Held                       // another request by the key may have run
+	Crowded                    // there is no place for it now
 )
 
 const (
@@ -37,14 +37,14 @@
 
 // claimFor claims the key of an attempt's request, and sends the attempt once that is won. Nothing has gone out until then, so a request that does not get
 // its key in time is refused.
-func (c *Core) claimFor(a *attempt) {
+func (c *Proxy) claimFor(a *attempt) {
 	r := a.r
 	r.claim.waits = a
 	if r.claim.state != unclaimed {
 		return // its answer is on its way
 	}
 	r.claim.state = claiming
-	r.claim.n = c.Keys.Claim(c.Rules().Classes[r.Class], r.Customer, r.Key, func(was Claim) {
+	r.claim.n = c.KeyReserver.Claim(c.Rules().Classes[r.Class], r.Customer, r.Key, func(was Reservation) {
 		if task := func() { c.claimed(r, was) }; !c.PostUntil(task, noPlace) {
 			go c.Post(task)
 		}
@@ -60,7 +60,7 @@
 var noPlace = func() chan struct{} { ch := make(chan struct{}); close(ch); return ch }()
 
 // claimed takes what became of a claim.
-func (c *Core) claimed(r *Request, was Claim) {
+func (c *Proxy) claimed(r *Request, was Reservation) {
 	if r.claim.state != claiming {
 		return
 	}
@@ -71,9 +71,9 @@
 	switch {
 	case r.ended:
 	case was == Held:
-		c.answer(r, Answer{Verdict: Failed, why: balancer.RetryNotPossible})
+		c.answer(r, Answer{Outcome: Failed, why: balancer.RetryNotPossible})
 	case was == Crowded:
-		c.answer(r, Answer{Verdict: Refused, Pause: claimPause, Shut: true})
+		c.answer(r, Answer{Outcome: Rejected, RetryAfter: claimPause, Unavailable: true})
 	case a != nil:
 		r.claim.waits = nil
 		if a.At = c.Now(); a.Until <= a.At {
--- a/internal/proxy/maintenance.go
+++ b/internal/proxy/maintenance.go
@@ -43,7 +43,7 @@
 			n.left(e.Name)
 		}
 	}
-	if u.Scope == balancer.Delta {
+	if u.Kind == balancer.Delta {
 		return
 	}
 	for name, left := range n.all {
@@ -87,46 +87,46 @@
 	return ok
 }
 
-// Detach takes a backend out of use by hand until Attach, whatever the list says. When it returns nil the module and the
+// AdminEject takes a backend out of use by hand until Attach, whatever the list says. When it returns nil the module and the
 // connections to the backend have heard. Any goroutine may call it; again does no harm. since: when that was said first; 0: now.
-func (c *Core) Detach(ctx context.Context, backend string, since time.Duration) error {
+func (c *Proxy) AdminEject(ctx context.Context, backend string, since time.Duration) error {
 	return c.byHand(ctx, backend, func() { c.hold(backend, since) })
 }
 
-// Follow is Detach of a backend that another process of this front door was told to take out: it was listed there.
-func (c *Core) Follow(ctx context.Context, backend string, since time.Duration) error {
+// MirrorAdminEject is Detach of a backend that another process of this front door was told to take out: it was listed there.
+func (c *Proxy) MirrorAdminEject(ctx context.Context, backend string, since time.Duration) error {
 	return c.onLoop(ctx, func() error {
-		c.KnownBanned(backend, since)
+		c.MarkEjected(backend, since)
 		c.Step()
 		return nil
 	})
 }
 
-// Attach lets it serve again.
-func (c *Core) Attach(ctx context.Context, backend string) error {
+// AdminRestore lets it serve again.
+func (c *Proxy) AdminRestore(ctx context.Context, backend string) error {
 	return c.byHand(ctx, backend, func() {
 		delete(c.names.banned, backend)
 		c.upstream.Hold(backend, false)
-		c.Tell(balancer.AdminRestore{Endpoint: backend})
+		c.Enqueue(balancer.AdminRestore{Endpoint: backend})
 	})
 }
 
-// KnownBanned is Follow for who owns the loop, or before it runs.
-func (c *Core) KnownBanned(backend string, since time.Duration) {
+// MarkEjected is Follow for who owns the loop, or before it runs.
+func (c *Proxy) MarkEjected(backend string, since time.Duration) {
 	if !c.names.has(backend) {
 		c.names.left(backend)
 	}
 	c.hold(backend, since)
 }
 
-func (c *Core) hold(backend string, since time.Duration) {
+func (c *Proxy) hold(backend string, since time.Duration) {
 	c.names.banned[backend] = true
-	c.Tell(balancer.AdminEject{Endpoint: backend, At: since})
+	c.Enqueue(balancer.AdminEject{Endpoint: backend, At: since})
 	c.upstream.Hold(backend, true)
 }
 
 // byHand carries out a call for a backend that was listed, and the Step for it.
-func (c *Core) byHand(ctx context.Context, backend string, call func()) error {
+func (c *Proxy) byHand(ctx context.Context, backend string, call func()) error {
 	return c.onLoop(ctx, func() error {
 		if !c.names.has(backend) {
 			return fmt.Errorf("%q: %w", backend, ErrNeverListed)
@@ -138,7 +138,7 @@
 }
 
 // onLoop runs a task on the loop and waits for it.
-func (c *Core) onLoop(ctx context.Context, task func() error) error {
+func (c *Proxy) onLoop(ctx context.Context, task func() error) error {
 	done := make(chan error, 1)
 	if c.PostUntil(func() { done <- task() }, ctx.Done()) {
 		select {
@@ -151,12 +151,12 @@
 	return errors.New("no time for it now: say it again") // it may yet be done
 }
 
-// Stand tells the Door how it stands among the others of its fleet; when it returns, the Door goes by that. Only a task of the loop may
+// UpdateShare tells the Door how it stands among the others of its fleet; when it returns, the Door goes by that. Only a task of the loop may
 // call it.
 //
 // It returns when the last loan is over that the Door has given: what it has lent of a part that is taken away is in use until then.
-func (c *Core) Stand(ev balancer.ShareUpdate) (lentUntil time.Duration) {
-	c.Tell(ev)
+func (c *Proxy) UpdateShare(ev balancer.ShareUpdate) (lentUntil time.Duration) {
+	c.Enqueue(ev)
 	c.Step()
-	return c.door.LoansEndAt()
+	return c.balancer.LoansEndAt()
 }
--- a/internal/proxy/names_test.go
+++ b/internal/proxy/names_test.go
@@ -9,7 +9,7 @@
 )
 
 func named(scope balancer.UpdateKind, state balancer.EndpointState, all ...string) (u endpoint.Update) {
-	u.Scope = scope
+	u.Kind = scope
 	for _, n := range all {
 		u.Entries = append(u.Entries, endpoint.Entry{Endpoint: balancer.Endpoint{Name: n, State: state}})
 	}
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -42,11 +42,11 @@
 func (c *caller) Forward(time.Duration) []byte { return nil }
 func (c *caller) Answer(a Answer)              { c.answers = append(c.answers, a) }
 
-func idle(t *testing.T) (*Core, *sides) {
+func idle(t *testing.T) (*Proxy, *sides) {
 	t.Helper()
 	set := balancer.Settings{Gateways: 1, MaxAttempts: 2, Classes: []balancer.Class{{PriorityWeight: 1, ClientTimeout: 30 * time.Second}},
 		Plans: []balancer.Plan{{PriorityFactor: 1}}}
-	c, err := New(eventloop.New(), Config{Start: Rules{Settings: set, MostOpen: 3}}, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	c, err := New(eventloop.New(), Config{Start: Rules{Settings: set, MaxInFlight: 3}}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,9 +55,9 @@
 	return c, s
 }
 
-func (c *Core) submitted(id string) (*Request, *caller) {
+func (c *Proxy) submitted(id string) (*Request, *caller) {
 	who := &caller{}
-	r := &Request{Caller: who, ID: id, Customer: "a", At: c.Now(), Wait: 10 * time.Second, Units: 1}
+	r := &Request{Caller: who, ID: id, Customer: "a", At: c.Now(), Timeout: 10 * time.Second, Units: 1}
 	c.Submit(r)
 	return r, who
 }
@@ -67,9 +67,9 @@
 	c, s := idle(t)
 	r, who := c.submitted("1")
 	c.events = nil // the module never hears of it
-	c.send(r, balancer.Dispatch{ID: r.id, Endpoint: "s-0"})
+	c.dispatch(r, balancer.Dispatch{ID: r.id, Endpoint: "s-0"})
 	c.RunDue(r.due)
-	if len(who.answers) != 1 || who.answers[0].Verdict != Overdue || len(s.cancelled) != 1 {
+	if len(who.answers) != 1 || who.answers[0].Outcome != TimedOut || len(s.cancelled) != 1 {
 		t.Fatalf("answers %v, %d attempts called off", who.answers, len(s.cancelled))
 	}
 	if _, ok := c.events[len(c.events)-1].(balancer.RequestDone); !ok || !r.ended {
@@ -77,7 +77,7 @@
 	}
 	s.sent[0].End(balancer.Cancelled)
 	s.sent[0].End(balancer.OK) // what comes later changes nothing
-	c.Gone(r)
+	c.ClientGone(r)
 	c.Step()
 	if len(who.answers) != 1 || len(c.requests) != 0 || len(c.open) != 0 {
 		t.Errorf("%d answers; %d requests are kept", len(who.answers), len(c.requests))
@@ -88,15 +88,15 @@
 func TestSubmitIsBounded(t *testing.T) {
 	c, _ := idle(t)
 	first, _ := c.submitted("1")
-	if _, again := c.submitted("1"); len(again.answers) != 1 || again.answers[0].Verdict != Duplicate {
+	if _, again := c.submitted("1"); len(again.answers) != 1 || again.answers[0].Outcome != Duplicate {
 		t.Errorf("an open id: %v", again.answers)
 	}
 	c.submitted("")
 	c.submitted("")
-	if _, over := c.submitted("2"); len(over.answers) != 1 || over.answers[0].Verdict != Refused {
+	if _, over := c.submitted("2"); len(over.answers) != 1 || over.answers[0].Outcome != Rejected {
 		t.Errorf("beyond the bound: %v", over.answers)
 	}
-	c.Gone(first)
+	c.ClientGone(first)
 	if _, again := c.submitted("1"); len(again.answers) != 0 {
 		t.Errorf("the id is free again: %v", again.answers)
 	}
@@ -107,11 +107,11 @@
 	c, s := idle(t)
 	r, who := c.submitted("1")
 	c.events = nil
-	c.send(r, balancer.Dispatch{ID: r.id, Endpoint: "s-0"})
-	c.send(r, balancer.Dispatch{ID: r.id, Endpoint: "s-1"}) // a second copy is not allowed
+	c.dispatch(r, balancer.Dispatch{ID: r.id, Endpoint: "s-0"})
+	c.dispatch(r, balancer.Dispatch{ID: r.id, Endpoint: "s-1"}) // a second copy is not allowed
 	s.sent[0].Owner.Ended(upstream.Result{Status: balancer.OK, Value: []byte("v")})
-	c.send(r, balancer.Dispatch{ID: r.id, Endpoint: "s-1"})
-	if len(s.sent) != 1 || len(who.answers) != 1 || who.answers[0].Verdict != Served {
+	c.dispatch(r, balancer.Dispatch{ID: r.id, Endpoint: "s-1"})
+	if len(s.sent) != 1 || len(who.answers) != 1 || who.answers[0].Outcome != Served {
 		t.Errorf("%d sent, answers %v", len(s.sent), who.answers)
 	}
 }
@@ -119,17 +119,17 @@
 // Leave is given without any side, a second end changes nothing, and the answer tells of the quota.
 func TestGrant(t *testing.T) {
 	c, s := idle(t)
-	c.Listed(endpoint.Update{Scope: balancer.CachedSnapshot})
+	c.HandleEndpointUpdate(endpoint.Update{Kind: balancer.CachedSnapshot})
 	c.Step() // as Run does first
 	who := &caller{}
-	r := &Request{Caller: who, Customer: "a", At: c.Now(), Wait: time.Second, Units: 1, Grant: true, Hold: time.Hour}
+	r := &Request{Caller: who, Customer: "a", At: c.Now(), Timeout: time.Second, Units: 1, AdmitOnly: true, HoldFor: time.Hour}
 	c.Submit(r)
 	c.Step()
-	if len(who.answers) != 1 || who.answers[0].Verdict != Granted || len(s.sent) != 0 || len(c.requests) != 0 {
+	if len(who.answers) != 1 || who.answers[0].Outcome != Admitted || len(s.sent) != 0 || len(c.requests) != 0 {
 		t.Fatalf("answers %+v, %d sent", who.answers, len(s.sent))
 	}
-	c.Finish(r)
-	c.Finish(r)
+	c.FinishAdmitted(r)
+	c.FinishAdmitted(r)
 	c.Step()
 	if len(who.answers) != 1 {
 		t.Errorf("answers %+v", who.answers)
@@ -140,8 +140,8 @@
 // outcome too. Without it the backend would count as holding it for ever, until it has no slot left.
 func TestClientLeavesAsItsRequestIsSent(t *testing.T) {
 	c, s := idle(t)
-	c.Rules().MostOpen = 0
-	c.Listed(endpoint.Update{Scope: balancer.Snapshot, Entries: []endpoint.Entry{{Endpoint: balancer.Endpoint{Name: "s-0"}}}})
+	c.Rules().MaxInFlight = 0
+	c.HandleEndpointUpdate(endpoint.Update{Kind: balancer.Snapshot, Entries: []endpoint.Entry{{Endpoint: balancer.Endpoint{Name: "s-0"}}}})
 	c.Step()
 	for range 30 {
 		var queued *Request
@@ -151,7 +151,7 @@
 			c.Step()
 		}
 		s.sent[0].Owner.Ended(upstream.Result{Status: balancer.OK, Value: []byte("v")})
-		c.Gone(queued)
+		c.ClientGone(queued)
 		c.Step()
 		for _, a := range s.sent[1:] {
 			a.Owner.Ended(upstream.Result{Status: balancer.OK, Value: []byte("v")})
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -10,27 +10,27 @@
 	"gapgap/internal/upstream"
 )
 
-// Verdict is the kind of a final answer.
-type Verdict int
+// Outcome is the kind of a final answer.
+type Outcome int
 
 const (
-	Served    Verdict = iota // with Answer.Value
-	Refused                  // trying again is harmless, after Answer.Pause
+	Served    Outcome = iota // with Answer.Value
+	Rejected                 // trying again is harmless, after Answer.Pause
 	Failed                   // it may have had an effect
-	Overdue                  // no decision came in time; as Failed
+	TimedOut                 // no decision came in time; as Failed
 	Duplicate                // its id is that of another open request; nothing was done
-	Granted                  // leave for work that is done elsewhere
+	Admitted                 // leave for work that is done elsewhere
 )
 
 // Answer is a request's final answer.
 type Answer struct {
-	Verdict Verdict
-	Value   []byte        // with Served: the value as a RESP2 bulk string
-	Pause   time.Duration // with Refused: how long to stay away; 0: no advice
-	Quota   Quota         // with Granted, and with Refused of a request with Grant
-	Version uint64        // of the policy by which it was taken in; 0: not told
-	Shut    bool          // with Refused: nothing could be decided, by no fault of the customer's
-	why     balancer.Reason
+	Outcome     Outcome
+	Value       []byte        // with Served: the value as a RESP2 bulk string
+	RetryAfter  time.Duration // with Refused: how long to stay away; 0: no advice
+	Quota       Quota         // with Granted, and with Refused of a request with Grant
+	Version     uint64        // of the policy by which it was taken in; 0: not told
+	Unavailable bool          // with Refused: nothing could be decided, by no fault of the customer's
+	why         balancer.Reason
 }
 
 // Quota is how the customer stands with its plan's quota.
@@ -54,8 +54,8 @@
 // the client has gone, and its reader may be behind.
 const leftAfter = 30 * time.Millisecond
 
-// clientGone says that the client of a request that has waited has gone; the request is then over.
-func (c *Core) clientGone(r *Request, since time.Duration) bool {
+// hasClientGone says that the client of a request that has waited has gone; the request is then over.
+func (c *Proxy) hasClientGone(r *Request, since time.Duration) bool {
 	if c.Now()-since < leftAfter {
 		return false
 	}
@@ -63,7 +63,7 @@
 	if !ok || !l.Left() {
 		return false
 	}
-	c.Gone(r)
+	c.ClientGone(r)
 	return true
 }
 
@@ -75,12 +75,12 @@
 	Class, Plan int    // as the module numbers them
 	Customer    string
 	At          time.Duration // when its last byte was read, on the loop's clock
-	Wait        time.Duration // how long the client waits from then on
+	Timeout     time.Duration // how long the client waits from then on
 	Units       float64       // that it takes from the quota
-	Doors       int           // doors through which the customer's requests come; 0: all
-	Retry       bool          // a client's repeat, where clients mark it
-	Grant       bool          // it asks for leave only: Forward is never called, and the answer is Granted or Refused
-	Hold        time.Duration // how long a grant counts as under way where the plan bounds that, without Finish
+	Gateways    int           // doors through which the customer's requests come; 0: all
+	ClientRetry bool          // a client's repeat, where clients mark it
+	AdmitOnly   bool          // it asks for leave only: Forward is never called, and the answer is Granted or Refused
+	HoldFor     time.Duration // how long a grant counts as under way where the plan bounds that, without Finish
 	Key         string        // by which a repeat of it is known; looked at where the class is remembered
 
 	claim    claim
@@ -110,14 +110,14 @@
 	}
 	a.r.overdue.Stop()
 	a.begun = true
-	a.c.Tell(balancer.FirstByte{ID: a.r.id, Attempt: a.no})
+	a.c.Enqueue(balancer.FirstByte{ID: a.r.id, Attempt: a.no})
 	return to.Stream(size)
 }
 
 // attempt is one try of a request.
 type attempt struct {
 	upstream.Attempt
-	c  *Core
+	c  *Proxy
 	r  *Request
 	no int
 
@@ -127,7 +127,7 @@
 
 // Command implements [upstream.Owner].
 func (a *attempt) Command(wait time.Duration) []byte {
-	if a.c.clientGone(a.r, a.At) {
+	if a.c.hasClientGone(a.r, a.At) {
 		return nil
 	}
 	return a.r.Caller.Forward(wait)
@@ -136,9 +136,9 @@
 // Ended implements [upstream.Owner]. A value ends the request, and the outcome says so.
 func (a *attempt) Ended(res upstream.Result) {
 	if res.Status == balancer.OK {
-		a.c.answer(a.r, Answer{Verdict: Served, Value: res.Value})
+		a.c.answer(a.r, Answer{Outcome: Served, Value: res.Value})
 	} else if a.begun { // nothing else may be answered
-		a.c.answer(a.r, Answer{Verdict: Failed})
+		a.c.answer(a.r, Answer{Outcome: Failed})
 	}
 	a.r.out--
 	if a.given && res.Status != balancer.Rejected && res.Status != balancer.ConnectFailed && res.Status != balancer.NotSent {
@@ -147,27 +147,27 @@
 	if a.c.Trace.On() {
 		a.c.Trace.Line("attempt", "id=%d no=%d class=%d to=%s status=%d took=%.1f", a.r.id, a.no, a.r.Class, a.Backend, res.Status, trace.MS(a.c.Now()-a.At))
 	}
-	a.c.Tell(balancer.AttemptResult{ID: a.r.id, Attempt: a.no, Endpoint: a.Backend, Status: res.Status,
+	a.c.Enqueue(balancer.AttemptResult{ID: a.r.id, Attempt: a.no, Endpoint: a.Backend, Status: res.Status,
 		Latency: a.Took(a.c.Now()), RequestClosed: a.r.ended, QuotaUsed: res.Used})
 	a.c.forget(a.r)
 }
 
 // Submit takes a request in, for which the core was acquired. Only the loop goroutine may call it.
-func (c *Core) Submit(r *Request) {
+func (c *Proxy) Submit(r *Request) {
 	if r.count == nil {
-		c.Take(r)
+		c.CountRequest(r)
 	}
-	if pause, closed := c.Closed.told(); closed {
-		c.declineFor(r, Refused, pause)
+	if pause, closed := c.StartupBarrier.told(); closed {
+		c.declineFor(r, Rejected, pause)
 		return
 	}
-	if c.Guard.bounded() && !c.Guard.May(c.Now()) {
+	if c.DecisionLease.bounded() && !c.DecisionLease.IsValid(c.Now()) {
 		c.shelve(r)
 		return
 	}
 	r.version = c.version.Load()
-	if most := c.Rules().MostOpen; most > 0 && len(c.requests)-len(c.leaving) >= most {
-		c.decline(r, Refused)
+	if most := c.Rules().MaxInFlight; most > 0 && len(c.requests)-len(c.leaving) >= most {
+		c.decline(r, Rejected)
 		return
 	}
 	if r.ID != "" {
@@ -178,44 +178,44 @@
 		c.open[r.ID] = true
 	}
 	c.lastID++
-	r.id, r.due = c.lastID, r.At+r.Wait
+	r.id, r.due = c.lastID, r.At+r.Timeout
 	c.requests[r.id] = r
-	if r.Grant { // mostly answered by the next Step, which sets the timer for the others
-		c.grants = append(c.grants, r)
+	if r.AdmitOnly { // mostly answered by the next Step, which sets the timer for the others
+		c.admitOnly = append(c.admitOnly, r)
 	} else {
 		c.watch(r)
 	}
-	c.Tell(balancer.Request{ID: r.id, Class: r.Class, Plan: r.Plan, Customer: r.Customer,
-		TimeLeft: max(0, r.due-c.Coarse()), Units: r.Units, Gateways: r.Doors, ClientRetry: r.Retry, AdmitOnly: r.Grant, HoldFor: r.Hold})
+	c.Enqueue(balancer.Request{ID: r.id, Class: r.Class, Plan: r.Plan, Customer: r.Customer,
+		TimeLeft: max(0, r.due-c.Coarse()), Units: r.Units, Gateways: r.Gateways, ClientRetry: r.ClientRetry, AdmitOnly: r.AdmitOnly, HoldFor: r.HoldFor})
 }
 
 // decline answers a request that is not taken in.
-func (c *Core) decline(r *Request, v Verdict) { c.declineFor(r, v, 0) }
+func (c *Proxy) decline(r *Request, v Outcome) { c.declineFor(r, v, 0) }
 
-func (c *Core) declineFor(r *Request, v Verdict, pause time.Duration) {
+func (c *Proxy) declineFor(r *Request, v Outcome, pause time.Duration) {
 	c.Release()
 	r.count.Ended(v.outcome())
-	r.Caller.Answer(Answer{Verdict: v, Pause: pause, Shut: pause > 0})
+	r.Caller.Answer(Answer{Outcome: v, RetryAfter: pause, Unavailable: pause > 0})
 }
 
 // watch sees to it that a request is answered in time. The module does that by its own timers; should it not, the client
 // still hears back.
-func (c *Core) watch(r *Request) {
+func (c *Proxy) watch(r *Request) {
 	r.overdue = c.At(r.due, func() {
 		c.log.Error("the module left a request unanswered", "id", r.id)
 		c.abandon(r)
 		r.count.Ended(stats.Faulted)
-		if c.Observe != nil {
-			c.Observe(r.Class, Overdue, c.Now()-r.At)
+		if c.OnAnswer != nil {
+			c.OnAnswer(r.Class, TimedOut, c.Now()-r.At)
 		}
-		r.Caller.Answer(Answer{Verdict: Overdue})
+		r.Caller.Answer(Answer{Outcome: TimedOut})
 	})
 }
 
-// Gone ends the request of a client that has left. Only the loop goroutine may call it.
-func (c *Core) Gone(r *Request) {
+// ClientGone ends the request of a client that has left. Only the loop goroutine may call it.
+func (c *Proxy) ClientGone(r *Request) {
 	if c.requests[r.id] == r && !r.ended {
-		c.Figures.Gone.Add(1)
+		c.Stats.Gone.Add(1)
 		c.abandon(r)
 	}
 }
@@ -223,48 +223,48 @@
 // abandon ends a request of which the Door does not know yet that it is over. It is kept until the Door has heard: what else
 // happened may make the Door send for it in the same Step, and each Send is owed its outcome, or the backend would count as
 // holding that attempt for ever.
-func (c *Core) abandon(r *Request) {
+func (c *Proxy) abandon(r *Request) {
 	r.leaving = true
 	c.leaving = append(c.leaving, r)
-	c.leave(r)
-	c.Tell(balancer.RequestDone{ID: r.id})
+	c.finish(r)
+	c.Enqueue(balancer.RequestDone{ID: r.id})
 }
 
-// Finish says that the work for which a request was granted is over, so that another may have its place. One that was not
+// FinishAdmitted says that the work for which a request was granted is over, so that another may have its place. One that was not
 // granted, or whose hold has run out, is passed over. Only the loop goroutine may call it.
-func (c *Core) Finish(r *Request) {
-	if r.Grant && r.ended {
-		c.Tell(balancer.RequestDone{ID: r.id})
+func (c *Proxy) FinishAdmitted(r *Request) {
+	if r.AdmitOnly && r.ended {
+		c.Enqueue(balancer.RequestDone{ID: r.id})
 	}
 }
 
 // grant gives a request the leave that it asked for.
-func (c *Core) grant(r *Request) { c.answer(r, Answer{Verdict: Granted}) }
+func (c *Proxy) grant(r *Request) { c.answer(r, Answer{Outcome: Admitted}) }
 
 // answer gives a request its final answer, once.
-func (c *Core) answer(r *Request, a Answer) {
+func (c *Proxy) answer(r *Request, a Answer) {
 	if r == nil || r.ended {
 		return
 	}
-	if r.Grant {
-		a.Quota.QuotaStatus, a.Quota.Told = c.door.QuotaStatus(r.Customer)
+	if r.AdmitOnly {
+		a.Quota.QuotaStatus, a.Quota.Told = c.balancer.QuotaStatus(r.Customer)
 	}
 	a.Version = r.version
-	c.leave(r)
-	r.count.Ended(a.Verdict.outcome())
+	c.finish(r)
+	r.count.Ended(a.Outcome.outcome())
 	took := c.Now() - r.At
-	if c.Observe != nil {
-		c.Observe(r.Class, a.Verdict, took)
+	if c.OnAnswer != nil {
+		c.OnAnswer(r.Class, a.Outcome, took)
 	}
 	if c.Trace.On() {
 		c.Trace.Line("end", "id=%d class=%d plan=%d customer=%s retry=%t verdict=%d why=%s took=%.1f pause=%.0f tries=%d", r.id, r.Class, r.Plan,
-			r.Customer, r.Retry, a.Verdict, a.why, trace.MS(took), trace.MS(a.Pause), len(r.attempts))
+			r.Customer, r.ClientRetry, a.Outcome, a.why, trace.MS(took), trace.MS(a.RetryAfter), len(r.attempts))
 	}
 	r.Caller.Answer(a)
 }
 
-// leave ends a request. Nothing may go out for it any more, so attempts still out are called off.
-func (c *Core) leave(r *Request) {
+// finish ends a request. Nothing may go out for it any more, so attempts still out are called off.
+func (c *Proxy) finish(r *Request) {
 	r.ended = true
 	delete(c.open, r.ID)
 	r.overdue.Stop()
@@ -278,18 +278,18 @@
 	c.forget(r)
 }
 
-func (c *Core) forget(r *Request) {
+func (c *Proxy) forget(r *Request) {
 	if r.ended && r.out == 0 && !r.leaving && c.requests[r.id] == r {
 		delete(c.requests, r.id)
 		if r.claim.n != 0 {
-			c.Keys.End(r.claim.n, r.claim.ran)
+			c.KeyReserver.End(r.claim.n, r.claim.ran)
 		}
 		c.Release()
 	}
 }
 
-// send starts an attempt.
-func (c *Core) send(r *Request, s balancer.Dispatch) {
+// dispatch starts an attempt.
+func (c *Proxy) dispatch(r *Request, s balancer.Dispatch) {
 	now := c.Now()
 	a := &attempt{c: c, r: r, no: len(r.attempts)}
 	a.Attempt = upstream.Attempt{Backend: s.Endpoint, At: now, Until: r.due, By: s.WriteBy, Owner: a}
@@ -298,11 +298,11 @@
 	}
 	r.attempts = append(r.attempts, a)
 	r.out++
-	if r.ended || a.Until <= now || c.clientGone(r, r.At) || r.out > 1 && !c.Rules().Settings.AllowHedging {
+	if r.ended || a.Until <= now || c.hasClientGone(r, r.At) || r.out > 1 && !c.Rules().Settings.AllowHedging {
 		a.End(balancer.NotSent)
 		return
 	}
-	if c.Keys != nil && c.Rules().Settings.Classes[r.Class].KeyReserved && r.claim.state != won {
+	if c.KeyReserver != nil && c.Rules().Settings.Classes[r.Class].KeyReserved && r.claim.state != won {
 		c.claimFor(a)
 		return
 	}
--- a/internal/proxy/rules.go
+++ b/internal/proxy/rules.go
@@ -10,17 +10,17 @@
 // Rules are what requests are read and decided by: the settings, with the names that clients use. They are never changed,
 // only replaced as a whole, and a request goes by those that it was read under until its end.
 type Rules struct {
-	Classes  []string // their names, by the module's indices; empty: no class, clients can't name it
-	Plans    []string // likewise
-	Settings balancer.Settings
-	MostOpen int // requests that may be open at once; 0: no bound
+	Classes     []string // their names, by the module's indices; empty: no class, clients can't name it
+	Plans       []string // likewise
+	Settings    balancer.Settings
+	MaxInFlight int // requests that may be open at once; 0: no bound
 
 	counts []*stats.Class // by the module's indices
 }
 
 // counted gives rules the places where their classes are counted. One without a name is counted where it was under the rules
 // before, or among the others.
-func (r Rules) counted(f *stats.Figures, before *Rules) *Rules {
+func (r Rules) counted(f *stats.Counters, before *Rules) *Rules {
 	r.counts = make([]*stats.Class, len(r.Settings.Classes))
 	for i := range r.counts {
 		switch {
@@ -36,7 +36,7 @@
 }
 
 // Rules are those that hold now. Any goroutine may call it.
-func (c *Core) Rules() *Rules { return c.rules.Load() }
+func (c *Proxy) Rules() *Rules { return c.rules.Load() }
 
 // spare finds a number that was dropped before and may be used again; negative: there is none.
 func (r *Rules) spare(taken []string, free func(int) bool) int {
@@ -48,25 +48,25 @@
 	return -1
 }
 
-// Take counts a request as taken, before it is handed over by Submit. Whoever read it calls it, so that those that wait for
+// CountRequest counts a request as taken, before it is handed over by Submit. Whoever read it calls it, so that those that wait for
 // the loop count too; Submit does it for those that were not.
-func (c *Core) Take(r *Request) {
+func (c *Proxy) CountRequest(r *Request) {
 	r.count = c.Rules().counts[r.Class]
-	c.Figures.Taken.Add(1)
+	c.Stats.Taken.Add(1)
 }
 
-// TurnAway counts a request that is refused unseen. Any goroutine may call it.
-func (c *Core) TurnAway(r *Request) {
-	c.Take(r)
+// CountRejected counts a request that is refused unseen. Any goroutine may call it.
+func (c *Proxy) CountRejected(r *Request) {
+	c.CountRequest(r)
 	r.count.Ended(stats.Throttled)
 }
 
 // outcome is a verdict as operators count it.
-func (v Verdict) outcome() stats.Outcome {
+func (v Outcome) outcome() stats.Outcome {
 	switch v {
-	case Served, Granted:
+	case Served, Admitted:
 		return stats.Fulfilled
-	case Refused:
+	case Rejected:
 		return stats.Throttled
 	}
 	return stats.Faulted
--- a/internal/proxy/rules_test.go
+++ b/internal/proxy/rules_test.go
@@ -64,14 +64,14 @@
 		rng := rand.New(rand.NewPCG(seed, 1))
 		set := balancer.Settings{Gateways: 1, MaxAttempts: 2, Classes: []balancer.Class{{PriorityWeight: 1, ClientTimeout: 30 * time.Second}, {PriorityWeight: 1, ClientTimeout: 30 * time.Second}},
 			Plans: []balancer.Plan{{PriorityFactor: 1}}, AllowCancel: true}
-		start := Rules{Classes: []string{"a", "b"}, Plans: []string{"p"}, Settings: set, MostOpen: 12}
-		c, err := New(eventloop.New(), Config{Start: start, Figures: stats.New()}, slog.New(slog.NewTextHandler(io.Discard, nil)))
+		start := Rules{Classes: []string{"a", "b"}, Plans: []string{"p"}, Settings: set, MaxInFlight: 12}
+		c, err := New(eventloop.New(), Config{Start: start, Stats: stats.New()}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 		if err != nil {
 			t.Fatal(err)
 		}
 		s := &sides{}
 		c.Connect(s, s, s)
-		c.Tell(balancer.EndpointUpdate{Kind: balancer.Snapshot, Entries: []balancer.Endpoint{{Name: "s"}, {Name: "u"}}})
+		c.Enqueue(balancer.EndpointUpdate{Kind: balancer.Snapshot, Entries: []balancer.Endpoint{{Name: "s"}, {Name: "u"}}})
 		c.Step()
 		var reqs []*Request
 		var callers []*caller
@@ -85,21 +85,21 @@
 					continue
 				}
 				who := &caller{}
-				r := &Request{Caller: who, ID: fmt.Sprint(rng.IntN(60)), Class: class, Customer: "a", At: c.Now(), Wait: 10 * time.Second, Units: 1}
+				r := &Request{Caller: who, ID: fmt.Sprint(rng.IntN(60)), Class: class, Customer: "a", At: c.Now(), Timeout: 10 * time.Second, Units: 1}
 				taken++
 				c.Acquire()
 				if rng.IntN(12) == 0 {
-					c.TurnAway(r)
+					c.CountRejected(r)
 					c.Release()
-					who.Answer(Answer{Verdict: Refused})
+					who.Answer(Answer{Outcome: Rejected})
 				} else {
-					c.Take(r)
+					c.CountRequest(r)
 					c.Submit(r)
 				}
 				reqs, callers = append(reqs, r), append(callers, who)
 			case 3:
 				if len(reqs) > 0 {
-					c.Gone(reqs[rng.IntN(len(reqs))])
+					c.ClientGone(reqs[rng.IntN(len(reqs))])
 				}
 			case 4:
 				if len(s.sent) > 0 {
@@ -114,7 +114,7 @@
 					next.Classes = [][]string{{"a", "b"}, {"b", "c"}, {"c", "a"}}[rng.IntN(3)]
 					next.Settings.Classes = slices.Clone(set.Classes)
 					next.Settings.Classes[0].Idempotency = balancer.Idempotency(rng.IntN(3))
-					c.retune(next)
+					c.updateSettings(next)
 				}
 			}
 			c.Step()
@@ -126,7 +126,7 @@
 				t.Fatalf("seed %d: %d answers", seed, len(callers[i].answers))
 			}
 			if len(callers[i].answers) == 1 {
-				told[callers[i].answers[0].Verdict.outcome()]++
+				told[callers[i].answers[0].Outcome.outcome()]++
 			} else if !r.ended {
 				open++
 			}
@@ -134,14 +134,14 @@
 		var counted [stats.Faulted + 1]uint64
 		for _, name := range []string{"a", "b", "c", stats.Others} {
 			for o := range counted {
-				counted[o] += c.Figures.Class(name).Count(stats.Outcome(o))
+				counted[o] += c.Stats.Class(name).Count(stats.Outcome(o))
 			}
 		}
-		if counted != told || c.Figures.Open() != open || c.Figures.Taken.Load() != taken {
-			t.Fatalf("seed %d: counted %v, told %v; open %d, are %d; taken %d, are %d", seed, counted, told, c.Figures.Open(), open, c.Figures.Taken.Load(), taken)
+		if counted != told || c.Stats.Open() != open || c.Stats.Taken.Load() != taken {
+			t.Fatalf("seed %d: counted %v, told %v; open %d, are %d; taken %d, are %d", seed, counted, told, c.Stats.Open(), open, c.Stats.Taken.Load(), taken)
 		}
-		if told[stats.Fulfilled] == 0 || told[stats.Throttled] == 0 || told[stats.Faulted] == 0 || c.Figures.Gone.Load() == 0 {
-			t.Logf("seed %d: %v, gone %d", seed, told, c.Figures.Gone.Load())
+		if told[stats.Fulfilled] == 0 || told[stats.Throttled] == 0 || told[stats.Faulted] == 0 || c.Stats.Gone.Load() == 0 {
+			t.Logf("seed %d: %v, gone %d", seed, told, c.Stats.Gone.Load())
 		}
 	}
 }
--- a/internal/resourcelimit/bytes.go
+++ b/internal/resourcelimit/bytes.go
@@ -8,14 +8,14 @@
 type Bytes struct {
 	most  int64
 	held  atomic.Int64
-	party *Party // nil: the bytes are not shared
+	party *Allotment // nil: the bytes are not shared
 }
 
 // NewBytes makes a bound of so many bytes.
 func NewBytes(most int64) *Bytes { return &Bytes{most: most} }
 
-// SharedBytes makes a bound that is a party's part of a Pot.
-func SharedBytes(p *Party) *Bytes { return &Bytes{party: p} }
+// SharedBytes makes a bound that is a party's part of a SharedLimit.
+func SharedBytes(p *Allotment) *Bytes { return &Bytes{party: p} }
 
 // Take holds so many more bytes if that stays within the bound.
 func (b *Bytes) Take(n int64) bool {
@@ -57,5 +57,5 @@
 	return b.held.Load()
 }
 
-// Party is the share of a Pot that this is; nil: it is not shared.
-func (b *Bytes) Party() *Party { return b.party }
+// Allotment is the share of a SharedLimit that this is; nil: it is not shared.
+func (b *Bytes) Allotment() *Allotment { return b.party }
--- a/internal/resourcelimit/clientlimit.go
+++ b/internal/resourcelimit/clientlimit.go
@@ -63,8 +63,8 @@
 	return g.held.Load() - g.guarantee.Load()
 }
 
-// Conns bounds the clients' connections of all fronts together. All of it may be called by any goroutine.
-type Conns struct {
+// ClientLimit bounds the clients' connections of all fronts together. All of it may be called by any goroutine.
+type ClientLimit struct {
 	most  int64
 	now   func() time.Duration
 	count atomic.Int64
@@ -80,13 +80,13 @@
 	sent  bool   // it was told to give way
 }
 
-// NewConns makes room for so many connections. The clock is the loop's.
-func NewConns(most int, now func() time.Duration) *Conns {
-	return &Conns{most: int64(most), now: now, all: map[Holder]*place{}}
+// NewClientLimit makes room for so many connections. The clock is the loop's.
+func NewClientLimit(most int, now func() time.Duration) *ClientLimit {
+	return &ClientLimit{most: int64(most), now: now, all: map[Holder]*place{}}
 }
 
-// Room says whether a newcomer may be taken in, and closes an idle connection for it where few places are left.
-func (c *Conns) Room() bool {
+// HasCapacity says whether a newcomer may be taken in, and closes an idle connection for it where few places are left.
+func (c *ClientLimit) HasCapacity() bool {
 	n := c.count.Load()
 	if float64(n) < nearCap*float64(c.most) {
 		return true
@@ -95,7 +95,7 @@
 }
 
 // Add takes a connection in.
-func (c *Conns) Add(h Holder) {
+func (c *ClientLimit) Add(h Holder) {
 	c.count.Add(1)
 	c.mu.Lock()
 	c.all[h] = &place{}
@@ -106,7 +106,7 @@
 // part of the places is kept for those that have asked nothing yet; false: the group has borrowed all that there is, and the
 // newcomer is to be refused and closed. One within the group's guarantee is always taken, and another group's busy
 // connection, borrowed, goes for it. A connection that was taken before is never refused.
-func (c *Conns) Move(h Holder, to *Group) bool {
+func (c *ClientLimit) Move(h Holder, to *Group) bool {
 	c.mu.Lock()
 	p := c.all[h]
 	if p == nil || p.group == to {
@@ -132,7 +132,7 @@
 }
 
 // move counts a connection in its new group. The caller holds mu.
-func (c *Conns) move(p *place, to *Group) {
+func (c *ClientLimit) move(p *place, to *Group) {
 	if p.group != nil {
 		p.group.held.Add(-1)
 		c.grouped--
@@ -144,7 +144,7 @@
 }
 
 // Remove takes it out, once.
-func (c *Conns) Remove(h Holder) {
+func (c *ClientLimit) Remove(h Holder) {
 	c.mu.Lock()
 	if p, ok := c.all[h]; ok {
 		c.move(p, nil)
@@ -155,13 +155,13 @@
 }
 
 // Len is how many connections are held.
-func (c *Conns) Len() int { return int(c.count.Load()) }
+func (c *ClientLimit) Len() int { return int(c.count.Load()) }
 
-// Most is how many may be held.
-func (c *Conns) Most() int { return int(c.most) }
+// Max is how many may be held.
+func (c *ClientLimit) Max() int { return int(c.most) }
 
 // Of returns the connections that are of one type, which is one front's.
-func Of[T Holder](c *Conns) []T {
+func Of[T Holder](c *ClientLimit) []T {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	list := make([]T, 0, len(c.all))
@@ -176,7 +176,7 @@
 // makeRoom closes the connection that has stood idle longest, if that may be. Clients that ask once, or never, and
 // keep their connections would else fill the share, and the usual ones be turned away. Those within their group's
 // guarantee stay.
-func (c *Conns) makeRoom(full bool) bool {
+func (c *ClientLimit) makeRoom(full bool) bool {
 	now := c.now()
 	var best Holder
 	var since time.Duration
@@ -210,7 +210,7 @@
 
 // borrowed finds a connection of the group that has borrowed most, idle or busy: a flood that keeps all of its connections
 // busy would else lock the other pools' clients out. The caller holds mu.
-func (c *Conns) borrowed() Holder {
+func (c *ClientLimit) borrowed() Holder {
 	var best Holder
 	var from *place
 	most := int64(0)
--- a/internal/resourcelimit/clientlimit_test.go
+++ b/internal/resourcelimit/clientlimit_test.go
@@ -21,23 +21,23 @@
 	busy, fresh := &holder{spoken: true}, &holder{since: now - crowdAfter/2, spoken: true}
 	long, longer := &holder{since: now - idleAfter, spoken: true}, &holder{since: now - 2*idleAfter, spoken: true}
 	silent, crowd := &holder{since: now - silentAfter}, &holder{since: now - crowdAfter, spoken: true}
-	c := NewConns(6, func() time.Duration { return now })
+	c := NewClientLimit(6, func() time.Duration { return now })
 	for _, h := range []*holder{busy, fresh, long, longer, silent, crowd} {
 		c.Add(h)
 	}
 	for i, want := range []*holder{longer, long, silent, crowd} {
-		if !c.Room() || !want.gone {
+		if !c.HasCapacity() || !want.gone {
 			t.Fatalf("number %d did not give way", i)
 		}
 		c.Remove(want)
 		c.Remove(want)
 		c.Add(&holder{since: now})
 	}
-	if c.Room() || busy.gone || fresh.gone || c.Len() != 6 || len(Of[*holder](c)) != 6 {
+	if c.HasCapacity() || busy.gone || fresh.gone || c.Len() != 6 || len(Of[*holder](c)) != 6 {
 		t.Error("a busy connection gave way, or a place was counted twice")
 	}
 	c.Remove(busy)
-	if !c.Room() {
+	if !c.HasCapacity() {
 		t.Error("a free place is not given")
 	}
 }
--- a/internal/resourcelimit/endpointlimit.go
+++ b/internal/resourcelimit/endpointlimit.go
@@ -2,36 +2,38 @@
 
 import "sync"
 
-// Caps bounds connections to servers by address, over all pools that have a server: how many one bears is one number,
+// EndpointLimits bounds connections to servers by address, over all pools that have a server: how many one bears is one number,
 // whoever opens them. Any goroutine may use it.
-type Caps struct {
+type EndpointLimits struct {
 	mu  sync.Mutex
 	all map[string]*capped
 	due int // addresses at which those that nobody has any more are looked for
 }
 
 type capped struct {
-	pot     *Pot
-	members map[*Cap]struct{}
+	pot     *SharedLimit
+	members map[*EndpointLimit]struct{}
 }
 
-// Cap is one pool's part of a server's connections. Half of the whole is guaranteed to the pools evenly, so that one that
+// EndpointLimit is one pool's part of a server's connections. Half of the whole is guaranteed to the pools evenly, so that one that
 // keeps its connections busy can't lock the other out; the rest goes to whom it serves.
-type Cap struct {
-	*Party
-	caps *Caps
+type EndpointLimit struct {
+	*Allotment
+	caps *EndpointLimits
 	at   *capped
 	most int
 }
 
 const capsLeast = 64 // addresses that are kept without looking whether they are used
 
-// NewCaps makes one that knows no server.
-func NewCaps() *Caps { return &Caps{all: map[string]*capped{}, due: capsLeast} }
+// NewEndpointLimits makes one that knows no server.
+func NewEndpointLimits() *EndpointLimits {
+	return &EndpointLimits{all: map[string]*capped{}, due: capsLeast}
+}
 
 // Join makes a pool's part of the connections to an address, which are so many at most: the least that any pool says.
-// The function is called when another pool wants a connection that this one has borrowed; see [Pot.Join].
-func (c *Caps) Join(addr, pool string, most int, lowered func(n int64)) *Cap {
+// The function is called when another pool wants a connection that this one has borrowed; see [SharedLimit.Join].
+func (c *EndpointLimits) Join(addr, pool string, most int, lowered func(n int64)) *EndpointLimit {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.all) >= c.due {
@@ -44,22 +46,22 @@
 	}
 	s := c.all[addr]
 	if s == nil {
-		s = &capped{pot: NewPot(0), members: map[*Cap]struct{}{}}
+		s = &capped{pot: NewSharedLimit(0), members: map[*EndpointLimit]struct{}{}}
 		c.all[addr] = s
 	}
-	m := &Cap{Party: s.pot.Join(pool, 0, lowered), caps: c, at: s, most: most}
+	m := &EndpointLimit{Allotment: s.pot.Join(pool, 0, lowered), caps: c, at: s, most: most}
 	s.members[m] = struct{}{}
 	s.divide()
 	return m
 }
 
 // Leave gives the part back. Connections that are still open count until each is given.
-func (m *Cap) Leave() {
+func (m *EndpointLimit) Leave() {
 	m.caps.mu.Lock()
 	defer m.caps.mu.Unlock()
 	if _, ok := m.at.members[m]; ok {
 		delete(m.at.members, m)
-		m.Party.Leave()
+		m.Allotment.Leave()
 		m.at.divide()
 	}
 }
@@ -82,7 +84,7 @@
 }
 
 // Len is how many addresses are kept.
-func (c *Caps) Len() int {
+func (c *EndpointLimits) Len() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.all)
--- a/internal/resourcelimit/sharedlimit.go
+++ b/internal/resourcelimit/sharedlimit.go
@@ -5,46 +5,48 @@
 	"sync"
 )
 
-// Pot shares a whole among parties, each with a guaranteed minimum. What no guarantee covers is common: parties borrow of
+// SharedLimit shares a whole among parties, each with a guaranteed minimum. What no guarantee covers is common: parties borrow of
 // it, and are asked to give back when another wants some of it and has borrowed less. A guarantee that its party does not
 // use is lent to nobody, so that it is there at once when it is wanted: that costs what lies idle of it, which is why a
 // guarantee is to be a part of what a party usually needs (the ways weighed stand in docs/design/pools.md).
 //
-// A Pot decides only and holds nothing itself; its units are the caller's: bytes, connections. Any goroutine may use it.
-type Pot struct {
+// A SharedLimit decides only and holds nothing itself; its units are the caller's: bytes, connections. Any goroutine may use it.
+type SharedLimit struct {
 	mu      sync.Mutex
 	total   int64
 	held    int64 // by all parties
 	unused  int64 // of the guarantees: what their parties do not hold of them
-	parties map[*Party]struct{}
+	parties map[*Allotment]struct{}
 }
 
-// Party is one that shares in a Pot.
-type Party struct {
+// Allotment is one that shares in a SharedLimit.
+type Allotment struct {
 	name      string
-	pot       *Pot
+	pot       *SharedLimit
 	guarantee int64
 	held      int64
 	lowered   func(n int64)
-	figures   PartyFigures
+	figures   AllotmentStats
 }
 
-// PartyFigures tell of a party so far.
-type PartyFigures struct {
+// AllotmentStats tell of a party so far.
+type AllotmentStats struct {
 	Held, Guarantee   int64
 	Refused, Reclaims uint64 // takes that got nothing; times that it was asked to give back
 }
 
-// NewPot makes a pot of so many units.
-func NewPot(total int64) *Pot { return &Pot{total: max(0, total), parties: map[*Party]struct{}{}} }
+// NewSharedLimit makes a pot of so many units.
+func NewSharedLimit(total int64) *SharedLimit {
+	return &SharedLimit{total: max(0, total), parties: map[*Allotment]struct{}{}}
+}
 
 // Join makes a party with a guarantee. The function, if there is one, is called when the party is asked to give back so many
-// units of what it has borrowed; it must neither wait nor call the Pot. What guarantees are worth when their sum is over
-// the whole is first come, first served: Pot.Fits tells beforehand.
-func (p *Pot) Join(name string, guarantee int64, lowered func(n int64)) *Party {
+// units of what it has borrowed; it must neither wait nor call the SharedLimit. What guarantees are worth when their sum is over
+// the whole is first come, first served: SharedLimit.Fits tells beforehand.
+func (p *SharedLimit) Join(name string, guarantee int64, lowered func(n int64)) *Allotment {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	a := &Party{name: name, pot: p, guarantee: max(0, guarantee), lowered: lowered}
+	a := &Allotment{name: name, pot: p, guarantee: max(0, guarantee), lowered: lowered}
 	p.parties[a] = struct{}{}
 	p.unused += a.guarantee
 	return a
@@ -62,35 +64,35 @@
 }
 
 // SetTotal changes the whole. What is held beyond a lowered one stays until it is given back.
-func (p *Pot) SetTotal(n int64) {
+func (p *SharedLimit) SetTotal(n int64) {
 	p.mu.Lock()
 	p.total = max(0, n)
 	p.mu.Unlock()
 }
 
 // Total is the whole.
-func (p *Pot) Total() int64 {
+func (p *SharedLimit) Total() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.total
 }
 
 // Held is what all parties hold.
-func (p *Pot) Held() int64 {
+func (p *SharedLimit) Held() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.held
 }
 
-// Parties is how many share in it.
-func (p *Pot) Parties() int {
+// Len is how many share in it.
+func (p *SharedLimit) Len() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.parties)
 }
 
 // Leave takes a party out. What it still holds stays counted until it is given; a party that has left borrows all of that.
-func (a *Party) Leave() {
+func (a *Allotment) Leave() {
 	a.SetGuarantee(0)
 	a.pot.mu.Lock()
 	defer a.pot.mu.Unlock()
@@ -98,7 +100,7 @@
 }
 
 // SetGuarantee changes the guaranteed minimum. A raised one may not be there until others have given back.
-func (a *Party) SetGuarantee(n int64) {
+func (a *Allotment) SetGuarantee(n int64) {
 	p := a.pot
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -108,10 +110,10 @@
 }
 
 // free is what is left of the guarantee.
-func (a *Party) free() int64 { return max(0, a.guarantee-a.held) }
+func (a *Allotment) free() int64 { return max(0, a.guarantee-a.held) }
 
 // Over is how much the party has borrowed.
-func (a *Party) Over() int64 {
+func (a *Allotment) Over() int64 {
 	a.pot.mu.Lock()
 	defer a.pot.mu.Unlock()
 	return max(0, a.held-a.guarantee)
@@ -119,7 +121,7 @@
 
 // Take takes units: of the guarantee, and beyond it of what no other party's guarantee needs. If there are none, the party
 // that has borrowed most is asked to give as many back, where that is not this one.
-func (a *Party) Take(n int64) bool {
+func (a *Allotment) Take(n int64) bool {
 	p := a.pot
 	p.mu.Lock()
 	free := a.free()
@@ -150,17 +152,17 @@
 }
 
 // Force takes units, or gives some back, whatever there is: for what is held already and only now known.
-func (a *Party) Force(n int64) {
+func (a *Allotment) Force(n int64) {
 	a.pot.mu.Lock()
 	a.change(n)
 	a.pot.mu.Unlock()
 }
 
 // Give gives units back.
-func (a *Party) Give(n int64) { a.Force(-n) }
+func (a *Allotment) Give(n int64) { a.Force(-n) }
 
 // change counts units. The caller holds mu.
-func (a *Party) change(n int64) {
+func (a *Allotment) change(n int64) {
 	before := a.free()
 	a.held += n
 	a.pot.held += n
@@ -168,24 +170,24 @@
 }
 
 // Full says that more is held than the whole, and by this party more than its guarantee: what it asks for by Force must end.
-func (a *Party) Full() bool {
+func (a *Allotment) Full() bool {
 	a.pot.mu.Lock()
 	defer a.pot.mu.Unlock()
 	return a.pot.held > a.pot.total && a.held > a.guarantee
 }
 
 // Held is what the party holds.
-func (a *Party) Held() int64 {
+func (a *Allotment) Held() int64 {
 	a.pot.mu.Lock()
 	defer a.pot.mu.Unlock()
 	return a.held
 }
 
 // Name is the party's name, for figures.
-func (a *Party) Name() string { return a.name }
+func (a *Allotment) Name() string { return a.name }
 
-// Figures tells of the party.
-func (a *Party) Figures() PartyFigures {
+// Stats tells of the party.
+func (a *Allotment) Stats() AllotmentStats {
 	a.pot.mu.Lock()
 	defer a.pot.mu.Unlock()
 	f := a.figures
--- a/internal/resourcelimit/sharedlimit_test.go
+++ b/internal/resourcelimit/sharedlimit_test.go
@@ -12,10 +12,10 @@
 func TestPoolsPotKeepsGuarantees(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		total := rapid.Int64Range(0, 100).Draw(t, "total")
-		pot := NewPot(total)
-		var all []*Party
-		held := map[*Party]int64{}
-		guarantee := map[*Party]int64{}
+		pot := NewSharedLimit(total)
+		var all []*Allotment
+		held := map[*Allotment]int64{}
+		guarantee := map[*Allotment]int64{}
 		left := total
 		for range rapid.IntRange(1, 5).Draw(t, "parties") {
 			g := rapid.Int64Range(0, left).Draw(t, "guarantee")
@@ -60,9 +60,9 @@
 
 // Who finds nothing left has the party asked that has borrowed most, if that has more than it would have.
 func TestPoolsPotAsksForWhatIsBorrowed(t *testing.T) {
-	pot := NewPot(10)
+	pot := NewSharedLimit(10)
 	asked := map[string]int64{}
-	join := func(name string, g int64) *Party {
+	join := func(name string, g int64) *Allotment {
 		return pot.Join(name, g, func(n int64) { asked[name] += n })
 	}
 	a, b, c := join("a", 2), join("b", 2), join("c", 0)
@@ -73,12 +73,12 @@
 		t.Errorf("asked %v", asked)
 	}
 	a.Give(1)
-	if !c.Take(1) || a.Figures().Reclaims != 1 || b.Figures().Refused != 1 {
-		t.Errorf("what was given back is not there, or not told: %+v", a.Figures())
+	if !c.Take(1) || a.Stats().Reclaims != 1 || b.Stats().Refused != 1 {
+		t.Errorf("what was given back is not there, or not told: %+v", a.Stats())
 	}
 	a.Leave() // what it holds counts until it is given
-	if a.Give(7); !c.Take(7) || c.Take(1) || pot.Held() != 10 || pot.Parties() != 2 {
-		t.Errorf("%d held by %d", pot.Held(), pot.Parties())
+	if a.Give(7); !c.Take(7) || c.Take(1) || pot.Held() != 10 || pot.Len() != 2 {
+		t.Errorf("%d held by %d", pot.Held(), pot.Len())
 	}
 	b.SetGuarantee(1)
 	if b.Give(2); !c.Take(1) || c.Take(1) {
@@ -91,7 +91,7 @@
 
 // One server's connections are bounded over all pools, by the least that any says, and neither pool can lock the other out.
 func TestPoolsCapsAreShared(t *testing.T) {
-	caps := NewCaps()
+	caps := NewEndpointLimits()
 	yielded := 0
 	a := caps.Join("x", "a", 8, func(int64) { yielded++ })
 	if !a.Take(8) || a.Take(1) {
@@ -121,11 +121,11 @@
 // with their first request, and those of another are taken for what it has borrowed. Within a guarantee nothing gives way.
 func TestPoolsBusyConnectionsBeyondTheGuaranteeGiveWay(t *testing.T) {
 	const now = time.Hour
-	c := NewConns(20, func() time.Duration { return now })
+	c := NewClientLimit(20, func() time.Duration { return now })
 	quiet, loud := NewGroup("quiet", 4), NewGroup("loud", 4)
 	come := func(to *Group) (*holder, bool) {
 		h := &holder{spoken: true}
-		if !c.Room() {
+		if !c.HasCapacity() {
 			t.Fatalf("no room for a newcomer: %d of 20", c.Len())
 		}
 		c.Add(h)
@@ -171,7 +171,7 @@
 	for range 2 {
 		c.Add(&holder{since: now})
 	}
-	if c.Room() || few[0].gone || loud.Held() != 14 || quiet.Held() != 4 || loud.Evicted() != 4 {
+	if c.HasCapacity() || few[0].gone || loud.Held() != 14 || quiet.Held() != 4 || loud.Evicted() != 4 {
 		t.Errorf("%d loud, %d quiet", loud.Held(), quiet.Held())
 	}
 	if !c.Move(few[0], loud) { // a connection that was taken may ask another pool
--- a/internal/service/bans.go
+++ b/internal/service/bans.go
@@ -36,7 +36,7 @@
 // bans keeps which backends are taken out by hand, in a file that outlives the process and that the other one of an upgrade
 // reads and writes too. Without a path they last as long as the process.
 type bans struct {
-	core *proxy.Core
+	core *proxy.Proxy
 	path string
 	log  *slog.Logger
 
@@ -49,7 +49,7 @@
 
 // newBans reads the file and tells a core, which does not run yet. A file that can't be read is put aside, with a line in the
 // log: operators have to say again what is out.
-func newBans(c *proxy.Core, dir string, log *slog.Logger) *bans {
+func newBans(c *proxy.Proxy, dir string, log *slog.Logger) *bans {
 	b := &bans{core: c, log: log, have: map[string]int64{}, turns: make(chan struct{}, mostTurns)}
 	if dir == "" {
 		return b
@@ -61,7 +61,7 @@
 		os.Rename(b.path, b.path+".damaged")
 	}
 	for _, x := range list.Bans {
-		c.KnownBanned(x.Backend, time.Duration(x.SinceMS)*time.Millisecond)
+		c.MarkEjected(x.Backend, time.Duration(x.SinceMS)*time.Millisecond)
 		b.have[x.Backend] = x.SinceMS
 	}
 	return b
@@ -107,9 +107,9 @@
 	}
 	var err error
 	if out {
-		err = b.core.Detach(ctx, backend, 0)
+		err = b.core.AdminEject(ctx, backend, 0)
 	} else {
-		err = b.core.Attach(ctx, backend)
+		err = b.core.AdminRestore(ctx, backend)
 	}
 	if err != nil {
 		return err
@@ -202,7 +202,7 @@
 		if _, is := b.have[x.Backend]; is {
 			continue
 		}
-		if err := b.core.Follow(ctx, x.Backend, time.Duration(x.SinceMS)*time.Millisecond); err != nil {
+		if err := b.core.MirrorAdminEject(ctx, x.Backend, time.Duration(x.SinceMS)*time.Millisecond); err != nil {
 			b.seen = nil // again with the next look
 			return
 		}
@@ -212,7 +212,7 @@
 		if named[name] {
 			continue
 		}
-		if err := b.core.Attach(ctx, name); err != nil {
+		if err := b.core.AdminRestore(ctx, name); err != nil {
 			b.seen = nil
 			return
 		}
--- a/internal/service/calls.go
+++ b/internal/service/calls.go
@@ -23,7 +23,7 @@
 // Figures implements [control.Service].
 func (c calls) Figures() []byte {
 	var b bytes.Buffer
-	c.p.Figures.Write(&b)
+	c.p.Stats.Write(&b)
 	return b.Bytes()
 }
 
--- a/internal/service/crossings_test.go
+++ b/internal/service/crossings_test.go
@@ -186,7 +186,7 @@
 // One for whom there is no place reads why, whatever it has sent: its connection ends and is not reset.
 func TestTurnedAwayReadsWhy(t *testing.T) {
 	w := start(t, nil, func(c *Config, t *testing.T) { c.Sockets = 256 })
-	most := w.p.env.Conns.Most()
+	most := w.p.env.Conns.Max()
 	for i := range most { // each with a request that waits for a backend
 		w.dial().Command("Q.ASK", peer.Customer, fmt.Sprint(i), peer.List)
 	}
@@ -226,7 +226,7 @@
 // left says that so many requests ended since their clients had left, and not because their time was up.
 func (w *world) left(n int64) {
 	w.t.Helper()
-	if got := w.p.Figures.Gone.Load(); got != n {
+	if got := w.p.Stats.Gone.Load(); got != n {
 		w.t.Errorf("%d requests ended with their clients, want %d", got, n)
 	}
 }
--- a/internal/service/discovery_test.go
+++ b/internal/service/discovery_test.go
@@ -72,7 +72,7 @@
 	if from := <-w.watches; from != "5" {
 		t.Errorf("the watch goes on at %s", from)
 	}
-	w.p.Move(strings.TrimPrefix(agent.URL, "http://"), w.p.cfg.Counter)
+	w.p.SetAddresses(strings.TrimPrefix(agent.URL, "http://"), w.p.cfg.Counter)
 	if from := <-next.watches; from != "5" {
 		t.Errorf("the watch begins at %s", from)
 	}
--- a/internal/service/hosted/config.go
+++ b/internal/service/hosted/config.go
@@ -301,7 +301,7 @@
 	c.Shared = extauthz.SharedConfig{MostHolds: cmp.Or(v.Holds, 10_000), Memory: decisioncache.Config{
 		Keep: cmp.Or(time.Duration(v.Keep), 10*time.Second), Most: cmp.Or(v.Most, 100_000),
 		PerAccount: cmp.Or(v.PerAccount, 2_000), Repeats: cmp.Or(v.Repeats, 3)}}
-	if err := c.Shared.Memory.Check(); err != nil {
+	if err := c.Shared.Memory.Validate(); err != nil {
 		return nil, &extauthz.Fault{Field: "verdicts", Err: err}
 	}
 	if c.Shared.MostHolds < 0 {
--- a/internal/service/hosted/fleet.go
+++ b/internal/service/hosted/fleet.go
@@ -33,12 +33,12 @@
 
 	mu    sync.Mutex
 	last  cluster.Standing
-	pools map[*proxy.Core]*posted
+	pools map[*proxy.Proxy]*posted
 }
 
 // posted is what one pool is to go by.
 type posted struct {
-	core    *proxy.Core
+	core    *proxy.Proxy
 	name    string // by which other doors know it
 	next    atomic.Pointer[cluster.Standing]
 	waits   atomic.Bool // a task that takes it is on its way
@@ -47,7 +47,7 @@
 
 // newFleet takes the state directory and the addresses.
 func (s *Service) newFleet(cfg *peer.Section, name string) (*fleetSide, error) {
-	f := &fleetSide{pools: map[*proxy.Core]*posted{}, last: cluster.Standing{Out: true}}
+	f := &fleetSide{pools: map[*proxy.Proxy]*posted{}, last: cluster.Standing{Out: true}}
 	var err error
 	if f.disk, err = peer.OpenDisk(s.disk, cfg.StateDir, name); err != nil {
 		return nil, fmt.Errorf("fleet.state_dir: %w", err)
@@ -78,7 +78,7 @@
 }
 
 // join has a pool go by the standing.
-func (f *fleetSide) join(c *proxy.Core, name string) {
+func (f *fleetSide) join(c *proxy.Proxy, name string) {
 	if f == nil {
 		return
 	}
@@ -90,7 +90,7 @@
 }
 
 // part forgets a pool whose loop has ended, or never began.
-func (f *fleetSide) part(c *proxy.Core) {
+func (f *fleetSide) part(c *proxy.Proxy) {
 	if f == nil {
 		return
 	}
@@ -120,7 +120,7 @@
 func (p *posted) take() {
 	p.waits.Store(false)
 	s := p.next.Load()
-	lent := p.core.Stand(balancer.ShareUpdate{Fraction: s.Part, Until: s.Until, Excluded: s.Out, DeadGateways: s.Gone})
+	lent := p.core.UpdateShare(balancer.ShareUpdate{Fraction: s.Part, Until: s.Until, Excluded: s.Out, DeadGateways: s.Gone})
 	if s.Gen == p.applied.Load() {
 		return
 	}
@@ -157,7 +157,7 @@
 	defer f.mu.Unlock()
 	for c, p := range f.pools { // few; of two of one name one is being removed
 		if p.name == pool {
-			c.PostUntil(func() { c.Tell(ev) }, noWait)
+			c.PostUntil(func() { c.Enqueue(ev) }, noWait)
 		}
 	}
 }
--- a/internal/service/hosted/forwardauth_conn_test.go
+++ b/internal/service/hosted/forwardauth_conn_test.go
@@ -136,7 +136,7 @@
 	w := start(t, 1, "sockets = 2048", "sockets = 10") // 6 for clients
 	d := w.doors[0]
 	var idle []net.Conn
-	for range d.Conns.Most() {
+	for range d.Conns.Max() {
 		nc, err := net.Dial("tcp", d.Addr("http").String())
 		if err != nil {
 			t.Fatal(err)
@@ -167,8 +167,8 @@
 	if ended == 0 {
 		t.Error("no idle HTTP connection was closed")
 	}
-	if n := d.Conns.Len(); n > d.Conns.Most() {
-		t.Errorf("%d connections, %d may be held", n, d.Conns.Most())
+	if n := d.Conns.Len(); n > d.Conns.Max() {
+		t.Errorf("%d connections, %d may be held", n, d.Conns.Max())
 	}
 }
 
@@ -180,7 +180,7 @@
 	resume := w.counter.Stall()
 	defer resume()
 	codes := make(chan int, 16)
-	n := d.Conns.Most()
+	n := d.Conns.Max()
 	for d.Conns.Len() > 0 { // those of spend end with their clients
 		for _, h := range resourcelimit.Of[resourcelimit.Holder](d.Conns) {
 			h.GiveWay()
--- a/internal/service/hosted/hosted.go
+++ b/internal/service/hosted/hosted.go
@@ -40,20 +40,20 @@
 	log      *slog.Logger
 	clock    *eventloop.Loop // whose time all loops share
 	coarse   atomic.Int64
-	fronts   []proxy.Front
+	fronts   []proxy.Frontend
 	checks   []*extauthz.Front
 	addrs    map[string]net.Addr
 	done     chan struct{}
 	router   router
 	members  members
-	gate     *cpuscheduler.Gate // nil: the file has no pools
-	shares   *shares            // nil: there is one pool
-	metrics  *metrics           // nil: no listener shows them
-	fleet    *fleetSide         // nil: it stands alone
-	policy   *policySide        // nil: its policy is its file's
-	keys     *replica.Side      // nil: no class's keys are remembered
-	disk     vfs.FS             // of the state directory
-	recovery *comingBack        // nil: it stands alone
+	gate     *cpuscheduler.Scheduler // nil: the file has no pools
+	shares   *shares                 // nil: there is one pool
+	metrics  *metrics                // nil: no listener shows them
+	fleet    *fleetSide              // nil: it stands alone
+	policy   *policySide             // nil: its policy is its file's
+	keys     *replica.Side           // nil: no class's keys are remembered
+	disk     vfs.FS                  // of the state directory
+	recovery *comingBack             // nil: it stands alone
 
 	mu     sync.Mutex // held to change pools
 	cfg    *Config
@@ -69,7 +69,7 @@
 	s.clock.Ahead(cfg.Ahead)
 	s.Env = service.NewEnv(s.clock, cfg.Node.MemoryMB, cfg.Node.Sockets, &s.router)
 	s.router.log = log
-	if s.shares = newShares(cfg, s.Conns.Most()); s.shares != nil {
+	if s.shares = newShares(cfg, s.Conns.Max()); s.shares != nil {
 		s.Memory = resourcelimit.SharedBytes(s.shares.unread)
 	}
 	s.coarse.Store(int64(s.clock.Now()))
@@ -80,7 +80,7 @@
 	s.Shared.SetIdentities(cfg.Accounts)
 	if cfg.Gated {
 		s.gate = cpuscheduler.New(runtime.GOMAXPROCS(0))
-		s.Gate = s.gate.Flow(1)
+		s.Scheduler = s.gate.Flow(1)
 	}
 	if slices.ContainsFunc(cfg.Listeners, func(l Listener) bool { return l.Metrics }) {
 		s.metrics = newMetrics(s)
@@ -236,7 +236,7 @@
 	s.ended = true
 	longest := time.Duration(0)
 	for _, p := range s.pools {
-		longest = max(longest, p.core.Longest())
+		longest = max(longest, p.core.LongestTimeout())
 	}
 	s.mu.Unlock()
 	finish := s.Now() + proxy.AcceptAfterTerm
@@ -344,13 +344,13 @@
 		c := &cfg.Pools[i]
 		p := next[c.Node.Name]
 		if p.cfg.plans != c.plans { // of one shape: plans and classes have the same numbers
-			if err := p.core.Retune(c.Node.Rules()); err != nil {
+			if err := p.core.UpdateSettings(c.Node.Rules()); err != nil {
 				s.log.Error("a pool goes on with its plans as they were", "pool", c.Node.Name, "error", err) // the settings were checked: a fault of ours
 			}
 		}
 		p.cfg = c
 		s.Shared.Add(p.core, c.Accounts)
-		p.core.Move(c.Node.Discovery, c.Node.Counter)
+		p.core.SetAddresses(c.Node.Discovery, c.Node.Counter)
 	}
 	s.Shared.SetIdentities(cfg.Accounts)
 	s.router.swap(cfg.Routes, next)
@@ -369,8 +369,8 @@
 func (s *Service) remove(p *pool) {
 	defer s.leaves.Done()
 	p.core.Retire()
-	p.core.Dismiss()
-	for end := s.Now() + p.core.Longest() + proxy.AnswerMargin; p.core.Busy() > 0 && s.Now() < end; {
+	p.core.RejectHeld()
+	for end := s.Now() + p.core.LongestTimeout() + proxy.AnswerMargin; p.core.Busy() > 0 && s.Now() < end; {
 		time.Sleep(drainEvery)
 	}
 	p.end()
--- a/internal/service/hosted/keys.go
+++ b/internal/service/hosted/keys.go
@@ -26,9 +26,9 @@
 	pool string // as other doors know it
 }
 
-var verdictOf = [...]proxy.Claim{idempotency.Won: proxy.Won, idempotency.Lost: proxy.Held, idempotency.Crowded: proxy.Crowded}
+var verdictOf = [...]proxy.Reservation{idempotency.Won: proxy.Won, idempotency.Lost: proxy.Held, idempotency.Crowded: proxy.Crowded}
 
-func (p poolKeys) Claim(class, customer, key string, done func(proxy.Claim)) uint64 {
+func (p poolKeys) Claim(class, customer, key string, done func(proxy.Reservation)) uint64 {
 	return p.side.Claim(idempotency.KeyOf(p.pool, class, customer, key), func(v idempotency.Verdict) { done(verdictOf[v]) })
 }
 
--- a/internal/service/hosted/metrics.go
+++ b/internal/service/hosted/metrics.go
@@ -22,8 +22,8 @@
 // latencies are the upper bounds of the histogram's buckets in seconds: 100 us to 5 s, about three to each decade.
 var latencies = []float64{.0001, .00025, .0005, .001, .0025, .005, .01, .025, .05, .1, .25, .5, 1, 2.5, 5}
 
-var verdicts = [...]string{proxy.Served: "served", proxy.Refused: "refused", proxy.Failed: "failed", proxy.Overdue: "overdue",
-	proxy.Duplicate: "duplicate", proxy.Granted: "granted"}
+var verdicts = [...]string{proxy.Served: "served", proxy.Rejected: "refused", proxy.Failed: "failed", proxy.TimedOut: "overdue",
+	proxy.Duplicate: "duplicate", proxy.Admitted: "granted"}
 
 func newMetrics(s *Service) *metrics {
 	m := &metrics{registry: prometheus.NewRegistry(), s: s, answers: prometheus.NewHistogramVec(prometheus.HistogramOpts{
@@ -34,14 +34,14 @@
 }
 
 // observer takes the answers of a pool; its series are made now, so that a request looks nothing up.
-func (m *metrics) observer(pool string, classes []string) func(class int, v proxy.Verdict, took time.Duration) {
+func (m *metrics) observer(pool string, classes []string) func(class int, v proxy.Outcome, took time.Duration) {
 	all := make([][len(verdicts)]prometheus.Observer, len(classes))
 	for i, class := range classes {
 		for v, name := range verdicts {
 			all[i][v] = m.answers.WithLabelValues(pool, class, name)
 		}
 	}
-	return func(class int, v proxy.Verdict, took time.Duration) { all[class][v].Observe(took.Seconds()) }
+	return func(class int, v proxy.Outcome, took time.Duration) { all[class][v].Observe(took.Seconds()) }
 }
 
 // forget takes the series of a pool away that is no longer there.
@@ -116,7 +116,7 @@
 	}
 	m.s.Shared.Figures.Each(func(name string, n uint64) { counter(descChecks, n, name) })
 	gauge(descClients, float64(m.s.Conns.Len()))
-	gauge(descMost, float64(m.s.Conns.Most()))
+	gauge(descMost, float64(m.s.Conns.Max()))
 	gauge(descRules, float64(m.s.router.view.Load().table.Len()))
 	if m.s.fleet == nil {
 		return
--- a/internal/service/hosted/policy.go
+++ b/internal/service/hosted/policy.go
@@ -24,7 +24,7 @@
 	s     *Service
 	side  *policyreplica.Side
 	names []string
-	guard *proxy.Guard
+	guard *proxy.DecisionLease
 	mu    sync.Mutex // held to change until
 	until time.Duration
 }
@@ -35,7 +35,7 @@
 // newPolicy opens what the door's disk has of policy.
 func (s *Service) newPolicy(cfg *Config) (*policySide, error) {
 	sec := cfg.Fleet
-	p := &policySide{s: s, guard: proxy.NewGuard()}
+	p := &policySide{s: s, guard: proxy.NewDecisionLease()}
 	for _, d := range sec.Doors {
 		p.names = append(p.names, d.Name)
 	}
@@ -52,7 +52,7 @@
 	return p, nil
 }
 
-func (p *policySide) guardOf() *proxy.Guard {
+func (p *policySide) guardOf() *proxy.DecisionLease {
 	if p == nil {
 		return nil
 	}
@@ -111,7 +111,7 @@
 	defer p.mu.Unlock()
 	stood := p.until <= p.s.clock.Now()
 	p.until = t
-	p.guard.Until(t)
+	p.guard.Extend(t)
 	if stood && t > 0 {
 		for _, c := range p.cores() {
 			c.Resume()
@@ -119,7 +119,7 @@
 	}
 }
 
-func (p *policySide) cores() (all []*proxy.Core) {
+func (p *policySide) cores() (all []*proxy.Proxy) {
 	p.s.mu.Lock()
 	defer p.s.mu.Unlock()
 	for _, pl := range p.s.pools {
@@ -140,7 +140,7 @@
 	all := p.cores()
 	done := make(chan struct{}, len(all))
 	for _, c := range all {
-		c.Stamp(version, func() { done <- struct{}{} })
+		c.SetPolicyVersion(version, func() { done <- struct{}{} })
 	}
 	limit := time.After(stampWithin)
 	for range all {
--- a/internal/service/hosted/pool.go
+++ b/internal/service/hosted/pool.go
@@ -20,7 +20,7 @@
 // pool is one service behind the fronts: a core with a loop of its own. It owns that loop's goroutine.
 type pool struct {
 	cfg     *Pool
-	core    *proxy.Core
+	core    *proxy.Proxy
 	share   *share // nil: there is one pool
 	box     *box
 	started bool
@@ -32,11 +32,11 @@
 func (s *Service) newPool(cfg *Pool) (*pool, error) {
 	p := &pool{cfg: cfg, share: s.shares.join(cfg.Node.Name), stop: make(chan struct{}), ended: make(chan struct{})}
 	parts := service.Parts{Space: cfg.Space, Gate: s.flow(cfg), Guard: s.policy.guardOf(),
-		Tell: func(c *proxy.Core) func(endpoint.Update) {
+		Tell: func(c *proxy.Proxy) func(endpoint.Update) {
 			p.box = s.members.add(c)
 			return p.box.tell
 		},
-		Found: func(*proxy.Core) func(balancer.HealthReport) { return p.box.found }}
+		Found: func(*proxy.Proxy) func(balancer.HealthReport) { return p.box.found }}
 	if s.recovery != nil {
 		parts.Closed = s.recovery.closed
 	}
@@ -46,7 +46,7 @@
 	if s.fleet != nil {
 		parts.NoCounter = s.fleet.wrongClock.Load
 		others := s.fleet.others(s.abroad(cfg))
-		parts.Others = func(*proxy.Core) func(balancer.Action) { return others }
+		parts.Others = func(*proxy.Proxy) func(balancer.Action) { return others }
 	}
 	if s.metrics != nil {
 		parts.Observe = s.metrics.observer(cfg.Node.Name, cfg.Node.Transport.Classes)
@@ -67,7 +67,7 @@
 // members brings what each pool's source tells of servers to all pools that have them.
 type members struct {
 	mu    sync.Mutex
-	fleet *sharedhealth.Fleet
+	fleet *sharedhealth.Registry
 	boxes map[string]*box
 	last  int
 }
@@ -77,7 +77,7 @@
 type box struct {
 	m       *members
 	key     string // one pool may be replaced by another of its name: each has its own
-	core    *proxy.Core
+	core    *proxy.Proxy
 	pending []news
 }
 
@@ -88,7 +88,7 @@
 	found   bool // it is a finding
 }
 
-func (m *members) add(c *proxy.Core) *box {
+func (m *members) add(c *proxy.Proxy) *box {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.last++
@@ -100,7 +100,7 @@
 // tell takes what the pool's source says. Only the pool's loop goroutine may call it.
 func (b *box) tell(u endpoint.Update) {
 	b.m.mu.Lock()
-	b.m.deliver(b.m.fleet.Tell(b.key, u), b)
+	b.m.deliver(b.m.fleet.Apply(b.key, u), b)
 	b.m.mu.Unlock()
 	b.drain()
 }
@@ -110,11 +110,11 @@
 	b.m.mu.Lock()
 	defer b.m.mu.Unlock()
 	delete(b.m.boxes, b.key)
-	b.m.deliver(b.m.fleet.Drop(b.key), nil)
+	b.m.deliver(b.m.fleet.Remove(b.key), nil)
 }
 
 // deliver puts what is to be told into the boxes, and wakes the loops but for one. The caller holds mu.
-func (m *members) deliver(outs []sharedhealth.Out, but *box) {
+func (m *members) deliver(outs []sharedhealth.Update, but *box) {
 	for _, o := range outs {
 		m.put(o.Pool, news{update: o.Update}, but)
 	}
@@ -139,9 +139,9 @@
 	b.m.mu.Unlock()
 	for _, n := range all {
 		if n.found {
-			b.core.Heard(n.finding)
+			b.core.HandleHealthReport(n.finding)
 		} else {
-			b.core.Listed(n.update)
+			b.core.HandleEndpointUpdate(n.update)
 		}
 	}
 }
@@ -186,11 +186,11 @@
 
 type view struct {
 	table *route.Table
-	pools map[string]*proxy.Core
+	pools map[string]*proxy.Proxy
 }
 
 func (r *router) swap(t *route.Table, pools map[string]*pool) {
-	v := &view{t, map[string]*proxy.Core{}}
+	v := &view{t, map[string]*proxy.Proxy{}}
 	for name, p := range pools {
 		v.pools[name] = p.core
 	}
@@ -198,7 +198,7 @@
 }
 
 // Route implements [proxy.Router].
-func (r *router) Route(q *route.Query) *proxy.Core {
+func (r *router) Route(q *route.Query) *proxy.Proxy {
 	for {
 		v := r.view.Load()
 		m := v.table.Match(q)
--- a/internal/service/hosted/pools_test.go
+++ b/internal/service/hosted/pools_test.go
@@ -322,8 +322,8 @@
 	if after > before+20 || filesNow > files+20 || now > heap+4<<20 {
 		t.Errorf("%d goroutines, %d descriptors and %d KB before, %d, %d and %d after %d rounds", before, files, heap>>10, after, filesNow, now>>10, times)
 	}
-	if s := w.d.shares; s.memory.Parties() != 3 || s.sockets.Parties() != 2 || s.memory.Held() != 0 { // the unread bytes' too
-		t.Errorf("%d and %d parties are kept", s.memory.Parties(), s.sockets.Parties())
+	if s := w.d.shares; s.memory.Len() != 3 || s.sockets.Len() != 2 || s.memory.Held() != 0 { // the unread bytes' too
+		t.Errorf("%d and %d parties are kept", s.memory.Len(), s.sockets.Len())
 	}
 	if n := w.d.Shared.Len(); n != 2 {
 		t.Errorf("%d pools are kept", n)
@@ -548,7 +548,7 @@
 	t.Logf("%d newcomers came in with %d tries", newcomers, tries)
 	close(stop)
 	wg.Wait()
-	if most := w.d.Conns.Most(); w.d.Conns.Len() > most {
+	if most := w.d.Conns.Max(); w.d.Conns.Len() > most {
 		t.Errorf("%d connections of %d", w.d.Conns.Len(), most)
 	}
 }
--- a/internal/service/hosted/recovery.go
+++ b/internal/service/hosted/recovery.go
@@ -23,7 +23,7 @@
 // comingBack takes this process through the steps of its recovery, and keeps clients out until the last.
 type comingBack struct {
 	s      *Service
-	closed *proxy.Closed
+	closed *proxy.StartupBarrier
 	stop   chan struct{}
 	ended  sync.WaitGroup
 
@@ -54,7 +54,7 @@
 	}
 	c.trust("thrown away by rule: shares, leases, loans, balances, what was known of servers")
 	c.machine = recovery.New(s.clock.Now(), t, c.trusted[0])
-	c.closed = proxy.NewClosed(c.pause)
+	c.closed = proxy.NewStartupBarrier(c.pause)
 	return c
 }
 
--- a/internal/service/hosted/shares.go
+++ b/internal/service/hosted/shares.go
@@ -13,9 +13,9 @@
 // shares are the parts that the pools of a process have of what they hold in common: bytes of clients, connections of
 // clients, connections to servers. Each part has a guaranteed minimum (Pool.Guarantee) and borrows beyond it.
 type shares struct {
-	memory, sockets *resourcelimit.Pot
-	unread          *resourcelimit.Party // bytes of commands whose pool is not known yet
-	caps            *resourcelimit.Caps
+	memory, sockets *resourcelimit.SharedLimit
+	unread          *resourcelimit.Allotment // bytes of commands whose pool is not known yet
+	caps            *resourcelimit.EndpointLimits
 	clients         int // places for clients' connections
 }
 
@@ -27,8 +27,8 @@
 	if !cfg.Several {
 		return nil
 	}
-	s := &shares{memory: resourcelimit.NewPot(service.ClientMemory(cfg.Node.MemoryMB)),
-		sockets: resourcelimit.NewPot(int64(max(1, service.BackendSockets(cfg.Node.Sockets)))), caps: resourcelimit.NewCaps(), clients: clients}
+	s := &shares{memory: resourcelimit.NewSharedLimit(service.ClientMemory(cfg.Node.MemoryMB)),
+		sockets: resourcelimit.NewSharedLimit(int64(max(1, service.BackendSockets(cfg.Node.Sockets)))), caps: resourcelimit.NewEndpointLimits(), clients: clients}
 	s.unread = s.memory.Join("", int64(float64(s.memory.Total())*resourcelimit.NewcomersPart), nil)
 	return s
 }
@@ -38,7 +38,7 @@
 	of      *shares
 	memory  *resourcelimit.Bytes
 	clients *resourcelimit.Group
-	places  *resourcelimit.Party
+	places  *resourcelimit.Allotment
 	asked   atomic.Bool // to give sockets back, and has not yet
 }
 
@@ -55,7 +55,7 @@
 	if p == nil {
 		return
 	}
-	p.memory.Party().SetGuarantee(int64(part * float64(p.of.memory.Total())))
+	p.memory.Allotment().SetGuarantee(int64(part * float64(p.of.memory.Total())))
 	p.clients.SetGuarantee(int(part * float64(p.of.clients)))
 	if p.places != nil {
 		p.places.SetGuarantee(int64(part * float64(p.of.sockets.Total())))
@@ -67,7 +67,7 @@
 	if p == nil {
 		return
 	}
-	p.memory.Party().Leave()
+	p.memory.Allotment().Leave()
 	p.clients.SetGuarantee(0)
 	if p.places != nil {
 		p.places.Leave()
@@ -80,12 +80,12 @@
 		return
 	}
 	to.Memory, to.Clients = p.memory, p.clients
-	to.Places = func(c *proxy.Core) *resourcelimit.Party {
+	to.Places = func(c *proxy.Proxy) *resourcelimit.Allotment {
 		p.places = p.of.sockets.Join(c.Name, 0, p.yield(c, ""))
 		return p.places
 	}
 	if most > 0 {
-		to.Cap = func(c *proxy.Core, addr string) *resourcelimit.Cap {
+		to.Cap = func(c *proxy.Proxy, addr string) *resourcelimit.EndpointLimit {
 			return p.of.caps.Join(addr, c.Name, most, p.yield(c, addr))
 		}
 	}
@@ -93,11 +93,11 @@
 
 // yield asks a pool's loop to close idle connections for another pool. One such task waits at a time, so that a pool which
 // is asked at each request of a flood is not flooded by that.
-func (p *share) yield(c *proxy.Core, addr string) func(int64) {
+func (p *share) yield(c *proxy.Proxy, addr string) func(int64) {
 	return func(n int64) {
 		if p.asked.CompareAndSwap(false, true) {
 			go func() { // it may wait for a place in the queue; who asks must not
-				c.Yield(n, addr)
+				c.CloseIdle(n, addr)
 				p.asked.Store(false)
 			}()
 		}
@@ -119,7 +119,7 @@
 type PoolFigures struct {
 	Name           string
 	Requests       int // that hold the pool now
-	Memory, Places resourcelimit.PartyFigures
+	Memory, Places resourcelimit.AllotmentStats
 	Clients        int    // connections that asked it last
 	Evicted        uint64 // connections that had to go for another pool's guarantee
 	Refused        uint64 // newcomers sent away, the pool having borrowed what there was
@@ -133,7 +133,7 @@
 	for name, p := range s.pools {
 		f := PoolFigures{Name: name, Requests: p.core.Busy()}
 		if p.share != nil {
-			f.Memory, f.Places = p.share.memory.Party().Figures(), p.share.places.Figures()
+			f.Memory, f.Places = p.share.memory.Allotment().Stats(), p.share.places.Stats()
 			f.Clients, f.Evicted, f.Refused = p.share.clients.Held(), p.share.clients.Evicted(), p.share.clients.Refused()
 		}
 		all = append(all, f)
--- a/internal/service/long_test.go
+++ b/internal/service/long_test.go
@@ -50,7 +50,7 @@
 		b.Write("*3\r\n" + peer.Bulk("short") + "$-1\r\n$-1\r\n")
 		c.Wants("short")
 	}
-	if n := w.p.Figures.Class("evaluate").Count(0); n != 3 {
+	if n := w.p.Stats.Class("evaluate").Count(0); n != 3 {
 		t.Errorf("%d served", n)
 	}
 }
@@ -109,7 +109,7 @@
 			}
 			again.Write("*3\r\n" + peer.Bulk("short") + "$-1\r\n$-1\r\n")
 			other.Wants("short")
-			if n := w.p.Figures.Class("evaluate").Count(2); n != 1 {
+			if n := w.p.Stats.Class("evaluate").Count(2); n != 1 {
 				t.Errorf("%d counted as failed", n)
 			}
 		})
@@ -138,12 +138,12 @@
 	b.Message()
 	b.Write("*3\r\n" + peer.Bulk("short") + "$-1\r\n$-1\r\n")
 	c.Wants("short")
-	for limit := time.Now().Add(peer.Patient); w.p.Figures.Open() > 0; time.Sleep(5 * time.Millisecond) {
+	for limit := time.Now().Add(peer.Patient); w.p.Stats.Open() > 0; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(limit) {
-			t.Fatalf("%d still open", w.p.Figures.Open())
+			t.Fatalf("%d still open", w.p.Stats.Open())
 		}
 	}
-	if given := w.p.Figures.Class("evaluate").Count(2) + uint64(w.p.Figures.Gone.Load()); given < 4 {
+	if given := w.p.Stats.Class("evaluate").Count(2) + uint64(w.p.Stats.Gone.Load()); given < 4 {
 		t.Errorf("%d were given up of four clients'", given)
 	}
 }
--- a/internal/service/reload.go
+++ b/internal/service/reload.go
@@ -14,7 +14,7 @@
 
 // Rules are what requests are read and decided by under the configuration.
 func (c *Config) Rules() proxy.Rules {
-	return proxy.Rules{Classes: c.Transport.Classes, Plans: c.Transport.Plans, Settings: c.Settings, MostOpen: c.Transport.MostOpen}
+	return proxy.Rules{Classes: c.Transport.Classes, Plans: c.Transport.Plans, Settings: c.Settings, MaxInFlight: c.Transport.MostOpen}
 }
 
 // CheckReload says why a configuration can't take the place of one that is in use; the error names the field. Beyond what
--- a/internal/service/reload_test.go
+++ b/internal/service/reload_test.go
@@ -139,7 +139,7 @@
 	third.Write("*3\r\n" + peer.Bulk("one") + "$-1\r\n$-1\r\n")
 	c.Wants("one")
 	var figures strings.Builder
-	w.p.Figures.Write(&figures)
+	w.p.Stats.Write(&figures)
 	for _, want := range []string{"svc.operations.evaluate.fulfilled=1\n", "svc.operations.weigh.faulted=1\n", "svc.relayed=3\n",
 		"svc.open_requests=0\n", "svc.cfg_accepted=1\n", "svc.cfg_invalid=1\n", "svc.registry_entries=1\n"} {
 		if !strings.Contains(figures.String(), want) {
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -36,72 +36,72 @@
 // NewEnv makes what the fronts of a process share, on a loop's clock.
 func NewEnv(l *eventloop.Loop, memoryMB, sockets int, r proxy.Router) *proxy.Env {
 	return &proxy.Env{Memory: resourcelimit.NewBytes(ClientMemory(memoryMB)),
-		Conns: resourcelimit.NewConns(share(sockets, clientShare), l.Now), Now: l.Now, Coarse: l.Coarse, Router: r}
+		Conns: resourcelimit.NewClientLimit(share(sockets, clientShare), l.Now), Now: l.Now, Coarse: l.Coarse, Router: r}
 }
 
 // Parts are what one pool of several has of its process. The zero value is that of a front door with one pool.
 type Parts struct {
-	Space     string                                        // keeps its numbers on the counter apart from those of other pools
-	Tell      func(*proxy.Core) func(endpoint.Update)       // makes the way of what discovery tells; nil: to the core itself
-	Others    func(*proxy.Core) func(balancer.Action)       // makes the way of what the core tells other doors; nil: nowhere
-	Found     func(*proxy.Core) func(balancer.HealthReport) // makes the way of what the core finds out; nil: nowhere
-	Gate      *cpuscheduler.Flow                            // to the processor
-	Guard     *proxy.Guard                                  // whether requests may be decided; nil: always
-	NoCounter func() bool                                   // the counter is not asked, and its calls fail; nil: it always is
-	Closed    *proxy.Closed                                 // while the door comes back; nil: it never is
-	Keys      proxy.Keys                                    // claims keys of classes that are remembered; nil: there are none
-	Observe   func(class int, v proxy.Verdict, took time.Duration)
-	Figures   *stats.Figures // nil: nobody reads them
+	Space     string                                         // keeps its numbers on the counter apart from those of other pools
+	Tell      func(*proxy.Proxy) func(endpoint.Update)       // makes the way of what discovery tells; nil: to the core itself
+	Others    func(*proxy.Proxy) func(balancer.Action)       // makes the way of what the core tells other doors; nil: nowhere
+	Found     func(*proxy.Proxy) func(balancer.HealthReport) // makes the way of what the core finds out; nil: nowhere
+	Gate      *cpuscheduler.Flow                             // to the processor
+	Guard     *proxy.DecisionLease                           // whether requests may be decided; nil: always
+	NoCounter func() bool                                    // the counter is not asked, and its calls fail; nil: it always is
+	Closed    *proxy.StartupBarrier                          // while the door comes back; nil: it never is
+	Keys      proxy.KeyReserver                              // claims keys of classes that are remembered; nil: there are none
+	Observe   func(class int, v proxy.Outcome, took time.Duration)
+	Figures   *stats.Counters // nil: nobody reads them
 	Memory    *resourcelimit.Bytes
 	Clients   *resourcelimit.Group
-	Places    func(*proxy.Core) *resourcelimit.Party              // of the sockets for backends
-	Cap       func(c *proxy.Core, addr string) *resourcelimit.Cap // of a server's connections
+	Places    func(*proxy.Proxy) *resourcelimit.Allotment                    // of the sockets for backends
+	Cap       func(c *proxy.Proxy, addr string) *resourcelimit.EndpointLimit // of a server's connections
 }
 
 // NewCore makes the core of a front door, or of one pool of it, with its sides: connections to backends, the counter and
 // the platform's discovery.
-func NewCore(l *eventloop.Loop, cfg *Config, parts Parts, log *slog.Logger) (*proxy.Core, error) {
+func NewCore(l *eventloop.Loop, cfg *Config, parts Parts, log *slog.Logger) (*proxy.Proxy, error) {
 	c, _, err := newCore(l, cfg, parts, log)
 	return c, err
 }
 
-func newCore(l *eventloop.Loop, cfg *Config, parts Parts, log *slog.Logger) (*proxy.Core, *discovery.Watch, error) {
+func newCore(l *eventloop.Loop, cfg *Config, parts Parts, log *slog.Logger) (*proxy.Proxy, *discovery.Watch, error) {
 	var tr *trace.Log
 	if cfg.Trace != nil {
 		tr = trace.New(cfg.Trace, l.Now)
 	}
-	c, err := proxy.New(l, proxy.Config{Trace: tr, Name: cfg.Name, Gate: parts.Gate, Guard: parts.Guard, Closed: parts.Closed, Keys: parts.Keys, Memory: parts.Memory, Clients: parts.Clients, Observe: parts.Observe,
-		Start: cfg.Rules(), Seed: cfg.Seed, Figures: parts.Figures}, log)
+	c, err := proxy.New(l, proxy.Config{Trace: tr, Name: cfg.Name, Scheduler: parts.Gate, DecisionLease: parts.Guard, StartupBarrier: parts.Closed, KeyReserver: parts.Keys, Memory: parts.Memory, Clients: parts.Clients, OnAnswer: parts.Observe,
+		Start: cfg.Rules(), Seed: cfg.Seed, Stats: parts.Figures}, log)
 	if err != nil {
 		return nil, nil, err
 	}
-	told := c.Listed
+	told := c.HandleEndpointUpdate
 	if parts.Tell != nil {
 		told = parts.Tell(c)
 	}
 	if parts.Found != nil {
-		c.Found = parts.Found(c)
+		c.OnHealthReport = parts.Found(c)
 	}
 	if parts.Others != nil {
-		c.Others = parts.Others(c)
+		c.OnPeerAction = parts.Others(c)
 	}
 	up := upstream.Config{Most: max(1, BackendSockets(cfg.Sockets)), DialTimeout: cfg.Transport.DialTimeout, Idle: cfg.Transport.ConnIdle, Trace: tr}
 	up.Stall = cfg.Stall
-	up.Written = c.Figures.Relayed.Add
+	up.Written = c.Stats.Relayed.Add
 	up.Values = resourcelimit.NewBytes(ClientMemory(cfg.MemoryMB) / 2)
 	if parts.Places != nil {
 		up.Places = parts.Places(c)
 	}
 	if parts.Cap != nil {
-		up.Cap = func(addr string) *resourcelimit.Cap { return parts.Cap(c, addr) }
+		up.Cap = func(addr string) *resourcelimit.EndpointLimit { return parts.Cap(c, addr) }
 	}
 	watch := discovery.New(l, log, discovery.Config{Addr: cfg.Discovery, Known: cfg.Known, Zones: cfg.Transport.Zones,
-		Kinds: cfg.Transport.Kinds, Doors: cfg.Settings.Gateways, Pushed: !cfg.Settings.PollEndpoints, Seed: cfg.Seed}, told)
+		Kinds: cfg.Transport.Kinds, Gateways: cfg.Settings.Gateways, Pushed: !cfg.Settings.PollEndpoints, Seed: cfg.Seed}, told)
 	c.Connect(
-		upstream.New(l, up, c.Probed),
+		upstream.New(l, up, c.HandleHealthCheckResult),
 		counter.New(l, counter.Config{Addr: cfg.Counter, Space: parts.Space, Enabled: cfg.Settings.UseCounter, Cut: parts.NoCounter,
 			Timeout: cfg.Settings.CounterTimeout, DialTimeout: cfg.Transport.DialTimeout,
-			Trace: tr, Late: func(ev balancer.LateCounterResult) { c.Tell(ev) }}, c.Counted),
+			Trace: tr, Late: func(ev balancer.LateCounterResult) { c.Enqueue(ev) }}, c.HandleCounterResult),
 		watch)
 	return c, watch, nil
 }
@@ -128,7 +128,7 @@
 
 // Platform is the lean front door that the platform runs: one core, one RESP2 listener.
 type Platform struct {
-	*proxy.Core
+	*proxy.Proxy
 	env   *proxy.Env
 	cfg   *Config
 	log   *slog.Logger
@@ -152,7 +152,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Platform{Core: c, bans: newBans(c, cfg.Dir, log), watch: watch, env: NewEnv(l, cfg.MemoryMB, cfg.Sockets, c), cfg: cfg,
+	return &Platform{Proxy: c, bans: newBans(c, cfg.Dir, log), watch: watch, env: NewEnv(l, cfg.MemoryMB, cfg.Sockets, c), cfg: cfg,
 		inUse: cfg, log: log}, nil
 }
 
@@ -164,15 +164,15 @@
 		err = cfg.CheckReload(p.inUse)
 	}
 	if err == nil {
-		err = p.Retune(cfg.Rules())
+		err = p.UpdateSettings(cfg.Rules())
 	}
 	if err != nil {
-		p.Figures.Invalid.Add(1)
+		p.Stats.Invalid.Add(1)
 		return err
 	}
-	p.Move(cfg.Discovery, cfg.Counter)
+	p.SetAddresses(cfg.Discovery, cfg.Counter)
 	p.inUse = cfg
-	p.Figures.Accepted.Add(1)
+	p.Stats.Accepted.Add(1)
 	return nil
 }
 
--- a/internal/service/upgrade.go
+++ b/internal/service/upgrade.go
@@ -26,9 +26,9 @@
 
 // estate is what the old process of an upgrade leaves to the new one, beside sockets.
 type estate struct {
-	Listen string            `json:"Listen"`
-	Core   proxy.Estate      `json:"Core"`
-	Known  discovery.Members `json:"Known"`
+	Listen string              `json:"Listen"`
+	Core   proxy.HandoverState `json:"Core"`
+	Known  discovery.Members   `json:"Known"`
 }
 
 // Inheritance is what a new process got from the old one.
@@ -83,7 +83,7 @@
 		in.Close()
 		return err
 	}
-	p.Inherit(in.estate.Core)
+	p.ImportHandover(in.estate.Core)
 	p.predecessor = in.link
 	return nil
 }
@@ -94,7 +94,7 @@
 		return
 	}
 	all := max(1, BackendSockets(p.cfg.Sockets))
-	p.Most(max(1, int(besidePart*float64(all))))
+	p.SetMaxConnections(max(1, int(besidePart*float64(all))))
 	p.beside(true)
 	defer p.beside(false)
 	stop := context.AfterFunc(ctx, func() { p.predecessor.Close() })
@@ -107,7 +107,7 @@
 		clients.Adopt(nc, unread)
 	}
 	p.predecessor.Close()
-	p.Most(all)
+	p.SetMaxConnections(all)
 	p.log.Info("the process before has ended")
 }
 
@@ -166,10 +166,10 @@
 	clients.Pause()
 	soon, cancel := context.WithTimeout(ctx, leaveWithin)
 	defer cancel()
-	left, err := p.Leave(soon)
+	left, err := p.BeginHandover(soon)
 	if err != nil {
 		link.Refuse(err)
-		p.serveOn(ctx, clients, proxy.Estate{})
+		p.serveOn(ctx, clients, proxy.HandoverState{})
 		return err
 	}
 	state, err := json.Marshal(estate{Listen: p.cfg.Listen, Core: left, Known: p.known(soon)})
@@ -187,7 +187,7 @@
 	link.Ended()
 	clients.Stay()
 	if serving.Err() == nil && ctx.Err() == nil {
-		p.serveOn(ctx, clients, proxy.Estate{})
+		p.serveOn(ctx, clients, proxy.HandoverState{})
 		return errors.New("the other process has ended")
 	}
 	return nil
@@ -212,8 +212,8 @@
 }
 
 // serveOn undoes a hand-over that has come to nothing.
-func (p *Platform) serveOn(ctx context.Context, clients *resp2.Front, back proxy.Estate) {
-	if err := p.TakeBack(ctx, back); err != nil {
+func (p *Platform) serveOn(ctx context.Context, clients *resp2.Front, back proxy.HandoverState) {
+	if err := p.AbortHandover(ctx, back); err != nil {
 		p.log.Error("what was to be handed over is lost", "error", err)
 	}
 	clients.Resume()
--- a/internal/sharedhealth/registry.go
+++ b/internal/sharedhealth/registry.go
@@ -17,18 +17,18 @@
 	"gapgap/internal/endpoint"
 )
 
-// Out is what one pool is to be told: changes, never a whole list.
-type Out struct {
+// Update is what one pool is to be told: changes, never a whole list.
+type Update struct {
 	Pool   string
 	Update endpoint.Update
 }
 
-// Fleet holds what each pool's source has told.
-type Fleet struct {
+// Registry holds what each pool's source has told.
+type Registry struct {
 	pools map[string]map[string]*entry   // by pool and the pool's name for a server
 	at    map[string]map[*entry]struct{} // by address
 	dirty map[string]struct{}            // addresses to look at
-	gone  []Out                          // entries that their pool no longer has
+	gone  []Update                       // entries that their pool no longer has
 	sent  map[*entry]endpoint.Entry      // as the pool was told last
 }
 
@@ -39,15 +39,15 @@
 }
 
 // New makes a fleet of nothing.
-func New() *Fleet {
-	return &Fleet{pools: map[string]map[string]*entry{}, at: map[string]map[*entry]struct{}{}, dirty: map[string]struct{}{},
+func New() *Registry {
+	return &Registry{pools: map[string]map[string]*entry{}, at: map[string]map[*entry]struct{}{}, dirty: map[string]struct{}{},
 		sent: map[*entry]endpoint.Entry{}}
 }
 
-// Tell takes what a pool's source says and returns what pools are to be told, that pool among them.
-func (f *Fleet) Tell(pool string, u endpoint.Update) []Out {
-	if u.Scope == balancer.UpdateFailed {
-		return []Out{{pool, u}}
+// Apply takes what a pool's source says and returns what pools are to be told, that pool among them.
+func (f *Registry) Apply(pool string, u endpoint.Update) []Update {
+	if u.Kind == balancer.UpdateFailed {
+		return []Update{{pool, u}}
 	}
 	p := f.pools[pool]
 	if p == nil {
@@ -59,18 +59,18 @@
 		named[e.Name] = true
 		f.take(pool, p, e)
 	}
-	if u.Scope != balancer.Delta {
+	if u.Kind != balancer.Delta {
 		for _, name := range sorted(p) {
 			if e := p[name]; !named[name] {
-				f.remove(p, e, u.Scope == balancer.Snapshot) // what is missing from an old list says nothing
+				f.remove(p, e, u.Kind == balancer.Snapshot) // what is missing from an old list says nothing
 			}
 		}
 	}
 	return f.settle()
 }
 
-// Drop forgets a pool. That is no word on its servers: the others have their parts again.
-func (f *Fleet) Drop(pool string) []Out {
+// Remove forgets a pool. That is no word on its servers: the others have their parts again.
+func (f *Registry) Remove(pool string) []Update {
 	p := f.pools[pool]
 	for _, name := range sorted(p) {
 		f.remove(p, p[name], false)
@@ -85,13 +85,13 @@
 
 // Peers are the entries that other pools have of a pool's server, in a fixed order: who is to hear what the pool finds out
 // about it.
-func (f *Fleet) Peers(pool, name string) []Peer {
+func (f *Registry) Peers(pool, name string) []Peer {
 	e := f.pools[pool][name]
 	if e == nil {
 		return nil
 	}
 	var all []Peer
-	for o := range f.at[e.told.Addr] {
+	for o := range f.at[e.told.Address] {
 		if o.pool != pool {
 			all = append(all, Peer{o.pool, o.told.Name})
 		}
@@ -110,7 +110,7 @@
 }
 
 // take takes one entry of a pool.
-func (f *Fleet) take(pool string, p map[string]*entry, told endpoint.Entry) {
+func (f *Registry) take(pool string, p map[string]*entry, told endpoint.Entry) {
 	e := p[told.Name]
 	if told.State == balancer.Removed {
 		if e != nil {
@@ -118,7 +118,7 @@
 		}
 		return
 	}
-	if e != nil && e.told.Addr != told.Addr { // another process; the old one is gone
+	if e != nil && e.told.Address != told.Address { // another process; the old one is gone
 		f.stop(e)
 		f.unlink(e)
 	}
@@ -130,15 +130,15 @@
 	if told.State == balancer.Serving {
 		e.stopped = false
 	}
-	if f.at[told.Addr] == nil {
-		f.at[told.Addr] = map[*entry]struct{}{}
+	if f.at[told.Address] == nil {
+		f.at[told.Address] = map[*entry]struct{}{}
 	}
-	f.at[told.Addr][e] = struct{}{}
-	f.dirty[told.Addr] = struct{}{}
+	f.at[told.Address][e] = struct{}{}
+	f.dirty[told.Address] = struct{}{}
 }
 
 // remove takes an entry out of its pool, and stops the server in the others where that is word of its end.
-func (f *Fleet) remove(p map[string]*entry, e *entry, ends bool) {
+func (f *Registry) remove(p map[string]*entry, e *entry, ends bool) {
 	if ends {
 		f.stop(e)
 	}
@@ -147,28 +147,28 @@
 	last := e.told
 	last.State = balancer.Removed
 	delete(f.sent, e)
-	f.gone = append(f.gone, Out{e.pool, endpoint.Update{Entries: []endpoint.Entry{last}}})
+	f.gone = append(f.gone, Update{e.pool, endpoint.Update{Entries: []endpoint.Entry{last}}})
 }
 
 // stop stops the server of an entry in all other pools.
-func (f *Fleet) stop(e *entry) {
-	for o := range f.at[e.told.Addr] {
+func (f *Registry) stop(e *entry) {
+	for o := range f.at[e.told.Address] {
 		if o.pool != e.pool {
 			o.stopped = true
 		}
 	}
 }
 
-func (f *Fleet) unlink(e *entry) {
-	delete(f.at[e.told.Addr], e)
-	if len(f.at[e.told.Addr]) == 0 {
-		delete(f.at, e.told.Addr)
+func (f *Registry) unlink(e *entry) {
+	delete(f.at[e.told.Address], e)
+	if len(f.at[e.told.Address]) == 0 {
+		delete(f.at, e.told.Address)
 	}
-	f.dirty[e.told.Addr] = struct{}{}
+	f.dirty[e.told.Address] = struct{}{}
 }
 
 // settle looks at the servers of which something has changed, and says who is to be told what.
-func (f *Fleet) settle() []Out {
+func (f *Registry) settle() []Update {
 	changes := map[string][]endpoint.Entry{}
 	for _, o := range f.gone {
 		changes[o.Pool] = append(changes[o.Pool], o.Update.Entries...)
@@ -183,15 +183,15 @@
 		}
 	}
 	clear(f.dirty)
-	var outs []Out
+	var outs []Update
 	for pool, list := range changes {
 		// Ends first, so that a name that has a new address is not ended after it; then by name, for the same order always.
 		slices.SortStableFunc(list, func(a, b endpoint.Entry) int {
 			return cmp.Or(cmp.Compare(ended(b), ended(a)), cmp.Compare(a.Name, b.Name))
 		})
-		outs = append(outs, Out{pool, endpoint.Update{Scope: balancer.Delta, Entries: list}})
+		outs = append(outs, Update{pool, endpoint.Update{Kind: balancer.Delta, Entries: list}})
 	}
-	slices.SortFunc(outs, func(a, b Out) int { return cmp.Compare(a.Pool, b.Pool) })
+	slices.SortFunc(outs, func(a, b Update) int { return cmp.Compare(a.Pool, b.Pool) })
 	return outs
 }
 
@@ -203,7 +203,7 @@
 }
 
 // effective is what the pools of one server are to know of it.
-func (f *Fleet) effective(addr string) map[*entry]endpoint.Entry {
+func (f *Registry) effective(addr string) map[*entry]endpoint.Entry {
 	all := f.at[addr]
 	drains := false
 	use := 0 // entries that have it in service: a pool may have a server under two names
--- a/internal/sharedhealth/registry_test.go
+++ b/internal/sharedhealth/registry_test.go
@@ -12,17 +12,17 @@
 )
 
 func entryOf(name, addr string, state balancer.EndpointState, started time.Duration) endpoint.Entry {
-	return endpoint.Entry{Endpoint: balancer.Endpoint{Name: name, State: state, StartedAt: started}, Addr: addr}
+	return endpoint.Entry{Endpoint: balancer.Endpoint{Name: name, State: state, StartedAt: started}, Address: addr}
 }
 
 func list(scope balancer.UpdateKind, all ...endpoint.Entry) endpoint.Update {
-	return endpoint.Update{Scope: scope, Entries: all}
+	return endpoint.Update{Kind: scope, Entries: all}
 }
 
 // pools keeps what each pool was told, as a core would.
 type pools map[string]map[string]endpoint.Entry
 
-func (p pools) take(outs []Out) {
+func (p pools) take(outs []Update) {
 	for _, o := range outs {
 		if p[o.Pool] == nil {
 			p[o.Pool] = map[string]endpoint.Entry{}
@@ -40,7 +40,7 @@
 func TestPoolsSharedServer(t *testing.T) {
 	const in, out, gone = balancer.Serving, balancer.Draining, balancer.Removed
 	f, p := New(), pools{}
-	tell := func(pool string, u endpoint.Update) { p.take(f.Tell(pool, u)) }
+	tell := func(pool string, u endpoint.Update) { p.take(f.Apply(pool, u)) }
 	state := func(pool, name string, want balancer.EndpointState, share float64) {
 		t.Helper()
 		if e, ok := p[pool][name]; !ok || e.State != want || e.SlowStartShare != share {
@@ -86,9 +86,9 @@
 	tell("a", list(balancer.Snapshot, entryOf("s2", "x", in, 0)))
 	tell("b", list(balancer.Snapshot, entryOf("t1", "x", in, 0)))
 	state("a", "s2", in, 0.5)
-	p.take(f.Drop("b")) // the pool is removed, not the server
+	p.take(f.Remove("b")) // the pool is removed, not the server
 	state("a", "s2", in, 1)
-	if got := f.Tell("a", endpoint.Update{Scope: balancer.UpdateFailed}); len(got) != 1 || got[0].Update.Scope != balancer.UpdateFailed {
+	if got := f.Apply("a", endpoint.Update{Kind: balancer.UpdateFailed}); len(got) != 1 || got[0].Update.Kind != balancer.UpdateFailed {
 		t.Errorf("a failed list: %+v", got)
 	}
 }
@@ -103,16 +103,16 @@
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			pool := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "pool")
 			if rapid.IntRange(0, 15).Draw(t, "drop") == 0 {
-				p.take(f.Drop(pool))
+				p.take(f.Remove(pool))
 				delete(told, pool)
 				delete(p, pool)
 				continue
 			}
-			u := endpoint.Update{Scope: rapid.SampledFrom([]balancer.UpdateKind{balancer.Delta, balancer.Delta, balancer.Snapshot, balancer.CachedSnapshot}).Draw(t, "scope")}
+			u := endpoint.Update{Kind: rapid.SampledFrom([]balancer.UpdateKind{balancer.Delta, balancer.Delta, balancer.Snapshot, balancer.CachedSnapshot}).Draw(t, "scope")}
 			if told[pool] == nil {
 				told[pool] = map[string]endpoint.Entry{}
 			}
-			if u.Scope != balancer.Delta {
+			if u.Kind != balancer.Delta {
 				clear(told[pool])
 			}
 			for i := range 3 {
@@ -128,12 +128,12 @@
 					told[pool][e.Name] = e
 				}
 			}
-			p.take(f.Tell(pool, u))
+			p.take(f.Apply(pool, u))
 			drains, shares, started := map[string]bool{}, map[string]map[string]float64{}, map[string]time.Duration{}
 			for _, list := range told {
 				for _, e := range list {
-					drains[e.Addr] = drains[e.Addr] || e.State != balancer.Serving
-					started[e.Addr] = max(started[e.Addr], e.StartedAt)
+					drains[e.Address] = drains[e.Address] || e.State != balancer.Serving
+					started[e.Address] = max(started[e.Address], e.StartedAt)
 				}
 			}
 			for pool, list := range p {
@@ -142,17 +142,17 @@
 				}
 				for name, e := range list {
 					o, ok := told[pool][name]
-					if !ok || e.Addr != o.Addr || e.StartedAt != started[e.Addr] {
+					if !ok || e.Address != o.Address || e.StartedAt != started[e.Address] {
 						t.Fatalf("%s has %s as %+v, its source says %+v", pool, name, e, o)
 					}
 					if e.State == balancer.Serving {
-						if drains[e.Addr] {
-							t.Fatalf("%s uses %s, which drains", pool, e.Addr)
+						if drains[e.Address] {
+							t.Fatalf("%s uses %s, which drains", pool, e.Address)
 						}
-						if shares[e.Addr] == nil {
-							shares[e.Addr] = map[string]float64{}
+						if shares[e.Address] == nil {
+							shares[e.Address] = map[string]float64{}
 						}
-						shares[e.Addr][pool+" "+name] = e.SlowStartShare
+						shares[e.Address][pool+" "+name] = e.SlowStartShare
 					}
 				}
 			}
--- a/internal/stats/stats.go
+++ b/internal/stats/stats.go
@@ -39,8 +39,8 @@
 // Others is the name under which classes are counted for which there was no place.
 const Others = "others"
 
-// Figures are those of one process. The zero value is not ready; see New.
-type Figures struct {
+// Counters are those of one process. The zero value is not ready; see New.
+type Counters struct {
 	Taken    atomic.Int64  // requests taken so far
 	Gone     atomic.Int64  // requests that ended without an answer, their clients having left
 	Relayed  atomic.Uint64 // attempts written whole to backends
@@ -53,10 +53,10 @@
 }
 
 // New makes figures at nought.
-func New() *Figures { return &Figures{classes: map[string]*Class{}} }
+func New() *Counters { return &Counters{classes: map[string]*Class{}} }
 
 // Class is where requests of a class are counted. One name always has the same place.
-func (f *Figures) Class(name string) *Class {
+func (f *Counters) Class(name string) *Class {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.classes) >= MostClasses && f.classes[name] == nil {
@@ -71,7 +71,7 @@
 }
 
 // Open is how many requests are taken and not ended.
-func (f *Figures) Open() int64 {
+func (f *Counters) Open() int64 {
 	f.mu.Lock()
 	ended := f.Gone.Load()
 	for _, c := range f.classes {
@@ -84,7 +84,7 @@
 }
 
 // Write writes all figures, a line each.
-func (f *Figures) Write(w io.Writer) error {
+func (f *Counters) Write(w io.Writer) error {
 	f.mu.Lock()
 	names := make([]string, 0, len(f.classes))
 	for name := range f.classes {
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -91,11 +91,11 @@
 	Trace *trace.Log
 	// Written is told of each attempt whose last byte is written, by any goroutine; nil: nobody asks.
 	Written func(uint64) uint64
-	Stall   time.Duration        // a long value that stops for so long is given up; 0: 5 s
-	Values  *resourcelimit.Bytes // for what long answers hold while they come in; nil: unbounded
-	Places  *resourcelimit.Party // of the connections that a process with several pools may have; nil: Most alone holds
+	Stall   time.Duration            // a long value that stops for so long is given up; 0: 5 s
+	Values  *resourcelimit.Bytes     // for what long answers hold while they come in; nil: unbounded
+	Places  *resourcelimit.Allotment // of the connections that a process with several pools may have; nil: Most alone holds
 	// Cap joins a server's bound on connections, which pools share; nil: none is known.
-	Cap func(addr string) *resourcelimit.Cap
+	Cap func(addr string) *resourcelimit.EndpointLimit
 }
 
 // backend is what is known of one backend's address, and its connections.
@@ -108,7 +108,7 @@
 	conns      map[*conn]bool
 	idle       []*conn // the one used last at the end
 	heard      time.Duration
-	cap        *resourcelimit.Cap // nil: none is known
+	cap        *resourcelimit.EndpointLimit // nil: none is known
 }
 
 // conn is a connection to a backend. It carries one thing at a time, an attempt or a probe, and is closed when
@@ -122,7 +122,7 @@
 	probe   *probe
 	closed  bool
 	era     int // of the backend when it was dialled
-	cap     *resourcelimit.Cap
+	cap     *resourcelimit.EndpointLimit
 	idleAt  time.Duration
 	sent    atomic.Int32 // how far the command is that was last given to it
 	broken  atomic.Bool  // its reader has ended
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -67,7 +67,7 @@
 	f.pool = New(f.Loop, Config{Most: 400, DialTimeout: 5 * time.Second, Idle: 30 * time.Second},
 		func(p balancer.HealthCheckResult) { f.probed = append(f.probed, p) })
 	for _, e := range entries(addrs...) {
-		f.pool.Listed(e.Endpoint, e.Addr)
+		f.pool.Listed(e.Endpoint, e.Address)
 	}
 	t.Cleanup(f.Close)
 	return f
@@ -75,7 +75,7 @@
 
 func entries(addrs ...string) (all []endpoint.Entry) {
 	for i, a := range addrs {
-		all = append(all, endpoint.Entry{Endpoint: balancer.Endpoint{Name: fmt.Sprint("s-", i), Weight: 1}, Addr: a})
+		all = append(all, endpoint.Entry{Endpoint: balancer.Endpoint{Name: fmt.Sprint("s-", i), Weight: 1}, Address: a})
 	}
 	return all
 }
@@ -84,7 +84,7 @@
 func (f *rig) whole(addrs ...string) {
 	list := entries(addrs...)
 	for _, e := range list {
-		f.pool.Listed(e.Endpoint, e.Addr)
+		f.pool.Listed(e.Endpoint, e.Address)
 	}
 	f.pool.KeepOnly(list)
 }
@@ -225,7 +225,7 @@
 		func() {
 			e := entries(b.addr)[0]
 			e.StartedAt = 5 * time.Millisecond
-			f.pool.Listed(e.Endpoint, e.Addr)
+			f.pool.Listed(e.Endpoint, e.Address)
 		},
 	} {
 		a := try(t, f)
