--- a/internal/endpoint/endpoint.go
+++ b/internal/endpoint/endpoint.go
@@ -1,16 +1,19 @@
-// Package endpoint holds what the core is told of the list of backends, whoever tells it.
+// Package endpoint is the form in which a proxy is told of the endpoint list, whatever system discovers it.
 package endpoint
 
 import "gapgap/internal/balancer"
 
-// Update is a list of backends or changes of it.
+// Update is the endpoint list or a change of it.
 type Update struct {
-	Kind    balancer.UpdateKind
+	// Kind says whether Entries are all endpoints or the changed ones only.
+	Kind balancer.UpdateKind
+	// Entries has no meaning if Kind is balancer.UpdateFailed.
 	Entries []Entry
 }
 
-// Entry is one backend and where it listens.
+// Entry is one endpoint and where it listens.
 type Entry struct {
 	balancer.Endpoint
-	Address string // host:port
+	// Address is host:port.
+	Address string
 }
--- a/internal/frontend/resp2/client.go
+++ b/internal/frontend/resp2/client.go
@@ -117,7 +117,7 @@
 			return
 		}
 		c.due = time.Time{}
-		if c.held && socket.Left(c.nc) {
+		if c.held && socket.HasPeerClosed(c.nc) {
 			return
 		}
 		c.held = false
--- a/internal/frontend/resp2/front_test.go
+++ b/internal/frontend/resp2/front_test.go
@@ -36,7 +36,7 @@
 			t.Fatal(err)
 		}
 		c.Write(peer.Command("Q.ASK", peer.Customer, "1", peer.List, strings.Repeat("b", resp.MostValue)))
-		for socket.Quiet(nc) {
+		for socket.IsQuiet(nc) {
 			time.Sleep(time.Millisecond)
 		}
 		fr.turnAway(nc)
--- a/internal/frontend/resp2/request.go
+++ b/internal/frontend/resp2/request.go
@@ -200,7 +200,7 @@
 
 // Left implements [proxy.Leaver]. The connection of a client that has left is closed, or who waits on it would wait on.
 func (a *ask) Left() bool {
-	if !socket.Left(a.conn.nc) {
+	if !socket.HasPeerClosed(a.conn.nc) {
 		return false
 	}
 	a.conn.mu.Lock()
--- a/internal/layout/layout_test.go
+++ b/internal/layout/layout_test.go
@@ -83,30 +83,36 @@
 	none(t, "gapgap/internal/resourcelimit", "net")
 }
 
-// What doors know of each other is decided without input and output, and the platform's front door has none of it.
+// What doors know of each other is decided without input and output, and the platform's gateway has none of it.
 func TestMembershipImports(t *testing.T) {
 	none(t, "gapgap/internal/balancer/quotashare", "net", "os")
 	onlyBalancer(t, "gapgap/internal/balancer/quotashare")
 	for _, p := range []string{"membership", "quotalease", "cluster"} {
-		none(t, "gapgap/internal/"+p, "net", "os/exec", "gapgap/internal/proxy", "gapgap/internal/eventloop", "gapgap/internal/fake")
+		none(t, "gapgap/internal/"+p, "net", "os/exec", "gapgap/internal/proxy", "gapgap/internal/eventloop",
+			"gapgap/internal/fake")
 	}
-	none(t, "gapgap/cmd/gapgap", "gapgap/internal/membership", "gapgap/internal/quotalease", "gapgap/internal/cluster", "gapgap/internal/peer",
+	none(t, "gapgap/cmd/gapgap", "gapgap/internal/membership", "gapgap/internal/quotalease",
+		"gapgap/internal/cluster", "gapgap/internal/peer",
 		"github.com/fxamacker/cbor")
 }
 
-// How a policy takes hold is decided without input and output; the platform's front door has neither that nor its log, nor storage.
+// How a policy takes hold is decided without input and output; the platform's gateway has neither that nor its log, nor
+// storage.
 func TestPolicyImports(t *testing.T) {
-	none(t, "gapgap/internal/policy", "net", "os/exec", "go.etcd.io", "gapgap/internal/proxy", "gapgap/internal/eventloop", "gapgap/internal/fake")
+	none(t, "gapgap/internal/policy", "net", "os/exec", "go.etcd.io", "gapgap/internal/proxy",
+		"gapgap/internal/eventloop", "gapgap/internal/fake")
 	none(t, "gapgap/internal/raftlog", "net", "gapgap/internal/proxy", "gapgap/internal/policy", "gapgap/internal/fake")
-	none(t, "gapgap/cmd/gapgap", "gapgap/internal/policy", "gapgap/internal/policyreplica", "gapgap/internal/raftlog", "go.etcd.io", "github.com/gogo")
+	none(t, "gapgap/cmd/gapgap", "gapgap/internal/policy", "gapgap/internal/policyreplica",
+		"gapgap/internal/raftlog", "go.etcd.io", "github.com/gogo")
 	none(t, "gapgap/cmd/gapgapd", "github.com/anishathalye", "github.com/pmezard")
 }
 
-// The log for states of many records is ground: it knows nobody above it; the platform's front door has none of it, as no disk outlives it.
+// The write-ahead log imports nothing above it; the platform's gateway has none of it, as no disk outlives it.
 func TestRecoveryImports(t *testing.T) {
 	none(t, "gapgap/internal/wal", "net", "os/exec", "gapgap/internal/proxy", "gapgap/internal/service")
 	for _, p := range []string{"idempotency", "recovery", "clockskew"} {
-		none(t, "gapgap/internal/"+p, "net", "os/exec", "math/rand", "gapgap/internal/proxy", "gapgap/internal/eventloop", "gapgap/internal/fake")
+		none(t, "gapgap/internal/"+p, "net", "os/exec", "math/rand", "gapgap/internal/proxy",
+			"gapgap/internal/eventloop", "gapgap/internal/fake")
 	}
 	for _, p := range []string{"wal", "idempotency", "idempotency/replica", "recovery", "clockskew"} {
 		none(t, "gapgap/cmd/gapgap", "gapgap/internal/"+p)
@@ -131,19 +137,27 @@
 // The service links no stand-in either; what decides for it does no input or output.
 func TestExternalAuthorizationImports(t *testing.T) {
 	none(t, "gapgap/cmd/gapgapd", "gapgap/internal/fake", "testing", "google.golang.org/grpc")
-	none(t, "gapgap/internal/decisioncache", "net", "os", "gapgap/internal/proxy", "gapgap/internal/frontend", "gapgap/internal/eventloop")
+	none(t, "gapgap/internal/decisioncache", "net", "os", "gapgap/internal/proxy", "gapgap/internal/frontend",
+		"gapgap/internal/eventloop")
 	none(t, "gapgap/internal/account", "net/http", "gapgap/internal/frontend", "gapgap/internal/proxy")
-	none(t, "gapgap/internal/frontend/extauthz", "gapgap/internal/counter", "gapgap/internal/discovery", "gapgap/internal/service")
+	none(t, "gapgap/internal/frontend/extauthz", "gapgap/internal/counter", "gapgap/internal/discovery",
+		"gapgap/internal/service")
 }
 
-// Nothing that serves on the platform is fitted to one deployment: no class, plan, kind or site of those that the project has met is named in its code. What is
-// looked for are whole string literals, of the sites in deploy/sites too.
+// ownFiles is a format of go list: the path of each file that belongs to this module.
+const ownFiles = `{{if not .Standard}}{{$d := .Dir}}{{if eq .Module.Path "gapgap"}}` +
+	`{{range .GoFiles}}{{$d}}/{{.}}{{"\n"}}{{end}}{{end}}{{end}}`
+
+// Nothing that serves on the platform is fitted to one deployment: no class, plan, kind or site of those that the
+// project has met is named in its code. What is looked for are whole string literals, of the sites in deploy/sites too.
 func TestNoDeploymentIsNamed(t *testing.T) {
-	names := []string{"evaluate", "change", "starter", "business", "flag-api", "std-3c", "fetch-cards", "record-answer", "basic", "standard", "campus", "deck-servers",
-		"quote", "charge", "note", "stall", "chain", "tills", "look", "weave", "sell", "guest", "member", "guild", "crown", "looms"}
+	names := []string{"evaluate", "change", "starter", "business", "flag-api", "std-3c", "fetch-cards",
+		"record-answer", "basic", "standard", "campus", "deck-servers",
+		"quote", "charge", "note", "stall", "chain", "tills", "look", "weave", "sell", "guest", "member", "guild",
+		"crown", "looms"}
 	literal := regexp.MustCompile(`"(` + strings.Join(names, "|") + `)"`)
 	site := regexp.MustCompile(`(?i)cluj|yarmouk|amman|shared-fleet`)
-	out, err := exec.Command("go", "list", "-deps", "-f", `{{if not .Standard}}{{$d := .Dir}}{{if eq .Module.Path "gapgap"}}{{range .GoFiles}}{{$d}}/{{.}}{{"\n"}}{{end}}{{end}}{{end}}`,
+	out, err := exec.Command("go", "list", "-deps", "-f", ownFiles,
 		"gapgap/cmd/gapgap", "gapgap/cmd/simadapter").Output()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/priorityqueue/priorityqueue.go
+++ b/internal/priorityqueue/priorityqueue.go
@@ -1,86 +1,94 @@
-// Package priorityqueue is a priority queue whose items can be moved and taken out: container/heap with the places kept.
+// Package priorityqueue is a heap whose items can be moved and removed: container/heap with each item's index kept.
 package priorityqueue
 
 import "container/heap"
 
-// Item is one thing in a Queue.
+// Item is a value in a Queue.
 type Item[T any] struct {
+	// Value is what the queue orders by.
 	Value T
-	spot  int // from 1; 0: in no queue
+	// position is the item's index in the heap plus one; 0: it is in no queue.
+	position int
 }
 
-// In says whether the item is in a queue.
-func (i *Item[T]) In() bool { return i != nil && i.spot > 0 }
+// In tells whether the item is in a queue. A nil item is in none.
+func (i *Item[T]) In() bool { return i != nil && i.position > 0 }
 
-// Queue gives its items in order, those that compare alike in any. Make it with New. Not for use by several goroutines.
-type Queue[T any] struct{ h inner[T] }
+// Queue gives its items in order, and those that compare equal in any order. It is made by New and not safe for
+// concurrent use.
+type Queue[T any] struct{ heap itemHeap[T] }
 
-// New makes an empty queue. less says whether a goes before b.
-func New[T any](less func(a, b T) bool) *Queue[T] { return &Queue[T]{inner[T]{less: less}} }
+// New returns an empty queue. less tells whether a comes before b.
+func New[T any](less func(a, b T) bool) *Queue[T] { return &Queue[T]{itemHeap[T]{less: less}} }
 
-// Len is the number of items.
-func (q *Queue[T]) Len() int { return len(q.h.all) }
+// Len returns the number of items.
+func (q *Queue[T]) Len() int { return len(q.heap.items) }
 
-// Push puts a value in.
-func (q *Queue[T]) Push(v T) *Item[T] {
-	i := &Item[T]{Value: v}
-	heap.Push(&q.h, i)
-	return i
+// Push adds a value and returns its item.
+func (q *Queue[T]) Push(value T) *Item[T] {
+	item := &Item[T]{Value: value}
+	heap.Push(&q.heap, item)
+	return item
 }
 
-// Put puts an item in that is in no queue.
-func (q *Queue[T]) Put(i *Item[T]) {
-	if i.spot == 0 {
-		heap.Push(&q.h, i)
+// Put adds an item again. An item that is in a queue stays where it is.
+func (q *Queue[T]) Put(item *Item[T]) {
+	if item.position == 0 {
+		heap.Push(&q.heap, item)
 	}
 }
 
-// First is the first item; nil: there is none.
+// First returns the first item, or nil if the queue is empty.
 func (q *Queue[T]) First() *Item[T] {
-	if len(q.h.all) == 0 {
+	if len(q.heap.items) == 0 {
 		return nil
 	}
-	return q.h.all[0]
+	return q.heap.items[0]
 }
 
-// Pop takes the first item out.
-func (q *Queue[T]) Pop() *Item[T] { return heap.Pop(&q.h).(*Item[T]) }
+// Pop removes the first item and returns it. The queue must not be empty.
+func (q *Queue[T]) Pop() *Item[T] { return heap.Pop(&q.heap).(*Item[T]) }
 
-// Remove takes an item out; one that is in no queue, or nil, is passed over.
-func (q *Queue[T]) Remove(i *Item[T]) {
-	if i.In() {
-		heap.Remove(&q.h, i.spot-1)
+// Remove removes an item. One that is in no queue, or nil, is ignored.
+func (q *Queue[T]) Remove(item *Item[T]) {
+	if item.In() {
+		heap.Remove(&q.heap, item.position-1)
 	}
 }
 
-// Moved finds the place of an item whose value has changed.
-func (q *Queue[T]) Moved(i *Item[T]) {
-	if i.In() {
-		heap.Fix(&q.h, i.spot-1)
+// Moved restores the order after the value of an item has changed.
+func (q *Queue[T]) Moved(item *Item[T]) {
+	if item.In() {
+		heap.Fix(&q.heap, item.position-1)
 	}
 }
 
-type inner[T any] struct {
-	less func(a, b T) bool
-	all  []*Item[T]
+// itemHeap implements heap.Interface.
+type itemHeap[T any] struct {
+	less  func(a, b T) bool
+	items []*Item[T]
 }
 
-func (h *inner[T]) Len() int           { return len(h.all) }
-func (h *inner[T]) Less(i, j int) bool { return h.less(h.all[i].Value, h.all[j].Value) }
-func (h *inner[T]) Swap(i, j int) {
-	h.all[i], h.all[j] = h.all[j], h.all[i]
-	h.all[i].spot, h.all[j].spot = i+1, j+1
+func (h *itemHeap[T]) Len() int           { return len(h.items) }
+func (h *itemHeap[T]) Less(i, j int) bool { return h.less(h.items[i].Value, h.items[j].Value) }
+
+func (h *itemHeap[T]) Swap(i, j int) {
+	h.items[i], h.items[j] = h.items[j], h.items[i]
+	h.items[i].position = i + 1
+	h.items[j].position = j + 1
 }
-func (h *inner[T]) Push(e any) {
-	i := e.(*Item[T])
-	i.spot = len(h.all) + 1
-	h.all = append(h.all, i)
+
+func (h *itemHeap[T]) Push(element any) {
+	item := element.(*Item[T])
+	item.position = len(h.items) + 1
+	h.items = append(h.items, item)
 }
-func (h *inner[T]) Pop() any {
-	n := len(h.all) - 1
-	i := h.all[n]
-	h.all[n] = nil
-	h.all = h.all[:n]
-	i.spot = 0
-	return i
+
+func (h *itemHeap[T]) Pop() any {
+	last := len(h.items) - 1
+	item := h.items[last]
+	h.items[last] = nil
+	h.items = h.items[:last]
+	item.position = 0
+	return item
 }
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -385,7 +385,7 @@
 		b.idle = b.idle[:n-1]
 		// What came since the last answer would be taken for the next one, and a connection that has ended would
 		// leave it open whether the command has run.
-		if c.broken.Load() || !socket.Quiet(c.nc) {
+		if c.broken.Load() || !socket.IsQuiet(c.nc) {
 			bs.close(c)
 			continue
 		}
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -283,11 +283,11 @@
 	}
 	defer nc.Close()
 	p := peer.Accept(t, ln)
-	if !socket.Quiet(nc) {
+	if !socket.IsQuiet(nc) {
 		t.Error("nothing has come, and it is not quiet")
 	}
 	p.Write("x")
-	for end := time.Now().Add(peer.Patient); socket.Quiet(nc); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(peer.Patient); socket.IsQuiet(nc); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("what has come is not seen")
 		}
