--- a/internal/balancer/admission.go
+++ b/internal/balancer/admission.go
@@ -6,185 +6,267 @@
 	"time"
 )
 
+// Parts of a request's time limit.
 const (
-	latencyHeadroomFraction = 0.9               // f of EQ 3 and EQ 4 (the design page)
-	queueShareOfDeadline    = 0.5               // share of tau*f that the open levels may be expected to take
-	joinShareOfDeadline     = 0.8               // ... and that a request of the top level may on joining
-	priorityBands           = 6                 // levels by worth ...
-	bandsPerHalving         = 2                 // ... and how many of them halve it
-	lowestLevel             = 2 * priorityBands // level of what is beyond a soft quota; promoted bands come first
-	shedFromFraction        = 0.4               // part of tau*f that waiting in servers takes when some are refused
-	shedAllFraction         = 0.8               // ... and at which all are ...
-	shedMaxProbability      = 0.97              // ... but for a few, whose answers tell when it is over
-	shedLevelSlope          = 1.5               // what the lowest level adds to that part, as a multiple
-	shortageGain            = 0.02              // weight of a request in the part that finds no free place ...
-	shortageShedFactor      = 2.0               // ... and over how much of it nothing beyond a quota is sent
+	// latencyHeadroomFraction is the part that waiting and answer may take together (f of EQ 3 and EQ 4).
+	latencyHeadroomFraction = 0.9
+	// queueShareOfDeadline is the part of the usable time limit that the work of the open levels may take.
+	queueShareOfDeadline = 0.5
+	// joinShareOfDeadline is the part of it that a request of the highest level may take on joining a queue.
+	joinShareOfDeadline = 0.8
+	// minTimeLatencies is the least time limit of a request, in expected latencies.
+	minTimeLatencies = 0.5
 )
 
-// admit takes a request in. Its tau is the time left, bounded by the aim where a late answer earns nothing
-// (a departure: the paper knows one limit; here the client waits longer than the answer has worth).
+// Priority levels.
+const (
+	// priorityBands is the number of levels by priority weight.
+	priorityBands = 6
+	// bandsPerHalving is the number of levels within which the priority weight halves.
+	bandsPerHalving = 2
+	// lowestLevel is the level of requests over a soft quota. Those within their quota have the first bands.
+	lowestLevel = 2 * priorityBands
+)
+
+// Load shedding by latency, where free slots don't tell that endpoints are overloaded.
+const (
+	// shedFromFraction is the part of the usable time limit, taken by waiting inside endpoints, from which some
+	// requests are rejected.
+	shedFromFraction = 0.4
+	// shedAllFraction is the part at which all are but 1-shedMaxProbability.
+	shedAllFraction = 0.8
+	// shedMaxProbability leaves a few requests, whose answers tell when the overload is over.
+	shedMaxProbability = 0.97
+	// shedLevelSlope is what the lowest level adds to the part, as a multiple.
+	shedLevelSlope = 1.5
+	// shedScarcityFactor times the scarcity of evidence is the part of this rule that applies, 1 at most.
+	shedScarcityFactor = 2.0
+	// minUsableTime bounds the usable time limit from below, in seconds.
+	minUsableTime = 1e-3
+)
+
+// Load shedding by the shortage of free slots.
+const (
+	// shortageGain is the weight of one request in the shortage.
+	shortageGain = 0.02
+	// shortageShedFactor times the shortage is the probability that a request of the lowest level is rejected.
+	shortageShedFactor = 2.0
+)
+
+// admit takes in a request: it is rejected at once, or waits for its quota, which may cover it at once.
 func (b *Balancer) admit(ev Request) {
 	if b.requests[ev.ID] != nil {
 		return
 	}
-	if ev.Class < 0 || ev.Class >= len(b.settings.Classes) || ev.Plan < 0 || ev.Plan >= len(b.settings.Plans) {
+	if !b.hasClassAndPlan(ev) {
 		b.emit(Reject{ID: ev.ID, Reason: UnknownClass})
 		return
 	}
 	if b.rejectIfTableFull(ev) {
 		return
 	}
-	class := &b.settings.Classes[ev.Class]
+	req := b.newRequest(ev)
+	b.requests[req.id] = req
+	if req.timeLimit.Seconds() <= b.expectedLatency(req, nil)*minTimeLatencies {
+		b.reject(req, 0, InsufficientTime)
+		return
+	}
+	if !req.admitOnly { // one for admission only is mostly decided at once, and gets its timer below
+		b.setDeadlineTimer(req)
+	}
+	req.customer.recordDemand(b.now, req)
+	wait := b.ceilingWait(req)
+	if wait > b.maxCeilingWait(req) {
+		b.reject(req, time.Duration(wait*float64(time.Second)), CeilingExceeded)
+		return
+	}
+	if req.admitOnly {
+		if decision := b.checkQuota(req); decision != quotaPending {
+			b.applyQuotaDecision(req, decision)
+			return
+		}
+	}
+	b.waitForQuota(req)
+}
+
+// hasClassAndPlan reports whether the settings have the class and the plan of a request.
+func (b *Balancer) hasClassAndPlan(ev Request) bool {
+	return ev.Class >= 0 && ev.Class < len(b.settings.Classes) && ev.Plan >= 0 && ev.Plan < len(b.settings.Plans)
+}
+
+// newRequest returns the state of a request that has arrived.
+func (b *Balancer) newRequest(ev Request) *request {
 	req := &request{
 		id:          ev.ID,
 		class:       ev.Class,
 		plan:        ev.Plan,
 		units:       max(0, ev.Units),
 		arrivedAt:   b.now,
-		timeLimit:   ev.TimeLeft,
+		timeLimit:   b.timeLimitOf(ev),
 		maxAttempts: b.settings.MaxAttempts,
 		clientRetry: ev.ClientRetry,
 		admitOnly:   ev.AdmitOnly,
 		holdFor:     ev.HoldFor,
 	}
+	req.customer = b.customerFor(ev)
+	req.cost = b.latency.classes[ev.Class].costProfile.Cost(ev.Units)
+	return req
+}
+
+// timeLimitOf is the time within which an answer to a request is of use: the time that the client has left, or the
+// latency objective of a class where a later answer has no weight. If this gateway has just stood still, the request
+// may have waited before it was read. First requests of a class come with the same time left, so what is missing of
+// the longest one is that wait.
+func (b *Balancer) timeLimitOf(ev Request) time.Duration {
+	class := &b.settings.Classes[ev.Class]
+	estimate := &b.latency.classes[ev.Class]
+	limit := ev.TimeLeft
 	if class.LateWeightFraction == 0 && class.LatencyObjective > 0 {
-		req.timeLimit = min(req.timeLimit, class.LatencyObjective)
+		limit = min(limit, class.LatencyObjective)
 	}
-	// What a door finds after it stood still has waited: first tries of a class have the same time at first.
-	b.classes[ev.Class].maxTimeLeft = max(b.classes[ev.Class].maxTimeLeft, ev.TimeLeft)
-	if b.now-b.previousStepAt > stallThreshold && !ev.ClientRetry {
-		req.timeLimit = min(
-			req.timeLimit,
-			class.LatencyObjective-min(b.now-b.previousStepAt, b.classes[ev.Class].maxTimeLeft-ev.TimeLeft),
-		)
-	}
-	req.customer, req.cost = b.customerFor(ev), b.classes[ev.Class].costProfile.Of(ev.Units)
-	b.requests[req.id] = req
-	if req.timeLimit.Seconds() <= b.expectedLatency(req, nil)/2 {
-		b.reject(req, 0, InsufficientTime)
-		return
+	estimate.maxTimeLeft = max(estimate.maxTimeLeft, ev.TimeLeft)
+	stalledFor := b.now - b.previousStepAt
+	if stalledFor > stallThreshold && !ev.ClientRetry {
+		waited := min(stalledFor, estimate.maxTimeLeft-ev.TimeLeft)
+		limit = min(limit, class.LatencyObjective-waited)
 	}
-	if !req.admitOnly { // a grant is given or refused now, but for the counter's answer
-		b.emit(SetTimer{b.now + req.timeLimit - b.settings.Resolution, req.id<<1 | 1})
-	}
-	req.customer.lastUsedAt = b.now
-	gap := (b.now - req.customer.demandAt).Seconds() / demandWindow.Seconds()
-	req.customer.demand = req.customer.demand*math.Exp(-gap) + req.units/demandWindow.Seconds()
-	if req.customer.admitOnlyDemand *= math.Exp(-gap); req.admitOnly {
-		req.customer.admitOnlyDemand += req.units / demandWindow.Seconds()
-	}
-	req.customer.demandAt = b.now
-	// A line for the ceiling must stay short, or each that still goes out of it is nearly late; and what is
-	// worth less leaves the room to what is worth more. What asks for leave only has no line to join.
-	line := req.timeLimit.Seconds() * maxCeilingWaitFraction * class.PriorityWeight / b.maxClassWeight
+	return limit
+}
+
+// recordDemand adds a request to the customer's demand.
+func (cust *customer) recordDemand(now time.Duration, req *request) {
+	decay := math.Exp(-((now - cust.demandAt).Seconds() / demandWindow.Seconds()))
+	rate := req.units / demandWindow.Seconds()
+	cust.lastUsedAt = now
+	cust.demand = cust.demand*decay + rate
+	cust.admitOnlyDemand *= decay
 	if req.admitOnly {
-		line = 0
-	}
-	if fills := b.ceilingWait(req); fills > line {
-		b.reject(req, time.Duration(fills*float64(time.Second)), CeilingExceeded)
-		return
+		cust.admitOnlyDemand += rate
 	}
+	cust.demandAt = now
+}
+
+// maxCeilingWait is the longest time in seconds that a request may wait for its customer's ceiling. The wait must
+// stay short, or each request that still goes out is nearly late; and classes of less weight leave the capacity to
+// those of more. A request for admission only does not wait.
+func (b *Balancer) maxCeilingWait(req *request) float64 {
 	if req.admitOnly {
-		if v := b.checkQuota(req); v != quotaPending {
-			b.applyQuotaDecision(req, v)
-			return
-		}
+		return 0
 	}
+	weight := b.settings.Classes[req.class].PriorityWeight
+	return req.timeLimit.Seconds() * maxCeilingWaitFraction * weight / b.maxClassWeight
+}
+
+// waitForQuota puts a request at the end of its customer's queue, and serves what the quota covers now.
+func (b *Balancer) waitForQuota(req *request) {
 	req.customer.waiting = append(req.customer.waiting, req)
 	if req.admitOnly {
 		req.customer.admitOnlyWaiting++
-		b.emit(SetTimer{b.now + req.timeLimit - b.settings.Resolution, req.id<<1 | 1})
+		b.setDeadlineTimer(req)
 	}
 	b.serveWaiting(req.customer)
 }
 
-// assign queues a request at a server and releases what may go.
+// assign places a request that quota and ceiling cover: it is admitted, dispatched as a probe, queued at an endpoint,
+// or rejected if no endpoint can be expected to answer in time. A first attempt for which there is no endpoint waits
+// for the next tick.
 func (b *Balancer) assign(req *request) {
 	if req.admitOnly {
 		b.grantAdmission(req)
 		return
 	}
-	if t := b.probeCandidate(req); t != nil {
-		b.dispatch(req, t, true)
+	if ep := b.probeCandidate(req); ep != nil {
+		b.dispatch(req, ep, probeAttempt)
 		return
 	}
 	ep := b.selectEndpoint(req)
-	if ep == nil && b.allAdminEjected() {
+	switch {
+	case ep == nil && b.endpoints.areAllAdminEjected():
 		b.reject(req, b.settings.MaxRetryAfter, EndpointsEjected)
-		return
-	}
-	if ep == nil && !req.mayHaveRun {
+	case ep == nil && !req.mayHaveRun:
 		b.unplaced = append(b.unplaced, req)
-		return
-	}
-	if ep == nil || b.shouldShed(req, ep) {
+	case ep == nil || b.shouldShed(req, ep):
 		b.reject(req, 0, QueueTooLong)
-		return
+	default:
+		b.enqueue(req, ep)
+		b.dispatchQueued(ep)
 	}
-	b.enqueue(req, ep)
-	b.dispatchQueued(ep)
 }
 
-// shouldShed is EQ 4 seen from the back of the queue: what would come to wait for most of its time is refused
-// while the client can still try again in time (a departure: the paper lets it wait until it is stale; under
-// overload every answer then comes at the last moment, and each client's next try too late).
-func (b *Balancer) shouldShed(req *request, ep *endpoint) bool {
-	free := b.hasFreeSlot(ep)
-	if req.withinQuota && len(req.attempts) == 0 { // what the plan pays for tells how short the servers are
-		short := 0.0
-		if !free {
-			short = 1
+// assignUnplaced tries again to place the requests for which there was no endpoint.
+func (b *Balancer) assignUnplaced() {
+	unplaced := b.unplaced
+	b.unplaced = nil
+	for _, req := range unplaced {
+		if !req.ended {
+			b.assign(req)
 		}
-		b.shortage += shortageGain * (short - b.shortage)
 	}
+}
+
+// shouldShed reports whether a request is rejected instead of joining the queue of an endpoint, while its client can
+// still try again in time.
+func (b *Balancer) shouldShed(req *request, ep *endpoint) bool {
+	hasFreeSlot := ep.hasFreeSlot(b.now)
+	if req.withinQuota && len(req.attempts) == 0 {
+		b.recordShortage(hasFreeSlot)
+	}
+	// A free slot will soon be needed for a request of a higher level.
 	if req.level == lowestLevel && b.rng.Float64() < b.shortage*shortageShedFactor {
-		return true // a free place is needed for more than this soon
-	}
-	if free { // with many doors the queue is inside the servers, and latency tells of it (a departure)
-		lat := b.classes[req.class].meanLatency * max(1, b.fleetSlowdown) * req.cost
-		idle := cmp.Or(b.classes[req.class].idleLatency*req.cost, lat)
-		part := (lat - idle) / max(1e-3, req.timeLimit.Seconds()*latencyHeadroomFraction-idle) *
-			(1 + shedLevelSlope*float64(req.level)/lowestLevel)
-		return b.rng.Float64() < min(
-			1,
-			2*b.evidenceScarcity(),
-		)*min(
-			shedMaxProbability,
-			(part-shedFromFraction)/(shedAllFraction-shedFromFraction),
-		)
-	}
-	if len(req.attempts) > 0 {
-		return false
-	}
-	ahead := req.cost
-	for l := 0; l <= req.level; l++ {
-		ahead += ep.levelWork[l]
-	}
-	lat := b.classes[req.class].meanLatency * ep.latencyFactor
-	share := joinShareOfDeadline * math.Pow(
-		1-float64(req.level)/(2*priorityBands),
-		2,
-	) // the lower the level, the sooner
-	return (b.now-req.arrivedAt).Seconds()+ahead*lat/ep.concurrencyLimit+b.expectedLatency(
-		req,
-		ep,
-	) >= req.timeLimit.Seconds()*latencyHeadroomFraction*share
+		return true
+	}
+	if hasFreeSlot {
+		return b.shouldShedByLatency(req)
+	}
+	return len(req.attempts) == 0 && b.isQueueTooLong(req, ep)
+}
+
+// recordShortage adds to the shortage whether a request within its quota found a free slot.
+func (b *Balancer) recordShortage(hasFreeSlot bool) {
+	found := 0.0
+	if !hasFreeSlot {
+		found = 1
+	}
+	b.shortage += shortageGain * (found - b.shortage)
+}
+
+// shouldShedByLatency decides by chance whether to reject a request although there is a free slot. Where gateways are
+// many the queues are inside the endpoints, and only latency tells how long they are.
+func (b *Balancer) shouldShedByLatency(req *request) bool {
+	class := &b.latency.classes[req.class]
+	latency := class.meanLatency * max(1, b.latency.fleetSlowdown) * req.cost
+	idleLatency := cmp.Or(class.idleLatency*req.cost, latency)
+	usableTime := max(minUsableTime, req.timeLimit.Seconds()*latencyHeadroomFraction-idleLatency)
+	waitFraction := (latency - idleLatency) / usableTime * (1 + shedLevelSlope*float64(req.level)/lowestLevel)
+	probability := min(shedMaxProbability, (waitFraction-shedFromFraction)/(shedAllFraction-shedFromFraction))
+	return b.rng.Float64() < min(1, shedScarcityFactor*b.evidenceScarcity())*probability
+}
+
+// isQueueTooLong reports whether a request that joins an endpoint's queue must be expected to be answered too late:
+// EQ 4 seen from the end of the queue. The lower the level, the shorter the queue must be.
+func (b *Balancer) isQueueTooLong(req *request, ep *endpoint) bool {
+	meanLatency := b.latency.classes[req.class].meanLatency * ep.latency.factor
+	queued := ep.queue.workUpTo(req.level, req.cost) * meanLatency / ep.concurrency.limit
+	expected := req.waited(b.now).Seconds() + queued + b.expectedLatency(req, ep)
+	share := joinShareOfDeadline * math.Pow(1-float64(req.level)/(2*priorityBands), 2)
+	return expected >= req.timeLimit.Seconds()*latencyHeadroomFraction*share
 }
 
-// grantAdmission is the one place that grants. It counts as sent on: the ceiling's units are spent here, and the cap
-// on what is open at once holds until the work is said to be done, or the hold runs out.
+// grantAdmission admits a request for admission only. It is the one place that does. Like a dispatch it draws units
+// from the ceiling, and it counts as in flight until its work is done or its hold time is over.
 func (b *Balancer) grantAdmission(req *request) {
 	plan := &b.settings.Plans[req.plan]
-	if b.now >= req.arrivedAt+req.timeLimit || !b.drawCeiling(req, plan) {
+	if b.now >= req.deadline() || !b.drawCeiling(req, plan) {
 		b.reject(req, b.refillTime(req.customer, plan, req.units), CeilingExceeded)
 		return
 	}
 	b.releaseCeiling(req, true)
-	req.admitted, req.holdUntil = true, b.now+req.holdFor
+	req.admitted = true
+	req.holdUntil = b.now + req.holdFor
 	b.emit(Admit{req.id})
 	if !req.inFlight || req.holdFor <= 0 {
 		b.finish(req)
 		return
 	}
-	b.emit(SetTimer{req.holdUntil, req.id<<1 | 1})
+	b.emit(SetTimer{At: req.holdUntil, Cookie: requestCookie(req.id)})
 }
--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -10,213 +10,284 @@
 )
 
 const (
-	tickInterval   = 20 * time.Millisecond // pace of the checks that no event brings
-	stallThreshold = 5 * tickInterval      // a check that comes so late says that this door stood still
+	// tickInterval is the interval of the checks that no event triggers.
+	tickInterval = 20 * time.Millisecond
+	// stallThreshold is the time between two steps from which this gateway is taken to have stood still.
+	stallThreshold = 5 * tickInterval
+	// roundRobinStartRange is the range of the random start of the round robin.
+	roundRobinStartRange = 1 << 16
 )
 
-// Balancer decides for one front door.
+// Timer cookies. Those of requests are odd.
+const (
+	tickCookie       uint64 = 0
+	watchRetryCookie uint64 = 2
+)
+
+// requestCookie is the cookie of a request's timers.
+func requestCookie(id uint64) uint64 { return id<<1 | 1 }
+
+// requestOfCookie is the ID of the request that a timer cookie belongs to.
+func requestOfCookie(cookie uint64) uint64 { return cookie >> 1 }
+
+// Balancer decides for one gateway. It is not safe for concurrent use.
 type Balancer struct {
-	settings            Settings
-	classes             []classEstimate      // of each class
-	leaseTerms          []ceilinglease.Terms // by plan, on which its ceiling is lent; zero: it is not
-	longestCeilingFill  time.Duration        // the longest that a ceiling that is lent takes to fill
-	failedCalls         int                  // counter calls in a row
-	leasingFrom         time.Duration        // ceilings are lent from then on
-	rng                 *rand.Rand
-	now, startedAt      time.Duration
-	previousStepAt      time.Duration // the Step before
-	running             bool
-	actions             []Action
-	endpoints           map[string]*endpoint
-	endpointOrder       []*endpoint
-	adminEjected        map[string]time.Duration // servers that are taken out by hand, since when
-	shareLease          quotashare.View          // with ByViews: what this door has leased of all shares ...
-	deadGateways        []int                    // ... and the ranks of doors that do not serve
-	excluded            bool                     // ... and whether it has nothing at all, since when
-	excludedChangedAt   time.Duration
-	loansEndAt          time.Duration // the last loan given is over then
-	loanRequestsSince   time.Duration // since when borrows are counted
-	loanRequests        int
-	handedOver          bool // another door has taken this one's place
-	roundRobin          int
-	gatewaysPerEndpoint int // doors that use each server
-	subsetSizedFor      int // servers by which members were last found
-	queuedRequests      int // requests in all queues
-	requests            map[uint64]*request
-	customers           map[string]*customer
-	customerOrder       []*customer
-	sweepIndex          int
-	waitingCustomers    []*customer
-	unplaced            []*request
-	timedOutCalls       timedOutCalls
-	callsOut            map[uint64][]*counterCall // counter calls out, by name in their order
-	callFraction        float64                   // part of the requests without tokens that call the counter
-	fleetSlowdown       float64                   // the last answers of all servers, in their classes' means
-	fleetSlowdownAt     time.Duration
-	lastCounterCallAt   time.Duration
-	callFractionCutAt   time.Duration   // when callShare last shrank
-	callPacer           *callpacer.Pace // to the counter, where doors are many
-	tickedAt            time.Duration   // last check of what no event tells
-	maxPriority         float64
-	shortage            float64 // part of the requests inside their quotas that find no free place
-	maxClassWeight      float64 // of the classes'
-	warmEndpointRate    float64 // answers a second of a warm server
-	warmEndpointRateAt  time.Duration
-	endpointsUpdatedAt  time.Duration
-	watchBackoff        time.Duration
-	watchRetryPending   bool
+	settings Settings
+	rng      *rand.Rand
+	// actions are those of the current Step.
+	actions []Action
+
+	// now is the time of the current Step, startedAt that of the first one.
+	now       time.Duration
+	startedAt time.Duration
+	// previousStepAt is the time of the Step before.
+	previousStepAt time.Duration
+	// tickedAt is the time of the last tick.
+	tickedAt time.Duration
+	// running is set by the first Step.
+	running bool
+	// handedOver is set while another process has taken this one's place.
+	handedOver bool
+
+	// requests has the requests without a final answer or with attempts in flight, by ID.
+	requests map[uint64]*request
+	// unplaced are requests for which there was no endpoint; the next tick tries again.
+	unplaced []*request
+	// shortage is the part of the requests within their quota that find no free slot.
+	shortage float64
+	// maxClassWeight is the largest priority weight of a class, maxPriority that of a class and a plan together.
+	maxClassWeight float64
+	maxPriority    float64
+
+	endpoints     endpointSet
+	endpointWatch endpointWatch
+	latency       latencyEstimator
+	warmRate      warmRateEstimate
+
+	customers map[string]*customer
+	// customerOrder has the customers in an order that is the same in each run.
+	customerOrder []*customer
+	// sweepIndex is where in customerOrder the search for idle customers goes on.
+	sweepIndex int
+	// waitingCustomers are those with waiting requests that the next tick looks at.
+	waitingCustomers []*customer
+
+	// leaseTerms has the terms of the ceiling leases by plan; the zero value: its ceiling is not leased.
+	leaseTerms []ceilinglease.Terms
+	// longestCeilingFill is the longest time that a leased ceiling takes to fill.
+	longestCeilingFill time.Duration
+	// leasingFrom is when ceilings may be leased again after the counter was silent.
+	leasingFrom time.Duration
+
+	// shareLease is the part of the common shares that this gateway has leased, with Settings.LeasedShares.
+	shareLease quotashare.View
+	// deadGateways has the indexes of gateways that do not serve.
+	deadGateways []int
+	// excluded is set while this gateway has no share at all.
+	excluded bool
+	// excludedChangedAt is when that last changed.
+	excludedChangedAt time.Duration
+	// loansEndAt is when the last loan that this gateway has granted ends.
+	loansEndAt time.Duration
+	// loanRequests counts the loan requests since loanRequestsSince.
+	loanRequests      int
+	loanRequestsSince time.Duration
+
+	// callsOut has the counter calls without a result, oldest first, by counter name.
+	callsOut map[uint64][]*counterCall
+	// timedOutCalls are calls that may still be answered late.
+	timedOutCalls timedOutCalls
+	// failedCalls is the number of failed counter calls in a row.
+	failedCalls int
+	// callFraction is the part of the requests without tokens that call the counter.
+	callFraction float64
+	// callFractionCutAt is when callFraction last shrank.
+	callFractionCutAt time.Duration
+	// lastCounterCallAt is when the counter was last called.
+	lastCounterCallAt time.Duration
+	// callPacer paces the counter calls of a large fleet.
+	callPacer *callpacer.Pace
 }
 
-// New makes a door that knows nothing yet. The seed is for its random numbers.
+// New returns a Balancer that knows nothing yet. The seed is for its random numbers. Its error tells which setting is
+// not valid; see Settings.Validate.
 func New(settings Settings, seed uint64) (*Balancer, error) {
 	if err := settings.Validate(); err != nil {
 		return nil, err
 	}
 	b := &Balancer{
-		adminEjected: map[string]time.Duration{},
-		rng:          rand.New(rand.NewPCG(seed, 1)),
-		endpoints:    map[string]*endpoint{},
-		requests:     map[uint64]*request{},
-		customers:    map[string]*customer{},
-		callsOut:     map[uint64][]*counterCall{},
+		endpoints: newEndpointSet(),
+		rng:       rand.New(rand.NewPCG(seed, 1)),
+		requests:  map[uint64]*request{},
+		customers: map[string]*customer{},
+		callsOut:  map[uint64][]*counterCall{},
 	}
-	b.excluded = settings.LeasedShares // until it is told
+	b.excluded = settings.LeasedShares // until the first ShareUpdate
 	b.applySettings(settings, nil)
 	return b, nil
 }
 
-// start sets what a door takes for granted before it has seen anything.
+// Step handles what happened up to time now, in order, and returns what to do, in order. now must not go back; if it
+// does, the last time counts. The returned slice is valid until the next Step.
+func (b *Balancer) Step(now time.Duration, events []Event) []Action {
+	b.actions = b.actions[:0]
+	b.previousStepAt = b.now
+	b.now = max(b.now, now)
+	if !b.running {
+		b.start()
+	}
+	b.expireShareLease()
+	for _, ev := range events {
+		b.handle(ev)
+	}
+	return b.actions
+}
+
+// start sets the state that depends on the time of the first Step, and requests the first timer and the endpoint
+// list.
 func (b *Balancer) start() {
-	b.fleetSlowdown = 1
+	b.running = true
+	b.startedAt = b.now
+	b.warmRate.updatedAt = b.now
+	b.endpoints.roundRobin = b.rng.IntN(roundRobinStartRange)
+	b.callPacer = b.newCallPacer()
+	b.latency.fleetSlowdown = 1
 	if b.settings.UseCounter {
 		b.callFraction = 1
 	}
-	b.emit(SetTimer{b.now + tickInterval, 0})
+	b.setTickTimer()
 	if b.settings.PollEndpoints {
 		b.emit(WatchEndpoints{})
 	}
 }
 
-// Step takes what happened at time now, in order, and returns what to do, in order. The slice is the caller's
-// until the next Step.
-func (b *Balancer) Step(now time.Duration, events []Event) []Action {
-	b.actions = b.actions[:0]
-	b.previousStepAt, b.now = b.now, max(b.now, now)
-	if !b.running {
-		b.running, b.startedAt, b.warmEndpointRateAt, b.roundRobin = true, b.now, b.now, b.rng.IntN(1<<16)
-		b.callPacer = callpacer.New(
-			callpacer.Terms{
-				Start:    callsStart / b.liveGateways(),
-				Least:    callsLow / b.liveGateways(),
-				Most:     callsHigh,
-				Depth:    callsDepth,
-				Wait:     b.settings.CounterTimeout / 4,
-				CutEvery: 2 * b.settings.CounterTimeout,
-			},
-			b.now,
-		)
-		b.start()
+// newCallPacer returns the pacer of counter calls. All gateways together start at the same rate, whatever their
+// number.
+func (b *Balancer) newCallPacer() *callpacer.Pace {
+	terms := callpacer.Terms{
+		Start:    callsStart / b.liveGateways(),
+		Least:    callsLow / b.liveGateways(),
+		Most:     callsHigh,
+		Depth:    callsDepth,
+		Wait:     b.settings.CounterTimeout / 4,
+		CutEvery: 2 * b.settings.CounterTimeout,
 	}
-	b.expireShareLease()
-	for _, ev := range events {
-		switch ev := ev.(type) {
-		case Request:
-			b.admit(ev)
-		case AttemptResult:
-			b.handleAttemptResult(ev)
-		case CounterResult:
-			b.handleCounterResult(ev)
-		case LateCounterResult:
-			b.handleLateCounterResult(ev)
-		case TimerFired:
-			b.handleTimer(ev.Cookie)
-		case EndpointUpdate:
-			b.handleEndpointUpdate(ev)
-		case HealthCheckResult:
-			b.handleHealthCheckResult(ev)
-		case HealthReport:
-			b.handleHealthReport(ev)
-		case AdminEject:
-			b.handleAdminEject(ev)
-		case AdminRestore:
-			b.handleAdminRestore(ev.Endpoint)
-		case BeginHandover:
-			b.handleBeginHandover()
-		case ImportHandover:
-			b.handleImportHandover(ev.State)
-		case SettingsUpdate:
-			b.refillAllShares() // by the plans as they were
-			b.applySettings(ev.Settings, ev.EvidenceFrom)
-		case ShareUpdate:
-			b.handleShareUpdate(ev)
-		case LoanRequest:
-			b.handleLoanRequest(ev)
-		case LoanGranted:
-			b.handleLoanGranted(ev)
-		case RequestDone:
-			if req := b.requests[ev.ID]; req != nil {
-				b.finish(req)
-			}
-		case FirstByte:
-			b.handleFirstByte(ev)
-		}
+	return callpacer.New(terms, b.now)
+}
+
+// handle passes an event to the rule that it is for.
+func (b *Balancer) handle(ev Event) {
+	switch ev := ev.(type) {
+	case Request:
+		b.admit(ev)
+	case RequestDone:
+		b.handleRequestDone(ev)
+	case AttemptResult:
+		b.handleAttemptResult(ev)
+	case FirstByte:
+		b.handleFirstByte(ev)
+	case CounterResult:
+		b.handleCounterResult(ev)
+	case LateCounterResult:
+		b.handleLateCounterResult(ev)
+	case TimerFired:
+		b.handleTimer(ev)
+	case EndpointUpdate:
+		b.handleEndpointUpdate(ev)
+	case HealthCheckResult:
+		b.handleHealthCheckResult(ev)
+	case HealthReport:
+		b.handleHealthReport(ev)
+	case AdminEject:
+		b.handleAdminEject(ev)
+	case AdminRestore:
+		b.handleAdminRestore(ev)
+	case SettingsUpdate:
+		b.handleSettingsUpdate(ev)
+	case ShareUpdate:
+		b.handleShareUpdate(ev)
+	case LoanRequest:
+		b.handleLoanRequest(ev)
+	case LoanGranted:
+		b.handleLoanGranted(ev)
+	case BeginHandover:
+		b.handleBeginHandover()
+	case ImportHandover:
+		b.handleImportHandover(ev.State)
 	}
-	return b.actions
 }
 
+// emit adds an action to those of the current Step.
 func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
 
-// handleTimer takes the request's own timer, the tick and the list's.
-func (b *Balancer) handleTimer(cookie uint64) {
-	if cookie == 0 {
+// handleTimer handles a timer: the tick, the retry of the endpoint watch, or a request's.
+func (b *Balancer) handleTimer(ev TimerFired) {
+	switch ev.Cookie {
+	case tickCookie:
 		b.tick()
-	} else if cookie == 2 {
-		b.watchRetryPending = false
-		b.emit(WatchEndpoints{})
-	} else if req := b.requests[cookie>>1]; req != nil && req.admitted {
-		if b.now >= req.holdUntil {
-			b.finish(req)
+	case watchRetryCookie:
+		b.retryWatch()
+	default:
+		if req := b.requests[requestOfCookie(ev.Cookie)]; req != nil {
+			b.handleRequestTimer(req)
 		}
-	} else if req != nil && !req.streaming {
-		b.reject(req, 0, DeadlineExceeded)
 	}
 }
 
-// tick looks for what no event tells: silence, waiting customers, free slots.
+// setTickTimer requests the next tick.
+func (b *Balancer) setTickTimer() {
+	b.emit(SetTimer{At: b.now + tickInterval, Cookie: tickCookie})
+}
+
+// tick does the checks that no event triggers.
 func (b *Balancer) tick() {
-	b.emit(SetTimer{b.now + tickInterval, 0})
-	for _, ep := range b.endpointOrder {
-		if b.now-b.tickedAt < stallThreshold { // else this door stood still, and what came meanwhile is not yet read
-			b.checkSilence(ep)
+	b.setTickTimer()
+	// After a stall, what came meanwhile is not read yet, so silence says nothing.
+	if b.now-b.tickedAt < stallThreshold {
+		for _, ep := range b.endpoints.ordered {
+			b.checkEndpointHealth(ep)
 		}
 	}
 	b.tickedAt = b.now
-	if b.now < b.leasingFrom && b.canCallCounter() { // else doors with few requests go by shares while others lend
+	b.testSilentCounter()
+	b.assignUnplaced()
+	b.dispatchAllQueued()
+	b.serveWaitingCustomers()
+	b.sweepCustomers()
+	b.fetchIfStale()
+}
+
+// testSilentCounter calls the counter while no ceiling is leased because it was silent. Otherwise gateways with few
+// requests would go by their even shares while the others lease again.
+func (b *Balancer) testSilentCounter() {
+	if b.now < b.leasingFrom && b.canCallCounter() {
 		b.lastCounterCallAt = b.now
 		b.callTest()
 	}
-	stuck := b.unplaced
-	b.unplaced = nil
-	for _, req := range stuck {
-		if !req.ended {
-			b.assign(req)
-		}
+}
+
+// dispatchAllQueued dispatches queued requests to all endpoints that have free slots.
+func (b *Balancer) dispatchAllQueued() {
+	if b.endpoints.queuedRequests == 0 {
+		return
 	}
-	if b.queuedRequests > 0 {
-		for _, ep := range b.endpointOrder {
-			b.dispatchQueued(ep)
-		}
+	for _, ep := range b.endpoints.ordered {
+		b.dispatchQueued(ep)
 	}
+}
+
+// serveWaitingCustomers serves the customers whose requests wait for quota or ceiling.
+func (b *Balancer) serveWaitingCustomers() {
 	list := b.waitingCustomers
 	b.waitingCustomers = nil
 	for _, cust := range list {
 		cust.inWaitingList = false
 		b.serveWaiting(cust)
 	}
-	b.sweepCustomers()
-	if b.settings.PollEndpoints && b.settings.PollInterval > 0 &&
-		b.now-b.endpointsUpdatedAt > b.settings.PollInterval/2 {
-		b.endpointsUpdatedAt = b.now
-		b.emit(FetchEndpoints{})
-	}
+}
+
+// handleSettingsUpdate replaces the settings. Shares fill up to now by the plans as they were.
+func (b *Balancer) handleSettingsUpdate(ev SettingsUpdate) {
+	b.refillAllShares()
+	b.applySettings(ev.Settings, ev.EvidenceFrom)
 }
--- a/internal/balancer/causes_test.go
+++ b/internal/balancer/causes_test.go
@@ -31,10 +31,10 @@
 			b.Step(now+took, []Event{served(s, 0, took)})
 		}
 	}
-	if b.classes[0].idleLatency < 0.06 {
+	if b.latency.classes[0].idleLatency < 0.06 {
 		t.Errorf(
 			"an idle fleet is taken to answer in %.0f ms; all but the first answer took 80",
-			1000*b.classes[0].idleLatency,
+			1000*b.latency.classes[0].idleLatency,
 		)
 	}
 }
@@ -49,29 +49,29 @@
 	if len(only[CancelAttempt](acts)) != 1 || len(only[Reject](acts)) != 1 {
 		t.Fatalf("at the end of its time: %v", acts)
 	}
-	slots := b.endpoints[s.Endpoint].concurrencyLimit
+	slots := b.endpoints.byName[s.Endpoint].concurrency.limit
 	b.Step(
 		end,
 		[]Event{AttemptResult{ID: 1, Endpoint: s.Endpoint, Status: Cancelled, Latency: end, RequestClosed: true}},
 	)
-	if b := b.endpoints[s.Endpoint]; b.concurrencyLimit >= slots || b.timeouts != 1 || b.latencyFactor <= 1 {
+	if b := b.endpoints.byName[s.Endpoint]; b.concurrency.limit >= slots || b.outlier.timeouts != 1 || b.latency.factor <= 1 {
 		t.Errorf(
 			"slots %v of %v, %d answers owed, slowness %v: nothing was learned of a server that took too long",
-			b.concurrencyLimit,
+			b.concurrency.limit,
 			slots,
-			b.timeouts,
-			b.latencyFactor,
+			b.outlier.timeouts,
+			b.latency.factor,
 		)
 	}
 	// One that its client gave up early says nothing of the server.
 	s = only[Dispatch](b.Step(end+ms, []Event{ask(2, 0, 2)}))[0]
 	b.Step(end+5*ms, []Event{RequestDone{2}})
-	was := *b.endpoints[s.Endpoint]
+	was := *b.endpoints.byName[s.Endpoint]
 	b.Step(
 		end+5*ms,
 		[]Event{AttemptResult{ID: 2, Endpoint: s.Endpoint, Status: Cancelled, Latency: 4 * ms, RequestClosed: true}},
 	)
-	if b := b.endpoints[s.Endpoint]; b.concurrencyLimit != was.concurrencyLimit || b.timeouts != was.timeouts {
+	if b := b.endpoints.byName[s.Endpoint]; b.concurrency.limit != was.concurrency.limit || b.outlier.timeouts != was.outlier.timeouts {
 		t.Error("a client that left is held against the server")
 	}
 }
--- a/internal/balancer/concurrency.go
+++ b/internal/balancer/concurrency.go
@@ -2,49 +2,106 @@
 
 import (
 	"math"
+	"time"
 )
 
+// Concurrency limits, in mean requests in flight.
 const (
-	initialConcurrency     = 4.0  // slots of a server at first, over all doors
-	maxConcurrency         = 32.0 // slots at most
-	minConcurrency         = 0.1  // and at least: under one, pauses between sends
-	concurrencyIncrease    = 0.5  // slots gained by each answer in time, over the slots
-	shrinkDeadlineFraction = 0.4  // slots shrink when latency is over this share of tau*f ...
-	shrinkLatencyRatio     = 2.2  // ... or this many times an idle fleet's latency, and grow ...
-	growLatencyFraction    = 0.7  // ... while it is under this share of both ("well under")
-	minimalConcurrency     = 3.0  // slots over all doors at which waiting can't explain latency
-	lateDecrease           = 0.93 // factor for each late answer
-	timeoutDecrease        = 0.8  // factor for an attempt out of time: it may still hold its place
-	rejectedDecrease       = 0.7  // factor for a refusal or a broken connection
+	// initialConcurrency is the limit of a new endpoint, divided by the gateways that serve.
+	initialConcurrency = 4.0
+	// slowStartConcurrency is the limit of an endpoint that starts to warm up.
+	slowStartConcurrency = 1.0
+	maxConcurrency       = 32.0
+	// minConcurrency is below 1: then each attempt is followed by a pause.
+	minConcurrency = 0.1
+	// minimalConcurrency is the limit over all gateways at which waiting in the endpoint can't explain its latency.
+	minimalConcurrency = 3.0
+	// decreaseFloorFraction is the part of minimalConcurrency down to which high latency shrinks the limit.
+	decreaseFloorFraction = 0.7
 )
 
-// hasFreeSlot says whether a server has a free slot. Less than one slot means a pause between sends: with many doors
-// even one request each can be too much, and what a server turns away costs it work as well.
-func (b *Balancer) hasFreeSlot(ep *endpoint) bool {
-	return ep.inFlightWork < math.Floor(max(1, ep.concurrencyLimit)) && b.now >= ep.pausedUntil
+// Steps of the limit: additive increase, multiplicative decrease.
+const (
+	// concurrencyIncrease divided by the limit is the growth by one answer.
+	concurrencyIncrease = 0.5
+	// lateDecrease is the factor for an answer with high latency.
+	lateDecrease = 0.93
+	// timeoutDecrease is the factor for an attempt without an answer in time; the endpoint may still work on it.
+	timeoutDecrease = 0.8
+	// rejectedDecrease is the factor for a rejected attempt or a broken connection.
+	rejectedDecrease = 0.7
+)
+
+// Latencies that grow or shrink the limit.
+const (
+	// shrinkDeadlineFraction is the part of the usable time limit above which latency shrinks the limit.
+	shrinkDeadlineFraction = 0.4
+	// shrinkLatencyRatio is the multiple of the idle latency above which latency shrinks the limit.
+	shrinkLatencyRatio = 2.2
+	// growLatencyFraction is the part of both bounds below which latency lets the limit grow.
+	growLatencyFraction = 0.7
+)
+
+// concurrencyLimit bounds the work in flight to one endpoint.
+type concurrencyLimit struct {
+	// limit is in mean requests in flight. A limit below 1 means one attempt at a time with pauses in between.
+	limit float64
+	// pausedUntil is when the next attempt may go out, with a limit below 1.
+	pausedUntil time.Duration
 }
 
-// adjustConcurrency grows the slots while latency is well under tau*f and all are in use, and shrinks them when it is
-// not.
-// It also keeps latency near that of an idle fleet (a departure: tau*f alone lets queues form inside the
-// servers, where no level counts and where work that nobody waits for any more goes on). That floor follows
-// the class's mean down at once, and up only while so few slots are open that waiting can't be the cause: so
-// a slowness of everything is told from overload.
-func (b *Balancer) adjustConcurrency(ep *endpoint, req *request) {
-	k := &b.classes[req.class]
-	if k.meanLatency < k.idleLatency || k.answers <= idleLatencyMinAnswers { // the first few may be small or lucky ones
-		k.idleLatency = k.meanLatency
-	} else if ep.concurrencyLimit*b.liveGateways() <= minimalConcurrency {
-		k.idleLatency += idleLatencyGain * (k.meanLatency - k.idleLatency)
+// hasFreeSlot reports whether another attempt may go out now beside the work in flight. With a limit below 1 that
+// takes a pause too: where gateways are many, one attempt of each can be too much, and rejecting costs the endpoint
+// work.
+func (c *concurrencyLimit) hasFreeSlot(now time.Duration, inFlightWork float64) bool {
+	return inFlightWork < c.slots() && now >= c.pausedUntil
+}
+
+// slots is the limit in whole requests, one at least.
+func (c *concurrencyLimit) slots() float64 { return math.Floor(max(1, c.limit)) }
+
+// decrease multiplies the limit by a factor below 1.
+func (c *concurrencyLimit) decrease(factor float64) { c.limit *= factor }
+
+// decreaseRejected shrinks the limit after the endpoint rejected an attempt, to below 1 at once.
+func (c *concurrencyLimit) decreaseRejected() { c.limit = min(1, c.limit) * rejectedDecrease }
+
+// increase adds one step to the limit.
+func (c *concurrencyLimit) increase() {
+	c.limit = min(maxConcurrency, c.limit+concurrencyIncrease/max(1, c.limit))
+}
+
+// restore sets the limit that a previous process handed over.
+func (c *concurrencyLimit) restore(limit float64) {
+	c.limit = min(maxConcurrency, max(minConcurrency, limit))
+}
+
+// finishAttempt keeps the limit from falling too far and starts the pause of a limit below 1. latency is the expected
+// latency of the attempt that ended, in seconds.
+func (c *concurrencyLimit) finishAttempt(now time.Duration, latency float64) {
+	c.limit = max(minConcurrency, c.limit)
+	if c.limit < 1 && now >= c.pausedUntil {
+		pause := latency * (1/c.limit - 1)
+		c.pausedUntil = now + time.Duration(pause*float64(time.Second))
 	}
+}
+
+// adjustConcurrency grows an endpoint's limit after an answer while latency is low and all slots are in use, and
+// shrinks it while latency is high. The bound on latency is a part of the time limit, and a multiple of the idle
+// latency: queues inside an endpoint know no priority levels, and there work goes on that nobody waits for any more.
+func (b *Balancer) adjustConcurrency(ep *endpoint, req *request) {
+	class := &b.latency.classes[req.class]
+	fleetLimit := ep.concurrency.limit * b.liveGateways()
+	class.updateIdleLatency(fleetLimit <= minimalConcurrency)
 	high := min(
 		req.timeLimit.Seconds()*latencyHeadroomFraction*shrinkDeadlineFraction,
-		shrinkLatencyRatio*k.idleLatency,
+		shrinkLatencyRatio*class.idleLatency,
 	)
-	switch lat := k.meanLatency * ep.latencyFactor; {
-	case lat > high && ep.concurrencyLimit*b.liveGateways() > 0.7*minimalConcurrency:
-		ep.concurrencyLimit *= lateDecrease
-	case lat < high*growLatencyFraction && ep.inFlightWork+1 >= math.Floor(ep.concurrencyLimit):
-		ep.concurrencyLimit = min(maxConcurrency, ep.concurrencyLimit+concurrencyIncrease/max(1, ep.concurrencyLimit))
+	latency := class.meanLatency * ep.latency.factor
+	switch {
+	case latency > high && fleetLimit > decreaseFloorFraction*minimalConcurrency:
+		ep.concurrency.decrease(lateDecrease)
+	case latency < high*growLatencyFraction && ep.inFlightWork+1 >= math.Floor(ep.concurrency.limit):
+		ep.concurrency.increase()
 	}
 }
--- a/internal/balancer/costmodel/size_test.go
+++ b/internal/balancer/costmodel/costmodel_test.go
@@ -17,7 +17,7 @@
 		p.Add(float64(u+1), works[u]/mean*(1+0.3*math.Sin(float64(i)/50)), true) // waves that no size hangs on
 	}
 	for u, w := range works {
-		if got := p.Of(float64(u + 1)); math.Abs(got-w/mean) > 0.12*w/mean {
+		if got := p.Cost(float64(u + 1)); math.Abs(got-w/mean) > 0.12*w/mean {
 			t.Errorf("%d units: size %.2f, want %.2f", u+1, got, w/mean)
 		}
 	}
@@ -33,8 +33,8 @@
 		for _, took := range rapid.SliceOf(rapid.Float64()).Draw(t, "answers") {
 			p.Add(1, took, true)
 		}
-		if p.Of(1) != 1 || p.Density(1) != 1 {
-			t.Fatalf("size %v, density %v; want exactly 1", p.Of(1), p.Density(1))
+		if p.Cost(1) != 1 || p.Density(1) != 1 {
+			t.Fatalf("size %v, density %v; want exactly 1", p.Cost(1), p.Density(1))
 		}
 	})
 }
@@ -51,15 +51,15 @@
 			p.Add(any.Draw(t, "units"), any.Draw(t, "took"), rapid.Bool().Draw(t, "answered"))
 		}
 		units := any.Draw(t, "asked")
-		if s := p.Of(units); !(s >= least) || math.IsInf(s, 0) {
+		if s := p.Cost(units); !(s >= minCost) || math.IsInf(s, 0) {
 			t.Fatalf("size %v of %v units", s, units)
 		}
 		for range 500 {
 			p.Add(2, 1, true)
 		}
-		before := p.Of(2)
+		before := p.Cost(2)
 		p.Add(2, 1e9, true)
-		if after := p.Of(2); after > before*1.4 {
+		if after := p.Cost(2); after > before*1.4 {
 			t.Fatalf("one answer moved a size from %v to %v", before, after)
 		}
 	})
--- a/internal/balancer/door_test.go
+++ b/internal/balancer/door_test.go
@@ -390,12 +390,12 @@
 	settings := basic()
 	settings.MaxAttempts, settings.UseCounter = 1, false
 	b := open(t, settings, backends(1)...)
-	ep := b.endpoints["b0"]
+	ep := b.endpoints.byName["b0"]
 	for i, status := range []Status{Reset, Reset, OK, ConnectFailed, Reset, ConnectFailed} {
 		now := time.Duration(i) * 100 * ms
 		sends := only[Dispatch](b.Step(now, []Event{ask(uint64(i+1), 0, 2)}))
-		if len(sends) != 1 || ep.ejected {
-			t.Fatalf("before outcome %d: sent %v, left out %v", i, sends, ep.ejected)
+		if len(sends) != 1 || ep.outlier.ejected {
+			t.Fatalf("before outcome %d: sent %v, left out %v", i, sends, ep.outlier.ejected)
 		}
 		b.Step(
 			now+10*ms,
@@ -410,7 +410,7 @@
 			},
 		)
 	}
-	if !ep.ejected {
+	if !ep.outlier.ejected {
 		t.Error("three in a row, and it is still used")
 	}
 }
@@ -418,7 +418,7 @@
 // What was queued and has ended must leave nothing behind at a server from which nobody picks.
 func TestQueuesLeaveNothingBehind(t *testing.T) {
 	b := open(t, basic(), backends(1)...)
-	ep := b.endpoints["b0"]
+	ep := b.endpoints.byName["b0"]
 	var all []*request
 	for i := range 3 {
 		req := &request{id: uint64(i), level: 2}
@@ -428,8 +428,8 @@
 	for _, req := range all {
 		b.dequeue(req)
 	}
-	if len(ep.queue[2]) != 0 || ep.queued != 0 || b.queuedRequests != 0 {
-		t.Errorf("%d places are kept, %d and %d counted", len(ep.queue[2]), ep.queued, b.queuedRequests)
+	if len(ep.queue.levels[2].entries) != 0 || ep.queue.length != 0 || b.endpoints.queuedRequests != 0 {
+		t.Errorf("%d places are kept, %d and %d counted", len(ep.queue.levels[2].entries), ep.queue.length, b.endpoints.queuedRequests)
 	}
 }
 
--- a/internal/balancer/endpoints.go
+++ b/internal/balancer/endpoints.go
@@ -3,198 +3,270 @@
 import (
 	"cmp"
 	"time"
-
-	"gapgap/internal/balancer/slowstart"
 )
 
 const (
-	adminRestoreSpread = 2 * time.Second // with few doors, a server back by hand is used within this
+	// adminRestoreSpread is the time within which a restored endpoint is used again, where gateways are few.
+	adminRestoreSpread = 2 * time.Second
+	// minWatchBackoff is the pause after the first failed watch of the endpoint list; it doubles with each further
+	// one.
+	minWatchBackoff = 500 * time.Millisecond
+	maxWatchBackoff = 8 * time.Second
 )
 
-type endpoint struct {
-	name                                    string
-	zone, cell                              int
-	weight, concurrencyLimit, latencyFactor float64
-	slowStartShare                          float64 // of what it bears while cold
-	inService                               bool    // in service, by the list and by hand
-	listed                                  bool    // ... by the list
-	overdue                                 bool    // back by hand and not used since
-	inSubset                                bool    // this door uses it as a rule
-	startedAt, warmUpFrom                   time.Duration
-	warmingUp, ejected                      bool
-	pausedUntil                             time.Duration
-	nextProbeAt                             time.Duration
-	probePause                              time.Duration
-	probing                                 bool
-	connectionFailures, timeouts            int           // broken connections in a row; time-outs since heard
-	lastResponseAt                          time.Duration // last sign of life, or the moment it got work after having none
-	inFlight                                []*attempt
-	queue                                   [lowestLevel + 1][]*queueEntry
-	levelCount                              [lowestLevel + 1]int
-	queued                                  int
-	slowStart                               slowstart.Book           // while it is cold
-	inFlightWork                            float64                  // the work of outs, in mean requests
-	levelWork                               [lowestLevel + 1]float64 // of what is queued, so too
-	queuedWork                              float64                  // the sum of work
-}
-
-// isUsable says whether new work may go to a server on the ordinary path.
-func (ep *endpoint) isUsable() bool { return ep.inService && !ep.ejected }
-
-// handleEndpointUpdate takes news of the backends.
+// startedAtUnknown is the start time of an endpoint before its first entry is applied.
+const startedAtUnknown = time.Duration(-1)
+
+// endpointSet holds the endpoints that are listed or have attempts in flight.
+type endpointSet struct {
+	byName map[string]*endpoint
+	// ordered holds the same endpoints in the order in which they came.
+	ordered []*endpoint
+	// adminEjected has the names that an administrator has ejected, listed or not, and since when.
+	adminEjected map[string]time.Duration
+	// roundRobin is the number of selections so far, from a random start; it sets where the next one begins.
+	roundRobin int
+	// queuedRequests is the number of requests in all endpoints' queues.
+	queuedRequests int
+	// subsetSizedFor is the number of endpoints in service that the subset was last computed for.
+	subsetSizedFor int
+	// gatewaysPerEndpoint is the number of gateways that use each endpoint as a rule.
+	gatewaysPerEndpoint int
+}
+
+// newEndpointSet returns an empty set.
+func newEndpointSet() endpointSet {
+	return endpointSet{
+		byName:       map[string]*endpoint{},
+		adminEjected: map[string]time.Duration{},
+	}
+}
+
+// add adds a new endpoint.
+func (s *endpointSet) add(ep *endpoint) {
+	s.byName[ep.name] = ep
+	s.ordered = append(s.ordered, ep)
+}
+
+// removeGone forgets endpoints that are not listed and have no attempt in flight.
+func (s *endpointSet) removeGone() {
+	kept := make([]*endpoint, 0, len(s.ordered))
+	for _, ep := range s.ordered {
+		if ep.listed || len(ep.inFlight) > 0 {
+			kept = append(kept, ep)
+		} else {
+			delete(s.byName, ep.name)
+		}
+	}
+	s.ordered = kept
+}
+
+// inServiceCount is the number of endpoints in service.
+func (s *endpointSet) inServiceCount() int {
+	count := 0
+	for _, ep := range s.ordered {
+		if ep.inService {
+			count++
+		}
+	}
+	return count
+}
+
+// areAllAdminEjected reports whether there are listed endpoints and an administrator has ejected all of them.
+func (s *endpointSet) areAllAdminEjected() bool {
+	hasListed := false
+	for _, ep := range s.ordered {
+		if ep.inService {
+			return false
+		}
+		hasListed = hasListed || ep.listed
+	}
+	return hasListed
+}
+
+// endpointWatch is the state of the watch on the endpoint list.
+type endpointWatch struct {
+	// updatedAt is when the list was last updated, or a fetch of it last requested.
+	updatedAt time.Duration
+	// backoff is the pause before the watch is started again; 0: it has not failed since the last update.
+	backoff time.Duration
+	// retryPending is set while that pause runs.
+	retryPending bool
+}
+
+// recordUpdate records that an update has come.
+func (w *endpointWatch) recordUpdate(now time.Duration) {
+	w.updatedAt = now
+	w.backoff = 0
+}
+
+// nextBackoff returns the pause after a failure.
+func (w *endpointWatch) nextBackoff() time.Duration {
+	w.backoff = min(maxWatchBackoff, max(minWatchBackoff, 2*w.backoff))
+	return w.backoff
+}
+
+// handleEndpointUpdate applies an update of the endpoint list, or plans another watch if it failed.
 func (b *Balancer) handleEndpointUpdate(ev EndpointUpdate) {
 	if ev.Kind == UpdateFailed {
-		if !b.watchRetryPending {
-			b.watchRetryPending = true
-			b.watchBackoff = min(8*time.Second, max(500*time.Millisecond, 2*b.watchBackoff))
-			b.emit(SetTimer{b.now + b.watchBackoff, 2})
-		}
+		b.scheduleWatchRetry()
 		return
 	}
-	b.endpointsUpdatedAt, b.watchBackoff = b.now, 0
+	b.endpointWatch.recordUpdate(b.now)
 	for _, entry := range ev.Entries {
 		b.applyEntry(entry)
 	}
 	if ev.Kind != Delta {
 		b.removeUnlisted(ev.Entries)
 	}
-	b.removeGoneEndpoints()
+	b.endpoints.removeGone()
 	b.updateSubset()
-	for _, ep := range b.endpointOrder {
+	for _, ep := range b.endpoints.ordered {
 		b.dispatchQueued(ep)
 	}
 }
 
-// applyEntry takes what the list says of one backend. One that was started lately is cold.
+// scheduleWatchRetry sets the timer of another watch, unless it is set already.
+func (b *Balancer) scheduleWatchRetry() {
+	if b.endpointWatch.retryPending {
+		return
+	}
+	b.endpointWatch.retryPending = true
+	b.emit(SetTimer{At: b.now + b.endpointWatch.nextBackoff(), Cookie: watchRetryCookie})
+}
+
+// retryWatch starts the watch again.
+func (b *Balancer) retryWatch() {
+	b.endpointWatch.retryPending = false
+	b.emit(WatchEndpoints{})
+}
+
+// fetchIfStale requests the whole list where it must be polled and has had no update for half of its interval.
+func (b *Balancer) fetchIfStale() {
+	if !b.settings.PollEndpoints || b.settings.PollInterval <= 0 {
+		return
+	}
+	if b.now-b.endpointWatch.updatedAt > b.settings.PollInterval/2 {
+		b.endpointWatch.updatedAt = b.now
+		b.emit(FetchEndpoints{})
+	}
+}
+
+// applyEntry applies one entry of the endpoint list. An endpoint that started lately warms up.
 func (b *Balancer) applyEntry(entry Endpoint) {
-	ep := b.endpoints[entry.Name]
+	ep := b.endpoints.byName[entry.Name]
 	if ep == nil {
 		if entry.State != Serving {
 			return
 		}
-		ep = &endpoint{
-			name:             entry.Name,
-			startedAt:        -1,
-			concurrencyLimit: max(minConcurrency, initialConcurrency/b.liveGateways()),
-		}
-		b.endpoints[entry.Name] = ep
-		b.endpointOrder = append(b.endpointOrder, ep)
+		ep = b.newEndpoint(entry.Name)
+		b.endpoints.add(ep)
 	}
 	if entry.StartedAt != ep.startedAt {
-		ep.startedAt, ep.lastResponseAt, ep.latencyFactor = entry.StartedAt, b.now, 1
-		ep.ejected, ep.probing, ep.connectionFailures, ep.timeouts = false, false, 0, 0
+		ep.restart(b.now, entry.StartedAt)
 		if entry.StartedAt > 0 && b.now-entry.StartedAt < b.settings.SlowStartDuration {
-			ep.warmingUp, ep.warmUpFrom, ep.concurrencyLimit = true, entry.StartedAt, 1
+			ep.beginSlowStart(entry.StartedAt)
 		}
 	}
-	ep.zone, ep.cell, ep.weight, ep.slowStartShare = entry.Zone, entry.Cell, cmp.Or(
-		max(0, entry.Weight),
-		1,
-	), cmp.Or(
-		max(0, entry.SlowStartShare),
-		1,
-	)
-	_, banned := b.adminEjected[ep.name]
+	ep.zone = entry.Zone
+	ep.cell = entry.Cell
+	ep.weight = cmp.Or(max(0, entry.Weight), 1)
+	ep.slowStart.share = cmp.Or(max(0, entry.SlowStartShare), 1)
+	_, isAdminEjected := b.endpoints.adminEjected[ep.name]
 	ep.listed = entry.State == Serving
-	ep.inService = (ep.inService || ep.listed) && !banned
+	ep.inService = (ep.inService || ep.listed) && !isAdminEjected
 	if !ep.listed {
-		b.stopSending(ep)
+		b.stopDispatching(ep)
+	}
+}
+
+// newEndpoint returns an endpoint of which nothing is known but its name.
+func (b *Balancer) newEndpoint(name string) *endpoint {
+	limit := max(minConcurrency, initialConcurrency/b.liveGateways())
+	return &endpoint{
+		name:        name,
+		startedAt:   startedAtUnknown,
+		concurrency: concurrencyLimit{limit: limit},
 	}
 }
 
-// stopSending ends what new work goes to a server.
-func (b *Balancer) stopSending(ep *endpoint) {
+// stopDispatching takes an endpoint out of service and places the requests queued for it elsewhere.
+func (b *Balancer) stopDispatching(ep *endpoint) {
 	if ep.inService {
 		ep.inService = false
 		b.reassignQueue(ep)
 	}
 }
 
-// removeUnlisted takes servers that a whole list leaves out as gone.
-func (b *Balancer) removeUnlisted(list []Endpoint) {
-	named := map[string]bool{}
-	for _, entry := range list {
-		named[entry.Name] = true
+// removeUnlisted treats endpoints that a snapshot leaves out as removed.
+func (b *Balancer) removeUnlisted(snapshot []Endpoint) {
+	listed := map[string]bool{}
+	for _, entry := range snapshot {
+		listed[entry.Name] = true
 	}
-	for _, ep := range b.endpointOrder {
-		if !named[ep.name] {
+	for _, ep := range b.endpoints.ordered {
+		if !listed[ep.name] {
 			ep.listed = false
-			b.stopSending(ep)
+			b.stopDispatching(ep)
 		}
 	}
 }
 
-// removeGoneEndpoints forgets servers that are gone and owe no outcome.
-func (b *Balancer) removeGoneEndpoints() {
-	kept := b.endpointOrder[:0:0]
-	for _, ep := range b.endpointOrder {
-		if ep.listed || len(ep.inFlight) > 0 {
-			kept = append(kept, ep)
-		} else {
-			delete(b.endpoints, ep.name)
-		}
-	}
-	b.endpointOrder = kept
-}
-
-// EndpointCounts tells how many backends the list has, and how many of them this door avoids now.
+// EndpointCounts returns how many endpoints the list has, and how many of them get no requests now.
 func (b *Balancer) EndpointCounts() (listed, avoided int) {
-	for _, ep := range b.endpointOrder {
-		if ep.listed {
-			listed++
-			if !ep.isUsable() {
-				avoided++
-			}
+	for _, ep := range b.endpoints.ordered {
+		if !ep.listed {
+			continue
 		}
-	}
-	return listed, avoided
-}
-
-// allAdminEjected says that no server can be chosen since all that are listed are taken out by hand.
-func (b *Balancer) allAdminEjected() bool {
-	some := false
-	for _, ep := range b.endpointOrder {
-		if ep.inService {
-			return false
+		listed++
+		if !ep.isUsable() {
+			avoided++
 		}
-		some = some || ep.listed
 	}
-	return some
+	return listed, avoided
 }
 
-// handleAdminEject takes a server out of use by hand.
+// handleAdminEject takes an endpoint out of service until it is restored.
 func (b *Balancer) handleAdminEject(ev AdminEject) {
-	if _, ok := b.adminEjected[ev.Endpoint]; !ok {
-		b.adminEjected[ev.Endpoint] = cmp.Or(ev.At, b.now)
+	if _, ok := b.endpoints.adminEjected[ev.Endpoint]; !ok {
+		b.endpoints.adminEjected[ev.Endpoint] = cmp.Or(ev.At, b.now)
 		b.emit(LogLine{"taken out by hand: " + ev.Endpoint})
 	}
-	if ep := b.endpoints[ev.Endpoint]; ep != nil {
-		b.stopSending(ep)
+	if ep := b.endpoints.byName[ev.Endpoint]; ep != nil {
+		b.stopDispatching(ep)
 		b.updateSubset()
 	}
 }
 
-// handleAdminRestore lets a server serve again that was taken out by hand. It may have started anew meanwhile: it is
-// cold from when the list says that it started, if that was while it was out, else from now.
-func (b *Balancer) handleAdminRestore(name string) {
-	since, ok := b.adminEjected[name]
+// handleAdminRestore puts an endpoint back into service that an administrator had ejected. It may have been restarted
+// meanwhile, so it warms up: since its start if that came after the ejection, else from now on.
+func (b *Balancer) handleAdminRestore(ev AdminRestore) {
+	ejectedAt, ok := b.endpoints.adminEjected[ev.Endpoint]
 	if !ok {
 		return
 	}
-	delete(b.adminEjected, name)
-	b.emit(LogLine{"back by hand: " + name})
-	ep := b.endpoints[name]
+	delete(b.endpoints.adminEjected, ev.Endpoint)
+	b.emit(LogLine{"back by hand: " + ev.Endpoint})
+	ep := b.endpoints.byName[ev.Endpoint]
 	if ep == nil || !ep.listed {
 		return
 	}
-	ep.inService, ep.ejected, ep.probing, ep.connectionFailures, ep.timeouts, ep.lastResponseAt = true, false,
-		false, 0, 0, b.now
-	ep.warmingUp, ep.warmUpFrom, ep.latencyFactor, ep.concurrencyLimit, ep.overdue = true, b.now, 1, 1, true
-	if ep.startedAt > since {
-		ep.warmUpFrom = ep.startedAt
+	ep.inService = true
+	ep.outlier.reset(b.now)
+	ep.latency.reset()
+	ep.beginSlowStart(b.now)
+	if ep.startedAt > ejectedAt {
+		ep.beginSlowStart(ep.startedAt)
 	}
-	soon := adminRestoreSpread * time.Duration(max(1, int(b.liveGateways())/crowdFrom))
-	ep.slowStart.Hold(b.now + 1 + time.Duration(b.rng.Int64N(int64(soon))))
+	ep.preferNext = true
+	ep.slowStart.budget.PauseUntil(b.now + 1 + b.restorePause())
 	b.updateSubset()
 	b.dispatchQueued(ep)
 }
+
+// restorePause is a random pause before a restored endpoint gets its first attempt of this gateway. It keeps many
+// gateways from using the endpoint at once.
+func (b *Balancer) restorePause() time.Duration {
+	spread := adminRestoreSpread * time.Duration(max(1, int(b.liveGateways())/crowdFrom))
+	return time.Duration(b.rng.Int64N(int64(spread)))
+}
--- a/internal/balancer/evidence_test.go
+++ b/internal/balancer/evidence_test.go
@@ -116,7 +116,7 @@
 	first := time.Duration(0)
 	for range 2000 {
 		found := f.step(asks)
-		if first == 0 && len(f.d.endpoints[f.silent].inFlight) > 0 {
+		if first == 0 && len(f.d.endpoints.byName[f.silent].inFlight) > 0 {
 			first = f.now
 		}
 		if len(found) > 0 {
@@ -169,7 +169,7 @@
 		heard.step(1)
 	}
 	heard.step(0, HealthReport{"b0", Unresponsive, since})
-	if ep := heard.d.endpoints["b0"]; ep.timeouts > 0 || ep.ejected {
+	if ep := heard.d.endpoints.byName["b0"]; ep.outlier.timeouts > 0 || ep.outlier.ejected {
 		t.Errorf("another's word outweighs an own sign of life: %+v", ep)
 	}
 }
@@ -218,19 +218,19 @@
 			}
 		}
 		b.Step(back, []Event{HealthReport{"b0", WarmingUp, back - ms}, HealthReport{"other", WarmingUp, back}})
-		return b.endpoints["b0"]
+		return b.endpoints.byName["b0"]
 	}
-	if ep := cold(false); !ep.warmingUp || ep.warmUpFrom != back-ms {
+	if ep := cold(false); !ep.slowStart.active || ep.slowStart.since != back-ms {
 		t.Errorf("a server that was started anew is not cold: %+v", ep)
 	}
-	if ep := cold(true); ep.warmingUp {
+	if ep := cold(true); ep.slowStart.active {
 		t.Error("a server that answered all along is taken for cold")
 	}
 	b := open(t, lone(), backends(2)...)
-	ep, p := b.endpoints["b0"], &fleetOf{d: b, silent: "b0"}
+	ep, p := b.endpoints.byName["b0"], &fleetOf{d: b, silent: "b0"}
 	f, _ := p.leaves(t, 3)
 	now := p.now
-	if !ep.ejected || len(only[HealthCheck](b.Step(now+20*ms, []Event{TimerFired{0}}))) > 0 {
+	if !ep.outlier.ejected || len(only[HealthCheck](b.Step(now+20*ms, []Event{TimerFired{0}}))) > 0 {
 		t.Fatalf("%+v", f)
 	}
 	if p := only[HealthCheck](
--- a/internal/balancer/hand_test.go
+++ b/internal/balancer/hand_test.go
@@ -80,9 +80,9 @@
 	}
 	at += 40 * tickInterval
 	b.Step(at, []Event{AdminRestore{list[0].Name}})
-	ep := b.endpoints[list[0].Name]
-	if !ep.isUsable() || !ep.warmingUp {
-		t.Fatalf("back: usable %t, cold %t", ep.isUsable(), ep.warmingUp)
+	ep := b.endpoints.byName[list[0].Name]
+	if !ep.isUsable() || !ep.slowStart.active {
+		t.Fatalf("back: usable %t, cold %t", ep.isUsable(), ep.slowStart.active)
 	}
 	used := 0
 	for end := at + 5*time.Second; at < end && used == 0; at += 200 * ms { // though warm ones are idle all the time
@@ -93,7 +93,7 @@
 		t.Error("not used for 5 s after it was let in again")
 	}
 	b.Step(at, []Event{AdminRestore{list[0].Name}, AdminRestore{"nobody"}}) // again: nothing is reset
-	if ep.warmUpFrom > at-100*ms {
+	if ep.slowStart.since > at-100*ms {
 		t.Error("a second call made it cold anew")
 	}
 }
@@ -107,7 +107,7 @@
 		b.Step(time.Second, []Event{ask(i+1, 0, 0)})
 	}
 	b.Step(time.Second, []Event{AdminEject{Endpoint: list[0].Name}})
-	if b.endpoints[list[0].Name].queued > 0 {
+	if b.endpoints.byName[list[0].Name].queue.length > 0 {
 		t.Error("still queued there")
 	}
 	acts := b.Step(time.Second+ms, []Event{AdminEject{Endpoint: list[1].Name}, ask(100, 0, 0)})
@@ -139,7 +139,7 @@
 	again.StartedAt = at + time.Second
 	b.Step(at+5*time.Second, []Event{EndpointUpdate{Kind: Delta, Entries: []Endpoint{again}}})
 	b.Step(at+9*time.Second, []Event{AdminRestore{list[0].Name}})
-	if got := b.endpoints[list[0].Name].warmUpFrom; got != again.StartedAt {
+	if got := b.endpoints.byName[list[0].Name].slowStart.since; got != again.StartedAt {
 		t.Errorf("cold from %v, started %v", got, again.StartedAt)
 	}
 }
@@ -151,8 +151,8 @@
 		name := fmt.Sprint("x", i)
 		b.Step(time.Duration(i)*ms, []Event{AdminEject{Endpoint: name}, AdminRestore{name}})
 	}
-	if len(b.adminEjected) != 0 || len(b.endpoints) != 2 {
-		t.Errorf("%d bans, %d servers", len(b.adminEjected), len(b.endpoints))
+	if len(b.endpoints.adminEjected) != 0 || len(b.endpoints.byName) != 2 {
+		t.Errorf("%d bans, %d servers", len(b.endpoints.adminEjected), len(b.endpoints.byName))
 	}
 }
 
@@ -171,14 +171,14 @@
 	if len(sends) != 1 {
 		t.Fatal(sends)
 	}
-	ep := b.endpoints[sends[0].Endpoint]
-	answers := b.classes[0].answers
+	ep := b.endpoints.byName[sends[0].Endpoint]
+	answers := b.latency.classes[0].answers
 	first := FirstByte{ID: 1}
 	b.Step(at+5*ms, []Event{first, first, FirstByte{ID: 1, Attempt: 7}, FirstByte{ID: 99}})
-	if ep.inFlightWork != 0 || len(ep.inFlight) != 0 || b.classes[0].answers != answers+1 {
-		t.Errorf("load %v, %d out, %d answers learned", ep.inFlightWork, len(ep.inFlight), b.classes[0].answers-answers)
+	if ep.inFlightWork != 0 || len(ep.inFlight) != 0 || b.latency.classes[0].answers != answers+1 {
+		t.Errorf("load %v, %d out, %d answers learned", ep.inFlightWork, len(ep.inFlight), b.latency.classes[0].answers-answers)
 	}
-	slow := ep.latencyFactor
+	slow := ep.latency.factor
 	for i := range 200 {
 		for _, a := range b.Step(at+time.Duration(i)*tickInterval, []Event{TimerFired{0}, TimerFired{1<<1 | 1}}) {
 			switch a := a.(type) {
@@ -187,18 +187,18 @@
 			}
 		}
 	}
-	if ep.ejected {
+	if ep.outlier.ejected {
 		t.Error("the server is held to be silent")
 	}
 	acts := b.Step(
 		at+4*time.Second,
 		[]Event{AttemptResult{ID: 1, Endpoint: ep.name, Status: Reset, Latency: 5 * ms, RequestClosed: true}},
 	)
-	if len(only[Dispatch](acts)) > 0 || ep.latencyFactor != slow || len(b.requests) != 0 || ep.inFlightWork != 0 {
+	if len(only[Dispatch](acts)) > 0 || ep.latency.factor != slow || len(b.requests) != 0 || ep.inFlightWork != 0 {
 		t.Errorf(
 			"%+v, slow %v was %v, %d requests, load %v",
 			acts,
-			ep.latencyFactor,
+			ep.latency.factor,
 			slow,
 			len(b.requests),
 			ep.inFlightWork,
--- a/internal/balancer/handover.go
+++ b/internal/balancer/handover.go
@@ -84,12 +84,12 @@
 func (b *Balancer) handleBeginHandover() {
 	m := HandoverState{
 		At:        b.now,
-		Fleet:     b.fleetSlowdown,
-		Rate:      b.warmEndpointRate,
+		Fleet:     b.latency.fleetSlowdown,
+		Rate:      b.warmRate.value,
 		Short:     b.shortage,
 		CallShare: b.callFraction,
 	}
-	for _, k := range b.classes {
+	for _, k := range b.latency.classes {
 		m.Classes = append(m.Classes, ClassHandover{k.meanLatency, k.idleLatency, k.answers})
 	}
 	open := map[*customer][]time.Duration{}
@@ -149,18 +149,18 @@
 			cust.ceilingQueued,
 		)
 	}
-	for _, ep := range b.endpointOrder {
+	for _, ep := range b.endpoints.ordered {
 		sm := EndpointHandover{
 			Name:    ep.name,
 			Started: ep.startedAt,
-			ColdAt:  ep.warmUpFrom,
-			Cold:    ep.warmingUp,
-			Ejected: ep.ejected,
-			Slow:    ep.latencyFactor,
-			Slots:   ep.concurrencyLimit,
+			ColdAt:  ep.slowStart.since,
+			Cold:    ep.slowStart.active,
+			Ejected: ep.outlier.ejected,
+			Slow:    ep.latency.factor,
+			Slots:   ep.concurrency.limit,
 		}
-		for _, e := range ep.slowStart.Sends() {
-			sm.Sends = append(sm.Sends, SlowStartSend(e))
+		for _, e := range ep.slowStart.budget.Dispatches() {
+			sm.Sends = append(sm.Sends, SlowStartSend{At: e.At, Size: e.Cost})
 		}
 		m.Servers = append(m.Servers, sm)
 	}
@@ -176,16 +176,16 @@
 		cust.fallbackAt, cust.ceilingAt = max(cust.fallbackAt, b.now), max(cust.ceilingAt, b.now)
 	}
 	if !back {
-		b.fleetSlowdown, b.fleetSlowdownAt, b.warmEndpointRate, b.warmEndpointRateAt, b.shortage = cmp.Or(
+		b.latency.fleetSlowdown, b.latency.fleetSlowdownAt, b.warmRate.value, b.warmRate.updatedAt, b.shortage = cmp.Or(
 			m.Fleet,
-			b.fleetSlowdown,
+			b.latency.fleetSlowdown,
 		), b.now, m.Rate, b.now, m.Short
 		if b.settings.UseCounter {
 			b.callFraction = min(1, max(minCallFraction, cmp.Or(m.CallShare, 1)))
 		}
 		for i, k := range m.Classes {
-			if i < len(b.classes) && k.Answers > 0 && k.Base > 0 {
-				l := &b.classes[i]
+			if i < len(b.latency.classes) && k.Answers > 0 && k.Base > 0 {
+				l := &b.latency.classes[i]
 				l.meanLatency, l.idleLatency, l.answers = k.Base, k.Floor, k.Answers
 			}
 		}
@@ -201,21 +201,19 @@
 }
 
 func (b *Balancer) importEndpoint(sm EndpointHandover) {
-	ep := b.endpoints[sm.Name]
+	ep := b.endpoints.byName[sm.Name]
 	if ep == nil || ep.startedAt != sm.Started {
 		return // another process, of which nothing is known
 	}
-	ep.warmingUp, ep.warmUpFrom, ep.concurrencyLimit = sm.Cold, sm.ColdAt, min(
-		maxConcurrency,
-		max(minConcurrency, sm.Slots),
-	)
+	ep.slowStart.active, ep.slowStart.since = sm.Cold, sm.ColdAt
+	ep.concurrency.restore(sm.Slots)
 	if sm.Slow > 0 {
-		ep.latencyFactor = sm.Slow
+		ep.latency.factor = sm.Slow
 	}
 	for _, e := range sm.Sends {
-		ep.slowStart.Sent(e.At, e.Size)
+		ep.slowStart.budget.RecordDispatch(e.At, e.Size)
 	}
-	if ep.inService && sm.Ejected && !ep.ejected {
+	if ep.inService && sm.Ejected && !ep.outlier.ejected {
 		b.eject(ep)
 	}
 }
@@ -263,6 +261,6 @@
 		}
 		b.requests[req.id] = req
 		cust.inFlight++
-		b.emit(SetTimer{until, req.id<<1 | 1})
+		b.emit(SetTimer{until, requestCookie(req.id)})
 	}
 }
--- a/internal/balancer/handover_test.go
+++ b/internal/balancer/handover_test.go
@@ -171,21 +171,21 @@
 	list := backends(4)
 	old := open(t, settings, list...)
 	old.Step(time.Second, []Event{ask(1, 0, 0)})
-	old.classes[0] = classEstimate{meanLatency: 0.2, idleLatency: 0.1, answers: 77}
-	ep := old.endpoints[list[0].Name]
-	ep.warmingUp, ep.warmUpFrom, ep.latencyFactor, ep.concurrencyLimit = true, time.Second, 2, 3
-	ep.slowStart.Sent(time.Second, 1)
-	old.eject(old.endpoints[list[1].Name])
+	old.latency.classes[0] = classEstimate{meanLatency: 0.2, idleLatency: 0.1, answers: 77}
+	ep := old.endpoints.byName[list[0].Name]
+	ep.slowStart.active, ep.slowStart.since, ep.latency.factor, ep.concurrency.limit = true, time.Second, 2, 3
+	ep.slowStart.budget.RecordDispatch(time.Second, 1)
+	old.eject(old.endpoints.byName[list[1].Name])
 	b, m := pass(t, old, settings, 2*time.Second, list...)
-	if k := b.classes[0]; k.meanLatency != 0.2 || k.idleLatency != 0.1 || k.answers != 77 {
+	if k := b.latency.classes[0]; k.meanLatency != 0.2 || k.idleLatency != 0.1 || k.answers != 77 {
 		t.Errorf("%+v", k)
 	}
-	got := b.endpoints[list[0].Name]
-	if !got.warmingUp || got.warmUpFrom != time.Second || got.latencyFactor != 2 || got.concurrencyLimit != 3 ||
-		len(got.slowStart.Sends()) != 1 {
+	got := b.endpoints.byName[list[0].Name]
+	if !got.slowStart.active || got.slowStart.since != time.Second || got.latency.factor != 2 || got.concurrency.limit != 3 ||
+		len(got.slowStart.budget.Dispatches()) != 1 {
 		t.Errorf("%+v", got)
 	}
-	if !b.endpoints[list[1].Name].ejected {
+	if !b.endpoints.byName[list[1].Name].outlier.ejected {
 		t.Error("a server that was left out is used")
 	}
 	again := list[0]
@@ -198,7 +198,7 @@
 		2*time.Second,
 		[]Event{EndpointUpdate{Kind: CachedSnapshot, Entries: []Endpoint{again}}, ImportHandover{m}},
 	)
-	if got := fresh.endpoints[again.Name]; got.latencyFactor == 2 || got.warmUpFrom != again.StartedAt {
+	if got := fresh.endpoints.byName[again.Name]; got.latency.factor == 2 || got.slowStart.since != again.StartedAt {
 		t.Errorf("what is known of another process: %+v", got)
 	}
 }
--- a/internal/balancer/largefleet.go
+++ b/internal/balancer/largefleet.go
@@ -186,13 +186,13 @@
 	req.paidByCounter = false
 	worth := max(
 		1e-9,
-		b.settings.Classes[req.class].PriorityWeight*plan.PriorityFactor*b.classes[req.class].costProfile.Density(
+		b.settings.Classes[req.class].PriorityWeight*plan.PriorityFactor*b.latency.classes[req.class].costProfile.Density(
 			req.units,
 		),
 	)
 	req.level = min(priorityBands-1, max(0, int(bandsPerHalving*math.Log2(b.maxPriority/worth))))
 	b.returnUnusedTokens(cust, plan, 1)
-	pressed := b.fleetSlowdown > 1.5
+	pressed := b.latency.fleetSlowdown > 1.5
 	switch {
 	case !short && cust.fallbackTokens >= req.units:
 		cust.fallbackTokens -= req.units
--- a/internal/balancer/many_test.go
+++ b/internal/balancer/many_test.go
@@ -290,11 +290,11 @@
 // the time left do, but for a few whose answers tell when it is over.
 func TestLittleEvidenceRefusesLate(t *testing.T) {
 	b := open(t, crowd(80), backends(20)...)
-	b.classes[1].meanLatency, b.classes[1].idleLatency = 0.05, 0.05
+	b.latency.classes[1].meanLatency, b.latency.classes[1].idleLatency = 0.05, 0.05
 	refused := func(slower float64) (n int) {
-		b.fleetSlowdown = slower
+		b.latency.fleetSlowdown = slower
 		for range 1000 {
-			if b.shouldShed(&request{class: 1, cost: 1, timeLimit: 600 * ms}, b.endpointOrder[0]) {
+			if b.shouldShed(&request{class: 1, cost: 1, timeLimit: 600 * ms}, b.endpoints.ordered[0]) {
 				n++
 			}
 		}
--- a/internal/balancer/outlier.go
+++ b/internal/balancer/outlier.go
@@ -1,146 +1,263 @@
 package balancer
 
-import (
-	"time"
+import "time"
+
+// Faults that eject an endpoint.
+const (
+	// maxConnectionFailures is the number of broken connections in a row that ejects an endpoint.
+	maxConnectionFailures = 3
+	// silenceLatencies is the summed wait of the attempts in flight, in expected latencies, that means silence.
+	silenceLatencies = 12.0
+	// maxSilencePerAttempt is the most that one attempt adds to that sum: it may be a costly one.
+	maxSilencePerAttempt = 5.0
+	// minSilence is the shortest silence that ejects an endpoint.
+	minSilence = 200 * time.Millisecond
+	// recentResponse is how lately an endpoint has answered that counts as alive when another one is silent.
+	recentResponse = 500 * time.Millisecond
+	// minAliveDivisor: one in so many endpoints must be alive before silence ejects another one.
+	minAliveDivisor = 4
+	// reportedTimeouts is the number of timeouts that another pool's report of silence counts for.
+	reportedTimeouts = 2
 )
 
+// Probes of an ejected endpoint.
 const (
-	maxConnectionFailures = 3                      // broken connections in a row at which a server is left out
-	silenceLatencies      = 12.0                   // waits of all attempts out, in latencies, that mean silence ...
-	minSilence            = 200 * time.Millisecond // and no silence is shorter than this
-	maxSilencePerAttempt  = 5.0                    // ... one attempt adding no more (it may be a costly one)
-	firstProbePause       = 400 * time.Millisecond // pause before the first trial of an ejected server
-	maxProbePause         = 2 * time.Second        // and the longest later one
-	probePausePerGateway  = 50 * time.Millisecond  // ... and for each door
-	probeTimeLatencies    = 7.0                    // latencies of time that a request must have to serve as a trial ...
-	probeTimeoutLatencies = 4.0                    // ... and that the trial may take of it
-	restartSilence        = 2 * time.Second        // a server silent for longer may have been started anew
-	reportedTimeouts      = 2                      // answers owed as which another door's word on a silence counts
+	// firstProbePause is the least pause from the ejection to the first probe.
+	firstProbePause = 400 * time.Millisecond
+	// maxProbePause is the longest later pause, unless gateways are many.
+	maxProbePause = 2 * time.Second
+	// probePausePerGateway is what each gateway adds to the range of the first pause and to the longest one.
+	probePausePerGateway = 50 * time.Millisecond
+	// probeTimeLatencies is the time that a request must have to serve as a probe, in expected latencies.
+	probeTimeLatencies = 7.0
+	// probeTimeoutLatencies is the timeout of such a probe, in expected latencies.
+	probeTimeoutLatencies = 4.0
+	// restartSilence is the silence after which an endpoint may have been restarted.
+	restartSilence = 2 * time.Second
 )
 
-// checkSilence finds a server silent when the attempts out there have waited, summed up, far longer than
-// answers take while nothing was heard. It covers hung, cut off and stopped machines. If fewer than a quarter
-// of the servers answer, it is not this server's fault. It could harm a server that got several costly
-// requests in a row; the first late answer brings such a one back.
-func (b *Balancer) checkSilence(ep *endpoint) {
-	if ep.ejected {
-		if ep.inService && b.settings.AllowHealthChecks && b.now >= ep.nextProbeAt && !ep.probing {
-			ep.probing = true
+// outlierState is the fault detection of one endpoint.
+type outlierState struct {
+	// ejected is set while the endpoint gets no requests but probes.
+	ejected bool
+	// probing is set while a probe is out.
+	probing bool
+	// nextProbeAt is when the next probe of an ejected endpoint may go out.
+	nextProbeAt time.Duration
+	// probePause is the pause before that probe.
+	probePause time.Duration
+	// connectionFailures is the number of broken connections in a row.
+	connectionFailures int
+	// timeouts is the number of attempts without an answer in time since the last response.
+	timeouts int
+	// lastResponseAt is the time of the last response, or when the endpoint got work after having none.
+	lastResponseAt time.Duration
+}
+
+// reset makes the endpoint healthy, as if it had just responded.
+func (o *outlierState) reset(now time.Duration) {
+	o.ejected = false
+	o.probing = false
+	o.recordResponse(now)
+}
+
+// recordResponse records an answer of any kind: the endpoint is alive.
+func (o *outlierState) recordResponse(now time.Duration) {
+	o.lastResponseAt = now
+	o.timeouts = 0
+	o.connectionFailures = 0
+}
+
+// becomeBusy records that the endpoint has work after having none: silence counts from here on.
+func (o *outlierState) becomeBusy(now time.Duration) {
+	o.lastResponseAt = max(o.lastResponseAt, now)
+}
+
+// hasBrokenConnections reports whether connections failed often enough to eject the endpoint.
+func (o *outlierState) hasBrokenConnections() bool {
+	return o.connectionFailures >= maxConnectionFailures
+}
+
+// eject stops new requests and plans the first probe after a pause.
+func (o *outlierState) eject(now, pause time.Duration) {
+	o.ejected = true
+	o.probing = false
+	o.probePause = pause
+	o.nextProbeAt = now + pause
+}
+
+// scheduleProbe plans the next probe after a pause that grows by half, up to a longest one.
+func (o *outlierState) scheduleProbe(now, longest time.Duration) {
+	o.probing = false
+	o.probePause = min(longest, o.probePause*3/2)
+	o.nextProbeAt = now + o.probePause
+}
+
+// isProbeDue reports whether the endpoint is ejected and may be probed now.
+func (o *outlierState) isProbeDue(now time.Duration) bool {
+	return o.ejected && !o.probing && now >= o.nextProbeAt
+}
+
+// recordReportedFault takes another pool's report into account. A report of broken connections counts for all
+// failures but one, so one failure of our own ejects the endpoint. A report of silence counts for some timeouts,
+// unless the endpoint has responded here since; oldest is the oldest attempt in flight, nil if there is none.
+func (o *outlierState) recordReportedFault(report HealthReport, oldest *attempt) {
+	if report.Health == ConnectionsBroken {
+		o.connectionFailures = max(o.connectionFailures, maxConnectionFailures-1)
+		return
+	}
+	// Becoming busy sets lastResponseAt, but it is no response.
+	hasNotResponded := oldest != nil && o.lastResponseAt <= oldest.sentAt
+	if o.lastResponseAt <= report.Since || hasNotResponded {
+		o.timeouts = max(o.timeouts, reportedTimeouts)
+	}
+}
+
+// checkEndpointHealth ejects a silent endpoint, and sends a health check to an ejected one when it is due.
+func (b *Balancer) checkEndpointHealth(ep *endpoint) {
+	if ep.outlier.ejected {
+		if ep.inService && b.settings.AllowHealthChecks && ep.outlier.isProbeDue(b.now) {
+			ep.outlier.probing = true
 			b.emit(HealthCheck{ep.name})
 		}
 		return
 	}
-	sum := maxSilencePerAttempt * float64(ep.timeouts)
-	for _, a := range ep.inFlight {
-		quiet := (b.now - max(a.sentAt, ep.lastResponseAt)).Seconds()
-		sum += min(maxSilencePerAttempt, quiet/b.expectedLatency(a.request, ep))
+	if b.isSilent(ep) && b.areOthersAlive(ep) {
+		b.eject(ep)
 	}
-	if sum < silenceLatencies || b.now-ep.lastResponseAt < minSilence {
-		return
+}
+
+// isSilent reports whether the attempts in flight have waited, summed up, far longer than answers take, with no
+// response meanwhile. That finds hung, stopped and disconnected endpoints. One that merely got several costly
+// requests in a row may be found silent too; its first late answer reinstates it.
+func (b *Balancer) isSilent(ep *endpoint) bool {
+	waited := maxSilencePerAttempt * float64(ep.outlier.timeouts)
+	for _, att := range ep.inFlight {
+		silence := (b.now - max(att.sentAt, ep.outlier.lastResponseAt)).Seconds()
+		waited += min(maxSilencePerAttempt, silence/b.expectedLatency(att.request, ep))
 	}
-	live := 0
-	for _, other := range b.endpointOrder {
-		if other.isUsable() && b.now-other.lastResponseAt < b.now-ep.lastResponseAt &&
-			b.now-other.lastResponseAt < 500*time.Millisecond {
-			live++
+	return waited >= silenceLatencies && b.now-ep.outlier.lastResponseAt >= minSilence
+}
+
+// areOthersAlive reports whether enough endpoints have responded lately, and later than a given one. Otherwise the
+// silence may be this gateway's own.
+func (b *Balancer) areOthersAlive(ep *endpoint) bool {
+	silence := b.now - ep.outlier.lastResponseAt
+	alive := 0
+	for _, other := range b.endpoints.ordered {
+		otherSilence := b.now - other.outlier.lastResponseAt
+		if other.isUsable() && otherSilence < silence && otherSilence < recentResponse {
+			alive++
 		}
 	}
-	if 4*live >= len(b.endpointOrder) && live > 0 {
-		b.eject(ep)
-	}
+	return alive > 0 && minAliveDivisor*alive >= len(b.endpoints.ordered)
 }
 
-// eject stops new work to a server, moves its queue on and calls back what could still be served elsewhere.
+// eject stops new requests to an endpoint, places those queued for it elsewhere, and cancels attempts whose requests
+// could still be served elsewhere.
 func (b *Balancer) eject(ep *endpoint) {
-	ep.ejected, ep.probing = true, false
-	ep.probePause = max(
-		firstProbePause,
-		time.Duration(b.rng.Int64N(int64(b.liveGateways())*int64(probePausePerGateway))),
-	)
-	ep.nextProbeAt = b.now + ep.probePause
+	// The pause is random, so that many gateways don't probe together.
+	spread := int64(b.liveGateways()) * int64(probePausePerGateway)
+	pause := max(firstProbePause, time.Duration(b.rng.Int64N(spread)))
+	ep.outlier.eject(b.now, pause)
 	b.emit(LogLine{"no longer used: " + ep.name})
 	health := Unresponsive
-	if ep.connectionFailures >= maxConnectionFailures {
+	if ep.outlier.hasBrokenConnections() {
 		health = ConnectionsBroken
 	}
-	b.emit(HealthReport{ep.name, health, ep.lastResponseAt})
+	b.emit(HealthReport{Endpoint: ep.name, Health: health, Since: ep.outlier.lastResponseAt})
 	b.reassignQueue(ep)
-	if !b.settings.AllowCancel {
-		return
+	if b.settings.AllowCancel {
+		b.cancelServableElsewhere(ep)
 	}
-	for _, a := range ep.inFlight {
-		if !a.request.ended && !a.request.streaming &&
-			(b.now-a.request.arrivedAt).Seconds()+b.expectedLatency(a.request, nil) < a.request.timeLimit.Seconds() {
-			b.emit(CancelAttempt{a.request.id, a.number})
+}
+
+// cancelServableElsewhere cancels the attempts in flight to an endpoint whose requests have time for another attempt.
+func (b *Balancer) cancelServableElsewhere(ep *endpoint) {
+	for _, att := range ep.inFlight {
+		req := att.request
+		if !req.ended && !req.streaming && b.hasTimeForAttempt(req) {
+			b.emit(CancelAttempt{ID: req.id, Attempt: att.number})
 		}
 	}
 }
 
+// scheduleProbe plans the next probe of an ejected endpoint.
 func (b *Balancer) scheduleProbe(ep *endpoint) {
-	ep.probing = false
-	ep.probePause = min(max(maxProbePause, time.Duration(b.liveGateways())*probePausePerGateway), ep.probePause*3/2)
-	ep.nextProbeAt = b.now + ep.probePause
+	longest := max(maxProbePause, time.Duration(b.liveGateways())*probePausePerGateway)
+	ep.outlier.scheduleProbe(b.now, longest)
 }
 
-// probeCandidate gives an ejected server one safe request with time for another attempt, without probes.
+// probeCandidate returns an ejected endpoint that a request may probe, or nil. Requests serve as probes only where
+// there are no health checks, and only idempotent ones that have time for another attempt.
 func (b *Balancer) probeCandidate(req *request) *endpoint {
-	if b.settings.AllowHealthChecks || b.settings.Classes[req.class].Idempotency != Idempotent ||
-		len(req.attempts) > 0 ||
-		req.maxAttempts < 2 ||
-		req.timeLimit.Seconds() < probeTimeLatencies*b.expectedLatency(req, nil) {
+	if b.settings.AllowHealthChecks || !b.canServeAsProbe(req) {
 		return nil
 	}
-	for _, ep := range b.endpointOrder {
-		if ep.inService && ep.ejected && !ep.probing && b.now >= ep.nextProbeAt && !b.slowStartExhausted(ep) {
+	for _, ep := range b.endpoints.ordered {
+		if ep.inService && ep.outlier.isProbeDue(b.now) && !b.isSlowStartExhausted(ep) {
 			return ep
 		}
 	}
 	return nil
 }
 
+// canServeAsProbe reports whether a request loses nothing if its first attempt goes to an endpoint that may be down.
+func (b *Balancer) canServeAsProbe(req *request) bool {
+	return b.settings.Classes[req.class].Idempotency == Idempotent &&
+		len(req.attempts) == 0 &&
+		req.maxAttempts >= 2 &&
+		req.timeLimit.Seconds() >= probeTimeLatencies*b.expectedLatency(req, nil)
+}
+
+// handleHealthCheckResult reinstates an endpoint whose health check succeeded. After a long silence it may have been
+// restarted, so it warms up.
 func (b *Balancer) handleHealthCheckResult(ev HealthCheckResult) {
-	ep := b.endpoints[ev.Endpoint]
-	if ep == nil || !ep.ejected {
+	ep := b.endpoints.byName[ev.Endpoint]
+	if ep == nil || !ep.outlier.ejected {
 		return
 	}
 	b.scheduleProbe(ep)
-	if ev.Status == OK {
-		b.reinstate(ep, true)
+	if ev.Status != OK {
+		return
+	}
+	mayHaveRestarted := b.now-ep.outlier.lastResponseAt > restartSilence
+	b.reinstate(ep)
+	if mayHaveRestarted {
+		ep.latency.reset()
+		ep.beginSlowStart(b.now)
+		b.emit(HealthReport{Endpoint: ep.name, Health: WarmingUp, Since: b.now})
 	}
 }
 
-// reinstate takes a server back. One that comes back from silence may have started anew: it counts as cold.
-func (b *Balancer) reinstate(ep *endpoint, fresh bool) {
-	fresh = fresh && b.now-ep.lastResponseAt > restartSilence
-	ep.ejected, ep.probing, ep.connectionFailures, ep.timeouts, ep.lastResponseAt = false, false, 0, 0, b.now
+// reinstate lets an ejected endpoint get requests again.
+func (b *Balancer) reinstate(ep *endpoint) {
+	ep.outlier.reset(b.now)
 	b.emit(LogLine{"used again: " + ep.name})
-	if fresh {
-		ep.warmingUp, ep.warmUpFrom, ep.latencyFactor, ep.concurrencyLimit = true, b.now, 1, 1
-		b.emit(HealthReport{ep.name, WarmingUp, b.now})
-	}
 }
 
-// handleHealthReport takes what another door of this process has found out about a server (ours). Its word on silence
-// counts as two answers owed, and on broken connections as all but one: an own sign of life since outweighs
-// it, and one attempt that goes the same way settles it. A server that came back cold is cold for this door
-// too, and asked at once if left out.
-func (b *Balancer) handleHealthReport(f HealthReport) {
-	ep := b.endpoints[f.Endpoint]
+// handleHealthReport takes what another pool of this process found out about an endpoint. Later responses here
+// outweigh it. An endpoint that another pool has reinstated warms up here too, and is probed at once if it is ejected
+// here.
+func (b *Balancer) handleHealthReport(report HealthReport) {
+	ep := b.endpoints.byName[report.Endpoint]
 	switch {
 	case ep == nil || !ep.inService:
-	case f.Health == WarmingUp:
-		if !ep.ejected && b.now-ep.lastResponseAt < restartSilence {
-			return // it has answered here while it was silent there
-		}
-		if !ep.warmingUp || ep.warmUpFrom < f.Since {
-			ep.warmingUp, ep.warmUpFrom, ep.concurrencyLimit = true, f.Since, min(1, ep.concurrencyLimit)
-		}
-		ep.nextProbeAt = min(ep.nextProbeAt, b.now)
-	case ep.ejected:
-	case f.Health == ConnectionsBroken:
-		ep.connectionFailures = max(ep.connectionFailures, maxConnectionFailures-1)
-	// a send is no sign of life
-	case ep.lastResponseAt <= f.Since || len(ep.inFlight) > 0 && ep.lastResponseAt <= ep.inFlight[0].sentAt:
-		ep.timeouts = max(ep.timeouts, reportedTimeouts)
+	case report.Health == WarmingUp:
+		b.applyReportedWarmUp(ep, report.Since)
+	case !ep.outlier.ejected:
+		ep.outlier.recordReportedFault(report, ep.oldestAttempt())
+	}
+}
+
+// applyReportedWarmUp makes an endpoint warm up since a time that another pool has told.
+func (b *Balancer) applyReportedWarmUp(ep *endpoint, since time.Duration) {
+	if !ep.outlier.ejected && b.now-ep.outlier.lastResponseAt < restartSilence {
+		return // it responded here while it was silent there
+	}
+	if !ep.slowStart.active || ep.slowStart.since < since {
+		ep.slowStart.begin(since)
+		ep.concurrency.limit = min(slowStartConcurrency, ep.concurrency.limit)
 	}
+	ep.outlier.nextProbeAt = min(ep.outlier.nextProbeAt, b.now)
 }
--- a/internal/balancer/quota.go
+++ b/internal/balancer/quota.go
@@ -142,7 +142,7 @@
 	}
 	worth := max(
 		1e-9,
-		b.settings.Classes[req.class].PriorityWeight*plan.PriorityFactor*b.classes[req.class].costProfile.Density(
+		b.settings.Classes[req.class].PriorityWeight*plan.PriorityFactor*b.latency.classes[req.class].costProfile.Density(
 			req.units,
 		),
 	)
--- a/internal/balancer/reload.go
+++ b/internal/balancer/reload.go
@@ -21,13 +21,13 @@
 			)
 		}
 	}
-	old := b.classes
-	b.classes = make([]classEstimate, len(settings.Classes))
+	old := b.latency.classes
+	b.latency.classes = make([]classEstimate, len(settings.Classes))
 	for i, c := range settings.Classes {
 		if i < len(from) && from[i] >= 0 && from[i] < len(old) {
-			b.classes[i] = old[from[i]]
+			b.latency.classes[i] = old[from[i]]
 		} else {
-			b.classes[i] = classEstimate{
+			b.latency.classes[i] = classEstimate{
 				meanLatency: max(0.001, cmp.Or(c.LatencyObjective, c.ClientTimeout).Seconds()*initialLatencyFraction),
 				costProfile: costmodel.New(settings.MaxRequestUnits),
 			}
--- a/internal/balancer/retry.go
+++ b/internal/balancer/retry.go
@@ -1,37 +1,55 @@
 package balancer
 
-import (
-	"time"
-)
+import "time"
 
-const (
-	retryWriteMargin = 20 * time.Millisecond // a repeat is written whole so long before its window ends
-)
+// retryWriteMargin is how long before its deduplication window ends the retry of a request must be written.
+const retryWriteMargin = 20 * time.Millisecond
 
-// canRetryOn says whether a request that may have run can go to a server (rule 2).
+// retry places a request again whose attempt failed, if it may have another attempt and an answer could be in time.
+func (b *Balancer) retry(req *request) {
+	if len(req.attempts) >= req.maxAttempts || !b.hasTimeForAttempt(req) {
+		b.reject(req, 0, RetryNotPossible)
+		return
+	}
+	b.assign(req)
+}
+
+// hasTimeForAttempt reports whether an attempt that goes out now can be expected to be answered in time.
+func (b *Balancer) hasTimeForAttempt(req *request) bool {
+	return req.waited(b.now).Seconds()+b.expectedLatency(req, nil) < req.timeLimit.Seconds()
+}
+
+// canRetryOn reports whether an attempt of a request may go to an endpoint without the risk of a second effect. A
+// request that has not run may go to any. One with an idempotency key may go to the endpoints that would recognize
+// it, until their deduplication window ends.
 func (b *Balancer) canRetryOn(req *request, ep *endpoint) bool {
 	if !req.mayHaveRun {
 		return true
 	}
 	class := &b.settings.Classes[req.class]
-	if class.Idempotency != IdempotentByKey {
-		return class.Idempotency == Idempotent
+	switch class.Idempotency {
+	case Idempotent:
+		return true
+	case IdempotentByKey:
+		return b.now < b.retryDeadline(req) && isInDedupScope(class.DedupScope, req.firstRunOn, ep)
+	default:
+		return false
 	}
-	return b.now < b.retryDeadline(req) && (class.DedupScope == DedupAll ||
-		ep.zone == req.firstRunOn.zone && (class.DedupScope == DedupZone || ep.cell == req.firstRunOn.cell))
 }
 
-// retryDeadline is when the window ends in which a repeat of a keyed request is known for one, less its way there.
-func (b *Balancer) retryDeadline(req *request) time.Duration {
-	return req.firstRunAt + b.settings.Classes[req.class].DedupWindow - retryWriteMargin
+// isInDedupScope reports whether an endpoint recognizes a request that another one has run.
+func isInDedupScope(scope DedupScope, ranOn, ep *endpoint) bool {
+	switch {
+	case scope == DedupAll:
+		return true
+	case ep.zone != ranOn.zone:
+		return false
+	default:
+		return scope == DedupZone || ep.cell == ranOn.cell
+	}
 }
 
-// retry sends a request on again where its class allows it and an answer could still be in time.
-func (b *Balancer) retry(req *request) {
-	if len(req.attempts) >= req.maxAttempts ||
-		(b.now-req.arrivedAt).Seconds()+b.expectedLatency(req, nil) >= req.timeLimit.Seconds() {
-		b.reject(req, 0, RetryNotPossible)
-		return
-	}
-	b.assign(req)
+// retryDeadline is when the last retry of a request with an idempotency key may be written.
+func (b *Balancer) retryDeadline(req *request) time.Duration {
+	return req.firstRunAt + b.settings.Classes[req.class].DedupWindow - retryWriteMargin
 }
--- a/internal/balancer/retune_test.go
+++ b/internal/balancer/retune_test.go
@@ -24,7 +24,7 @@
 	settings.Plans[0] = Plan{PriorityFactor: 1}
 	b := open(t, settings, backends(3)...)
 	first := sent1(t, b.Step(time.Second, []Event{ask(1, 0, 0)}))
-	b.classes[0].meanLatency, b.classes[0].answers = 0.123, 50
+	b.latency.classes[0].meanLatency, b.latency.classes[0].answers = 0.123, 50
 
 	next := settings
 	next.MaxAttempts = 1
@@ -42,8 +42,8 @@
 	from[fresh] = 0
 	acts := b.Step(time.Second+ms, []Event{SettingsUpdate{Settings: next, EvidenceFrom: from}, ask(2, fresh, 0)})
 	second := sent1(t, acts)
-	if b.classes[fresh].meanLatency != 0.123 {
-		t.Errorf("what was learned is lost: %v", b.classes[fresh].meanLatency)
+	if b.latency.classes[fresh].meanLatency != 0.123 {
+		t.Errorf("what was learned is lost: %v", b.latency.classes[fresh].meanLatency)
 	}
 	// The old request may still be repeated, being of a safe class; the new one may not, having perhaps run.
 	if s := sent1(
--- a/internal/balancer/slowstart/cold_test.go
+++ b/internal/balancer/slowstart/slowstart_test.go
@@ -57,7 +57,7 @@
 func (p play) worst(first time.Duration, bears Terms) (over float64, early int) {
 	const step = 10 * time.Millisecond
 	rng := rand.New(rand.NewPCG(p.seed, 4))
-	books := make([]Book, p.doors)
+	budgets := make([]Budget, p.doors)
 	credit := make([]float64, p.doors)
 	out := make([]int, p.doors)
 	var line []int
@@ -74,9 +74,9 @@
 			d := line[0]
 			line = line[1:]
 			out[d]--
-			for o := range books {
+			for o := range budgets {
 				if o == d || p.greedy {
-					books[o].Answered(now, 1)
+					budgets[o].RecordAnswer(now, 1)
 				}
 			}
 		}
@@ -85,18 +85,18 @@
 				continue
 			}
 			if p.restarts != nil && anew[d] == 0 && now >= p.restarts(d) {
-				books[d], anew[d] = Book{}, now
+				budgets[d], anew[d] = Budget{}, now
 			}
 			credit[d] = min(credit[d]+p.asks(d)*step.Seconds(), 8)
 			rate := 0.0
 			if p.known && (anew[d] == 0 || now >= anew[d]+time.Second) {
 				rate = p.capacity / float64(p.doors) * cmp.Or(p.stale, 1)
 			}
-			w := Warmth{p.warmth(max(0, now-p.lag())), p.warmth(now)}
-			for credit[d] >= 1 && out[d] < 32 && !books[d].Full(now, p.terms, rate, w, rng.Float64) {
+			w := Capacity{p.warmth(max(0, now-p.lag())), p.warmth(now)}
+			for credit[d] >= 1 && out[d] < 32 && !budgets[d].IsExhausted(now, p.terms, rate, w, rng.Float64) {
 				credit[d]--
 				out[d]++
-				books[d].Sent(now, 1)
+				budgets[d].RecordDispatch(now, 1)
 				line = append(line, d)
 				sent = append(sent, now)
 				if now < first {
@@ -110,7 +110,7 @@
 		for end < len(sent) && sent[end] < at+bears.Window {
 			end++
 		}
-		n := bears.Multiple * can(at) * bears.Window.Seconds()
+		n := bears.OverloadMultiple * can(at) * bears.Window.Seconds()
 		over = max(over, float64(end-i)-n-chance(n))
 	}
 	return over, early
@@ -128,9 +128,9 @@
 		seed:     rapid.Uint64().Draw(t, "seed"),
 		lasts:    within,
 		terms: Terms{
-			Multiple: rapid.Float64Range(1.5, 4).Draw(t, "multiple"),
-			Window:   time.Duration(rapid.IntRange(1, 4).Draw(t, "window")) * time.Second,
-			Doors:    float64(doors),
+			OverloadMultiple: rapid.Float64Range(1.5, 4).Draw(t, "multiple"),
+			Window:           time.Duration(rapid.IntRange(1, 4).Draw(t, "window")) * time.Second,
+			Gateways:         float64(doors),
 		},
 	}
 	p.lasts = min(p.lasts, 7*time.Second)
@@ -169,9 +169,9 @@
 				lasts: 7 * time.Second,
 				up:    func(int) bool { return true },
 				terms: Terms{
-					Multiple: 2 + 1.5*rng.Float64(),
-					Window:   []time.Duration{1500 * time.Millisecond, 3 * time.Second}[rng.IntN(2)],
-					Doors:    float64(doors),
+					OverloadMultiple: 2 + 1.5*rng.Float64(),
+					Window:           []time.Duration{1500 * time.Millisecond, 3 * time.Second}[rng.IntN(2)],
+					Gateways:         float64(doors),
 				},
 			}
 			p.capacity = []float64{8, 30, 90}[rng.IntN(3)]
@@ -218,7 +218,7 @@
 				seed,
 				over,
 				p.doors,
-				p.terms.Multiple*p.capacity*p.from*p.terms.Window.Seconds(),
+				p.terms.OverloadMultiple*p.capacity*p.from*p.terms.Window.Seconds(),
 			)
 		}
 	}
@@ -235,9 +235,9 @@
 		lasts:    12 * time.Second,
 		seed:     1,
 		terms: Terms{
-			Multiple: 3,
-			Window:   3 * time.Second,
-			Doors:    40,
+			OverloadMultiple: 3,
+			Window:           3 * time.Second,
+			Gateways:         40,
 		},
 		asks: func(int) float64 { return 40 },
 		up:   func(int) bool { return true },
@@ -245,10 +245,10 @@
 	for name, change := range map[string]func(*play){
 		"none":                       func(*play) {},
 		"remembered four times":      func(p *play) { p.known, p.stale = true, 4 },
-		"each as if it were alone":   func(p *play) { p.terms.Doors, p.doors, p.capacity = 1, 150, 20 },
+		"each as if it were alone":   func(p *play) { p.terms.Gateways, p.doors, p.capacity = 1, 150, 20 },
 		"by how warm it is now":      func(p *play) { p.known, p.eager, p.within = true, true, 5*time.Second },
 		"by the answers to all":      func(p *play) { p.greedy = true },
-		"more than a backend bears":  func(p *play) { p.known, p.terms.Multiple = true, 12 },
+		"more than a backend bears":  func(p *play) { p.known, p.terms.OverloadMultiple = true, 12 },
 		"as if its window were long": func(p *play) { p.known, p.terms.Window = true, 12*time.Second },
 	} {
 		p := one
@@ -274,7 +274,7 @@
 					within:   15 * time.Second,
 					lasts:    5 * time.Second,
 					seed:     seed,
-					terms:    Terms{Multiple: 3, Window: 3 * time.Second, Doors: float64(doors)},
+					terms:    Terms{OverloadMultiple: 3, Window: 3 * time.Second, Gateways: float64(doors)},
 					asks:     func(int) float64 { return 80 / float64(doors) },
 					up:       func(int) bool { return true },
 				}
@@ -296,20 +296,20 @@
 // the least chance where they are many.
 func TestBudgetGoesByWarmth(t *testing.T) {
 	for _, c := range []struct{ doors, warmth, rate float64 }{{4, 0.2, 50}, {4, 0.4, 50}, {4, 0.8, 50}, {4, 0.8, 0.5}, {8, 0.2, 50}, {8, 0.8, 50}, {8, 0.8, 0.6}} {
-		var b Book
-		n, warmth, terms := 0, c.warmth, Terms{Multiple: 3, Window: 2 * time.Second, Doors: c.doors}
-		for !b.Full(time.Second, terms, c.rate, Warmth{warmth, warmth}, func() float64 { return 0 }) {
-			b.Sent(time.Second, 1)
+		var b Budget
+		n, warmth, terms := 0, c.warmth, Terms{OverloadMultiple: 3, Window: 2 * time.Second, Gateways: c.doors}
+		for !b.IsExhausted(time.Second, terms, c.rate, Capacity{warmth, warmth}, func() float64 { return 0 }) {
+			b.RecordDispatch(time.Second, 1)
 			n++
 		}
-		want := int(math.Ceil(margin*3*warmth*c.rate*2 - 1e-6))
-		if c.doors > fewDoors {
-			want = int(math.Floor(margin*3*warmth*c.rate*2 + 1e-6))
+		want := int(math.Ceil(warmBudgetFraction*3*warmth*c.rate*2 - 1e-6))
+		if c.doors > maxRoundingGateways {
+			want = int(math.Floor(warmBudgetFraction*3*warmth*c.rate*2 + 1e-6))
 		}
 		if n != want {
 			t.Errorf("%d sends of one of %.0f doors at warmth %v, want %d", n, c.doors, warmth, want)
 		}
-		if b.Full(time.Second+terms.Window, terms, c.rate, Warmth{warmth, warmth}, func() float64 { return 0 }) {
+		if b.IsExhausted(time.Second+terms.Window, terms, c.rate, Capacity{warmth, warmth}, func() float64 { return 0 }) {
 			t.Errorf("a window later it is full still")
 		}
 	}
@@ -317,17 +317,17 @@
 
 // What never went out takes nothing of the budget.
 func TestUnsentIsGivenBack(t *testing.T) {
-	terms := Terms{Multiple: 3, Window: 2 * time.Second, Doors: 1}
-	var b Book
+	terms := Terms{OverloadMultiple: 3, Window: 2 * time.Second, Gateways: 1}
+	var b Budget
 	for n := range 5 {
 		at := time.Second + time.Duration(n)*time.Millisecond
-		if b.Full(at, terms, 0, Warmth{0.3, 0.3}, func() float64 { return 0 }) {
+		if b.IsExhausted(at, terms, 0, Capacity{0.3, 0.3}, func() float64 { return 0 }) {
 			t.Fatalf("full after %d sends that were taken back", n)
 		}
-		b.Sent(at, 1)
-		if !b.Full(at, terms, 0, Warmth{0.3, 0.3}, func() float64 { return 0 }) {
+		b.RecordDispatch(at, 1)
+		if !b.IsExhausted(at, terms, 0, Capacity{0.3, 0.3}, func() float64 { return 0 }) {
 			t.Fatal("not full with one out")
 		}
-		b.Unsent(at, 1)
+		b.CancelDispatch(at, 1)
 	}
 }
--- a/internal/balancer/subsetting/subset_test.go
+++ b/internal/balancer/subsetting/subsetting_test.go
@@ -12,12 +12,12 @@
 	for _, c := range []struct{ doors, servers, each, least, most int }{
 		{80, 60, 16, 6, 28}, {200, 60, 16, 6, 28}, {20, 200, 16, 8, 32}, {80, 20, 16, 10, 20},
 	} {
-		using := Doors(c.doors, c.servers, c.each)
+		using := GatewaysPerEndpoint(c.doors, c.servers, c.each)
 		of := make([]int, c.doors)
 		for s := range c.servers {
 			n := 0
 			for d := range c.doors {
-				if Has(fmt.Sprint("s-", s), d, c.doors, using) {
+				if Uses(fmt.Sprint("s-", s), d, c.doors, using, nil) {
 					n++
 					of[d]++
 				}
@@ -36,9 +36,9 @@
 
 func TestSmallFleetsUseAll(t *testing.T) {
 	for _, c := range [][3]int{{2, 100, 16}, {3, 14, 16}, {80, 16, 16}, {0, 5, 16}, {1, 1000, 16}, {5, 5, 0}} {
-		using := Doors(c[0], c[1], c[2])
+		using := GatewaysPerEndpoint(c[0], c[1], c[2])
 		for d := range max(1, c[0]) {
-			if !Has("s", d, max(1, c[0]), using) {
+			if !Uses("s", d, max(1, c[0]), using, nil) {
 				t.Errorf("%v: door %d leaves a server out", c, d)
 			}
 		}
@@ -53,7 +53,7 @@
 		name := rapid.String().Draw(t, "name")
 		lost, n := 0, 0
 		for d := range doors {
-			before, after := Has(name, d, doors, using), Has(name, d, doors+1, using)
+			before, after := Uses(name, d, doors, using, nil), Uses(name, d, doors+1, using, nil)
 			if before {
 				n++
 			}
@@ -71,7 +71,7 @@
 }
 
 func TestOddRanks(t *testing.T) {
-	if Has("s", -1, 80, 20) != Has("s", 79, 80, 20) || Has("s", 85, 80, 20) != Has("s", 5, 80, 20) {
+	if Uses("s", -1, 80, 20, nil) != Uses("s", 79, 80, 20, nil) || Uses("s", 85, 80, 20, nil) != Uses("s", 5, 80, 20, nil) {
 		t.Error("ranks outside the doors are counted round")
 	}
 }
