--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -6,7 +6,6 @@
 
 	"gapgap/internal/balancer/callpacer"
 	"gapgap/internal/balancer/ceilinglease"
-	"gapgap/internal/balancer/quotashare"
 )
 
 const (
@@ -20,8 +19,6 @@
 	classes             []classEstimate      // of each class
 	leaseTerms          []ceilinglease.Terms // by plan, on which its ceiling is lent; zero: it is not
 	longestCeilingFill  time.Duration        // the longest that a ceiling that is lent takes to fill
-	failedCalls         int                  // counter calls in a row
-	leasingFrom         time.Duration        // ceilings are lent from then on
 	rng                 *rand.Rand
 	now, startedAt      time.Duration
 	previousStepAt      time.Duration // the Step before
@@ -30,33 +27,22 @@
 	endpoints           map[string]*endpoint
 	endpointOrder       []*endpoint
 	adminEjected        map[string]time.Duration // servers that are taken out by hand, since when
-	shareLease          quotashare.View          // with ByViews: what this door has leased of all shares ...
-	deadGateways        []int                    // ... and the ranks of doors that do not serve
-	excluded            bool                     // ... and whether it has nothing at all, since when
-	excludedChangedAt   time.Duration
-	loansEndAt          time.Duration // the last loan given is over then
-	loanRequestsSince   time.Duration // since when borrows are counted
-	loanRequests        int
-	handedOver          bool // another door has taken this one's place
+	handedOver          bool                     // another door has taken this one's place
 	roundRobin          int
 	gatewaysPerEndpoint int // doors that use each server
 	subsetSizedFor      int // servers by which members were last found
 	queuedRequests      int // requests in all queues
+	counter             counterCalls
+	share               shareState
 	requests            map[uint64]*request
 	customers           map[string]*customer
 	customerOrder       []*customer
 	sweepIndex          int
 	waitingCustomers    []*customer
 	unplaced            []*request
-	timedOutCalls       timedOutCalls
-	callsOut            map[uint64][]*counterCall // counter calls out, by name in their order
-	callFraction        float64                   // part of the requests without tokens that call the counter
-	fleetSlowdown       float64                   // the last answers of all servers, in their classes' means
+	fleetSlowdown       float64 // the last answers of all servers, in their classes' means
 	fleetSlowdownAt     time.Duration
-	lastCounterCallAt   time.Duration
-	callFractionCutAt   time.Duration   // when callShare last shrank
-	callPacer           *callpacer.Pace // to the counter, where doors are many
-	tickedAt            time.Duration   // last check of what no event tells
+	tickedAt            time.Duration // last check of what no event tells
 	maxPriority         float64
 	shortage            float64 // part of the requests inside their quotas that find no free place
 	maxClassWeight      float64 // of the classes'
@@ -78,9 +64,9 @@
 		endpoints:    map[string]*endpoint{},
 		requests:     map[uint64]*request{},
 		customers:    map[string]*customer{},
-		callsOut:     map[uint64][]*counterCall{},
+		counter:      counterCalls{callsOut: map[uint64][]*counterCall{}},
 	}
-	b.excluded = settings.LeasedShares // until it is told
+	b.share.excluded = settings.LeasedShares // until it is told
 	b.applySettings(settings, nil)
 	return b, nil
 }
@@ -89,7 +75,7 @@
 func (b *Balancer) start() {
 	b.fleetSlowdown = 1
 	if b.settings.UseCounter {
-		b.callFraction = 1
+		b.counter.callFraction = 1
 	}
 	b.emit(SetTimer{b.now + tickInterval, 0})
 	if b.settings.PollEndpoints {
@@ -104,7 +90,7 @@
 	b.previousStepAt, b.now = b.now, max(b.now, now)
 	if !b.running {
 		b.running, b.startedAt, b.warmEndpointRateAt, b.roundRobin = true, b.now, b.now, b.rng.IntN(1<<16)
-		b.callPacer = callpacer.New(
+		b.counter.pacer = callpacer.New(
 			callpacer.Terms{
 				Start:    callsStart / b.liveGateways(),
 				Least:    callsLow / b.liveGateways(),
@@ -191,8 +177,8 @@
 		}
 	}
 	b.tickedAt = b.now
-	if b.now < b.leasingFrom && b.canCallCounter() { // else doors with few requests go by shares while others lend
-		b.lastCounterCallAt = b.now
+	if b.now < b.counter.leasingFrom && b.canCallCounter() { // else doors with few requests go by shares while others lend
+		b.counter.lastCallAt = b.now
 		b.callTest()
 	}
 	stuck := b.unplaced
@@ -210,7 +196,7 @@
 	list := b.waitingCustomers
 	b.waitingCustomers = nil
 	for _, cust := range list {
-		cust.inWaitingList = false
+		cust.waiting.listed = false
 		b.serveWaiting(cust)
 	}
 	b.sweepCustomers()
--- a/internal/balancer/causes_test.go
+++ b/internal/balancer/causes_test.go
@@ -176,21 +176,21 @@
 	if len(names) != 5 {
 		t.Fatalf("%d customers call", len(names))
 	}
-	before := b.callFraction
+	before := b.counter.callFraction
 	var all []Event
 	for name := range names {
 		all = append(all, CounterResult{Name: name, Status: Timeout})
 	}
 	b.Step(now+50*ms, all)
-	if want := before * callFractionDecrease; b.callFraction != want {
+	if want := before * callFractionDecrease; b.counter.callFraction != want {
 		t.Errorf(
 			"the part that calls is %v after five calls that ended together; want %v as after one",
-			b.callFraction,
+			b.counter.callFraction,
 			want,
 		)
 	}
 	cust := b.customers["a"]
-	cust.callsPausedUntil, cust.storeEmptyUntil, cust.fallbackTokens, b.callFraction = 0, 0, 0, 1
+	cust.quota.callsPausedUntil, cust.bucket.emptyUntil, cust.quota.fallbackTokens, b.counter.callFraction = 0, 0, 0, 1
 	again := only[CounterAdd](
 		b.Step(now+60*ms, []Event{func() Request { r := ask(900, 0, 0); r.Customer = "a"; return r }()}),
 	)
@@ -198,8 +198,8 @@
 		t.Fatalf("%d calls after that", len(again))
 	}
 	b.Step(now+110*ms, []Event{CounterResult{Name: again[0].Name, Status: Timeout}})
-	if b.callFraction != callFractionDecrease {
-		t.Errorf("a later failure does not count: %v", b.callFraction)
+	if b.counter.callFraction != callFractionDecrease {
+		t.Errorf("a later failure does not count: %v", b.counter.callFraction)
 	}
 }
 
@@ -218,13 +218,13 @@
 		now := time.Second
 		b.Step(now, []Event{ask(1, 0, 0)})
 		cust := b.customers["c"]
-		cust.storeKnown, cust.fallbackTokens, cust.tokens, cust.demand = true, 0, 0, 10
-		cust.storeLevel, cust.storeLevelAt = full*400, now
+		cust.bucket.known, cust.quota.fallbackTokens, cust.quota.tokens, cust.demand.rate = true, 0, 0, 10
+		cust.bucket.level, cust.bucket.levelAt = full*400, now
 		calls := only[CounterAdd](b.Step(now+ms, []Event{ask(2, 0, 0)}))
 		if len(calls) != 1 {
 			t.Fatalf("%d calls", len(calls))
 		}
-		return calls[0].Amount - cust.debt
+		return calls[0].Amount - cust.quota.debt
 	}
 	free, dear, scarce := block(0, 1), block(0.02, 1), block(0.02, 0.5)
 	if dear < 3*free || scarce > free+1 {
@@ -290,16 +290,16 @@
 		b.Step(now, []Event{ask(1, 0, 0)})
 		b.now = now + 100*ms
 		cust := b.customers["c"]
-		cust.storeKnown, cust.storeLevel, cust.storeLevelAt, cust.tokens, cust.debt = true, held, now, 0, 0
+		cust.bucket.known, cust.bucket.level, cust.bucket.levelAt, cust.quota.tokens, cust.quota.debt = true, held, now, 0, 0
 		call := &counterCall{customer: cust, block: 3, amount: 3, window: int64(b.now / counterWindow), sentAt: b.now}
 		b.actions = b.actions[:0]
 		b.creditLease(call, 10+5*(b.now%counterWindow).Seconds()-held+3, b.now)
-		back := cust.debt
+		back := cust.quota.debt
 		for _, a := range only[CounterAdd](b.actions) {
 			back += a.Amount
 		}
-		if cust.tokens != want || back < want-3-1e-9 || back > want-3+1e-9 {
-			t.Errorf("of %v units in the store %v are taken, and %v of 3 go back", held, cust.tokens, -back)
+		if cust.quota.tokens != want || back < want-3-1e-9 || back > want-3+1e-9 {
+			t.Errorf("of %v units in the store %v are taken, and %v of 3 go back", held, cust.quota.tokens, -back)
 		}
 	}
 }
--- a/internal/balancer/ceiling.go
+++ b/internal/balancer/ceiling.go
@@ -29,16 +29,16 @@
 			return b.refillTurn(cust, t)
 		}
 	}
-	cust.ceilingTokens += own.Rate * b.refillSeconds(cust.ceilingAt)
-	cust.ceilingTokens = min(cust.ceilingTokens, own.Depth)
+	cust.ceiling.tokens += own.Rate * b.refillSeconds(cust.ceiling.filledAt)
+	cust.ceiling.tokens = min(cust.ceiling.tokens, own.Depth)
 	if g := cust.admitOnlyFraction(); g > 0 {
-		cust.ceilingKept += g * own.Rate * b.refillSeconds(cust.ceilingAt)
-		cust.ceilingKept = max(0, min(cust.ceilingKept, cust.ceilingTokens, max(1, g*own.Depth)))
+		cust.ceiling.admitOnlyTokens += g * own.Rate * b.refillSeconds(cust.ceiling.filledAt)
+		cust.ceiling.admitOnlyTokens = max(0, min(cust.ceiling.admitOnlyTokens, cust.ceiling.tokens, max(1, g*own.Depth)))
 	} else {
-		cust.ceilingKept = 0
+		cust.ceiling.admitOnlyTokens = 0
 	}
-	cust.ceilingAt = b.now
-	return cust.ceilingTokens
+	cust.ceiling.filledAt = b.now
+	return cust.ceiling.tokens
 }
 
 // ceilingRoom is how much of this door's share of the ceiling a request can have now. What asks for leave joins no
@@ -46,9 +46,9 @@
 func (b *Balancer) ceilingRoom(req *request, plan *Plan) float64 {
 	have := b.refillCeiling(req.customer, plan)
 	if req.admitOnly {
-		return max(req.customer.ceilingKept, have-req.customer.ceilingQueued)
+		return max(req.customer.ceiling.admitOnlyTokens, have-req.customer.ceiling.reserved)
 	}
-	return have - req.customer.ceilingKept - req.customer.ceilingQueued
+	return have - req.customer.ceiling.admitOnlyTokens - req.customer.ceiling.reserved
 }
 
 // ceilingWait is the time in seconds until this door's share of the ceiling has room for a request that would
@@ -59,11 +59,11 @@
 		return 0
 	}
 	if t := b.ceilingLeaseTerms(req); t != nil {
-		wait := req.customer.ceilingLease.Opens(*t, b.now)
+		wait := req.customer.ceiling.lease.Opens(*t, b.now)
 		if wait == 0 || b.quotaMayCover(req, plan) {
 			return 0
 		}
-		for _, o := range req.customer.waiting {
+		for _, o := range req.customer.waiting.requests {
 			if !o.ended {
 				wait += time.Duration(o.units / t.Rate * float64(time.Second))
 			}
@@ -75,10 +75,10 @@
 	}
 	short := req.units - b.ceilingRoom(req, plan)
 	b.requestLoan(req.customer, plan, short > 0)
-	if req.admitOnly && req.customer.ceilingKept >= req.units {
+	if req.admitOnly && req.customer.ceiling.admitOnlyTokens >= req.units {
 		return 0
 	}
-	for _, o := range req.customer.waiting {
+	for _, o := range req.customer.waiting.requests {
 		if !o.ended {
 			short += o.units
 		}
@@ -103,27 +103,27 @@
 	case req.ceilingSource == fromQuota && b.hasSparseShares(cust, plan):
 		return true
 	case req.ceilingSource == fromEvenShare && req.leaseWindow > 0: // its turn was there when it was placed
-		if cust.lastTurn >= req.leaseWindow {
+		if cust.ceiling.lastTurn >= req.leaseWindow {
 			return false
 		}
-		cust.lastTurn = req.leaseWindow
+		cust.ceiling.lastTurn = req.leaseWindow
 		return true
 	case req.ceilingSource == fromEvenShare:
 		if have < req.units {
 			return false
 		}
-		cust.ceilingTokens -= req.units
+		cust.ceiling.tokens -= req.units
 		if req.admitOnly {
-			cust.ceilingKept = max(0, cust.ceilingKept-req.units)
+			cust.ceiling.admitOnlyTokens = max(0, cust.ceiling.admitOnlyTokens-req.units)
 		}
 		return true
 	case req.ceilingSource == fromLease && t.Index(b.now) != req.leaseWindow:
-		if cust.ceilingLease.Has(*t, b.now, !req.admitOnly, cust.admitOnlyFraction()) < req.units {
+		if cust.ceiling.lease.Has(*t, b.now, !req.admitOnly, cust.admitOnlyFraction()) < req.units {
 			return false
 		}
-		req.leaseWindow = cust.ceilingLease.Take(*t, b.now, req.units, !req.admitOnly)
+		req.leaseWindow = cust.ceiling.lease.Take(*t, b.now, req.units, !req.admitOnly)
 	}
-	cust.ceilingTokens = max(b.ceilingShare(cust, plan).Depth-plan.CeilingBurst, cust.ceilingTokens-req.units)
+	cust.ceiling.tokens = max(b.ceilingShare(cust, plan).Depth-plan.CeilingBurst, cust.ceiling.tokens-req.units)
 	return true
 }
 
@@ -135,9 +135,9 @@
 	req.ceilingReserved = false
 	switch {
 	case req.ceilingSource == fromEvenShare:
-		req.customer.ceilingQueued -= req.units
+		req.customer.ceiling.reserved -= req.units
 	case req.ceilingSource == fromLease && !out:
-		req.customer.ceilingLease.Give(b.leaseTerms[req.plan], b.now, req.leaseWindow, req.units, !req.admitOnly)
+		req.customer.ceiling.lease.Give(b.leaseTerms[req.plan], b.now, req.leaseWindow, req.units, !req.admitOnly)
 	}
 }
 
@@ -151,14 +151,14 @@
 	req.ceilingReserved, req.ceilingSource, req.leaseWindow = true, from, 0
 	switch from {
 	case fromEvenShare:
-		req.customer.ceilingQueued += req.units
+		req.customer.ceiling.reserved += req.units
 		if plan := &b.settings.Plans[req.plan]; b.hasSparseShares(req.customer, plan) {
 			if t, ok := b.ceilingTurns(req.customer, plan); ok {
 				req.leaseWindow, _ = t.Now(b.now, b.settings.Index)
 			}
 		}
 	case fromLease:
-		req.leaseWindow = req.customer.ceilingLease.Take(b.leaseTerms[req.plan], b.now, req.units, !req.admitOnly)
+		req.leaseWindow = req.customer.ceiling.lease.Take(b.leaseTerms[req.plan], b.now, req.units, !req.admitOnly)
 	}
 }
 
@@ -167,12 +167,12 @@
 	if !b.settings.LeasedShares {
 		return quotashare.Store{Rate: plan.CeilingRate / cust.gateways, Depth: plan.CeilingBurst / cust.gateways}
 	}
-	if b.excluded {
+	if b.share.excluded {
 		return quotashare.Store{}
 	}
-	own := b.ownCeilingShare(cust, plan, b.shareLease.Part(b.now))
-	if cust.loans.Some() {
-		own = own.Less(cust.loans.Out(b.now, -1)).Plus(cust.loans.In(b.now))
+	own := b.ownCeilingShare(cust, plan, b.share.lease.Part(b.now))
+	if cust.ceiling.loans.Some() {
+		own = own.Less(cust.ceiling.loans.Out(b.now, -1)).Plus(cust.ceiling.loans.In(b.now))
 	}
 	return own
 }
@@ -189,7 +189,7 @@
 
 // storeFilledSince is since when a store that is met for the first time has filled.
 func (b *Balancer) storeFilledSince() time.Duration {
-	return max(b.startedAt, b.excludedChangedAt, b.shareLease.GrewAt())
+	return max(b.startedAt, b.share.excludedChangedAt, b.share.lease.GrewAt())
 }
 
 // refillSeconds is the seconds in which this door's shares have filled.
--- a/internal/balancer/countercall.go
+++ b/internal/balancer/countercall.go
@@ -59,8 +59,8 @@
 // canCallCounter says that the counter can be asked: it answers, or this door's turn to test it has come.
 func (b *Balancer) canCallCounter() bool {
 	pause := max(counterProbePause, time.Duration(b.liveGateways())*counterProbePausePerGateway)
-	return !b.handedOver && len(b.callsOut) < maxCallsOut &&
-		(b.callFraction > degradedCallFraction || b.now-b.lastCounterCallAt >= pause)
+	return !b.handedOver && len(b.counter.callsOut) < maxCallsOut &&
+		(b.counter.callFraction > degradedCallFraction || b.now-b.counter.lastCallAt >= pause)
 }
 
 // callCounter adds an amount on the counter under the customer and the window.
@@ -74,10 +74,10 @@
 		debt:     owed,
 		window:   window,
 		sentAt:   b.now,
-		ticket:   b.timedOutCalls.nextTicket(),
+		ticket:   b.counter.timedOut.nextTicket(),
 	}
-	b.callsOut[name] = append(b.callsOut[name], call)
-	b.callPacer.Take(b.now)
+	b.counter.callsOut[name] = append(b.counter.callsOut[name], call)
+	b.counter.pacer.Take(b.now)
 	b.emit(CounterAdd{name, amount, counterTTL, call.ticket})
 	return call
 }
@@ -90,19 +90,19 @@
 	amount float64,
 ) *counterCall {
 	call := &counterCall{customer: cust, window: window, sentAt: b.now, kind: kind}
-	b.callsOut[name] = append(b.callsOut[name], call)
+	b.counter.callsOut[name] = append(b.counter.callsOut[name], call)
 	b.emit(CounterAdd{name, amount, counterTTL, 0})
 	return call
 }
 
 // takeCall finds the call that an answer belongs to: those for one name come in the order of the calls.
 func (b *Balancer) takeCall(name uint64) *counterCall {
-	all := b.callsOut[name]
+	all := b.counter.callsOut[name]
 	if len(all) == 0 {
 		return nil
 	}
-	if b.callsOut[name] = all[1:]; len(all) == 1 {
-		delete(b.callsOut, name)
+	if b.counter.callsOut[name] = all[1:]; len(all) == 1 {
+		delete(b.counter.callsOut, name)
 	}
 	return all[0]
 }
@@ -116,7 +116,7 @@
 
 // allowAnotherCall lets each request in a customer's line call the counter once more.
 func (cust *customer) allowAnotherCall() {
-	for _, req := range cust.waiting {
+	for _, req := range cust.waiting.requests {
 		req.counterCalled, req.counterCalledTwice = req.counterCalled && req.counterCalledTwice, true
 	}
 }
@@ -130,20 +130,20 @@
 		return
 	}
 	if ev.Status == OK {
-		b.callPacer.Answered(b.now, b.now-call.sentAt)
+		b.counter.pacer.Answered(b.now, b.now-call.sentAt)
 	} else if ev.Status != Failed {
-		b.callPacer.Failed(b.now, call.sentAt)
+		b.counter.pacer.Failed(b.now, call.sentAt)
 	}
 	if ev.Status == Failed { // the counter lives, and this says nothing of how much it bears
 	} else if ev.Status != OK {
-		if call.sentAt >= b.callFractionCutAt { // the calls of one connection end together, and say no more than one of them
-			b.callFraction, b.callFractionCutAt = max(minCallFraction, b.callFraction*callFractionDecrease), b.now
+		if call.sentAt >= b.counter.callFractionCutAt { // the calls of one connection end together, and say no more than one of them
+			b.counter.callFraction, b.counter.callFractionCutAt = max(minCallFraction, b.counter.callFraction*callFractionDecrease), b.now
 		}
 	} else {
 		took := (b.now - call.sentAt).Seconds() / b.settings.CounterTimeout.Seconds()
-		b.callFraction = min(
+		b.counter.callFraction = min(
 			1,
-			max(degradedCallFraction, b.callFraction*(1+callFractionGrowth*(1-took/callLatencyTarget))),
+			max(degradedCallFraction, b.counter.callFraction*(1+callFractionGrowth*(1-took/callLatencyTarget))),
 		)
 	}
 	b.recordCallOutcome(ev.Status == OK)
@@ -152,24 +152,24 @@
 	}
 	if t := b.leaseTerms[call.customer.plan]; call.kind == forLease {
 		if ev.Status == OK {
-			call.customer.ceilingLease.Answered(t, b.now, call.window, call.block, ev.Total)
+			call.customer.ceiling.lease.Answered(t, b.now, call.window, call.block, ev.Total)
 		} else {
-			call.customer.ceilingLease.Failed(b.now, counterProbePause)
+			call.customer.ceiling.lease.Failed(b.now, counterProbePause)
 		}
 	} else if call.kind != forTokens {
 		b.handleStoreCall(call, ev)
 	} else if call.block > 0 {
-		call.customer.callPending = false
+		call.customer.quota.callPending = false
 		switch ev.Status {
 		case OK:
 			b.creditLease(call, ev.Total, b.now)
 		case Failed: // all was added, and no units come of the block: it is given back
-			call.customer.debt -= call.block
+			call.customer.quota.debt -= call.block
 			call.customer.allowAnotherCall()
 		case Timeout:
 			b.handleCallTimeout(call)
 		default:
-			call.customer.debt += call.debt
+			call.customer.quota.debt += call.debt
 		}
 	}
 	b.serveWaiting(call.customer)
@@ -180,9 +180,9 @@
 // again when the ceilings have had the time to fill since the last one.
 func (b *Balancer) recordCallOutcome(ok bool) {
 	if ok {
-		b.failedCalls = 0
-	} else if b.failedCalls++; b.failedCalls >= failedMost || b.now < b.leasingFrom {
-		b.leasingFrom = b.now + b.longestCeilingFill
+		b.counter.failuresInRow = 0
+	} else if b.counter.failuresInRow++; b.counter.failuresInRow >= failedMost || b.now < b.counter.leasingFrom {
+		b.counter.leasingFrom = b.now + b.longestCeilingFill
 	}
 }
 
@@ -232,27 +232,27 @@
 // its time did so with
 // its connection: no late answer can come on that, and who waits may ask once more, now.
 func (b *Balancer) handleCallTimeout(call *counterCall) {
-	call.customer.lastCallLost = true
+	call.customer.quota.lastCallLost = true
 	if b.now-call.sentAt < b.settings.CounterTimeout/2 {
 		call.customer.allowAnotherCall()
 		return
 	}
-	b.timedOutCalls.keep(call, b.now)
-	call.customer.callsPausedUntil = b.now + latePause
+	b.counter.timedOut.keep(call, b.now)
+	call.customer.quota.callsPausedUntil = b.now + latePause
 }
 
 // handleLateCounterResult takes the answer to a call that was given up, if it goes by the number of now: a window's
 // number does not outlive it.
 func (b *Balancer) handleLateCounterResult(ev LateCounterResult) {
-	call := b.timedOutCalls.take(ev.Ticket)
+	call := b.counter.timedOut.take(ev.Ticket)
 	if call == nil || call.window != int64(b.now/counterWindow) || b.now-call.sentAt > lateKeep {
 		return
 	}
-	call.customer.callsPausedUntil = 0
+	call.customer.quota.callsPausedUntil = 0
 	if ev.Status == OK {
 		b.creditLease(call, ev.Total, call.sentAt) // what the store has gained since may be spent by others
 	} else {
-		call.customer.debt -= call.block
+		call.customer.quota.debt -= call.block
 	}
 	b.serveWaiting(call.customer)
 }
--- a/internal/balancer/counterstore.go
+++ b/internal/balancer/counterstore.go
@@ -20,8 +20,8 @@
 // isStoreSettled says that this door has known a customer's store for as long as the ceiling takes to fill: a
 // counter that has lost its numbers tells who asks first that the store is full, and by then that is true.
 func (b *Balancer) isStoreSettled(cust *customer, plan *Plan) bool {
-	return cust.storeKnown && (b.now-cust.storeKnownAt).Seconds() >= plan.CeilingBurst/plan.CeilingRate &&
-		cust.carriedWindow == int64(b.now/counterWindow) && b.now >= cust.carriedAt
+	return cust.bucket.known && (b.now-cust.bucket.knownAt).Seconds() >= plan.CeilingBurst/plan.CeilingRate &&
+		cust.bucket.carriedWindow == int64(b.now/counterWindow) && b.now >= cust.bucket.carriedAt
 }
 
 // learnStore sees to it that a customer's store is known, and that what it lacked is carried into this window.
@@ -29,12 +29,12 @@
 	if b.leaseTerms[cust.plan].Rate == 0 || !b.canCallCounter() {
 		return
 	}
-	if !cust.storeKnown && !cust.levelCallPending {
-		cust.levelCallPending = true
+	if !cust.bucket.known && !cust.bucket.levelCallPending {
+		cust.bucket.levelCallPending = true
 		b.callStoreLevel(cust)
 	}
-	if w := int64(b.now / counterWindow); cust.carriedWindow != w {
-		cust.carriedWindow, cust.carriedAt = w, math.MaxInt64
+	if w := int64(b.now / counterWindow); cust.bucket.carriedWindow != w {
+		cust.bucket.carriedWindow, cust.bucket.carriedAt = w, math.MaxInt64
 		b.callFirstInWindow(cust, w)
 	}
 }
@@ -46,7 +46,7 @@
 	cust, plan := call.customer, &b.settings.Plans[call.customer.plan]
 	switch {
 	case call.kind == forLevel:
-		if cust.levelCallPending = false; ev.Status == OK {
+		if cust.bucket.levelCallPending = false; ev.Status == OK {
 			b.creditLease(call, ev.Total, b.now)
 		}
 	case call.kind == forFix || call.kind == forFixed:
@@ -68,11 +68,11 @@
 			ev.Total-call.firstTotal-call.amount > fixTwice*call.amount {
 			b.callCounter(cust, 0, -call.amount, 0)
 		}
-	case cust.carriedWindow != call.window:
+	case cust.bucket.carriedWindow != call.window:
 	case ev.Status != OK:
-		cust.carriedWindow = 0 // asked again with the next lease
+		cust.bucket.carriedWindow = 0 // asked again with the next lease
 	case call.kind == forFirst && ev.Total > 1:
-		cust.carriedAt = b.now + carryTime
+		cust.bucket.carriedAt = b.now + carryTime
 	case call.kind == forFirst:
 		b.callPreviousWindow(cust, call.window)
 	default:
@@ -84,8 +84,8 @@
 		if lacks > 0 {
 			b.callCounter(cust, 0, lacks, 0)
 		}
-		if cust.carriedAt = b.now + carryTime; ev.Total == 0 { // nobody asked, or the counter has lost it
-			cust.carriedAt = b.now + time.Duration(plan.CeilingBurst/plan.CeilingRate*float64(time.Second))
+		if cust.bucket.carriedAt = b.now + carryTime; ev.Total == 0 { // nobody asked, or the counter has lost it
+			cust.bucket.carriedAt = b.now + time.Duration(plan.CeilingBurst/plan.CeilingRate*float64(time.Second))
 		}
 	}
 }
@@ -110,13 +110,13 @@
 // what the number has
 // gained since: that others have taken.
 func (b *Balancer) storeAfterPeers(cust *customer, call *counterCall, total float64) float64 {
-	if b.leaseTerms[cust.plan].Rate == 0 || !cust.storeKnown || cust.seenWindow != call.window {
+	if b.leaseTerms[cust.plan].Rate == 0 || !cust.bucket.known || cust.bucket.seenWindow != call.window {
 		return math.Inf(1)
 	}
 	plan := &b.settings.Plans[cust.plan]
 	return max(
 		-plan.Burst/2,
-		cust.storeLevel+plan.Rate*(b.now-cust.storeLevelAt).Seconds()-max(0, total-call.amount-cust.seenTotal),
+		cust.bucket.level+plan.Rate*(b.now-cust.bucket.levelAt).Seconds()-max(0, total-call.amount-cust.bucket.seenTotal),
 	)
 }
 
@@ -128,11 +128,11 @@
 // had added it already.
 func (b *Balancer) correctStore(cust *customer, call *counterCall, held, most, total float64) float64 {
 	plan := &b.settings.Plans[cust.plan]
-	lent, first, calm := b.leaseTerms[cust.plan].Rate > 0, cust.seenWindow != call.window,
-		cust.demand*cust.gateways < plan.Rate
-	seen := cust.storeKnown && b.now-cust.storeLevelAt < trusted && call.kind != forLevel
+	lent, first, calm := b.leaseTerms[cust.plan].Rate > 0, cust.bucket.seenWindow != call.window,
+		cust.demand.rate*cust.gateways < plan.Rate
+	seen := cust.bucket.known && b.now-cust.bucket.levelAt < trusted && call.kind != forLevel
 	least := most
-	if cust.storeKnown && !calm {
+	if cust.bucket.known && !calm {
 		least = min(most, b.storeAtLeast(cust, call, total))
 	}
 	switch {
@@ -145,7 +145,7 @@
 		b.learnStore(cust)
 	// a flood that begins at all doors at once looks like this at first, and what this door may take is known without
 	case calm && !seen:
-	case cust.carriedWindow == call.window && b.now >= cust.carriedAt && (!first || calm):
+	case cust.bucket.carriedWindow == call.window && b.now >= cust.bucket.carriedAt && (!first || calm):
 		b.callCorrectionLock(cust, call.window, held-least, total)
 		return least
 	default:
@@ -161,8 +161,8 @@
 func (b *Balancer) isOnlyUser(cust *customer, call *counterCall, total float64) bool {
 	const some = 1e-6
 	return call.kind == forTokens &&
-		(total <= call.amount+some || cust.storeKnown && cust.seenWindow == call.window &&
-			total-call.amount <= cust.seenTotal+some)
+		(total <= call.amount+some || cust.bucket.known && cust.bucket.seenWindow == call.window &&
+			total-call.amount <= cust.bucket.seenTotal+some)
 }
 
 // storeAtLeast is what a store whose number is still to be put right holds at least, by what this door last knew and
@@ -170,8 +170,8 @@
 // just now, it may be, when the store had long been full.
 func (b *Balancer) storeAtLeast(cust *customer, call *counterCall, total float64) float64 {
 	plan := &b.settings.Plans[cust.plan]
-	if cust.seenWindow == call.window {
-		total -= cust.seenTotal
+	if cust.bucket.seenWindow == call.window {
+		total -= cust.bucket.seenTotal
 	}
 	return max(-plan.Burst/2, b.currentStoreLevel(cust, plan)-max(0, total-call.amount))
 }
--- a/internal/balancer/customer.go
+++ b/internal/balancer/customer.go
@@ -4,6 +4,7 @@
 	"cmp"
 	"time"
 
+	"gapgap/internal/balancer/callpacer"
 	"gapgap/internal/balancer/ceilinglease"
 	"gapgap/internal/balancer/quotashare"
 )
@@ -18,46 +19,22 @@
 	minAdmitOnlyFraction = 0.01 // part of the demand from which some of the ceiling is kept for leave
 )
 
+// customer is what this gateway knows of one customer.
 type customer struct {
-	name                 string
-	plan                 int
-	gateways             float64
-	demand               float64 // units a second here
-	demandAt, lastUsedAt time.Duration
-	tokens               float64       // leased
-	tokensValidFrom      time.Duration // they may be spent from then on
-	fallbackTokens       float64       // fallback share not yet spent
-	fallbackAt           time.Duration
-	debt                 float64 // spent without a lease, to be added to the counter; below 0: to be given back
-	// window of the counter's numbers that owed was last looked at in, where doors are many
-	debtWindow              int64
-	storeKnown, callPending bool
-	lastCallLost            bool    // the last call for it had no answer
-	peerDemand              float64 // units a second that the other doors add
-	leasedAt                time.Duration
-	storeLevel              float64 // what the customer's store holds, by the counter
-	storeLevelAt            time.Duration
-	ceilingTokens           float64
-	ceilingAt               time.Duration
-	ceilingQueued           float64
-	loans                   quotashare.Loans   // of the ceiling, with ByViews
-	nextLoanRequestAt       time.Duration      // not asked for before this
-	lastTurn                int64              // the last turn used, where the share is under a unit
-	ceilingLease            ceilinglease.Lease // what of the ceiling is beyond the quota, where it is lent
-	storeKnownAt            time.Duration      // since when the counter's word on the store is known
-	levelCallPending        bool               // asks what the store holds
-	// the window of the store that was last looked at for what is carried into it ...
-	carriedWindow                int64
-	carriedAt                    time.Duration // ... and from when on it holds that
-	seenWindow                   int64         // window in which the counter's number was last seen, and that
-	seenTotal                    float64
-	admitOnlyDemand, ceilingKept float64 // units a second of what wants leave only; of ceil, what is kept for that
-	inFlight                     int
-	waiting                      []*request
-	admitOnlyWaiting             int           // of them, those that want leave only
-	inWaitingList                bool          // in Balancer.waiters
-	storeEmptyUntil              time.Duration // the store was seen empty: not asked before then
-	callsPausedUntil             time.Duration // nor before then, as a call may yet be answered
+	name string
+	// plan is the index of its plan in Settings.Plans.
+	plan int
+	// gateways is the number of gateways through which its requests come, 1 at least.
+	gateways float64
+	// lastUsedAt is when it last had a request here or lent a part of its ceiling.
+	lastUsedAt time.Duration
+	demand     demandRate
+	waiting    waitingRequests
+	// inFlight counts its requests under way here, where the plan limits them.
+	inFlight int
+	quota    quotaState
+	bucket   sharedBucket
+	ceiling  ceilingState
 }
 
 func (b *Balancer) customerFor(ev Request) *customer {
@@ -65,24 +42,22 @@
 	n := float64(cmp.Or(max(0, ev.Gateways), b.settings.Gateways))
 	if cust == nil {
 		cust = &customer{
-			name:           ev.Customer,
-			plan:           ev.Plan,
-			gateways:       n,
-			fallbackTokens: plan.Burst / n,
-			fallbackAt:     b.now,
-			demandAt:       b.now,
-			ceilingAt:      b.storeFilledSince(),
-			storeLevel:     plan.Burst,
-			storeLevelAt:   b.now,
+			name:     ev.Customer,
+			plan:     ev.Plan,
+			gateways: n,
+			demand:   demandRate{updatedAt: b.now},
+			quota:    quotaState{fallbackTokens: plan.Burst / n, fallbackFilledAt: b.now},
+			bucket:   sharedBucket{level: plan.Burst, levelAt: b.now},
+			ceiling:  ceilingState{filledAt: b.storeFilledSince()},
 		}
 		if b.hasSparseShares(cust, plan) {
-			cust.ceilingTokens = manyFirst
+			cust.ceiling.tokens = manyFirst
 		}
 		b.customers[cust.name] = cust
 		b.customerOrder = append(b.customerOrder, cust)
 	}
 	if cust.plan != ev.Plan {
-		cust.ceilingLease = ceilinglease.Lease{} // another plan's windows
+		cust.ceiling.lease = ceilinglease.Lease{} // another plan's windows
 	}
 	cust.plan, cust.gateways = ev.Plan, n
 	return cust
@@ -111,7 +86,7 @@
 	for i := 0; i < n && len(b.customerOrder) > 0; i++ {
 		b.sweepIndex = (b.sweepIndex + 1) % len(b.customerOrder)
 		cust := b.customerOrder[b.sweepIndex]
-		if cust.callPending || cust.inFlight > 0 || len(cust.waiting) > 0 ||
+		if cust.quota.callPending || cust.inFlight > 0 || len(cust.waiting.requests) > 0 ||
 			b.now-cust.lastUsedAt <= b.retention(cust, full) {
 			continue
 		}
@@ -141,17 +116,88 @@
 
 // popWaiting takes a request out of the head of its customer's line.
 func (cust *customer) popWaiting(req *request) {
-	cust.waiting[0] = nil
-	cust.waiting = cust.waiting[1:]
+	cust.waiting.requests[0] = nil
+	cust.waiting.requests = cust.waiting.requests[1:]
 	if req.admitOnly {
-		cust.admitOnlyWaiting--
+		cust.waiting.admitOnly--
 	}
 }
 
 // admitOnlyFraction is the part of a customer's demand that asks for leave only.
 func (cust *customer) admitOnlyFraction() float64 {
-	if cust.admitOnlyDemand < minAdmitOnlyFraction*cust.demand {
+	if cust.demand.admitOnlyRate < minAdmitOnlyFraction*cust.demand.rate {
 		return 0
 	}
-	return min(1, cust.admitOnlyDemand/cust.demand)
+	return min(1, cust.demand.admitOnlyRate/cust.demand.rate)
+}
+
+type demandRate struct {
+	rate          float64
+	admitOnlyRate float64
+	updatedAt     time.Duration
+}
+
+type waitingRequests struct {
+	requests  []*request
+	admitOnly int
+	listed    bool
+}
+
+type quotaState struct {
+	tokens           float64
+	tokensValidFrom  time.Duration
+	leasedAt         time.Duration
+	fallbackTokens   float64
+	fallbackFilledAt time.Duration
+	debt             float64
+	debtWindow       int64
+	callPending      bool
+	lastCallLost     bool
+	callsPausedUntil time.Duration
+}
+
+type sharedBucket struct {
+	known            bool
+	knownAt          time.Duration
+	level            float64
+	levelAt          time.Duration
+	peerDemand       float64
+	seenWindow       int64
+	seenTotal        float64
+	carriedWindow    int64
+	carriedAt        time.Duration
+	levelCallPending bool
+	emptyUntil       time.Duration
+}
+
+type ceilingState struct {
+	tokens            float64
+	filledAt          time.Duration
+	reserved          float64
+	admitOnlyTokens   float64
+	loans             quotashare.Loans
+	nextLoanRequestAt time.Duration
+	lastTurn          int64
+	lease             ceilinglease.Lease
+}
+
+type counterCalls struct {
+	failuresInRow     int
+	leasingFrom       time.Duration
+	timedOut          timedOutCalls
+	callsOut          map[uint64][]*counterCall
+	callFraction      float64
+	lastCallAt        time.Duration
+	callFractionCutAt time.Duration
+	pacer             *callpacer.Pace
+}
+
+type shareState struct {
+	lease             quotashare.View
+	deadGateways      []int
+	excluded          bool
+	excludedChangedAt time.Duration
+	loansEndAt        time.Duration
+	loanRequestsSince time.Duration
+	loanRequests      int
 }
--- a/internal/balancer/dispatch.go
+++ b/internal/balancer/dispatch.go
@@ -94,7 +94,7 @@
 	}
 	b.recordResult(ep, a, ev)
 	if ev.Status == OK && b.settings.EstimatedUnits && ev.Units > 0 && req.withinQuota {
-		req.customer.tokens -= ev.Units - req.units
+		req.customer.quota.tokens -= ev.Units - req.units
 	}
 	if ev.RequestClosed || ev.Status == OK {
 		b.finish(req)
--- a/internal/balancer/door_test.go
+++ b/internal/balancer/door_test.go
@@ -335,7 +335,7 @@
 			b.Step(51*ms, []Event{served(s, 0, 50*ms)})
 		}
 		cust := b.customers["c"]
-		cust.storeKnown, cust.peerDemand, cust.tokens, cust.leasedAt = true, others, 20, ms
+		cust.bucket.known, cust.bucket.peerDemand, cust.quota.tokens, cust.quota.leasedAt = true, others, 20, ms
 		var evs []Event
 		for i := range 10 {
 			evs = append(evs, ask(uint64(100+i), 0, 3))
--- a/internal/balancer/handover.go
+++ b/internal/balancer/handover.go
@@ -87,7 +87,7 @@
 		Fleet:     b.fleetSlowdown,
 		Rate:      b.warmEndpointRate,
 		Short:     b.shortage,
-		CallShare: b.callFraction,
+		CallShare: b.counter.callFraction,
 	}
 	for _, k := range b.classes {
 		m.Classes = append(m.Classes, ClassHandover{k.meanLatency, k.idleLatency, k.answers})
@@ -105,7 +105,7 @@
 	for _, cust := range all {
 		b.refillCeiling(cust, &b.settings.Plans[cust.plan]) // up to now
 		if len(m.Customers) < maxHandoverCustomers {
-			keeps := min(cust.ceilingTokens, cust.ceilingQueued)
+			keeps := min(cust.ceiling.tokens, cust.ceiling.reserved)
 			slices.Sort(open[cust])
 			m.Customers = append(
 				m.Customers,
@@ -113,40 +113,40 @@
 					Name:       cust.name,
 					Plan:       cust.plan,
 					Doors:      cust.gateways,
-					Demand:     cust.demand,
-					Leave:      cust.admitOnlyDemand,
-					DemandAt:   cust.demandAt,
+					Demand:     cust.demand.rate,
+					Leave:      cust.demand.admitOnlyRate,
+					DemandAt:   cust.demand.updatedAt,
 					UsedAt:     cust.lastUsedAt,
-					Tokens:     cust.tokens,
-					Owed:       cust.debt,
-					Spare:      cust.fallbackTokens,
-					Others:     cust.peerDemand,
-					Store:      cust.storeLevel,
-					Seen:       cust.seenTotal,
-					SpareAt:    cust.fallbackAt,
-					GrantAt:    cust.leasedAt,
-					StoreAt:    cust.storeLevelAt,
-					KnownAt:    cust.storeKnownAt,
-					TokensAt:   cust.tokensValidFrom,
-					Known:      cust.storeKnown,
-					SeenIn:     cust.seenWindow,
-					Carried:    cust.carriedWindow,
-					Turn:       cust.lastTurn,
-					CarriedAt:  cust.carriedAt,
-					EmptyUntil: cust.storeEmptyUntil,
-					Ceil:       cust.ceilingTokens - keeps,
-					Kept:       cust.ceilingKept,
-					CeilAt:     cust.ceilingAt,
+					Tokens:     cust.quota.tokens,
+					Owed:       cust.quota.debt,
+					Spare:      cust.quota.fallbackTokens,
+					Others:     cust.bucket.peerDemand,
+					Store:      cust.bucket.level,
+					Seen:       cust.bucket.seenTotal,
+					SpareAt:    cust.quota.fallbackFilledAt,
+					GrantAt:    cust.quota.leasedAt,
+					StoreAt:    cust.bucket.levelAt,
+					KnownAt:    cust.bucket.knownAt,
+					TokensAt:   cust.quota.tokensValidFrom,
+					Known:      cust.bucket.known,
+					SeenIn:     cust.bucket.seenWindow,
+					Carried:    cust.bucket.carriedWindow,
+					Turn:       cust.ceiling.lastTurn,
+					CarriedAt:  cust.bucket.carriedAt,
+					EmptyUntil: cust.bucket.emptyUntil,
+					Ceil:       cust.ceiling.tokens - keeps,
+					Kept:       cust.ceiling.admitOnlyTokens,
+					CeilAt:     cust.ceiling.filledAt,
 					Open:       open[cust],
 				},
 			)
 		}
-		cust.tokens, cust.debt, cust.fallbackTokens, cust.ceilingKept, cust.ceilingTokens = 0, 0, min(
+		cust.quota.tokens, cust.quota.debt, cust.quota.fallbackTokens, cust.ceiling.admitOnlyTokens, cust.ceiling.tokens = 0, 0, min(
 			0,
-			cust.fallbackTokens,
+			cust.quota.fallbackTokens,
 		), 0, min(
-			cust.ceilingTokens,
-			cust.ceilingQueued,
+			cust.ceiling.tokens,
+			cust.ceiling.reserved,
 		)
 	}
 	for _, ep := range b.endpointOrder {
@@ -173,7 +173,7 @@
 	back := b.handedOver
 	b.handedOver = false
 	for _, cust := range b.customers { // what would have filled meanwhile was the other's
-		cust.fallbackAt, cust.ceilingAt = max(cust.fallbackAt, b.now), max(cust.ceilingAt, b.now)
+		cust.quota.fallbackFilledAt, cust.ceiling.filledAt = max(cust.quota.fallbackFilledAt, b.now), max(cust.ceiling.filledAt, b.now)
 	}
 	if !back {
 		b.fleetSlowdown, b.fleetSlowdownAt, b.warmEndpointRate, b.warmEndpointRateAt, b.shortage = cmp.Or(
@@ -181,7 +181,7 @@
 			b.fleetSlowdown,
 		), b.now, m.Rate, b.now, m.Short
 		if b.settings.UseCounter {
-			b.callFraction = min(1, max(minCallFraction, cmp.Or(m.CallShare, 1)))
+			b.counter.callFraction = min(1, max(minCallFraction, cmp.Or(m.CallShare, 1)))
 		}
 		for i, k := range m.Classes {
 			if i < len(b.classes) && k.Answers > 0 && k.Base > 0 {
@@ -224,27 +224,27 @@
 	plan := &b.settings.Plans[cm.Plan]
 	cust := b.customers[cm.Name]
 	if back && cust != nil {
-		cust.tokens += cm.Tokens
-		cust.debt += cm.Owed
-		cust.fallbackTokens += max(0, cm.Spare)
-		cust.ceilingKept += cm.Kept
-		cust.ceilingTokens += cm.Ceil
+		cust.quota.tokens += cm.Tokens
+		cust.quota.debt += cm.Owed
+		cust.quota.fallbackTokens += max(0, cm.Spare)
+		cust.ceiling.admitOnlyTokens += cm.Kept
+		cust.ceiling.tokens += cm.Ceil
 		return
 	}
 	if cust == nil {
 		cust = b.customerFor(Request{Customer: cm.Name, Plan: cm.Plan, Gateways: int(cm.Doors)})
 	}
-	cust.demand, cust.admitOnlyDemand, cust.demandAt, cust.lastUsedAt = cm.Demand, cm.Leave, cm.DemandAt, cm.UsedAt
-	cust.tokens, cust.debt, cust.fallbackTokens, cust.fallbackAt = cm.Tokens, cm.Owed, min(
+	cust.demand.rate, cust.demand.admitOnlyRate, cust.demand.updatedAt, cust.lastUsedAt = cm.Demand, cm.Leave, cm.DemandAt, cm.UsedAt
+	cust.quota.tokens, cust.quota.debt, cust.quota.fallbackTokens, cust.quota.fallbackFilledAt = cm.Tokens, cm.Owed, min(
 		cm.Spare,
 		plan.Burst/cm.Doors,
 	), cm.SpareAt
-	cust.peerDemand, cust.storeLevel, cust.seenTotal, cust.seenWindow = cm.Others, cm.Store, cm.Seen, cm.SeenIn
-	cust.leasedAt, cust.storeLevelAt, cust.storeKnownAt, cust.tokensValidFrom = cm.GrantAt, cm.StoreAt,
+	cust.bucket.peerDemand, cust.bucket.level, cust.bucket.seenTotal, cust.bucket.seenWindow = cm.Others, cm.Store, cm.Seen, cm.SeenIn
+	cust.quota.leasedAt, cust.bucket.levelAt, cust.bucket.knownAt, cust.quota.tokensValidFrom = cm.GrantAt, cm.StoreAt,
 		cm.KnownAt, cm.TokensAt
-	cust.storeKnown, cust.carriedWindow, cust.carriedAt, cust.storeEmptyUntil = cm.Known, cm.Carried,
+	cust.bucket.known, cust.bucket.carriedWindow, cust.bucket.carriedAt, cust.bucket.emptyUntil = cm.Known, cm.Carried,
 		cm.CarriedAt, cm.EmptyUntil
-	cust.lastTurn, cust.ceilingTokens, cust.ceilingKept, cust.ceilingAt = cm.Turn, min(
+	cust.ceiling.lastTurn, cust.ceiling.tokens, cust.ceiling.admitOnlyTokens, cust.ceiling.filledAt = cm.Turn, min(
 		cm.Ceil,
 		plan.CeilingBurst,
 	), cm.Kept, cm.CeilAt
--- a/internal/balancer/handover_test.go
+++ b/internal/balancer/handover_test.go
@@ -210,15 +210,15 @@
 	b := open(t, settings, backends(2)...)
 	b.Step(time.Second, []Event{ask(1, 0, 1)})
 	cust := b.customers["c"]
-	ceil, spare := b.refillCeiling(cust, &settings.Plans[1]), cust.fallbackTokens
+	ceil, spare := b.refillCeiling(cust, &settings.Plans[1]), cust.quota.fallbackTokens
 	handed := only[HandoverReady](b.Step(time.Second, []Event{BeginHandover{}}))
-	if cust.ceilingTokens > cust.ceilingQueued || cust.fallbackTokens > 0 {
-		t.Errorf("kept: ceiling %v, spare %v", cust.ceilingTokens, cust.fallbackTokens)
+	if cust.ceiling.tokens > cust.ceiling.reserved || cust.quota.fallbackTokens > 0 {
+		t.Errorf("kept: ceiling %v, spare %v", cust.ceiling.tokens, cust.quota.fallbackTokens)
 	}
 	b.Step(2*time.Second, []Event{ask(2, 0, 1)}) // it fills nothing meanwhile
 	b.Step(3*time.Second, []Event{ImportHandover{handed[0].State}})
-	if math.Abs(cust.ceilingTokens-ceil) > 1e-9 || math.Abs(cust.fallbackTokens-spare) > 1e-9 {
-		t.Errorf("ceiling %v, was %v; spare %v, was %v", cust.ceilingTokens, ceil, cust.fallbackTokens, spare)
+	if math.Abs(cust.ceiling.tokens-ceil) > 1e-9 || math.Abs(cust.quota.fallbackTokens-spare) > 1e-9 {
+		t.Errorf("ceiling %v, was %v; spare %v, was %v", cust.ceiling.tokens, ceil, cust.quota.fallbackTokens, spare)
 	}
 	if b.handedOver {
 		t.Error("still away")
@@ -250,7 +250,7 @@
 	for i := range uint64(20) {
 		b.Step(time.Second+time.Duration(i)*20*ms, []Event{ask(i+1, 0, int(i)%4), TimerFired{0}})
 	}
-	if b.callFraction < minCallFraction || b.callFraction > 1 {
-		t.Errorf("callShare %v", b.callFraction)
+	if b.counter.callFraction < minCallFraction || b.counter.callFraction > 1 {
+		t.Errorf("callShare %v", b.counter.callFraction)
 	}
 }
--- a/internal/balancer/largefleet.go
+++ b/internal/balancer/largefleet.go
@@ -55,23 +55,23 @@
 // servers are short.
 func (b *Balancer) canCallFor(req *request, leaves float64) bool {
 	cust := req.customer
-	if b.handedOver || req.counterCalled || b.now < max(cust.storeEmptyUntil, cust.callsPausedUntil) ||
-		len(b.callsOut) >= maxCallsOut {
+	if b.handedOver || req.counterCalled || b.now < max(cust.bucket.emptyUntil, cust.quota.callsPausedUntil) ||
+		len(b.counter.callsOut) >= maxCallsOut {
 		return false
 	}
 	if req.clientRetry {
 		leaves += callsRetry
 	}
-	return b.callPacer.May(b.now, leaves)
+	return b.counter.pacer.May(b.now, leaves)
 }
 
 // counterMayCover says whether the ledger may pay a request: a token is here, is asked for, or can be.
 func (b *Balancer) counterMayCover(req *request, plan *Plan) bool {
 	cust := req.customer
-	return cust.tokens >= req.units &&
-		(cust.tokensValidFrom-b.now).Seconds() <= req.timeLimit.Seconds()*maxCeilingWaitFraction ||
-		cust.callPending ||
-		b.now >= max(cust.storeEmptyUntil, cust.callsPausedUntil)
+	return cust.quota.tokens >= req.units &&
+		(cust.quota.tokensValidFrom-b.now).Seconds() <= req.timeLimit.Seconds()*maxCeilingWaitFraction ||
+		cust.quota.callPending ||
+		b.now >= max(cust.bucket.emptyUntil, cust.quota.callsPausedUntil)
 }
 
 // ceilingTurns are a customer's at the doors, where each one's share of what is beyond the quota is less than a unit.
@@ -86,12 +86,12 @@
 // refillTurn tells the share of a customer at a door that has turns. A door that has just begun may have used its turn
 // before.
 func (b *Balancer) refillTurn(cust *customer, t ceilinglease.Turns) float64 {
-	cust.ceilingTokens, cust.ceilingAt, cust.ceilingKept = 0, b.now, 0
+	cust.ceiling.tokens, cust.ceiling.filledAt, cust.ceiling.admitOnlyTokens = 0, b.now, 0
 	turn, open := t.Now(b.now, b.settings.Index)
-	if began, _ := t.Now(b.startedAt, b.settings.Index); open && turn > cust.lastTurn && turn > began {
-		cust.ceilingTokens = 1
+	if began, _ := t.Now(b.startedAt, b.settings.Index); open && turn > cust.ceiling.lastTurn && turn > began {
+		cust.ceiling.tokens = 1
 	}
-	return cust.ceilingTokens
+	return cust.ceiling.tokens
 }
 
 // hasWaitedForCounter says that a request has waited for as long as it may for the counter, or for a turn to call it.
@@ -103,16 +103,16 @@
 func (b *Balancer) returnUnusedTokens(cust *customer, plan *Plan, least float64) {
 	if w := int64(
 		b.now / counterWindow,
-	); cust.debtWindow != w { // what was taken of an older number can't be given back to this one
-		cust.debtWindow, cust.debt = w, max(0, cust.debt)
+	); cust.quota.debtWindow != w { // what was taken of an older number can't be given back to this one
+		cust.quota.debtWindow, cust.quota.debt = w, max(0, cust.quota.debt)
 	}
-	if cust.tokens > 0 && !cust.callPending && b.now-max(cust.leasedAt, cust.tokensValidFrom) > crowdLife {
-		cust.debt -= cust.tokens
-		cust.tokens = 0
+	if cust.quota.tokens > 0 && !cust.quota.callPending && b.now-max(cust.quota.leasedAt, cust.quota.tokensValidFrom) > crowdLife {
+		cust.quota.debt -= cust.quota.tokens
+		cust.quota.tokens = 0
 	}
-	cust.fallbackTokens, cust.fallbackAt = min(
-		max(cust.fallbackTokens, least, plan.Burst/cust.gateways),
-		cust.fallbackTokens+plan.Rate/cust.gateways*b.refillSeconds(cust.fallbackAt),
+	cust.quota.fallbackTokens, cust.quota.fallbackFilledAt = min(
+		max(cust.quota.fallbackTokens, least, plan.Burst/cust.gateways),
+		cust.quota.fallbackTokens+plan.Rate/cust.gateways*b.refillSeconds(cust.quota.fallbackFilledAt),
 	), b.now
 }
 
@@ -121,27 +121,27 @@
 	cust := req.customer
 	b.returnUnusedTokens(cust, plan, 0)
 	switch {
-	case cust.tokens >= req.units && b.now >= cust.tokensValidFrom:
-		cust.tokens -= req.units
+	case cust.quota.tokens >= req.units && b.now >= cust.quota.tokensValidFrom:
+		cust.quota.tokens -= req.units
 		req.paidByCounter = true
 		return quotaCovered
-	case cust.tokens >= req.units &&
-		(cust.tokensValidFrom-b.now).Seconds() <= req.timeLimit.Seconds()*maxCeilingWaitFraction,
-		cust.callPending:
+	case cust.quota.tokens >= req.units &&
+		(cust.quota.tokensValidFrom-b.now).Seconds() <= req.timeLimit.Seconds()*maxCeilingWaitFraction,
+		cust.quota.callPending:
 		return quotaPending
-	case req.counterCalled && b.now < cust.callsPausedUntil && !b.hasWaitedForCounter(req): // the answer may come yet
+	case req.counterCalled && b.now < cust.quota.callsPausedUntil && !b.hasWaitedForCounter(req): // the answer may come yet
 		return quotaPending
 	case b.canCallFor(req, 0):
 		req.counterCalled = true
 		b.leaseTokens(cust, plan, req.units, false)
 		return quotaPending
-	case req.clientRetry || b.now < cust.storeEmptyUntil:
+	case req.clientRetry || b.now < cust.bucket.emptyUntil:
 		return quotaExceeded
 	case !req.counterCalled && !b.hasWaitedForCounter(req):
 		return quotaPending
 	case b.rng.Float64()*req.units < b.creditProbability(cust, plan):
-		cust.fallbackTokens -= req.units
-		cust.debt += req.units
+		cust.quota.fallbackTokens -= req.units
+		cust.quota.debt += req.units
 		req.onCredit = true
 		return quotaCovered
 	}
@@ -153,10 +153,10 @@
 // found empty, one of the
 // many that stay well inside their quotas. Once for each customer, and again when its share has filled.
 func (b *Balancer) creditProbability(cust *customer, plan *Plan) float64 {
-	if cust.fallbackTokens <= 0 {
+	if cust.quota.fallbackTokens <= 0 {
 		return 0
 	}
-	return max(cust.fallbackTokens, min(creditMost, (b.now-b.startedAt).Seconds()*plan.Rate/cust.gateways*creditSoon))
+	return max(cust.quota.fallbackTokens, min(creditMost, (b.now-b.startedAt).Seconds()*plan.Rate/cust.gateways*creditSoon))
 }
 
 // correctOverfull puts a store right that holds more than its burst. Where it is much, as when all doors have just
@@ -194,30 +194,30 @@
 	b.returnUnusedTokens(cust, plan, 1)
 	pressed := b.fleetSlowdown > 1.5
 	switch {
-	case !short && cust.fallbackTokens >= req.units:
-		cust.fallbackTokens -= req.units
-		cust.debt += req.units
+	case !short && cust.quota.fallbackTokens >= req.units:
+		cust.quota.fallbackTokens -= req.units
+		cust.quota.debt += req.units
 		b.reserveCeiling(req, fromEvenShare)
-	case cust.tokens >= req.units && b.now >= cust.tokensValidFrom:
-		cust.tokens -= req.units
+	case cust.quota.tokens >= req.units && b.now >= cust.quota.tokensValidFrom:
+		cust.quota.tokens -= req.units
 		b.reserveCeiling(req, fromQuota)
-	case cust.callPending:
+	case cust.quota.callPending:
 		return quotaPending
-	case short && cust.tokens >= req.units &&
-		(cust.tokensValidFrom-b.now).Seconds() <= req.timeLimit.Seconds()*maxCeilingWaitFraction:
+	case short && cust.quota.tokens >= req.units &&
+		(cust.quota.tokensValidFrom-b.now).Seconds() <= req.timeLimit.Seconds()*maxCeilingWaitFraction:
 		return quotaPending
-	case short && req.counterCalled && b.now < cust.callsPausedUntil && !b.hasWaitedForCounter(req):
+	case short && req.counterCalled && b.now < cust.quota.callsPausedUntil && !b.hasWaitedForCounter(req):
 		return quotaPending
-	case cust.tokens < req.units && (short && b.canCallFor(req, 0) || !short && pressed && b.canCallFor(req, callsSoft)):
+	case cust.quota.tokens < req.units && (short && b.canCallFor(req, 0) || !short && pressed && b.canCallFor(req, callsSoft)):
 		req.counterCalled = true
 		b.leaseTokens(cust, plan, req.units, false)
 		return quotaPending
 	// for a turn to call
-	case short && !req.counterCalled && !late && b.now >= max(cust.storeEmptyUntil, cust.callsPausedUntil) &&
+	case short && !req.counterCalled && !late && b.now >= max(cust.bucket.emptyUntil, cust.quota.callsPausedUntil) &&
 		!b.hasWaitedForCounter(req):
 		return quotaPending
 	case !short:
-		cust.debt += req.units
+		cust.quota.debt += req.units
 		return quotaExceeded
 	case late || req.admitOnly || (req.units-b.ceilingRoom(req,
 		plan))*cust.gateways/(manyRate*(plan.CeilingRate-plan.Rate)) > req.timeLimit.Seconds()*maxCeilingWaitFraction:
@@ -259,15 +259,15 @@
 	lacks := call.block - has
 	fills := time.Duration(lacks / plan.Rate * float64(time.Second))
 	if fills <= b.reservationHorizon(cust, plan) && call.kind == forTokens && got < call.block {
-		cust.tokens += call.block - got // the rest is added by grant
-		cust.tokensValidFrom = b.now + fills
-		cust.debt += call.block + call.debt - call.amount
+		cust.quota.tokens += call.block - got // the rest is added by grant
+		cust.quota.tokensValidFrom = b.now + fills
+		cust.quota.debt += call.block + call.debt - call.amount
 		call.amount = call.block + call.debt
-		cust.storeEmptyUntil = b.now + fills
+		cust.bucket.emptyUntil = b.now + fills
 		return
 	}
 	b.callCounter(cust, 0, got+call.debt-call.amount, 0)
 	call.amount = got + call.debt
 	pause := min(pauseMost.Seconds(), max(lacks, cust.gateways/pauseDoors)/plan.Rate) * (0.5 + b.rng.Float64())
-	cust.storeEmptyUntil = b.now + time.Duration(pause*float64(time.Second))
+	cust.bucket.emptyUntil = b.now + time.Duration(pause*float64(time.Second))
 }
--- a/internal/balancer/late_test.go
+++ b/internal/balancer/late_test.go
@@ -39,19 +39,19 @@
 	if acts := b.Step(now+55*ms, []Event{ask(900, 0, 0)}); len(only[CounterAdd](acts)) != 0 {
 		t.Errorf("asked again before the first call is answered: %v", acts)
 	}
-	before := cust.tokens
+	before := cust.quota.tokens
 	b.Step(now+60*ms, []Event{LateCounterResult{Ticket: call.Ticket + 99, Status: OK}, LateCounterResult{Status: OK}})
-	if cust.tokens != before {
-		t.Errorf("%v tokens after news of other calls; want %v", cust.tokens, before)
+	if cust.quota.tokens != before {
+		t.Errorf("%v tokens after news of other calls; want %v", cust.quota.tokens, before)
 	}
 	late := LateCounterResult{call.Ticket, OK, call.Amount}
 	b.Step(now+70*ms, []Event{late, late})
-	if got := cust.tokens - before; got <= 0 || got > call.Amount {
+	if got := cust.quota.tokens - before; got <= 0 || got > call.Amount {
 		t.Errorf("%v leased of the %v added", got, call.Amount)
 	}
-	before = cust.tokens
+	before = cust.quota.tokens
 	b.Step(now+80*ms, []Event{ask(901, 0, 0)}) // the servers are full, but it is paid for
-	if req := b.requests[901]; before >= 1 && (req == nil || !req.withinQuota || cust.tokens != before-1) {
+	if req := b.requests[901]; before >= 1 && (req == nil || !req.withinQuota || cust.quota.tokens != before-1) {
 		t.Errorf("a request inside the lease of %v is not paid by it", before)
 	}
 }
@@ -61,9 +61,9 @@
 	b, call, now := called(t)
 	cust := b.customers["c"]
 	b.Step(now+50*ms, []Event{CounterResult{Name: call.Name, Status: Timeout}})
-	before := cust.debt
+	before := cust.quota.debt
 	b.Step(now+70*ms, []Event{LateCounterResult{Ticket: call.Ticket, Status: Failed}})
-	if got := before - cust.debt; got <= 0 || got > call.Amount {
+	if got := before - cust.quota.debt; got <= 0 || got > call.Amount {
 		t.Errorf("%v given back of the %v added", got, call.Amount)
 	}
 }
@@ -74,10 +74,10 @@
 		b, call, now := called(t)
 		cust := b.customers["c"]
 		b.Step(now+50*ms, []Event{CounterResult{Name: call.Name, Status: Timeout}})
-		before := cust.tokens
+		before := cust.quota.tokens
 		b.Step(now+after, []Event{LateCounterResult{call.Ticket, OK, call.Amount}})
-		if cust.tokens != before {
-			t.Errorf("%v later: %v tokens, want %v", after, cust.tokens, before)
+		if cust.quota.tokens != before {
+			t.Errorf("%v later: %v tokens, want %v", after, cust.quota.tokens, before)
 		}
 	}
 }
@@ -103,14 +103,14 @@
 	b, call, now := called(t)
 	cust := b.customers["c"]
 	b.Step(now+50*ms, []Event{CounterResult{Name: call.Name, Status: Timeout}})
-	cust.demand = 100 // a flood, whose lease would be a large one
+	cust.demand.rate = 100 // a flood, whose lease would be a large one
 	now += 50*ms + latePause
 	calls := only[CounterAdd](b.Step(now, []Event{ask(800, 0, 0)}))
 	if len(calls) != 1 || calls[0].Amount > 1+1e-9 {
 		t.Fatalf("after a call without an answer: %v; want one for a single unit", calls)
 	}
 	b.Step(now+ms, []Event{CounterResult{Name: calls[0].Name, Status: OK, Total: 0}})
-	if cust.lastCallLost {
+	if cust.quota.lastCallLost {
 		t.Error("the counter was heard, and still the least is asked")
 	}
 }
@@ -122,7 +122,7 @@
 		b, call, now := calledBy(t, seed)
 		acts := b.Step(now+3*ms, []Event{CounterResult{Name: call.Name, Status: Timeout}})
 		again += len(only[CounterAdd](acts))
-		if len(b.timedOutCalls.calls) != 0 || b.customers["c"].callsPausedUntil != 0 {
+		if len(b.counter.timedOut.calls) != 0 || b.customers["c"].quota.callsPausedUntil != 0 {
 			t.Errorf("seed %d: a late answer is waited for on a connection that is gone", seed)
 		}
 	}
@@ -152,11 +152,11 @@
 	cust := b.customers["c"]
 	plan := b.settings.Plans[0]
 	b.Step(now+50*ms, []Event{CounterResult{Name: call.Name, Status: Timeout}})
-	before := cust.tokens
+	before := cust.quota.tokens
 	empty := plan.Burst + plan.Rate*now.Seconds() + call.Amount // a total at which the store held nothing then
 	b.Step(now+3*time.Second, []Event{LateCounterResult{call.Ticket, OK, empty}})
-	if cust.tokens > before {
-		t.Errorf("%v granted from a store that was empty when it was asked", cust.tokens-before)
+	if cust.quota.tokens > before {
+		t.Errorf("%v granted from a store that was empty when it was asked", cust.quota.tokens-before)
 	}
 }
 
@@ -172,15 +172,15 @@
 		t.Fatalf("%d calls after the pause", len(later))
 	}
 	b.Step(now+ms, []Event{CounterResult{Name: later[0].Name, Status: OK, Total: 90}})
-	known, seen, store, at := cust.storeKnownAt, cust.seenTotal, cust.storeLevel, cust.storeLevelAt
+	known, seen, store, at := cust.bucket.knownAt, cust.bucket.seenTotal, cust.bucket.level, cust.bucket.levelAt
 	acts := b.Step(now+20*ms, []Event{LateCounterResult{call.Ticket, OK, call.Amount}})
-	if cust.storeKnownAt != known || cust.seenTotal != seen || cust.storeLevel != store || cust.storeLevelAt != at {
+	if cust.bucket.knownAt != known || cust.bucket.seenTotal != seen || cust.bucket.level != store || cust.bucket.levelAt != at {
 		t.Errorf(
 			"known since %v, seen %v, store %v at %v; want %v, %v, %v at %v",
-			cust.storeKnownAt,
-			cust.seenTotal,
-			cust.storeLevel,
-			cust.storeLevelAt,
+			cust.bucket.knownAt,
+			cust.bucket.seenTotal,
+			cust.bucket.level,
+			cust.bucket.levelAt,
 			known,
 			seen,
 			store,
--- a/internal/balancer/loan.go
+++ b/internal/balancer/loan.go
@@ -18,29 +18,29 @@
 
 // requestLoan asks for loans where this door's share of a customer's ceiling is short, or was until others lent.
 func (b *Balancer) requestLoan(cust *customer, plan *Plan, short bool) {
-	if !b.settings.LeasedShares || b.excluded || b.settings.Gateways < 2 ||
+	if !b.settings.LeasedShares || b.share.excluded || b.settings.Gateways < 2 ||
 		cust.gateways < float64(b.settings.Gateways) ||
-		b.now < cust.nextLoanRequestAt ||
+		b.now < cust.ceiling.nextLoanRequestAt ||
 		b.hasSparseShares(cust, plan) {
 		return
 	}
 	if !short &&
-		!(cust.loans.Some() && cust.loans.In(b.now).Rate > 0 && cust.demand > borrowFrom*b.ownCeilingShare(cust,
-			plan, b.shareLease.Part(b.now)).Rate) {
+		!(cust.ceiling.loans.Some() && cust.ceiling.loans.In(b.now).Rate > 0 && cust.demand.rate > borrowFrom*b.ownCeilingShare(cust,
+			plan, b.share.lease.Part(b.now)).Rate) {
 		return
 	}
-	if b.now >= b.loanRequestsSince+borrowEvery {
-		b.loanRequestsSince, b.loanRequests = b.now, 0
+	if b.now >= b.share.loanRequestsSince+borrowEvery {
+		b.share.loanRequestsSince, b.share.loanRequests = b.now, 0
 	}
-	if b.loanRequests++; b.loanRequests <= borrowMost {
-		cust.nextLoanRequestAt = b.now + borrowEvery
+	if b.share.loanRequests++; b.share.loanRequests <= borrowMost {
+		cust.ceiling.nextLoanRequestAt = b.now + borrowEvery
 		b.emit(RequestLoan{cust.name, cust.plan, b.now})
 	}
 }
 
 // handleLoanRequest lends what this door does not need of a customer's ceiling.
 func (b *Balancer) handleLoanRequest(ev LoanRequest) {
-	if !b.settings.LeasedShares || b.excluded || b.handedOver || ev.Plan < 0 || ev.Plan >= len(b.settings.Plans) ||
+	if !b.settings.LeasedShares || b.share.excluded || b.handedOver || ev.Plan < 0 || ev.Plan >= len(b.settings.Plans) ||
 		b.settings.Plans[ev.Plan].CeilingRate == 0 {
 		return
 	}
@@ -57,20 +57,20 @@
 	}
 	b.refillCeiling(cust, plan)
 	cust.lastUsedAt = b.now // its loan is kept in mind
-	part, until := b.shareLease.Part(b.now), b.shareLease.Until()
+	part, until := b.share.lease.Part(b.now), b.share.lease.Until()
 	if until < b.now+quotashare.LoanHold {
 		part, until = 0, b.now+quotashare.LoanHold // only what this door keeps for good
 	}
-	own, gap := b.ownCeilingShare(cust, plan, part), b.now-cust.demandAt
-	demand := cust.demand * math.Exp(-gap.Seconds()/lendGap.Seconds())
-	if cust.demand > 0 && gap < lendCalm { // it may come again, and is not to find all lent
+	own, gap := b.ownCeilingShare(cust, plan, part), b.now-cust.demand.updatedAt
+	demand := cust.demand.rate * math.Exp(-gap.Seconds()/lendGap.Seconds())
+	if cust.demand.rate > 0 && gap < lendCalm { // it may come again, and is not to find all lent
 		demand = max(demand, lendKeeps*own.Rate)
 	}
-	s, end, ok := cust.loans.Lend(b.now, ev.From, own, until, demand)
+	s, end, ok := cust.ceiling.loans.Lend(b.now, ev.From, own, until, demand)
 	if !ok {
 		return
 	}
-	b.loansEndAt = max(b.loansEndAt, end)
+	b.share.loansEndAt = max(b.share.loansEndAt, end)
 	b.refillCeiling(cust, plan) // what lies over the smaller store is gone
 	b.emit(GrantLoan{ev.From, ev.Customer, ev.Plan, ev.At, s.Rate, s.Depth})
 }
@@ -82,25 +82,25 @@
 		return
 	}
 	b.refillCeiling(cust, &b.settings.Plans[cust.plan])
-	cust.loans.Borrow(b.now, ev.From, quotashare.Store{Rate: ev.Rate, Depth: ev.Depth}, ev.At+quotashare.LoanLength)
+	cust.ceiling.loans.Borrow(b.now, ev.From, quotashare.Store{Rate: ev.Rate, Depth: ev.Depth}, ev.At+quotashare.LoanLength)
 	b.serveWaiting(cust)
 }
 
 // expireLoans ends the loans of a customer that are over: until its end each has filled the share, and not longer.
 func (b *Balancer) expireLoans(cust *customer, plan *Plan) {
-	if !cust.loans.Some() {
+	if !cust.ceiling.loans.Some() {
 		return
 	}
 	now := b.now
-	for at := cust.loans.Due(now); at > 0; at = cust.loans.Due(now) {
-		b.now = max(cust.ceilingAt, at-1)
+	for at := cust.ceiling.loans.Due(now); at > 0; at = cust.ceiling.loans.Due(now) {
+		b.now = max(cust.ceiling.filledAt, at-1)
 		b.refillCeiling(cust, plan)
-		cust.loans.Drop(at)
+		cust.ceiling.loans.Drop(at)
 	}
 	b.now = now
-	cust.loans.Drop(now)
+	cust.ceiling.loans.Drop(now)
 }
 
 // LoansEndAt is when the last loan is over that this door has given. Whoever takes a part away from it gives that to no
 // other before.
-func (b *Balancer) LoansEndAt() time.Duration { return b.loansEndAt }
+func (b *Balancer) LoansEndAt() time.Duration { return b.share.loansEndAt }
--- a/internal/balancer/quota.go
+++ b/internal/balancer/quota.go
@@ -50,15 +50,15 @@
 		return QuotaStatus{}, false
 	}
 	plan := &b.settings.Plans[cust.plan]
-	left := cust.fallbackTokens
-	if cust.storeKnown {
-		left = b.currentStoreLevel(cust, plan) + cust.tokens
+	left := cust.quota.fallbackTokens
+	if cust.bucket.known {
+		left = b.currentStoreLevel(cust, plan) + cust.quota.tokens
 	}
 	left = min(plan.Burst, max(0, left))
 	return QuotaStatus{
 		left,
 		time.Duration((plan.Burst - left) / plan.Rate * float64(time.Second)),
-		cust.storeKnown,
+		cust.bucket.known,
 	}, true
 }
 
@@ -75,8 +75,8 @@
 // serveWaiting decides for a customer's requests in the order they came, until one has to wait: for the counter's
 // answer, for one of the customer's attempts to end, or for the ceiling's share to fill.
 func (b *Balancer) serveWaiting(cust *customer) {
-	for len(cust.waiting) > 0 {
-		req := cust.waiting[0]
+	for len(cust.waiting.requests) > 0 {
+		req := cust.waiting.requests[0]
 		if req.ended {
 			cust.popWaiting(req)
 			continue
@@ -89,8 +89,8 @@
 		b.applyQuotaDecision(req, v)
 	}
 	b.serveAdmitOnly(cust)
-	if len(cust.waiting) > 0 && !cust.inWaitingList {
-		cust.inWaitingList = true
+	if len(cust.waiting.requests) > 0 && !cust.waiting.listed {
+		cust.waiting.listed = true
 		b.waitingCustomers = append(b.waitingCustomers, cust)
 	}
 }
@@ -98,8 +98,8 @@
 // serveAdmitOnly decides for what asks for leave only, past those that wait for the ceiling's share or for an
 // attempt to end: it waits for nothing but the counter (ours: a proxy's own client is held up by it).
 func (b *Balancer) serveAdmitOnly(cust *customer) {
-	for i := 0; i < len(cust.waiting) && cust.admitOnlyWaiting > 0; i++ {
-		req := cust.waiting[i]
+	for i := 0; i < len(cust.waiting.requests) && cust.waiting.admitOnly > 0; i++ {
+		req := cust.waiting.requests[i]
 		if !req.admitOnly {
 			continue
 		}
@@ -109,8 +109,8 @@
 				continue
 			}
 		}
-		cust.waiting = slices.Delete(cust.waiting, i, i+1)
-		cust.admitOnlyWaiting--
+		cust.waiting.requests = slices.Delete(cust.waiting.requests, i, i+1)
+		cust.waiting.admitOnly--
 		if i = -1; !req.ended { // this may serve others, so the line is looked at anew
 			b.applyQuotaDecision(req, v)
 		}
@@ -179,12 +179,12 @@
 // the counter tells that the others have less, what their demand leaves (a departure: traffic is uneven).
 func (b *Balancer) inFlightLimit(req *request, plan *Plan) int {
 	share := b.inFlightShare(req.customer, plan)
-	if req.customer.storeKnown && b.callFraction > degradedCallFraction {
+	if req.customer.bucket.known && b.counter.callFraction > degradedCallFraction {
 		share = max(
 			share,
 			float64(
 				plan.MaxInFlight,
-			)-req.customer.peerDemand/max(
+			)-req.customer.bucket.peerDemand/max(
 				req.units,
 				1,
 			)*b.expectedLatency(
@@ -198,7 +198,7 @@
 
 // inFlightShare is this door's part of a cap on what is open at once.
 func (b *Balancer) inFlightShare(cust *customer, plan *Plan) float64 {
-	if b.settings.LeasedShares && b.excluded {
+	if b.settings.LeasedShares && b.share.excluded {
 		return 0
 	}
 	if !b.settings.LeasedShares || plan.PartitionPolicy != quotashare.KeepNone {
@@ -207,7 +207,7 @@
 	return float64(
 		plan.MaxInFlight,
 	) * quotashare.Among(
-		b.shareLease.Open(b.now),
+		b.share.lease.Open(b.now),
 		cust.gateways,
 		float64(b.settings.Gateways),
 	)
@@ -219,7 +219,7 @@
 	full := plan.MaxInFlight > 0 && req.customer.inFlight >= b.inFlightLimit(req, plan)
 	from, room := fromEvenShare, 0.0
 	if t := b.ceilingLeaseTerms(req); t != nil {
-		from, room = fromLease, req.customer.ceilingLease.Has(
+		from, room = fromLease, req.customer.ceiling.lease.Has(
 			*t,
 			b.now,
 			!req.admitOnly,
@@ -253,49 +253,49 @@
 	}
 	lent := b.leaseTerms[req.plan].Rate > 0
 	life := tokenLeaseTTL
-	if cust.storeKnown {
+	if cust.bucket.known {
 		life += b.extraLeaseTime(cust, plan)
 	}
 	if lent && short {
 		life = shortLife
 	}
-	if cust.tokens > 0 && !cust.callPending && b.now-cust.leasedAt > life {
+	if cust.quota.tokens > 0 && !cust.quota.callPending && b.now-cust.quota.leasedAt > life {
 		if !lent { // else it is lost: the ceiling hangs on no full store being given more
-			cust.debt -= cust.tokens // what the store holds now may differ from what it held then
+			cust.quota.debt -= cust.quota.tokens // what the store holds now may differ from what it held then
 		}
-		cust.tokens = 0
+		cust.quota.tokens = 0
 	}
 	b.refillFallback(cust, plan)
-	calls := b.settings.UseCounter && !req.counterCalled && b.now >= max(cust.storeEmptyUntil, cust.callsPausedUntil) &&
+	calls := b.settings.UseCounter && !req.counterCalled && b.now >= max(cust.bucket.emptyUntil, cust.quota.callsPausedUntil) &&
 		b.canCallCounter()
 	switch {
 	case short && !b.isStoreSettled(cust, plan):
 		b.learnStore(cust)
 		return quotaExceeded
-	case cust.tokens >= req.units:
-		cust.tokens -= req.units
+	case cust.quota.tokens >= req.units:
+		cust.quota.tokens -= req.units
 		req.paidByCounter = true
-		if use := cust.demand * tokenLeaseTTL.Seconds(); calls && !cust.callPending &&
-			cust.tokens < cust.demand*renewAhead.Seconds() &&
+		if use := cust.demand.rate * tokenLeaseTTL.Seconds(); calls && !cust.quota.callPending &&
+			cust.quota.tokens < cust.demand.rate*renewAhead.Seconds() &&
 			use >= minRenewRequests*req.units {
 			b.leaseTokens(cust, plan, req.units, short)
 		}
 		return quotaCovered
-	case !short && cust.fallbackTokens+max(0, cust.tokens) >= req.units:
-		cust.fallbackTokens -= req.units - max(0, cust.tokens)
-		cust.debt += req.units - max(0, cust.tokens)
-		cust.tokens = min(0, cust.tokens)
+	case !short && cust.quota.fallbackTokens+max(0, cust.quota.tokens) >= req.units:
+		cust.quota.fallbackTokens -= req.units - max(0, cust.quota.tokens)
+		cust.quota.debt += req.units - max(0, cust.quota.tokens)
+		cust.quota.tokens = min(0, cust.quota.tokens)
 		return quotaCovered
-	case cust.callPending:
+	case cust.quota.callPending:
 		return quotaPending
-	case calls && (b.rng.Float64() < b.callFraction || cust.fallbackTokens <= 0 && !req.clientRetry &&
-		b.callFraction > degradedCallFraction):
+	case calls && (b.rng.Float64() < b.counter.callFraction || cust.quota.fallbackTokens <= 0 && !req.clientRetry &&
+		b.counter.callFraction > degradedCallFraction):
 		req.counterCalled = true
 		b.leaseTokens(cust, plan, req.units, short)
 		return quotaPending
-	case !short && b.now >= cust.storeEmptyUntil && cust.fallbackTokens > 0 && (!req.clientRetry ||
+	case !short && b.now >= cust.bucket.emptyUntil && cust.quota.fallbackTokens > 0 && (!req.clientRetry ||
 		!b.settings.UseCounter):
-		cust.fallbackTokens -= req.units
+		cust.quota.fallbackTokens -= req.units
 		req.onCredit = true
 		return quotaCovered
 	}
@@ -316,22 +316,22 @@
 	if short {
 		ahead = shortLife
 	}
-	block := max(units, math.Floor(min(cust.demand*ahead.Seconds(), b.currentStoreLevel(cust, plan)/cust.gateways)))
-	cust.callPending, b.lastCounterCallAt = true, b.now
+	block := max(units, math.Floor(min(cust.demand.rate*ahead.Seconds(), b.currentStoreLevel(cust, plan)/cust.gateways)))
+	cust.quota.callPending, b.counter.lastCallAt = true, b.now
 	if short {
 		b.learnStore(cust)
 	}
-	amount := block / max(b.callFraction, 1/maxRequestsPerCall)
+	amount := block / max(b.counter.callFraction, 1/maxRequestsPerCall)
 	if b.isLargeFleet() { // a door's requests are so few that each is counted
-		block = max(units, math.Floor(min(cust.demand*ahead.Seconds(), b.currentStoreLevel(cust, plan)/crowdPart)))
+		block = max(units, math.Floor(min(cust.demand.rate*ahead.Seconds(), b.currentStoreLevel(cust, plan)/crowdPart)))
 		amount = block
 	}
-	if cust.lastCallLost ||
-		!cust.storeKnown && b.leaseTerms[cust.plan].Rate > 0 { // it may be lost, or all doors take it at once
+	if cust.quota.lastCallLost ||
+		!cust.bucket.known && b.leaseTerms[cust.plan].Rate > 0 { // it may be lost, or all doors take it at once
 		block, amount = units, units
 	}
-	b.callCounter(cust, block, amount+cust.debt, cust.debt).short = short
-	cust.debt = 0
+	b.callCounter(cust, block, amount+cust.quota.debt, cust.quota.debt).short = short
+	cust.quota.debt = 0
 }
 
 // creditLease turns a total, as it was at a time, into tokens. What the store held over its burst has overflowed,
@@ -342,10 +342,10 @@
 	plan := &b.settings.Plans[cust.plan]
 	held := plan.Burst + plan.Rate*(at-time.Duration(call.window)*counterWindow).Seconds() - total + call.amount
 	most := plan.Burst
-	if cust.storeKnown {
+	if cust.bucket.known {
 		most = b.currentStoreLevel(cust, plan)
-		if gap := (b.now - cust.storeLevelAt).Seconds(); gap > 0 && at == b.now {
-			cust.peerDemand += (1 - math.Exp(-gap/demandWindow.Seconds())) * (max(0, most-held)/gap - cust.peerDemand)
+		if gap := (b.now - cust.bucket.levelAt).Seconds(); gap > 0 && at == b.now {
+			cust.bucket.peerDemand += (1 - math.Exp(-gap/demandWindow.Seconds())) * (max(0, most-held)/gap - cust.bucket.peerDemand)
 		}
 	}
 	over := plan.Burst * overfullFraction
@@ -356,7 +356,7 @@
 	case at < b.now: // an old total puts nothing right
 		held = min(held, most)
 	// it knows nothing of the last number
-	case cust.storeKnown && cust.seenWindow != call.window && b.leaseTerms[cust.plan].Rate == 0:
+	case cust.bucket.known && cust.bucket.seenWindow != call.window && b.leaseTerms[cust.plan].Rate == 0:
 		if total <= call.amount+1e-6*math.Abs(call.amount) && held > most+plan.Burst*minCarryFraction {
 			b.callCounter(cust, 0, held-most, 0) // it was this door's call that began it
 		}
@@ -380,27 +380,27 @@
 		b.reserveAhead(call, has, got)
 	} else if got < call.block {
 		if b.evidenceScarcity() == 0 &&
-			cust.demand*tokenLeaseTTL.Seconds() >= minRenewRequests*call.block { // another call comes soon
-			cust.debt += got + call.debt - call.amount
+			cust.demand.rate*tokenLeaseTTL.Seconds() >= minRenewRequests*call.block { // another call comes soon
+			cust.quota.debt += got + call.debt - call.amount
 		} else {
 			b.callCounter(cust, 0, got+call.debt-call.amount, 0)
 		}
 		call.amount = got + call.debt
 		pause := max(call.block-held, b.activeGateways(cust)/gatewaysPerRefill) / plan.Rate * b.pauseSpread(cust)
-		cust.storeEmptyUntil = b.now + min(maxEmptyPause, time.Duration(pause*float64(time.Second)))
+		cust.bucket.emptyUntil = b.now + min(maxEmptyPause, time.Duration(pause*float64(time.Second)))
 	}
-	if !cust.storeKnown {
-		cust.storeKnown, cust.storeKnownAt, cust.fallbackTokens = true, b.now, min(cust.fallbackTokens, 0)
+	if !cust.bucket.known {
+		cust.bucket.known, cust.bucket.knownAt, cust.quota.fallbackTokens = true, b.now, min(cust.quota.fallbackTokens, 0)
 	}
-	cust.tokens, cust.leasedAt, cust.lastCallLost = cust.tokens+got, b.now, false
-	if at < cust.storeLevelAt {
+	cust.quota.tokens, cust.quota.leasedAt, cust.quota.lastCallLost = cust.quota.tokens+got, b.now, false
+	if at < cust.bucket.levelAt {
 		return // a later call has told more
 	}
-	if cust.seenWindow == call.window && cust.seenTotal-total > max(lostLeast*plan.Burst, cust.seenTotal/2) {
-		cust.storeKnownAt = b.now // the counter has lost its numbers: what it tells is to season anew
+	if cust.bucket.seenWindow == call.window && cust.bucket.seenTotal-total > max(lostLeast*plan.Burst, cust.bucket.seenTotal/2) {
+		cust.bucket.knownAt = b.now // the counter has lost its numbers: what it tells is to season anew
 	}
-	cust.seenWindow, cust.seenTotal = call.window, total
-	cust.storeLevel, cust.storeLevelAt = max(held-call.amount, -plan.Burst/2), at
+	cust.bucket.seenWindow, cust.bucket.seenTotal = call.window, total
+	cust.bucket.level, cust.bucket.levelAt = max(held-call.amount, -plan.Burst/2), at
 }
 
 // acceptedTokens is what a door takes of a block, of which the store has so much. Where the ceiling is lent tokens are
@@ -409,7 +409,7 @@
 func (b *Balancer) acceptedTokens(call *counterCall, has float64) float64 {
 	got := max(0, min(call.block, has))
 	if got < call.block && b.leaseTerms[call.customer.plan].Rate > 0 {
-		got = min(got, max(0, math.Floor(got+call.customer.tokens)-call.customer.tokens))
+		got = min(got, max(0, math.Floor(got+call.customer.quota.tokens)-call.customer.quota.tokens))
 	}
 	return got
 }
@@ -420,15 +420,15 @@
 func (b *Balancer) refillFallback(cust *customer, plan *Plan) {
 	part := 1 / cust.gateways
 	if b.settings.LeasedShares && plan.PartitionPolicy == quotashare.KeepNone && plan.CeilingRate > 0 {
-		if part = quotashare.Among(b.shareLease.Part(b.now), cust.gateways, float64(b.settings.Gateways)); b.excluded {
+		if part = quotashare.Among(b.share.lease.Part(b.now), cust.gateways, float64(b.settings.Gateways)); b.share.excluded {
 			part = 0
 		}
-		cust.fallbackTokens = min(cust.fallbackTokens, plan.Burst*part)
+		cust.quota.fallbackTokens = min(cust.quota.fallbackTokens, plan.Burst*part)
 	}
-	fill := plan.Rate * part * (1 - b.callFraction) * b.refillSeconds(cust.fallbackAt)
-	cust.fallbackTokens, cust.fallbackAt = min(
-		max(cust.fallbackTokens, plan.Burst*part),
-		cust.fallbackTokens+fill,
+	fill := plan.Rate * part * (1 - b.counter.callFraction) * b.refillSeconds(cust.quota.fallbackFilledAt)
+	cust.quota.fallbackTokens, cust.quota.fallbackFilledAt = min(
+		max(cust.quota.fallbackTokens, plan.Burst*part),
+		cust.quota.fallbackTokens+fill,
 	), b.now
 }
 
@@ -440,12 +440,12 @@
 // quotaMayCover says whether a request may be inside the quota, by what this door knows.
 func (b *Balancer) quotaMayCover(req *request, plan *Plan) bool {
 	return plan.Rate > 0 &&
-		(req.customer.tokens >= req.units || req.customer.callPending || b.now >= req.customer.storeEmptyUntil)
+		(req.customer.quota.tokens >= req.units || req.customer.quota.callPending || b.now >= req.customer.bucket.emptyUntil)
 }
 
 // currentStoreLevel is what the customer's store should hold now.
 func (b *Balancer) currentStoreLevel(cust *customer, plan *Plan) float64 {
-	return min(plan.Burst, cust.storeLevel+plan.Rate*(b.now-cust.storeLevelAt).Seconds())
+	return min(plan.Burst, cust.bucket.level+plan.Rate*(b.now-cust.bucket.levelAt).Seconds())
 }
 
 // activeGateways is how many doors a customer's demand is taken to come through: all that it names, or, where its
@@ -455,7 +455,7 @@
 	if b.leaseTerms[cust.plan].Rate == 0 {
 		return cust.gateways
 	}
-	return min(cust.gateways, 1+cust.peerDemand*cust.gateways/max(b.settings.Plans[cust.plan].Rate, cust.peerDemand))
+	return min(cust.gateways, 1+cust.bucket.peerDemand*cust.gateways/max(b.settings.Plans[cust.plan].Rate, cust.bucket.peerDemand))
 }
 
 // pauseSpread is by what a pause is longer after which an empty store is looked at again. Doors that lend look each at
--- a/internal/balancer/request.go
+++ b/internal/balancer/request.go
@@ -66,7 +66,7 @@
 		}
 	}
 	if len(req.attempts) == 0 && !req.admitted && req.withinQuota && b.settings.Plans[req.plan].Rate > 0 {
-		req.customer.tokens += req.units
+		req.customer.quota.tokens += req.units
 	}
 	if req.inFlight {
 		req.inFlight = false
--- a/internal/balancer/selection.go
+++ b/internal/balancer/selection.go
@@ -75,6 +75,6 @@
 	}
 	b.gatewaysPerEndpoint = using
 	for _, ep := range b.endpointOrder {
-		ep.inSubset = subsetting.HasAmong(ep.name, b.settings.Index, b.settings.Gateways, using, b.deadGateways)
+		ep.inSubset = subsetting.HasAmong(ep.name, b.settings.Index, b.settings.Gateways, using, b.share.deadGateways)
 	}
 }
--- a/internal/balancer/share.go
+++ b/internal/balancer/share.go
@@ -16,14 +16,14 @@
 	if ev.Excluded {
 		ev.Fraction = 0
 	}
-	b.shareLease.Take(b.now, ev.Fraction, ev.Until, longest)
-	if b.excluded != ev.Excluded {
-		b.excluded, b.excludedChangedAt = ev.Excluded, b.now
+	b.share.lease.Take(b.now, ev.Fraction, ev.Until, longest)
+	if b.share.excluded != ev.Excluded {
+		b.share.excluded, b.share.excludedChangedAt = ev.Excluded, b.now
 	}
-	if !slices.Equal(ev.DeadGateways, b.deadGateways) {
-		b.deadGateways = slices.Clone(ev.DeadGateways)
+	if !slices.Equal(ev.DeadGateways, b.share.deadGateways) {
+		b.share.deadGateways = slices.Clone(ev.DeadGateways)
 		b.updateSubset()
-		b.callPacer.Floor(b.now, callsLow/b.liveGateways())
+		b.counter.pacer.Floor(b.now, callsLow/b.liveGateways())
 	}
 }
 
@@ -32,26 +32,26 @@
 // cold server bears goes by what warm ones are
 // seen to carry from this door, so by itself.
 func (b *Balancer) liveGateways() float64 {
-	return float64(max(1, b.settings.Gateways-len(b.deadGateways)))
+	return float64(max(1, b.settings.Gateways-len(b.share.deadGateways)))
 }
 
 // expireShareLease ends a lease that is over: until its end the shares have filled, and not longer.
 func (b *Balancer) expireShareLease() {
-	if !b.shareLease.Ended(b.now) {
+	if !b.share.lease.Ended(b.now) {
 		return
 	}
 	now := b.now
-	b.now = b.shareLease.Until() - 1
+	b.now = b.share.lease.Until() - 1
 	b.refillAllShares()
 	b.now = now
-	b.shareLease.Take(now, 0, now, 0)
+	b.share.lease.Take(now, 0, now, 0)
 	b.refillAllShares()
 }
 
 // refillAllShares fills all shares, and what is held for the counter's silence, up to now, by the parts as they are.
 func (b *Balancer) refillAllShares() {
 	for _, cust := range b.customerOrder {
-		if cust.plan < len(b.settings.Plans) && cust.ceilingAt < b.now {
+		if cust.plan < len(b.settings.Plans) && cust.ceiling.filledAt < b.now {
 			b.refillCeiling(cust, &b.settings.Plans[cust.plan])
 			b.refillFallback(cust, &b.settings.Plans[cust.plan])
 		}
--- a/internal/balancer/sharing_test.go
+++ b/internal/balancer/sharing_test.go
@@ -436,24 +436,24 @@
 	now := time.Hour
 	b.Step(now, []Event{ShareUpdate{Fraction: 0.2, Until: 2 * time.Hour}})
 	for i := range 200 { // failures, each counted
-		b.callPacer.Failed(now+time.Duration(i)*time.Second, now+time.Duration(i)*time.Second)
+		b.counter.pacer.Failed(now+time.Duration(i)*time.Second, now+time.Duration(i)*time.Second)
 	}
-	if got := b.callPacer.Rate(); got != callsLow/5 {
+	if got := b.counter.pacer.Rate(); got != callsLow/5 {
 		t.Errorf("%v calls a second at least, of five doors", got)
 	}
 	now += 300 * time.Second
 	b.Step(now, []Event{ShareUpdate{Fraction: 0.5, Until: 2 * time.Hour, DeadGateways: []int{1, 2, 3}}})
-	if got := b.callPacer.Rate(); got != callsLow/2 {
+	if got := b.counter.pacer.Rate(); got != callsLow/2 {
 		t.Errorf("%v calls a second at least, of two doors that live", got)
 	}
-	cust := &customer{gateways: 5, fallbackAt: now}
-	b.callFraction = 0
+	cust := &customer{gateways: 5, quota: quotaState{fallbackFilledAt: now}}
+	b.counter.callFraction = 0
 	for part, want := range map[float64]float64{0.5: 5, 0.2: 2, 0: 0} {
 		b.Step(now, []Event{ShareUpdate{Fraction: part, Until: now + time.Hour}})
-		cust.fallbackAt = b.now
+		cust.quota.fallbackFilledAt = b.now
 		b.now += time.Minute
-		if b.refillFallback(cust, &b.settings.Plans[0]); cust.fallbackTokens != want {
-			t.Errorf("%v units at once by a part of %v", cust.fallbackTokens, part)
+		if b.refillFallback(cust, &b.settings.Plans[0]); cust.quota.fallbackTokens != want {
+			t.Errorf("%v units at once by a part of %v", cust.quota.fallbackTokens, part)
 		}
 		now = b.now
 	}
--- a/internal/balancer/units_test.go
+++ b/internal/balancer/units_test.go
@@ -88,7 +88,7 @@
 		t.Fatal("no call of the counter")
 	}
 	first := calls[0]
-	owed := b.customers["c"].debt
+	owed := b.customers["c"].quota.debt
 	acts := b.Step(now+ms, []Event{CounterResult{Name: first.Name, Status: Failed}})
 	again := only[CounterAdd](acts)
 	if len(again) != 1 || len(only[Reject](acts)) != 0 {
@@ -111,12 +111,12 @@
 		now := 20 * time.Second
 		b.Step(now, []Event{ask(1, 0, 0)})
 		cust := b.customers["c"]
-		cust.storeKnown, cust.fallbackTokens, cust.storeLevel, cust.storeLevelAt, cust.seenWindow = true, 0, 0, now, int64(
+		cust.bucket.known, cust.quota.fallbackTokens, cust.bucket.level, cust.bucket.levelAt, cust.bucket.seenWindow = true, 0, 0, now, int64(
 			now/counterWindow,
 		) // the store is empty ...
-		cust.demand, cust.tokens = 1, 0
+		cust.demand.rate, cust.quota.tokens = 1, 0
 		now = counterWindow + 100*ms // ... and ten seconds later there is a new number
-		cust.storeLevel, cust.storeLevelAt = 0, now-200*ms
+		cust.bucket.level, cust.bucket.levelAt = 0, now-200*ms
 		calls := only[CounterAdd](b.Step(now, []Event{ask(2, 0, 0)}))
 		if len(calls) != 1 {
 			t.Fatalf("%s: %d calls", name, len(calls))
@@ -132,8 +132,8 @@
 		if burst := b.settings.Plans[0].Burst; begins && carried < 0.8*burst || !begins && carried > 0 {
 			t.Errorf("%s: %.2f carried into the new number of a store of %v that was empty", name, carried, burst)
 		}
-		if cust.tokens > 1 {
-			t.Errorf("%s: %.2f tokens from a store that was empty", name, cust.tokens)
+		if cust.quota.tokens > 1 {
+			t.Errorf("%s: %.2f tokens from a store that was empty", name, cust.quota.tokens)
 		}
 	}
 }
