--- a/internal/balancer/admission.go
+++ b/internal/balancer/admission.go
@@ -135,15 +135,20 @@
 
 // recordDemand adds a request to the customer's demand.
 func (cust *customer) recordDemand(now time.Duration, req *request) {
-	decay := math.Exp(-((now - cust.demandAt).Seconds() / demandWindow.Seconds()))
-	rate := req.units / demandWindow.Seconds()
 	cust.lastUsedAt = now
-	cust.demand = cust.demand*decay + rate
-	cust.admitOnlyDemand *= decay
+	cust.demand.record(now, req)
+}
+
+// record adds the units of a request to the rates, which are means over demandWindow.
+func (d *demandRate) record(now time.Duration, req *request) {
+	decay := math.Exp(-((now - d.updatedAt).Seconds() / demandWindow.Seconds()))
+	rate := req.units / demandWindow.Seconds()
+	d.rate = d.rate*decay + rate
+	d.admitOnlyRate *= decay
 	if req.admitOnly {
-		cust.admitOnlyDemand += rate
+		d.admitOnlyRate += rate
 	}
-	cust.demandAt = now
+	d.updatedAt = now
 }
 
 // maxCeilingWait is the longest time in seconds that a request may wait for its customer's ceiling. The wait must
@@ -159,9 +164,9 @@
 
 // waitForQuota puts a request at the end of its customer's queue, and serves what the quota covers now.
 func (b *Balancer) waitForQuota(req *request) {
-	req.customer.waiting = append(req.customer.waiting, req)
+	req.customer.waiting.requests = append(req.customer.waiting.requests, req)
 	if req.admitOnly {
-		req.customer.admitOnlyWaiting++
+		req.customer.waiting.admitOnly++
 		b.setDeadlineTimer(req)
 	}
 	b.serveWaiting(req.customer)
--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -6,7 +6,6 @@
 
 	"gapgap/internal/balancer/callpacer"
 	"gapgap/internal/balancer/ceilinglease"
-	"gapgap/internal/balancer/quotashare"
 )
 
 const (
@@ -76,37 +75,10 @@
 	leaseTerms []ceilinglease.Terms
 	// longestCeilingFill is the longest time that a leased ceiling takes to fill.
 	longestCeilingFill time.Duration
-	// leasingFrom is when ceilings may be leased again after the counter was silent.
-	leasingFrom time.Duration
-
-	// shareLease is the part of the common shares that this gateway has leased, with Settings.LeasedShares.
-	shareLease quotashare.View
-	// deadGateways has the indexes of gateways that do not serve.
-	deadGateways []int
-	// excluded is set while this gateway has no share at all.
-	excluded bool
-	// excludedChangedAt is when that last changed.
-	excludedChangedAt time.Duration
-	// loansEndAt is when the last loan that this gateway has granted ends.
-	loansEndAt time.Duration
-	// loanRequests counts the loan requests since loanRequestsSince.
-	loanRequests      int
-	loanRequestsSince time.Duration
-
-	// callsOut has the counter calls without a result, oldest first, by counter name.
-	callsOut map[uint64][]*counterCall
-	// timedOutCalls are calls that may still be answered late.
-	timedOutCalls timedOutCalls
-	// failedCalls is the number of failed counter calls in a row.
-	failedCalls int
-	// callFraction is the part of the requests without tokens that call the counter.
-	callFraction float64
-	// callFractionCutAt is when callFraction last shrank.
-	callFractionCutAt time.Duration
-	// lastCounterCallAt is when the counter was last called.
-	lastCounterCallAt time.Duration
-	// callPacer paces the counter calls of a large fleet.
-	callPacer *callpacer.Pace
+	// share is this gateway's part of what all gateways have in common.
+	share shareState
+	// counter holds the calls to the shared counter.
+	counter counterCalls
 }
 
 // New returns a Balancer that knows nothing yet. The seed is for its random numbers. Its error tells which setting is
@@ -120,9 +92,9 @@
 		rng:       rand.New(rand.NewPCG(seed, 1)),
 		requests:  map[uint64]*request{},
 		customers: map[string]*customer{},
-		callsOut:  map[uint64][]*counterCall{},
+		counter:   counterCalls{callsOut: map[uint64][]*counterCall{}},
 	}
-	b.excluded = settings.LeasedShares // until the first ShareUpdate
+	b.share.excluded = settings.LeasedShares // until the first ShareUpdate
 	b.applySettings(settings, nil)
 	return b, nil
 }
@@ -150,10 +122,10 @@
 	b.startedAt = b.now
 	b.warmRate.updatedAt = b.now
 	b.endpoints.roundRobin = b.rng.IntN(roundRobinStartRange)
-	b.callPacer = b.newCallPacer()
+	b.counter.pacer = b.newCallPacer()
 	b.latency.fleetSlowdown = 1
 	if b.settings.UseCounter {
-		b.callFraction = 1
+		b.counter.callFraction = 1
 	}
 	b.setTickTimer()
 	if b.settings.PollEndpoints {
@@ -260,8 +232,8 @@
 // testSilentCounter calls the counter while no ceiling is leased because it was silent. Otherwise gateways with few
 // requests would go by their even shares while the others lease again.
 func (b *Balancer) testSilentCounter() {
-	if b.now < b.leasingFrom && b.canCallCounter() {
-		b.lastCounterCallAt = b.now
+	if b.now < b.counter.leasingFrom && b.canCallCounter() {
+		b.counter.lastCallAt = b.now
 		b.callTest()
 	}
 }
@@ -281,7 +253,7 @@
 	list := b.waitingCustomers
 	b.waitingCustomers = nil
 	for _, cust := range list {
-		cust.inWaitingList = false
+		cust.waiting.listed = false
 		b.serveWaiting(cust)
 	}
 }
--- a/internal/balancer/selection.go
+++ b/internal/balancer/selection.go
@@ -100,6 +100,6 @@
 	}
 	b.endpoints.gatewaysPerEndpoint = using
 	for _, ep := range b.endpoints.ordered {
-		ep.inSubset = subsetting.Uses(ep.name, b.settings.Index, b.settings.Gateways, using, b.deadGateways)
+		ep.inSubset = subsetting.Uses(ep.name, b.settings.Index, b.settings.Gateways, using, b.share.deadGateways)
 	}
 }
