--- a/internal/balancer/action.go
+++ b/internal/balancer/action.go
@@ -12,8 +12,8 @@
 	Endpoint string
 	// Timeout is the time after which the attempt ends as Timeout.
 	Timeout time.Duration
-	// WriteBy is when the last byte must be written, on the gateway's clock, or the attempt ends as NotSent: after that
-	// a repeat could have a second effect. 0: there is no such time.
+	// WriteBy is when the last byte must be written, on the gateway's clock, or the attempt ends as NotSent: after
+	// that a repeat could have a second effect. 0: there is no such time.
 	WriteBy time.Duration
 }
 
@@ -126,8 +126,8 @@
 	At time.Duration
 }
 
-// GrantLoan answers a LoanRequest: the gateway that asked gets a LoanGranted. If there is nothing to grant there is no
-// answer.
+// GrantLoan answers a LoanRequest: the gateway that asked gets a LoanGranted. If there is nothing to grant there is
+// no answer.
 type GrantLoan struct {
 	// To is the index of the gateway that asked.
 	To       int
--- a/internal/balancer/grant_test.go
+++ b/internal/balancer/admitonly_test.go
@@ -7,27 +7,21 @@
 	"time"
 )
 
-func leave(id uint64, plan int) Request {
-	r := ask(id, 0, plan)
-	r.AdmitOnly = true
-	return r
-}
-
 // A request for leave is answered by the module alone: no backend, no probe, and its units are drawn as those of
 // a request that is sent on.
-func TestGrantSpendsTheQuota(t *testing.T) {
-	settings := basic()
+func TestAdmitOnlySpendsQuota(t *testing.T) {
+	settings := testSettings()
 	settings.Gateways, settings.UseCounter = 1, false
-	b := open(t, settings) // not one backend
+	b := newTestBalancer(t, settings) // not one backend
 	granted, refused := 0, 0
 	for i := range 30 {
-		acts := b.Step(ms, []Event{leave(uint64(i), 0)})
-		granted += len(only[Admit](acts))
-		refused += len(only[Reject](acts))
-		if len(only[Dispatch](acts)) > 0 {
+		acts := b.Step(ms, []Event{admitOnlyRequest(uint64(i), 0)})
+		granted += len(actionsOf[Admit](acts))
+		refused += len(actionsOf[Reject](acts))
+		if len(actionsOf[Dispatch](acts)) > 0 {
 			t.Fatal("something was sent")
 		}
-		if r := only[Reject](acts); len(r) > 0 && r[0].RetryAfter <= 0 {
+		if r := actionsOf[Reject](acts); len(r) > 0 && r[0].RetryAfter <= 0 {
 			t.Errorf("a refusal that does not say when to come back")
 		}
 	}
@@ -40,32 +34,32 @@
 	if len(b.requests) != 0 {
 		t.Errorf("%d requests are kept", len(b.requests))
 	}
-	if acts := b.Step(time.Second, []Event{leave(99, 0)}); len(only[Admit](acts)) != 1 {
+	if acts := b.Step(time.Second, []Event{admitOnlyRequest(99, 0)}); len(actionsOf[Admit](acts)) != 1 {
 		t.Error("the store has filled, and nothing is granted")
 	}
 }
 
 // One customer's requests and requests for leave, mixed as they come, draw on one ceiling over all doors: in every
 // window no more goes on than its rate and depth allow.
-func TestGrantsAndSendsShareTheCeiling(t *testing.T) {
+func TestAdmitOnlyAndDispatchesShareCeiling(t *testing.T) {
 	const doors = 3
 	for _, share := range []float64{0, 0.5, 1} { // of requests for leave
-		settings := basic()
+		settings := testSettings()
 		settings.Gateways, settings.UseCounter = doors, false
 		settings.Plans[1].OverQuotaCost = 0 // beyond the quota it still earns
 		rng := rand.New(rand.NewPCG(3, uint64(share*10)))
 		all := make([]*Balancer, doors)
 		sends := make([]map[uint64]int, doors)
 		for i := range all {
-			all[i], sends[i] = open(t, settings, backends(6)...), map[uint64]int{}
+			all[i], sends[i] = newTestBalancer(t, settings, testEndpoints(6)...), map[uint64]int{}
 		}
 		var went []time.Duration
 		for tick := range 6000 { // 30 s at 200 a second, ten times the ceiling
 			now := time.Duration(tick) * 5 * ms
 			i := rng.IntN(doors)
-			r := ask(uint64(tick), 0, 1)
-			r.AdmitOnly = rng.Float64() < share
-			todo := all[i].Step(now, []Event{r, TimerFired{0}})
+			request := testRequest(uint64(tick), 0, 1)
+			request.AdmitOnly = rng.Float64() < share
+			todo := all[i].Step(now, []Event{request, TimerFired{0}})
 			for len(todo) > 0 {
 				var evs []Event
 				for _, a := range todo {
@@ -76,7 +70,7 @@
 						if sends[i][a.ID] == 0 {
 							went = append(went, now)
 						}
-						evs = append(evs, served(a, sends[i][a.ID], 20*ms))
+						evs = append(evs, succeeded(a, sends[i][a.ID], 20*ms))
 						sends[i][a.ID]++
 					}
 				}
@@ -102,56 +96,56 @@
 
 // What asks for leave waits behind nothing but the counter: not for the ceiling's share to fill, and not for a place
 // under the cap on what is open at once.
-func TestGrantJoinsNoLine(t *testing.T) {
-	settings := basic()
+func TestAdmitOnlyJoinsNoQueue(t *testing.T) {
+	settings := testSettings()
 	settings.UseCounter, settings.Gateways = false, 1
 	settings.Plans[1].CeilingBurst = 2
 	settings.Plans[1].OverQuotaCost = 0
-	b := open(t, settings, backends(2)...)
+	b := newTestBalancer(t, settings, testEndpoints(2)...)
 	now := time.Second
 	for i := range 12 { // fills the line for the ceiling
-		b.Step(now, []Event{ask(uint64(i), 1, 1)})
+		b.Step(now, []Event{testRequest(uint64(i), 1, 1)})
 	}
 	if len(b.customers["c"].waiting.requests) == 0 {
 		t.Fatal("no line")
 	}
-	if acts := b.Step(now, []Event{leave(50, 1)}); len(only[Reject](acts)) != 1 {
+	if acts := b.Step(now, []Event{admitOnlyRequest(50, 1)}); len(actionsOf[Reject](acts)) != 1 {
 		t.Errorf("behind the line for the ceiling: %v", acts)
 	}
-	b = open(t, settings, backends(2)...)
+	b = newTestBalancer(t, settings, testEndpoints(2)...)
 	for i := range 8 { // the cap is 4
-		r := ask(uint64(i), 0, 3)
-		b.Step(now, []Event{r})
+		request := testRequest(uint64(i), 0, 3)
+		b.Step(now, []Event{request})
 	}
 	if len(b.customers["c"].waiting.requests) == 0 {
 		t.Fatal("no line")
 	}
-	acts := b.Step(now, []Event{leave(50, 3)})
-	if r := only[Reject](acts); len(r) != 1 || r[0].RetryAfter <= 0 {
+	acts := b.Step(now, []Event{admitOnlyRequest(50, 3)})
+	if r := actionsOf[Reject](acts); len(r) != 1 || r[0].RetryAfter <= 0 {
 		t.Errorf("behind the line for the cap: %v", acts)
 	}
 }
 
 // A granted request counts under the cap on what is open at once until its work is said to be done, or its hold has
 // run out; then what waited for the place is served.
-func TestGrantHoldsItsPlace(t *testing.T) {
-	settings := basic()
+func TestAdmitOnlyCountsAsInFlight(t *testing.T) {
+	settings := testSettings()
 	settings.UseCounter, settings.Gateways = false, 1
-	b := open(t, settings, backends(2)...)
+	b := newTestBalancer(t, settings, testEndpoints(2)...)
 	var timers []SetTimer
 	for i := range 4 {
-		r := leave(uint64(i+1), 3)
-		r.HoldFor = time.Duration(i+1) * 100 * ms
-		acts := b.Step(ms, []Event{r})
-		if len(only[Admit](acts)) != 1 {
+		request := admitOnlyRequest(uint64(i+1), 3)
+		request.HoldFor = time.Duration(i+1) * 100 * ms
+		acts := b.Step(ms, []Event{request})
+		if len(actionsOf[Admit](acts)) != 1 {
 			t.Fatalf("number %d: %v", i, acts)
 		}
-		timers = append(timers, only[SetTimer](acts)...)
+		timers = append(timers, actionsOf[SetTimer](acts)...)
 	}
 	full := func(now time.Duration, id uint64) bool {
-		r := leave(id, 3)
-		r.HoldFor = time.Hour
-		return len(only[Reject](b.Step(now, []Event{r}))) == 1
+		request := admitOnlyRequest(id, 3)
+		request.HoldFor = time.Hour
+		return len(actionsOf[Reject](b.Step(now, []Event{request}))) == 1
 	}
 	if !full(2*ms, 10) {
 		t.Error("a fifth is granted")
@@ -163,7 +157,7 @@
 	if !full(5*ms, 12) {
 		t.Error("one end has freed two places")
 	}
-	b.Step(6*ms, []Event{ask(20, 0, 3)}) // waits for a place
+	b.Step(6*ms, []Event{testRequest(20, 0, 3)}) // waits for a place
 	if len(timers) != 4 {
 		t.Fatalf("timers %v", timers)
 	}
@@ -172,39 +166,39 @@
 		t.Error("the hold ended before its time")
 	}
 	acts := b.Step(timers[0].At, []Event{TimerFired{timers[0].Cookie}})
-	if len(only[Dispatch](acts)) != 1 {
+	if len(actionsOf[Dispatch](acts)) != 1 {
 		t.Errorf("the hold has run out, and what waits is not sent: %v", acts)
 	}
 }
 
 // What asks for leave waits for the counter's answer, and no longer than its own time if that never comes.
-func TestGrantWaitsForTheCounter(t *testing.T) {
+func TestAdmitOnlyWaitsForCounter(t *testing.T) {
 	for _, late := range []bool{false, true} {
-		b := open(t, basic(), backends(2)...)
+		b := newTestBalancer(t, testSettings(), testEndpoints(2)...)
 		var acts []Action
 		var calls []CounterAdd
 		for id := uint64(1); len(calls) == 0 && id < 20; id++ { // until this door's own share is spent
-			r := leave(id, 0)
-			r.TimeLeft = 200 * ms
-			acts = b.Step(ms, []Event{r})
-			calls = only[CounterAdd](acts)
+			request := admitOnlyRequest(id, 0)
+			request.TimeLeft = 200 * ms
+			acts = b.Step(ms, []Event{request})
+			calls = actionsOf[CounterAdd](acts)
 		}
-		if len(calls) != 1 || len(only[Admit](acts)) != 0 {
+		if len(calls) != 1 || len(actionsOf[Admit](acts)) != 0 {
 			t.Fatalf("no share is left: %v", acts)
 		}
 		var cookie TimerFired
-		for _, s := range only[SetTimer](acts) {
+		for _, s := range actionsOf[SetTimer](acts) {
 			cookie = TimerFired{s.Cookie}
 		}
 		now := 20 * ms
 		if late {
 			now = 300 * ms
-			if acts = b.Step(ms+200*ms, []Event{cookie}); len(only[Reject](acts)) != 1 {
+			if acts = b.Step(ms+200*ms, []Event{cookie}); len(actionsOf[Reject](acts)) != 1 {
 				t.Errorf("its time is up: %v", acts)
 			}
 		}
 		acts = b.Step(now, []Event{CounterResult{calls[0].Name, OK, calls[0].Amount}})
-		if n := len(only[Admit](acts)); !late && n != 1 || late && n != 0 {
+		if n := len(actionsOf[Admit](acts)); !late && n != 1 || late && n != 0 {
 			t.Errorf("late %v: %d granted", late, n)
 		}
 	}
@@ -212,18 +206,18 @@
 
 // Customers' grants do not hang on one another: one that floods takes nothing from another, whose leave comes at
 // once.
-func TestGrantOfAQuietCustomer(t *testing.T) {
-	settings := basic()
+func TestAdmitOnlyOfQuietCustomer(t *testing.T) {
+	settings := testSettings()
 	settings.UseCounter, settings.Gateways = false, 1
-	b := open(t, settings, backends(2)...)
+	b := newTestBalancer(t, settings, testEndpoints(2)...)
 	for i := range 2000 {
-		r := leave(uint64(i), 1)
-		r.Customer = "loud"
-		b.Step(time.Duration(i)*ms, []Event{r})
+		request := admitOnlyRequest(uint64(i), 1)
+		request.Customer = "loud"
+		b.Step(time.Duration(i)*ms, []Event{request})
 		if i%400 == 0 {
-			q := leave(uint64(1e6+i), 0)
+			q := admitOnlyRequest(uint64(1e6+i), 0)
 			q.Customer = fmt.Sprint("quiet", i%800)
-			if acts := b.Step(time.Duration(i)*ms, []Event{q}); len(only[Admit](acts)) != 1 {
+			if acts := b.Step(time.Duration(i)*ms, []Event{q}); len(actionsOf[Admit](acts)) != 1 {
 				t.Fatalf("at %d: %v", i, acts)
 			}
 		}
@@ -232,22 +226,22 @@
 
 // Under a flood of requests that join the line for the ceiling, what asks for leave still gets its part of it, by its
 // part of the demand; and what does not ask for leave loses nothing where nothing does.
-func TestGrantsGetTheirPartOfTheCeiling(t *testing.T) {
+func TestAdmitOnlyGetsItsPartOfCeiling(t *testing.T) {
 	for _, share := range []float64{0, 0.05, 0.5, 0.95} {
-		settings := basic()
+		settings := testSettings()
 		settings.Gateways, settings.UseCounter = 1, false
 		settings.Plans[1].OverQuotaCost = 0
-		b := open(t, settings, backends(6)...)
+		b := newTestBalancer(t, settings, testEndpoints(6)...)
 		rng := rand.New(rand.NewPCG(5, uint64(share*100)))
 		sends, grants := 0.0, 0.0
 		for tick := range 6000 { // 30 s at 200 a second, ten times the ceiling
 			now := time.Duration(tick) * 5 * ms
-			r := ask(uint64(tick), 1, 1)
-			r.TimeLeft = time.Second
-			if r.AdmitOnly = rng.Float64() < share; r.AdmitOnly {
-				r.TimeLeft = 100 * ms
+			request := testRequest(uint64(tick), 1, 1)
+			request.TimeLeft = time.Second
+			if request.AdmitOnly = rng.Float64() < share; request.AdmitOnly {
+				request.TimeLeft = 100 * ms
 			}
-			todo := b.Step(now, []Event{r, TimerFired{0}})
+			todo := b.Step(now, []Event{request, TimerFired{0}})
 			for len(todo) > 0 {
 				var evs []Event
 				for _, a := range todo {
@@ -256,7 +250,7 @@
 						grants++
 					case Dispatch:
 						sends++
-						evs = append(evs, served(a, 0, 20*ms))
+						evs = append(evs, succeeded(a, 0, 20*ms))
 					}
 				}
 				if todo = nil; len(evs) > 0 {
--- a/internal/balancer/planchange_test.go
+++ b/internal/balancer/ceilinglease_test.go
@@ -9,13 +9,13 @@
 // A customer may move to another plan while a call for a lease of its ceiling is out: the answer must be taken, whatever
 // the new plan has. KNOWN-RED.txt lists it: the answer is read on the terms of the new plan, whose ceiling is not leased.
 func TestPlanChangesWhileLeaseCallIsOut(t *testing.T) {
-	settings := basic()
+	settings := testSettings()
 	settings.LeaseCeilings = true
 	settings.Plans[1].Rate = 0
 	settings.Plans[1].OverQuotaWeight = 1
-	b := open(t, settings, backends(3)...)
+	b := newTestBalancer(t, settings, testEndpoints(3)...)
 	request := Request{ID: 1, Plan: 1, Customer: "c", TimeLeft: time.Second, Units: 1}
-	calls := only[CounterAdd](b.Step(time.Second, []Event{request}))
+	calls := actionsOf[CounterAdd](b.Step(time.Second, []Event{request}))
 	if len(calls) != 1 {
 		t.Fatalf("%d counter calls, want 1", len(calls))
 	}
--- a/internal/balancer/late_test.go
+++ b/internal/balancer/countercall_test.go
@@ -5,23 +5,132 @@
 	"time"
 )
 
-// called is a door with one call of the counter out, for a request that waits for it.
-func called(t *testing.T) (*Balancer, CounterAdd, time.Duration) {
+// Calls of one connection end together. They say no more of the counter than one of them; one that was made after they
+// ended does.
+func TestConcurrentCallFailuresCountOnce(t *testing.T) {
+	b := newTestBalancer(t, testSettings(), testEndpoints(2)...)
+	now := time.Second
+	names := map[uint64]bool{}
+	for i := uint64(0); len(names) < 5 && i < 400; i++ { // calls for five customers
+		request := testRequest(i, 0, 0)
+		request.Customer = string(rune('a' + i%5))
+		for _, k := range actionsOf[CounterAdd](b.Step(now, []Event{request})) {
+			names[k.Name] = true
+		}
+	}
+	if len(names) != 5 {
+		t.Fatalf("%d customers call", len(names))
+	}
+	before := b.counter.callFraction
+	var all []Event
+	for name := range names {
+		all = append(all, CounterResult{Name: name, Status: Timeout})
+	}
+	b.Step(now+50*ms, all)
+	if want := before * callFractionDecrease; b.counter.callFraction != want {
+		t.Errorf(
+			"the part that calls is %v after five calls that ended together; want %v as after one",
+			b.counter.callFraction,
+			want,
+		)
+	}
+	cust := b.customers["a"]
+	cust.quota.callsPausedUntil, cust.bucket.emptyUntil, cust.quota.fallbackTokens, b.counter.callFraction = 0, 0, 0, 1
+	again := actionsOf[CounterAdd](
+		b.Step(now+60*ms, []Event{func() Request { request := testRequest(900, 0, 0); request.Customer = "a"; return request }()}),
+	)
+	if len(again) != 1 {
+		t.Fatalf("%d calls after that", len(again))
+	}
+	b.Step(now+110*ms, []Event{CounterResult{Name: again[0].Name, Status: Timeout}})
+	if b.counter.callFraction != callFractionDecrease {
+		t.Errorf("a later failure does not count: %v", b.counter.callFraction)
+	}
+}
+
+// Where calls cost, a lease of a nearly full store reaches further ahead; one of a store that is running out never
+// does.
+func TestLeaseSizeGrowsWithCallCost(t *testing.T) {
+	block := func(fee, full float64) float64 {
+		settings := testSettings()
+		settings.CounterCallCost, settings.Plans[0] = fee, Plan{
+			Rate:           10,
+			Burst:          400,
+			PriorityFactor: 1,
+			OverQuotaCost:  0.5,
+		}
+		b := newTestBalancer(t, settings, testEndpoints(2)...)
+		now := time.Second
+		b.Step(now, []Event{testRequest(1, 0, 0)})
+		cust := b.customers["c"]
+		cust.bucket.known, cust.quota.fallbackTokens, cust.quota.tokens, cust.demand.rate = true, 0, 0, 10
+		cust.bucket.level, cust.bucket.levelAt = full*400, now
+		calls := actionsOf[CounterAdd](b.Step(now+ms, []Event{testRequest(2, 0, 0)}))
+		if len(calls) != 1 {
+			t.Fatalf("%d calls", len(calls))
+		}
+		return calls[0].Amount - cust.quota.debt
+	}
+	free, dear, scarce := block(0, 1), block(0.02, 1), block(0.02, 0.5)
+	if dear < 3*free || scarce > free+1 {
+		t.Errorf(
+			"leases of %.0f where calls are free, %.0f where they cost, %.0f where they cost and the store is half empty",
+			free,
+			dear,
+			scarce,
+		)
+	}
+}
+
+// A counter whose answer can't be read has added the block all the same: it is given back with the next call, which is
+// made at
+// once for who waits, and once only.
+func TestUnreadableCounterResult(t *testing.T) {
+	b := newTestBalancer(t, testSettings(), testEndpoints(2)...)
+	var calls []CounterAdd
+	now := ms
+	for i := range uint64(40) { // the fresh door's share is spent first
+		calls = actionsOf[CounterAdd](b.Step(now, []Event{testRequest(i, 0, 0)}))
+		if len(calls) > 0 {
+			break
+		}
+	}
+	if len(calls) != 1 {
+		t.Fatal("no call of the counter")
+	}
+	first := calls[0]
+	owed := b.customers["c"].quota.debt
+	acts := b.Step(now+ms, []Event{CounterResult{Name: first.Name, Status: Failed}})
+	again := actionsOf[CounterAdd](acts)
+	if len(again) != 1 || len(actionsOf[Reject](acts)) != 0 {
+		t.Fatalf("after a spoilt answer: %v; want one more call and no refusal", acts)
+	}
+	if sum := first.Amount + again[0].Amount; sum >= 2*first.Amount+owed {
+		t.Errorf("%v and then %v added; want the first block given back", first.Amount, again[0].Amount)
+	}
+	acts = b.Step(now+2*ms, []Event{CounterResult{Name: again[0].Name, Status: Failed}})
+	if len(actionsOf[CounterAdd](acts)) != 0 || len(actionsOf[Reject](acts)) != 1 {
+		t.Errorf("after a second one: %v; want a refusal and no third call", acts)
+	}
+}
+
+// newBalancerWithCallOut is a door with one call of the counter out, for a request that waits for it.
+func newBalancerWithCallOut(t *testing.T) (*Balancer, CounterAdd, time.Duration) {
 	t.Helper()
-	return calledBy(t, 7)
+	return newSeededBalancerWithCallOut(t, 7)
 }
 
-func calledBy(t *testing.T, seed uint64) (*Balancer, CounterAdd, time.Duration) {
+func newSeededBalancerWithCallOut(t *testing.T, seed uint64) (*Balancer, CounterAdd, time.Duration) {
 	t.Helper()
-	b, err := New(basic(), seed)
+	b, err := New(testSettings(), seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.Step(0, []Event{EndpointUpdate{Kind: CachedSnapshot, Entries: backends(2)}})
+	b.Step(0, []Event{EndpointUpdate{Kind: CachedSnapshot, Entries: testEndpoints(2)}})
 	now := time.Second
 	for i := range uint64(40) { // the fresh door's share is spent first
 		now += ms
-		if calls := only[CounterAdd](b.Step(now, []Event{ask(i, 0, 0)})); len(calls) > 0 {
+		if calls := actionsOf[CounterAdd](b.Step(now, []Event{testRequest(i, 0, 0)})); len(calls) > 0 {
 			return b, calls[0], now
 		}
 	}
@@ -32,11 +141,11 @@
 // A call that is answered too late has taken its block: it is leased from then on, once, whatever is said twice or of
 // other
 // calls; and meanwhile nothing more is asked.
-func TestLateAnswerIsALease(t *testing.T) {
-	b, call, now := called(t)
+func TestLateResultIsALease(t *testing.T) {
+	b, call, now := newBalancerWithCallOut(t)
 	cust := b.customers["c"]
 	b.Step(now+50*ms, []Event{CounterResult{Name: call.Name, Status: Timeout}})
-	if acts := b.Step(now+55*ms, []Event{ask(900, 0, 0)}); len(only[CounterAdd](acts)) != 0 {
+	if acts := b.Step(now+55*ms, []Event{testRequest(900, 0, 0)}); len(actionsOf[CounterAdd](acts)) != 0 {
 		t.Errorf("asked again before the first call is answered: %v", acts)
 	}
 	before := cust.quota.tokens
@@ -50,15 +159,15 @@
 		t.Errorf("%v leased of the %v added", got, call.Amount)
 	}
 	before = cust.quota.tokens
-	b.Step(now+80*ms, []Event{ask(901, 0, 0)}) // the servers are full, but it is paid for
+	b.Step(now+80*ms, []Event{testRequest(901, 0, 0)}) // the servers are full, but it is paid for
 	if req := b.requests[901]; before >= 1 && (req == nil || !req.withinQuota || cust.quota.tokens != before-1) {
 		t.Errorf("a request inside the lease of %v is not paid by it", before)
 	}
 }
 
 // One whose total can't be read is given back.
-func TestLateAnswerThatIsSpoilt(t *testing.T) {
-	b, call, now := called(t)
+func TestLateResultWithoutTotal(t *testing.T) {
+	b, call, now := newBalancerWithCallOut(t)
 	cust := b.customers["c"]
 	b.Step(now+50*ms, []Event{CounterResult{Name: call.Name, Status: Timeout}})
 	before := cust.quota.debt
@@ -69,9 +178,9 @@
 }
 
 // What is late by a window belongs to a number that nobody asks any more, and what is stale is forgotten.
-func TestLateAnswerOfAnotherWindow(t *testing.T) {
+func TestLateResultOfAnotherWindow(t *testing.T) {
 	for _, after := range []time.Duration{counterWindow, lateKeep + time.Second} {
-		b, call, now := called(t)
+		b, call, now := newBalancerWithCallOut(t)
 		cust := b.customers["c"]
 		b.Step(now+50*ms, []Event{CounterResult{Name: call.Name, Status: Timeout}})
 		before := cust.quota.tokens
@@ -83,7 +192,7 @@
 }
 
 // A counter that is silent for ever leaves no more behind than the bound.
-func TestLatesAreBounded(t *testing.T) {
+func TestTimedOutCallsAreBounded(t *testing.T) {
 	var l timedOutCalls
 	for i := range 10 * lateMost {
 		l.keep(&counterCall{ticket: l.nextTicket(), sentAt: time.Duration(i)}, time.Duration(i))
@@ -99,13 +208,13 @@
 
 // A block that nobody hears of is lost to the customer, so the next call asks for one request only; an answer makes it
 // whole again.
-func TestAfterSilenceTheLeastIsAsked(t *testing.T) {
-	b, call, now := called(t)
+func TestLeaseIsSmallestAfterLostCall(t *testing.T) {
+	b, call, now := newBalancerWithCallOut(t)
 	cust := b.customers["c"]
 	b.Step(now+50*ms, []Event{CounterResult{Name: call.Name, Status: Timeout}})
 	cust.demand.rate = 100 // a flood, whose lease would be a large one
 	now += 50*ms + latePause
-	calls := only[CounterAdd](b.Step(now, []Event{ask(800, 0, 0)}))
+	calls := actionsOf[CounterAdd](b.Step(now, []Event{testRequest(800, 0, 0)}))
 	if len(calls) != 1 || calls[0].Amount > 1+1e-9 {
 		t.Fatalf("after a call without an answer: %v; want one for a single unit", calls)
 	}
@@ -116,12 +225,12 @@
 }
 
 // A connection that breaks ends its calls at once, and no late answer can come on it: who waits asks once more, now.
-func TestCallOfABrokenConnectionIsMadeAgain(t *testing.T) {
+func TestCallIsRepeatedAfterBrokenConnection(t *testing.T) {
 	again := 0
 	for seed := range uint64(20) { // the part that calls has shrunk by the failure: for a few that means no
-		b, call, now := calledBy(t, seed)
+		b, call, now := newSeededBalancerWithCallOut(t, seed)
 		acts := b.Step(now+3*ms, []Event{CounterResult{Name: call.Name, Status: Timeout}})
-		again += len(only[CounterAdd](acts))
+		again += len(actionsOf[CounterAdd](acts))
 		if len(b.counter.timedOut.calls) != 0 || b.customers["c"].quota.callsPausedUntil != 0 {
 			t.Errorf("seed %d: a late answer is waited for on a connection that is gone", seed)
 		}
@@ -132,12 +241,12 @@
 }
 
 // One that says it is busy, or takes no connection, is not asked again at once.
-func TestABusyCounterIsNotAskedAgain(t *testing.T) {
+func TestRejectedCallIsNotRepeated(t *testing.T) {
 	for _, status := range []Status{Rejected, ConnectFailed} {
 		for seed := range uint64(20) { // whether a request calls is partly chance
-			b, call, now := calledBy(t, seed)
+			b, call, now := newSeededBalancerWithCallOut(t, seed)
 			acts := b.Step(now+3*ms, []Event{CounterResult{Name: call.Name, Status: status}})
-			if again := only[CounterAdd](acts); len(again) != 0 {
+			if again := actionsOf[CounterAdd](acts); len(again) != 0 {
 				t.Errorf("status %d, seed %d: asked again at once: %v", status, seed, again)
 			}
 		}
@@ -147,8 +256,8 @@
 // A late answer tells what the store held when the call was made. What it has gained since may be spent by others: it
 // is not
 // granted on the strength of an old total.
-func TestLateAnswerGrantsNoRefillSince(t *testing.T) {
-	b, call, now := called(t)
+func TestLateResultGrantsNoLaterRefill(t *testing.T) {
+	b, call, now := newBalancerWithCallOut(t)
 	cust := b.customers["c"]
 	plan := b.settings.Plans[0]
 	b.Step(now+50*ms, []Event{CounterResult{Name: call.Name, Status: Timeout}})
@@ -162,12 +271,12 @@
 
 // A late total is older than what a later call has told: it neither looks like a loss of the counter nor is taken for
 // the newest.
-func TestLateAnswerAfterALaterOne(t *testing.T) {
-	b, call, now := called(t)
+func TestLateResultAfterNewerOne(t *testing.T) {
+	b, call, now := newBalancerWithCallOut(t)
 	cust := b.customers["c"]
 	b.Step(now+50*ms, []Event{CounterResult{Name: call.Name, Status: Timeout}})
 	now += 50*ms + latePause
-	later := only[CounterAdd](b.Step(now, []Event{ask(700, 0, 0)}))
+	later := actionsOf[CounterAdd](b.Step(now, []Event{testRequest(700, 0, 0)}))
 	if len(later) != 1 {
 		t.Fatalf("%d calls after the pause", len(later))
 	}
@@ -187,7 +296,7 @@
 			at,
 		)
 	}
-	for _, k := range only[CounterAdd](acts) {
+	for _, k := range actionsOf[CounterAdd](acts) {
 		if k.Amount > 0 {
 			t.Errorf("%v added to put a number right by an old total", k.Amount)
 		}
--- a/internal/balancer/bounds_test.go
+++ b/internal/balancer/customer_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// storm steps a door through a time in which so many customers a second come that were never seen and never come again.
+// floodWithNewCustomers steps a door through a time in which so many customers a second come that were never seen and never come again.
 // Beside them it runs a function every tick.
-func storm(b *Balancer, from, to time.Duration, each int, beside func(at time.Duration)) (most int) {
+func floodWithNewCustomers(b *Balancer, from, to time.Duration, each int, beside func(at time.Duration)) (most int) {
 	id := uint64(1 << 32)
 	for at := from; at < to; at += tickInterval {
 		evs := []Event{TimerFired{0}}
@@ -21,7 +21,7 @@
 		}
 		for acts := b.Step(at, evs); len(acts) > 0; {
 			var outs []Event
-			for _, s := range only[Dispatch](acts) {
+			for _, s := range actionsOf[Dispatch](acts) {
 				outs = append(
 					outs,
 					AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Status: OK, Latency: ms, RequestClosed: true},
@@ -41,8 +41,8 @@
 }
 
 // A million customers that are seen once take no more room than is stated, and are forgotten when they stop coming.
-func TestCustomersAreBounded(t *testing.T) {
-	settings := quiet()
+func TestCustomerTableIsBounded(t *testing.T) {
+	settings := settingsWithoutCounter()
 	settings.Plans[0], settings.Plans[1] = Plan{
 		Rate:           2,
 		Burst:          8,
@@ -52,29 +52,29 @@
 		CeilingRate:    20,
 		CeilingBurst:   40,
 	}
-	b := open(t, settings, backends(3)...)
+	b := newTestBalancer(t, settings, testEndpoints(3)...)
 	end := 200 * time.Second
-	if most := storm(b, 0, end, 100, nil); most > maxCustomers { // 5,000 a second
+	if most := floodWithNewCustomers(b, 0, end, 100, nil); most > maxCustomers { // 5,000 a second
 		t.Errorf("%d customers are known, %d at most", most, maxCustomers)
 	}
 	if len(b.customerOrder) != len(b.customers) {
 		t.Errorf("%d in the order, %d known", len(b.customerOrder), len(b.customers))
 	}
-	storm(b, end, end+customerTTL+20*time.Second, 0, nil)
+	floodWithNewCustomers(b, end, end+customerTTL+20*time.Second, 0, nil)
 	if len(b.customers) > 0 || len(b.requests) > 0 {
 		t.Errorf("%d customers and %d requests are left", len(b.customers), len(b.requests))
 	}
 }
 
 // Whoever is known before a storm of names keeps its place: its ceiling holds, and it is served.
-func TestStormOfNamesKeepsCeilings(t *testing.T) {
-	settings := quiet()
+func TestFloodOfNewCustomersKeepsCeilings(t *testing.T) {
+	settings := settingsWithoutCounter()
 	settings.Plans[0] = Plan{PriorityFactor: 1}
 	settings.Plans[1] = Plan{PriorityFactor: 1, CeilingRate: 2, CeilingBurst: 40}
-	b := open(t, settings, backends(3)...)
+	b := newTestBalancer(t, settings, testEndpoints(3)...)
 	sent, id := 0, uint64(0)
 	end := 60 * time.Second
-	storm(b, 0, end, 100, func(at time.Duration) {
+	floodWithNewCustomers(b, 0, end, 100, func(at time.Duration) {
 		if at%(4*time.Second) != 0 {
 			return
 		}
@@ -84,7 +84,7 @@
 				at,
 				[]Event{Request{ID: id, Plan: 1, Customer: "known", TimeLeft: 2 * time.Second, Units: 1}},
 			)
-			for _, s := range only[Dispatch](acts) {
+			for _, s := range actionsOf[Dispatch](acts) {
 				sent++
 				b.Step(
 					at,
--- a/internal/balancer/doc.go
+++ b/internal/balancer/doc.go
@@ -1,17 +1,17 @@
 // Package balancer makes the decisions of one gateway that meters many customers' use of one shared service: which
 // requests are forwarded, to which endpoint, when, how often, and which are rejected.
 //
-// A [Balancer] does no input or output and starts no goroutine. The caller hands it what happened as [Event] values and
-// carries out the [Action] values that come back, in their order. All times are on the caller's clock, which may start
-// anywhere and must not go back. The same settings, seed and events give the same actions. A Balancer is not safe for
-// concurrent use; different ones share nothing.
+// A [Balancer] does no input or output and starts no goroutine. The caller hands it what happened as [Event] values
+// and carries out the [Action] values that come back, in their order. All times are on the caller's clock, which may
+// start anywhere and must not go back. The same settings, seed and events give the same actions. A Balancer is not
+// safe for concurrent use; different ones share nothing.
 //
 // # Mechanism
 //
 // The mechanism follows J. Andersson and M. Kihl, "Load Balancing and Admission Control of a Parlay X Application
 // Server" (NTS 17, 2004, sections 3.1 and 4). A token bucket promotes the requests that a contract guarantees, round
-// robin chooses an endpoint, and tests of the measured latency against the time limit decide which queued requests are
-// dispatched and which are rejected. With
+// robin chooses an endpoint, and tests of the measured latency against the time limit decide which queued requests
+// are dispatched and which are rejected. With
 //
 //	tau   the time limit of a request (request.timeLimit)
 //	f     the part of it that waiting and answer may take (latencyHeadroomFraction)
@@ -30,23 +30,23 @@
 //
 // The first level that holds a request is always open, and the oldest request of all open levels is dispatched.
 //
-// This package departs from the paper in some points. tau is bounded by the class's latency objective if a later answer
-// has no weight. EQ 3 applies to guaranteed requests too. EQ 4 has a stricter bound (queueShareOfDeadline), and a
-// request for which it would fail is rejected when it would join the queue, while its client has time to try again. S is
-// not fixed: it adapts, so that queues form here, where priority levels count, and not inside the endpoints. Costs
-// differ between requests, and endpoints differ in latency. Where many gateways share few endpoints, some decisions are
-// random, so that the gateways don't all do the same.
+// This package departs from the paper in some points. tau is bounded by the class's latency objective if a later
+// answer has no weight. EQ 3 applies to guaranteed requests too. EQ 4 has a stricter bound (queueShareOfDeadline),
+// and a request for which it would fail is rejected when it would join the queue, while its client has time to try
+// again. S is not fixed: it adapts, so that queues form here, where priority levels count, and not inside the
+// endpoints. Costs differ between requests, and endpoints differ in latency. Where many gateways share few endpoints,
+// some decisions are random, so that the gateways don't all do the same.
 //
 // # Lifecycle of a request
 //
 // Each state names the method that leads to it:
 //
-//   - arrived (admit): has a time limit, a cost and a customer. Rejected at once if there is no time or the wait for the
-//     ceiling would be too long.
+//   - arrived (admit): has a time limit, a cost and a customer. Rejected at once if there is no time or the wait for
+//     the ceiling would be too long.
 //   - waiting for quota (waitForQuota): in the customer's queue until tokens cover it, the counter answers, or it is
 //     decided that it goes on without.
-//   - placed (assign): has a priority level and is given an endpoint, or is shed. One that finds no endpoint is unplaced
-//     until the next tick.
+//   - placed (assign): has a priority level and is given an endpoint, or is shed. One that finds no endpoint is
+//     unplaced until the next tick.
 //   - queued (enqueue): in a level of an endpoint's priorityQueue, with units of the ceiling reserved.
 //   - in flight (dispatch): has one attempt out; its units are drawn from the ceiling with the first one.
 //   - streaming (handleFirstByte): the answer has started; the deadline no longer applies.
--- a/internal/balancer/event.go
+++ b/internal/balancer/event.go
@@ -28,7 +28,8 @@
 	NotSent
 )
 
-// Request is a request that has arrived. It gets one final answer: Reject, Fail or Admit, or the answer of an attempt.
+// Request is a request that has arrived. It gets one final answer: Reject, Fail or Admit, or the answer of an
+// attempt.
 type Request struct {
 	// ID identifies the request; an ID is never used twice.
 	ID uint64
@@ -46,8 +47,8 @@
 	// ClientRetry is set if the client repeats an earlier request, where clients mark that.
 	ClientRetry bool
 
-	// AdmitOnly is set if only admission is decided, as the work is done elsewhere. The final answer is Admit or Reject;
-	// Admit counts as a dispatch.
+	// AdmitOnly is set if only admission is decided, as the work is done elsewhere. The final answer is Admit or
+	// Reject; Admit counts as a dispatch.
 	AdmitOnly bool
 	// HoldFor is how long such a request counts as in flight once admitted, if its plan has MaxInFlight and no
 	// RequestDone comes sooner.
@@ -91,8 +92,8 @@
 	Total float64
 }
 
-// LateCounterResult says that a CounterAdd was added after all whose CounterResult was Timeout. The caller need not ever
-// report that.
+// LateCounterResult says that a CounterAdd was added after all whose CounterResult was Timeout. The caller need not
+// ever report that.
 type LateCounterResult struct {
 	// Ticket is that of the CounterAdd.
 	Ticket uint64
@@ -195,8 +196,8 @@
 // AdminRestore undoes AdminEject. The endpoint warms up, as it may have been restarted meanwhile.
 type AdminRestore struct{ Endpoint string }
 
-// SettingsUpdate replaces the settings, which must pass Settings.Validate. There are as many classes and plans as before
-// or more, and an index gets another meaning only if no request of the old one is open or may still come.
+// SettingsUpdate replaces the settings, which must pass Settings.Validate. There are as many classes and plans as
+// before or more, and an index gets another meaning only if no request of the old one is open or may still come.
 type SettingsUpdate struct {
 	Settings Settings
 	// EvidenceFrom has for each class the index of the one before whose estimates it goes on with, mostly its own;
--- a/internal/balancer/golden_test.go
+++ b/internal/balancer/golden_test.go
@@ -25,8 +25,8 @@
 	stall    float64 // the gateway stands still for a while, in each round
 }
 
-// play is one deterministic run of some instances of the decision module with random events.
-type play struct {
+// runFleet is one deterministic run of some instances of the decision module with random events.
+type runFleet struct {
 	name     string
 	seed     uint64
 	settings balancer.Settings
@@ -69,7 +69,7 @@
 
 // run is a play while it goes on.
 type run struct {
-	play
+	runFleet
 	rng       *rand.Rand
 	now       time.Duration
 	trace     *golden.Trace
@@ -79,14 +79,14 @@
 }
 
 // hash plays and returns the hash of all actions in order.
-func (p play) hash(t *testing.T) string {
+func (p runFleet) hash(t *testing.T) string {
 	t.Helper()
 	r := &run{
-		play:   p,
-		rng:    rand.New(rand.NewPCG(p.seed, 77)),
-		now:    time.Hour,
-		trace:  golden.NewTrace(),
-		totals: map[uint64]float64{},
+		runFleet: p,
+		rng:      rand.New(rand.NewPCG(p.seed, 77)),
+		now:      time.Hour,
+		trace:    golden.NewTrace(),
+		totals:   map[uint64]float64{},
 	}
 	for i := range p.backends {
 		r.list = append(r.list, balancer.Endpoint{
@@ -687,13 +687,13 @@
 }
 
 // plays are all that is recorded.
-func plays() (all []play) {
+func plays() (all []runFleet) {
 	levels := map[string]faults{
 		"calm":  {},
 		"rough": {attempt: 0.08, silent: 0.04, counter: 0.06, late: 0.5, endpoint: 0.02, stall: 0.002},
 		"bad":   {attempt: 0.4, silent: 0.25, counter: 0.6, late: 0.7, endpoint: 0.06, stall: 0.02},
 	}
-	add := func(p play, level string) {
+	add := func(p runFleet, level string) {
 		p.faults = levels[level]
 		for seed := range uint64(4) {
 			p.seed = seed + 1
@@ -704,9 +704,9 @@
 	}
 	for _, site := range []string{"tight", "wide", "odd"} {
 		for _, level := range []string{"calm", "rough", "bad"} {
-			add(play{name: site + "/few", settings: deployment(site, 3), gateways: 3, backends: 6, calls: 3}, level)
+			add(runFleet{name: site + "/few", settings: deployment(site, 3), gateways: 3, backends: 6, calls: 3}, level)
 			add(
-				play{
+				runFleet{
 					name:     site + "/many",
 					settings: deployment(site, 60),
 					gateways: 4,
@@ -719,7 +719,7 @@
 			lent := deployment(site, 3)
 			lent.LeaseCeilings = true
 			add(
-				play{
+				runFleet{
 					name:     site + "/lent",
 					settings: lent,
 					gateways: 3,
@@ -736,7 +736,7 @@
 				viewed.Plans[i].PartitionPolicy = []quotashare.Rule{quotashare.KeepQuota, quotashare.KeepAll, quotashare.KeepNone}[i%3]
 			}
 			add(
-				play{
+				runFleet{
 					name:     site + "/leased",
 					settings: viewed,
 					gateways: 3,
@@ -748,7 +748,7 @@
 				level,
 			)
 			add(
-				play{
+				runFleet{
 					name:     site + "/changed",
 					settings: deployment(site, 2),
 					gateways: 2,
@@ -762,7 +762,7 @@
 			)
 		}
 		add(
-			play{
+			runFleet{
 				name:     site + "/alone",
 				settings: deployment(site, 1),
 				gateways: 1,
@@ -773,11 +773,11 @@
 			"rough",
 		)
 		crowd := deployment(site, 300)
-		add(play{name: site + "/crowd", settings: crowd, gateways: 2, backends: 120, calls: 2, handover: true}, "rough")
+		add(runFleet{name: site + "/crowd", settings: crowd, gateways: 2, backends: 120, calls: 2, handover: true}, "rough")
 		both := deployment(site, 20)
 		both.LeasedShares, both.LeaseCeilings = true, true
 		add(
-			play{name: site + "/both", settings: both, gateways: 5, backends: 12, calls: 2, loans: true, reload: true},
+			runFleet{name: site + "/both", settings: both, gateways: 5, backends: 12, calls: 2, loans: true, reload: true},
 			"rough",
 		)
 	}
--- a/internal/balancer/handover_test.go
+++ b/internal/balancer/handover_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// pass hands one door's memory to a fresh one, through the form in which processes send it.
-func pass(
+// handOver hands one door's memory to a fresh one, through the form in which processes send it.
+func handOver(
 	t *testing.T,
 	from *Balancer,
 	settings Settings,
@@ -17,7 +17,7 @@
 	list ...Endpoint,
 ) (*Balancer, HandoverState) {
 	t.Helper()
-	handed := only[HandoverReady](from.Step(at, []Event{BeginHandover{}}))
+	handed := actionsOf[HandoverReady](from.Step(at, []Event{BeginHandover{}}))
 	if len(handed) != 1 {
 		t.Fatalf("%d memories", len(handed))
 	}
@@ -38,14 +38,14 @@
 }
 
 // A ceiling holds over any number of doors that take each other's place, old ones still sending what they had queued.
-func TestCeilingHoldsOverSuccessors(t *testing.T) {
+func TestCeilingHoldsOverHandovers(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 3))
-		settings := basic()
+		settings := testSettings()
 		settings.UseCounter, settings.Gateways = false, 1
 		settings.Plans[1] = Plan{PriorityFactor: 1, OverQuotaWeight: 0.2, CeilingRate: 20, CeilingBurst: 40}
-		list := backends(3)
-		doors := []*Balancer{open(t, settings, list...)}
+		list := testEndpoints(3)
+		doors := []*Balancer{newTestBalancer(t, settings, list...)}
 		sent, id, at := 0.0, uint64(0), time.Duration(0)
 		type out struct {
 			d *Balancer
@@ -53,7 +53,7 @@
 		}
 		var outs []out
 		step := func(b *Balancer, evs ...Event) {
-			for _, s := range only[Dispatch](b.Step(at, evs)) {
+			for _, s := range actionsOf[Dispatch](b.Step(at, evs)) {
 				sent++
 				outs = append(outs, out{b, s})
 			}
@@ -63,7 +63,7 @@
 			last := doors[len(doors)-1]
 			for range rng.IntN(3) {
 				id++
-				step(last, ask(id, 0, 1))
+				step(last, testRequest(id, 0, 1))
 			}
 			for len(outs) > 2 && rng.IntN(2) == 0 {
 				o := outs[0]
@@ -83,7 +83,7 @@
 				step(b, TimerFired{0})
 			}
 			if rng.IntN(40) == 0 {
-				next, _ := pass(t, last, settings, at, list...)
+				next, _ := handOver(t, last, settings, at, list...)
 				doors = append(doors, next)
 			}
 			if most := 40 + 20*at.Seconds() + 1; sent > most {
@@ -104,17 +104,17 @@
 }
 
 // Tokens and spare are handed on once: a customer of many successors gets no new burst from each.
-func TestQuotaIsHandedOnOnce(t *testing.T) {
-	settings := basic()
+func TestQuotaIsHandedOverOnce(t *testing.T) {
+	settings := testSettings()
 	settings.UseCounter, settings.Gateways = false, 1
-	list := backends(3)
-	b := open(t, settings, list...)
+	list := testEndpoints(3)
+	b := newTestBalancer(t, settings, list...)
 	sent, id := 0, uint64(0)
 	for i := range 10 {
 		at := time.Duration(i) * 100 * ms
 		for range 20 {
 			id++
-			for _, s := range only[Dispatch](b.Step(at, []Event{ask(id, 0, 0)})) {
+			for _, s := range actionsOf[Dispatch](b.Step(at, []Event{testRequest(id, 0, 0)})) {
 				sent++
 				b.Step(
 					at,
@@ -124,7 +124,7 @@
 				)
 			}
 		}
-		b, _ = pass(t, b, settings, at, list...)
+		b, _ = handOver(t, b, settings, at, list...)
 	}
 	if plan := settings.Plans[0]; float64(sent) > plan.Burst+plan.Rate+1 {
 		t.Errorf("%d sent in a second of a quota of %v and %v", sent, plan.Rate, plan.Burst)
@@ -132,20 +132,20 @@
 }
 
 // A cap on what is open at once counts what is open at the door before, until its time is over.
-func TestAtOnceCountsTheDoorBefore(t *testing.T) {
-	settings := basic()
+func TestMaxInFlightCountsHandedOverRequests(t *testing.T) {
+	settings := testSettings()
 	settings.UseCounter, settings.Gateways = false, 1
-	list := backends(4)
-	old := open(t, settings, list...)
+	list := testEndpoints(4)
+	old := newTestBalancer(t, settings, list...)
 	for i := range uint64(3) {
-		if n := len(only[Dispatch](old.Step(time.Second, []Event{ask(i+1, 0, 3)}))); n != 1 {
+		if n := len(actionsOf[Dispatch](old.Step(time.Second, []Event{testRequest(i+1, 0, 3)}))); n != 1 {
 			t.Fatalf("%d sends", n)
 		}
 	}
-	b, _ := pass(t, old, settings, time.Second, list...)
+	b, _ := handOver(t, old, settings, time.Second, list...)
 	sends := 0
 	for i := range uint64(4) {
-		sends += len(only[Dispatch](b.Step(time.Second+ms, []Event{ask(i+1, 0, 3)})))
+		sends += len(actionsOf[Dispatch](b.Step(time.Second+ms, []Event{testRequest(i+1, 0, 3)})))
 	}
 	if sends != 1 {
 		t.Errorf("%d sent beside 3 at the old door; the cap is 4", sends)
@@ -166,17 +166,17 @@
 }
 
 // What a door has learned goes along: classes, slow and cold servers, those left out, and sends to cold ones.
-func TestKnowledgeIsHandedOn(t *testing.T) {
-	settings := quiet()
-	list := backends(4)
-	old := open(t, settings, list...)
-	old.Step(time.Second, []Event{ask(1, 0, 0)})
+func TestEstimatesAreHandedOver(t *testing.T) {
+	settings := settingsWithoutCounter()
+	list := testEndpoints(4)
+	old := newTestBalancer(t, settings, list...)
+	old.Step(time.Second, []Event{testRequest(1, 0, 0)})
 	old.latency.classes[0] = classEstimate{meanLatency: 0.2, idleLatency: 0.1, answers: 77}
 	ep := old.endpoints.byName[list[0].Name]
 	ep.slowStart.active, ep.slowStart.since, ep.latency.factor, ep.concurrency.limit = true, time.Second, 2, 3
 	ep.slowStart.budget.RecordDispatch(time.Second, 1)
 	old.eject(old.endpoints.byName[list[1].Name])
-	b, m := pass(t, old, settings, 2*time.Second, list...)
+	b, m := handOver(t, old, settings, 2*time.Second, list...)
 	if k := b.latency.classes[0]; k.meanLatency != 0.2 || k.idleLatency != 0.1 || k.answers != 77 {
 		t.Errorf("%+v", k)
 	}
@@ -204,18 +204,18 @@
 }
 
 // A door that gets back what nobody took goes on as before.
-func TestTakeBack(t *testing.T) {
-	settings := basic()
+func TestHandoverIsTakenBack(t *testing.T) {
+	settings := testSettings()
 	settings.UseCounter, settings.Gateways = false, 1
-	b := open(t, settings, backends(2)...)
-	b.Step(time.Second, []Event{ask(1, 0, 1)})
+	b := newTestBalancer(t, settings, testEndpoints(2)...)
+	b.Step(time.Second, []Event{testRequest(1, 0, 1)})
 	cust := b.customers["c"]
 	ceil, spare := b.refillCeiling(cust, &settings.Plans[1]), cust.quota.fallbackTokens
-	handed := only[HandoverReady](b.Step(time.Second, []Event{BeginHandover{}}))
+	handed := actionsOf[HandoverReady](b.Step(time.Second, []Event{BeginHandover{}}))
 	if cust.ceiling.tokens > cust.ceiling.reserved || cust.quota.fallbackTokens > 0 {
 		t.Errorf("kept: ceiling %v, spare %v", cust.ceiling.tokens, cust.quota.fallbackTokens)
 	}
-	b.Step(2*time.Second, []Event{ask(2, 0, 1)}) // it fills nothing meanwhile
+	b.Step(2*time.Second, []Event{testRequest(2, 0, 1)}) // it fills nothing meanwhile
 	b.Step(3*time.Second, []Event{ImportHandover{handed[0].State}})
 	if math.Abs(cust.ceiling.tokens-ceil) > 1e-9 || math.Abs(cust.quota.fallbackTokens-spare) > 1e-9 {
 		t.Errorf("ceiling %v, was %v; spare %v, was %v", cust.ceiling.tokens, ceil, cust.quota.fallbackTokens, spare)
@@ -226,9 +226,9 @@
 }
 
 // A memory may be of another form of the settings, or nonsense.
-func TestRecallOfNonsense(t *testing.T) {
-	settings := basic()
-	b := open(t, settings, backends(1)...)
+func TestImportOfInvalidHandover(t *testing.T) {
+	settings := testSettings()
+	b := newTestBalancer(t, settings, testEndpoints(1)...)
 	inf := math.Inf(1)
 	b.Step(time.Second, []Event{
 		ImportHandover{
@@ -248,7 +248,7 @@
 		},
 	})
 	for i := range uint64(20) {
-		b.Step(time.Second+time.Duration(i)*20*ms, []Event{ask(i+1, 0, int(i)%4), TimerFired{0}})
+		b.Step(time.Second+time.Duration(i)*20*ms, []Event{testRequest(i+1, 0, int(i)%4), TimerFired{0}})
 	}
 	if b.counter.callFraction < minCallFraction || b.counter.callFraction > 1 {
 		t.Errorf("callShare %v", b.counter.callFraction)
--- /dev/null
+++ b/internal/balancer/latency_test.go
@@ -0,0 +1,45 @@
+package balancer
+
+import (
+	"testing"
+	"time"
+)
+
+// The first answer may be a lucky one. What an idle fleet takes is learned from more than that, or every later answer
+// looks slow and
+// the places shrink to nothing.
+func TestIdleLatencyIgnoresOneFastAnswer(t *testing.T) {
+	b := newSingleGateway(t, 2)
+	for i := range uint64(60) {
+		took := 80 * ms
+		if i == 0 {
+			took = 2 * ms
+		}
+		now := time.Duration(i) * 100 * ms
+		for _, s := range actionsOf[Dispatch](b.Step(now, []Event{testRequest(i, 0, 2)})) {
+			b.Step(now+took, []Event{succeeded(s, 0, took)})
+		}
+	}
+	if b.latency.classes[0].idleLatency < 0.06 {
+		t.Errorf(
+			"an idle fleet is taken to answer in %.0f ms; all but the first answer took 80",
+			1000*b.latency.classes[0].idleLatency,
+		)
+	}
+}
+
+// Under a backlog a request of one unit still has time where one of four has none: the class's mean fits neither.
+func TestLatencyGrowsWithUnits(t *testing.T) {
+	b := newTrainedBalancer(t, testEndpoints(2)...)
+	now := 200 * time.Second
+	b.Step(now-ms, nil) // else it takes itself for one that stood still
+	small, large := testRequest(1000, 0, 2), testRequest(1001, 0, 2)
+	small.TimeLeft, large.TimeLeft, large.Units = 100*ms, 100*ms, 4
+	acts := b.Step(now, []Event{small, large})
+	if got := actionsOf[Dispatch](acts); len(got) != 1 || got[0].ID != 1000 {
+		t.Errorf("sent on %v; want the small one, which 100 ms are enough for", got)
+	}
+	if got := actionsOf[Reject](acts); len(got) != 1 || got[0].ID != 1001 {
+		t.Errorf("refused %v; want the large one at once", got)
+	}
+}
--- a/internal/balancer/retune_test.go
+++ b/internal/balancer/reload_test.go
@@ -5,25 +5,15 @@
 	"time"
 )
 
-// sent1 is the one Send of a Step.
-func sent1(t *testing.T, acts []Action) Dispatch {
-	t.Helper()
-	all := only[Dispatch](acts)
-	if len(all) != 1 {
-		t.Fatalf("%d sends in %+v", len(all), acts)
-	}
-	return all[0]
-}
-
 // A class that is changed has a new number, under which what was learned goes on; a request that came under the old
 // number
 // keeps the old rules to its end.
-func TestRetuneKeepsOpenRequestsRules(t *testing.T) {
-	settings := basic()
+func TestReloadKeepsRulesOfOpenRequests(t *testing.T) {
+	settings := testSettings()
 	settings.UseCounter, settings.Gateways, settings.MaxAttempts = false, 1, 3
 	settings.Plans[0] = Plan{PriorityFactor: 1}
-	b := open(t, settings, backends(3)...)
-	first := sent1(t, b.Step(time.Second, []Event{ask(1, 0, 0)}))
+	b := newTestBalancer(t, settings, testEndpoints(3)...)
+	first := singleDispatch(t, b.Step(time.Second, []Event{testRequest(1, 0, 0)}))
 	b.latency.classes[0].meanLatency, b.latency.classes[0].answers = 0.123, 50
 
 	next := settings
@@ -40,13 +30,13 @@
 	}
 	fresh := len(next.Classes) - 1
 	from[fresh] = 0
-	acts := b.Step(time.Second+ms, []Event{SettingsUpdate{Settings: next, EvidenceFrom: from}, ask(2, fresh, 0)})
-	second := sent1(t, acts)
+	acts := b.Step(time.Second+ms, []Event{SettingsUpdate{Settings: next, EvidenceFrom: from}, testRequest(2, fresh, 0)})
+	second := singleDispatch(t, acts)
 	if b.latency.classes[fresh].meanLatency != 0.123 {
 		t.Errorf("what was learned is lost: %v", b.latency.classes[fresh].meanLatency)
 	}
 	// The old request may still be repeated, being of a safe class; the new one may not, having perhaps run.
-	if s := sent1(
+	if s := singleDispatch(
 		t,
 		b.Step(time.Second+2*ms, []Event{AttemptResult{ID: 1, Endpoint: first.Endpoint, Status: Reset, Latency: ms}}),
 	); s.ID != 1 {
@@ -60,11 +50,11 @@
 }
 
 // Fewer attempts hold for new requests only.
-func TestRetuneAttempts(t *testing.T) {
-	settings := basic()
+func TestReloadOfMaxAttempts(t *testing.T) {
+	settings := testSettings()
 	settings.UseCounter, settings.Gateways, settings.MaxAttempts = false, 1, 2
 	settings.Plans[0] = Plan{PriorityFactor: 1}
-	b := open(t, settings, backends(3)...)
+	b := newTestBalancer(t, settings, testEndpoints(3)...)
 	again := func(id uint64, at time.Duration) (sends int) {
 		for _, a := range b.Step(at, []Event{AttemptResult{ID: id, Endpoint: b.requests[id].attempts[0].endpoint.name, Status: Rejected, Latency: ms}}) {
 			if _, ok := a.(Dispatch); ok {
@@ -73,10 +63,10 @@
 		}
 		return sends
 	}
-	b.Step(time.Second, []Event{ask(1, 0, 0)})
+	b.Step(time.Second, []Event{testRequest(1, 0, 0)})
 	next := settings
 	next.MaxAttempts = 1
-	b.Step(time.Second+ms, []Event{SettingsUpdate{Settings: next, EvidenceFrom: []int{0, 1, 2}}, ask(2, 0, 0)})
+	b.Step(time.Second+ms, []Event{SettingsUpdate{Settings: next, EvidenceFrom: []int{0, 1, 2}}, testRequest(2, 0, 0)})
 	if n := again(1, time.Second+2*ms); n != 1 {
 		t.Errorf("the open request had %d further attempts", n)
 	}
@@ -84,20 +74,3 @@
 		t.Errorf("the new one had %d", n)
 	}
 }
-
-func TestSettingsCheck(t *testing.T) {
-	settings := basic()
-	if err := settings.Validate(); err != nil {
-		t.Fatal(err)
-	}
-	for i, spoil := range []func(*Settings){
-		func(s *Settings) { s.Gateways = 0 }, func(s *Settings) { s.Classes = nil }, func(s *Settings) { s.Plans = nil },
-		func(s *Settings) { s.MaxAttempts = 0 }, func(s *Settings) { s.OverloadWindow = -1 },
-	} {
-		bad := basic()
-		spoil(&bad)
-		if bad.Validate() == nil {
-			t.Errorf("%d passes", i)
-		}
-	}
-}
--- a/internal/balancer/sharing_test.go
+++ b/internal/balancer/share_test.go
@@ -10,8 +10,8 @@
 	"gapgap/internal/balancer/quotashare"
 )
 
-// sharers are doors without a counter that share one ceiling by views. The parts are leased by hand.
-type sharers struct {
+// sharingFleet are doors without a counter that share one ceiling by views. The parts are leased by hand.
+type sharingFleet struct {
 	doors  []*Balancer
 	set    Settings
 	parts  []float64
@@ -23,7 +23,7 @@
 	over   float64
 	ghost  []float64       // what a door had before it was given less: others it has lent to use that ...
 	until2 []time.Duration // ... until then
-	words  []word
+	words  []loanMessage
 	late   func() time.Duration // of words of loans
 	loans  int
 	sums   float64 // by how much the doors' stores were more than the ceiling's together
@@ -31,15 +31,15 @@
 	lasts  bool    // loans count from when they come: a mistake that is to be found
 }
 
-// word is what one door tells another about a loan.
-type word struct {
+// loanMessage is what one door tells another about a loan.
+type loanMessage struct {
 	to int
 	at time.Duration
 	ev Event
 }
 
-func newSharers(t *rapid.T, n int, rule quotashare.Rule) *sharers {
-	s := &sharers{
+func newSharingFleet(t *rapid.T, n int, rule quotashare.Rule) *sharingFleet {
+	s := &sharingFleet{
 		store:  quotashare.Store{Rate: 10, Depth: 20},
 		left:   20,
 		parts:  make([]float64, n),
@@ -81,7 +81,7 @@
 	return s
 }
 
-func (s *sharers) ask(i int, now time.Duration) (granted bool) {
+func (s *sharingFleet) ask(i int, now time.Duration) (granted bool) {
 	s.ids++
 	for k := 0; k < len(s.words); k++ { // a word brings others
 		if w := s.words[k]; w.at <= now {
@@ -109,7 +109,7 @@
 }
 
 // step has something happen at a door, and carries what it says of loans; granted says that it let a request through.
-func (s *sharers) step(i int, now time.Duration, ev Event) (granted bool) {
+func (s *sharingFleet) step(i int, now time.Duration, ev Event) (granted bool) {
 	if l, ok := ev.(LoanGranted); ok {
 		s.loans++
 		if s.lasts {
@@ -130,14 +130,14 @@
 				if j != i {
 					s.words = append(
 						s.words,
-						word{j, now + s.late(), LoanRequest{From: i, Customer: a.Customer, Plan: a.Plan, At: a.At}},
+						loanMessage{j, now + s.late(), LoanRequest{From: i, Customer: a.Customer, Plan: a.Plan, At: a.At}},
 					)
 				}
 			}
 		case GrantLoan:
 			s.words = append(
 				s.words,
-				word{
+				loanMessage{
 					a.To,
 					now + s.late(),
 					LoanGranted{From: i, Customer: a.Customer, Plan: a.Plan, At: a.At, Rate: a.Rate, Depth: a.Depth},
@@ -149,7 +149,7 @@
 }
 
 // lease gives a door a part, as far as what the others have leaves it, unless the rule is broken on purpose.
-func (s *sharers) lease(i int, part float64, now, length time.Duration, broken bool) {
+func (s *sharingFleet) lease(i int, part float64, now, length time.Duration, broken bool) {
 	if !broken {
 		part = min(part, 1-s.sum(now)+max(s.mine(i, now), s.ghost[i]))
 		part = max(0, part)
@@ -165,14 +165,14 @@
 	s.doors[i].Step(now, []Event{ShareUpdate{Fraction: part, Until: now + length}})
 }
 
-func (s *sharers) mine(i int, now time.Duration) float64 {
+func (s *sharingFleet) mine(i int, now time.Duration) float64 {
 	if now < s.until[i] {
 		return s.parts[i]
 	}
 	return 0
 }
 
-func (s *sharers) sum(now time.Duration) (sum float64) {
+func (s *sharingFleet) sum(now time.Duration) (sum float64) {
 	for i := range s.parts {
 		if now >= s.until2[i] {
 			s.ghost[i] = 0
@@ -182,9 +182,9 @@
 	return sum
 }
 
-func playShares(t *rapid.T, broken bool) float64 {
+func runSharing(t *rapid.T, broken bool) float64 {
 	n := rapid.IntRange(1, 6).Draw(t, "doors")
-	s := newSharers(
+	s := newSharingFleet(
 		t,
 		n,
 		rapid.SampledFrom([]quotashare.Rule{quotashare.KeepQuota, quotashare.KeepAll, quotashare.KeepNone}).
@@ -213,19 +213,19 @@
 }
 
 // However parts are leased and taken back, doors let no more through than the ceiling's store holds.
-func TestSharesUnderViewsHoldTheCeiling(t *testing.T) {
+func TestLeasedSharesHoldCeiling(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		if over := playShares(t, false); over > 1e-6 {
+		if over := runSharing(t, false); over > 1e-6 {
 			t.Fatalf("%.3f units over the ceiling", over)
 		}
 	})
 }
 
 // The check finds parts that overlap: one that grows before another's lease is over.
-func TestSharesCheckFindsOverlap(t *testing.T) {
+func TestSharingCheckFindsOverlap(t *testing.T) {
 	worst := 0.0
 	for seed := range 200 {
-		worst = max(worst, rapid.Custom(func(t *rapid.T) float64 { return playShares(t, true) }).Example(seed))
+		worst = max(worst, rapid.Custom(func(t *rapid.T) float64 { return runSharing(t, true) }).Example(seed))
 	}
 	if worst < 5 {
 		t.Errorf("parts that overlap let %.1f units over the ceiling in 200 plays, which the check is to find", worst)
@@ -234,11 +234,11 @@
 
 // Loans that come late are worth only what is left of them, as the lender uses its part again; counted from when they
 // came they would overlap.
-func TestSharesLateLoans(t *testing.T) {
+func TestLateLoans(t *testing.T) {
 	for _, lasts := range []bool{false, true} {
 		worst := 0.0
 		rapid.Check(t, func(t *rapid.T) {
-			s := newSharers(t, 3, quotashare.KeepNone)
+			s := newSharingFleet(t, 3, quotashare.KeepNone)
 			s.lasts = lasts
 			s.late = func() time.Duration { return time.Duration(rapid.IntRange(0, 700).Draw(t, "late")) * time.Millisecond }
 			for i := range s.doors {
@@ -267,10 +267,10 @@
 // All of an account's traffic at one of three doors has the whole ceiling, as the others lend what they don't need; and
 // when the demand is at
 // all doors, each has its own part.
-func TestSharesAreLentToWhereTheDemandIs(t *testing.T) {
+func TestLoansFollowDemand(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		for _, rule := range []quotashare.Rule{quotashare.KeepQuota, quotashare.KeepAll, quotashare.KeepNone} {
-			s := newSharers(t, 3, rule)
+			s := newSharingFleet(t, 3, rule)
 			for i := range s.doors {
 				s.lease(i, 1.0/3, time.Hour, time.Hour, false)
 			}
@@ -304,11 +304,11 @@
 
 // A part that grows after a long time gives no full store at once, neither of a customer that is known nor of one that
 // is new.
-func TestSharesGrownPartGivesNothingAtOnce(t *testing.T) {
+func TestGrownShareStartsEmpty(t *testing.T) {
 	for _, known := range []bool{true, false} {
 		t.Run(fmt.Sprint("known ", known), func(t *testing.T) {
 			rapid.Check(t, func(t *rapid.T) {
-				s := newSharers(t, 2, quotashare.KeepNone)
+				s := newSharingFleet(t, 2, quotashare.KeepNone)
 				s.mute = true
 				now := time.Hour
 				s.lease(0, 0.5, now, time.Minute, false)
@@ -336,9 +336,9 @@
 }
 
 // A lease that is over is worth nothing at the next decision, however long the door stood still before it.
-func TestSharesEndWithTheirLease(t *testing.T) {
+func TestSharesEndWithLease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := newSharers(t, 3, quotashare.KeepNone)
+		s := newSharingFleet(t, 3, quotashare.KeepNone)
 		s.lease(0, 1, time.Hour, 2*time.Second, false)
 		if !s.ask(0, time.Hour+1900*time.Millisecond) {
 			t.Fatal("nothing inside the lease")
@@ -351,10 +351,10 @@
 
 // What is kept without a lease is served by a door that is alone: the quota's even part, all of the even part, or
 // nothing.
-func TestSharesKeptWhenAlone(t *testing.T) {
+func TestSharesKeptWithoutLease(t *testing.T) {
 	for rule, want := range map[quotashare.Rule]int{quotashare.KeepQuota: 50, quotashare.KeepAll: 100, quotashare.KeepNone: 0} {
 		rapid.Check(t, func(t *rapid.T) {
-			s := newSharers(t, 3, rule)
+			s := newSharingFleet(t, 3, rule)
 			if s.ask(0, time.Hour+5*time.Second) {
 				t.Fatal("let through before it was told how it stands")
 			}
@@ -373,7 +373,7 @@
 }
 
 // A part that grew counts for a cap on what is open at once only when what others had open must be over.
-func TestSharesOpenRequestsOfTheFormerHolder(t *testing.T) {
+func TestOpenRequestsOfFormerLeaseHolder(t *testing.T) {
 	settings := Settings{
 		Gateways:     2,
 		MaxAttempts:  1,
@@ -409,7 +409,7 @@
 
 // What doors share without a bound that must hold goes by those that live, and what a yielding plan has for the
 // counter's silence by the lease.
-func TestSharesOfThoseThatLive(t *testing.T) {
+func TestSharesOfLiveGateways(t *testing.T) {
 	settings := Settings{
 		Gateways:       5,
 		MaxAttempts:    1,
