--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -1,9 +1,9 @@
-// Package backoff says how long to wait before asking again what turned one away, when many others were turned away too. It does
-// no input or output; the random source is handed in.
+// Package backoff tells a client how long to wait before it tries again, when many others were rejected at the same time.
+// It does no input or output; the caller hands in the random source.
 //
-// Pauses grow by a factor and are drawn from the whole range around their mean, so those who began together do not come back
-// together (Brooker, "Exponential Backoff and Jitter", 2015). Their first mean grows with the number of askers, which all come
-// at once after a mass restart: what they share can answer so many a second only.
+// Pauses grow by a factor and are drawn from the whole range around their mean, so clients that began together do not
+// come back together (Brooker, "Exponential Backoff and Jitter", 2015). The first mean grows with the number of clients,
+// as all of them come at once after a mass restart, while what they share answers only so many a second.
 package backoff
 
 import (
@@ -11,35 +11,46 @@
 	"time"
 )
 
-// Terms are the same for all askers of a fleet.
-type Terms struct {
-	First, Most time.Duration // mean pause after the first failure, and the longest mean
-	Grow        float64       // factor from one failure to the next; under 1 counts as 1
+// minRate replaces a rate of answers that is too low to divide by, per second.
+const minRate = 1e-3
+
+// Policy is the same for all clients of a service.
+type Policy struct {
+	// Initial is the mean pause after the first failure.
+	Initial time.Duration
+	// Max is the longest mean pause.
+	Max time.Duration
+	// Multiplier is the factor from one mean to the next; under 1 counts as 1.
+	Multiplier float64
 }
 
-// For are the terms for a number of askers of a service that answers so many a second in all.
-func For(askers int, perSecond float64, least Terms) Terms {
-	all := time.Duration(float64(max(1, askers)) / max(1e-3, perSecond) * float64(time.Second))
-	least.First = max(least.First, all/2)
-	least.Most = max(least.Most, least.First, 2*all)
-	return least
+// PolicyFor returns the policy for a number of clients of a service that answers answersPerSecond in all. No pause is
+// shorter than by the policy given.
+func PolicyFor(clients int, answersPerSecond float64, shortest Policy) Policy {
+	seconds := float64(max(1, clients)) / max(minRate, answersPerSecond)
+	allAnswered := time.Duration(seconds * float64(time.Second))
+	policy := shortest
+	policy.Initial = max(shortest.Initial, allAnswered/2)
+	policy.Max = max(shortest.Max, policy.Initial, 2*allAnswered)
+	return policy
 }
 
-// Backoff is one asker's. The zero value with Terms is ready. One goroutine owns it.
+// Backoff is the state of one client. It is ready once its Policy is set, and belongs to one goroutine.
 type Backoff struct {
-	Terms
+	Policy
+	// mean is the last mean pause; 0: no failure since the last success.
 	mean time.Duration
 }
 
-// Next is the pause after another failure: evenly drawn from half to one and a half times the mean.
+// Next returns the pause after another failure. It is evenly distributed from half to one and a half times the mean.
 func (b *Backoff) Next(rng *rand.Rand) time.Duration {
 	if b.mean == 0 {
-		b.mean = b.First
+		b.mean = b.Initial
 	} else {
-		b.mean = min(b.Most, time.Duration(float64(b.mean)*max(1, b.Grow)))
+		b.mean = min(b.Max, time.Duration(float64(b.mean)*max(1, b.Multiplier)))
 	}
 	return b.mean/2 + time.Duration(rng.Int64N(int64(b.mean)+1))
 }
 
-// Reset is called after a success.
+// Reset starts again with the first pause, after a success.
 func (b *Backoff) Reset() { b.mean = 0 }
--- a/internal/balancer/subsetting/subsetting_test.go
+++ b/internal/balancer/subsetting/subsetting_test.go
@@ -7,71 +7,82 @@
 	"pgregory.net/rapid"
 )
 
-// Each server has exactly the doors it should, each door a number near the mean, and none has none.
-func TestBalance(t *testing.T) {
-	for _, c := range []struct{ doors, servers, each, least, most int }{
-		{80, 60, 16, 6, 28}, {200, 60, 16, 6, 28}, {20, 200, 16, 8, 32}, {80, 20, 16, 10, 20},
+// Each endpoint has exactly the gateways that it should, each gateway a number of endpoints near the mean, and none has
+// none.
+func TestEndpointsHaveEqualNumbersOfGateways(t *testing.T) {
+	for _, c := range []struct{ gateways, endpoints, perGateway, least, most int }{
+		{80, 60, 16, 6, 28},
+		{200, 60, 16, 6, 28},
+		{20, 200, 16, 8, 32},
+		{80, 20, 16, 10, 20},
 	} {
-		using := GatewaysPerEndpoint(c.doors, c.servers, c.each)
-		of := make([]int, c.doors)
-		for s := range c.servers {
-			n := 0
-			for d := range c.doors {
-				if Uses(fmt.Sprint("s-", s), d, c.doors, using, nil) {
-					n++
-					of[d]++
+		t.Run(fmt.Sprint(c.gateways, " gateways, ", c.endpoints, " endpoints"), func(t *testing.T) {
+			perEndpoint := GatewaysPerEndpoint(c.gateways, c.endpoints, c.perGateway)
+			endpointsOf := make([]int, c.gateways)
+			for endpoint := range c.endpoints {
+				users := 0
+				for gateway := range c.gateways {
+					if Uses(fmt.Sprint("s-", endpoint), gateway, c.gateways, perEndpoint, nil) {
+						users++
+						endpointsOf[gateway]++
+					}
+				}
+				if users != perEndpoint {
+					t.Fatalf("an endpoint has %d gateways, want %d", users, perEndpoint)
 				}
 			}
-			if n != using {
-				t.Fatalf("%+v: a server has %d doors, want %d", c, n, using)
-			}
-		}
-		for d, n := range of {
-			if n < c.least || n > c.most {
-				t.Errorf("%+v: door %d has %d servers", c, d, n)
+			for gateway, count := range endpointsOf {
+				if count < c.least || count > c.most {
+					t.Errorf("gateway %d has %d endpoints", gateway, count)
+				}
 			}
-		}
+		})
 	}
 }
 
-func TestSmallFleetsUseAll(t *testing.T) {
-	for _, c := range [][3]int{{2, 100, 16}, {3, 14, 16}, {80, 16, 16}, {0, 5, 16}, {1, 1000, 16}, {5, 5, 0}} {
-		using := GatewaysPerEndpoint(c[0], c[1], c[2])
-		for d := range max(1, c[0]) {
-			if !Uses("s", d, max(1, c[0]), using, nil) {
-				t.Errorf("%v: door %d leaves a server out", c, d)
+func TestSmallFleetsUseAllEndpoints(t *testing.T) {
+	for _, c := range []struct{ gateways, endpoints, perGateway int }{
+		{2, 100, 16}, {3, 14, 16}, {80, 16, 16}, {0, 5, 16}, {1, 1000, 16}, {5, 5, 0},
+	} {
+		perEndpoint := GatewaysPerEndpoint(c.gateways, c.endpoints, c.perGateway)
+		for gateway := range max(1, c.gateways) {
+			if !Uses("s", gateway, max(1, c.gateways), perEndpoint, nil) {
+				t.Errorf("%+v: gateway %d leaves an endpoint out", c, gateway)
 			}
 		}
 	}
 }
 
-// A door more moves few: a server keeps all its doors but one at the most.
-func TestFewMovesWhenADoorComes(t *testing.T) {
+// Another gateway moves few endpoints: each keeps all its gateways but one at most.
+func TestNewGatewayMovesFewEndpoints(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		doors := rapid.IntRange(3, 120).Draw(t, "doors")
-		using := rapid.IntRange(1, doors).Draw(t, "using")
+		gateways := rapid.IntRange(3, 120).Draw(t, "gateways")
+		perEndpoint := rapid.IntRange(1, gateways).Draw(t, "perEndpoint")
 		name := rapid.String().Draw(t, "name")
-		lost, n := 0, 0
-		for d := range doors {
-			before, after := Uses(name, d, doors, using, nil), Uses(name, d, doors+1, using, nil)
+		lost, users := 0, 0
+		for gateway := range gateways {
+			before := Uses(name, gateway, gateways, perEndpoint, nil)
+			after := Uses(name, gateway, gateways+1, perEndpoint, nil)
 			if before {
-				n++
+				users++
 			}
 			if before && !after {
 				lost++
 			}
 			if !before && after {
-				t.Fatalf("door %d got a server because another door came", d)
+				t.Fatalf("gateway %d got an endpoint because another gateway came", gateway)
 			}
 		}
-		if n != using || lost > 1 {
-			t.Fatalf("%d doors of %d; %d lost it", n, using, lost)
+		if users != perEndpoint || lost > 1 {
+			t.Fatalf("%d gateways of %d; %d lost the endpoint", users, perEndpoint, lost)
 		}
 	})
 }
 
-func TestOddRanks(t *testing.T) {
-	if Uses("s", -1, 80, 20, nil) != Uses("s", 79, 80, 20, nil) || Uses("s", 85, 80, 20, nil) != Uses("s", 5, 80, 20, nil) {
-		t.Error("ranks outside the doors are counted round")
+func TestIndexOutsideGateways(t *testing.T) {
+	for outside, inside := range map[int]int{-1: 79, 85: 5} {
+		if Uses("s", outside, 80, 20, nil) != Uses("s", inside, 80, 20, nil) {
+			t.Errorf("index %d of 80 does not count as %d", outside, inside)
+		}
 	}
 }
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -122,17 +122,17 @@
 	index  int64 // of the list as the loop has it
 	epoch  int   // of the watch: what an older one still reads is passed over
 	stop   context.CancelFunc
-	ended  backoff.Terms       // pauses after a watch has ended, or has not begun
-	turned backoff.Terms       // ... or was turned away
+	ended  backoff.Policy      // pauses after a watch has ended, or has not begun
+	turned backoff.Policy      // ... or was turned away
 	all    map[string]Endpoint // the list as the loop has it
 }
 
 // New makes a watch that begins with Follow. The sink is called by the loop goroutine.
 func New(l *eventloop.Loop, log *slog.Logger, cfg Config, sink func(endpoint.Update)) *Watch {
-	turned := backoff.For(cfg.Gateways, rewatchesAll, backoff.Terms{First: rewatchFirst, Most: rewatchMost, Grow: rewatchGrow})
-	turned.First, turned.Most = min(turned.First, turnedAwayMost), min(turned.Most, turnedAwayMost)
+	turned := backoff.PolicyFor(cfg.Gateways, rewatchesAll, backoff.Policy{Initial: rewatchFirst, Max: rewatchMost, Multiplier: rewatchGrow})
+	turned.Initial, turned.Max = min(turned.Initial, turnedAwayMost), min(turned.Max, turnedAwayMost)
 	ended := turned
-	ended.First, ended.Most = min(ended.First, endedMost), min(ended.Most, endedMost)
+	ended.Initial, ended.Max = min(ended.Initial, endedMost), min(ended.Max, endedMost)
 	dial := cfg.Dial
 	if dial == nil {
 		dial = (&net.Dialer{Timeout: dialWithin}).DialContext
@@ -176,7 +176,7 @@
 
 // run watches the list until the context ends.
 func (d *Watch) run(ctx context.Context, addr string, index int64, epoch int) {
-	ended, turned := backoff.Backoff{Terms: d.ended}, backoff.Backoff{Terms: d.turned}
+	ended, turned := backoff.Backoff{Policy: d.ended}, backoff.Backoff{Policy: d.turned}
 	rng := rand.New(rand.NewPCG(d.cfg.Seed, uint64(epoch)))
 	within, apart := listWithin, newApart()
 	for ctx.Err() == nil {
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -89,22 +89,22 @@
 	defer l.Close()
 	few := New(l, nil, Config{Gateways: 3}, nil)
 	many := New(l, nil, Config{Gateways: 80}, nil)
-	if few.turned.First > 200*time.Millisecond || few.turned.Most > time.Second {
-		t.Errorf("three front doors wait %v to %v", few.turned.First, few.turned.Most)
+	if few.turned.Initial > 200*time.Millisecond || few.turned.Max > time.Second {
+		t.Errorf("three front doors wait %v to %v", few.turned.Initial, few.turned.Max)
 	}
-	if all := time.Duration(80/rewatchesAll) * time.Second; many.turned.First < all/2 || many.turned.Most < all/2 {
-		t.Errorf("80 front doors wait %v to %v; discovery needs %v to answer each once", many.turned.First, many.turned.Most, all)
+	if all := time.Duration(80/rewatchesAll) * time.Second; many.turned.Initial < all/2 || many.turned.Max < all/2 {
+		t.Errorf("80 front doors wait %v to %v; discovery needs %v to answer each once", many.turned.Initial, many.turned.Max, all)
 	}
 	for _, doors := range []int{1, 3, 80, 300, 10_000} {
 		d := New(l, nil, Config{Gateways: doors}, nil)
 		const room = 200 * time.Millisecond // a call's own wait in discovery's queue counts for nobody
-		if sum := signWithin + d.ended.Most*3/2 + listWithin; sum > toldWithin-room {
+		if sum := signWithin + d.ended.Max*3/2 + listWithin; sum > toldWithin-room {
 			t.Errorf("%d front doors: %v after a watch that fell silent", doors, sum)
 		}
-		if sum := d.turned.Most*3/2 + listWithin; sum > toldWithin-room {
+		if sum := d.turned.Max*3/2 + listWithin; sum > toldWithin-room {
 			t.Errorf("%d front doors: %v after a call that was turned away", doors, sum)
 		}
-		if sum := answerWithin + d.ended.Most*3/2 + listWithin; sum > toldWithin-room {
+		if sum := answerWithin + d.ended.Max*3/2 + listWithin; sum > toldWithin-room {
 			t.Errorf("%d front doors: %v after a call that was swallowed", doors, sum)
 		}
 	}
