--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -1,9 +1,9 @@
-// Package backoff tells a client how long to wait before it tries again, when many others were rejected at the same time.
-// It does no input or output; the caller hands in the random source.
+// Package backoff tells a client how long to wait before it tries again, when many others were rejected at the same
+// time. It does no input or output; the caller hands in the random source.
 //
 // Pauses grow by a factor and are drawn from the whole range around their mean, so clients that began together do not
-// come back together (Brooker, "Exponential Backoff and Jitter", 2015). The first mean grows with the number of clients,
-// as all of them come at once after a mass restart, while what they share answers only so many a second.
+// come back together (Brooker, "Exponential Backoff and Jitter", 2015). The first mean grows with the number of
+// clients, as all of them come at once after a mass restart, while what they share answers only so many a second.
 package backoff
 
 import (
--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -27,7 +27,8 @@
 	}
 }
 
-// answerAll lets clients try until all are answered. It returns when the last one was, and how often they were rejected.
+// answerAll lets clients try until all are answered. It returns when the last one was, and how often they were
+// rejected.
 func answerAll(t *testing.T, clients int, perSecond float64) (lastAnswer time.Duration, rejections int) {
 	t.Helper()
 	const answered = time.Duration(-1)
--- a/internal/balancer/slowstart/slowstart.go
+++ b/internal/balancer/slowstart/slowstart.go
@@ -6,9 +6,9 @@
 //
 //   - The rate at which a warm endpoint answers this gateway, of which a warming one can do a known part. The rates of
 //     all gateways add up to the capacity of an endpoint, so the budgets add up to a part of what it can take.
-//   - What this endpoint has answered this gateway in the last window. The answers to all gateways add up to what the
-//     endpoint has done, so a multiple of them is within the same multiple of its capacity. If an endpoint can't follow,
-//     its answers shrink, and with them the budgets.
+//   - What this endpoint has answered this gateway in the last window. The answers to all gateways add up to what
+//     the endpoint has done, so a multiple of them is within the same multiple of its capacity. If an endpoint can't
+//     follow, its answers shrink, and with them the budgets.
 //
 // The larger of the two is the budget. If both are under one attempt, each gateway gets a turn now and then, the
 // first one at a random time.
--- a/internal/balancer/slowstart/slowstart_test.go
+++ b/internal/balancer/slowstart/slowstart_test.go
@@ -44,8 +44,9 @@
 	usesCurrentCapacity bool
 }
 
-// allowedExcess is what may go beyond a budget of n requests by chance. For an endpoint that can take no more than two
-// or three requests in a window, the first attempts of tens of gateways that know nothing of each other are chance alone.
+// allowedExcess is what may go beyond a budget of n requests by chance. For an endpoint that can take no more than
+// two or three requests in a window, the first attempts of tens of gateways that know nothing of each other are
+// chance alone.
 func allowedExcess(n float64) float64 {
 	if n < 3 {
 		return 3*math.Sqrt(n) + 3
@@ -156,8 +157,8 @@
 	return r.sent
 }
 
-// worstExcess is by how many requests some window had more than the endpoint can take by its true terms, and more than
-// chance explains.
+// worstExcess is by how many requests some window had more than the endpoint can take by its true terms, and more
+// than chance explains.
 func (p *fleetPlay) worstExcess(truth Terms) float64 {
 	sent := p.run()
 	worst := 0.0
@@ -203,8 +204,8 @@
 	return p
 }
 
-// unevenPlay is a play of many gateways that differ in demand, hear of the endpoint at different times, and are partly
-// restarted while it warms up.
+// unevenPlay is a play of many gateways that differ in demand, hear of the endpoint at different times, and are
+// partly restarted while it warms up.
 func unevenPlay(gateways int, seed uint64) *fleetPlay {
 	rng := rand.New(rand.NewPCG(seed, uint64(gateways)))
 	p := &fleetPlay{
@@ -269,8 +270,8 @@
 	}
 }
 
-// Whatever the demand and whoever is there, an endpoint that does what it can is not overloaded. The plays are the same
-// each time: of some ten thousand drawn ones one has, by chance, more than allowedExcess.
+// Whatever the demand and whoever is there, an endpoint that does what it can is not overloaded. The plays are the
+// same each time: of some ten thousand drawn ones one has, by chance, more than allowedExcess.
 func TestPowerWarmingEndpointIsNotOverloaded(t *testing.T) {
 	all := rapid.Custom(drawPlay)
 	for seed := range 2000 {
@@ -303,7 +304,9 @@
 	}{
 		{"none", func(*fleetPlay) {}, false},
 		{"four times the rate", func(p *fleetPlay) { p.knowsRate, p.staleFactor = true, 4 }, true},
-		{"each as if it were alone", func(p *fleetPlay) { p.terms.Gateways, p.gateways, p.capacity = 1, 150, 20 }, true},
+		{"each as if it were alone", func(p *fleetPlay) {
+			p.terms.Gateways, p.gateways, p.capacity = 1, 150, 20
+		}, true},
 		{"capacity now", func(p *fleetPlay) {
 			p.knowsRate, p.usesCurrentCapacity, p.duration = true, true, 5*time.Second
 		}, true},
@@ -321,8 +324,8 @@
 	}
 }
 
-// An endpoint of which nothing is known is in use at once where gateways are few, and serves what it can long before it
-// is warm.
+// An endpoint of which nothing is known is in use at once where gateways are few, and serves what it can long before
+// it is warm.
 func TestPowerWarmingEndpointIsUsed(t *testing.T) {
 	const plays = 20
 	const minAttempts = 60 // of the 26 a second and more that it can serve
@@ -353,8 +356,8 @@
 // noChance draws the lowest random number.
 func noChance() float64 { return 0 }
 
-// Each gateway has its part of what an endpoint can take, by the rate of warm ones: rounded up where gateways are few,
-// and down, with the lowest random number, where they are many.
+// Each gateway has its part of what an endpoint can take, by the rate of warm ones: rounded up where gateways are
+// few, and down, with the lowest random number, where they are many.
 func TestBudgetFollowsCapacity(t *testing.T) {
 	for _, c := range []struct{ gateways, capacity, rate float64 }{
 		{4, 0.2, 50},
