--- a/internal/frontend/extauthz/check.go
+++ b/internal/frontend/extauthz/check.go
@@ -310,7 +310,7 @@
 		}
 	}
 	c.p = p
-	c.Request = proxy.Request{Caller: c, Class: class, Plan: acct.Plan, Customer: acct.Customer, At: fr.env.Now(),
+	c.Request = proxy.Request{Client: c, Class: class, Plan: acct.Plan, Customer: acct.Customer, At: fr.env.Now(),
 		Timeout: rt.within(r.Header), Units: units, Gateways: acct.Doors, AdmitOnly: true}
 	if a.plans[acct.Plan].MaxInFlight > 0 {
 		c.HoldFor = acct.Hold
--- a/internal/frontend/resp2/request.go
+++ b/internal/frontend/resp2/request.go
@@ -75,7 +75,7 @@
 		return nil, errors.New("the id is empty")
 	}
 	a := &ask{pool: pool, args: args, list: 3}
-	a.Caller, a.ID, a.At = a, string(args[2]), at
+	a.Client, a.ID, a.At = a, string(args[2]), at
 	a.Class, a.Plan, a.Customer = -1, -1, strings.ToLower(string(args[1]))
 	rules := pool.Rules()
 	key, first := false, false
@@ -198,8 +198,8 @@
 	return b
 }
 
-// Left implements [proxy.Leaver]. The connection of a client that has left is closed, or who waits on it would wait on.
-func (a *ask) Left() bool {
+// HasDisconnected implements [proxy.DisconnectDetector]. The connection of a client that has left is closed, or who waits on it would wait on.
+func (a *ask) HasDisconnected() bool {
 	if !socket.HasPeerClosed(a.conn.nc) {
 		return false
 	}
@@ -208,3 +208,9 @@
 	a.conn.mu.Unlock()
 	return true
 }
+
+var (
+	_ proxy.Client             = (*ask)(nil)
+	_ proxy.DisconnectDetector = (*ask)(nil)
+	_ proxy.Streamer           = (*ask)(nil)
+)
--- a/internal/proxy/decisionlease.go
+++ b/internal/proxy/decisionlease.go
@@ -9,133 +9,99 @@
 	"gapgap/internal/balancer"
 )
 
-// DecisionLease says until when a core may decide requests, and by which version of the policy. Many cores may share one. Any goroutine may change
-// it; a core looks at it with each request that it takes in.
+// DecisionLease says until when requests may be decided by the present version of the policy. Several proxies may share
+// one; each looks at it for every request that it takes in. Any goroutine may use it. A nil DecisionLease never ends.
 type DecisionLease struct{ until atomic.Int64 }
 
-// Unbounded is a right to decide that no time ends.
+// Unbounded is the end of a lease that never ends.
 const Unbounded = time.Duration(math.MaxInt64)
 
-// NewDecisionLease makes one that lets nothing be decided yet.
+// NewDecisionLease returns a lease that has ended.
 func NewDecisionLease() *DecisionLease { return &DecisionLease{} }
 
-// Extend sets until when cores may decide, on their clock. Where that is later than it was, [Proxy.Resume] follows.
-func (g *DecisionLease) Extend(t time.Duration) { g.until.Store(int64(t)) }
+// Extend sets the end, on the proxies' clock. Where that is later than it was, the caller goes on to call Proxy.Resume.
+func (l *DecisionLease) Extend(until time.Duration) { l.until.Store(int64(until)) }
 
-// IsValid says whether requests may be decided at a time.
-func (g *DecisionLease) IsValid(now time.Duration) bool {
-	return g == nil || now < time.Duration(g.until.Load())
+// IsValid tells whether requests may be decided at a time.
+func (l *DecisionLease) IsValid(now time.Duration) bool {
+	return l == nil || now < time.Duration(l.until.Load())
 }
 
-// bounded says that the time has to be looked at.
-func (g *DecisionLease) bounded() bool { return g != nil && g.until.Load() != int64(Unbounded) }
+// isBounded tells whether the lease has an end.
+func (l *DecisionLease) isBounded() bool { return l != nil && l.until.Load() != int64(Unbounded) }
 
-// StartupBarrier has cores refuse all requests at once, until Open. Many cores may share one. Any goroutine may use it.
-type StartupBarrier struct {
-	pause atomic.Pointer[func() time.Duration]
-}
-
-// NewStartupBarrier makes one that is closed: clients are told to come back after what a function says, which any goroutine calls.
-func NewStartupBarrier(pause func() time.Duration) *StartupBarrier {
-	c := &StartupBarrier{}
-	c.pause.Store(&pause)
-	return c
-}
-
-// Open ends it for good.
-func (c *StartupBarrier) Open() { c.pause.Store(nil) }
+const (
+	// maxHeldRequests bounds the requests that wait for the lease; further ones are rejected.
+	maxHeldRequests = 4096
+	// heldMargin is left of a request's time when it is rejected for having waited in vain.
+	heldMargin = 20 * time.Millisecond
+	// lapsedRetryAfter is what a client is told that was rejected for the lapse of the lease.
+	lapsedRetryAfter = 250 * time.Millisecond
+)
 
-// told is what a client is to be told; false: requests are taken.
-func (c *StartupBarrier) told() (time.Duration, bool) {
-	if c == nil {
-		return 0, false
-	}
-	p := c.pause.Load()
-	if p == nil {
-		return 0, false
+// hold keeps a request that can't be decided now, for as long as its client waits.
+func (p *Proxy) hold(request *Request) {
+	if len(p.held) >= maxHeldRequests {
+		p.answerUnseen(request, Rejected, lapsedRetryAfter)
+		return
 	}
-	return (*p)(), true
-}
-
-// mostHeld bounds the requests that wait until the core may decide again; further ones are refused.
-const mostHeld = 4096
-
-// heldMargin is left of a request's time when it is refused for having waited in vain.
-const heldMargin = 20 * time.Millisecond
-
-// lapsePause is what a client is told that was refused since the right to decide had ended.
-const lapsePause = 250 * time.Millisecond
-
-// PolicyVersion is the version of the policy by which requests are decided now. Any goroutine may call it.
-func (c *Proxy) PolicyVersion() uint64 { return c.version.Load() }
-
-// SetPolicyVersion sets it, from any goroutine, for requests that are taken in from here on. done is called then.
-func (c *Proxy) SetPolicyVersion(version uint64, done func()) {
-	c.Post(func() {
-		c.version.Store(version)
-		if done != nil {
-			done()
+	p.held = append(p.held, request)
+	request.deadlineTimer = p.At(request.At+request.Timeout-heldMargin, func() {
+		if i := slices.Index(p.held, request); i >= 0 {
+			p.held = slices.Delete(p.held, i, i+1)
+			p.answerUnseen(request, Rejected, lapsedRetryAfter)
 		}
 	})
 }
 
-// Resume takes in what was held while the core could not decide, from any goroutine.
-func (c *Proxy) Resume() {
-	c.Post(func() {
-		held := c.held
-		c.held = nil
-		for _, r := range held {
-			r.overdue.Stop()
-			if !r.ended {
-				c.Submit(r)
+// Resume submits the requests that were held. Any goroutine may call it.
+func (p *Proxy) Resume() {
+	p.Post(func() {
+		for _, request := range p.takeHeld() {
+			if !request.ended {
+				p.Submit(request)
 			}
 		}
 	})
 }
 
-// RejectHeld refuses what is held, from any goroutine: another core has come in this one's place.
-func (c *Proxy) RejectHeld() {
-	c.Post(func() {
-		held := c.held
-		c.held = nil
-		for _, r := range held {
-			r.overdue.Stop()
-			c.declineFor(r, Rejected, lapsePause)
+// RejectHeld rejects the requests that were held: another proxy has taken this one's place. Any goroutine may call it.
+func (p *Proxy) RejectHeld() {
+	p.Post(func() {
+		for _, request := range p.takeHeld() {
+			p.answerUnseen(request, Rejected, lapsedRetryAfter)
 		}
 	})
 }
 
-// shelve keeps a request that can't be decided now, for as long as its client waits.
-func (c *Proxy) shelve(r *Request) {
-	if len(c.held) >= mostHeld {
-		c.declineFor(r, Rejected, lapsePause)
-		return
+// takeHeld takes all held requests out and stops their timers.
+func (p *Proxy) takeHeld() []*Request {
+	held := p.held
+	p.held = nil
+	for _, request := range held {
+		request.deadlineTimer.Stop()
 	}
-	c.held = append(c.held, r)
-	r.overdue = c.At(r.At+r.Timeout-heldMargin, func() {
-		if i := slices.Index(c.held, r); i >= 0 {
-			c.held = slices.Delete(c.held, i, i+1)
-			c.declineFor(r, Rejected, lapsePause)
-		}
-	})
+	return held
 }
 
-// lapse refuses what came in time and is not decided yet, once the right to decide is over: nothing may be let in by it any more.
-func (c *Proxy) lapse() {
-	if !c.DecisionLease.bounded() || c.DecisionLease.IsValid(c.Now()) {
-		c.lapsed = false
+// rejectLapsed rejects what came in time and is not dispatched yet, once the lease has ended: nothing may be admitted
+// by it any more.
+func (p *Proxy) rejectLapsed() {
+	if !p.DecisionLease.isBounded() || p.DecisionLease.IsValid(p.Now()) {
+		p.lapsed = false
 		return
 	}
-	if c.lapsed {
+	if p.lapsed {
 		return
 	}
-	c.lapsed = true
-	for _, r := range c.requests {
-		if !r.ended && len(r.attempts) == 0 {
-			r.leaving = true // it is kept until the Door has heard
-			c.leaving = append(c.leaving, r)
-			c.answer(r, Answer{Outcome: Rejected, RetryAfter: lapsePause, Unavailable: true})
-			c.Enqueue(balancer.RequestDone{ID: r.id})
+	p.lapsed = true
+	for _, request := range p.requests {
+		if request.ended || len(request.attempts) > 0 {
+			continue
 		}
+		request.donePending = true
+		p.donePending = append(p.donePending, request)
+		p.answer(request, Answer{Outcome: Rejected, RetryAfter: lapsedRetryAfter, Unavailable: true})
+		p.Enqueue(balancer.RequestDone{ID: request.id})
 	}
 }
--- a/internal/proxy/handover.go
+++ b/internal/proxy/handover.go
@@ -8,87 +8,111 @@
 	"gapgap/internal/balancer"
 )
 
-// HandoverState is what a core hands to the one of another process that takes its place. Classes and plans are numbered as its names
-// have them.
+// HandoverState is what a proxy hands to that of another process which takes its place. Classes and plans are
+// numbered as in the lists of their names. Its JSON form is read by other versions of the program.
 type HandoverState struct {
-	Classes []string               `json:"Classes"`
-	Plans   []string               `json:"Plans"`
-	Gone    []string               `json:"Gone"` // backends that were listed once and are not now
-	Memory  balancer.HandoverState `json:"Memory"`
+	Classes []string `json:"Classes"`
+	Plans   []string `json:"Plans"`
+	// Departed are the names of endpoints that were listed once and are not now.
+	Departed []string               `json:"Gone"`
+	Balancer balancer.HandoverState `json:"Memory"`
 }
 
-// BeginHandover makes the core end what it has and take nothing more upon itself: what it returns is another's from then on, or goes
-// to TakeBack. Any goroutine may call it.
-func (c *Proxy) BeginHandover(ctx context.Context) (e HandoverState, err error) {
-	err = c.onLoop(ctx, func() error {
-		if c.handedOver {
-			return errors.New("another process has it already")
+// allIdle is more than there can be idle connections.
+const allIdle = 1 << 20
+
+// errHandedOver says that another process has already taken over.
+var errHandedOver = errors.New("another process has it already")
+
+// BeginHandover makes the proxy end what it has and take nothing more upon itself: what it returns belongs to another
+// process from then on, or goes to AbortHandover. Any goroutine may call it; it blocks until the loop has done it or
+// the context ends.
+func (p *Proxy) BeginHandover(ctx context.Context) (state HandoverState, err error) {
+	err = p.runOnLoop(ctx, func() error {
+		if p.handedOver {
+			return errHandedOver
+		}
+		p.Enqueue(balancer.BeginHandover{})
+		p.Step()
+		p.handedOver = true
+		rules := p.Rules()
+		state = HandoverState{
+			Classes:  rules.Classes,
+			Plans:    rules.Plans,
+			Departed: p.names.oldestDeparted(),
+			Balancer: p.handoverState,
 		}
-		c.Enqueue(balancer.BeginHandover{})
-		c.Step()
-		c.handedOver = true
-		rules := c.Rules()
-		e = HandoverState{Classes: rules.Classes, Plans: rules.Plans, Gone: c.names.oldest(), Memory: c.handoverState}
-		c.handoverState = balancer.HandoverState{}
-		c.upstream.Yield(1<<20, "") // connections that carry nothing are for the other
+		p.handoverState = balancer.HandoverState{}
+		p.upstream.CloseIdle(allIdle, "") // the other process needs the connections
 		return nil
 	})
-	return e, err
+	return state, err
 }
 
-// AbortHandover undoes Leave. What was handed on and has perhaps been spent does not come back: then the estate is empty.
-func (c *Proxy) AbortHandover(ctx context.Context, e HandoverState) error {
-	return c.onLoop(ctx, func() error {
-		if c.handedOver {
-			c.handedOver = false
-			c.Enqueue(balancer.ImportHandover{State: e.Memory})
-			c.Step()
+// AbortHandover undoes BeginHandover. What was handed over and may have been spent does not come back: then the state
+// is empty. Any goroutine may call it; it blocks likewise.
+func (p *Proxy) AbortHandover(ctx context.Context, state HandoverState) error {
+	return p.runOnLoop(ctx, func() error {
+		if p.handedOver {
+			p.handedOver = false
+			p.Enqueue(balancer.ImportHandover{State: state.Balancer})
+			p.Step()
 		}
 		return nil
 	})
 }
 
-// IsHandedOver says whether another process has taken over. Only the loop goroutine may call it.
-func (c *Proxy) IsHandedOver() bool { return c.handedOver }
+// IsHandedOver tells whether another process has taken over.
+func (p *Proxy) IsHandedOver() bool { return p.handedOver }
 
-// ImportHandover gives the core what another process has left, before Run.
-func (c *Proxy) ImportHandover(e HandoverState) {
-	rules := c.Rules()
-	m := e.Memory
-	classes := make([]balancer.ClassHandover, len(rules.Classes))
-	for i, k := range m.Classes {
-		if i < len(e.Classes) && e.Classes[i] != "" {
-			if at := slices.Index(rules.Classes, e.Classes[i]); at >= 0 {
-				classes[at] = k
-			}
+// ImportHandover gives the proxy what another process has handed over, before Run. What belongs to classes and plans
+// that have no name here is dropped.
+func (p *Proxy) ImportHandover(state HandoverState) {
+	rules := p.Rules()
+	inherited := state.Balancer
+	inherited.Classes = renumberClasses(state.Balancer.Classes, state.Classes, rules.Classes)
+	inherited.Customers = renumberPlans(state.Balancer.Customers, state.Plans, rules.Plans)
+	for _, name := range state.Departed[:min(len(state.Departed), maxDepartedNames)] {
+		if !p.names.contains(name) {
+			p.names.markDeparted(name)
 		}
 	}
-	m.Classes = classes
-	customers := m.Customers[:0:0]
-	for _, cm := range m.Customers {
-		if cm.Plan < 0 || cm.Plan >= len(e.Plans) || e.Plans[cm.Plan] == "" {
+	p.inherited = &inherited
+}
+
+// renumberClasses returns what is known of classes, numbered as in names rather than as in oldNames.
+func renumberClasses(classes []balancer.ClassHandover, oldNames, names []string) []balancer.ClassHandover {
+	renumbered := make([]balancer.ClassHandover, len(names))
+	for i, class := range classes {
+		if i >= len(oldNames) || oldNames[i] == "" {
 			continue
 		}
-		if cm.Plan = slices.Index(rules.Plans, e.Plans[cm.Plan]); cm.Plan >= 0 {
-			customers = append(customers, cm)
+		if number := slices.Index(names, oldNames[i]); number >= 0 {
+			renumbered[number] = class
 		}
 	}
-	m.Customers = customers
-	for _, name := range e.Gone[:min(len(e.Gone), mostNames)] {
-		if !c.names.has(name) {
-			c.names.left(name)
+	return renumbered
+}
+
+// renumberPlans returns the customers whose plans have a name, numbered as in names rather than as in oldNames.
+func renumberPlans(customers []balancer.CustomerHandover, oldNames, names []string) []balancer.CustomerHandover {
+	var renumbered []balancer.CustomerHandover
+	for _, customer := range customers {
+		if customer.Plan < 0 || customer.Plan >= len(oldNames) || oldNames[customer.Plan] == "" {
+			continue
+		}
+		customer.Plan = slices.Index(names, oldNames[customer.Plan])
+		if customer.Plan >= 0 {
+			renumbered = append(renumbered, customer)
 		}
 	}
-	c.inherited = &m
+	return renumbered
 }
 
-// importHandover tells the Door, once it knows the list.
-func (c *Proxy) importHandover() {
-	if c.inherited != nil {
-		c.Enqueue(balancer.ImportHandover{State: *c.inherited})
-		c.inherited = nil
+// importHandover tells the Balancer, once it knows the endpoint list.
+func (p *Proxy) importHandover() {
+	if p.inherited != nil {
+		p.Enqueue(balancer.ImportHandover{State: *p.inherited})
+		p.inherited = nil
 	}
 }
-
-// SetMaxConnections sets how many connections to backends there may be. Any goroutine may call it.
-func (c *Proxy) SetMaxConnections(n int) { c.Post(func() { c.upstream.Most(n) }) }
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -12,158 +12,165 @@
 	"gapgap/internal/upstream"
 )
 
-// sides stands in for all sides; the test says what they answer.
-type sides struct {
+// fakeSystems stands in for the upstream, the counter and the endpoint source; the test says what they answer.
+type fakeSystems struct {
 	sent      []*upstream.Attempt
 	cancelled []*upstream.Attempt
 }
 
-func (s *sides) Send(a *upstream.Attempt)         { s.sent = append(s.sent, a) }
-func (s *sides) Cancel(a *upstream.Attempt)       { s.cancelled = append(s.cancelled, a) }
-func (s *sides) Probe(string)                     {}
-func (s *sides) Listed(balancer.Endpoint, string) {}
-func (s *sides) KeepOnly([]endpoint.Entry)        {}
-func (s *sides) Most(int)                         {}
-func (s *sides) Hold(string, bool)                {}
-func (s *sides) Yield(int64, string)              {}
-func (s *sides) Sweep()                           {}
-func (s *sides) Close()                           {}
-func (s *sides) Add(balancer.CounterAdd)          {}
-func (s *sides) Move(string)                      {}
-func (s *sides) Addr() string                     { return "" }
-func (s *sides) Known()                           {}
-func (s *sides) Follow(string)                    {}
-func (s *sides) Fetch()                           {}
-func (s *sides) Stop()                            {}
+func (s *fakeSystems) Send(a *upstream.Attempt)                 { s.sent = append(s.sent, a) }
+func (s *fakeSystems) Cancel(a *upstream.Attempt)               { s.cancelled = append(s.cancelled, a) }
+func (s *fakeSystems) HealthCheck(string)                       {}
+func (s *fakeSystems) UpdateEndpoint(balancer.Endpoint, string) {}
+func (s *fakeSystems) KeepOnly([]endpoint.Entry)                {}
+func (s *fakeSystems) SetMaxConnections(int)                    {}
+func (s *fakeSystems) Hold(string, bool)                        {}
+func (s *fakeSystems) CloseIdle(int64, string)                  {}
+func (s *fakeSystems) Sweep()                                   {}
+func (s *fakeSystems) Close()                                   {}
+func (s *fakeSystems) Add(balancer.CounterAdd)                  {}
+func (s *fakeSystems) Move(string)                              {}
+func (s *fakeSystems) Addr() string                             { return "" }
+func (s *fakeSystems) Known()                                   {}
+func (s *fakeSystems) Follow(string)                            {}
+func (s *fakeSystems) Fetch()                                   {}
+func (s *fakeSystems) Stop()                                    {}
 
-// caller keeps its answers.
-type caller struct{ answers []Answer }
+// fakeClient keeps its answers.
+type fakeClient struct{ answers []Answer }
 
-func (c *caller) Forward(time.Duration) []byte { return nil }
-func (c *caller) Answer(a Answer)              { c.answers = append(c.answers, a) }
+func (c *fakeClient) Forward(time.Duration) []byte { return nil }
+func (c *fakeClient) Answer(a Answer)              { c.answers = append(c.answers, a) }
 
-func idle(t *testing.T) (*Proxy, *sides) {
+// newProxy returns a proxy with one class and one plan, and what stands in for outside systems.
+func newProxy(t *testing.T) (*Proxy, *fakeSystems) {
 	t.Helper()
-	set := balancer.Settings{Gateways: 1, MaxAttempts: 2, Classes: []balancer.Class{{PriorityWeight: 1, ClientTimeout: 30 * time.Second}},
+	set := balancer.Settings{Gateways: 1, MaxAttempts: 2, Classes: []balancer.Class{{PriorityWeight: 1,
+		ClientTimeout: 30 * time.Second}},
 		Plans: []balancer.Plan{{PriorityFactor: 1}}}
-	c, err := New(eventloop.New(), Config{Start: Rules{Settings: set, MaxInFlight: 3}}, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	p, err := New(eventloop.New(), Config{Start: Rules{Settings: set, MaxInFlight: 3}},
+		slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &sides{}
-	c.Connect(s, s, s)
-	return c, s
+	s := &fakeSystems{}
+	p.Connect(s, s, s)
+	return p, s
 }
 
-func (c *Proxy) submitted(id string) (*Request, *caller) {
-	who := &caller{}
-	r := &Request{Caller: who, ID: id, Customer: "a", At: c.Now(), Timeout: 10 * time.Second, Units: 1}
-	c.Submit(r)
-	return r, who
+// submit submits a request with an id.
+func submit(p *Proxy, id string) (*Request, *fakeClient) {
+	client := &fakeClient{}
+	request := &Request{Client: client, ID: id, Customer: "a", At: p.Now(), Timeout: 10 * time.Second, Units: 1}
+	p.Submit(request)
+	return request, client
 }
 
-// The module never lets a request go unanswered; should it, the loop's own timer answers and calls off.
-func TestOverdueRequest(t *testing.T) {
-	c, s := idle(t)
-	r, who := c.submitted("1")
-	c.events = nil // the module never hears of it
-	c.dispatch(r, balancer.Dispatch{ID: r.id, Endpoint: "s-0"})
-	c.RunDue(r.due)
-	if len(who.answers) != 1 || who.answers[0].Outcome != TimedOut || len(s.cancelled) != 1 {
-		t.Fatalf("answers %v, %d attempts called off", who.answers, len(s.cancelled))
+// The module never lets a request go unanswered; should it, the loop's own timer answers and cancels.
+func TestDeadlineAnswersWhatTheModuleLeft(t *testing.T) {
+	p, s := newProxy(t)
+	request, client := submit(p, "1")
+	p.events = nil // the module never hears of it
+	p.dispatch(request, balancer.Dispatch{ID: request.id, Endpoint: "s-0"})
+	p.RunDue(request.deadline)
+	if len(client.answers) != 1 || client.answers[0].Outcome != TimedOut || len(s.cancelled) != 1 {
+		t.Fatalf("answers %v, %d attempts cancelled", client.answers, len(s.cancelled))
 	}
-	if _, ok := c.events[len(c.events)-1].(balancer.RequestDone); !ok || !r.ended {
-		t.Errorf("events %+v", c.events)
+	if _, ok := p.events[len(p.events)-1].(balancer.RequestDone); !ok || !request.ended {
+		t.Errorf("events %+v", p.events)
 	}
 	s.sent[0].End(balancer.Cancelled)
 	s.sent[0].End(balancer.OK) // what comes later changes nothing
-	c.ClientGone(r)
-	c.Step()
-	if len(who.answers) != 1 || len(c.requests) != 0 || len(c.open) != 0 {
-		t.Errorf("%d answers; %d requests are kept", len(who.answers), len(c.requests))
+	p.ClientGone(request)
+	p.Step()
+	if len(client.answers) != 1 || len(p.requests) != 0 || len(p.openIDs) != 0 {
+		t.Errorf("%d answers; %d requests are kept", len(client.answers), len(p.requests))
 	}
 }
 
 // Two open requests never have the same id, and no more are open than may be.
 func TestSubmitIsBounded(t *testing.T) {
-	c, _ := idle(t)
-	first, _ := c.submitted("1")
-	if _, again := c.submitted("1"); len(again.answers) != 1 || again.answers[0].Outcome != Duplicate {
+	p, _ := newProxy(t)
+	first, _ := submit(p, "1")
+	if _, again := submit(p, "1"); len(again.answers) != 1 || again.answers[0].Outcome != Duplicate {
 		t.Errorf("an open id: %v", again.answers)
 	}
-	c.submitted("")
-	c.submitted("")
-	if _, over := c.submitted("2"); len(over.answers) != 1 || over.answers[0].Outcome != Rejected {
+	submit(p, "")
+	submit(p, "")
+	if _, over := submit(p, "2"); len(over.answers) != 1 || over.answers[0].Outcome != Rejected {
 		t.Errorf("beyond the bound: %v", over.answers)
 	}
-	c.ClientGone(first)
-	if _, again := c.submitted("1"); len(again.answers) != 0 {
+	p.ClientGone(first)
+	if _, again := submit(p, "1"); len(again.answers) != 0 {
 		t.Errorf("the id is free again: %v", again.answers)
 	}
 }
 
 // Once a request has ended nothing goes out for it, whatever the module wants.
-func TestNothingIsSentAfterTheEnd(t *testing.T) {
-	c, s := idle(t)
-	r, who := c.submitted("1")
-	c.events = nil
-	c.dispatch(r, balancer.Dispatch{ID: r.id, Endpoint: "s-0"})
-	c.dispatch(r, balancer.Dispatch{ID: r.id, Endpoint: "s-1"}) // a second copy is not allowed
+func TestNothingIsSentAfterTheAnswer(t *testing.T) {
+	p, s := newProxy(t)
+	request, client := submit(p, "1")
+	p.events = nil
+	p.dispatch(request, balancer.Dispatch{ID: request.id, Endpoint: "s-0"})
+	p.dispatch(request, balancer.Dispatch{ID: request.id, Endpoint: "s-1"}) // hedging is not allowed
 	s.sent[0].Owner.Ended(upstream.Result{Status: balancer.OK, Value: []byte("v")})
-	c.dispatch(r, balancer.Dispatch{ID: r.id, Endpoint: "s-1"})
-	if len(s.sent) != 1 || len(who.answers) != 1 || who.answers[0].Outcome != Served {
-		t.Errorf("%d sent, answers %v", len(s.sent), who.answers)
+	p.dispatch(request, balancer.Dispatch{ID: request.id, Endpoint: "s-1"})
+	if len(s.sent) != 1 || len(client.answers) != 1 || client.answers[0].Outcome != Served {
+		t.Errorf("%d sent, answers %v", len(s.sent), client.answers)
 	}
 }
 
-// Leave is given without any side, a second end changes nothing, and the answer tells of the quota.
-func TestGrant(t *testing.T) {
-	c, s := idle(t)
-	c.HandleEndpointUpdate(endpoint.Update{Kind: balancer.CachedSnapshot})
-	c.Step() // as Run does first
-	who := &caller{}
-	r := &Request{Caller: who, Customer: "a", At: c.Now(), Timeout: time.Second, Units: 1, AdmitOnly: true, HoldFor: time.Hour}
-	c.Submit(r)
-	c.Step()
-	if len(who.answers) != 1 || who.answers[0].Outcome != Admitted || len(s.sent) != 0 || len(c.requests) != 0 {
-		t.Fatalf("answers %+v, %d sent", who.answers, len(s.sent))
+// A request is admitted without any outside system, a second end changes nothing, and the answer tells the quota
+// status.
+func TestAdmitOnly(t *testing.T) {
+	p, s := newProxy(t)
+	p.HandleEndpointUpdate(endpoint.Update{Kind: balancer.CachedSnapshot})
+	p.Step() // as Run does first
+	client := &fakeClient{}
+	request := &Request{Client: client, Customer: "a", At: p.Now(), Timeout: time.Second, Units: 1,
+		AdmitOnly: true, HoldFor: time.Hour}
+	p.Submit(request)
+	p.Step()
+	if len(client.answers) != 1 || client.answers[0].Outcome != Admitted || len(s.sent) != 0 || len(p.requests) != 0 {
+		t.Fatalf("answers %+v, %d sent", client.answers, len(s.sent))
 	}
-	c.FinishAdmitted(r)
-	c.FinishAdmitted(r)
-	c.Step()
-	if len(who.answers) != 1 {
-		t.Errorf("answers %+v", who.answers)
+	p.FinishAdmitted(request)
+	p.FinishAdmitted(request)
+	p.Step()
+	if len(client.answers) != 1 {
+		t.Errorf("answers %+v", client.answers)
 	}
 }
 
-// A client leaves in the very turn in which a slot becomes free and the module sends its request: that attempt is owed its
-// outcome too. Without it the backend would count as holding it for ever, until it has no slot left.
-func TestClientLeavesAsItsRequestIsSent(t *testing.T) {
-	c, s := idle(t)
-	c.Rules().MaxInFlight = 0
-	c.HandleEndpointUpdate(endpoint.Update{Kind: balancer.Snapshot, Entries: []endpoint.Entry{{Endpoint: balancer.Endpoint{Name: "s-0"}}}})
-	c.Step()
+// A client disconnects in the very turn in which a slot becomes free and the module sends its request: that attempt
+// must get its result too. Without it the endpoint would count it as in flight for ever, until no slot is left.
+func TestClientDisconnectsAsItsRequestIsDispatched(t *testing.T) {
+	p, s := newProxy(t)
+	p.Rules().MaxInFlight = 0
+	p.HandleEndpointUpdate(endpoint.Update{Kind: balancer.Snapshot,
+		Entries: []endpoint.Entry{{Endpoint: balancer.Endpoint{Name: "s-0"}}}})
+	p.Step()
 	for range 30 {
 		var queued *Request
 		for sent := -1; sent != len(s.sent); { // until one is queued
 			sent = len(s.sent)
-			queued, _ = c.submitted("")
-			c.Step()
+			queued, _ = submit(p, "")
+			p.Step()
 		}
 		s.sent[0].Owner.Ended(upstream.Result{Status: balancer.OK, Value: []byte("v")})
-		c.ClientGone(queued)
-		c.Step()
+		p.ClientGone(queued)
+		p.Step()
 		for _, a := range s.sent[1:] {
 			a.Owner.Ended(upstream.Result{Status: balancer.OK, Value: []byte("v")})
 		}
 		s.sent = nil
-		c.Step()
-		if len(s.sent) != 0 || len(c.requests) != 0 || len(c.leaving) != 0 {
-			t.Fatalf("%d sent for nobody; %d requests are kept", len(s.sent), len(c.requests))
+		p.Step()
+		if len(s.sent) != 0 || len(p.requests) != 0 || len(p.donePending) != 0 {
+			t.Fatalf("%d sent for nobody; %d requests are kept", len(s.sent), len(p.requests))
 		}
 	}
-	if c.submitted(""); true {
-		c.Step()
+	if submit(p, ""); true {
+		p.Step()
 	}
 	if len(s.sent) != 1 {
 		t.Error("the backend has no slot left, though nothing is out there")
--- a/internal/service/hosted/keys.go
+++ b/internal/service/hosted/keys.go
@@ -26,7 +26,7 @@
 	pool string // as other doors know it
 }
 
-var verdictOf = [...]proxy.Reservation{idempotency.Won: proxy.Won, idempotency.Lost: proxy.Held, idempotency.Crowded: proxy.Crowded}
+var verdictOf = [...]proxy.Reservation{idempotency.Won: proxy.ReservationGranted, idempotency.Lost: proxy.ReservationHeld, idempotency.Crowded: proxy.ReservationUnavailable}
 
 func (p poolKeys) Claim(class, customer, key string, done func(proxy.Reservation)) uint64 {
 	return p.side.Claim(idempotency.KeyOf(p.pool, class, customer, key), func(v idempotency.Verdict) { done(verdictOf[v]) })
--- a/internal/upstream/hold_test.go
+++ b/internal/upstream/hold_test.go
@@ -29,7 +29,7 @@
 		try(t, f)
 		wantOutcome(t, f, balancer.NotSent)
 		f.probed = nil
-		f.pool.Probe("s-0")
+		f.pool.HealthCheck("s-0")
 		if len(f.probed) != 1 || f.probed[0].Status != balancer.NotSent {
 			t.Errorf("%s: probed %+v", when, f.probed)
 		}
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -177,8 +177,8 @@
 	}
 }
 
-// Listed takes what the list says of one backend.
-func (bs *Pool) Listed(e balancer.Endpoint, addr string) {
+// UpdateEndpoint takes what the list says of one backend.
+func (bs *Pool) UpdateEndpoint(e balancer.Endpoint, addr string) {
 	b := bs.all[e.Name]
 	if b == nil {
 		b = &backend{name: e.Name, conns: map[*conn]bool{}}
@@ -202,8 +202,8 @@
 	}
 }
 
-// Most bounds the connections from now on. Those that there are beyond it end as they are given up.
-func (bs *Pool) Most(n int) { bs.cfg.Most = n }
+// SetMaxConnections bounds the connections from now on. Those that there are beyond it end as they are given up.
+func (bs *Pool) SetMaxConnections(n int) { bs.cfg.Most = n }
 
 // Hold keeps all from a backend that is not yet written, whatever the list says, or lets it through again. Nothing waits for a
 // connection to it any more when Hold returns.
@@ -422,9 +422,9 @@
 	return true
 }
 
-// Yield closes up to so many idle connections, those that have been idle longest, for other pools that want the places;
+// CloseIdle closes up to so many idle connections, those that have been idle longest, for other pools that want the places;
 // with an address only those to that server.
-func (bs *Pool) Yield(n int64, addr string) {
+func (bs *Pool) CloseIdle(n int64, addr string) {
 	for ; n > 0; n-- {
 		if addr == "" {
 			if !bs.closeOldest() {
@@ -470,8 +470,8 @@
 	bs.drop(a.conn, status)
 }
 
-// Probe asks a backend whether it answers.
-func (bs *Pool) Probe(name string) {
+// HealthCheck asks a backend whether it answers.
+func (bs *Pool) HealthCheck(name string) {
 	p := &probe{backend: name}
 	b := bs.all[name]
 	if b == nil || !b.listed {
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -67,7 +67,7 @@
 	f.pool = New(f.Loop, Config{Most: 400, DialTimeout: 5 * time.Second, Idle: 30 * time.Second},
 		func(p balancer.HealthCheckResult) { f.probed = append(f.probed, p) })
 	for _, e := range entries(addrs...) {
-		f.pool.Listed(e.Endpoint, e.Address)
+		f.pool.UpdateEndpoint(e.Endpoint, e.Address)
 	}
 	t.Cleanup(f.Close)
 	return f
@@ -84,7 +84,7 @@
 func (f *rig) whole(addrs ...string) {
 	list := entries(addrs...)
 	for _, e := range list {
-		f.pool.Listed(e.Endpoint, e.Address)
+		f.pool.UpdateEndpoint(e.Endpoint, e.Address)
 	}
 	f.pool.KeepOnly(list)
 }
@@ -154,7 +154,7 @@
 		"drain": func(f *rig, a *Attempt) {
 			b := entries("")[0].Endpoint
 			b.State = balancer.Draining
-			f.pool.Listed(b, f.pool.all["s-0"].addr)
+			f.pool.UpdateEndpoint(b, f.pool.all["s-0"].addr)
 		},
 		"left out": func(f *rig, a *Attempt) { f.whole() },
 		"cancel":   func(f *rig, a *Attempt) { f.pool.Cancel(a) },
@@ -225,7 +225,7 @@
 		func() {
 			e := entries(b.addr)[0]
 			e.StartedAt = 5 * time.Millisecond
-			f.pool.Listed(e.Endpoint, e.Address)
+			f.pool.UpdateEndpoint(e.Endpoint, e.Address)
 		},
 	} {
 		a := try(t, f)
@@ -333,7 +333,7 @@
 	f := idle(t, ln.Addr().String())
 	for text, want := range map[string]balancer.Status{"+PONG\r\n": balancer.OK, "-ERR no\r\n": balancer.Failed} {
 		f.probed = nil
-		f.pool.Probe("s-0")
+		f.pool.HealthCheck("s-0")
 		p := peer.Accept(t, ln)
 		peer.Pump(t, f.Loop, func() bool { return f.pool.count == 1 && f.pool.dialled("s-0") })
 		if m := p.Message(); m[0] != "PING" {
