--- a/internal/cluster/world_test.go
+++ b/internal/cluster/world_test.go
@@ -27,6 +27,10 @@
 	flaws flaws
 	weigh bool // bytes are counted
 	false int  // doors found dead that were not
+
+	// onSend and onStanding, if set, see each message and each standing with the changes before it.
+	onSend     func(from int, out Out)
+	onStanding func(d *door, standing Standing, changes []membership.Change)
 }
 
 // flaws break the rules on purpose, for tests of the check.
@@ -186,13 +190,17 @@
 
 // stand has the pools go by what the node says, a little later.
 func (d *door) stand() {
-	for _, c := range d.node.Changes() {
+	changes := d.node.Changes()
+	for _, c := range changes {
 		if c.To == membership.Dead && d.w.doors[c.Rank].alive && !d.w.doors[c.Rank].stopped {
 			d.w.false++
 		}
 	}
 	now := d.clock()
 	st := d.node.Standing(now)
+	if d.w.onStanding != nil {
+		d.w.onStanding(d, st, changes)
+	}
 	if d.w.flaws.givesAtOnce {
 		d.node.Applied(st.Gen)
 	}
@@ -216,6 +224,9 @@
 
 func (d *door) send(outs []Out) {
 	for _, o := range outs {
+		if d.w.onSend != nil {
+			d.w.onSend(d.rank, o)
+		}
 		to := d.w.doors[o.To]
 		switch {
 		case o.Msg.Beat != nil:
