--- a/cmd/gapgapctl/fleet.go
+++ b/cmd/gapgapctl/fleet.go
@@ -79,7 +79,7 @@
 				return fmt.Errorf("the door's answer: %w", err)
 			}
 			r.Others = map[string]string{}
-			for _, d := range r.fleet.Doors {
+			for _, d := range r.fleet.Gateways {
 				if d.Name != r.Name {
 					r.Others[d.Name] = cmp.Or(d.Recovery, "does not answer; it is "+d.State)
 				}
@@ -133,7 +133,7 @@
 		fmt.Fprintf(t, "%s\t%s\t%s\t%s\n", s.Step, s.State, after, s.What)
 	}
 	fmt.Fprintf(t, "\t\t\t\nDOOR\tIS AT\t\t\n")
-	for _, d := range r.fleet.Doors {
+	for _, d := range r.fleet.Gateways {
 		if d.Name != r.Name {
 			fmt.Fprintf(t, "%s\t%s\t\t\n", d.Name, r.Others[d.Name])
 		}
@@ -189,10 +189,10 @@
 func table(out io.Writer, v *peer.View, now time.Time) error {
 	t := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintf(t, "DOOR\tSTATE\tFOR\tINCARNATION\tPART\tSEEN AS\tCAUSE\n")
-	for _, d := range v.Doors {
+	for _, d := range v.Gateways {
 		part := "?"
-		if d.Part != nil {
-			part = fmt.Sprintf("%.3f", *d.Part)
+		if d.Fraction != nil {
+			part = fmt.Sprintf("%.3f", *d.Fraction)
 		}
 		seen := map[string]int{}
 		for _, s := range d.SeenBy {
@@ -216,7 +216,7 @@
 	if v.WrongClock {
 		fmt.Fprintf(out, "the clock of %s is not the others': it asks the counter for nothing and takes no share of ceilings; set it and start the door anew\n", v.Name)
 	}
-	if v.Rival {
+	if v.HasDuplicate {
 		fmt.Fprintf(out, "another process has the name %s and goes before this one, which takes no share\n", v.Name)
 	}
 	return nil
--- a/cmd/gapgapctl/fleet_test.go
+++ b/cmd/gapgapctl/fleet_test.go
@@ -23,8 +23,8 @@
 		t.Fatal(err)
 	}
 	half := 0.5
-	view := peer.View{Name: "n0", Rival: true, Doors: []peer.Member{
-		{Name: "n0", State: "alive", Incarnation: 7, Part: &half, Since: time.Now().Add(-90 * time.Second), SeenBy: map[string]string{"n0": "alive", "n1": "dead"}, Disagree: true},
+	view := peer.View{Name: "n0", HasDuplicate: true, Gateways: []peer.Member{
+		{Name: "n0", State: "alive", Incarnation: 7, Fraction: &half, Since: time.Now().Add(-90 * time.Second), SeenBy: map[string]string{"n0": "alive", "n1": "dead"}, Disagree: true},
 		{Name: "n1", State: "dead", Cause: "no sign of life for 1.5s", SeenBy: map[string]string{"n0": "dead"}}}}
 	var left bool
 	mux := http.NewServeMux()
--- a/internal/clockskew/clocks.go
+++ b/internal/clockskew/clocks.go
@@ -12,9 +12,9 @@
 
 // Times; ours.
 const (
-	// Most is by how much a clock may differ: what a clock that is off by it lets out too much once (its ceiling's rate times Most) is of the order of
+	// MaxSkew is by how much a clock may differ: what a clock that is off by it lets out too much once (its ceiling's rate times Most) is of the order of
 	// what calls that cross do.
-	Most = time.Second
+	MaxSkew = time.Second
 	// each is the length of a stretch over which what a door said of its clock is kept; the last one counts, too. Of what is said in it the soonest to come
 	// tells most.
 	each = 5 * time.Second
@@ -22,8 +22,8 @@
 	settles = 500 * time.Millisecond
 )
 
-// Judge is what one door knows of the others' clocks.
-type Judge struct {
+// Detector is what one door knows of the others' clocks.
+type Detector struct {
 	doors  int
 	others []other
 	wrong  bool
@@ -39,10 +39,10 @@
 }
 
 // New makes one for a list of doors.
-func New(doors int) *Judge { return &Judge{doors: doors, others: make([]other, doors)} }
+func New(doors int) *Detector { return &Detector{doors: doors, others: make([]other, doors)} }
 
-// Heard takes what a door's clock said when it told this one something that has just come. Both are Unix times.
-func (j *Judge) Heard(now time.Duration, from int, theirs time.Duration) {
+// Observe takes what a door's clock said when it told this one something that has just come. Both are Unix times.
+func (j *Detector) Observe(now time.Duration, from int, theirs time.Duration) {
 	if from < 0 || from >= len(j.others) {
 		return
 	}
@@ -55,14 +55,14 @@
 	default:
 		o.now = max(o.now, ahead)
 	}
-	if o.had && max(o.last-o.now, o.now-o.last) > Most { // it was started anew with another clock: what it said before counts no more
+	if o.had && max(o.last-o.now, o.now-o.last) > MaxSkew { // it was started anew with another clock: what it said before counts no more
 		o.had = false
 	}
 }
 
-// Off says by how much this door's clock is behind the others' (below 0: ahead), and whether that is too much. As long as too few doors are heard of, it stays
+// Skew says by how much this door's clock is behind the others' (below 0: ahead), and whether that is too much. As long as too few doors are heard of, it stays
 // as it was.
-func (j *Judge) Off(now time.Duration) (behind time.Duration, wrong bool) {
+func (j *Detector) Skew(now time.Duration) (behind time.Duration, wrong bool) {
 	all := []time.Duration{0} // this door's own
 	for i := range j.others {
 		if o := &j.others[i]; o.from > 0 && now-o.from < 2*each {
@@ -75,11 +75,11 @@
 	}
 	slices.Sort(all)
 	for i := range all {
-		n, _ := slices.BinarySearch(all[i:], all[i]+Most+1)
+		n, _ := slices.BinarySearch(all[i:], all[i]+MaxSkew+1)
 		if n > j.doors/2 { // a majority of the list; there is one such group at most, but for where it begins
 			j.off = all[i+(n-1)/2]
 			switch {
-			case max(j.off, -j.off) <= Most:
+			case max(j.off, -j.off) <= MaxSkew:
 				j.wrong, j.since = false, 0
 			case j.since == 0:
 				j.since = now
--- a/internal/clockskew/clocks_test.go
+++ b/internal/clockskew/clocks_test.go
@@ -12,7 +12,7 @@
 type fleet struct {
 	off    []time.Duration
 	drift  []float64
-	judges []*Judge
+	judges []*Detector
 	rng    *rand.Rand
 	loss   float64
 	delay  time.Duration
@@ -36,9 +36,9 @@
 	for at := from; at < from+lasts; at += 100 * time.Millisecond {
 		for i := range f.judges {
 			for j := range f.judges {
-				f.judges[j].Off(f.clock(j, at))
+				f.judges[j].Skew(f.clock(j, at))
 				if i != j && !f.down[i] && !f.down[j] && f.rng.Float64() >= f.loss {
-					f.judges[j].Heard(f.clock(j, at+time.Duration(f.rng.Int64N(int64(f.delay)))), i, f.clock(i, at))
+					f.judges[j].Observe(f.clock(j, at+time.Duration(f.rng.Int64N(int64(f.delay)))), i, f.clock(i, at))
 				}
 			}
 		}
@@ -55,7 +55,7 @@
 		if f.down[i] {
 			continue
 		}
-		if off, is := j.Off(f.clock(i, at)); is != bad[i] {
+		if off, is := j.Skew(f.clock(i, at)); is != bad[i] {
 			t.Errorf("after %v door %d of %d, off by %v: wrong %v, behind by %v", at, i, len(f.judges), f.off[i], is, off)
 		}
 	}
@@ -115,8 +115,8 @@
 	f.off[0], f.judges[0] = -time.Hour, New(3)
 	f.play(30*time.Second, 3*time.Second)
 	f.want(t, 33*time.Second, 0)
-	f.judges[1].Heard(start, 99, 0) // no door of the list
-	f.judges[1].Heard(start, -1, 0)
+	f.judges[1].Observe(start, 99, 0) // no door of the list
+	f.judges[1].Observe(start, -1, 0)
 }
 
 // A process that goes on after ten seconds hears first what was said meanwhile: that says nothing of its clock.
@@ -125,7 +125,7 @@
 	f.play(0, 5*time.Second)
 	for at := 5 * time.Second; at < 15*time.Second; at += 100 * time.Millisecond { // all of it read at once
 		for from := 1; from < 3; from++ {
-			f.judges[0].Heard(f.clock(0, 15*time.Second), from, f.clock(from, at))
+			f.judges[0].Observe(f.clock(0, 15*time.Second), from, f.clock(from, at))
 			f.want(t, 15*time.Second)
 		}
 	}
--- a/internal/clockskew/golden_test.go
+++ b/internal/clockskew/golden_test.go
@@ -39,12 +39,12 @@
 		from := rng.IntN(gateways+2) - 1
 		if from >= 0 && from < gateways {
 			delay := time.Duration(rng.IntN(300)) * time.Millisecond
-			judge.Heard(now+own, from, now+offsets[from]-delay)
+			judge.Observe(now+own, from, now+offsets[from]-delay)
 		} else {
-			judge.Heard(now+own, from, now)
+			judge.Observe(now+own, from, now)
 		}
 		if rng.IntN(4) == 0 {
-			behind, wrong := judge.Off(now + own)
+			behind, wrong := judge.Skew(now + own)
 			trace.Duration(behind)
 			trace.Bool(wrong)
 		}
--- a/internal/cluster/fleetnode.go
+++ b/internal/cluster/fleetnode.go
@@ -13,165 +13,165 @@
 	"gapgap/internal/quotalease"
 )
 
-// TickEvery is how often Tick is to be called.
-const TickEvery = 50 * time.Millisecond
+// TickInterval is how often Tick is to be called.
+const TickInterval = 50 * time.Millisecond
 
 // Times of a start; ours.
 const (
-	// beginLeast is how long a door that has started waits before it takes a part: a second process of its name is told of by then, and what
+	// minStartDelay is how long a door that has started waits before it takes a part: a second process of its name is told of by then, and what
 	// an earlier self has lent (share.LoanHold) is given back.
-	beginLeast = 1100 * time.Millisecond
-	beginMost  = 2 * time.Second // ... and after so long it does, whoever has answered
+	minStartDelay = 1100 * time.Millisecond
+	maxStartDelay = 2 * time.Second // ... and after so long it does, whoever has answered
 )
 
-// Msg is what one door tells another: one of its fields is set.
-type Msg struct {
-	Beat  *membership.Beat  `cbor:"1,keyasint,omitempty"`
-	Claim *quotalease.Claim `cbor:"2,keyasint,omitempty"`
-	Grant *quotalease.Grant `cbor:"3,keyasint,omitempty"`
+// Message is what one door tells another: one of its fields is set.
+type Message struct {
+	Heartbeat *membership.Heartbeat `cbor:"1,keyasint,omitempty"`
+	Request   *quotalease.Request   `cbor:"2,keyasint,omitempty"`
+	Grant     *quotalease.Grant     `cbor:"3,keyasint,omitempty"`
 }
 
-// Out is a message to a door.
-type Out struct {
-	To   int
-	Msg  Msg
-	Back bool // to where what it answers came from as well
+// Outgoing is a message to a door.
+type Outgoing struct {
+	To            int
+	Message       Message
+	ReplyToSender bool // to where what it answers came from as well
 }
 
-// Standing is what this door may hand out.
-type Standing struct {
-	Gen   uint64        // grows when something is taken away; see Applied
-	Part  float64       // of what is leased
-	Until time.Duration // it is nothing from then on
-	Out   bool          // not even what is kept without a lease: it is joining, has left, or is not the process that has its name
-	Gone  []int         // ranks of doors that do not serve
+// ShareLease is what this door may hand out.
+type ShareLease struct {
+	Epoch        uint64        // grows when something is taken away; see Applied
+	Fraction     float64       // of what is leased
+	Until        time.Duration // it is nothing from then on
+	Excluded     bool          // not even what is kept without a lease: it is joining, has left, or is not the process that has its name
+	DeadGateways []int         // ranks of doors that do not serve
 }
 
 // Config says which door this is, of how many.
 type Config struct {
-	Rank, Doors int
-	ID          membership.ID
+	Index, Gateways int
+	ID              membership.ID
 }
 
 // Node is one door.
 type Node struct {
-	cfg           Config
-	table         *membership.Table
-	holder        *quotalease.Holder
-	voter         *quotalease.Voter // nil: this door does not vote
-	begun         time.Duration
-	heard         map[int]bool // doors that have spoken since the start; until it serves
-	serves        bool
-	left, leaving bool
-	rival         bool
-	gen           uint64
-	used          uint64 // the generation that is applied
-	due           uint64 // the generation before whose use no claim may give seats up
-	gone          []int
+	config                 Config
+	detector               *membership.Detector
+	holder                 *quotalease.Holder
+	voter                  *quotalease.Voter // nil: this door does not vote
+	startedAt              time.Duration
+	heardFrom              map[int]bool // doors that have spoken since the start; until it serves
+	isServing              bool
+	hasReleased, isLeaving bool
+	hasDuplicate           bool
+	epoch                  uint64
+	appliedEpoch           uint64 // the generation that is applied
+	requiredEpoch          uint64 // the generation before whose use no claim may give seats up
+	deadGateways           []int
 }
 
 // New makes a door that has just started.
 func New(cfg Config, now time.Duration, rng *rand.Rand) *Node {
-	n := &Node{cfg: cfg, begun: now, heard: map[int]bool{}, table: membership.New(membership.Config{Rank: cfg.Rank, Doors: cfg.Doors, Hubs: quotalease.Voters(cfg.Doors), ID: cfg.ID}, now, rng),
-		holder: quotalease.NewHolder(cfg.Doors, cfg.Rank, cfg.ID)}
-	if cfg.Rank < quotalease.Voters(cfg.Doors) {
-		n.voter = quotalease.NewVoter(cfg.Doors, now)
+	n := &Node{config: cfg, startedAt: now, heardFrom: map[int]bool{}, detector: membership.New(membership.Config{Index: cfg.Index, Gateways: cfg.Gateways, Hubs: quotalease.VoterCount(cfg.Gateways), ID: cfg.ID}, now, rng),
+		holder: quotalease.NewHolder(cfg.Gateways, cfg.Index, cfg.ID)}
+	if cfg.Index < quotalease.VoterCount(cfg.Gateways) {
+		n.voter = quotalease.NewVoter(cfg.Gateways, now)
 	}
 	return n
 }
 
 // Tick does what the time brings, and returns what is to be sent.
-func (n *Node) Tick(now time.Duration) []Out {
-	var out []Out
-	if n.leaving && !n.left && n.used >= n.due {
-		out = n.goes(now)
+func (n *Node) Tick(now time.Duration) []Outgoing {
+	var out []Outgoing
+	if n.isLeaving && !n.hasReleased && n.appliedEpoch >= n.requiredEpoch {
+		out = n.announceLeave(now)
 	}
-	for _, o := range n.table.Tick(now) {
-		out = append(out, Out{To: o.To, Msg: Msg{Beat: &o.Beat}})
+	for _, o := range n.detector.Tick(now) {
+		out = append(out, Outgoing{To: o.To, Message: Message{Heartbeat: &o.Heartbeat}})
 	}
-	n.look(now)
-	if !n.out() {
-		out = append(out, n.claim(now)...)
+	n.updateView(now)
+	if !n.isExcluded() {
+		out = append(out, n.requestSlots(now)...)
 	}
 	return out
 }
 
-// out says that this door takes part in nothing.
-func (n *Node) out() bool { return !n.serves || n.leaving || n.rival }
+// isExcluded says that this door takes part in nothing.
+func (n *Node) isExcluded() bool { return !n.isServing || n.isLeaving || n.hasDuplicate }
 
-// look sees what has become of this door and of the others.
-func (n *Node) look(now time.Duration) {
-	_, rival := n.table.Rival(now)
-	if rival && !n.rival {
-		n.gen++
-		n.holder.Drop()
+// updateView sees what has become of this door and of the others.
+func (n *Node) updateView(now time.Duration) {
+	_, rival := n.detector.Duplicate(now)
+	if rival && !n.hasDuplicate {
+		n.epoch++
+		n.holder.ReleaseAll()
 	}
-	n.rival = rival
-	if n.table.ID() != n.cfg.ID {
-		n.cfg.ID = n.table.ID()
-		n.gen++
-		n.holder.Renamed(n.cfg.ID)
+	n.hasDuplicate = rival
+	if n.detector.ID() != n.config.ID {
+		n.config.ID = n.detector.ID()
+		n.epoch++
+		n.holder.ChangeID(n.config.ID)
 	}
-	if since := now - n.begun; !n.serves && !rival && (since >= beginMost || since >= beginLeast && 2*len(n.heard) >= n.cfg.Doors-1) {
-		n.serves = true
-		n.table.Begin(now)
+	if since := now - n.startedAt; !n.isServing && !rival && (since >= maxStartDelay || since >= minStartDelay && 2*len(n.heardFrom) >= n.config.Gateways-1) {
+		n.isServing = true
+		n.detector.StartServing(now)
 	}
 	voters := 0
-	for v := range quotalease.Voters(n.cfg.Doors) {
-		if v == n.cfg.Rank || !n.isGone(now, v) {
+	for v := range quotalease.VoterCount(n.config.Gateways) {
+		if v == n.config.Index || !n.isDead(now, v) {
 			voters++
 		}
 	}
-	if 2*voters <= quotalease.Voters(n.cfg.Doors) {
+	if 2*voters <= quotalease.VoterCount(n.config.Gateways) {
 		return // it is rather this door that is cut off: others are taken to be where they were
 	}
-	n.gone = n.gone[:0]
-	for r := range n.cfg.Doors {
-		if r != n.cfg.Rank && n.isGone(now, r) {
-			n.gone = append(n.gone, r)
+	n.deadGateways = n.deadGateways[:0]
+	for r := range n.config.Gateways {
+		if r != n.config.Index && n.isDead(now, r) {
+			n.deadGateways = append(n.deadGateways, r)
 		}
 	}
 }
 
-// isGone says that others may use what a door had. One that was never heard of may still come, for as long as a door is given to die.
-func (n *Node) isGone(now time.Duration, rank int) bool {
-	switch s := n.table.State(rank); s {
+// isDead says that others may use what a door had. One that was never heard of may still come, for as long as a door is given to die.
+func (n *Node) isDead(now time.Duration, rank int) bool {
+	switch s := n.detector.State(rank); s {
 	case membership.Dead, membership.Left:
 		return true
 	case membership.Absent:
-		return now-n.begun >= beginMost
+		return now-n.startedAt >= maxStartDelay
 	}
 	return false
 }
 
-func (n *Node) there(rank int) bool {
-	s := n.table.State(rank)
-	return s.Serves() && s != membership.Joining
+func (n *Node) isActive(rank int) bool {
+	s := n.detector.State(rank)
+	return s.IsPresent() && s != membership.Joining
 }
 
-// claim asks the voters for what this door wants. What it gives up it first ceases to use.
-func (n *Node) claim(now time.Duration) []Out {
-	want := quotalease.Wanted(n.cfg.Doors, n.cfg.Rank, func(r int) bool { return n.isGone(now, r) }, n.there)
-	if n.holder.Cease(now, want) {
-		n.gen++
-		n.due = n.gen
+// requestSlots asks the voters for what this door wants. What it gives up it first ceases to use.
+func (n *Node) requestSlots(now time.Duration) []Outgoing {
+	want := quotalease.WantedSlots(n.config.Gateways, n.config.Index, func(r int) bool { return n.isDead(now, r) }, n.isActive)
+	if n.holder.Release(now, want) {
+		n.epoch++
+		n.requiredEpoch = n.epoch
 	}
-	if n.used < n.due {
-		want = n.holder.Wants()
+	if n.appliedEpoch < n.requiredEpoch {
+		want = n.holder.Requested()
 	}
-	c, ok := n.holder.Claim(now, want)
+	c, ok := n.holder.NextRequest(now, want)
 	if !ok {
 		return nil
 	}
-	return n.ask(now, c)
+	return n.sendRequest(now, c)
 }
 
-func (n *Node) ask(now time.Duration, c quotalease.Claim) (out []Out) {
-	for v := range quotalease.Voters(n.cfg.Doors) {
-		if v != n.cfg.Rank {
-			out = append(out, Out{To: v, Msg: Msg{Claim: &c}})
-		} else if g, ok := n.voter.Asked(now, v, c); ok {
-			n.holder.Granted(v, g)
+func (n *Node) sendRequest(now time.Duration, c quotalease.Request) (out []Outgoing) {
+	for v := range quotalease.VoterCount(n.config.Gateways) {
+		if v != n.config.Index {
+			out = append(out, Outgoing{To: v, Message: Message{Request: &c}})
+		} else if g, ok := n.voter.HandleRequest(now, v, c); ok {
+			n.holder.HandleGrant(v, g)
 		}
 	}
 	return out
@@ -179,109 +179,109 @@
 
 // Errors of Heard.
 var (
-	errEmpty   = errors.New("message with nothing in it")
-	errNoVoter = errors.New("claim to a door that does not vote")
+	ErrEmptyMessage = errors.New("message with nothing in it")
+	ErrNotVoter     = errors.New("claim to a door that does not vote")
 )
 
-// Heard takes a message from a door and returns what is to be sent in answer. An error says what is wrong with it; then it has changed
+// Receive takes a message from a door and returns what is to be sent in answer. An error says what is wrong with it; then it has changed
 // nothing.
-func (n *Node) Heard(now time.Duration, from int, m Msg) ([]Out, error) {
-	if from < 0 || from >= n.cfg.Doors {
-		return nil, fmt.Errorf("message from door %d of %d", from, n.cfg.Doors)
+func (n *Node) Receive(now time.Duration, from int, m Message) ([]Outgoing, error) {
+	if from < 0 || from >= n.config.Gateways {
+		return nil, fmt.Errorf("message from door %d of %d", from, n.config.Gateways)
 	}
 	switch {
-	case m.Beat != nil:
-		if err := n.table.Check(from, m.Beat); err != nil {
+	case m.Heartbeat != nil:
+		if err := n.detector.Validate(from, m.Heartbeat); err != nil {
 			return nil, err
 		}
-		if !n.serves && from != n.cfg.Rank {
-			n.heard[from] = true
+		if !n.isServing && from != n.config.Index {
+			n.heardFrom[from] = true
 		}
-		var out []Out
-		for _, o := range n.table.Heard(now, from, *m.Beat) {
-			out = append(out, Out{To: o.To, Msg: Msg{Beat: &o.Beat}, Back: o.Back})
+		var out []Outgoing
+		for _, o := range n.detector.Receive(now, from, *m.Heartbeat) {
+			out = append(out, Outgoing{To: o.To, Message: Message{Heartbeat: &o.Heartbeat}, ReplyToSender: o.ReplyToSender})
 		}
-		n.look(now)
+		n.updateView(now)
 		return out, nil
-	case m.Claim != nil:
-		if err := quotalease.Check(n.cfg.Doors, m.Claim.Seats); err != nil {
+	case m.Request != nil:
+		if err := quotalease.ValidateSlots(n.config.Gateways, m.Request.Slots); err != nil {
 			return nil, err
 		}
 		if n.voter == nil {
-			return nil, errNoVoter
+			return nil, ErrNotVoter
 		}
-		if n.rival || from == n.cfg.Rank {
+		if n.hasDuplicate || from == n.config.Index {
 			return nil, nil
 		}
-		if g, ok := n.voter.Asked(now, from, *m.Claim); ok {
-			return []Out{{To: from, Msg: Msg{Grant: &g}}}, nil
+		if g, ok := n.voter.HandleRequest(now, from, *m.Request); ok {
+			return []Outgoing{{To: from, Message: Message{Grant: &g}}}, nil
 		}
 		return nil, nil
 	case m.Grant != nil:
-		if err := quotalease.Check(n.cfg.Doors, m.Grant.Seats); err != nil {
+		if err := quotalease.ValidateSlots(n.config.Gateways, m.Grant.Slots); err != nil {
 			return nil, err
 		}
-		n.holder.Granted(from, *m.Grant)
+		n.holder.HandleGrant(from, *m.Grant)
 		return nil, nil
 	}
-	return nil, errEmpty
+	return nil, ErrEmptyMessage
 }
 
-// Standing is what this door may hand out at a time.
-func (n *Node) Standing(now time.Duration) Standing {
-	s := Standing{Gen: n.gen, Out: n.out(), Gone: append([]int(nil), n.gone...)}
-	if !s.Out {
-		s.Part, s.Until = n.holder.Part(now)
+// ShareLease is what this door may hand out at a time.
+func (n *Node) ShareLease(now time.Duration) ShareLease {
+	s := ShareLease{Epoch: n.epoch, Excluded: n.isExcluded(), DeadGateways: append([]int(nil), n.deadGateways...)}
+	if !s.Excluded {
+		s.Fraction, s.Until = n.holder.Fraction(now)
 	}
 	return s
 }
 
-// Applied says that all who hand out go by the Standing of a generation, or a later one.
-func (n *Node) Applied(gen uint64) { n.used = max(n.used, gen) }
+// ConfirmApplied says that all who hand out go by the Standing of a generation, or a later one.
+func (n *Node) ConfirmApplied(gen uint64) { n.appliedEpoch = max(n.appliedEpoch, gen) }
 
 // Leave gives all up, as soon as nobody hands out by it any more; Tick then tells the others, until Gone.
 func (n *Node) Leave() {
-	if !n.leaving {
-		n.leaving = true
-		n.gen++
-		n.due = n.gen
+	if !n.isLeaving {
+		n.isLeaving = true
+		n.epoch++
+		n.requiredEpoch = n.epoch
 	}
 }
 
-// goes tells the voters that this door has no seats.
-func (n *Node) goes(now time.Duration) (out []Out) {
-	if c, ok := n.holder.Claim(now, quotalease.NewSet(n.cfg.Doors)); ok && n.serves && !n.rival {
-		out = n.ask(now, c)
+// announceLeave tells the voters that this door has no seats.
+func (n *Node) announceLeave(now time.Duration) (out []Outgoing) {
+	if c, ok := n.holder.NextRequest(now, quotalease.NewSlotSet(n.config.Gateways)); ok && n.isServing && !n.hasDuplicate {
+		out = n.sendRequest(now, c)
 	}
-	n.left = true
-	n.holder.Drop()
-	n.table.Leave(now)
+	n.hasReleased = true
+	n.holder.ReleaseAll()
+	n.detector.Leave(now)
 	return out
 }
 
-// Gone says that the others have been told that this door leaves.
-func (n *Node) Gone() bool { return n.table.Gone() }
+// HasLeft says that the others have been told that this door leaves.
+func (n *Node) HasLeft() bool { return n.detector.HasLeft() }
 
 // Forget takes a door that does not serve as gone for good.
-func (n *Node) Forget(now time.Duration, rank int) error { return n.table.Forget(now, rank) }
+func (n *Node) Forget(now time.Duration, rank int) error { return n.detector.Forget(now, rank) }
 
 // Members tells of all doors as they are seen from here.
-func (n *Node) Members() []membership.Member { return n.table.Members() }
+func (n *Node) Members() []membership.Member { return n.detector.Members() }
 
-// Changes returns the transitions since it was last called.
-func (n *Node) Changes() []membership.Change { return n.table.Changes() }
+// TakeTransitions returns the transitions since it was last called.
+func (n *Node) TakeTransitions() []membership.Transition { return n.detector.TakeTransitions() }
 
-// Rival says that another process has this door's name, and goes before it.
-func (n *Node) Rival(now time.Duration) (membership.ID, bool) { return n.table.Rival(now) }
+// Duplicate says that another process has this door's name, and goes before it.
+func (n *Node) Duplicate(now time.Duration) (membership.ID, bool) { return n.detector.Duplicate(now) }
 
 // ID is this process. It may take a higher incarnation than it started with; Adopted says so once.
-func (n *Node) ID() membership.ID { return n.cfg.ID }
+func (n *Node) ID() membership.ID { return n.config.ID }
 
-// Adopted says, once, that the incarnation has changed and is to be kept on disk.
-func (n *Node) Adopted() bool { return n.table.Adopted() }
+// TakeIncarnationChange says, once, that the incarnation has changed and is to be kept on disk.
+func (n *Node) TakeIncarnationChange() bool { return n.detector.TakeIncarnationChange() }
 
-// Seats is how many seats this door holds, of how many.
-func (n *Node) Seats(now time.Duration) (held, of int) {
+// Slots is how many seats this door holds, of how many.
+func (n *Node) Slots(now time.Duration) (held, of int) {
 	held, _ = n.holder.Held(now)
-	return held, n.cfg.Doors * quotalease.Each(n.cfg.Doors)
+	return held, n.config.Gateways * quotalease.SlotsPerGateway(n.config.Gateways)
 }
--- a/internal/cluster/golden_test.go
+++ b/internal/cluster/golden_test.go
@@ -98,8 +98,8 @@
 	duplicate.startAs(membership.ID{Incarnation: 1, Nonce: ^uint32(0)})
 	var relay func()
 	relay = func() {
-		heartbeat := w.doors[1].node.table.Beat(w.doors[1].clock())
-		duplicate.heard(1, Msg{Beat: &heartbeat})
+		heartbeat := w.doors[1].node.detector.Heartbeat(w.doors[1].clock())
+		duplicate.heard(1, Message{Heartbeat: &heartbeat})
 		if duplicate.alive {
 			w.after(200*time.Millisecond, relay)
 		}
@@ -111,69 +111,69 @@
 }
 
 // message adds a message that a node sends.
-func (c *clusterTrace) message(from int, out Out) {
+func (c *clusterTrace) message(from int, out Outgoing) {
 	c.trace.Int(1)
 	c.trace.Int(int64(from))
 	c.trace.Duration(c.world.now)
 	c.trace.Int(int64(out.To))
-	c.trace.Bool(out.Back)
+	c.trace.Bool(out.ReplyToSender)
 	switch {
-	case out.Msg.Beat != nil:
-		c.heartbeat(out.Msg.Beat)
-	case out.Msg.Claim != nil:
+	case out.Message.Heartbeat != nil:
+		c.heartbeat(out.Message.Heartbeat)
+	case out.Message.Request != nil:
 		c.trace.Int(2)
-		c.id(out.Msg.Claim.ID)
-		c.trace.Uint(uint64(out.Msg.Claim.Seq))
-		c.trace.String(string(out.Msg.Claim.Seats))
-	case out.Msg.Grant != nil:
+		c.id(out.Message.Request.ID)
+		c.trace.Uint(uint64(out.Message.Request.Sequence))
+		c.trace.String(string(out.Message.Request.Slots))
+	case out.Message.Grant != nil:
 		c.trace.Int(3)
-		c.id(out.Msg.Grant.ID)
-		c.trace.Uint(uint64(out.Msg.Grant.Seq))
-		c.trace.String(string(out.Msg.Grant.Seats))
+		c.id(out.Message.Grant.ID)
+		c.trace.Uint(uint64(out.Message.Grant.Sequence))
+		c.trace.String(string(out.Message.Grant.Slots))
 	}
 }
 
-func (c *clusterTrace) heartbeat(beat *membership.Beat) {
+func (c *clusterTrace) heartbeat(beat *membership.Heartbeat) {
 	c.trace.Int(1)
 	c.trace.Int(int64(len(beat.Entries)))
 	for _, entry := range beat.Entries {
-		c.trace.Int(int64(entry.Rank))
+		c.trace.Int(int64(entry.Index))
 		c.id(entry.ID)
-		c.trace.Uint(uint64(entry.Count))
+		c.trace.Uint(uint64(entry.Counter))
 		c.trace.Int(int64(entry.Phase))
-		c.trace.Int(int64(entry.Age))
+		c.trace.Int(int64(entry.AgeMillis))
 	}
-	c.trace.String(string(beat.Alive))
+	c.trace.String(string(beat.AliveBits))
 }
 
 // standing adds what a node permits, and what changed.
-func (c *clusterTrace) standing(d *door, st Standing, changes []membership.Change) {
+func (c *clusterTrace) standing(d *door, st ShareLease, changes []membership.Transition) {
 	c.trace.Int(2)
 	c.trace.Int(int64(d.rank))
 	c.trace.Duration(c.world.now)
-	c.trace.Uint(st.Gen)
-	c.trace.Float(st.Part)
+	c.trace.Uint(st.Epoch)
+	c.trace.Float(st.Fraction)
 	c.trace.Duration(st.Until)
-	c.trace.Bool(st.Out)
-	c.trace.Int(int64(len(st.Gone)))
-	for _, index := range st.Gone {
+	c.trace.Bool(st.Excluded)
+	c.trace.Int(int64(len(st.DeadGateways)))
+	for _, index := range st.DeadGateways {
 		c.trace.Int(int64(index))
 	}
 	c.trace.Int(int64(len(changes)))
 	for _, change := range changes {
-		c.trace.Int(int64(change.Rank))
+		c.trace.Int(int64(change.Index))
 		c.trace.Int(int64(change.From))
 		c.trace.Int(int64(change.To))
 		c.trace.String(change.Cause)
 		c.id(change.ID)
 	}
-	rival, hasRival := d.node.Rival(d.clock())
+	rival, hasRival := d.node.Duplicate(d.clock())
 	c.id(rival)
 	c.trace.Bool(hasRival)
-	c.trace.Bool(d.node.Adopted())
-	c.trace.Bool(d.node.Gone())
+	c.trace.Bool(d.node.TakeIncarnationChange())
+	c.trace.Bool(d.node.HasLeft())
 	c.id(d.node.ID())
-	held, of := d.node.Seats(d.clock())
+	held, of := d.node.Slots(d.clock())
 	c.trace.Int(int64(held))
 	c.trace.Int(int64(of))
 }
@@ -181,12 +181,12 @@
 // members adds how a node sees all gateways.
 func (c *clusterTrace) members(d *door) {
 	for _, m := range d.node.Members() {
-		c.trace.Int(int64(m.Rank))
+		c.trace.Int(int64(m.Index))
 		c.trace.Int(int64(m.State))
 		c.trace.String(m.Cause)
 		c.trace.Duration(m.Since)
 		c.id(m.ID)
-		c.trace.Duration(m.Heard)
+		c.trace.Duration(m.LastHeard)
 	}
 }
 
@@ -227,26 +227,26 @@
 
 // TestInvalidMessagesAreRejected holds that a malformed message is answered by an error and by nothing else.
 func TestInvalidMessagesAreRejected(t *testing.T) {
-	node := New(Config{Rank: 2, Doors: 8, ID: membership.ID{Incarnation: 1}}, time.Hour, rand.New(rand.NewPCG(1, 1)))
-	last := New(Config{Rank: 7, Doors: 8, ID: membership.ID{Incarnation: 1}}, time.Hour, rand.New(rand.NewPCG(1, 1)))
-	set := quotalease.NewSet(8)
+	node := New(Config{Index: 2, Gateways: 8, ID: membership.ID{Incarnation: 1}}, time.Hour, rand.New(rand.NewPCG(1, 1)))
+	last := New(Config{Index: 7, Gateways: 8, ID: membership.ID{Incarnation: 1}}, time.Hour, rand.New(rand.NewPCG(1, 1)))
+	set := quotalease.NewSlotSet(8)
 	cases := []struct {
 		name string
 		node *Node
 		from int
-		msg  Msg
+		msg  Message
 	}{
-		{"nothing in it", node, 1, Msg{}},
-		{"sender below the list", node, -1, Msg{Grant: &quotalease.Grant{Seats: set}}},
-		{"sender beyond the list", node, 8, Msg{Grant: &quotalease.Grant{Seats: set}}},
-		{"heartbeat without entries", node, 1, Msg{Beat: &membership.Beat{}}},
-		{"claim of a short set", node, 1, Msg{Claim: &quotalease.Claim{Seats: set[1:]}}},
-		{"grant of a short set", node, 1, Msg{Grant: &quotalease.Grant{Seats: set[1:]}}},
-		{"claim to a gateway without a vote", last, 1, Msg{Claim: &quotalease.Claim{Seq: 1, Seats: set}}},
+		{"nothing in it", node, 1, Message{}},
+		{"sender below the list", node, -1, Message{Grant: &quotalease.Grant{Slots: set}}},
+		{"sender beyond the list", node, 8, Message{Grant: &quotalease.Grant{Slots: set}}},
+		{"heartbeat without entries", node, 1, Message{Heartbeat: &membership.Heartbeat{}}},
+		{"claim of a short set", node, 1, Message{Request: &quotalease.Request{Slots: set[1:]}}},
+		{"grant of a short set", node, 1, Message{Grant: &quotalease.Grant{Slots: set[1:]}}},
+		{"claim to a gateway without a vote", last, 1, Message{Request: &quotalease.Request{Sequence: 1, Slots: set}}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			if outs, err := c.node.Heard(time.Hour, c.from, c.msg); err == nil || len(outs) > 0 {
+			if outs, err := c.node.Receive(time.Hour, c.from, c.msg); err == nil || len(outs) > 0 {
 				t.Errorf("%d messages, error %v", len(outs), err)
 			}
 		})
--- a/internal/cluster/node_test.go
+++ b/internal/cluster/node_test.go
@@ -146,10 +146,10 @@
 			}
 			ok := false
 			for _, s := range want {
-				ok = ok || d.node.table.State(rank) == s
+				ok = ok || d.node.detector.State(rank) == s
 			}
 			if !ok {
-				return fmt.Errorf("%d is %v at %d", rank, d.node.table.State(rank), d.rank)
+				return fmt.Errorf("%d is %v at %d", rank, d.node.detector.State(rank), d.rank)
 			}
 		}
 		return nil
@@ -189,7 +189,7 @@
 				d.start()
 				joined = max(joined, w.within(t, time.Second, "join", w.knows(d.rank, membership.Joining, membership.Alive, membership.Returned)))
 				w.within(t, 5*time.Second, "seats back", func() error {
-					if held, _ := d.node.Seats(d.clock()); held != quotalease.Each(n) {
+					if held, _ := d.node.Slots(d.clock()); held != quotalease.SlotsPerGateway(n) {
 						return fmt.Errorf("%d seats held", held)
 					}
 					return full()
@@ -322,28 +322,28 @@
 	var copyTo func()
 	copyTo = func() { // the twin hears what any other door says
 		o := w.doors[0]
-		twin.heard(0, Msg{Beat: ptr(o.node.table.Beat(o.clock()))})
-		both.heard(0, Msg{Beat: ptr(o.node.table.Beat(o.clock()))})
+		twin.heard(0, Message{Heartbeat: ptr(o.node.detector.Heartbeat(o.clock()))})
+		both.heard(0, Message{Heartbeat: ptr(o.node.detector.Heartbeat(o.clock()))})
 		w.after(200*time.Millisecond, copyTo)
 	}
 	copyTo()
 	w.within(t, 2*time.Second, "the first one yields", func() error {
-		if _, rival := both.node.Rival(both.clock()); !rival || !both.node.Standing(both.clock()).Out {
+		if _, rival := both.node.Duplicate(both.clock()); !rival || !both.node.ShareLease(both.clock()).Excluded {
 			return errors.New("it does not")
 		}
 		return nil
 	})
 	t.Logf("after %v", w.now-begun)
-	if _, rival := twin.node.Rival(twin.clock()); rival {
+	if _, rival := twin.node.Duplicate(twin.clock()); rival {
 		t.Error("both yield")
 	}
 	w.run(w.now+3*time.Second, 20*time.Millisecond)
-	if held, _ := both.node.Seats(both.clock()); held != 0 || both.node.ID().Nonce == ^uint32(0) {
+	if held, _ := both.node.Slots(both.clock()); held != 0 || both.node.ID().Nonce == ^uint32(0) {
 		t.Errorf("the one that yields holds %d seats", held)
 	}
 	twin.kill()
 	w.within(t, 5*time.Second, "the first one goes on", func() error {
-		if both.node.Standing(both.clock()).Out {
+		if both.node.ShareLease(both.clock()).Excluded {
 			return errors.New("it does not")
 		}
 		return nil
@@ -373,7 +373,7 @@
 		if beats := float64(w.sent["beat"]) / each; beats > 70 {
 			t.Errorf("%d doors: %.1f beats a second and door", n, beats)
 		}
-		if claims := float64(w.sent["claim"]) / each; claims > quotalease.MostVoters*5.1 {
+		if claims := float64(w.sent["claim"]) / each; claims > quotalease.MaxVoters*5.1 {
 			t.Errorf("%d doors: %.1f claims a second and door", n, claims)
 		}
 	}
--- a/internal/cluster/world_test.go
+++ b/internal/cluster/world_test.go
@@ -29,8 +29,8 @@
 	false int  // doors found dead that were not
 
 	// onSend and onStanding, if set, see each message and each standing with the changes before it.
-	onSend     func(from int, out Out)
-	onStanding func(d *door, standing Standing, changes []membership.Change)
+	onSend     func(from int, out Outgoing)
+	onStanding func(d *door, standing ShareLease, changes []membership.Transition)
 }
 
 // flaws break the rules on purpose, for tests of the check.
@@ -104,7 +104,7 @@
 }
 
 func (w *world) check() {
-	users := make([]int, len(w.doors)*quotalease.Each(len(w.doors)))
+	users := make([]int, len(w.doors)*quotalease.SlotsPerGateway(len(w.doors)))
 	for _, d := range w.doors {
 		if !d.alive || d.stopped || d.clock() >= d.until && !w.flaws.noExpiry {
 			continue
@@ -125,7 +125,7 @@
 			sum += float64(len(d.uses))
 		}
 	}
-	return sum / float64(len(w.doors)*quotalease.Each(len(w.doors)))
+	return sum / float64(len(w.doors)*quotalease.SlotsPerGateway(len(w.doors)))
 }
 
 func (d *door) clock() time.Duration { return d.offset + time.Duration(float64(d.w.now)*d.drift) }
@@ -138,7 +138,7 @@
 func (d *door) startAs(id membership.ID) {
 	d.life++
 	d.alive, d.stopped, d.uses, d.until, d.held = true, false, nil, 0, nil
-	d.node = New(Config{Rank: d.rank, Doors: len(d.w.doors), ID: id}, d.clock(), rand.New(rand.NewPCG(uint64(d.rank), uint64(d.life))))
+	d.node = New(Config{Index: d.rank, Gateways: len(d.w.doors), ID: id}, d.clock(), rand.New(rand.NewPCG(uint64(d.rank), uint64(d.life))))
 	d.claims = map[int]uint32{}
 	d.tick(d.life)
 	if d.w.flaws.forgets && d.node.voter != nil {
@@ -185,28 +185,28 @@
 func (d *door) tick(life int) {
 	d.send(d.node.Tick(d.clock()))
 	d.stand()
-	d.w.after(TickEvery+d.slow+time.Duration(d.w.rng.Int64N(int64(TickEvery))), d.here(func() { d.tick(life) }))
+	d.w.after(TickInterval+d.slow+time.Duration(d.w.rng.Int64N(int64(TickInterval))), d.here(func() { d.tick(life) }))
 }
 
 // stand has the pools go by what the node says, a little later.
 func (d *door) stand() {
-	changes := d.node.Changes()
+	changes := d.node.TakeTransitions()
 	for _, c := range changes {
-		if c.To == membership.Dead && d.w.doors[c.Rank].alive && !d.w.doors[c.Rank].stopped {
+		if c.To == membership.Dead && d.w.doors[c.Index].alive && !d.w.doors[c.Index].stopped {
 			d.w.false++
 		}
 	}
 	now := d.clock()
-	st := d.node.Standing(now)
+	st := d.node.ShareLease(now)
 	if d.w.onStanding != nil {
 		d.w.onStanding(d, st, changes)
 	}
 	if d.w.flaws.givesAtOnce {
-		d.node.Applied(st.Gen)
+		d.node.ConfirmApplied(st.Epoch)
 	}
 	var uses []int
-	for i := range len(d.w.doors) * quotalease.Each(len(d.w.doors)) {
-		if !st.Out && d.node.holder.Has(i, now) {
+	for i := range len(d.w.doors) * quotalease.SlotsPerGateway(len(d.w.doors)) {
+		if !st.Excluded && d.node.holder.IsHeld(i, now) {
 			uses = append(uses, i)
 		}
 	}
@@ -217,30 +217,30 @@
 			return // they have a newer one
 		}
 		d.took = no
-		d.uses, d.until, d.gone = uses, st.Until, st.Out
-		d.node.Applied(st.Gen)
+		d.uses, d.until, d.gone = uses, st.Until, st.Excluded
+		d.node.ConfirmApplied(st.Epoch)
 	}))
 }
 
-func (d *door) send(outs []Out) {
+func (d *door) send(outs []Outgoing) {
 	for _, o := range outs {
 		if d.w.onSend != nil {
 			d.w.onSend(d.rank, o)
 		}
 		to := d.w.doors[o.To]
 		switch {
-		case o.Msg.Beat != nil:
+		case o.Message.Heartbeat != nil:
 			d.w.sent["beat"]++
-			d.w.sent["entries"] += len(o.Msg.Beat.Entries)
-		case o.Msg.Claim != nil:
+			d.w.sent["entries"] += len(o.Message.Heartbeat.Entries)
+		case o.Message.Request != nil:
 			d.w.sent["claim"]++
-			d.lastSeq = o.Msg.Claim.Seq
+			d.lastSeq = o.Message.Request.Sequence
 		default:
 			d.w.sent["grant"]++
 		}
 		d.w.sent["messages"]++
 		if d.w.weigh {
-			b, err := cbor.Marshal(o.Msg)
+			b, err := cbor.Marshal(o.Message)
 			if err != nil {
 				panic(err)
 			}
@@ -250,32 +250,32 @@
 		if lost || !to.alive {
 			continue
 		}
-		d.w.after(late, to.here(func() { to.heard(d.rank, o.Msg) }))
+		d.w.after(late, to.here(func() { to.heard(d.rank, o.Message) }))
 	}
 }
 
-func (d *door) heard(from int, m Msg) {
+func (d *door) heard(from int, m Message) {
 	f := d.w.flaws
-	if m.Claim != nil && f.oldClaims {
-		c := *m.Claim
-		d.claims[from] = max(d.claims[from]+1, c.Seq)
-		c.Seq = d.claims[from]
-		m.Claim = &c
+	if m.Request != nil && f.oldClaims {
+		c := *m.Request
+		d.claims[from] = max(d.claims[from]+1, c.Sequence)
+		c.Sequence = d.claims[from]
+		m.Request = &c
 	}
 	voters := []int{from}
 	if m.Grant != nil && f.keepsOld {
 		g := *m.Grant
-		g.Seq = d.lastSeq
+		g.Sequence = d.lastSeq
 		m.Grant = &g
 	}
 	if m.Grant != nil && f.anyIsEnough {
 		voters = nil
-		for v := range quotalease.Voters(len(d.w.doors)) {
+		for v := range quotalease.VoterCount(len(d.w.doors)) {
 			voters = append(voters, v)
 		}
 	}
 	for _, from := range voters {
-		outs, err := d.node.Heard(d.clock(), from, m)
+		outs, err := d.node.Receive(d.clock(), from, m)
 		if err != nil {
 			panic(err)
 		}
@@ -293,9 +293,9 @@
 			continue
 		}
 		for _, m := range d.node.Members() {
-			o := w.doors[m.Rank]
+			o := w.doors[m.Index]
 			if live := o.alive && !o.stopped; live != (m.State == membership.Alive || m.State == membership.Returned) {
-				return fmt.Errorf("door %d, alive %v, is %v at %d: %s", m.Rank, live, m.State, d.rank, m.Cause)
+				return fmt.Errorf("door %d, alive %v, is %v at %d: %s", m.Index, live, m.State, d.rank, m.Cause)
 			}
 		}
 	}
--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -28,7 +28,7 @@
 type gossipProcess struct {
 	index       int
 	incarnation uint32
-	table       *membership.Table
+	table       *membership.Detector
 	offset      time.Duration
 	startedAt   time.Duration
 	pausedUntil time.Duration
@@ -40,7 +40,7 @@
 	at       time.Duration
 	from     *gossipProcess
 	to       *gossipProcess
-	contents membership.Beat
+	contents membership.Heartbeat
 }
 
 // gossipRun is a play while it goes on.
@@ -89,7 +89,7 @@
 	process.isDown = false
 	process.startedAt = r.now
 	id := membership.ID{Incarnation: process.incarnation, Nonce: r.rng.Uint32()}
-	config := membership.Config{Rank: process.index, Doors: r.gateways, Hubs: min(7, r.gateways), ID: id}
+	config := membership.Config{Index: process.index, Gateways: r.gateways, Hubs: min(7, r.gateways), ID: id}
 	seed := rand.NewPCG(r.seed, uint64(r.now)+uint64(process.index))
 	process.table = membership.New(config, process.clock(r.now), rand.New(seed))
 }
@@ -138,11 +138,11 @@
 		case to.isDown:
 			continue
 		}
-		if err := to.table.Check(message.from.index, &message.contents); err != nil {
+		if err := to.table.Validate(message.from.index, &message.contents); err != nil {
 			r.trace.Int(-1)
 			continue
 		}
-		outs := to.table.Heard(to.clock(r.now), message.from.index, message.contents)
+		outs := to.table.Receive(to.clock(r.now), message.from.index, message.contents)
 		r.record(to, outs)
 		r.send(to, outs, message.from)
 	}
@@ -155,7 +155,7 @@
 	}
 	now := process.clock(r.now)
 	if r.now-process.startedAt >= time.Second {
-		process.table.Begin(now)
+		process.table.StartServing(now)
 	}
 	outs := process.table.Tick(now)
 	r.record(process, outs)
@@ -166,68 +166,68 @@
 }
 
 // send sends to the first process of an index, and back to a process where that is wanted.
-func (r *gossipRun) send(from *gossipProcess, outs []membership.Out, sender *gossipProcess) {
+func (r *gossipRun) send(from *gossipProcess, outs []membership.Outgoing, sender *gossipProcess) {
 	for _, out := range outs {
 		receivers := []*gossipProcess{r.processes[out.To]}
-		if out.Back && sender != receivers[0] {
+		if out.ReplyToSender && sender != receivers[0] {
 			receivers = append(receivers, sender)
 		}
 		for _, to := range receivers {
 			if r.rng.Float64() >= r.loss {
 				arrival := r.now + time.Duration(r.rng.IntN(120))*time.Millisecond
-				r.messages = append(r.messages, gossipMessage{arrival, from, to, out.Beat})
+				r.messages = append(r.messages, gossipMessage{arrival, from, to, out.Heartbeat})
 			}
 		}
 	}
 }
 
 // record adds to the trace what a table returned and what changed in it.
-func (r *gossipRun) record(process *gossipProcess, outs []membership.Out) {
+func (r *gossipRun) record(process *gossipProcess, outs []membership.Outgoing) {
 	r.trace.Int(int64(process.index))
 	r.trace.Duration(r.now)
 	r.trace.Int(int64(len(outs)))
 	for _, out := range outs {
 		r.trace.Int(int64(out.To))
-		r.trace.Bool(out.Back)
-		r.trace.Int(int64(len(out.Beat.Entries)))
-		for _, entry := range out.Beat.Entries {
-			r.trace.Int(int64(entry.Rank))
+		r.trace.Bool(out.ReplyToSender)
+		r.trace.Int(int64(len(out.Heartbeat.Entries)))
+		for _, entry := range out.Heartbeat.Entries {
+			r.trace.Int(int64(entry.Index))
 			r.recordID(entry.ID)
-			r.trace.Uint(uint64(entry.Count))
+			r.trace.Uint(uint64(entry.Counter))
 			r.trace.Int(int64(entry.Phase))
-			r.trace.Int(int64(entry.Age))
+			r.trace.Int(int64(entry.AgeMillis))
 		}
-		r.trace.String(string(out.Beat.Alive))
+		r.trace.String(string(out.Heartbeat.AliveBits))
 	}
-	changes := process.table.Changes()
+	changes := process.table.TakeTransitions()
 	r.trace.Int(int64(len(changes)))
 	for _, change := range changes {
-		r.trace.Int(int64(change.Rank))
+		r.trace.Int(int64(change.Index))
 		r.trace.Int(int64(change.From))
 		r.trace.Int(int64(change.To))
 		r.trace.String(change.Cause)
 		r.recordID(change.ID)
 	}
-	rival, hasRival := process.table.Rival(process.clock(r.now))
+	rival, hasRival := process.table.Duplicate(process.clock(r.now))
 	r.recordID(rival)
 	r.trace.Bool(hasRival)
-	r.trace.Bool(process.table.Adopted())
-	r.trace.Bool(process.table.Gone())
+	r.trace.Bool(process.table.TakeIncarnationChange())
+	r.trace.Bool(process.table.HasLeft())
 	r.recordID(process.table.ID())
 }
 
 // recordMembers adds to the trace how a process sees all gateways.
 func (r *gossipRun) recordMembers(process *gossipProcess) {
 	for _, member := range process.table.Members() {
-		r.trace.Int(int64(member.Rank))
+		r.trace.Int(int64(member.Index))
 		r.trace.Int(int64(member.State))
-		r.trace.Bool(member.State.Serves())
+		r.trace.Bool(member.State.IsPresent())
 		r.trace.String(member.State.String())
 		r.trace.String(member.Cause)
 		r.trace.Duration(member.Since)
 		r.recordID(member.ID)
-		r.trace.Duration(member.Heard)
-		r.trace.Bool(process.table.State(member.Rank) == member.State)
+		r.trace.Duration(member.LastHeard)
+		r.trace.Bool(process.table.State(member.Index) == member.State)
 	}
 }
 
--- a/internal/membership/members.go
+++ b/internal/membership/members.go
@@ -17,18 +17,18 @@
 
 // Times and bounds; ours. docs/design/members.md has what they were measured to give.
 const (
-	BeatEvery    = 200 * time.Millisecond
-	SuspectAfter = 1100 * time.Millisecond // without news of a count that grew
-	DeadAfter    = 1500 * time.Millisecond // ... and no more is hoped for
-	settles      = 10 * time.Second        // a door that came back is called returned for so long
-	fanout       = 8                       // doors that one beat goes to, some of them by chance among those that are gone
-	MostEntries  = 64                      // in one beat, the freshest first: it stays in one packet
-	stalled      = 2 * BeatEvery           // a turn that comes so late says that this door stood still
-	leaves       = 3                       // beats in which a door says that it leaves
-	answersEach  = BeatEvery               // pause between answers to beats of an earlier self
-	freshest     = 600 * time.Millisecond  // a bit of Alive is worth this much less than its coming
-	others       = 2                       // doors beside the hubs that a beat goes to, where doors are many
-	changedFor   = 2 * time.Second         // a new process of a door is told of first for so long
+	HeartbeatInterval = 200 * time.Millisecond
+	SuspectTimeout    = 1100 * time.Millisecond // without news of a count that grew
+	DeadTimeout       = 1500 * time.Millisecond // ... and no more is hoped for
+	settles           = 10 * time.Second        // a door that came back is called returned for so long
+	fanout            = 8                       // doors that one beat goes to, some of them by chance among those that are gone
+	MaxEntries        = 64                      // in one beat, the freshest first: it stays in one packet
+	stalled           = 2 * HeartbeatInterval   // a turn that comes so late says that this door stood still
+	leaves            = 3                       // beats in which a door says that it leaves
+	answersEach       = HeartbeatInterval       // pause between answers to beats of an earlier self
+	freshest          = 600 * time.Millisecond  // a bit of Alive is worth this much less than its coming
+	others            = 2                       // doors beside the hubs that a beat goes to, where doors are many
+	changedFor        = 2 * time.Second         // a new process of a door is told of first for so long
 )
 
 // ID tells one process of a door from its earlier and from its false selves.
@@ -55,20 +55,20 @@
 
 // Entry is the news of one door.
 type Entry struct {
-	_     struct{} `cbor:",toarray"`
-	Rank  uint16
-	ID    ID
-	Count uint32
-	Phase Phase
-	Age   uint16 // milliseconds since its sender heard of the count, by its clock
+	_         struct{} `cbor:",toarray"`
+	Index     uint16
+	ID        ID
+	Counter   uint32
+	Phase     Phase
+	AgeMillis uint16 // milliseconds since its sender heard of the count, by its clock
 }
 
-// Beat is one message: its sender's own entry first.
-type Beat struct {
+// Heartbeat is one message: its sender's own entry first.
+type Heartbeat struct {
 	_       struct{} `cbor:",toarray"`
 	Entries []Entry
-	// Alive has a bit for each door of which its sender has heard within freshest, where doors are too many for an entry each. Empty: not told.
-	Alive []byte
+	// AliveBits has a bit for each door of which its sender has heard within freshest, where doors are too many for an entry each. Empty: not told.
+	AliveBits []byte
 }
 
 // State is how a door is seen from here.
@@ -94,39 +94,39 @@
 	return stateNames[s]
 }
 
-// Serves says whether a door in the state is taken to be there.
-func (s State) Serves() bool { return s == Joining || s == Alive || s == Returned || s == Suspect }
+// IsPresent says whether a door in the state is taken to be there.
+func (s State) IsPresent() bool { return s == Joining || s == Alive || s == Returned || s == Suspect }
 
 // Member is one door as seen from here.
 type Member struct {
-	Rank  int
-	State State
-	Cause string
-	Since time.Duration // on this door's clock
-	ID    ID
-	Heard time.Duration // when its count last grew here; 0: never
+	Index     int
+	State     State
+	Cause     string
+	Since     time.Duration // on this door's clock
+	ID        ID
+	LastHeard time.Duration // when its count last grew here; 0: never
 }
 
-// Change is a transition, for a line of the log.
-type Change struct {
-	Rank     int
+// Transition is a transition, for a line of the log.
+type Transition struct {
+	Index    int
 	From, To State
 	Cause    string
 	ID       ID
 }
 
-// Out is a beat to a door.
-type Out struct {
-	To   int
-	Beat Beat
-	Back bool // to where the beat that it answers came from as well: that may be a second process of one name, at an address in no file
+// Outgoing is a beat to a door.
+type Outgoing struct {
+	To            int
+	Heartbeat     Heartbeat
+	ReplyToSender bool // to where the beat that it answers came from as well: that may be a second process of one name, at an address in no file
 }
 
 // Config says which door this is, of how many.
 type Config struct {
-	Rank, Doors int // ranks are from 0; at most 65,536 doors
-	Hubs        int // the first so many doors hear of all and tell all, where doors are many
-	ID          ID
+	Index, Gateways int // ranks are from 0; at most 65,536 doors
+	Hubs            int // the first so many doors hear of all and tell all, where doors are many
+	ID              ID
 }
 
 type member struct {
@@ -144,8 +144,8 @@
 	grewAt time.Duration
 }
 
-// Table is what one door knows.
-type Table struct {
+// Detector is what one door knows.
+type Detector struct {
 	cfg      Config
 	rng      *rand.Rand
 	all      []member
@@ -158,47 +158,47 @@
 	beats    int
 	next     int // rank from which on entries are told next, where doors are many
 	rival    *rival
-	changes  []Change
+	changes  []Transition
 	adopted  bool
 }
 
 // New makes a table that knows nothing yet.
-func New(cfg Config, now time.Duration, rng *rand.Rand) *Table {
-	t := &Table{cfg: cfg, rng: rng, all: make([]member, cfg.Doors), begun: now, lastAt: now, beatAt: now}
+func New(cfg Config, now time.Duration, rng *rand.Rand) *Detector {
+	t := &Detector{cfg: cfg, rng: rng, all: make([]member, cfg.Gateways), begun: now, lastAt: now, beatAt: now}
 	for i := range t.all {
-		t.all[i].Member = Member{Rank: i, Since: now, Cause: "not heard of yet"}
+		t.all[i].Member = Member{Index: i, Since: now, Cause: "not heard of yet"}
 	}
-	own := &t.all[cfg.Rank]
-	own.ID, own.State, own.Heard, own.Cause = cfg.ID, Joining, now, "started"
+	own := &t.all[cfg.Index]
+	own.ID, own.State, own.LastHeard, own.Cause = cfg.ID, Joining, now, "started"
 	return t
 }
 
 // ID is this process.
-func (t *Table) ID() ID { return t.cfg.ID }
+func (t *Detector) ID() ID { return t.cfg.ID }
 
-// Begin says that this door serves.
-func (t *Table) Begin(now time.Duration) {
+// StartServing says that this door serves.
+func (t *Detector) StartServing(now time.Duration) {
 	if t.phase == Starting {
 		t.phase = Serving
-		t.set(now, &t.all[t.cfg.Rank], Alive, "serves")
+		t.set(now, &t.all[t.cfg.Index], Alive, "serves")
 	}
 }
 
 // Leave says that this door goes: further beats tell the others, until Gone.
-func (t *Table) Leave(now time.Duration) {
+func (t *Detector) Leave(now time.Duration) {
 	if t.phase != Leaving {
 		t.phase, t.beatAt = Leaving, now
-		t.set(now, &t.all[t.cfg.Rank], Left, "leaves")
+		t.set(now, &t.all[t.cfg.Index], Left, "leaves")
 	}
 }
 
-// Gone says that what Leave had to tell has been told.
-func (t *Table) Gone() bool { return t.left >= leaves }
+// HasLeft says that what Leave had to tell has been told.
+func (t *Detector) HasLeft() bool { return t.left >= leaves }
 
 // Forget takes a door as gone for good until it is heard of as a new process. It returns an error while the door is there.
-func (t *Table) Forget(now time.Duration, rank int) error {
+func (t *Detector) Forget(now time.Duration, rank int) error {
 	m := &t.all[rank]
-	if m.State.Serves() || rank == t.cfg.Rank {
+	if m.State.IsPresent() || rank == t.cfg.Index {
 		return fmt.Errorf("door %d is %v", rank, m.State)
 	}
 	m.forgot = true
@@ -206,34 +206,34 @@
 	return nil
 }
 
-// Rival is another process that has this door's name and goes before this one, while it lives: this door then takes part in nothing.
-func (t *Table) Rival(now time.Duration) (ID, bool) {
-	if t.rival == nil || now-t.rival.grewAt >= DeadAfter {
+// Duplicate is another process that has this door's name and goes before this one, while it lives: this door then takes part in nothing.
+func (t *Detector) Duplicate(now time.Duration) (ID, bool) {
+	if t.rival == nil || now-t.rival.grewAt >= DeadTimeout {
 		return ID{}, false
 	}
 	return t.rival.id, true
 }
 
-// Adopted says, once, that this door has taken a higher incarnation than it was started with, as an earlier self had that: what is
+// TakeIncarnationChange says, once, that this door has taken a higher incarnation than it was started with, as an earlier self had that: what is
 // kept of it on disk must follow before anything is sent.
-func (t *Table) Adopted() bool {
+func (t *Detector) TakeIncarnationChange() bool {
 	a := t.adopted
 	t.adopted = false
 	return a
 }
 
-// Changes returns the transitions since it was last called.
-func (t *Table) Changes() []Change {
+// TakeTransitions returns the transitions since it was last called.
+func (t *Detector) TakeTransitions() []Transition {
 	c := t.changes
 	t.changes = nil
 	return c
 }
 
 // State is how a door is seen now.
-func (t *Table) State(rank int) State { return t.all[rank].State }
+func (t *Detector) State(rank int) State { return t.all[rank].State }
 
 // Members tells of all doors, by rank.
-func (t *Table) Members() []Member {
+func (t *Detector) Members() []Member {
 	out := make([]Member, len(t.all))
 	for i := range t.all {
 		out[i] = t.all[i].Member
@@ -242,22 +242,22 @@
 }
 
 // set makes a transition.
-func (t *Table) set(now time.Duration, m *member, to State, cause string) {
+func (t *Detector) set(now time.Duration, m *member, to State, cause string) {
 	if m.State == to {
 		return
 	}
 	if len(t.changes) < 4*len(t.all) {
-		t.changes = append(t.changes, Change{m.Rank, m.State, to, cause, m.ID})
+		t.changes = append(t.changes, Transition{m.Index, m.State, to, cause, m.ID})
 	}
 	m.State, m.Cause, m.Since = to, cause, now
 }
 
 // turn moves the clock on. A door that stood still has heard nothing meanwhile, and concludes nothing from that.
-func (t *Table) turn(now time.Duration) {
+func (t *Detector) turn(now time.Duration) {
 	if missed := now - t.lastAt; missed > stalled {
 		for i := range t.all {
-			if m := &t.all[i]; m.Heard > 0 {
-				m.Heard = min(now, m.Heard+missed)
+			if m := &t.all[i]; m.LastHeard > 0 {
+				m.LastHeard = min(now, m.LastHeard+missed)
 			}
 		}
 		if t.rival != nil {
@@ -269,43 +269,43 @@
 }
 
 // Tick does what the time brings: judges, and returns the beats that are due. It is to be called some times in BeatEvery.
-func (t *Table) Tick(now time.Duration) []Out {
+func (t *Detector) Tick(now time.Duration) []Outgoing {
 	t.turn(now)
-	if r := t.rival; r != nil && now-r.grewAt >= DeadAfter { // it was an earlier self, or is gone
+	if r := t.rival; r != nil && now-r.grewAt >= DeadTimeout { // it was an earlier self, or is gone
 		t.adopt(r.id)
 	}
 	for i := range t.all {
 		m := &t.all[i]
-		if i == t.cfg.Rank || m.State == Left || m.State == Dead || m.State == Absent {
+		if i == t.cfg.Index || m.State == Left || m.State == Dead || m.State == Absent {
 			continue
 		}
-		switch quiet := now - m.Heard; {
-		case quiet >= DeadAfter:
-			t.set(now, m, Dead, fmt.Sprintf("no sign of life for %v", DeadAfter))
-		case quiet >= SuspectAfter:
-			t.set(now, m, Suspect, fmt.Sprintf("no sign of life for %v", SuspectAfter))
+		switch quiet := now - m.LastHeard; {
+		case quiet >= DeadTimeout:
+			t.set(now, m, Dead, fmt.Sprintf("no sign of life for %v", DeadTimeout))
+		case quiet >= SuspectTimeout:
+			t.set(now, m, Suspect, fmt.Sprintf("no sign of life for %v", SuspectTimeout))
 		case m.State == Returned && now-m.Since >= settles:
 			m.State = Alive // no transition that anybody needs to hear of
 		}
 	}
-	if now < t.beatAt || t.rival != nil || t.Gone() {
+	if now < t.beatAt || t.rival != nil || t.HasLeft() {
 		return nil
 	}
-	t.beatAt = max(t.beatAt+BeatEvery, now+BeatEvery/2)
-	own := &t.all[t.cfg.Rank]
+	t.beatAt = max(t.beatAt+HeartbeatInterval, now+HeartbeatInterval/2)
+	own := &t.all[t.cfg.Index]
 	own.count++
-	own.Heard, own.phase = now, t.phase
+	own.LastHeard, own.phase = now, t.phase
 	t.beats++
-	beat, small := t.Beat(now), Beat{}
+	beat, small := t.Heartbeat(now), Heartbeat{}
 	if t.many() {
-		small = Beat{Entries: beat.Entries[:1]}
+		small = Heartbeat{Entries: beat.Entries[:1]}
 	}
-	var out []Out
+	var out []Outgoing
 	for _, to := range t.targets() {
-		if t.many() && to < t.cfg.Hubs && t.cfg.Rank >= t.cfg.Hubs { // hubs have it from each door itself
-			out = append(out, Out{To: to, Beat: small})
+		if t.many() && to < t.cfg.Hubs && t.cfg.Index >= t.cfg.Hubs { // hubs have it from each door itself
+			out = append(out, Outgoing{To: to, Heartbeat: small})
 		} else {
-			out = append(out, Out{To: to, Beat: beat})
+			out = append(out, Outgoing{To: to, Heartbeat: beat})
 		}
 	}
 	if t.phase == Leaving {
@@ -315,20 +315,20 @@
 }
 
 // many says that doors are too many for an entry each in a beat.
-func (t *Table) many() bool { return t.cfg.Doors > MostEntries }
+func (t *Detector) many() bool { return t.cfg.Gateways > MaxEntries }
 
 // targets are the doors that a beat goes to: all where they are few or this door leaves, else some by chance. Where they are many the
 // hubs hear of each from itself, and each hub tells half of all doors in turns.
-func (t *Table) targets() []int {
+func (t *Detector) targets() []int {
 	if t.many() && t.phase != Leaving {
 		var to []int
 		for i := range t.all {
-			if i != t.cfg.Rank && (i < t.cfg.Hubs || t.cfg.Rank < t.cfg.Hubs && (i+t.beats)%2 == 0) {
+			if i != t.cfg.Index && (i < t.cfg.Hubs || t.cfg.Index < t.cfg.Hubs && (i+t.beats)%2 == 0) {
 				to = append(to, i)
 			}
 		}
 		for range others {
-			if i := t.rng.IntN(t.cfg.Doors); i != t.cfg.Rank {
+			if i := t.rng.IntN(t.cfg.Gateways); i != t.cfg.Index {
 				to = append(to, i)
 			}
 		}
@@ -337,8 +337,8 @@
 	var there, gone []int
 	for i := range t.all {
 		switch m := &t.all[i]; {
-		case i == t.cfg.Rank:
-		case m.State.Serves():
+		case i == t.cfg.Index:
+		case m.State.IsPresent():
 			there = append(there, i)
 		default:
 			gone = append(gone, i)
@@ -358,37 +358,37 @@
 	return append(pick(there, fanout-min(few, len(gone))), pick(gone, few)...)
 }
 
-// Beat is what this door tells: itself, then news of others. What is older than a life is no news. Where doors are many, new processes
+// Heartbeat is what this door tells: itself, then news of others. What is older than a life is no news. Where doors are many, new processes
 // go first, then a part of the others in turns, and a bit each for who is there.
-func (t *Table) Beat(now time.Duration) Beat {
-	b := Beat{Entries: []Entry{t.all[t.cfg.Rank].entry(now)}}
+func (t *Detector) Heartbeat(now time.Duration) Heartbeat {
+	b := Heartbeat{Entries: []Entry{t.all[t.cfg.Index].entry(now)}}
 	if !t.many() {
 		for i := range t.all {
-			if m := &t.all[i]; m.news(now) && i != t.cfg.Rank {
+			if m := &t.all[i]; m.news(now) && i != t.cfg.Index {
 				b.Entries = append(b.Entries, m.entry(now))
 			}
 		}
 		return b
 	}
-	b.Alive = make([]byte, (len(t.all)+7)/8)
+	b.AliveBits = make([]byte, (len(t.all)+7)/8)
 	for i := range t.all {
 		m := &t.all[i]
 		if !m.news(now) {
 			continue
 		}
-		if m.phase != Leaving && now-m.Heard < freshest {
-			b.Alive[i/8] |= 1 << (i % 8)
+		if m.phase != Leaving && now-m.LastHeard < freshest {
+			b.AliveBits[i/8] |= 1 << (i % 8)
 		}
-		if i != t.cfg.Rank && now-m.came < changedFor && len(b.Entries) < MostEntries/2 {
+		if i != t.cfg.Index && now-m.came < changedFor && len(b.Entries) < MaxEntries/2 {
 			b.Entries = append(b.Entries, m.entry(now))
 		}
 	}
 	for range t.all {
 		t.next = (t.next + 1) % len(t.all)
-		if m := &t.all[t.next]; len(b.Entries) < MostEntries && m.news(now) && now-m.came >= changedFor && t.next != t.cfg.Rank {
+		if m := &t.all[t.next]; len(b.Entries) < MaxEntries && m.news(now) && now-m.came >= changedFor && t.next != t.cfg.Index {
 			b.Entries = append(b.Entries, m.entry(now))
 		}
-		if len(b.Entries) == MostEntries {
+		if len(b.Entries) == MaxEntries {
 			break
 		}
 	}
@@ -396,76 +396,76 @@
 }
 
 func (m *member) news(now time.Duration) bool {
-	return m.Heard > 0 && now-m.Heard < DeadAfter && !m.forgot
+	return m.LastHeard > 0 && now-m.LastHeard < DeadTimeout && !m.forgot
 }
 
 func (m *member) entry(now time.Duration) Entry {
-	return Entry{Rank: uint16(m.Rank), ID: m.ID, Count: m.count, Phase: m.phase, Age: uint16(min(max(0, now-m.Heard).Milliseconds(), math.MaxUint16))}
+	return Entry{Index: uint16(m.Index), ID: m.ID, Counter: m.count, Phase: m.phase, AgeMillis: uint16(min(max(0, now-m.LastHeard).Milliseconds(), math.MaxUint16))}
 }
 
-// Check says what is wrong with a beat that came.
-func (t *Table) Check(from int, b *Beat) error {
-	if len(b.Entries) == 0 || len(b.Entries) > MostEntries || int(b.Entries[0].Rank) != from {
+// Validate says what is wrong with a beat that came.
+func (t *Detector) Validate(from int, b *Heartbeat) error {
+	if len(b.Entries) == 0 || len(b.Entries) > MaxEntries || int(b.Entries[0].Index) != from {
 		return fmt.Errorf("beat of %d entries", len(b.Entries))
 	}
-	if n := len(b.Alive); n > 0 && n != (len(t.all)+7)/8 {
+	if n := len(b.AliveBits); n > 0 && n != (len(t.all)+7)/8 {
 		return fmt.Errorf("beat with bits of %d bytes", n)
 	}
 	for _, e := range b.Entries {
-		if int(e.Rank) >= len(t.all) || e.Phase >= phases || e.Count == 0 {
-			return fmt.Errorf("beat with an entry of rank %d, phase %d, count %d", e.Rank, e.Phase, e.Count)
+		if int(e.Index) >= len(t.all) || e.Phase >= phases || e.Counter == 0 {
+			return fmt.Errorf("beat with an entry of rank %d, phase %d, count %d", e.Index, e.Phase, e.Counter)
 		}
 	}
 	return nil
 }
 
-// Heard takes a beat from a door and returns one to send back, if that door speaks as an earlier self. The beat has passed Check.
-func (t *Table) Heard(now time.Duration, from int, b Beat) []Out {
+// Receive takes a beat from a door and returns one to send back, if that door speaks as an earlier self. The beat has passed Check.
+func (t *Detector) Receive(now time.Duration, from int, b Heartbeat) []Outgoing {
 	t.turn(now)
-	stale := from != t.cfg.Rank && b.Entries[0].ID.Before(t.all[from].ID)
+	stale := from != t.cfg.Index && b.Entries[0].ID.Before(t.all[from].ID)
 	for _, e := range b.Entries {
-		if int(e.Rank) == t.cfg.Rank {
+		if int(e.Index) == t.cfg.Index {
 			t.heardOfSelf(now, e)
 		} else {
 			t.heardOf(now, e)
 		}
 	}
 	for i := range t.all {
-		if m := &t.all[i]; len(b.Alive) > 0 && b.Alive[i/8]&(1<<(i%8)) != 0 && i != t.cfg.Rank && m.Heard > 0 && m.phase != Leaving && !m.forgot {
-			t.heardAt(now, m, max(m.Heard, now-freshest))
+		if m := &t.all[i]; len(b.AliveBits) > 0 && b.AliveBits[i/8]&(1<<(i%8)) != 0 && i != t.cfg.Index && m.LastHeard > 0 && m.phase != Leaving && !m.forgot {
+			t.heardAt(now, m, max(m.LastHeard, now-freshest))
 		}
 	}
 	if !stale || now < t.answerAt || t.rival != nil {
 		return nil
 	}
 	t.answerAt = now + answersEach
-	return []Out{{To: from, Beat: Beat{Entries: []Entry{t.all[t.cfg.Rank].entry(now), t.all[from].entry(now)}}, Back: true}}
+	return []Outgoing{{To: from, Heartbeat: Heartbeat{Entries: []Entry{t.all[t.cfg.Index].entry(now), t.all[from].entry(now)}}, ReplyToSender: true}}
 }
 
-func (t *Table) heardOf(now time.Duration, e Entry) {
-	m := &t.all[e.Rank]
-	fresh := m.Heard == 0 || m.ID.Before(e.ID)
-	if e.ID.Before(m.ID) || !fresh && (e.Count <= m.count || m.phase == Leaving) || m.forgot && !fresh {
+func (t *Detector) heardOf(now time.Duration, e Entry) {
+	m := &t.all[e.Index]
+	fresh := m.LastHeard == 0 || m.ID.Before(e.ID)
+	if e.ID.Before(m.ID) || !fresh && (e.Counter <= m.count || m.phase == Leaving) || m.forgot && !fresh {
 		return
 	}
-	at := max(1, now-time.Duration(e.Age)*time.Millisecond)
+	at := max(1, now-time.Duration(e.AgeMillis)*time.Millisecond)
 	if fresh {
 		m.came = now
 	} else {
-		at = max(at, m.Heard)
+		at = max(at, m.LastHeard)
 	}
-	m.ID, m.count, m.phase, m.forgot = e.ID, e.Count, e.Phase, false
-	if m.Heard == 0 || e.Phase == Leaving {
-		m.Heard = at
+	m.ID, m.count, m.phase, m.forgot = e.ID, e.Counter, e.Phase, false
+	if m.LastHeard == 0 || e.Phase == Leaving {
+		m.LastHeard = at
 	}
 	switch {
 	case e.Phase == Leaving:
 		t.set(now, m, Left, "has said that it leaves")
-	case e.Phase == Starting && now-at < DeadAfter:
-		m.Heard = at
+	case e.Phase == Starting && now-at < DeadTimeout:
+		m.LastHeard = at
 		t.set(now, m, Joining, fmt.Sprintf("started as incarnation %d", e.ID.Incarnation))
 	default:
-		if fresh && now-at < DeadAfter && m.State.Serves() && m.State != Joining {
+		if fresh && now-at < DeadTimeout && m.State.IsPresent() && m.State != Joining {
 			t.set(now, m, Returned, fmt.Sprintf("started again as incarnation %d", e.ID.Incarnation))
 		}
 		t.heardAt(now, m, at)
@@ -473,9 +473,9 @@
 }
 
 // heardAt takes a sign of life.
-func (t *Table) heardAt(now time.Duration, m *member, at time.Duration) {
-	m.Heard = max(m.Heard, at)
-	if now-m.Heard >= SuspectAfter {
+func (t *Detector) heardAt(now time.Duration, m *member, at time.Duration) {
+	m.LastHeard = max(m.LastHeard, at)
+	if now-m.LastHeard >= SuspectTimeout {
 		return // Tick judges it
 	}
 	switch m.State {
@@ -489,7 +489,7 @@
 }
 
 // heardOfSelf looks for another process of this door's name that goes before this one.
-func (t *Table) heardOfSelf(now time.Duration, e Entry) {
+func (t *Detector) heardOfSelf(now time.Duration, e Entry) {
 	if !t.cfg.ID.Before(e.ID) {
 		return
 	}
@@ -497,15 +497,15 @@
 	case e.Phase == Leaving && (r == nil || !e.ID.Before(r.id)): // it is no more
 		t.adopt(e.ID)
 	case r == nil || r.id.Before(e.ID):
-		t.rival = &rival{id: e.ID, count: e.Count, grewAt: now}
-	case r.id == e.ID && e.Count > r.count:
-		r.count, r.grewAt = e.Count, now
+		t.rival = &rival{id: e.ID, count: e.Counter, grewAt: now}
+	case r.id == e.ID && e.Counter > r.count:
+		r.count, r.grewAt = e.Counter, now
 	}
 }
 
 // adopt goes on as the process after one that is no more: this door's disk has lost what it knew.
-func (t *Table) adopt(id ID) {
+func (t *Detector) adopt(id ID) {
 	t.cfg.ID.Incarnation = id.Incarnation + 1
-	t.all[t.cfg.Rank].ID = t.cfg.ID
+	t.all[t.cfg.Index].ID = t.cfg.ID
 	t.rival, t.adopted = nil, true
 }
--- a/internal/peer/codec.go
+++ b/internal/peer/codec.go
@@ -29,24 +29,24 @@
 
 // message is what is sealed.
 type message struct {
-	List   uint32       `cbor:"1,keyasint"` // a hash of the names: doors with different lists do not understand each other
-	From   uint16       `cbor:"2,keyasint"`
-	To     uint16       `cbor:"3,keyasint"`
-	Msg    *cluster.Msg `cbor:"4,keyasint,omitempty"`
-	Ask    uint32       `cbor:"5,keyasint,omitempty"` // for the receiver's view, by a number
-	Answer *answer      `cbor:"6,keyasint,omitempty"`
-	Want   *Want        `cbor:"7,keyasint,omitempty"`
-	Loan   *Loan        `cbor:"8,keyasint,omitempty"`
-	Policy []byte       `cbor:"9,keyasint,omitempty"`
-	Keys   []byte       `cbor:"10,keyasint,omitempty"`
-	At     int64        `cbor:"11,keyasint,omitempty"` // its sender's clock, Unix nanoseconds; with a beat
+	ListHash      uint32           `cbor:"1,keyasint"` // a hash of the names: doors with different lists do not understand each other
+	From          uint16           `cbor:"2,keyasint"`
+	To            uint16           `cbor:"3,keyasint"`
+	Cluster       *cluster.Message `cbor:"4,keyasint,omitempty"`
+	StatusRequest uint32           `cbor:"5,keyasint,omitempty"` // for the receiver's view, by a number
+	StatusReply   *statusReply     `cbor:"6,keyasint,omitempty"`
+	LoanRequest   *LoanRequest     `cbor:"7,keyasint,omitempty"`
+	Loan          *Loan            `cbor:"8,keyasint,omitempty"`
+	Policy        []byte           `cbor:"9,keyasint,omitempty"`
+	Keys          []byte           `cbor:"10,keyasint,omitempty"`
+	SentAt        int64            `cbor:"11,keyasint,omitempty"` // its sender's clock, Unix nanoseconds; with a beat
 }
 
-// MostPolicy bounds what one datagram carries of policy, or of keys.
-const MostPolicy = 12 << 10
+// MaxPayloadBytes bounds what one datagram carries of policy, or of keys.
+const MaxPayloadBytes = 12 << 10
 
-// Want asks for a loan of a customer's ceiling.
-type Want struct {
+// LoanRequest asks for a loan of a customer's ceiling.
+type LoanRequest struct {
 	Pool     string `cbor:"1,keyasint"`
 	Customer string `cbor:"2,keyasint"`
 	Plan     uint16 `cbor:"3,keyasint"`
@@ -55,23 +55,23 @@
 
 // Loan answers a Want.
 type Loan struct {
-	Want  Want    `cbor:"1,keyasint"`
-	Rate  float64 `cbor:"2,keyasint"`
-	Depth float64 `cbor:"3,keyasint"`
+	Request LoanRequest `cbor:"1,keyasint"`
+	Rate    float64     `cbor:"2,keyasint"`
+	Depth   float64     `cbor:"3,keyasint"`
 }
 
 // mostName bounds the names in a Want.
 const mostName = 64
 
-func (w *Want) good() bool { return len(w.Pool) <= mostName && len(w.Customer) <= mostName }
+func (w *LoanRequest) good() bool { return len(w.Pool) <= mostName && len(w.Customer) <= mostName }
 
-// answer is how a door sees all others.
-type answer struct {
-	Ask    uint32   `cbor:"1,keyasint"`
-	States []byte   `cbor:"2,keyasint"` // by rank, each a members.State
-	Incs   []uint32 `cbor:"3,keyasint"` // their incarnations
-	Part   float64  `cbor:"4,keyasint"`
-	Step   string   `cbor:"5,keyasint,omitempty"` // of its recovery
+// statusReply is how a door sees all others.
+type statusReply struct {
+	Number       uint32   `cbor:"1,keyasint"`
+	States       []byte   `cbor:"2,keyasint"` // by rank, each a members.State
+	Incarnations []uint32 `cbor:"3,keyasint"` // their incarnations
+	Fraction     float64  `cbor:"4,keyasint"`
+	RecoveryStep string   `cbor:"5,keyasint,omitempty"` // of its recovery
 }
 
 // mostStep bounds what a door says of its recovery.
@@ -148,7 +148,7 @@
 
 // seal makes a datagram.
 func (c *codec) seal(m *message) ([]byte, error) {
-	m.List, m.From = c.list, uint16(c.rank)
+	m.ListHash, m.From = c.list, uint16(c.rank)
 	body, err := cbor.Marshal(m)
 	if err != nil {
 		return nil, err
@@ -189,7 +189,7 @@
 		return nil, fmt.Errorf("%w: %w", errForm, err)
 	}
 	switch {
-	case m.List != c.list:
+	case m.ListHash != c.list:
 		return nil, errList
 	case int(m.To) != c.rank:
 		return nil, errTo
--- a/internal/peer/file.go
+++ b/internal/peer/file.go
@@ -13,24 +13,24 @@
 	"gapgap/internal/tomlfile"
 )
 
-// File is the section [fleet] of a configuration.
-type File struct {
+// FileSettings is the section [fleet] of a configuration.
+type FileSettings struct {
 	Listen   string // address and port for datagrams of the other doors
 	KeyFile  string `toml:"key_file"`
 	StateDir string `toml:"state_dir"`
 	Control  string // path of the operators' Unix socket; empty: none
-	Door     []Door
-	Policy   *PolicyFile // there is one policy for all doors; left out: each has its file's own
-	Remember *struct {   // classes may have their keys remembered over a power loss; left out: none
+	Door     []Gateway
+	Policy   *PolicyFileSettings // there is one policy for all doors; left out: each has its file's own
+	Remember *struct {           // classes may have their keys remembered over a power loss; left out: none
 		For  tomlfile.Duration
 		Most int // keys that a voter remembers
 	}
 }
 
-// Remember is a checked [fleet.remember].
-type Remember struct {
-	For  time.Duration
-	Most int
+// KeyRetention is a checked [fleet.remember].
+type KeyRetention struct {
+	Duration time.Duration
+	MaxKeys  int
 }
 
 // What [fleet.remember] has where it names nothing.
@@ -39,23 +39,23 @@
 	rememberMost  = 500_000
 )
 
-// PolicyFile is the section [fleet.policy].
-type PolicyFile struct {
+// PolicyFileSettings is the section [fleet.policy].
+type PolicyFileSettings struct {
 	Mode          string            // wait or fence
 	GiveUp        tomlfile.Duration `toml:"give_up"`
 	WithoutQuorum string            `toml:"without_quorum"` // refuse or last
 	After         tomlfile.Duration // with "last": when a door that has started goes by what its disk has
 }
 
-// Policy is a checked [fleet.policy].
-type Policy struct {
+// PolicySettings is a checked [fleet.policy].
+type PolicySettings struct {
 	Fence         bool
 	GiveUp, After time.Duration
-	Last          bool
+	UseLastKnown  bool
 }
 
-// Most is how many doors a list may have.
-const Most = 1000
+// MaxGateways is how many doors a list may have.
+const MaxGateways = 1000
 
 // mostPath is what a Unix socket's path may have.
 const mostPath = 100
@@ -73,20 +73,20 @@
 	return &FieldError{field, fmt.Errorf(format, args...)}
 }
 
-// Section is a checked [fleet].
-type Section struct {
+// Settings is a checked [fleet].
+type Settings struct {
 	Listen, StateDir, Control string
-	Doors                     []Door
-	Rank                      int
+	Gateways                  []Gateway
+	Index                     int
 	Key                       []byte
-	Policy                    *Policy   // nil: each door has its file's own
-	Remember                  *Remember // nil: no class's keys are
+	Policy                    *PolicySettings // nil: each door has its file's own
+	KeyRetention              *KeyRetention   // nil: no class's keys are
 }
 
 // Check checks what stands in the file for the door of a name. Given says whether an address may be listened on, and plain whether a
 // name is one. The error is a *FieldError.
-func (f *File) Check(name string, given func(netip.Addr) bool, plain func(string) bool) (*Section, error) {
-	s := &Section{Listen: f.Listen, StateDir: f.StateDir, Control: f.Control, Doors: f.Door, Rank: -1}
+func (f *FileSettings) Check(name string, given func(netip.Addr) bool, plain func(string) bool) (*Settings, error) {
+	s := &Settings{Listen: f.Listen, StateDir: f.StateDir, Control: f.Control, Gateways: f.Door, Index: -1}
 	at, err := netip.ParseAddrPort(f.Listen)
 	if err != nil {
 		return nil, wrong("listen", "%q is no address and port", f.Listen)
@@ -94,8 +94,8 @@
 	if !given(at.Addr()) {
 		return nil, wrong("listen", "%s is neither loopback nor in node.allow", at.Addr())
 	}
-	if len(f.Door) == 0 || len(f.Door) > Most {
-		return nil, wrong("door", "has %d doors, not 1 to %d", len(f.Door), Most)
+	if len(f.Door) == 0 || len(f.Door) > MaxGateways {
+		return nil, wrong("door", "has %d doors, not 1 to %d", len(f.Door), MaxGateways)
 	}
 	named, addressed := map[string]int{}, map[netip.AddrPort]int{}
 	for i, d := range f.Door {
@@ -105,7 +105,7 @@
 		}
 		named[d.Name] = i
 		if d.Name == name {
-			s.Rank = i
+			s.Index = i
 		}
 		a, err := netip.ParseAddrPort(d.Address)
 		if err != nil || a.Port() == 0 {
@@ -116,7 +116,7 @@
 		}
 		addressed[a] = i
 	}
-	if s.Rank < 0 {
+	if s.Index < 0 {
 		return nil, wrong("door", "none is named %q, as node.name", name)
 	}
 	if f.StateDir == "" {
@@ -141,19 +141,19 @@
 		return nil, err
 	}
 	if r := f.Remember; r != nil {
-		s.Remember = &Remember{cmp.Or(time.Duration(r.For), rememberUsual), cmp.Or(r.Most, rememberMost)}
+		s.KeyRetention = &KeyRetention{cmp.Or(time.Duration(r.For), rememberUsual), cmp.Or(r.Most, rememberMost)}
 		switch {
-		case s.Remember.For < idempotency.LeastKeep || s.Remember.For > idempotency.MostKeep:
+		case s.KeyRetention.Duration < idempotency.LeastKeep || s.KeyRetention.Duration > idempotency.MostKeep:
 			return nil, wrong("remember.for", "is not from %v to %v", idempotency.LeastKeep, idempotency.MostKeep)
-		case s.Remember.Most < 1 || s.Remember.Most > idempotency.MostKeys:
+		case s.KeyRetention.MaxKeys < 1 || s.KeyRetention.MaxKeys > idempotency.MostKeys:
 			return nil, wrong("remember.most", "is not from 1 to %d", idempotency.MostKeys)
 		}
 	}
 	return s, nil
 }
 
-// MostWait bounds how long a proposal's caller waits.
-const MostWait = 15 * time.Minute
+// MaxProposalWait bounds how long a proposal's caller waits.
+const MaxProposalWait = 15 * time.Minute
 
 // Times that a policy's file may name, and what holds where it names none.
 const (
@@ -161,11 +161,11 @@
 	afterUsual                           = 10 * time.Second
 )
 
-func (f *PolicyFile) check() (*Policy, error) {
+func (f *PolicyFileSettings) check() (*PolicySettings, error) {
 	if f == nil {
 		return nil, nil
 	}
-	p := &Policy{Fence: f.Mode == "fence", GiveUp: cmp.Or(time.Duration(f.GiveUp), giveUpUsual), Last: f.WithoutQuorum == "last", After: cmp.Or(time.Duration(f.After), afterUsual)}
+	p := &PolicySettings{Fence: f.Mode == "fence", GiveUp: cmp.Or(time.Duration(f.GiveUp), giveUpUsual), UseLastKnown: f.WithoutQuorum == "last", After: cmp.Or(time.Duration(f.After), afterUsual)}
 	switch {
 	case f.Mode != "" && f.Mode != "wait" && f.Mode != "fence":
 		return nil, wrong("policy.mode", "%q is not wait or fence", f.Mode)
@@ -173,7 +173,7 @@
 		return nil, wrong("policy.give_up", "is not from %v to %v", giveUpLeast, giveUpMost)
 	case f.WithoutQuorum != "" && f.WithoutQuorum != "refuse" && f.WithoutQuorum != "last":
 		return nil, wrong("policy.without_quorum", "%q is not refuse or last", f.WithoutQuorum)
-	case f.After != 0 && !p.Last:
+	case f.After != 0 && !p.UseLastKnown:
 		return nil, wrong("policy.after", "wants without_quorum = \"last\"")
 	case p.After < 0:
 		return nil, wrong("policy.after", "is negative")
@@ -182,20 +182,20 @@
 }
 
 // Same says whether two sections are of one fleet and door: a change wants a restart.
-func (s *Section) Same(o *Section) bool {
+func (s *Settings) Same(o *Settings) bool {
 	if s == nil || o == nil {
 		return s == o
 	}
-	if len(s.Doors) != len(o.Doors) || (s.Policy == nil) != (o.Policy == nil) || s.Policy != nil && *s.Policy != *o.Policy ||
-		(s.Remember == nil) != (o.Remember == nil) || s.Remember != nil && *s.Remember != *o.Remember {
+	if len(s.Gateways) != len(o.Gateways) || (s.Policy == nil) != (o.Policy == nil) || s.Policy != nil && *s.Policy != *o.Policy ||
+		(s.KeyRetention == nil) != (o.KeyRetention == nil) || s.KeyRetention != nil && *s.KeyRetention != *o.KeyRetention {
 		return false
 	}
-	for i := range s.Doors {
-		if s.Doors[i] != o.Doors[i] {
+	for i := range s.Gateways {
+		if s.Gateways[i] != o.Gateways[i] {
 			return false
 		}
 	}
-	return cmp.Or(cmp.Compare(s.Listen, o.Listen), cmp.Compare(s.StateDir, o.StateDir), cmp.Compare(s.Control, o.Control), cmp.Compare(s.Rank, o.Rank),
+	return cmp.Or(cmp.Compare(s.Listen, o.Listen), cmp.Compare(s.StateDir, o.StateDir), cmp.Compare(s.Control, o.Control), cmp.Compare(s.Index, o.Index),
 		bytes.Compare(s.Key, o.Key)) == 0
 }
 
--- a/internal/peer/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -21,24 +21,24 @@
 // goldenMessages are messages of each kind, with a value in each field.
 func goldenMessages() map[string]*message {
 	id := membership.ID{Incarnation: 70_000, Nonce: 3_000_000_001}
-	want := Want{Pool: "checkout", Customer: "acme", Plan: 3, At: 7_200_000_000_123}
+	want := LoanRequest{Pool: "checkout", Customer: "acme", Plan: 3, At: 7_200_000_000_123}
 	return map[string]*message{
 		"heartbeat": {
-			At: 1_700_000_000_000_000_001,
-			Msg: &cluster.Msg{Beat: &membership.Beat{
+			SentAt: 1_700_000_000_000_000_001,
+			Cluster: &cluster.Message{Heartbeat: &membership.Heartbeat{
 				Entries: []membership.Entry{
-					{Rank: 1, ID: id, Count: 5, Phase: membership.Serving, Age: 6},
-					{Rank: 300, ID: membership.ID{Incarnation: 1, Nonce: 2}, Count: 70_000, Phase: membership.Leaving, Age: 1400},
+					{Index: 1, ID: id, Counter: 5, Phase: membership.Serving, AgeMillis: 6},
+					{Index: 300, ID: membership.ID{Incarnation: 1, Nonce: 2}, Counter: 70_000, Phase: membership.Leaving, AgeMillis: 1400},
 				},
-				Alive: []byte{1, 0, 255},
+				AliveBits: []byte{1, 0, 255},
 			}},
 		},
-		"claim":  {Msg: &cluster.Msg{Claim: &quotalease.Claim{ID: id, Seq: 9, Seats: quotalease.Set{1, 2, 3}}}},
-		"grant":  {Msg: &cluster.Msg{Grant: &quotalease.Grant{ID: id, Seq: 9, Seats: quotalease.Set{4, 5, 6}}}},
-		"query":  {Ask: 42},
-		"report": {Answer: &answer{Ask: 42, States: []byte{2, 3, 5}, Incs: []uint32{1, 70_000, 3}, Part: 0.375, Step: "policy"}},
-		"want":   {Want: &want},
-		"loan":   {Loan: &Loan{Want: want, Rate: 12.5, Depth: 30.25}},
+		"claim":  {Cluster: &cluster.Message{Request: &quotalease.Request{ID: id, Sequence: 9, Slots: quotalease.SlotSet{1, 2, 3}}}},
+		"grant":  {Cluster: &cluster.Message{Grant: &quotalease.Grant{ID: id, Sequence: 9, Slots: quotalease.SlotSet{4, 5, 6}}}},
+		"query":  {StatusRequest: 42},
+		"report": {StatusReply: &statusReply{Number: 42, States: []byte{2, 3, 5}, Incarnations: []uint32{1, 70_000, 3}, Fraction: 0.375, RecoveryStep: "policy"}},
+		"want":   {LoanRequest: &want},
+		"loan":   {Loan: &Loan{Request: want, Rate: 12.5, Depth: 30.25}},
 		"policy": {Policy: []byte("policy bytes")},
 		"keys":   {Keys: []byte("key bytes")},
 	}
@@ -48,7 +48,7 @@
 func TestGoldenMessages(t *testing.T) {
 	for name, m := range goldenMessages() {
 		t.Run(name, func(t *testing.T) {
-			m.List, m.From, m.To = listOf(names), 1, 2
+			m.ListHash, m.From, m.To = listOf(names), 1, 2
 			encoded, err := cbor.Marshal(m)
 			if err != nil {
 				t.Fatal(err)
@@ -97,11 +97,11 @@
 func TestGoldenIdentityFile(t *testing.T) {
 	const path = "testdata/golden/identity.json"
 	written := t.TempDir()
-	d, err := OpenDisk(vfs.OS{}, written, "n0")
+	d, err := OpenIdentity(vfs.OS{}, written, "n0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := d.Keep(70_000); err != nil {
+	if err := d.Save(70_000); err != nil {
 		t.Fatal(err)
 	}
 	d.Close()
@@ -117,7 +117,7 @@
 	if err := os.WriteFile(filepath.Join(stored, "door.json"), golden.Read(t, path), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	d, err = OpenDisk(vfs.OS{}, stored, "n0")
+	d, err = OpenIdentity(vfs.OS{}, stored, "n0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -125,7 +125,7 @@
 	if d.Incarnation() != 70_001 {
 		t.Errorf("incarnation %d, want 70001", d.Incarnation())
 	}
-	if _, err := OpenDisk(vfs.OS{}, written, "n1"); err == nil {
+	if _, err := OpenIdentity(vfs.OS{}, written, "n1"); err == nil {
 		t.Error("the directory of another gateway was opened")
 	}
 }
@@ -136,10 +136,10 @@
 	part := 0.25
 	since := time.Date(2026, 1, 2, 3, 4, 5, 6_000_000, time.UTC)
 	want := View{
-		Name: "n0", Incarnation: 70_000, Part: 0.5, Out: true, Rival: true, WrongClock: true,
-		Doors: []Member{
+		Name: "n0", Incarnation: 70_000, Fraction: 0.5, Excluded: true, HasDuplicate: true, WrongClock: true,
+		Gateways: []Member{
 			{
-				Name: "n0", State: membership.Alive.String(), Cause: "serves", Since: since, Incarnation: 70_000, Part: &part,
+				Name: "n0", State: membership.Alive.String(), Cause: "serves", Since: since, Incarnation: 70_000, Fraction: &part,
 				SeenBy: map[string]string{"n0": "alive", "n1": "suspect"}, Recovery: "policy", Disagree: true,
 			},
 			{Name: "n1", State: membership.Dead.String(), Cause: "no sign of life for 1.5s", Since: since, Incarnation: 2},
--- a/internal/peer/identity.go
+++ b/internal/peer/identity.go
@@ -21,18 +21,18 @@
 
 var identityForm = statefile.Form{Kind: "gapgap door", Version: 1, Most: 4 << 10}
 
-// Disk is a door's state directory, which one process has at a time.
-type Disk struct {
+// IdentityStore is a door's state directory, which one process has at a time.
+type IdentityStore struct {
 	fs   vfs.FS
 	path string
 	lock *os.File
 	is   identity
 }
 
-// OpenDisk takes the state directory of a door and counts its incarnation up. Its errors say in one line what is wrong: another process
+// OpenIdentity takes the state directory of a door and counts its incarnation up. Its errors say in one line what is wrong: another process
 // has it, it is another door's, or the file is damaged or of a newer version. Then nothing has been changed.
-func OpenDisk(fsys vfs.FS, dir, name string) (*Disk, error) {
-	d := &Disk{fs: fsys, path: filepath.Join(dir, "door.json")}
+func OpenIdentity(fsys vfs.FS, dir, name string) (*IdentityStore, error) {
+	d := &IdentityStore{fs: fsys, path: filepath.Join(dir, "door.json")}
 	lock, err := os.OpenFile(filepath.Join(dir, "door.lock"), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return nil, err
@@ -60,7 +60,7 @@
 		lock.Close()
 		return nil, fmt.Errorf("%s has no further incarnation; start with an empty directory", d.path)
 	}
-	if err := d.Keep(d.is.Incarnation + 1); err != nil {
+	if err := d.Save(d.is.Incarnation + 1); err != nil {
 		lock.Close()
 		return nil, err
 	}
@@ -68,10 +68,10 @@
 }
 
 // Incarnation is that of this process.
-func (d *Disk) Incarnation() uint32 { return d.is.Incarnation }
+func (d *IdentityStore) Incarnation() uint32 { return d.is.Incarnation }
 
-// Keep writes another incarnation, durably.
-func (d *Disk) Keep(incarnation uint32) error {
+// Save writes another incarnation, durably.
+func (d *IdentityStore) Save(incarnation uint32) error {
 	next := d.is
 	next.Incarnation = incarnation
 	if err := identityForm.SaveTo(d.fs, d.path, next); err != nil {
@@ -82,4 +82,4 @@
 }
 
 // Close gives the directory back.
-func (d *Disk) Close() { d.lock.Close() }
+func (d *IdentityStore) Close() { d.lock.Close() }
--- a/internal/peer/peers.go
+++ b/internal/peer/peers.go
@@ -37,51 +37,51 @@
 	oddEach     = 10 * time.Second // pause between two log lines on datagrams that are not understood
 )
 
-// Door is one door of the list.
-type Door struct{ Name, Address string }
+// Gateway is one door of the list.
+type Gateway struct{ Name, Address string }
 
 // Config is a door's part in a fleet.
 type Config struct {
-	Name   string // of this door, one of the list
-	Listen string // address and port
-	Doors  []Door // the same list in the same order at all doors
-	Key    []byte
-	Disk   *Disk
-	Now    func() time.Duration // the clock of whoever hands out
-	Log    *slog.Logger
+	Name     string    // of this door, one of the list
+	Listen   string    // address and port
+	Gateways []Gateway // the same list in the same order at all doors
+	Key      []byte
+	Identity *IdentityStore
+	Now      func() time.Duration // the clock of whoever hands out
+	Log      *slog.Logger
 
-	// Apply has those who hand out go by a standing, soon; Applied is the generation that all of them go by. Both return at once.
-	Apply   func(cluster.Standing)
-	Applied func() uint64
+	// ApplyLease has those who hand out go by a standing, soon; Applied is the generation that all of them go by. Both return at once.
+	ApplyLease   func(cluster.ShareLease)
+	AppliedEpoch func() uint64
 
-	// Clock is told whether this door's clock must be wrong, by what the others say of theirs, whenever that changes. It returns at once.
-	Clock func(wrong bool)
+	// SetClockWrong is told whether this door's clock must be wrong, by what the others say of theirs, whenever that changes. It returns at once.
+	SetClockWrong func(wrong bool)
 
-	// Wanted and Loaned take what other doors say of loans. Both return at once.
-	Wanted func(from int, w Want)
-	Loaned func(from int, l Loan)
+	// HandleLoanRequest and Loaned take what other doors say of loans. Both return at once.
+	HandleLoanRequest func(from int, w LoanRequest)
+	HandleLoan        func(from int, l Loan)
 
-	// Policy takes what other doors say of policy; nil: it is passed over. It returns at once.
-	Policy func(from int, b []byte)
+	// HandlePolicy takes what other doors say of policy; nil: it is passed over. It returns at once.
+	HandlePolicy func(from int, b []byte)
 
-	// Step is how far this door's recovery has come, for operators; nil: it is not told.
-	Step func() string
+	// RecoveryStep is how far this door's recovery has come, for operators; nil: it is not told.
+	RecoveryStep func() string
 
-	// Keys takes what other doors say of keys of changes; nil: it is passed over. It returns at once.
-	Keys func(from int, b []byte)
+	// HandleKeys takes what other doors say of keys of changes; nil: it is passed over. It returns at once.
+	HandleKeys func(from int, b []byte)
 }
 
-// Figures count datagrams.
-type Figures struct {
+// Stats count datagrams.
+type Stats struct {
 	Sent, SentBytes, Received, ReceivedBytes atomic.Uint64
-	Odd                                      atomic.Uint64 // received and not understood, or from a stranger
+	Rejected                                 atomic.Uint64 // received and not understood, or from a stranger
 	Dropped                                  atomic.Uint64 // received while the loop was behind
 	Transitions                              atomic.Uint64
 }
 
-// Peers is a running part in a fleet.
-type Peers struct {
-	Figures Figures
+// Transport is a running part in a fleet.
+type Transport struct {
+	Stats   Stats
 	cfg     Config
 	rank    int
 	names   []string
@@ -97,10 +97,10 @@
 	ctx     context.Context
 	stop    context.CancelFunc
 	wg      sync.WaitGroup
-	clocks  *clockskew.Judge
-	wrong   bool             // the loop's ...
-	clockAt time.Duration    // ... and when it looks at that again
-	last    cluster.Standing // the loop's
+	clocks  *clockskew.Detector
+	wrong   bool               // the loop's ...
+	clockAt time.Duration      // ... and when it looks at that again
+	last    cluster.ShareLease // the loop's
 	rival   bool
 	oddAt   time.Time // the reader's
 	asks    map[uint32]chan viewed
@@ -121,13 +121,13 @@
 
 type viewed struct {
 	rank int
-	a    *answer
+	a    *statusReply
 }
 
 // New takes the address. Nothing is told before Run.
-func New(cfg Config) (*Peers, error) {
-	p := &Peers{cfg: cfg, inbox: make(chan inMessage, inboxMost), calls: make(chan func()), outbox: make(chan outMessage, outboxMost), done: make(chan struct{}), asks: map[uint32]chan viewed{}}
-	for _, d := range cfg.Doors {
+func New(cfg Config) (*Transport, error) {
+	p := &Transport{cfg: cfg, inbox: make(chan inMessage, inboxMost), calls: make(chan func()), outbox: make(chan outMessage, outboxMost), done: make(chan struct{}), asks: map[uint32]chan viewed{}}
+	for _, d := range cfg.Gateways {
 		p.names = append(p.names, d.Name)
 		a, err := netip.ParseAddrPort(d.Address)
 		if err != nil {
@@ -156,8 +156,8 @@
 	p.clocks = clockskew.New(len(p.names))
 	var seed [20]byte
 	rand.Read(seed[:])
-	id := membership.ID{Incarnation: cfg.Disk.Incarnation(), Nonce: binary.BigEndian.Uint32(seed[16:])}
-	p.node = cluster.New(cluster.Config{Rank: p.rank, Doors: len(p.names), ID: id}, cfg.Now(),
+	id := membership.ID{Incarnation: cfg.Identity.Incarnation(), Nonce: binary.BigEndian.Uint32(seed[16:])}
+	p.node = cluster.New(cluster.Config{Index: p.rank, Gateways: len(p.names), ID: id}, cfg.Now(),
 		mrand.New(mrand.NewPCG(binary.BigEndian.Uint64(seed[:]), binary.BigEndian.Uint64(seed[8:]))))
 	p.ctx, p.stop = context.WithCancel(context.Background())
 	p.publish(cfg.Now())
@@ -165,22 +165,22 @@
 }
 
 // Addr is where this door hears the others.
-func (p *Peers) Addr() net.Addr { return p.sock.LocalAddr() }
+func (p *Transport) Addr() net.Addr { return p.sock.LocalAddr() }
 
 // Start begins to tell and to hear.
-func (p *Peers) Start() {
+func (p *Transport) Start() {
 	p.wg.Go(p.read)
 	p.wg.Go(p.loop)
 }
 
 // Close ends it, without a word to the others. Leave goes before it.
-func (p *Peers) Close() {
+func (p *Transport) Close() {
 	p.stop()
 	p.sock.Close()
 	p.wg.Wait()
 }
 
-func (p *Peers) read() {
+func (p *Transport) read() {
 	buf := make([]byte, mostBytes+1)
 	for {
 		n, from, err := p.sock.ReadFromUDPAddrPort(buf)
@@ -189,8 +189,8 @@
 		} else if err != nil {
 			continue // an earlier datagram was refused
 		}
-		p.Figures.Received.Add(1)
-		p.Figures.ReceivedBytes.Add(uint64(n))
+		p.Stats.Received.Add(1)
+		p.Stats.ReceivedBytes.Add(uint64(n))
 		m, err := p.opener.open(buf[:n])
 		if err != nil {
 			p.odd(err, from)
@@ -199,23 +199,23 @@
 		select {
 		case p.inbox <- inMessage{m, from}:
 		default:
-			p.Figures.Dropped.Add(1)
+			p.Stats.Dropped.Add(1)
 		}
 	}
 }
 
-func (p *Peers) odd(err error, from netip.AddrPort) {
-	p.Figures.Odd.Add(1)
+func (p *Transport) odd(err error, from netip.AddrPort) {
+	p.Stats.Rejected.Add(1)
 	if now := time.Now(); now.Sub(p.oddAt) >= oddEach {
 		p.oddAt = now
-		p.cfg.Log.Warn("a datagram is passed over", "from", from, "why", err, "so far", p.Figures.Odd.Load())
+		p.cfg.Log.Warn("a datagram is passed over", "from", from, "why", err, "so far", p.Stats.Rejected.Load())
 	}
 }
 
 // loop owns the node.
-func (p *Peers) loop() {
+func (p *Transport) loop() {
 	defer close(p.done)
-	tick := time.NewTicker(cluster.TickEvery)
+	tick := time.NewTicker(cluster.TickInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -228,7 +228,7 @@
 		case out := <-p.outbox:
 			p.loans(out)
 		case <-tick.C:
-			p.node.Applied(p.cfg.Applied())
+			p.node.ConfirmApplied(p.cfg.AppliedEpoch())
 			now := p.cfg.Now()
 			p.send(p.node.Tick(now), netip.AddrPort{})
 		}
@@ -236,89 +236,89 @@
 	}
 }
 
-func (p *Peers) heard(in inMessage) {
+func (p *Transport) heard(in inMessage) {
 	from := int(in.m.From)
 	switch m := in.m; {
-	case m.Msg != nil:
-		if m.At > 0 {
-			p.clocks.Heard(p.cfg.Now(), from, time.Duration(m.At))
+	case m.Cluster != nil:
+		if m.SentAt > 0 {
+			p.clocks.Observe(p.cfg.Now(), from, time.Duration(m.SentAt))
 		}
-		outs, err := p.node.Heard(p.cfg.Now(), from, *m.Msg)
+		outs, err := p.node.Receive(p.cfg.Now(), from, *m.Cluster)
 		if err != nil {
-			p.Figures.Odd.Add(1)
+			p.Stats.Rejected.Add(1)
 			return
 		}
 		p.send(outs, in.from)
-	case m.Want != nil && m.Want.good():
-		p.cfg.Wanted(from, *m.Want)
-	case m.Loan != nil && m.Loan.Want.good():
-		p.cfg.Loaned(from, *m.Loan)
+	case m.LoanRequest != nil && m.LoanRequest.good():
+		p.cfg.HandleLoanRequest(from, *m.LoanRequest)
+	case m.Loan != nil && m.Loan.Request.good():
+		p.cfg.HandleLoan(from, *m.Loan)
 	case m.Policy != nil:
-		if p.cfg.Policy != nil {
-			p.cfg.Policy(from, m.Policy)
+		if p.cfg.HandlePolicy != nil {
+			p.cfg.HandlePolicy(from, m.Policy)
 		}
 	case m.Keys != nil:
-		if p.cfg.Keys != nil {
-			p.cfg.Keys(from, m.Keys)
+		if p.cfg.HandleKeys != nil {
+			p.cfg.HandleKeys(from, m.Keys)
 		}
-	case m.Ask > 0:
-		a := &answer{Ask: m.Ask}
+	case m.StatusRequest > 0:
+		a := &statusReply{Number: m.StatusRequest}
 		for _, o := range p.node.Members() {
-			a.States, a.Incs = append(a.States, byte(o.State)), append(a.Incs, o.ID.Incarnation)
+			a.States, a.Incarnations = append(a.States, byte(o.State)), append(a.Incarnations, o.ID.Incarnation)
 		}
-		a.Part = p.standing(p.cfg.Now()).Part
-		a.Step = p.step()
-		p.tell(from, &message{Answer: a}, netip.AddrPort{})
-	case m.Answer != nil:
-		if ch := p.asks[m.Answer.Ask]; ch != nil && len(m.Answer.States) == len(p.names) && len(m.Answer.Incs) == len(p.names) {
+		a.Fraction = p.standing(p.cfg.Now()).Fraction
+		a.RecoveryStep = p.step()
+		p.tell(from, &message{StatusReply: a}, netip.AddrPort{})
+	case m.StatusReply != nil:
+		if ch := p.asks[m.StatusReply.Number]; ch != nil && len(m.StatusReply.States) == len(p.names) && len(m.StatusReply.Incarnations) == len(p.names) {
 			select {
-			case ch <- viewed{from, m.Answer}:
+			case ch <- viewed{from, m.StatusReply}:
 			default:
 			}
 		}
 	}
 }
 
-func (p *Peers) step() string {
-	if p.cfg.Step == nil {
+func (p *Transport) step() string {
+	if p.cfg.RecoveryStep == nil {
 		return ""
 	}
-	s := p.cfg.Step()
+	s := p.cfg.RecoveryStep()
 	return s[:min(len(s), mostStep)]
 }
 
-// Want asks other doors for a loan, some of them where they are many; what does not fit is asked for again. Any goroutine may call it.
-func (p *Peers) Want(w Want) { p.put(outMessage{-1, &message{Want: &w}}) }
+// RequestLoan asks other doors for a loan, some of them where they are many; what does not fit is asked for again. Any goroutine may call it.
+func (p *Transport) RequestLoan(w LoanRequest) { p.put(outMessage{-1, &message{LoanRequest: &w}}) }
 
-// TellPolicy tells a door something of policy, MostPolicy bytes at most. It may be lost. Any goroutine may call it.
-func (p *Peers) TellPolicy(to int, b []byte) { p.put(outMessage{to, &message{Policy: b}}) }
+// SendPolicy tells a door something of policy, MostPolicy bytes at most. It may be lost. Any goroutine may call it.
+func (p *Transport) SendPolicy(to int, b []byte) { p.put(outMessage{to, &message{Policy: b}}) }
 
-// TellKeys is TellPolicy for keys of changes.
-func (p *Peers) TellKeys(to int, b []byte) { p.put(outMessage{to, &message{Keys: b}}) }
+// SendKeys is TellPolicy for keys of changes.
+func (p *Transport) SendKeys(to int, b []byte) { p.put(outMessage{to, &message{Keys: b}}) }
 
 // ID is this process. It may take a higher incarnation than it started with.
-func (p *Peers) ID() membership.ID { return *p.id.Load() }
+func (p *Transport) ID() membership.ID { return *p.id.Load() }
 
-// Lend answers a door's Want.
-func (p *Peers) Lend(to int, l Loan) { p.put(outMessage{to, &message{Loan: &l}}) }
+// GrantLoan answers a door's Want.
+func (p *Transport) GrantLoan(to int, l Loan) { p.put(outMessage{to, &message{Loan: &l}}) }
 
-func (p *Peers) put(o outMessage) {
+func (p *Transport) put(o outMessage) {
 	select {
 	case p.outbox <- o:
 	default:
-		p.Figures.Dropped.Add(1)
+		p.Stats.Dropped.Add(1)
 	}
 }
 
-func (p *Peers) loans(o outMessage) {
+func (p *Transport) loans(o outMessage) {
 	if o.to >= 0 {
 		p.tell(o.to, o.m, netip.AddrPort{})
 		return
 	}
 	var there []int
 	for _, m := range p.node.Members() {
-		if m.Rank != p.rank && m.State.Serves() {
-			there = append(there, m.Rank)
+		if m.Index != p.rank && m.State.IsPresent() {
+			there = append(there, m.Index)
 		}
 	}
 	mrand.Shuffle(len(there), func(i, j int) { there[i], there[j] = there[j], there[i] })
@@ -327,7 +327,7 @@
 	}
 }
 
-func (p *Peers) send(outs []cluster.Out, back netip.AddrPort) {
+func (p *Transport) send(outs []cluster.Outgoing, back netip.AddrPort) {
 	if len(outs) == 0 {
 		return
 	}
@@ -335,21 +335,21 @@
 	for i := range outs {
 		o := &outs[i]
 		to := netip.AddrPort{}
-		if o.Back {
+		if o.ReplyToSender {
 			to = back
 		}
-		m := &message{Msg: &o.Msg}
-		if o.Msg.Beat != nil {
-			m.At = int64(p.cfg.Now())
+		m := &message{Cluster: &o.Message}
+		if o.Message.Heartbeat != nil {
+			m.SentAt = int64(p.cfg.Now())
 		}
 		p.tell(o.To, m, to)
 	}
 }
 
 // kept writes an incarnation that was adopted before anybody hears of it.
-func (p *Peers) kept() {
-	if p.node.Adopted() {
-		if err := p.cfg.Disk.Keep(p.node.ID().Incarnation); err != nil {
+func (p *Transport) kept() {
+	if p.node.TakeIncarnationChange() {
+		if err := p.cfg.Identity.Save(p.node.ID().Incarnation); err != nil {
 			p.cfg.Log.Error("this door's incarnation could not be kept: after its next start it is taken for an earlier self, for a while", "error", err)
 		}
 		p.cfg.Log.Warn("this door's disk has lost its incarnation: the others know a later one", "now", p.node.ID().Incarnation)
@@ -357,7 +357,7 @@
 }
 
 // tell sends a message to a door, and to one more address if that is given.
-func (p *Peers) tell(to int, m *message, also netip.AddrPort) {
+func (p *Transport) tell(to int, m *message, also netip.AddrPort) {
 	m.To = uint16(to)
 	b, err := p.codec.seal(m)
 	if err != nil || len(b) > mostBytes {
@@ -367,25 +367,25 @@
 	for _, at := range []netip.AddrPort{p.addrs[to], also} {
 		if at.IsValid() {
 			p.sock.WriteToUDPAddrPort(b, at) // lost ones are said again
-			p.Figures.Sent.Add(1)
-			p.Figures.SentBytes.Add(uint64(len(b)))
+			p.Stats.Sent.Add(1)
+			p.Stats.SentBytes.Add(uint64(len(b)))
 		}
 	}
 }
 
 // standing is what this door may hand out. One whose clock is wrong hands out nothing: the others lend all of a ceiling by the counter's numbers, which it
 // can't name. It keeps its seats, as pools go by this a little later.
-func (p *Peers) standing(now time.Duration) cluster.Standing {
-	s := p.node.Standing(now)
+func (p *Transport) standing(now time.Duration) cluster.ShareLease {
+	s := p.node.ShareLease(now)
 	if p.wrong {
-		s.Out, s.Part = true, 0
+		s.Excluded, s.Fraction = true, 0
 	}
 	return s
 }
 
 // judge looks whether this door's clock can be right.
-func (p *Peers) judge(now time.Duration) {
-	behind, wrong := p.clocks.Off(now)
+func (p *Transport) judge(now time.Duration) {
+	behind, wrong := p.clocks.Skew(now)
 	if wrong == p.wrong {
 		return
 	}
@@ -395,19 +395,19 @@
 	} else {
 		p.cfg.Log.Info("this door's clock is the others' again")
 	}
-	p.cfg.Clock(wrong)
+	p.cfg.SetClockWrong(wrong)
 	p.publish(now)
 }
 
 // after logs what has changed, and has a new standing applied.
-func (p *Peers) after() {
+func (p *Transport) after() {
 	now := p.cfg.Now()
-	changes := p.node.Changes()
+	changes := p.node.TakeTransitions()
 	for _, c := range changes {
-		p.Figures.Transitions.Add(1)
-		p.cfg.Log.Info("door of the fleet", "door", p.names[c.Rank], "is", c.To, "was", c.From, "cause", c.Cause, "incarnation", c.ID.Incarnation)
+		p.Stats.Transitions.Add(1)
+		p.cfg.Log.Info("door of the fleet", "door", p.names[c.Index], "is", c.To, "was", c.From, "cause", c.Cause, "incarnation", c.ID.Incarnation)
 	}
-	if id, rival := p.node.Rival(now); rival != p.rival {
+	if id, rival := p.node.Duplicate(now); rival != p.rival {
 		if p.rival = rival; rival {
 			p.cfg.Log.Error("another process has this door's name and goes before it: this one takes no share", "its incarnation", id.Incarnation,
 				"this one's", p.node.ID().Incarnation)
@@ -420,28 +420,28 @@
 		p.judge(now)
 	}
 	s := p.standing(now)
-	if s.Gen != p.last.Gen || s.Part != p.last.Part || s.Until != p.last.Until || s.Out != p.last.Out || !slices.Equal(s.Gone, p.last.Gone) {
-		if s.Part != p.last.Part || s.Out != p.last.Out {
-			p.cfg.Log.Debug("part of what is shared", "part", s.Part, "out", s.Out)
+	if s.Epoch != p.last.Epoch || s.Fraction != p.last.Fraction || s.Until != p.last.Until || s.Excluded != p.last.Excluded || !slices.Equal(s.DeadGateways, p.last.DeadGateways) {
+		if s.Fraction != p.last.Fraction || s.Excluded != p.last.Excluded {
+			p.cfg.Log.Debug("part of what is shared", "part", s.Fraction, "out", s.Excluded)
 		}
 		p.last = s
-		p.cfg.Apply(s)
+		p.cfg.ApplyLease(s)
 	}
-	if len(changes) > 0 || s.Gen != p.view.Load().gen || s.Part != p.view.Load().Part {
+	if len(changes) > 0 || s.Epoch != p.view.Load().epoch || s.Fraction != p.view.Load().Fraction {
 		p.publish(now)
 	}
 }
 
 // View is how this door sees the fleet.
 type View struct {
-	Name        string   `json:"name"`
-	Incarnation uint32   `json:"incarnation"`
-	Part        float64  `json:"part"` // of what is leased, held by this door
-	Out         bool     `json:"out"`  // it takes no share
-	Rival       bool     `json:"rival,omitempty"`
-	WrongClock  bool     `json:"wrong_clock,omitempty"` // it asks the counter for nothing
-	Doors       []Member `json:"doors"`
-	gen         uint64
+	Name         string   `json:"name"`
+	Incarnation  uint32   `json:"incarnation"`
+	Fraction     float64  `json:"part"` // of what is leased, held by this door
+	Excluded     bool     `json:"out"`  // it takes no share
+	HasDuplicate bool     `json:"rival,omitempty"`
+	WrongClock   bool     `json:"wrong_clock,omitempty"` // it asks the counter for nothing
+	Gateways     []Member `json:"doors"`
+	epoch        uint64
 }
 
 // Member is one door as this one sees it, and as the others do.
@@ -451,35 +451,35 @@
 	Cause       string            `json:"cause"`
 	Since       time.Time         `json:"since"`
 	Incarnation uint32            `json:"incarnation"`
-	Part        *float64          `json:"part,omitempty"` // that it says it holds; null: it has not answered
+	Fraction    *float64          `json:"part,omitempty"` // that it says it holds; null: it has not answered
 	SeenBy      map[string]string `json:"seen_by,omitempty"`
 	Recovery    string            `json:"recovery,omitempty"` // step that it says it is at
 	Disagree    bool              `json:"disagree,omitempty"` // doors that have answered see it differently
 }
 
-// There says whether the door was heard of a moment ago.
-func (m *Member) There() bool {
+// IsPresent says whether the door was heard of a moment ago.
+func (m *Member) IsPresent() bool {
 	return m.State == membership.Alive.String() || m.State == membership.Joining.String() || m.State == membership.Returned.String()
 }
 
-func (p *Peers) publish(now time.Duration) {
+func (p *Transport) publish(now time.Duration) {
 	s, id := p.standing(now), p.node.ID()
 	p.id.Store(&id)
-	v := &View{Name: p.cfg.Name, Incarnation: p.node.ID().Incarnation, Part: s.Part, Out: s.Out, Rival: p.rival, WrongClock: p.wrong, gen: s.Gen}
+	v := &View{Name: p.cfg.Name, Incarnation: p.node.ID().Incarnation, Fraction: s.Fraction, Excluded: s.Excluded, HasDuplicate: p.rival, WrongClock: p.wrong, epoch: s.Epoch}
 	for _, m := range p.node.Members() {
-		v.Doors = append(v.Doors, Member{Name: p.names[m.Rank], State: m.State.String(), Cause: m.Cause, Since: time.Now().Add(m.Since - now),
+		v.Gateways = append(v.Gateways, Member{Name: p.names[m.Index], State: m.State.String(), Cause: m.Cause, Since: time.Now().Add(m.Since - now),
 			Incarnation: m.ID.Incarnation})
 	}
 	p.view.Store(v)
 }
 
 // View is how this door saw the fleet when that last changed. Any goroutine may call it.
-func (p *Peers) View() *View { return p.view.Load() }
+func (p *Transport) View() *View { return p.view.Load() }
 
 var errEnded = errors.New("the door is ending")
 
 // do has the loop do something and waits.
-func (p *Peers) do(ctx context.Context, f func()) error {
+func (p *Transport) do(ctx context.Context, f func()) error {
 	ended := make(chan struct{})
 	select {
 	case p.calls <- func() { f(); close(ended) }:
@@ -496,7 +496,7 @@
 }
 
 // Status is how this door sees the fleet and how the others say that they do, as far as they answer within a moment.
-func (p *Peers) Status(ctx context.Context) (*View, error) {
+func (p *Transport) Status(ctx context.Context) (*View, error) {
 	answers := make(chan viewed, len(p.names))
 	var ask uint32
 	var v View
@@ -506,10 +506,10 @@
 		p.asks[ask] = answers
 		p.publish(p.cfg.Now())
 		v = *p.view.Load()
-		v.Doors = slices.Clone(v.Doors)
+		v.Gateways = slices.Clone(v.Gateways)
 		for to := range p.names {
 			if to != p.rank {
-				p.tell(to, &message{Ask: ask}, netip.AddrPort{})
+				p.tell(to, &message{StatusRequest: ask}, netip.AddrPort{})
 			}
 		}
 	})
@@ -517,31 +517,31 @@
 		return nil, err
 	}
 	defer p.do(context.Background(), func() { delete(p.asks, ask) })
-	for i := range v.Doors {
-		v.Doors[i].SeenBy = map[string]string{p.cfg.Name: v.Doors[i].State}
+	for i := range v.Gateways {
+		v.Gateways[i].SeenBy = map[string]string{p.cfg.Name: v.Gateways[i].State}
 	}
-	part := v.Part
-	v.Doors[p.rank].Part, v.Doors[p.rank].Recovery = &part, p.step()
+	part := v.Fraction
+	v.Gateways[p.rank].Fraction, v.Gateways[p.rank].Recovery = &part, p.step()
 	limit := time.After(askWithin)
 	for answered := 1; answered < len(p.names); {
 		select {
 		case a := <-answers:
 			for i, s := range a.a.States {
-				m := &v.Doors[i]
+				m := &v.Gateways[i]
 				if _, twice := m.SeenBy[p.names[a.rank]]; !twice && i == 0 {
 					answered++
 				}
 				m.SeenBy[p.names[a.rank]] = membership.State(s).String()
 			}
-			v.Doors[a.rank].Part, v.Doors[a.rank].Recovery = &a.a.Part, a.a.Step[:min(len(a.a.Step), mostStep)]
+			v.Gateways[a.rank].Fraction, v.Gateways[a.rank].Recovery = &a.a.Fraction, a.a.RecoveryStep[:min(len(a.a.RecoveryStep), mostStep)]
 			continue
 		case <-limit:
 		case <-ctx.Done():
 		}
 		break
 	}
-	for i := range v.Doors {
-		m := &v.Doors[i]
+	for i := range v.Gateways {
+		m := &v.Gateways[i]
 		serves := 0
 		for _, s := range m.SeenBy {
 			if s != membership.Dead.String() && s != membership.Left.String() && s != membership.Absent.String() {
@@ -554,37 +554,37 @@
 }
 
 // Leave gives all up and tells the others that this door goes, once all who hand out go by that.
-func (p *Peers) Leave(ctx context.Context) error {
+func (p *Transport) Leave(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, leaveWithin)
 	defer cancel()
 	if err := p.do(ctx, p.node.Leave); err != nil {
 		return err
 	}
 	for gone := false; !gone; {
-		if err := p.do(ctx, func() { gone = p.node.Gone() }); err != nil {
+		if err := p.do(ctx, func() { gone = p.node.HasLeft() }); err != nil {
 			return err
 		}
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(cluster.TickEvery):
+		case <-time.After(cluster.TickInterval):
 		}
 	}
 	return nil
 }
 
-// ErrNoDoor says that the list has no door of a name.
-var ErrNoDoor = errors.New("no door of the list has this name")
+// ErrUnknownGateway says that the list has no door of a name.
+var ErrUnknownGateway = errors.New("no door of the list has this name")
 
 // Forget takes a door that does not serve as gone for good, here, until it is heard of as a new process.
-func (p *Peers) Forget(ctx context.Context, name string) error {
+func (p *Transport) Forget(ctx context.Context, name string) error {
 	rank := slices.Index(p.names, name)
 	if rank < 0 {
-		return fmt.Errorf("%q: %w", name, ErrNoDoor)
+		return fmt.Errorf("%q: %w", name, ErrUnknownGateway)
 	}
 	var err error
 	if e := p.do(ctx, func() {
-		if s := p.node.Members()[rank].State; s.Serves() {
+		if s := p.node.Members()[rank].State; s.IsPresent() {
 			err = fmt.Errorf("door %s is %v", name, s)
 		} else {
 			err = p.node.Forget(p.cfg.Now(), rank)
--- a/internal/peer/peers_test.go
+++ b/internal/peer/peers_test.go
@@ -30,26 +30,26 @@
 	return c
 }
 
-func beat() *cluster.Msg {
-	return &cluster.Msg{Beat: &membership.Beat{Entries: []membership.Entry{{Rank: 1, ID: membership.ID{Incarnation: 3, Nonce: 4}, Count: 5, Phase: membership.Serving, Age: 6}}}}
+func beat() *cluster.Message {
+	return &cluster.Message{Heartbeat: &membership.Heartbeat{Entries: []membership.Entry{{Index: 1, ID: membership.ID{Incarnation: 3, Nonce: 4}, Counter: 5, Phase: membership.Serving, AgeMillis: 6}}}}
 }
 
 // A door hears what a door of its fleet seals for it, and nobody else.
 func TestMembersStrangersAreNotHeard(t *testing.T) {
 	from, to := mustCodec(t, key, names, 1), mustCodec(t, key, names, 0)
-	good, err := from.seal(&message{To: 0, Msg: beat()})
+	good, err := from.seal(&message{To: 0, Cluster: beat()})
 	if err != nil {
 		t.Fatal(err)
 	}
 	m, err := to.open(good)
-	if err != nil || m.From != 1 || m.Msg.Beat.Entries[0] != beat().Beat.Entries[0] {
+	if err != nil || m.From != 1 || m.Cluster.Heartbeat.Entries[0] != beat().Heartbeat.Entries[0] {
 		t.Fatalf("%+v, %v", m, err)
 	}
 	if bytes.Contains(good, []byte("n1")) {
 		t.Error("a name can be read")
 	}
 	seal := func(c *codec, to uint16) []byte {
-		b, err := c.seal(&message{To: to, Msg: beat()})
+		b, err := c.seal(&message{To: to, Cluster: beat()})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -83,9 +83,9 @@
 
 // Whatever a door of the fleet says, a node takes it or says what is wrong; it holds no more than before.
 func FuzzMembersMessages(f *testing.F) {
-	for _, m := range []*message{{Msg: beat()}, {Ask: 3}, {Answer: &answer{Ask: 1, States: []byte{1, 2, 3}, Incs: []uint32{1, 2, 3}}},
-		{Msg: &cluster.Msg{Claim: &quotalease.Claim{Seq: 1, Seats: quotalease.NewSet(3)}}}, {Msg: &cluster.Msg{Grant: &quotalease.Grant{Seq: 1, Seats: quotalease.NewSet(3)}}}, {Msg: &cluster.Msg{}}} {
-		m.List, m.From = listOf(names), 1
+	for _, m := range []*message{{Cluster: beat()}, {StatusRequest: 3}, {StatusReply: &statusReply{Number: 1, States: []byte{1, 2, 3}, Incarnations: []uint32{1, 2, 3}}},
+		{Cluster: &cluster.Message{Request: &quotalease.Request{Sequence: 1, Slots: quotalease.NewSlotSet(3)}}}, {Cluster: &cluster.Message{Grant: &quotalease.Grant{Sequence: 1, Slots: quotalease.NewSlotSet(3)}}}, {Cluster: &cluster.Message{}}} {
+		m.ListHash, m.From = listOf(names), 1
 		b, err := cbor.Marshal(m)
 		if err != nil {
 			f.Fatal(err)
@@ -94,19 +94,19 @@
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
 		m := &message{}
-		if decoder.Unmarshal(b, m) != nil || m.Msg == nil {
+		if decoder.Unmarshal(b, m) != nil || m.Cluster == nil {
 			return
 		}
-		n := cluster.New(cluster.Config{Rank: 0, Doors: 3, ID: membership.ID{Incarnation: 1}}, 1, nil)
-		outs, err := n.Heard(1, int(m.From), *m.Msg)
+		n := cluster.New(cluster.Config{Index: 0, Gateways: 3, ID: membership.ID{Incarnation: 1}}, 1, nil)
+		outs, err := n.Receive(1, int(m.From), *m.Cluster)
 		if err != nil && len(outs) > 0 || len(outs) > 1 {
 			t.Errorf("%d answers, %v", len(outs), err)
 		}
-		if held, _ := n.Seats(1); held > 0 {
+		if held, _ := n.Slots(1); held > 0 {
 			t.Errorf("%d seats held by one message", held)
 		}
 		for _, c := range n.Members() {
-			if c.Rank != 0 && c.Heard > 1 {
+			if c.Index != 0 && c.LastHeard > 1 {
 				t.Errorf("%+v is heard of in the future", c)
 			}
 		}
@@ -124,30 +124,30 @@
 	if err := os.WriteFile(short, []byte("0123456789abcde \n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	good := func() *File {
-		return &File{Listen: "127.0.0.1:7000", KeyFile: keyFile, StateDir: dir, Control: "/run/x", Door: []Door{{"n0", "127.0.0.1:7000"}, {"n1", "127.0.0.1:7001"}}}
+	good := func() *FileSettings {
+		return &FileSettings{Listen: "127.0.0.1:7000", KeyFile: keyFile, StateDir: dir, Control: "/run/x", Door: []Gateway{{"n0", "127.0.0.1:7000"}, {"n1", "127.0.0.1:7001"}}}
 	}
-	check := func(f *File, name string) (*Section, error) {
+	check := func(f *FileSettings, name string) (*Settings, error) {
 		return f.Check(name, netip.Addr.IsLoopback, func(s string) bool { return s != "" && !strings.Contains(s, " ") })
 	}
 	s, err := check(good(), "n1")
-	if err != nil || s.Rank != 1 || string(s.Key) != "0123456789abcdef" || !s.Same(s) {
+	if err != nil || s.Index != 1 || string(s.Key) != "0123456789abcdef" || !s.Same(s) {
 		t.Fatalf("%+v, %v", s, err)
 	}
-	for field, change := range map[string]func(*File){
-		"listen ":           func(f *File) { f.Listen = "n0:7000" },
-		"listen 10.":        func(f *File) { f.Listen = "10.0.0.1:7000" },
-		"door has":          func(f *File) { f.Door = nil },
-		"door[1].name":      func(f *File) { f.Door[1].Name = "n0" },
-		"door[1].address ":  func(f *File) { f.Door[1].Address = "127.0.0.1" },
-		"door[1].address 1": func(f *File) { f.Door[1].Address = "127.0.0.1:7000" },
-		"state_dir is":      func(f *File) { f.StateDir = "" },
-		"state_dir \"":      func(f *File) { f.StateDir = keyFile },
-		"control":           func(f *File) { f.Control = "x" },
-		"control has":       func(f *File) { f.Control = "/" + strings.Repeat("x", 100) },
-		"key_file is":       func(f *File) { f.KeyFile = "" },
-		"key_file " + short: func(f *File) { f.KeyFile = short },
-		"key_file open":     func(f *File) { f.KeyFile = filepath.Join(dir, "none") },
+	for field, change := range map[string]func(*FileSettings){
+		"listen ":           func(f *FileSettings) { f.Listen = "n0:7000" },
+		"listen 10.":        func(f *FileSettings) { f.Listen = "10.0.0.1:7000" },
+		"door has":          func(f *FileSettings) { f.Door = nil },
+		"door[1].name":      func(f *FileSettings) { f.Door[1].Name = "n0" },
+		"door[1].address ":  func(f *FileSettings) { f.Door[1].Address = "127.0.0.1" },
+		"door[1].address 1": func(f *FileSettings) { f.Door[1].Address = "127.0.0.1:7000" },
+		"state_dir is":      func(f *FileSettings) { f.StateDir = "" },
+		"state_dir \"":      func(f *FileSettings) { f.StateDir = keyFile },
+		"control":           func(f *FileSettings) { f.Control = "x" },
+		"control has":       func(f *FileSettings) { f.Control = "/" + strings.Repeat("x", 100) },
+		"key_file is":       func(f *FileSettings) { f.KeyFile = "" },
+		"key_file " + short: func(f *FileSettings) { f.KeyFile = short },
+		"key_file open":     func(f *FileSettings) { f.KeyFile = filepath.Join(dir, "none") },
 	} {
 		f := good()
 		change(f)
@@ -168,21 +168,21 @@
 func TestMembersDisk(t *testing.T) {
 	dir := t.TempDir()
 	for want := uint32(1); want < 4; want++ {
-		d, err := OpenDisk(vfs.OS{}, dir, "n0")
+		d, err := OpenIdentity(vfs.OS{}, dir, "n0")
 		if err != nil || d.Incarnation() != want {
 			t.Fatalf("%v, %v", d, err)
 		}
-		if _, err := OpenDisk(vfs.OS{}, dir, "n0"); err == nil || !strings.Contains(err.Error(), "another process has it") {
+		if _, err := OpenIdentity(vfs.OS{}, dir, "n0"); err == nil || !strings.Contains(err.Error(), "another process has it") {
 			t.Errorf("a second process: %v", err)
 		}
 		if want == 2 {
-			if err := d.Keep(2); err != nil {
+			if err := d.Save(2); err != nil {
 				t.Error(err)
 			}
 		}
 		d.Close()
 	}
-	if _, err := OpenDisk(vfs.OS{}, filepath.Join(dir, "none"), "n0"); !errors.Is(err, fs.ErrNotExist) {
+	if _, err := OpenIdentity(vfs.OS{}, filepath.Join(dir, "none"), "n0"); !errors.Is(err, fs.ErrNotExist) {
 		t.Errorf("no directory: %v", err)
 	}
 }
--- a/internal/quotalease/golden_test.go
+++ b/internal/quotalease/golden_test.go
@@ -32,7 +32,7 @@
 	at    time.Duration
 	from  int
 	to    int
-	claim *quotalease.Claim
+	claim *quotalease.Request
 	grant *quotalease.Grant
 }
 
@@ -62,10 +62,10 @@
 		holder := quotalease.NewHolder(p.gateways, i, id)
 		r.processes = append(r.processes, &leaseProcess{index: i, incarnation: 1, holder: holder})
 	}
-	for range quotalease.Voters(p.gateways) {
+	for range quotalease.VoterCount(p.gateways) {
 		r.voters = append(r.voters, quotalease.NewVoter(p.gateways, r.now))
 	}
-	r.trace.Int(int64(quotalease.Each(p.gateways)))
+	r.trace.Int(int64(quotalease.SlotsPerGateway(p.gateways)))
 	r.trace.Int(int64(len(r.voters)))
 	for range p.rounds {
 		r.now += time.Duration(20+r.rng.IntN(100)) * time.Millisecond
@@ -91,9 +91,9 @@
 	case 4:
 		process := r.processes[index]
 		process.incarnation++
-		process.holder.Renamed(membership.ID{Incarnation: process.incarnation, Nonce: r.rng.Uint32()})
+		process.holder.ChangeID(membership.ID{Incarnation: process.incarnation, Nonce: r.rng.Uint32()})
 	case 5:
-		r.processes[index].holder.Drop()
+		r.processes[index].holder.ReleaseAll()
 	case 6:
 		process := r.processes[index]
 		process.incarnation++
@@ -108,34 +108,34 @@
 func (r *leaseRun) step(process *leaseProcess) {
 	isGone := func(i int) bool { return r.isDown[i] }
 	isThere := func(i int) bool { return !r.isDown[i] }
-	want := quotalease.Wanted(r.gateways, process.index, isGone, isThere)
+	want := quotalease.WantedSlots(r.gateways, process.index, isGone, isThere)
 	r.recordSet(want)
-	if process.holder.Cease(r.now, want) {
+	if process.holder.Release(r.now, want) {
 		r.trace.Int(1)
 		if r.rng.IntN(3) > 0 {
-			want = process.holder.Wants()
+			want = process.holder.Requested()
 		}
 	}
-	if claim, ok := process.holder.Claim(r.now, want); ok {
+	if claim, ok := process.holder.NextRequest(r.now, want); ok {
 		r.trace.Int(2)
 		r.trace.Uint(uint64(claim.ID.Incarnation))
 		r.trace.Uint(uint64(claim.ID.Nonce))
-		r.trace.Uint(uint64(claim.Seq))
-		r.recordSet(claim.Seats)
+		r.trace.Uint(uint64(claim.Sequence))
+		r.recordSet(claim.Slots)
 		for voter := range r.voters {
 			r.send(leaseMessage{from: process.index, to: voter, claim: &claim})
 		}
 	}
 	held, until := process.holder.Held(r.now)
-	part, partUntil := process.holder.Part(r.now)
+	part, partUntil := process.holder.Fraction(r.now)
 	r.trace.Int(int64(held))
 	r.trace.Duration(until)
 	r.trace.Float(part)
 	r.trace.Duration(partUntil)
-	for i := range r.gateways * quotalease.Each(r.gateways) {
-		r.trace.Bool(process.holder.Has(i, r.now))
+	for i := range r.gateways * quotalease.SlotsPerGateway(r.gateways) {
+		r.trace.Bool(process.holder.IsHeld(i, r.now))
 	}
-	r.recordSet(process.holder.Wants())
+	r.recordSet(process.holder.Requested())
 }
 
 // send puts a message on its way, once, twice or not at all.
@@ -163,25 +163,25 @@
 			continue
 		}
 		if message.grant != nil {
-			r.trace.Bool(quotalease.Check(r.gateways, message.grant.Seats) == nil)
-			r.processes[message.to].holder.Granted(message.from, *message.grant)
+			r.trace.Bool(quotalease.ValidateSlots(r.gateways, message.grant.Slots) == nil)
+			r.processes[message.to].holder.HandleGrant(message.from, *message.grant)
 			continue
 		}
-		r.trace.Bool(quotalease.Check(r.gateways, message.claim.Seats) == nil)
-		grant, ok := r.voters[message.to].Asked(r.now, message.from, *message.claim)
+		r.trace.Bool(quotalease.ValidateSlots(r.gateways, message.claim.Slots) == nil)
+		grant, ok := r.voters[message.to].HandleRequest(r.now, message.from, *message.claim)
 		r.trace.Bool(ok)
 		if !ok {
 			continue
 		}
 		r.trace.Uint(uint64(grant.ID.Incarnation))
 		r.trace.Uint(uint64(grant.ID.Nonce))
-		r.trace.Uint(uint64(grant.Seq))
-		r.recordSet(grant.Seats)
+		r.trace.Uint(uint64(grant.Sequence))
+		r.recordSet(grant.Slots)
 		r.send(leaseMessage{from: message.to, to: message.from, grant: &grant})
 	}
 }
 
-func (r *leaseRun) recordSet(set quotalease.Set) { r.trace.String(string(set)) }
+func (r *leaseRun) recordSet(set quotalease.SlotSet) { r.trace.String(string(set)) }
 
 // TestGoldenLeases holds that leases are granted as in the program that the hashes were recorded from.
 func TestGoldenLeases(t *testing.T) {
--- a/internal/quotalease/model_test.go
+++ b/internal/quotalease/model_test.go
@@ -14,7 +14,7 @@
 // claims (each comes to two voters, whichever), grants, losses, doubles, late messages, a change of mind, and the passing of time is explored, within the bounds below, on the
 // code that serves.
 const (
-	modelStep = Lease * 11 / 20
+	modelStep = LeaseDuration * 11 / 20
 	modelMsgs = 3 // under way at once
 )
 
@@ -40,7 +40,7 @@
 
 type modelMsg struct {
 	door, voter int
-	claim       *Claim
+	claim       *Request
 	grant       *Grant
 }
 
@@ -62,9 +62,9 @@
 	}
 	for i := range 2 {
 		h := NewHolder(3, i, membership.ID{Incarnation: 1})
-		h.since = h.since[:1]
-		for v := range h.yes {
-			h.yes[v] = h.yes[v][:1]
+		h.requestedSince = h.requestedSince[:1]
+		for v := range h.granted {
+			h.granted[v] = h.granted[v][:1]
 		}
 		m.holders = append(m.holders, h)
 	}
@@ -73,7 +73,7 @@
 
 // one leaves a voter with the one seat.
 func one(v *Voter) *Voter {
-	v.seats = v.seats[:1]
+	v.slots = v.slots[:1]
 	return v
 }
 
@@ -82,15 +82,15 @@
 	c.voters, c.holders, c.msgs = nil, nil, slices.Clone(m.msgs)
 	for _, v := range m.voters {
 		n := *v
-		n.seats, n.heard = slices.Clone(v.seats), slices.Clone(v.heard)
+		n.slots, n.lastRequests = slices.Clone(v.slots), slices.Clone(v.lastRequests)
 		c.voters = append(c.voters, &n)
 	}
 	for _, h := range m.holders {
 		n := *h
-		n.sent, n.wants, n.ceased, n.since = slices.Clone(h.sent), slices.Clone(h.wants), slices.Clone(h.ceased), slices.Clone(h.since)
-		n.yes = nil
-		for _, y := range h.yes {
-			n.yes = append(n.yes, slices.Clone(y))
+		n.sentAt, n.requested, n.released, n.requestedSince = slices.Clone(h.sentAt), slices.Clone(h.requested), slices.Clone(h.released), slices.Clone(h.requestedSince)
+		n.granted = nil
+		for _, y := range h.granted {
+			n.granted = append(n.granted, slices.Clone(y))
 		}
 		c.holders = append(c.holders, &n)
 	}
@@ -105,23 +105,23 @@
 			b = append(b, byte(x+100))
 		}
 	}
-	tenths := func(d time.Duration) int { return int(max(-9, (d-time.Hour)*100/Lease/5)) }
-	has := func(s Set) int { return int(s[0] & 1) }
+	tenths := func(d time.Duration) int { return int(max(-9, (d-time.Hour)*100/LeaseDuration/5)) }
+	has := func(s SlotSet) int { return int(s[0] & 1) }
 	put(tenths(m.now), m.claims[0], m.claims[1], m.restarts, m.doubles)
 	for _, v := range m.voters {
-		s := &v.seats[0]
-		put(tenths(v.from), s.rank, tenths(s.until), tenths(s.homeAsked), int(v.heard[0].seq), int(v.heard[1].seq))
+		s := &v.slots[0]
+		put(tenths(v.grantsFrom), s.holder, tenths(s.heldUntil), tenths(s.ownerDeniedAt), int(v.lastRequests[0].sequence), int(v.lastRequests[1].sequence))
 	}
 	for _, h := range m.holders {
-		put(int(h.seq), tenths(h.sent[1]), tenths(h.sent[2]), has(h.wants), int(h.since[0]), int(h.yes[0][0]), int(h.yes[1][0]), int(h.yes[2][0]))
+		put(int(h.sequence), tenths(h.sentAt[1]), tenths(h.sentAt[2]), has(h.requested), int(h.requestedSince[0]), int(h.granted[0][0]), int(h.granted[1][0]), int(h.granted[2][0]))
 	}
 	var all []int
 	for _, x := range m.msgs {
 		n := x.door<<8 | x.voter<<4
 		if x.claim != nil {
-			n |= 1<<12 | int(x.claim.Seq)<<1 | has(x.claim.Seats)
+			n |= 1<<12 | int(x.claim.Sequence)<<1 | has(x.claim.Slots)
 		} else {
-			n |= int(x.grant.Seq)<<1 | has(x.grant.Seats)
+			n |= int(x.grant.Sequence)<<1 | has(x.grant.Slots)
 		}
 		all = append(all, n)
 	}
@@ -134,7 +134,7 @@
 
 // explore looks at all that may follow and returns a path to a seat that is held twice; nil: there is none.
 func explore(m *model, broken flaw, seen map[string]bool) []string {
-	if m.holders[0].Has(0, m.now) && m.holders[1].Has(0, m.now) {
+	if m.holders[0].IsHeld(0, m.now) && m.holders[1].IsHeld(0, m.now) {
 		return []string{"held twice"}
 	}
 	k := m.key()
@@ -152,18 +152,18 @@
 	}
 	for d := range 2 {
 		for _, wants := range []bool{true, false} {
-			if m.claims[d] >= m.most.claims[d] || len(m.msgs)+2 > m.most.msgs || !wants && !m.holders[d].wants.Has(0) {
+			if m.claims[d] >= m.most.claims[d] || len(m.msgs)+2 > m.most.msgs || !wants && !m.holders[d].requested.Has(0) {
 				continue
 			}
 			for lost := range 3 {
 				if p := try(fmt.Sprintf("%d claims %v, but not of %d", d, wants, lost), func(n *model) {
-					want := NewSet(3)
+					want := NewSlotSet(3)
 					if wants {
 						want.Add(0)
 					}
 					n.claims[d]++
-					n.holders[d].claimAt = 0
-					if c, ok := n.holders[d].Claim(n.now, want); ok {
+					n.holders[d].requestedAt = 0
+					if c, ok := n.holders[d].NextRequest(n.now, want); ok {
 						for v := range 3 {
 							if v != lost {
 								n.msgs = append(n.msgs, modelMsg{door: d, voter: v, claim: &c})
@@ -205,7 +205,7 @@
 			n.restarts++
 			n.voters[2] = one(NewVoter(3, n.now))
 			if broken == noWarmup {
-				n.voters[2].from = 0
+				n.voters[2].grantsFrom = 0
 			}
 		}); p != nil {
 			return p
@@ -219,15 +219,15 @@
 		v := m.voters[x.voter]
 		switch broken {
 		case oldClaims:
-			v.heard[x.door] = claimant{}
+			v.lastRequests[x.door] = receivedRequest{}
 		case twiceGiven:
-			v.seats[0].until = 0
+			v.slots[0].heldUntil = 0
 		}
-		g, ok := v.Asked(m.now, x.door, *x.claim)
+		g, ok := v.HandleRequest(m.now, x.door, *x.claim)
 		if broken == shortHold {
-			v.seats[0].until = min(v.seats[0].until, m.now+Lease/2)
+			v.slots[0].heldUntil = min(v.slots[0].heldUntil, m.now+LeaseDuration/2)
 		}
-		if ok && g.Seats.Has(0) {
+		if ok && g.Slots.Has(0) {
 			m.msgs = append(m.msgs, modelMsg{door: x.door, voter: x.voter, grant: &g})
 		}
 		return
@@ -236,13 +236,13 @@
 	g := *x.grant
 	switch broken {
 	case keepsOld:
-		g.Seq = h.seq
+		g.Sequence = h.sequence
 	case fromAnswer:
-		h.sent[g.Seq%remembered] = m.now
+		h.sentAt[g.Sequence%requestHistory] = m.now
 	case anyVoter:
-		h.Granted((x.voter+1)%3, g)
+		h.HandleGrant((x.voter+1)%3, g)
 	}
-	h.Granted(x.voter, g)
+	h.HandleGrant(x.voter, g)
 }
 
 // modelled are the explorations: with a voter that starts anew, with doubled messages, and with a change of mind.
--- a/internal/quotalease/seats.go
+++ b/internal/quotalease/seats.go
@@ -22,49 +22,51 @@
 
 // Times; ours.
 const (
-	ClaimEvery = 400 * time.Millisecond
-	Lease      = 2 * time.Second
-	Drift      = 0.01 // part by which a door's clock may go too fast or too slow
+	RequestInterval = 400 * time.Millisecond
+	LeaseDuration   = 2 * time.Second
+	MaxClockDrift   = 0.01 // part by which a door's clock may go too fast or too slow
 
-	// hold is how long a voter keeps a seat for a door after it heard the claim: the lease on the slowest clock by this, the fastest.
-	hold = time.Duration(float64(Lease) * (1 + 3*Drift))
+	// voterHoldDuration is how long a voter keeps a seat for a door after it heard the claim: the lease on the slowest clock by this, the fastest.
+	voterHoldDuration = time.Duration(float64(LeaseDuration) * (1 + 3*MaxClockDrift))
 )
 
 // Bounds.
 const (
-	MostVoters = 7
-	seatsAbout = 60 // in all, in small fleets
-	mostEach   = 20
-	leastEach  = 2
+	MaxVoters          = 7
+	targetSlots        = 60 // in all, in small fleets
+	maxSlotsPerGateway = 20
+	minSlotsPerGateway = 2
 )
 
-// Each is how many seats each door of a list has.
-func Each(doors int) int { return min(mostEach, max(leastEach, seatsAbout/max(1, doors))) }
+// SlotsPerGateway is how many seats each door of a list has.
+func SlotsPerGateway(doors int) int {
+	return min(maxSlotsPerGateway, max(minSlotsPerGateway, targetSlots/max(1, doors)))
+}
 
-// Voters is how many of the first doors of a list vote: an odd number where that can be.
-func Voters(doors int) int {
+// VoterCount is how many of the first doors of a list vote: an odd number where that can be.
+func VoterCount(doors int) int {
 	switch {
-	case doors >= MostVoters:
-		return MostVoters
+	case doors >= MaxVoters:
+		return MaxVoters
 	case doors > 2 && doors%2 == 0:
 		return doors - 1
 	}
 	return doors
 }
 
-// Set is a set of seats, a bit each.
-type Set []byte
+// SlotSet is a set of seats, a bit each.
+type SlotSet []byte
 
-// NewSet makes an empty set for a list of doors.
-func NewSet(doors int) Set { return make(Set, (doors*Each(doors)+7)/8) }
+// NewSlotSet makes an empty set for a list of doors.
+func NewSlotSet(doors int) SlotSet { return make(SlotSet, (doors*SlotsPerGateway(doors)+7)/8) }
 
 // Has says whether a seat is in it.
-func (s Set) Has(i int) bool { return s[i/8]&(1<<(i%8)) != 0 }
+func (s SlotSet) Has(i int) bool { return s[i/8]&(1<<(i%8)) != 0 }
 
 // Add puts a seat in.
-func (s Set) Add(i int) { s[i/8] |= 1 << (i % 8) }
+func (s SlotSet) Add(i int) { s[i/8] |= 1 << (i % 8) }
 
-func empty(s Set) bool {
+func empty(s SlotSet) bool {
 	for _, b := range s {
 		if b != 0 {
 			return false
@@ -73,28 +75,28 @@
 	return true
 }
 
-// Claim is what a door asks a voter for.
-type Claim struct {
-	_     struct{} `cbor:",toarray"`
-	ID    membership.ID
-	Seq   uint32 // grows with each claim of a process
-	Seats Set    // that it holds or wants; others are free of it
+// Request is what a door asks a voter for.
+type Request struct {
+	_        struct{} `cbor:",toarray"`
+	ID       membership.ID
+	Sequence uint32  // grows with each claim of a process
+	Slots    SlotSet // that it holds or wants; others are free of it
 }
 
 // Grant answers a Claim.
 type Grant struct {
-	_     struct{}      `cbor:",toarray"`
-	ID    membership.ID // of the claim
-	Seq   uint32
-	Seats Set // to which the voter has said yes
+	_        struct{}      `cbor:",toarray"`
+	ID       membership.ID // of the claim
+	Sequence uint32
+	Slots    SlotSet // to which the voter has said yes
 }
 
-// Check says what is wrong with a set that came.
-func Check(doors int, s Set) error {
-	if n := len(NewSet(doors)); len(s) != n {
+// ValidateSlots says what is wrong with a set that came.
+func ValidateSlots(doors int, s SlotSet) error {
+	if n := len(NewSlotSet(doors)); len(s) != n {
 		return fmt.Errorf("set of seats of %d bytes, not %d", len(s), n)
 	}
-	if rest := doors * Each(doors) % 8; rest > 0 && s[len(s)-1]>>rest != 0 {
+	if rest := doors * SlotsPerGateway(doors) % 8; rest > 0 && s[len(s)-1]>>rest != 0 {
 		return fmt.Errorf("set with a seat that is not there")
 	}
 	return nil
@@ -102,100 +104,100 @@
 
 // Voter says yes or no. Not every door has one that is asked.
 type Voter struct {
-	doors int
-	from  time.Duration // it says yes from then on
-	seats []seat
-	heard []claimant
+	gateways     int
+	grantsFrom   time.Duration // it says yes from then on
+	slots        []slot
+	lastRequests []receivedRequest
 }
 
-type seat struct {
-	rank      int
-	id        membership.ID
-	until     time.Duration
-	homeAsked time.Duration // when its own door last asked for it in vain; 0: not
+type slot struct {
+	holder        int
+	holderID      membership.ID
+	heldUntil     time.Duration
+	ownerDeniedAt time.Duration // when its own door last asked for it in vain; 0: not
 }
 
-type claimant struct {
-	id  membership.ID
-	seq uint32
+type receivedRequest struct {
+	id       membership.ID
+	sequence uint32
 }
 
 // NewVoter makes one that has just started.
 func NewVoter(doors int, now time.Duration) *Voter {
-	return &Voter{doors: doors, from: now + hold, seats: make([]seat, doors*Each(doors)), heard: make([]claimant, doors)}
+	return &Voter{gateways: doors, grantsFrom: now + voterHoldDuration, slots: make([]slot, doors*SlotsPerGateway(doors)), lastRequests: make([]receivedRequest, doors)}
 }
 
-// Asked takes a claim that has passed Check. It returns false for one that is older than another of its door.
-func (v *Voter) Asked(now time.Duration, rank int, c Claim) (Grant, bool) {
-	h := &v.heard[rank]
-	if c.ID.Before(h.id) || c.ID == h.id && c.Seq <= h.seq {
+// HandleRequest takes a claim that has passed Check. It returns false for one that is older than another of its door.
+func (v *Voter) HandleRequest(now time.Duration, rank int, c Request) (Grant, bool) {
+	h := &v.lastRequests[rank]
+	if c.ID.Before(h.id) || c.ID == h.id && c.Sequence <= h.sequence {
 		return Grant{}, false
 	}
-	h.id, h.seq = c.ID, c.Seq
-	g := Grant{ID: c.ID, Seq: c.Seq, Seats: NewSet(v.doors)}
-	if now < v.from {
+	h.id, h.sequence = c.ID, c.Sequence
+	g := Grant{ID: c.ID, Sequence: c.Sequence, Slots: NewSlotSet(v.gateways)}
+	if now < v.grantsFrom {
 		return g, true
 	}
-	each := Each(v.doors)
-	for i := range v.seats {
-		s := &v.seats[i]
-		mine := s.rank == rank && s.id == c.ID && now < s.until
+	each := SlotsPerGateway(v.gateways)
+	for i := range v.slots {
+		s := &v.slots[i]
+		mine := s.holder == rank && s.holderID == c.ID && now < s.heldUntil
 		home := i/each == rank
 		switch {
-		case !c.Seats.Has(i):
+		case !c.Slots.Has(i):
 			if mine {
-				s.until = 0
+				s.heldUntil = 0
 			}
 			if home {
-				s.homeAsked = 0
+				s.ownerDeniedAt = 0
 			}
 			continue
-		case now < s.until && !mine: // another door's, or an earlier process's of this one
+		case now < s.heldUntil && !mine: // another door's, or an earlier process's of this one
 			if home {
-				s.homeAsked = now
+				s.ownerDeniedAt = now
 			}
 			continue
-		case !home && s.homeAsked > 0 && now-s.homeAsked < Lease: // its own door goes first
+		case !home && s.ownerDeniedAt > 0 && now-s.ownerDeniedAt < LeaseDuration: // its own door goes first
 			continue
 		}
 		if home {
-			s.homeAsked = 0
+			s.ownerDeniedAt = 0
 		}
-		s.rank, s.id, s.until = rank, c.ID, now+hold
-		g.Seats.Add(i)
+		s.holder, s.holderID, s.heldUntil = rank, c.ID, now+voterHoldDuration
+		g.Slots.Add(i)
 	}
 	return g, true
 }
 
 // Holder is a door that holds seats.
 type Holder struct {
-	doors, rank int
-	id          membership.ID
-	seq         uint32
-	sent        []time.Duration // when the last claims went out, by seq, round
-	wants       Set             // what the last claim named
-	ceased      Set             // what is not used any more, though claims may still name it
-	since       []uint32        // by seat: the first claim since which it has been named without a break
-	yes         [][]uint32      // by voter and seat: the last claim that the voter said yes to
-	claimAt     time.Duration   // of the last; one that changes what is wanted waits for half of ClaimEvery only
+	gateways, rank int
+	id             membership.ID
+	sequence       uint32
+	sentAt         []time.Duration // when the last claims went out, by seq, round
+	requested      SlotSet         // what the last claim named
+	released       SlotSet         // what is not used any more, though claims may still name it
+	requestedSince []uint32        // by seat: the first claim since which it has been named without a break
+	granted        [][]uint32      // by voter and seat: the last claim that the voter said yes to
+	requestedAt    time.Duration   // of the last; one that changes what is wanted waits for half of ClaimEvery only
 }
 
-// remembered is how many claims a grant may be late by.
-const remembered = 16
+// requestHistory is how many claims a grant may be late by.
+const requestHistory = 16
 
 // NewHolder makes a door that holds nothing.
 func NewHolder(doors, rank int, id membership.ID) *Holder {
-	h := &Holder{doors: doors, rank: rank, id: id, sent: make([]time.Duration, remembered), wants: NewSet(doors), ceased: NewSet(doors), since: make([]uint32, doors*Each(doors))}
-	for range Voters(doors) {
-		h.yes = append(h.yes, make([]uint32, doors*Each(doors)))
+	h := &Holder{gateways: doors, rank: rank, id: id, sentAt: make([]time.Duration, requestHistory), requested: NewSlotSet(doors), released: NewSlotSet(doors), requestedSince: make([]uint32, doors*SlotsPerGateway(doors))}
+	for range VoterCount(doors) {
+		h.granted = append(h.granted, make([]uint32, doors*SlotsPerGateway(doors)))
 	}
 	return h
 }
 
-// Wanted is what a door asks for, by what it takes the others to be: its own seats, and those of doors that are gone, dealt out evenly
+// WantedSlots is what a door asks for, by what it takes the others to be: its own seats, and those of doors that are gone, dealt out evenly
 // to those that are there. Gone says of a door that its seats are to be used by others; there, that it uses some.
-func Wanted(doors, rank int, gone, there func(rank int) bool) Set {
-	each, want := Each(doors), NewSet(doors)
+func WantedSlots(doors, rank int, gone, there func(rank int) bool) SlotSet {
+	each, want := SlotsPerGateway(doors), NewSlotSet(doors)
 	var users []int
 	place := -1
 	for r := range doors {
@@ -216,76 +218,78 @@
 	return want
 }
 
-// Cease takes seats that are not wanted any more out of what is held, and says whether there were such: then Claim is to be called with
+// Release takes seats that are not wanted any more out of what is held, and says whether there were such: then Claim is to be called with
 // the new wish only when nobody uses them.
-func (h *Holder) Cease(now time.Duration, want Set) (some bool) {
-	for i := range h.since {
-		if h.wants.Has(i) && !want.Has(i) && !h.ceased.Has(i) {
-			some = some || h.until(i, now) > 0
-			h.ceased.Add(i)
+func (h *Holder) Release(now time.Duration, want SlotSet) (some bool) {
+	for i := range h.requestedSince {
+		if h.requested.Has(i) && !want.Has(i) && !h.released.Has(i) {
+			some = some || h.leaseEnd(i, now) > 0
+			h.released.Add(i)
 		}
 	}
 	return some
 }
 
-// Wants is what the last claim named.
-func (h *Holder) Wants() Set { return h.wants }
+// Requested is what the last claim named.
+func (h *Holder) Requested() SlotSet { return h.requested }
 
-// Claim says what to ask all voters for now; false: nothing is due. What is no longer wanted is not held from now on.
-func (h *Holder) Claim(now time.Duration, want Set) (Claim, bool) {
-	changed := string(want) != string(h.wants)
-	if due := h.claimAt + ClaimEvery; h.seq > 0 && !empty(want) && (now < due && !changed || now < due-ClaimEvery/2) {
-		return Claim{}, false
+// NextRequest says what to ask all voters for now; false: nothing is due. What is no longer wanted is not held from now on.
+func (h *Holder) NextRequest(now time.Duration, want SlotSet) (Request, bool) {
+	changed := string(want) != string(h.requested)
+	if due := h.requestedAt + RequestInterval; h.sequence > 0 && !empty(want) && (now < due && !changed || now < due-RequestInterval/2) {
+		return Request{}, false
 	}
-	h.claimAt = now
-	h.seq++
-	h.sent[h.seq%remembered] = now
-	for i := range h.since {
-		if want.Has(i) && (!h.wants.Has(i) || h.ceased.Has(i)) {
-			h.since[i] = h.seq
+	h.requestedAt = now
+	h.sequence++
+	h.sentAt[h.sequence%requestHistory] = now
+	for i := range h.requestedSince {
+		if want.Has(i) && (!h.requested.Has(i) || h.released.Has(i)) {
+			h.requestedSince[i] = h.sequence
 		}
 	}
-	h.wants = append(h.wants[:0], want...)
-	h.ceased = NewSet(h.doors)
-	return Claim{ID: h.id, Seq: h.seq, Seats: append(Set(nil), want...)}, true
+	h.requested = append(h.requested[:0], want...)
+	h.released = NewSlotSet(h.gateways)
+	return Request{ID: h.id, Sequence: h.sequence, Slots: append(SlotSet(nil), want...)}, true
 }
 
-// Drop gives all up: nothing is held from now on.
-func (h *Holder) Drop() { h.wants, h.ceased = NewSet(h.doors), NewSet(h.doors) }
+// ReleaseAll gives all up: nothing is held from now on.
+func (h *Holder) ReleaseAll() {
+	h.requested, h.released = NewSlotSet(h.gateways), NewSlotSet(h.gateways)
+}
 
-// Renamed goes on as another process: what the former one had is not held any more.
-func (h *Holder) Renamed(id membership.ID) {
-	h.Drop()
+// ChangeID goes on as another process: what the former one had is not held any more.
+func (h *Holder) ChangeID(id membership.ID) {
+	h.ReleaseAll()
 	h.id = id
 }
 
-// Granted takes a voter's answer, that has passed Check.
-func (h *Holder) Granted(voter int, g Grant) {
-	if g.ID != h.id || g.Seq > h.seq || h.seq-g.Seq >= remembered || voter < 0 || voter >= len(h.yes) {
+// HandleGrant takes a voter's answer, that has passed Check.
+func (h *Holder) HandleGrant(voter int, g Grant) {
+	if g.ID != h.id || g.Sequence > h.sequence || h.sequence-g.Sequence >= requestHistory || voter < 0 || voter >= len(h.granted) {
 		return
 	}
-	for i, seq := range h.yes[voter] {
-		if g.Seats.Has(i) && g.Seq > seq {
-			h.yes[voter][i] = g.Seq
+	for i, seq := range h.granted[voter] {
+		if g.Slots.Has(i) && g.Sequence > seq {
+			h.granted[voter][i] = g.Sequence
 		}
 	}
 }
 
-// until is when a seat's lease ends: that which the last of the first majority gave.
-func (h *Holder) until(i int, now time.Duration) time.Duration {
-	if !h.wants.Has(i) || h.ceased.Has(i) {
+// leaseEnd is when a seat's lease ends: that which the last of the first majority gave.
+func (h *Holder) leaseEnd(i int, now time.Duration) time.Duration {
+	if !h.requested.Has(i) || h.released.Has(i) {
 		return 0
 	}
-	need := len(h.yes)/2 + 1
+	need := len(h.granted)/2 + 1
 	best := time.Duration(0)
-	for _, a := range h.yes { // few voters
-		end := h.end(a[i], i)
+	for _, a := range h.granted { // few voters
+		end := h.grantEnd(a[i], i)
 		if end <= best {
 			continue
 		}
 		n := 0
-		for _, b := range h.yes {
-			if h.end(b[i], i) >= end {
+		for _, b := range h.granted {
+			if h.grantEnd(b[i], i) >= end {
 				n++
 			}
 		}
@@ -299,18 +303,18 @@
 	return best
 }
 
-// end is when what a voter said yes to ends.
-func (h *Holder) end(seq uint32, seat int) time.Duration {
-	if seq == 0 || seq < h.since[seat] || h.seq-seq >= remembered {
+// grantEnd is when what a voter said yes to ends.
+func (h *Holder) grantEnd(seq uint32, seat int) time.Duration {
+	if seq == 0 || seq < h.requestedSince[seat] || h.sequence-seq >= requestHistory {
 		return 0
 	}
-	return h.sent[seq%remembered] + Lease
+	return h.sentAt[seq%requestHistory] + LeaseDuration
 }
 
 // Held is how many seats are held now, and until when at least all of them.
 func (h *Holder) Held(now time.Duration) (seats int, until time.Duration) {
-	for i := range h.since {
-		if u := h.until(i, now); u > 0 {
+	for i := range h.requestedSince {
+		if u := h.leaseEnd(i, now); u > 0 {
 			if seats++; until == 0 || u < until {
 				until = u
 			}
@@ -319,11 +323,11 @@
 	return seats, until
 }
 
-// Has says whether one seat is held now.
-func (h *Holder) Has(i int, now time.Duration) bool { return h.until(i, now) > 0 }
+// IsHeld says whether one seat is held now.
+func (h *Holder) IsHeld(i int, now time.Duration) bool { return h.leaseEnd(i, now) > 0 }
 
-// Part is what the seats held are of all, and until when.
-func (h *Holder) Part(now time.Duration) (part float64, until time.Duration) {
+// Fraction is what the seats held are of all, and until when.
+func (h *Holder) Fraction(now time.Duration) (part float64, until time.Duration) {
 	n, until := h.Held(now)
-	return float64(n) / float64(len(h.since)), until
+	return float64(n) / float64(len(h.requestedSince)), until
 }
--- a/internal/service/hosted/config.go
+++ b/internal/service/hosted/config.go
@@ -44,7 +44,7 @@
 		Ceilings                       string // demand or even
 		Allow                          []string
 	}
-	Fleet *peer.File
+	Fleet *peer.FileSettings
 	poolParts
 	Pool []struct {
 		Name, Discovery, Counter, Zone, Seed string
@@ -202,7 +202,7 @@
 	Several   bool // the file has pools, though it may be one
 	Listeners []Listener
 	Accounts  *account.Table // by whose credentials checks are known
-	Fleet     *peer.Section  // nil: this door stands alone
+	Fleet     *peer.Settings // nil: this door stands alone
 	Shared    extauthz.SharedConfig
 	Disk      vfs.FS // that states are kept on; nil: the operating system's. Tests set it
 
@@ -311,7 +311,7 @@
 }
 
 // fleet checks [fleet], and puts the number of doors and this one's rank where the rest of the file has them.
-func (f *configFile) fleet(allow []netip.Prefix) (*peer.Section, error) {
+func (f *configFile) fleet(allow []netip.Prefix) (*peer.Settings, error) {
 	n := &f.Node
 	if f.Fleet == nil {
 		return nil, nil
@@ -326,13 +326,13 @@
 	} else if err != nil {
 		return nil, err
 	}
-	if n.Doors != 0 && n.Doors != len(s.Doors) {
-		return nil, fault("node.doors", "is %d, but [fleet] has %d", n.Doors, len(s.Doors))
+	if n.Doors != 0 && n.Doors != len(s.Gateways) {
+		return nil, fault("node.doors", "is %d, but [fleet] has %d", n.Doors, len(s.Gateways))
 	}
-	if n.Rank != 0 && n.Rank != s.Rank {
-		return nil, fault("node.rank", "is %d, but %s is number %d of [fleet]", n.Rank, n.Name, s.Rank)
+	if n.Rank != 0 && n.Rank != s.Index {
+		return nil, fault("node.rank", "is %d, but %s is number %d of [fleet]", n.Rank, n.Name, s.Index)
 	}
-	n.Doors, n.Rank = len(s.Doors), s.Rank
+	n.Doors, n.Rank = len(s.Gateways), s.Index
 	return s, nil
 }
 
--- a/internal/service/hosted/document.go
+++ b/internal/service/hosted/document.go
@@ -89,4 +89,4 @@
 }
 
 // policyOn says that the fleet has one policy.
-func policyOn(s *peer.Section) bool { return s != nil && s.Policy != nil }
+func policyOn(s *peer.Settings) bool { return s != nil && s.Policy != nil }
--- a/internal/service/hosted/fleet.go
+++ b/internal/service/hosted/fleet.go
@@ -21,8 +21,8 @@
 
 // fleetSide is this process's part in a fleet of front doors. Pools go by its standing; each takes the newest when its loop comes to it.
 type fleetSide struct {
-	peers   *peer.Peers
-	disk    *peer.Disk
+	peers   *peer.Transport
+	disk    *peer.IdentityStore
 	control net.Listener // of operators; nil: none
 	srv     *http.Server
 
@@ -32,7 +32,7 @@
 	wrongClock atomic.Bool // this door asks the counter for nothing: it would name other numbers than the others
 
 	mu    sync.Mutex
-	last  cluster.Standing
+	last  cluster.ShareLease
 	pools map[*proxy.Proxy]*posted
 }
 
@@ -40,20 +40,20 @@
 type posted struct {
 	core    *proxy.Proxy
 	name    string // by which other doors know it
-	next    atomic.Pointer[cluster.Standing]
+	next    atomic.Pointer[cluster.ShareLease]
 	waits   atomic.Bool // a task that takes it is on its way
 	applied atomic.Uint64
 }
 
 // newFleet takes the state directory and the addresses.
-func (s *Service) newFleet(cfg *peer.Section, name string) (*fleetSide, error) {
-	f := &fleetSide{pools: map[*proxy.Proxy]*posted{}, last: cluster.Standing{Out: true}}
+func (s *Service) newFleet(cfg *peer.Settings, name string) (*fleetSide, error) {
+	f := &fleetSide{pools: map[*proxy.Proxy]*posted{}, last: cluster.ShareLease{Excluded: true}}
 	var err error
-	if f.disk, err = peer.OpenDisk(s.disk, cfg.StateDir, name); err != nil {
+	if f.disk, err = peer.OpenIdentity(s.disk, cfg.StateDir, name); err != nil {
 		return nil, fmt.Errorf("fleet.state_dir: %w", err)
 	}
-	f.peers, err = peer.New(peer.Config{Name: name, Listen: cfg.Listen, Doors: cfg.Doors, Key: cfg.Key, Disk: f.disk, Now: s.clock.Now, Log: s.log,
-		Apply: f.apply, Applied: f.applied, Wanted: f.wanted, Loaned: f.loaned, Clock: f.wrongClock.Store, Policy: f.ofPolicy, Step: func() string { return f.recovery.step() }, Keys: func(from int, b []byte) {
+	f.peers, err = peer.New(peer.Config{Name: name, Listen: cfg.Listen, Gateways: cfg.Gateways, Key: cfg.Key, Identity: f.disk, Now: s.clock.Now, Log: s.log,
+		ApplyLease: f.apply, AppliedEpoch: f.applied, HandleLoanRequest: f.wanted, HandleLoan: f.loaned, SetClockWrong: f.wrongClock.Store, HandlePolicy: f.ofPolicy, RecoveryStep: func() string { return f.recovery.step() }, HandleKeys: func(from int, b []byte) {
 			if k := s.keys; k != nil {
 				k.Heard(from, b)
 			}
@@ -100,7 +100,7 @@
 }
 
 // apply implements [peer.Config].Apply.
-func (f *fleetSide) apply(s cluster.Standing) {
+func (f *fleetSide) apply(s cluster.ShareLease) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.last = s
@@ -109,7 +109,7 @@
 	}
 }
 
-func (p *posted) put(s cluster.Standing) {
+func (p *posted) put(s cluster.ShareLease) {
 	p.next.Store(&s)
 	if p.waits.CompareAndSwap(false, true) {
 		go p.core.Post(p.take) // it may wait for a place in the queue; the fleet's loop must not
@@ -120,15 +120,15 @@
 func (p *posted) take() {
 	p.waits.Store(false)
 	s := p.next.Load()
-	lent := p.core.UpdateShare(balancer.ShareUpdate{Fraction: s.Part, Until: s.Until, Excluded: s.Out, DeadGateways: s.Gone})
-	if s.Gen == p.applied.Load() {
+	lent := p.core.UpdateShare(balancer.ShareUpdate{Fraction: s.Fraction, Until: s.Until, Excluded: s.Excluded, DeadGateways: s.DeadGateways})
+	if s.Epoch == p.applied.Load() {
 		return
 	}
 	if now := p.core.Now(); now < lent { // what others were lent of a part that is taken away they use until then
-		p.core.At(lent, func() { p.applied.Store(max(p.applied.Load(), s.Gen)) })
+		p.core.At(lent, func() { p.applied.Store(max(p.applied.Load(), s.Epoch)) })
 		return
 	}
-	p.applied.Store(max(p.applied.Load(), s.Gen))
+	p.applied.Store(max(p.applied.Load(), s.Epoch))
 }
 
 // others carries what a pool tells the other doors.
@@ -136,20 +136,20 @@
 	return func(a balancer.Action) {
 		switch a := a.(type) {
 		case balancer.RequestLoan:
-			f.peers.Want(peer.Want{Pool: name, Customer: a.Customer, Plan: uint16(a.Plan), At: int64(a.At)})
+			f.peers.RequestLoan(peer.LoanRequest{Pool: name, Customer: a.Customer, Plan: uint16(a.Plan), At: int64(a.At)})
 		case balancer.GrantLoan:
-			f.peers.Lend(a.To, peer.Loan{Want: peer.Want{Pool: name, Customer: a.Customer, Plan: uint16(a.Plan), At: int64(a.At)}, Rate: a.Rate, Depth: a.Depth})
+			f.peers.GrantLoan(a.To, peer.Loan{Request: peer.LoanRequest{Pool: name, Customer: a.Customer, Plan: uint16(a.Plan), At: int64(a.At)}, Rate: a.Rate, Depth: a.Depth})
 		}
 	}
 }
 
 // wanted and loaned carry what other doors tell a pool. They return at once; what the pool has no room for is said again.
-func (f *fleetSide) wanted(from int, w peer.Want) {
+func (f *fleetSide) wanted(from int, w peer.LoanRequest) {
 	f.tell(w.Pool, balancer.LoanRequest{From: from, Customer: w.Customer, Plan: int(w.Plan), At: time.Duration(w.At)})
 }
 
 func (f *fleetSide) loaned(from int, l peer.Loan) {
-	f.tell(l.Want.Pool, balancer.LoanGranted{From: from, Customer: l.Want.Customer, Plan: int(l.Want.Plan), At: time.Duration(l.Want.At), Rate: l.Rate, Depth: l.Depth})
+	f.tell(l.Request.Pool, balancer.LoanGranted{From: from, Customer: l.Request.Customer, Plan: int(l.Request.Plan), At: time.Duration(l.Request.At), Rate: l.Rate, Depth: l.Depth})
 }
 
 func (f *fleetSide) tell(pool string, ev balancer.Event) {
@@ -206,7 +206,7 @@
 	act := func(do func(context.Context, string) error) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
 			switch err := do(r.Context(), r.URL.Query().Get("name")); {
-			case errors.Is(err, peer.ErrNoDoor):
+			case errors.Is(err, peer.ErrUnknownGateway):
 				http.Error(w, err.Error(), http.StatusNotFound)
 			case err != nil:
 				http.Error(w, err.Error(), http.StatusConflict)
--- a/internal/service/hosted/fleet_test.go
+++ b/internal/service/hosted/fleet_test.go
@@ -34,7 +34,7 @@
 		t.Fatal(err)
 	}
 	s := c.Node.Settings
-	if !s.LeasedShares || !s.LeaseCeilings || s.Gateways != 3 || s.Index != 0 || s.Plans[0].PartitionPolicy != parting.KeepQuota || c.Fleet.Rank != 0 || len(c.Fleet.Doors) != 3 {
+	if !s.LeasedShares || !s.LeaseCeilings || s.Gateways != 3 || s.Index != 0 || s.Plans[0].PartitionPolicy != parting.KeepQuota || c.Fleet.Index != 0 || len(c.Fleet.Gateways) != 3 {
 		t.Errorf("%+v, %+v", s, c.Fleet)
 	}
 	for _, bad := range []struct{ old, new, key string }{
@@ -84,7 +84,7 @@
 func TestPowerExampleIsGood(t *testing.T) {
 	good := fleetExample(t, "gapgapd-power.toml")
 	c, err := Parse("x", []byte(good))
-	if err != nil || c.Fleet.Remember == nil || c.Fleet.Remember.For != 10*time.Minute || c.Fleet.Remember.Most != 500_000 {
+	if err != nil || c.Fleet.KeyRetention == nil || c.Fleet.KeyRetention.Duration != 10*time.Minute || c.Fleet.KeyRetention.MaxKeys != 500_000 {
 		t.Fatalf("%+v, %v", c, err)
 	}
 	if cl := c.Node.Settings.Classes; cl[0].KeyReserved || !cl[1].KeyReserved || cl[1].Idempotency != balancer.NonIdempotent {
@@ -98,7 +98,7 @@
 func TestPolicyExampleIsGood(t *testing.T) {
 	good := fleetExample(t, "gapgapd-policy.toml")
 	c, err := Parse("x", []byte(good))
-	if err != nil || c.Fleet.Policy == nil || c.Fleet.Policy.Fence || c.Fleet.Policy.Last {
+	if err != nil || c.Fleet.Policy == nil || c.Fleet.Policy.Fence || c.Fleet.Policy.UseLastKnown {
 		t.Fatalf("%+v, %v", c, err)
 	}
 	wrong(t, good, [][3]string{{`mode = "wait"`, `mode = "now"`, "fleet.policy.mode"}, {`give_up = "30s"`, `give_up = "1ms"`, "fleet.policy.give_up"},
--- a/internal/service/hosted/hosted.go
+++ b/internal/service/hosted/hosted.go
@@ -95,7 +95,7 @@
 			}
 		}()
 	}
-	if cfg.Fleet != nil && cfg.Fleet.Remember != nil {
+	if cfg.Fleet != nil && cfg.Fleet.KeyRetention != nil {
 		if s.keys, err = s.newKeys(cfg.Fleet); err != nil {
 			return nil, err
 		}
--- a/internal/service/hosted/keys.go
+++ b/internal/service/hosted/keys.go
@@ -11,9 +11,9 @@
 )
 
 // newKeys opens what this door remembers of keys.
-func (s *Service) newKeys(cfg *peer.Section) (*replica.Side, error) {
-	k, err := replica.New(replica.Config{Rank: cfg.Rank, Doors: len(cfg.Doors), Voters: policyreplica.Voters(len(cfg.Doors)), FS: s.disk, Dir: cfg.StateDir,
-		Inc: s.fleet.disk.Incarnation(), Keep: cfg.Remember.For, Most: cfg.Remember.Most, Now: s.clock.Now, Log: s.log.With("of", "keys"), Tell: s.fleet.peers.TellKeys})
+func (s *Service) newKeys(cfg *peer.Settings) (*replica.Side, error) {
+	k, err := replica.New(replica.Config{Rank: cfg.Index, Doors: len(cfg.Gateways), Voters: policyreplica.Voters(len(cfg.Gateways)), FS: s.disk, Dir: cfg.StateDir,
+		Inc: s.fleet.disk.Incarnation(), Keep: cfg.KeyRetention.Duration, Most: cfg.KeyRetention.MaxKeys, Now: s.clock.Now, Log: s.log.With("of", "keys"), Tell: s.fleet.peers.SendKeys})
 	if err != nil {
 		return nil, fmt.Errorf("fleet.remember: %w", err)
 	}
--- a/internal/service/hosted/metrics.go
+++ b/internal/service/hosted/metrics.go
@@ -123,13 +123,13 @@
 	}
 	p := m.s.fleet.peers
 	v, states := p.View(), map[string]int{}
-	for _, d := range v.Doors {
+	for _, d := range v.Gateways {
 		states[d.State]++
 	}
 	for state, n := range states {
 		gauge(descDoors, float64(n), state)
 	}
-	gauge(descPart, v.Part)
+	gauge(descPart, v.Fraction)
 	as := func(yes bool) float64 {
 		if yes {
 			return 1
@@ -137,11 +137,11 @@
 		return 0
 	}
 	gauge(descClock, as(v.WrongClock))
-	f := &p.Figures
+	f := &p.Stats
 	counter(descMoves, f.Transitions.Load())
 	counter(descDatagrams, f.Sent.Load(), "sent")
 	counter(descDatagrams, f.Received.Load(), "received")
-	counter(descDatagrams, f.Odd.Load(), "odd")
+	counter(descDatagrams, f.Rejected.Load(), "odd")
 	counter(descDatagrams, f.Dropped.Load(), "dropped")
 	counter(descBytes, f.SentBytes.Load(), "sent")
 	counter(descBytes, f.ReceivedBytes.Load(), "received")
--- a/internal/service/hosted/policy.go
+++ b/internal/service/hosted/policy.go
@@ -36,13 +36,13 @@
 func (s *Service) newPolicy(cfg *Config) (*policySide, error) {
 	sec := cfg.Fleet
 	p := &policySide{s: s, guard: proxy.NewDecisionLease()}
-	for _, d := range sec.Doors {
+	for _, d := range sec.Gateways {
 		p.names = append(p.names, d.Name)
 	}
-	pc := policyreplica.Config{Name: cfg.Node.Name, Rank: sec.Rank, Names: p.names, FS: s.disk, Dir: sec.StateDir, Now: s.clock.Now, Log: s.log.With("of", "policy"),
-		Tell: s.fleet.peers.TellPolicy, ID: func() policy.Ref { return policy.Ref{Rank: uint16(sec.Rank), ID: s.fleet.peers.ID()} },
+	pc := policyreplica.Config{Name: cfg.Node.Name, Rank: sec.Index, Names: p.names, FS: s.disk, Dir: sec.StateDir, Now: s.clock.Now, Log: s.log.With("of", "policy"),
+		Tell: s.fleet.peers.SendPolicy, ID: func() policy.Ref { return policy.Ref{Rank: uint16(sec.Index), ID: s.fleet.peers.ID()} },
 		Begin: func() ([]byte, error) { return policyOf(cfg.text) }, GiveUp: sec.Policy.GiveUp, Fence: sec.Policy.Fence, Host: p}
-	if sec.Policy.Last {
+	if sec.Policy.UseLastKnown {
 		pc.Last = sec.Policy.After
 	}
 	var err error
@@ -306,7 +306,7 @@
 	mux.HandleFunc("POST /policy/propose", func(w http.ResponseWriter, r *http.Request) {
 		wait := proposeUsual
 		if d, err := time.ParseDuration(r.URL.Query().Get("wait")); err == nil && d > 0 {
-			wait = min(d, peer.MostWait)
+			wait = min(d, peer.MaxProposalWait)
 		}
 		ctx, cancel := within(w, r, wait)
 		defer cancel()
@@ -332,7 +332,7 @@
 		name := r.URL.Query().Get("name")
 		rank := slices.Index(p.names, name)
 		if rank < 0 {
-			http.Error(w, fmt.Sprintf("%q: %v", name, peer.ErrNoDoor), http.StatusNotFound)
+			http.Error(w, fmt.Sprintf("%q: %v", name, peer.ErrUnknownGateway), http.StatusNotFound)
 			return
 		}
 		for reason := ""; ; {
@@ -359,7 +359,7 @@
 		for _, name := range r.URL.Query()["lost"] {
 			rank := slices.Index(p.names, name)
 			if rank < 0 {
-				http.Error(w, fmt.Sprintf("%q: %v", name, peer.ErrNoDoor), http.StatusNotFound)
+				http.Error(w, fmt.Sprintf("%q: %v", name, peer.ErrUnknownGateway), http.StatusNotFound)
 				return
 			}
 			lost = append(lost, rank)
@@ -378,7 +378,7 @@
 		defer cancel()
 		rank := slices.Index(p.names, r.URL.Query().Get("name"))
 		if rank < 0 {
-			http.Error(w, fmt.Sprintf("%q: %v", r.URL.Query().Get("name"), peer.ErrNoDoor), http.StatusNotFound)
+			http.Error(w, fmt.Sprintf("%q: %v", r.URL.Query().Get("name"), peer.ErrUnknownGateway), http.StatusNotFound)
 			return
 		}
 		said, err := p.side.Ask(ctx, policy.Say{Forget: uint16(rank) + 1})
--- a/internal/service/hosted/recovery.go
+++ b/internal/service/hosted/recovery.go
@@ -37,7 +37,7 @@
 func (s *Service) newComingBack(cfg *Config) *comingBack {
 	c := &comingBack{s: s, stop: make(chan struct{})}
 	c.trust(fmt.Sprintf("incarnation %d, by the disk", s.fleet.disk.Incarnation()))
-	t := recovery.Terms{Doors: len(cfg.Fleet.Doors), Policy: s.policy != nil, PolicyMust: s.policy != nil && !cfg.Fleet.Policy.Last}
+	t := recovery.Terms{Doors: len(cfg.Fleet.Gateways), Policy: s.policy != nil, PolicyMust: s.policy != nil && !cfg.Fleet.Policy.UseLastKnown}
 	for i := range cfg.Pools {
 		t.Counter = t.Counter || cfg.Pools[i].Node.Counter != ""
 	}
@@ -100,9 +100,9 @@
 func (c *comingBack) look() bool {
 	s := c.s
 	v := s.fleet.peers.View()
-	seen := recovery.Seen{Rival: v.Rival, Backends: s.Ready()}
-	for _, d := range v.Doors {
-		if d.Name != v.Name && d.There() {
+	seen := recovery.Seen{Rival: v.HasDuplicate, Backends: s.Ready()}
+	for _, d := range v.Gateways {
+		if d.Name != v.Name && d.IsPresent() {
 			seen.Heard++
 		}
 	}
