--- /dev/null
+++ b/internal/idempotency/golden_test.go
@@ -0,0 +1,357 @@
+package idempotency
+
+import (
+	"cmp"
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"testing"
+	"time"
+
+	"gapgap/internal/golden"
+)
+
+// goldenKeep is how long the voters of a play remember a key.
+const goldenKeep = 10 * time.Second
+
+// goldenPlay is one deterministic run of coordinators and voters whose messages are lost, repeated and late.
+type goldenPlay struct {
+	name string
+	seed uint64
+	// voters and coordinators are how many of each there are.
+	voters, coordinators int
+	// keys is how many keys the requests share.
+	keys int
+	// capacity is how many keys a voter remembers.
+	capacity int
+	// loss is the probability that a message is lost.
+	loss float64
+	// restart is the probability of a voter's restart in a round.
+	restart float64
+	// emptyDisk is the probability that a restart finds an empty disk, oldDisk that it finds an older one.
+	emptyDisk, oldDisk float64
+	// length is the virtual time of the play.
+	length time.Duration
+}
+
+// goldenVoter is a voter with its disk.
+type goldenVoter struct {
+	voter       *Voter
+	disk        []Record
+	older       []Record
+	incarnation uint32
+}
+
+// goldenMessage is a message on its way.
+type goldenMessage struct {
+	at    time.Duration
+	voter int
+	// other is a coordinator, or a voter for a hello.
+	other  int
+	ask    *Ask
+	answer *Answer
+	hello  *Hello
+	reply  bool
+}
+
+// goldenRun is a play while it goes on.
+type goldenRun struct {
+	goldenPlay
+	rng      *rand.Rand
+	trace    *golden.Trace
+	now      time.Duration
+	starts   uint64
+	ranks    []int
+	voter    []*goldenVoter
+	door     []*Door
+	active   [][]uint64
+	messages []goldenMessage
+}
+
+func (p goldenPlay) hash() string {
+	r := &goldenRun{goldenPlay: p, rng: rand.New(rand.NewPCG(p.seed, 91)), trace: golden.NewTrace(), now: time.Hour}
+	for i := range p.voters {
+		r.ranks = append(r.ranks, i)
+	}
+	for i := range p.voters {
+		r.voter = append(r.voter, &goldenVoter{})
+		r.start(i, nil)
+	}
+	for i := range p.coordinators {
+		r.door = append(r.door, NewDoor(uint64(100+i), r.ranks))
+		r.active = append(r.active, nil)
+	}
+	end := r.now + p.length
+	for r.now < end {
+		r.now += time.Duration(1+r.rng.IntN(60)) * time.Millisecond
+		r.deliver()
+		r.requests()
+		r.hellos()
+		r.timers()
+		if r.rng.Float64() < p.restart {
+			r.restart(r.rng.IntN(p.voters))
+		}
+	}
+	for i := range r.voter {
+		r.trace.Int(int64(r.voter[i].voter.Keys()))
+		r.records(r.voter[i].voter.Snapshot(), true)
+	}
+	return r.trace.Sum()
+}
+
+// start starts a voter with what its disk has.
+func (r *goldenRun) start(i int, disk []Record) {
+	v := r.voter[i]
+	v.incarnation++
+	r.starts++
+	config := VoterConfig{
+		Rank:    i,
+		Voters:  r.ranks,
+		Process: 1000 + r.starts,
+		Keep:    goldenKeep,
+		Most:    r.capacity,
+		Number:  2000 + r.starts,
+		Inc:     v.incarnation,
+	}
+	voter, out := NewVoter(config, r.now, slices.Values(disk))
+	v.voter, v.disk = voter, slices.Clone(disk)
+	r.persist(v, out)
+}
+
+// persist writes records to a voter's disk.
+func (r *goldenRun) persist(v *goldenVoter, out []Record) {
+	r.records(out, false)
+	v.disk = append(v.disk, out...)
+	v.voter.Kept()
+}
+
+// restart ends a voter's process and starts the next one.
+func (r *goldenRun) restart(i int) {
+	v := r.voter[i]
+	switch chance := r.rng.Float64(); {
+	case chance < r.emptyDisk:
+		v.incarnation = 0
+		r.start(i, nil)
+	case chance < r.emptyDisk+r.oldDisk:
+		r.start(i, v.older)
+	default:
+		r.start(i, v.disk)
+	}
+	v.older = slices.Clone(v.disk)
+}
+
+// send puts a message on its way, none, one or two times.
+func (r *goldenRun) send(m goldenMessage) {
+	copies := 1
+	if r.rng.Float64() < r.loss {
+		copies = 2 * r.rng.IntN(2)
+	}
+	for range copies {
+		m.at = r.now + time.Duration(r.rng.IntN(120))*time.Millisecond
+		r.messages = append(r.messages, m)
+	}
+}
+
+// deliver hands over the messages that are due, in the order in which they were sent.
+func (r *goldenRun) deliver() {
+	due := r.messages
+	r.messages = nil
+	for _, m := range due {
+		switch {
+		case m.at > r.now:
+			r.messages = append(r.messages, m)
+		case m.ask != nil:
+			r.ask(m)
+		case m.answer != nil:
+			r.answer(m)
+		default:
+			r.hello(m)
+		}
+	}
+}
+
+func (r *goldenRun) ask(m goldenMessage) {
+	v := r.voter[m.voter]
+	answer, out, ok := v.voter.Ask(r.now, r.door[m.other].Process(), *m.ask)
+	r.trace.Bool(ok)
+	r.trace.Uint(answer.N)
+	r.trace.Uint(uint64(answer.Said))
+	r.persist(v, out)
+	if ok {
+		r.send(goldenMessage{voter: m.voter, other: m.other, answer: &answer})
+	}
+}
+
+func (r *goldenRun) answer(m goldenMessage) {
+	result, ok := r.door[m.other].Heard(r.now, m.voter, *m.answer)
+	r.trace.Bool(ok)
+	r.trace.Uint(result.N)
+	r.trace.Int(int64(result.Verdict))
+	if ok && result.Verdict != Won {
+		r.finish(m.other, result.N, false)
+	}
+}
+
+func (r *goldenRun) hello(m goldenMessage) {
+	v := r.voter[m.voter]
+	out, answer := v.voter.Heard(r.now, m.other, *m.hello)
+	r.hashHello(answer)
+	r.persist(v, out)
+	if !m.reply {
+		r.send(goldenMessage{voter: m.other, other: m.voter, hello: &answer, reply: true})
+	}
+}
+
+// finish ends a claim.
+func (r *goldenRun) finish(coordinator int, n uint64, ran bool) {
+	r.door[coordinator].End(r.now, n, ran)
+	r.active[coordinator] = slices.DeleteFunc(r.active[coordinator], func(other uint64) bool { return other == n })
+}
+
+// requests begins and ends some idempotency.
+func (r *goldenRun) requests() {
+	for i, d := range r.door {
+		if r.rng.IntN(4) == 0 {
+			n, err := d.Begin(r.now, KeyOf("customer", "class", fmt.Sprint(r.rng.IntN(r.keys))))
+			r.trace.Uint(n)
+			r.trace.Bool(err != nil)
+			if err == nil {
+				r.active[i] = append(r.active[i], n)
+			}
+		}
+		if len(r.active[i]) > 0 && r.rng.IntN(6) == 0 {
+			r.finish(i, r.active[i][r.rng.IntN(len(r.active[i]))], r.rng.IntN(2) == 0)
+		}
+		if at, ok := d.Due(); ok {
+			r.trace.Duration(at)
+		}
+		outs := d.Tick(r.now)
+		slices.SortFunc(outs, func(a, b Out) int { return cmp.Or(cmp.Compare(a.Ask.N, b.Ask.N), cmp.Compare(a.To, b.To)) })
+		r.trace.Int(int64(len(outs)))
+		for _, out := range outs {
+			r.trace.Int(int64(out.To))
+			r.trace.String(string(out.Ask.Key[:]))
+			r.trace.Uint(out.Ask.N)
+			r.trace.Bool(out.Ask.Release)
+			ask := out.Ask
+			r.send(goldenMessage{voter: out.To, other: i, ask: &ask})
+		}
+		claims, releases := d.Open()
+		r.trace.Int(int64(claims))
+		r.trace.Int(int64(releases))
+	}
+}
+
+// hellos has a voter tell the others of itself.
+func (r *goldenRun) hellos() {
+	from := r.rng.IntN(len(r.ranks))
+	for _, to := range r.ranks {
+		if to != from {
+			hello := r.voter[from].voter.Hello(to)
+			r.hashHello(hello)
+			r.send(goldenMessage{voter: to, other: from, hello: &hello})
+		}
+	}
+}
+
+// timers has the time go by at the voters.
+func (r *goldenRun) timers() {
+	for _, v := range r.voter {
+		out, turned := v.voter.Tick(r.now)
+		r.trace.Bool(turned)
+		r.persist(v, out)
+		if turned && r.rng.IntN(2) == 0 {
+			r.records(v.voter.Head(), true)
+			v.disk = v.voter.Snapshot()
+			r.records(v.disk, true)
+			v.voter.Kept()
+		}
+		ready, why := v.voter.Ready(r.now)
+		r.trace.Bool(ready)
+		r.trace.String(why)
+	}
+}
+
+// records hashes records; those that come from a map have no order of their own.
+func (r *goldenRun) records(records []Record, unordered bool) {
+	r.trace.Int(int64(len(records)))
+	if unordered {
+		records = slices.Clone(records)
+		slices.SortFunc(records, func(a, b Record) int {
+			return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Rank, b.Rank), slices.Compare(a.Key[:], b.Key[:]),
+				cmp.Compare(a.Ticket.Process, b.Ticket.Process), cmp.Compare(a.Ticket.N, b.Ticket.N))
+		})
+	}
+	for _, record := range records {
+		r.trace.Uint(uint64(record.Kind))
+		r.trace.String(string(record.Key[:]))
+		r.trace.Uint(record.Ticket.Process)
+		r.trace.Uint(record.Ticket.N)
+		r.trace.Uint(record.Number)
+		r.disks(record.Disks)
+		r.trace.Int(int64(record.Rank))
+		r.trace.Uint(uint64(record.Inc))
+		r.trace.Uint(record.Seq)
+	}
+}
+
+// disks hashes a set of disks, which has no order.
+func (r *goldenRun) disks(disks []uint64) {
+	r.trace.Int(int64(len(disks)))
+	for _, disk := range slices.Sorted(slices.Values(disks)) {
+		r.trace.Uint(disk)
+	}
+}
+
+func (r *goldenRun) hashHello(h Hello) {
+	r.trace.Uint(h.Process)
+	r.trace.Uint(uint64(h.Inc))
+	r.trace.Uint(h.Disk)
+	r.trace.Bool(h.Begun)
+	r.disks(h.Disks)
+	r.trace.Uint(h.Had)
+	r.trace.Uint(h.Seq)
+	r.trace.Uint(h.Of)
+	r.trace.Bool(h.Newest)
+}
+
+// goldenPlays are all that is recorded.
+func goldenPlays() (all []goldenPlay) {
+	add := func(p goldenPlay) {
+		p.length = 30 * time.Second
+		for seed := range uint64(4) {
+			p.seed = seed + 1
+			one := p
+			one.name = fmt.Sprintf("%s/%d", p.name, p.seed)
+			all = append(all, one)
+		}
+	}
+	add(goldenPlay{name: "calm", voters: 3, coordinators: 3, keys: 400, capacity: 10_000})
+	add(goldenPlay{name: "contended", voters: 3, coordinators: 6, keys: 5, capacity: 10_000, loss: 0.1})
+	add(goldenPlay{name: "full", voters: 3, coordinators: 4, keys: 300, capacity: 30, loss: 0.1})
+	add(goldenPlay{name: "lossy", voters: 5, coordinators: 3, keys: 40, capacity: 200, loss: 0.5})
+	add(goldenPlay{name: "restarts", voters: 3, coordinators: 3, keys: 40, capacity: 200, loss: 0.2, restart: 0.02})
+	add(goldenPlay{name: "disks", voters: 3, coordinators: 3, keys: 40, capacity: 200, loss: 0.2, restart: 0.01, emptyDisk: 0.2, oldDisk: 0.3})
+	add(goldenPlay{name: "single", voters: 1, coordinators: 2, keys: 40, capacity: 200, loss: 0.1, restart: 0.005, emptyDisk: 0.2})
+	return all
+}
+
+// TestGoldenTraces compares reservations, votes and records with the recorded ones, and each play with itself.
+func TestGoldenTraces(t *testing.T) {
+	recorded := golden.LoadHashes(t, "testdata/golden/reservations.txt")
+	seen := map[string]string{}
+	for _, p := range goldenPlays() {
+		sum := p.hash()
+		if again := p.hash(); again != sum {
+			t.Errorf("%s: two runs differ", p.name)
+		}
+		if other, ok := seen[sum]; ok {
+			t.Errorf("%s and %s have one trace", p.name, other)
+		}
+		seen[sum] = p.name
+		recorded.Check(t, p.name, sum)
+	}
+	if recorded.Len() != len(seen) {
+		t.Errorf("%d traces are recorded, %d were played", recorded.Len(), len(seen))
+	}
+}
