--- a/internal/idempotency/golden_test.go
+++ b/internal/idempotency/golden_test.go
@@ -11,8 +11,8 @@
 	"gapgap/internal/golden"
 )
 
-// goldenKeep is how long the voters of a play remember a key.
-const goldenKeep = 10 * time.Second
+// goldenRetention is how long the voters of a play remember a key.
+const goldenRetention = 10 * time.Second
 
 // goldenPlay is one deterministic run of coordinators and voters whose messages are lost, repeated and late.
 type goldenPlay struct {
@@ -46,26 +46,26 @@
 type goldenMessage struct {
 	at    time.Duration
 	voter int
-	// other is a coordinator, or a voter for a hello.
-	other  int
-	ask    *Ask
-	answer *Answer
-	hello  *Hello
-	reply  bool
+	// other is a coordinator, or a voter that sent a status.
+	other    int
+	request  *Request
+	response *Response
+	status   *VoterStatus
+	reply    bool
 }
 
 // goldenRun is a play while it goes on.
 type goldenRun struct {
 	goldenPlay
-	rng      *rand.Rand
-	trace    *golden.Trace
-	now      time.Duration
-	starts   uint64
-	ranks    []int
-	voter    []*goldenVoter
-	door     []*Door
-	active   [][]uint64
-	messages []goldenMessage
+	rng         *rand.Rand
+	trace       *golden.Trace
+	now         time.Duration
+	starts      uint64
+	ranks       []int
+	voter       []*goldenVoter
+	coordinator []*Coordinator
+	active      [][]uint64
+	messages    []goldenMessage
 }
 
 func (p goldenPlay) hash() string {
@@ -78,7 +78,7 @@
 		r.start(i, nil)
 	}
 	for i := range p.coordinators {
-		r.door = append(r.door, NewDoor(uint64(100+i), r.ranks))
+		r.coordinator = append(r.coordinator, NewCoordinator(uint64(100+i), r.ranks))
 		r.active = append(r.active, nil)
 	}
 	end := r.now + p.length
@@ -86,14 +86,14 @@
 		r.now += time.Duration(1+r.rng.IntN(60)) * time.Millisecond
 		r.deliver()
 		r.requests()
-		r.hellos()
+		r.announce()
 		r.timers()
 		if r.rng.Float64() < p.restart {
 			r.restart(r.rng.IntN(p.voters))
 		}
 	}
 	for i := range r.voter {
-		r.trace.Int(int64(r.voter[i].voter.Keys()))
+		r.trace.Int(int64(r.voter[i].voter.KeyCount()))
 		r.records(r.voter[i].voter.Snapshot(), true)
 	}
 	return r.trace.Sum()
@@ -105,13 +105,13 @@
 	v.incarnation++
 	r.starts++
 	config := VoterConfig{
-		Rank:    i,
-		Voters:  r.ranks,
-		Process: 1000 + r.starts,
-		Keep:    goldenKeep,
-		Most:    r.capacity,
-		Number:  2000 + r.starts,
-		Inc:     v.incarnation,
+		Index:       i,
+		Voters:      r.ranks,
+		Process:     1000 + r.starts,
+		Retention:   goldenRetention,
+		MaxKeys:     r.capacity,
+		NewDiskID:   2000 + r.starts,
+		Incarnation: v.incarnation,
 	}
 	voter, out := NewVoter(config, r.now, slices.Values(disk))
 	v.voter, v.disk = voter, slices.Clone(disk)
@@ -122,7 +122,7 @@
 func (r *goldenRun) persist(v *goldenVoter, out []Record) {
 	r.records(out, false)
 	v.disk = append(v.disk, out...)
-	v.voter.Kept()
+	v.voter.MarkSynced()
 }
 
 // restart ends a voter's process and starts the next one.
@@ -160,59 +160,59 @@
 		switch {
 		case m.at > r.now:
 			r.messages = append(r.messages, m)
-		case m.ask != nil:
-			r.ask(m)
-		case m.answer != nil:
-			r.answer(m)
+		case m.request != nil:
+			r.request(m)
+		case m.response != nil:
+			r.response(m)
 		default:
-			r.hello(m)
+			r.status(m)
 		}
 	}
 }
 
-func (r *goldenRun) ask(m goldenMessage) {
+func (r *goldenRun) request(m goldenMessage) {
 	v := r.voter[m.voter]
-	answer, out, ok := v.voter.Ask(r.now, r.door[m.other].Process(), *m.ask)
+	answer, out, ok := v.voter.HandleRequest(r.now, r.coordinator[m.other].Process(), *m.request)
 	r.trace.Bool(ok)
-	r.trace.Uint(answer.N)
-	r.trace.Uint(uint64(answer.Said))
+	r.trace.Uint(answer.Sequence)
+	r.trace.Uint(uint64(answer.Vote))
 	r.persist(v, out)
 	if ok {
-		r.send(goldenMessage{voter: m.voter, other: m.other, answer: &answer})
+		r.send(goldenMessage{voter: m.voter, other: m.other, response: &answer})
 	}
 }
 
-func (r *goldenRun) answer(m goldenMessage) {
-	result, ok := r.door[m.other].Heard(r.now, m.voter, *m.answer)
+func (r *goldenRun) response(m goldenMessage) {
+	result, ok := r.coordinator[m.other].HandleResponse(r.now, m.voter, *m.response)
 	r.trace.Bool(ok)
-	r.trace.Uint(result.N)
-	r.trace.Int(int64(result.Verdict))
-	if ok && result.Verdict != Won {
-		r.finish(m.other, result.N, false)
+	r.trace.Uint(result.Sequence)
+	r.trace.Int(int64(result.Outcome))
+	if ok && result.Outcome != Reserved {
+		r.finish(m.other, result.Sequence, false)
 	}
 }
 
-func (r *goldenRun) hello(m goldenMessage) {
+func (r *goldenRun) status(m goldenMessage) {
 	v := r.voter[m.voter]
-	out, answer := v.voter.Heard(r.now, m.other, *m.hello)
-	r.hashHello(answer)
+	out, answer := v.voter.HandleStatus(m.other, *m.status)
+	r.hashStatus(answer)
 	r.persist(v, out)
 	if !m.reply {
-		r.send(goldenMessage{voter: m.other, other: m.voter, hello: &answer, reply: true})
+		r.send(goldenMessage{voter: m.other, other: m.voter, status: &answer, reply: true})
 	}
 }
 
-// finish ends a claim.
+// finish ends a reservation.
 func (r *goldenRun) finish(coordinator int, n uint64, ran bool) {
-	r.door[coordinator].End(r.now, n, ran)
+	r.coordinator[coordinator].Finish(r.now, n, ran)
 	r.active[coordinator] = slices.DeleteFunc(r.active[coordinator], func(other uint64) bool { return other == n })
 }
 
 // requests begins and ends some idempotency.
 func (r *goldenRun) requests() {
-	for i, d := range r.door {
+	for i, c := range r.coordinator {
 		if r.rng.IntN(4) == 0 {
-			n, err := d.Begin(r.now, KeyOf("customer", "class", fmt.Sprint(r.rng.IntN(r.keys))))
+			n, err := c.Reserve(r.now, KeyOf("customer", "class", fmt.Sprint(r.rng.IntN(r.keys))))
 			r.trace.Uint(n)
 			r.trace.Bool(err != nil)
 			if err == nil {
@@ -222,34 +222,36 @@
 		if len(r.active[i]) > 0 && r.rng.IntN(6) == 0 {
 			r.finish(i, r.active[i][r.rng.IntN(len(r.active[i]))], r.rng.IntN(2) == 0)
 		}
-		if at, ok := d.Due(); ok {
+		if at, ok := c.NextRetry(); ok {
 			r.trace.Duration(at)
 		}
-		outs := d.Tick(r.now)
-		slices.SortFunc(outs, func(a, b Out) int { return cmp.Or(cmp.Compare(a.Ask.N, b.Ask.N), cmp.Compare(a.To, b.To)) })
+		outs := c.Tick(r.now)
+		slices.SortFunc(outs, func(a, b OutgoingRequest) int {
+			return cmp.Or(cmp.Compare(a.Request.Sequence, b.Request.Sequence), cmp.Compare(a.Voter, b.Voter))
+		})
 		r.trace.Int(int64(len(outs)))
 		for _, out := range outs {
-			r.trace.Int(int64(out.To))
-			r.trace.String(string(out.Ask.Key[:]))
-			r.trace.Uint(out.Ask.N)
-			r.trace.Bool(out.Ask.Release)
-			ask := out.Ask
-			r.send(goldenMessage{voter: out.To, other: i, ask: &ask})
+			r.trace.Int(int64(out.Voter))
+			r.trace.String(string(out.Request.Key[:]))
+			r.trace.Uint(out.Request.Sequence)
+			r.trace.Bool(out.Request.Release)
+			request := out.Request
+			r.send(goldenMessage{voter: out.Voter, other: i, request: &request})
 		}
-		claims, releases := d.Open()
-		r.trace.Int(int64(claims))
+		reservations, releases := c.InFlight()
+		r.trace.Int(int64(reservations))
 		r.trace.Int(int64(releases))
 	}
 }
 
-// hellos has a voter tell the others of itself.
-func (r *goldenRun) hellos() {
+// announce has a voter send its status to the others.
+func (r *goldenRun) announce() {
 	from := r.rng.IntN(len(r.ranks))
 	for _, to := range r.ranks {
 		if to != from {
-			hello := r.voter[from].voter.Hello(to)
-			r.hashHello(hello)
-			r.send(goldenMessage{voter: to, other: from, hello: &hello})
+			status := r.voter[from].voter.StatusFor(to)
+			r.hashStatus(status)
+			r.send(goldenMessage{voter: to, other: from, status: &status})
 		}
 	}
 }
@@ -257,14 +259,14 @@
 // timers has the time go by at the voters.
 func (r *goldenRun) timers() {
 	for _, v := range r.voter {
-		out, turned := v.voter.Tick(r.now)
-		r.trace.Bool(turned)
+		out, rotated := v.voter.Tick(r.now)
+		r.trace.Bool(rotated)
 		r.persist(v, out)
-		if turned && r.rng.IntN(2) == 0 {
-			r.records(v.voter.Head(), true)
+		if rotated && r.rng.IntN(2) == 0 {
+			r.records(v.voter.SegmentHeader(), true)
 			v.disk = v.voter.Snapshot()
 			r.records(v.disk, true)
-			v.voter.Kept()
+			v.voter.MarkSynced()
 		}
 		ready, why := v.voter.Ready(r.now)
 		r.trace.Bool(ready)
@@ -278,20 +280,21 @@
 	if unordered {
 		records = slices.Clone(records)
 		slices.SortFunc(records, func(a, b Record) int {
-			return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Rank, b.Rank), slices.Compare(a.Key[:], b.Key[:]),
-				cmp.Compare(a.Ticket.Process, b.Ticket.Process), cmp.Compare(a.Ticket.N, b.Ticket.N))
+			return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Voter, b.Voter),
+				slices.Compare(a.Key[:], b.Key[:]), cmp.Compare(a.Owner.Process, b.Owner.Process),
+				cmp.Compare(a.Owner.Sequence, b.Owner.Sequence))
 		})
 	}
 	for _, record := range records {
 		r.trace.Uint(uint64(record.Kind))
 		r.trace.String(string(record.Key[:]))
-		r.trace.Uint(record.Ticket.Process)
-		r.trace.Uint(record.Ticket.N)
-		r.trace.Uint(record.Number)
+		r.trace.Uint(record.Owner.Process)
+		r.trace.Uint(record.Owner.Sequence)
+		r.trace.Uint(record.ID)
 		r.disks(record.Disks)
-		r.trace.Int(int64(record.Rank))
-		r.trace.Uint(uint64(record.Inc))
-		r.trace.Uint(record.Seq)
+		r.trace.Int(int64(record.Voter))
+		r.trace.Uint(uint64(record.Incarnation))
+		r.trace.Uint(record.RecordCount)
 	}
 }
 
@@ -303,16 +306,16 @@
 	}
 }
 
-func (r *goldenRun) hashHello(h Hello) {
-	r.trace.Uint(h.Process)
-	r.trace.Uint(uint64(h.Inc))
-	r.trace.Uint(h.Disk)
-	r.trace.Bool(h.Begun)
-	r.disks(h.Disks)
-	r.trace.Uint(h.Had)
-	r.trace.Uint(h.Seq)
-	r.trace.Uint(h.Of)
-	r.trace.Bool(h.Newest)
+func (r *goldenRun) hashStatus(status VoterStatus) {
+	r.trace.Uint(status.Process)
+	r.trace.Uint(uint64(status.Incarnation))
+	r.trace.Uint(status.Disk)
+	r.trace.Bool(status.Joined)
+	r.disks(status.InitialDisks)
+	r.trace.Uint(status.RecordsAtStart)
+	r.trace.Uint(status.RecordsSynced)
+	r.trace.Uint(status.ObservedProcess)
+	r.trace.Bool(status.ObservedIsNewest)
 }
 
 // goldenPlays are all that is recorded.
@@ -326,13 +329,67 @@
 			all = append(all, one)
 		}
 	}
-	add(goldenPlay{name: "calm", voters: 3, coordinators: 3, keys: 400, capacity: 10_000})
-	add(goldenPlay{name: "contended", voters: 3, coordinators: 6, keys: 5, capacity: 10_000, loss: 0.1})
-	add(goldenPlay{name: "full", voters: 3, coordinators: 4, keys: 300, capacity: 30, loss: 0.1})
-	add(goldenPlay{name: "lossy", voters: 5, coordinators: 3, keys: 40, capacity: 200, loss: 0.5})
-	add(goldenPlay{name: "restarts", voters: 3, coordinators: 3, keys: 40, capacity: 200, loss: 0.2, restart: 0.02})
-	add(goldenPlay{name: "disks", voters: 3, coordinators: 3, keys: 40, capacity: 200, loss: 0.2, restart: 0.01, emptyDisk: 0.2, oldDisk: 0.3})
-	add(goldenPlay{name: "single", voters: 1, coordinators: 2, keys: 40, capacity: 200, loss: 0.1, restart: 0.005, emptyDisk: 0.2})
+	add(goldenPlay{
+		name:         "calm",
+		voters:       3,
+		coordinators: 3,
+		keys:         400,
+		capacity:     10_000,
+	})
+	add(goldenPlay{
+		name:         "contended",
+		voters:       3,
+		coordinators: 6,
+		keys:         5,
+		capacity:     10_000,
+		loss:         0.1,
+	})
+	add(goldenPlay{
+		name:         "full",
+		voters:       3,
+		coordinators: 4,
+		keys:         300,
+		capacity:     30,
+		loss:         0.1,
+	})
+	add(goldenPlay{
+		name:         "lossy",
+		voters:       5,
+		coordinators: 3,
+		keys:         40,
+		capacity:     200,
+		loss:         0.5,
+	})
+	add(goldenPlay{
+		name:         "restarts",
+		voters:       3,
+		coordinators: 3,
+		keys:         40,
+		capacity:     200,
+		loss:         0.2,
+		restart:      0.02,
+	})
+	add(goldenPlay{
+		name:         "disks",
+		voters:       3,
+		coordinators: 3,
+		keys:         40,
+		capacity:     200,
+		loss:         0.2,
+		restart:      0.01,
+		emptyDisk:    0.2,
+		oldDisk:      0.3,
+	})
+	add(goldenPlay{
+		name:         "single",
+		voters:       1,
+		coordinators: 2,
+		keys:         40,
+		capacity:     200,
+		loss:         0.1,
+		restart:      0.005,
+		emptyDisk:    0.2,
+	})
 	return all
 }
 
--- a/internal/idempotency/model_test.go
+++ b/internal/idempotency/model_test.go
@@ -13,356 +13,461 @@
 	"gapgap/internal/fake/race"
 )
 
-// The model: three voters, two requests by one key at doors of their own. Words between them are a set: each may come at any time, any number of times,
-// or never. Voters lose their power and come back with what was synced, some of what was not, an older disk or an empty one. All orders are looked at.
+// The model has three voters and requests with one key at gateways of their own. Messages form a set: each may arrive
+// at any time, any number of times, or never. Voters lose power and restart with what was synced, with some of what was
+// not, with an older disk or with an empty one. The model explores all orders.
 //
-// No mistake of the rule: two requests of which both may run.
-
-// mistakes that are put in on purpose.
-type mistakes struct {
-	unsynced   bool // yes is said before it outlives a power loss
-	single     bool // one voter's yes is enough
-	givesRan   bool // a claim is given back though its request may have run
-	trustsLost bool // a voter with an empty disk speaks at once
-	trustsOld  bool // ... or with an older one
-	overwrites bool // a voter gives a key to whoever asks last
-	anyRelease bool // a voter takes a release from whoever says it
+// Invariant: of two requests at most one may run.
+
+// defects break the algorithm on purpose, so that the model has something to find.
+type defects struct {
+	// grantsBeforeSync sends a vote before it outlives a power loss.
+	grantsBeforeSync bool
+	// oneVoteIsEnough takes one vote for a majority.
+	oneVoteIsEnough bool
+	// releasesAfterRun releases a key though its request may have run.
+	releasesAfterRun bool
+	// trustsEmptyDisk lets a voter with an empty disk vote at once.
+	trustsEmptyDisk bool
+	// trustsOlderDisk lets a voter with an older disk vote at once.
+	trustsOlderDisk bool
+	// grantsToLast gives a key to whoever asks last.
+	grantsToLast bool
+	// releasesForAnyone takes a release from any owner.
+	releasesForAnyone bool
 }
 
+// requestState is how far a request of the model has come.
+type requestState int
+
+const (
+	requestNotStarted requestState = iota
+	requestReserving
+	// requestDispatched may run.
+	requestDispatched
+	// requestEnded has not run.
+	requestEnded
+	// requestRan has run or may have.
+	requestRan
+)
+
+// diskFault is what a voter's disk has after a power loss.
+type diskFault int
+
 const (
-	notAsked = iota
-	asking
-	out
-	ended // with nothing having run, or lost
-	ran
+	diskIntact diskFault = iota
+	// diskOlder is a copy from before the first reservation.
+	diskOlder
+	diskEmpty
 )
 
+// powerLoss is whether a voter loses power while it handles a message.
+type powerLoss int
+
+const (
+	noPowerLoss powerLoss = iota
+	// powerLossBeforeSync loses what was written for the message.
+	powerLossBeforeSync
+	// powerLossAfterSync keeps it, and loses the response.
+	powerLossAfterSync
+)
+
+// modelVoter is a voter with its disk.
 type modelVoter struct {
-	v   *Voter
-	log []Record // that was synced
-	inc uint32
+	voter *Voter
+	// log is what was synced.
+	log         []Record
+	incarnation uint32
 }
 
-type world struct {
-	mis    mistakes
-	voters [3]modelVoter
-	doors  []*Door
-	state  []int
-	words  map[string]word
-	cuts   int
-	starts int
+// modelMessage is a request or a response on its way.
+type modelMessage struct {
+	gateway, voter int
+	request        *Request
+	response       *Response
 }
 
-type word struct {
-	door, voter int
-	ask         *Ask
-	answer      *Answer
+// id identifies equal messages.
+func (m modelMessage) id() string {
+	if m.request != nil {
+		return fmt.Sprintf("%d>%d %v%v", m.gateway, m.voter, m.request.Sequence, m.request.Release)
+	}
+	return fmt.Sprintf("%d<%d %v %d", m.gateway, m.voter, m.response.Sequence, m.response.Vote)
 }
 
-func (w word) String() string {
-	if w.ask != nil {
-		return fmt.Sprintf("%d>%d %v%v", w.door, w.voter, w.ask.N, w.ask.Release)
-	}
-	return fmt.Sprintf("%d<%d %v %d", w.door, w.voter, w.answer.N, w.answer.Said)
+// model is one state of the whole system.
+type model struct {
+	defects      defects
+	voters       [3]modelVoter
+	coordinators []*Coordinator
+	requests     []requestState
+	messages     map[string]modelMessage
+	// powerLosses is how many power losses may still happen.
+	powerLosses int
+	// starts counts voter processes.
+	starts int
 }
 
 var modelVoters = []int{0, 1, 2}
 
 func cloneVoter(v *Voter) *Voter {
-	c := *v
-	c.known, c.agreed, c.fresh, c.now, c.before = maps.Clone(v.known), maps.Clone(v.agreed), maps.Clone(v.fresh), maps.Clone(v.now), maps.Clone(v.before)
-	return &c
+	clone := *v
+	clone.peers = maps.Clone(v.peers)
+	clone.confirmedBy = maps.Clone(v.confirmedBy)
+	clone.emptyPeerDisks = maps.Clone(v.emptyPeerDisks)
+	clone.keys.current = maps.Clone(v.keys.current)
+	clone.keys.previous = maps.Clone(v.keys.previous)
+	return &clone
 }
 
-func cloneDoor(d *Door) *Door {
-	c := *d
-	c.open = map[uint64]*claim{}
-	for n, k := range d.open {
-		o := *k
-		c.open[n] = &o
-	}
-	return &c
+func cloneCoordinator(c *Coordinator) *Coordinator {
+	clone := *c
+	clone.reservations = map[uint64]*reservation{}
+	for sequence, r := range c.reservations {
+		copied := *r
+		clone.reservations[sequence] = &copied
+	}
+	return &clone
 }
 
-func (w *world) clone() *world {
-	c := *w
-	for i := range c.voters {
-		v := &c.voters[i]
-		v.log, v.v = slices.Clone(v.log), cloneVoter(v.v)
-	}
-	c.doors, c.state = slices.Clone(w.doors), slices.Clone(w.state)
-	for i := range c.doors {
-		c.doors[i] = cloneDoor(c.doors[i])
-	}
-	c.words = maps.Clone(w.words)
-	return &c
+func (m *model) clone() *model {
+	clone := *m
+	for i := range clone.voters {
+		v := &clone.voters[i]
+		v.log = slices.Clone(v.log)
+		v.voter = cloneVoter(v.voter)
+	}
+	clone.coordinators = slices.Clone(m.coordinators)
+	for i := range clone.coordinators {
+		clone.coordinators[i] = cloneCoordinator(clone.coordinators[i])
+	}
+	clone.requests = slices.Clone(m.requests)
+	clone.messages = maps.Clone(m.messages)
+	return &clone
 }
 
-func (w *world) id() string {
+// id identifies equal states.
+func (m *model) id() string {
 	var b strings.Builder
-	for i := range w.voters {
-		v := &w.voters[i]
-		first := slices.IndexFunc(v.log, isClaim)
-		ready, _ := v.v.Ready(0)
-		fmt.Fprint(&b, v.inc, v.v.now, first >= 0, ready, " ")
-	}
-	for i, d := range w.doors {
-		fmt.Fprint(&b, w.state[i])
-		for n, c := range d.open {
-			fmt.Fprint(&b, n, c.said, c.over, c.giving)
+	for i := range m.voters {
+		v := &m.voters[i]
+		hasKeys := slices.ContainsFunc(v.log, isKeyRecord)
+		ready, _ := v.voter.Ready(0)
+		fmt.Fprint(&b, v.incarnation, v.voter.keys.current, hasKeys, ready, " ")
+	}
+	for i, c := range m.coordinators {
+		fmt.Fprint(&b, m.requests[i])
+		for sequence, r := range c.reservations {
+			fmt.Fprint(&b, sequence, r.votes, r.phase)
 		}
 	}
-	fmt.Fprint(&b, slices.Sorted(maps.Keys(w.words)), w.cuts)
+	fmt.Fprint(&b, slices.Sorted(maps.Keys(m.messages)), m.powerLosses)
 	return b.String()
 }
 
-func newWorld(mis mistakes, requests int) *world {
-	w := &world{mis: mis, words: map[string]word{}, state: make([]int, requests)}
-	for i := range w.voters {
-		w.start(i, 1, nil)
+func newModel(d defects, requests int) *model {
+	m := &model{defects: d, messages: map[string]modelMessage{}, requests: make([]requestState, requests)}
+	for i := range m.voters {
+		m.start(i, 1, nil)
 	}
-	for range 2 { // they hear of each other with empty disks
-		w.hellos()
+	const roundsUntilJoined = 2
+	for range roundsUntilJoined {
+		m.exchangeStatus()
 	}
 	for i := range requests {
-		w.doors = append(w.doors, NewDoor(uint64(100+i), modelVoters))
+		m.coordinators = append(m.coordinators, NewCoordinator(uint64(100+i), modelVoters))
 	}
-	return w
+	return m
 }
 
 // start starts a voter's process with what its disk has.
-func (w *world) start(i int, inc uint32, log []Record) {
-	v := &w.voters[i]
-	w.starts++
-	cfg := VoterConfig{Rank: i, Voters: modelVoters, Process: uint64(1000 + w.starts), Keep: time.Hour, Most: 100, Number: uint64(2000 + w.starts), Inc: inc}
-	var more []Record
-	v.v, more = NewVoter(cfg, 0, slices.Values(log))
-	v.inc, v.log = inc, append(slices.Clone(log), more...)
-	v.v.Kept()
+func (m *model) start(i int, incarnation uint32, log []Record) {
+	m.starts++
+	config := VoterConfig{
+		Index:       i,
+		Voters:      modelVoters,
+		Process:     uint64(1000 + m.starts),
+		Retention:   time.Hour,
+		MaxKeys:     100,
+		NewDiskID:   uint64(2000 + m.starts),
+		Incarnation: incarnation,
+	}
+	v := &m.voters[i]
+	voter, records := NewVoter(config, 0, slices.Values(log))
+	v.voter = voter
+	v.incarnation = incarnation
+	v.log = append(slices.Clone(log), records...)
+	v.voter.MarkSynced()
 }
 
-func isClaim(r Record) bool { return r.Kind == Claimed || r.Kind == Freed }
+func isKeyRecord(r Record) bool { return r.Kind == RecordReserved || r.Kind == RecordReleased }
 
-// hellos have all voters hear each other, kept at once.
-func (w *world) hellos() {
-	for i := range w.voters {
-		for j := range w.voters {
-			a, b := &w.voters[i], &w.voters[j]
+// exchangeStatus has all voters exchange their status, and sync at once.
+func (m *model) exchangeStatus() {
+	for i := range m.voters {
+		for j := range m.voters {
 			if i == j {
 				continue
 			}
-			more, answer := b.v.Heard(0, i, a.v.Hello(j))
-			b.log = append(b.log, more...)
-			more, _ = a.v.Heard(0, j, answer)
-			a.log = append(a.log, more...)
-			a.v.Kept()
-			b.v.Kept()
+			from, to := &m.voters[i], &m.voters[j]
+			records, answer := to.voter.HandleStatus(i, from.voter.StatusFor(j))
+			to.log = append(to.log, records...)
+			records, _ = from.voter.HandleStatus(j, answer)
+			from.log = append(from.log, records...)
+			from.voter.MarkSynced()
+			to.voter.MarkSynced()
 		}
 	}
 }
 
-func (w *world) tell(k word) { w.words[k.String()] = k }
-
-// next is all that may happen.
-func (w *world) next() (all []func(*world)) {
-	add := func(do func(*world)) { all = append(all, do) }
-	for i := range w.doors {
-		switch w.state[i] {
-		case notAsked:
-			add(func(c *world) {
-				c.state[i] = asking
-				c.doors[i].Begin(0, Key{1})
-				c.ask(i)
-			})
-		case asking: // its client goes, or its time is up
-			add(func(c *world) { c.doors[i].End(0, 1, false); c.state[i] = ended; c.ask(i) })
-		case out:
-			add(func(c *world) { c.doors[i].End(0, 1, !c.mis.givesRan); c.state[i] = ran; c.ask(i) })
-			add(func(c *world) { c.doors[i].End(0, 1, false); c.state[i] = ended; c.ask(i) })
-		}
+func (m *model) send(message modelMessage) { m.messages[message.id()] = message }
+
+// steps are all that may happen next; deliveries come last.
+func (m *model) steps() (all []func(*model)) {
+	for i := range m.coordinators {
+		all = append(all, m.requestSteps(i)...)
+	}
+	if m.powerLosses > 0 {
+		all = append(all, m.powerLossSteps()...)
 	}
-	for i := range w.voters {
-		if w.cuts > 0 {
-			for _, what := range []string{"", "older", "empty"} {
-				add(func(c *world) { c.cut(i, what) })
+	for _, id := range slices.Sorted(maps.Keys(m.messages)) {
+		all = append(all, func(next *model) { next.deliver(next.messages[id], noPowerLoss) })
+	}
+	return all
+}
+
+// requestSteps are those of a request: it begins, is given up, or runs.
+func (m *model) requestSteps(i int) (all []func(*model)) {
+	finish := func(state requestState, mayHaveRun bool) {
+		all = append(all, func(next *model) {
+			next.coordinators[i].Finish(0, 1, mayHaveRun)
+			next.requests[i] = state
+			next.sendRequests(i)
+		})
+	}
+	switch m.requests[i] {
+	case requestNotStarted:
+		all = append(all, func(next *model) {
+			next.requests[i] = requestReserving
+			if _, err := next.coordinators[i].Reserve(0, Key{1}); err != nil {
+				panic(err) // the model has fewer reservations than the limit
 			}
-		}
+			next.sendRequests(i)
+		})
+	case requestReserving:
+		finish(requestEnded, false)
+	case requestDispatched:
+		finish(requestRan, !m.defects.releasesAfterRun)
+		finish(requestEnded, false)
 	}
-	for _, key := range slices.Sorted(maps.Keys(w.words)) {
-		m := w.words[key]
-		if m.ask != nil && w.cuts > 0 {
-			add(func(c *world) { c.hear(m, "lost") })
-			add(func(c *world) { c.hear(m, "kept") })
+	return all
+}
+
+// powerLossSteps are the power losses of voters, between messages and while one is handled.
+func (m *model) powerLossSteps() (all []func(*model)) {
+	for i := range m.voters {
+		for _, fault := range []diskFault{diskIntact, diskOlder, diskEmpty} {
+			all = append(all, func(next *model) { next.losePower(i, fault) })
 		}
 	}
-	for _, key := range slices.Sorted(maps.Keys(w.words)) {
-		add(func(c *world) { c.hear(c.words[key], "") })
+	for _, id := range slices.Sorted(maps.Keys(m.messages)) {
+		message := m.messages[id]
+		if message.request == nil {
+			continue
+		}
+		for _, loss := range []powerLoss{powerLossBeforeSync, powerLossAfterSync} {
+			all = append(all, func(next *model) { next.deliver(message, loss) })
+		}
 	}
 	return all
 }
 
-// ask has a door's words be there.
-func (w *world) ask(i int) {
-	for _, o := range w.doors[i].Tick(releaseFor - 1) {
-		k := word{door: i, voter: o.To, ask: &o.Ask}
-		w.words[k.String()] = k
+// sendRequests sends what a coordinator has for the voters.
+func (m *model) sendRequests(i int) {
+	for _, out := range m.coordinators[i].Tick(releaseRetryWindow - 1) {
+		m.send(modelMessage{gateway: i, voter: out.Voter, request: &out.Request})
 	}
 }
 
-// hear has a word come. Its voter may lose its power before it has said anything, with what it wrote lost or kept.
-func (w *world) hear(m word, cut string) {
-	if m.ask == nil {
-		r, ok := w.doors[m.door].Heard(0, m.voter, *m.answer)
-		if w.mis.single && m.answer.Said == Yes {
-			r, ok = Result{1, Won}, true
-		}
-		if ok && w.state[m.door] == asking {
-			if w.state[m.door] = ended; r.Verdict == Won {
-				w.state[m.door] = out
-			}
-		}
-		w.ask(m.door)
+// deliver has a message arrive. Its voter may lose power before it sends its response.
+func (m *model) deliver(message modelMessage, loss powerLoss) {
+	if message.request == nil {
+		m.deliverResponse(message)
 		return
 	}
-	v := &w.voters[m.voter]
-	if w.mis.trustsLost && !v.v.begun {
-		v.v.begun, v.v.lost = true, false
-		v.v.agreed = map[int]bool{0: true, 1: true, 2: true}
+	v := &m.voters[message.voter]
+	m.injectVoterDefects(v.voter, *message.request)
+	process := m.coordinators[message.gateway].process
+	response, records, ok := v.voter.HandleRequest(0, process, *message.request)
+	if ok && response.Vote != VoteReleased && (loss == noPowerLoss || m.defects.grantsBeforeSync) {
+		m.send(modelMessage{gateway: message.gateway, voter: message.voter, response: &response})
 	}
-	if w.mis.trustsOld {
-		v.v.old = false
-		v.v.agreed = map[int]bool{0: true, 1: true, 2: true}
+	if loss != powerLossBeforeSync {
+		v.log = append(v.log, records...)
+		v.voter.MarkSynced()
 	}
-	if w.mis.overwrites && !m.ask.Release {
-		delete(v.v.now, m.ask.Key)
+	if loss != noPowerLoss {
+		m.losePower(message.voter, diskIntact)
 	}
-	if h, ok := v.v.now[m.ask.Key]; ok && w.mis.anyRelease && m.ask.Release {
-		v.v.now[m.ask.Key] = holder{h.t, true}
+}
+
+// deliverResponse has a response arrive at its gateway.
+func (m *model) deliverResponse(message modelMessage) {
+	result, decided := m.coordinators[message.gateway].HandleResponse(0, message.voter, *message.response)
+	if m.defects.oneVoteIsEnough && message.response.Vote == VoteGranted {
+		result, decided = Result{Sequence: 1, Outcome: Reserved}, true
+	}
+	if decided && m.requests[message.gateway] == requestReserving {
+		m.requests[message.gateway] = requestEnded
+		if result.Outcome == Reserved {
+			m.requests[message.gateway] = requestDispatched
+		}
+	}
+	m.sendRequests(message.gateway)
+}
+
+// injectVoterDefects changes a voter before it handles a request as the defects order.
+func (m *model) injectVoterDefects(v *Voter, request Request) {
+	everyoneConfirmed := map[int]bool{0: true, 1: true, 2: true}
+	if m.defects.trustsEmptyDisk && !v.disk.joined {
+		v.disk.joined, v.isDiskReplaced = true, false
+		v.confirmedBy = everyoneConfirmed
 	}
-	a, out, ok := v.v.Ask(0, w.doors[m.door].process, *m.ask)
-	said := word{door: m.door, voter: m.voter, answer: &a}
-	if ok && a.Said != Gone && (cut == "" || w.mis.unsynced) {
-		w.tell(said)
+	if m.defects.trustsOlderDisk {
+		v.isDiskOutdated = false
+		v.confirmedBy = everyoneConfirmed
 	}
-	if cut != "lost" {
-		v.log = append(v.log, out...)
-		v.v.Kept()
+	if m.defects.grantsToLast && !request.Release {
+		delete(v.keys.current, request.Key)
 	}
-	if cut != "" {
-		w.cut(m.voter, "")
+	if held, ok := v.keys.current[request.Key]; ok && m.defects.releasesForAnyone && request.Release {
+		v.keys.current[request.Key] = entry{held.owner, true}
 	}
 }
 
-// cut takes a voter's power; it comes back at once.
-func (w *world) cut(i int, what string) {
-	v := &w.voters[i]
-	w.cuts--
-	if what == "older" {
-		w.hellos() // it is older by more than the time between two of them
-	}
-	log, inc := v.log, v.inc+1
-	switch what {
-	case "older": // from before the claims
-		if n := slices.IndexFunc(log, isClaim); n >= 0 {
-			log = log[:n]
+// losePower restarts a voter.
+func (m *model) losePower(i int, fault diskFault) {
+	v := &m.voters[i]
+	m.powerLosses--
+	if fault == diskOlder {
+		m.exchangeStatus() // an older copy is older than the last exchange
+	}
+	log, incarnation := v.log, v.incarnation+1
+	switch fault {
+	case diskOlder:
+		if first := slices.IndexFunc(log, isKeyRecord); first >= 0 {
+			log = log[:first]
 		}
-	case "empty":
-		log, inc = nil, 1
+	case diskEmpty:
+		log, incarnation = nil, 1
 	}
-	w.start(i, inc, log)
-	w.hellos()
+	m.start(i, incarnation, log)
+	m.exchangeStatus()
 }
 
-// broken says whether two requests may both run.
-func (w *world) broken() bool {
-	n := 0
-	for _, s := range w.state {
-		if s == out || s == ran {
-			n++
+// isBroken tells whether two requests may both run.
+func (m *model) isBroken() bool {
+	running := 0
+	for _, state := range m.requests {
+		if state == requestDispatched || state == requestRan {
+			running++
 		}
 	}
-	return n > 1
+	return running > 1
 }
 
-// explore looks at every order, up to so many states.
-func explore(mis mistakes, cuts, most int) (states int, found bool, wins int) {
-	first := newWorld(mis, 2)
-	first.cuts = cuts
+// explore visits states in breadth-first order, up to a limit. It returns how many it visited, whether one of them is
+// broken, and in how many a request is dispatched.
+func explore(d defects, powerLosses, maxStates int) (states int, isBroken bool, dispatched int) {
+	first := newModel(d, 2)
+	first.powerLosses = powerLosses
 	seen := map[string]bool{first.id(): true}
-	queue := []*world{first}
-	for ; len(queue) > 0 && len(seen) < most; queue = queue[1:] {
-		for _, do := range queue[0].next() {
-			n := queue[0].clone()
-			if do(n); n.broken() {
-				return len(seen), true, wins
+	queue := []*model{first}
+	for ; len(queue) > 0 && len(seen) < maxStates; queue = queue[1:] {
+		for _, step := range queue[0].steps() {
+			next := queue[0].clone()
+			if step(next); next.isBroken() {
+				return len(seen), true, dispatched
 			}
-			if id := n.id(); !seen[id] {
+			if id := next.id(); !seen[id] {
 				seen[id] = true
-				queue = append(queue, n)
-				if slices.Contains(n.state, out) {
-					wins++
+				queue = append(queue, next)
+				if slices.Contains(next.requests, requestDispatched) {
+					dispatched++
 				}
 			}
 		}
 	}
-	return len(seen), false, wins
+	return len(seen), false, dispatched
 }
 
-// walk goes on by chance, many times, and says after how many walks both may run; 0: never.
-func walk(mis mistakes, cuts, walks int) int {
+// walk takes random walks through the states and returns the number of the first one that ends in a broken state; zero
+// if none does.
+func walk(d defects, powerLosses, walks int) int {
 	for n := range walks {
 		rng := rand.New(rand.NewPCG(uint64(n), 6))
-		w := newWorld(mis, 3)
-		for w.cuts = cuts; !w.broken(); {
-			all := w.next()
-			if len(all) == 0 || rng.IntN(60) == 0 {
+		m := newModel(d, 3)
+		m.powerLosses = powerLosses
+		for !m.isBroken() {
+			steps := m.steps()
+			if len(steps) == 0 || rng.IntN(60) == 0 {
 				break
 			}
 			first := 0
-			if rng.IntN(4) > 0 && len(w.words) > 0 { // mostly words come
-				first = len(all) - min(len(all), len(w.words))
+			if rng.IntN(4) > 0 && len(m.messages) > 0 { // mostly messages arrive
+				first = len(steps) - min(len(steps), len(m.messages))
 			}
-			all[first+rng.IntN(len(all)-first)](w)
+			steps[first+rng.IntN(len(steps)-first)](m)
 		}
-		if w.broken() {
+		if m.isBroken() {
 			return n + 1
 		}
 	}
 	return 0
 }
 
-// With the rule no order lets both requests run; each mistake is found.
-func TestPowerModelOfClaims(t *testing.T) {
-	most, walks := 15_000, 1_500
+// TestPowerModelOneRequestRuns explores the algorithm with power losses: no order of events lets two requests run.
+func TestPowerModelOneRequestRuns(t *testing.T) {
+	maxStates, walks := 15_000, 1_500
 	if os.Getenv("GAPGAP_LONG") != "" {
-		most, walks = 3_000_000, 50_000
+		maxStates, walks = 3_000_000, 50_000
 	}
 	if race.On {
-		most, walks = 4_000, 300
+		maxStates, walks = 4_000, 300
 	}
-	for _, cuts := range []int{0, 1, 2} {
-		states, found, wins := explore(mistakes{}, cuts, most)
-		t.Logf("%d losses of power: %d states, in %d of them a request is out", cuts, states, wins)
-		if found || wins == 0 {
-			t.Errorf("both may run: %v; a request is out in %d states", found, wins)
+	for _, powerLosses := range []int{0, 1, 2} {
+		states, isBroken, dispatched := explore(defects{}, powerLosses, maxStates)
+		t.Logf("%d power losses: %d states, in %d of them a request is dispatched", powerLosses, states, dispatched)
+		if isBroken || dispatched == 0 {
+			t.Errorf("both requests may run: %v; one is dispatched in %d states", isBroken, dispatched)
 		}
-		if n := walk(mistakes{}, cuts, walks); n > 0 {
-			t.Errorf("both may run in walk %d with %d losses of power", n, cuts)
+		if n := walk(defects{}, powerLosses, walks); n > 0 {
+			t.Errorf("both requests may run in walk %d with %d power losses", n, powerLosses)
 		}
 	}
-	for name, mis := range map[string]mistakes{
-		"yes before it is synced":             {unsynced: true},
-		"one yes is enough":                   {single: true},
-		"a claim is given back though it ran": {givesRan: true},
-		"an empty disk is trusted":            {trustsLost: true},
-		"an older disk is trusted":            {trustsOld: true},
-		"whoever asks last gets the key":      {overwrites: true},
-		"anybody's release is taken":          {anyRelease: true},
-	} {
-		n := walk(mis, 2, 20_000)
-		t.Logf("%s: found in walk %d", name, n)
-		if n == 0 {
-			t.Errorf("%s: not found", name)
-		}
+}
+
+// TestPowerModelFindsDefects holds that the model finds each way of breaking the algorithm.
+func TestPowerModelFindsDefects(t *testing.T) {
+	cases := []struct {
+		name    string
+		defects defects
+	}{
+		{"vote is sent before it is synced", defects{grantsBeforeSync: true}},
+		{"one vote is enough", defects{oneVoteIsEnough: true}},
+		{"key is released though its request ran", defects{releasesAfterRun: true}},
+		{"empty disk is trusted", defects{trustsEmptyDisk: true}},
+		{"older disk is trusted", defects{trustsOlderDisk: true}},
+		{"whoever asks last gets the key", defects{grantsToLast: true}},
+		{"release by any owner is taken", defects{releasesForAnyone: true}},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			n := walk(c.defects, 2, 20_000)
+			t.Logf("found in walk %d", n)
+			if n == 0 {
+				t.Error("not found")
+			}
+		})
 	}
 }
--- a/internal/idempotency/replica/claimside.go
+++ b/internal/idempotency/replica/claimside.go
@@ -56,14 +56,14 @@
 
 // wire is one datagram.
 type wire struct {
-	Process uint64               `cbor:"1,keyasint"` // that says it
-	Asks    []idempotency.Ask    `cbor:"2,keyasint,omitempty"`
-	To      uint64               `cbor:"3,keyasint,omitempty"` // the process that the answers are for
-	Answers []idempotency.Answer `cbor:"4,keyasint,omitempty"`
-	Hello   *idempotency.Hello   `cbor:"5,keyasint,omitempty"`
-	Back    bool                 `cbor:"6,keyasint,omitempty"` // the Hello answers one
-	Ping    bool                 `cbor:"7,keyasint,omitempty"` // asks a voter whether it speaks of keys ...
-	Pong    bool                 `cbor:"8,keyasint,omitempty"` // ... and says that it does
+	Process uint64                   `cbor:"1,keyasint"` // that says it
+	Asks    []idempotency.Request    `cbor:"2,keyasint,omitempty"`
+	To      uint64                   `cbor:"3,keyasint,omitempty"` // the process that the answers are for
+	Answers []idempotency.Response   `cbor:"4,keyasint,omitempty"`
+	Hello   *idempotency.VoterStatus `cbor:"5,keyasint,omitempty"`
+	Back    bool                     `cbor:"6,keyasint,omitempty"` // the Hello answers one
+	Ping    bool                     `cbor:"7,keyasint,omitempty"` // asks a voter whether it speaks of keys ...
+	Pong    bool                     `cbor:"8,keyasint,omitempty"` // ... and says that it does
 }
 
 type said struct {
@@ -73,7 +73,7 @@
 
 type call struct {
 	key  idempotency.Key
-	done func(idempotency.Verdict)
+	done func(idempotency.Outcome)
 	end  uint64 // ends this one instead
 	ran  bool
 }
@@ -110,12 +110,12 @@
 	away            atomic.Bool   // too few voters answer: a claim would wait in vain
 
 	// The door's goroutine's.
-	door    *idempotency.Door
+	door    *idempotency.Coordinator
 	heard   map[int]time.Duration // of voters
 	began   map[uint64]time.Duration
 	pinged  time.Duration
 	numbers map[uint64]uint64 // a caller's number: the door's
-	waits   map[uint64]func(idempotency.Verdict)
+	waits   map[uint64]func(idempotency.Outcome)
 
 	// The voter's goroutine's.
 	voter  *idempotency.Voter // nil: this door does not vote
@@ -143,8 +143,8 @@
 // New opens what the door's disk has. Its errors say in one line what is wrong.
 func New(cfg Config) (*Side, error) {
 	s := &Side{cfg: cfg, process: number(), doorIn: make(chan said, inboxMost), voterIn: make(chan said, inboxMost), calls: make(chan call, callsMost),
-		heard: map[int]time.Duration{}, began: map[uint64]time.Duration{}, numbers: map[uint64]uint64{}, waits: map[uint64]func(idempotency.Verdict){}}
-	s.door = idempotency.NewDoor(s.process, cfg.Voters)
+		heard: map[int]time.Duration{}, began: map[uint64]time.Duration{}, numbers: map[uint64]uint64{}, waits: map[uint64]func(idempotency.Outcome){}}
+	s.door = idempotency.NewCoordinator(s.process, cfg.Voters)
 	s.ctx, s.stop = context.WithCancel(context.Background())
 	s.view.Store(&View{})
 	s.away.Store(true)
@@ -155,8 +155,8 @@
 	if err := errors.Join(cfg.FS.MkdirAll(dir, 0o700), cfg.FS.SyncDir(cfg.Dir)); err != nil {
 		return nil, err
 	}
-	vc := idempotency.VoterConfig{Rank: cfg.Rank, Voters: cfg.Voters, Process: s.process, Keep: cfg.Keep, Most: cfg.Most, Number: number(), Inc: cfg.Inc}
-	if err := vc.Check(); err != nil {
+	vc := idempotency.VoterConfig{Index: cfg.Rank, Voters: cfg.Voters, Process: s.process, Retention: cfg.Keep, MaxKeys: cfg.Most, NewDiskID: number(), Incarnation: cfg.Inc}
+	if err := vc.Validate(); err != nil {
 		return nil, err
 	}
 	var log *wal.Log
@@ -180,7 +180,7 @@
 		log.Close()
 		return nil, err
 	}
-	s.found = fmt.Sprintf("keys: %d remembered, by the disk; %d torn bytes at the log's end thrown away, which nobody was told were kept", s.voter.Keys(), found.Torn)
+	s.found = fmt.Sprintf("keys: %d remembered, by the disk; %d torn bytes at the log's end thrown away, which nobody was told were kept", s.voter.KeyCount(), found.Torn)
 	cfg.Log.Info(s.found, "segments", found.Segments)
 	s.publish()
 	return s, nil
@@ -198,7 +198,7 @@
 	if err := s.log.Sync(); err != nil {
 		return err
 	}
-	s.voter.Kept()
+	s.voter.MarkSynced()
 	s.turn = first
 	return s.log.Drop(first)
 }
@@ -282,7 +282,7 @@
 
 // Claim claims a key, and has done called once, by another goroutine, unless End comes first. It returns the claim's number; 0: there is no place for
 // it now, or too few voters answer. Any goroutine may call it.
-func (s *Side) Claim(key idempotency.Key, done func(idempotency.Verdict)) uint64 {
+func (s *Side) Claim(key idempotency.Key, done func(idempotency.Outcome)) uint64 {
 	if s.away.Load() {
 		s.Figures.Away.Add(1)
 		return 0
@@ -325,7 +325,7 @@
 		}
 		s.ask()
 		wait := s.reach()
-		if at, ok := s.door.Due(); ok {
+		if at, ok := s.door.NextRetry(); ok {
 			wait = min(wait, max(time.Millisecond, at-s.cfg.Now()))
 		}
 		timer.Reset(wait)
@@ -374,7 +374,7 @@
 	now := s.cfg.Now()
 	if c.done == nil {
 		if n, ok := s.numbers[c.end]; ok {
-			s.door.End(now, n, c.ran)
+			s.door.Finish(now, n, c.ran)
 			delete(s.waits, n)
 			delete(s.began, n)
 			delete(s.numbers, c.end)
@@ -382,10 +382,10 @@
 		return
 	}
 	s.Figures.Claims.Add(1)
-	n, err := s.door.Begin(now, c.key)
+	n, err := s.door.Reserve(now, c.key)
 	if err != nil {
 		s.Figures.Crowded.Add(1)
-		c.done(idempotency.Crowded)
+		c.done(idempotency.NoCapacity)
 		return
 	}
 	s.numbers[c.end], s.waits[n], s.began[n] = n, c.done, now
@@ -394,31 +394,31 @@
 func (s *Side) answered(in said) {
 	s.heard[in.from] = s.cfg.Now()
 	for _, a := range in.w.Answers {
-		r, ok := s.door.Heard(s.cfg.Now(), in.from, a)
+		r, ok := s.door.HandleResponse(s.cfg.Now(), in.from, a)
 		if !ok {
 			continue
 		}
-		switch r.Verdict {
-		case idempotency.Won:
+		switch r.Outcome {
+		case idempotency.Reserved:
 			s.Figures.Won.Add(1)
-		case idempotency.Lost:
+		case idempotency.HeldByOther:
 			s.Figures.Lost.Add(1)
 		default:
 			s.Figures.Crowded.Add(1)
 		}
-		if done := s.waits[r.N]; done != nil {
-			delete(s.waits, r.N)
-			delete(s.began, r.N)
-			done(r.Verdict)
+		if done := s.waits[r.Sequence]; done != nil {
+			delete(s.waits, r.Sequence)
+			delete(s.began, r.Sequence)
+			done(r.Outcome)
 		}
 	}
 }
 
 // ask tells the voters what is to be asked now.
 func (s *Side) ask() {
-	by := map[int][]idempotency.Ask{}
+	by := map[int][]idempotency.Request{}
 	for _, o := range s.door.Tick(s.cfg.Now()) {
-		by[o.To] = append(by[o.To], o.Ask)
+		by[o.Voter] = append(by[o.Voter], o.Request)
 	}
 	for to, asks := range by {
 		for part := range slices.Chunk(asks, asksMost) {
@@ -432,7 +432,7 @@
 	defer tick.Stop()
 	s.hello()
 	for {
-		out := map[int]map[uint64][]idempotency.Answer{}
+		out := map[int]map[uint64][]idempotency.Response{}
 		var hellos []said
 		select {
 		case <-s.ctx.Done():
@@ -464,13 +464,13 @@
 }
 
 // asked takes a datagram; what is to be said goes out once it is kept.
-func (s *Side) asked(in said, out map[int]map[uint64][]idempotency.Answer, hellos *[]said) error {
+func (s *Side) asked(in said, out map[int]map[uint64][]idempotency.Response, hellos *[]said) error {
 	if s.failed {
 		return nil
 	}
 	now := s.cfg.Now()
 	if h := in.w.Hello; h != nil {
-		more, answer := s.voter.Heard(now, in.from, *h)
+		more, answer := s.voter.HandleStatus(in.from, *h)
 		if err := s.append(more); err != nil {
 			return err
 		}
@@ -482,7 +482,7 @@
 		*hellos = append(*hellos, said{in.from, &wire{To: in.w.Process, Pong: true}})
 	}
 	for _, a := range in.w.Asks {
-		answer, more, ok := s.voter.Ask(now, in.w.Process, a)
+		answer, more, ok := s.voter.HandleRequest(now, in.w.Process, a)
 		if err := s.append(more); err != nil {
 			return err
 		}
@@ -490,7 +490,7 @@
 			continue
 		}
 		if out[in.from] == nil {
-			out[in.from] = map[uint64][]idempotency.Answer{}
+			out[in.from] = map[uint64][]idempotency.Response{}
 		}
 		out[in.from][in.w.Process] = append(out[in.from][in.w.Process], answer)
 	}
@@ -512,7 +512,7 @@
 		s.cfg.Log.Error("keys can't be kept: this voter says nothing about them until it can", "error", err)
 		return
 	}
-	s.voter.Kept()
+	s.voter.MarkSynced()
 }
 
 // tick is the time that goes by.
@@ -522,7 +522,7 @@
 			return
 		}
 		s.failed = false
-		s.cfg.Log.Info("keys are kept again", "remembered", s.voter.Keys())
+		s.cfg.Log.Info("keys are kept again", "remembered", s.voter.KeyCount())
 	}
 	more, turned := s.voter.Tick(s.cfg.Now())
 	err := s.append(more)
@@ -530,7 +530,7 @@
 		old := s.turn
 		if err = s.log.Cut(); err == nil {
 			s.turn = s.log.Segment()
-			if err = s.append(s.voter.Head()); err == nil {
+			if err = s.append(s.voter.SegmentHeader()); err == nil {
 				err = s.log.Sync()
 			}
 		}
@@ -547,14 +547,14 @@
 	}
 	for _, v := range s.cfg.Voters {
 		if v != s.cfg.Rank {
-			h := s.voter.Hello(v)
+			h := s.voter.StatusFor(v)
 			s.tell(v, &wire{Hello: &h})
 		}
 	}
 }
 
 func (s *Side) publish() {
-	v := View{Votes: true, Keys: s.voter.Keys(), Segments: s.log.Segments()}
+	v := View{Votes: true, Keys: s.voter.KeyCount(), Segments: s.log.Segments()}
 	if v.Ready, v.Why = s.voter.Ready(s.cfg.Now()); s.failed {
 		v.Ready, v.Why = false, "its disk can't be written"
 	}
--- a/internal/idempotency/replica/claimside_test.go
+++ b/internal/idempotency/replica/claimside_test.go
@@ -113,15 +113,15 @@
 }
 
 // claim claims a key at a door and waits.
-func (f *sides) claim(i int, key string) (n uint64, v idempotency.Verdict, ok bool) {
-	got := make(chan idempotency.Verdict, 1)
+func (f *sides) claim(i int, key string) (n uint64, v idempotency.Outcome, ok bool) {
+	got := make(chan idempotency.Outcome, 1)
 	f.mu.RLock()
 	s := f.all[i]
 	f.mu.RUnlock()
 	if s == nil {
 		return 0, 0, false
 	}
-	if n = s.Claim(idempotency.KeyOf(key), func(v idempotency.Verdict) { got <- v }); n == 0 {
+	if n = s.Claim(idempotency.KeyOf(key), func(v idempotency.Outcome) { got <- v }); n == 0 {
 		return 0, 0, false
 	}
 	select {
@@ -152,7 +152,7 @@
 					continue
 				}
 				mu.Lock()
-				if answered++; v == idempotency.Won {
+				if answered++; v == idempotency.Reserved {
 					won[key]++
 				}
 				mu.Unlock()
@@ -183,7 +183,7 @@
 	f.reach()
 	for round := range 3 { // nothing had gone out: the key is as new
 		n, v, ok := f.claim(3, "given back")
-		if !ok || v != idempotency.Won {
+		if !ok || v != idempotency.Reserved {
 			t.Fatalf("round %d: %v, %v", round, v, ok)
 		}
 		f.all[3].End(n, false)
@@ -205,7 +205,7 @@
 			for n := 0; clock.Add(int64(600*time.Microsecond)) < int64(4*time.Second); n++ {
 				id, v, ok := f.claim(worker%3, fmt.Sprint("key ", worker, " ", n))
 				if ok {
-					if v == idempotency.Crowded {
+					if v == idempotency.NoCapacity {
 						crowded.Add(1)
 					}
 					f.all[worker%3].End(id, true)
@@ -244,7 +244,7 @@
 			t.Fatal("a door without a majority goes on claiming")
 		}
 	}
-	if n := f.all[0].Claim(idempotency.KeyOf("alone"), func(idempotency.Verdict) {}); n != 0 {
+	if n := f.all[0].Claim(idempotency.KeyOf("alone"), func(idempotency.Outcome) {}); n != 0 {
 		t.Error("a claim without a majority is not refused at once")
 	}
 }
@@ -259,7 +259,7 @@
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
 		s.Heard(1, b)
-		out := map[int]map[uint64][]idempotency.Answer{}
+		out := map[int]map[uint64][]idempotency.Response{}
 		var hellos []said
 		for len(s.voterIn) > 0 {
 			if err := s.asked(<-s.voterIn, out, &hellos); err != nil {
--- a/internal/idempotency/replica/golden_test.go
+++ b/internal/idempotency/replica/golden_test.go
@@ -15,16 +15,16 @@
 var goldenKey = idempotency.Key{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 255}
 
 // goldenHello sets every field.
-var goldenHello = idempotency.Hello{
-	Process: 1 << 62,
-	Inc:     7,
-	Disk:    99,
-	Begun:   true,
-	Disks:   []uint64{99, 98, 1 << 60},
-	Had:     1000,
-	Seq:     1234,
-	Of:      77,
-	Newest:  true,
+var goldenHello = idempotency.VoterStatus{
+	Process:          1 << 62,
+	Incarnation:      7,
+	Disk:             99,
+	Joined:           true,
+	InitialDisks:     []uint64{99, 98, 1 << 60},
+	RecordsAtStart:   1000,
+	RecordsSynced:    1234,
+	ObservedProcess:  77,
+	ObservedIsNewest: true,
 }
 
 // checkGolden compares a value's bytes with recorded ones, which must be read into an equal value.
@@ -46,28 +46,28 @@
 func TestGoldenMessages(t *testing.T) {
 	checkGolden(t, "message_requests", wire{
 		Process: 5,
-		Asks:    []idempotency.Ask{{Key: goldenKey, N: 1}, {Key: idempotency.KeyOf("a", "b", "c"), N: 1 << 40, Release: true}},
+		Asks:    []idempotency.Request{{Key: goldenKey, Sequence: 1}, {Key: idempotency.KeyOf("a", "b", "c"), Sequence: 1 << 40, Release: true}},
 		Ping:    true,
 	})
 	checkGolden(t, "message_answers", wire{
 		Process: 6,
 		To:      5,
-		Answers: []idempotency.Answer{
-			{N: 1, Said: idempotency.Yes},
-			{N: 2, Said: idempotency.Held},
-			{N: 3, Said: idempotency.Full},
-			{N: 4, Said: idempotency.Gone},
+		Answers: []idempotency.Response{
+			{Sequence: 1, Vote: idempotency.VoteGranted},
+			{Sequence: 2, Vote: idempotency.VoteHeld},
+			{Sequence: 3, Vote: idempotency.VoteFull},
+			{Sequence: 4, Vote: idempotency.VoteReleased},
 		},
 		Pong: true,
 	})
 	hello := goldenHello
 	checkGolden(t, "message_hello", wire{Process: 7, Hello: &hello, Back: true})
-	checkGolden(t, "message_hello_empty", wire{Process: 7, Hello: &idempotency.Hello{}})
+	checkGolden(t, "message_hello_empty", wire{Process: 7, Hello: &idempotency.VoterStatus{}})
 	checkGolden(t, "message_all", wire{
 		Process: 8,
-		Asks:    []idempotency.Ask{{Key: goldenKey, N: 9, Release: true}},
+		Asks:    []idempotency.Request{{Key: goldenKey, Sequence: 9, Release: true}},
 		To:      10,
-		Answers: []idempotency.Answer{{N: 11, Said: idempotency.Yes}},
+		Answers: []idempotency.Response{{Sequence: 11, Vote: idempotency.VoteGranted}},
 		Hello:   &hello,
 		Back:    true,
 		Ping:    true,
@@ -77,14 +77,14 @@
 
 // TestGoldenRecords holds the bytes of a voter's records on disk.
 func TestGoldenRecords(t *testing.T) {
-	ticket := idempotency.Ticket{Process: 1 << 50, N: 17}
-	checkGolden(t, "record_disk", idempotency.Record{Kind: idempotency.Disk, Number: 1 << 61, Seq: 12})
-	checkGolden(t, "record_begun", idempotency.Record{Kind: idempotency.Begun, Disks: []uint64{1, 2, 3}})
-	checkGolden(t, "record_claimed", idempotency.Record{Kind: idempotency.Claimed, Key: goldenKey, Ticket: ticket})
-	checkGolden(t, "record_freed", idempotency.Record{Kind: idempotency.Freed, Key: goldenKey, Ticket: ticket})
-	known := idempotency.Record{Kind: idempotency.Known, Number: 3, Disks: []uint64{4}, Rank: 2, Inc: 9, Seq: 88}
+	ticket := idempotency.Owner{Process: 1 << 50, Sequence: 17}
+	checkGolden(t, "record_disk", idempotency.Record{Kind: idempotency.RecordDisk, ID: 1 << 61, RecordCount: 12})
+	checkGolden(t, "record_begun", idempotency.Record{Kind: idempotency.RecordJoined, Disks: []uint64{1, 2, 3}})
+	checkGolden(t, "record_claimed", idempotency.Record{Kind: idempotency.RecordReserved, Key: goldenKey, Owner: ticket})
+	checkGolden(t, "record_freed", idempotency.Record{Kind: idempotency.RecordReleased, Key: goldenKey, Owner: ticket})
+	known := idempotency.Record{Kind: idempotency.RecordPeer, ID: 3, Disks: []uint64{4}, Voter: 2, Incarnation: 9, RecordCount: 88}
 	checkGolden(t, "record_known", known)
-	known.Key, known.Ticket = goldenKey, ticket
+	known.Key, known.Owner = goldenKey, ticket
 	checkGolden(t, "record_all", known)
 }
 
--- a/internal/idempotency/voter.go
+++ b/internal/idempotency/voter.go
@@ -1,299 +1,342 @@
 package idempotency
 
 import (
+	"errors"
 	"fmt"
 	"iter"
+	"maps"
 	"slices"
 	"time"
 )
 
-// Record is what a voter keeps on its disk: one field beside Kind says what of.
-type Record struct {
-	Kind   RecordKind `cbor:"1,keyasint"`
-	Key    Key        `cbor:"2,keyasint,omitempty"`
-	Ticket Ticket     `cbor:"3,keyasint,omitempty"`
-	Number uint64     `cbor:"4,keyasint,omitempty"` // of the disk, by chance; with Known: of a process
-	Disks  []uint64   `cbor:"5,keyasint,omitempty"` // with Begun: those that the fleet's keys began with; with Known: that voter's
-	Rank   int        `cbor:"6,keyasint,omitempty"` // with Known: of a voter ...
-	Inc    uint32     `cbor:"7,keyasint,omitempty"` // ... and the highest incarnation that was heard of
-	Seq    uint64     `cbor:"8,keyasint,omitempty"` // with Disk and Known: how many records that disk has had so far
-}
-
-// RecordKind says what a record is.
-type RecordKind uint8
-
+// Limits of what voters retain.
 const (
-	Disk    RecordKind = iota + 1 // the disk's number: the first record
-	Begun                         // this disk takes part
-	Claimed                       // Ticket has Key
-	Freed                         // Ticket has given Key back
-	Known                         // a voter was heard of
+	MinRetention = 10 * time.Second
+	MaxRetention = 24 * time.Hour
+	// MaxKeys limits the keys that a voter may be configured to retain.
+	MaxKeys = 4_000_000
 )
 
-// Hello is what voters tell each other now and then, of what their disks have.
-type Hello struct {
-	Process uint64   `cbor:"1,keyasint"`
-	Inc     uint32   `cbor:"2,keyasint"` // the door's incarnation, by its disk
-	Disk    uint64   `cbor:"3,keyasint"`
-	Begun   bool     `cbor:"4,keyasint,omitempty"`
-	Disks   []uint64 `cbor:"5,keyasint,omitempty"`
-	Had     uint64   `cbor:"8,keyasint,omitempty"` // records that its disk had at the process's start ...
-	Seq     uint64   `cbor:"9,keyasint,omitempty"` // ... and has kept by now
+// ErrInvalidConfig reports a voter's configuration that is not possible.
+var ErrInvalidConfig = errors.New("invalid voter configuration")
 
-	// Of the process that this is said to: it was heard of and no later one of its door was, or else a later one was.
-	Of     uint64 `cbor:"6,keyasint,omitempty"`
-	Newest bool   `cbor:"7,keyasint,omitempty"`
-}
-
-// VoterConfig is one voter.
+// VoterConfig configures a voter.
 type VoterConfig struct {
-	Rank    int
-	Voters  []int
-	Process uint64        // a random number of this process
-	Keep    time.Duration // for which a key is remembered at least, from its claim or from the voter's start on
-	Most    int           // keys
-	Number  uint64        // by chance, for a disk that is empty
-	Inc     uint32        // the incarnation with which the process started
+	// Index is the voter's index among the gateways.
+	Index int
+	// Voters are the indices of all voters, this one among them.
+	Voters []int
+	// Process is a random number that identifies this process. It is not zero.
+	Process uint64
+	// Retention is how long a key is retained at least, from its reservation or from the voter's start on.
+	Retention time.Duration
+	// MaxKeys limits the retained keys.
+	MaxKeys int
+	// NewDiskID is a random number that identifies the disk if it is empty. It is not zero.
+	NewDiskID uint64
+	// Incarnation is that with which the process started.
+	Incarnation uint32
 }
 
-// Voter says yes to one request for each key.
-type Voter struct {
-	cfg    VoterConfig
-	begunA time.Duration // when the process began
+// Validate returns an error that wraps ErrInvalidConfig if a field is out of its range.
+func (c *VoterConfig) Validate() error {
+	switch {
+	case len(c.Voters) > maxVoters:
+		return fmt.Errorf("%w: %d voters, %d at most", ErrInvalidConfig, len(c.Voters), maxVoters)
+	case !slices.Contains(c.Voters, c.Index):
+		return fmt.Errorf("%w: %d is not among the voters %v", ErrInvalidConfig, c.Index, c.Voters)
+	case c.Retention <= 0:
+		return fmt.Errorf("%w: retention of %v", ErrInvalidConfig, c.Retention)
+	case c.MaxKeys <= 0:
+		return fmt.Errorf("%w: %d keys at most", ErrInvalidConfig, c.MaxKeys)
+	}
+	return nil
+}
 
-	disk   uint64
-	disks  []uint64
-	begun  bool   // by its disk
-	had    uint64 // records at the start ...
-	seq    uint64 // ... and by now ...
-	kept   uint64 // ... of which so many outlive a power loss
-	known  map[int]Record
-	agreed map[int]bool // voters that say that this process is the newest that they heard of
-	fresh  map[int]uint64
-	old    bool // another voter knows a later process of this door: the disk is an older one
-	lost   bool // others have begun, and not with this disk
-	alone  bool
+// diskState is what a voter's disk says of itself.
+type diskState struct {
+	id uint64
+	// joined tells whether the disk takes part in votes, since the voters began with initialDisks.
+	joined       bool
+	initialDisks []uint64
+	// recordsAtStart, recordsWritten and recordsSynced count the disk's records when the process started, by now, and
+	// those of them that outlive a power loss.
+	recordsAtStart, recordsWritten, recordsSynced uint64
+}
 
-	now, before map[Key]holder // claims of this stretch and of the one before
-	turned      time.Duration
+// join has the disk take part from now on, as there is nothing that it may have forgotten.
+func (d *diskState) join(initialDisks []uint64) Record {
+	d.joined = true
+	d.initialDisks = initialDisks
+	return Record{Kind: RecordJoined, Disks: d.initialDisks}
 }
 
-type holder struct {
-	t     Ticket
-	freed bool
+// Voter grants each key to one reservation.
+//
+// Its methods return records. The caller writes and syncs these before it sends what the same call returned, and calls
+// MarkSynced then.
+type Voter struct {
+	config    VoterConfig
+	startedAt time.Duration
+	keys      keyTable
+	disk      diskState
+	// peers has a RecordPeer for each voter that was heard of.
+	peers map[int]Record
+	// confirmedBy are the voters that know this process as the newest of this gateway.
+	confirmedBy map[int]bool
+	// emptyPeerDisks has the disks of the voters that have not joined.
+	emptyPeerDisks map[int]uint64
+	// isDiskOutdated is set if a peer knows a later process of this gateway: the disk is an older copy.
+	isDiskOutdated bool
+	// isDiskReplaced is set if the other voters have begun without this disk.
+	isDiskReplaced bool
 }
 
-// NewVoter is a voter that has just started, with what its disk has, in order. What it returns is to be kept before anything is said.
-func NewVoter(cfg VoterConfig, now time.Duration, kept iter.Seq[Record]) (*Voter, []Record) {
-	v := &Voter{cfg: cfg, begunA: now, turned: now, known: map[int]Record{}, agreed: map[int]bool{}, fresh: map[int]uint64{}, now: map[Key]holder{}, before: map[Key]holder{},
-		alone: len(cfg.Voters) == 1}
-	for r := range kept {
-		v.seq++
-		switch r.Kind {
-		case Disk:
-			v.disk, v.seq = r.Number, max(v.seq, r.Seq)
-		case Begun:
-			v.begun, v.disks = true, r.Disks
-		case Claimed:
-			v.now[r.Key] = holder{t: r.Ticket}
-		case Freed:
-			v.now[r.Key] = holder{r.Ticket, true}
-		case Known:
-			v.known[r.Rank] = r
-		}
+// NewVoter returns a voter that has just started from its disk's records, in their order, and the records to add.
+func NewVoter(config VoterConfig, now time.Duration, stored iter.Seq[Record]) (*Voter, []Record) {
+	v := &Voter{
+		config:         config,
+		startedAt:      now,
+		keys:           newKeyTable(now),
+		peers:          map[int]Record{},
+		confirmedBy:    map[int]bool{},
+		emptyPeerDisks: map[int]uint64{},
+	}
+	for record := range stored {
+		v.restore(record)
 	}
-	v.had, v.kept = v.seq, v.seq
-	var out []Record
-	if v.disk == 0 {
-		v.disk = cfg.Number
-		out = append(out, Record{Kind: Disk, Number: v.disk})
+	v.disk.recordsAtStart = v.disk.recordsWritten
+	v.disk.recordsSynced = v.disk.recordsWritten
+	var records []Record
+	if v.disk.id == 0 {
+		v.disk.id = config.NewDiskID
+		records = append(records, Record{Kind: RecordDisk, ID: v.disk.id})
 	}
-	if v.alone && !v.begun && cfg.Inc <= 1 { // it never ran before
-		v.begun, v.disks = true, []uint64{v.disk}
-		out = append(out, Record{Kind: Begun, Disks: v.disks})
+	hasRunBefore := config.Incarnation > 1
+	if v.isOnlyVoter() && !v.disk.joined && !hasRunBefore {
+		records = append(records, v.disk.join([]uint64{v.disk.id}))
 	}
-	return v, v.count(out)
+	return v, v.countWritten(records)
 }
 
-// count counts records that are to be kept.
-func (v *Voter) count(out []Record) []Record {
-	v.seq += uint64(len(out))
-	return out
+// restore applies a record of the disk.
+func (v *Voter) restore(record Record) {
+	v.disk.recordsWritten++
+	switch record.Kind {
+	case RecordDisk:
+		v.disk.id = record.ID
+		v.disk.recordsWritten = max(v.disk.recordsWritten, record.RecordCount)
+	case RecordJoined:
+		v.disk.join(record.Disks)
+	case RecordReserved:
+		v.keys.put(record.Key, entry{owner: record.Owner})
+	case RecordReleased:
+		v.keys.put(record.Key, entry{owner: record.Owner, released: true})
+	case RecordPeer:
+		v.peers[record.Voter] = record
+	}
 }
 
-// Kept says that all that was returned so far outlives a power loss.
-func (v *Voter) Kept() { v.kept = v.seq }
+// countWritten counts records that the caller is to write, and returns them.
+func (v *Voter) countWritten(records []Record) []Record {
+	v.disk.recordsWritten += uint64(len(records))
+	return records
+}
 
-// Head is what stands before the claims of a stretch, so that what lies before it can be dropped.
-func (v *Voter) Head() []Record {
-	out := []Record{{Kind: Disk, Number: v.disk, Seq: v.seq}}
-	if v.begun {
-		out = append(out, Record{Kind: Begun, Disks: v.disks})
-	}
-	for _, k := range v.known {
-		out = append(out, k)
+// MarkSynced records that all records returned so far outlive a power loss.
+func (v *Voter) MarkSynced() { v.disk.recordsSynced = v.disk.recordsWritten }
+
+// SegmentHeader returns the records that have to precede the keys of a retention period, so that older segments of the
+// log can be dropped.
+func (v *Voter) SegmentHeader() []Record {
+	records := []Record{{Kind: RecordDisk, ID: v.disk.id, RecordCount: v.disk.recordsWritten}}
+	if v.disk.joined {
+		records = append(records, Record{Kind: RecordJoined, Disks: v.disk.initialDisks})
 	}
-	return v.count(out)
+	records = slices.AppendSeq(records, maps.Values(v.peers))
+	return v.countWritten(records)
 }
 
-// Snapshot is all that the disk has to have.
+// Snapshot returns the records from which the voter's state can be restored without any others.
 func (v *Voter) Snapshot() []Record {
-	out := v.Head()
-	head := len(out)
-	for _, all := range []map[Key]holder{v.before, v.now} {
-		for key, h := range all {
-			r := Record{Kind: Claimed, Key: key, Ticket: h.t}
-			if h.freed {
-				r.Kind = Freed
-			}
-			out = append(out, r)
-		}
-	}
-	v.count(out[head:])
-	return out
+	header := v.SegmentHeader()
+	return append(header, v.countWritten(v.keys.records())...)
 }
 
-// Ready says whether the voter may speak of keys, and if not, why.
-func (v *Voter) Ready(now time.Duration) (bool, string) {
-	over := now-v.begunA >= v.cfg.Keep // whatever it has forgotten is over
+// isOnlyVoter tells whether there are no other voters.
+func (v *Voter) isOnlyVoter() bool { return len(v.config.Voters) == 1 }
+
+// isRetentionOver tells whether any key that the voter may have forgotten before its start is past its retention.
+func (v *Voter) isRetentionOver(now time.Duration) bool { return now-v.startedAt >= v.config.Retention }
+
+// Ready tells whether the voter may vote, and if not, the reason for operators.
+func (v *Voter) Ready(now time.Duration) (ready bool, reason string) {
 	switch {
-	case over && v.begun:
+	case v.isRetentionOver(now) && v.disk.joined:
 		return true, ""
-	case v.old:
+	case v.isDiskOutdated:
 		return false, "its disk is older than one that it had: keys that it has forgotten must be over first"
-	case !v.begun && (v.lost || v.alone):
+	case !v.disk.joined && (v.isDiskReplaced || v.isOnlyVoter()):
 		return false, "its disk is empty: keys that it may have forgotten must be over first"
-	case !v.begun:
+	case !v.disk.joined:
 		return false, "it has not heard whether the others have begun"
-	case v.alone || len(v.agreed) >= len(v.cfg.Voters)/2:
+	case v.isOnlyVoter() || len(v.confirmedBy) >= len(v.config.Voters)/2:
 		return true, ""
 	}
 	return false, "it has not heard whether its disk is its newest one"
 }
 
-// Tick is the time that goes by. What it returns is to be kept. turned says that all claims so far but those of the last stretch are forgotten.
-func (v *Voter) Tick(now time.Duration) (out []Record, turned bool) {
-	if !v.begun && now-v.begunA >= v.cfg.Keep {
-		v.begun, v.disks = true, []uint64{v.disk}
-		out = append(out, Record{Kind: Begun, Disks: v.disks})
+// Tick advances the time. When rotated is true, a retention period has ended: keys older than that period are dropped.
+func (v *Voter) Tick(now time.Duration) (records []Record, rotated bool) {
+	if !v.disk.joined && v.isRetentionOver(now) {
+		records = append(records, v.disk.join([]uint64{v.disk.id}))
 	}
-	if now-v.turned >= v.cfg.Keep {
-		v.before, v.now, v.turned = v.now, map[Key]holder{}, now
-		turned = true
+	if now-v.keys.rotatedAt >= v.config.Retention {
+		v.keys.rotate(now)
+		rotated = true
 	}
-	return v.count(out), turned
+	return v.countWritten(records), rotated
 }
 
-// Hello is what is to be told a voter.
-func (v *Voter) Hello(to int) Hello {
-	h := Hello{Process: v.cfg.Process, Inc: v.cfg.Inc, Disk: v.disk, Begun: v.begun, Disks: v.disks, Had: v.had, Seq: v.kept}
-	if k, ok := v.known[to]; ok {
-		h.Of, h.Newest = k.Number, true
+// StatusFor returns the status to send to another voter.
+func (v *Voter) StatusFor(voter int) VoterStatus {
+	status := VoterStatus{
+		Process:        v.config.Process,
+		Incarnation:    v.config.Incarnation,
+		Disk:           v.disk.id,
+		Joined:         v.disk.joined,
+		InitialDisks:   v.disk.initialDisks,
+		RecordsAtStart: v.disk.recordsAtStart,
+		RecordsSynced:  v.disk.recordsSynced,
 	}
-	return h
+	if peer, ok := v.peers[voter]; ok {
+		status.ObservedProcess = peer.ID
+		status.ObservedIsNewest = true
+	}
+	return status
 }
 
-// Heard takes another voter's. What it returns is to be kept before the answer, which goes back.
-func (v *Voter) Heard(now time.Duration, from int, h Hello) (out []Record, answer Hello) {
-	if from == v.cfg.Rank || !slices.Contains(v.cfg.Voters, from) || h.Process == 0 {
-		return nil, v.Hello(from)
+// HandleStatus takes another voter's status and returns the answer to it, to be sent after the records are synced.
+func (v *Voter) HandleStatus(from int, status VoterStatus) (records []Record, answer VoterStatus) {
+	if from == v.config.Index || !slices.Contains(v.config.Voters, from) || status.Process == 0 {
+		return nil, v.StatusFor(from)
 	}
-	k, ok := v.known[from]
-	same := ok && slices.Equal(k.Disks, []uint64{h.Disk})
-	newest := !ok || h.Process == k.Number || h.Inc > k.Inc && (!same && h.Begun || h.Had >= k.Seq)
-	if newest && (!ok || k.Number != h.Process || h.Seq > k.Seq) {
-		k = Record{Kind: Known, Rank: from, Inc: max(h.Inc, k.Inc), Number: h.Process, Disks: []uint64{h.Disk}, Seq: max(h.Seq, h.Had)}
-		v.known[from] = k
-		out = append(out, k)
+	isNewest, records := v.observePeer(from, status)
+	if status.ObservedProcess == v.config.Process {
+		v.observeOwnProcess(from, status.ObservedIsNewest)
 	}
-	if h.Of == v.cfg.Process {
-		if h.Newest {
-			v.agreed[from] = true
-		} else if !v.old && !v.agreed[from] {
-			v.old = v.begun
-		}
+	if !v.disk.joined {
+		records = append(records, v.tryJoin(from, status)...)
 	}
-	if !v.begun {
-		if h.Begun {
-			delete(v.fresh, from)
-			if slices.Contains(h.Disks, v.disk) {
-				out = append(out, v.begin(h.Disks))
-			} else {
-				v.lost = true
-			}
-		} else {
-			v.fresh[from] = h.Disk
-			if len(v.fresh) == len(v.cfg.Voters)-1 && !v.lost {
-				disks := []uint64{v.disk}
-				for _, d := range v.fresh {
-					disks = append(disks, d)
-				}
-				out = append(out, v.begin(disks))
-			}
-		}
+	answer = v.StatusFor(from)
+	answer.ObservedProcess = status.Process
+	answer.ObservedIsNewest = isNewest
+	return v.countWritten(records), answer
+}
+
+// observePeer tells whether a peer's process is the newest known one, and remembers that process if there is news.
+func (v *Voter) observePeer(from int, status VoterStatus) (isNewest bool, records []Record) {
+	peer, isKnown := v.peers[from]
+	isSameDisk := isKnown && slices.Equal(peer.Disks, []uint64{status.Disk})
+	// A later process must not have fewer records than are known of its disk, unless it has joined with another disk.
+	isSuccessor := status.Incarnation > peer.Incarnation &&
+		(!isSameDisk && status.Joined || status.RecordsAtStart >= peer.RecordCount)
+	isNewest = !isKnown || status.Process == peer.ID || isSuccessor
+	hasNews := !isKnown || status.Process != peer.ID || status.RecordsSynced > peer.RecordCount
+	if !isNewest || !hasNews {
+		return isNewest, nil
+	}
+	peer = Record{
+		Kind:        RecordPeer,
+		Voter:       from,
+		Incarnation: max(status.Incarnation, peer.Incarnation),
+		ID:          status.Process,
+		Disks:       []uint64{status.Disk},
+		RecordCount: max(status.RecordsSynced, status.RecordsAtStart),
 	}
-	answer = v.Hello(from)
-	answer.Of, answer.Newest = h.Process, newest
-	return v.count(out), answer
+	v.peers[from] = peer
+	return isNewest, []Record{peer}
 }
 
-// begin takes part from now on, on a disk that is new with the fleet's: there is nothing that it may have forgotten.
-func (v *Voter) begin(disks []uint64) Record {
-	v.begun, v.disks = true, slices.Clone(disks)
-	return Record{Kind: Begun, Disks: v.disks}
+// observeOwnProcess takes a peer's view of whether this process is the newest of its gateway.
+func (v *Voter) observeOwnProcess(from int, isNewest bool) {
+	switch {
+	case isNewest:
+		v.confirmedBy[from] = true
+	case !v.isDiskOutdated && !v.confirmedBy[from]:
+		v.isDiskOutdated = v.disk.joined
+	}
+}
+
+// tryJoin joins the votes with an empty disk: when the other voters began with this disk, or when all disks are empty.
+func (v *Voter) tryJoin(from int, status VoterStatus) []Record {
+	if status.Joined {
+		delete(v.emptyPeerDisks, from)
+		if !slices.Contains(status.InitialDisks, v.disk.id) {
+			v.isDiskReplaced = true
+			return nil
+		}
+		return []Record{v.disk.join(slices.Clone(status.InitialDisks))}
+	}
+	v.emptyPeerDisks[from] = status.Disk
+	if len(v.emptyPeerDisks) < len(v.config.Voters)-1 || v.isDiskReplaced {
+		return nil
+	}
+	initialDisks := slices.AppendSeq([]uint64{v.disk.id}, maps.Values(v.emptyPeerDisks))
+	return []Record{v.disk.join(initialDisks)}
 }
 
-// Ask answers a door, by a process's number. What it returns is to be kept before the answer is said; so must be all that was returned before. No answer: it may not
-// speak yet.
-func (v *Voter) Ask(now time.Duration, process uint64, a Ask) (answer Answer, out []Record, ok bool) {
+// HandleRequest answers a request of a coordinator's process. The response is sent after these records and all earlier
+// ones are synced. It is false if the voter may not vote yet.
+func (v *Voter) HandleRequest(
+	now time.Duration, process uint64, request Request,
+) (response Response, records []Record, ok bool) {
 	if ready, _ := v.Ready(now); !ready {
-		return answer, nil, false
+		return Response{}, nil, false
 	}
-	t := Ticket{process, a.N}
-	h, has := v.now[a.Key]
-	if !has {
-		h, has = v.before[a.Key]
+	owner := Owner{Process: process, Sequence: request.Sequence}
+	response.Sequence = request.Sequence
+	if request.Release {
+		response.Vote = VoteReleased
+		records = v.release(request.Key, owner)
+	} else {
+		response.Vote, records = v.reserve(request.Key, owner)
 	}
-	answer.N = a.N
+	return response, v.countWritten(records), true
+}
+
+// reserve grants a key that is free or released by its last owner.
+func (v *Voter) reserve(key Key, owner Owner) (Vote, []Record) {
+	held, isKnown := v.keys.get(key)
 	switch {
-	case a.Release && has && h.t == t && h.freed:
-		answer.Said = Gone
-	case a.Release && has && h.t != t:
-		answer.Said = Gone // another has the key by now
-	case a.Release && !has && v.full():
-		answer.Said = Gone
-	case a.Release:
-		v.now[a.Key] = holder{t, true} // also where the claim has not come: it may yet
-		out, answer.Said = []Record{{Kind: Freed, Key: a.Key, Ticket: t}}, Gone
-	case has && h.t == t && !h.freed:
-		answer.Said = Yes
-	case has && (h.t == t || !h.freed):
-		answer.Said = Held
-	case v.full():
-		answer.Said = Full
-	default:
-		v.now[a.Key] = holder{t: t}
-		out, answer.Said = []Record{{Kind: Claimed, Key: a.Key, Ticket: t}}, Yes
+	case isKnown && held.owner == owner && !held.released:
+		return VoteGranted, nil
+	case isKnown && (held.owner == owner || !held.released):
+		return VoteHeld, nil
+	case v.isFull():
+		return VoteFull, nil
 	}
-	return answer, v.count(out), true
+	v.keys.put(key, entry{owner: owner})
+	return VoteGranted, []Record{{Kind: RecordReserved, Key: key, Owner: owner}}
 }
 
-func (v *Voter) full() bool { return v.Keys() >= v.cfg.Most }
-
-// Keys is how many are remembered.
-func (v *Voter) Keys() int { return len(v.now) + len(v.before) }
-
-// Check says what is wrong with a configuration.
-func (c *VoterConfig) Check() error {
-	if len(c.Voters) > mostVoters || !slices.Contains(c.Voters, c.Rank) || c.Keep <= 0 || c.Most <= 0 {
-		return fmt.Errorf("no voter: %+v", *c)
+// release releases an owner's key. A release of a key that is not reserved is retained too, as the request for the key
+// may come later.
+func (v *Voter) release(key Key, owner Owner) []Record {
+	held, isKnown := v.keys.get(key)
+	switch {
+	case isKnown && held.owner == owner && held.released:
+		return nil
+	case isKnown && held.owner != owner:
+		return nil
+	case !isKnown && v.isFull():
+		return nil
 	}
-	return nil
+	v.keys.put(key, entry{owner: owner, released: true})
+	return []Record{{Kind: RecordReleased, Key: key, Owner: owner}}
 }
 
-// Bounds of what voters remember: for how long, and how many keys.
-const (
-	LeastKeep = 10 * time.Second
-	MostKeep  = 24 * time.Hour
-	MostKeys  = 4_000_000
-)
+func (v *Voter) isFull() bool { return v.KeyCount() >= v.config.MaxKeys }
+
+// KeyCount returns how many keys are retained.
+func (v *Voter) KeyCount() int { return v.keys.size() }
--- a/internal/peer/file.go
+++ b/internal/peer/file.go
@@ -143,10 +143,10 @@
 	if r := f.Remember; r != nil {
 		s.Remember = &Remember{cmp.Or(time.Duration(r.For), rememberUsual), cmp.Or(r.Most, rememberMost)}
 		switch {
-		case s.Remember.For < idempotency.LeastKeep || s.Remember.For > idempotency.MostKeep:
-			return nil, wrong("remember.for", "is not from %v to %v", idempotency.LeastKeep, idempotency.MostKeep)
-		case s.Remember.Most < 1 || s.Remember.Most > idempotency.MostKeys:
-			return nil, wrong("remember.most", "is not from 1 to %d", idempotency.MostKeys)
+		case s.Remember.For < idempotency.MinRetention || s.Remember.For > idempotency.MaxRetention:
+			return nil, wrong("remember.for", "is not from %v to %v", idempotency.MinRetention, idempotency.MaxRetention)
+		case s.Remember.Most < 1 || s.Remember.Most > idempotency.MaxKeys:
+			return nil, wrong("remember.most", "is not from 1 to %d", idempotency.MaxKeys)
 		}
 	}
 	return s, nil
--- a/internal/service/hosted/keys.go
+++ b/internal/service/hosted/keys.go
@@ -26,10 +26,10 @@
 	pool string // as other doors know it
 }
 
-var verdictOf = [...]proxy.Reservation{idempotency.Won: proxy.Won, idempotency.Lost: proxy.Held, idempotency.Crowded: proxy.Crowded}
+var verdictOf = [...]proxy.Reservation{idempotency.Reserved: proxy.Won, idempotency.HeldByOther: proxy.Held, idempotency.NoCapacity: proxy.Crowded}
 
 func (p poolKeys) Claim(class, customer, key string, done func(proxy.Reservation)) uint64 {
-	return p.side.Claim(idempotency.KeyOf(p.pool, class, customer, key), func(v idempotency.Verdict) { done(verdictOf[v]) })
+	return p.side.Claim(idempotency.KeyOf(p.pool, class, customer, key), func(v idempotency.Outcome) { done(verdictOf[v]) })
 }
 
 func (p poolKeys) End(n uint64, ran bool) { p.side.End(n, ran) }
