--- a/internal/peer/file.go
+++ b/internal/peer/file.go
@@ -143,10 +143,10 @@
 	if r := f.Remember; r != nil {
 		s.KeyRetention = &KeyRetention{cmp.Or(time.Duration(r.For), rememberUsual), cmp.Or(r.Most, rememberMost)}
 		switch {
-		case s.KeyRetention.Duration < idempotency.LeastKeep || s.KeyRetention.Duration > idempotency.MostKeep:
-			return nil, wrong("remember.for", "is not from %v to %v", idempotency.LeastKeep, idempotency.MostKeep)
-		case s.KeyRetention.MaxKeys < 1 || s.KeyRetention.MaxKeys > idempotency.MostKeys:
-			return nil, wrong("remember.most", "is not from 1 to %d", idempotency.MostKeys)
+		case s.KeyRetention.Duration < idempotency.MinRetention || s.KeyRetention.Duration > idempotency.MaxRetention:
+			return nil, wrong("remember.for", "is not from %v to %v", idempotency.MinRetention, idempotency.MaxRetention)
+		case s.KeyRetention.MaxKeys < 1 || s.KeyRetention.MaxKeys > idempotency.MaxKeys:
+			return nil, wrong("remember.most", "is not from 1 to %d", idempotency.MaxKeys)
 		}
 	}
 	return s, nil
--- a/internal/service/hosted/keys.go
+++ b/internal/service/hosted/keys.go
@@ -26,10 +26,14 @@
 	pool string // as other doors know it
 }
 
-var verdictOf = [...]proxy.Reservation{idempotency.Won: proxy.ReservationGranted, idempotency.Lost: proxy.ReservationHeld, idempotency.Crowded: proxy.ReservationUnavailable}
+var verdictOf = [...]proxy.Reservation{
+	idempotency.Reserved:    proxy.ReservationGranted,
+	idempotency.HeldByOther: proxy.ReservationHeld,
+	idempotency.NoCapacity:  proxy.ReservationUnavailable,
+}
 
 func (p poolKeys) Claim(class, customer, key string, done func(proxy.Reservation)) uint64 {
-	return p.side.Claim(idempotency.KeyOf(p.pool, class, customer, key), func(v idempotency.Verdict) { done(verdictOf[v]) })
+	return p.side.Claim(idempotency.KeyOf(p.pool, class, customer, key), func(v idempotency.Outcome) { done(verdictOf[v]) })
 }
 
 func (p poolKeys) End(n uint64, ran bool) { p.side.End(n, ran) }
