--- a/internal/policy/steps_test.go
+++ b/internal/policy/steps_test.go
@@ -48,33 +48,41 @@
 	return some, all
 }
 
-// The leader, or who proposes, is killed or stopped at each step of a change, at the very event that makes the step. The change is decided once, the same id
-// gives the same answer from every door, all doors come to go by the same version, and the promise of 250 ms is kept.
-func TestPolicyLeaderKilledAtEachStep(t *testing.T) {
-	prepared := func(h Hello, index uint64) bool { return h.Prepared == index || h.Locked == index }
-	locked := func(h Hello, index uint64) bool { return h.Locked == index }
-	goBy := func(w *world, n uint64) (count int) {
-		for _, d := range w.doors {
-			if d.alive && d.node.Door().Has().N == n {
-				count++
-			}
+// goBy counts the doors that go by a version.
+func (w *world) goBy(n uint64) (count int) {
+	for _, d := range w.doors {
+		if d.alive && d.node.Door().Has().N == n {
+			count++
 		}
-		return count
 	}
-	steps := []struct {
-		name string
-		at   func(w *world) bool
-	}{
+	return count
+}
+
+// changeStep is a step of a change, and whether it has come to that.
+type changeStep struct {
+	name string
+	at   func(w *world) bool
+}
+
+// changeSteps are the steps of a change in their order.
+func changeSteps() []changeStep {
+	prepared := func(h Hello, index uint64) bool { return h.Prepared == index || h.Locked == index }
+	locked := func(h Hello, index uint64) bool { return h.Locked == index }
+	return []changeStep{
 		{"asked", func(w *world) bool { return w.on(func(e Entry) bool { return e.Propose != nil }) }},
 		{"in the log", func(w *world) bool { return w.doors[w.leader].node.state.Change != nil }},
 		{"the first yes", func(w *world) bool { some, _ := w.heardOf(prepared); return some }},
 		{"all said yes", func(w *world) bool { _, all := w.heardOf(prepared); return all }},
 		{"the first lock", func(w *world) bool { some, _ := w.heardOf(locked); return some }},
 		{"all locked, the take on its way", func(w *world) bool { return w.on(func(e Entry) bool { return e.Take != nil }) }},
-		{"taken, and nobody told", func(w *world) bool { return w.doors[w.leader].node.state.Present.N == 2 && goBy(w, 2) == 0 }},
-		{"the first door has gone over", func(w *world) bool { return goBy(w, 2) > 0 }},
+		{"taken, and nobody told", func(w *world) bool { return w.doors[w.leader].node.state.Present.N == 2 && w.goBy(2) == 0 }},
+		{"the first door has gone over", func(w *world) bool { return w.goBy(2) > 0 }},
 	}
-	troubles := map[string]func(w *world, asker *worldDoor) (again func()){
+}
+
+// stepTroubles go wrong at a step; what each returns ends it.
+func stepTroubles() map[string]func(w *world, asker *worldDoor) (again func()) {
+	return map[string]func(w *world, asker *worldDoor) (again func()){
 		"leader killed": func(w *world, _ *worldDoor) func() {
 			d := w.doors[w.leader]
 			d.alive, d.life = false, d.life+1
@@ -92,9 +100,14 @@
 			return func() { d.start(3) }
 		},
 	}
+}
+
+// The leader, or who proposes, is killed or stopped at each step of a change, at the very event that makes the step. The change is decided once, the same id
+// gives the same answer from every door, all doors come to go by the same version, and the promise of 250 ms is kept.
+func TestPolicyLeaderKilledAtEachStep(t *testing.T) {
 	plays, taken := 0, 0
-	for _, step := range steps {
-		for trouble, do := range troubles {
+	for _, step := range changeSteps() {
+		for trouble, do := range stepTroubles() {
 			for seed := range uint64(8) {
 				doors, mode := 4+int(seed%3), Mode(seed/4)
 				at := fmt.Sprintf("%s, %s, %d doors, %v, seed %d", step.name, trouble, doors, mode, seed)
@@ -102,7 +115,7 @@
 				w.late = 20 * time.Millisecond
 				w.loss, w.double = 0.1, 0.3
 				w.asksAll(5 * time.Millisecond)
-				if !w.until(20*time.Second, func() bool { return goBy(w, 1) == doors }) {
+				if !w.until(20*time.Second, func() bool { return w.goBy(1) == doors }) {
 					t.Fatalf("%s: the fleet has not begun", at)
 				}
 				w.run(w.now + 2*time.Second)
@@ -136,8 +149,8 @@
 					want = 2
 					taken++
 				}
-				if !w.until(5*time.Second, func() bool { return goBy(w, want) == doors }) {
-					t.Errorf("%s: %d of %d doors go by version %d", at, goBy(w, want), doors, want)
+				if !w.until(5*time.Second, func() bool { return w.goBy(want) == doors }) {
+					t.Errorf("%s: %d of %d doors go by version %d", at, w.goBy(want), doors, want)
 				}
 				times := 0
 				for _, o := range w.doors[w.leader].node.state.Past {
--- a/internal/policy/world_test.go
+++ b/internal/policy/world_test.go
@@ -34,6 +34,8 @@
 	firstAt map[uint64]time.Duration
 	took    map[string]time.Duration
 	lastBy  map[uint64]time.Duration
+
+	trace *worldTrace // nil: nothing is recorded, and what a node does in the order of a map comes in that order
 }
 
 type worldEvent struct {
@@ -72,6 +74,8 @@
 	term    uint64
 	disk    map[Hash]bool
 	slow    time.Duration // to prepare
+
+	proposed [][]byte // by the node's present call, where a trace is recorded
 }
 
 func newWorld(seed uint64, doors int, mode Mode) *world {
@@ -138,7 +142,7 @@
 			return
 		}
 		d.w.after(10*time.Millisecond, tick)
-		d.here(func() { d.sends(d.node.Tick(d.clock(), 0)); d.after() })
+		d.here(func() { d.sends(d.node.Tick(d.clock(), d.w.wall())); d.after() })
 	}
 	d.w.after(time.Duration(d.w.rng.Int64N(int64(10*time.Millisecond))), tick)
 }
@@ -169,6 +173,9 @@
 
 func (d *worldDoor) sends(outs []Out) {
 	w := d.w
+	if w.trace != nil {
+		outs = d.record(outs)
+	}
 	for _, o := range outs {
 		if o.To >= len(w.doors) {
 			continue
@@ -184,7 +191,7 @@
 			life := to.life
 			w.after(time.Duration(w.rng.Int64N(int64(w.late))+1), func() {
 				if to.life == life {
-					to.here(func() { to.sends(to.node.Heard(to.clock(), d.rank, o.Msg, 0)); to.after() })
+					to.here(func() { to.sends(to.node.Heard(to.clock(), d.rank, o.Msg, w.wall())); to.after() })
 				}
 			})
 		}
@@ -244,7 +251,15 @@
 
 // Propose agrees on an entry after a while, if its leader still leads then.
 func (l *worldLog) Propose(b []byte) {
-	w, d := l.w, (*worldDoor)(l)
+	if l.w.trace != nil {
+		l.proposed = append(l.proposed, b)
+		return
+	}
+	(*worldDoor)(l).propose(b)
+}
+
+func (d *worldDoor) propose(b []byte) {
+	w := d.w
 	if w.leader != d.rank {
 		return
 	}
@@ -298,8 +313,13 @@
 
 // play is a random schedule. It returns how far the promise was missed, and what was done.
 func play(seed uint64, doors int, lasts time.Duration) (w *world, story []string) {
+	return playWith(seed, doors, lasts, nil)
+}
+
+func playWith(seed uint64, doors int, lasts time.Duration, trace *worldTrace) (w *world, story []string) {
 	rng := rand.New(rand.NewPCG(seed, 8))
 	w = newWorld(seed, doors, Mode(rng.IntN(2)))
+	w.trace = trace
 	w.late = time.Duration(1+rng.IntN(30)) * time.Millisecond
 	w.loss, w.double = 0.3*rng.Float64(), 0.3*rng.Float64()
 	w.asksAll(7 * time.Millisecond)
