--- a/cmd/gapgapd/members_test.go
+++ b/cmd/gapgapd/members_test.go
@@ -75,6 +75,7 @@
 // door that has the counter, from some seconds after its start on, nor without it where the plan leaves each door its part of the quota; and when it is over all doors see the same and
 // have all parts between them.
 func TestMembersFaults(t *testing.T) {
+	t.Parallel()
 	wait := func(d time.Duration) { time.Sleep(d) }
 	scripts := map[string]script{
 		"killed": {play: func(t *testing.T, r *rig.Rig) {
@@ -317,6 +318,7 @@
 // again within a loan, when they have forgotten what they lent: no more goes out than the ceiling's store holds, and the borrower has use of
 // loans all the same.
 func TestMembersLoansUnderFaults(t *testing.T) {
+	t.Parallel()
 	for name, play := range map[string]func(r *rig.Rig) error{
 		"lossy lines": func(r *rig.Rig) error {
 			r.Each(func(int, int) bool { return true }, rig.Fault{Loss: 0.3, Delay: 100 * time.Millisecond, Jitter: 100 * time.Millisecond, Double: 0.3})
--- a/cmd/gapgapd/policy_test.go
+++ b/cmd/gapgapd/policy_test.go
@@ -174,6 +174,7 @@
 // second after somebody was by a later one, a change has one outcome, told alike at all doors, what is proposed and shown is linearizable, and
 // each request has its answer.
 func TestPolicyFaults(t *testing.T) {
+	t.Parallel()
 	type script struct {
 		doors int
 		more  string
@@ -552,6 +553,7 @@
 
 // With no change being decided the loss of the majority stops no door that serves; one that starts then goes by the operators' choice.
 func TestPolicyWithoutMajority(t *testing.T) {
+	t.Parallel()
 	for more, want := range map[string]bool{"without_quorum = \"refuse\"\n": false, "without_quorum = \"last\"\nafter = \"2s\"\n": true} {
 		t.Run(more, func(t *testing.T) {
 			t.Parallel()
@@ -583,6 +585,7 @@
 
 // Fleets of one and of two, and one of three of which one has said that it goes.
 func TestPolicySmallFleets(t *testing.T) {
+	t.Parallel()
 	for doors, goes := range map[int]int{1: -1, 2: -1, 3: 2} {
 		t.Run(fmt.Sprint(doors), func(t *testing.T) {
 			t.Parallel()
@@ -750,6 +753,7 @@
 // A disk that is full or read-only at a voter: a change that this door can't keep is dropped and says why, service goes on, and once it can be written and the process is started
 // anew all is as before. A slow disk only delays.
 func TestPolicyDiskFaults(t *testing.T) {
+	t.Parallel()
 	for what, why := range map[string]string{"full": "no space left", "readonly": "read-only", "slow 300ms": ""} {
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
--- a/cmd/gapgapd/power_test.go
+++ b/cmd/gapgapd/power_test.go
@@ -159,6 +159,7 @@
 // The power of five doors, the servers and the counter (which comes back empty, with its numbers, or with older ones) is cut at moments by chance, also amid the recovery from the cut before; each disk then has what was synced and any part of the rest. In waves or
 // at once it comes back.
 func TestPowerCuts(t *testing.T) {
+	t.Parallel()
 	plays, cuts := 5, 11 // 55 in all
 	if race.On {
 		plays, cuts = 1, 5
@@ -232,6 +233,7 @@
 
 // What a disk may have that is not what its door left there: each has its outcome, in one line of the log or of what operators are shown, and no change has two effects.
 func TestPowerBadDisks(t *testing.T) {
+	t.Parallel()
 	edit := func(file string, do func(b []byte) []byte) func(image, old, other map[string][]byte) map[string][]byte {
 		return func(image, _, _ map[string][]byte) map[string][]byte {
 			for path := range image {
@@ -297,6 +299,7 @@
 
 // A disk that is full, read-only or slow by seconds while the fleet serves: its voter says nothing, the others go on, and once it can be written it takes part again.
 func TestPowerDiskFaults(t *testing.T) {
+	t.Parallel()
 	for _, what := range []string{"full", "readonly", "slow 2s"} {
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
@@ -391,6 +394,7 @@
 
 // Without [fleet] there is no recovery and no disk; a class that is to be remembered without [fleet.remember] is refused with its line.
 func TestPowerIsOffByDefault(t *testing.T) {
+	t.Parallel()
 	path, err := binary()
 	if err != nil {
 		t.Fatal(err)
@@ -414,6 +418,7 @@
 // names, and let through the whole ceiling once more. It finds out by what the others say of their clocks, says so and takes no share of ceilings; once its clock is set
 // and it is started anew all is as before.
 func TestPowerWrongClock(t *testing.T) {
+	t.Parallel()
 	for _, ahead := range []time.Duration{-time.Hour, 24 * time.Hour} {
 		t.Run(ahead.String(), func(t *testing.T) {
 			t.Parallel()
--- a/internal/raftlog/agree_test.go
+++ b/internal/raftlog/agree_test.go
@@ -152,6 +152,7 @@
 // A voter that was away for 10,000 entries catches up by a snapshot, over lines that lose a tenth; all have all in one order, also after each was
 // started anew, and their files are bounded.
 func TestPolicyLogCatchesUp(t *testing.T) {
+	t.Parallel()
 	f := newFleet(t, 3)
 	f.until(200, "a leader", func() bool { return f.leader() != nil })
 	f.stop(2)
@@ -203,6 +204,7 @@
 
 // A voter that has lost its disk takes no part: what it said yes to before is not known any more.
 func TestPolicyLogLostDisk(t *testing.T) {
+	t.Parallel()
 	f := newFleet(t, 3)
 	f.until(200, "a leader", func() bool { return f.leader() != nil })
 	f.stop(1)
@@ -222,6 +224,7 @@
 // A voter whose disk was lost for good is replaced by one with an empty disk, over lines that lose a tenth; from then on it counts: another voter may fail, all may start anew, and a second one may be
 // replaced likewise. Nothing that was agreed on is lost, and all have it in one order.
 func TestPolicyVoterReplaced(t *testing.T) {
+	t.Parallel()
 	for _, voters := range []int{3, 5} {
 		f := newFleet(t, voters)
 		f.until(200, "a leader", func() bool { return f.leader() != nil })
@@ -301,6 +304,7 @@
 
 // Whatever byte of the file is changed or missing, the file is refused in one line or holds what it held.
 func TestPolicyLogDamaged(t *testing.T) {
+	t.Parallel()
 	f := newFleet(t, 1)
 	f.until(100, "a leader", func() bool { return f.leader() != nil })
 	for n := range 50 {
@@ -384,6 +388,7 @@
 // A disk that stands still stops nobody but its own voter, whether it leads or follows: the others decide and read, another one leads, and it
 // has all once its disk goes on. What it did not keep it does not count.
 func TestPolicyLogStuckDisk(t *testing.T) {
+	t.Parallel()
 	for _, leads := range []bool{true, false} {
 		f := newFleet(t, 3)
 		f.until(200, "a leader", func() bool { return f.leader() != nil })
@@ -420,6 +425,7 @@
 // Voters whose writes are late by chance, and that are killed with writes under way: what one of them has applied all have in the end, in the same
 // order, and no majority forgets it. A voter that counts what it has not kept is found.
 func TestPolicyLogLateWrites(t *testing.T) {
+	t.Parallel()
 	play := func(seed uint64, broken bool) (wrong string) {
 		f := newFleet(t, 3)
 		f.rng = rand.New(rand.NewPCG(seed, 5))
--- a/internal/raftlog/recover_test.go
+++ b/internal/raftlog/recover_test.go
@@ -32,6 +32,7 @@
 // A majority of the voters' disks is lost for good. The voter with the longest log goes on alone, once that is known and not before; the others come
 // back one by one, and what it had all have. A voter of before takes no part, whatever it says.
 func TestPowerLostMajorityOfVoters(t *testing.T) {
+	t.Parallel()
 	f := newFleet(t, 5)
 	f.until(200, "a leader", func() bool { return f.leader() != nil })
 	refused := func(i int, want string, lost ...int) {
