--- a/internal/balancer/subsetting/subsetting_test.go
+++ b/internal/balancer/subsetting/subsetting_test.go
@@ -71,7 +71,8 @@
 }
 
 func TestOddRanks(t *testing.T) {
-	if Uses("s", -1, 80, 20, nil) != Uses("s", 79, 80, 20, nil) || Uses("s", 85, 80, 20, nil) != Uses("s", 5, 80, 20, nil) {
+	if Uses("s", -1, 80, 20, nil) != Uses("s", 79, 80, 20, nil) || Uses("s", 85, 80, 20, nil) != Uses("s", 5,
+		80, 20, nil) {
 		t.Error("ranks outside the doors are counted round")
 	}
 }
--- a/internal/eventloop/bench_test.go
+++ b/internal/eventloop/bench_test.go
@@ -7,7 +7,8 @@
 	"gapgap/internal/priorityqueue"
 )
 
-// What a timer costs that is stopped while another is set, among 512: by the loop's own heap, and by the queue that others use.
+// What a timer costs that is stopped while another is set, among 512: by the loop's own heap, and by the queue that
+// others use.
 func BenchmarkTimers(b *testing.B) {
 	const out = 512
 	due := func(i int) time.Duration { return time.Duration(i * 7919 % 100000) }
--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -1,21 +1,25 @@
-// Package eventloop is the one goroutine's ground: a queue of tasks, timers, and the clock that both go by. Whoever
-// calls [Loop.Wait] again and again is the loop goroutine; it alone runs tasks and timers, and it alone may
-// touch what they own. All other goroutines only [Loop.Post].
+// Package eventloop runs tasks and timers on one goroutine. The goroutine that calls Loop.Wait again and again is the
+// loop goroutine: it alone runs tasks and timers, and it alone may touch what they own. All others hand it tasks by
+// Loop.Post.
 package eventloop
 
 import (
-	"container/heap"
 	"sync/atomic"
 	"time"
 )
 
-// tasksMost is how many tasks may wait; a goroutine that posts more waits for the loop.
-const tasksMost = 1024
+const (
+	// maxTasks is how many tasks may wait. A goroutine that posts more blocks until the loop has run one.
+	maxTasks = 1024
+	// noTimerWait is the longest wait of a loop without timers.
+	noTimerWait = time.Hour
+)
 
-// Loop holds the tasks and timers of one loop goroutine.
+// Loop holds the tasks and timers of one loop goroutine. It is made by New, NewAt or Like.
 type Loop struct {
-	begun  time.Time
-	base   time.Duration // the clock at begun
+	started time.Time
+	// base is the clock at started.
+	base   time.Duration
 	tasks  chan func()
 	done   chan struct{}
 	alarm  *time.Timer
@@ -23,24 +27,41 @@
 	coarse atomic.Int64
 }
 
-// New makes a loop whose clock starts at the present Unix time.
+// New returns a loop whose clock starts at the present Unix time.
 func New() *Loop { return NewAt(time.Now()) }
 
-// NewAt makes a loop whose clock starts at a time, so that several loops have one clock.
-func NewAt(begun time.Time) *Loop {
-	alarm := time.NewTimer(time.Hour)
+// NewAt returns a loop whose clock started at a time, so that several loops can have one clock.
+func NewAt(started time.Time) *Loop {
+	alarm := time.NewTimer(noTimerWait)
 	alarm.Stop()
-	return &Loop{begun: begun, base: time.Duration(begun.UnixNano()), tasks: make(chan func(), tasksMost), done: make(chan struct{}), alarm: alarm}
+	return &Loop{
+		started: started,
+		base:    time.Duration(started.UnixNano()),
+		tasks:   make(chan func(), maxTasks),
+		done:    make(chan struct{}),
+		alarm:   alarm,
+	}
+}
+
+// Like returns a loop with the clock of this one.
+func (l *Loop) Like() *Loop {
+	other := NewAt(l.started)
+	other.base = l.base
+	return other
 }
 
-// Now is the Unix time at the start and what has passed since, in nanoseconds. All front doors must read about the
-// same, as they name the counter's numbers by it; and it must not go back. Any goroutine may call it.
+// Ahead puts the clock ahead of the machine's, for tests of machines whose clock is wrong. It is called before all
+// else.
+func (l *Loop) Ahead(by time.Duration) { l.base += by }
+
+// Now returns the Unix time at the start and what has passed since, so it never goes back. All gateways read about the
+// same, as they name the counter's numbers by it. Any goroutine may call it.
 func (l *Loop) Now() time.Duration {
-	return l.base + time.Since(l.begun)
+	return l.base + time.Since(l.started)
 }
 
-// Coarse is the clock as the loop read it when its turn began: exact enough for the loop's own tasks, up to some
-// milliseconds old for other goroutines while the loop waits, and cheap.
+// Coarse returns the clock as the loop read it when its turn began. It is cheap, exact enough for the loop's own tasks,
+// and some milliseconds late for other goroutines while the loop waits. Any goroutine may call it.
 func (l *Loop) Coarse() time.Duration {
 	if t := l.coarse.Load(); t > 0 {
 		return time.Duration(t)
@@ -48,17 +69,8 @@
 	return l.Now()
 }
 
-// Like makes a loop with the clock of this one.
-func (l *Loop) Like() *Loop {
-	o := NewAt(l.begun)
-	o.base = l.base
-	return o
-}
-
-// Ahead puts the clock ahead of the machine's by something, for tests of machines whose clock is wrong. It goes before all else.
-func (l *Loop) Ahead(by time.Duration) { l.base += by }
-
-// Post hands the loop a task, from any other goroutine. After Close it is passed over.
+// Post hands the loop a task and blocks while too many wait. After Close it does nothing. Any goroutine but the loop's
+// may call it.
 func (l *Loop) Post(task func()) {
 	select {
 	case l.tasks <- task:
@@ -66,10 +78,11 @@
 	}
 }
 
-// PostUntil is Post that gives up, and says so, when the signal comes first or the loop is closed.
+// PostUntil is Post that gives up when the signal is closed or the loop is. It tells whether the task was posted, and
+// posts it whatever the signal where there is capacity.
 func (l *Loop) PostUntil(task func(), signal <-chan struct{}) bool {
 	select {
-	case l.tasks <- task: // no other case is looked at where there is room
+	case l.tasks <- task:
 		return true
 	default:
 	}
@@ -82,23 +95,23 @@
 	return false
 }
 
-// Close says that the loop runs no more tasks.
+// Close ends the loop: it runs no more tasks.
 func (l *Loop) Close() { close(l.done) }
 
-// Done is closed by Close.
+// Done returns a channel that Close closes.
 func (l *Loop) Done() <-chan struct{} { return l.done }
 
-// Wait waits for a task, a due timer, the limit or the signal, and runs all tasks that are there and all timers
-// that are due. It says whether it was the signal that came.
+// Wait waits for a task, a due timer, the limit or the signal, and runs all tasks that wait and all timers that are
+// due. It tells whether it was the signal that came.
 func (l *Loop) Wait(limit time.Duration, signal <-chan struct{}) bool {
 	first, signalled := l.Sleep(limit, signal)
 	l.Turn(first, len(l.tasks))
 	return signalled
 }
 
-// Sleep waits for a task, a due timer, the limit or the signal. The task, if it was one, is to be handed to Turn.
+// Sleep waits for a task, a due timer, the limit or the signal. If a task came it is to be handed to Turn.
 func (l *Loop) Sleep(limit time.Duration, signal <-chan struct{}) (first func(), signalled bool) {
-	l.alarm.Reset(min(limit, l.next(l.Now())))
+	l.alarm.Reset(min(limit, l.untilNextTimer(l.Now())))
 	select {
 	case first = <-l.tasks:
 	case <-l.alarm.C:
@@ -108,7 +121,7 @@
 	return first, signalled
 }
 
-// Turn runs a first task, if there is one, so many more that wait, and the timers that are due.
+// Turn runs the first task, unless it is nil, up to a number more that wait, and the timers that are due.
 func (l *Loop) Turn(first func(), more int) {
 	l.coarse.Store(int64(l.Now()))
 	if first != nil {
@@ -120,7 +133,7 @@
 	l.RunDue(l.Now())
 }
 
-// RunTask runs one task if one is there.
+// RunTask runs one task if one waits, and tells whether it did.
 func (l *Loop) RunTask() bool {
 	select {
 	case task := <-l.tasks:
@@ -130,71 +143,3 @@
 		return false
 	}
 }
-
-// Timer is a task for later.
-type Timer struct {
-	at   time.Duration
-	do   func()
-	spot int // in the heap; -1: no longer there
-	l    *Loop
-}
-
-// At runs a task at or after a time of the loop's clock. Only the loop goroutine may call it.
-func (l *Loop) At(at time.Duration, do func()) *Timer {
-	t := &Timer{at: at, do: do, l: l}
-	heap.Push(&l.timers, t)
-	return t
-}
-
-// Stop takes a timer back; nil or one that has run is passed over.
-func (t *Timer) Stop() {
-	if t != nil && t.spot >= 0 {
-		heap.Remove(&t.l.timers, t.spot)
-	}
-}
-
-// Every runs a task again and again.
-func (l *Loop) Every(pause time.Duration, do func()) {
-	l.At(l.Now()+pause, func() {
-		do()
-		l.Every(pause, do)
-	})
-}
-
-// next is the time until the first timer.
-func (l *Loop) next(now time.Duration) time.Duration {
-	if len(l.timers) == 0 {
-		return time.Hour
-	}
-	return max(0, l.timers[0].at-now)
-}
-
-// RunDue runs the timers that are due at a time.
-func (l *Loop) RunDue(now time.Duration) {
-	for len(l.timers) > 0 && l.timers[0].at <= now {
-		heap.Pop(&l.timers).(*Timer).do()
-	}
-}
-
-// timerHeap is made here and not of package pq: each request sets and stops a few timers, and there one takes 1.4 times
-// as long (BenchmarkTimers).
-type timerHeap []*Timer
-
-func (h timerHeap) Len() int           { return len(h) }
-func (h timerHeap) Less(i, j int) bool { return h[i].at < h[j].at }
-func (h timerHeap) Swap(i, j int) {
-	h[i], h[j] = h[j], h[i]
-	h[i].spot, h[j].spot = i, j
-}
-func (h *timerHeap) Push(e any) {
-	e.(*Timer).spot = len(*h)
-	*h = append(*h, e.(*Timer))
-}
-func (h *timerHeap) Pop() any {
-	old := *h
-	e := old[len(old)-1]
-	old[len(old)-1] = nil
-	*h = old[:len(old)-1]
-	e.spot = -1
-	return e
-}
--- a/internal/eventloop/eventloop_test.go
+++ b/internal/eventloop/eventloop_test.go
@@ -26,12 +26,12 @@
 	third.Stop()
 	third.Stop()
 	(*Timer)(nil).Stop()
-	if next := l.next(0); next != 1 {
+	if next := l.untilNextTimer(0); next != 1 {
 		t.Errorf("next in %d", next)
 	}
 	l.RunDue(3)
 	first.Stop()
-	if len(got) != 2 || got[0] != 1 || got[1] != 2 || l.next(9) != 0 {
+	if len(got) != 2 || got[0] != 1 || got[1] != 2 || l.untilNextTimer(9) != 0 {
 		t.Errorf("ran %v", got)
 	}
 }
@@ -40,7 +40,7 @@
 func TestPostAfterClose(t *testing.T) {
 	l := New()
 	l.Close()
-	for range 2 * tasksMost {
+	for range 2 * maxTasks {
 		l.Post(func() {})
 	}
 }
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-func TestLinesAreBoundedAndTheRestIsTold(t *testing.T) {
+func TestLinesAreBoundedAndTheRestIsCounted(t *testing.T) {
 	var out bytes.Buffer
 	now := 10 * time.Second
 	l := New(&out, func() time.Duration { return now })
-	for range Most + 7 {
+	for range MaxLines + 7 {
 		l.Line("end", "id=%d", 1)
 	}
-	if n := strings.Count(out.String(), "\n"); n != Most {
-		t.Fatalf("%d lines in a second, want %d", n, Most)
+	if n := strings.Count(out.String(), "\n"); n != MaxLines {
+		t.Fatalf("%d lines in a second, want %d", n, MaxLines)
 	}
 	out.Reset()
 	now += time.Second
