--- a/internal/stats/stats_test.go
+++ b/internal/stats/stats_test.go
@@ -24,7 +24,8 @@
 	}
 	want := "svc.operations.lookup.fulfilled=0\nsvc.operations.lookup.throttled=0\nsvc.operations.lookup.faulted=0\n" +
 		"svc.operations.order.fulfilled=1\nsvc.operations.order.throttled=1\nsvc.operations.order.faulted=0\n" +
-		"svc.relayed=2\nsvc.open_requests=1\nsvc.registry_entries=10\nsvc.out_of_rotation=1\nsvc.cfg_accepted=0\nsvc.cfg_invalid=1\n"
+		"svc.relayed=2\nsvc.open_requests=1\nsvc.registry_entries=10\nsvc.out_of_rotation=1\n" +
+		"svc.cfg_accepted=0\nsvc.cfg_invalid=1\n"
 	if b.String() != want {
 		t.Errorf("got\n%s", b.String())
 	}
