--- a/internal/balancer/admission.go
+++ b/internal/balancer/admission.go
@@ -68,12 +68,7 @@
 		b.emit(SetTimer{b.now + req.timeLimit - b.settings.Resolution, req.id<<1 | 1})
 	}
 	req.customer.lastUsedAt = b.now
-	gap := (b.now - req.customer.demand.updatedAt).Seconds() / demandWindow.Seconds()
-	req.customer.demand.rate = req.customer.demand.rate*math.Exp(-gap) + req.units/demandWindow.Seconds()
-	if req.customer.demand.admitOnlyRate *= math.Exp(-gap); req.admitOnly {
-		req.customer.demand.admitOnlyRate += req.units / demandWindow.Seconds()
-	}
-	req.customer.demand.updatedAt = b.now
+	req.customer.demand.record(b.now, req)
 	// A line for the ceiling must stay short, or each that still goes out of it is nearly late; and what is
 	// worth less leaves the room to what is worth more. What asks for leave only has no line to join.
 	line := req.timeLimit.Seconds() * maxCeilingWaitFraction * class.PriorityWeight / b.maxClassWeight
@@ -90,9 +85,8 @@
 			return
 		}
 	}
-	req.customer.waiting.requests = append(req.customer.waiting.requests, req)
+	req.customer.waiting.push(req)
 	if req.admitOnly {
-		req.customer.waiting.admitOnly++
 		b.emit(SetTimer{b.now + req.timeLimit - b.settings.Resolution, req.id<<1 | 1})
 	}
 	b.serveWaiting(req.customer)
--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -4,7 +4,6 @@
 	"math/rand/v2"
 	"time"
 
-	"gapgap/internal/balancer/callpacer"
 	"gapgap/internal/balancer/ceilinglease"
 )
 
@@ -35,9 +34,7 @@
 	counter             counterCalls
 	share               shareState
 	requests            map[uint64]*request
-	customers           map[string]*customer
-	customerOrder       []*customer
-	sweepIndex          int
+	customers           customerTable
 	waitingCustomers    []*customer
 	unplaced            []*request
 	fleetSlowdown       float64 // the last answers of all servers, in their classes' means
@@ -63,8 +60,8 @@
 		rng:          rand.New(rand.NewPCG(seed, 1)),
 		endpoints:    map[string]*endpoint{},
 		requests:     map[uint64]*request{},
-		customers:    map[string]*customer{},
-		counter:      counterCalls{callsOut: map[uint64][]*counterCall{}},
+		customers:    newCustomerTable(),
+		counter:      counterCalls{out: map[uint64][]*counterCall{}},
 	}
 	b.share.excluded = settings.LeasedShares // until it is told
 	b.applySettings(settings, nil)
@@ -90,17 +87,7 @@
 	b.previousStepAt, b.now = b.now, max(b.now, now)
 	if !b.running {
 		b.running, b.startedAt, b.warmEndpointRateAt, b.roundRobin = true, b.now, b.now, b.rng.IntN(1<<16)
-		b.counter.pacer = callpacer.New(
-			callpacer.Terms{
-				Start:    callsStart / b.liveGateways(),
-				Least:    callsLow / b.liveGateways(),
-				Most:     callsHigh,
-				Depth:    callsDepth,
-				Wait:     b.settings.CounterTimeout / 4,
-				CutEvery: 2 * b.settings.CounterTimeout,
-			},
-			b.now,
-		)
+		b.counter.pacer = b.newCallPacer()
 		b.start()
 	}
 	b.expireShareLease()
@@ -179,7 +166,7 @@
 	b.tickedAt = b.now
 	if b.now < b.counter.leasingFrom && b.canCallCounter() { // else doors with few requests go by shares while others lend
 		b.counter.lastCallAt = b.now
-		b.callTest()
+		b.probeCounter()
 	}
 	stuck := b.unplaced
 	b.unplaced = nil
--- a/internal/balancer/bounds_test.go
+++ b/internal/balancer/bounds_test.go
@@ -35,7 +35,7 @@
 		if beside != nil {
 			beside(at)
 		}
-		most = max(most, len(b.customers))
+		most = max(most, len(b.customers.byName))
 	}
 	return most
 }
@@ -57,12 +57,12 @@
 	if most := storm(b, 0, end, 100, nil); most > maxCustomers { // 5,000 a second
 		t.Errorf("%d customers are known, %d at most", most, maxCustomers)
 	}
-	if len(b.customerOrder) != len(b.customers) {
-		t.Errorf("%d in the order, %d known", len(b.customerOrder), len(b.customers))
+	if len(b.customers.order) != len(b.customers.byName) {
+		t.Errorf("%d in the order, %d known", len(b.customers.order), len(b.customers.byName))
 	}
 	storm(b, end, end+customerTTL+20*time.Second, 0, nil)
-	if len(b.customers) > 0 || len(b.requests) > 0 {
-		t.Errorf("%d customers and %d requests are left", len(b.customers), len(b.requests))
+	if len(b.customers.byName) > 0 || len(b.requests) > 0 {
+		t.Errorf("%d customers and %d requests are left", len(b.customers.byName), len(b.requests))
 	}
 }
 
--- a/internal/balancer/causes_test.go
+++ b/internal/balancer/causes_test.go
@@ -189,7 +189,7 @@
 			want,
 		)
 	}
-	cust := b.customers["a"]
+	cust := b.customers.find("a")
 	cust.quota.callsPausedUntil, cust.bucket.emptyUntil, cust.quota.fallbackTokens, b.counter.callFraction = 0, 0, 0, 1
 	again := only[CounterAdd](
 		b.Step(now+60*ms, []Event{func() Request { r := ask(900, 0, 0); r.Customer = "a"; return r }()}),
@@ -217,7 +217,7 @@
 		b := open(t, settings, backends(2)...)
 		now := time.Second
 		b.Step(now, []Event{ask(1, 0, 0)})
-		cust := b.customers["c"]
+		cust := b.customers.find("c")
 		cust.bucket.known, cust.quota.fallbackTokens, cust.quota.tokens, cust.demand.rate = true, 0, 0, 10
 		cust.bucket.level, cust.bucket.levelAt = full*400, now
 		calls := only[CounterAdd](b.Step(now+ms, []Event{ask(2, 0, 0)}))
@@ -289,7 +289,7 @@
 		now := time.Second
 		b.Step(now, []Event{ask(1, 0, 0)})
 		b.now = now + 100*ms
-		cust := b.customers["c"]
+		cust := b.customers.find("c")
 		cust.bucket.known, cust.bucket.level, cust.bucket.levelAt, cust.quota.tokens, cust.quota.debt = true, held, now, 0, 0
 		call := &counterCall{customer: cust, block: 3, amount: 3, window: int64(b.now / counterWindow), sentAt: b.now}
 		b.actions = b.actions[:0]
--- a/internal/balancer/ceiling.go
+++ b/internal/balancer/ceiling.go
@@ -4,207 +4,252 @@
 	"math"
 	"time"
 
+	"gapgap/internal/balancer/ceilinglease"
 	"gapgap/internal/balancer/quotashare"
 )
 
 const (
-	maxCeilingWaitFraction = 0.3 // part of its time that a request waits for the ceiling's share
+	// maxCeilingWaitFraction is the part of its time for which a request may wait for the ceiling.
+	maxCeilingWaitFraction = 0.3
+	// minCeilingRate stands for a rate of 0 where a waiting time is divided by it, units a second.
+	minCeilingRate = 1e-4
+	// minQueuedRateFraction is the least part of the ceiling's rate that is taken to be left for queued requests.
+	minQueuedRateFraction = 0.1
 )
 
-// minCeilingRate keeps times from being endless where a door has no part, units a second.
-const minCeilingRate = 1e-4
+// ceilingSource is where a request's units of the ceiling come from.
+type ceilingSource int
+
+const (
+	// fromEvenShare means this gateway's share of the ceiling.
+	fromEvenShare ceilingSource = iota
+	// fromQuota means that the quota's bucket on the counter has paid for the request, which bounds what goes out at
+	// all gateways.
+	fromQuota
+	// fromLease means units beyond the quota that were leased from the counter.
+	fromLease
+)
+
+// ceilingState is what this gateway holds of a customer's ceiling, the hard limit that no excess may pass. Whichever
+// source a request's units come from, this gateway's share is drawn down too, so that gateways which lose the counter
+// together hold no more than the ceiling's bucket does. docs/design/ceilings.md has the proof.
+type ceilingState struct {
+	// tokens are the units in this gateway's share, those reserved included. Below 0: leased units went out beyond it.
+	tokens float64
+	// filledAt is when tokens were filled last.
+	filledAt time.Duration
+	// reserved is the number of units of tokens that queued requests hold.
+	reserved float64
+	// admitOnlyTokens is the number of units of tokens that are kept for requests that ask for admission only.
+	admitOnlyTokens float64
+	// loans are the parts of the ceiling that peers have granted to this gateway, and it to them.
+	loans quotashare.Loans
+	// nextLoanRequestAt is the time before which no loan is asked for.
+	nextLoanRequestAt time.Duration
+	// lastTurn is the last turn that was used, where shares are sparse (ceilinglease.Turns).
+	lastTurn int64
+	// lease is what this gateway has leased of the ceiling beyond the quota.
+	lease ceilinglease.Lease
+}
+
+// fillShare adds the units of some seconds to this gateway's share, of which a part is kept for requests that ask for
+// admission only.
+func (ceiling *ceilingState) fillShare(share quotashare.Bucket, seconds, admitOnlyFraction float64) {
+	ceiling.tokens += share.Rate * seconds
+	ceiling.tokens = min(ceiling.tokens, share.Depth)
+	if admitOnlyFraction <= 0 {
+		ceiling.admitOnlyTokens = 0
+		return
+	}
+	limit := min(ceiling.tokens, max(1, admitOnlyFraction*share.Depth))
+	ceiling.admitOnlyTokens += admitOnlyFraction * share.Rate * seconds
+	ceiling.admitOnlyTokens = max(0, min(ceiling.admitOnlyTokens, limit))
+}
 
-// refillCeiling fills and tells this door's share of the customer's ceiling: rate and depth divided by the doors. A
-// fresh door may have spent its share before it was restarted, so it starts empty.
+// drawShare takes a request's units out of this gateway's share. It reports whether they were there.
+func (ceiling *ceilingState) drawShare(req *request) bool {
+	if ceiling.tokens < req.units {
+		return false
+	}
+	ceiling.tokens -= req.units
+	if req.admitOnly {
+		ceiling.admitOnlyTokens = max(0, ceiling.admitOnlyTokens-req.units)
+	}
+	return true
+}
+
+// drawTurn uses the turn for which a request was placed. It reports whether that was unused.
+func (ceiling *ceilingState) drawTurn(turn int64) bool {
+	if ceiling.lastTurn >= turn {
+		return false
+	}
+	ceiling.lastTurn = turn
+	return true
+}
+
+// refillCeiling fills this gateway's share of a customer's ceiling and returns its units; infinite without a ceiling.
+// A new gateway starts with an empty share, as it may have spent it before a restart.
 func (b *Balancer) refillCeiling(cust *customer, plan *Plan) float64 {
 	if plan.CeilingRate == 0 {
 		return math.Inf(1)
 	}
 	b.expireLoans(cust, plan)
-	own := b.ceilingShare(cust, plan)
+	share := b.ceilingShare(cust, plan)
 	if b.hasSparseShares(cust, plan) {
-		own.Rate = manyRate * (plan.CeilingRate - plan.Rate) / cust.gateways
-		own.Depth = (plan.CeilingBurst - manyTakes*plan.Burst) / cust.gateways
-		if t, ok := b.ceilingTurns(cust, plan); ok {
-			return b.refillTurn(cust, t)
+		share = sparseCeilingShare(cust, plan)
+		if turns, ok := ceilingTurns(cust, plan); ok {
+			return b.refillByTurn(cust, turns)
 		}
 	}
-	cust.ceiling.tokens += own.Rate * b.refillSeconds(cust.ceiling.filledAt)
-	cust.ceiling.tokens = min(cust.ceiling.tokens, own.Depth)
-	if g := cust.admitOnlyFraction(); g > 0 {
-		cust.ceiling.admitOnlyTokens += g * own.Rate * b.refillSeconds(cust.ceiling.filledAt)
-		cust.ceiling.admitOnlyTokens = max(0, min(cust.ceiling.admitOnlyTokens, cust.ceiling.tokens, max(1, g*own.Depth)))
-	} else {
-		cust.ceiling.admitOnlyTokens = 0
-	}
+	cust.ceiling.fillShare(share, b.refillSeconds(cust.ceiling.filledAt), cust.demand.admitOnlyFraction())
 	cust.ceiling.filledAt = b.now
 	return cust.ceiling.tokens
 }
 
-// ceilingRoom is how much of this door's share of the ceiling a request can have now. What asks for leave joins no
-// line, those would take all of the share under a flood: by its part of the demand some is kept.
-func (b *Balancer) ceilingRoom(req *request, plan *Plan) float64 {
-	have := b.refillCeiling(req.customer, plan)
+// ceilingCapacity is how many units of this gateway's share of the ceiling a request can have now. Requests that ask
+// for admission only are never queued, so under overload the queued ones would take all of the share: a part is kept
+// for them by their part of the demand.
+func (b *Balancer) ceilingCapacity(req *request, plan *Plan) float64 {
+	tokens := b.refillCeiling(req.customer, plan)
+	ceiling := &req.customer.ceiling
 	if req.admitOnly {
-		return max(req.customer.ceiling.admitOnlyTokens, have-req.customer.ceiling.reserved)
+		return max(ceiling.admitOnlyTokens, tokens-ceiling.reserved)
 	}
-	return have - req.customer.ceiling.admitOnlyTokens - req.customer.ceiling.reserved
+	return tokens - ceiling.admitOnlyTokens - ceiling.reserved
 }
 
-// ceilingWait is the time in seconds until this door's share of the ceiling has room for a request that would
-// join its customer's line.
+// ceilingWait is the time in seconds until the ceiling has units for a request that would join its customer's line.
 func (b *Balancer) ceilingWait(req *request) float64 {
 	plan := &b.settings.Plans[req.plan]
 	if plan.CeilingRate == 0 {
 		return 0
 	}
-	if t := b.ceilingLeaseTerms(req); t != nil {
-		wait := req.customer.ceiling.lease.Opens(*t, b.now)
-		if wait == 0 || b.quotaMayCover(req, plan) {
-			return 0
-		}
-		for _, o := range req.customer.waiting.requests {
-			if !o.ended {
-				wait += time.Duration(o.units / t.Rate * float64(time.Second))
-			}
-		}
-		return wait.Seconds()
+	if terms := b.ceilingLeaseTerms(req); terms != nil {
+		return b.ceilingLeaseWait(req, plan, terms)
 	}
-	if b.hasSparseShares(req.customer, plan) && b.counterMayCover(req, plan) {
+	if b.hasSparseShares(req.customer, plan) && b.counterMayCover(req) {
 		return 0
 	}
-	short := req.units - b.ceilingRoom(req, plan)
-	b.requestLoan(req.customer, plan, short > 0)
-	if req.admitOnly && req.customer.ceiling.admitOnlyTokens >= req.units {
+	return b.ceilingShareWait(req, plan)
+}
+
+// ceilingShareWait is ceilingWait by this gateway's share, for which it asks the peers for a loan when it is short.
+func (b *Balancer) ceilingShareWait(req *request, plan *Plan) float64 {
+	cust := req.customer
+	missing := req.units - b.ceilingCapacity(req, plan)
+	b.requestLoan(cust, plan, missing > 0)
+	if req.admitOnly && cust.ceiling.admitOnlyTokens >= req.units {
 		return 0
 	}
-	for _, o := range req.customer.waiting.requests {
-		if !o.ended {
-			short += o.units
+	for _, ahead := range cust.waiting.requests {
+		if !ahead.ended {
+			missing += ahead.units
 		}
 	}
-	rate := max(minCeilingRate, b.ceilingShare(req.customer, plan).Rate)
+	rate := max(minCeilingRate, b.ceilingShare(cust, plan).Rate)
 	if !req.admitOnly {
-		rate *= max(0.1, 1-req.customer.admitOnlyFraction())
+		rate *= max(minQueuedRateFraction, 1-cust.demand.admitOnlyFraction())
 	}
-	return max(0, short) / rate
+	return max(0, missing) / rate
 }
 
-// drawCeiling takes the units of a first attempt out of the ceiling; false: they are not there any more. What is
-// lent is taken from this door's even share too, which may go so far below nothing that all doors' shares
-// together are as empty as the ceiling's store can be.
+// drawCeiling takes the units of a request's first attempt out of the ceiling, and reports whether they were still
+// there. Leased units are taken from this gateway's share too, which may go so far below 0 that all gateways' shares
+// together are as empty as the ceiling's bucket can be.
 func (b *Balancer) drawCeiling(req *request, plan *Plan) bool {
 	cust := req.customer
 	if plan.CeilingRate == 0 {
 		return true
 	}
-	have := b.refillCeiling(cust, plan)
-	switch t := &b.leaseTerms[req.plan]; {
+	b.refillCeiling(cust, plan)
+	switch {
 	case req.ceilingSource == fromQuota && b.hasSparseShares(cust, plan):
 		return true
-	case req.ceilingSource == fromEvenShare && req.leaseWindow > 0: // its turn was there when it was placed
-		if cust.ceiling.lastTurn >= req.leaseWindow {
-			return false
-		}
-		cust.ceiling.lastTurn = req.leaseWindow
-		return true
+	case req.ceilingSource == fromEvenShare && req.leaseWindow > 0:
+		return cust.ceiling.drawTurn(req.leaseWindow)
 	case req.ceilingSource == fromEvenShare:
-		if have < req.units {
-			return false
-		}
-		cust.ceiling.tokens -= req.units
-		if req.admitOnly {
-			cust.ceiling.admitOnlyTokens = max(0, cust.ceiling.admitOnlyTokens-req.units)
+		return cust.ceiling.drawShare(req)
+	case req.ceilingSource == fromLease && !b.renewLeasedUnits(req):
+		return false
+	}
+	lowest := b.ceilingShare(cust, plan).Depth - plan.CeilingBurst
+	cust.ceiling.tokens = max(lowest, cust.ceiling.tokens-req.units)
+	return true
+}
+
+// reserveCeiling reserves units of the ceiling for a request, and a place among the requests in flight where its plan
+// limits these. releaseCeiling returns the units.
+func (b *Balancer) reserveCeiling(req *request, source ceilingSource) {
+	cust, plan := req.customer, &b.settings.Plans[req.plan]
+	if plan.MaxInFlight > 0 {
+		req.inFlight = true
+		cust.inFlight++
+	}
+	req.ceilingReserved = true
+	req.ceilingSource = source
+	req.leaseWindow = 0
+	switch source {
+	case fromEvenShare:
+		cust.ceiling.reserved += req.units
+		if !b.hasSparseShares(cust, plan) {
+			return
 		}
-		return true
-	case req.ceilingSource == fromLease && t.Index(b.now) != req.leaseWindow:
-		if cust.ceiling.lease.Has(*t, b.now, !req.admitOnly, cust.admitOnlyFraction()) < req.units {
-			return false
+		if turns, ok := ceilingTurns(cust, plan); ok {
+			req.leaseWindow, _ = turns.At(b.now, b.settings.Index)
 		}
-		req.leaseWindow = cust.ceiling.lease.Take(*t, b.now, req.units, !req.admitOnly)
+	case fromLease:
+		req.leaseWindow = cust.ceiling.lease.Spend(b.leaseTerms[req.plan], b.now, req.units, req.leaseUse())
 	}
-	cust.ceiling.tokens = max(b.ceilingShare(cust, plan).Depth-plan.CeilingBurst, cust.ceiling.tokens-req.units)
-	return true
 }
 
-// releaseCeiling gives back what a request holds while it is queued, which goes out now or never.
-func (b *Balancer) releaseCeiling(req *request, out bool) {
+// releaseCeiling ends the reservation of a request that is dispatched now or never.
+func (b *Balancer) releaseCeiling(req *request, dispatched bool) {
 	if !req.ceilingReserved {
 		return
 	}
 	req.ceilingReserved = false
+	ceiling := &req.customer.ceiling
 	switch {
 	case req.ceilingSource == fromEvenShare:
-		req.customer.ceiling.reserved -= req.units
-	case req.ceilingSource == fromLease && !out:
-		req.customer.ceiling.lease.Give(b.leaseTerms[req.plan], b.now, req.leaseWindow, req.units, !req.admitOnly)
+		ceiling.reserved -= req.units
+	case req.ceilingSource == fromLease && !dispatched:
+		ceiling.lease.Return(b.leaseTerms[req.plan], b.now, req.leaseWindow, req.units, req.leaseUse())
 	}
 }
 
-// reserveCeiling counts a request as open where its plan bounds that, and keeps units of the ceiling for it; release
-// gives these back.
-func (b *Balancer) reserveCeiling(req *request, from ceilingSource) {
-	if b.settings.Plans[req.plan].MaxInFlight > 0 {
-		req.inFlight = true
-		req.customer.inFlight++
-	}
-	req.ceilingReserved, req.ceilingSource, req.leaseWindow = true, from, 0
-	switch from {
-	case fromEvenShare:
-		req.customer.ceiling.reserved += req.units
-		if plan := &b.settings.Plans[req.plan]; b.hasSparseShares(req.customer, plan) {
-			if t, ok := b.ceilingTurns(req.customer, plan); ok {
-				req.leaseWindow, _ = t.Now(b.now, b.settings.Index)
-			}
-		}
-	case fromLease:
-		req.leaseWindow = req.customer.ceiling.lease.Take(b.leaseTerms[req.plan], b.now, req.units, !req.admitOnly)
-	}
-}
-
-// ceilingShare is this door's part of a customer's ceiling.
-func (b *Balancer) ceilingShare(cust *customer, plan *Plan) quotashare.Store {
+// ceilingShare is this gateway's part of a customer's ceiling, with its loans.
+func (b *Balancer) ceilingShare(cust *customer, plan *Plan) quotashare.Bucket {
 	if !b.settings.LeasedShares {
-		return quotashare.Store{Rate: plan.CeilingRate / cust.gateways, Depth: plan.CeilingBurst / cust.gateways}
+		return quotashare.Bucket{Rate: plan.CeilingRate / cust.gateways, Depth: plan.CeilingBurst / cust.gateways}
 	}
 	if b.share.excluded {
-		return quotashare.Store{}
+		return quotashare.Bucket{}
 	}
-	own := b.ownCeilingShare(cust, plan, b.share.lease.Part(b.now))
-	if cust.ceiling.loans.Some() {
-		own = own.Less(cust.ceiling.loans.Out(b.now, -1)).Plus(cust.ceiling.loans.In(b.now))
+	share := b.ownCeilingShare(cust, plan, b.share.lease.Fraction(b.now))
+	if loans := &cust.ceiling.loans; loans.HasAny() {
+		share = share.Subtract(loans.Lent(b.now, quotashare.NoGateway)).Add(loans.Borrowed(b.now))
 	}
-	return own
+	return share
 }
 
-// ownCeilingShare is what is this door's own with a leased part, whatever is lent.
-func (b *Balancer) ownCeilingShare(cust *customer, plan *Plan, part float64) quotashare.Store {
-	return plan.PartitionPolicy.Of(
-		quotashare.Store{Rate: plan.CeilingRate, Depth: plan.CeilingBurst},
-		quotashare.Store{Rate: plan.Rate, Depth: plan.Burst},
-		1/cust.gateways,
-		quotashare.Among(part, cust.gateways, float64(b.settings.Gateways)),
-	)
+// ownCeilingShare is this gateway's part of a customer's ceiling with a leased fraction, without loans.
+func (b *Balancer) ownCeilingShare(cust *customer, plan *Plan, fraction float64) quotashare.Bucket {
+	ceiling := quotashare.Bucket{Rate: plan.CeilingRate, Depth: plan.CeilingBurst}
+	quota := quotashare.Bucket{Rate: plan.Rate, Depth: plan.Burst}
+	leased := quotashare.FractionAmong(fraction, cust.gateways, float64(b.settings.Gateways))
+	return plan.PartitionPolicy.Share(ceiling, quota, 1/cust.gateways, leased)
 }
 
-// storeFilledSince is since when a store that is met for the first time has filled.
-func (b *Balancer) storeFilledSince() time.Duration {
-	return max(b.startedAt, b.share.excludedChangedAt, b.share.lease.GrewAt())
+// sharesFilledSince is the time since which the share of a customer that is met now has filled.
+func (b *Balancer) sharesFilledSince() time.Duration {
+	return max(b.startedAt, b.share.excludedChangedAt, b.share.lease.IncreasedAt())
 }
 
-// refillSeconds is the seconds in which this door's shares have filled.
-func (b *Balancer) refillSeconds(at time.Duration) float64 {
+// refillSeconds is the time in seconds in which this gateway's shares have filled since a time. Once handed over they
+// do not fill.
+func (b *Balancer) refillSeconds(since time.Duration) float64 {
 	if b.handedOver {
 		return 0
 	}
-	return (b.now - at).Seconds()
+	return (b.now - since).Seconds()
 }
-
-// ceilingSource says where a request's units of the ceiling come from.
-type ceilingSource int
-
-const (
-	fromEvenShare ceilingSource = iota // this door's even share
-	fromQuota                          // what the quota's ledger on the counter let through
-	fromLease                          // what was leased beyond the quota
-)
--- /dev/null
+++ b/internal/balancer/ceilinglease/turns.go
@@ -0,0 +1,48 @@
+package ceilinglease
+
+import (
+	"math"
+	"time"
+)
+
+// Turns are how gateways share a bucket of which each would hold less than a unit: each has a unit at a time of its
+// own, for a while, and what it has not used by then is gone.
+type Turns struct {
+	// interval is the time from one turn of a gateway to its next.
+	interval time.Duration
+	// length is how long the unit is there in each turn.
+	length time.Duration
+	// gateways is the number of gateways that take turns.
+	gateways int64
+}
+
+// TurnsOf makes the turns of gateways that share a bucket of a rate in units a second and a depth in units; false:
+// each holds a unit or more, or there is nothing to hold. The turns of all gateways are spread evenly, so in any time
+// t there are at most rate*t+depth, and one more for the instant at which they begin.
+func TurnsOf(rate, depth, gateways float64) (Turns, bool) {
+	count := math.Ceil(gateways)
+	if !(rate > 0 && depth > 0 && count >= 1) || depth >= count {
+		return Turns{}, false
+	}
+	interval := count / rate * float64(time.Second)
+	if !(interval < float64(math.MaxInt64/4)) || interval < 1 {
+		return Turns{}, false
+	}
+	return Turns{
+		interval: time.Duration(interval),
+		length:   time.Duration(interval * depth / count),
+		gateways: int64(count),
+	}, true
+}
+
+// At returns the number of a gateway's turn at a time, and whether its unit is there.
+func (turns Turns) At(now time.Duration, gateway int) (turn int64, open bool) {
+	offset := turns.interval / time.Duration(turns.gateways) *
+		time.Duration(int64(max(0, gateway))%turns.gateways)
+	since := now - offset
+	turn = int64(since / turns.interval)
+	if since < 0 {
+		return turn - 1, false
+	}
+	return turn, since%turns.interval < turns.length
+}
--- a/internal/balancer/countercall.go
+++ b/internal/balancer/countercall.go
@@ -4,255 +4,291 @@
 	"fmt"
 	"hash/fnv"
 	"time"
+
+	"gapgap/internal/balancer/callpacer"
 )
 
+// Numbers on the counter.
 const (
-	counterWindow               = 30 * time.Second       // a counter's name serves this long ...
-	counterTTL                  = 50 * time.Second       // ... and is kept this long (the counter keeps nothing over 60 s)
-	maxCallsOut                 = 32                     // counter calls out at once
-	minCallFraction             = 0.1                    // part of the requests without tokens that call, at least
-	callLatencyTarget           = 0.7                    // part of its time-out that a call should take at most ...
-	callFractionGrowth          = 0.2                    // ... else fewer call; growth of their part by an instant answer
-	callFractionDecrease        = 0.8                    // factor for each call failed
-	degradedCallFraction        = 0.2                    // part at which the counter is taken to be silent or swamped
-	counterProbePause           = 100 * time.Millisecond // pause between calls that then test it, at least ...
-	counterProbePausePerGateway = 5 * time.Millisecond   // ... and for each door
-	callsStart                  = 260.0                  // calls a second of all doors at first ...
-	callsLow                    = 40.0                   // ... and at least
-	callsHigh                   = 1000.0                 // and of one at most
-	callsDepth                  = 4.0
-	failedMost                  = 2 // calls failed in a row from which nothing is lent
-	// calls whose late answers are waited for; for one more the oldest is given up
-	lateMost  = 256
-	lateKeep  = 5 * time.Second        // and no longer than this
-	latePause = 400 * time.Millisecond // in which nothing more is asked for the customer
+	// counterWindow is the time for which gateways add to the same total of a customer.
+	counterWindow = 30 * time.Second
+	// counterTTL is how long the counter keeps a total; it keeps none for over 60 s.
+	counterTTL = 50 * time.Second
 )
 
-// counterCall is a counter call that is out; with no block it only puts the number right.
-type counterCall struct {
-	customer            *customer
-	block, amount, debt float64 // units asked for; what is added in all; of it, owed from before
-	window              int64
-	sentAt              time.Duration
-	kind                callKind
-	ticket              uint64  // of those whose block is given back after a late answer
-	firstTotal          float64 // the total that says that this door is the first
-	total               float64 // what the number came to when its store was seen to hold too much
-	short               bool    // for what goes out past this door's share of the ceiling
-}
+// How often the counter is called.
+const (
+	// maxCallsOut is the number of totals for which calls may be out at once.
+	maxCallsOut = 32
+	// minCallFraction is the least part of the requests without tokens that call the counter.
+	minCallFraction = 0.1
+	// callLatencyTarget is the part of its timeout that a call should take at most; calls get fewer beyond.
+	callLatencyTarget = 0.7
+	// callFractionGrowth is by what part an instant answer lets more requests call.
+	callFractionGrowth = 0.2
+	// callFractionDecrease is the factor on the part of the requests that call, for a failed call.
+	callFractionDecrease = 0.8
+	// degradedCallFraction is the part of the requests that call at which the counter counts as silent or overloaded.
+	degradedCallFraction = 0.2
+	// counterProbePause is the least time between the calls that then test the counter.
+	counterProbePause = 100 * time.Millisecond
+	// counterProbePausePerGateway is the least such time for each gateway that serves.
+	counterProbePausePerGateway = 5 * time.Millisecond
+	// maxLeasingFailures is the number of failed calls in a row from which ceilings are not leased.
+	maxLeasingFailures = 2
+)
 
-// callKind says what a counter call is for.
+// Pace of the calls of a large fleet, which package callpacer sets.
+const (
+	// initialFleetCallRate is the first rate of all gateways together, calls a second.
+	initialFleetCallRate = 260.0
+	// minFleetCallRate is the least rate of all gateways together, calls a second.
+	minFleetCallRate = 40.0
+	// maxCallRate is the greatest rate of one gateway, calls a second.
+	maxCallRate = 1000.0
+	// callBurst is the number of calls that a gateway may make at once.
+	callBurst = 4.0
+)
+
+// callKind is what a counter call is for.
 type callKind int
 
 const (
-	forTokens callKind = iota // of the quota, or with no block to put its store right
-	forLease                  // of the ceiling beyond the quota, in a window of its own
-	forFirst                  // to learn whether this door is the first one that asks in a window
-	forLast                   // to learn what the window before came to
-	forLevel                  // to learn what the store holds
-	forTest                   // to learn whether the counter answers
-	forFix                    // to learn whether this door is the first that would put the store right
-	forFixed                  // ... or another one has just done that
-	forRight                  // to put the store right, and to learn whether another door had
+	// tokenLeaseCall leases tokens of a quota, or only corrects the total of its bucket when the block is 0.
+	tokenLeaseCall callKind = iota
+	// ceilingLeaseCall leases units of a ceiling beyond the quota, in windows of their own.
+	ceilingLeaseCall
+	// windowFirstCall learns whether this gateway is the first that carries a bucket into a window.
+	windowFirstCall
+	// previousWindowCall learns the total of the window before.
+	previousWindowCall
+	// bucketLevelCall learns the level of a bucket.
+	bucketLevelCall
+	// counterProbeCall learns whether the counter answers.
+	counterProbeCall
+	// correctionLockCall asks for the lock under which a bucket is corrected.
+	correctionLockCall
+	// previousLockCall learns whether a peer had that lock in the interval before.
+	previousLockCall
+	// surplusCall corrects a bucket and learns whether a peer has done so too.
+	surplusCall
 )
 
-// canCallCounter says that the counter can be asked: it answers, or this door's turn to test it has come.
-func (b *Balancer) canCallCounter() bool {
-	pause := max(counterProbePause, time.Duration(b.liveGateways())*counterProbePausePerGateway)
-	return !b.handedOver && len(b.counter.callsOut) < maxCallsOut &&
-		(b.counter.callFraction > degradedCallFraction || b.now-b.counter.lastCallAt >= pause)
+// counterCall is a call to the counter that is out or has timed out.
+type counterCall struct {
+	kind callKind
+	// customer is nil for a counterProbeCall.
+	customer *customer
+	// block is the number of units asked for.
+	block float64
+	// amount is the number of units that the call adds in all, and debt the part of them that was spent before.
+	amount float64
+	debt   float64
+	// window is the window of the total.
+	window int64
+	sentAt time.Duration
+	// ticket names a call whose late answer is of use; 0: none.
+	ticket uint64
+	// firstTotal is the total by whose answer this gateway is the first, or before a surplus was added.
+	firstTotal float64
+	// total is what a bucket's total came to when its surplus was found.
+	total float64
+	// overShare is true for a lease of tokens that go out past this gateway's share of the ceiling.
+	overShare bool
 }
 
-// callCounter adds an amount on the counter under the customer and the window.
-func (b *Balancer) callCounter(cust *customer, block, amount, owed float64) *counterCall {
-	window := int64(b.now / counterWindow)
-	name := counterName(cust.name, window)
-	call := &counterCall{
-		customer: cust,
-		block:    block,
-		amount:   amount,
-		debt:     owed,
-		window:   window,
-		sentAt:   b.now,
-		ticket:   b.counter.timedOut.nextTicket(),
-	}
-	b.counter.callsOut[name] = append(b.counter.callsOut[name], call)
-	b.counter.pacer.Take(b.now)
-	b.emit(CounterAdd{name, amount, counterTTL, call.ticket})
-	return call
+// counterCalls are this gateway's calls to the counter. The counter's state shows in its answers alone: each in time
+// lets a larger part of the requests call, each late or failed one a smaller.
+type counterCalls struct {
+	// out holds the calls that are out by the counter's name for their total, in the order in which they were made.
+	out map[uint64][]*counterCall
+	// timedOut holds calls that may still be answered.
+	timedOut timedOutCalls
+	// callFraction is the part of the requests without tokens that call the counter, from 0 to 1.
+	callFraction float64
+	// callFractionCutAt is when callFraction was last decreased.
+	callFractionCutAt time.Duration
+	// lastCallAt is when tokens were last asked for, or the counter was last tested.
+	lastCallAt time.Duration
+	// failuresInRow counts the calls that failed since the last one that was answered.
+	failuresInRow int
+	// leasingFrom is the time from which ceilings may be leased.
+	leasingFrom time.Duration
+	// pacer limits the calls of a large fleet.
+	pacer *callpacer.Pacer
 }
 
-func (b *Balancer) callAuxiliary(
-	cust *customer,
-	kind callKind,
-	window int64,
-	name uint64,
-	amount float64,
-) *counterCall {
-	call := &counterCall{customer: cust, window: window, sentAt: b.now, kind: kind}
-	b.counter.callsOut[name] = append(b.counter.callsOut[name], call)
-	b.emit(CounterAdd{name, amount, counterTTL, 0})
-	return call
+// isHealthy reports whether the counter answers well enough to be relied on.
+func (calls *counterCalls) isHealthy() bool { return calls.callFraction > degradedCallFraction }
+
+// isFull reports whether no further call may be out.
+func (calls *counterCalls) isFull() bool { return len(calls.out) >= maxCallsOut }
+
+// add takes a call that goes out for a total.
+func (calls *counterCalls) add(name uint64, call *counterCall) {
+	calls.out[name] = append(calls.out[name], call)
 }
 
-// takeCall finds the call that an answer belongs to: those for one name come in the order of the calls.
-func (b *Balancer) takeCall(name uint64) *counterCall {
-	all := b.counter.callsOut[name]
-	if len(all) == 0 {
+// take removes and returns the call that an answer belongs to, or nil. Answers for one total come in the order of the
+// calls.
+func (calls *counterCalls) take(name uint64) *counterCall {
+	pending := calls.out[name]
+	if len(pending) == 0 {
 		return nil
 	}
-	if b.counter.callsOut[name] = all[1:]; len(all) == 1 {
-		delete(b.counter.callsOut, name)
+	calls.out[name] = pending[1:]
+	if len(pending) == 1 {
+		delete(calls.out, name)
 	}
-	return all[0]
+	return pending[0]
 }
 
-// counterName is the counter's name for a customer and a window, within 63 bits.
-func counterName(customer string, window int64) uint64 {
-	h := fnv.New64a()
-	fmt.Fprintf(h, "%s %d", customer, window)
-	return h.Sum64() >> 1
+// recordAnswer lets more requests call the counter for a fast answer and fewer for a slow one. Latency is in parts of
+// the call's timeout.
+func (calls *counterCalls) recordAnswer(latency float64) {
+	factor := 1 + callFractionGrowth*(1-latency/callLatencyTarget)
+	calls.callFraction = min(1, max(degradedCallFraction, calls.callFraction*factor))
 }
 
-// allowAnotherCall lets each request in a customer's line call the counter once more.
-func (cust *customer) allowAnotherCall() {
-	for _, req := range cust.waiting.requests {
-		req.counterCalled, req.counterCalledTwice = req.counterCalled && req.counterCalledTwice, true
+// recordFailure lets fewer requests call the counter after a call without an answer. The calls of one connection end
+// together, so those sent before the last decrease do not count.
+func (calls *counterCalls) recordFailure(now, sentAt time.Duration) {
+	if sentAt < calls.callFractionCutAt {
+		return
 	}
+	calls.callFraction = max(minCallFraction, calls.callFraction*callFractionDecrease)
+	calls.callFractionCutAt = now
 }
 
-// handleCounterResult settles a call. The counter's state shows in its answers alone: each in time lets a larger part
-// of
-// the requests call, each late or failed one a smaller.
-func (b *Balancer) handleCounterResult(ev CounterResult) {
-	call := b.takeCall(ev.Name)
-	if call == nil {
+// recordOutcome takes whether a call was answered. After a few failures in a row gateways go by their even shares, and
+// lease ceilings again when these have had the time to fill since the last failure.
+func (calls *counterCalls) recordOutcome(now time.Duration, answered bool, fillTime time.Duration) {
+	if answered {
+		calls.failuresInRow = 0
 		return
 	}
-	if ev.Status == OK {
-		b.counter.pacer.Answered(b.now, b.now-call.sentAt)
-	} else if ev.Status != Failed {
-		b.counter.pacer.Failed(b.now, call.sentAt)
-	}
-	if ev.Status == Failed { // the counter lives, and this says nothing of how much it bears
-	} else if ev.Status != OK {
-		if call.sentAt >= b.counter.callFractionCutAt { // the calls of one connection end together, and say no more than one of them
-			b.counter.callFraction, b.counter.callFractionCutAt = max(minCallFraction, b.counter.callFraction*callFractionDecrease), b.now
-		}
-	} else {
-		took := (b.now - call.sentAt).Seconds() / b.settings.CounterTimeout.Seconds()
-		b.counter.callFraction = min(
-			1,
-			max(degradedCallFraction, b.counter.callFraction*(1+callFractionGrowth*(1-took/callLatencyTarget))),
-		)
-	}
-	b.recordCallOutcome(ev.Status == OK)
-	if call.kind == forTest {
-		return
+	calls.failuresInRow++
+	if calls.failuresInRow >= maxLeasingFailures || now < calls.leasingFrom {
+		calls.leasingFrom = now + fillTime
 	}
-	if t := b.leaseTerms[call.customer.plan]; call.kind == forLease {
-		if ev.Status == OK {
-			call.customer.ceiling.lease.Answered(t, b.now, call.window, call.block, ev.Total)
-		} else {
-			call.customer.ceiling.lease.Failed(b.now, counterProbePause)
-		}
-	} else if call.kind != forTokens {
-		b.handleStoreCall(call, ev)
-	} else if call.block > 0 {
-		call.customer.quota.callPending = false
-		switch ev.Status {
-		case OK:
-			b.creditLease(call, ev.Total, b.now)
-		case Failed: // all was added, and no units come of the block: it is given back
-			call.customer.quota.debt -= call.block
-			call.customer.allowAnotherCall()
-		case Timeout:
-			b.handleCallTimeout(call)
-		default:
-			call.customer.quota.debt += call.debt
-		}
-	}
-	b.serveWaiting(call.customer)
 }
 
-// recordCallOutcome takes whether a counter call was answered. After a few failures in a row doors go by their even
-// shares, and lend
-// again when the ceilings have had the time to fill since the last one.
-func (b *Balancer) recordCallOutcome(ok bool) {
-	if ok {
-		b.counter.failuresInRow = 0
-	} else if b.counter.failuresInRow++; b.counter.failuresInRow >= failedMost || b.now < b.counter.leasingFrom {
-		b.counter.leasingFrom = b.now + b.longestCeilingFill
+// newCallPacer makes the pacer of this gateway's calls.
+func (b *Balancer) newCallPacer() *callpacer.Pacer {
+	limits := callpacer.Limits{
+		InitialRate:      initialFleetCallRate / b.liveGateways(),
+		MinRate:          minFleetCallRate / b.liveGateways(),
+		MaxRate:          maxCallRate,
+		Burst:            callBurst,
+		TargetQueueTime:  b.settings.CounterTimeout / 4,
+		DecreaseInterval: 2 * b.settings.CounterTimeout,
 	}
+	return callpacer.New(limits, b.now)
 }
 
-// callTest asks the counter for no customer.
-func (b *Balancer) callTest() {
-	b.callAuxiliary(nil, forTest, 0, counterName("test", int64(b.settings.Index)), 0)
+// canCallCounter reports whether the counter may be called: it is healthy, or it is time to test it.
+func (b *Balancer) canCallCounter() bool {
+	pause := max(counterProbePause, time.Duration(b.liveGateways())*counterProbePausePerGateway)
+	return !b.handedOver && !b.counter.isFull() &&
+		(b.counter.isHealthy() || b.now-b.counter.lastCallAt >= pause)
 }
 
-// timedOutCalls are the calls that ended as Timeout, by their tickets. The zero value is ready.
-type timedOutCalls struct {
-	calls map[uint64]*counterCall
-	order []uint64 // oldest first
-	last  uint64   // ticket given
+// callCounter adds an amount to a customer's total of this window and asks for a block of tokens, or for none.
+func (b *Balancer) callCounter(cust *customer, block, amount float64) *counterCall {
+	window := counterWindowAt(b.now)
+	name := counterName(cust.name, window)
+	call := &counterCall{
+		kind:     tokenLeaseCall,
+		customer: cust,
+		block:    block,
+		amount:   amount,
+		window:   window,
+		sentAt:   b.now,
+		ticket:   b.counter.timedOut.nextTicket(),
+	}
+	b.counter.add(name, call)
+	b.counter.pacer.RecordCall(b.now)
+	b.emit(CounterAdd{name, amount, counterTTL, call.ticket})
+	return call
 }
 
-// nextTicket makes a new one; 0 is none.
-func (l *timedOutCalls) nextTicket() uint64 {
-	l.last++
-	return l.last
+// sendCall adds an amount under a name on the counter, for another purpose than tokens. The customer may be nil.
+func (b *Balancer) sendCall(
+	cust *customer, kind callKind, window int64, name uint64, amount float64,
+) *counterCall {
+	call := &counterCall{kind: kind, customer: cust, window: window, sentAt: b.now}
+	b.counter.add(name, call)
+	b.emit(CounterAdd{name, amount, counterTTL, 0})
+	return call
 }
 
-// keep remembers a call that has ended without an answer.
-func (l *timedOutCalls) keep(call *counterCall, now time.Duration) {
-	if l.calls == nil {
-		l.calls = map[uint64]*counterCall{}
-	}
-	l.calls[call.ticket] = call
-	l.order = append(l.order, call.ticket)
-	for len(l.order) > 0 {
-		old := l.calls[l.order[0]]
-		if old != nil && len(l.order) <= lateMost && now-old.sentAt <= lateKeep {
-			break
-		}
-		delete(l.calls, l.order[0])
-		l.order = l.order[1:]
-	}
+// probeCounter calls the counter for no customer, to learn whether it answers.
+func (b *Balancer) probeCounter() {
+	b.sendCall(nil, counterProbeCall, 0, counterName("test", int64(b.settings.Index)), 0)
 }
 
-// take is the call of a ticket, which is then forgotten; nil: nothing is known of it, or no longer.
-func (l *timedOutCalls) take(ticket uint64) *counterCall {
-	call := l.calls[ticket]
-	delete(l.calls, ticket)
-	return call
+// counterName is the counter's name for the total of a key in a window, within 63 bits.
+func counterName(key string, window int64) uint64 {
+	hash := fnv.New64a()
+	_, _ = fmt.Fprintf(hash, "%s %d", key, window) // a hash never fails
+	return hash.Sum64() >> 1
 }
 
-// handleCallTimeout takes it that a call may have been added and that nobody heard of it. One that ended long before
-// its time did so with
-// its connection: no late answer can come on that, and who waits may ask once more, now.
-func (b *Balancer) handleCallTimeout(call *counterCall) {
-	call.customer.quota.lastCallLost = true
-	if b.now-call.sentAt < b.settings.CounterTimeout/2 {
-		call.customer.allowAnotherCall()
+// counterWindowAt is the number of the counter's window at a time.
+func counterWindowAt(now time.Duration) int64 { return int64(now / counterWindow) }
+
+// windowStart is when a window of the counter begins.
+func windowStart(window int64) time.Duration { return time.Duration(window) * counterWindow }
+
+// handleCounterResult takes the end of a call.
+func (b *Balancer) handleCounterResult(ev CounterResult) {
+	call := b.counter.take(ev.Name)
+	if call == nil {
+		return
+	}
+	b.recordCounterResult(call, ev)
+	switch {
+	case call.kind == counterProbeCall:
 		return
+	case call.kind == ceilingLeaseCall:
+		b.handleCeilingLeaseResult(call, ev)
+	case call.kind != tokenLeaseCall:
+		b.handleBucketCall(call, ev)
+	case call.block > 0:
+		b.handleTokenLeaseResult(call, ev)
 	}
-	b.counter.timedOut.keep(call, b.now)
-	call.customer.quota.callsPausedUntil = b.now + latePause
+	b.serveWaiting(call.customer)
 }
 
-// handleLateCounterResult takes the answer to a call that was given up, if it goes by the number of now: a window's
-// number does not outlive it.
-func (b *Balancer) handleLateCounterResult(ev LateCounterResult) {
-	call := b.counter.timedOut.take(ev.Ticket)
-	if call == nil || call.window != int64(b.now/counterWindow) || b.now-call.sentAt > lateKeep {
-		return
+// recordCounterResult takes what the end of a call tells of the counter. A call that the counter rejected tells that
+// it lives, and nothing of its load.
+func (b *Balancer) recordCounterResult(call *counterCall, ev CounterResult) {
+	switch ev.Status {
+	case OK:
+		latency := b.now - call.sentAt
+		b.counter.pacer.RecordAnswer(b.now, latency)
+		b.counter.recordAnswer(latency.Seconds() / b.settings.CounterTimeout.Seconds())
+	case Failed:
+	default:
+		b.counter.pacer.RecordFailure(b.now, call.sentAt)
+		b.counter.recordFailure(b.now, call.sentAt)
 	}
-	call.customer.quota.callsPausedUntil = 0
-	if ev.Status == OK {
-		b.creditLease(call, ev.Total, call.sentAt) // what the store has gained since may be spent by others
-	} else {
-		call.customer.quota.debt -= call.block
+	b.counter.recordOutcome(b.now, ev.Status == OK, b.longestCeilingFill)
+}
+
+// handleTokenLeaseResult takes the end of a call for tokens.
+func (b *Balancer) handleTokenLeaseResult(call *counterCall, ev CounterResult) {
+	quota := &call.customer.quota
+	quota.callPending = false
+	switch ev.Status {
+	case OK:
+		b.creditLease(call, ev.Total, b.now)
+	case Failed: // the amount was added without a lease of the block, which is returned
+		quota.debt -= call.block
+		call.customer.waiting.allowAnotherCall()
+	case Timeout:
+		b.handleCallTimeout(call)
+	default: // nothing was added
+		quota.debt += call.debt
 	}
-	b.serveWaiting(call.customer)
 }
--- a/internal/balancer/customer.go
+++ b/internal/balancer/customer.go
@@ -4,19 +4,23 @@
 	"cmp"
 	"time"
 
-	"gapgap/internal/balancer/callpacer"
 	"gapgap/internal/balancer/ceilinglease"
-	"gapgap/internal/balancer/quotashare"
 )
 
+// Limits of the table of customers.
 const (
-	maxCustomers = 16384            // known at once; for one more there is none that could be forgotten
-	customerTTL  = 60 * time.Second // an idle customer is forgotten
-	sweepTicks   = 500              // ticks in which all are looked at ...
-	crowdTicks   = 50               // ... or, with half of the places taken, ...
-	// ... when those are forgotten too that have been idle for this and whose stores are full again
-	crowdForget          = 2 * time.Second
-	minAdmitOnlyFraction = 0.01 // part of the demand from which some of the ceiling is kept for leave
+	// maxCustomers is the number of customers known at once. Requests of one more are rejected.
+	maxCustomers = 16384
+	// customerTTL is the time after which an idle customer is forgotten.
+	customerTTL = 60 * time.Second
+	// sweepTicks is the number of ticks in which the whole table is checked for idle customers.
+	sweepTicks = 500
+	// minSweep is the number of customers checked in a tick at least.
+	minSweep = 8
+	// fullTableSweepTicks takes the place of sweepTicks when over half of the table is in use.
+	fullTableSweepTicks = 50
+	// fullTableTTL is then the idle time after which a customer with full buckets is forgotten.
+	fullTableTTL = 2 * time.Second
 )
 
 // customer is what this gateway knows of one customer.
@@ -26,178 +30,134 @@
 	plan int
 	// gateways is the number of gateways through which its requests come, 1 at least.
 	gateways float64
-	// lastUsedAt is when it last had a request here or lent a part of its ceiling.
+	// lastUsedAt is when it last had a request here or was granted a part of its ceiling for a peer.
 	lastUsedAt time.Duration
 	demand     demandRate
 	waiting    waitingRequests
-	// inFlight counts its requests under way here, where the plan limits them.
+	// inFlight counts its requests under way here, where its plan limits them.
 	inFlight int
 	quota    quotaState
 	bucket   sharedBucket
 	ceiling  ceilingState
 }
 
+// customerTable holds the customers that are known. The zero value is not ready; see newCustomerTable.
+type customerTable struct {
+	byName map[string]*customer
+	// order lists the customers in the order in which they were met, but for those moved by remove.
+	order []*customer
+	// sweepIndex is the position in order that the sweep has reached.
+	sweepIndex int
+}
+
+// newCustomerTable makes an empty table.
+func newCustomerTable() customerTable {
+	return customerTable{byName: map[string]*customer{}}
+}
+
+// find returns the customer of a name, or nil.
+func (table *customerTable) find(name string) *customer { return table.byName[name] }
+
+// isFull reports whether no further customer can be added.
+func (table *customerTable) isFull() bool { return len(table.byName) >= maxCustomers }
+
+// add puts a customer into the table.
+func (table *customerTable) add(cust *customer) {
+	table.byName[cust.name] = cust
+	table.order = append(table.order, cust)
+}
+
+// removeSwept forgets the customer that the sweep has reached. The last one takes its position.
+func (table *customerTable) removeSwept() {
+	last := len(table.order) - 1
+	delete(table.byName, table.order[table.sweepIndex].name)
+	table.order[table.sweepIndex] = table.order[last]
+	table.order[last] = nil
+	table.order = table.order[:last]
+}
+
+// nextSwept moves the sweep on by one and returns the customer that it has reached.
+func (table *customerTable) nextSwept() *customer {
+	table.sweepIndex = (table.sweepIndex + 1) % len(table.order)
+	return table.order[table.sweepIndex]
+}
+
+// customerFor returns the customer of a request, which it adds to the table when it is new.
 func (b *Balancer) customerFor(ev Request) *customer {
-	cust, plan := b.customers[ev.Customer], &b.settings.Plans[ev.Plan]
-	n := float64(cmp.Or(max(0, ev.Gateways), b.settings.Gateways))
+	cust := b.customers.find(ev.Customer)
+	plan := &b.settings.Plans[ev.Plan]
+	gateways := float64(cmp.Or(max(0, ev.Gateways), b.settings.Gateways))
 	if cust == nil {
 		cust = &customer{
 			name:     ev.Customer,
 			plan:     ev.Plan,
-			gateways: n,
+			gateways: gateways,
 			demand:   demandRate{updatedAt: b.now},
-			quota:    quotaState{fallbackTokens: plan.Burst / n, fallbackFilledAt: b.now},
+			quota:    quotaState{fallbackTokens: plan.Burst / gateways, fallbackFilledAt: b.now},
 			bucket:   sharedBucket{level: plan.Burst, levelAt: b.now},
-			ceiling:  ceilingState{filledAt: b.storeFilledSince()},
+			ceiling:  ceilingState{filledAt: b.sharesFilledSince()},
 		}
 		if b.hasSparseShares(cust, plan) {
-			cust.ceiling.tokens = manyFirst
+			cust.ceiling.tokens = sparseInitialTokens
 		}
-		b.customers[cust.name] = cust
-		b.customerOrder = append(b.customerOrder, cust)
+		b.customers.add(cust)
 	}
 	if cust.plan != ev.Plan {
-		cust.ceiling.lease = ceilinglease.Lease{} // another plan's windows
+		cust.ceiling.lease = ceilinglease.Lease{} // its windows are those of the former plan
 	}
-	cust.plan, cust.gateways = ev.Plan, n
+	cust.plan = ev.Plan
+	cust.gateways = gateways
 	return cust
 }
 
-// rejectIfTableFull refuses the request of a customer that is not known where no more can be.
+// rejectIfTableFull rejects the request of an unknown customer when no further one can be added. It reports whether
+// it did.
 func (b *Balancer) rejectIfTableFull(ev Request) bool {
-	if len(b.customers) < maxCustomers || b.customers[ev.Customer] != nil {
+	if !b.customers.isFull() || b.customers.find(ev.Customer) != nil {
 		return false
 	}
-	pause := time.Duration(0)
+	retryAfter := time.Duration(0)
 	if b.settings.SendRetryAfter {
-		pause = min(crowdForget, b.settings.MaxRetryAfter)
+		retryAfter = min(fullTableTTL, b.settings.MaxRetryAfter)
 	}
-	b.emit(Reject{ID: ev.ID, RetryAfter: pause, Reason: TooManyCustomers})
+	b.emit(Reject{ID: ev.ID, RetryAfter: retryAfter, Reason: TooManyCustomers})
 	return true
 }
 
-// sweepCustomers looks at some customers and forgets those that are idle.
+// sweepCustomers checks the next part of the table and forgets idle customers. It runs once a tick.
 func (b *Balancer) sweepCustomers() {
-	full := len(b.customerOrder) > maxCustomers/2
-	n := max(8, len(b.customerOrder)/sweepTicks)
-	if full {
-		n = len(b.customerOrder) / crowdTicks
+	crowded := len(b.customers.order) > maxCustomers/2
+	count := max(minSweep, len(b.customers.order)/sweepTicks)
+	if crowded {
+		count = len(b.customers.order) / fullTableSweepTicks
 	}
-	for i := 0; i < n && len(b.customerOrder) > 0; i++ {
-		b.sweepIndex = (b.sweepIndex + 1) % len(b.customerOrder)
-		cust := b.customerOrder[b.sweepIndex]
-		if cust.quota.callPending || cust.inFlight > 0 || len(cust.waiting.requests) > 0 ||
-			b.now-cust.lastUsedAt <= b.retention(cust, full) {
+	for i := 0; i < count && len(b.customers.order) > 0; i++ {
+		cust := b.customers.nextSwept()
+		if b.isInUse(cust) || b.now-cust.lastUsedAt <= b.customerRetention(cust, crowded) {
 			continue
 		}
-		delete(b.customers, cust.name)
-		b.customerOrder[b.sweepIndex] = b.customerOrder[len(b.customerOrder)-1]
-		b.customerOrder[len(b.customerOrder)-1] = nil
-		b.customerOrder = b.customerOrder[:len(b.customerOrder)-1]
+		b.customers.removeSwept()
 	}
 }
 
-// retention is how long an idle customer is kept. One that is met again has full stores, so none is forgotten before
-// they are.
-func (b *Balancer) retention(cust *customer, soon bool) time.Duration {
+// isInUse reports whether a customer has requests here or awaits tokens from the counter.
+func (b *Balancer) isInUse(cust *customer) bool {
+	return cust.quota.callPending || cust.inFlight > 0 || len(cust.waiting.requests) > 0
+}
+
+// customerRetention is how long an idle customer is kept. A customer that is met again starts with full buckets, so
+// none is forgotten before its buckets are full.
+func (b *Balancer) customerRetention(cust *customer, crowded bool) time.Duration {
 	plan := &b.settings.Plans[cust.plan]
-	if !soon || b.hasSparseShares(cust, plan) {
+	if !crowded || b.hasSparseShares(cust, plan) {
 		return customerTTL
 	}
-	fills := max(crowdForget.Seconds(), b.longestCeilingFill.Seconds())
+	seconds := max(fullTableTTL.Seconds(), b.longestCeilingFill.Seconds())
 	if plan.Rate > 0 {
-		fills = max(fills, plan.Burst/plan.Rate)
+		seconds = max(seconds, plan.Burst/plan.Rate)
 	}
 	if plan.CeilingRate > 0 {
-		fills = max(fills, plan.CeilingBurst/plan.CeilingRate)
-	}
-	return min(customerTTL, time.Duration(fills*float64(time.Second)))
-}
-
-// popWaiting takes a request out of the head of its customer's line.
-func (cust *customer) popWaiting(req *request) {
-	cust.waiting.requests[0] = nil
-	cust.waiting.requests = cust.waiting.requests[1:]
-	if req.admitOnly {
-		cust.waiting.admitOnly--
+		seconds = max(seconds, plan.CeilingBurst/plan.CeilingRate)
 	}
-}
-
-// admitOnlyFraction is the part of a customer's demand that asks for leave only.
-func (cust *customer) admitOnlyFraction() float64 {
-	if cust.demand.admitOnlyRate < minAdmitOnlyFraction*cust.demand.rate {
-		return 0
-	}
-	return min(1, cust.demand.admitOnlyRate/cust.demand.rate)
-}
-
-type demandRate struct {
-	rate          float64
-	admitOnlyRate float64
-	updatedAt     time.Duration
-}
-
-type waitingRequests struct {
-	requests  []*request
-	admitOnly int
-	listed    bool
-}
-
-type quotaState struct {
-	tokens           float64
-	tokensValidFrom  time.Duration
-	leasedAt         time.Duration
-	fallbackTokens   float64
-	fallbackFilledAt time.Duration
-	debt             float64
-	debtWindow       int64
-	callPending      bool
-	lastCallLost     bool
-	callsPausedUntil time.Duration
-}
-
-type sharedBucket struct {
-	known            bool
-	knownAt          time.Duration
-	level            float64
-	levelAt          time.Duration
-	peerDemand       float64
-	seenWindow       int64
-	seenTotal        float64
-	carriedWindow    int64
-	carriedAt        time.Duration
-	levelCallPending bool
-	emptyUntil       time.Duration
-}
-
-type ceilingState struct {
-	tokens            float64
-	filledAt          time.Duration
-	reserved          float64
-	admitOnlyTokens   float64
-	loans             quotashare.Loans
-	nextLoanRequestAt time.Duration
-	lastTurn          int64
-	lease             ceilinglease.Lease
-}
-
-type counterCalls struct {
-	failuresInRow     int
-	leasingFrom       time.Duration
-	timedOut          timedOutCalls
-	callsOut          map[uint64][]*counterCall
-	callFraction      float64
-	lastCallAt        time.Duration
-	callFractionCutAt time.Duration
-	pacer             *callpacer.Pace
-}
-
-type shareState struct {
-	lease             quotashare.View
-	deadGateways      []int
-	excluded          bool
-	excludedChangedAt time.Duration
-	loansEndAt        time.Duration
-	loanRequestsSince time.Duration
-	loanRequests      int
+	return min(customerTTL, time.Duration(seconds*float64(time.Second)))
 }
--- a/internal/balancer/door_test.go
+++ b/internal/balancer/door_test.go
@@ -334,7 +334,7 @@
 		for _, s := range only[Dispatch](b.Step(ms, []Event{ask(1, 0, 3)})) {
 			b.Step(51*ms, []Event{served(s, 0, 50*ms)})
 		}
-		cust := b.customers["c"]
+		cust := b.customers.find("c")
 		cust.bucket.known, cust.bucket.peerDemand, cust.quota.tokens, cust.quota.leasedAt = true, others, 20, ms
 		var evs []Event
 		for i := range 10 {
@@ -484,8 +484,8 @@
 	for i := range 200 {
 		b.Step(70*time.Second+time.Duration(i)*ms, []Event{TimerFired{0}})
 	}
-	if len(b.requests) != 0 || len(b.customers) != 0 || len(b.customerOrder) != 0 {
-		t.Errorf("left: %d requests, %d customers", len(b.requests), len(b.customers))
+	if len(b.requests) != 0 || len(b.customers.byName) != 0 || len(b.customers.order) != 0 {
+		t.Errorf("left: %d requests, %d customers", len(b.requests), len(b.customers.byName))
 	}
 }
 
--- a/internal/balancer/endpoints.go
+++ b/internal/balancer/endpoints.go
@@ -193,7 +193,7 @@
 	if ep.startedAt > since {
 		ep.warmUpFrom = ep.startedAt
 	}
-	soon := adminRestoreSpread * time.Duration(max(1, int(b.liveGateways())/crowdFrom))
+	soon := adminRestoreSpread * time.Duration(max(1, int(b.liveGateways())/largeFleetGateways))
 	ep.slowStart.Hold(b.now + 1 + time.Duration(b.rng.Int64N(int64(soon))))
 	b.updateSubset()
 	b.dispatchQueued(ep)
--- /dev/null
+++ b/internal/balancer/fallback.go
@@ -0,0 +1,25 @@
+package balancer
+
+import "gapgap/internal/balancer/quotashare"
+
+// refillFallback fills the tokens that this gateway holds of a customer's quota for the time in which the counter
+// does not answer: its even share, or the leased share where the plan gives up shares without a lease.
+func (b *Balancer) refillFallback(cust *customer, plan *Plan) {
+	quota := &cust.quota
+	fraction := 1 / cust.gateways
+	if b.settings.LeasedShares && plan.PartitionPolicy == quotashare.KeepNone && plan.CeilingRate > 0 {
+		fraction = b.leasedFraction(cust)
+		quota.fallbackTokens = min(quota.fallbackTokens, plan.Burst*fraction)
+	}
+	filled := plan.Rate * fraction * (1 - b.counter.callFraction) * b.refillSeconds(quota.fallbackFilledAt)
+	quota.fallbackTokens = min(max(quota.fallbackTokens, plan.Burst*fraction), quota.fallbackTokens+filled)
+	quota.fallbackFilledAt = b.now
+}
+
+// leasedFraction is the leased part of what a customer's gateways have in common, 0 for a gateway that is excluded.
+func (b *Balancer) leasedFraction(cust *customer) float64 {
+	if b.share.excluded {
+		return 0
+	}
+	return quotashare.FractionAmong(b.share.lease.Fraction(b.now), cust.gateways, float64(b.settings.Gateways))
+}
--- a/internal/balancer/golden_test.go
+++ b/internal/balancer/golden_test.go
@@ -525,45 +525,45 @@
 func recordState(trace *golden.Trace, m balancer.HandoverState) {
 	trace.Duration(m.At)
 	for _, c := range m.Classes {
-		trace.Float(c.Base)
-		trace.Float(c.Floor)
+		trace.Float(c.MeanLatency)
+		trace.Float(c.IdleLatency)
 		trace.Int(int64(c.Answers))
 	}
 	for _, c := range m.Customers {
 		trace.String(c.Name)
 		trace.Int(int64(c.Plan))
-		for _, v := range []float64{c.Doors, c.Demand, c.Leave, c.Tokens, c.Owed, c.Spare, c.Others, c.Store, c.Seen, c.Ceil, c.Kept} {
+		for _, v := range []float64{c.Gateways, c.Demand, c.AdmitOnlyDemand, c.Tokens, c.Debt, c.FallbackTokens, c.PeerDemand, c.BucketLevel, c.SeenTotal, c.CeilingTokens, c.AdmitOnlyTokens} {
 			trace.Float(v)
 		}
-		for _, v := range []time.Duration{c.DemandAt, c.UsedAt, c.SpareAt, c.GrantAt, c.StoreAt, c.KnownAt, c.TokensAt, c.CarriedAt, c.EmptyUntil, c.CeilAt} {
+		for _, v := range []time.Duration{c.DemandAt, c.LastUsedAt, c.FallbackFilledAt, c.LeasedAt, c.BucketLevelAt, c.BucketKnownAt, c.TokensValidFrom, c.CarriedAt, c.EmptyUntil, c.CeilingFilledAt} {
 			trace.Duration(v)
 		}
-		trace.Bool(c.Known)
-		trace.Int(c.SeenIn)
-		trace.Int(c.Carried)
-		trace.Int(c.Turn)
-		trace.Int(int64(len(c.Open)))
-		for _, v := range c.Open {
+		trace.Bool(c.BucketKnown)
+		trace.Int(c.SeenWindow)
+		trace.Int(c.CarriedWindow)
+		trace.Int(c.LastTurn)
+		trace.Int(int64(len(c.InFlightUntil)))
+		for _, v := range c.InFlightUntil {
 			trace.Duration(v)
 		}
 	}
-	for _, s := range m.Servers {
+	for _, s := range m.Endpoints {
 		trace.String(s.Name)
-		trace.Duration(s.Started)
-		trace.Duration(s.ColdAt)
-		trace.Bool(s.Cold)
+		trace.Duration(s.StartedAt)
+		trace.Duration(s.WarmUpFrom)
+		trace.Bool(s.WarmingUp)
 		trace.Bool(s.Ejected)
-		trace.Float(s.Slow)
-		trace.Float(s.Slots)
+		trace.Float(s.LatencyFactor)
+		trace.Float(s.ConcurrencyLimit)
 		for _, e := range s.Sends {
 			trace.Duration(e.At)
-			trace.Float(e.Size)
+			trace.Float(e.Cost)
 		}
 	}
-	trace.Float(m.Fleet)
-	trace.Float(m.Rate)
-	trace.Float(m.Short)
-	trace.Float(m.CallShare)
+	trace.Float(m.FleetSlowdown)
+	trace.Float(m.WarmEndpointRate)
+	trace.Float(m.Shortage)
+	trace.Float(m.CallFraction)
 }
 
 // deployment is the settings of a deployment with all kinds of classes and plans. The classes are those of the sites in
@@ -733,7 +733,7 @@
 			viewed := deployment(site, 3)
 			viewed.LeasedShares = true
 			for i := range viewed.Plans {
-				viewed.Plans[i].PartitionPolicy = []quotashare.Rule{quotashare.KeepQuota, quotashare.KeepAll, quotashare.KeepNone}[i%3]
+				viewed.Plans[i].PartitionPolicy = []quotashare.PartitionPolicy{quotashare.KeepQuota, quotashare.KeepAll, quotashare.KeepNone}[i%3]
 			}
 			add(
 				play{
--- a/internal/balancer/grant_test.go
+++ b/internal/balancer/grant_test.go
@@ -112,7 +112,7 @@
 	for i := range 12 { // fills the line for the ceiling
 		b.Step(now, []Event{ask(uint64(i), 1, 1)})
 	}
-	if len(b.customers["c"].waiting.requests) == 0 {
+	if len(b.customers.find("c").waiting.requests) == 0 {
 		t.Fatal("no line")
 	}
 	if acts := b.Step(now, []Event{leave(50, 1)}); len(only[Reject](acts)) != 1 {
@@ -123,7 +123,7 @@
 		r := ask(uint64(i), 0, 3)
 		b.Step(now, []Event{r})
 	}
-	if len(b.customers["c"].waiting.requests) == 0 {
+	if len(b.customers.find("c").waiting.requests) == 0 {
 		t.Fatal("no line")
 	}
 	acts := b.Step(now, []Event{leave(50, 3)})
@@ -168,7 +168,7 @@
 		t.Fatalf("timers %v", timers)
 	}
 	b.Step(50*ms, []Event{TimerFired{timers[0].Cookie}}) // too early
-	if b.customers["c"].inFlight != 4 {
+	if b.customers.find("c").inFlight != 4 {
 		t.Error("the hold ended before its time")
 	}
 	acts := b.Step(timers[0].At, []Event{TimerFired{timers[0].Cookie}})
--- a/internal/balancer/handover.go
+++ b/internal/balancer/handover.go
@@ -7,255 +7,252 @@
 )
 
 const (
-	maxHandoverCustomers = 4096    // customers that are handed on, those seen last; the others are met anew
-	handoverRequestIDs   = 1 << 62 // from here on requests are numbered that are open at the door before
+	// maxHandoverCustomers is the number of customers handed over, those used last. The others are met anew.
+	maxHandoverCustomers = 4096
+	// handoverRequestIDs is the first identifier of the requests that are in flight at the former process.
+	handoverRequestIDs = 1 << 62
+	// handoverIDsPerCustomer is the number of such identifiers of each customer.
+	handoverIDsPerCustomer = 1 << 20
 )
 
-// HandoverState is what a door hands on. Classes and plans are numbered as in its settings.
-type HandoverState struct {
-	At        time.Duration      `json:"At"`
-	Classes   []ClassHandover    `json:"Classes"`
-	Customers []CustomerHandover `json:"Customers"`
-	Servers   []EndpointHandover `json:"Servers"`
-	Fleet     float64            `json:"Fleet"`
-	Rate      float64            `json:"Rate"`
-	Short     float64            `json:"Short"`
-	CallShare float64            `json:"CallShare"`
+// handleBeginHandover writes down what the next process gets. From then on this one has no shares and no tokens but
+// those that its queued requests hold.
+func (b *Balancer) handleBeginHandover() {
+	state := HandoverState{
+		At:               b.now,
+		FleetSlowdown:    b.fleetSlowdown,
+		WarmEndpointRate: b.warmEndpointRate,
+		Shortage:         b.shortage,
+		CallFraction:     b.counter.callFraction,
+	}
+	for i := range b.classes {
+		class := &b.classes[i]
+		state.Classes = append(state.Classes, ClassHandover{class.meanLatency, class.idleLatency, class.answers})
+	}
+	inFlight := b.inFlightUntil()
+	for _, cust := range b.customersByUse() {
+		b.refillCeiling(cust, &b.settings.Plans[cust.plan])
+		if len(state.Customers) < maxHandoverCustomers {
+			state.Customers = append(state.Customers, exportCustomer(cust, inFlight[cust]))
+		}
+		cust.giveUpTokens()
+	}
+	for _, ep := range b.endpointOrder {
+		state.Endpoints = append(state.Endpoints, exportEndpoint(ep))
+	}
+	b.handedOver = true
+	b.emit(HandoverReady{state})
 }
 
-// ClassHandover is what is known of a class.
-type ClassHandover struct {
-	Base    float64 `json:"Base"`  // seconds
-	Floor   float64 `json:"Floor"` // seconds
-	Answers int     `json:"Answers"`
+// inFlightUntil returns, for each customer, when its requests in flight end at the latest, in ascending order.
+func (b *Balancer) inFlightUntil() map[*customer][]time.Duration {
+	ends := map[*customer][]time.Duration{}
+	for _, req := range b.requests {
+		if req.inFlight {
+			ends[req.customer] = append(ends[req.customer], max(req.arrivedAt+req.timeLimit, req.holdUntil))
+		}
+	}
+	for _, times := range ends {
+		slices.Sort(times)
+	}
+	return ends
 }
 
-// CustomerHandover is how a customer stands.
-type CustomerHandover struct {
-	Name       string          `json:"Name"`
-	Plan       int             `json:"Plan"`
-	Doors      float64         `json:"Doors"`
-	Demand     float64         `json:"Demand"`
-	Leave      float64         `json:"Leave"`
-	DemandAt   time.Duration   `json:"DemandAt"`
-	UsedAt     time.Duration   `json:"UsedAt"`
-	Tokens     float64         `json:"Tokens"`
-	Owed       float64         `json:"Owed"`
-	Spare      float64         `json:"Spare"`
-	Others     float64         `json:"Others"`
-	Store      float64         `json:"Store"`
-	Seen       float64         `json:"Seen"`
-	SpareAt    time.Duration   `json:"SpareAt"`
-	GrantAt    time.Duration   `json:"GrantAt"`
-	StoreAt    time.Duration   `json:"StoreAt"`
-	KnownAt    time.Duration   `json:"KnownAt"`
-	TokensAt   time.Duration   `json:"TokensAt"`
-	Known      bool            `json:"Known"`
-	SeenIn     int64           `json:"SeenIn"`
-	Carried    int64           `json:"Carried"`
-	Turn       int64           `json:"Turn"`
-	CarriedAt  time.Duration   `json:"CarriedAt"`
-	EmptyUntil time.Duration   `json:"EmptyUntil"`
-	Ceil       float64         `json:"Ceil"`
-	Kept       float64         `json:"Kept"`
-	CeilAt     time.Duration   `json:"CeilAt"`
-	Open       []time.Duration `json:"Open"` // until when those are open at the latest that count against a cap
+// customersByUse returns all customers, those used last first.
+func (b *Balancer) customersByUse() []*customer {
+	all := slices.Clone(b.customers.order)
+	slices.SortFunc(all, func(left, right *customer) int {
+		return cmp.Or(cmp.Compare(right.lastUsedAt, left.lastUsedAt), cmp.Compare(left.name, right.name))
+	})
+	return all
 }
 
-// EndpointHandover is what is known of a backend.
-type EndpointHandover struct {
-	Name    string          `json:"Name"`
-	Started time.Duration   `json:"Started"`
-	ColdAt  time.Duration   `json:"ColdAt"`
-	Cold    bool            `json:"Cold"`
-	Ejected bool            `json:"Ejected"`
-	Slow    float64         `json:"Slow"`
-	Slots   float64         `json:"Slots"`
-	Sends   []SlowStartSend `json:"Sends"` // of the last cold window
+// exportCustomer writes down how a customer stands. Units that its queued requests hold stay here.
+func exportCustomer(cust *customer, inFlightUntil []time.Duration) CustomerHandover {
+	reserved := min(cust.ceiling.tokens, cust.ceiling.reserved)
+	return CustomerHandover{
+		Name:             cust.name,
+		Plan:             cust.plan,
+		Gateways:         cust.gateways,
+		Demand:           cust.demand.rate,
+		AdmitOnlyDemand:  cust.demand.admitOnlyRate,
+		DemandAt:         cust.demand.updatedAt,
+		LastUsedAt:       cust.lastUsedAt,
+		Tokens:           cust.quota.tokens,
+		Debt:             cust.quota.debt,
+		FallbackTokens:   cust.quota.fallbackTokens,
+		PeerDemand:       cust.bucket.peerDemand,
+		BucketLevel:      cust.bucket.level,
+		SeenTotal:        cust.bucket.seenTotal,
+		FallbackFilledAt: cust.quota.fallbackFilledAt,
+		LeasedAt:         cust.quota.leasedAt,
+		BucketLevelAt:    cust.bucket.levelAt,
+		BucketKnownAt:    cust.bucket.knownAt,
+		TokensValidFrom:  cust.quota.tokensValidFrom,
+		BucketKnown:      cust.bucket.known,
+		SeenWindow:       cust.bucket.seenWindow,
+		CarriedWindow:    cust.bucket.carriedWindow,
+		LastTurn:         cust.ceiling.lastTurn,
+		CarriedAt:        cust.bucket.carriedAt,
+		EmptyUntil:       cust.bucket.emptyUntil,
+		CeilingTokens:    cust.ceiling.tokens - reserved,
+		AdmitOnlyTokens:  cust.ceiling.admitOnlyTokens,
+		CeilingFilledAt:  cust.ceiling.filledAt,
+		InFlightUntil:    inFlightUntil,
+	}
 }
 
-// SlowStartSend is one send to a cold backend.
-type SlowStartSend struct {
-	At   time.Duration `json:"At"`
-	Size float64       `json:"Size"`
+// giveUpTokens drops what has been handed over.
+func (cust *customer) giveUpTokens() {
+	cust.quota.tokens = 0
+	cust.quota.debt = 0
+	cust.quota.fallbackTokens = min(0, cust.quota.fallbackTokens)
+	cust.ceiling.admitOnlyTokens = 0
+	cust.ceiling.tokens = min(cust.ceiling.tokens, cust.ceiling.reserved)
 }
 
-// handleBeginHandover writes down and gives away.
-func (b *Balancer) handleBeginHandover() {
-	m := HandoverState{
-		At:        b.now,
-		Fleet:     b.fleetSlowdown,
-		Rate:      b.warmEndpointRate,
-		Short:     b.shortage,
-		CallShare: b.counter.callFraction,
+// exportEndpoint writes down what is known of an endpoint.
+func exportEndpoint(ep *endpoint) EndpointHandover {
+	state := EndpointHandover{
+		Name:             ep.name,
+		StartedAt:        ep.startedAt,
+		WarmUpFrom:       ep.warmUpFrom,
+		WarmingUp:        ep.warmingUp,
+		Ejected:          ep.ejected,
+		LatencyFactor:    ep.latencyFactor,
+		ConcurrencyLimit: ep.concurrencyLimit,
 	}
-	for _, k := range b.classes {
-		m.Classes = append(m.Classes, ClassHandover{k.meanLatency, k.idleLatency, k.answers})
+	for _, sent := range ep.slowStart.Sends() {
+		state.Sends = append(state.Sends, SlowStartSend{At: sent.At, Cost: sent.Size})
 	}
-	open := map[*customer][]time.Duration{}
-	for _, req := range b.requests {
-		if req.inFlight {
-			open[req.customer] = append(open[req.customer], max(req.arrivedAt+req.timeLimit, req.holdUntil))
-		}
+	return state
+}
+
+// handleImportHandover takes over what another process has handed over. A process that gets its own state back, as the
+// next one failed, adds that to what came in meanwhile.
+func (b *Balancer) handleImportHandover(state HandoverState) {
+	returned := b.handedOver
+	b.handedOver = false
+	for _, cust := range b.customers.order { // what filled meanwhile was the other's
+		cust.quota.fallbackFilledAt = max(cust.quota.fallbackFilledAt, b.now)
+		cust.ceiling.filledAt = max(cust.ceiling.filledAt, b.now)
 	}
-	all := slices.Clone(b.customerOrder)
-	slices.SortFunc(all, func(a, b *customer) int {
-		return cmp.Or(cmp.Compare(b.lastUsedAt, a.lastUsedAt), cmp.Compare(a.name, b.name))
-	})
-	for _, cust := range all {
-		b.refillCeiling(cust, &b.settings.Plans[cust.plan]) // up to now
-		if len(m.Customers) < maxHandoverCustomers {
-			keeps := min(cust.ceiling.tokens, cust.ceiling.reserved)
-			slices.Sort(open[cust])
-			m.Customers = append(
-				m.Customers,
-				CustomerHandover{
-					Name:       cust.name,
-					Plan:       cust.plan,
-					Doors:      cust.gateways,
-					Demand:     cust.demand.rate,
-					Leave:      cust.demand.admitOnlyRate,
-					DemandAt:   cust.demand.updatedAt,
-					UsedAt:     cust.lastUsedAt,
-					Tokens:     cust.quota.tokens,
-					Owed:       cust.quota.debt,
-					Spare:      cust.quota.fallbackTokens,
-					Others:     cust.bucket.peerDemand,
-					Store:      cust.bucket.level,
-					Seen:       cust.bucket.seenTotal,
-					SpareAt:    cust.quota.fallbackFilledAt,
-					GrantAt:    cust.quota.leasedAt,
-					StoreAt:    cust.bucket.levelAt,
-					KnownAt:    cust.bucket.knownAt,
-					TokensAt:   cust.quota.tokensValidFrom,
-					Known:      cust.bucket.known,
-					SeenIn:     cust.bucket.seenWindow,
-					Carried:    cust.bucket.carriedWindow,
-					Turn:       cust.ceiling.lastTurn,
-					CarriedAt:  cust.bucket.carriedAt,
-					EmptyUntil: cust.bucket.emptyUntil,
-					Ceil:       cust.ceiling.tokens - keeps,
-					Kept:       cust.ceiling.admitOnlyTokens,
-					CeilAt:     cust.ceiling.filledAt,
-					Open:       open[cust],
-				},
-			)
-		}
-		cust.quota.tokens, cust.quota.debt, cust.quota.fallbackTokens, cust.ceiling.admitOnlyTokens, cust.ceiling.tokens = 0, 0, min(
-			0,
-			cust.quota.fallbackTokens,
-		), 0, min(
-			cust.ceiling.tokens,
-			cust.ceiling.reserved,
-		)
+	if !returned {
+		b.importEstimates(&state)
 	}
-	for _, ep := range b.endpointOrder {
-		sm := EndpointHandover{
-			Name:    ep.name,
-			Started: ep.startedAt,
-			ColdAt:  ep.warmUpFrom,
-			Cold:    ep.warmingUp,
-			Ejected: ep.ejected,
-			Slow:    ep.latencyFactor,
-			Slots:   ep.concurrencyLimit,
+	for i := range state.Customers {
+		from := &state.Customers[i]
+		isValid := from.Plan >= 0 && from.Plan < len(b.settings.Plans) && from.Gateways > 0
+		if !isValid {
+			continue
 		}
-		for _, e := range ep.slowStart.Sends() {
-			sm.Sends = append(sm.Sends, SlowStartSend(e))
+		if cust := b.customers.find(from.Name); returned && cust != nil {
+			cust.takeBackTokens(from)
+			continue
 		}
-		m.Servers = append(m.Servers, sm)
+		cust := b.importCustomer(from)
+		b.importInFlight(cust, from, handoverRequestIDs+uint64(i)*handoverIDsPerCustomer)
 	}
-	b.handedOver = true
-	b.emit(HandoverReady{m})
 }
 
-// handleImportHandover takes over what was handed on. A door that gets its own back adds it to what came in meanwhile.
-func (b *Balancer) handleImportHandover(m HandoverState) {
-	back := b.handedOver
-	b.handedOver = false
-	for _, cust := range b.customers { // what would have filled meanwhile was the other's
-		cust.quota.fallbackFilledAt, cust.ceiling.filledAt = max(cust.quota.fallbackFilledAt, b.now), max(cust.ceiling.filledAt, b.now)
+// importEstimates takes over what is known of the fleet, the classes and the endpoints.
+func (b *Balancer) importEstimates(state *HandoverState) {
+	b.fleetSlowdown = cmp.Or(state.FleetSlowdown, b.fleetSlowdown)
+	b.fleetSlowdownAt = b.now
+	b.warmEndpointRate = state.WarmEndpointRate
+	b.warmEndpointRateAt = b.now
+	b.shortage = state.Shortage
+	if b.settings.UseCounter {
+		b.counter.callFraction = min(1, max(minCallFraction, cmp.Or(state.CallFraction, 1)))
 	}
-	if !back {
-		b.fleetSlowdown, b.fleetSlowdownAt, b.warmEndpointRate, b.warmEndpointRateAt, b.shortage = cmp.Or(
-			m.Fleet,
-			b.fleetSlowdown,
-		), b.now, m.Rate, b.now, m.Short
-		if b.settings.UseCounter {
-			b.counter.callFraction = min(1, max(minCallFraction, cmp.Or(m.CallShare, 1)))
-		}
-		for i, k := range m.Classes {
-			if i < len(b.classes) && k.Answers > 0 && k.Base > 0 {
-				l := &b.classes[i]
-				l.meanLatency, l.idleLatency, l.answers = k.Base, k.Floor, k.Answers
-			}
-		}
-		for _, sm := range m.Servers {
-			b.importEndpoint(sm)
+	for i, from := range state.Classes {
+		if i < len(b.classes) && from.Answers > 0 && from.MeanLatency > 0 {
+			class := &b.classes[i]
+			class.meanLatency = from.MeanLatency
+			class.idleLatency = from.IdleLatency
+			class.answers = from.Answers
 		}
 	}
-	for i, cm := range m.Customers {
-		if cm.Plan >= 0 && cm.Plan < len(b.settings.Plans) && cm.Doors > 0 {
-			b.importCustomer(i, cm, back)
-		}
+	for i := range state.Endpoints {
+		b.importEndpoint(&state.Endpoints[i])
 	}
 }
 
-func (b *Balancer) importEndpoint(sm EndpointHandover) {
-	ep := b.endpoints[sm.Name]
-	if ep == nil || ep.startedAt != sm.Started {
-		return // another process, of which nothing is known
+// importEndpoint takes over what is known of an endpoint, unless its process is another one now.
+func (b *Balancer) importEndpoint(from *EndpointHandover) {
+	ep := b.endpoints[from.Name]
+	if ep == nil || ep.startedAt != from.StartedAt {
+		return
 	}
-	ep.warmingUp, ep.warmUpFrom, ep.concurrencyLimit = sm.Cold, sm.ColdAt, min(
-		maxConcurrency,
-		max(minConcurrency, sm.Slots),
-	)
-	if sm.Slow > 0 {
-		ep.latencyFactor = sm.Slow
+	ep.warmingUp = from.WarmingUp
+	ep.warmUpFrom = from.WarmUpFrom
+	ep.concurrencyLimit = min(maxConcurrency, max(minConcurrency, from.ConcurrencyLimit))
+	if from.LatencyFactor > 0 {
+		ep.latencyFactor = from.LatencyFactor
 	}
-	for _, e := range sm.Sends {
-		ep.slowStart.Sent(e.At, e.Size)
+	for _, sent := range from.Sends {
+		ep.slowStart.Sent(sent.At, sent.Cost)
 	}
-	if ep.inService && sm.Ejected && !ep.ejected {
+	if ep.inService && from.Ejected && !ep.ejected {
 		b.eject(ep)
 	}
 }
 
-func (b *Balancer) importCustomer(i int, cm CustomerHandover, back bool) {
-	plan := &b.settings.Plans[cm.Plan]
-	cust := b.customers[cm.Name]
-	if back && cust != nil {
-		cust.quota.tokens += cm.Tokens
-		cust.quota.debt += cm.Owed
-		cust.quota.fallbackTokens += max(0, cm.Spare)
-		cust.ceiling.admitOnlyTokens += cm.Kept
-		cust.ceiling.tokens += cm.Ceil
-		return
-	}
+// takeBackTokens adds what was handed over and came back.
+func (cust *customer) takeBackTokens(from *CustomerHandover) {
+	cust.quota.tokens += from.Tokens
+	cust.quota.debt += from.Debt
+	cust.quota.fallbackTokens += max(0, from.FallbackTokens)
+	cust.ceiling.admitOnlyTokens += from.AdmitOnlyTokens
+	cust.ceiling.tokens += from.CeilingTokens
+}
+
+// importCustomer takes over how a customer stands.
+func (b *Balancer) importCustomer(from *CustomerHandover) *customer {
+	plan := &b.settings.Plans[from.Plan]
+	cust := b.customers.find(from.Name)
 	if cust == nil {
-		cust = b.customerFor(Request{Customer: cm.Name, Plan: cm.Plan, Gateways: int(cm.Doors)})
+		cust = b.customerFor(Request{Customer: from.Name, Plan: from.Plan, Gateways: int(from.Gateways)})
 	}
-	cust.demand.rate, cust.demand.admitOnlyRate, cust.demand.updatedAt, cust.lastUsedAt = cm.Demand, cm.Leave, cm.DemandAt, cm.UsedAt
-	cust.quota.tokens, cust.quota.debt, cust.quota.fallbackTokens, cust.quota.fallbackFilledAt = cm.Tokens, cm.Owed, min(
-		cm.Spare,
-		plan.Burst/cm.Doors,
-	), cm.SpareAt
-	cust.bucket.peerDemand, cust.bucket.level, cust.bucket.seenTotal, cust.bucket.seenWindow = cm.Others, cm.Store, cm.Seen, cm.SeenIn
-	cust.quota.leasedAt, cust.bucket.levelAt, cust.bucket.knownAt, cust.quota.tokensValidFrom = cm.GrantAt, cm.StoreAt,
-		cm.KnownAt, cm.TokensAt
-	cust.bucket.known, cust.bucket.carriedWindow, cust.bucket.carriedAt, cust.bucket.emptyUntil = cm.Known, cm.Carried,
-		cm.CarriedAt, cm.EmptyUntil
-	cust.ceiling.lastTurn, cust.ceiling.tokens, cust.ceiling.admitOnlyTokens, cust.ceiling.filledAt = cm.Turn, min(
-		cm.Ceil,
-		plan.CeilingBurst,
-	), cm.Kept, cm.CeilAt
-	for j, until := range cm.Open[:min(len(cm.Open), max(0, plan.MaxInFlight))] {
+	cust.demand.rate = from.Demand
+	cust.demand.admitOnlyRate = from.AdmitOnlyDemand
+	cust.demand.updatedAt = from.DemandAt
+	cust.lastUsedAt = from.LastUsedAt
+	cust.quota.tokens = from.Tokens
+	cust.quota.tokensValidFrom = from.TokensValidFrom
+	cust.quota.leasedAt = from.LeasedAt
+	cust.quota.debt = from.Debt
+	cust.quota.fallbackTokens = min(from.FallbackTokens, plan.Burst/from.Gateways)
+	cust.quota.fallbackFilledAt = from.FallbackFilledAt
+	cust.bucket.known = from.BucketKnown
+	cust.bucket.knownAt = from.BucketKnownAt
+	cust.bucket.level = from.BucketLevel
+	cust.bucket.levelAt = from.BucketLevelAt
+	cust.bucket.peerDemand = from.PeerDemand
+	cust.bucket.seenWindow = from.SeenWindow
+	cust.bucket.seenTotal = from.SeenTotal
+	cust.bucket.carriedWindow = from.CarriedWindow
+	cust.bucket.carriedAt = from.CarriedAt
+	cust.bucket.emptyUntil = from.EmptyUntil
+	cust.ceiling.tokens = min(from.CeilingTokens, plan.CeilingBurst)
+	cust.ceiling.admitOnlyTokens = from.AdmitOnlyTokens
+	cust.ceiling.filledAt = from.CeilingFilledAt
+	cust.ceiling.lastTurn = from.LastTurn
+	return cust
+}
+
+// importInFlight counts the requests that are in flight at the former process against the plan's limit until they
+// have ended. Their identifiers begin at firstID.
+func (b *Balancer) importInFlight(cust *customer, from *CustomerHandover, firstID uint64) {
+	limit := max(0, b.settings.Plans[from.Plan].MaxInFlight)
+	for i, until := range from.InFlightUntil[:min(len(from.InFlightUntil), limit)] {
 		if until <= b.now {
 			continue
 		}
 		req := &request{
-			id:        handoverRequestIDs + uint64(i)<<20 + uint64(j),
+			id:        firstID + uint64(i),
 			customer:  cust,
-			plan:      cm.Plan,
+			plan:      from.Plan,
 			arrivedAt: b.now,
 			admitted:  true,
 			inFlight:  true,
--- a/internal/balancer/handover_test.go
+++ b/internal/balancer/handover_test.go
@@ -150,7 +150,7 @@
 	if sends != 1 {
 		t.Errorf("%d sent beside 3 at the old door; the cap is 4", sends)
 	}
-	cust := b.customers["c"]
+	cust := b.customers.find("c")
 	acts := b.Step(
 		4*time.Second,
 		[]Event{
@@ -209,7 +209,7 @@
 	settings.UseCounter, settings.Gateways = false, 1
 	b := open(t, settings, backends(2)...)
 	b.Step(time.Second, []Event{ask(1, 0, 1)})
-	cust := b.customers["c"]
+	cust := b.customers.find("c")
 	ceil, spare := b.refillCeiling(cust, &settings.Plans[1]), cust.quota.fallbackTokens
 	handed := only[HandoverReady](b.Step(time.Second, []Event{BeginHandover{}}))
 	if cust.ceiling.tokens > cust.ceiling.reserved || cust.quota.fallbackTokens > 0 {
@@ -233,17 +233,17 @@
 	b.Step(time.Second, []Event{
 		ImportHandover{
 			HandoverState{
-				CallShare: -3,
-				Rate:      -1,
-				Classes:   make([]ClassHandover, 9),
+				CallFraction:     -3,
+				WarmEndpointRate: -1,
+				Classes:          make([]ClassHandover, 9),
 				Customers: []CustomerHandover{
-					{Name: "a", Plan: 99, Doors: 1},
+					{Name: "a", Plan: 99, Gateways: 1},
 					{Name: "b", Plan: -1},
 					{Name: "c", Plan: 0},
-					{Name: "d", Plan: 3, Doors: 1,
-						Open: make([]time.Duration, 1000), Ceil: inf, Spare: inf},
+					{Name: "d", Plan: 3, Gateways: 1,
+						InFlightUntil: make([]time.Duration, 1000), CeilingTokens: inf, FallbackTokens: inf},
 				},
-				Servers: []EndpointHandover{{Name: "nobody"}, {Name: "b0", Started: 0, Slots: -1, Slow: -1}},
+				Endpoints: []EndpointHandover{{Name: "nobody"}, {Name: "b0", StartedAt: 0, ConcurrencyLimit: -1, LatencyFactor: -1}},
 			},
 		},
 	})
--- a/internal/balancer/largefleet.go
+++ b/internal/balancer/largefleet.go
@@ -2,121 +2,80 @@
 
 import (
 	"cmp"
-	"math"
 	"time"
-
-	"gapgap/internal/balancer/ceilinglease"
 )
 
+// Rules of a large fleet: so many gateways that the counter cannot serve a call for each request that a gateway's own
+// share does not cover, and that a gateway meets most customers too seldom to use up a lease.
 const (
-	manyDepth = 4.0 // units: where a door's even share of a ceiling holds fewer, the doors are many
-	crowdFrom = 12  // doors
-	crowdWait = 0.2 // of its time that a request waits for the counter
-	crowdLife = 12 * time.Second
-	crowdPart = 4.0 // of a store that one lease may take
-	manyFirst = 1.0 // units of a share that a door has at its start: what it had before may be spent
-	// part of the rate beyond the quota that shares give: the rest is for what a new window's number gives twice
-	manyRate    = 0.97
-	manyOver    = 0.25 // bursts over its burst at which the ledger is put right
-	manyTakes   = 1.0  // bursts that the ledger may let out at once: (1+manyOver-manyKeep), and again with a new number
-	manyKeep    = 0.75 // part of a burst that the ledger keeps back for the loss of the counter's numbers
-	promiseMost = time.Second
-	pauseDoors  = 2.0
-	creditMost  = 0.9 // chance ...
-	creditSoon  = 4.0 // ... and in which part of the time it has that in which a door's share fills by a unit
-	crowdOver   = 0.5 // bursts over its burst at which a store is put right
-	crowdFix    = 0.1 // of the doors that see it and are not the first
-	pauseMost   = 12 * time.Second
-	callsRetry  = 1.0
-	callsSoft   = 1.5
+	// largeFleetGateways is the number of gateways from which a fleet is large.
+	largeFleetGateways = 12
+	// maxCounterWaitFraction is the part of its time for which a request may wait for the counter.
+	maxCounterWaitFraction = 0.2
+	// largeFleetTokenTTL is the time after which tokens of a lease are returned.
+	largeFleetTokenTTL = 12 * time.Second
+	// largeFleetLeaseParts is the number of leases that use up a bucket.
+	largeFleetLeaseParts = 4.0
+	// maxReservationHorizon is how far ahead units are reserved at most.
+	maxReservationHorizon = time.Second
+	// gatewaysPerPause is the number of gateways that ask for a unit while an empty bucket gains it.
+	gatewaysPerPause = 2.0
+	// maxLargeFleetPause is the longest time for which a bucket that was found empty is left alone, before the spread.
+	maxLargeFleetPause = 12 * time.Second
+	// minLargeFleetPauseSpread is the least factor on that time; the greatest is larger by 1.
+	minLargeFleetPauseSpread = 0.5
+	// maxCreditProbability is the greatest chance of a request that has no call to go out on credit.
+	maxCreditProbability = 0.9
+	// creditGrowth is by how much the chance grows in the time in which this gateway's share gains a unit.
+	creditGrowth = 4.0
+	// largeFleetSurplusTolerance is the number of bursts over its burst from which a bucket is corrected.
+	largeFleetSurplusTolerance = 0.5
+	// correctionProbability is the part of the gateways that correct a bucket of which they saw only a surplus.
+	correctionProbability = 0.1
+	// clientRetryCallReserve is the number of calls that a client's repeat leaves to other requests.
+	clientRetryCallReserve = 1.0
+	// softQuotaCallReserve is the number that a request leaves whose call would only promote it.
+	softQuotaCallReserve = 1.5
 )
 
-// hasSparseShares says that the doors of a customer are so many that each one's even share of the ceiling is a request
-// or two. A plan that
-// caps what is open at once too keeps its even shares: payMany counts nothing that is open.
-func (b *Balancer) hasSparseShares(cust *customer, plan *Plan) bool {
-	return b.isLargeFleet() && plan.CeilingRate > plan.Rate && plan.Rate > 0 && plan.MaxInFlight == 0 &&
-		plan.CeilingBurst > manyTakes*plan.Burst &&
-		b.leaseTerms[cust.plan].Rate == 0 &&
-		plan.CeilingBurst/cust.gateways < manyDepth &&
-		plan.OverQuotaWeight > plan.OverQuotaCost
-}
-
-// isLargeFleet says that the doors are so many that the counter can't serve a call for each request that a door can't
-// pay, and a
-// door meets most customers so seldom that a lease for them would lie unused.
+// isLargeFleet reports whether the rules of a large fleet hold. They do not where ceilings are leased: those rely on
+// buckets of which nothing is reserved ahead.
 func (b *Balancer) isLargeFleet() bool {
-	return b.settings.UseCounter && !b.settings.LeaseCeilings &&
-		b.settings.Gateways >= crowdFrom // what is lent hangs on a ledger without reservations
+	return b.settings.UseCounter && !b.settings.LeaseCeilings && b.settings.Gateways >= largeFleetGateways
 }
 
-// canCallFor says whether the counter may be called for a request. The calls that there are go first to those for which
-// they decide most: a client's repeat was refused before, mostly for good reason, and a promotion only helps while
-// servers are short.
-func (b *Balancer) canCallFor(req *request, leaves float64) bool {
+// canCallForRequest reports whether the counter may be called for a request that leaves some calls to others. The
+// calls go first to requests for which they decide most: a client's repeat was rejected before, mostly with reason, and
+// a promotion helps only while endpoints are short.
+func (b *Balancer) canCallForRequest(req *request, reserve float64) bool {
 	cust := req.customer
-	if b.handedOver || req.counterCalled || b.now < max(cust.bucket.emptyUntil, cust.quota.callsPausedUntil) ||
-		len(b.counter.callsOut) >= maxCallsOut {
+	pausedUntil := max(cust.bucket.emptyUntil, cust.quota.callsPausedUntil)
+	if b.handedOver || req.counterCalled || b.now < pausedUntil || b.counter.isFull() {
 		return false
 	}
 	if req.clientRetry {
-		leaves += callsRetry
+		reserve += clientRetryCallReserve
 	}
-	return b.counter.pacer.May(b.now, leaves)
-}
-
-// counterMayCover says whether the ledger may pay a request: a token is here, is asked for, or can be.
-func (b *Balancer) counterMayCover(req *request, plan *Plan) bool {
-	cust := req.customer
-	return cust.quota.tokens >= req.units &&
-		(cust.quota.tokensValidFrom-b.now).Seconds() <= req.timeLimit.Seconds()*maxCeilingWaitFraction ||
-		cust.quota.callPending ||
-		b.now >= max(cust.bucket.emptyUntil, cust.quota.callsPausedUntil)
+	return b.counter.pacer.CanCall(b.now, reserve)
 }
 
-// ceilingTurns are a customer's at the doors, where each one's share of what is beyond the quota is less than a unit.
-func (b *Balancer) ceilingTurns(cust *customer, plan *Plan) (ceilinglease.Turns, bool) {
-	return ceilinglease.TurnsOf(
-		manyRate*(plan.CeilingRate-plan.Rate),
-		plan.CeilingBurst-manyTakes*plan.Burst,
-		cust.gateways,
-	)
+// hasWaitedForCounter reports whether a request has waited as long as it may for the counter or for a turn to call it.
+func (b *Balancer) hasWaitedForCounter(req *request) bool {
+	return (b.now - req.arrivedAt).Seconds() > req.timeLimit.Seconds()*maxCounterWaitFraction
 }
 
-// refillTurn tells the share of a customer at a door that has turns. A door that has just begun may have used its turn
-// before.
-func (b *Balancer) refillTurn(cust *customer, t ceilinglease.Turns) float64 {
-	cust.ceiling.tokens, cust.ceiling.filledAt, cust.ceiling.admitOnlyTokens = 0, b.now, 0
-	turn, open := t.Now(b.now, b.settings.Index)
-	if began, _ := t.Now(b.startedAt, b.settings.Index); open && turn > cust.ceiling.lastTurn && turn > began {
-		cust.ceiling.tokens = 1
-	}
-	return cust.ceiling.tokens
+// awaitsLateAnswer reports whether a request's call timed out but may still be answered.
+func (b *Balancer) awaitsLateAnswer(req *request) bool {
+	return req.counterCalled && b.now < req.customer.quota.callsPausedUntil && !b.hasWaitedForCounter(req)
 }
 
-// hasWaitedForCounter says that a request has waited for as long as it may for the counter, or for a turn to call it.
-func (b *Balancer) hasWaitedForCounter(req *request) bool {
-	return (b.now - req.arrivedAt).Seconds() > req.timeLimit.Seconds()*crowdWait
+// hasTokensSoon reports whether leased tokens cover a request and will be valid while it may wait.
+func (b *Balancer) hasTokensSoon(req *request) bool {
+	quota := &req.customer.quota
+	return quota.tokens >= req.units && (quota.tokensValidFrom-b.now).Seconds() <= req.ceilingWaitLimit()
 }
 
-// returnUnusedTokens gives back what a customer's lease has not used, with the next call, and fills its credit.
-func (b *Balancer) returnUnusedTokens(cust *customer, plan *Plan, least float64) {
-	if w := int64(
-		b.now / counterWindow,
-	); cust.quota.debtWindow != w { // what was taken of an older number can't be given back to this one
-		cust.quota.debtWindow, cust.quota.debt = w, max(0, cust.quota.debt)
-	}
-	if cust.quota.tokens > 0 && !cust.quota.callPending && b.now-max(cust.quota.leasedAt, cust.quota.tokensValidFrom) > crowdLife {
-		cust.quota.debt -= cust.quota.tokens
-		cust.quota.tokens = 0
-	}
-	cust.quota.fallbackTokens, cust.quota.fallbackFilledAt = min(
-		max(cust.quota.fallbackTokens, least, plan.Burst/cust.gateways),
-		cust.quota.fallbackTokens+plan.Rate/cust.gateways*b.refillSeconds(cust.quota.fallbackFilledAt),
-	), b.now
-}
-
-// spendTokensLargeFleet is spend where doors are many.
+// spendTokensLargeFleet is spendTokens for a large fleet.
 func (b *Balancer) spendTokensLargeFleet(req *request, plan *Plan) quotaDecision {
 	cust := req.customer
 	b.returnUnusedTokens(cust, plan, 0)
@@ -125,15 +84,11 @@
 		cust.quota.tokens -= req.units
 		req.paidByCounter = true
 		return quotaCovered
-	case cust.quota.tokens >= req.units &&
-		(cust.quota.tokensValidFrom-b.now).Seconds() <= req.timeLimit.Seconds()*maxCeilingWaitFraction,
-		cust.quota.callPending:
+	case b.hasTokensSoon(req), cust.quota.callPending, b.awaitsLateAnswer(req):
 		return quotaPending
-	case req.counterCalled && b.now < cust.quota.callsPausedUntil && !b.hasWaitedForCounter(req): // the answer may come yet
-		return quotaPending
-	case b.canCallFor(req, 0):
+	case b.canCallForRequest(req, 0):
 		req.counterCalled = true
-		b.leaseTokens(cust, plan, req.units, false)
+		b.leaseTokensLargeFleet(req, plan)
 		return quotaPending
 	case req.clientRetry || b.now < cust.bucket.emptyUntil:
 		return quotaExceeded
@@ -148,126 +103,95 @@
 	return quotaExceeded
 }
 
-// creditProbability is the chance that a request for which there is no call goes out unasked. A share of less than a
-// unit is a unit by chance; and the longer a door has run, the more likely is a customer that it has not met, or not
-// found empty, one of the
-// many that stay well inside their quotas. Once for each customer, and again when its share has filled.
+// returnUnusedTokens returns the tokens of a lease that is over, with the next call, and fills the fallback share,
+// which holds minDepth units at least when it is full.
+func (b *Balancer) returnUnusedTokens(cust *customer, plan *Plan, minDepth float64) {
+	quota := &cust.quota
+	if window := counterWindowAt(b.now); quota.debtWindow != window {
+		// What was taken of an older total can't be returned to this one.
+		quota.debtWindow = window
+		quota.debt = max(0, quota.debt)
+	}
+	age := b.now - max(quota.leasedAt, quota.tokensValidFrom)
+	if quota.hasExpiredTokens(age, largeFleetTokenTTL) {
+		quota.debt -= quota.tokens
+		quota.tokens = 0
+	}
+	depth := max(quota.fallbackTokens, minDepth, plan.Burst/cust.gateways)
+	filled := plan.Rate / cust.gateways * b.refillSeconds(quota.fallbackFilledAt)
+	quota.fallbackTokens = min(depth, quota.fallbackTokens+filled)
+	quota.fallbackFilledAt = b.now
+}
+
+// creditProbability is the chance that a request for which there is no call goes out without one, once for each
+// customer and again when its share has filled. A share of less than a unit is a unit by chance. The longer a gateway
+// has run, the more likely is a customer that it has not met, or not found empty, one of the many that stay well
+// inside their quotas.
 func (b *Balancer) creditProbability(cust *customer, plan *Plan) float64 {
 	if cust.quota.fallbackTokens <= 0 {
 		return 0
 	}
-	return max(cust.quota.fallbackTokens, min(creditMost, (b.now-b.startedAt).Seconds()*plan.Rate/cust.gateways*creditSoon))
+	grown := (b.now - b.startedAt).Seconds() * plan.Rate / cust.gateways * creditGrowth
+	return max(cust.quota.fallbackTokens, min(maxCreditProbability, grown))
 }
 
-// correctOverfull puts a store right that holds more than its burst. Where it is much, as when all doors have just
-// started, many see it at
-// once: the one whose call began the number does it; should that fail, one of those who ask leave of the counter.
-func (b *Balancer) correctOverfull(cust *customer, call *counterCall, amount float64, began bool) {
+// correctSurplus corrects a bucket that has more than its burst. Many gateways see it at once where it is much, as when
+// all have just started: the one whose call began the total corrects it, or, should that fail, one of those that ask
+// for the correction lock.
+func (b *Balancer) correctSurplus(call *counterCall, amount float64, isFirstCall bool) {
+	cust := call.customer
+	plan := &b.settings.Plans[cust.plan]
 	switch {
-	case began || amount <= b.settings.Plans[cust.plan].Burst:
-		b.callCounter(cust, 0, amount, 0)
-	case b.hasSparseShares(cust, &b.settings.Plans[cust.plan]) || b.rng.Float64() < crowdFix:
-		b.callCorrectionLock(cust, call.window, amount, 0)
+	case isFirstCall || amount <= plan.Burst:
+		b.callCounter(cust, 0, amount)
+	case b.hasSparseShares(cust, plan) || b.rng.Float64() < correctionProbability:
+		b.callCorrectionLock(call, amount, 0)
 	}
 }
 
-// overfullSlack is by how many bursts a store may be over its burst before a call is spent on it. Where a ceiling hangs
-// on it, little.
-func (b *Balancer) overfullSlack(cust *customer, plan *Plan) float64 {
+// surplusSlack is by how many bursts a bucket may be over its burst before a call is spent on it: by few where a
+// ceiling relies on it.
+func (b *Balancer) surplusSlack(cust *customer, plan *Plan) float64 {
 	if b.hasSparseShares(cust, plan) {
-		return manyOver
-	}
-	return crowdOver
-}
-
-// checkQuotaSparse decides for a request of a soft plan whose doors are many.
-func (b *Balancer) checkQuotaSparse(req *request, plan *Plan, short, late bool) quotaDecision {
-	cust := req.customer
-	req.paidByCounter = false
-	worth := max(
-		1e-9,
-		b.settings.Classes[req.class].PriorityWeight*plan.PriorityFactor*b.classes[req.class].costProfile.Density(
-			req.units,
-		),
-	)
-	req.level = min(priorityBands-1, max(0, int(bandsPerHalving*math.Log2(b.maxPriority/worth))))
-	b.returnUnusedTokens(cust, plan, 1)
-	pressed := b.fleetSlowdown > 1.5
-	switch {
-	case !short && cust.quota.fallbackTokens >= req.units:
-		cust.quota.fallbackTokens -= req.units
-		cust.quota.debt += req.units
-		b.reserveCeiling(req, fromEvenShare)
-	case cust.quota.tokens >= req.units && b.now >= cust.quota.tokensValidFrom:
-		cust.quota.tokens -= req.units
-		b.reserveCeiling(req, fromQuota)
-	case cust.quota.callPending:
-		return quotaPending
-	case short && cust.quota.tokens >= req.units &&
-		(cust.quota.tokensValidFrom-b.now).Seconds() <= req.timeLimit.Seconds()*maxCeilingWaitFraction:
-		return quotaPending
-	case short && req.counterCalled && b.now < cust.quota.callsPausedUntil && !b.hasWaitedForCounter(req):
-		return quotaPending
-	case cust.quota.tokens < req.units && (short && b.canCallFor(req, 0) || !short && pressed && b.canCallFor(req, callsSoft)):
-		req.counterCalled = true
-		b.leaseTokens(cust, plan, req.units, false)
-		return quotaPending
-	// for a turn to call
-	case short && !req.counterCalled && !late && b.now >= max(cust.bucket.emptyUntil, cust.quota.callsPausedUntil) &&
-		!b.hasWaitedForCounter(req):
-		return quotaPending
-	case !short:
-		cust.quota.debt += req.units
-		return quotaExceeded
-	case late || req.admitOnly || (req.units-b.ceilingRoom(req,
-		plan))*cust.gateways/(manyRate*(plan.CeilingRate-plan.Rate)) > req.timeLimit.Seconds()*maxCeilingWaitFraction:
-		return quotaExceeded
-	default:
-		return quotaPending
+		return sparseSurplusTolerance
 	}
-	req.withinQuota = true
-	return quotaCovered
+	return largeFleetSurplusTolerance
 }
 
 // reservationHorizon is how far ahead units are reserved. Of a hard plan it is as long as a request of any class may
-// wait: what comes later would
-// mostly lie unused, as the door may not meet the customer again for long.
+// wait: later units would mostly lie unused, as the gateway may not meet the customer again for long.
 func (b *Balancer) reservationHorizon(cust *customer, plan *Plan) time.Duration {
-	least := promiseMost
+	horizon := maxReservationHorizon
 	if b.hasSparseShares(cust, plan) {
-		return least
+		return horizon
 	}
 	for i := range b.settings.Classes {
-		least = min(
-			least,
-			time.Duration(
-				float64(
-					cmp.Or(b.settings.Classes[i].LatencyObjective, b.settings.Classes[i].ClientTimeout),
-				)*maxCeilingWaitFraction,
-			),
-		)
+		class := &b.settings.Classes[i]
+		timeLimit := float64(cmp.Or(class.LatencyObjective, class.ClientTimeout))
+		horizon = min(horizon, time.Duration(timeLimit*maxCeilingWaitFraction))
 	}
-	return least
+	return horizon
 }
 
-// reserveAhead keeps what a call took of a store that did not hold it, where a door meets a customer so seldom that
-// giving it back would cost a call each time: it may be spent when the store has gained it. What would take too long is
-// given back, and the
-// customer's doors, each pausing for a time of its own, ask a few times as often as there is a unit.
-func (b *Balancer) reserveAhead(call *counterCall, has, got float64) {
+// reserveAhead keeps what a call took of a bucket that did not have it, where a gateway meets a customer so seldom
+// that returning it would cost a call each time: it may be spent when the bucket has gained it. What would take too
+// long is returned, and the customer's gateways, each pausing for a time of its own, ask a few times as often as there
+// is a unit.
+func (b *Balancer) reserveAhead(call *counterCall, available, granted float64) {
 	cust, plan := call.customer, &b.settings.Plans[call.customer.plan]
-	lacks := call.block - has
-	fills := time.Duration(lacks / plan.Rate * float64(time.Second))
-	if fills <= b.reservationHorizon(cust, plan) && call.kind == forTokens && got < call.block {
-		cust.quota.tokens += call.block - got // the rest is added by grant
-		cust.quota.tokensValidFrom = b.now + fills
+	missing := call.block - available
+	fillTime := time.Duration(missing / plan.Rate * float64(time.Second))
+	if fillTime <= b.reservationHorizon(cust, plan) && call.kind == tokenLeaseCall && granted < call.block {
+		cust.quota.tokens += call.block - granted // the caller adds what was granted
+		cust.quota.tokensValidFrom = b.now + fillTime
 		cust.quota.debt += call.block + call.debt - call.amount
 		call.amount = call.block + call.debt
-		cust.bucket.emptyUntil = b.now + fills
+		cust.bucket.emptyUntil = b.now + fillTime
 		return
 	}
-	b.callCounter(cust, 0, got+call.debt-call.amount, 0)
-	call.amount = got + call.debt
-	pause := min(pauseMost.Seconds(), max(lacks, cust.gateways/pauseDoors)/plan.Rate) * (0.5 + b.rng.Float64())
+	b.callCounter(cust, 0, granted+call.debt-call.amount)
+	call.amount = granted + call.debt
+	spread := minLargeFleetPauseSpread + b.rng.Float64()
+	pause := min(maxLargeFleetPause.Seconds(), max(missing, cust.gateways/gatewaysPerPause)/plan.Rate) * spread
 	cust.bucket.emptyUntil = b.now + time.Duration(pause*float64(time.Second))
 }
--- a/internal/balancer/late_test.go
+++ b/internal/balancer/late_test.go
@@ -34,7 +34,7 @@
 // calls; and meanwhile nothing more is asked.
 func TestLateAnswerIsALease(t *testing.T) {
 	b, call, now := called(t)
-	cust := b.customers["c"]
+	cust := b.customers.find("c")
 	b.Step(now+50*ms, []Event{CounterResult{Name: call.Name, Status: Timeout}})
 	if acts := b.Step(now+55*ms, []Event{ask(900, 0, 0)}); len(only[CounterAdd](acts)) != 0 {
 		t.Errorf("asked again before the first call is answered: %v", acts)
@@ -59,7 +59,7 @@
 // One whose total can't be read is given back.
 func TestLateAnswerThatIsSpoilt(t *testing.T) {
 	b, call, now := called(t)
-	cust := b.customers["c"]
+	cust := b.customers.find("c")
 	b.Step(now+50*ms, []Event{CounterResult{Name: call.Name, Status: Timeout}})
 	before := cust.quota.debt
 	b.Step(now+70*ms, []Event{LateCounterResult{Ticket: call.Ticket, Status: Failed}})
@@ -70,9 +70,9 @@
 
 // What is late by a window belongs to a number that nobody asks any more, and what is stale is forgotten.
 func TestLateAnswerOfAnotherWindow(t *testing.T) {
-	for _, after := range []time.Duration{counterWindow, lateKeep + time.Second} {
+	for _, after := range []time.Duration{counterWindow, timedOutCallTTL + time.Second} {
 		b, call, now := called(t)
-		cust := b.customers["c"]
+		cust := b.customers.find("c")
 		b.Step(now+50*ms, []Event{CounterResult{Name: call.Name, Status: Timeout}})
 		before := cust.quota.tokens
 		b.Step(now+after, []Event{LateCounterResult{call.Ticket, OK, call.Amount}})
@@ -85,15 +85,15 @@
 // A counter that is silent for ever leaves no more behind than the bound.
 func TestLatesAreBounded(t *testing.T) {
 	var l timedOutCalls
-	for i := range 10 * lateMost {
+	for i := range 10 * maxTimedOutCalls {
 		l.keep(&counterCall{ticket: l.nextTicket(), sentAt: time.Duration(i)}, time.Duration(i))
-		if len(l.calls) > lateMost || len(l.order) > lateMost {
-			t.Fatalf("%d calls, %d tickets kept; want %d at most", len(l.calls), len(l.order), lateMost)
+		if len(l.byTicket) > maxTimedOutCalls || len(l.order) > maxTimedOutCalls {
+			t.Fatalf("%d calls, %d tickets kept; want %d at most", len(l.byTicket), len(l.order), maxTimedOutCalls)
 		}
 	}
 	l.keep(&counterCall{ticket: l.nextTicket(), sentAt: time.Hour}, time.Hour)
-	if len(l.calls) != 1 || len(l.order) != 1 {
-		t.Errorf("%d calls and %d tickets after an hour; want the new one", len(l.calls), len(l.order))
+	if len(l.byTicket) != 1 || len(l.order) != 1 {
+		t.Errorf("%d calls and %d tickets after an hour; want the new one", len(l.byTicket), len(l.order))
 	}
 }
 
@@ -101,10 +101,10 @@
 // whole again.
 func TestAfterSilenceTheLeastIsAsked(t *testing.T) {
 	b, call, now := called(t)
-	cust := b.customers["c"]
+	cust := b.customers.find("c")
 	b.Step(now+50*ms, []Event{CounterResult{Name: call.Name, Status: Timeout}})
 	cust.demand.rate = 100 // a flood, whose lease would be a large one
-	now += 50*ms + latePause
+	now += 50*ms + timedOutCallPause
 	calls := only[CounterAdd](b.Step(now, []Event{ask(800, 0, 0)}))
 	if len(calls) != 1 || calls[0].Amount > 1+1e-9 {
 		t.Fatalf("after a call without an answer: %v; want one for a single unit", calls)
@@ -122,7 +122,7 @@
 		b, call, now := calledBy(t, seed)
 		acts := b.Step(now+3*ms, []Event{CounterResult{Name: call.Name, Status: Timeout}})
 		again += len(only[CounterAdd](acts))
-		if len(b.counter.timedOut.calls) != 0 || b.customers["c"].quota.callsPausedUntil != 0 {
+		if len(b.counter.timedOut.byTicket) != 0 || b.customers.find("c").quota.callsPausedUntil != 0 {
 			t.Errorf("seed %d: a late answer is waited for on a connection that is gone", seed)
 		}
 	}
@@ -149,7 +149,7 @@
 // granted on the strength of an old total.
 func TestLateAnswerGrantsNoRefillSince(t *testing.T) {
 	b, call, now := called(t)
-	cust := b.customers["c"]
+	cust := b.customers.find("c")
 	plan := b.settings.Plans[0]
 	b.Step(now+50*ms, []Event{CounterResult{Name: call.Name, Status: Timeout}})
 	before := cust.quota.tokens
@@ -164,9 +164,9 @@
 // the newest.
 func TestLateAnswerAfterALaterOne(t *testing.T) {
 	b, call, now := called(t)
-	cust := b.customers["c"]
+	cust := b.customers.find("c")
 	b.Step(now+50*ms, []Event{CounterResult{Name: call.Name, Status: Timeout}})
-	now += 50*ms + latePause
+	now += 50*ms + timedOutCallPause
 	later := only[CounterAdd](b.Step(now, []Event{ask(700, 0, 0)}))
 	if len(later) != 1 {
 		t.Fatalf("%d calls after the pause", len(later))
--- a/internal/balancer/quotashare/loans.go
+++ b/internal/balancer/quotashare/loans.go
@@ -6,121 +6,135 @@
 	"time"
 )
 
-// Doors lend each other parts of one customer's ceiling where the demand is at one of them and nobody else lends
-// (package ceiling does, by the counter). A loan is for LoanLength, counted by the borrower from when it asked and by
-// the lender from when it heard, and longer by what clocks may drift apart. While it lasts the lender's store is
-// smaller by it and the borrower's greater: so the doors' stores together
-// stay what they were.
+// NoGateway is the index of no gateway.
+const NoGateway = -1
+
 const (
-	LoanLength = time.Second
-	LoanHold   = LoanLength * 103 / 100 // by the lender's clock
+	// LoanDuration is how long a loan lasts by the borrower's clock, from when it asked.
+	LoanDuration = time.Second
+	// LenderLoanDuration is how long it lasts by the lender's clock, from when it was asked: longer by what clocks may
+	// drift apart.
+	LenderLoanDuration = LoanDuration * 103 / 100
 
-	mostLenders   = 16   // loans that a door has of one customer at once
-	mostBorrowers = 32   // ... and gives
-	enough        = 1.25 // times its demand is what a lender keeps for itself ...
-	littleLeft    = 0.02 // ... and less than this part of its store is not worth lending
+	// maxLenders is the number of loans of one customer that a gateway has at once.
+	maxLenders = 16
+	// maxBorrowers is the number of loans of one customer that a gateway grants at once.
+	maxBorrowers = 32
+	// demandHeadroom is the multiple of its demand that a lender keeps for itself.
+	demandHeadroom = 1.25
+	// minLoanFraction is the part of the lender's bucket from which a loan is worth granting.
+	minLoanFraction = 0.02
 )
 
-// Plus is both.
-func (s Store) Plus(o Store) Store { return Store{s.Rate + o.Rate, s.Depth + o.Depth} }
-
-// Less is what remains without the other; it is nothing rather than less than that.
-func (s Store) Less(o Store) Store { return Store{max(0, s.Rate-o.Rate), max(0, s.Depth-o.Depth)} }
-
-// Times is a part of it.
-func (s Store) Times(part float64) Store { return Store{s.Rate * part, s.Depth * part} }
-
-type loan struct {
-	door  int
-	store Store
-	until time.Duration
+// Loan is a part of a customer's bucket that one gateway has granted another.
+type Loan struct {
+	// Gateway is the index of the other gateway.
+	Gateway int
+	Bucket  Bucket
+	// Until is when the loan is over, by this gateway's clock.
+	Until time.Duration
 }
 
-// Loans are those of one customer. The zero value has none.
+// isOver reports whether the loan is over at a time.
+func (loan Loan) isOver(now time.Duration) bool { return loan.Until <= now }
+
+// Loans are those of one customer at one gateway. Gateways grant each other parts of a ceiling where the demand is at
+// one of them. While a loan lasts the lender's bucket is smaller by it and the borrower's larger, so the gateways'
+// buckets together stay what they were. The zero value has none.
 type Loans struct {
-	in  []loan // one a lender
-	out []loan // of one borrower's the greatest counts, as it may go by any that is not over
+	// borrowed holds one loan of each lender.
+	borrowed []Loan
+	// lent may hold several loans of a borrower, which may go by any that is not over: the largest counts.
+	lent []Loan
 }
 
-// Borrow takes what a door has lent, in the place of what it lent before. What is over or no number is passed over.
-func (l *Loans) Borrow(now time.Duration, door int, s Store, until time.Duration) {
-	bad := func(x float64) bool { return !(x >= 0) || math.IsInf(x, 0) }
-	if until <= now || until > now+LoanLength || bad(s.Rate) || bad(s.Depth) {
+// Borrow takes a loan that a gateway has granted, in place of its former one. A loan that is over, too long or no
+// number is ignored.
+func (loans *Loans) Borrow(now time.Duration, gateway int, bucket Bucket, until time.Duration) {
+	if until <= now || until > now+LoanDuration || !bucket.isFinite() {
 		return
 	}
-	i := slices.IndexFunc(l.in, func(o loan) bool { return o.door == door })
+	position := slices.IndexFunc(loans.borrowed, func(loan Loan) bool { return loan.Gateway == gateway })
 	switch {
-	case i >= 0 && until >= l.in[i].until:
-		l.in[i] = loan{door, s, until}
-	case i < 0 && len(l.in) < mostLenders:
-		l.in = append(l.in, loan{door, s, until})
+	case position >= 0 && until >= loans.borrowed[position].Until:
+		loans.borrowed[position] = Loan{gateway, bucket, until}
+	case position < 0 && len(loans.borrowed) < maxLenders:
+		loans.borrowed = append(loans.borrowed, Loan{gateway, bucket, until})
 	}
 }
 
-// Due is when the first loan ended that this door has and that is over by now; 0: none is.
-func (l *Loans) Due(now time.Duration) (at time.Duration) {
-	for _, o := range l.in {
-		if o.until <= now && (at == 0 || o.until < at) {
-			at = o.until
+// FirstExpiry returns when the first borrowed loan ended that is over by now; 0: none is.
+func (loans *Loans) FirstExpiry(now time.Duration) time.Duration {
+	first := time.Duration(0)
+	for _, loan := range loans.borrowed {
+		if loan.isOver(now) && (first == 0 || loan.Until < first) {
+			first = loan.Until
 		}
 	}
-	return at
+	return first
 }
 
-// Drop forgets what is over.
-func (l *Loans) Drop(now time.Duration) {
-	over := func(o loan) bool { return o.until <= now }
-	l.in, l.out = slices.DeleteFunc(l.in, over), slices.DeleteFunc(l.out, over)
+// DropExpired forgets the loans that are over.
+func (loans *Loans) DropExpired(now time.Duration) {
+	isOver := func(loan Loan) bool { return loan.isOver(now) }
+	loans.borrowed = slices.DeleteFunc(loans.borrowed, isOver)
+	loans.lent = slices.DeleteFunc(loans.lent, isOver)
 }
 
-// In is what this door has of others at a time.
-func (l *Loans) In(now time.Duration) (s Store) {
-	for _, o := range l.in {
-		if now < o.until {
-			s = s.Plus(o.store)
+// Borrowed is what this gateway has of others at a time.
+func (loans *Loans) Borrowed(now time.Duration) Bucket {
+	var sum Bucket
+	for _, loan := range loans.borrowed {
+		if !loan.isOver(now) {
+			sum = sum.Add(loan.Bucket)
 		}
 	}
-	return s
+	return sum
 }
 
-// Out is what others have of this door, but for one of them; negative: for none.
-func (l *Loans) Out(now time.Duration, but int) (s Store) {
-	for i, o := range l.out {
-		if o.door == but || slices.ContainsFunc(l.out[:i], func(p loan) bool { return p.door == o.door }) {
-			continue // it was counted with its first
+// Lent is what others have of this gateway at a time, without one of them (NoGateway: with all).
+func (loans *Loans) Lent(now time.Duration, without int) Bucket {
+	var sum Bucket
+	for i, loan := range loans.lent {
+		sameBorrower := func(other Loan) bool { return other.Gateway == loan.Gateway }
+		if loan.Gateway == without || slices.ContainsFunc(loans.lent[:i], sameBorrower) {
+			continue
 		}
-		var most Store
-		for _, p := range l.out[i:] {
-			if p.door == o.door && now < p.until {
-				most = Store{max(most.Rate, p.store.Rate), max(most.Depth, p.store.Depth)}
+		var largest Bucket
+		for _, other := range loans.lent[i:] {
+			if sameBorrower(other) && !other.isOver(now) {
+				largest = largest.Max(other.Bucket)
 			}
 		}
-		s = s.Plus(most)
+		sum = sum.Add(largest)
 	}
-	return s
+	return sum
 }
 
-// Lend decides what a door that asks is lent of this door's own store, which is not to be lent for longer than until;
-// demand is what this door itself needs, units a second. It returns the loan and when it is over by this door's clock;
-// ok: no, there is none.
-func (l *Loans) Lend(
-	now time.Duration,
-	to int,
-	own Store,
-	until time.Duration,
-	demand float64,
-) (s Store, end time.Duration, ok bool) {
-	l.Drop(now)
-	if end = now + LoanHold; end > until || own.Rate <= 0 || len(l.out) >= mostBorrowers {
-		return Store{}, 0, false
+// Lend decides what a gateway that asks is granted of this gateway's own bucket, which must not be granted for longer
+// than until. demand is what this gateway itself needs, in units a second. ok is false when nothing is granted.
+func (loans *Loans) Lend(
+	now time.Duration, borrower int, own Bucket, until time.Duration, demand float64,
+) (granted Loan, ok bool) {
+	loans.DropExpired(now)
+	end := now + LenderLoanDuration
+	if end > until || own.Rate <= 0 || len(loans.lent) >= maxBorrowers {
+		return Loan{}, false
 	}
-	need := min(1, enough*demand/own.Rate)
-	if s = own.Times(1 - need).Less(l.Out(now, to)); s.Rate < littleLeft*own.Rate {
-		return Store{}, 0, false
+	needed := min(1, demandHeadroom*demand/own.Rate)
+	free := own.Scale(1 - needed).Subtract(loans.Lent(now, borrower))
+	if free.Rate < minLoanFraction*own.Rate {
+		return Loan{}, false
 	}
-	l.out = append(l.out, loan{to, s, end})
-	return s, end, true
+	granted = Loan{borrower, free, end}
+	loans.lent = append(loans.lent, granted)
+	return granted, true
 }
 
-// Some says that there are loans.
-func (l *Loans) Some() bool { return len(l.in)+len(l.out) > 0 }
+// HasAny reports whether there are loans.
+func (loans *Loans) HasAny() bool { return len(loans.borrowed)+len(loans.lent) > 0 }
+
+// isFinite reports whether rate and depth are numbers of 0 or more.
+func (bucket Bucket) isFinite() bool {
+	return bucket.Rate >= 0 && bucket.Depth >= 0 && !math.IsInf(bucket.Rate, 0) && !math.IsInf(bucket.Depth, 0)
+}
--- a/internal/balancer/selection.go
+++ b/internal/balancer/selection.go
@@ -70,7 +70,7 @@
 		b.subsetSizedFor = n
 	}
 	using := b.settings.Gateways // few doors meet all servers often enough
-	if using >= crowdFrom {
+	if using >= largeFleetGateways {
 		using = subsetting.Doors(using, b.subsetSizedFor, memberOf)
 	}
 	b.gatewaysPerEndpoint = using
--- a/internal/balancer/share.go
+++ b/internal/balancer/share.go
@@ -3,54 +3,96 @@
 import (
 	"slices"
 	"time"
+
+	"gapgap/internal/balancer/quotashare"
 )
 
-// handleShareUpdate takes news of the doors.
+// shareState is this gateway's part of what all gateways have in common. With Settings.LeasedShares the part is a
+// lease that comes and goes while the gateway runs; else it is even for good. Package quotashare has the arithmetic
+// and the proof.
+type shareState struct {
+	// lease is the leased fraction of all shares.
+	lease quotashare.ShareLease
+	// deadGateways are the indexes of the gateways that do not serve.
+	deadGateways []int
+	// excluded is true while this gateway has no share at all, excludedChangedAt when that last changed.
+	excluded          bool
+	excludedChangedAt time.Duration
+	// loansEndAt is when the last loan is over that this gateway has granted.
+	loansEndAt time.Duration
+	// loanRequests counts the requests for loans since loanRequestsSince.
+	loanRequests      int
+	loanRequestsSince time.Duration
+}
+
+// setExcluded takes whether this gateway has no share at all.
+func (share *shareState) setExcluded(now time.Duration, excluded bool) {
+	if share.excluded == excluded {
+		return
+	}
+	share.excluded = excluded
+	share.excludedChangedAt = now
+}
+
+// countLoanRequest counts a request for a loan and reports whether it may be made.
+func (share *shareState) countLoanRequest(now time.Duration) bool {
+	if now >= share.loanRequestsSince+loanRequestInterval {
+		share.loanRequestsSince = now
+		share.loanRequests = 0
+	}
+	share.loanRequests++
+	return share.loanRequests <= maxLoanRequests
+}
+
+// handleShareUpdate takes this gateway's new share, and which gateways do not serve.
 func (b *Balancer) handleShareUpdate(ev ShareUpdate) {
 	b.expireShareLease()
 	b.refillAllShares()
-	longest := time.Duration(0)
-	for i := range b.settings.Classes {
-		longest = max(longest, b.settings.Classes[i].ClientTimeout+b.settings.DeadlineSlack)
-	}
 	if ev.Excluded {
 		ev.Fraction = 0
 	}
-	b.share.lease.Take(b.now, ev.Fraction, ev.Until, longest)
-	if b.share.excluded != ev.Excluded {
-		b.share.excluded, b.share.excludedChangedAt = ev.Excluded, b.now
+	b.share.lease.Update(b.now, ev.Fraction, ev.Until, b.longestRequest())
+	b.share.setExcluded(b.now, ev.Excluded)
+	if slices.Equal(ev.DeadGateways, b.share.deadGateways) {
+		return
 	}
-	if !slices.Equal(ev.DeadGateways, b.share.deadGateways) {
-		b.share.deadGateways = slices.Clone(ev.DeadGateways)
-		b.updateSubset()
-		b.counter.pacer.Floor(b.now, callsLow/b.liveGateways())
+	b.share.deadGateways = slices.Clone(ev.DeadGateways)
+	b.updateSubset()
+	b.counter.pacer.SetMinRate(b.now, minFleetCallRate/b.liveGateways())
+}
+
+// longestRequest is the longest time for which a request of any class may be in flight.
+func (b *Balancer) longestRequest() time.Duration {
+	longest := time.Duration(0)
+	for i := range b.settings.Classes {
+		longest = max(longest, b.settings.Classes[i].ClientTimeout+b.settings.DeadlineSlack)
 	}
+	return longest
 }
 
-// liveGateways is how many doors serve as far as this one knows. What they share without a bound that must hold goes by
-// it: the least pace of calls to the counter and of its tests, the first places at a server, the pace of trials. What a
-// cold server bears goes by what warm ones are
-// seen to carry from this door, so by itself.
+// liveGateways is the number of gateways that serve, as far as this one knows. It divides what the gateways share
+// without a bound that must hold: the least rate of calls to the counter and of its tests, the first concurrency limit
+// of an endpoint, the rate of probe requests.
 func (b *Balancer) liveGateways() float64 {
 	return float64(max(1, b.settings.Gateways-len(b.share.deadGateways)))
 }
 
-// expireShareLease ends a lease that is over: until its end the shares have filled, and not longer.
+// expireShareLease ends a lease that is over. It fills the shares until its end and not longer.
 func (b *Balancer) expireShareLease() {
-	if !b.share.lease.Ended(b.now) {
+	if !b.share.lease.HasExpired(b.now) {
 		return
 	}
 	now := b.now
 	b.now = b.share.lease.Until() - 1
 	b.refillAllShares()
 	b.now = now
-	b.share.lease.Take(now, 0, now, 0)
+	b.share.lease.Update(now, 0, now, 0)
 	b.refillAllShares()
 }
 
-// refillAllShares fills all shares, and what is held for the counter's silence, up to now, by the parts as they are.
+// refillAllShares fills the shares and the fallback tokens of all customers up to now.
 func (b *Balancer) refillAllShares() {
-	for _, cust := range b.customerOrder {
+	for _, cust := range b.customers.order {
 		if cust.plan < len(b.settings.Plans) && cust.ceiling.filledAt < b.now {
 			b.refillCeiling(cust, &b.settings.Plans[cust.plan])
 			b.refillFallback(cust, &b.settings.Plans[cust.plan])
--- a/internal/balancer/sharing_test.go
+++ b/internal/balancer/sharing_test.go
@@ -17,7 +17,7 @@
 	parts  []float64
 	until  []time.Duration
 	ids    uint64
-	store  quotashare.Store
+	store  quotashare.Bucket
 	left   float64 // of a store that empties with each grant
 	at     time.Duration
 	over   float64
@@ -38,9 +38,9 @@
 	ev Event
 }
 
-func newSharers(t *rapid.T, n int, rule quotashare.Rule) *sharers {
+func newSharers(t *rapid.T, n int, rule quotashare.PartitionPolicy) *sharers {
 	s := &sharers{
-		store:  quotashare.Store{Rate: 10, Depth: 20},
+		store:  quotashare.Bucket{Rate: 10, Depth: 20},
 		left:   20,
 		parts:  make([]float64, n),
 		until:  make([]time.Duration, n),
@@ -97,11 +97,11 @@
 		s.left--
 		s.over = max(s.over, -s.left)
 	}
-	sum := quotashare.Store{}
+	sum := quotashare.Bucket{}
 	for _, b := range s.doors {
 		b.Step(now, nil)
-		if cust := b.customers["c"]; cust != nil {
-			sum = sum.Plus(b.ceilingShare(cust, &b.settings.Plans[0]))
+		if cust := b.customers.find("c"); cust != nil {
+			sum = sum.Add(b.ceilingShare(cust, &b.settings.Plans[0]))
 		}
 	}
 	s.sums = max(s.sums, sum.Rate-s.store.Rate, sum.Depth-s.store.Depth)
@@ -187,7 +187,7 @@
 	s := newSharers(
 		t,
 		n,
-		rapid.SampledFrom([]quotashare.Rule{quotashare.KeepQuota, quotashare.KeepAll, quotashare.KeepNone}).
+		rapid.SampledFrom([]quotashare.PartitionPolicy{quotashare.KeepQuota, quotashare.KeepAll, quotashare.KeepNone}).
 			Draw(t, "rule"),
 	)
 	s.late = func() time.Duration { return time.Duration(rapid.IntRange(0, 1500).Draw(t, "late")) * time.Millisecond }
@@ -269,7 +269,7 @@
 // all doors, each has its own part.
 func TestSharesAreLentToWhereTheDemandIs(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		for _, rule := range []quotashare.Rule{quotashare.KeepQuota, quotashare.KeepAll, quotashare.KeepNone} {
+		for _, rule := range []quotashare.PartitionPolicy{quotashare.KeepQuota, quotashare.KeepAll, quotashare.KeepNone} {
 			s := newSharers(t, 3, rule)
 			for i := range s.doors {
 				s.lease(i, 1.0/3, time.Hour, time.Hour, false)
@@ -352,7 +352,7 @@
 // What is kept without a lease is served by a door that is alone: the quota's even part, all of the even part, or
 // nothing.
 func TestSharesKeptWhenAlone(t *testing.T) {
-	for rule, want := range map[quotashare.Rule]int{quotashare.KeepQuota: 50, quotashare.KeepAll: 100, quotashare.KeepNone: 0} {
+	for rule, want := range map[quotashare.PartitionPolicy]int{quotashare.KeepQuota: 50, quotashare.KeepAll: 100, quotashare.KeepNone: 0} {
 		rapid.Check(t, func(t *rapid.T) {
 			s := newSharers(t, 3, rule)
 			if s.ask(0, time.Hour+5*time.Second) {
@@ -436,14 +436,14 @@
 	now := time.Hour
 	b.Step(now, []Event{ShareUpdate{Fraction: 0.2, Until: 2 * time.Hour}})
 	for i := range 200 { // failures, each counted
-		b.counter.pacer.Failed(now+time.Duration(i)*time.Second, now+time.Duration(i)*time.Second)
+		b.counter.pacer.RecordFailure(now+time.Duration(i)*time.Second, now+time.Duration(i)*time.Second)
 	}
-	if got := b.counter.pacer.Rate(); got != callsLow/5 {
+	if got := b.counter.pacer.Rate(); got != minFleetCallRate/5 {
 		t.Errorf("%v calls a second at least, of five doors", got)
 	}
 	now += 300 * time.Second
 	b.Step(now, []Event{ShareUpdate{Fraction: 0.5, Until: 2 * time.Hour, DeadGateways: []int{1, 2, 3}}})
-	if got := b.counter.pacer.Rate(); got != callsLow/2 {
+	if got := b.counter.pacer.Rate(); got != minFleetCallRate/2 {
 		t.Errorf("%v calls a second at least, of two doors that live", got)
 	}
 	cust := &customer{gateways: 5, quota: quotaState{fallbackFilledAt: now}}
--- /dev/null
+++ b/internal/balancer/tokenlease.go
@@ -0,0 +1,285 @@
+package balancer
+
+import (
+	"math"
+	"time"
+)
+
+// Leases of tokens.
+const (
+	// tokenLeaseHorizon is how far ahead a lease covers the demand, so that calls to the counter are few.
+	tokenLeaseHorizon = 1500 * time.Millisecond
+	// tokenLeaseTTL is the time after which tokens that are not spent are returned with the next call.
+	tokenLeaseTTL = 3 * time.Second
+	// renewalHorizon is the time for which the tokens left must cover the demand; else the next lease is asked for.
+	renewalHorizon = 300 * time.Millisecond
+	// minRenewRequests is the number of requests in tokenLeaseTTL from which a lease is renewed ahead.
+	minRenewRequests = 2.0
+	// extraLeaseMinFill is the part of a bucket from which a lease reaches further ahead.
+	extraLeaseMinFill = 0.75
+	// extraLeasePerCost is by how much it does so, times Settings.CounterCallCost.
+	extraLeasePerCost = 400 * time.Second
+	// maxExtraLease is by how much a lease reaches further ahead at most.
+	maxExtraLease = 8 * time.Second
+	// overShareTokenTTL is the time after which tokens are returned that go out past this gateway's share of the
+	// ceiling, and how far ahead they are leased.
+	overShareTokenTTL = 300 * time.Millisecond
+	// maxRequestsPerCall is the number of requests that one call stands for at most.
+	maxRequestsPerCall = 3.0
+)
+
+// quotaState is what this gateway holds of a customer's quota. The quota's token bucket itself is on the counter (see
+// sharedBucket): all that leaves it is added there, so one call tells its level to a gateway that has never seen the
+// customer.
+type quotaState struct {
+	// tokens are leased from the counter and not yet spent, in units. Below 0: requests took more than estimated.
+	tokens float64
+	// tokensValidFrom is the time from which tokens may be spent.
+	tokensValidFrom time.Duration
+	// leasedAt is when the last lease came.
+	leasedAt time.Duration
+	// fallbackTokens are this gateway's own share, spent while the counter does not answer, in units. Below 0: credit.
+	fallbackTokens float64
+	// fallbackFilledAt is when fallbackTokens were filled last.
+	fallbackFilledAt time.Duration
+	// debt is the number of units spent without a lease, to be added to the counter. Below 0: units to be returned.
+	debt float64
+	// debtWindow is the counter window in which debt was last checked; used in a large fleet only.
+	debtWindow int64
+	// callPending is true while a call for tokens is out.
+	callPending bool
+	// lastCallLost is true when the last call for tokens had no answer.
+	lastCallLost bool
+	// callsPausedUntil is the time before which no call is made, as one that timed out may still be answered.
+	callsPausedUntil time.Duration
+}
+
+// hasExpiredTokens reports whether tokens of a lease are left that is older than its time to live.
+func (quota *quotaState) hasExpiredTokens(age, ttl time.Duration) bool {
+	return quota.tokens > 0 && !quota.callPending && age > ttl
+}
+
+// spendFallback pays units from the tokens that are left and for the rest from the fallback share. What the fallback
+// share pays is added to the counter later.
+func (quota *quotaState) spendFallback(units float64) {
+	quota.fallbackTokens -= units - max(0, quota.tokens)
+	quota.debt += units - max(0, quota.tokens)
+	quota.tokens = min(0, quota.tokens)
+}
+
+// spendTokens takes a request's units from the leased tokens, else from this gateway's own share, and calls the
+// counter for more. Only a part of the requests calls, as large as the counter can serve (counterCalls.callFraction);
+// each such call stands for the others too, and these spend this gateway's share, on credit by one request. A bucket
+// that was found empty is left alone until the customer's gateways together would find it filled. Where this
+// gateway's share of the ceiling is short only leased tokens count, and only if the bucket has been known for a while.
+func (b *Balancer) spendTokens(check *quotaCheck) quotaDecision {
+	req, plan, short := check.request, check.plan, check.isCeilingShort()
+	quota, bucket := &req.customer.quota, &req.customer.bucket
+	req.paidByCounter = false
+	if b.isLargeFleet() {
+		return b.spendTokensLargeFleet(req, plan)
+	}
+	b.expireTokens(check)
+	b.refillFallback(req.customer, plan)
+	canCall := b.canCallForTokens(req)
+	switch {
+	case short && !b.isBucketSettled(req.customer, plan):
+		b.learnBucket(req.customer)
+		return quotaExceeded
+	case quota.tokens >= req.units:
+		quota.tokens -= req.units
+		req.paidByCounter = true
+		if canCall && b.shouldRenewTokens(req) {
+			b.leaseTokens(check)
+		}
+		return quotaCovered
+	case !short && quota.fallbackTokens+max(0, quota.tokens) >= req.units:
+		quota.spendFallback(req.units)
+		return quotaCovered
+	case quota.callPending:
+		return quotaPending
+	case canCall && b.drawsCall(req):
+		req.counterCalled = true
+		b.leaseTokens(check)
+		return quotaPending
+	case !short && b.now >= bucket.emptyUntil && b.mayUseCredit(req):
+		quota.fallbackTokens -= req.units
+		req.onCredit = true
+		return quotaCovered
+	}
+	return quotaExceeded
+}
+
+// expireTokens returns the tokens of a lease that is over. Those of a plan whose ceiling is leased are lost: its
+// ceiling relies on a full bucket being given nothing back.
+func (b *Balancer) expireTokens(check *quotaCheck) {
+	cust, plan := check.request.customer, check.plan
+	leased := b.leaseTerms[check.request.plan].Rate > 0
+	ttl := tokenLeaseTTL
+	if cust.bucket.known {
+		ttl += b.extraLeaseTime(cust, plan)
+	}
+	if leased && check.isCeilingShort() {
+		ttl = overShareTokenTTL
+	}
+	if !cust.quota.hasExpiredTokens(b.now-cust.quota.leasedAt, ttl) {
+		return
+	}
+	if !leased {
+		cust.quota.debt -= cust.quota.tokens
+	}
+	cust.quota.tokens = 0
+}
+
+// canCallForTokens reports whether the counter may be called for a request's quota.
+func (b *Balancer) canCallForTokens(req *request) bool {
+	pausedUntil := max(req.customer.bucket.emptyUntil, req.customer.quota.callsPausedUntil)
+	return b.settings.UseCounter && !req.counterCalled && b.now >= pausedUntil && b.canCallCounter()
+}
+
+// shouldRenewTokens reports whether the tokens left are so few that the next lease is asked for ahead.
+func (b *Balancer) shouldRenewTokens(req *request) bool {
+	cust := req.customer
+	return !cust.quota.callPending &&
+		cust.quota.tokens < cust.demand.rate*renewalHorizon.Seconds() &&
+		cust.demand.rate*tokenLeaseTTL.Seconds() >= minRenewRequests*req.units
+}
+
+// drawsCall decides by chance whether a request without tokens calls the counter. One without fallback tokens calls
+// in any case while the counter is healthy.
+func (b *Balancer) drawsCall(req *request) bool {
+	return b.rng.Float64() < b.counter.callFraction ||
+		req.customer.quota.fallbackTokens <= 0 && !req.clientRetry && b.counter.isHealthy()
+}
+
+// mayUseCredit reports whether a request may go out on this gateway's share though that does not cover it.
+func (b *Balancer) mayUseCredit(req *request) bool {
+	return req.customer.quota.fallbackTokens > 0 && (!req.clientRetry || !b.settings.UseCounter)
+}
+
+// extraLeaseTime is by how much a lease reaches further ahead where the customer's bucket is nearly full: units that
+// no peer misses may be held here, the longer the more a call costs.
+func (b *Balancer) extraLeaseTime(cust *customer, plan *Plan) time.Duration {
+	fill := max(0, b.bucketLevel(cust, plan)/plan.Burst-extraLeaseMinFill) / (1 - extraLeaseMinFill)
+	return time.Duration(fill * min(float64(maxExtraLease), b.settings.CounterCallCost*float64(extraLeasePerCost)))
+}
+
+// leaseTokens calls the counter for a block of tokens: the request's units, or what this gateway's demand will use.
+// What goes out past this gateway's share of the ceiling is not leased for long, as the ceiling's bucket fills
+// meanwhile.
+func (b *Balancer) leaseTokens(check *quotaCheck) {
+	req, plan, short := check.request, check.plan, check.isCeilingShort()
+	cust := req.customer
+	horizon := tokenLeaseHorizon + b.extraLeaseTime(cust, plan)
+	if short {
+		horizon = overShareTokenTTL
+	}
+	block := b.leaseSize(req, horizon, b.bucketLevel(cust, plan)/cust.gateways)
+	cust.quota.callPending = true
+	b.counter.lastCallAt = b.now
+	if short {
+		b.learnBucket(cust)
+	}
+	amount := block / max(b.counter.callFraction, 1/maxRequestsPerCall)
+	if !cust.bucket.known && b.leaseTerms[cust.plan].Rate > 0 || cust.quota.lastCallLost {
+		// The block may be lost, or all gateways may take one at once.
+		block = req.units
+		amount = req.units
+	}
+	b.callForTokens(cust, block, amount).overShare = short
+}
+
+// leaseTokensLargeFleet is leaseTokens for a large fleet. A gateway has so few requests that each is counted, and a
+// lease may take a larger part of the bucket.
+func (b *Balancer) leaseTokensLargeFleet(req *request, plan *Plan) {
+	cust := req.customer
+	horizon := tokenLeaseHorizon + b.extraLeaseTime(cust, plan)
+	block := b.leaseSize(req, horizon, b.bucketLevel(cust, plan)/largeFleetLeaseParts)
+	cust.quota.callPending = true
+	b.counter.lastCallAt = b.now
+	if cust.quota.lastCallLost {
+		block = req.units
+	}
+	b.callForTokens(cust, block, block)
+}
+
+// leaseSize is the number of units to lease: what the demand takes until the horizon, at most limit, in whole units,
+// and no less than the request needs.
+func (b *Balancer) leaseSize(req *request, horizon time.Duration, limit float64) float64 {
+	return max(req.units, math.Floor(min(req.customer.demand.rate*horizon.Seconds(), limit)))
+}
+
+// callForTokens calls the counter for a block of tokens and adds an amount and the debt to its number.
+func (b *Balancer) callForTokens(cust *customer, block, amount float64) *counterCall {
+	debt := cust.quota.debt
+	cust.quota.debt = 0
+	call := b.callCounter(cust, block, amount+debt)
+	call.debt = debt
+	return call
+}
+
+// creditLease turns the total of a call's answer, as it was at a time, into tokens, and takes over what it tells of
+// the bucket. What the bucket did not have is returned to the counter.
+func (b *Balancer) creditLease(call *counterCall, total float64, at time.Duration) {
+	cust := call.customer
+	plan := &b.settings.Plans[cust.plan]
+	level := b.acceptedLevel(call, total, at)
+	available := level - call.debt
+	if b.hasSparseShares(cust, plan) {
+		available -= sparseQuotaReserve * plan.Burst
+	}
+	granted := b.acceptedTokens(call, available)
+	if granted < call.block {
+		if b.isLargeFleet() {
+			b.reserveAhead(call, available, granted)
+		} else {
+			b.returnUncovered(call, level, granted)
+		}
+	}
+	if !cust.bucket.known {
+		cust.bucket.known = true
+		cust.bucket.knownAt = b.now
+		cust.quota.fallbackTokens = min(cust.quota.fallbackTokens, 0)
+	}
+	cust.quota.tokens += granted
+	cust.quota.leasedAt = b.now
+	cust.quota.lastCallLost = false
+	if at < cust.bucket.levelAt {
+		return // a later call has told more
+	}
+	if cust.bucket.hasLostTotal(call.window, total, plan) {
+		cust.bucket.knownAt = b.now
+	}
+	cust.bucket.record(call.window, total, at)
+	cust.bucket.level = max(level-call.amount, -plan.Burst/2)
+}
+
+// returnUncovered returns the units of a block that the bucket did not have, with the next call where that comes
+// soon, and pauses the calls for the customer until its gateways together would find the bucket filled.
+func (b *Balancer) returnUncovered(call *counterCall, level, granted float64) {
+	cust := call.customer
+	uncovered := granted + call.debt - call.amount
+	nextCallIsSoon := b.evidenceScarcity() == 0 &&
+		cust.demand.rate*tokenLeaseTTL.Seconds() >= minRenewRequests*call.block
+	if nextCallIsSoon {
+		cust.quota.debt += uncovered
+	} else {
+		b.callCounter(cust, 0, uncovered)
+	}
+	call.amount = granted + call.debt
+	rate := b.settings.Plans[cust.plan].Rate
+	needed := max(call.block-level, b.activeGateways(cust)/gatewaysPerRefill)
+	seconds := needed / rate * b.emptyPauseSpread(cust)
+	cust.bucket.emptyUntil = b.now + min(maxEmptyBucketPause, time.Duration(seconds*float64(time.Second)))
+}
+
+// acceptedTokens is how many units of a block are taken when the bucket has so many available. Tokens of a plan whose
+// ceiling is leased are not returned, so a part of a unit stays in the bucket: here it would mostly be lost.
+func (b *Balancer) acceptedTokens(call *counterCall, available float64) float64 {
+	granted := max(0, min(call.block, available))
+	if granted < call.block && b.leaseTerms[call.customer.plan].Rate > 0 {
+		tokens := call.customer.quota.tokens
+		granted = min(granted, max(0, math.Floor(granted+tokens)-tokens))
+	}
+	return granted
+}
--- a/internal/balancer/units_test.go
+++ b/internal/balancer/units_test.go
@@ -88,7 +88,7 @@
 		t.Fatal("no call of the counter")
 	}
 	first := calls[0]
-	owed := b.customers["c"].quota.debt
+	owed := b.customers.find("c").quota.debt
 	acts := b.Step(now+ms, []Event{CounterResult{Name: first.Name, Status: Failed}})
 	again := only[CounterAdd](acts)
 	if len(again) != 1 || len(only[Reject](acts)) != 0 {
@@ -110,7 +110,7 @@
 		b := open(t, basic(), backends(2)...)
 		now := 20 * time.Second
 		b.Step(now, []Event{ask(1, 0, 0)})
-		cust := b.customers["c"]
+		cust := b.customers.find("c")
 		cust.bucket.known, cust.quota.fallbackTokens, cust.bucket.level, cust.bucket.levelAt, cust.bucket.seenWindow = true, 0, 0, now, int64(
 			now/counterWindow,
 		) // the store is empty ...
--- a/internal/service/hosted/config.go
+++ b/internal/service/hosted/config.go
@@ -459,7 +459,7 @@
 	return err
 }
 
-var cutOffs = map[string]parting.Rule{"keep": parting.KeepAll, "quota": parting.KeepQuota, "yield": parting.KeepNone}
+var cutOffs = map[string]parting.PartitionPolicy{"keep": parting.KeepAll, "quota": parting.KeepQuota, "yield": parting.KeepNone}
 var effects = map[string]balancer.Idempotency{"safe": balancer.Idempotent, "keyed": balancer.IdempotentByKey, "unsafe": balancer.NonIdempotent}
 var groups = map[string]balancer.DedupScope{"": balancer.DedupAll, "all": balancer.DedupAll, "zone": balancer.DedupZone,
 	"cell": balancer.DedupCell}
