--- a/internal/balancer/demand.go
+++ b/internal/balancer/demand.go
@@ -41,3 +41,9 @@
 	}
 	return min(1, demand.admitOnlyRate/demand.rate)
 }
+
+// recordDemand adds a request that arrives now to the customer's demand.
+func (cust *customer) recordDemand(now time.Duration, req *request) {
+	cust.lastUsedAt = now
+	cust.demand.record(now, req)
+}
--- a/internal/balancer/handover.go
+++ b/internal/balancer/handover.go
@@ -20,13 +20,13 @@
 func (b *Balancer) handleBeginHandover() {
 	state := HandoverState{
 		At:               b.now,
-		FleetSlowdown:    b.fleetSlowdown,
-		WarmEndpointRate: b.warmEndpointRate,
+		FleetSlowdown:    b.latency.fleetSlowdown,
+		WarmEndpointRate: b.warmRate.value,
 		Shortage:         b.shortage,
 		CallFraction:     b.counter.callFraction,
 	}
-	for i := range b.classes {
-		class := &b.classes[i]
+	for i := range b.latency.classes {
+		class := &b.latency.classes[i]
 		state.Classes = append(state.Classes, ClassHandover{class.meanLatency, class.idleLatency, class.answers})
 	}
 	inFlight := b.inFlightUntil()
@@ -37,7 +37,7 @@
 		}
 		cust.giveUpTokens()
 	}
-	for _, ep := range b.endpointOrder {
+	for _, ep := range b.endpoints.ordered {
 		state.Endpoints = append(state.Endpoints, exportEndpoint(ep))
 	}
 	b.handedOver = true
@@ -116,14 +116,14 @@
 	state := EndpointHandover{
 		Name:             ep.name,
 		StartedAt:        ep.startedAt,
-		WarmUpFrom:       ep.warmUpFrom,
-		WarmingUp:        ep.warmingUp,
-		Ejected:          ep.ejected,
-		LatencyFactor:    ep.latencyFactor,
-		ConcurrencyLimit: ep.concurrencyLimit,
+		WarmUpFrom:       ep.slowStart.since,
+		WarmingUp:        ep.slowStart.active,
+		Ejected:          ep.outlier.ejected,
+		LatencyFactor:    ep.latency.factor,
+		ConcurrencyLimit: ep.concurrency.limit,
 	}
-	for _, sent := range ep.slowStart.Sends() {
-		state.Sends = append(state.Sends, SlowStartSend{At: sent.At, Cost: sent.Size})
+	for _, sent := range ep.slowStart.budget.Dispatches() {
+		state.Sends = append(state.Sends, SlowStartSend(sent))
 	}
 	return state
 }
@@ -157,17 +157,17 @@
 
 // importEstimates takes over what is known of the fleet, the classes and the endpoints.
 func (b *Balancer) importEstimates(state *HandoverState) {
-	b.fleetSlowdown = cmp.Or(state.FleetSlowdown, b.fleetSlowdown)
-	b.fleetSlowdownAt = b.now
-	b.warmEndpointRate = state.WarmEndpointRate
-	b.warmEndpointRateAt = b.now
+	b.latency.fleetSlowdown = cmp.Or(state.FleetSlowdown, b.latency.fleetSlowdown)
+	b.latency.fleetSlowdownAt = b.now
+	b.warmRate.value = state.WarmEndpointRate
+	b.warmRate.updatedAt = b.now
 	b.shortage = state.Shortage
 	if b.settings.UseCounter {
 		b.counter.callFraction = min(1, max(minCallFraction, cmp.Or(state.CallFraction, 1)))
 	}
 	for i, from := range state.Classes {
-		if i < len(b.classes) && from.Answers > 0 && from.MeanLatency > 0 {
-			class := &b.classes[i]
+		if i < len(b.latency.classes) && from.Answers > 0 && from.MeanLatency > 0 {
+			class := &b.latency.classes[i]
 			class.meanLatency = from.MeanLatency
 			class.idleLatency = from.IdleLatency
 			class.answers = from.Answers
@@ -180,20 +180,20 @@
 
 // importEndpoint takes over what is known of an endpoint, unless its process is another one now.
 func (b *Balancer) importEndpoint(from *EndpointHandover) {
-	ep := b.endpoints[from.Name]
+	ep := b.endpoints.byName[from.Name]
 	if ep == nil || ep.startedAt != from.StartedAt {
 		return
 	}
-	ep.warmingUp = from.WarmingUp
-	ep.warmUpFrom = from.WarmUpFrom
-	ep.concurrencyLimit = min(maxConcurrency, max(minConcurrency, from.ConcurrencyLimit))
+	ep.slowStart.active = from.WarmingUp
+	ep.slowStart.since = from.WarmUpFrom
+	ep.concurrency.restore(from.ConcurrencyLimit)
 	if from.LatencyFactor > 0 {
-		ep.latencyFactor = from.LatencyFactor
+		ep.latency.factor = from.LatencyFactor
 	}
 	for _, sent := range from.Sends {
-		ep.slowStart.Sent(sent.At, sent.Cost)
+		ep.slowStart.budget.RecordDispatch(sent.At, sent.Cost)
 	}
-	if ep.inService && from.Ejected && !ep.ejected {
+	if ep.inService && from.Ejected && !ep.outlier.ejected {
 		b.eject(ep)
 	}
 }
@@ -260,6 +260,6 @@
 		}
 		b.requests[req.id] = req
 		cust.inFlight++
-		b.emit(SetTimer{until, req.id<<1 | 1})
+		b.emit(SetTimer{until, requestCookie(req.id)})
 	}
 }
--- a/internal/balancer/quota.go
+++ b/internal/balancer/quota.go
@@ -90,7 +90,7 @@
 
 // priorityBand is the band of priority levels that a request has by its priority weight for each unit of cost.
 func (b *Balancer) priorityBand(req *request, plan *Plan) int {
-	density := b.classes[req.class].costProfile.Density(req.units)
+	density := b.latency.classes[req.class].costProfile.Density(req.units)
 	priority := max(minPriority, b.settings.Classes[req.class].PriorityWeight*plan.PriorityFactor*density)
 	return min(priorityBands-1, max(0, int(bandsPerHalving*math.Log2(b.maxPriority/priority))))
 }
--- a/internal/balancer/reload.go
+++ b/internal/balancer/reload.go
@@ -16,15 +16,15 @@
 func (b *Balancer) applySettings(settings Settings, evidenceFrom []int) {
 	b.settings = settings
 	b.applyLeaseTerms()
-	former := b.classes
-	b.classes = make([]classEstimate, len(settings.Classes))
+	former := b.latency.classes
+	b.latency.classes = make([]classEstimate, len(settings.Classes))
 	b.maxClassWeight = 0
 	b.maxPriority = 0
 	for i, class := range settings.Classes {
 		if i < len(evidenceFrom) && evidenceFrom[i] >= 0 && evidenceFrom[i] < len(former) {
-			b.classes[i] = former[evidenceFrom[i]]
+			b.latency.classes[i] = former[evidenceFrom[i]]
 		} else {
-			b.classes[i] = newClassEstimate(&settings, &class)
+			b.latency.classes[i] = newClassEstimate(&settings, &class)
 		}
 		if class.Removed {
 			continue
--- a/internal/balancer/sparseshare.go
+++ b/internal/balancer/sparseshare.go
@@ -114,7 +114,7 @@
 	if check.isCeilingShort() {
 		return b.canCallForRequest(check.request, 0)
 	}
-	return b.fleetSlowdown > pressedSlowdown && b.canCallForRequest(check.request, softQuotaCallReserve)
+	return b.latency.fleetSlowdown > pressedSlowdown && b.canCallForRequest(check.request, softQuotaCallReserve)
 }
 
 // awaitsTurnToCall reports whether a request waits until it may call the counter.
