--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -57,7 +57,7 @@
 	for i := range 200 {
 		b.Step(70*time.Second+time.Duration(i)*ms, []Event{TimerFired{0}})
 	}
-	if len(b.requests) != 0 || len(b.customers) != 0 || len(b.customerOrder) != 0 {
-		t.Errorf("left: %d requests, %d customers", len(b.requests), len(b.customers))
+	if len(b.requests) != 0 || len(b.customers.byName) != 0 || len(b.customers.order) != 0 {
+		t.Errorf("left: %d requests, %d customers", len(b.requests), len(b.customers.byName))
 	}
 }
--- a/internal/balancer/counterstore_test.go
+++ b/internal/balancer/bucketcorrection_test.go
@@ -50,7 +50,7 @@
 		now := time.Second
 		b.Step(now, []Event{testRequest(1, 0, 0)})
 		b.now = now + 100*ms
-		cust := b.customers["c"]
+		cust := b.customers.find("c")
 		cust.bucket.known, cust.bucket.level, cust.bucket.levelAt, cust.quota.tokens, cust.quota.debt = true, held, now, 0, 0
 		call := &counterCall{customer: cust, block: 3, amount: 3, window: int64(b.now / counterWindow), sentAt: b.now}
 		b.actions = b.actions[:0]
@@ -72,7 +72,7 @@
 		b := newTestBalancer(t, testSettings(), testEndpoints(2)...)
 		now := 20 * time.Second
 		b.Step(now, []Event{testRequest(1, 0, 0)})
-		cust := b.customers["c"]
+		cust := b.customers.find("c")
 		cust.bucket.known, cust.quota.fallbackTokens, cust.bucket.level, cust.bucket.levelAt, cust.bucket.seenWindow = true, 0, 0, now, int64(
 			now/counterWindow,
 		) // the store is empty ...
--- a/internal/balancer/countercall_test.go
+++ b/internal/balancer/countercall_test.go
@@ -34,7 +34,7 @@
 			want,
 		)
 	}
-	cust := b.customers["a"]
+	cust := b.customers.find("a")
 	cust.quota.callsPausedUntil, cust.bucket.emptyUntil, cust.quota.fallbackTokens, b.counter.callFraction = 0, 0, 0, 1
 	again := actionsOf[CounterAdd](
 		b.Step(now+60*ms, []Event{func() Request { request := testRequest(900, 0, 0); request.Customer = "a"; return request }()}),
@@ -62,7 +62,7 @@
 		b := newTestBalancer(t, settings, testEndpoints(2)...)
 		now := time.Second
 		b.Step(now, []Event{testRequest(1, 0, 0)})
-		cust := b.customers["c"]
+		cust := b.customers.find("c")
 		cust.bucket.known, cust.quota.fallbackTokens, cust.quota.tokens, cust.demand.rate = true, 0, 0, 10
 		cust.bucket.level, cust.bucket.levelAt = full*400, now
 		calls := actionsOf[CounterAdd](b.Step(now+ms, []Event{testRequest(2, 0, 0)}))
@@ -99,7 +99,7 @@
 		t.Fatal("no call of the counter")
 	}
 	first := calls[0]
-	owed := b.customers["c"].quota.debt
+	owed := b.customers.find("c").quota.debt
 	acts := b.Step(now+ms, []Event{CounterResult{Name: first.Name, Status: Failed}})
 	again := actionsOf[CounterAdd](acts)
 	if len(again) != 1 || len(actionsOf[Reject](acts)) != 0 {
@@ -143,7 +143,7 @@
 // calls; and meanwhile nothing more is asked.
 func TestLateResultIsALease(t *testing.T) {
 	b, call, now := newBalancerWithCallOut(t)
-	cust := b.customers["c"]
+	cust := b.customers.find("c")
 	b.Step(now+50*ms, []Event{CounterResult{Name: call.Name, Status: Timeout}})
 	if acts := b.Step(now+55*ms, []Event{testRequest(900, 0, 0)}); len(actionsOf[CounterAdd](acts)) != 0 {
 		t.Errorf("asked again before the first call is answered: %v", acts)
@@ -168,7 +168,7 @@
 // One whose total can't be read is given back.
 func TestLateResultWithoutTotal(t *testing.T) {
 	b, call, now := newBalancerWithCallOut(t)
-	cust := b.customers["c"]
+	cust := b.customers.find("c")
 	b.Step(now+50*ms, []Event{CounterResult{Name: call.Name, Status: Timeout}})
 	before := cust.quota.debt
 	b.Step(now+70*ms, []Event{LateCounterResult{Ticket: call.Ticket, Status: Failed}})
@@ -179,9 +179,9 @@
 
 // What is late by a window belongs to a number that nobody asks any more, and what is stale is forgotten.
 func TestLateResultOfAnotherWindow(t *testing.T) {
-	for _, after := range []time.Duration{counterWindow, lateKeep + time.Second} {
+	for _, after := range []time.Duration{counterWindow, timedOutCallTTL + time.Second} {
 		b, call, now := newBalancerWithCallOut(t)
-		cust := b.customers["c"]
+		cust := b.customers.find("c")
 		b.Step(now+50*ms, []Event{CounterResult{Name: call.Name, Status: Timeout}})
 		before := cust.quota.tokens
 		b.Step(now+after, []Event{LateCounterResult{call.Ticket, OK, call.Amount}})
@@ -194,15 +194,15 @@
 // A counter that is silent for ever leaves no more behind than the bound.
 func TestTimedOutCallsAreBounded(t *testing.T) {
 	var l timedOutCalls
-	for i := range 10 * lateMost {
+	for i := range 10 * maxTimedOutCalls {
 		l.keep(&counterCall{ticket: l.nextTicket(), sentAt: time.Duration(i)}, time.Duration(i))
-		if len(l.calls) > lateMost || len(l.order) > lateMost {
-			t.Fatalf("%d calls, %d tickets kept; want %d at most", len(l.calls), len(l.order), lateMost)
+		if len(l.byTicket) > maxTimedOutCalls || len(l.order) > maxTimedOutCalls {
+			t.Fatalf("%d calls, %d tickets kept; want %d at most", len(l.byTicket), len(l.order), maxTimedOutCalls)
 		}
 	}
 	l.keep(&counterCall{ticket: l.nextTicket(), sentAt: time.Hour}, time.Hour)
-	if len(l.calls) != 1 || len(l.order) != 1 {
-		t.Errorf("%d calls and %d tickets after an hour; want the new one", len(l.calls), len(l.order))
+	if len(l.byTicket) != 1 || len(l.order) != 1 {
+		t.Errorf("%d calls and %d tickets after an hour; want the new one", len(l.byTicket), len(l.order))
 	}
 }
 
@@ -210,10 +210,10 @@
 // whole again.
 func TestLeaseIsSmallestAfterLostCall(t *testing.T) {
 	b, call, now := newBalancerWithCallOut(t)
-	cust := b.customers["c"]
+	cust := b.customers.find("c")
 	b.Step(now+50*ms, []Event{CounterResult{Name: call.Name, Status: Timeout}})
 	cust.demand.rate = 100 // a flood, whose lease would be a large one
-	now += 50*ms + latePause
+	now += 50*ms + timedOutCallPause
 	calls := actionsOf[CounterAdd](b.Step(now, []Event{testRequest(800, 0, 0)}))
 	if len(calls) != 1 || calls[0].Amount > 1+1e-9 {
 		t.Fatalf("after a call without an answer: %v; want one for a single unit", calls)
@@ -231,7 +231,7 @@
 		b, call, now := newSeededBalancerWithCallOut(t, seed)
 		acts := b.Step(now+3*ms, []Event{CounterResult{Name: call.Name, Status: Timeout}})
 		again += len(actionsOf[CounterAdd](acts))
-		if len(b.counter.timedOut.calls) != 0 || b.customers["c"].quota.callsPausedUntil != 0 {
+		if len(b.counter.timedOut.byTicket) != 0 || b.customers.find("c").quota.callsPausedUntil != 0 {
 			t.Errorf("seed %d: a late answer is waited for on a connection that is gone", seed)
 		}
 	}
@@ -258,7 +258,7 @@
 // granted on the strength of an old total.
 func TestLateResultGrantsNoLaterRefill(t *testing.T) {
 	b, call, now := newBalancerWithCallOut(t)
-	cust := b.customers["c"]
+	cust := b.customers.find("c")
 	plan := b.settings.Plans[0]
 	b.Step(now+50*ms, []Event{CounterResult{Name: call.Name, Status: Timeout}})
 	before := cust.quota.tokens
@@ -273,9 +273,9 @@
 // the newest.
 func TestLateResultAfterNewerOne(t *testing.T) {
 	b, call, now := newBalancerWithCallOut(t)
-	cust := b.customers["c"]
+	cust := b.customers.find("c")
 	b.Step(now+50*ms, []Event{CounterResult{Name: call.Name, Status: Timeout}})
-	now += 50*ms + latePause
+	now += 50*ms + timedOutCallPause
 	later := actionsOf[CounterAdd](b.Step(now, []Event{testRequest(700, 0, 0)}))
 	if len(later) != 1 {
 		t.Fatalf("%d calls after the pause", len(later))
--- a/internal/balancer/quota_test.go
+++ b/internal/balancer/quota_test.go
@@ -87,7 +87,7 @@
 		for _, s := range actionsOf[Dispatch](b.Step(ms, []Event{testRequest(1, 0, 3)})) {
 			b.Step(51*ms, []Event{succeeded(s, 0, 50*ms)})
 		}
-		cust := b.customers["c"]
+		cust := b.customers.find("c")
 		cust.bucket.known, cust.bucket.peerDemand, cust.quota.tokens, cust.quota.leasedAt = true, others, 20, ms
 		var evs []Event
 		for i := range 10 {
