--- a/internal/balancer/files_test.go
+++ b/internal/balancer/files_test.go
@@ -9,7 +9,7 @@
 	"unicode/utf8"
 )
 
-// Each file of the module holds one rule and stays short enough to be read at once.
+// Each file holds one rule and stays short enough to be read at once.
 func TestFileSizeLimits(t *testing.T) {
 	const (
 		maxLines = 500 // that are not blank
