--- a/internal/balancer/admission_test.go
+++ b/internal/balancer/admission_test.go
@@ -56,7 +56,7 @@
 	}
 	if calm, pressed := sent(0), sent(0.6); calm < 100 || pressed != 0 {
 		t.Errorf(
-			"%d of 400 go out beyond the quota on a calm day, %d under pressure; want most of them, and none",
+			"%d of 400 go out over the quota on a calm day, %d under pressure; want most of them, and none",
 			calm,
 			pressed,
 		)
--- a/internal/balancer/admitonly_test.go
+++ b/internal/balancer/admitonly_test.go
@@ -34,7 +34,7 @@
 		t.Errorf("%d requests are kept", len(b.requests))
 	}
 	if actions := b.Step(time.Second, []Event{admitOnlyRequest(99, 0)}); len(actionsOf[Admit](actions)) != 1 {
-		t.Error("the store has filled, and nothing is admitted")
+		t.Error("the bucket has filled, and nothing is admitted")
 	}
 }
 
@@ -45,12 +45,12 @@
 	for _, share := range []float64{0, 0.5, 1} { // of requests for leave
 		settings := testSettings()
 		settings.Gateways, settings.UseCounter = gateways, false
-		settings.Plans[1].OverQuotaCost = 0 // beyond the quota it still earns
+		settings.Plans[1].OverQuotaCost = 0 // over the quota it still earns
 		rng := rand.New(rand.NewPCG(3, uint64(share*10)))
 		all := make([]*Balancer, gateways)
-		sends := make([]map[uint64]int, gateways)
+		dispatches := make([]map[uint64]int, gateways)
 		for i := range all {
-			all[i], sends[i] = newTestBalancer(t, settings, testEndpoints(6)...), map[uint64]int{}
+			all[i], dispatches[i] = newTestBalancer(t, settings, testEndpoints(6)...), map[uint64]int{}
 		}
 		var went []time.Duration
 		for tick := range 6000 { // 30 s at 200 a second, ten times the ceiling
@@ -58,7 +58,7 @@
 			i := rng.IntN(gateways)
 			request := testRequest(uint64(tick), 0, 1)
 			request.AdmitOnly = rng.Float64() < share
-			todo := all[i].Step(now, []Event{request, TimerFired{0}})
+			todo := all[i].Step(now, []Event{request, TimerFired{tickCookie}})
 			for len(todo) > 0 {
 				var events []Event
 				for _, a := range todo {
@@ -66,11 +66,11 @@
 					case Admit:
 						went = append(went, now)
 					case Dispatch:
-						if sends[i][a.ID] == 0 {
+						if dispatches[i][a.ID] == 0 {
 							went = append(went, now)
 						}
-						events = append(events, succeeded(a, sends[i][a.ID], 20*ms))
-						sends[i][a.ID]++
+						events = append(events, succeeded(a, dispatches[i][a.ID], 20*ms))
+						dispatches[i][a.ID]++
 					}
 				}
 				todo = nil
@@ -231,7 +231,7 @@
 		settings.Plans[1].OverQuotaCost = 0
 		b := newTestBalancer(t, settings, testEndpoints(6)...)
 		rng := rand.New(rand.NewPCG(5, uint64(share*100)))
-		sends, grants := 0.0, 0.0
+		dispatches, grants := 0.0, 0.0
 		for tick := range 6000 { // 30 s at 200 a second, ten times the ceiling
 			now := time.Duration(tick) * 5 * ms
 			request := testRequest(uint64(tick), 1, 1)
@@ -239,7 +239,7 @@
 			if request.AdmitOnly = rng.Float64() < share; request.AdmitOnly {
 				request.TimeLeft = 100 * ms
 			}
-			todo := b.Step(now, []Event{request, TimerFired{0}})
+			todo := b.Step(now, []Event{request, TimerFired{tickCookie}})
 			for len(todo) > 0 {
 				var events []Event
 				for _, a := range todo {
@@ -247,7 +247,7 @@
 					case Admit:
 						grants++
 					case Dispatch:
-						sends++
+						dispatches++
 						events = append(events, succeeded(a, 0, 20*ms))
 					}
 				}
@@ -257,8 +257,8 @@
 			}
 		}
 		total := settings.Plans[1].CeilingRate * 30
-		if got := grants / (grants + sends); grants+sends < 0.8*total || got < 0.7*share || got > 0.1+1.2*share {
-			t.Errorf("%v of the demand asks for leave: %.0f admitted and %.0f sent of %.0f", share, grants, sends, total)
+		if got := grants / (grants + dispatches); grants+dispatches < 0.8*total || got < 0.7*share || got > 0.1+1.2*share {
+			t.Errorf("%v of the demand asks for leave: %.0f admitted and %.0f sent of %.0f", share, grants, dispatches, total)
 		}
 	}
 }
--- a/internal/balancer/attemptresult_test.go
+++ b/internal/balancer/attemptresult_test.go
@@ -9,36 +9,35 @@
 // that counts as a timeout.
 func TestDeadlineOfRequestCountsAsTimeout(t *testing.T) {
 	b := newSingleGateway(t, 1)
-	dispatch := actionsOf[Dispatch](b.Step(0, []Event{testRequest(1, 0, 2)}))[0]
-	end := 498 * ms // the aim, less the resolution
-	actions := b.Step(end, []Event{TimerFired{1<<1 | 1}})
+	dispatch := singleDispatch(t, b.Step(0, []Event{testRequest(1, 0, 2)}))
+	ep := b.endpoints.byName[dispatch.Endpoint]
+	deadline := 498 * ms // the latency objective, less the resolution
+	actions := b.Step(deadline, []Event{TimerFired{requestCookie(1)}})
 	if len(actionsOf[CancelAttempt](actions)) != 1 || len(actionsOf[Reject](actions)) != 1 {
-		t.Fatalf("at the end of its time: %v", actions)
+		t.Fatalf("at the deadline: %v", actions)
 	}
-	slots := b.endpoints.byName[dispatch.Endpoint].concurrency.limit
-	b.Step(
-		end,
-		[]Event{AttemptResult{ID: 1, Endpoint: dispatch.Endpoint, Status: Cancelled, Latency: end, RequestClosed: true}},
-	)
-	if b := b.endpoints.byName[dispatch.Endpoint]; b.concurrency.limit >= slots || b.outlier.timeouts != 1 || b.latency.factor <= 1 {
-		t.Errorf(
-			"slots %v of %v, %d answers owed, slowness %v: nothing was learned of a endpoint that took too long",
-			b.concurrency.limit,
-			slots,
-			b.outlier.timeouts,
-			b.latency.factor,
-		)
+	limit := ep.concurrency.limit
+	cancelled := resultOf(dispatch, Cancelled, deadline)
+	cancelled.RequestClosed = true
+	b.Step(deadline, []Event{cancelled})
+	if ep.concurrency.limit >= limit || ep.outlier.timeouts != 1 || ep.latency.factor <= 1 {
+		t.Errorf("concurrency limit %v of %v, %d timeouts, latency factor %v: nothing was learned of the endpoint",
+			ep.concurrency.limit, limit, ep.outlier.timeouts, ep.latency.factor)
 	}
-	// One that its client gave up early says nothing of the endpoint.
-	dispatch = actionsOf[Dispatch](b.Step(end+ms, []Event{testRequest(2, 0, 2)}))[0]
-	b.Step(end+5*ms, []Event{RequestDone{2}})
-	was := *b.endpoints.byName[dispatch.Endpoint]
-	b.Step(
-		end+5*ms,
-		[]Event{AttemptResult{ID: 2, Endpoint: dispatch.Endpoint, Status: Cancelled, Latency: 4 * ms, RequestClosed: true}},
-	)
-	if b := b.endpoints.byName[dispatch.Endpoint]; b.concurrency.limit != was.concurrency.limit || b.outlier.timeouts != was.outlier.timeouts {
-		t.Error("a client that left is held against the endpoint")
+}
+
+// An attempt that ends since its client has left says nothing of the endpoint.
+func TestClientThatLeftCountsAsNoTimeout(t *testing.T) {
+	b := newSingleGateway(t, 1)
+	dispatch := singleDispatch(t, b.Step(0, []Event{testRequest(1, 0, 2)}))
+	b.Step(5*ms, []Event{RequestDone{1}})
+	ep := b.endpoints.byName[dispatch.Endpoint]
+	before := *ep
+	cancelled := resultOf(dispatch, Cancelled, 5*ms)
+	cancelled.RequestClosed = true
+	b.Step(5*ms, []Event{cancelled})
+	if ep.concurrency.limit != before.concurrency.limit || ep.outlier.timeouts != before.outlier.timeouts {
+		t.Error("a client that left counts against the endpoint")
 	}
 }
 
@@ -52,41 +51,36 @@
 		sendRequests(b, at+time.Duration(i)*tickInterval, 100+i, 1)
 	}
 	at += time.Second
-	sends := actionsOf[Dispatch](b.Step(at, []Event{testRequest(1, 0, 0)}))
-	if len(sends) != 1 {
-		t.Fatal(sends)
+	dispatches := actionsOf[Dispatch](b.Step(at, []Event{testRequest(1, 0, 0)}))
+	if len(dispatches) != 1 {
+		t.Fatal(dispatches)
 	}
-	ep := b.endpoints.byName[sends[0].Endpoint]
+	ep := b.endpoints.byName[dispatches[0].Endpoint]
 	answers := b.latency.classes[0].answers
 	first := FirstByte{ID: 1}
 	b.Step(at+5*ms, []Event{first, first, FirstByte{ID: 1, Attempt: 7}, FirstByte{ID: 99}})
 	if ep.inFlightWork != 0 || len(ep.inFlight) != 0 || b.latency.classes[0].answers != answers+1 {
-		t.Errorf("load %v, %d out, %d answers learned", ep.inFlightWork, len(ep.inFlight), b.latency.classes[0].answers-answers)
+		t.Errorf("work %v, %d attempts in flight, %d answers recorded",
+			ep.inFlightWork, len(ep.inFlight), b.latency.classes[0].answers-answers)
 	}
-	slow := ep.latency.factor
+	latencyFactor := ep.latency.factor
 	for i := range 200 {
-		for _, a := range b.Step(at+time.Duration(i)*tickInterval, []Event{TimerFired{0}, TimerFired{1<<1 | 1}}) {
+		for _, a := range b.Step(at+time.Duration(i)*tickInterval, []Event{TimerFired{tickCookie}, TimerFired{requestCookie(1)}}) {
 			switch a := a.(type) {
 			case Reject, Fail, CancelAttempt, Dispatch:
-				t.Fatalf("%+v while the value is passed on", a)
+				t.Fatalf("%+v while the answer is streamed", a)
 			}
 		}
 	}
 	if ep.outlier.ejected {
-		t.Error("the endpoint is held to be silent")
+		t.Error("the endpoint is taken for silent")
 	}
 	actions := b.Step(
 		at+4*time.Second,
 		[]Event{AttemptResult{ID: 1, Endpoint: ep.name, Status: Reset, Latency: 5 * ms, RequestClosed: true}},
 	)
-	if len(actionsOf[Dispatch](actions)) > 0 || ep.latency.factor != slow || len(b.requests) != 0 || ep.inFlightWork != 0 {
-		t.Errorf(
-			"%+v, slow %v was %v, %d requests, load %v",
-			actions,
-			ep.latency.factor,
-			slow,
-			len(b.requests),
-			ep.inFlightWork,
-		)
+	if len(actionsOf[Dispatch](actions)) > 0 || ep.latency.factor != latencyFactor || len(b.requests) != 0 || ep.inFlightWork != 0 {
+		t.Errorf("%+v, latency factor %v was %v, %d requests, work %v",
+			actions, ep.latency.factor, latencyFactor, len(b.requests), ep.inFlightWork)
 	}
 }
--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -9,32 +9,26 @@
 // Events of unknown requests, attempts, calls and endpoints change nothing, and each request gets one final answer.
 func TestUnexpectedEvents(t *testing.T) {
 	b := newTestBalancer(t, testSettings())
-	if actions := b.Step(
-		ms,
-		[]Event{
-			testRequest(1, 0, 2),
-			AttemptResult{ID: 9},
-			AttemptResult{ID: 1, Attempt: 3},
-			RequestDone{77},
-			TimerFired{55},
-			TimerFired{2},
-			CounterResult{
-				Name: 5,
-			},
-			FirstByte{ID: 4},
-			HealthCheckResult{Endpoint: "x"},
-			Message{},
-			EndpointUpdate{Kind: UpdateFailed},
-		},
-	); len(
-		actionsOf[Dispatch](actions),
-	) != 0 {
-		t.Errorf("sent without a endpoint: %v", actions)
+	actions := b.Step(ms, []Event{
+		testRequest(1, 0, 2),
+		AttemptResult{ID: 9},
+		AttemptResult{ID: 1, Attempt: 3},
+		RequestDone{77},
+		TimerFired{requestCookie(27)},
+		TimerFired{watchRetryCookie},
+		CounterResult{Name: 5},
+		FirstByte{ID: 4},
+		HealthCheckResult{Endpoint: "x"},
+		Message{},
+		EndpointUpdate{Kind: UpdateFailed},
+	})
+	if len(actionsOf[Dispatch](actions)) != 0 {
+		t.Errorf("dispatched without an endpoint: %v", actions)
 	}
-	if actions := b.Step(500*ms, []Event{TimerFired{1<<1 | 1}}); len(actionsOf[Reject](actions)) != 1 {
-		t.Errorf("no final answer without a endpoint: %v", actions)
+	if actions := b.Step(500*ms, []Event{TimerFired{requestCookie(1)}}); len(actionsOf[Reject](actions)) != 1 {
+		t.Errorf("no final answer without an endpoint: %v", actions)
 	}
-	if actions := b.Step(501*ms, []Event{TimerFired{1<<1 | 1}, RequestDone{1}}); len(actions) != 0 {
+	if actions := b.Step(501*ms, []Event{TimerFired{requestCookie(1)}, RequestDone{1}}); len(actions) != 0 {
 		t.Errorf("a second answer: %v", actions)
 	}
 	short := testRequest(2, 0, 2)
@@ -57,7 +51,7 @@
 		b.Step(ms, []Event{RequestDone{request.ID}})
 	}
 	for i := range 200 {
-		b.Step(70*time.Second+time.Duration(i)*ms, []Event{TimerFired{0}})
+		b.Step(70*time.Second+time.Duration(i)*ms, []Event{TimerFired{tickCookie}})
 	}
 	if len(b.requests) != 0 || len(b.customers.byName) != 0 || len(b.customers.order) != 0 {
 		t.Errorf("left: %d requests, %d customers", len(b.requests), len(b.customers.byName))
--- a/internal/balancer/bucketcorrection_test.go
+++ b/internal/balancer/bucketcorrection_test.go
@@ -18,7 +18,7 @@
 	b := newTestBalancer(t, testSettings(), testEndpoints(8)...)
 	call := spendFallback(t, b, ms)
 	for _, back := range actionsOf[CounterAdd](b.Step(3*ms, []Event{CounterResult{call.Name, OK, 30}})) {
-		b.Step(5*ms, []Event{CounterResult{back.Name, OK, 30 + back.Amount}}) // what the store did not hold
+		b.Step(5*ms, []Event{CounterResult{back.Name, OK, 30 + back.Amount}}) // what the bucket did not hold
 	}
 	now := 9 * time.Second
 	var again []CounterAdd
@@ -26,7 +26,7 @@
 		again = append(again, actionsOf[CounterAdd](b.Step(now, []Event{testRequest(uint64(50+i), 0, 0)}))...)
 	}
 	if len(again) == 0 {
-		t.Fatal("no call after the store has filled again")
+		t.Fatal("no call after the bucket has filled again")
 	}
 	actions := b.Step(now+2*ms, []Event{CounterResult{again[0].Name, OK, again[0].Amount + others}})
 	if admitted != (len(actionsOf[Dispatch](actions)) > 0) {
@@ -61,7 +61,7 @@
 			back += a.Amount
 		}
 		if cust.quota.tokens != want || back < want-3-1e-9 || back > want-3+1e-9 {
-			t.Errorf("of %v units in the store %v are taken, and %v of 3 go back", held, cust.quota.tokens, -back)
+			t.Errorf("of %v units in the bucket %v are taken, and %v of 3 go back", held, cust.quota.tokens, -back)
 		}
 	}
 }
@@ -75,7 +75,7 @@
 		cust := b.customers.find("c")
 		cust.bucket.known, cust.quota.fallbackTokens, cust.bucket.level, cust.bucket.levelAt, cust.bucket.seenWindow = true, 0, 0, now, int64(
 			now/counterWindow,
-		) // the store is empty ...
+		) // the bucket is empty ...
 		cust.demand.rate, cust.quota.tokens = 1, 0
 		now = counterWindow + 100*ms // ... and ten seconds later there is a new number
 		cust.bucket.level, cust.bucket.levelAt = 0, now-200*ms
@@ -92,10 +92,10 @@
 			carried += call.Amount
 		}
 		if burst := b.settings.Plans[0].Burst; begins && carried < 0.8*burst || !begins && carried > 0 {
-			t.Errorf("%s: %.2f carried into the new number of a store of %v that was empty", name, carried, burst)
+			t.Errorf("%s: %.2f carried into the new number of a bucket of %v that was empty", name, carried, burst)
 		}
 		if cust.quota.tokens > 1 {
-			t.Errorf("%s: %.2f tokens from a store that was empty", name, cust.quota.tokens)
+			t.Errorf("%s: %.2f tokens from a bucket that was empty", name, cust.quota.tokens)
 		}
 	}
 }
--- a/internal/balancer/ceiling_test.go
+++ b/internal/balancer/ceiling_test.go
@@ -19,7 +19,7 @@
 		}
 	}
 	if sent > 10 {
-		t.Errorf("%d units in the first second of a fresh gateway; its share of the ceiling is 10", sent)
+		t.Errorf("%d units in the first second of a new gateway; its share of the ceiling is 10", sent)
 	}
 }
 
--- a/internal/balancer/concurrency_test.go
+++ b/internal/balancer/concurrency_test.go
@@ -11,7 +11,7 @@
 	sent, attempts := 0, map[uint64]int{}
 	for i := range 3000 {
 		now := time.Duration(i+1) * 200 * ms
-		todo := actionsOf[Dispatch](b.Step(now, []Event{testRequest(uint64(i), 0, 2), TimerFired{0}}))
+		todo := actionsOf[Dispatch](b.Step(now, []Event{testRequest(uint64(i), 0, 2), TimerFired{tickCookie}}))
 		for len(todo) > 0 { // ends: a request has three attempts at most
 			dispatch := todo[0]
 			st := AttemptResult{ID: dispatch.ID, Attempt: attempts[dispatch.ID], Endpoint: dispatch.Endpoint, Status: Rejected, Latency: ms}
@@ -25,7 +25,7 @@
 		}
 	}
 	if sent == 0 || sent > 300 {
-		t.Errorf("%d sends for 1500 requests to endpoints that reject all; want a few", sent)
+		t.Errorf("%d dispatches for 1500 requests to endpoints that reject all; want a few", sent)
 	}
 }
 
@@ -42,6 +42,6 @@
 		return n
 	}
 	if small, large := count(1), count(4); small < 3*large || large == 0 {
-		t.Errorf("%d small requests at once and %d large ones; want three times as many at least", small, large)
+		t.Errorf("%d small requests at the same time and %d large ones; want three times as many at least", small, large)
 	}
 }
--- a/internal/balancer/countercall_test.go
+++ b/internal/balancer/countercall_test.go
@@ -72,7 +72,7 @@
 	free, dear, scarce := block(0, 1), block(0.02, 1), block(0.02, 0.5)
 	if dear < 3*free || scarce > free+1 {
 		t.Errorf(
-			"leases of %.0f where calls are free, %.0f where they cost, %.0f where they cost and the store is half empty",
+			"leases of %.0f where calls are free, %.0f where they cost, %.0f where they cost and the bucket is half empty",
 			free,
 			dear,
 			scarce,
@@ -86,7 +86,7 @@
 	b := newTestBalancer(t, testSettings(), testEndpoints(2)...)
 	var calls []CounterAdd
 	now := ms
-	for i := range uint64(40) { // the fresh gateway's share is spent first
+	for i := range uint64(40) { // the new gateway's share is spent first
 		calls = actionsOf[CounterAdd](b.Step(now, []Event{testRequest(i, 0, 0)}))
 		if len(calls) > 0 {
 			break
@@ -100,7 +100,7 @@
 	actions := b.Step(now+ms, []Event{CounterResult{Name: first.Name, Status: Failed}})
 	again := actionsOf[CounterAdd](actions)
 	if len(again) != 1 || len(actionsOf[Reject](actions)) != 0 {
-		t.Fatalf("after a spoilt answer: %v; want one more call and no rejection", actions)
+		t.Fatalf("after a unreadable answer: %v; want one more call and no rejection", actions)
 	}
 	if sum := first.Amount + again[0].Amount; sum >= 2*first.Amount+owed {
 		t.Errorf("%v and then %v added; want the first block given back", first.Amount, again[0].Amount)
@@ -126,7 +126,7 @@
 	}
 	b.Step(0, []Event{EndpointUpdate{Kind: CachedSnapshot, Entries: testEndpoints(2)}})
 	now := time.Second
-	for i := range uint64(40) { // the fresh gateway's share is spent first
+	for i := range uint64(40) { // the new gateway's share is spent first
 		now += ms
 		if calls := actionsOf[CounterAdd](b.Step(now, []Event{testRequest(i, 0, 0)})); len(calls) > 0 {
 			return b, calls[0], now
@@ -143,7 +143,7 @@
 	cust := b.customers.find("c")
 	b.Step(now+50*ms, []Event{CounterResult{Name: call.Name, Status: Timeout}})
 	if actions := b.Step(now+55*ms, []Event{testRequest(900, 0, 0)}); len(actionsOf[CounterAdd](actions)) != 0 {
-		t.Errorf("asked again before the first call is answered: %v", actions)
+		t.Errorf("called again before the first call is answered: %v", actions)
 	}
 	before := cust.quota.tokens
 	b.Step(now+60*ms, []Event{LateCounterResult{Ticket: call.Ticket + 99, Status: OK}, LateCounterResult{Status: OK}})
@@ -233,7 +233,7 @@
 		}
 	}
 	if again < 10 {
-		t.Errorf("%d of 20 asked once more", again)
+		t.Errorf("%d of 20 called once more", again)
 	}
 }
 
@@ -244,7 +244,7 @@
 			b, call, now := newSeededBalancerWithCallOut(t, seed)
 			actions := b.Step(now+3*ms, []Event{CounterResult{Name: call.Name, Status: status}})
 			if again := actionsOf[CounterAdd](actions); len(again) != 0 {
-				t.Errorf("status %d, seed %d: asked again at once: %v", status, seed, again)
+				t.Errorf("status %d, seed %d: called again at once: %v", status, seed, again)
 			}
 		}
 	}
@@ -258,10 +258,10 @@
 	plan := b.settings.Plans[0]
 	b.Step(now+50*ms, []Event{CounterResult{Name: call.Name, Status: Timeout}})
 	before := cust.quota.tokens
-	empty := plan.Burst + plan.Rate*now.Seconds() + call.Amount // a total at which the store held nothing then
+	empty := plan.Burst + plan.Rate*now.Seconds() + call.Amount // a total at which the bucket held nothing then
 	b.Step(now+3*time.Second, []Event{LateCounterResult{call.Ticket, OK, empty}})
 	if cust.quota.tokens > before {
-		t.Errorf("%v admitted from a store that was empty when it was asked", cust.quota.tokens-before)
+		t.Errorf("%v admitted from a bucket that was empty when it was asked", cust.quota.tokens-before)
 	}
 }
 
--- a/internal/balancer/customer_test.go
+++ b/internal/balancer/customer_test.go
@@ -11,7 +11,7 @@
 func floodWithNewCustomers(b *Balancer, from, to time.Duration, each int, beside func(at time.Duration)) (most int) {
 	id := uint64(1 << 32)
 	for at := from; at < to; at += tickInterval {
-		events := []Event{TimerFired{0}}
+		events := []Event{TimerFired{tickCookie}}
 		for range each {
 			id++
 			events = append(
--- a/internal/balancer/endpoints_test.go
+++ b/internal/balancer/endpoints_test.go
@@ -74,7 +74,7 @@
 	never("gone and back")
 	at += 100 * ms
 	for i := range 40 { // nor is it probed, or found silent
-		if n := len(actionsOf[HealthCheck](b.Step(at+time.Duration(i)*tickInterval, []Event{TimerFired{0}}))); n > 0 {
+		if n := len(actionsOf[HealthCheck](b.Step(at+time.Duration(i)*tickInterval, []Event{TimerFired{tickCookie}}))); n > 0 {
 			t.Error("probed")
 		}
 	}
--- a/internal/balancer/fakeendpoint_test.go
+++ b/internal/balancer/fakeendpoint_test.go
@@ -70,7 +70,7 @@
 // step goes on by 10 ms with a number of new requests, and returns what the gateway reports of its endpoints.
 func (fleet *endpointFleet) step(asks int, more ...Event) []HealthReport {
 	fleet.now += 10 * ms
-	events := append(more, TimerFired{0})
+	events := append(more, TimerFired{tickCookie})
 	var left []openAttempt
 	for _, s := range fleet.attempts {
 		if fleet.now < s.answeredAt {
@@ -130,6 +130,6 @@
 			return found[0], fleet.now - first
 		}
 	}
-	t.Fatal("a endpoint that says nothing is never ejected")
+	t.Fatal("an endpoint that says nothing is never ejected")
 	return HealthReport{}, 0
 }
--- a/internal/balancer/handover_test.go
+++ b/internal/balancer/handover_test.go
@@ -81,7 +81,7 @@
 				)
 			}
 			for _, b := range gateways {
-				step(b, TimerFired{0})
+				step(b, TimerFired{tickCookie})
 			}
 			if rng.IntN(40) == 0 {
 				next, _ := handOver(t, last, settings, at, list...)
@@ -140,16 +140,16 @@
 	old := newTestBalancer(t, settings, list...)
 	for i := range uint64(3) {
 		if n := len(actionsOf[Dispatch](old.Step(time.Second, []Event{testRequest(i+1, 0, 3)}))); n != 1 {
-			t.Fatalf("%d sends", n)
+			t.Fatalf("%d dispatches", n)
 		}
 	}
 	b, _ := handOver(t, old, settings, time.Second, list...)
-	sends := 0
+	dispatches := 0
 	for i := range uint64(4) {
-		sends += len(actionsOf[Dispatch](b.Step(time.Second+ms, []Event{testRequest(i+1, 0, 3)})))
+		dispatches += len(actionsOf[Dispatch](b.Step(time.Second+ms, []Event{testRequest(i+1, 0, 3)})))
 	}
-	if sends != 1 {
-		t.Errorf("%d sent beside 3 at the old gateway; the cap is 4", sends)
+	if dispatches != 1 {
+		t.Errorf("%d sent beside 3 at the old gateway; the cap is 4", dispatches)
 	}
 	cust := b.customers.find("c")
 	actions := b.Step(
@@ -188,7 +188,7 @@
 		t.Errorf("%+v", got)
 	}
 	if !b.endpoints.byName[list[1].Name].outlier.ejected {
-		t.Error("a endpoint that was ejected is used")
+		t.Error("an endpoint that was ejected is used")
 	}
 	again := list[0]
 	again.StartedAt = 1500 * ms // another process than the one that is known
@@ -253,7 +253,7 @@
 		},
 	})
 	for i := range uint64(20) {
-		b.Step(time.Second+time.Duration(i)*20*ms, []Event{testRequest(i+1, 0, int(i)%4), TimerFired{0}})
+		b.Step(time.Second+time.Duration(i)*20*ms, []Event{testRequest(i+1, 0, int(i)%4), TimerFired{tickCookie}})
 	}
 	if b.counter.callFraction < minCallFraction || b.counter.callFraction > 1 {
 		t.Errorf("call fraction %v", b.counter.callFraction)
--- a/internal/balancer/helpers_test.go
+++ b/internal/balancer/helpers_test.go
@@ -131,7 +131,7 @@
 	t.Helper()
 	all := actionsOf[Dispatch](actions)
 	if len(all) != 1 {
-		t.Fatalf("%d sends in %+v", len(all), actions)
+		t.Fatalf("%d dispatches in %+v", len(all), actions)
 	}
 	return all[0]
 }
@@ -141,6 +141,15 @@
 	return Request{ID: id, Class: class, Plan: plan, Customer: "c", TimeLeft: 2 * time.Second, Units: 1}
 }
 
+// testRequests returns requests of one unit of customer c, with the IDs given.
+func testRequests(class, plan int, ids ...uint64) []Event {
+	var events []Event
+	for _, id := range ids {
+		events = append(events, testRequest(id, class, plan))
+	}
+	return events
+}
+
 // admitOnlyRequest returns a request of one unit for admission only.
 func admitOnlyRequest(id uint64, plan int) Request {
 	request := testRequest(id, 0, plan)
@@ -149,38 +158,45 @@
 }
 
 // succeeded is the result of an attempt that was answered.
-func succeeded(dispatch Dispatch, n int, took time.Duration) AttemptResult {
-	return AttemptResult{ID: dispatch.ID, Attempt: n, Endpoint: dispatch.Endpoint, Status: OK, Latency: took, RequestClosed: true}
+func succeeded(dispatch Dispatch, attempt int, latency time.Duration) AttemptResult {
+	result := resultOf(dispatch, OK, latency)
+	result.Attempt = attempt
+	result.RequestClosed = true
+	return result
+}
+
+// resultOf is the result of a first attempt.
+func resultOf(dispatch Dispatch, status Status, latency time.Duration) AttemptResult {
+	return AttemptResult{ID: dispatch.ID, Endpoint: dispatch.Endpoint, Status: status, Latency: latency}
 }
 
 // sendRequests steps a Balancer with n requests one by one, answers each attempt at once, and counts the attempts by
 // endpoint.
-func sendRequests(b *Balancer, at time.Duration, first uint64, n int) map[string]int {
-	to := map[string]int{}
+func sendRequests(b *Balancer, at time.Duration, firstID uint64, n int) map[string]int {
+	attempts := map[string]int{}
 	for i := range uint64(n) {
-		actions := b.Step(at, []Event{testRequest(first+i, 0, 0)})
+		actions := b.Step(at, []Event{testRequest(firstID+i, 0, 0)})
 		for len(actions) > 0 {
-			var events []Event
+			var results []Event
 			for _, dispatch := range actionsOf[Dispatch](actions) {
-				to[dispatch.Endpoint]++
-				events = append(
-					events,
-					AttemptResult{ID: dispatch.ID, Endpoint: dispatch.Endpoint, Status: OK, Latency: 5 * ms, RequestClosed: true},
-				)
+				attempts[dispatch.Endpoint]++
+				results = append(results, succeeded(dispatch, 0, 5*ms))
 			}
-			if events == nil {
+			if results == nil {
 				break
 			}
-			actions = b.Step(at, events)
+			actions = b.Step(at, results)
 		}
 	}
-	return to
+	return attempts
 }
 
 // fakeCounter is a counter that answers at once and without faults.
 type fakeCounter struct {
+	// totals has the totals by counter name.
 	totals map[uint64]float64
-	calls  int
+	// calls is the number of calls so far.
+	calls int
 }
 
 // answer returns the results of the calls among some actions.
--- a/internal/balancer/largefleet_test.go
+++ b/internal/balancer/largefleet_test.go
@@ -45,7 +45,7 @@
 		}
 		events := make([][]Event, len(all))
 		for i := range all {
-			events[i] = append(late[i], TimerFired{0})
+			events[i] = append(late[i], TimerFired{tickCookie})
 			late[i] = nil
 		}
 		for range each(now) {
@@ -77,7 +77,7 @@
 	}
 	floods := map[string]func(now time.Duration) int{
 		"always": constantly(5),
-		"before a new number": func(now time.Duration) int { // after a calm time in which the store runs over
+		"before a new number": func(now time.Duration) int { // after a calm time in which the bucket runs over
 			if now < 29*time.Second || now > 38*time.Second && now < 56*time.Second {
 				return int(now/(50*ms)) % 10 / 9
 			}
@@ -110,7 +110,7 @@
 							last, least = at, min(least, store)
 						}
 						if least < -plan.CeilingBurst/10-0.15*plan.CeilingRate {
-							t.Errorf("the ceiling's store fell to %.1f of %v", least, plan.CeilingBurst)
+							t.Errorf("the ceiling fell to %.1f of %v", least, plan.CeilingBurst)
 						}
 						if rate := float64(len(sent)) / 73; when == "always" && rate < 0.6*plan.Rate {
 							t.Errorf("%.1f a second went out; the quota is %v", rate, plan.Rate)
@@ -183,15 +183,15 @@
 		[]Event{CounterResult{calls[0].Name, OK, 8 + 2*2 + 0.25}},
 	) // short by a quarter of a unit: an eighth of a second
 	if len(actionsOf[CounterAdd](actions))+len(actionsOf[Dispatch](actions))+len(actionsOf[Reject](actions)) != 0 {
-		t.Fatalf("the request should wait for what the store gains: %v", actions)
+		t.Fatalf("the request should wait for what the bucket gains: %v", actions)
 	}
 	for sent := false; !sent; now += 20 * ms {
-		actions = b.Step(now, []Event{TimerFired{0}})
+		actions = b.Step(now, []Event{TimerFired{tickCookie}})
 		if len(actionsOf[CounterAdd](actions)) != 0 || len(actionsOf[Reject](actions)) != 0 || now > 2400*ms {
 			t.Fatalf("at %v: %v", now, actions)
 		}
 		if sent = len(actionsOf[Dispatch](actions)) == 1; sent && now < 2120*ms {
-			t.Errorf("sent at %v, before the store had gained it", now)
+			t.Errorf("sent at %v, before the bucket had gained it", now)
 		}
 	}
 
@@ -203,7 +203,7 @@
 		t.Fatalf("short by 19: %v", actions)
 	}
 	if more := actionsOf[CounterAdd](b.Step(now+time.Second, []Event{testRequest(2, 0, 0)})); len(more) != 0 {
-		t.Errorf("a store just seen empty was asked again: %v", more)
+		t.Errorf("a bucket just seen empty was called again: %v", more)
 	}
 }
 
@@ -215,14 +215,14 @@
 	now += 50 * ms
 	if actions := b.Step(
 		now,
-		[]Event{CounterResult{calls[0].Name, Timeout, 0}, TimerFired{0}},
+		[]Event{CounterResult{calls[0].Name, Timeout, 0}, TimerFired{tickCookie}},
 	); len(
 		actionsOf[Reject](actions),
 	) != 0 {
 		t.Fatalf("rejected at the timeout: %v", actions)
 	}
 	if actions := b.Step(now+20*ms, []Event{LateCounterResult{calls[0].Ticket, OK, 1}}); len(actionsOf[Dispatch](actions)) != 1 {
-		t.Errorf("the late answer sends it: %v", actions)
+		t.Errorf("the late answer dispatches it: %v", actions)
 	}
 }
 
@@ -266,12 +266,12 @@
 	for id := uint64(1); id <= 60; id++ {
 		request := testRequest(id, 0, 1)
 		request.AdmitOnly = true
-		step(request, TimerFired{0})
+		step(request, TimerFired{tickCookie})
 		now += ms
 	}
 	for range 8 { // what waits for a turn to call does so for a fifth of its time, 100 ms
 		now += 20 * ms
-		step(TimerFired{0})
+		step(TimerFired{tickCookie})
 	}
 	if len(answered) != 60 {
 		t.Errorf("%d of 60 checks answered 160 ms after the last", len(answered))
@@ -292,10 +292,10 @@
 		}
 		if want == 0 {
 			if back := actionsOf[CounterAdd](actions); len(back) != 1 || back[0].Amount != -1 {
-				t.Errorf("what the store did not hold was not given back: %v", actions)
+				t.Errorf("what the bucket did not hold was not given back: %v", actions)
 			}
 			if more := actionsOf[CounterAdd](b.Step(4*ms, []Event{testRequest(2, 0, 0)})); len(more) != 0 {
-				t.Errorf("a store just seen empty was asked again: %v", more)
+				t.Errorf("a bucket just seen empty was called again: %v", more)
 			}
 		}
 	}
@@ -309,7 +309,7 @@
 		request := testRequest(uint64(i), 0, 0)
 		request.Customer = fmt.Sprint("c", i)
 		now := time.Duration(i+1) * 10 * ms
-		for _, call := range actionsOf[CounterAdd](b.Step(now, []Event{request, TimerFired{0}})) {
+		for _, call := range actionsOf[CounterAdd](b.Step(now, []Event{request, TimerFired{tickCookie}})) {
 			if i > 1000 {
 				late++
 			}
--- a/internal/balancer/outlier_test.go
+++ b/internal/balancer/outlier_test.go
@@ -15,7 +15,7 @@
 	for range 400 {
 		now += 5 * ms
 		id++
-		events := []Event{testRequest(id, 0, 2), TimerFired{0}}
+		events := []Event{testRequest(id, 0, 2), TimerFired{tickCookie}}
 		for len(open) > 0 && now >= openAt[0]+40*ms {
 			events = append(events, succeeded(open[0], 0, 40*ms))
 			open, openAt = open[1:], openAt[1:]
@@ -53,15 +53,15 @@
 	ep := b.endpoints.byName["b0"]
 	for i, status := range []Status{Reset, Reset, OK, ConnectFailed, Reset, ConnectFailed} {
 		now := time.Duration(i) * 100 * ms
-		sends := actionsOf[Dispatch](b.Step(now, []Event{testRequest(uint64(i+1), 0, 2)}))
-		if len(sends) != 1 || ep.outlier.ejected {
-			t.Fatalf("before outcome %d: sent %v, ejected %v", i, sends, ep.outlier.ejected)
+		dispatches := actionsOf[Dispatch](b.Step(now, []Event{testRequest(uint64(i+1), 0, 2)}))
+		if len(dispatches) != 1 || ep.outlier.ejected {
+			t.Fatalf("before outcome %d: sent %v, ejected %v", i, dispatches, ep.outlier.ejected)
 		}
 		b.Step(
 			now+10*ms,
 			[]Event{
 				AttemptResult{
-					ID:            sends[0].ID,
+					ID:            dispatches[0].ID,
 					Endpoint:      "b0",
 					Status:        status,
 					Latency:       10 * ms,
@@ -78,19 +78,19 @@
 // A gateway that stood still finds timeouts of its own making, and ejects no endpoint for them.
 func TestOwnStallEjectsNoEndpoint(t *testing.T) {
 	b := newTestBalancer(t, testSettings(), testEndpoints(4)...)
-	var sends []Dispatch
+	var dispatches []Dispatch
 	now := ms
 	for i := range 40 {
 		now += 20 * ms
-		sends = append(sends, actionsOf[Dispatch](b.Step(now, []Event{testRequest(uint64(i), 0, 2), TimerFired{0}}))...)
-		if len(sends) > 14 {
-			b.Step(now, []Event{succeeded(sends[0], 0, 40*ms)})
-			sends = sends[1:]
+		dispatches = append(dispatches, actionsOf[Dispatch](b.Step(now, []Event{testRequest(uint64(i), 0, 2), TimerFired{tickCookie}}))...)
+		if len(dispatches) > 14 {
+			b.Step(now, []Event{succeeded(dispatches[0], 0, 40*ms)})
+			dispatches = dispatches[1:]
 		}
 	}
 	now += 2 * time.Second
-	events := []Event{succeeded(sends[0], 0, 40*ms), TimerFired{0}}
-	for _, dispatch := range sends[1:] {
+	events := []Event{succeeded(dispatches[0], 0, 40*ms), TimerFired{tickCookie}}
+	for _, dispatch := range dispatches[1:] {
 		events = append(events, succeeded(dispatch, 0, 40*ms))
 	}
 	if logs := actionsOf[LogLine](b.Step(now, events)); len(logs) != 0 {
@@ -185,20 +185,20 @@
 		return b.endpoints.byName["b0"]
 	}
 	if ep := warming(false); !ep.slowStart.active || ep.slowStart.since != back-ms {
-		t.Errorf("a endpoint that was started anew is not warming: %+v", ep)
+		t.Errorf("an endpoint that was started anew is not warming: %+v", ep)
 	}
 	if ep := warming(true); ep.slowStart.active {
-		t.Error("a endpoint that answered all along is taken for warming")
+		t.Error("an endpoint that answered all along is taken for warming")
 	}
 	b := newTestBalancer(t, singleGatewaySettings(), testEndpoints(2)...)
 	ep, pool := b.endpoints.byName["b0"], &endpointFleet{balancer: b, silent: "b0"}
 	f, _ := pool.stepUntilEjected(t, 3)
 	now := pool.now
-	if !ep.outlier.ejected || len(actionsOf[HealthCheck](b.Step(now+20*ms, []Event{TimerFired{0}}))) > 0 {
+	if !ep.outlier.ejected || len(actionsOf[HealthCheck](b.Step(now+20*ms, []Event{TimerFired{tickCookie}}))) > 0 {
 		t.Fatalf("%+v", f)
 	}
 	if p := actionsOf[HealthCheck](
-		b.Step(now+40*ms, []Event{HealthReport{"b0", WarmingUp, now}, TimerFired{0}}),
+		b.Step(now+40*ms, []Event{HealthReport{"b0", WarmingUp, now}, TimerFired{tickCookie}}),
 	); len(
 		p,
 	) != 1 {
--- a/internal/balancer/queue_test.go
+++ b/internal/balancer/queue_test.go
@@ -7,11 +7,11 @@
 // Requests that have waited too long are rejected when a slot is free (EQ 3).
 func TestStaleRequestsAreRejected(t *testing.T) {
 	b := newTestBalancer(t, testSettings(), testEndpoints(1)...)
-	sends := actionsOf[Dispatch](b.Step(ms, []Event{testRequest(1, 0, 0), testRequest(2, 0, 0), testRequest(3, 0, 0), testRequest(4, 1, 0)}))
-	if len(sends) != 2 {
-		t.Fatalf("%d of 4 sent to one endpoint at once", len(sends))
+	dispatches := actionsOf[Dispatch](b.Step(ms, append(testRequests(0, 0, 1, 2, 3), testRequest(4, 1, 0))))
+	if len(dispatches) != 2 {
+		t.Fatalf("%d of 4 sent to one endpoint at once", len(dispatches))
 	}
-	actions := b.Step(480*ms, []Event{succeeded(sends[0], 0, 479*ms), succeeded(sends[1], 0, 479*ms)})
+	actions := b.Step(480*ms, []Event{succeeded(dispatches[0], 0, 479*ms), succeeded(dispatches[1], 0, 479*ms)})
 	if n := len(actionsOf[Reject](actions)); n != 2 || len(actionsOf[Dispatch](actions)) != 0 {
 		t.Errorf("stale requests: %v, want two rejections", actions)
 	}
@@ -22,11 +22,12 @@
 	settings := testSettings()
 	settings.Plans[0].Burst = 20
 	b := newTestBalancer(t, settings, testEndpoints(1)...)
-	first := actionsOf[Dispatch](b.Step(ms, []Event{testRequest(1, 0, 0), testRequest(2, 0, 0), testRequest(3, 0, 0), testRequest(4, 0, 0)}))
+	first := actionsOf[Dispatch](b.Step(ms, testRequests(0, 0, 1, 2, 3, 4)))
 	b.Step(2*ms, []Event{testRequest(5, 1, 0)})
-	next := actionsOf[Dispatch](b.Step(151*ms, []Event{succeeded(first[0], 0, 150*ms), succeeded(first[1], 0, 150*ms)}))
+	answers := []Event{succeeded(first[0], 0, 150*ms), succeeded(first[1], 0, 150*ms)}
+	next := actionsOf[Dispatch](b.Step(151*ms, answers))
 	if len(next) == 0 || next[0].ID != 5 {
-		t.Errorf("after %v went %v, want the request with the most worth", first, next)
+		t.Errorf("after %v went %v, want the request of the highest level", first, next)
 	}
 }
 
@@ -44,6 +45,7 @@
 		b.dequeue(req)
 	}
 	if len(ep.queue.levels[2].entries) != 0 || ep.queue.length != 0 || b.endpoints.queuedRequests != 0 {
-		t.Errorf("%d places are kept, %d and %d counted", len(ep.queue.levels[2].entries), ep.queue.length, b.endpoints.queuedRequests)
+		t.Errorf("%d places are kept, %d and %d counted",
+			len(ep.queue.levels[2].entries), ep.queue.length, b.endpoints.queuedRequests)
 	}
 }
--- a/internal/balancer/quota_test.go
+++ b/internal/balancer/quota_test.go
@@ -29,7 +29,7 @@
 			return c[0]
 		}
 	}
-	t.Fatal("no lease was asked for")
+	t.Fatal("the counter was not called")
 	return CounterAdd{}
 }
 
@@ -37,10 +37,10 @@
 func TestLeasePromotesRequests(t *testing.T) {
 	b := newTestBalancer(t, testSettings(), testEndpoints(8)...)
 	call := spendFallback(t, b, ms)
-	b.Step(2*ms, []Event{testRequest(1, 0, 0), testRequest(2, 0, 0), testRequest(3, 0, 0), testRequest(4, 0, 0), testRequest(5, 0, 0)})
+	b.Step(2*ms, testRequests(0, 0, 1, 2, 3, 4, 5))
 	actions := b.Step(4*ms, []Event{CounterResult{call.Name, OK, call.Amount}})
 	if len(actionsOf[Dispatch](actions)) == 0 {
-		t.Errorf("a grant sent nothing on: %v", actions)
+		t.Errorf("a lease covered no request: %v", actions)
 	}
 }
 
@@ -48,10 +48,10 @@
 func TestEmptyBucketRejectsHardPlan(t *testing.T) {
 	b := newTestBalancer(t, testSettings(), testEndpoints(8)...)
 	call := spendFallback(t, b, ms)
-	b.Step(2*ms, []Event{testRequest(1, 0, 0), testRequest(2, 0, 0), testRequest(3, 0, 0), testRequest(4, 0, 0), testRequest(5, 0, 0)})
+	b.Step(2*ms, testRequests(0, 0, 1, 2, 3, 4, 5))
 	actions := b.Step(4*ms, []Event{CounterResult{call.Name, OK, call.Amount + 30}})
 	if len(actionsOf[Reject](actions)) == 0 || len(actionsOf[Dispatch](actions)) != 0 {
-		t.Errorf("a spent store let requests in: %v", actions)
+		t.Errorf("an empty bucket covered requests: %v", actions)
 	}
 }
 
@@ -81,7 +81,7 @@
 		events = append(events, testRequest(uint64(i), 0, 3))
 	}
 	if n := len(actionsOf[Dispatch](b.Step(ms, events))); n != 2 {
-		t.Errorf("%d attempts out for a cap of 4 over 2 gateways", n)
+		t.Errorf("%d attempts in flight; the limit is 4 over 2 gateways", n)
 	}
 }
 
@@ -117,7 +117,7 @@
 	}
 	actions := b.Step(ms, events)
 	if len(actionsOf[Reject](actions)) != 0 {
-		t.Errorf("a soft plan was rejected beyond its quota: %v", actions)
+		t.Errorf("a soft plan was rejected over its quota: %v", actions)
 	}
 }
 
--- a/internal/balancer/random_test.go
+++ b/internal/balancer/random_test.go
@@ -101,7 +101,7 @@
 					t.Fatalf("seed %d: sent after the end: %v", seed, a)
 				}
 				if dead[a.Endpoint] {
-					t.Fatalf("seed %d: sent to a endpoint that is draining: %v", seed, a)
+					t.Fatalf("seed %d: sent to an endpoint that is draining: %v", seed, a)
 				}
 				if b, may := ran[a.ID]; may &&
 					(class[a.ID] == 2 || class[a.ID] == 1 && cellOf(list, b) != cellOf(list, a.Endpoint)) {
@@ -219,7 +219,7 @@
 				}
 				for range 300 {
 					at += tickInterval
-					events := []Event{TimerFired{0}}
+					events := []Event{TimerFired{tickCookie}}
 					switch rng.IntN(4) {
 					case 0:
 						events = append(events, EndpointUpdate{Kind: UpdateKind(rng.IntN(4)), Entries: entries()})
@@ -259,9 +259,9 @@
 				}
 				for range 3 * int(time.Second/tickInterval) { // every client has given up by then: a request's own timer is due
 					at += tickInterval
-					events := []Event{TimerFired{0}}
+					events := []Event{TimerFired{tickCookie}}
 					for i := range owed {
-						events = append(events, TimerFired{i<<1 | 1})
+						events = append(events, TimerFired{requestCookie(i)})
 					}
 					for _, dispatch := range results {
 						events = append(
--- a/internal/balancer/reload_test.go
+++ b/internal/balancer/reload_test.go
@@ -54,13 +54,13 @@
 	settings.UseCounter, settings.Gateways, settings.MaxAttempts = false, 1, 2
 	settings.Plans[0] = Plan{PriorityFactor: 1}
 	b := newTestBalancer(t, settings, testEndpoints(3)...)
-	again := func(id uint64, at time.Duration) (sends int) {
+	again := func(id uint64, at time.Duration) (dispatches int) {
 		for _, a := range b.Step(at, []Event{AttemptResult{ID: id, Endpoint: b.requests[id].attempts[0].endpoint.name, Status: Rejected, Latency: ms}}) {
 			if _, ok := a.(Dispatch); ok {
-				sends++
+				dispatches++
 			}
 		}
-		return sends
+		return dispatches
 	}
 	b.Step(time.Second, []Event{testRequest(1, 0, 0)})
 	next := settings
--- a/internal/balancer/selection_test.go
+++ b/internal/balancer/selection_test.go
@@ -15,7 +15,7 @@
 	now := time.Second
 	for id := uint64(1); id < 400; id++ {
 		now += 200 * ms
-		for _, dispatch := range actionsOf[Dispatch](b.Step(now, []Event{testRequest(id, 0, 2), TimerFired{0}})) {
+		for _, dispatch := range actionsOf[Dispatch](b.Step(now, []Event{testRequest(id, 0, 2), TimerFired{tickCookie}})) {
 			used[dispatch.Endpoint]++
 			b.Step(now+40*ms, []Event{succeeded(dispatch, 0, 40*ms)})
 		}
--- a/internal/balancer/share_test.go
+++ b/internal/balancer/share_test.go
@@ -18,7 +18,7 @@
 	leasedUntil            []time.Duration
 	lastID                 uint64
 	ceiling                quotashare.Bucket
-	level                  float64 // of a store that empties with each grant
+	level                  float64 // of a bucket that empties with each grant
 	updatedAt              time.Duration
 	worstDebt              float64
 	formerFractions        []float64       // what a gateway had before it was given less: others it has lent to use that ...
@@ -212,7 +212,7 @@
 	return max(fleet.worstDebt, fleet.worstSumExcess)
 }
 
-// However parts are leased and taken back, gateways let no more through than the ceiling's store holds.
+// However parts are leased and taken back, gateways let no more through than the ceiling holds.
 func TestLeasedSharesHoldCeiling(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		if over := runSharing(t, false); over > 1e-6 {
--- a/internal/balancer/slowstart_test.go
+++ b/internal/balancer/slowstart_test.go
@@ -119,7 +119,7 @@
 		}
 		has := settings.SlowStartCapacity + (1-settings.SlowStartCapacity)*age/settings.SlowStartDuration.Seconds()
 		if most := settings.OverloadMultiple * has * capacity * settings.OverloadWindow.Seconds(); float64(n) > most {
-			t.Fatalf("%d sends within %v at the age of %.1f s; it bears %.0f", n, settings.OverloadWindow, age, most)
+			t.Fatalf("%d dispatches within %v at the age of %.1f s; it bears %.0f", n, settings.OverloadWindow, age, most)
 		}
 	}
 }
@@ -170,7 +170,7 @@
 				events = append(events, EndpointUpdate{Kind: Delta, Entries: list[:warm]})
 			}
 			id := uint64(tick*gateways + i)
-			send(b, now, b.Step(now, append(events, testRequest(id, 0, 2), TimerFired{0})))
+			send(b, now, b.Step(now, append(events, testRequest(id, 0, 2), TimerFired{tickCookie})))
 		}
 		if limited != nil {
 			for b, actions := range limited.step(now + 50*ms) {
@@ -192,7 +192,7 @@
 			}
 		}
 		if most := settings.OverloadMultiple * share * rate * settings.OverloadWindow.Seconds(); float64(n) > most {
-			t.Fatalf("%d sends within a window %v after the start; its budget is %.0f", n, from-start, most)
+			t.Fatalf("%d dispatches within a window %v after the start; its budget is %.0f", n, from-start, most)
 		}
 	}
 }
