--- a/internal/balancer/admission_test.go
+++ b/internal/balancer/admission_test.go
@@ -25,18 +25,15 @@
 		}
 		return n
 	}
-	if cheap, dear := joined(0), joined(1); dear < 3*cheap || cheap == 0 {
-		t.Errorf(
-			"%d cheap and %d dear requests may wait; want three times as many dear ones, and some cheap",
-			cheap,
-			dear,
-		)
+	if low, high := joined(0), joined(1); high < 3*low || low == 0 {
+		t.Errorf("%d requests of low and %d of high priority may wait; want three times as many of high",
+			low, high)
 	}
 }
 
 // Requests over a quota find a free slot as long as those within their quota do, and none once many of those do not.
 func TestShortageShedsOverQuotaRequests(t *testing.T) {
-	sent := func(short float64) int {
+	dispatched := func(shortage float64) int {
 		settings := testSettings()
 		settings.UseCounter, settings.Gateways = false, 1
 		settings.Plans[1].CeilingRate, settings.Plans[1].CeilingBurst = 0, 0
@@ -44,7 +41,7 @@
 		n := 0
 		for i := range uint64(400) {
 			now := time.Duration(i) * 5 * ms
-			b.shortage = short
+			b.shortage = shortage
 			for _, dispatch := range actionsOf[Dispatch](b.Step(now, []Event{testRequest(i, 0, 1)})) {
 				if b.requests[i].level == lowestLevel {
 					n++
@@ -54,12 +51,9 @@
 		}
 		return n
 	}
-	if calm, pressed := sent(0), sent(0.6); calm < 100 || pressed != 0 {
-		t.Errorf(
-			"%d of 400 go out over the quota on a calm day, %d under pressure; want most of them, and none",
-			calm,
-			pressed,
-		)
+	if without, with := dispatched(0), dispatched(0.6); without < 100 || with != 0 {
+		t.Errorf("%d of 400 are dispatched over the quota without shortage, %d with it; want most of them, and none",
+			without, with)
 	}
 }
 
@@ -74,7 +68,7 @@
 	}
 	high := b.shortage
 	if high < 0.3 {
-		t.Fatalf("%.2f of the paid requests are taken to find no place, while the one endpoint answers nothing", high)
+		t.Fatalf("shortage %.2f, while the one endpoint answers nothing", high)
 	}
 	b = newTestBalancer(t, settings, testEndpoints(1)...)
 	b.shortage = high
@@ -85,7 +79,7 @@
 		}
 	}
 	if b.shortage > high/5 {
-		t.Errorf("%.2f, and %.2f after two hundred that all found a place", high, b.shortage)
+		t.Errorf("shortage %.2f, and %.2f after two hundred requests that all found a free slot", high, b.shortage)
 	}
 }
 
@@ -95,7 +89,8 @@
 	b.Step(ms, []Event{testRequest(1, 0, 2)})
 	old := testRequest(2, 0, 2)
 	old.TimeLeft = 2*time.Second - 490*ms
-	if actions := b.Step(time.Second, []Event{old}); len(actionsOf[Dispatch](actions)) != 0 || len(actionsOf[Reject](actions)) != 1 {
+	actions := b.Step(time.Second, []Event{old})
+	if len(actionsOf[Dispatch](actions)) != 0 || len(actionsOf[Reject](actions)) != 1 {
 		t.Errorf("a request that has waited for 490 of its 500 ms: %v", actions)
 	}
 }
--- a/internal/balancer/admitonly_test.go
+++ b/internal/balancer/admitonly_test.go
@@ -18,10 +18,10 @@
 		admitted += len(actionsOf[Admit](actions))
 		rejected += len(actionsOf[Reject](actions))
 		if len(actionsOf[Dispatch](actions)) > 0 {
-			t.Fatal("something was sent")
+			t.Fatal("something was dispatched")
 		}
 		if r := actionsOf[Reject](actions); len(r) > 0 && r[0].RetryAfter <= 0 {
-			t.Errorf("a rejection that does not say when to come back")
+			t.Errorf("a rejection without Retry-After")
 		}
 	}
 	if admitted != 8 || rejected != 22 {
@@ -34,7 +34,7 @@
 		t.Errorf("%d requests are kept", len(b.requests))
 	}
 	if actions := b.Step(time.Second, []Event{admitOnlyRequest(99, 0)}); len(actionsOf[Admit](actions)) != 1 {
-		t.Error("the bucket has filled, and nothing is admitted")
+		t.Error("the bucket has filled, and the request is not admitted")
 	}
 }
 
@@ -42,10 +42,10 @@
 // than its rate and burst allow.
 func TestAdmitOnlyAndDispatchesShareCeiling(t *testing.T) {
 	const gateways = 3
-	for _, share := range []float64{0, 0.5, 1} { // of requests for leave
+	for _, share := range []float64{0, 0.5, 1} { // of requests for admission only
 		settings := testSettings()
 		settings.Gateways, settings.UseCounter = gateways, false
-		settings.Plans[1].OverQuotaCost = 0 // over the quota it still earns
+		settings.Plans[1].OverQuotaCost = 0 // over the quota it still counts
 		rng := rand.New(rand.NewPCG(3, uint64(share*10)))
 		all := make([]*Balancer, gateways)
 		dispatches := make([]map[uint64]int, gateways)
@@ -102,26 +102,26 @@
 	settings.Plans[1].OverQuotaCost = 0
 	b := newTestBalancer(t, settings, testEndpoints(2)...)
 	now := time.Second
-	for i := range 12 { // fills the line for the ceiling
+	for i := range 12 { // these wait for the ceiling
 		b.Step(now, []Event{testRequest(uint64(i), 1, 1)})
 	}
 	if len(b.customers.find("c").waiting.requests) == 0 {
-		t.Fatal("no line")
+		t.Fatal("nothing waits")
 	}
 	if actions := b.Step(now, []Event{admitOnlyRequest(50, 1)}); len(actionsOf[Reject](actions)) != 1 {
-		t.Errorf("behind the line for the ceiling: %v", actions)
+		t.Errorf("behind requests that wait for the ceiling: %v", actions)
 	}
 	b = newTestBalancer(t, settings, testEndpoints(2)...)
-	for i := range 8 { // the cap is 4
+	for i := range 8 { // MaxInFlight is 4
 		request := testRequest(uint64(i), 0, 3)
 		b.Step(now, []Event{request})
 	}
 	if len(b.customers.find("c").waiting.requests) == 0 {
-		t.Fatal("no line")
+		t.Fatal("nothing waits")
 	}
 	actions := b.Step(now, []Event{admitOnlyRequest(50, 3)})
 	if r := actionsOf[Reject](actions); len(r) != 1 || r[0].RetryAfter <= 0 {
-		t.Errorf("behind the line for the cap: %v", actions)
+		t.Errorf("behind requests that wait for MaxInFlight: %v", actions)
 	}
 }
 
@@ -149,24 +149,24 @@
 	if !full(2*ms, 10) {
 		t.Error("a fifth is admitted")
 	}
-	b.Step(3*ms, []Event{RequestDone{ID: 4}, RequestDone{ID: 4}}) // done, told twice
+	b.Step(3*ms, []Event{RequestDone{ID: 4}, RequestDone{ID: 4}}) // done, reported twice
 	if full(4*ms, 11) {
-		t.Error("a place has become free, and nothing is admitted")
+		t.Error("a request is done, and no other is admitted")
 	}
 	if !full(5*ms, 12) {
-		t.Error("one end has freed two places")
+		t.Error("the end of one request counted twice")
 	}
-	b.Step(6*ms, []Event{testRequest(20, 0, 3)}) // waits for a place
+	b.Step(6*ms, []Event{testRequest(20, 0, 3)}) // waits for MaxInFlight
 	if len(timers) != 4 {
 		t.Fatalf("timers %v", timers)
 	}
 	b.Step(50*ms, []Event{TimerFired{timers[0].Cookie}}) // too early
 	if b.customers.find("c").inFlight != 4 {
-		t.Error("the hold ended before its time")
+		t.Error("the hold time ended too early")
 	}
 	actions := b.Step(timers[0].At, []Event{TimerFired{timers[0].Cookie}})
 	if len(actionsOf[Dispatch](actions)) != 1 {
-		t.Errorf("the hold has run out, and what waits is not sent: %v", actions)
+		t.Errorf("the hold time is over, and the waiting request is not dispatched: %v", actions)
 	}
 }
 
@@ -193,7 +193,7 @@
 		if late {
 			now = 300 * ms
 			if actions = b.Step(ms+200*ms, []Event{cookie}); len(actionsOf[Reject](actions)) != 1 {
-				t.Errorf("its time is up: %v", actions)
+				t.Errorf("at its deadline: %v", actions)
 			}
 		}
 		actions = b.Step(now, []Event{CounterResult{calls[0].Name, OK, calls[0].Amount}})
@@ -210,7 +210,7 @@
 	b := newTestBalancer(t, settings, testEndpoints(2)...)
 	for i := range 2000 {
 		request := admitOnlyRequest(uint64(i), 1)
-		request.Customer = "loud"
+		request.Customer = "flooding"
 		b.Step(time.Duration(i)*ms, []Event{request})
 		if i%400 == 0 {
 			q := admitOnlyRequest(uint64(1e6+i), 0)
@@ -231,7 +231,7 @@
 		settings.Plans[1].OverQuotaCost = 0
 		b := newTestBalancer(t, settings, testEndpoints(6)...)
 		rng := rand.New(rand.NewPCG(5, uint64(share*100)))
-		dispatches, grants := 0.0, 0.0
+		dispatched, admitted := 0.0, 0.0
 		for tick := range 6000 { // 30 s at 200 a second, ten times the ceiling
 			now := time.Duration(tick) * 5 * ms
 			request := testRequest(uint64(tick), 1, 1)
@@ -245,9 +245,9 @@
 				for _, a := range todo {
 					switch a := a.(type) {
 					case Admit:
-						grants++
+						admitted++
 					case Dispatch:
-						dispatches++
+						dispatched++
 						events = append(events, succeeded(a, 0, 20*ms))
 					}
 				}
@@ -257,8 +257,10 @@
 			}
 		}
 		total := settings.Plans[1].CeilingRate * 30
-		if got := grants / (grants + dispatches); grants+dispatches < 0.8*total || got < 0.7*share || got > 0.1+1.2*share {
-			t.Errorf("%v of the demand asks for leave: %.0f admitted and %.0f sent of %.0f", share, grants, dispatches, total)
+		sum := admitted + dispatched
+		if got := admitted / sum; sum < 0.8*total || got < 0.7*share || got > 0.1+1.2*share {
+			t.Errorf("%v of the demand is for admission only: %.0f admitted and %.0f dispatched of %.0f",
+				share, admitted, dispatched, total)
 		}
 	}
 }
--- a/internal/balancer/attemptresult_test.go
+++ b/internal/balancer/attemptresult_test.go
@@ -65,7 +65,8 @@
 	}
 	latencyFactor := ep.latency.factor
 	for i := range 200 {
-		for _, a := range b.Step(at+time.Duration(i)*tickInterval, []Event{TimerFired{tickCookie}, TimerFired{requestCookie(1)}}) {
+		timers := []Event{TimerFired{tickCookie}, TimerFired{requestCookie(1)}}
+		for _, a := range b.Step(at+time.Duration(i)*tickInterval, timers) {
 			switch a := a.(type) {
 			case Reject, Fail, CancelAttempt, Dispatch:
 				t.Fatalf("%+v while the answer is streamed", a)
@@ -79,7 +80,8 @@
 		at+4*time.Second,
 		[]Event{AttemptResult{ID: 1, Endpoint: ep.name, Status: Reset, Latency: 5 * ms, RequestClosed: true}},
 	)
-	if len(actionsOf[Dispatch](actions)) > 0 || ep.latency.factor != latencyFactor || len(b.requests) != 0 || ep.inFlightWork != 0 {
+	if len(actionsOf[Dispatch](actions)) > 0 || ep.latency.factor != latencyFactor ||
+		len(b.requests) != 0 || ep.inFlightWork != 0 {
 		t.Errorf("%+v, latency factor %v was %v, %d requests, work %v",
 			actions, ep.latency.factor, latencyFactor, len(b.requests), ep.inFlightWork)
 	}
--- a/internal/balancer/bucketcorrection_test.go
+++ b/internal/balancer/bucketcorrection_test.go
@@ -39,7 +39,9 @@
 func TestLeaseTakesWholeUnitsWithLeasedCeiling(t *testing.T) {
 	for held, want := range map[float64]float64{0.91: 0, 1.4: 1, 2: 2, 5: 3} {
 		settings := testSettings()
-		settings.LeaseCeilings, settings.Gateways, settings.Plans[0] = true, 3, Plan{
+		settings.LeaseCeilings = true
+		settings.Gateways = 3
+		settings.Plans[0] = Plan{
 			Rate:            5,
 			Burst:           10,
 			PriorityFactor:  1,
@@ -52,7 +54,11 @@
 		b.Step(now, []Event{testRequest(1, 0, 0)})
 		b.now = now + 100*ms
 		cust := b.customers.find("c")
-		cust.bucket.known, cust.bucket.level, cust.bucket.levelAt, cust.quota.tokens, cust.quota.debt = true, held, now, 0, 0
+		cust.bucket.known = true
+		cust.bucket.level = held
+		cust.bucket.levelAt = now
+		cust.quota.tokens = 0
+		cust.quota.debt = 0
 		call := &counterCall{customer: cust, block: 3, amount: 3, window: int64(b.now / counterWindow), sentAt: b.now}
 		b.actions = b.actions[:0]
 		b.creditLease(call, 10+5*(b.now%counterWindow).Seconds()-held+3, b.now)
@@ -73,12 +79,14 @@
 		now := 20 * time.Second
 		b.Step(now, []Event{testRequest(1, 0, 0)})
 		cust := b.customers.find("c")
-		cust.bucket.known, cust.quota.fallbackTokens, cust.bucket.level, cust.bucket.levelAt, cust.bucket.seenWindow = true, 0, 0, now, int64(
-			now/counterWindow,
-		) // the bucket is empty ...
-		cust.demand.rate, cust.quota.tokens = 1, 0
-		now = counterWindow + 100*ms // ... and ten seconds later there is a new number
-		cust.bucket.level, cust.bucket.levelAt = 0, now-200*ms
+		cust.bucket.known = true
+		cust.bucket.seenWindow = int64(now / counterWindow)
+		cust.quota.fallbackTokens = 0
+		cust.quota.tokens = 0
+		cust.demand.rate = 1
+		now = counterWindow + 100*ms // ten seconds later, in a new window
+		cust.bucket.level = 0
+		cust.bucket.levelAt = now - 200*ms
 		calls := actionsOf[CounterAdd](b.Step(now, []Event{testRequest(2, 0, 0)}))
 		if len(calls) != 1 {
 			t.Fatalf("%s: %d calls", name, len(calls))
@@ -88,7 +96,8 @@
 			total += 3
 		}
 		carried := 0.0
-		for _, call := range actionsOf[CounterAdd](b.Step(now+5*ms, []Event{CounterResult{Name: calls[0].Name, Status: OK, Total: total}})) {
+		result := CounterResult{Name: calls[0].Name, Status: OK, Total: total}
+		for _, call := range actionsOf[CounterAdd](b.Step(now+5*ms, []Event{result})) {
 			carried += call.Amount
 		}
 		if burst := b.settings.Plans[0].Burst; begins && carried < 0.8*burst || !begins && carried > 0 {
--- a/internal/balancer/ceiling_test.go
+++ b/internal/balancer/ceiling_test.go
@@ -29,31 +29,27 @@
 	settings := testSettings()
 	settings.UseCounter = false
 	b := newTestBalancer(t, settings, testEndpoints(2)...)
-	waits := map[int]int{}
-	id, told := uint64(1), 0
+	waiting := map[int]int{} // by class
+	advised := 0
+	id := uint64(1)
 	for class := range 2 {
 		for range 60 {
-			actions := b.Step(
-				time.Second,
-				[]Event{Request{ID: id, Class: class, Plan: 1, Customer: "c", TimeLeft: 2 * time.Second,
-					Units: 1}},
-			)
-			if rejected := actionsOf[Reject](
-				actions,
-			); len(rejected) == 0 && len(actionsOf[Dispatch](actions)) == 0 &&
-				b.requests[id].queuedOn == nil {
-				waits[class]++
-			} else if len(rejected) > 0 &&
-				rejected[0].RetryAfter > 0 {
-				told++
+			actions := b.Step(time.Second, []Event{testRequest(id, class, 1)})
+			rejected := actionsOf[Reject](actions)
+			dispatched := actionsOf[Dispatch](actions)
+			switch {
+			case len(rejected) > 0 && rejected[0].RetryAfter > 0:
+				advised++
+			case len(rejected) == 0 && len(dispatched) == 0 && b.requests[id].queuedOn == nil:
+				waiting[class]++
 			}
 			id++
 		}
 	}
-	if told == 0 {
-		t.Error("nobody was told when to come back")
+	if advised == 0 {
+		t.Error("no rejection with Retry-After")
 	}
-	if waits[0] > 1 || waits[1] < 1 || waits[1] > 2 {
-		t.Errorf("by class, %v wait", waits)
+	if waiting[0] > 1 || waiting[1] < 1 || waiting[1] > 2 {
+		t.Errorf("by class, %v wait", waiting)
 	}
 }
--- a/internal/balancer/concurrency_test.go
+++ b/internal/balancer/concurrency_test.go
@@ -14,14 +14,15 @@
 		todo := actionsOf[Dispatch](b.Step(now, []Event{testRequest(uint64(i), 0, 2), TimerFired{tickCookie}}))
 		for len(todo) > 0 { // ends: a request has three attempts at most
 			dispatch := todo[0]
-			st := AttemptResult{ID: dispatch.ID, Attempt: attempts[dispatch.ID], Endpoint: dispatch.Endpoint, Status: Rejected, Latency: ms}
+			result := resultOf(dispatch, Rejected, ms)
+			result.Attempt = attempts[dispatch.ID]
 			if i < 100 {
-				st = succeeded(dispatch, attempts[dispatch.ID], 40*ms)
+				result = succeeded(dispatch, attempts[dispatch.ID], 40*ms)
 			} else if i > 1500 {
 				sent++
 			}
 			attempts[dispatch.ID]++
-			todo = append(todo[1:], actionsOf[Dispatch](b.Step(now+ms, []Event{st}))...)
+			todo = append(todo[1:], actionsOf[Dispatch](b.Step(now+ms, []Event{result}))...)
 		}
 	}
 	if sent == 0 || sent > 300 {
@@ -42,6 +43,6 @@
 		return n
 	}
 	if small, large := count(1), count(4); small < 3*large || large == 0 {
-		t.Errorf("%d small requests at the same time and %d large ones; want three times as many at least", small, large)
+		t.Errorf("%d small or %d large requests in flight; want three times as many small ones at least", small, large)
 	}
 }
--- a/internal/balancer/countercall_test.go
+++ b/internal/balancer/countercall_test.go
@@ -27,17 +27,17 @@
 	}
 	b.Step(now+50*ms, all)
 	if want := before * callFractionDecrease; b.counter.callFraction != want {
-		t.Errorf(
-			"the part that calls is %v after five calls that ended together; want %v as after one",
-			b.counter.callFraction,
-			want,
-		)
+		t.Errorf("call fraction %v after five calls that failed together; want %v as after one",
+			b.counter.callFraction, want)
 	}
 	cust := b.customers.find("a")
-	cust.quota.callsPausedUntil, cust.bucket.emptyUntil, cust.quota.fallbackTokens, b.counter.callFraction = 0, 0, 0, 1
-	again := actionsOf[CounterAdd](
-		b.Step(now+60*ms, []Event{func() Request { request := testRequest(900, 0, 0); request.Customer = "a"; return request }()}),
-	)
+	cust.quota.callsPausedUntil = 0
+	cust.quota.fallbackTokens = 0
+	cust.bucket.emptyUntil = 0
+	b.counter.callFraction = 1
+	request := testRequest(900, 0, 0)
+	request.Customer = "a"
+	again := actionsOf[CounterAdd](b.Step(now+60*ms, []Event{request}))
 	if len(again) != 1 {
 		t.Fatalf("%d calls after that", len(again))
 	}
@@ -49,34 +49,26 @@
 
 // Where calls cost, a lease of a nearly full bucket covers a longer time; one of a bucket that runs out never does.
 func TestLeaseSizeGrowsWithCallCost(t *testing.T) {
-	block := func(fee, full float64) float64 {
+	leased := func(callCost, fillLevel float64) float64 {
 		settings := testSettings()
-		settings.CounterCallCost, settings.Plans[0] = fee, Plan{
-			Rate:           10,
-			Burst:          400,
-			PriorityFactor: 1,
-			OverQuotaCost:  0.5,
-		}
+		settings.CounterCallCost = callCost
+		settings.Plans[0] = Plan{Rate: 10, Burst: 400, PriorityFactor: 1, OverQuotaCost: 0.5}
 		b := newTestBalancer(t, settings, testEndpoints(2)...)
 		now := time.Second
 		b.Step(now, []Event{testRequest(1, 0, 0)})
 		cust := b.customers.find("c")
 		cust.bucket.known, cust.quota.fallbackTokens, cust.quota.tokens, cust.demand.rate = true, 0, 0, 10
-		cust.bucket.level, cust.bucket.levelAt = full*400, now
+		cust.bucket.level, cust.bucket.levelAt = fillLevel*400, now
 		calls := actionsOf[CounterAdd](b.Step(now+ms, []Event{testRequest(2, 0, 0)}))
 		if len(calls) != 1 {
 			t.Fatalf("%d calls", len(calls))
 		}
 		return calls[0].Amount - cust.quota.debt
 	}
-	free, dear, scarce := block(0, 1), block(0.02, 1), block(0.02, 0.5)
-	if dear < 3*free || scarce > free+1 {
-		t.Errorf(
-			"leases of %.0f where calls are free, %.0f where they cost, %.0f where they cost and the bucket is half empty",
-			free,
-			dear,
-			scarce,
-		)
+	free, costly, scarce := leased(0, 1), leased(0.02, 1), leased(0.02, 0.5)
+	if costly < 3*free || scarce > free+1 {
+		t.Errorf("leases of %.0f where calls are free, %.0f where they cost, %.0f where the bucket is half empty too",
+			free, costly, scarce)
 	}
 }
 
@@ -148,7 +140,7 @@
 	before := cust.quota.tokens
 	b.Step(now+60*ms, []Event{LateCounterResult{Ticket: call.Ticket + 99, Status: OK}, LateCounterResult{Status: OK}})
 	if cust.quota.tokens != before {
-		t.Errorf("%v tokens after news of other calls; want %v", cust.quota.tokens, before)
+		t.Errorf("%v tokens after results of other calls; want %v", cust.quota.tokens, before)
 	}
 	late := LateCounterResult{call.Ticket, OK, call.Amount}
 	b.Step(now+70*ms, []Event{late, late})
@@ -156,9 +148,9 @@
 		t.Errorf("%v leased of the %v added", got, call.Amount)
 	}
 	before = cust.quota.tokens
-	b.Step(now+80*ms, []Event{testRequest(901, 0, 0)}) // the endpoints are full, but it is paid for
+	b.Step(now+80*ms, []Event{testRequest(901, 0, 0)}) // the endpoints have no free slot, but the lease covers it
 	if req := b.requests[901]; before >= 1 && (req == nil || !req.withinQuota || cust.quota.tokens != before-1) {
-		t.Errorf("a request inside the lease of %v is not paid by it", before)
+		t.Errorf("a request inside the lease of %v is not covered by it", before)
 	}
 }
 
@@ -217,19 +209,19 @@
 	}
 	b.Step(now+ms, []Event{CounterResult{Name: calls[0].Name, Status: OK, Total: 0}})
 	if cust.quota.lastCallLost {
-		t.Error("the counter was heard, and still the least is asked")
+		t.Error("the counter has answered, and still the call counts as lost")
 	}
 }
 
 // A broken connection ends its calls at once, and no late result can come: the waiting request calls once more.
 func TestCallIsRepeatedAfterBrokenConnection(t *testing.T) {
 	again := 0
-	for seed := range uint64(20) { // the part that calls has shrunk by the failure: for a few that means no
+	for seed := range uint64(20) { // callFraction has shrunk by the failure, so a few do not call
 		b, call, now := newSeededBalancerWithCallOut(t, seed)
 		actions := b.Step(now+3*ms, []Event{CounterResult{Name: call.Name, Status: Timeout}})
 		again += len(actionsOf[CounterAdd](actions))
 		if len(b.counter.timedOut.byTicket) != 0 || b.customers.find("c").quota.callsPausedUntil != 0 {
-			t.Errorf("seed %d: a late answer is waited for on a connection that is gone", seed)
+			t.Errorf("seed %d: a late result is expected on a broken connection", seed)
 		}
 	}
 	if again < 10 {
@@ -240,7 +232,7 @@
 // A counter that rejects a call or accepts no connection is not called again at once.
 func TestRejectedCallIsNotRepeated(t *testing.T) {
 	for _, status := range []Status{Rejected, ConnectFailed} {
-		for seed := range uint64(20) { // whether a request calls is partly chance
+		for seed := range uint64(20) { // whether a request calls is partly random
 			b, call, now := newSeededBalancerWithCallOut(t, seed)
 			actions := b.Step(now+3*ms, []Event{CounterResult{Name: call.Name, Status: status}})
 			if again := actionsOf[CounterAdd](actions); len(again) != 0 {
@@ -261,7 +253,7 @@
 	empty := plan.Burst + plan.Rate*now.Seconds() + call.Amount // a total at which the bucket held nothing then
 	b.Step(now+3*time.Second, []Event{LateCounterResult{call.Ticket, OK, empty}})
 	if cust.quota.tokens > before {
-		t.Errorf("%v admitted from a bucket that was empty when it was asked", cust.quota.tokens-before)
+		t.Errorf("%v leased from a bucket that was empty at the call", cust.quota.tokens-before)
 	}
 }
 
@@ -277,24 +269,15 @@
 		t.Fatalf("%d calls after the pause", len(later))
 	}
 	b.Step(now+ms, []Event{CounterResult{Name: later[0].Name, Status: OK, Total: 90}})
-	known, seen, store, at := cust.bucket.knownAt, cust.bucket.seenTotal, cust.bucket.level, cust.bucket.levelAt
+	before := cust.bucket
 	actions := b.Step(now+20*ms, []Event{LateCounterResult{call.Ticket, OK, call.Amount}})
-	if cust.bucket.knownAt != known || cust.bucket.seenTotal != seen || cust.bucket.level != store || cust.bucket.levelAt != at {
-		t.Errorf(
-			"known since %v, seen %v, store %v at %v; want %v, %v, %v at %v",
-			cust.bucket.knownAt,
-			cust.bucket.seenTotal,
-			cust.bucket.level,
-			cust.bucket.levelAt,
-			known,
-			seen,
-			store,
-			at,
-		)
+	if cust.bucket.knownAt != before.knownAt || cust.bucket.seenTotal != before.seenTotal ||
+		cust.bucket.level != before.level || cust.bucket.levelAt != before.levelAt {
+		t.Errorf("the late result changed the bucket from %+v to %+v", before, cust.bucket)
 	}
 	for _, call := range actionsOf[CounterAdd](actions) {
 		if call.Amount > 0 {
-			t.Errorf("%v added to put a number right by an old total", call.Amount)
+			t.Errorf("%v added to correct the counter by an old total", call.Amount)
 		}
 	}
 }
--- a/internal/balancer/customer_test.go
+++ b/internal/balancer/customer_test.go
@@ -22,10 +22,7 @@
 		for actions := b.Step(at, events); len(actions) > 0; {
 			var results []Event
 			for _, dispatch := range actionsOf[Dispatch](actions) {
-				results = append(
-					results,
-					AttemptResult{ID: dispatch.ID, Endpoint: dispatch.Endpoint, Status: OK, Latency: ms, RequestClosed: true},
-				)
+				results = append(results, succeeded(dispatch, 0, ms))
 			}
 			if results == nil {
 				break
@@ -87,12 +84,7 @@
 			)
 			for _, dispatch := range actionsOf[Dispatch](actions) {
 				sent++
-				b.Step(
-					at,
-					[]Event{
-						AttemptResult{ID: dispatch.ID, Endpoint: dispatch.Endpoint, Status: OK, Latency: ms, RequestClosed: true},
-					},
-				)
+				b.Step(at, []Event{succeeded(dispatch, 0, ms)})
 			}
 		}
 	})
--- a/internal/balancer/endpoints_test.go
+++ b/internal/balancer/endpoints_test.go
@@ -11,9 +11,10 @@
 	b := newTestBalancer(t, testSettings(), testEndpoints(2)...)
 	b.Step(ms, []Event{EndpointUpdate{Kind: Delta, Entries: []Endpoint{{Name: "b0", State: Draining}}}})
 	for i := range 20 {
-		for _, dispatch := range actionsOf[Dispatch](b.Step(time.Duration(i+2)*ms, []Event{testRequest(uint64(i), 0, 2)})) {
+		now := time.Duration(i+2) * ms
+		for _, dispatch := range actionsOf[Dispatch](b.Step(now, []Event{testRequest(uint64(i), 0, 2)})) {
 			if dispatch.Endpoint == "b0" {
-				t.Fatal("sent to a draining endpoint")
+				t.Fatal("dispatched to a draining endpoint")
 			}
 		}
 	}
@@ -31,7 +32,7 @@
 	actions = append(actions, b.Step(3*ms, []Event{EndpointUpdate{Kind: Snapshot}})...)
 	for _, dispatch := range actionsOf[Dispatch](actions) {
 		if dispatch.Endpoint == "b2" {
-			t.Error("sent to a gone endpoint")
+			t.Error("dispatched to a removed endpoint")
 		}
 	}
 }
@@ -65,16 +66,17 @@
 	b.Step(at, []Event{EndpointUpdate{Kind: Delta, Entries: []Endpoint{again}}})
 	never("restarted and in service by the list")
 	b.Step(at, []Event{EndpointUpdate{Kind: Snapshot, Entries: list}})
-	never("a whole list")
+	never("a snapshot")
 	gone := list[0]
 	gone.State = Removed
 	b.Step(at, []Event{EndpointUpdate{Kind: Delta, Entries: []Endpoint{gone}}})
 	b.Step(at, []Event{EndpointUpdate{Kind: Snapshot, Entries: list[1:]}})
 	b.Step(at, []Event{EndpointUpdate{Kind: Delta, Entries: []Endpoint{again}}})
-	never("gone and back")
+	never("removed and back")
 	at += 100 * ms
-	for i := range 40 { // nor is it probed, or found silent
-		if n := len(actionsOf[HealthCheck](b.Step(at+time.Duration(i)*tickInterval, []Event{TimerFired{tickCookie}}))); n > 0 {
+	for i := range 40 { // it is not probed either
+		actions := b.Step(at+time.Duration(i)*tickInterval, []Event{TimerFired{tickCookie}})
+		if len(actionsOf[HealthCheck](actions)) > 0 {
 			t.Error("probed")
 		}
 	}
@@ -85,16 +87,16 @@
 		t.Fatalf("back: usable %t, warming %t", ep.isUsable(), ep.slowStart.active)
 	}
 	used := 0
-	for end := at + 5*time.Second; at < end && used == 0; at += 200 * ms { // though warm ones are idle all the time
+	for end := at + 5*time.Second; at < end && used == 0; at += 200 * ms { // although warm endpoints are idle
 		used = sendRequests(b, at, id, 1)[list[0].Name]
 		id++
 	}
 	if used == 0 {
-		t.Error("not used for 5 s after it was let in again")
+		t.Error("not used for 5 s after it was restored")
 	}
 	b.Step(at, []Event{AdminRestore{list[0].Name}, AdminRestore{"nobody"}}) // again: nothing is reset
 	if ep.slowStart.since > at-100*ms {
-		t.Error("a second call made it warming anew")
+		t.Error("a second restore began another slow start")
 	}
 }
 
@@ -153,6 +155,6 @@
 		b.Step(time.Duration(i)*ms, []Event{AdminEject{Endpoint: name}, AdminRestore{name}})
 	}
 	if len(b.endpoints.adminEjected) != 0 || len(b.endpoints.byName) != 2 {
-		t.Errorf("%d bans, %d endpoints", len(b.endpoints.adminEjected), len(b.endpoints.byName))
+		t.Errorf("%d ejections, %d endpoints", len(b.endpoints.adminEjected), len(b.endpoints.byName))
 	}
 }
--- a/internal/balancer/fakeendpoint_test.go
+++ b/internal/balancer/fakeendpoint_test.go
@@ -10,6 +10,7 @@
 // time out.
 type endpointFleet struct {
 	balancer *Balancer
+	// silent is the name of the endpoint that answers nothing.
 	silent   string
 	now      time.Duration
 	lastID   uint64
@@ -25,10 +26,12 @@
 // limitedEndpoint is an endpoint that works on its requests in order, within a capacity, whichever gateway they come
 // from.
 type limitedEndpoint struct {
-	capacity  func(now time.Duration) float64 // mean requests a second
+	// capacity is in mean requests a second.
+	capacity  func(now time.Duration) float64
 	steppedAt time.Duration
-	workDone  float64
-	queue     []queuedWork
+	// workDone is the work done for the next attempt, in mean requests.
+	workDone float64
+	queue    []queuedWork
 }
 
 // queuedWork is an attempt that waits for a limitedEndpoint.
@@ -48,10 +51,13 @@
 func (limited *limitedEndpoint) step(now time.Duration) (actions map[*Balancer][]Action) {
 	actions = map[*Balancer][]Action{}
 	limited.workDone += limited.capacity(now) * (now - limited.steppedAt).Seconds()
-	for limited.steppedAt = now; len(limited.queue) > 0 && limited.workDone >= limited.queue[0].cost; limited.queue = limited.queue[1:] {
-		r := limited.queue[0]
-		limited.workDone -= r.cost
-		actions[r.gateway] = append(actions[r.gateway], r.gateway.Step(now, []Event{succeeded(r.dispatch, 0, now-r.arrivedAt)})...)
+	limited.steppedAt = now
+	for len(limited.queue) > 0 && limited.workDone >= limited.queue[0].cost {
+		work := limited.queue[0]
+		limited.queue = limited.queue[1:]
+		limited.workDone -= work.cost
+		answer := succeeded(work.dispatch, 0, now-work.arrivedAt)
+		actions[work.gateway] = append(actions[work.gateway], work.gateway.Step(now, []Event{answer})...)
 	}
 	if len(limited.queue) == 0 {
 		limited.workDone = min(limited.workDone, 1)
@@ -63,28 +69,30 @@
 // warm.
 func warmingCapacity(settings Settings, start time.Duration, rate float64) func(time.Duration) float64 {
 	return func(now time.Duration) float64 {
-		return rate * (settings.SlowStartCapacity + (1-settings.SlowStartCapacity)*min(1, (now-start).Seconds()/settings.SlowStartDuration.Seconds()))
+		elapsed := min(1, (now-start).Seconds()/settings.SlowStartDuration.Seconds())
+		return rate * (settings.SlowStartCapacity + (1-settings.SlowStartCapacity)*elapsed)
 	}
 }
 
 // step goes on by 10 ms with a number of new requests, and returns what the gateway reports of its endpoints.
-func (fleet *endpointFleet) step(asks int, more ...Event) []HealthReport {
+func (fleet *endpointFleet) step(requests int, more ...Event) []HealthReport {
 	fleet.now += 10 * ms
 	events := append(more, TimerFired{tickCookie})
 	var left []openAttempt
-	for _, s := range fleet.attempts {
-		if fleet.now < s.answeredAt {
-			left = append(left, s)
+	for _, attempt := range fleet.attempts {
+		if fleet.now < attempt.answeredAt {
+			left = append(left, attempt)
 			continue
 		}
-		o := succeeded(s.Dispatch, 0, 50*ms)
-		if s.Endpoint == fleet.silent {
-			o.Status, o.Latency, o.RequestClosed = Timeout, s.Timeout, true
+		result := succeeded(attempt.Dispatch, 0, 50*ms)
+		if attempt.Endpoint == fleet.silent {
+			result.Status = Timeout
+			result.Latency = attempt.Timeout
 		}
-		events = append(events, o)
+		events = append(events, result)
 	}
 	fleet.attempts = left
-	for range asks {
+	for range requests {
 		fleet.lastID++
 		events = append(events, testRequest(fleet.lastID, 0, 2))
 	}
@@ -118,11 +126,11 @@
 
 // stepUntilEjected goes on until the gateway ejects the silent endpoint. It returns the report, and the time since
 // the first attempt there.
-func (fleet *endpointFleet) stepUntilEjected(t *testing.T, asks int) (HealthReport, time.Duration) {
+func (fleet *endpointFleet) stepUntilEjected(t *testing.T, requests int) (HealthReport, time.Duration) {
 	t.Helper()
 	first := time.Duration(0)
 	for range 2000 {
-		found := fleet.step(asks)
+		found := fleet.step(requests)
 		if first == 0 && len(fleet.balancer.endpoints.byName[fleet.silent].inFlight) > 0 {
 			first = fleet.now
 		}
@@ -130,6 +138,6 @@
 			return found[0], fleet.now - first
 		}
 	}
-	t.Fatal("an endpoint that says nothing is never ejected")
+	t.Fatal("a silent endpoint is never ejected")
 	return HealthReport{}, 0
 }
--- a/internal/balancer/golden_test.go
+++ b/internal/balancer/golden_test.go
@@ -15,6 +15,9 @@
 // playLength is the virtual time of one play.
 const playLength = 6 * time.Second
 
+// partitionPolicies are all of them.
+var partitionPolicies = []quotashare.PartitionPolicy{quotashare.KeepQuota, quotashare.KeepAll, quotashare.KeepNone}
+
 // faults are the probabilities with which a play goes wrong.
 type faults struct {
 	attempt  float64 // an attempt ends other than served
@@ -25,8 +28,8 @@
 	stall    float64 // the gateway stands still for a while, in each round
 }
 
-// runFleet is one deterministic run of some instances of the decision module with random events.
-type runFleet struct {
+// play is one deterministic run of some instances of the decision module with random events.
+type play struct {
 	name     string
 	seed     uint64
 	settings balancer.Settings
@@ -69,7 +72,7 @@
 
 // run is a play while it goes on.
 type run struct {
-	runFleet
+	play
 	rng       *rand.Rand
 	now       time.Duration
 	trace     *golden.Trace
@@ -79,14 +82,14 @@
 }
 
 // hash plays and returns the hash of all actions in order.
-func (p runFleet) hash(t *testing.T) string {
+func (p play) hash(t *testing.T) string {
 	t.Helper()
 	r := &run{
-		runFleet: p,
-		rng:      rand.New(rand.NewPCG(p.seed, 77)),
-		now:      time.Hour,
-		trace:    golden.NewTrace(),
-		totals:   map[uint64]float64{},
+		play:   p,
+		rng:    rand.New(rand.NewPCG(p.seed, 77)),
+		now:    time.Hour,
+		trace:  golden.NewTrace(),
+		totals: map[uint64]float64{},
 	}
 	for i := range p.backends {
 		r.list = append(r.list, balancer.Endpoint{
@@ -437,7 +440,13 @@
 		answer(takes, balancer.CounterResult{Name: call.Name, Status: balancer.OK, Total: r.totals[call.Name]})
 		return
 	}
-	status := []balancer.Status{balancer.Failed, balancer.Rejected, balancer.Timeout, balancer.ConnectFailed, balancer.Timeout}[r.rng.IntN(5)]
+	status := []balancer.Status{
+		balancer.Failed,
+		balancer.Rejected,
+		balancer.Timeout,
+		balancer.ConnectFailed,
+		balancer.Timeout,
+	}[r.rng.IntN(5)]
 	if status == balancer.Timeout {
 		takes = r.settings.CounterTimeout
 	}
@@ -532,10 +541,33 @@
 	for _, c := range m.Customers {
 		trace.String(c.Name)
 		trace.Int(int64(c.Plan))
-		for _, v := range []float64{c.Gateways, c.Demand, c.AdmitOnlyDemand, c.Tokens, c.Debt, c.FallbackTokens, c.PeerDemand, c.BucketLevel, c.SeenTotal, c.CeilingTokens, c.AdmitOnlyTokens} {
+		for _, v := range []float64{
+			c.Gateways,
+			c.Demand,
+			c.AdmitOnlyDemand,
+			c.Tokens,
+			c.Debt,
+			c.FallbackTokens,
+			c.PeerDemand,
+			c.BucketLevel,
+			c.SeenTotal,
+			c.CeilingTokens,
+			c.AdmitOnlyTokens,
+		} {
 			trace.Float(v)
 		}
-		for _, v := range []time.Duration{c.DemandAt, c.LastUsedAt, c.FallbackFilledAt, c.LeasedAt, c.BucketLevelAt, c.BucketKnownAt, c.TokensValidFrom, c.CarriedAt, c.EmptyUntil, c.CeilingFilledAt} {
+		for _, v := range []time.Duration{
+			c.DemandAt,
+			c.LastUsedAt,
+			c.FallbackFilledAt,
+			c.LeasedAt,
+			c.BucketLevelAt,
+			c.BucketKnownAt,
+			c.TokensValidFrom,
+			c.CarriedAt,
+			c.EmptyUntil,
+			c.CeilingFilledAt,
+		} {
 			trace.Duration(v)
 		}
 		trace.Bool(c.BucketKnown)
@@ -687,13 +719,13 @@
 }
 
 // plays are all that is recorded.
-func plays() (all []runFleet) {
+func plays() (all []play) {
 	levels := map[string]faults{
 		"calm":  {},
 		"rough": {attempt: 0.08, silent: 0.04, counter: 0.06, late: 0.5, endpoint: 0.02, stall: 0.002},
 		"bad":   {attempt: 0.4, silent: 0.25, counter: 0.6, late: 0.7, endpoint: 0.06, stall: 0.02},
 	}
-	add := func(p runFleet, level string) {
+	add := func(p play, level string) {
 		p.faults = levels[level]
 		for seed := range uint64(4) {
 			p.seed = seed + 1
@@ -704,9 +736,9 @@
 	}
 	for _, site := range []string{"tight", "wide", "odd"} {
 		for _, level := range []string{"calm", "rough", "bad"} {
-			add(runFleet{name: site + "/few", settings: deployment(site, 3), gateways: 3, backends: 6, calls: 3}, level)
+			add(play{name: site + "/few", settings: deployment(site, 3), gateways: 3, backends: 6, calls: 3}, level)
 			add(
-				runFleet{
+				play{
 					name:     site + "/many",
 					settings: deployment(site, 60),
 					gateways: 4,
@@ -719,7 +751,7 @@
 			lent := deployment(site, 3)
 			lent.LeaseCeilings = true
 			add(
-				runFleet{
+				play{
 					name:     site + "/lent",
 					settings: lent,
 					gateways: 3,
@@ -733,10 +765,10 @@
 			viewed := deployment(site, 3)
 			viewed.LeasedShares = true
 			for i := range viewed.Plans {
-				viewed.Plans[i].PartitionPolicy = []quotashare.PartitionPolicy{quotashare.KeepQuota, quotashare.KeepAll, quotashare.KeepNone}[i%3]
+				viewed.Plans[i].PartitionPolicy = partitionPolicies[i%len(partitionPolicies)]
 			}
 			add(
-				runFleet{
+				play{
 					name:     site + "/leased",
 					settings: viewed,
 					gateways: 3,
@@ -748,7 +780,7 @@
 				level,
 			)
 			add(
-				runFleet{
+				play{
 					name:     site + "/changed",
 					settings: deployment(site, 2),
 					gateways: 2,
@@ -762,7 +794,7 @@
 			)
 		}
 		add(
-			runFleet{
+			play{
 				name:     site + "/alone",
 				settings: deployment(site, 1),
 				gateways: 1,
@@ -773,11 +805,11 @@
 			"rough",
 		)
 		crowd := deployment(site, 300)
-		add(runFleet{name: site + "/crowd", settings: crowd, gateways: 2, backends: 120, calls: 2, handover: true}, "rough")
+		add(play{name: site + "/crowd", settings: crowd, gateways: 2, backends: 120, calls: 2, handover: true}, "rough")
 		both := deployment(site, 20)
 		both.LeasedShares, both.LeaseCeilings = true, true
 		add(
-			runFleet{name: site + "/both", settings: both, gateways: 5, backends: 12, calls: 2, loans: true, reload: true},
+			play{name: site + "/both", settings: both, gateways: 5, backends: 12, calls: 2, loans: true, reload: true},
 			"rough",
 		)
 	}
--- a/internal/balancer/handover_test.go
+++ b/internal/balancer/handover_test.go
@@ -117,12 +117,7 @@
 			id++
 			for _, dispatch := range actionsOf[Dispatch](b.Step(at, []Event{testRequest(id, 0, 0)})) {
 				sent++
-				b.Step(
-					at,
-					[]Event{
-						AttemptResult{ID: dispatch.ID, Endpoint: dispatch.Endpoint, Status: OK, Latency: ms, RequestClosed: true},
-					},
-				)
+				b.Step(at, []Event{succeeded(dispatch, 0, ms)})
 			}
 		}
 		b, _ = handOver(t, b, settings, at, list...)
@@ -183,8 +178,8 @@
 		t.Errorf("%+v", k)
 	}
 	got := b.endpoints.byName[list[0].Name]
-	if !got.slowStart.active || got.slowStart.since != time.Second || got.latency.factor != 2 || got.concurrency.limit != 3 ||
-		len(got.slowStart.budget.Dispatches()) != 1 {
+	if !got.slowStart.active || got.slowStart.since != time.Second || got.latency.factor != 2 ||
+		got.concurrency.limit != 3 || len(got.slowStart.budget.Dispatches()) != 1 {
 		t.Errorf("%+v", got)
 	}
 	if !b.endpoints.byName[list[1].Name].outlier.ejected {
--- a/internal/balancer/largefleet_test.go
+++ b/internal/balancer/largefleet_test.go
@@ -199,7 +199,8 @@
 	now = 2 * time.Second
 	calls = actionsOf[CounterAdd](b.Step(now, []Event{testRequest(1, 0, 0)}))
 	actions = b.Step(now, []Event{CounterResult{calls[0].Name, OK, 8 + 2*2 + 20}})
-	if back := actionsOf[CounterAdd](actions); len(back) != 1 || back[0].Amount != -1 || len(actionsOf[Reject](actions)) != 1 {
+	back := actionsOf[CounterAdd](actions)
+	if len(back) != 1 || back[0].Amount != -1 || len(actionsOf[Reject](actions)) != 1 {
 		t.Fatalf("short by 19: %v", actions)
 	}
 	if more := actionsOf[CounterAdd](b.Step(now+time.Second, []Event{testRequest(2, 0, 0)})); len(more) != 0 {
@@ -221,7 +222,8 @@
 	) != 0 {
 		t.Fatalf("rejected at the timeout: %v", actions)
 	}
-	if actions := b.Step(now+20*ms, []Event{LateCounterResult{calls[0].Ticket, OK, 1}}); len(actionsOf[Dispatch](actions)) != 1 {
+	actions := b.Step(now+20*ms, []Event{LateCounterResult{calls[0].Ticket, OK, 1}})
+	if len(actionsOf[Dispatch](actions)) != 1 {
 		t.Errorf("the late answer dispatches it: %v", actions)
 	}
 }
--- a/internal/balancer/latency_test.go
+++ b/internal/balancer/latency_test.go
@@ -20,10 +20,7 @@
 		}
 	}
 	if b.latency.classes[0].idleLatency < 0.06 {
-		t.Errorf(
-			"an idle fleet is taken to answer in %.0f ms; all but the first answer took 80",
-			1000*b.latency.classes[0].idleLatency,
-		)
+		t.Errorf("idle latency %.0f ms; all but the first answer took 80", 1000*b.latency.classes[0].idleLatency)
 	}
 }
 
@@ -31,12 +28,12 @@
 func TestLatencyGrowsWithUnits(t *testing.T) {
 	b := newTrainedBalancer(t, testEndpoints(2)...)
 	now := 200 * time.Second
-	b.Step(now-ms, nil) // else it takes itself for one that stood still
+	b.Step(now-ms, nil) // otherwise the gateway seems to have stood still
 	small, large := testRequest(1000, 0, 2), testRequest(1001, 0, 2)
 	small.TimeLeft, large.TimeLeft, large.Units = 100*ms, 100*ms, 4
 	actions := b.Step(now, []Event{small, large})
 	if got := actionsOf[Dispatch](actions); len(got) != 1 || got[0].ID != 1000 {
-		t.Errorf("sent on %v; want the small one, which 100 ms are enough for", got)
+		t.Errorf("dispatched %v; want the small one, which 100 ms are enough for", got)
 	}
 	if got := actionsOf[Reject](actions); len(got) != 1 || got[0].ID != 1001 {
 		t.Errorf("rejected %v; want the large one at once", got)
--- a/internal/balancer/outlier_test.go
+++ b/internal/balancer/outlier_test.go
@@ -21,7 +21,7 @@
 			open, openAt = open[1:], openAt[1:]
 		}
 		for len(lost) > 0 && now >= lostAt[0]+lost[0].Timeout {
-			events = append(events, AttemptResult{ID: lost[0].ID, Endpoint: "b0", Status: Timeout, Latency: lost[0].Timeout})
+			events = append(events, resultOf(lost[0], Timeout, lost[0].Timeout))
 			lost, lostAt = lost[1:], lostAt[1:]
 		}
 		actions := b.Step(now, events)
@@ -40,7 +40,7 @@
 		}
 	}
 	if !left || late > 2 {
-		t.Errorf("left: %v; %d requests sent to a silent endpoint after that, want the trials only", left, late)
+		t.Errorf("ejected: %v; %d requests dispatched to it after that, want the probe requests only", left, late)
 	}
 }
 
@@ -55,7 +55,7 @@
 		now := time.Duration(i) * 100 * ms
 		dispatches := actionsOf[Dispatch](b.Step(now, []Event{testRequest(uint64(i+1), 0, 2)}))
 		if len(dispatches) != 1 || ep.outlier.ejected {
-			t.Fatalf("before outcome %d: sent %v, ejected %v", i, dispatches, ep.outlier.ejected)
+			t.Fatalf("before result %d: dispatched %v, ejected %v", i, dispatches, ep.outlier.ejected)
 		}
 		b.Step(
 			now+10*ms,
@@ -82,7 +82,8 @@
 	now := ms
 	for i := range 40 {
 		now += 20 * ms
-		dispatches = append(dispatches, actionsOf[Dispatch](b.Step(now, []Event{testRequest(uint64(i), 0, 2), TimerFired{tickCookie}}))...)
+		actions := b.Step(now, []Event{testRequest(uint64(i), 0, 2), TimerFired{tickCookie}})
+		dispatches = append(dispatches, actionsOf[Dispatch](actions)...)
 		if len(dispatches) > 14 {
 			b.Step(now, []Event{succeeded(dispatches[0], 0, 40*ms)})
 			dispatches = dispatches[1:]
@@ -110,22 +111,23 @@
 		return fleet
 	}
 	fleet := play()
-	if got, _ := fleet.stepUntilEjected(t, 3); got.Health != Unresponsive || got.Endpoint != "b0" || got.Since > fleet.now-minSilence {
+	got, _ := fleet.stepUntilEjected(t, 3)
+	if got.Health != Unresponsive || got.Endpoint != "b0" || got.Since > fleet.now-minSilence {
 		t.Fatalf("%+v at %v", got, fleet.now)
 	}
-	// A gateway that asks little, with and without the word of another.
+	// A gateway with few requests, with and without a report.
 	alone := play()
 	_, without := alone.stepUntilEjected(t, 1)
 	told := play()
-	for range 20 { // it has been quiet here since before the other's word
+	for range 20 { // no request here since before the report
 		told.step(0)
 	}
 	told.step(0, HealthReport{"b0", Unresponsive, told.now})
 	_, with := told.stepUntilEjected(t, 1)
 	if with > minSilence+100*ms || with >= without {
-		t.Errorf("ejected after %v with the other's word, %v without", with, without)
+		t.Errorf("ejected after %v with a report, %v without", with, without)
 	}
-	// One that has heard from the endpoint after that goes by its own experience.
+	// A later response outweighs the report.
 	heard := play()
 	heard.silent = ""
 	since := heard.now
@@ -134,7 +136,7 @@
 	}
 	heard.step(0, HealthReport{"b0", Unresponsive, since})
 	if ep := heard.balancer.endpoints.byName["b0"]; ep.outlier.timeouts > 0 || ep.outlier.ejected {
-		t.Errorf("another's word outweighs an own sign of life: %+v", ep)
+		t.Errorf("the report outweighs a later response: %+v", ep)
 	}
 }
 
@@ -154,7 +156,7 @@
 					continue
 				}
 				n++
-				actions := b.Step(now+ms, []Event{AttemptResult{ID: dispatch.ID, Endpoint: "b0", Status: ConnectFailed}})
+				actions := b.Step(now+ms, []Event{resultOf(dispatch, ConnectFailed, 0)})
 				if f := actionsOf[HealthReport](actions); len(f) > 0 {
 					if f[0].Health != ConnectionsBroken || f[0].Endpoint != "b0" {
 						t.Errorf("%+v", f)
@@ -166,7 +168,7 @@
 		return n
 	}
 	if alone, told := breaks(false), breaks(true); alone != maxConnectionFailures || told != 1 {
-		t.Errorf("ejected after %d broken connections, and %d with the other's word", alone, told)
+		t.Errorf("ejected after %d broken connections, and %d with a report", alone, told)
 	}
 }
 
@@ -185,10 +187,10 @@
 		return b.endpoints.byName["b0"]
 	}
 	if ep := warming(false); !ep.slowStart.active || ep.slowStart.since != back-ms {
-		t.Errorf("an endpoint that was started anew is not warming: %+v", ep)
+		t.Errorf("an endpoint that may have been restarted does not warm up: %+v", ep)
 	}
 	if ep := warming(true); ep.slowStart.active {
-		t.Error("an endpoint that answered all along is taken for warming")
+		t.Error("an endpoint that answered all along warms up")
 	}
 	b := newTestBalancer(t, singleGatewaySettings(), testEndpoints(2)...)
 	ep, pool := b.endpoints.byName["b0"], &endpointFleet{balancer: b, silent: "b0"}
@@ -197,15 +199,12 @@
 	if !ep.outlier.ejected || len(actionsOf[HealthCheck](b.Step(now+20*ms, []Event{TimerFired{tickCookie}}))) > 0 {
 		t.Fatalf("%+v", f)
 	}
-	if p := actionsOf[HealthCheck](
-		b.Step(now+40*ms, []Event{HealthReport{"b0", WarmingUp, now}, TimerFired{tickCookie}}),
-	); len(
-		p,
-	) != 1 {
-		t.Error("it is not asked at once")
+	actions := b.Step(now+40*ms, []Event{HealthReport{"b0", WarmingUp, now}, TimerFired{tickCookie}})
+	if len(actionsOf[HealthCheck](actions)) != 1 {
+		t.Error("it is not probed at once")
 	}
-	actions := b.Step(now+5*time.Second, []Event{HealthCheckResult{"b0", OK}})
+	actions = b.Step(now+5*time.Second, []Event{HealthCheckResult{"b0", OK}})
 	if c := actionsOf[HealthReport](actions); len(c) != 1 || c[0].Health != WarmingUp {
-		t.Errorf("a warming return is not told: %v", actions)
+		t.Errorf("a reinstated endpoint is not reported as warming up: %v", actions)
 	}
 }
--- a/internal/balancer/random_test.go
+++ b/internal/balancer/random_test.go
@@ -98,10 +98,10 @@
 			switch a := a.(type) {
 			case Dispatch:
 				if _, ok := due[a.ID]; !ok {
-					t.Fatalf("seed %d: sent after the end: %v", seed, a)
+					t.Fatalf("seed %d: dispatched after the end: %v", seed, a)
 				}
 				if dead[a.Endpoint] {
-					t.Fatalf("seed %d: sent to an endpoint that is draining: %v", seed, a)
+					t.Fatalf("seed %d: dispatched to a draining endpoint: %v", seed, a)
 				}
 				if b, may := ran[a.ID]; may &&
 					(class[a.ID] == 2 || class[a.ID] == 1 && cellOf(list, b) != cellOf(list, a.Endpoint)) {
@@ -174,11 +174,11 @@
 // no request without an answer.
 func TestUnusualSettingsAndLists(t *testing.T) {
 	for _, gateways := range []int{1, 2, 12, 300} {
-		for _, rank := range []int{-1, 0, gateways - 1, gateways, 1 << 40} {
+		for _, index := range []int{-1, 0, gateways - 1, gateways, 1 << 40} {
 			for seed := range uint64(6) {
 				rng := rand.New(rand.NewPCG(seed, uint64(gateways)))
 				settings := testSettings()
-				settings.Gateways, settings.Index, settings.Zone = gateways, rank, []int{0, -1, 99}[rng.IntN(3)]
+				settings.Gateways, settings.Index, settings.Zone = gateways, index, []int{0, -1, 99}[rng.IntN(3)]
 				b, err := New(settings, seed)
 				if err != nil {
 					t.Fatal(err)
@@ -235,7 +235,8 @@
 						for range 3 {
 							id++
 							request := testRequest(id, rng.IntN(3), rng.IntN(4))
-							request.Gateways, request.Units = rng.IntN(400)-50, []float64{1, 0, -1, math.NaN(), 1e12}[rng.IntN(5)]
+							request.Gateways = rng.IntN(400) - 50
+							request.Units = []float64{1, 0, -1, math.NaN(), 1e12}[rng.IntN(5)]
 							owed[id] = true
 							events = append(events, request)
 						}
@@ -243,37 +244,27 @@
 					for len(results) > 0 && rng.IntN(3) > 0 {
 						dispatch := results[0]
 						results = results[1:]
-						events = append(
-							events,
-							AttemptResult{
-								ID:            dispatch.ID,
-								Endpoint:      dispatch.Endpoint,
-								Status:        OK,
-								Latency:       5 * ms,
-								RequestClosed: true,
-							},
-						)
+						events = append(events, succeeded(dispatch, 0, 5*ms))
 						delete(owed, dispatch.ID)
 					}
 					take(b.Step(at, events))
 				}
-				for range 3 * int(time.Second/tickInterval) { // every client has given up by then: a request's own timer is due
+				// By the end of this each request's own timer is due.
+				for range 3 * int(time.Second/tickInterval) {
 					at += tickInterval
 					events := []Event{TimerFired{tickCookie}}
 					for i := range owed {
 						events = append(events, TimerFired{requestCookie(i)})
 					}
 					for _, dispatch := range results {
-						events = append(
-							events,
-							AttemptResult{ID: dispatch.ID, Endpoint: dispatch.Endpoint, Status: Timeout, Latency: time.Second},
-						)
+						events = append(events, resultOf(dispatch, Timeout, time.Second))
 					}
 					results = nil
 					take(b.Step(at, events))
 				}
 				if len(owed) > 0 {
-					t.Fatalf("gateways %d, rank %d, seed %d: %d requests without an answer", gateways, rank, seed, len(owed))
+					t.Fatalf("gateways %d, index %d, seed %d: %d requests without an answer",
+						gateways, index, seed, len(owed))
 				}
 			}
 		}
--- a/internal/balancer/retry_test.go
+++ b/internal/balancer/retry_test.go
@@ -7,17 +7,17 @@
 
 // A request that may have run is retried only where that has no second effect.
 func TestRetryHasNoSecondEffect(t *testing.T) {
-	for class, st := range map[int]Status{1: Failed, 2: Reset} {
+	for class, status := range map[int]Status{1: Failed, 2: Reset} {
 		b := newTestBalancer(t, testSettings(), testEndpoints(4)...)
 		dispatch := actionsOf[Dispatch](b.Step(ms, []Event{testRequest(1, class, 2)}))[0]
-		actions := b.Step(20*ms, []Event{AttemptResult{ID: 1, Endpoint: dispatch.Endpoint, Status: st, Latency: 19 * ms}})
+		actions := b.Step(20*ms, []Event{resultOf(dispatch, status, 19*ms)})
 		again, failed := actionsOf[Dispatch](actions), actionsOf[Fail](actions)
 		if class == 2 && (len(again) != 0 || len(failed) != 1) {
-			t.Errorf("an unsafe request that may have run: %v", actions)
+			t.Errorf("a request that is not idempotent and may have run: %v", actions)
 		}
 		cell := map[string]int{"b0": 0, "b1": 0, "b2": 1, "b3": 1}
 		if class == 1 && (len(again) != 1 || cell[again[0].Endpoint] != cell[dispatch.Endpoint]) {
-			t.Errorf("a keyed request left its cell: %v after %v", actions, dispatch)
+			t.Errorf("a request with an idempotency key left its cell: %v after %v", actions, dispatch)
 		}
 	}
 }
@@ -31,29 +31,17 @@
 	now := time.Second
 	sent := actionsOf[Dispatch](b.Step(now, []Event{testRequest(1, 1, 2)}))
 	if len(sent) != 1 || sent[0].WriteBy != 0 {
-		t.Fatalf("sent %+v", sent)
+		t.Fatalf("dispatched %+v", sent)
 	}
-	again := actionsOf[Dispatch](
-		b.Step(
-			now+100*ms,
-			[]Event{AttemptResult{ID: 1, Attempt: 0, Endpoint: sent[0].Endpoint, Status: Reset, Latency: 100 * ms}},
-		),
-	)
+	again := actionsOf[Dispatch](b.Step(now+100*ms, []Event{resultOf(sent[0], Reset, 100*ms)}))
 	if want := now + settings.Classes[1].DedupWindow - retryWriteMargin; len(again) != 1 || again[0].WriteBy != want {
-		t.Fatalf("sent again %+v, want by %v", again, want)
+		t.Fatalf("retried %+v, want by %v", again, want)
 	}
 	// One that never ran may go at any time.
 	b = newTestBalancer(t, settings, testEndpoints(2)...)
 	sent = actionsOf[Dispatch](b.Step(now, []Event{testRequest(1, 1, 2)}))
-	again = actionsOf[Dispatch](
-		b.Step(
-			now+100*ms,
-			[]Event{
-				AttemptResult{ID: 1, Attempt: 0, Endpoint: sent[0].Endpoint, Status: ConnectFailed, Latency: 100 * ms},
-			},
-		),
-	)
+	again = actionsOf[Dispatch](b.Step(now+100*ms, []Event{resultOf(sent[0], ConnectFailed, 100*ms)}))
 	if len(again) != 1 || again[0].WriteBy != 0 {
-		t.Fatalf("sent again %+v", again)
+		t.Fatalf("retried %+v", again)
 	}
 }
--- a/internal/balancer/selection_test.go
+++ b/internal/balancer/selection_test.go
@@ -15,7 +15,8 @@
 	now := time.Second
 	for id := uint64(1); id < 400; id++ {
 		now += 200 * ms
-		for _, dispatch := range actionsOf[Dispatch](b.Step(now, []Event{testRequest(id, 0, 2), TimerFired{tickCookie}})) {
+		actions := b.Step(now, []Event{testRequest(id, 0, 2), TimerFired{tickCookie}})
+		for _, dispatch := range actionsOf[Dispatch](actions) {
 			used[dispatch.Endpoint]++
 			b.Step(now+40*ms, []Event{succeeded(dispatch, 0, 40*ms)})
 		}
@@ -52,9 +53,9 @@
 
 // Where zone crossings cost, an endpoint of the gateway's zone is preferred until it has clearly more work.
 func TestZoneCrossingHasCost(t *testing.T) {
-	crossed := func(price float64) int {
+	crossed := func(cost float64) int {
 		settings := testSettings()
-		settings.UseCounter, settings.CrossZoneCost, settings.Gateways = false, price, 1
+		settings.UseCounter, settings.CrossZoneCost, settings.Gateways = false, cost, 1
 		list := testEndpoints(2)
 		list[1].Zone = 1
 		b := newTestBalancer(t, settings, list...)
@@ -70,7 +71,7 @@
 		}
 		return n
 	}
-	if free, dear := crossed(0), crossed(0.05); dear >= free/2 {
-		t.Errorf("%d of 200 crossed without a price, %d with one; want less than half", free, dear)
+	if free, costly := crossed(0), crossed(0.05); costly >= free/2 {
+		t.Errorf("%d of 200 crossed without a cost, %d with one; want less than half", free, costly)
 	}
 }
--- a/internal/balancer/share_test.go
+++ b/internal/balancer/share_test.go
@@ -10,35 +10,47 @@
 	"gapgap/internal/balancer/quotashare"
 )
 
-// sharingFleet are gateways without a counter that share one ceiling by views. The parts are leased by an administrator.
+// sharingFleet are gateways without a counter that share one ceiling by leased fractions, which the test leases.
 type sharingFleet struct {
-	gateways               []*Balancer
-	settings               Settings
-	fractions              []float64
-	leasedUntil            []time.Duration
-	lastID                 uint64
-	ceiling                quotashare.Bucket
-	level                  float64 // of a bucket that empties with each grant
-	updatedAt              time.Duration
-	worstDebt              float64
-	formerFractions        []float64       // what a gateway had before it was given less: others it has lent to use that ...
-	formerUntil            []time.Duration // ... until then
-	messages               []loanMessage
-	messageDelay           func() time.Duration // of words of loans
-	loanCount              int
-	worstSumExcess         float64 // by how much the gateways' stores were more than the ceiling's together
-	dropsMessages          bool    // no word of loans comes
-	countsLoansFromArrival bool    // loans count from when they come: a mistake that is to be found
+	gateways []*Balancer
+	settings Settings
+	lastID   uint64
+	// fractions has the leased fraction of each gateway, leasedUntil when it ends.
+	fractions   []float64
+	leasedUntil []time.Duration
+	// formerFractions has what each gateway had before it was given less, and formerUntil when that ends: gateways that
+	// it has granted a loan use it until then.
+	formerFractions []float64
+	formerUntil     []time.Duration
+	// ceiling is the shared ceiling, level what a bucket of it holds that each admission draws on.
+	ceiling   quotashare.Bucket
+	level     float64
+	updatedAt time.Duration
+	// worstDebt is by how much that bucket was overdrawn at worst.
+	worstDebt float64
+	// worstSumExcess is by how much the gateways' shares together exceeded the ceiling at worst.
+	worstSumExcess float64
+	// messages are those about loans that have not arrived yet.
+	messages []loanMessage
+	// messageDelay draws the delay of a message.
+	messageDelay func() time.Duration
+	// loanCount is the number of loans that were granted.
+	loanCount int
+	// dropsMessages is set if no message about a loan arrives.
+	dropsMessages bool
+	// countsLoansFromArrival is a mistake that the check must find.
+	countsLoansFromArrival bool
 }
 
-// loanMessage is what one gateway tells another about a loan.
+// loanMessage is a message about a loan from one gateway to another.
 type loanMessage struct {
 	to    int
 	dueAt time.Duration
 	event Event
 }
 
-func newSharingFleet(t *rapid.T, n int, rule quotashare.PartitionPolicy) *sharingFleet {
+// newSharingFleet returns n gateways, none of which has leased a fraction yet.
+func newSharingFleet(t *rapid.T, n int, policy quotashare.PartitionPolicy) *sharingFleet {
 	fleet := &sharingFleet{
 		ceiling:         quotashare.Bucket{Rate: 10, Depth: 20},
 		level:           20,
@@ -63,7 +75,7 @@
 				OverQuotaWeight: 0.2,
 				CeilingRate:     fleet.ceiling.Rate,
 				CeilingBurst:    fleet.ceiling.Depth,
-				PartitionPolicy: rule,
+				PartitionPolicy: policy,
 			},
 		},
 	}
@@ -81,16 +93,19 @@
 	return fleet
 }
 
+// request lets a gateway get a request, after the messages that are due, and checks the ceiling.
 func (fleet *sharingFleet) request(i int, now time.Duration) (admitted bool) {
 	fleet.lastID++
-	for k := 0; k < len(fleet.messages); k++ { // a word brings others
-		if w := fleet.messages[k]; w.dueAt <= now {
+	for k := 0; k < len(fleet.messages); k++ { // a message may cause others
+		if message := fleet.messages[k]; message.dueAt <= now {
 			fleet.messages = append(fleet.messages[:k], fleet.messages[k+1:]...)
-			fleet.step(w.to, now, w.event)
+			fleet.step(message.to, now, message.event)
 			k = -1
 		}
 	}
-	admitted = fleet.step(i, now, Request{ID: fleet.lastID, Customer: "c", Units: 1, TimeLeft: time.Second, AdmitOnly: true})
+	request := admitOnlyRequest(fleet.lastID, 0)
+	request.TimeLeft = time.Second
+	admitted = fleet.step(i, now, request)
 	fleet.level = min(fleet.ceiling.Depth, fleet.level+fleet.ceiling.Rate*(now-fleet.updatedAt).Seconds())
 	fleet.updatedAt = now
 	if admitted {
@@ -108,7 +123,7 @@
 	return admitted
 }
 
-// step has something happen at a gateway, and carries what it says of loans; admitted says that it let a request through.
+// step hands a gateway an event and queues its messages about loans. It reports whether a request was admitted.
 func (fleet *sharingFleet) step(i int, now time.Duration, ev Event) (admitted bool) {
 	if l, ok := ev.(LoanGranted); ok {
 		fleet.loanCount++
@@ -128,43 +143,38 @@
 		case RequestLoan:
 			for j := range fleet.gateways {
 				if j != i {
-					fleet.messages = append(
-						fleet.messages,
-						loanMessage{j, now + fleet.messageDelay(), LoanRequest{From: i, Customer: a.Customer, Plan: a.Plan, At: a.At}},
-					)
+					loan := LoanRequest{From: i, Customer: a.Customer, Plan: a.Plan, At: a.At}
+					fleet.messages = append(fleet.messages, loanMessage{j, now + fleet.messageDelay(), loan})
 				}
 			}
 		case GrantLoan:
-			fleet.messages = append(
-				fleet.messages,
-				loanMessage{
-					a.To,
-					now + fleet.messageDelay(),
-					LoanGranted{From: i, Customer: a.Customer, Plan: a.Plan, At: a.At, Rate: a.Rate, Depth: a.Depth},
-				},
-			)
+			loan := LoanGranted{From: i, Customer: a.Customer, Plan: a.Plan, At: a.At, Rate: a.Rate, Depth: a.Depth}
+			fleet.messages = append(fleet.messages, loanMessage{a.To, now + fleet.messageDelay(), loan})
 		}
 	}
 	return admitted
 }
 
-// lease gives a gateway a part, as far as what the others have leaves it, unless the rule is broken on purpose.
-func (fleet *sharingFleet) lease(i int, part float64, now, length time.Duration, broken bool) {
-	if !broken {
-		part = min(part, 1-fleet.sumOfFractions(now)+max(fleet.fraction(i, now), fleet.formerFractions[i]))
-		part = max(0, part)
-	}
-	if was := fleet.fraction(
-		i,
-		now,
-	); part < was ||
-		now+length < fleet.leasedUntil[i] { // a lease that is given for less is taken away, too
-		fleet.formerFractions[i], fleet.formerUntil[i] = max(was, fleet.formerFractions[i]), fleet.gateways[i].LoansEndAt()
+// lease leases a gateway a fraction, or as much of it as the others leave.
+func (fleet *sharingFleet) lease(i int, fraction float64, now, length time.Duration) {
+	free := 1 - fleet.sumOfFractions(now) + max(fleet.fraction(i, now), fleet.formerFractions[i])
+	fleet.leaseOverlapping(i, max(0, min(fraction, free)), now, length)
+}
+
+// leaseOverlapping leases a gateway a fraction whatever the others have, which is a mistake.
+func (fleet *sharingFleet) leaseOverlapping(i int, fraction float64, now, length time.Duration) {
+	former := fleet.fraction(i, now)
+	// A lease that becomes shorter counts as taken away, too.
+	if fraction < former || now+length < fleet.leasedUntil[i] {
+		fleet.formerFractions[i] = max(former, fleet.formerFractions[i])
+		fleet.formerUntil[i] = fleet.gateways[i].LoansEndAt()
 	}
-	fleet.fractions[i], fleet.leasedUntil[i] = part, now+length
-	fleet.gateways[i].Step(now, []Event{ShareUpdate{Fraction: part, Until: now + length}})
+	fleet.fractions[i] = fraction
+	fleet.leasedUntil[i] = now + length
+	fleet.gateways[i].Step(now, []Event{ShareUpdate{Fraction: fraction, Until: now + length}})
 }
 
+// fraction is what a gateway has leased at a time.
 func (fleet *sharingFleet) fraction(i int, now time.Duration) float64 {
 	if now < fleet.leasedUntil[i] {
 		return fleet.fractions[i]
@@ -172,6 +182,7 @@
 	return 0
 }
 
+// sumOfFractions is what all gateways have leased at a time, with what they may still use of former leases.
 func (fleet *sharingFleet) sumOfFractions(now time.Duration) (sum float64) {
 	for i := range fleet.fractions {
 		if now >= fleet.formerUntil[i] {
@@ -182,27 +193,28 @@
 	return sum
 }
 
-func runSharing(t *rapid.T, broken bool) float64 {
+// partitionPolicies are all of them.
+var partitionPolicies = []quotashare.PartitionPolicy{quotashare.KeepQuota, quotashare.KeepAll, quotashare.KeepNone}
+
+// drawMilliseconds draws a duration of a number of milliseconds up to most.
+func drawMilliseconds(t *rapid.T, most int, label string) time.Duration {
+	return time.Duration(rapid.IntRange(0, most).Draw(t, label)) * time.Millisecond
+}
+
+// runSharing plays requests and leases as drawn, and returns by how much the ceiling was exceeded at worst. lease is
+// how fractions are leased.
+func runSharing(t *rapid.T, lease func(*sharingFleet, int, float64, time.Duration, time.Duration)) float64 {
 	n := rapid.IntRange(1, 6).Draw(t, "gateways")
-	fleet := newSharingFleet(
-		t,
-		n,
-		rapid.SampledFrom([]quotashare.PartitionPolicy{quotashare.KeepQuota, quotashare.KeepAll, quotashare.KeepNone}).
-			Draw(t, "rule"),
-	)
-	fleet.messageDelay = func() time.Duration { return time.Duration(rapid.IntRange(0, 1500).Draw(t, "late")) * time.Millisecond }
+	fleet := newSharingFleet(t, n, rapid.SampledFrom(partitionPolicies).Draw(t, "policy"))
+	fleet.messageDelay = func() time.Duration { return drawMilliseconds(t, 1500, "delay") }
 	now := time.Hour
 	for range rapid.IntRange(100, 300).Draw(t, "steps") {
 		now += time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond
 		i := rapid.IntRange(0, n-1).Draw(t, "gateway")
 		if rapid.IntRange(0, 2).Draw(t, "kind") == 0 {
-			fleet.lease(
-				i,
-				float64(rapid.SampledFrom([]int{0, 3, 5, 10, 10}).Draw(t, "tenths"))/10,
-				now,
-				time.Duration(rapid.IntRange(50, 20_000).Draw(t, "length"))*time.Millisecond,
-				broken,
-			)
+			fraction := float64(rapid.SampledFrom([]int{0, 3, 5, 10, 10}).Draw(t, "tenths")) / 10
+			length := time.Duration(rapid.IntRange(50, 20_000).Draw(t, "length")) * time.Millisecond
+			lease(fleet, i, fraction, now, length)
 			continue
 		}
 		for range rapid.IntRange(1, 30).Draw(t, "burst") {
@@ -212,37 +224,38 @@
 	return max(fleet.worstDebt, fleet.worstSumExcess)
 }
 
-// However parts are leased and taken back, gateways let no more through than the ceiling holds.
+// However fractions are leased and taken back, gateways admit no more than the ceiling holds.
 func TestLeasedSharesHoldCeiling(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		if over := runSharing(t, false); over > 1e-6 {
+		if over := runSharing(t, (*sharingFleet).lease); over > 1e-6 {
 			t.Fatalf("%.3f units over the ceiling", over)
 		}
 	})
 }
 
-// The check finds parts that overlap: one that grows before another's lease is over.
+// The check finds fractions that overlap: one that grows before another's lease ends.
 func TestSharingCheckFindsOverlap(t *testing.T) {
 	worst := 0.0
 	for seed := range 200 {
-		worst = max(worst, rapid.Custom(func(t *rapid.T) float64 { return runSharing(t, true) }).Example(seed))
+		excess := rapid.Custom(func(t *rapid.T) float64 { return runSharing(t, (*sharingFleet).leaseOverlapping) })
+		worst = max(worst, excess.Example(seed))
 	}
 	if worst < 5 {
-		t.Errorf("parts that overlap let %.1f units over the ceiling in 200 plays, which the check is to find", worst)
+		t.Errorf("overlapping fractions exceed the ceiling by %.1f units in 200 plays; the check must find more", worst)
 	}
 }
 
-// Loans that come late are worth only what is left of them, as the lender uses its part again; counted from when they
-// came they would overlap.
+// A loan that arrives late is only worth what is left of it, as the lender uses its share again. Counted from its
+// arrival it would overlap.
 func TestLateLoans(t *testing.T) {
-	for _, lasts := range []bool{false, true} {
+	for _, fromArrival := range []bool{false, true} {
 		worst := 0.0
 		rapid.Check(t, func(t *rapid.T) {
 			fleet := newSharingFleet(t, 3, quotashare.KeepNone)
-			fleet.countsLoansFromArrival = lasts
-			fleet.messageDelay = func() time.Duration { return time.Duration(rapid.IntRange(0, 700).Draw(t, "late")) * time.Millisecond }
+			fleet.countsLoansFromArrival = fromArrival
+			fleet.messageDelay = func() time.Duration { return drawMilliseconds(t, 700, "delay") }
 			for i := range fleet.gateways {
-				fleet.lease(i, 1.0/3, time.Hour, time.Hour, false)
+				fleet.lease(i, 1.0/3, time.Hour, time.Hour)
 			}
 			now := time.Hour + 10*time.Second
 			for round := range 8 { // the demand is at one gateway, then at all
@@ -254,25 +267,20 @@
 			}
 			worst = max(worst, fleet.worstDebt, fleet.worstSumExcess)
 		})
-		if !lasts && worst > 1e-6 || lasts && worst < 0.5 {
-			t.Errorf(
-				"counted from when they came %v: %.1f units over the ceiling, or more than it shared out",
-				lasts,
-				worst,
-			)
+		if !fromArrival && worst > 1e-6 || fromArrival && worst < 0.5 {
+			t.Errorf("counted from arrival %v: %.1f units over the ceiling", fromArrival, worst)
 		}
 	}
 }
 
-// All of an account's traffic at one of three gateways has the whole ceiling, as the others lend what they don't need; and
-// when the demand is at
-// all gateways, each has its own part.
+// If all requests of a customer come to one of three gateways, it has the whole ceiling, as the others lend what they
+// don't need. If they come to all gateways, each has its own share.
 func TestLoansFollowDemand(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		for _, rule := range []quotashare.PartitionPolicy{quotashare.KeepQuota, quotashare.KeepAll, quotashare.KeepNone} {
-			fleet := newSharingFleet(t, 3, rule)
+		for _, policy := range partitionPolicies {
+			fleet := newSharingFleet(t, 3, policy)
 			for i := range fleet.gateways {
-				fleet.lease(i, 1.0/3, time.Hour, time.Hour, false)
+				fleet.lease(i, 1.0/3, time.Hour, time.Hour)
 			}
 			one, now := 0, time.Hour
 			for ; now < time.Hour+12*time.Second; now += 20 * time.Millisecond {
@@ -289,21 +297,14 @@
 				}
 			}
 			if one < 95 || fleet.worstDebt > 1e-6 || fleet.loanCount == 0 || min(each[0], each[1], each[2]) < 20 {
-				t.Fatalf(
-					"rule %v: %d of 100 at one gateway, %v at all, %.2f over, %d loans",
-					rule,
-					one,
-					each,
-					fleet.worstDebt,
-					fleet.loanCount,
-				)
+				t.Fatalf("policy %v: %d of 100 at one gateway, %v at all, %.2f over, %d loans",
+					policy, one, each, fleet.worstDebt, fleet.loanCount)
 			}
 		}
 	})
 }
 
-// A part that grows after a long time gives no full store at once, neither of a customer that is known nor of one that
-// is new.
+// A fraction that grows after a long time gives no full bucket at once, neither to a known customer nor to a new one.
 func TestGrownShareStartsEmpty(t *testing.T) {
 	for _, known := range []bool{true, false} {
 		t.Run(fmt.Sprint("known ", known), func(t *testing.T) {
@@ -311,16 +312,16 @@
 				fleet := newSharingFleet(t, 2, quotashare.KeepNone)
 				fleet.dropsMessages = true
 				now := time.Hour
-				fleet.lease(0, 0.5, now, time.Minute, false)
-				fleet.lease(1, 0.5, now, time.Minute, false)
+				fleet.lease(0, 0.5, now, time.Minute)
+				fleet.lease(1, 0.5, now, time.Minute)
 				if now += 50 * time.Second; known {
 					fleet.request(1, now)
 				}
 				for range 20 {
 					fleet.request(0, now)
 				}
-				fleet.lease(0, 0, now, 0, false)
-				fleet.lease(1, 1, now, time.Minute, false)
+				fleet.lease(0, 0, now, 0)
+				fleet.lease(1, 1, now, time.Minute)
 				got := 0
 				for range 40 {
 					if fleet.request(1, now+time.Millisecond) {
@@ -335,28 +336,32 @@
 	}
 }
 
-// A lease that is over is worth nothing at the next decision, however long the gateway stood still before it.
+// A lease that has ended is worth nothing at the next decision, however long the gateway stood still before.
 func TestSharesEndWithLease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fleet := newSharingFleet(t, 3, quotashare.KeepNone)
-		fleet.lease(0, 1, time.Hour, 2*time.Second, false)
+		fleet.lease(0, 1, time.Hour, 2*time.Second)
 		if !fleet.request(0, time.Hour+1900*time.Millisecond) {
-			t.Fatal("nothing inside the lease")
+			t.Fatal("rejected within the lease")
 		}
 		if fleet.request(0, time.Hour+2*time.Second) || fleet.request(0, time.Hour+12*time.Second) {
-			t.Fatal("let through after the lease")
+			t.Fatal("admitted after the lease")
 		}
 	})
 }
 
-// What is kept without a lease is served by a gateway that is alone: the quota's even part, all of the even part, or
-// nothing.
+// A gateway without a lease serves what its partition policy keeps: the even part of the quota, all of the even part,
+// or nothing.
 func TestSharesKeptWithoutLease(t *testing.T) {
-	for rule, want := range map[quotashare.PartitionPolicy]int{quotashare.KeepQuota: 50, quotashare.KeepAll: 100, quotashare.KeepNone: 0} {
+	for policy, want := range map[quotashare.PartitionPolicy]int{
+		quotashare.KeepQuota: 50,
+		quotashare.KeepAll:   100,
+		quotashare.KeepNone:  0,
+	} {
 		rapid.Check(t, func(t *rapid.T) {
-			fleet := newSharingFleet(t, 3, rule)
+			fleet := newSharingFleet(t, 3, policy)
 			if fleet.request(0, time.Hour+5*time.Second) {
-				t.Fatal("let through before it was told how it stands")
+				t.Fatal("admitted before the first ShareUpdate")
 			}
 			fleet.gateways[0].Step(time.Hour+5*time.Second, []Event{ShareUpdate{}})
 			got := 0
@@ -365,14 +370,14 @@
 					got++
 				}
 			}
-			if want > 0 && got < want || got > want+8 { // the depth comes once
-				t.Fatalf("rule %v: %d let through in 30 s, %d wanted", rule, got, want)
+			if want > 0 && got < want || got > want+8 { // the burst comes once
+				t.Fatalf("policy %v: %d admitted in 30 s, %d wanted", policy, got, want)
 			}
 		})
 	}
 }
 
-// A part that grew counts for a cap on what is open at once only when what others had open must be over.
+// A fraction that grew counts for MaxInFlight only when what others had in flight must be over.
 func TestOpenRequestsOfFormerLeaseHolder(t *testing.T) {
 	settings := Settings{
 		Gateways:     2,
@@ -396,19 +401,19 @@
 	at(time.Hour + 10*time.Second)
 	b.Step(time.Hour+10*time.Second, []Event{ShareUpdate{Fraction: 1, Until: 2 * time.Hour}})
 	if got := at(time.Hour + 12*time.Second); got != 4 {
-		t.Errorf("%v open 2 s after the part grew", got)
+		t.Errorf("%v in flight 2 s after the fraction grew", got)
 	}
 	if got := at(time.Hour + 13*time.Second); got != 10 {
-		t.Errorf("%v open 3 s after the part grew", got)
+		t.Errorf("%v in flight 3 s after the fraction grew", got)
 	}
 	b.Step(time.Hour+14*time.Second, []Event{ShareUpdate{Fraction: 0.2, Until: 2 * time.Hour}})
 	if got := at(time.Hour + 14*time.Second); got != 2 {
-		t.Errorf("%v open after the part shrank", got)
+		t.Errorf("%v in flight after the fraction shrank", got)
 	}
 }
 
-// What gateways share without a bound that must hold goes by those that live, and what a yielding plan has for the
-// counter's silence by the lease.
+// What gateways share without a strict bound goes by the live ones. With KeepNone the fallback share goes by the
+// lease.
 func TestSharesOfLiveGateways(t *testing.T) {
 	settings := Settings{
 		Gateways:       5,
@@ -444,16 +449,16 @@
 	now += 300 * time.Second
 	b.Step(now, []Event{ShareUpdate{Fraction: 0.5, Until: 2 * time.Hour, DeadGateways: []int{1, 2, 3}}})
 	if got := b.counter.pacer.Rate(); got != minFleetCallRate/2 {
-		t.Errorf("%v calls a second at least, of two gateways that live", got)
+		t.Errorf("%v calls a second at least, of two live gateways", got)
 	}
 	cust := &customer{gateways: 5, quota: quotaState{fallbackFilledAt: now}}
 	b.counter.callFraction = 0
-	for part, want := range map[float64]float64{0.5: 5, 0.2: 2, 0: 0} {
-		b.Step(now, []Event{ShareUpdate{Fraction: part, Until: now + time.Hour}})
+	for fraction, want := range map[float64]float64{0.5: 5, 0.2: 2, 0: 0} {
+		b.Step(now, []Event{ShareUpdate{Fraction: fraction, Until: now + time.Hour}})
 		cust.quota.fallbackFilledAt = b.now
 		b.now += time.Minute
 		if b.refillFallback(cust, &b.settings.Plans[0]); cust.quota.fallbackTokens != want {
-			t.Errorf("%v units at once by a part of %v", cust.quota.fallbackTokens, part)
+			t.Errorf("%v units at once with a fraction of %v", cust.quota.fallbackTokens, fraction)
 		}
 		now = b.now
 	}
--- a/internal/balancer/slowstart_test.go
+++ b/internal/balancer/slowstart_test.go
@@ -52,11 +52,7 @@
 		return n
 	}
 	if small, large := sent(1), sent(4); large == 0 || small < 2*large {
-		t.Errorf(
-			"a warming endpoint is sent %d small and %d large requests in its first seconds; want far more small ones",
-			small,
-			large,
-		)
+		t.Errorf("%d small or %d large attempts in the first seconds; want far more small ones", small, large)
 	}
 }
 
@@ -65,7 +61,10 @@
 func TestPoolsShareSlowStartBudget(t *testing.T) {
 	settings := singleGatewaySettings()
 	settings.OverloadWindow = 2 * time.Second
-	pools := []*endpointFleet{{balancer: newTestBalancer(t, settings, testEndpoints(4)...)}, {balancer: newTestBalancer(t, settings, testEndpoints(4)...)}}
+	pools := []*endpointFleet{
+		{balancer: newTestBalancer(t, settings, testEndpoints(4)...)},
+		{balancer: newTestBalancer(t, settings, testEndpoints(4)...)},
+	}
 	warm := 0
 	for range 3000 { // 30 s: what a warm endpoint carries
 		for _, pool := range pools {
@@ -119,7 +118,8 @@
 		}
 		has := settings.SlowStartCapacity + (1-settings.SlowStartCapacity)*age/settings.SlowStartDuration.Seconds()
 		if most := settings.OverloadMultiple * has * capacity * settings.OverloadWindow.Seconds(); float64(n) > most {
-			t.Fatalf("%d dispatches within %v at the age of %.1f s; it bears %.0f", n, settings.OverloadWindow, age, most)
+			t.Fatalf("%d attempts within %v at the age of %.1f s; it can take %.0f",
+				n, settings.OverloadWindow, age, most)
 		}
 	}
 }
@@ -159,7 +159,8 @@
 			switch now {
 			case start:
 				if limited == nil { // it can do no more than a warm one is seen to carry
-					limited = &limitedEndpoint{capacity: warmingCapacity(settings, start, float64(carried)/warm/start.Seconds()), steppedAt: start}
+					rate := float64(carried) / warm / start.Seconds()
+					limited = &limitedEndpoint{capacity: warmingCapacity(settings, start, rate), steppedAt: start}
 				}
 				list[warm].StartedAt = start
 				events = append(events, EndpointUpdate{Kind: Delta, Entries: list[warm:]})
@@ -180,11 +181,8 @@
 	}
 	rate := float64(carried) / warm / start.Seconds() // what a warm endpoint carries: its capacity is no less
 	for i, from := range warming {
-		share := settings.SlowStartCapacity + (1-settings.SlowStartCapacity)*float64(
-			from-start,
-		)/float64(
-			settings.SlowStartDuration,
-		)
+		elapsed := float64(from-start) / float64(settings.SlowStartDuration)
+		share := settings.SlowStartCapacity + (1-settings.SlowStartCapacity)*elapsed
 		n := 0
 		for _, at := range warming[i:] {
 			if at < from+settings.OverloadWindow {
