--- a/internal/balancer/ceiling_test.go
+++ b/internal/balancer/ceiling_test.go
@@ -18,39 +18,34 @@
 		}
 	}
 	if sent > 10 {
-		t.Errorf("%d units in the first second of a fresh door; its share of the ceiling is 10", sent)
+		t.Errorf("%d units in the first second of a new gateway; its share of the ceiling is 10", sent)
 	}
 }
 
-// A customer far beyond its ceiling keeps no line in which all that goes out is nearly late: what would wait long
-// is refused at once, with the time to stay away; and the less it is worth, the sooner.
+// A customer far beyond its ceiling has no long queue, out of which all would go nearly late: what would wait long is
+// rejected at once, with a Retry-After, and the sooner the less its priority weight.
 func TestCeilingQueueStaysShort(t *testing.T) {
 	settings := testSettings()
 	settings.UseCounter = false
 	b := newTestBalancer(t, settings, testEndpoints(2)...)
 	waits := map[int]int{}
-	id, told := uint64(1), 0
+	id, withRetryAfter := uint64(1), 0
 	for class := range 2 {
 		for range 60 {
-			acts := b.Step(
-				time.Second,
-				[]Event{Request{ID: id, Class: class, Plan: 1, Customer: "c", TimeLeft: 2 * time.Second,
-					Units: 1}},
-			)
-			if refused := actionsOf[Reject](
-				acts,
-			); len(refused) == 0 && len(actionsOf[Dispatch](acts)) == 0 &&
-				b.requests[id].queuedOn == nil {
+			acts := b.Step(time.Second, []Event{testRequest(id, class, 1)})
+			rejected := actionsOf[Reject](acts)
+			dispatched := len(actionsOf[Dispatch](acts)) > 0
+			switch {
+			case len(rejected) == 0 && !dispatched && b.requests[id].queuedOn == nil:
 				waits[class]++
-			} else if len(refused) > 0 &&
-				refused[0].RetryAfter > 0 {
-				told++
+			case len(rejected) > 0 && rejected[0].RetryAfter > 0:
+				withRetryAfter++
 			}
 			id++
 		}
 	}
-	if told == 0 {
-		t.Error("nobody was told when to come back")
+	if withRetryAfter == 0 {
+		t.Error("nobody got a Retry-After")
 	}
 	if waits[0] > 1 || waits[1] < 1 || waits[1] > 2 {
 		t.Errorf("by class, %v wait", waits)
--- a/internal/balancer/ceilinglease_test.go
+++ b/internal/balancer/ceilinglease_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// A customer may move to another plan while a call for a lease of its ceiling is out: the answer must be taken, whatever
-// the new plan has. KNOWN-RED.txt lists it: the answer is read on the terms of the new plan, whose ceiling is not leased.
+// A customer may move to another plan while a call for a lease of its ceiling is out: the answer must be taken,
+// whatever the new plan has. KNOWN-RED.txt lists it: the answer is read on the terms of the new plan, whose ceiling is
+// not leased.
 func TestPlanChangesWhileLeaseCallIsOut(t *testing.T) {
 	settings := testSettings()
 	settings.LeaseCeilings = true
--- a/internal/balancer/countercall_test.go
+++ b/internal/balancer/countercall_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Calls of one connection end together. They say no more of the counter than one of them; one that was made after they
-// ended does.
+// Calls of one connection end together. They tell no more of the counter than one of them; a call that was made after
+// they ended does.
 func TestConcurrentCallFailuresCountOnce(t *testing.T) {
 	b := newTestBalancer(t, testSettings(), testEndpoints(2)...)
 	now := time.Second
@@ -14,8 +14,8 @@
 	for i := uint64(0); len(names) < 5 && i < 400; i++ { // calls for five customers
 		request := testRequest(i, 0, 0)
 		request.Customer = string(rune('a' + i%5))
-		for _, k := range actionsOf[CounterAdd](b.Step(now, []Event{request})) {
-			names[k.Name] = true
+		for _, call := range actionsOf[CounterAdd](b.Step(now, []Event{request})) {
+			names[call.Name] = true
 		}
 	}
 	if len(names) != 5 {
@@ -28,17 +28,17 @@
 	}
 	b.Step(now+50*ms, all)
 	if want := before * callFractionDecrease; b.counter.callFraction != want {
-		t.Errorf(
-			"the part that calls is %v after five calls that ended together; want %v as after one",
-			b.counter.callFraction,
-			want,
-		)
+		t.Errorf("call fraction %v after five calls that ended together, want %v as after one",
+			b.counter.callFraction, want)
 	}
 	cust := b.customers.find("a")
-	cust.quota.callsPausedUntil, cust.bucket.emptyUntil, cust.quota.fallbackTokens, b.counter.callFraction = 0, 0, 0, 1
-	again := actionsOf[CounterAdd](
-		b.Step(now+60*ms, []Event{func() Request { request := testRequest(900, 0, 0); request.Customer = "a"; return request }()}),
-	)
+	cust.quota.callsPausedUntil = 0
+	cust.quota.fallbackTokens = 0
+	cust.bucket.emptyUntil = 0
+	b.counter.callFraction = 1
+	request := testRequest(900, 0, 0)
+	request.Customer = "a"
+	again := actionsOf[CounterAdd](b.Step(now+60*ms, []Event{request}))
 	if len(again) != 1 {
 		t.Fatalf("%d calls after that", len(again))
 	}
@@ -48,12 +48,12 @@
 	}
 }
 
-// Where calls cost, a lease of a nearly full store reaches further ahead; one of a store that is running out never
-// does.
+// Where calls cost, a lease of a nearly full bucket reaches further ahead; one of a nearly empty bucket does not.
 func TestLeaseSizeGrowsWithCallCost(t *testing.T) {
-	block := func(fee, full float64) float64 {
+	block := func(callCost, fill float64) float64 {
 		settings := testSettings()
-		settings.CounterCallCost, settings.Plans[0] = fee, Plan{
+		settings.CounterCallCost = callCost
+		settings.Plans[0] = Plan{
 			Rate:           10,
 			Burst:          400,
 			PriorityFactor: 1,
@@ -63,8 +63,12 @@
 		now := time.Second
 		b.Step(now, []Event{testRequest(1, 0, 0)})
 		cust := b.customers.find("c")
-		cust.bucket.known, cust.quota.fallbackTokens, cust.quota.tokens, cust.demand.rate = true, 0, 0, 10
-		cust.bucket.level, cust.bucket.levelAt = full*400, now
+		cust.demand.rate = 10
+		cust.quota.tokens = 0
+		cust.quota.fallbackTokens = 0
+		cust.bucket.known = true
+		cust.bucket.level = fill * 400
+		cust.bucket.levelAt = now
 		calls := actionsOf[CounterAdd](b.Step(now+ms, []Event{testRequest(2, 0, 0)}))
 		if len(calls) != 1 {
 			t.Fatalf("%d calls", len(calls))
@@ -73,23 +77,18 @@
 	}
 	free, dear, scarce := block(0, 1), block(0.02, 1), block(0.02, 0.5)
 	if dear < 3*free || scarce > free+1 {
-		t.Errorf(
-			"leases of %.0f where calls are free, %.0f where they cost, %.0f where they cost and the store is half empty",
-			free,
-			dear,
-			scarce,
-		)
+		t.Errorf("leases of %.0f where calls are free, %.0f where they cost, %.0f from a half empty bucket",
+			free, dear, scarce)
 	}
 }
 
-// A counter whose answer can't be read has added the block all the same: it is given back with the next call, which is
-// made at
-// once for who waits, and once only.
+// A counter whose answer can't be read has added the block all the same: it is returned with the next call, which is
+// made at once for the requests that wait, and once only.
 func TestUnreadableCounterResult(t *testing.T) {
 	b := newTestBalancer(t, testSettings(), testEndpoints(2)...)
 	var calls []CounterAdd
 	now := ms
-	for i := range uint64(40) { // the fresh door's share is spent first
+	for i := range uint64(40) { // the new gateway's share is spent first
 		calls = actionsOf[CounterAdd](b.Step(now, []Event{testRequest(i, 0, 0)}))
 		if len(calls) > 0 {
 			break
@@ -103,23 +102,24 @@
 	acts := b.Step(now+ms, []Event{CounterResult{Name: first.Name, Status: Failed}})
 	again := actionsOf[CounterAdd](acts)
 	if len(again) != 1 || len(actionsOf[Reject](acts)) != 0 {
-		t.Fatalf("after a spoilt answer: %v; want one more call and no refusal", acts)
+		t.Fatalf("after an invalid answer: %v; want one more call and no rejection", acts)
 	}
 	if sum := first.Amount + again[0].Amount; sum >= 2*first.Amount+owed {
-		t.Errorf("%v and then %v added; want the first block given back", first.Amount, again[0].Amount)
+		t.Errorf("%v and then %v added; want the first block returned", first.Amount, again[0].Amount)
 	}
 	acts = b.Step(now+2*ms, []Event{CounterResult{Name: again[0].Name, Status: Failed}})
 	if len(actionsOf[CounterAdd](acts)) != 0 || len(actionsOf[Reject](acts)) != 1 {
-		t.Errorf("after a second one: %v; want a refusal and no third call", acts)
+		t.Errorf("after a second one: %v; want a rejection and no third call", acts)
 	}
 }
 
-// newBalancerWithCallOut is a door with one call of the counter out, for a request that waits for it.
+// newBalancerWithCallOut returns a gateway with one call to the counter out, for a request that waits for it.
 func newBalancerWithCallOut(t *testing.T) (*Balancer, CounterAdd, time.Duration) {
 	t.Helper()
 	return newSeededBalancerWithCallOut(t, 7)
 }
 
+// newSeededBalancerWithCallOut is newBalancerWithCallOut with a seed.
 func newSeededBalancerWithCallOut(t *testing.T, seed uint64) (*Balancer, CounterAdd, time.Duration) {
 	t.Helper()
 	b, err := New(testSettings(), seed)
@@ -128,7 +128,7 @@
 	}
 	b.Step(0, []Event{EndpointUpdate{Kind: CachedSnapshot, Entries: testEndpoints(2)}})
 	now := time.Second
-	for i := range uint64(40) { // the fresh door's share is spent first
+	for i := range uint64(40) { // the new gateway's share is spent first
 		now += ms
 		if calls := actionsOf[CounterAdd](b.Step(now, []Event{testRequest(i, 0, 0)})); len(calls) > 0 {
 			return b, calls[0], now
@@ -138,20 +138,19 @@
 	return nil, CounterAdd{}, 0
 }
 
-// A call that is answered too late has taken its block: it is leased from then on, once, whatever is said twice or of
-// other
-// calls; and meanwhile nothing more is asked.
+// A call that is answered too late has taken its block: it is leased from then on, once, whatever answers are repeated
+// or belong to other calls, and meanwhile no further call is made.
 func TestLateResultIsALease(t *testing.T) {
 	b, call, now := newBalancerWithCallOut(t)
 	cust := b.customers.find("c")
 	b.Step(now+50*ms, []Event{CounterResult{Name: call.Name, Status: Timeout}})
 	if acts := b.Step(now+55*ms, []Event{testRequest(900, 0, 0)}); len(actionsOf[CounterAdd](acts)) != 0 {
-		t.Errorf("asked again before the first call is answered: %v", acts)
+		t.Errorf("a second call before the first one is answered: %v", acts)
 	}
 	before := cust.quota.tokens
 	b.Step(now+60*ms, []Event{LateCounterResult{Ticket: call.Ticket + 99, Status: OK}, LateCounterResult{Status: OK}})
 	if cust.quota.tokens != before {
-		t.Errorf("%v tokens after news of other calls; want %v", cust.quota.tokens, before)
+		t.Errorf("%v tokens after answers to other calls; want %v", cust.quota.tokens, before)
 	}
 	late := LateCounterResult{call.Ticket, OK, call.Amount}
 	b.Step(now+70*ms, []Event{late, late})
@@ -159,13 +158,13 @@
 		t.Errorf("%v leased of the %v added", got, call.Amount)
 	}
 	before = cust.quota.tokens
-	b.Step(now+80*ms, []Event{testRequest(901, 0, 0)}) // the servers are full, but it is paid for
+	b.Step(now+80*ms, []Event{testRequest(901, 0, 0)}) // the endpoints are full, but tokens cover it
 	if req := b.requests[901]; before >= 1 && (req == nil || !req.withinQuota || cust.quota.tokens != before-1) {
-		t.Errorf("a request inside the lease of %v is not paid by it", before)
+		t.Errorf("a request inside the lease of %v is not covered by it", before)
 	}
 }
 
-// One whose total can't be read is given back.
+// The block of a late answer whose total can't be read is returned.
 func TestLateResultWithoutTotal(t *testing.T) {
 	b, call, now := newBalancerWithCallOut(t)
 	cust := b.customers.find("c")
@@ -173,11 +172,11 @@
 	before := cust.quota.debt
 	b.Step(now+70*ms, []Event{LateCounterResult{Ticket: call.Ticket, Status: Failed}})
 	if got := before - cust.quota.debt; got <= 0 || got > call.Amount {
-		t.Errorf("%v given back of the %v added", got, call.Amount)
+		t.Errorf("%v returned of the %v added", got, call.Amount)
 	}
 }
 
-// What is late by a window belongs to a number that nobody asks any more, and what is stale is forgotten.
+// An answer that is late by a window belongs to a total that nobody uses any more, and old calls are forgotten.
 func TestLateResultOfAnotherWindow(t *testing.T) {
 	for _, after := range []time.Duration{counterWindow, timedOutCallTTL + time.Second} {
 		b, call, now := newBalancerWithCallOut(t)
@@ -191,23 +190,23 @@
 	}
 }
 
-// A counter that is silent for ever leaves no more behind than the bound.
+// A counter that stays silent leaves a bounded number of calls behind.
 func TestTimedOutCallsAreBounded(t *testing.T) {
-	var l timedOutCalls
+	var timedOut timedOutCalls
 	for i := range 10 * maxTimedOutCalls {
-		l.keep(&counterCall{ticket: l.nextTicket(), sentAt: time.Duration(i)}, time.Duration(i))
-		if len(l.byTicket) > maxTimedOutCalls || len(l.order) > maxTimedOutCalls {
-			t.Fatalf("%d calls, %d tickets kept; want %d at most", len(l.byTicket), len(l.order), maxTimedOutCalls)
+		timedOut.keep(&counterCall{ticket: timedOut.nextTicket(), sentAt: time.Duration(i)}, time.Duration(i))
+		if len(timedOut.byTicket) > maxTimedOutCalls || len(timedOut.order) > maxTimedOutCalls {
+			t.Fatalf("%d calls, %d tickets kept; want %d at most",
+				len(timedOut.byTicket), len(timedOut.order), maxTimedOutCalls)
 		}
 	}
-	l.keep(&counterCall{ticket: l.nextTicket(), sentAt: time.Hour}, time.Hour)
-	if len(l.byTicket) != 1 || len(l.order) != 1 {
-		t.Errorf("%d calls and %d tickets after an hour; want the new one", len(l.byTicket), len(l.order))
+	timedOut.keep(&counterCall{ticket: timedOut.nextTicket(), sentAt: time.Hour}, time.Hour)
+	if len(timedOut.byTicket) != 1 || len(timedOut.order) != 1 {
+		t.Errorf("%d calls and %d tickets after an hour; want the new one", len(timedOut.byTicket), len(timedOut.order))
 	}
 }
 
-// A block that nobody hears of is lost to the customer, so the next call asks for one request only; an answer makes it
-// whole again.
+// A block without an answer is lost to the customer, so the next call asks for one request only. An answer ends that.
 func TestLeaseIsSmallestAfterLostCall(t *testing.T) {
 	b, call, now := newBalancerWithCallOut(t)
 	cust := b.customers.find("c")
@@ -220,14 +219,14 @@
 	}
 	b.Step(now+ms, []Event{CounterResult{Name: calls[0].Name, Status: OK, Total: 0}})
 	if cust.quota.lastCallLost {
-		t.Error("the counter was heard, and still the least is asked")
+		t.Error("the counter has answered, and still the least is asked for")
 	}
 }
 
-// A connection that breaks ends its calls at once, and no late answer can come on it: who waits asks once more, now.
+// A connection that breaks ends its calls at once, and no late answer can come on it: the requests call once more.
 func TestCallIsRepeatedAfterBrokenConnection(t *testing.T) {
 	again := 0
-	for seed := range uint64(20) { // the part that calls has shrunk by the failure: for a few that means no
+	for seed := range uint64(20) { // the failure has decreased the call fraction, so a few do not call
 		b, call, now := newSeededBalancerWithCallOut(t, seed)
 		acts := b.Step(now+3*ms, []Event{CounterResult{Name: call.Name, Status: Timeout}})
 		again += len(actionsOf[CounterAdd](acts))
@@ -236,41 +235,40 @@
 		}
 	}
 	if again < 10 {
-		t.Errorf("%d of 20 asked once more", again)
+		t.Errorf("%d of 20 called once more", again)
 	}
 }
 
-// One that says it is busy, or takes no connection, is not asked again at once.
+// A counter that rejects a call, or takes no connection, is not called again at once.
 func TestRejectedCallIsNotRepeated(t *testing.T) {
 	for _, status := range []Status{Rejected, ConnectFailed} {
 		for seed := range uint64(20) { // whether a request calls is partly chance
 			b, call, now := newSeededBalancerWithCallOut(t, seed)
 			acts := b.Step(now+3*ms, []Event{CounterResult{Name: call.Name, Status: status}})
 			if again := actionsOf[CounterAdd](acts); len(again) != 0 {
-				t.Errorf("status %d, seed %d: asked again at once: %v", status, seed, again)
+				t.Errorf("status %d, seed %d: called again at once: %v", status, seed, again)
 			}
 		}
 	}
 }
 
-// A late answer tells what the store held when the call was made. What it has gained since may be spent by others: it
-// is not
-// granted on the strength of an old total.
+// A late answer tells the level of the bucket when the call was made. Peers may have spent what it gained since: it is
+// not granted by an old total.
 func TestLateResultGrantsNoLaterRefill(t *testing.T) {
 	b, call, now := newBalancerWithCallOut(t)
 	cust := b.customers.find("c")
 	plan := b.settings.Plans[0]
 	b.Step(now+50*ms, []Event{CounterResult{Name: call.Name, Status: Timeout}})
 	before := cust.quota.tokens
-	empty := plan.Burst + plan.Rate*now.Seconds() + call.Amount // a total at which the store held nothing then
+	empty := plan.Burst + plan.Rate*now.Seconds() + call.Amount // a total at which the bucket was empty then
 	b.Step(now+3*time.Second, []Event{LateCounterResult{call.Ticket, OK, empty}})
 	if cust.quota.tokens > before {
-		t.Errorf("%v granted from a store that was empty when it was asked", cust.quota.tokens-before)
+		t.Errorf("%v granted from a bucket that was empty at the call", cust.quota.tokens-before)
 	}
 }
 
-// A late total is older than what a later call has told: it neither looks like a loss of the counter nor is taken for
-// the newest.
+// A late total is older than that of a later call: it neither looks like a loss of the counter's totals nor is taken
+// for the newest.
 func TestLateResultAfterNewerOne(t *testing.T) {
 	b, call, now := newBalancerWithCallOut(t)
 	cust := b.customers.find("c")
@@ -281,24 +279,16 @@
 		t.Fatalf("%d calls after the pause", len(later))
 	}
 	b.Step(now+ms, []Event{CounterResult{Name: later[0].Name, Status: OK, Total: 90}})
-	known, seen, store, at := cust.bucket.knownAt, cust.bucket.seenTotal, cust.bucket.level, cust.bucket.levelAt
+	before := cust.bucket
 	acts := b.Step(now+20*ms, []Event{LateCounterResult{call.Ticket, OK, call.Amount}})
-	if cust.bucket.knownAt != known || cust.bucket.seenTotal != seen || cust.bucket.level != store || cust.bucket.levelAt != at {
-		t.Errorf(
-			"known since %v, seen %v, store %v at %v; want %v, %v, %v at %v",
-			cust.bucket.knownAt,
-			cust.bucket.seenTotal,
-			cust.bucket.level,
-			cust.bucket.levelAt,
-			known,
-			seen,
-			store,
-			at,
-		)
-	}
-	for _, k := range actionsOf[CounterAdd](acts) {
-		if k.Amount > 0 {
-			t.Errorf("%v added to put a number right by an old total", k.Amount)
+	after := cust.bucket
+	if after.knownAt != before.knownAt || after.seenTotal != before.seenTotal || after.level != before.level ||
+		after.levelAt != before.levelAt {
+		t.Errorf("bucket %+v, want %+v", after, before)
+	}
+	for _, correction := range actionsOf[CounterAdd](acts) {
+		if correction.Amount > 0 {
+			t.Errorf("%v added as a correction by an old total", correction.Amount)
 		}
 	}
 }
--- a/internal/balancer/customer_test.go
+++ b/internal/balancer/customer_test.go
@@ -6,13 +6,15 @@
 	"time"
 )
 
-// floodWithNewCustomers steps a door through a time in which so many customers a second come that were never seen and never come again.
-// Beside them it runs a function every tick.
-func floodWithNewCustomers(b *Balancer, from, to time.Duration, each int, beside func(at time.Duration)) (most int) {
+// floodWithNewCustomers steps a gateway through a time in which each tick brings some customers that were never seen
+// and never come again, and runs a function every tick. It returns the largest number of customers known.
+func floodWithNewCustomers(
+	b *Balancer, from, to time.Duration, perTick int, onTick func(at time.Duration),
+) (most int) {
 	id := uint64(1 << 32)
 	for at := from; at < to; at += tickInterval {
 		evs := []Event{TimerFired{0}}
-		for range each {
+		for range perTick {
 			id++
 			evs = append(
 				evs,
@@ -32,26 +34,19 @@
 			}
 			acts = b.Step(at, outs)
 		}
-		if beside != nil {
-			beside(at)
+		if onTick != nil {
+			onTick(at)
 		}
 		most = max(most, len(b.customers.byName))
 	}
 	return most
 }
 
-// A million customers that are seen once take no more room than is stated, and are forgotten when they stop coming.
+// A million customers that are seen once take no more memory than stated, and are forgotten when they stop coming.
 func TestCustomerTableIsBounded(t *testing.T) {
 	settings := settingsWithoutCounter()
-	settings.Plans[0], settings.Plans[1] = Plan{
-		Rate:           2,
-		Burst:          8,
-		PriorityFactor: 1,
-	}, Plan{
-		PriorityFactor: 1,
-		CeilingRate:    20,
-		CeilingBurst:   40,
-	}
+	settings.Plans[0] = Plan{Rate: 2, Burst: 8, PriorityFactor: 1}
+	settings.Plans[1] = Plan{PriorityFactor: 1, CeilingRate: 20, CeilingBurst: 40}
 	b := newTestBalancer(t, settings, testEndpoints(3)...)
 	end := 200 * time.Second
 	if most := floodWithNewCustomers(b, 0, end, 100, nil); most > maxCustomers { // 5,000 a second
@@ -66,7 +61,7 @@
 	}
 }
 
-// Whoever is known before a storm of names keeps its place: its ceiling holds, and it is served.
+// A customer that is known before a flood of new ones keeps its place: its ceiling holds, and it is served.
 func TestFloodOfNewCustomersKeepsCeilings(t *testing.T) {
 	settings := settingsWithoutCounter()
 	settings.Plans[0] = Plan{PriorityFactor: 1}
--- a/internal/balancer/golden_test.go
+++ b/internal/balancer/golden_test.go
@@ -437,7 +437,13 @@
 		answer(takes, balancer.CounterResult{Name: call.Name, Status: balancer.OK, Total: r.totals[call.Name]})
 		return
 	}
-	status := []balancer.Status{balancer.Failed, balancer.Rejected, balancer.Timeout, balancer.ConnectFailed, balancer.Timeout}[r.rng.IntN(5)]
+	status := []balancer.Status{
+		balancer.Failed,
+		balancer.Rejected,
+		balancer.Timeout,
+		balancer.ConnectFailed,
+		balancer.Timeout,
+	}[r.rng.IntN(5)]
 	if status == balancer.Timeout {
 		takes = r.settings.CounterTimeout
 	}
@@ -532,10 +538,16 @@
 	for _, c := range m.Customers {
 		trace.String(c.Name)
 		trace.Int(int64(c.Plan))
-		for _, v := range []float64{c.Gateways, c.Demand, c.AdmitOnlyDemand, c.Tokens, c.Debt, c.FallbackTokens, c.PeerDemand, c.BucketLevel, c.SeenTotal, c.CeilingTokens, c.AdmitOnlyTokens} {
+		for _, v := range []float64{
+			c.Gateways, c.Demand, c.AdmitOnlyDemand, c.Tokens, c.Debt, c.FallbackTokens, c.PeerDemand, c.BucketLevel,
+			c.SeenTotal, c.CeilingTokens, c.AdmitOnlyTokens,
+		} {
 			trace.Float(v)
 		}
-		for _, v := range []time.Duration{c.DemandAt, c.LastUsedAt, c.FallbackFilledAt, c.LeasedAt, c.BucketLevelAt, c.BucketKnownAt, c.TokensValidFrom, c.CarriedAt, c.EmptyUntil, c.CeilingFilledAt} {
+		for _, v := range []time.Duration{
+			c.DemandAt, c.LastUsedAt, c.FallbackFilledAt, c.LeasedAt, c.BucketLevelAt, c.BucketKnownAt,
+			c.TokensValidFrom, c.CarriedAt, c.EmptyUntil, c.CeilingFilledAt,
+		} {
 			trace.Duration(v)
 		}
 		trace.Bool(c.BucketKnown)
@@ -733,7 +745,8 @@
 			viewed := deployment(site, 3)
 			viewed.LeasedShares = true
 			for i := range viewed.Plans {
-				viewed.Plans[i].PartitionPolicy = []quotashare.PartitionPolicy{quotashare.KeepQuota, quotashare.KeepAll, quotashare.KeepNone}[i%3]
+				policies := []quotashare.PartitionPolicy{quotashare.KeepQuota, quotashare.KeepAll, quotashare.KeepNone}
+				viewed.Plans[i].PartitionPolicy = policies[i%len(policies)]
 			}
 			add(
 				runFleet{
--- a/internal/balancer/handover_test.go
+++ b/internal/balancer/handover_test.go
@@ -8,105 +8,88 @@
 	"time"
 )
 
-// handOver hands one door's memory to a fresh one, through the form in which processes send it.
+// handOver hands one process's state to a new one, in the form in which processes send it.
 func handOver(
-	t *testing.T,
-	from *Balancer,
-	settings Settings,
-	at time.Duration,
-	list ...Endpoint,
+	t *testing.T, from *Balancer, settings Settings, at time.Duration, list ...Endpoint,
 ) (*Balancer, HandoverState) {
 	t.Helper()
 	handed := actionsOf[HandoverReady](from.Step(at, []Event{BeginHandover{}}))
 	if len(handed) != 1 {
-		t.Fatalf("%d memories", len(handed))
+		t.Fatalf("%d handover states", len(handed))
 	}
 	text, err := json.Marshal(handed[0].State)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var m HandoverState
-	if err := json.Unmarshal(text, &m); err != nil {
+	var state HandoverState
+	if err := json.Unmarshal(text, &state); err != nil {
 		t.Fatal(err)
 	}
 	to, err := New(settings, 8)
 	if err != nil {
 		t.Fatal(err)
 	}
-	to.Step(at, []Event{EndpointUpdate{Kind: CachedSnapshot, Entries: list}, ImportHandover{m}})
-	return to, m
+	to.Step(at, []Event{EndpointUpdate{Kind: CachedSnapshot, Entries: list}, ImportHandover{state}})
+	return to, state
 }
 
-// A ceiling holds over any number of doors that take each other's place, old ones still sending what they had queued.
+// A ceiling holds over any number of processes that take each other's place, old ones still sending queued requests.
 func TestCeilingHoldsOverHandovers(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 3))
 		settings := testSettings()
-		settings.UseCounter, settings.Gateways = false, 1
+		settings.UseCounter = false
+		settings.Gateways = 1
 		settings.Plans[1] = Plan{PriorityFactor: 1, OverQuotaWeight: 0.2, CeilingRate: 20, CeilingBurst: 40}
 		list := testEndpoints(3)
-		doors := []*Balancer{newTestBalancer(t, settings, list...)}
+		processes := []*Balancer{newTestBalancer(t, settings, list...)}
 		sent, id, at := 0.0, uint64(0), time.Duration(0)
-		type out struct {
-			d *Balancer
-			s Dispatch
+		type sentAttempt struct {
+			process  *Balancer
+			dispatch Dispatch
 		}
-		var outs []out
+		var pending []sentAttempt
 		step := func(b *Balancer, evs ...Event) {
 			for _, s := range actionsOf[Dispatch](b.Step(at, evs)) {
 				sent++
-				outs = append(outs, out{b, s})
+				pending = append(pending, sentAttempt{b, s})
 			}
 		}
 		for at < 30*time.Second {
 			at += 20 * ms
-			last := doors[len(doors)-1]
+			last := processes[len(processes)-1]
 			for range rng.IntN(3) {
 				id++
 				step(last, testRequest(id, 0, 1))
 			}
-			for len(outs) > 2 && rng.IntN(2) == 0 {
-				o := outs[0]
-				outs = outs[1:]
-				step(
-					o.d,
-					AttemptResult{
-						ID:            o.s.ID,
-						Endpoint:      o.s.Endpoint,
-						Status:        OK,
-						Latency:       50 * ms,
-						RequestClosed: true,
-					},
-				)
+			for len(pending) > 2 && rng.IntN(2) == 0 {
+				first := pending[0]
+				pending = pending[1:]
+				step(first.process, succeeded(first.dispatch, 0, 50*ms))
 			}
-			for _, b := range doors {
+			for _, b := range processes {
 				step(b, TimerFired{0})
 			}
 			if rng.IntN(40) == 0 {
 				next, _ := handOver(t, last, settings, at, list...)
-				doors = append(doors, next)
+				processes = append(processes, next)
 			}
 			if most := 40 + 20*at.Seconds() + 1; sent > most {
-				t.Fatalf(
-					"seed %d: %.0f sent in %v over %d doors, the ceiling gives %.0f",
-					seed,
-					sent,
-					at,
-					len(doors),
-					most,
-				)
+				t.Fatalf("seed %d: %.0f sent in %v over %d processes, the ceiling gives %.0f",
+					seed, sent, at, len(processes), most)
 			}
 		}
-		if sent < 20*at.Seconds()*0.8 || len(doors) < 10 {
-			t.Errorf("seed %d: %.0f sent over %d doors", seed, sent, len(doors))
+		if sent < 20*at.Seconds()*0.8 || len(processes) < 10 {
+			t.Errorf("seed %d: %.0f sent over %d processes", seed, sent, len(processes))
 		}
 	}
 }
 
-// Tokens and spare are handed on once: a customer of many successors gets no new burst from each.
+// Tokens are handed over once: a customer gets no new burst from each of many processes.
 func TestQuotaIsHandedOverOnce(t *testing.T) {
 	settings := testSettings()
-	settings.UseCounter, settings.Gateways = false, 1
+	settings.UseCounter = false
+	settings.Gateways = 1
 	list := testEndpoints(3)
 	b := newTestBalancer(t, settings, list...)
 	sent, id := 0, uint64(0)
@@ -116,12 +99,7 @@
 			id++
 			for _, s := range actionsOf[Dispatch](b.Step(at, []Event{testRequest(id, 0, 0)})) {
 				sent++
-				b.Step(
-					at,
-					[]Event{
-						AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Status: OK, Latency: ms, RequestClosed: true},
-					},
-				)
+				b.Step(at, []Event{succeeded(s, 0, ms)})
 			}
 		}
 		b, _ = handOver(t, b, settings, at, list...)
@@ -131,10 +109,11 @@
 	}
 }
 
-// A cap on what is open at once counts what is open at the door before, until its time is over.
+// A limit on requests in flight counts those at the former process until their time is over.
 func TestMaxInFlightCountsHandedOverRequests(t *testing.T) {
 	settings := testSettings()
-	settings.UseCounter, settings.Gateways = false, 1
+	settings.UseCounter = false
+	settings.Gateways = 1
 	list := testEndpoints(4)
 	old := newTestBalancer(t, settings, list...)
 	for i := range uint64(3) {
@@ -148,24 +127,20 @@
 		sends += len(actionsOf[Dispatch](b.Step(time.Second+ms, []Event{testRequest(i+1, 0, 3)})))
 	}
 	if sends != 1 {
-		t.Errorf("%d sent beside 3 at the old door; the cap is 4", sends)
+		t.Errorf("%d sent beside 3 at the former process; the limit is 4", sends)
 	}
 	cust := b.customers.find("c")
-	acts := b.Step(
-		4*time.Second,
-		[]Event{
-			TimerFired{(handoverRequestIDs+1)<<1 | 1},
-			TimerFired{(handoverRequestIDs+0)<<1 | 1},
-			TimerFired{(handoverRequestIDs+2)<<1 | 1},
-		},
-	)
-	_ = acts
+	b.Step(4*time.Second, []Event{
+		TimerFired{requestCookie(handoverRequestIDs + 1)},
+		TimerFired{requestCookie(handoverRequestIDs + 0)},
+		TimerFired{requestCookie(handoverRequestIDs + 2)},
+	})
 	if cust.inFlight > 1 {
 		t.Errorf("%d still count when their time is over", cust.inFlight)
 	}
 }
 
-// What a door has learned goes along: classes, slow and cold servers, those left out, and sends to cold ones.
+// Estimates are handed over: those of classes, and slow, warming and ejected endpoints.
 func TestEstimatesAreHandedOver(t *testing.T) {
 	settings := settingsWithoutCounter()
 	list := testEndpoints(4)
@@ -173,20 +148,23 @@
 	old.Step(time.Second, []Event{testRequest(1, 0, 0)})
 	old.latency.classes[0] = classEstimate{meanLatency: 0.2, idleLatency: 0.1, answers: 77}
 	ep := old.endpoints.byName[list[0].Name]
-	ep.slowStart.active, ep.slowStart.since, ep.latency.factor, ep.concurrency.limit = true, time.Second, 2, 3
+	ep.slowStart.active = true
+	ep.slowStart.since = time.Second
+	ep.latency.factor = 2
+	ep.concurrency.limit = 3
 	ep.slowStart.budget.RecordDispatch(time.Second, 1)
 	old.eject(old.endpoints.byName[list[1].Name])
-	b, m := handOver(t, old, settings, 2*time.Second, list...)
+	b, state := handOver(t, old, settings, 2*time.Second, list...)
 	if k := b.latency.classes[0]; k.meanLatency != 0.2 || k.idleLatency != 0.1 || k.answers != 77 {
 		t.Errorf("%+v", k)
 	}
 	got := b.endpoints.byName[list[0].Name]
-	if !got.slowStart.active || got.slowStart.since != time.Second || got.latency.factor != 2 || got.concurrency.limit != 3 ||
-		len(got.slowStart.budget.Dispatches()) != 1 {
+	if !got.slowStart.active || got.slowStart.since != time.Second || got.latency.factor != 2 ||
+		got.concurrency.limit != 3 || len(got.slowStart.budget.Dispatches()) != 1 {
 		t.Errorf("%+v", got)
 	}
 	if !b.endpoints.byName[list[1].Name].outlier.ejected {
-		t.Error("a server that was left out is used")
+		t.Error("an ejected endpoint is used")
 	}
 	again := list[0]
 	again.StartedAt = 1500 * ms // another process than the one that is known
@@ -196,32 +174,34 @@
 	}
 	fresh.Step(
 		2*time.Second,
-		[]Event{EndpointUpdate{Kind: CachedSnapshot, Entries: []Endpoint{again}}, ImportHandover{m}},
+		[]Event{EndpointUpdate{Kind: CachedSnapshot, Entries: []Endpoint{again}}, ImportHandover{state}},
 	)
 	if got := fresh.endpoints.byName[again.Name]; got.latency.factor == 2 || got.slowStart.since != again.StartedAt {
-		t.Errorf("what is known of another process: %+v", got)
+		t.Errorf("taken over from another process: %+v", got)
 	}
 }
 
-// A door that gets back what nobody took goes on as before.
+// A process that gets its state back goes on as before.
 func TestHandoverIsTakenBack(t *testing.T) {
 	settings := testSettings()
-	settings.UseCounter, settings.Gateways = false, 1
+	settings.UseCounter = false
+	settings.Gateways = 1
 	b := newTestBalancer(t, settings, testEndpoints(2)...)
 	b.Step(time.Second, []Event{testRequest(1, 0, 1)})
 	cust := b.customers.find("c")
-	ceil, spare := b.refillCeiling(cust, &settings.Plans[1]), cust.quota.fallbackTokens
+	ceiling, fallback := b.refillCeiling(cust, &settings.Plans[1]), cust.quota.fallbackTokens
 	handed := actionsOf[HandoverReady](b.Step(time.Second, []Event{BeginHandover{}}))
 	if cust.ceiling.tokens > cust.ceiling.reserved || cust.quota.fallbackTokens > 0 {
-		t.Errorf("kept: ceiling %v, spare %v", cust.ceiling.tokens, cust.quota.fallbackTokens)
+		t.Errorf("kept: ceiling %v, fallback %v", cust.ceiling.tokens, cust.quota.fallbackTokens)
 	}
-	b.Step(2*time.Second, []Event{testRequest(2, 0, 1)}) // it fills nothing meanwhile
+	b.Step(2*time.Second, []Event{testRequest(2, 0, 1)}) // nothing fills meanwhile
 	b.Step(3*time.Second, []Event{ImportHandover{handed[0].State}})
-	if math.Abs(cust.ceiling.tokens-ceil) > 1e-9 || math.Abs(cust.quota.fallbackTokens-spare) > 1e-9 {
-		t.Errorf("ceiling %v, was %v; spare %v, was %v", cust.ceiling.tokens, ceil, cust.quota.fallbackTokens, spare)
+	if math.Abs(cust.ceiling.tokens-ceiling) > 1e-9 || math.Abs(cust.quota.fallbackTokens-fallback) > 1e-9 {
+		t.Errorf("ceiling %v, was %v; fallback %v, was %v",
+			cust.ceiling.tokens, ceiling, cust.quota.fallbackTokens, fallback)
 	}
 	if b.handedOver {
-		t.Error("still away")
+		t.Error("still handed over")
 	}
 }
 
--- a/internal/balancer/helpers_test.go
+++ b/internal/balancer/helpers_test.go
@@ -60,10 +60,10 @@
 	return settings
 }
 
-// largeFleetSettings is a deployment with more doors than a customer's burst has units.
-func largeFleetSettings(doors int) Settings {
+// largeFleetSettings is a deployment with more gateways than a customer's burst has units.
+func largeFleetSettings(gateways int) Settings {
 	settings := testSettings()
-	settings.Gateways = doors
+	settings.Gateways = gateways
 	return settings
 }
 
@@ -77,15 +77,15 @@
 	return b
 }
 
-// newSingleGateway is a door with no counter whose requests have neither quota nor ceiling (plan 2).
-func newSingleGateway(t *testing.T, servers int) *Balancer {
+// newSingleGateway is a gateway with no counter whose requests have neither quota nor ceiling (plan 2).
+func newSingleGateway(t *testing.T, endpoints int) *Balancer {
 	t.Helper()
 	settings := testSettings()
 	settings.UseCounter, settings.Gateways = false, 1
-	return newTestBalancer(t, settings, testEndpoints(servers)...)
+	return newTestBalancer(t, settings, testEndpoints(endpoints)...)
 }
 
-// newTrainedBalancer is a door that has seen requests of one unit take 40 ms and those of four 280 ms.
+// newTrainedBalancer is a gateway that has seen requests of one unit take 40 ms and those of four 280 ms.
 func newTrainedBalancer(t *testing.T, list ...Endpoint) *Balancer {
 	t.Helper()
 	settings := testSettings()
@@ -145,7 +145,7 @@
 	return AttemptResult{ID: s.ID, Attempt: n, Endpoint: s.Endpoint, Status: OK, Latency: took, RequestClosed: true}
 }
 
-// sendRequests steps a door with n requests at a time, answers all sends at once, and counts them by server.
+// sendRequests steps a gateway with n requests at a time, answers all sends at once, and counts them by endpoint.
 func sendRequests(b *Balancer, at time.Duration, first uint64, n int) map[string]int {
 	to := map[string]int{}
 	for i := range uint64(n) {
@@ -168,17 +168,22 @@
 	return to
 }
 
-// fakeCounter is a counter without faults that answers at once; lose makes it forget all.
+// fakeCounter is a counter without faults that answers at once.
 type fakeCounter struct {
-	n     map[uint64]float64
+	totals map[uint64]float64
+	// calls is the number of calls so far.
 	calls int
 }
 
-func (l *fakeCounter) answer(acts []Action) (evs []Event) {
-	for _, c := range actionsOf[CounterAdd](acts) {
-		l.calls++
-		l.n[c.Name] += c.Amount
-		evs = append(evs, CounterResult{c.Name, OK, l.n[c.Name]})
+// newFakeCounter returns a counter whose totals are all 0.
+func newFakeCounter() *fakeCounter { return &fakeCounter{totals: map[uint64]float64{}} }
+
+// answer returns the answers to the calls among some actions.
+func (counter *fakeCounter) answer(acts []Action) (answers []Event) {
+	for _, call := range actionsOf[CounterAdd](acts) {
+		counter.calls++
+		counter.totals[call.Name] += call.Amount
+		answers = append(answers, CounterResult{call.Name, OK, counter.totals[call.Name]})
 	}
-	return evs
+	return answers
 }
--- a/internal/balancer/largefleet_test.go
+++ b/internal/balancer/largefleet_test.go
@@ -7,11 +7,12 @@
 	"time"
 )
 
-func newLargeFleet(t *testing.T, doors int, soft ...Plan) []*Balancer {
+// newLargeFleet returns gateways with 20 endpoints. softPlans take the place of those from the second plan on.
+func newLargeFleet(t *testing.T, gateways int, softPlans ...Plan) []*Balancer {
 	t.Helper()
-	settings := largeFleetSettings(doors)
-	copy(settings.Plans[1:], soft)
-	all := make([]*Balancer, doors)
+	settings := largeFleetSettings(gateways)
+	copy(settings.Plans[1:], softPlans)
+	all := make([]*Balancer, gateways)
 	for i := range all {
 		settings.Index = i
 		b, err := New(settings, uint64(i)+1)
@@ -24,42 +25,50 @@
 	return all
 }
 
-// runFleet has requests of a plan come, for some time, a number each 50 ms; pick says at which door. The counter's answers
-// come 50 ms
-// later, so doors that ask together all see each other's asks. It returns when each was sent.
-func runFleet(
-	all []*Balancer,
-	l *fakeCounter,
-	plan int,
-	first, last time.Duration,
-	each func(now time.Duration) int,
-	pick func(i int) int,
-	lose time.Duration,
-) (sent []time.Duration) {
+// fleetRun is a time in which requests of one customer come to a fleet. The counter's answers come 50 ms later, so
+// gateways that call together all see each other's calls.
+type fleetRun struct {
+	fleet   []*Balancer
+	counter *fakeCounter
+	plan    int
+	// from and to bound the run.
+	from, to time.Duration
+	// count is the number of requests that come each 50 ms.
+	count func(now time.Duration) int
+	// pick is the gateway to which a request comes.
+	pick func(request int) int
+	// loseTotalsAt is when the counter loses its totals; 0: never.
+	loseTotalsAt time.Duration
+}
+
+// play runs it and returns when each request was sent.
+func (run *fleetRun) play() (sent []time.Duration) {
+	const step = 50 * ms
 	id := uint64(0)
-	late := make([][]Event, len(all))
-	for now := first; now < last; now += 50 * ms {
-		if lose > 0 && now >= lose {
-			l.n, lose = map[uint64]float64{}, 0
+	late := make([][]Event, len(run.fleet))
+	for now := run.from; now < run.to; now += step {
+		if run.loseTotalsAt > 0 && now >= run.loseTotalsAt {
+			run.counter.totals = map[uint64]float64{}
+			run.loseTotalsAt = 0
 		}
-		evs := make([][]Event, len(all))
-		for i := range all {
-			evs[i] = append(late[i], TimerFired{0})
+		events := make([][]Event, len(run.fleet))
+		for i := range run.fleet {
+			events[i] = append(late[i], TimerFired{0})
 			late[i] = nil
 		}
-		for range each(now) {
+		for range run.count(now) {
 			id++
-			i := pick(int(id))
-			evs[i] = append(evs[i], testRequest(id, 0, plan))
+			i := run.pick(int(id))
+			events[i] = append(events[i], testRequest(id, 0, run.plan))
 		}
-		for i, b := range all {
-			for todo := evs[i]; len(todo) > 0; {
-				acts := b.Step(now, todo)
-				todo = nil
-				late[i] = append(late[i], l.answer(acts)...)
-				for _, s := range actionsOf[Dispatch](acts) {
+		for i, b := range run.fleet {
+			for next := events[i]; len(next) > 0; {
+				acts := b.Step(now, next)
+				next = nil
+				late[i] = append(late[i], run.counter.answer(acts)...)
+				for _, attempt := range actionsOf[Dispatch](acts) {
 					sent = append(sent, now)
-					todo = append(todo, succeeded(s, 0, 20*ms))
+					next = append(next, succeeded(attempt, 0, 20*ms))
 				}
 			}
 		}
@@ -67,9 +76,8 @@
 	return sent
 }
 
-// However a flood comes to many doors, what goes out past their small shares by the ledger and what goes out by these
-// stay
-// together within the ceiling, at the turn of the counter's numbers and when it loses them too.
+// However a flood comes to a large fleet, what goes out past the small shares by the quota's bucket and what goes out
+// by these stay together within the ceiling, also when the counter's window changes and when it loses its totals.
 func TestLargeFleetKeepsCeiling(t *testing.T) {
 	plans := []Plan{
 		largeFleetSettings(40).Plans[1],
@@ -77,40 +85,38 @@
 	}
 	floods := map[string]func(now time.Duration) int{
 		"always": constantly(5),
-		"before a new number": func(now time.Duration) int { // after a calm time in which the store runs over
+		"before a new window": func(now time.Duration) int { // after a calm time in which the bucket overflows
 			if now < 29*time.Second || now > 38*time.Second && now < 56*time.Second {
 				return int(now/(50*ms)) % 10 / 9
 			}
 			return 5
 		},
 	}
-	for name, pick := range map[string]func(*rand.Rand) int{
-		"evenly": func(r *rand.Rand) int { return r.IntN(40) }, "at one door": func(*rand.Rand) int { return 3 },
-		"mostly at a few": func(r *rand.Rand) int { return min(r.IntN(40), r.IntN(40), r.IntN(40)) },
-	} {
-		for when, each := range floods {
+	picks := map[string]func(*rand.Rand) int{
+		"evenly":          func(rng *rand.Rand) int { return rng.IntN(40) },
+		"at one gateway":  func(*rand.Rand) int { return 3 },
+		"mostly at a few": func(rng *rand.Rand) int { return min(rng.IntN(40), rng.IntN(40), rng.IntN(40)) },
+	}
+	for where, pick := range picks {
+		for when, count := range floods {
 			for i, plan := range plans {
-				for _, lose := range []time.Duration{0, 20 * time.Second} {
-					t.Run(fmt.Sprint(name, when, i, lose > 0), func(t *testing.T) {
-						r := rand.New(rand.NewPCG(1, 2))
-						store, last, least := plan.CeilingBurst, time.Duration(0), plan.CeilingBurst
-						all := newLargeFleet(t, 40, plan)
-						sent := runFleet(
-							all,
-							&fakeCounter{n: map[uint64]float64{}},
-							1,
-							2*time.Second,
-							75*time.Second,
-							each,
-							func(int) int { return pick(r) },
-							lose,
-						)
-						for _, at := range sent {
-							store = min(plan.CeilingBurst, store+plan.CeilingRate*(at-last).Seconds()) - 1
-							last, least = at, min(least, store)
+				for _, loseTotalsAt := range []time.Duration{0, 20 * time.Second} {
+					name := fmt.Sprintf("%s, %s, plan %d, totals lost %v", where, when, i, loseTotalsAt > 0)
+					t.Run(name, func(t *testing.T) {
+						rng := rand.New(rand.NewPCG(1, 2))
+						run := &fleetRun{
+							fleet:        newLargeFleet(t, 40, plan),
+							counter:      newFakeCounter(),
+							plan:         1,
+							from:         2 * time.Second,
+							to:           75 * time.Second,
+							count:        count,
+							pick:         func(int) int { return pick(rng) },
+							loseTotalsAt: loseTotalsAt,
 						}
-						if least < -plan.CeilingBurst/10-0.15*plan.CeilingRate {
-							t.Errorf("the ceiling's store fell to %.1f of %v", least, plan.CeilingBurst)
+						sent := run.play()
+						if least := lowestCeilingLevel(plan, sent); least < -plan.CeilingBurst/10-0.15*plan.CeilingRate {
+							t.Errorf("the ceiling's bucket fell to %.1f of %v", least, plan.CeilingBurst)
 						}
 						if rate := float64(len(sent)) / 73; when == "always" && rate < 0.6*plan.Rate {
 							t.Errorf("%.1f a second went out; the quota is %v", rate, plan.Rate)
@@ -122,55 +128,67 @@
 	}
 }
 
+// lowestCeilingLevel is the lowest level of a ceiling's bucket out of which requests were sent at some times.
+func lowestCeilingLevel(plan Plan, sent []time.Duration) float64 {
+	level := plan.CeilingBurst
+	lowest := plan.CeilingBurst
+	last := time.Duration(0)
+	for _, at := range sent {
+		level = min(plan.CeilingBurst, level+plan.CeilingRate*(at-last).Seconds()) - 1
+		lowest = min(lowest, level)
+		last = at
+	}
+	return lowest
+}
+
+// constantly is a flood of the same number of requests at all times.
 func constantly(n int) func(time.Duration) int { return func(time.Duration) int { return n } }
 
-// A customer inside its quota whose requests mostly come to one of many doors is not held to that door's share of its
-// ceiling.
+// A customer inside its quota whose requests mostly come to one gateway of a large fleet is not held to that gateway's
+// share of its ceiling.
 func TestLargeFleetServesQuotaAtOneGateway(t *testing.T) {
-	sent := runFleet(
-		newLargeFleet(t, 40),
-		&fakeCounter{n: map[uint64]float64{}},
-		1,
-		2*time.Second,
-		22*time.Second,
-		constantly(1),
-		func(i int) int { // 20 a second for 0.4 of the time: 8 of the 10 that the quota gives
-			if i%50 < 20 {
+	run := &fleetRun{
+		fleet:   newLargeFleet(t, 40),
+		counter: newFakeCounter(),
+		plan:    1,
+		from:    2 * time.Second,
+		to:      22 * time.Second,
+		count:   constantly(1),
+		pick: func(request int) int { // 20 a second for 0.4 of the time: 8 of the 10 that the quota gives
+			if request%50 < 20 {
 				return 0
 			}
-			return 1 + i%39
+			return 1 + request%39
 		},
-		0,
-	)
-	if want := 0.75 * 20 * 10; float64(len(sent)) < want { // what the quota gives in 20 s, less what doors keep
+	}
+	sent := run.play()
+	if want := 0.75 * 20 * 10; float64(len(sent)) < want { // what the quota gives in 20 s, less what gateways keep
 		t.Errorf("%d sent in 20 s, want %.0f", len(sent), want)
 	}
 }
 
-// Doors that start together in the middle of a window all see a store that seems over its burst. Were each to put it
-// right, it
-// would be empty for a while for each of them; and asks that are given back are no gain to be put right either.
+// Gateways that start together in the middle of a window all see a bucket that seems over its burst. Were each to
+// correct it, it would be empty for a while for each of them; and blocks that are returned are no gain to be corrected.
 func TestLargeFleetStartingTogetherServesQuota(t *testing.T) {
-	r := rand.New(rand.NewPCG(5, 6))
+	rng := rand.New(rand.NewPCG(5, 6))
 	plan := largeFleetSettings(60).Plans[0]
-	sent := runFleet(
-		newLargeFleet(t, 60),
-		&fakeCounter{n: map[uint64]float64{}},
-		0,
-		20*time.Second,
-		50*time.Second,
-		constantly(1),
-		func(int) int { return r.IntN(60) },
-		0,
-	)
+	run := &fleetRun{
+		fleet:   newLargeFleet(t, 60),
+		counter: newFakeCounter(),
+		plan:    0,
+		from:    20 * time.Second,
+		to:      50 * time.Second,
+		count:   constantly(1),
+		pick:    func(int) int { return rng.IntN(60) },
+	}
+	sent := run.play()
 	if n, most := float64(len(sent)), plan.Burst+30*plan.Rate; n < 0.75*most || n > 1.5*most {
 		t.Errorf("%.0f sent in 30 s for a customer that asks for ten times its quota, which gives %.0f", n, most)
 	}
 }
 
-// Where doors are many, a call that finds the store a little short costs no second one: what it took is spent when the
-// store has
-// gained it. Only what would take too long is given back.
+// In a large fleet a call that finds the bucket a little short costs no second one: what it took is spent when the
+// bucket has gained it. Only what would take too long is returned.
 func TestLargeFleetSeldomCallsTwice(t *testing.T) {
 	b := newLargeFleet(t, 100)[0]
 	now := 2 * time.Second
@@ -178,12 +196,10 @@
 	if len(calls) != 1 || calls[0].Amount != 1 {
 		t.Fatalf("calls: %v, want one of a unit", calls)
 	}
-	acts := b.Step(
-		now,
-		[]Event{CounterResult{calls[0].Name, OK, 8 + 2*2 + 0.25}},
-	) // short by a quarter of a unit: an eighth of a second
+	// The bucket is short by a quarter of a unit: an eighth of a second.
+	acts := b.Step(now, []Event{CounterResult{calls[0].Name, OK, 8 + 2*2 + 0.25}})
 	if len(actionsOf[CounterAdd](acts))+len(actionsOf[Dispatch](acts))+len(actionsOf[Reject](acts)) != 0 {
-		t.Fatalf("the request should wait for what the store gains: %v", acts)
+		t.Fatalf("the request should wait for what the bucket gains: %v", acts)
 	}
 	for sent := false; !sent; now += 20 * ms {
 		acts = b.Step(now, []Event{TimerFired{0}})
@@ -191,7 +207,7 @@
 			t.Fatalf("at %v: %v", now, acts)
 		}
 		if sent = len(actionsOf[Dispatch](acts)) == 1; sent && now < 2120*ms {
-			t.Errorf("sent at %v, before the store had gained it", now)
+			t.Errorf("sent at %v, before the bucket had gained it", now)
 		}
 	}
 
@@ -203,7 +219,7 @@
 		t.Fatalf("short by 19: %v", acts)
 	}
 	if more := actionsOf[CounterAdd](b.Step(now+time.Second, []Event{testRequest(2, 0, 0)})); len(more) != 0 {
-		t.Errorf("a store just seen empty was asked again: %v", more)
+		t.Errorf("a bucket just found empty was asked again: %v", more)
 	}
 }
 
@@ -213,26 +229,23 @@
 	now := 2 * time.Second
 	calls := actionsOf[CounterAdd](b.Step(now, []Event{testRequest(1, 0, 0)}))
 	now += 50 * ms
-	if acts := b.Step(
-		now,
-		[]Event{CounterResult{calls[0].Name, Timeout, 0}, TimerFired{0}},
-	); len(
-		actionsOf[Reject](acts),
-	) != 0 {
-		t.Fatalf("refused at the time-out: %v", acts)
+	acts := b.Step(now, []Event{CounterResult{calls[0].Name, Timeout, 0}, TimerFired{0}})
+	if len(actionsOf[Reject](acts)) != 0 {
+		t.Fatalf("rejected at the timeout: %v", acts)
 	}
-	if acts := b.Step(now+20*ms, []Event{LateCounterResult{calls[0].Ticket, OK, 1}}); len(actionsOf[Dispatch](acts)) != 1 {
-		t.Errorf("the late answer sends it: %v", acts)
+	acts = b.Step(now+20*ms, []Event{LateCounterResult{calls[0].Ticket, OK, 1}})
+	if len(actionsOf[Dispatch](acts)) != 1 {
+		t.Errorf("not sent after the late answer: %v", acts)
 	}
 }
 
-// A plan that caps what is open at once keeps the cap at many doors, and checks are answered soon.
+// A plan that limits requests in flight keeps the limit in a large fleet, and admission-only requests are decided soon.
 func TestLargeFleetKeepsMaxInFlightAndAnswersAdmitOnlySoon(t *testing.T) {
 	plan := largeFleetSettings(40).Plans[1]
 	plan.MaxInFlight = 1
 	all := newLargeFleet(t, 40, plan)
 	sent := 0
-	counter := &fakeCounter{n: map[uint64]float64{}}
+	counter := newFakeCounter()
 	for id := uint64(1); id <= 6; id++ {
 		for todo := []Event{testRequest(id, 0, 1)}; len(todo) > 0; {
 			acts := all[0].Step(10*time.Second, todo)
@@ -241,10 +254,10 @@
 		}
 	}
 	if sent != 1 {
-		t.Errorf("%d sent while one may be open", sent)
+		t.Errorf("%d sent while one may be in flight", sent)
 	}
 
-	l := &fakeCounter{n: map[uint64]float64{}}
+	counter = newFakeCounter()
 	b := newLargeFleet(t, 40)[0]
 	answered := map[uint64]bool{}
 	now := 10 * time.Second
@@ -257,7 +270,7 @@
 			for _, a := range actionsOf[Reject](acts) {
 				answered[a.ID] = true
 			}
-			todo = l.answer(acts)
+			todo = counter.answer(acts)
 		}
 	}
 	for id := uint64(1); id <= 60; id++ {
@@ -271,11 +284,11 @@
 		step(TimerFired{0})
 	}
 	if len(answered) != 60 {
-		t.Errorf("%d of 60 checks answered 160 ms after the last", len(answered))
+		t.Errorf("%d of 60 requests answered 160 ms after the last", len(answered))
 	}
 }
 
-// With a share of under one unit the counter is asked for a single request, and its level alone decides.
+// With a share of under one unit the counter is called for a single request, and the level alone decides.
 func TestSparseShareCallsCounterPerRequest(t *testing.T) {
 	for total, want := range map[float64]int{1: 1, 30: 0} {
 		b := newTestBalancer(t, largeFleetSettings(100), testEndpoints(8)...)
@@ -289,16 +302,16 @@
 		}
 		if want == 0 {
 			if back := actionsOf[CounterAdd](acts); len(back) != 1 || back[0].Amount != -1 {
-				t.Errorf("what the store did not hold was not given back: %v", acts)
+				t.Errorf("what the bucket did not have was not returned: %v", acts)
 			}
 			if more := actionsOf[CounterAdd](b.Step(4*ms, []Event{testRequest(2, 0, 0)})); len(more) != 0 {
-				t.Errorf("a store just seen empty was asked again: %v", more)
+				t.Errorf("a bucket just found empty was asked again: %v", more)
 			}
 		}
 	}
 }
 
-// A counter that fails is asked by fewer requests, and by each door rarely, however many there are.
+// A counter that fails is called for fewer requests, and by each gateway rarely, however many there are.
 func TestFailingCounterIsCalledRarely(t *testing.T) {
 	b := newTestBalancer(t, largeFleetSettings(300), testEndpoints(8)...)
 	late := 0
@@ -314,18 +327,18 @@
 		}
 	}
 	if late > 10 {
-		t.Errorf("%d calls in 10 s to a counter that turns all away", late)
+		t.Errorf("%d calls in 10 s to a counter that rejects all", late)
 	}
 }
 
-// What the store seems to have gained over its burst is put right, once.
+// What the bucket seems to have gained over its burst is corrected once.
 func TestBucketOverflowIsAddedToCounter(t *testing.T) {
 	b := newTestBalancer(t, largeFleetSettings(100), testEndpoints(8)...)
 	now := 20 * time.Second
 	calls := actionsOf[CounterAdd](b.Step(now, []Event{testRequest(1, 0, 0)}))
 	acts := b.Step(now+2*ms, []Event{CounterResult{calls[0].Name, OK, 1}})
-	fixes := actionsOf[CounterAdd](acts)
-	if len(fixes) != 1 || fixes[0].Amount < 30 || len(actionsOf[Dispatch](acts)) != 1 {
+	corrections := actionsOf[CounterAdd](acts)
+	if len(corrections) != 1 || corrections[0].Amount < 30 || len(actionsOf[Dispatch](acts)) != 1 {
 		t.Errorf("20 s of overflow at 2 a second: %v", acts)
 	}
 }
--- a/internal/balancer/quota_test.go
+++ b/internal/balancer/quota_test.go
@@ -9,14 +9,14 @@
 	settings := testSettings()
 	settings.UseCounter = false
 	b := newTestBalancer(t, settings, testEndpoints(8)...)
-	sent, refused := 0, 0
+	sent, rejected := 0, 0
 	for i := range 8 {
 		acts := b.Step(ms, []Event{testRequest(uint64(i), 0, 0)})
 		sent += len(actionsOf[Dispatch](acts))
-		refused += len(actionsOf[Reject](acts))
+		rejected += len(actionsOf[Reject](acts))
 	}
-	if sent != 4 || refused != 4 {
-		t.Errorf("sent %d, refused %d of 8; want 4 and 4", sent, refused)
+	if sent != 4 || rejected != 4 {
+		t.Errorf("sent %d, rejected %d of 8; want 4 and 4", sent, rejected)
 	}
 }
 
@@ -28,27 +28,36 @@
 			return c[0]
 		}
 	}
-	t.Fatal("no lease was asked for")
+	t.Fatal("no call for a lease")
 	return CounterAdd{}
 }
 
+// testRequests returns requests of one customer.
+func testRequests(count uint64) []Event {
+	var requests []Event
+	for id := range count {
+		requests = append(requests, testRequest(id+1, 0, 0))
+	}
+	return requests
+}
+
 func TestLeasePromotesRequests(t *testing.T) {
 	b := newTestBalancer(t, testSettings(), testEndpoints(8)...)
 	c := spendFallback(t, b, ms)
-	b.Step(2*ms, []Event{testRequest(1, 0, 0), testRequest(2, 0, 0), testRequest(3, 0, 0), testRequest(4, 0, 0), testRequest(5, 0, 0)})
+	b.Step(2*ms, testRequests(5))
 	acts := b.Step(4*ms, []Event{CounterResult{c.Name, OK, c.Amount}})
 	if len(actionsOf[Dispatch](acts)) == 0 {
-		t.Errorf("a grant sent nothing on: %v", acts)
+		t.Errorf("nothing is sent after a lease: %v", acts)
 	}
 }
 
 func TestEmptyBucketRejectsHardPlan(t *testing.T) {
 	b := newTestBalancer(t, testSettings(), testEndpoints(8)...)
 	c := spendFallback(t, b, ms)
-	b.Step(2*ms, []Event{testRequest(1, 0, 0), testRequest(2, 0, 0), testRequest(3, 0, 0), testRequest(4, 0, 0), testRequest(5, 0, 0)})
+	b.Step(2*ms, testRequests(5))
 	acts := b.Step(4*ms, []Event{CounterResult{c.Name, OK, c.Amount + 30}})
 	if len(actionsOf[Reject](acts)) == 0 || len(actionsOf[Dispatch](acts)) != 0 {
-		t.Errorf("a spent store let requests in: %v", acts)
+		t.Errorf("an empty bucket let requests through: %v", acts)
 	}
 }
 
@@ -76,7 +85,7 @@
 		evs = append(evs, testRequest(uint64(i), 0, 3))
 	}
 	if n := len(actionsOf[Dispatch](b.Step(ms, evs))); n != 2 {
-		t.Errorf("%d attempts out for a cap of 4 over 2 doors", n)
+		t.Errorf("%d attempts out for a limit of 4 over 2 gateways", n)
 	}
 }
 
@@ -88,7 +97,10 @@
 			b.Step(51*ms, []Event{succeeded(s, 0, 50*ms)})
 		}
 		cust := b.customers.find("c")
-		cust.bucket.known, cust.bucket.peerDemand, cust.quota.tokens, cust.quota.leasedAt = true, others, 20, ms
+		cust.bucket.known = true
+		cust.bucket.peerDemand = others
+		cust.quota.tokens = 20
+		cust.quota.leasedAt = ms
 		var evs []Event
 		for i := range 10 {
 			evs = append(evs, testRequest(uint64(100+i), 0, 3))
@@ -110,11 +122,11 @@
 	}
 	acts := b.Step(ms, evs)
 	if len(actionsOf[Reject](acts)) != 0 {
-		t.Errorf("a soft plan was refused beyond its quota: %v", acts)
+		t.Errorf("a soft plan was rejected beyond its quota: %v", acts)
 	}
 }
 
-// What brings more worth for its work goes first, also if it is of fewer units.
+// A request with more priority weight for its work goes first, also if it is of fewer units.
 func TestPriorityByWork(t *testing.T) {
 	b := newTrainedBalancer(t, testEndpoints(1)...)
 	level := func(units float64) int {
--- a/internal/balancer/reload_test.go
+++ b/internal/balancer/reload_test.go
@@ -5,25 +5,27 @@
 	"time"
 )
 
-// A class that is changed has a new number, under which what was learned goes on; a request that came under the old
-// number
-// keeps the old rules to its end.
+// A class that is changed has a new number, under which its estimates go on; a request of the old number keeps the old
+// rules to its end.
 func TestReloadKeepsRulesOfOpenRequests(t *testing.T) {
 	settings := testSettings()
-	settings.UseCounter, settings.Gateways, settings.MaxAttempts = false, 1, 3
+	settings.UseCounter = false
+	settings.Gateways = 1
+	settings.MaxAttempts = 3
 	settings.Plans[0] = Plan{PriorityFactor: 1}
 	b := newTestBalancer(t, settings, testEndpoints(3)...)
 	first := singleDispatch(t, b.Step(time.Second, []Event{testRequest(1, 0, 0)}))
-	b.latency.classes[0].meanLatency, b.latency.classes[0].answers = 0.123, 50
+	b.latency.classes[0].meanLatency = 0.123
+	b.latency.classes[0].answers = 50
 
 	next := settings
 	next.MaxAttempts = 1
-	unsafe := settings.Classes[0]
-	unsafe.Idempotency = NonIdempotent
+	nonIdempotent := settings.Classes[0]
+	nonIdempotent.Idempotency = NonIdempotent
 	old := settings.Classes[0]
 	old.Removed = true
 	next.Classes = append([]Class{old}, settings.Classes[1:]...)
-	next.Classes = append(next.Classes, unsafe)
+	next.Classes = append(next.Classes, nonIdempotent)
 	from := make([]int, len(next.Classes))
 	for i := range from {
 		from[i] = i
@@ -33,18 +35,17 @@
 	acts := b.Step(time.Second+ms, []Event{SettingsUpdate{Settings: next, EvidenceFrom: from}, testRequest(2, fresh, 0)})
 	second := singleDispatch(t, acts)
 	if b.latency.classes[fresh].meanLatency != 0.123 {
-		t.Errorf("what was learned is lost: %v", b.latency.classes[fresh].meanLatency)
+		t.Errorf("the estimate is lost: %v", b.latency.classes[fresh].meanLatency)
 	}
-	// The old request may still be repeated, being of a safe class; the new one may not, having perhaps run.
-	if s := singleDispatch(
-		t,
-		b.Step(time.Second+2*ms, []Event{AttemptResult{ID: 1, Endpoint: first.Endpoint, Status: Reset, Latency: ms}}),
-	); s.ID != 1 {
-		t.Errorf("%+v", s)
+	// The old request may still be retried, being of an idempotent class; the new one may have run and may not.
+	reset := AttemptResult{ID: 1, Endpoint: first.Endpoint, Status: Reset, Latency: ms}
+	if retry := singleDispatch(t, b.Step(time.Second+2*ms, []Event{reset})); retry.ID != 1 {
+		t.Errorf("%+v", retry)
 	}
-	for _, a := range b.Step(time.Second+3*ms, []Event{AttemptResult{ID: 2, Endpoint: second.Endpoint, Status: Reset, Latency: ms}}) {
-		if s, ok := a.(Dispatch); ok && s.ID == 2 {
-			t.Error("a request of an unsafe class was sent again")
+	reset = AttemptResult{ID: 2, Endpoint: second.Endpoint, Status: Reset, Latency: ms}
+	for _, retry := range actionsOf[Dispatch](b.Step(time.Second+3*ms, []Event{reset})) {
+		if retry.ID == 2 {
+			t.Error("a request of a non-idempotent class was retried")
 		}
 	}
 }
@@ -52,25 +53,24 @@
 // Fewer attempts hold for new requests only.
 func TestReloadOfMaxAttempts(t *testing.T) {
 	settings := testSettings()
-	settings.UseCounter, settings.Gateways, settings.MaxAttempts = false, 1, 2
+	settings.UseCounter = false
+	settings.Gateways = 1
+	settings.MaxAttempts = 2
 	settings.Plans[0] = Plan{PriorityFactor: 1}
 	b := newTestBalancer(t, settings, testEndpoints(3)...)
-	again := func(id uint64, at time.Duration) (sends int) {
-		for _, a := range b.Step(at, []Event{AttemptResult{ID: id, Endpoint: b.requests[id].attempts[0].endpoint.name, Status: Rejected, Latency: ms}}) {
-			if _, ok := a.(Dispatch); ok {
-				sends++
-			}
-		}
-		return sends
+	retriesOf := func(id uint64, at time.Duration) int {
+		endpoint := b.requests[id].attempts[0].endpoint.name
+		rejected := AttemptResult{ID: id, Endpoint: endpoint, Status: Rejected, Latency: ms}
+		return len(actionsOf[Dispatch](b.Step(at, []Event{rejected})))
 	}
 	b.Step(time.Second, []Event{testRequest(1, 0, 0)})
 	next := settings
 	next.MaxAttempts = 1
 	b.Step(time.Second+ms, []Event{SettingsUpdate{Settings: next, EvidenceFrom: []int{0, 1, 2}}, testRequest(2, 0, 0)})
-	if n := again(1, time.Second+2*ms); n != 1 {
-		t.Errorf("the open request had %d further attempts", n)
+	if n := retriesOf(1, time.Second+2*ms); n != 1 {
+		t.Errorf("the open request had %d retries", n)
 	}
-	if n := again(2, time.Second+3*ms); n != 0 {
+	if n := retriesOf(2, time.Second+3*ms); n != 0 {
 		t.Errorf("the new one had %d", n)
 	}
 }
--- a/internal/balancer/settings_test.go
+++ b/internal/balancer/settings_test.go
@@ -1,22 +1,33 @@
 package balancer
 
 import (
+	"errors"
 	"testing"
 )
 
+// invalidSettingsCases are changes that make settings invalid.
+var invalidSettingsCases = []struct {
+	name  string
+	spoil func(*Settings)
+}{
+	{"no gateway", func(s *Settings) { s.Gateways = 0 }},
+	{"no class", func(s *Settings) { s.Classes = nil }},
+	{"no plan", func(s *Settings) { s.Plans = nil }},
+	{"no attempt", func(s *Settings) { s.MaxAttempts = 0 }},
+	{"negative rate", func(s *Settings) { s.Plans[0].Rate = -1 }},
+	{"negative latency objective", func(s *Settings) { s.Classes[0].LatencyObjective = -1 }},
+	{"negative overload window", func(s *Settings) { s.OverloadWindow = -1 }},
+}
+
 func TestNewRejectsInvalidSettings(t *testing.T) {
-	for name, spoil := range map[string]func(*Settings){
-		"doors": func(s *Settings) { s.Gateways = 0 }, "classes": func(s *Settings) { s.Classes = nil },
-		"plans": func(s *Settings) { s.Plans = nil }, "attempts": func(s *Settings) { s.MaxAttempts = 0 },
-		"rate": func(s *Settings) { s.Plans[0].Rate = -1 }, "aim": func(s *Settings) { s.Classes[0].LatencyObjective = -1 },
-		"window": func(s *Settings) { s.OverloadWindow = -1 },
-	} {
-		settings := testSettings()
-		if spoil(&settings); true {
-			if _, err := New(settings, 1); err == nil {
-				t.Errorf("%s: no error", name)
+	for _, c := range invalidSettingsCases {
+		t.Run(c.name, func(t *testing.T) {
+			settings := testSettings()
+			c.spoil(&settings)
+			if _, err := New(settings, 1); !errors.Is(err, ErrInvalidSettings) {
+				t.Errorf("error %v", err)
 			}
-		}
+		})
 	}
 }
 
@@ -25,14 +36,13 @@
 	if err := settings.Validate(); err != nil {
 		t.Fatal(err)
 	}
-	for i, spoil := range []func(*Settings){
-		func(s *Settings) { s.Gateways = 0 }, func(s *Settings) { s.Classes = nil }, func(s *Settings) { s.Plans = nil },
-		func(s *Settings) { s.MaxAttempts = 0 }, func(s *Settings) { s.OverloadWindow = -1 },
-	} {
-		bad := testSettings()
-		spoil(&bad)
-		if bad.Validate() == nil {
-			t.Errorf("%d passes", i)
-		}
+	for _, c := range invalidSettingsCases {
+		t.Run(c.name, func(t *testing.T) {
+			settings := testSettings()
+			c.spoil(&settings)
+			if err := settings.Validate(); !errors.Is(err, ErrInvalidSettings) {
+				t.Errorf("error %v", err)
+			}
+		})
 	}
 }
--- a/internal/balancer/share_test.go
+++ b/internal/balancer/share_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 	"testing"
 	"time"
 
@@ -10,46 +11,57 @@
 	"gapgap/internal/balancer/quotashare"
 )
 
-// sharingFleet are doors without a counter that share one ceiling by views. The parts are leased by hand.
+// sharingFleet are gateways without a counter that share one ceiling by leases, which a test gives them. It checks that
+// they send no more than the ceiling allows.
 type sharingFleet struct {
-	doors  []*Balancer
-	set    Settings
-	parts  []float64
-	until  []time.Duration
-	ids    uint64
-	store  quotashare.Bucket
-	left   float64 // of a store that empties with each grant
-	at     time.Duration
-	over   float64
-	ghost  []float64       // what a door had before it was given less: others it has lent to use that ...
-	until2 []time.Duration // ... until then
-	words  []loanMessage
-	late   func() time.Duration // of words of loans
-	loans  int
-	sums   float64 // by how much the doors' stores were more than the ceiling's together
-	mute   bool    // no word of loans comes
-	lasts  bool    // loans count from when they come: a mistake that is to be found
+	gateways []*Balancer
+	settings Settings
+	// fractions and leaseEnds are the leases as given.
+	fractions []float64
+	leaseEnds []time.Duration
+	// lent is the fraction that a gateway had before its lease shrank. It may have granted loans of it until lentUntil.
+	lent      []float64
+	lentUntil []time.Duration
+	lastID    uint64
+	ceiling   quotashare.Bucket
+	// level is that of the ceiling's bucket at levelAt, over how far it was below 0.
+	level   float64
+	levelAt time.Duration
+	over    float64
+	// excess is by how much the gateways' buckets together were larger than the ceiling's.
+	excess float64
+	// messages are those about loans that are on their way, delay is how long each takes.
+	messages []loanMessage
+	delay    func() time.Duration
+	// loans counts the loans granted.
+	loans int
+	// withoutLoans is true when no message about loans arrives.
+	withoutLoans bool
+	// loansFromArrival is true when loans count from their arrival: a mistake that is to be found.
+	loansFromArrival bool
 }
 
-// loanMessage is what one door tells another about a loan.
+// loanMessage is what one gateway sends another about a loan.
 type loanMessage struct {
-	to int
-	at time.Duration
-	ev Event
+	to    int
+	at    time.Duration
+	event Event
 }
 
-func newSharingFleet(t *rapid.T, n int, rule quotashare.PartitionPolicy) *sharingFleet {
-	s := &sharingFleet{
-		store:  quotashare.Bucket{Rate: 10, Depth: 20},
-		left:   20,
-		parts:  make([]float64, n),
-		until:  make([]time.Duration, n),
-		ghost:  make([]float64, n),
-		until2: make([]time.Duration, n),
-		late:   func() time.Duration { return 0 },
+// newSharingFleet returns a number of gateways without leases.
+func newSharingFleet(t *rapid.T, count int, policy quotashare.PartitionPolicy) *sharingFleet {
+	fleet := &sharingFleet{
+		ceiling:   quotashare.Bucket{Rate: 10, Depth: 20},
+		level:     20,
+		levelAt:   time.Hour,
+		fractions: make([]float64, count),
+		leaseEnds: make([]time.Duration, count),
+		lent:      make([]float64, count),
+		lentUntil: make([]time.Duration, count),
+		delay:     func() time.Duration { return 0 },
 	}
-	s.set = Settings{
-		Gateways:       n,
+	fleet.settings = Settings{
+		Gateways:       count,
 		MaxAttempts:    1,
 		LeasedShares:   true,
 		SendRetryAfter: true,
@@ -61,318 +73,326 @@
 				Burst:           10,
 				PriorityFactor:  1,
 				OverQuotaWeight: 0.2,
-				CeilingRate:     s.store.Rate,
-				CeilingBurst:    s.store.Depth,
-				PartitionPolicy: rule,
+				CeilingRate:     fleet.ceiling.Rate,
+				CeilingBurst:    fleet.ceiling.Depth,
+				PartitionPolicy: policy,
 			},
 		},
 	}
-	for i := range n {
-		settings := s.set
+	for i := range count {
+		settings := fleet.settings
 		settings.Index = i
 		b, err := New(settings, uint64(i))
 		if err != nil {
 			t.Fatal(err)
 		}
 		b.Step(time.Hour, nil)
-		s.doors = append(s.doors, b)
+		fleet.gateways = append(fleet.gateways, b)
 	}
-	s.at = time.Hour
-	return s
+	return fleet
 }
 
-func (s *sharingFleet) ask(i int, now time.Duration) (granted bool) {
-	s.ids++
-	for k := 0; k < len(s.words); k++ { // a word brings others
-		if w := s.words[k]; w.at <= now {
-			s.words = append(s.words[:k], s.words[k+1:]...)
-			s.step(w.to, now, w.ev)
-			k = -1
-		}
-	}
-	granted = s.step(i, now, Request{ID: s.ids, Customer: "c", Units: 1, TimeLeft: time.Second, AdmitOnly: true})
-	s.left = min(s.store.Depth, s.left+s.store.Rate*(now-s.at).Seconds())
-	s.at = now
-	if granted {
-		s.left--
-		s.over = max(s.over, -s.left)
+// request has a request come to a gateway, after the messages that have arrived by then, and reports whether it is
+// admitted.
+func (fleet *sharingFleet) request(gateway int, now time.Duration) (admitted bool) {
+	fleet.lastID++
+	fleet.deliver(now)
+	request := Request{ID: fleet.lastID, Customer: "c", Units: 1, TimeLeft: time.Second, AdmitOnly: true}
+	admitted = fleet.step(gateway, now, request)
+	fleet.level = min(fleet.ceiling.Depth, fleet.level+fleet.ceiling.Rate*(now-fleet.levelAt).Seconds())
+	fleet.levelAt = now
+	if admitted {
+		fleet.level--
+		fleet.over = max(fleet.over, -fleet.level)
 	}
 	sum := quotashare.Bucket{}
-	for _, b := range s.doors {
+	for _, b := range fleet.gateways {
 		b.Step(now, nil)
 		if cust := b.customers.find("c"); cust != nil {
 			sum = sum.Add(b.ceilingShare(cust, &b.settings.Plans[0]))
 		}
 	}
-	s.sums = max(s.sums, sum.Rate-s.store.Rate, sum.Depth-s.store.Depth)
-	return granted
+	fleet.excess = max(fleet.excess, sum.Rate-fleet.ceiling.Rate, sum.Depth-fleet.ceiling.Depth)
+	return admitted
 }
 
-// step has something happen at a door, and carries what it says of loans; granted says that it let a request through.
-func (s *sharingFleet) step(i int, now time.Duration, ev Event) (granted bool) {
-	if l, ok := ev.(LoanGranted); ok {
-		s.loans++
-		if s.lasts {
-			l.At = now
-			ev = l
+// deliver hands out the messages that have arrived, and those that these bring about.
+func (fleet *sharingFleet) deliver(now time.Duration) {
+	for i := 0; i < len(fleet.messages); i++ {
+		if message := fleet.messages[i]; message.at <= now {
+			fleet.messages = append(fleet.messages[:i], fleet.messages[i+1:]...)
+			fleet.step(message.to, now, message.event)
+			i = -1
 		}
 	}
-	acts := append([]Action(nil), s.doors[i].Step(now, []Event{ev})...)
-	for _, a := range acts {
-		if _, ok := a.(Admit); s.mute && !ok {
+}
+
+// step hands an event to a gateway and sends its messages about loans. It reports whether a request was admitted.
+func (fleet *sharingFleet) step(gateway int, now time.Duration, event Event) (admitted bool) {
+	if granted, ok := event.(LoanGranted); ok {
+		fleet.loans++
+		if fleet.loansFromArrival {
+			granted.At = now
+			event = granted
+		}
+	}
+	acts := slices.Clone(fleet.gateways[gateway].Step(now, []Event{event}))
+	for _, action := range acts {
+		if _, ok := action.(Admit); fleet.withoutLoans && !ok {
 			continue
 		}
-		switch a := a.(type) {
+		switch action := action.(type) {
 		case Admit:
-			granted = true
+			admitted = true
 		case RequestLoan:
-			for j := range s.doors {
-				if j != i {
-					s.words = append(
-						s.words,
-						loanMessage{j, now + s.late(), LoanRequest{From: i, Customer: a.Customer, Plan: a.Plan, At: a.At}},
-					)
+			loan := LoanRequest{From: gateway, Customer: action.Customer, Plan: action.Plan, At: action.At}
+			for peer := range fleet.gateways {
+				if peer != gateway {
+					fleet.messages = append(fleet.messages, loanMessage{peer, now + fleet.delay(), loan})
 				}
 			}
 		case GrantLoan:
-			s.words = append(
-				s.words,
-				loanMessage{
-					a.To,
-					now + s.late(),
-					LoanGranted{From: i, Customer: a.Customer, Plan: a.Plan, At: a.At, Rate: a.Rate, Depth: a.Depth},
-				},
-			)
+			loan := LoanGranted{
+				From:     gateway,
+				Customer: action.Customer,
+				Plan:     action.Plan,
+				At:       action.At,
+				Rate:     action.Rate,
+				Depth:    action.Depth,
+			}
+			fleet.messages = append(fleet.messages, loanMessage{action.To, now + fleet.delay(), loan})
 		}
 	}
-	return granted
+	return admitted
 }
 
-// lease gives a door a part, as far as what the others have leaves it, unless the rule is broken on purpose.
-func (s *sharingFleet) lease(i int, part float64, now, length time.Duration, broken bool) {
-	if !broken {
-		part = min(part, 1-s.sum(now)+max(s.mine(i, now), s.ghost[i]))
-		part = max(0, part)
-	}
-	if was := s.mine(
-		i,
-		now,
-	); part < was ||
-		now+length < s.until[i] { // a lease that is given for less is taken away, too
-		s.ghost[i], s.until2[i] = max(was, s.ghost[i]), s.doors[i].LoansEndAt()
+// lease gives a gateway a fraction, as far as what the others have leaves it.
+func (fleet *sharingFleet) lease(gateway int, fraction float64, now, length time.Duration) {
+	sum := fleet.leasedSum(now)
+	free := 1 - sum + max(fleet.leased(gateway, now), fleet.lent[gateway])
+	fleet.leaseUnchecked(gateway, max(0, min(fraction, free)), now, length)
+}
+
+// leaseUnchecked gives a gateway a fraction whatever the others have.
+func (fleet *sharingFleet) leaseUnchecked(gateway int, fraction float64, now, length time.Duration) {
+	former := fleet.leased(gateway, now)
+	if fraction < former || now+length < fleet.leaseEnds[gateway] { // a shorter lease takes some away, too
+		fleet.lent[gateway] = max(former, fleet.lent[gateway])
+		fleet.lentUntil[gateway] = fleet.gateways[gateway].LoansEndAt()
 	}
-	s.parts[i], s.until[i] = part, now+length
-	s.doors[i].Step(now, []Event{ShareUpdate{Fraction: part, Until: now + length}})
+	fleet.fractions[gateway] = fraction
+	fleet.leaseEnds[gateway] = now + length
+	fleet.gateways[gateway].Step(now, []Event{ShareUpdate{Fraction: fraction, Until: now + length}})
 }
 
-func (s *sharingFleet) mine(i int, now time.Duration) float64 {
-	if now < s.until[i] {
-		return s.parts[i]
+// leased is the fraction that a gateway has at a time.
+func (fleet *sharingFleet) leased(gateway int, now time.Duration) float64 {
+	if now < fleet.leaseEnds[gateway] {
+		return fleet.fractions[gateway]
 	}
 	return 0
 }
 
-func (s *sharingFleet) sum(now time.Duration) (sum float64) {
-	for i := range s.parts {
-		if now >= s.until2[i] {
-			s.ghost[i] = 0
+// leasedSum is the sum of all gateways' fractions, or of what they may have granted of former ones.
+func (fleet *sharingFleet) leasedSum(now time.Duration) (sum float64) {
+	for i := range fleet.fractions {
+		if now >= fleet.lentUntil[i] {
+			fleet.lent[i] = 0
 		}
-		sum += max(s.mine(i, now), s.ghost[i])
+		sum += max(fleet.leased(i, now), fleet.lent[i])
 	}
 	return sum
 }
 
-func runSharing(t *rapid.T, broken bool) float64 {
-	n := rapid.IntRange(1, 6).Draw(t, "doors")
-	s := newSharingFleet(
-		t,
-		n,
-		rapid.SampledFrom([]quotashare.PartitionPolicy{quotashare.KeepQuota, quotashare.KeepAll, quotashare.KeepNone}).
-			Draw(t, "rule"),
-	)
-	s.late = func() time.Duration { return time.Duration(rapid.IntRange(0, 1500).Draw(t, "late")) * time.Millisecond }
+// allPolicies are the policies that a plan may have.
+var allPolicies = []quotashare.PartitionPolicy{quotashare.KeepQuota, quotashare.KeepAll, quotashare.KeepNone}
+
+// runSharing plays a random order of leases and requests and returns by how many units the ceiling was exceeded.
+// lease is the method that gives the leases.
+func runSharing(
+	t *rapid.T, lease func(fleet *sharingFleet, gateway int, fraction float64, now, length time.Duration),
+) float64 {
+	count := rapid.IntRange(1, 6).Draw(t, "gateways")
+	fleet := newSharingFleet(t, count, rapid.SampledFrom(allPolicies).Draw(t, "policy"))
+	fleet.delay = func() time.Duration {
+		return time.Duration(rapid.IntRange(0, 1500).Draw(t, "late")) * time.Millisecond
+	}
 	now := time.Hour
 	for range rapid.IntRange(100, 300).Draw(t, "steps") {
 		now += time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond
-		i := rapid.IntRange(0, n-1).Draw(t, "door")
+		gateway := rapid.IntRange(0, count-1).Draw(t, "gateway")
 		if rapid.IntRange(0, 2).Draw(t, "kind") == 0 {
-			s.lease(
-				i,
-				float64(rapid.SampledFrom([]int{0, 3, 5, 10, 10}).Draw(t, "tenths"))/10,
-				now,
-				time.Duration(rapid.IntRange(50, 20_000).Draw(t, "length"))*time.Millisecond,
-				broken,
-			)
+			fraction := float64(rapid.SampledFrom([]int{0, 3, 5, 10, 10}).Draw(t, "tenths")) / 10
+			length := time.Duration(rapid.IntRange(50, 20_000).Draw(t, "length")) * time.Millisecond
+			lease(fleet, gateway, fraction, now, length)
 			continue
 		}
 		for range rapid.IntRange(1, 30).Draw(t, "burst") {
-			s.ask(i, now)
+			fleet.request(gateway, now)
 		}
 	}
-	return max(s.over, s.sums)
+	return max(fleet.over, fleet.excess)
 }
 
-// However parts are leased and taken back, doors let no more through than the ceiling's store holds.
+// However fractions are leased and taken back, gateways admit no more than the ceiling's bucket holds.
 func TestLeasedSharesHoldCeiling(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		if over := runSharing(t, false); over > 1e-6 {
+		if over := runSharing(t, (*sharingFleet).lease); over > 1e-6 {
 			t.Fatalf("%.3f units over the ceiling", over)
 		}
 	})
 }
 
-// The check finds parts that overlap: one that grows before another's lease is over.
+// The check finds leases that overlap: a fraction that grows before another's lease is over.
 func TestSharingCheckFindsOverlap(t *testing.T) {
 	worst := 0.0
 	for seed := range 200 {
-		worst = max(worst, rapid.Custom(func(t *rapid.T) float64 { return runSharing(t, true) }).Example(seed))
+		run := rapid.Custom(func(t *rapid.T) float64 { return runSharing(t, (*sharingFleet).leaseUnchecked) })
+		worst = max(worst, run.Example(seed))
 	}
 	if worst < 5 {
-		t.Errorf("parts that overlap let %.1f units over the ceiling in 200 plays, which the check is to find", worst)
+		t.Errorf("leases that overlap let %.1f units over the ceiling in 200 runs, which the check is to find", worst)
 	}
 }
 
-// Loans that come late are worth only what is left of them, as the lender uses its part again; counted from when they
-// came they would overlap.
+// Loans that come late are worth only what is left of them, as the lender uses its part again; counted from their
+// arrival they would overlap.
 func TestLateLoans(t *testing.T) {
-	for _, lasts := range []bool{false, true} {
+	for _, fromArrival := range []bool{false, true} {
 		worst := 0.0
 		rapid.Check(t, func(t *rapid.T) {
-			s := newSharingFleet(t, 3, quotashare.KeepNone)
-			s.lasts = lasts
-			s.late = func() time.Duration { return time.Duration(rapid.IntRange(0, 700).Draw(t, "late")) * time.Millisecond }
-			for i := range s.doors {
-				s.lease(i, 1.0/3, time.Hour, time.Hour, false)
+			fleet := newSharingFleet(t, 3, quotashare.KeepNone)
+			fleet.loansFromArrival = fromArrival
+			fleet.delay = func() time.Duration {
+				return time.Duration(rapid.IntRange(0, 700).Draw(t, "late")) * time.Millisecond
+			}
+			for i := range fleet.gateways {
+				fleet.lease(i, 1.0/3, time.Hour, time.Hour)
 			}
 			now := time.Hour + 10*time.Second
-			for round := range 8 { // the demand is at one door, then at all
+			for round := range 8 { // the demand is at one gateway, then at all
 				for end := now + 2*time.Second; now < end; now += 20 * time.Millisecond {
 					for i := range 1 + 2*(round%2) {
-						s.ask(i, now)
+						fleet.request(i, now)
 					}
 				}
 			}
-			worst = max(worst, s.over, s.sums)
+			worst = max(worst, fleet.over, fleet.excess)
 		})
-		if !lasts && worst > 1e-6 || lasts && worst < 0.5 {
-			t.Errorf(
-				"counted from when they came %v: %.1f units over the ceiling, or more than it shared out",
-				lasts,
-				worst,
-			)
+		if !fromArrival && worst > 1e-6 || fromArrival && worst < 0.5 {
+			t.Errorf("counted from their arrival %v: %.1f units over the ceiling, or more than it shared out",
+				fromArrival, worst)
 		}
 	}
 }
 
-// All of an account's traffic at one of three doors has the whole ceiling, as the others lend what they don't need; and
-// when the demand is at
-// all doors, each has its own part.
+// All of a customer's requests at one of three gateways have the whole ceiling, as the others grant loans of what they
+// don't need; when the demand is at all gateways, each has its own part.
 func TestLoansFollowDemand(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		for _, rule := range []quotashare.PartitionPolicy{quotashare.KeepQuota, quotashare.KeepAll, quotashare.KeepNone} {
-			s := newSharingFleet(t, 3, rule)
-			for i := range s.doors {
-				s.lease(i, 1.0/3, time.Hour, time.Hour, false)
+		for _, policy := range allPolicies {
+			fleet := newSharingFleet(t, 3, policy)
+			for i := range fleet.gateways {
+				fleet.lease(i, 1.0/3, time.Hour, time.Hour)
 			}
 			one, now := 0, time.Hour
 			for ; now < time.Hour+12*time.Second; now += 20 * time.Millisecond {
-				if s.ask(0, now) && now >= time.Hour+2*time.Second {
+				if fleet.request(0, now) && now >= time.Hour+2*time.Second {
 					one++
 				}
 			}
 			var each [3]int
 			for begun := now; now < begun+12*time.Second; now += 20 * time.Millisecond {
-				for i := range s.doors {
-					if s.ask(i, now) && now >= begun+4*time.Second {
+				for i := range fleet.gateways {
+					if fleet.request(i, now) && now >= begun+4*time.Second {
 						each[i]++
 					}
 				}
 			}
-			if one < 95 || s.over > 1e-6 || s.loans == 0 || min(each[0], each[1], each[2]) < 20 {
-				t.Fatalf(
-					"rule %v: %d of 100 at one door, %v at all, %.2f over, %d loans",
-					rule,
-					one,
-					each,
-					s.over,
-					s.loans,
-				)
+			if one < 95 || fleet.over > 1e-6 || fleet.loans == 0 || min(each[0], each[1], each[2]) < 20 {
+				t.Fatalf("policy %v: %d of 100 at one gateway, %v at all, %.2f over, %d loans",
+					policy, one, each, fleet.over, fleet.loans)
 			}
 		}
 	})
 }
 
-// A part that grows after a long time gives no full store at once, neither of a customer that is known nor of one that
-// is new.
+// A fraction that grows after a long time gives no full bucket at once, neither of a known customer nor of a new one.
 func TestGrownShareStartsEmpty(t *testing.T) {
 	for _, known := range []bool{true, false} {
 		t.Run(fmt.Sprint("known ", known), func(t *testing.T) {
 			rapid.Check(t, func(t *rapid.T) {
-				s := newSharingFleet(t, 2, quotashare.KeepNone)
-				s.mute = true
+				fleet := newSharingFleet(t, 2, quotashare.KeepNone)
+				fleet.withoutLoans = true
 				now := time.Hour
-				s.lease(0, 0.5, now, time.Minute, false)
-				s.lease(1, 0.5, now, time.Minute, false)
-				if now += 50 * time.Second; known {
-					s.ask(1, now)
+				fleet.lease(0, 0.5, now, time.Minute)
+				fleet.lease(1, 0.5, now, time.Minute)
+				now += 50 * time.Second
+				if known {
+					fleet.request(1, now)
 				}
 				for range 20 {
-					s.ask(0, now)
+					fleet.request(0, now)
 				}
-				s.lease(0, 0, now, 0, false)
-				s.lease(1, 1, now, time.Minute, false)
+				fleet.lease(0, 0, now, 0)
+				fleet.lease(1, 1, now, time.Minute)
 				got := 0
 				for range 40 {
-					if s.ask(1, now+time.Millisecond) {
+					if fleet.request(1, now+time.Millisecond) {
 						got++
 					}
 				}
-				if s.over > 1e-6 || known && got != 9 || !known && got != 0 {
-					t.Fatalf("%d at once, %.1f over", got, s.over)
+				if fleet.over > 1e-6 || known && got != 9 || !known && got != 0 {
+					t.Fatalf("%d at once, %.1f over", got, fleet.over)
 				}
 			})
 		})
 	}
 }
 
-// A lease that is over is worth nothing at the next decision, however long the door stood still before it.
+// A lease that is over is worth nothing at the next decision, however long the gateway stood still before it.
 func TestSharesEndWithLease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := newSharingFleet(t, 3, quotashare.KeepNone)
-		s.lease(0, 1, time.Hour, 2*time.Second, false)
-		if !s.ask(0, time.Hour+1900*time.Millisecond) {
+		fleet := newSharingFleet(t, 3, quotashare.KeepNone)
+		fleet.lease(0, 1, time.Hour, 2*time.Second)
+		if !fleet.request(0, time.Hour+1900*time.Millisecond) {
 			t.Fatal("nothing inside the lease")
 		}
-		if s.ask(0, time.Hour+2*time.Second) || s.ask(0, time.Hour+12*time.Second) {
-			t.Fatal("let through after the lease")
+		if fleet.request(0, time.Hour+2*time.Second) || fleet.request(0, time.Hour+12*time.Second) {
+			t.Fatal("admitted after the lease")
 		}
 	})
 }
 
-// What is kept without a lease is served by a door that is alone: the quota's even part, all of the even part, or
+// A gateway that is cut off serves what it keeps without a lease: the quota's even part, all of its even part, or
 // nothing.
 func TestSharesKeptWithoutLease(t *testing.T) {
-	for rule, want := range map[quotashare.PartitionPolicy]int{quotashare.KeepQuota: 50, quotashare.KeepAll: 100, quotashare.KeepNone: 0} {
+	admittedIn30s := map[quotashare.PartitionPolicy]int{
+		quotashare.KeepQuota: 50,
+		quotashare.KeepAll:   100,
+		quotashare.KeepNone:  0,
+	}
+	for policy, want := range admittedIn30s {
 		rapid.Check(t, func(t *rapid.T) {
-			s := newSharingFleet(t, 3, rule)
-			if s.ask(0, time.Hour+5*time.Second) {
-				t.Fatal("let through before it was told how it stands")
+			fleet := newSharingFleet(t, 3, policy)
+			if fleet.request(0, time.Hour+5*time.Second) {
+				t.Fatal("admitted before the first share update")
 			}
-			s.doors[0].Step(time.Hour+5*time.Second, []Event{ShareUpdate{}})
+			fleet.gateways[0].Step(time.Hour+5*time.Second, []Event{ShareUpdate{}})
 			got := 0
 			for now := time.Hour + 10*time.Second; now < time.Hour+40*time.Second; now += 20 * time.Millisecond {
-				if s.ask(0, now) {
+				if fleet.request(0, now) {
 					got++
 				}
 			}
 			if want > 0 && got < want || got > want+8 { // the depth comes once
-				t.Fatalf("rule %v: %d let through in 30 s, %d wanted", rule, got, want)
+				t.Fatalf("policy %v: %d admitted in 30 s, %d wanted", policy, got, want)
 			}
 		})
 	}
 }
 
-// A part that grew counts for a cap on what is open at once only when what others had open must be over.
+// A fraction that grew counts for a limit on requests in flight only when those of the former holder must be over.
 func TestOpenRequestsOfFormerLeaseHolder(t *testing.T) {
 	settings := Settings{
 		Gateways:     2,
@@ -396,19 +416,19 @@
 	at(time.Hour + 10*time.Second)
 	b.Step(time.Hour+10*time.Second, []Event{ShareUpdate{Fraction: 1, Until: 2 * time.Hour}})
 	if got := at(time.Hour + 12*time.Second); got != 4 {
-		t.Errorf("%v open 2 s after the part grew", got)
+		t.Errorf("%v in flight 2 s after the fraction grew", got)
 	}
 	if got := at(time.Hour + 13*time.Second); got != 10 {
-		t.Errorf("%v open 3 s after the part grew", got)
+		t.Errorf("%v in flight 3 s after the fraction grew", got)
 	}
 	b.Step(time.Hour+14*time.Second, []Event{ShareUpdate{Fraction: 0.2, Until: 2 * time.Hour}})
 	if got := at(time.Hour + 14*time.Second); got != 2 {
-		t.Errorf("%v open after the part shrank", got)
+		t.Errorf("%v in flight after the fraction shrank", got)
 	}
 }
 
-// What doors share without a bound that must hold goes by those that live, and what a yielding plan has for the
-// counter's silence by the lease.
+// What gateways share without a bound that must hold goes by those that are alive, and the fallback tokens of a plan
+// that keeps nothing without a lease go by the lease.
 func TestSharesOfLiveGateways(t *testing.T) {
 	settings := Settings{
 		Gateways:       5,
@@ -439,21 +459,21 @@
 		b.counter.pacer.RecordFailure(now+time.Duration(i)*time.Second, now+time.Duration(i)*time.Second)
 	}
 	if got := b.counter.pacer.Rate(); got != minFleetCallRate/5 {
-		t.Errorf("%v calls a second at least, of five doors", got)
+		t.Errorf("%v calls a second at least, of five gateways", got)
 	}
 	now += 300 * time.Second
 	b.Step(now, []Event{ShareUpdate{Fraction: 0.5, Until: 2 * time.Hour, DeadGateways: []int{1, 2, 3}}})
 	if got := b.counter.pacer.Rate(); got != minFleetCallRate/2 {
-		t.Errorf("%v calls a second at least, of two doors that live", got)
+		t.Errorf("%v calls a second at least, of two live gateways", got)
 	}
 	cust := &customer{gateways: 5, quota: quotaState{fallbackFilledAt: now}}
 	b.counter.callFraction = 0
-	for part, want := range map[float64]float64{0.5: 5, 0.2: 2, 0: 0} {
-		b.Step(now, []Event{ShareUpdate{Fraction: part, Until: now + time.Hour}})
+	for fraction, want := range map[float64]float64{0.5: 5, 0.2: 2, 0: 0} {
+		b.Step(now, []Event{ShareUpdate{Fraction: fraction, Until: now + time.Hour}})
 		cust.quota.fallbackFilledAt = b.now
 		b.now += time.Minute
 		if b.refillFallback(cust, &b.settings.Plans[0]); cust.quota.fallbackTokens != want {
-			t.Errorf("%v units at once by a part of %v", cust.quota.fallbackTokens, part)
+			t.Errorf("%v units at once by a fraction of %v", cust.quota.fallbackTokens, fraction)
 		}
 		now = b.now
 	}
