--- a/internal/balancer/golden_test.go
+++ b/internal/balancer/golden_test.go
@@ -786,11 +786,22 @@
 			"rough",
 		)
 		crowd := deployment(site, 300)
-		add(runFleet{name: site + "/crowd", settings: crowd, gateways: 2, backends: 120, calls: 2, handover: true}, "rough")
+		add(
+			runFleet{name: site + "/crowd", settings: crowd, gateways: 2, backends: 120, calls: 2, handover: true},
+			"rough",
+		)
 		both := deployment(site, 20)
 		both.LeasedShares, both.LeaseCeilings = true, true
 		add(
-			runFleet{name: site + "/both", settings: both, gateways: 5, backends: 12, calls: 2, loans: true, reload: true},
+			runFleet{
+				name:     site + "/both",
+				settings: both,
+				gateways: 5,
+				backends: 12,
+				calls:    2,
+				loans:    true,
+				reload:   true,
+			},
 			"rough",
 		)
 	}
--- a/internal/balancer/largefleet_test.go
+++ b/internal/balancer/largefleet_test.go
@@ -115,8 +115,9 @@
 							loseTotalsAt: loseTotalsAt,
 						}
 						sent := run.play()
-						if least := lowestCeilingLevel(plan, sent); least < -plan.CeilingBurst/10-0.15*plan.CeilingRate {
-							t.Errorf("the ceiling's bucket fell to %.1f of %v", least, plan.CeilingBurst)
+						allowed := -plan.CeilingBurst/10 - 0.15*plan.CeilingRate
+						if lowest := lowestCeilingLevel(plan, sent); lowest < allowed {
+							t.Errorf("the ceiling's bucket fell to %.1f of %v", lowest, plan.CeilingBurst)
 						}
 						if rate := float64(len(sent)) / 73; when == "always" && rate < 0.6*plan.Rate {
 							t.Errorf("%.1f a second went out; the quota is %v", rate, plan.Rate)
@@ -215,7 +216,8 @@
 	now = 2 * time.Second
 	calls = actionsOf[CounterAdd](b.Step(now, []Event{testRequest(1, 0, 0)}))
 	acts = b.Step(now, []Event{CounterResult{calls[0].Name, OK, 8 + 2*2 + 20}})
-	if back := actionsOf[CounterAdd](acts); len(back) != 1 || back[0].Amount != -1 || len(actionsOf[Reject](acts)) != 1 {
+	returned := actionsOf[CounterAdd](acts)
+	if len(returned) != 1 || returned[0].Amount != -1 || len(actionsOf[Reject](acts)) != 1 {
 		t.Fatalf("short by 19: %v", acts)
 	}
 	if more := actionsOf[CounterAdd](b.Step(now+time.Second, []Event{testRequest(2, 0, 0)})); len(more) != 0 {
--- a/internal/balancer/quotashare/sharelease.go
+++ b/internal/balancer/quotashare/sharelease.go
@@ -33,9 +33,8 @@
 	return lease.fraction > 0 && now >= lease.until
 }
 
-// Update sets the fraction from now on. maxInFlight is how long a request may be in flight. It reports whether the
-// fraction differs from the one before.
-func (lease *ShareLease) Update(now time.Duration, fraction float64, until, maxInFlight time.Duration) bool {
+// Update sets the fraction from now on. maxInFlight is how long a request may be in flight.
+func (lease *ShareLease) Update(now time.Duration, fraction float64, until, maxInFlight time.Duration) {
 	fraction = max(0, min(1, fraction))
 	if now >= until {
 		fraction = 0
@@ -55,10 +54,8 @@
 			lease.inFlightFraction = fraction
 		}
 	}
-	changed := fraction != lease.fraction
 	lease.fraction = fraction
 	lease.until = until
-	return changed
 }
 
 // InFlightFraction is the fraction for limits on requests in flight.
--- a/internal/balancer/reload_test.go
+++ b/internal/balancer/reload_test.go
@@ -32,7 +32,8 @@
 	}
 	fresh := len(next.Classes) - 1
 	from[fresh] = 0
-	acts := b.Step(time.Second+ms, []Event{SettingsUpdate{Settings: next, EvidenceFrom: from}, testRequest(2, fresh, 0)})
+	update := SettingsUpdate{Settings: next, EvidenceFrom: from}
+	acts := b.Step(time.Second+ms, []Event{update, testRequest(2, fresh, 0)})
 	second := singleDispatch(t, acts)
 	if b.latency.classes[fresh].meanLatency != 0.123 {
 		t.Errorf("the estimate is lost: %v", b.latency.classes[fresh].meanLatency)
