--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -35,7 +35,7 @@
 
 // Command implements upstream.Owner. It returns nil if the client has gone.
 func (a *attempt) Command(wait time.Duration) []byte {
-	if a.proxy.endIfClientGone(a.request, a.At) {
+	if a.proxy.endIfClientGone(a.request, a.SentAt) {
 		return nil
 	}
 	return a.request.Client.Forward(wait)
@@ -56,16 +56,16 @@
 	}
 	if a.proxy.Trace.On() {
 		a.proxy.Trace.Line("attempt", "id=%d no=%d class=%d to=%s status=%d took=%.1f",
-			a.request.id, a.number, a.request.Class, a.Backend, result.Status, trace.MS(a.proxy.Now()-a.At))
+			a.request.id, a.number, a.request.Class, a.Endpoint, result.Status, trace.MS(a.proxy.Now()-a.SentAt))
 	}
 	a.proxy.Enqueue(balancer.AttemptResult{
 		ID:            a.request.id,
 		Attempt:       a.number,
-		Endpoint:      a.Backend,
+		Endpoint:      a.Endpoint,
 		Status:        result.Status,
 		Latency:       a.Took(a.proxy.Now()),
 		RequestClosed: a.request.ended,
-		QuotaUsed:     result.Used,
+		QuotaUsed:     result.QuotaUsed,
 	})
 	a.proxy.forgetIfDone(a.request)
 }
@@ -85,19 +85,19 @@
 	now := p.Now()
 	a := &attempt{proxy: p, request: request, number: len(request.attempts)}
 	a.Attempt = upstream.Attempt{
-		Backend: action.Endpoint,
-		At:      now,
-		Until:   request.deadline,
-		By:      action.WriteBy,
+		Endpoint: action.Endpoint,
+		SentAt:      now,
+		Deadline:   request.deadline,
+		WriteBy:      action.WriteBy,
 		Owner:   a,
 	}
 	if action.Timeout > 0 {
-		a.Until = min(a.Until, now+action.Timeout)
+		a.Deadline = min(a.Deadline, now+action.Timeout)
 	}
 	request.attempts = append(request.attempts, a)
 	request.attemptsOut++
 	settings := p.Rules().Settings
-	if request.ended || a.Until <= now || p.endIfClientGone(request, request.At) ||
+	if request.ended || a.Deadline <= now || p.endIfClientGone(request, request.At) ||
 		request.attemptsOut > 1 && !settings.AllowHedging {
 		a.End(balancer.NotSent)
 		return
--- a/internal/proxy/reservation.go
+++ b/internal/proxy/reservation.go
@@ -84,8 +84,8 @@
 		p.answer(request, Answer{Outcome: Rejected, RetryAfter: reservationRetryAfter, Unavailable: true})
 	case waiting != nil:
 		reservation.waiting = nil
-		waiting.At = p.Now()
-		if waiting.Until <= waiting.At {
+		waiting.SentAt = p.Now()
+		if waiting.Deadline <= waiting.SentAt {
 			waiting.End(balancer.NotSent)
 			return
 		}
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -85,15 +85,15 @@
 	if parts.Others != nil {
 		c.OnPeerAction = parts.Others(c)
 	}
-	up := upstream.Config{Most: max(1, BackendSockets(cfg.Sockets)), DialTimeout: cfg.Transport.DialTimeout, Idle: cfg.Transport.ConnIdle, Trace: tr}
-	up.Stall = cfg.Stall
-	up.Written = c.Stats.Relayed.Add
-	up.Values = resourcelimit.NewBytes(ClientMemory(cfg.MemoryMB) / 2)
+	up := upstream.Config{MaxConnections: max(1, BackendSockets(cfg.Sockets)), DialTimeout: cfg.Transport.DialTimeout, IdleTimeout: cfg.Transport.ConnIdle, Trace: tr}
+	up.StallTimeout = cfg.Stall
+	up.OnWritten = c.Stats.Relayed.Add
+	up.ValueMemory = resourcelimit.NewBytes(ClientMemory(cfg.MemoryMB) / 2)
 	if parts.Places != nil {
-		up.Places = parts.Places(c)
+		up.Allotment = parts.Places(c)
 	}
 	if parts.Cap != nil {
-		up.Cap = func(addr string) *resourcelimit.EndpointLimit { return parts.Cap(c, addr) }
+		up.EndpointLimit = func(addr string) *resourcelimit.EndpointLimit { return parts.Cap(c, addr) }
 	}
 	watch := discovery.New(l, log, discovery.Config{Addr: cfg.Discovery, Known: cfg.Known, Zones: cfg.Transport.Zones,
 		Kinds: cfg.Transport.Kinds, Gateways: cfg.Settings.Gateways, Pushed: !cfg.Settings.PollEndpoints, Seed: cfg.Seed}, told)
--- a/internal/upstream/window_test.go
+++ b/internal/upstream/attempt_test.go
@@ -9,12 +9,14 @@
 	"gapgap/internal/fake/peer"
 )
 
-// An attempt that has a time by which it is to be written is not written after that: while its connection comes up it ends unsent when the time comes, and one that
-// comes to be written late all the same, as when the loop stood still, ends so too. Where a part is out, the rest may be: then it may have run.
+// An attempt that has a time by which it is to be written is not written after that: while its connection comes up it
+// ends unsent when the time comes, and one that comes to be written late all the same, as when the loop stood still,
+// ends so too. Where a part is out, the rest may be: then it may have run.
 func TestNothingIsWrittenAfterItsTime(t *testing.T) {
 	attempt := func(f *rig, by time.Duration, o Owner) {
 		f.events = nil
-		f.pool.Send(&Attempt{Backend: "s-0", At: f.Now(), Until: f.Now() + 10*time.Second, By: by, Owner: o})
+		f.pool.Send(&Attempt{Endpoint: "s-0", SentAt: f.Now(), Deadline: f.Now() + 10*time.Second, WriteBy: by,
+			Owner: o})
 	}
 	t.Run("coming up", func(t *testing.T) {
 		addr, let := peer.ListenLate(t)
@@ -37,8 +39,8 @@
 			t.Fatal("no connection")
 		}
 		peer.Pump(t, f.Loop, func() bool {
-			for c := range f.pool.all["s-0"].conns {
-				return c.sent.Load() == whole
+			for conn := range f.pool.endpoints["s-0"].connections {
+				return conn.writeState.Load() == writeComplete
 			}
 			return false
 		})
@@ -60,12 +62,12 @@
 		attempt(f, f.Now()+300*time.Millisecond, long{owner{f}})
 		b := peer.Accept(t, ln)
 		peer.Pump(t, f.Loop, func() bool {
-			for c := range f.pool.all["s-0"].conns {
-				return c.sent.Load() == sending
+			for conn := range f.pool.endpoints["s-0"].connections {
+				return conn.writeState.Load() == writeStarted
 			}
 			return false
 		})
-		b.In.Peek(1)
+		_, _ = b.In.Peek(1)
 		for end := time.Now().Add(peer.Patient); len(f.events) == 0 && time.Now().Before(end); {
 			f.Wait(10*time.Millisecond, nil)
 		}
--- a/internal/upstream/values_test.go
+++ b/internal/upstream/longvalue_test.go
@@ -40,12 +40,12 @@
 	return string(s.got)
 }
 
-// A long value is passed on as it comes, whatever the pieces, and nothing of the answer beside it. The connection is good for the
-// next attempt.
+// A long value is passed on as it comes, whatever the pieces, and nothing of the answer beside it. The connection is
+// good for the next attempt.
 func TestLongValuesArePassedOn(t *testing.T) {
 	ln := peer.Listen(t)
 	f := idle(t, ln.Addr().String())
-	f.pool.cfg.Values = resourcelimit.NewBytes(64 << 10)
+	f.pool.cfg.ValueMemory = resourcelimit.NewBytes(64 << 10)
 	size := 300<<10 + 7
 	text0 := fmt.Sprintf("$%d\r\n%s\r\n", size, strings.Repeat("v", size))
 	var b *peer.Peer
@@ -57,19 +57,19 @@
 		}
 		text := "*3\r\n" + text0 + peer.Bulk("used=37,cost=4") + "$-1\r\n"
 		go func() {
-			b.Try()
+			_, _ = b.Try()
 			for len(text) > 0 {
 				n := min(piece, len(text))
-				b.NC.Write([]byte(text[:n]))
+				_, _ = b.NC.Write([]byte(text[:n]))
 				text = text[n:]
 			}
 		}()
 		peer.Pump(t, f.Loop, func() bool { return len(f.events) > 0 })
 		wantOutcome(t, f, balancer.OK)
-		if f.sink.text() != text0 || f.sink.size != size || f.sink.most > longBuffer {
+		if f.sink.text() != text0 || f.sink.size != size || f.sink.most > longChunkBytes {
 			t.Errorf("%d bytes of %d came, %d at once", len(f.sink.got), len(text0), f.sink.most)
 		}
-		if f.pool.cfg.Values.Held() != 0 {
+		if f.pool.cfg.ValueMemory.Held() != 0 {
 			t.Error("the buffer is not given back")
 		}
 	}
@@ -82,11 +82,11 @@
 	f.sink = &sink{wait: make(chan struct{})}
 	a := try(t, f)
 	b := peer.Accept(t, ln)
-	peer.Pump(t, f.Loop, func() bool { return a.conn.sent.Load() == whole })
+	peer.Pump(t, f.Loop, func() bool { return a.connection.writeState.Load() == writeComplete })
 	b.Message()
 	half := 100 << 10
 	b.Write(fmt.Sprintf("*3\r\n$%d\r\n%s", 2*half, strings.Repeat("v", half)))
-	peer.Pump(t, f.Loop, func() bool { return a.first > 0 })
+	peer.Pump(t, f.Loop, func() bool { return a.longValueAt > 0 })
 	f.sink.wait <- struct{}{} // the first piece
 	for range 8 {             // what is read is no more than the pieces that were taken and one buffer
 		select {
@@ -114,35 +114,37 @@
 		sink  *sink
 		want  balancer.Status
 	}{
-		"dies halfway":         {head + body[:50<<10], true, &sink{}, balancer.Reset},
-		"stops halfway":        {head + body[:50<<10], false, &sink{}, balancer.Failed},
-		"too long":             {head + body + "v\r\n$-1\r\n$-1\r\n", false, &sink{}, balancer.Failed},
-		"longer than allowed":  {fmt.Sprintf("*3\r\n$%d\r\n", mostLong+1) + body, false, &sink{}, balancer.Failed},
-		"nobody wants it":      {head + body + "\r\n$-1\r\n$-1\r\n", false, nil, balancer.Cancelled},
-		"the client has gone":  {head + body + "\r\n$-1\r\n$-1\r\n", false, &sink{fail: errors.New("gone")}, balancer.Cancelled},
+		"dies halfway":        {head + body[:50<<10], true, &sink{}, balancer.Reset},
+		"stops halfway":       {head + body[:50<<10], false, &sink{}, balancer.Failed},
+		"too long":            {head + body + "v\r\n$-1\r\n$-1\r\n", false, &sink{}, balancer.Failed},
+		"longer than allowed": {fmt.Sprintf("*3\r\n$%d\r\n", maxValueBytes+1) + body, false, &sink{}, balancer.Failed},
+		"nobody wants it":     {head + body + "\r\n$-1\r\n$-1\r\n", false, nil, balancer.Cancelled},
+		"the client has gone": {head + body + "\r\n$-1\r\n$-1\r\n", false, &sink{fail: errors.New("gone")},
+			balancer.Cancelled},
 		"no figures come":      {head + body + "\r\n", true, &sink{}, balancer.OK},
 		"figures are nonsense": {head + body + "\r\nxyz\r\n", false, &sink{}, balancer.OK},
 	} {
 		t.Run(name, func(t *testing.T) {
 			ln := peer.Listen(t)
 			f := idle(t, ln.Addr().String())
-			f.pool.cfg.Stall = 50 * time.Millisecond
+			f.pool.cfg.StallTimeout = 50 * time.Millisecond
 			f.sink = c.sink
 			try(t, f)
 			b := peer.Accept(t, ln)
 			go func() { // it ends when the other side closes
-				b.Try()
-				b.NC.Write([]byte(c.text))
+				_, _ = b.Try()
+				_, _ = b.NC.Write([]byte(c.text))
 				if c.close {
-					b.NC.Close()
+					_ = b.NC.Close()
 				}
 			}()
 			peer.Pump(t, f.Loop, func() bool { return len(f.events) > 0 })
 			wantOutcome(t, f, c.want)
-			if c.sink != nil && c.want != balancer.OK && strings.HasSuffix(c.sink.text(), "\r\n") && len(c.sink.got) > 20 && c.sink.fail == nil {
+			if c.sink != nil && c.want != balancer.OK && strings.HasSuffix(c.sink.text(), "\r\n") &&
+				len(c.sink.got) > 20 && c.sink.fail == nil {
 				t.Errorf("it looks whole: %d bytes", len(c.sink.got))
 			}
-			if n := len(f.pool.all["s-0"].idle); n != 0 {
+			if n := len(f.pool.endpoints["s-0"].idle); n != 0 {
 				t.Errorf("%d connections are kept for the next attempt", n)
 			}
 		})
--- a/internal/upstream/hold_test.go
+++ b/internal/upstream/pool_test.go
@@ -7,19 +7,19 @@
 	"gapgap/internal/fake/peer"
 )
 
-// Nothing reaches a backend that is held: not on a connection held ready, nor by one that is still being dialled, nor a probe,
-// nor after it came back at another address, until it is let through again.
+// Nothing reaches a backend that is held: not on a connection held ready, nor by one that is still being dialled, nor
+// a probe, nor after it came back at another address, until it is let through again.
 func TestHold(t *testing.T) {
 	ln, other := peer.Listen(t), peer.Listen(t)
 	f := idle(t, ln.Addr().String())
 	try(t, f)
 	b := peer.Accept(t, ln)
 	go func() {
-		b.Try()
-		b.NC.Write([]byte("*1\r\n" + peer.Bulk("value")))
+		_, _ = b.Try()
+		_, _ = b.NC.Write([]byte("*1\r\n" + peer.Bulk("value")))
 	}()
 	peer.Pump(t, f.Loop, func() bool { return len(f.events) > 0 })
-	if len(f.pool.all["s-0"].idle) != 1 {
+	if len(f.pool.endpoints["s-0"].idle) != 1 {
 		t.Fatal("no connection is held ready")
 	}
 	f.pool.Hold("s-0", true)
@@ -52,8 +52,8 @@
 	try(t, f)
 	peer.Accept(t, other) // it may have been dialled for the one before; what counts is that one gets through
 	peer.Pump(t, f.Loop, func() bool {
-		for c := range f.pool.all["s-0"].conns {
-			if c.sent.Load() == whole {
+		for conn := range f.pool.endpoints["s-0"].connections {
+			if conn.writeState.Load() == writeComplete {
 				return true
 			}
 		}
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -18,21 +18,22 @@
 
 func TestReadReply(t *testing.T) {
 	for text, want := range map[string]reply{
-		"*3\r\n$2\r\nhi\r\n$14\r\nused=37,cost=4\r\n$-1\r\n": {status: balancer.OK, value: []byte("$2\r\nhi\r\n"), used: 38},
-		"*3\r\n$0\r\n\r\n$-1\r\n$-1\r\n":                     {status: balancer.OK, value: []byte("$0\r\n\r\n")},
-		"-ERR failed\r\n":                                    {status: balancer.Failed},
-		"-ERR failed used=0 inflight=7\r\n":                  {status: balancer.Failed, used: 1},
-		"-BUSY cost=1,used=120\r\n":                          {status: balancer.Rejected, used: 121},
-		"-ER\x00 x used=3\r\n":                               {status: balancer.Failed, odd: true, used: 4},
-		"-BUSY\r\n":                                          {status: balancer.Rejected},
-		"+PONG\r\n":                                          {status: balancer.OK, odd: true, pong: true},
-		"*1\r\n$-1\r\n":                                      {status: balancer.Failed, odd: true},
-		"*0\r\n":                                             {status: balancer.Failed, odd: true},
-		"$2\r\nhi\r\n":                                       {status: balancer.Failed, odd: true},
-		":1\r\n":                                             {status: balancer.Failed, odd: true},
+		"*3\r\n$2\r\nhi\r\n$14\r\nused=37,cost=4\r\n$-1\r\n": {status: balancer.OK, value: []byte("$2\r\nhi\r\n"),
+			quotaUsed: 38},
+		"*3\r\n$0\r\n\r\n$-1\r\n$-1\r\n":    {status: balancer.OK, value: []byte("$0\r\n\r\n")},
+		"-ERR failed\r\n":                   {status: balancer.Failed},
+		"-ERR failed used=0 inflight=7\r\n": {status: balancer.Failed, quotaUsed: 1},
+		"-BUSY cost=1,used=120\r\n":         {status: balancer.Rejected, quotaUsed: 121},
+		"-ER\x00 x used=3\r\n":              {status: balancer.Failed, malformed: true, quotaUsed: 4},
+		"-BUSY\r\n":                         {status: balancer.Rejected},
+		"+PONG\r\n":                         {status: balancer.OK, malformed: true, pong: true},
+		"*1\r\n$-1\r\n":                     {status: balancer.Failed, malformed: true},
+		"*0\r\n":                            {status: balancer.Failed, malformed: true},
+		"$2\r\nhi\r\n":                      {status: balancer.Failed, malformed: true},
+		":1\r\n":                            {status: balancer.Failed, malformed: true},
 	} {
 		n, m := redcon.ReadNextRESP([]byte(text))
-		if got := readReply(m); n != len(text) || fmt.Sprint(got) != fmt.Sprint(want) {
+		if got := parseReply(m); n != len(text) || fmt.Sprint(got) != fmt.Sprint(want) {
 			t.Errorf("%q: got %+v, want %+v", text, got, want)
 		}
 	}
@@ -64,7 +65,7 @@
 func idle(t *testing.T, addrs ...string) *rig {
 	t.Helper()
 	f := &rig{Loop: eventloop.New()}
-	f.pool = New(f.Loop, Config{Most: 400, DialTimeout: 5 * time.Second, Idle: 30 * time.Second},
+	f.pool = New(f.Loop, Config{MaxConnections: 400, DialTimeout: 5 * time.Second, IdleTimeout: 30 * time.Second},
 		func(p balancer.HealthCheckResult) { f.probed = append(f.probed, p) })
 	for _, e := range entries(addrs...) {
 		f.pool.UpdateEndpoint(e.Endpoint, e.Address)
@@ -93,7 +94,7 @@
 func try(t *testing.T, f *rig) *Attempt {
 	t.Helper()
 	f.events = nil
-	a := &Attempt{Backend: "s-0", At: f.Now(), Until: f.Now() + 10*time.Second, Owner: owner{f}}
+	a := &Attempt{Endpoint: "s-0", SentAt: f.Now(), Deadline: f.Now() + 10*time.Second, Owner: owner{f}}
 	f.pool.Send(a)
 	return a
 }
@@ -111,15 +112,16 @@
 		do   func(f *rig, a *Attempt, b *peer.Peer)
 	}{
 		"cancel":  {balancer.Cancelled, func(f *rig, a *Attempt, b *peer.Peer) { f.pool.Cancel(a) }},
-		"timeout": {balancer.Timeout, func(f *rig, a *Attempt, b *peer.Peer) { f.RunDue(a.Until) }},
-		"reset":   {balancer.Reset, func(f *rig, a *Attempt, b *peer.Peer) { b.NC.Close() }},
+		"timeout": {balancer.Timeout, func(f *rig, a *Attempt, b *peer.Peer) { f.RunDue(a.Deadline) }},
+		"reset":   {balancer.Reset, func(f *rig, a *Attempt, b *peer.Peer) { _ = b.NC.Close() }},
 		"gone":    {balancer.Cancelled, func(f *rig, a *Attempt, b *peer.Peer) { f.pool.Cancel(a) }},
 		"noise":   {balancer.Failed, func(f *rig, a *Attempt, b *peer.Peer) { b.Write("\x00\x01\x02\r\n") }},
 		"length":  {balancer.Failed, func(f *rig, a *Attempt, b *peer.Peer) { b.Write("*1\r\n$3000000000\r\nx") }},
-		"short":   {balancer.Failed, func(f *rig, a *Attempt, b *peer.Peer) { b.Write("*1\r\n$20\r\nx\r\n") }}, // and no more
-		"line":    {balancer.Failed, func(f *rig, a *Attempt, b *peer.Peer) { b.Write("-OOPS\r\n") }},
-		"full":    {balancer.Rejected, func(f *rig, a *Attempt, b *peer.Peer) { b.Write("-BUSY\r\n") }},
-		"served":  {balancer.OK, func(f *rig, a *Attempt, b *peer.Peer) { b.Write("*1\r\n$1\r\nx\r\n") }},
+		// and no more
+		"short":  {balancer.Failed, func(f *rig, a *Attempt, b *peer.Peer) { b.Write("*1\r\n$20\r\nx\r\n") }},
+		"line":   {balancer.Failed, func(f *rig, a *Attempt, b *peer.Peer) { b.Write("-OOPS\r\n") }},
+		"full":   {balancer.Rejected, func(f *rig, a *Attempt, b *peer.Peer) { b.Write("-BUSY\r\n") }},
+		"served": {balancer.OK, func(f *rig, a *Attempt, b *peer.Peer) { b.Write("*1\r\n$1\r\nx\r\n") }},
 	}
 	for name, end := range ends {
 		t.Run(name, func(t *testing.T) {
@@ -127,18 +129,18 @@
 			f := idle(t, ln.Addr().String())
 			a := try(t, f)
 			b := peer.Accept(t, ln)
-			peer.Pump(t, f.Loop, func() bool { return a.conn.sent.Load() != unsent })
+			peer.Pump(t, f.Loop, func() bool { return a.connection.writeState.Load() != writeNone })
 			b.Message()
-			conn := a.conn
-			for conn.sent.Load() != whole {
+			conn := a.connection
+			for conn.writeState.Load() != writeComplete {
 				time.Sleep(time.Millisecond)
 			}
 			end.do(f, a, b)
 			peer.Pump(t, f.Loop, func() bool { return a.ended })
 			wantOutcome(t, f, end.want)
 			f.pool.Cancel(a) // what comes later changes nothing
-			f.RunDue(a.Until)
-			conn.ended()
+			f.RunDue(a.Deadline)
+			conn.handleEnd()
 			wantOutcome(t, f, end.want)
 			if end.want != balancer.Rejected && end.want != balancer.OK {
 				b.WantsEnd()
@@ -154,7 +156,7 @@
 		"drain": func(f *rig, a *Attempt) {
 			b := entries("")[0].Endpoint
 			b.State = balancer.Draining
-			f.pool.UpdateEndpoint(b, f.pool.all["s-0"].addr)
+			f.pool.UpdateEndpoint(b, f.pool.endpoints["s-0"].address)
 		},
 		"left out": func(f *rig, a *Attempt) { f.whole() },
 		"cancel":   func(f *rig, a *Attempt) { f.pool.Cancel(a) },
@@ -188,21 +190,21 @@
 func TestConnectionsAreBounded(t *testing.T) {
 	first, second := peer.Listen(t), peer.Listen(t)
 	f := idle(t, first.Addr().String(), second.Addr().String())
-	f.pool.cfg.Most = 1
+	f.pool.cfg.MaxConnections = 1
 	a := try(t, f)
 	p := peer.Accept(t, first)
-	peer.Pump(t, f.Loop, func() bool { return a.conn.sent.Load() != unsent })
+	peer.Pump(t, f.Loop, func() bool { return a.connection.writeState.Load() != writeNone })
 	p.Message()
-	other := &Attempt{Backend: "s-1", Until: a.Until, Owner: owner{f}}
+	other := &Attempt{Endpoint: "s-1", Deadline: a.Deadline, Owner: owner{f}}
 	f.pool.Send(other)
 	wantOutcome(t, f, balancer.NotSent)
-	for c := a.conn; c.sent.Load() != whole; {
+	for conn := a.connection; conn.writeState.Load() != writeComplete; {
 		time.Sleep(time.Millisecond)
 	}
 	p.Write("*1\r\n$1\r\nx\r\n")
 	peer.Pump(t, f.Loop, func() bool { return a.ended })
 	f.events = nil
-	f.pool.Send(&Attempt{Backend: "s-1", Until: a.Until, Owner: owner{f}})
+	f.pool.Send(&Attempt{Endpoint: "s-1", Deadline: a.Deadline, Owner: owner{f}})
 	p.WantsEnd()
 	peer.Accept(t, second)
 }
@@ -219,27 +221,27 @@
 func TestSilentAndRestartedBackendsLoseIdleConnections(t *testing.T) {
 	ln := peer.Listen(t)
 	f := idle(t, ln.Addr().String())
-	b := f.pool.all["s-0"]
+	ep := f.pool.endpoints["s-0"]
 	for _, end := range []func(){
-		func() { f.pool.silent(b, f.Now()) },
+		func() { f.pool.handleSilence(ep, f.Now()) },
 		func() {
-			e := entries(b.addr)[0]
+			e := entries(ep.address)[0]
 			e.StartedAt = 5 * time.Millisecond
 			f.pool.UpdateEndpoint(e.Endpoint, e.Address)
 		},
 	} {
 		a := try(t, f)
 		p := peer.Accept(t, ln)
-		peer.Pump(t, f.Loop, func() bool { return a.conn.sent.Load() != unsent })
+		peer.Pump(t, f.Loop, func() bool { return a.connection.writeState.Load() != writeNone })
 		p.Message()
-		for c := a.conn; c.sent.Load() != whole; {
+		for conn := a.connection; conn.writeState.Load() != writeComplete; {
 			time.Sleep(time.Millisecond)
 		}
 		p.Write("*1\r\n$1\r\nx\r\n")
-		peer.Pump(t, f.Loop, func() bool { return len(b.idle) == 1 })
+		peer.Pump(t, f.Loop, func() bool { return len(ep.idle) == 1 })
 		end()
-		if len(b.idle) != 0 || f.pool.count != 0 {
-			t.Errorf("%d idle connections, %d in all", len(b.idle), f.pool.count)
+		if len(ep.idle) != 0 || f.pool.connections != 0 {
+			t.Errorf("%d idle connections, %d in all", len(ep.idle), f.pool.connections)
 		}
 		p.WantsEnd()
 	}
@@ -250,7 +252,7 @@
 	t.Helper()
 	a := try(t, f)
 	p := peer.Accept(t, ln)
-	peer.Pump(t, f.Loop, func() bool { return a.conn.sent.Load() == whole })
+	peer.Pump(t, f.Loop, func() bool { return a.connection.writeState.Load() == writeComplete })
 	p.Message()
 	return a, p
 }
@@ -264,11 +266,11 @@
 		a, p := inUse(t, f, ln)
 		p.Write("*1\r\n$1\r\nx\r\n")
 		peer.Pump(t, f.Loop, func() bool { return a.ended })
-		c := f.pool.all["s-0"].idle[0]
+		conn := f.pool.endpoints["s-0"].idle[0]
 		p.Write(surplus)
-		peer.Pump(t, f.Loop, func() bool { return c.closed })
+		peer.Pump(t, f.Loop, func() bool { return conn.closed })
 		p.WantsEnd()
-		if !c.spoilt.Load() || len(f.pool.all["s-0"].idle) != 0 {
+		if !conn.malformed.Load() || len(f.pool.endpoints["s-0"].idle) != 0 {
 			t.Errorf("%q: the connection is kept", surplus)
 		}
 	}
@@ -281,7 +283,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer nc.Close()
+	defer func() { _ = nc.Close() }()
 	p := peer.Accept(t, ln)
 	if !socket.IsQuiet(nc) {
 		t.Error("nothing has come, and it is not quiet")
@@ -306,7 +308,7 @@
 	p.WantsEnd()
 	f.events = nil
 	a = try(t, f)
-	dialling := a.conn
+	dialling := a.connection
 	f.whole(ln.Addr().String()) // it moves while it is being dialled
 	wantOutcome(t, f, balancer.NotSent)
 	if !dialling.closed {
@@ -320,10 +322,10 @@
 	f := idle(t, ln.Addr().String())
 	a, _ := inUse(t, f, ln)
 	f.whole()
-	f.RunDue(a.Until)
+	f.RunDue(a.Deadline)
 	wantOutcome(t, f, balancer.Timeout)
-	if len(f.pool.all) != 0 || f.pool.count != 0 {
-		t.Errorf("%d backends and %d connections are kept", len(f.pool.all), f.pool.count)
+	if len(f.pool.endpoints) != 0 || f.pool.connections != 0 {
+		t.Errorf("%d backends and %d connections are kept", len(f.pool.endpoints), f.pool.connections)
 	}
 }
 
@@ -335,7 +337,7 @@
 		f.probed = nil
 		f.pool.HealthCheck("s-0")
 		p := peer.Accept(t, ln)
-		peer.Pump(t, f.Loop, func() bool { return f.pool.count == 1 && f.pool.dialled("s-0") })
+		peer.Pump(t, f.Loop, func() bool { return f.pool.connections == 1 && f.pool.dialled("s-0") })
 		if m := p.Message(); m[0] != "PING" {
 			t.Fatalf("got %q", m)
 		}
@@ -347,9 +349,9 @@
 	}
 }
 
-func (bs *Pool) dialled(name string) bool {
-	for c := range bs.all[name].conns {
-		if c.nc == nil {
+func (p *Pool) dialled(name string) bool {
+	for conn := range p.endpoints[name].connections {
+		if conn.netConn == nil {
 			return false
 		}
 	}
