--- /dev/null
+++ b/internal/membership/heartbeat.go
@@ -0,0 +1,150 @@
+package membership
+
+import (
+	"errors"
+	"fmt"
+	"math"
+	"time"
+)
+
+// Contents of heartbeats.
+const (
+	// MaxEntries bounds the entries of one heartbeat, so that it stays in one packet.
+	MaxEntries = 64
+	// aliveBitAge is how old the news behind a bit of Heartbeat.AliveBits may be; its receiver takes it to be that old.
+	aliveBitAge = 600 * time.Millisecond
+	// newProcessPeriod is for how long a new process of a gateway goes before other entries in a large cluster.
+	newProcessPeriod = 2 * time.Second
+)
+
+// ErrMalformed is wrapped by the errors of [Detector.Validate].
+var ErrMalformed = errors.New("malformed heartbeat")
+
+// Entry is the news of one gateway.
+type Entry struct {
+	_ struct{} `cbor:",toarray"`
+	// Index is the gateway's position in the list.
+	Index uint16
+	// ID is the gateway's process.
+	ID ID
+	// Counter is the process's heartbeat counter, from 1.
+	Counter uint32
+	// Phase is what the process announced with the counter.
+	Phase Phase
+	// AgeMillis is for how many milliseconds the sender has known the counter, by its clock.
+	AgeMillis uint16
+}
+
+// Heartbeat is one gossip message. Its first entry is the sender's own.
+type Heartbeat struct {
+	_       struct{} `cbor:",toarray"`
+	Entries []Entry
+	// AliveBits has a bit for each gateway of which the sender has heard within aliveBitAge, in clusters that are too
+	// large for an entry each; empty in smaller ones.
+	AliveBits []byte
+}
+
+// hasAliveBit reports whether the bit of a gateway is set.
+func (h *Heartbeat) hasAliveBit(index int) bool {
+	return len(h.AliveBits) > 0 && h.AliveBits[index/8]&(1<<(index%8)) != 0
+}
+
+// Outgoing is a heartbeat to be sent to a gateway.
+type Outgoing struct {
+	// To is the receiver's position in the list.
+	To        int
+	Heartbeat Heartbeat
+	// ReplyToSender asks to send it to the address that the answered heartbeat came from as well. That may be a second
+	// process of one name, whose address is in no list.
+	ReplyToSender bool
+}
+
+// Heartbeat returns the present heartbeat: this gateway, then fresh news of others. In a large cluster new processes go
+// first, then a part of the other gateways in turns, and a bit each for who is alive.
+func (d *Detector) Heartbeat(now time.Duration) Heartbeat {
+	heartbeat := Heartbeat{Entries: []Entry{d.self().entry(now)}}
+	if d.isLarge() {
+		heartbeat.AliveBits = d.aliveBits(now)
+		heartbeat.Entries = d.appendNewProcesses(heartbeat.Entries, now)
+		heartbeat.Entries = d.appendInTurn(heartbeat.Entries, now)
+		return heartbeat
+	}
+	for i := range d.members {
+		if m := &d.members[i]; m.isFresh(now) && i != d.config.Index {
+			heartbeat.Entries = append(heartbeat.Entries, m.entry(now))
+		}
+	}
+	return heartbeat
+}
+
+// entry returns the news of a member.
+func (m *member) entry(now time.Duration) Entry {
+	age := max(0, now-m.LastHeard).Milliseconds()
+	return Entry{
+		Index:     uint16(m.Index),
+		ID:        m.ID,
+		Counter:   m.counter,
+		Phase:     m.phase,
+		AgeMillis: uint16(min(age, math.MaxUint16)),
+	}
+}
+
+// aliveBits returns a bit for each gateway that was heard of within aliveBitAge.
+func (d *Detector) aliveBits(now time.Duration) []byte {
+	bits := make([]byte, bitSetSize(len(d.members)))
+	for i := range d.members {
+		m := &d.members[i]
+		if m.isFresh(now) && m.phase != Leaving && now-m.LastHeard < aliveBitAge {
+			bits[i/8] |= 1 << (i % 8)
+		}
+	}
+	return bits
+}
+
+// appendNewProcesses appends entries of processes that were first heard of lately, up to half of a heartbeat.
+func (d *Detector) appendNewProcesses(entries []Entry, now time.Duration) []Entry {
+	for i := range d.members {
+		m := &d.members[i]
+		isNew := m.isFresh(now) && now-m.firstHeard < newProcessPeriod
+		if isNew && i != d.config.Index && len(entries) < MaxEntries/2 {
+			entries = append(entries, m.entry(now))
+		}
+	}
+	return entries
+}
+
+// appendInTurn fills a heartbeat with entries of the other gateways, beginning where the last heartbeat ended.
+func (d *Detector) appendInTurn(entries []Entry, now time.Duration) []Entry {
+	for range d.members {
+		d.nextEntry = (d.nextEntry + 1) % len(d.members)
+		m := &d.members[d.nextEntry]
+		isOld := m.isFresh(now) && now-m.firstHeard >= newProcessPeriod
+		if isOld && d.nextEntry != d.config.Index && len(entries) < MaxEntries {
+			entries = append(entries, m.entry(now))
+		}
+		if len(entries) == MaxEntries {
+			break
+		}
+	}
+	return entries
+}
+
+// Validate checks a heartbeat that came from a gateway. Its error wraps ErrMalformed.
+func (d *Detector) Validate(from int, heartbeat *Heartbeat) error {
+	entries := heartbeat.Entries
+	if len(entries) == 0 || len(entries) > MaxEntries || int(entries[0].Index) != from {
+		return fmt.Errorf("%w: %d entries", ErrMalformed, len(entries))
+	}
+	if size := len(heartbeat.AliveBits); size > 0 && size != bitSetSize(len(d.members)) {
+		return fmt.Errorf("%w: alive bits of %d bytes", ErrMalformed, size)
+	}
+	for _, e := range entries {
+		if int(e.Index) >= len(d.members) || e.Phase >= phaseCount || e.Counter == 0 {
+			return fmt.Errorf("%w: index %d, phase %d, counter %d", ErrMalformed, e.Index, e.Phase, e.Counter)
+		}
+	}
+	return nil
+}
+
+// bitSetSize returns the bytes that a set of bits takes.
+func bitSetSize(bits int) int { return (bits + 7) / 8 }
