--- /dev/null
+++ b/internal/raftlog/golden_test.go
@@ -0,0 +1,383 @@
+package raftlog
+
+import (
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"io"
+	"log/slog"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+
+	"go.etcd.io/raft/v3/raftpb"
+
+	"gapgap/internal/golden"
+	"gapgap/internal/vfs"
+)
+
+// unsynced is the operating system's file system without waiting for the disk: no play has a power loss.
+type unsynced struct{ vfs.OS }
+
+// unsyncedFile does not wait for the disk.
+type unsyncedFile struct{ vfs.File }
+
+func (unsyncedFile) Sync() error { return nil }
+
+func (unsynced) SyncDir(string) error { return nil }
+
+func (u unsynced) CreateTemp(dir, pattern string) (vfs.File, error) {
+	f, err := u.OS.CreateTemp(dir, pattern)
+	if err != nil {
+		return nil, err
+	}
+	return unsyncedFile{f}, nil
+}
+
+// numberDisk gives a voter an empty disk with a number that is not drawn by chance.
+func numberDisk(t *testing.T, dir string, number uint64) {
+	t.Helper()
+	d, err := OpenDisk(vfs.OS{}, dir)
+	if err != nil {
+		t.Fatal(err)
+	}
+	d.is.Number = number
+	if err := d.write(); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// goldenPlay is some voters whose disks have fixed numbers, in one goroutine. The first one is a candidate before any
+// election timeout, which raft draws by chance, and is heard of from then on, so no timeout ever runs out.
+type goldenPlay struct {
+	*fleet
+	trace *golden.Trace
+}
+
+func newGoldenPlay(t *testing.T, voters int) *goldenPlay {
+	t.Helper()
+	f := &fleet{t: t}
+	for i := range voters {
+		f.dirs = append(f.dirs, t.TempDir())
+		f.voters = append(f.voters, nil)
+		numberDisk(t, f.dirs[i], uint64(1001+i))
+	}
+	p := &goldenPlay{fleet: f, trace: golden.NewTrace()}
+	for i := range voters {
+		p.start(i)
+	}
+	p.rounds(2)
+	if err := f.voters[0].log.node.Campaign(); err != nil {
+		t.Fatal(err)
+	}
+	p.work(0)
+	p.rounds(3)
+	if f.leader() != f.voters[0] {
+		t.Fatal("the first voter does not lead")
+	}
+	return p
+}
+
+// start starts a voter whose writes do not wait for the disk.
+func (p *goldenPlay) start(i int) {
+	p.t.Helper()
+	p.fleet.start(i)
+	p.voters[i].disk.fs = unsynced{}
+}
+
+// work has a voter do what has come about, and delivers all messages in their order.
+func (p *goldenPlay) work(i int) {
+	p.t.Helper()
+	if err := p.voters[i].log.Work(); err != nil {
+		p.t.Fatal(err)
+	}
+	p.deliver()
+}
+
+func (p *goldenPlay) deliver() {
+	p.t.Helper()
+	for len(p.sent) > 0 {
+		s := p.sent[0]
+		p.sent = p.sent[1:]
+		p.trace.Int(int64(s.from))
+		p.trace.Int(int64(s.to))
+		p.trace.String(string(s.b))
+		to := p.voters[s.to].log
+		if to == nil {
+			continue
+		}
+		if err := to.Step(s.from, s.b); err != nil {
+			p.t.Fatal(err)
+		}
+		if err := to.Work(); err != nil {
+			p.t.Fatal(err)
+		}
+	}
+}
+
+func (p *goldenPlay) rounds(n int) {
+	p.t.Helper()
+	for range n {
+		for i, v := range p.voters {
+			if v.log != nil {
+				v.log.Tick()
+				p.work(i)
+			}
+		}
+	}
+}
+
+func (p *goldenPlay) propose(from, to int) {
+	p.t.Helper()
+	for n := from; n < to; n++ {
+		p.voters[0].log.Propose(entry(n))
+		if n%20 != 19 && n != to-1 {
+			continue // each write is the whole file: some entries have one together
+		}
+		p.voters[0].log.Read(uint64(n))
+		p.work(0)
+		if n%60 == 59 {
+			p.rounds(1)
+		}
+	}
+}
+
+// end adds what the voters have applied and kept.
+func (p *goldenPlay) end() string {
+	p.t.Helper()
+	for i, v := range p.voters {
+		p.trace.Uint(v.index)
+		p.trace.Int(int64(len(v.all)))
+		for _, n := range v.all {
+			p.trace.Uint(n)
+		}
+		p.trace.Int(int64(v.reads))
+		b, err := os.ReadFile(filepath.Join(p.dirs[i], "policy.log"))
+		if err != nil {
+			p.t.Fatal(err)
+		}
+		p.trace.String(string(b))
+	}
+	return p.trace.Sum()
+}
+
+// One voter past its compaction, and started anew.
+func aloneHash(t *testing.T) string {
+	p := newGoldenPlay(t, 1)
+	p.propose(0, 1200)
+	p.stop(0)
+	p.start(0)
+	p.trace.Uint(p.voters[0].index)
+	p.trace.Int(int64(len(p.voters[0].all)))
+	return p.end()
+}
+
+// A follower that is away for more than a snapshot, and catches up.
+func snapshotHash(t *testing.T) string {
+	p := newGoldenPlay(t, 3)
+	p.propose(0, 20)
+	p.stop(2)
+	p.propose(20, 700)
+	p.start(2)
+	p.rounds(60)
+	p.propose(700, 720)
+	return p.end()
+}
+
+// A voter whose disk is lost and is replaced by another one.
+func replacedHash(t *testing.T) string {
+	p := newGoldenPlay(t, 3)
+	p.propose(0, 30)
+	p.stop(2)
+	if err := os.Remove(filepath.Join(p.dirs[2], "policy.log")); err != nil {
+		t.Fatal(err)
+	}
+	numberDisk(t, p.dirs[2], 2003)
+	p.start(2)
+	for range 40 {
+		p.trace.String(p.voters[0].log.Replace(2))
+		p.work(0)
+		p.rounds(1)
+	}
+	p.trace.Bool(p.voters[2].log.Begun())
+	p.propose(30, 60)
+	p.trace.String(p.voters[0].log.Replace(1))
+	p.trace.String(p.voters[0].log.Replace(7))
+	p.trace.String(p.voters[1].log.Replace(2))
+	return p.end()
+}
+
+// A leader whose disk stands still gives the lead to another voter.
+func stuckDiskHash(t *testing.T) string {
+	p := newGoldenPlay(t, 3)
+	p.propose(0, 5)
+	write := p.slow(0)
+	p.voters[0].log.Propose(entry(5))
+	p.work(0)
+	for range 8 {
+		p.rounds(1)
+		for _, v := range p.voters {
+			term, leads := v.log.Leading()
+			p.trace.Uint(term)
+			p.trace.Bool(leads)
+		}
+	}
+	for range 5 {
+		write()
+		p.deliver()
+		p.rounds(1)
+	}
+	return p.end()
+}
+
+// A voter alone refuses a recovery for each of its reasons, as far as no leader is lost.
+func refusedRecoveryHash(t *testing.T) string {
+	p := newGoldenPlay(t, 3)
+	p.trace.String(p.voters[0].log.Recover(nil, entry(1)))
+	p.propose(0, 3)
+	p.stop(1)
+	p.stop(2)
+	p.trace.String(p.voters[0].log.Recover([]int{1, 2}, entry(1)))
+	p.rounds(30) // it gives up the lead, as no majority answers
+	p.trace.String(p.voters[0].log.Recover([]int{1}, entry(1)))
+	return p.trace.Sum()
+}
+
+// TestGoldenVoters compares what voters send, apply and keep with what is recorded. Raft draws election timeouts by
+// chance, so the plays are those in which none runs out.
+func TestGoldenVoters(t *testing.T) {
+	hashes := golden.LoadHashes(t, "testdata/golden/hashes.txt")
+	plays := []struct {
+		name string
+		hash func(*testing.T) string
+	}{
+		{"alone", aloneHash},
+		{"snapshot", snapshotHash},
+		{"replaced", replacedHash},
+		{"stuck-disk", stuckDiskHash},
+		{"refused-recovery", refusedRecoveryHash},
+	}
+	for _, play := range plays {
+		t.Run(play.name, func(t *testing.T) {
+			sum := play.hash(t)
+			if play.name != "snapshot" { // it takes seconds
+				if again := play.hash(t); again != sum {
+					t.Fatalf("%s, then %s", sum, again)
+				}
+			}
+			hashes.Check(t, play.name, sum)
+		})
+	}
+}
+
+// goldenKept sets all fields of a voter's file.
+func goldenKept(t *testing.T) kept {
+	t.Helper()
+	d := &Disk{is: kept{Number: 1<<62 + 1, Disks: map[int]uint64{0: 1<<62 + 1, 1: 7, 2: 1 << 40}}}
+	hard := raftpb.HardState{Term: 4, Vote: 2, Commit: 302}
+	snap := raftpb.Snapshot{
+		Data:     append([]byte{packed, 2, 0, 5, 1, 7}, "state"...),
+		Metadata: raftpb.SnapshotMetadata{ConfState: raftpb.ConfState{Voters: []uint64{1, 2, 3}}, Index: 300, Term: 3},
+	}
+	entries := []raftpb.Entry{
+		{Term: 3, Index: 301, Data: []byte("an entry")},
+		{Term: 4, Index: 302, Type: raftpb.EntryConfChange, Data: []byte{8, 1}},
+	}
+	if err := d.add(hard, entries, &snap); err != nil {
+		t.Fatal(err)
+	}
+	return d.is
+}
+
+// TestGoldenVoterFile compares a voter's file with the recorded one, and reads that back.
+func TestGoldenVoterFile(t *testing.T) {
+	path := "testdata/golden/policy.log"
+	dir := t.TempDir()
+	numberDisk(t, dir, 1)
+	d, err := OpenDisk(vfs.OS{}, dir)
+	if err != nil {
+		t.Fatal(err)
+	}
+	d.is = goldenKept(t)
+	if err := d.write(); err != nil {
+		t.Fatal(err)
+	}
+	golden.CheckBytes(t, path, golden.Read(t, filepath.Join(dir, "policy.log")))
+
+	dir = t.TempDir()
+	if err := os.WriteFile(filepath.Join(dir, "policy.log"), golden.Read(t, path), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if d, err = OpenDisk(vfs.OS{}, dir); err != nil {
+		t.Fatal(err)
+	}
+	if want := goldenKept(t); !reflect.DeepEqual(d.is, want) {
+		t.Errorf("read back %+v, want %+v", d.is, want)
+	}
+	mem, err := d.load()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if last, err := mem.LastIndex(); err != nil || last != 302 {
+		t.Errorf("the last index is %d, %v", last, err)
+	}
+}
+
+// TestGoldenSnapshotData compares the bytes of a snapshot with disk numbers, and reads them and those without back.
+func TestGoldenSnapshotData(t *testing.T) {
+	disks := map[int]uint64{0: 1<<62 + 1, 1: 7, 2: 1 << 40}
+	l := &Log{cfg: Config{Disk: &Disk{is: kept{Disks: disks}}}}
+	path := "testdata/golden/snapshot.bin"
+	golden.CheckBytes(t, path, l.pack([]byte("state")))
+	got, state, err := unpack(golden.Read(t, path))
+	if err != nil || string(state) != "state" || !reflect.DeepEqual(got, disks) {
+		t.Errorf("read back %v, %q, %v", got, state, err)
+	}
+	got, state, err = unpack([]byte("of an earlier program"))
+	if err != nil || string(state) != "of an earlier program" || got != nil {
+		t.Errorf("without numbers: %v, %q, %v", got, state, err)
+	}
+}
+
+// TestGoldenMessages compares the bytes of each kind of message between voters.
+func TestGoldenMessages(t *testing.T) {
+	hashes := golden.LoadHashes(t, "testdata/golden/messages.txt")
+	var sent [][]byte
+	dir := t.TempDir()
+	numberDisk(t, dir, 1001)
+	d, err := OpenDisk(vfs.OS{}, dir)
+	if err != nil {
+		t.Fatal(err)
+	}
+	l, err := New(Config{Rank: 0, Voters: []int{0, 1}, Disk: d, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
+		Send: func(_ int, b []byte) { sent = append(sent, b) }, Applied: func(uint64, []byte) {}, Read: func(uint64) {}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	l.Tick()
+	fresh := append([]byte{'B'}, binary.AppendUvarint(binary.AppendUvarint(nil, 1002), 0)...)
+	if err := l.Step(1, fresh); err != nil {
+		t.Fatal(err)
+	}
+	l.Tick()
+	l.Tick()
+	l.Tick()
+	l.Tick()
+	l.Tick()
+	l.send(raftpb.Message{Type: raftpb.MsgApp, From: 1, To: 2, Term: 3, Index: 4, LogTerm: 3, Commit: 4,
+		Entries: []raftpb.Entry{{Term: 3, Index: 5, Data: []byte("an entry")}}})
+	for i, b := range sent {
+		trace := golden.NewTrace()
+		trace.String(string(b))
+		hashes.Check(t, fmt.Sprintf("message-%d-%c", i, b[0]), trace.Sum())
+	}
+	if hashes.Len() != len(sent) {
+		t.Errorf("%d messages were sent, %d are recorded", len(sent), hashes.Len())
+	}
+	for _, malformed := range [][]byte{nil, {'B'}, {'S'}, {'S', 1}, {'T', 1}} {
+		if err := l.Step(1, malformed); !errors.Is(err, errForm) {
+			t.Errorf("%v: %v", malformed, err)
+		}
+	}
+}
