--- a/cmd/gapgapctl/fleet.go
+++ b/cmd/gapgapctl/fleet.go
@@ -127,10 +127,10 @@
 	fmt.Fprintf(t, "STEP\tIS\tAFTER\tWHAT\n")
 	for _, s := range r.Steps {
 		after := ""
-		if s.State != recovery.Ahead {
+		if s.State != recovery.StatePending {
 			after = s.Since.Round(time.Millisecond).String()
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\n", s.Step, s.State, after, s.What)
+		fmt.Fprintf(t, "%s\t%s\t%s\t%s\n", s.Step, s.State, after, s.Detail)
 	}
 	fmt.Fprintf(t, "\t\t\t\nDOOR\tIS AT\t\t\n")
 	for _, d := range r.fleet.Doors {
--- a/cmd/gapgapd/power_test.go
+++ b/cmd/gapgapd/power_test.go
@@ -355,7 +355,7 @@
 			t.Fatal(err)
 		}
 		v := opens(t, r.Doors[n])
-		if s := v.Steps[2]; s.State != "passed" || !strings.Contains(s.What, "1 of 4 other doors are there") {
+		if s := v.Steps[2]; s.State != "passed" || !strings.Contains(s.Detail, "1 of 4 other doors are there") {
 			t.Errorf("%s: %+v", r.Doors[n].Name, s)
 		}
 	}
--- a/internal/idempotency/golden_test.go
+++ b/internal/idempotency/golden_test.go
@@ -208,7 +208,7 @@
 	r.active[coordinator] = slices.DeleteFunc(r.active[coordinator], func(other uint64) bool { return other == n })
 }
 
-// requests begins and ends some idempotency.
+// requests begins and ends some reservations.
 func (r *goldenRun) requests() {
 	for i, c := range r.coordinator {
 		if r.rng.IntN(4) == 0 {
--- a/internal/recovery/golden_test.go
+++ b/internal/recovery/golden_test.go
@@ -10,42 +10,42 @@
 )
 
 // hashRecovery plays a recovery with random observations and returns the hash of all that is shown and told.
-func hashRecovery(seed uint64, terms Terms) string {
+func hashRecovery(seed uint64, config Config) string {
 	rng := rand.New(rand.NewPCG(seed, 92))
 	trace := golden.NewTrace()
-	hashView := func(v View) {
+	hashView := func(v StepView) {
 		trace.String(v.Step)
 		trace.String(string(v.State))
 		trace.Duration(v.Since)
-		trace.String(v.What)
+		trace.String(v.Detail)
 	}
 	now := time.Hour
-	m := New(now, terms, "3 files")
+	m := New(now, config, "3 files")
 	slowness := 1 + rng.IntN(30)
 	for range 80 {
 		now += time.Duration(rng.IntN(250)) * time.Millisecond
-		seen := Seen{
-			Rival:    rng.IntN(4*slowness) < slowness,
-			Heard:    rng.IntN(max(1, terms.Doors)),
-			Version:  uint64(rng.IntN(3)),
-			Decides:  rng.IntN(slowness) == 0,
-			Last:     rng.IntN(2) == 0,
-			Keys:     rng.IntN(slowness) == 0,
-			KeysWhy:  "its disk is empty",
-			Counter:  rng.IntN(slowness) == 0,
-			Backends: rng.IntN(slowness) == 0,
+		observed := Observation{
+			HasRival:      rng.IntN(4*slowness) < slowness,
+			PeersHeard:    rng.IntN(max(1, config.Gateways)),
+			PolicyVersion: uint64(rng.IntN(3)),
+			MayDecide:     rng.IntN(slowness) == 0,
+			KeysReason:    "its disk is empty",
 		}
-		ended := m.See(now, seen)
-		trace.Int(int64(len(ended)))
-		for _, view := range ended {
+		rng.IntN(2) // drawn for a field that is gone; the recorded plays have it
+		observed.KeysReady = rng.IntN(slowness) == 0
+		observed.CounterAnswered = rng.IntN(slowness) == 0
+		observed.EndpointsServing = rng.IntN(slowness) == 0
+		finished := m.Advance(now, observed)
+		trace.Int(int64(len(finished)))
+		for _, view := range finished {
 			hashView(view)
 		}
-		hashView(m.At())
+		hashView(m.Current())
 		for _, view := range m.Steps() {
 			hashView(view)
 		}
-		trace.Bool(m.Open())
-		trace.Duration(m.Pause(now, rng.Float64))
+		trace.Bool(m.IsOpen())
+		trace.Duration(m.RetryAfter(now, rng.Float64))
 	}
 	return trace.Sum()
 }
@@ -54,19 +54,19 @@
 func TestGoldenTraces(t *testing.T) {
 	recorded := golden.LoadHashes(t, "testdata/golden/recovery.txt")
 	seen := map[string]string{}
-	for doors := 1; doors <= 5; doors += 2 {
+	for gateways := 1; gateways <= 5; gateways += 2 {
 		for bits := range 16 {
-			terms := Terms{
-				Doors:      doors,
-				Policy:     bits&1 > 0,
-				PolicyMust: bits&2 > 0,
-				Keys:       bits&4 > 0,
-				Counter:    bits&8 > 0,
+			config := Config{
+				Gateways:       gateways,
+				HasPolicy:      bits&1 > 0,
+				PolicyRequired: bits&2 > 0,
+				HasKeys:        bits&4 > 0,
+				HasCounter:     bits&8 > 0,
 			}
 			for seed := range uint64(4) {
-				name := fmt.Sprintf("%d/%04b/%d", doors, bits, seed)
-				sum := hashRecovery(uint64(1000*doors+100*bits)+seed, terms)
-				if again := hashRecovery(uint64(1000*doors+100*bits)+seed, terms); again != sum {
+				name := fmt.Sprintf("%d/%04b/%d", gateways, bits, seed)
+				sum := hashRecovery(uint64(1000*gateways+100*bits)+seed, config)
+				if again := hashRecovery(uint64(1000*gateways+100*bits)+seed, config); again != sum {
 					t.Errorf("%s: two runs differ", name)
 				}
 				if other, ok := seen[sum]; ok {
--- a/internal/service/hosted/golden_test.go
+++ b/internal/service/hosted/golden_test.go
@@ -37,7 +37,7 @@
 			Waits:  "x", Serving: []string{"a", "b"}},
 		PolicyStatus{},
 		PolicyResult{ID: "c", Known: true, Taken: true, Version: 7, Reason: "r", Waits: "w"},
-		RecoveryView{Name: "a", Open: true, Steps: []recovery.View{{}}, Trusted: []string{"bans"}},
+		RecoveryView{Name: "a", Open: true, Steps: []recovery.StepView{{}}, Trusted: []string{"bans"}},
 	}
 	var out bytes.Buffer
 	encoder := json.NewEncoder(&out)
--- a/internal/service/hosted/recovery.go
+++ b/internal/service/hosted/recovery.go
@@ -37,13 +37,13 @@
 func (s *Service) newComingBack(cfg *Config) *comingBack {
 	c := &comingBack{s: s, stop: make(chan struct{})}
 	c.trust(fmt.Sprintf("incarnation %d, by the disk", s.fleet.disk.Incarnation()))
-	t := recovery.Terms{Doors: len(cfg.Fleet.Doors), Policy: s.policy != nil, PolicyMust: s.policy != nil && !cfg.Fleet.Policy.Last}
+	t := recovery.Config{Gateways: len(cfg.Fleet.Doors), HasPolicy: s.policy != nil, PolicyRequired: s.policy != nil && !cfg.Fleet.Policy.Last}
 	for i := range cfg.Pools {
-		t.Counter = t.Counter || cfg.Pools[i].Node.Counter != ""
+		t.HasCounter = t.HasCounter || cfg.Pools[i].Node.Counter != ""
 	}
 	if s.keys != nil {
 		v := s.keys.View()
-		if t.Keys = true; v.Votes {
+		if t.HasKeys = true; v.Votes {
 			c.trust(s.keys.Found())
 		}
 	}
@@ -67,7 +67,7 @@
 func (c *comingBack) pause() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.machine.Pause(c.s.clock.Now(), rand.Float64)
+	return c.machine.RetryAfter(c.s.clock.Now(), rand.Float64)
 }
 
 func (c *comingBack) begin() {
@@ -100,33 +100,33 @@
 func (c *comingBack) look() bool {
 	s := c.s
 	v := s.fleet.peers.View()
-	seen := recovery.Seen{Rival: v.Rival, Backends: s.Ready()}
+	seen := recovery.Observation{HasRival: v.Rival, EndpointsServing: s.Ready()}
 	for _, d := range v.Doors {
 		if d.Name != v.Name && d.There() {
-			seen.Heard++
+			seen.PeersHeard++
 		}
 	}
 	if s.policy != nil {
 		p := s.policy.side.View()
-		seen.Version, seen.Decides = p.Version.N, p.Until > s.clock.Now()
+		seen.PolicyVersion, seen.MayDecide = p.Version.N, p.Until > s.clock.Now()
 	}
 	if s.keys != nil {
 		k := s.keys.View()
-		if seen.Keys, seen.KeysWhy = s.keys.Reach() && (k.Ready || !k.Votes), k.Why; seen.KeysWhy == "" {
-			seen.KeysWhy = "too few voters answer for keys: changes are refused"
+		if seen.KeysReady, seen.KeysReason = s.keys.Reach() && (k.Ready || !k.Votes), k.Why; seen.KeysReason == "" {
+			seen.KeysReason = "too few voters answer for keys: changes are refused"
 		}
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	seen.Counter = c.counter
-	for _, e := range c.machine.See(s.clock.Now(), seen) {
-		s.log.Info("recovery", "step", e.Step, "is", e.State, "after", e.Since.Round(time.Millisecond), "what", e.What)
+	seen.CounterAnswered = c.counter
+	for _, e := range c.machine.Advance(s.clock.Now(), seen) {
+		s.log.Info("recovery", "step", e.Step, "is", e.State, "after", e.Since.Round(time.Millisecond), "what", e.Detail)
 	}
-	if !c.machine.Open() {
+	if !c.machine.IsOpen() {
 		return false
 	}
 	c.closed.Open()
-	s.log.Info("recovery: clients are let in", "after", c.machine.At().Since.Round(time.Millisecond))
+	s.log.Info("recovery: clients are let in", "after", c.machine.Current().Since.Round(time.Millisecond))
 	return true
 }
 
@@ -164,7 +164,7 @@
 func (c *comingBack) open() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.machine.Open()
+	return c.machine.IsOpen()
 }
 
 // ping asks a counter whether it is there.
@@ -184,16 +184,16 @@
 
 // RecoveryView is how far a door has come, as operators see it.
 type RecoveryView struct {
-	Name    string          `json:"name"`
-	Open    bool            `json:"open"` // clients are let in
-	Steps   []recovery.View `json:"steps"`
-	Trusted []string        `json:"trusted"` // what was taken from the disk, and what was not
+	Name    string              `json:"name"`
+	Open    bool                `json:"open"` // clients are let in
+	Steps   []recovery.StepView `json:"steps"`
+	Trusted []string            `json:"trusted"` // what was taken from the disk, and what was not
 }
 
 func (c *comingBack) view() RecoveryView {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return RecoveryView{Name: c.s.cfg.Node.Name, Open: c.machine.Open(), Steps: c.machine.Steps(), Trusted: c.trusted}
+	return RecoveryView{Name: c.s.cfg.Node.Name, Open: c.machine.IsOpen(), Steps: c.machine.Steps(), Trusted: c.trusted}
 }
 
 // step is the present one in few words, for the other doors' operators.
@@ -203,9 +203,9 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	v := c.machine.At()
-	if c.machine.Open() {
+	v := c.machine.Current()
+	if c.machine.IsOpen() {
 		return "open"
 	}
-	return fmt.Sprintf("%s: %s", v.Step, v.What)
+	return fmt.Sprintf("%s: %s", v.Step, v.Detail)
 }
