--- a/internal/service/hosted/recovery.go
+++ b/internal/service/hosted/recovery.go
@@ -37,7 +37,11 @@
 func (s *Service) newComingBack(cfg *Config) *comingBack {
 	c := &comingBack{s: s, stop: make(chan struct{})}
 	c.trust(fmt.Sprintf("incarnation %d, by the disk", s.fleet.disk.Incarnation()))
-	t := recovery.Config{Gateways: len(cfg.Fleet.Doors), HasPolicy: s.policy != nil, PolicyRequired: s.policy != nil && !cfg.Fleet.Policy.Last}
+	t := recovery.Config{
+		Gateways:       len(cfg.Fleet.Gateways),
+		HasPolicy:      s.policy != nil,
+		PolicyRequired: s.policy != nil && !cfg.Fleet.Policy.UseLastKnown,
+	}
 	for i := range cfg.Pools {
 		t.HasCounter = t.HasCounter || cfg.Pools[i].Node.Counter != ""
 	}
@@ -100,9 +104,9 @@
 func (c *comingBack) look() bool {
 	s := c.s
 	v := s.fleet.peers.View()
-	seen := recovery.Observation{HasRival: v.Rival, EndpointsServing: s.Ready()}
-	for _, d := range v.Doors {
-		if d.Name != v.Name && d.There() {
+	seen := recovery.Observation{HasRival: v.HasDuplicate, EndpointsServing: s.Ready()}
+	for _, d := range v.Gateways {
+		if d.Name != v.Name && d.IsPresent() {
 			seen.PeersHeard++
 		}
 	}
