--- a/internal/idempotency/replica/claimside.go
+++ b/internal/idempotency/replica/claimside.go
@@ -160,10 +160,10 @@
 		return nil, err
 	}
 	var log *wal.Log
-	var found wal.Found
+	var found wal.OpenStats
 	var err error
 	voter, _ := idempotency.NewVoter(vc, cfg.Now(), func(yield func(idempotency.Record) bool) {
-		log, found, err = wal.Open(wal.Options{FS: cfg.FS, Dir: dir, Kind: "gapgap keys", Version: 1, Segment: segmentBytes, Most: segmentsMost}, func(b []byte) error {
+		log, found, err = wal.Open(wal.Options{FS: cfg.FS, Dir: dir, Kind: "gapgap keys", Version: 1, SegmentBytes: segmentBytes, MaxSegments: segmentsMost}, func(b []byte) error {
 			var r idempotency.Record
 			if err := decoder.Unmarshal(b, &r); err != nil {
 				return err
@@ -180,7 +180,7 @@
 		log.Close()
 		return nil, err
 	}
-	s.found = fmt.Sprintf("keys: %d remembered, by the disk; %d torn bytes at the log's end thrown away, which nobody was told were kept", s.voter.KeyCount(), found.Torn)
+	s.found = fmt.Sprintf("keys: %d remembered, by the disk; %d torn bytes at the log's end thrown away, which nobody was told were kept", s.voter.KeyCount(), found.TornBytes)
 	cfg.Log.Info(s.found, "segments", found.Segments)
 	s.publish()
 	return s, nil
@@ -188,10 +188,10 @@
 
 // whole begins the log anew with all that is remembered.
 func (s *Side) whole() error {
-	if err := s.log.Cut(); err != nil {
+	if err := s.log.Rotate(); err != nil {
 		return err
 	}
-	first := s.log.Segment()
+	first := s.log.CurrentSegment()
 	if err := s.append(s.voter.Snapshot()); err != nil {
 		return err
 	}
@@ -200,7 +200,7 @@
 	}
 	s.voter.MarkSynced()
 	s.turn = first
-	return s.log.Drop(first)
+	return s.log.DropBefore(first)
 }
 
 func (s *Side) append(all []idempotency.Record) error {
@@ -502,7 +502,7 @@
 	if s.failed {
 		return
 	}
-	if dirty := s.log.Dirty(); err == nil && dirty {
+	if dirty := s.log.IsDirty(); err == nil && dirty {
 		if err = s.log.Sync(); err == nil {
 			s.Figures.Syncs.Add(1)
 		}
@@ -518,7 +518,7 @@
 // tick is the time that goes by.
 func (s *Side) tick() {
 	if s.failed {
-		if err := errors.Join(s.log.Again(), s.whole()); err != nil {
+		if err := errors.Join(s.log.Resume(), s.whole()); err != nil {
 			return
 		}
 		s.failed = false
@@ -528,14 +528,14 @@
 	err := s.append(more)
 	if err == nil && turned { // what was claimed before the stretch that is over now is forgotten
 		old := s.turn
-		if err = s.log.Cut(); err == nil {
-			s.turn = s.log.Segment()
+		if err = s.log.Rotate(); err == nil {
+			s.turn = s.log.CurrentSegment()
 			if err = s.append(s.voter.SegmentHeader()); err == nil {
 				err = s.log.Sync()
 			}
 		}
 		if err == nil {
-			err = s.log.Drop(old)
+			err = s.log.DropBefore(old)
 		}
 	}
 	s.keep(err)
@@ -554,7 +554,7 @@
 }
 
 func (s *Side) publish() {
-	v := View{Votes: true, Keys: s.voter.KeyCount(), Segments: s.log.Segments()}
+	v := View{Votes: true, Keys: s.voter.KeyCount(), Segments: s.log.SegmentCount()}
 	if v.Ready, v.Why = s.voter.Ready(s.cfg.Now()); s.failed {
 		v.Ready, v.Why = false, "its disk can't be written"
 	}
--- a/internal/wal/golden_test.go
+++ b/internal/wal/golden_test.go
@@ -15,7 +15,7 @@
 )
 
 // goldenErrors are the errors that a trace tells apart, by their index.
-var goldenErrors = []error{ErrDamaged, ErrNewer, ErrFailed, ErrFull}
+var goldenErrors = []error{ErrCorrupt, ErrNewerVersion, ErrFailed, ErrFull}
 
 // hashError adds which error it is and its text.
 func hashError(trace *golden.Trace, err error) {
@@ -46,7 +46,7 @@
 	trace := golden.NewTrace()
 	disk := power.NewDisk(nil)
 	openAndHash := func(fs *power.Disk) *Log {
-		log, records, found, err := open(fs)
+		log, records, found, err := openAll(fs)
 		hashError(trace, err)
 		trace.Int(int64(len(records)))
 		for _, record := range records {
@@ -54,7 +54,7 @@
 		}
 		trace.Int(int64(found.Segments))
 		trace.Int(int64(found.Records))
-		trace.Int(found.Torn)
+		trace.Int(found.TornBytes)
 		return log
 	}
 	log := openAndHash(disk)
@@ -65,28 +65,28 @@
 				hashError(trace, log.Append(fmt.Appendf(nil, "record %d %0*d", step, rng.IntN(60), 7)))
 			}
 		case 6:
-			hashError(trace, log.Cut())
+			hashError(trace, log.Rotate())
 		case 7:
-			hashError(trace, log.Drop(log.Segment()-min(log.Segment(), uint64(rng.IntN(6)))))
+			hashError(trace, log.DropBefore(log.CurrentSegment()-min(log.CurrentSegment(), uint64(rng.IntN(6)))))
 		case 8:
 			hashError(trace, log.Append([]byte("lost")))
 			disk.Fault = syscall.ENOSPC
 			hashError(trace, log.Sync())
 			disk.Fault = nil
 			hashError(trace, log.Append(nil))
-			hashError(trace, log.Again())
+			hashError(trace, log.Resume())
 		case 9:
 			log = openAndHash(disk)
 		case 10:
 			hashError(trace, log.Append(make([]byte, 1<<20)))
 		}
-		trace.Bool(log.Dirty())
+		trace.Bool(log.IsDirty())
 		if rng.IntN(2) == 0 {
 			hashError(trace, log.Sync())
 		}
-		trace.Bool(log.Failed() != nil)
-		trace.Uint(log.Segment())
-		trace.Int(int64(log.Segments()))
+		trace.Bool(log.Err() != nil)
+		trace.Uint(log.CurrentSegment())
+		trace.Int(int64(log.SegmentCount()))
 	}
 	hashFiles(trace, disk.Cut(power.Kept, nil))
 	for n := range 40 {
@@ -118,7 +118,7 @@
 	case 1:
 		files[path] = files[path][:at]
 	default:
-		files[path] = flip(files[path], at)
+		files[path] = flipBit(files[path], at)
 	}
 }
 
@@ -141,7 +141,7 @@
 // TestGoldenSegments holds the bytes of segments and that recorded ones are read.
 func TestGoldenSegments(t *testing.T) {
 	disk := power.NewDisk(nil)
-	log, _, _, err := open(disk)
+	log, _, _, err := openAll(disk)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -151,7 +151,7 @@
 			t.Fatal(err)
 		}
 	}
-	if err := errors.Join(log.Cut(), log.Append([]byte(want[3])), log.Sync()); err != nil {
+	if err := errors.Join(log.Rotate(), log.Append([]byte(want[3])), log.Sync()); err != nil {
 		t.Fatal(err)
 	}
 	files := disk.Cut(power.Kept, nil)
@@ -163,8 +163,8 @@
 	if len(files) != len(recorded) {
 		t.Errorf("%d files", len(files))
 	}
-	_, got, found, err := open(power.NewDisk(recorded))
-	if err != nil || !slices.Equal(got, want) || found != (Found{Segments: 2, Records: 4}) {
+	_, got, found, err := openAll(power.NewDisk(recorded))
+	if err != nil || !slices.Equal(got, want) || found != (OpenStats{Segments: 2, Records: 4}) {
 		t.Errorf("recorded segments are read as %q, %+v, %v", got, found, err)
 	}
 }
