--- a/internal/fake/power/power.go
+++ b/internal/fake/power/power.go
@@ -23,7 +23,7 @@
 // inode is a file, whatever its name.
 type inode struct {
 	safe    []byte // as of the last sync
-	pending []vfs.Op
+	pending []vfs.Operation
 	live    []byte
 }
 
@@ -60,36 +60,36 @@
 }
 
 // Do takes what was done.
-func (m *Model) Do(op vfs.Op) {
+func (m *Model) Do(op vfs.Operation) {
 	m.Ops++
-	n := m.files[op.ID]
+	n := m.files[op.FileID]
 	dir := filepath.Dir(op.Path)
 	switch op.Kind {
-	case vfs.Make:
+	case vfs.OpCreate:
 		n = &inode{}
-		m.files[op.ID], m.live[op.Path] = n, n
+		m.files[op.FileID], m.live[op.Path] = n, n
 		m.pending[dir] = append(m.pending[dir], change{to: op.Path, node: n})
-	case vfs.Open:
-		m.files[op.ID] = m.live[op.Path]
-	case vfs.Write, vfs.Truncate:
+	case vfs.OpOpen:
+		m.files[op.FileID] = m.live[op.Path]
+	case vfs.OpWrite, vfs.OpTruncate:
 		op.Data = bytes.Clone(op.Data)
 		n.pending = append(n.pending, op)
 		n.live = apply(n.live, op, len(op.Data))
-	case vfs.Sync:
+	case vfs.OpSync:
 		n.safe, n.pending = bytes.Clone(n.live), nil
-	case vfs.Rename:
-		c := change{from: op.Path, to: op.To, node: m.live[op.Path]}
+	case vfs.OpRename:
+		c := change{from: op.Path, to: op.NewPath, node: m.live[op.Path]}
 		m.pending[dir] = append(m.pending[dir], c)
 		c.do(m.live)
-	case vfs.Remove:
+	case vfs.OpRemove:
 		c := change{from: op.Path}
 		m.pending[dir] = append(m.pending[dir], c)
 		c.do(m.live)
-	case vfs.Mkdir:
+	case vfs.OpMkdir:
 		c := change{to: op.Path, dir: true}
 		m.pending[dir] = append(m.pending[dir], c)
 		c.do(m.live)
-	case vfs.SyncDir:
+	case vfs.OpSyncDir:
 		for _, c := range m.pending[op.Path] {
 			c.do(m.safe)
 		}
@@ -107,17 +107,17 @@
 }
 
 // apply does a write, or its first bytes, or a truncate.
-func apply(b []byte, op vfs.Op, bytes int) []byte {
-	if op.Kind == vfs.Truncate {
-		if op.Off <= int64(len(b)) {
-			return b[:op.Off:op.Off]
+func apply(b []byte, op vfs.Operation, bytes int) []byte {
+	if op.Kind == vfs.OpTruncate {
+		if op.Offset <= int64(len(b)) {
+			return b[:op.Offset:op.Offset]
 		}
-		return append(b, make([]byte, op.Off-int64(len(b)))...)
+		return append(b, make([]byte, op.Offset-int64(len(b)))...)
 	}
-	if end := op.Off + int64(bytes); end > int64(len(b)) {
+	if end := op.Offset + int64(bytes); end > int64(len(b)) {
 		b = append(b, make([]byte, end-int64(len(b)))...)
 	}
-	copy(b[op.Off:], op.Data[:bytes])
+	copy(b[op.Offset:], op.Data[:bytes])
 	return b
 }
 
@@ -161,7 +161,7 @@
 			case how == Order && i < until, how == Any && rng.IntN(2) == 0:
 				b = apply(b, op, len(op.Data))
 			case how == Order && i == until, how == Any && rng.IntN(3) == 0:
-				if op.Kind == vfs.Write {
+				if op.Kind == vfs.OpWrite {
 					b = apply(b, op, rng.IntN(len(op.Data)+1))
 				}
 			}
@@ -187,7 +187,7 @@
 func Replay(image map[string][]byte, record []byte) *Model {
 	m := NewModel(image)
 	for len(record) > 0 {
-		var op vfs.Op
+		var op vfs.Operation
 		rest, err := cbor.UnmarshalFirst(record, &op)
 		if err != nil {
 			break
@@ -252,7 +252,7 @@
 // NewDisk makes one that has an image.
 func NewDisk(image map[string][]byte) *Disk { return &Disk{Model: NewModel(image)} }
 
-func (d *Disk) do(op vfs.Op) error {
+func (d *Disk) do(op vfs.Operation) error {
 	if d.CutAt > 0 && d.Ops >= d.CutAt {
 		return ErrCut
 	}
@@ -279,13 +279,13 @@
 	}
 	d.last++
 	f.id = d.last
-	op := vfs.Op{Kind: vfs.Open, ID: f.id, Path: path}
+	op := vfs.Operation{Kind: vfs.OpOpen, FileID: f.id, Path: path}
 	if !there {
-		op.Kind = vfs.Make
+		op.Kind = vfs.OpCreate
 	}
 	err := d.do(op)
 	if err == nil && there && flag&os.O_TRUNC != 0 {
-		err = d.do(vfs.Op{Kind: vfs.Truncate, ID: f.id})
+		err = d.do(vfs.Operation{Kind: vfs.OpTruncate, FileID: f.id})
 	}
 	f.n = d.files[f.id]
 	return f, err
@@ -299,7 +299,7 @@
 
 // Rename implements [vfs.FS].
 func (d *Disk) Rename(from, to string) error {
-	return d.do(vfs.Op{Kind: vfs.Rename, Path: rel(from), To: rel(to)})
+	return d.do(vfs.Operation{Kind: vfs.OpRename, Path: rel(from), NewPath: rel(to)})
 }
 
 // Remove implements [vfs.FS].
@@ -307,7 +307,7 @@
 	if _, there := d.live[rel(name)]; !there {
 		return &fs.PathError{Op: "remove", Path: name, Err: fs.ErrNotExist}
 	}
-	return d.do(vfs.Op{Kind: vfs.Remove, Path: rel(name)})
+	return d.do(vfs.Operation{Kind: vfs.OpRemove, Path: rel(name)})
 }
 
 // MkdirAll implements [vfs.FS].
@@ -315,11 +315,13 @@
 	if _, there := d.live[rel(name)]; there {
 		return nil
 	}
-	return d.do(vfs.Op{Kind: vfs.Mkdir, Path: rel(name)})
+	return d.do(vfs.Operation{Kind: vfs.OpMkdir, Path: rel(name)})
 }
 
 // SyncDir implements [vfs.FS].
-func (d *Disk) SyncDir(name string) error { return d.do(vfs.Op{Kind: vfs.SyncDir, Path: rel(name)}) }
+func (d *Disk) SyncDir(name string) error {
+	return d.do(vfs.Operation{Kind: vfs.OpSyncDir, Path: rel(name)})
+}
 
 // ReadDir implements [vfs.FS].
 func (d *Disk) ReadDir(name string) (all []fs.DirEntry, err error) {
@@ -362,9 +364,9 @@
 func (f *file) Name() string               { return f.name }
 func (f *file) Close() error               { return nil }
 func (f *file) Stat() (fs.FileInfo, error) { return entry{f.n, rel(f.name)}, nil }
-func (f *file) Sync() error                { return f.d.do(vfs.Op{Kind: vfs.Sync, ID: f.id}) }
+func (f *file) Sync() error                { return f.d.do(vfs.Operation{Kind: vfs.OpSync, FileID: f.id}) }
 func (f *file) Truncate(size int64) error {
-	return f.d.do(vfs.Op{Kind: vfs.Truncate, ID: f.id, Off: size})
+	return f.d.do(vfs.Operation{Kind: vfs.OpTruncate, FileID: f.id, Offset: size})
 }
 
 func (f *file) Read(b []byte) (int, error) {
@@ -378,7 +380,7 @@
 }
 
 func (f *file) Write(b []byte) (int, error) {
-	if err := f.d.do(vfs.Op{Kind: vfs.Write, ID: f.id, Off: f.at, Data: b}); err != nil {
+	if err := f.d.do(vfs.Operation{Kind: vfs.OpWrite, FileID: f.id, Offset: f.at, Data: b}); err != nil {
 		return 0, err
 	}
 	f.at += int64(len(b))
--- a/internal/policyreplica/docs.go
+++ b/internal/policyreplica/docs.go
@@ -72,7 +72,7 @@
 		os.Chtimes(d.path(h), now, now)
 		return d.fs.SyncDir(d.dir) // a process that was killed after its rename may not have come to that
 	}
-	if err := vfs.Replace(d.fs, d.path(h), b); err != nil {
+	if err := vfs.ReplaceFile(d.fs, d.path(h), b); err != nil {
 		return err
 	}
 	d.prune(append(keep, h))
--- a/internal/raftlog/disk.go
+++ b/internal/raftlog/disk.go
@@ -83,7 +83,7 @@
 
 // put writes what encode made; when it returns nil that outlives a power loss. Any goroutine may call it, one at a time.
 func (d *Disk) put(b []byte) error {
-	if err := vfs.Replace(d.fs, d.path, b); err != nil {
+	if err := vfs.ReplaceFile(d.fs, d.path, b); err != nil {
 		return fmt.Errorf("%s: %w", d.path, err)
 	}
 	return nil
--- a/internal/service/hosted/hosted.go
+++ b/internal/service/hosted/hosted.go
@@ -64,7 +64,7 @@
 
 // New makes the service and opens its listeners; it takes no connection before Serve.
 func New(cfg *Config, log *slog.Logger) (_ *Service, err error) {
-	s := &Service{log: log, clock: eventloop.New(), addrs: map[string]net.Addr{}, done: make(chan struct{}), cfg: cfg, disk: vfs.Or(cfg.Disk), pools: map[string]*pool{},
+	s := &Service{log: log, clock: eventloop.New(), addrs: map[string]net.Addr{}, done: make(chan struct{}), cfg: cfg, disk: vfs.OrOS(cfg.Disk), pools: map[string]*pool{},
 		members: members{fleet: sharedhealth.New(), boxes: map[string]*box{}}}
 	s.clock.Ahead(cfg.Ahead)
 	s.Env = service.NewEnv(s.clock, cfg.Node.MemoryMB, cfg.Node.Sockets, &s.router)
--- a/internal/statefile/statefile.go
+++ b/internal/statefile/statefile.go
@@ -78,7 +78,7 @@
 	if err != nil {
 		return err
 	}
-	return vfs.Replace(fs, path, b)
+	return vfs.ReplaceFile(fs, path, b)
 }
 
 // Load reads a state.
@@ -87,7 +87,7 @@
 // LoadFrom is Load on another file system.
 func (f Form) LoadFrom(fs vfs.FS, path string, state any) error {
 	b, err := vfs.ReadFile(fs, path, f.Most)
-	if errors.Is(err, vfs.ErrLarge) {
+	if errors.Is(err, vfs.ErrTooLarge) {
 		return fmt.Errorf("%w: over %d bytes", ErrDamaged, f.Most)
 	} else if err != nil {
 		return err
--- a/internal/vfs/golden_test.go
+++ b/internal/vfs/golden_test.go
@@ -13,17 +13,17 @@
 )
 
 // goldenOps are operations of all kinds that set every field.
-var goldenOps = []Op{
-	{Kind: Make, ID: 1, Path: "dir/a"},
-	{Kind: Open, ID: 2, Path: "dir/b"},
-	{Kind: Write, ID: 1, Off: 4096, Data: []byte("data")},
-	{Kind: Truncate, ID: 1, Off: 100},
-	{Kind: Sync, ID: 1},
-	{Kind: Rename, Path: "dir/a", To: "dir/c"},
-	{Kind: Remove, Path: "dir/b"},
-	{Kind: Mkdir, Path: "dir/sub"},
-	{Kind: SyncDir, Path: "dir"},
-	{Kind: Write, ID: 1 << 40, Path: "p", To: "t", Off: -1, Data: []byte{0, 255}},
+var goldenOps = []Operation{
+	{Kind: OpCreate, FileID: 1, Path: "dir/a"},
+	{Kind: OpOpen, FileID: 2, Path: "dir/b"},
+	{Kind: OpWrite, FileID: 1, Offset: 4096, Data: []byte("data")},
+	{Kind: OpTruncate, FileID: 1, Offset: 100},
+	{Kind: OpSync, FileID: 1},
+	{Kind: OpRename, Path: "dir/a", NewPath: "dir/c"},
+	{Kind: OpRemove, Path: "dir/b"},
+	{Kind: OpMkdir, Path: "dir/sub"},
+	{Kind: OpSyncDir, Path: "dir"},
+	{Kind: OpWrite, FileID: 1 << 40, Path: "p", NewPath: "t", Offset: -1, Data: []byte{0, 255}},
 }
 
 // TestGoldenOperations holds the bytes of recorded operations and that they are read into equal values.
@@ -40,7 +40,7 @@
 	golden.CheckBytes(t, path, b)
 	decoder := cbor.NewDecoder(bytes.NewReader(golden.Read(t, path)))
 	for i := 0; ; i++ {
-		var op Op
+		var op Operation
 		err := decoder.Decode(&op)
 		if errors.Is(err, io.EOF) && i == len(goldenOps) {
 			return
--- /dev/null
+++ b/internal/vfs/vfs_test.go
@@ -0,0 +1,72 @@
+package vfs
+
+import (
+	"errors"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"testing"
+)
+
+// failingFS fails renames.
+type failingFS struct {
+	OS
+	err error
+}
+
+func (f failingFS) Rename(string, string) error { return f.err }
+
+func TestReadFile(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "file")
+	if err := os.WriteFile(path, []byte("12345"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	cases := []struct {
+		name     string
+		path     string
+		maxBytes int64
+		want     error
+	}{
+		{"smaller than the limit", path, 6, nil},
+		{"as large as the limit", path, 5, nil},
+		{"larger than the limit", path, 4, ErrTooLarge},
+		{"no such file", path + "2", 5, fs.ErrNotExist},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			content, err := ReadFile(OS{}, c.path, c.maxBytes)
+			if !errors.Is(err, c.want) || err == nil && string(content) != "12345" {
+				t.Errorf("got %q, %v, want %v", content, err, c.want)
+			}
+		})
+	}
+}
+
+func TestReplaceFile(t *testing.T) {
+	dir := t.TempDir()
+	path := filepath.Join(dir, "file")
+	for _, content := range []string{"first", "second"} {
+		if err := ReplaceFile(OS{}, path, []byte(content)); err != nil {
+			t.Fatal(err)
+		}
+	}
+	errRename := errors.New("rename")
+	if err := ReplaceFile(failingFS{err: errRename}, path, []byte("third")); !errors.Is(err, errRename) {
+		t.Errorf("got %v, want %v", err, errRename)
+	}
+	if content, err := os.ReadFile(path); err != nil || string(content) != "second" {
+		t.Errorf("after a failure: %q, %v", content, err)
+	}
+	if entries, err := os.ReadDir(dir); err != nil || len(entries) != 1 {
+		t.Errorf("left over: %v, %v", entries, err)
+	}
+}
+
+func TestOrOS(t *testing.T) {
+	if OrOS(nil) != (OS{}) {
+		t.Error("nil is not the operating system's")
+	}
+	if other := (failingFS{}); OrOS(other) != other {
+		t.Error("a file system is replaced")
+	}
+}
--- a/internal/wal/open.go
+++ b/internal/wal/open.go
@@ -149,7 +149,7 @@
 	for i, header := range headers {
 		path := filepath.Join(o.Dir, segmentName(header.number))
 		content, err := vfs.ReadFile(o.FS, path, o.SegmentBytes+2*maxFrameBytes)
-		if errors.Is(err, vfs.ErrLarge) {
+		if errors.Is(err, vfs.ErrTooLarge) {
 			return 0, fmt.Errorf("%s: %w: it is too long", path, ErrCorrupt)
 		}
 		if err != nil {
