--- a/internal/balancer/admission.go
+++ b/internal/balancer/admission.go
@@ -133,24 +133,6 @@
 	return limit
 }
 
-// recordDemand adds a request to the customer's demand.
-func (cust *customer) recordDemand(now time.Duration, req *request) {
-	cust.lastUsedAt = now
-	cust.demand.record(now, req)
-}
-
-// record adds the units of a request to the rates, which are means over demandWindow.
-func (d *demandRate) record(now time.Duration, req *request) {
-	decay := math.Exp(-((now - d.updatedAt).Seconds() / demandWindow.Seconds()))
-	rate := req.units / demandWindow.Seconds()
-	d.rate = d.rate*decay + rate
-	d.admitOnlyRate *= decay
-	if req.admitOnly {
-		d.admitOnlyRate += rate
-	}
-	d.updatedAt = now
-}
-
 // maxCeilingWait is the longest time in seconds that a request may wait for its customer's ceiling. The wait must
 // stay short, or each request that still goes out is nearly late; and classes of less weight leave the capacity to
 // those of more. A request for admission only does not wait.
@@ -164,9 +146,8 @@
 
 // waitForQuota puts a request at the end of its customer's queue, and serves what the quota covers now.
 func (b *Balancer) waitForQuota(req *request) {
-	req.customer.waiting.requests = append(req.customer.waiting.requests, req)
+	req.customer.waiting.push(req)
 	if req.admitOnly {
-		req.customer.waiting.admitOnly++
 		b.setDeadlineTimer(req)
 	}
 	b.serveWaiting(req.customer)
--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -4,7 +4,6 @@
 	"math/rand/v2"
 	"time"
 
-	"gapgap/internal/balancer/callpacer"
 	"gapgap/internal/balancer/ceilinglease"
 )
 
@@ -63,11 +62,7 @@
 	latency       latencyEstimator
 	warmRate      warmRateEstimate
 
-	customers map[string]*customer
-	// customerOrder has the customers in an order that is the same in each run.
-	customerOrder []*customer
-	// sweepIndex is where in customerOrder the search for idle customers goes on.
-	sweepIndex int
+	customers customerTable
 	// waitingCustomers are those with waiting requests that the next tick looks at.
 	waitingCustomers []*customer
 
@@ -91,8 +86,8 @@
 		endpoints: newEndpointSet(),
 		rng:       rand.New(rand.NewPCG(seed, 1)),
 		requests:  map[uint64]*request{},
-		customers: map[string]*customer{},
-		counter:   counterCalls{callsOut: map[uint64][]*counterCall{}},
+		customers: newCustomerTable(),
+		counter:   counterCalls{out: map[uint64][]*counterCall{}},
 	}
 	b.share.excluded = settings.LeasedShares // until the first ShareUpdate
 	b.applySettings(settings, nil)
@@ -133,20 +128,6 @@
 	}
 }
 
-// newCallPacer returns the pacer of counter calls. All gateways together start at the same rate, whatever their
-// number.
-func (b *Balancer) newCallPacer() *callpacer.Pace {
-	terms := callpacer.Terms{
-		Start:    callsStart / b.liveGateways(),
-		Least:    callsLow / b.liveGateways(),
-		Most:     callsHigh,
-		Depth:    callsDepth,
-		Wait:     b.settings.CounterTimeout / 4,
-		CutEvery: 2 * b.settings.CounterTimeout,
-	}
-	return callpacer.New(terms, b.now)
-}
-
 // handle passes an event to the rule that it is for.
 func (b *Balancer) handle(ev Event) {
 	switch ev := ev.(type) {
@@ -234,7 +215,7 @@
 func (b *Balancer) testSilentCounter() {
 	if b.now < b.counter.leasingFrom && b.canCallCounter() {
 		b.counter.lastCallAt = b.now
-		b.callTest()
+		b.probeCounter()
 	}
 }
 
