--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -86,10 +86,10 @@
 	a := &attempt{proxy: p, request: request, number: len(request.attempts)}
 	a.Attempt = upstream.Attempt{
 		Endpoint: action.Endpoint,
-		SentAt:      now,
-		Deadline:   request.deadline,
-		WriteBy:      action.WriteBy,
-		Owner:   a,
+		SentAt:   now,
+		Deadline: request.deadline,
+		WriteBy:  action.WriteBy,
+		Owner:    a,
 	}
 	if action.Timeout > 0 {
 		a.Deadline = min(a.Deadline, now+action.Timeout)
