--- a/internal/balancer/ceiling_test.go
+++ b/internal/balancer/ceiling_test.go
@@ -5,7 +5,6 @@
 	"time"
 )
 
-// A new gateway starts with an empty share of each ceiling, as a process before it may have spent that.
 func TestNewGatewayStartsWithEmptyCeilingShare(t *testing.T) {
 	settings := testSettings()
 	settings.UseCounter = false
@@ -23,33 +22,32 @@
 	}
 }
 
-// A customer far over its ceiling gets no long queue, in which each dispatched request would be nearly late: a
-// request that would wait long is rejected at once, with a Retry-After, and sooner the less its class counts.
+// A customer far beyond its ceiling has no long queue, out of which all would go nearly late: what would wait long is
+// rejected at once, with a Retry-After, and the sooner the less its priority weight.
 func TestCeilingQueueStaysShort(t *testing.T) {
 	settings := testSettings()
 	settings.UseCounter = false
 	b := newTestBalancer(t, settings, testEndpoints(2)...)
-	waiting := map[int]int{} // by class
-	advised := 0
-	id := uint64(1)
+	waits := map[int]int{}
+	id, withRetryAfter := uint64(1), 0
 	for class := range 2 {
 		for range 60 {
 			actions := b.Step(time.Second, []Event{testRequest(id, class, 1)})
 			rejected := actionsOf[Reject](actions)
-			dispatched := actionsOf[Dispatch](actions)
+			dispatched := len(actionsOf[Dispatch](actions)) > 0
 			switch {
+			case len(rejected) == 0 && !dispatched && b.requests[id].queuedOn == nil:
+				waits[class]++
 			case len(rejected) > 0 && rejected[0].RetryAfter > 0:
-				advised++
-			case len(rejected) == 0 && len(dispatched) == 0 && b.requests[id].queuedOn == nil:
-				waiting[class]++
+				withRetryAfter++
 			}
 			id++
 		}
 	}
-	if advised == 0 {
-		t.Error("no rejection with Retry-After")
+	if withRetryAfter == 0 {
+		t.Error("nobody got a Retry-After")
 	}
-	if waiting[0] > 1 || waiting[1] < 1 || waiting[1] > 2 {
-		t.Errorf("by class, %v wait", waiting)
+	if waits[0] > 1 || waits[1] < 1 || waits[1] > 2 {
+		t.Errorf("by class, %v wait", waits)
 	}
 }
--- a/internal/balancer/countercall_test.go
+++ b/internal/balancer/countercall_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Calls that fail at the same time say no more of the counter than one; a call that was made after that does.
+// Calls of one connection end together. They tell no more of the counter than one of them; a call that was made after
+// they ended does.
 func TestConcurrentCallFailuresCountOnce(t *testing.T) {
 	b := newTestBalancer(t, testSettings(), testEndpoints(2)...)
 	now := time.Second
@@ -27,7 +28,7 @@
 	}
 	b.Step(now+50*ms, all)
 	if want := before * callFractionDecrease; b.counter.callFraction != want {
-		t.Errorf("call fraction %v after five calls that failed together; want %v as after one",
+		t.Errorf("call fraction %v after five calls that ended together, want %v as after one",
 			b.counter.callFraction, want)
 	}
 	cust := b.customers.find("a")
@@ -47,33 +48,42 @@
 	}
 }
 
-// Where calls cost, a lease of a nearly full bucket covers a longer time; one of a bucket that runs out never does.
+// Where calls cost, a lease of a nearly full bucket reaches further ahead; one of a nearly empty bucket does not.
 func TestLeaseSizeGrowsWithCallCost(t *testing.T) {
-	leased := func(callCost, fillLevel float64) float64 {
+	block := func(callCost, fill float64) float64 {
 		settings := testSettings()
 		settings.CounterCallCost = callCost
-		settings.Plans[0] = Plan{Rate: 10, Burst: 400, PriorityFactor: 1, OverQuotaCost: 0.5}
+		settings.Plans[0] = Plan{
+			Rate:           10,
+			Burst:          400,
+			PriorityFactor: 1,
+			OverQuotaCost:  0.5,
+		}
 		b := newTestBalancer(t, settings, testEndpoints(2)...)
 		now := time.Second
 		b.Step(now, []Event{testRequest(1, 0, 0)})
 		cust := b.customers.find("c")
-		cust.bucket.known, cust.quota.fallbackTokens, cust.quota.tokens, cust.demand.rate = true, 0, 0, 10
-		cust.bucket.level, cust.bucket.levelAt = fillLevel*400, now
+		cust.demand.rate = 10
+		cust.quota.tokens = 0
+		cust.quota.fallbackTokens = 0
+		cust.bucket.known = true
+		cust.bucket.level = fill * 400
+		cust.bucket.levelAt = now
 		calls := actionsOf[CounterAdd](b.Step(now+ms, []Event{testRequest(2, 0, 0)}))
 		if len(calls) != 1 {
 			t.Fatalf("%d calls", len(calls))
 		}
 		return calls[0].Amount - cust.quota.debt
 	}
-	free, costly, scarce := leased(0, 1), leased(0.02, 1), leased(0.02, 0.5)
-	if costly < 3*free || scarce > free+1 {
-		t.Errorf("leases of %.0f where calls are free, %.0f where they cost, %.0f where the bucket is half empty too",
-			free, costly, scarce)
+	free, dear, scarce := block(0, 1), block(0.02, 1), block(0.02, 0.5)
+	if dear < 3*free || scarce > free+1 {
+		t.Errorf("leases of %.0f where calls are free, %.0f where they cost, %.0f from a half empty bucket",
+			free, dear, scarce)
 	}
 }
 
-// A call whose total is not known has added its amount all the same: it is given back with the next call, which is
-// made at once for the waiting request, and only once.
+// A counter whose answer can't be read has added the block all the same: it is returned with the next call, which is
+// made at once for the requests that wait, and once only.
 func TestUnreadableCounterResult(t *testing.T) {
 	b := newTestBalancer(t, testSettings(), testEndpoints(2)...)
 	var calls []CounterAdd
@@ -92,10 +102,10 @@
 	actions := b.Step(now+ms, []Event{CounterResult{Name: first.Name, Status: Failed}})
 	again := actionsOf[CounterAdd](actions)
 	if len(again) != 1 || len(actionsOf[Reject](actions)) != 0 {
-		t.Fatalf("after a unreadable answer: %v; want one more call and no rejection", actions)
+		t.Fatalf("after an invalid answer: %v; want one more call and no rejection", actions)
 	}
 	if sum := first.Amount + again[0].Amount; sum >= 2*first.Amount+owed {
-		t.Errorf("%v and then %v added; want the first block given back", first.Amount, again[0].Amount)
+		t.Errorf("%v and then %v added; want the first block returned", first.Amount, again[0].Amount)
 	}
 	actions = b.Step(now+2*ms, []Event{CounterResult{Name: again[0].Name, Status: Failed}})
 	if len(actionsOf[CounterAdd](actions)) != 0 || len(actionsOf[Reject](actions)) != 1 {
@@ -103,7 +113,7 @@
 	}
 }
 
-// newBalancerWithCallOut returns a gateway with one counter call out, for a request that waits for it.
+// newBalancerWithCallOut returns a gateway with one call to the counter out, for a request that waits for it.
 func newBalancerWithCallOut(t *testing.T) (*Balancer, CounterAdd, time.Duration) {
 	t.Helper()
 	return newSeededBalancerWithCallOut(t, 7)
@@ -128,19 +138,19 @@
 	return nil, CounterAdd{}, 0
 }
 
-// A call that is answered late has taken its units: they are leased once, whatever other results come. Meanwhile no
-// other call is made.
+// A call that is answered too late has taken its block: it is leased from then on, once, whatever answers are repeated
+// or belong to other calls, and meanwhile no further call is made.
 func TestLateResultIsALease(t *testing.T) {
 	b, call, now := newBalancerWithCallOut(t)
 	cust := b.customers.find("c")
 	b.Step(now+50*ms, []Event{CounterResult{Name: call.Name, Status: Timeout}})
 	if actions := b.Step(now+55*ms, []Event{testRequest(900, 0, 0)}); len(actionsOf[CounterAdd](actions)) != 0 {
-		t.Errorf("called again before the first call is answered: %v", actions)
+		t.Errorf("a second call before the first one is answered: %v", actions)
 	}
 	before := cust.quota.tokens
 	b.Step(now+60*ms, []Event{LateCounterResult{Ticket: call.Ticket + 99, Status: OK}, LateCounterResult{Status: OK}})
 	if cust.quota.tokens != before {
-		t.Errorf("%v tokens after results of other calls; want %v", cust.quota.tokens, before)
+		t.Errorf("%v tokens after answers to other calls; want %v", cust.quota.tokens, before)
 	}
 	late := LateCounterResult{call.Ticket, OK, call.Amount}
 	b.Step(now+70*ms, []Event{late, late})
@@ -148,13 +158,13 @@
 		t.Errorf("%v leased of the %v added", got, call.Amount)
 	}
 	before = cust.quota.tokens
-	b.Step(now+80*ms, []Event{testRequest(901, 0, 0)}) // the endpoints have no free slot, but the lease covers it
+	b.Step(now+80*ms, []Event{testRequest(901, 0, 0)}) // the endpoints are full, but tokens cover it
 	if req := b.requests[901]; before >= 1 && (req == nil || !req.withinQuota || cust.quota.tokens != before-1) {
 		t.Errorf("a request inside the lease of %v is not covered by it", before)
 	}
 }
 
-// The units of a late result without a total are given back.
+// The block of a late answer whose total can't be read is returned.
 func TestLateResultWithoutTotal(t *testing.T) {
 	b, call, now := newBalancerWithCallOut(t)
 	cust := b.customers.find("c")
@@ -162,11 +172,11 @@
 	before := cust.quota.debt
 	b.Step(now+70*ms, []Event{LateCounterResult{Ticket: call.Ticket, Status: Failed}})
 	if got := before - cust.quota.debt; got <= 0 || got > call.Amount {
-		t.Errorf("%v given back of the %v added", got, call.Amount)
+		t.Errorf("%v returned of the %v added", got, call.Amount)
 	}
 }
 
-// A late result of another window belongs to a counter that is no longer used, and an old one is forgotten.
+// An answer that is late by a window belongs to a total that nobody uses any more, and old calls are forgotten.
 func TestLateResultOfAnotherWindow(t *testing.T) {
 	for _, after := range []time.Duration{counterWindow, timedOutCallTTL + time.Second} {
 		b, call, now := newBalancerWithCallOut(t)
@@ -180,23 +190,23 @@
 	}
 }
 
-// A counter that never answers leaves no more calls behind than the bound.
+// A counter that stays silent leaves a bounded number of calls behind.
 func TestTimedOutCallsAreBounded(t *testing.T) {
-	var l timedOutCalls
+	var timedOut timedOutCalls
 	for i := range 10 * maxTimedOutCalls {
-		l.keep(&counterCall{ticket: l.nextTicket(), sentAt: time.Duration(i)}, time.Duration(i))
-		if len(l.byTicket) > maxTimedOutCalls || len(l.order) > maxTimedOutCalls {
-			t.Fatalf("%d calls, %d tickets kept; want %d at most", len(l.byTicket), len(l.order), maxTimedOutCalls)
+		timedOut.keep(&counterCall{ticket: timedOut.nextTicket(), sentAt: time.Duration(i)}, time.Duration(i))
+		if len(timedOut.byTicket) > maxTimedOutCalls || len(timedOut.order) > maxTimedOutCalls {
+			t.Fatalf("%d calls, %d tickets kept; want %d at most",
+				len(timedOut.byTicket), len(timedOut.order), maxTimedOutCalls)
 		}
 	}
-	l.keep(&counterCall{ticket: l.nextTicket(), sentAt: time.Hour}, time.Hour)
-	if len(l.byTicket) != 1 || len(l.order) != 1 {
-		t.Errorf("%d calls and %d tickets after an hour; want the new one", len(l.byTicket), len(l.order))
+	timedOut.keep(&counterCall{ticket: timedOut.nextTicket(), sentAt: time.Hour}, time.Hour)
+	if len(timedOut.byTicket) != 1 || len(timedOut.order) != 1 {
+		t.Errorf("%d calls and %d tickets after an hour; want the new one", len(timedOut.byTicket), len(timedOut.order))
 	}
 }
 
-// The units of a lost call are lost to the customer, so the next call asks for one request only, until the counter
-// answers.
+// A block without an answer is lost to the customer, so the next call asks for one request only. An answer ends that.
 func TestLeaseIsSmallestAfterLostCall(t *testing.T) {
 	b, call, now := newBalancerWithCallOut(t)
 	cust := b.customers.find("c")
@@ -209,19 +219,19 @@
 	}
 	b.Step(now+ms, []Event{CounterResult{Name: calls[0].Name, Status: OK, Total: 0}})
 	if cust.quota.lastCallLost {
-		t.Error("the counter has answered, and still the call counts as lost")
+		t.Error("the counter has answered, and still the least is asked for")
 	}
 }
 
-// A broken connection ends its calls at once, and no late result can come: the waiting request calls once more.
+// A connection that breaks ends its calls at once, and no late answer can come on it: the requests call once more.
 func TestCallIsRepeatedAfterBrokenConnection(t *testing.T) {
 	again := 0
-	for seed := range uint64(20) { // callFraction has shrunk by the failure, so a few do not call
+	for seed := range uint64(20) { // the failure has decreased the call fraction, so a few do not call
 		b, call, now := newSeededBalancerWithCallOut(t, seed)
 		actions := b.Step(now+3*ms, []Event{CounterResult{Name: call.Name, Status: Timeout}})
 		again += len(actionsOf[CounterAdd](actions))
 		if len(b.counter.timedOut.byTicket) != 0 || b.customers.find("c").quota.callsPausedUntil != 0 {
-			t.Errorf("seed %d: a late result is expected on a broken connection", seed)
+			t.Errorf("seed %d: a late answer is waited for on a connection that is gone", seed)
 		}
 	}
 	if again < 10 {
@@ -229,10 +239,10 @@
 	}
 }
 
-// A counter that rejects a call or accepts no connection is not called again at once.
+// A counter that rejects a call, or takes no connection, is not called again at once.
 func TestRejectedCallIsNotRepeated(t *testing.T) {
 	for _, status := range []Status{Rejected, ConnectFailed} {
-		for seed := range uint64(20) { // whether a request calls is partly random
+		for seed := range uint64(20) { // whether a request calls is partly chance
 			b, call, now := newSeededBalancerWithCallOut(t, seed)
 			actions := b.Step(now+3*ms, []Event{CounterResult{Name: call.Name, Status: status}})
 			if again := actionsOf[CounterAdd](actions); len(again) != 0 {
@@ -242,23 +252,23 @@
 	}
 }
 
-// A late result tells what the bucket held when the call was made. What it has gained since may be spent by others,
-// so it is not leased by an old total.
+// A late answer tells the level of the bucket when the call was made. Peers may have spent what it gained since: it is
+// not granted by an old total.
 func TestLateResultGrantsNoLaterRefill(t *testing.T) {
 	b, call, now := newBalancerWithCallOut(t)
 	cust := b.customers.find("c")
 	plan := b.settings.Plans[0]
 	b.Step(now+50*ms, []Event{CounterResult{Name: call.Name, Status: Timeout}})
 	before := cust.quota.tokens
-	empty := plan.Burst + plan.Rate*now.Seconds() + call.Amount // a total at which the bucket held nothing then
+	empty := plan.Burst + plan.Rate*now.Seconds() + call.Amount // a total at which the bucket was empty then
 	b.Step(now+3*time.Second, []Event{LateCounterResult{call.Ticket, OK, empty}})
 	if cust.quota.tokens > before {
-		t.Errorf("%v leased from a bucket that was empty at the call", cust.quota.tokens-before)
+		t.Errorf("%v granted from a bucket that was empty at the call", cust.quota.tokens-before)
 	}
 }
 
-// A late total is older than that of a later call: it neither looks like a loss of the counter nor counts as the
-// newest.
+// A late total is older than that of a later call: it neither looks like a loss of the counter's totals nor is taken
+// for the newest.
 func TestLateResultAfterNewerOne(t *testing.T) {
 	b, call, now := newBalancerWithCallOut(t)
 	cust := b.customers.find("c")
@@ -271,13 +281,14 @@
 	b.Step(now+ms, []Event{CounterResult{Name: later[0].Name, Status: OK, Total: 90}})
 	before := cust.bucket
 	actions := b.Step(now+20*ms, []Event{LateCounterResult{call.Ticket, OK, call.Amount}})
-	if cust.bucket.knownAt != before.knownAt || cust.bucket.seenTotal != before.seenTotal ||
-		cust.bucket.level != before.level || cust.bucket.levelAt != before.levelAt {
-		t.Errorf("the late result changed the bucket from %+v to %+v", before, cust.bucket)
-	}
-	for _, call := range actionsOf[CounterAdd](actions) {
-		if call.Amount > 0 {
-			t.Errorf("%v added to correct the counter by an old total", call.Amount)
+	after := cust.bucket
+	if after.knownAt != before.knownAt || after.seenTotal != before.seenTotal || after.level != before.level ||
+		after.levelAt != before.levelAt {
+		t.Errorf("bucket %+v, want %+v", after, before)
+	}
+	for _, correction := range actionsOf[CounterAdd](actions) {
+		if correction.Amount > 0 {
+			t.Errorf("%v added as a correction by an old total", correction.Amount)
 		}
 	}
 }
--- a/internal/balancer/customer_test.go
+++ b/internal/balancer/customer_test.go
@@ -6,50 +6,44 @@
 	"time"
 )
 
-// floodWithNewCustomers steps a gateway through a time in which each tick brings a number of customers that were
-// never seen before and never come again. It runs alongside after each tick, and returns the most customers known.
-func floodWithNewCustomers(b *Balancer, from, to time.Duration, each int, beside func(at time.Duration)) (most int) {
+// floodWithNewCustomers steps a gateway through a time in which each tick brings some customers that were never seen
+// and never come again, and runs a function every tick. It returns the largest number of customers known.
+func floodWithNewCustomers(
+	b *Balancer, from, to time.Duration, perTick int, onTick func(at time.Duration),
+) (most int) {
 	id := uint64(1 << 32)
 	for at := from; at < to; at += tickInterval {
-		events := []Event{TimerFired{tickCookie}}
-		for range each {
+		evs := []Event{TimerFired{0}}
+		for range perTick {
 			id++
-			events = append(
-				events,
+			evs = append(
+				evs,
 				Request{ID: id, Plan: int(id % 2), Customer: fmt.Sprint(id), TimeLeft: 2 * time.Second, Units: 1},
 			)
 		}
-		for actions := b.Step(at, events); len(actions) > 0; {
-			var results []Event
+		for actions := b.Step(at, evs); len(actions) > 0; {
+			var outs []Event
 			for _, dispatch := range actionsOf[Dispatch](actions) {
-				results = append(results, succeeded(dispatch, 0, ms))
+				outs = append(outs, succeeded(dispatch, 0, ms))
 			}
-			if results == nil {
+			if outs == nil {
 				break
 			}
-			actions = b.Step(at, results)
+			actions = b.Step(at, outs)
 		}
-		if beside != nil {
-			beside(at)
+		if onTick != nil {
+			onTick(at)
 		}
 		most = max(most, len(b.customers.byName))
 	}
 	return most
 }
 
-// A million customers that are seen once take no more places than maxCustomers, and are forgotten when they stop
-// coming.
+// A million customers that are seen once take no more memory than stated, and are forgotten when they stop coming.
 func TestCustomerTableIsBounded(t *testing.T) {
 	settings := settingsWithoutCounter()
-	settings.Plans[0], settings.Plans[1] = Plan{
-		Rate:           2,
-		Burst:          8,
-		PriorityFactor: 1,
-	}, Plan{
-		PriorityFactor: 1,
-		CeilingRate:    20,
-		CeilingBurst:   40,
-	}
+	settings.Plans[0] = Plan{Rate: 2, Burst: 8, PriorityFactor: 1}
+	settings.Plans[1] = Plan{PriorityFactor: 1, CeilingRate: 20, CeilingBurst: 40}
 	b := newTestBalancer(t, settings, testEndpoints(3)...)
 	end := 200 * time.Second
 	if most := floodWithNewCustomers(b, 0, end, 100, nil); most > maxCustomers { // 5,000 a second
--- a/internal/balancer/helpers_test.go
+++ b/internal/balancer/helpers_test.go
@@ -199,6 +199,9 @@
 	calls int
 }
 
+// newFakeCounter returns a counter whose totals are all 0.
+func newFakeCounter() *fakeCounter { return &fakeCounter{totals: map[uint64]float64{}} }
+
 // answer returns the results of the calls among some actions.
 func (counter *fakeCounter) answer(actions []Action) (events []Event) {
 	for _, call := range actionsOf[CounterAdd](actions) {
--- a/internal/balancer/largefleet_test.go
+++ b/internal/balancer/largefleet_test.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// newLargeFleet returns the Balancers of many gateways; softPlans replace the plans from the second one on.
-func newLargeFleet(t *testing.T, gateways int, soft ...Plan) []*Balancer {
+// newLargeFleet returns gateways with 20 endpoints. softPlans take the place of those from the second plan on.
+func newLargeFleet(t *testing.T, gateways int, softPlans ...Plan) []*Balancer {
 	t.Helper()
 	settings := largeFleetSettings(gateways)
-	copy(settings.Plans[1:], soft)
+	copy(settings.Plans[1:], softPlans)
 	all := make([]*Balancer, gateways)
 	for i := range all {
 		settings.Index = i
@@ -25,42 +25,50 @@
 	return all
 }
 
-// runFleet lets requests of a plan come each 50 ms: each tells how many, pick at which gateway. The counter's results
-// come 50 ms later, so gateways that call together see each other's calls. With loseAt above 0 the counter loses its
-// totals then. It returns the time of each dispatch.
-func runFleet(
-	all []*Balancer,
-	counter *fakeCounter,
-	plan int,
-	first, last time.Duration,
-	each func(now time.Duration) int,
-	pick func(i int) int,
-	lose time.Duration,
-) (sent []time.Duration) {
+// fleetRun is a time in which requests of one customer come to a fleet. The counter's answers come 50 ms later, so
+// gateways that call together all see each other's calls.
+type fleetRun struct {
+	fleet   []*Balancer
+	counter *fakeCounter
+	plan    int
+	// from and to bound the run.
+	from, to time.Duration
+	// count is the number of requests that come each 50 ms.
+	count func(now time.Duration) int
+	// pick is the gateway to which a request comes.
+	pick func(request int) int
+	// loseTotalsAt is when the counter loses its totals; 0: never.
+	loseTotalsAt time.Duration
+}
+
+// play runs it and returns when each request was sent.
+func (run *fleetRun) play() (sent []time.Duration) {
+	const step = 50 * ms
 	id := uint64(0)
-	late := make([][]Event, len(all))
-	for now := first; now < last; now += 50 * ms {
-		if lose > 0 && now >= lose {
-			counter.totals, lose = map[uint64]float64{}, 0
+	late := make([][]Event, len(run.fleet))
+	for now := run.from; now < run.to; now += step {
+		if run.loseTotalsAt > 0 && now >= run.loseTotalsAt {
+			run.counter.totals = map[uint64]float64{}
+			run.loseTotalsAt = 0
 		}
-		events := make([][]Event, len(all))
-		for i := range all {
-			events[i] = append(late[i], TimerFired{tickCookie})
+		events := make([][]Event, len(run.fleet))
+		for i := range run.fleet {
+			events[i] = append(late[i], TimerFired{0})
 			late[i] = nil
 		}
-		for range each(now) {
+		for range run.count(now) {
 			id++
-			i := pick(int(id))
-			events[i] = append(events[i], testRequest(id, 0, plan))
+			i := run.pick(int(id))
+			events[i] = append(events[i], testRequest(id, 0, run.plan))
 		}
-		for i, b := range all {
-			for todo := events[i]; len(todo) > 0; {
-				actions := b.Step(now, todo)
-				todo = nil
-				late[i] = append(late[i], counter.answer(actions)...)
-				for _, dispatch := range actionsOf[Dispatch](actions) {
+		for i, b := range run.fleet {
+			for next := events[i]; len(next) > 0; {
+				actions := b.Step(now, next)
+				next = nil
+				late[i] = append(late[i], run.counter.answer(actions)...)
+				for _, attempt := range actionsOf[Dispatch](actions) {
 					sent = append(sent, now)
-					todo = append(todo, succeeded(dispatch, 0, 20*ms))
+					next = append(next, succeeded(attempt, 0, 20*ms))
 				}
 			}
 		}
@@ -68,8 +76,8 @@
 	return sent
 }
 
-// However a flood comes to many gateways, what goes out past their small shares by the counter and what goes out by
-// these stays together within the ceiling, also when a new window begins and when the counter loses its totals.
+// However a flood comes to a large fleet, what goes out past the small shares by the quota's bucket and what goes out
+// by these stay together within the ceiling, also when the counter's window changes and when it loses its totals.
 func TestLargeFleetKeepsCeiling(t *testing.T) {
 	plans := []Plan{
 		largeFleetSettings(40).Plans[1],
@@ -77,40 +85,39 @@
 	}
 	floods := map[string]func(now time.Duration) int{
 		"always": constantly(5),
-		"before a new number": func(now time.Duration) int { // after a calm time in which the bucket runs over
+		"before a new window": func(now time.Duration) int { // after a calm time in which the bucket overflows
 			if now < 29*time.Second || now > 38*time.Second && now < 56*time.Second {
 				return int(now/(50*ms)) % 10 / 9
 			}
 			return 5
 		},
 	}
-	for name, pick := range map[string]func(*rand.Rand) int{
-		"evenly": func(r *rand.Rand) int { return r.IntN(40) }, "at one gateway": func(*rand.Rand) int { return 3 },
-		"mostly at a few": func(r *rand.Rand) int { return min(r.IntN(40), r.IntN(40), r.IntN(40)) },
-	} {
-		for when, each := range floods {
+	picks := map[string]func(*rand.Rand) int{
+		"evenly":          func(rng *rand.Rand) int { return rng.IntN(40) },
+		"at one gateway":  func(*rand.Rand) int { return 3 },
+		"mostly at a few": func(rng *rand.Rand) int { return min(rng.IntN(40), rng.IntN(40), rng.IntN(40)) },
+	}
+	for where, pick := range picks {
+		for when, count := range floods {
 			for i, plan := range plans {
-				for _, lose := range []time.Duration{0, 20 * time.Second} {
-					t.Run(fmt.Sprint(name, when, i, lose > 0), func(t *testing.T) {
-						r := rand.New(rand.NewPCG(1, 2))
-						store, last, least := plan.CeilingBurst, time.Duration(0), plan.CeilingBurst
-						all := newLargeFleet(t, 40, plan)
-						sent := runFleet(
-							all,
-							&fakeCounter{totals: map[uint64]float64{}},
-							1,
-							2*time.Second,
-							75*time.Second,
-							each,
-							func(int) int { return pick(r) },
-							lose,
-						)
-						for _, at := range sent {
-							store = min(plan.CeilingBurst, store+plan.CeilingRate*(at-last).Seconds()) - 1
-							last, least = at, min(least, store)
+				for _, loseTotalsAt := range []time.Duration{0, 20 * time.Second} {
+					name := fmt.Sprintf("%s, %s, plan %d, totals lost %v", where, when, i, loseTotalsAt > 0)
+					t.Run(name, func(t *testing.T) {
+						rng := rand.New(rand.NewPCG(1, 2))
+						run := &fleetRun{
+							fleet:        newLargeFleet(t, 40, plan),
+							counter:      newFakeCounter(),
+							plan:         1,
+							from:         2 * time.Second,
+							to:           75 * time.Second,
+							count:        count,
+							pick:         func(int) int { return pick(rng) },
+							loseTotalsAt: loseTotalsAt,
 						}
-						if least < -plan.CeilingBurst/10-0.15*plan.CeilingRate {
-							t.Errorf("the ceiling fell to %.1f of %v", least, plan.CeilingBurst)
+						sent := run.play()
+						allowed := -plan.CeilingBurst/10 - 0.15*plan.CeilingRate
+						if lowest := lowestCeilingLevel(plan, sent); lowest < allowed {
+							t.Errorf("the ceiling's bucket fell to %.1f of %v", lowest, plan.CeilingBurst)
 						}
 						if rate := float64(len(sent)) / 73; when == "always" && rate < 0.6*plan.Rate {
 							t.Errorf("%.1f a second went out; the quota is %v", rate, plan.Rate)
@@ -122,55 +129,67 @@
 	}
 }
 
-// constantly is the same number at all times.
+// lowestCeilingLevel is the lowest level of a ceiling's bucket out of which requests were sent at some times.
+func lowestCeilingLevel(plan Plan, sent []time.Duration) float64 {
+	level := plan.CeilingBurst
+	lowest := plan.CeilingBurst
+	last := time.Duration(0)
+	for _, at := range sent {
+		level = min(plan.CeilingBurst, level+plan.CeilingRate*(at-last).Seconds()) - 1
+		lowest = min(lowest, level)
+		last = at
+	}
+	return lowest
+}
+
+// constantly is a flood of the same number of requests at all times.
 func constantly(n int) func(time.Duration) int { return func(time.Duration) int { return n } }
 
-// A customer within its quota whose requests mostly come to one of many gateways is not held to that gateway's share
-// of its ceiling.
+// A customer inside its quota whose requests mostly come to one gateway of a large fleet is not held to that gateway's
+// share of its ceiling.
 func TestLargeFleetServesQuotaAtOneGateway(t *testing.T) {
-	sent := runFleet(
-		newLargeFleet(t, 40),
-		&fakeCounter{totals: map[uint64]float64{}},
-		1,
-		2*time.Second,
-		22*time.Second,
-		constantly(1),
-		func(i int) int { // 20 a second for 0.4 of the time: 8 of the 10 that the quota gives
-			if i%50 < 20 {
+	run := &fleetRun{
+		fleet:   newLargeFleet(t, 40),
+		counter: newFakeCounter(),
+		plan:    1,
+		from:    2 * time.Second,
+		to:      22 * time.Second,
+		count:   constantly(1),
+		pick: func(request int) int { // 20 a second for 0.4 of the time: 8 of the 10 that the quota gives
+			if request%50 < 20 {
 				return 0
 			}
-			return 1 + i%39
+			return 1 + request%39
 		},
-		0,
-	)
+	}
+	sent := run.play()
 	if want := 0.75 * 20 * 10; float64(len(sent)) < want { // what the quota gives in 20 s, less what gateways keep
 		t.Errorf("%d sent in 20 s, want %.0f", len(sent), want)
 	}
 }
 
-// Gateways that start together in the middle of a window all see a bucket that seems to hold more than its burst. If
-// each corrected that, the bucket would look empty to each for a while. Units that are given back are no such gain
-// either.
+// Gateways that start together in the middle of a window all see a bucket that seems over its burst. Were each to
+// correct it, it would be empty for a while for each of them; and blocks that are returned are no gain to be corrected.
 func TestLargeFleetStartingTogetherServesQuota(t *testing.T) {
-	r := rand.New(rand.NewPCG(5, 6))
+	rng := rand.New(rand.NewPCG(5, 6))
 	plan := largeFleetSettings(60).Plans[0]
-	sent := runFleet(
-		newLargeFleet(t, 60),
-		&fakeCounter{totals: map[uint64]float64{}},
-		0,
-		20*time.Second,
-		50*time.Second,
-		constantly(1),
-		func(int) int { return r.IntN(60) },
-		0,
-	)
+	run := &fleetRun{
+		fleet:   newLargeFleet(t, 60),
+		counter: newFakeCounter(),
+		plan:    0,
+		from:    20 * time.Second,
+		to:      50 * time.Second,
+		count:   constantly(1),
+		pick:    func(int) int { return rng.IntN(60) },
+	}
+	sent := run.play()
 	if n, most := float64(len(sent)), plan.Burst+30*plan.Rate; n < 0.75*most || n > 1.5*most {
 		t.Errorf("%.0f sent in 30 s for a customer that asks for ten times its quota, which gives %.0f", n, most)
 	}
 }
 
-// Where gateways are many, a call that finds the bucket a little short needs no second one: what it took is spent
-// when the bucket has gained it. Only what would take too long is given back.
+// In a large fleet a call that finds the bucket a little short costs no second one: what it took is spent when the
+// bucket has gained it. Only what would take too long is returned.
 func TestLargeFleetSeldomCallsTwice(t *testing.T) {
 	b := newLargeFleet(t, 100)[0]
 	now := 2 * time.Second
@@ -178,15 +197,13 @@
 	if len(calls) != 1 || calls[0].Amount != 1 {
 		t.Fatalf("calls: %v, want one of a unit", calls)
 	}
-	actions := b.Step(
-		now,
-		[]Event{CounterResult{calls[0].Name, OK, 8 + 2*2 + 0.25}},
-	) // short by a quarter of a unit: an eighth of a second
+	// The bucket is short by a quarter of a unit: an eighth of a second.
+	actions := b.Step(now, []Event{CounterResult{calls[0].Name, OK, 8 + 2*2 + 0.25}})
 	if len(actionsOf[CounterAdd](actions))+len(actionsOf[Dispatch](actions))+len(actionsOf[Reject](actions)) != 0 {
 		t.Fatalf("the request should wait for what the bucket gains: %v", actions)
 	}
 	for sent := false; !sent; now += 20 * ms {
-		actions = b.Step(now, []Event{TimerFired{tickCookie}})
+		actions = b.Step(now, []Event{TimerFired{0}})
 		if len(actionsOf[CounterAdd](actions)) != 0 || len(actionsOf[Reject](actions)) != 0 || now > 2400*ms {
 			t.Fatalf("at %v: %v", now, actions)
 		}
@@ -199,12 +216,12 @@
 	now = 2 * time.Second
 	calls = actionsOf[CounterAdd](b.Step(now, []Event{testRequest(1, 0, 0)}))
 	actions = b.Step(now, []Event{CounterResult{calls[0].Name, OK, 8 + 2*2 + 20}})
-	back := actionsOf[CounterAdd](actions)
-	if len(back) != 1 || back[0].Amount != -1 || len(actionsOf[Reject](actions)) != 1 {
+	returned := actionsOf[CounterAdd](actions)
+	if len(returned) != 1 || returned[0].Amount != -1 || len(actionsOf[Reject](actions)) != 1 {
 		t.Fatalf("short by 19: %v", actions)
 	}
 	if more := actionsOf[CounterAdd](b.Step(now+time.Second, []Event{testRequest(2, 0, 0)})); len(more) != 0 {
-		t.Errorf("a bucket just seen empty was called again: %v", more)
+		t.Errorf("a bucket just found empty was asked again: %v", more)
 	}
 }
 
@@ -214,27 +231,23 @@
 	now := 2 * time.Second
 	calls := actionsOf[CounterAdd](b.Step(now, []Event{testRequest(1, 0, 0)}))
 	now += 50 * ms
-	if actions := b.Step(
-		now,
-		[]Event{CounterResult{calls[0].Name, Timeout, 0}, TimerFired{tickCookie}},
-	); len(
-		actionsOf[Reject](actions),
-	) != 0 {
+	actions := b.Step(now, []Event{CounterResult{calls[0].Name, Timeout, 0}, TimerFired{0}})
+	if len(actionsOf[Reject](actions)) != 0 {
 		t.Fatalf("rejected at the timeout: %v", actions)
 	}
-	actions := b.Step(now+20*ms, []Event{LateCounterResult{calls[0].Ticket, OK, 1}})
+	actions = b.Step(now+20*ms, []Event{LateCounterResult{calls[0].Ticket, OK, 1}})
 	if len(actionsOf[Dispatch](actions)) != 1 {
-		t.Errorf("the late answer dispatches it: %v", actions)
+		t.Errorf("not sent after the late answer: %v", actions)
 	}
 }
 
-// A plan with MaxInFlight keeps it where gateways are many.
-func TestLargeFleetKeepsMaxInFlight(t *testing.T) {
+// A plan that limits requests in flight keeps the limit in a large fleet, and admission-only requests are decided soon.
+func TestLargeFleetKeepsMaxInFlightAndAnswersAdmitOnlySoon(t *testing.T) {
 	plan := largeFleetSettings(40).Plans[1]
 	plan.MaxInFlight = 1
 	all := newLargeFleet(t, 40, plan)
 	sent := 0
-	counter := &fakeCounter{totals: map[uint64]float64{}}
+	counter := newFakeCounter()
 	for id := uint64(1); id <= 6; id++ {
 		for todo := []Event{testRequest(id, 0, 1)}; len(todo) > 0; {
 			actions := all[0].Step(10*time.Second, todo)
@@ -243,13 +256,10 @@
 		}
 	}
 	if sent != 1 {
-		t.Errorf("%d dispatched while one may be in flight", sent)
+		t.Errorf("%d sent while one may be in flight", sent)
 	}
-}
 
-// Where gateways are many, requests for admission only are answered soon.
-func TestLargeFleetAnswersAdmitOnlySoon(t *testing.T) {
-	counter := &fakeCounter{totals: map[uint64]float64{}}
+	counter = newFakeCounter()
 	b := newLargeFleet(t, 40)[0]
 	answered := map[uint64]bool{}
 	now := 10 * time.Second
@@ -268,19 +278,19 @@
 	for id := uint64(1); id <= 60; id++ {
 		request := testRequest(id, 0, 1)
 		request.AdmitOnly = true
-		step(request, TimerFired{tickCookie})
+		step(request, TimerFired{0})
 		now += ms
 	}
 	for range 8 { // what waits for a turn to call does so for a fifth of its time, 100 ms
 		now += 20 * ms
-		step(TimerFired{tickCookie})
+		step(TimerFired{0})
 	}
 	if len(answered) != 60 {
-		t.Errorf("%d of 60 checks answered 160 ms after the last", len(answered))
+		t.Errorf("%d of 60 requests answered 160 ms after the last", len(answered))
 	}
 }
 
-// With a share of under one unit the counter is called for a single request, and its total alone decides.
+// With a share of under one unit the counter is called for a single request, and the level alone decides.
 func TestSparseShareCallsCounterPerRequest(t *testing.T) {
 	for total, want := range map[float64]int{1: 1, 30: 0} {
 		b := newTestBalancer(t, largeFleetSettings(100), testEndpoints(8)...)
@@ -294,16 +304,16 @@
 		}
 		if want == 0 {
 			if back := actionsOf[CounterAdd](actions); len(back) != 1 || back[0].Amount != -1 {
-				t.Errorf("what the bucket did not hold was not given back: %v", actions)
+				t.Errorf("what the bucket did not have was not returned: %v", actions)
 			}
 			if more := actionsOf[CounterAdd](b.Step(4*ms, []Event{testRequest(2, 0, 0)})); len(more) != 0 {
-				t.Errorf("a bucket just seen empty was called again: %v", more)
+				t.Errorf("a bucket just found empty was asked again: %v", more)
 			}
 		}
 	}
 }
 
-// A failing counter is called by few requests of each gateway, however many there are.
+// A counter that fails is called for fewer requests, and by each gateway rarely, however many there are.
 func TestFailingCounterIsCalledRarely(t *testing.T) {
 	b := newTestBalancer(t, largeFleetSettings(300), testEndpoints(8)...)
 	late := 0
@@ -311,7 +321,7 @@
 		request := testRequest(uint64(i), 0, 0)
 		request.Customer = fmt.Sprint("c", i)
 		now := time.Duration(i+1) * 10 * ms
-		for _, call := range actionsOf[CounterAdd](b.Step(now, []Event{request, TimerFired{tickCookie}})) {
+		for _, call := range actionsOf[CounterAdd](b.Step(now, []Event{request, TimerFired{0}})) {
 			if i > 1000 {
 				late++
 			}
@@ -323,14 +333,14 @@
 	}
 }
 
-// What the bucket seems to have gained over its burst is added to the counter, once.
+// What the bucket seems to have gained over its burst is corrected once.
 func TestBucketOverflowIsAddedToCounter(t *testing.T) {
 	b := newTestBalancer(t, largeFleetSettings(100), testEndpoints(8)...)
 	now := 20 * time.Second
 	calls := actionsOf[CounterAdd](b.Step(now, []Event{testRequest(1, 0, 0)}))
 	actions := b.Step(now+2*ms, []Event{CounterResult{calls[0].Name, OK, 1}})
-	fixes := actionsOf[CounterAdd](actions)
-	if len(fixes) != 1 || fixes[0].Amount < 30 || len(actionsOf[Dispatch](actions)) != 1 {
+	corrections := actionsOf[CounterAdd](actions)
+	if len(corrections) != 1 || corrections[0].Amount < 30 || len(actionsOf[Dispatch](actions)) != 1 {
 		t.Errorf("20 s of overflow at 2 a second: %v", actions)
 	}
 }
--- a/internal/balancer/quota_test.go
+++ b/internal/balancer/quota_test.go
@@ -5,7 +5,6 @@
 	"time"
 )
 
-// Without a counter a new customer has this gateway's even share of its burst.
 func TestNewCustomerSpendsEvenShareOfBurst(t *testing.T) {
 	settings := testSettings()
 	settings.UseCounter = false
@@ -29,33 +28,30 @@
 			return c[0]
 		}
 	}
-	t.Fatal("the counter was not called")
+	t.Fatal("no call for a lease")
 	return CounterAdd{}
 }
 
-// A lease covers the requests that wait for it.
 func TestLeasePromotesRequests(t *testing.T) {
 	b := newTestBalancer(t, testSettings(), testEndpoints(8)...)
 	call := spendFallback(t, b, ms)
 	b.Step(2*ms, testRequests(0, 0, 1, 2, 3, 4, 5))
 	actions := b.Step(4*ms, []Event{CounterResult{call.Name, OK, call.Amount}})
 	if len(actionsOf[Dispatch](actions)) == 0 {
-		t.Errorf("a lease covered no request: %v", actions)
+		t.Errorf("nothing is sent after a lease: %v", actions)
 	}
 }
 
-// Where the shared bucket is empty, requests with a hard quota are rejected.
 func TestEmptyBucketRejectsHardPlan(t *testing.T) {
 	b := newTestBalancer(t, testSettings(), testEndpoints(8)...)
 	call := spendFallback(t, b, ms)
 	b.Step(2*ms, testRequests(0, 0, 1, 2, 3, 4, 5))
 	actions := b.Step(4*ms, []Event{CounterResult{call.Name, OK, call.Amount + 30}})
 	if len(actionsOf[Reject](actions)) == 0 || len(actionsOf[Dispatch](actions)) != 0 {
-		t.Errorf("an empty bucket covered requests: %v", actions)
+		t.Errorf("an empty bucket let requests through: %v", actions)
 	}
 }
 
-// While the counter does not answer, the fallback share fills.
 func TestFallbackShareFillsWhileCounterIsSilent(t *testing.T) {
 	b := newTestBalancer(t, testSettings(), testEndpoints(8)...)
 	now, call := ms, spendFallback(t, b, ms)
@@ -73,19 +69,17 @@
 	}
 }
 
-// Each gateway has an even share of MaxInFlight, rounded up.
 func TestMaxInFlightShare(t *testing.T) {
 	b := newTestBalancer(t, testSettings(), testEndpoints(10)...)
-	var events []Event
+	var evs []Event
 	for i := range 10 {
-		events = append(events, testRequest(uint64(i), 0, 3))
+		evs = append(evs, testRequest(uint64(i), 0, 3))
 	}
-	if n := len(actionsOf[Dispatch](b.Step(ms, events))); n != 2 {
-		t.Errorf("%d attempts in flight; the limit is 4 over 2 gateways", n)
+	if n := len(actionsOf[Dispatch](b.Step(ms, evs))); n != 2 {
+		t.Errorf("%d attempts out for a limit of 4 over 2 gateways", n)
 	}
 }
 
-// The share of MaxInFlight is larger if other gateways have no demand.
 func TestMaxInFlightFollowsPeerDemand(t *testing.T) {
 	settings := testSettings()
 	for others, want := range map[float64]int{0: 3, 200: 2} {
@@ -94,34 +88,36 @@
 			b.Step(51*ms, []Event{succeeded(dispatch, 0, 50*ms)})
 		}
 		cust := b.customers.find("c")
-		cust.bucket.known, cust.bucket.peerDemand, cust.quota.tokens, cust.quota.leasedAt = true, others, 20, ms
-		var events []Event
+		cust.bucket.known = true
+		cust.bucket.peerDemand = others
+		cust.quota.tokens = 20
+		cust.quota.leasedAt = ms
+		var evs []Event
 		for i := range 10 {
-			events = append(events, testRequest(uint64(100+i), 0, 3))
+			evs = append(evs, testRequest(uint64(100+i), 0, 3))
 		}
-		if n := len(actionsOf[Dispatch](b.Step(52*ms, events))); n != want {
+		if n := len(actionsOf[Dispatch](b.Step(52*ms, evs))); n != want {
 			t.Errorf("others add %v a second: %d attempts out, want %d", others, n, want)
 		}
 	}
 }
 
-// Requests over a soft quota are not rejected.
 func TestSoftPlanIsNotRejectedOverQuota(t *testing.T) {
 	settings := testSettings()
 	settings.UseCounter = false
 	settings.Plans[1].CeilingRate = 0
 	b := newTestBalancer(t, settings, testEndpoints(20)...)
-	var events []Event
+	var evs []Event
 	for i := range 15 {
-		events = append(events, testRequest(uint64(i), 0, 1))
+		evs = append(evs, testRequest(uint64(i), 0, 1))
 	}
-	actions := b.Step(ms, events)
+	actions := b.Step(ms, evs)
 	if len(actionsOf[Reject](actions)) != 0 {
-		t.Errorf("a soft plan was rejected over its quota: %v", actions)
+		t.Errorf("a soft plan was rejected beyond its quota: %v", actions)
 	}
 }
 
-// The request with more priority weight for its work goes first, even if it has fewer units.
+// A request with more priority weight for its work goes first, also if it is of fewer units.
 func TestPriorityByWork(t *testing.T) {
 	b := newTrainedBalancer(t, testEndpoints(1)...)
 	level := func(units float64) int {
--- a/internal/balancer/settings_test.go
+++ b/internal/balancer/settings_test.go
@@ -1,41 +1,47 @@
 package balancer
 
 import (
+	"errors"
 	"testing"
 )
 
-// invalidSettingsCases are changes that make the test settings invalid.
+// invalidSettingsCases are changes that make settings invalid.
 var invalidSettingsCases = []struct {
-	name   string
-	change func(*Settings)
+	name  string
+	spoil func(*Settings)
 }{
-	{"no gateways", func(s *Settings) { s.Gateways = 0 }},
-	{"no classes", func(s *Settings) { s.Classes = nil }},
-	{"no plans", func(s *Settings) { s.Plans = nil }},
-	{"no attempts", func(s *Settings) { s.MaxAttempts = 0 }},
+	{"no gateway", func(s *Settings) { s.Gateways = 0 }},
+	{"no class", func(s *Settings) { s.Classes = nil }},
+	{"no plan", func(s *Settings) { s.Plans = nil }},
+	{"no attempt", func(s *Settings) { s.MaxAttempts = 0 }},
 	{"negative rate", func(s *Settings) { s.Plans[0].Rate = -1 }},
 	{"negative latency objective", func(s *Settings) { s.Classes[0].LatencyObjective = -1 }},
 	{"negative overload window", func(s *Settings) { s.OverloadWindow = -1 }},
 }
 
-// Validate and New accept the test settings and reject invalid ones.
+func TestNewRejectsInvalidSettings(t *testing.T) {
+	for _, c := range invalidSettingsCases {
+		t.Run(c.name, func(t *testing.T) {
+			settings := testSettings()
+			c.spoil(&settings)
+			if _, err := New(settings, 1); !errors.Is(err, ErrInvalidSettings) {
+				t.Errorf("error %v", err)
+			}
+		})
+	}
+}
+
 func TestValidate(t *testing.T) {
 	settings := testSettings()
 	if err := settings.Validate(); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := New(settings, 1); err != nil {
-		t.Fatal(err)
-	}
 	for _, c := range invalidSettingsCases {
 		t.Run(c.name, func(t *testing.T) {
-			invalid := testSettings()
-			c.change(&invalid)
-			if invalid.Validate() == nil {
-				t.Error("Validate returns no error")
-			}
-			if _, err := New(invalid, 1); err == nil {
-				t.Error("New returns no error")
+			settings := testSettings()
+			c.spoil(&settings)
+			if err := settings.Validate(); !errors.Is(err, ErrInvalidSettings) {
+				t.Errorf("error %v", err)
 			}
 		})
 	}
--- a/internal/balancer/share_test.go
+++ b/internal/balancer/share_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 	"testing"
 	"time"
 
@@ -10,58 +11,57 @@
 	"gapgap/internal/balancer/quotashare"
 )
 
-// sharingFleet are gateways without a counter that share one ceiling by leased fractions, which the test leases.
+// sharingFleet are gateways without a counter that share one ceiling by leases, which a test gives them. It checks that
+// they send no more than the ceiling allows.
 type sharingFleet struct {
 	gateways []*Balancer
 	settings Settings
-	lastID   uint64
-	// fractions has the leased fraction of each gateway, leasedUntil when it ends.
-	fractions   []float64
-	leasedUntil []time.Duration
-	// formerFractions has what each gateway had before it was given less, and formerUntil when that ends: gateways that
-	// it has granted a loan use it until then.
-	formerFractions []float64
-	formerUntil     []time.Duration
-	// ceiling is the shared ceiling, level what a bucket of it holds that each admission draws on.
+	// fractions and leaseEnds are the leases as given.
+	fractions []float64
+	leaseEnds []time.Duration
+	// lent is the fraction that a gateway had before its lease shrank. It may have granted loans of it until lentUntil.
+	lent      []float64
+	lentUntil []time.Duration
+	lastID    uint64
 	ceiling   quotashare.Bucket
-	level     float64
-	updatedAt time.Duration
-	// worstDebt is by how much that bucket was overdrawn at worst.
-	worstDebt float64
-	// worstSumExcess is by how much the gateways' shares together exceeded the ceiling at worst.
-	worstSumExcess float64
-	// messages are those about loans that have not arrived yet.
+	// level is that of the ceiling's bucket at levelAt, over how far it was below 0.
+	level   float64
+	levelAt time.Duration
+	over    float64
+	// excess is by how much the gateways' buckets together were larger than the ceiling's.
+	excess float64
+	// messages are those about loans that are on their way, delay is how long each takes.
 	messages []loanMessage
-	// messageDelay draws the delay of a message.
-	messageDelay func() time.Duration
-	// loanCount is the number of loans that were granted.
-	loanCount int
-	// dropsMessages is set if no message about a loan arrives.
-	dropsMessages bool
-	// countsLoansFromArrival is a mistake that the check must find.
-	countsLoansFromArrival bool
+	delay    func() time.Duration
+	// loans counts the loans granted.
+	loans int
+	// withoutLoans is true when no message about loans arrives.
+	withoutLoans bool
+	// loansFromArrival is true when loans count from their arrival: a mistake that is to be found.
+	loansFromArrival bool
 }
 
-// loanMessage is a message about a loan from one gateway to another.
+// loanMessage is what one gateway sends another about a loan.
 type loanMessage struct {
 	to    int
-	dueAt time.Duration
+	at    time.Duration
 	event Event
 }
 
-// newSharingFleet returns n gateways, none of which has leased a fraction yet.
-func newSharingFleet(t *rapid.T, n int, policy quotashare.PartitionPolicy) *sharingFleet {
+// newSharingFleet returns a number of gateways without leases.
+func newSharingFleet(t *rapid.T, count int, policy quotashare.PartitionPolicy) *sharingFleet {
 	fleet := &sharingFleet{
-		ceiling:         quotashare.Bucket{Rate: 10, Depth: 20},
-		level:           20,
-		fractions:       make([]float64, n),
-		leasedUntil:     make([]time.Duration, n),
-		formerFractions: make([]float64, n),
-		formerUntil:     make([]time.Duration, n),
-		messageDelay:    func() time.Duration { return 0 },
+		ceiling:   quotashare.Bucket{Rate: 10, Depth: 20},
+		level:     20,
+		levelAt:   time.Hour,
+		fractions: make([]float64, count),
+		leaseEnds: make([]time.Duration, count),
+		lent:      make([]float64, count),
+		lentUntil: make([]time.Duration, count),
+		delay:     func() time.Duration { return 0 },
 	}
 	fleet.settings = Settings{
-		Gateways:       n,
+		Gateways:       count,
 		MaxAttempts:    1,
 		LeasedShares:   true,
 		SendRetryAfter: true,
@@ -79,7 +79,7 @@
 			},
 		},
 	}
-	for i := range n {
+	for i := range count {
 		settings := fleet.settings
 		settings.Index = i
 		b, err := New(settings, uint64(i))
@@ -89,28 +89,21 @@
 		b.Step(time.Hour, nil)
 		fleet.gateways = append(fleet.gateways, b)
 	}
-	fleet.updatedAt = time.Hour
 	return fleet
 }
 
-// request lets a gateway get a request, after the messages that are due, and checks the ceiling.
-func (fleet *sharingFleet) request(i int, now time.Duration) (admitted bool) {
+// request has a request come to a gateway, after the messages that have arrived by then, and reports whether it is
+// admitted.
+func (fleet *sharingFleet) request(gateway int, now time.Duration) (admitted bool) {
 	fleet.lastID++
-	for k := 0; k < len(fleet.messages); k++ { // a message may cause others
-		if message := fleet.messages[k]; message.dueAt <= now {
-			fleet.messages = append(fleet.messages[:k], fleet.messages[k+1:]...)
-			fleet.step(message.to, now, message.event)
-			k = -1
-		}
-	}
-	request := admitOnlyRequest(fleet.lastID, 0)
-	request.TimeLeft = time.Second
-	admitted = fleet.step(i, now, request)
-	fleet.level = min(fleet.ceiling.Depth, fleet.level+fleet.ceiling.Rate*(now-fleet.updatedAt).Seconds())
-	fleet.updatedAt = now
+	fleet.deliver(now)
+	request := Request{ID: fleet.lastID, Customer: "c", Units: 1, TimeLeft: time.Second, AdmitOnly: true}
+	admitted = fleet.step(gateway, now, request)
+	fleet.level = min(fleet.ceiling.Depth, fleet.level+fleet.ceiling.Rate*(now-fleet.levelAt).Seconds())
+	fleet.levelAt = now
 	if admitted {
 		fleet.level--
-		fleet.worstDebt = max(fleet.worstDebt, -fleet.level)
+		fleet.over = max(fleet.over, -fleet.level)
 	}
 	sum := quotashare.Bucket{}
 	for _, b := range fleet.gateways {
@@ -119,112 +112,129 @@
 			sum = sum.Add(b.ceilingShare(cust, &b.settings.Plans[0]))
 		}
 	}
-	fleet.worstSumExcess = max(fleet.worstSumExcess, sum.Rate-fleet.ceiling.Rate, sum.Depth-fleet.ceiling.Depth)
+	fleet.excess = max(fleet.excess, sum.Rate-fleet.ceiling.Rate, sum.Depth-fleet.ceiling.Depth)
 	return admitted
 }
 
-// step hands a gateway an event and queues its messages about loans. It reports whether a request was admitted.
-func (fleet *sharingFleet) step(i int, now time.Duration, ev Event) (admitted bool) {
-	if l, ok := ev.(LoanGranted); ok {
-		fleet.loanCount++
-		if fleet.countsLoansFromArrival {
-			l.At = now
-			ev = l
+// deliver hands out the messages that have arrived, and those that these bring about.
+func (fleet *sharingFleet) deliver(now time.Duration) {
+	for i := 0; i < len(fleet.messages); i++ {
+		if message := fleet.messages[i]; message.at <= now {
+			fleet.messages = append(fleet.messages[:i], fleet.messages[i+1:]...)
+			fleet.step(message.to, now, message.event)
+			i = -1
+		}
+	}
+}
+
+// step hands an event to a gateway and sends its messages about loans. It reports whether a request was admitted.
+func (fleet *sharingFleet) step(gateway int, now time.Duration, event Event) (admitted bool) {
+	if granted, ok := event.(LoanGranted); ok {
+		fleet.loans++
+		if fleet.loansFromArrival {
+			granted.At = now
+			event = granted
 		}
 	}
-	actions := append([]Action(nil), fleet.gateways[i].Step(now, []Event{ev})...)
-	for _, a := range actions {
-		if _, ok := a.(Admit); fleet.dropsMessages && !ok {
+	actions := slices.Clone(fleet.gateways[gateway].Step(now, []Event{event}))
+	for _, action := range actions {
+		if _, ok := action.(Admit); fleet.withoutLoans && !ok {
 			continue
 		}
-		switch a := a.(type) {
+		switch action := action.(type) {
 		case Admit:
 			admitted = true
 		case RequestLoan:
-			for j := range fleet.gateways {
-				if j != i {
-					loan := LoanRequest{From: i, Customer: a.Customer, Plan: a.Plan, At: a.At}
-					fleet.messages = append(fleet.messages, loanMessage{j, now + fleet.messageDelay(), loan})
+			loan := LoanRequest{From: gateway, Customer: action.Customer, Plan: action.Plan, At: action.At}
+			for peer := range fleet.gateways {
+				if peer != gateway {
+					fleet.messages = append(fleet.messages, loanMessage{peer, now + fleet.delay(), loan})
 				}
 			}
 		case GrantLoan:
-			loan := LoanGranted{From: i, Customer: a.Customer, Plan: a.Plan, At: a.At, Rate: a.Rate, Depth: a.Depth}
-			fleet.messages = append(fleet.messages, loanMessage{a.To, now + fleet.messageDelay(), loan})
+			loan := LoanGranted{
+				From:     gateway,
+				Customer: action.Customer,
+				Plan:     action.Plan,
+				At:       action.At,
+				Rate:     action.Rate,
+				Depth:    action.Depth,
+			}
+			fleet.messages = append(fleet.messages, loanMessage{action.To, now + fleet.delay(), loan})
 		}
 	}
 	return admitted
 }
 
-// lease leases a gateway a fraction, or as much of it as the others leave.
-func (fleet *sharingFleet) lease(i int, fraction float64, now, length time.Duration) {
-	free := 1 - fleet.sumOfFractions(now) + max(fleet.fraction(i, now), fleet.formerFractions[i])
-	fleet.leaseOverlapping(i, max(0, min(fraction, free)), now, length)
+// lease gives a gateway a fraction, as far as what the others have leaves it.
+func (fleet *sharingFleet) lease(gateway int, fraction float64, now, length time.Duration) {
+	sum := fleet.leasedSum(now)
+	free := 1 - sum + max(fleet.leased(gateway, now), fleet.lent[gateway])
+	fleet.leaseUnchecked(gateway, max(0, min(fraction, free)), now, length)
 }
 
-// leaseOverlapping leases a gateway a fraction whatever the others have, which is a mistake.
-func (fleet *sharingFleet) leaseOverlapping(i int, fraction float64, now, length time.Duration) {
-	former := fleet.fraction(i, now)
-	// A lease that becomes shorter counts as taken away, too.
-	if fraction < former || now+length < fleet.leasedUntil[i] {
-		fleet.formerFractions[i] = max(former, fleet.formerFractions[i])
-		fleet.formerUntil[i] = fleet.gateways[i].LoansEndAt()
+// leaseUnchecked gives a gateway a fraction whatever the others have.
+func (fleet *sharingFleet) leaseUnchecked(gateway int, fraction float64, now, length time.Duration) {
+	former := fleet.leased(gateway, now)
+	if fraction < former || now+length < fleet.leaseEnds[gateway] { // a shorter lease takes some away, too
+		fleet.lent[gateway] = max(former, fleet.lent[gateway])
+		fleet.lentUntil[gateway] = fleet.gateways[gateway].LoansEndAt()
 	}
-	fleet.fractions[i] = fraction
-	fleet.leasedUntil[i] = now + length
-	fleet.gateways[i].Step(now, []Event{ShareUpdate{Fraction: fraction, Until: now + length}})
+	fleet.fractions[gateway] = fraction
+	fleet.leaseEnds[gateway] = now + length
+	fleet.gateways[gateway].Step(now, []Event{ShareUpdate{Fraction: fraction, Until: now + length}})
 }
 
-// fraction is what a gateway has leased at a time.
-func (fleet *sharingFleet) fraction(i int, now time.Duration) float64 {
-	if now < fleet.leasedUntil[i] {
-		return fleet.fractions[i]
+// leased is the fraction that a gateway has at a time.
+func (fleet *sharingFleet) leased(gateway int, now time.Duration) float64 {
+	if now < fleet.leaseEnds[gateway] {
+		return fleet.fractions[gateway]
 	}
 	return 0
 }
 
-// sumOfFractions is what all gateways have leased at a time, with what they may still use of former leases.
-func (fleet *sharingFleet) sumOfFractions(now time.Duration) (sum float64) {
+// leasedSum is the sum of all gateways' fractions, or of what they may have granted of former ones.
+func (fleet *sharingFleet) leasedSum(now time.Duration) (sum float64) {
 	for i := range fleet.fractions {
-		if now >= fleet.formerUntil[i] {
-			fleet.formerFractions[i] = 0
+		if now >= fleet.lentUntil[i] {
+			fleet.lent[i] = 0
 		}
-		sum += max(fleet.fraction(i, now), fleet.formerFractions[i])
+		sum += max(fleet.leased(i, now), fleet.lent[i])
 	}
 	return sum
 }
 
-// partitionPolicies are all of them.
-var partitionPolicies = []quotashare.PartitionPolicy{quotashare.KeepQuota, quotashare.KeepAll, quotashare.KeepNone}
-
-// drawMilliseconds draws a duration of a number of milliseconds up to most.
-func drawMilliseconds(t *rapid.T, most int, label string) time.Duration {
-	return time.Duration(rapid.IntRange(0, most).Draw(t, label)) * time.Millisecond
-}
+// allPolicies are the policies that a plan may have.
+var allPolicies = []quotashare.PartitionPolicy{quotashare.KeepQuota, quotashare.KeepAll, quotashare.KeepNone}
 
-// runSharing plays requests and leases as drawn, and returns by how much the ceiling was exceeded at worst. lease is
-// how fractions are leased.
-func runSharing(t *rapid.T, lease func(*sharingFleet, int, float64, time.Duration, time.Duration)) float64 {
-	n := rapid.IntRange(1, 6).Draw(t, "gateways")
-	fleet := newSharingFleet(t, n, rapid.SampledFrom(partitionPolicies).Draw(t, "policy"))
-	fleet.messageDelay = func() time.Duration { return drawMilliseconds(t, 1500, "delay") }
+// runSharing plays a random order of leases and requests and returns by how many units the ceiling was exceeded.
+// lease is the method that gives the leases.
+func runSharing(
+	t *rapid.T, lease func(fleet *sharingFleet, gateway int, fraction float64, now, length time.Duration),
+) float64 {
+	count := rapid.IntRange(1, 6).Draw(t, "gateways")
+	fleet := newSharingFleet(t, count, rapid.SampledFrom(allPolicies).Draw(t, "policy"))
+	fleet.delay = func() time.Duration {
+		return time.Duration(rapid.IntRange(0, 1500).Draw(t, "late")) * time.Millisecond
+	}
 	now := time.Hour
 	for range rapid.IntRange(100, 300).Draw(t, "steps") {
 		now += time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond
-		i := rapid.IntRange(0, n-1).Draw(t, "gateway")
+		gateway := rapid.IntRange(0, count-1).Draw(t, "gateway")
 		if rapid.IntRange(0, 2).Draw(t, "kind") == 0 {
 			fraction := float64(rapid.SampledFrom([]int{0, 3, 5, 10, 10}).Draw(t, "tenths")) / 10
 			length := time.Duration(rapid.IntRange(50, 20_000).Draw(t, "length")) * time.Millisecond
-			lease(fleet, i, fraction, now, length)
+			lease(fleet, gateway, fraction, now, length)
 			continue
 		}
 		for range rapid.IntRange(1, 30).Draw(t, "burst") {
-			fleet.request(i, now)
+			fleet.request(gateway, now)
 		}
 	}
-	return max(fleet.worstDebt, fleet.worstSumExcess)
+	return max(fleet.over, fleet.excess)
 }
 
-// However fractions are leased and taken back, gateways admit no more than the ceiling holds.
+// However fractions are leased and taken back, gateways admit no more than the ceiling's bucket holds.
 func TestLeasedSharesHoldCeiling(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		if over := runSharing(t, (*sharingFleet).lease); over > 1e-6 {
@@ -233,27 +243,29 @@
 	})
 }
 
-// The check finds fractions that overlap: one that grows before another's lease ends.
+// The check finds leases that overlap: a fraction that grows before another's lease is over.
 func TestSharingCheckFindsOverlap(t *testing.T) {
 	worst := 0.0
 	for seed := range 200 {
-		excess := rapid.Custom(func(t *rapid.T) float64 { return runSharing(t, (*sharingFleet).leaseOverlapping) })
-		worst = max(worst, excess.Example(seed))
+		run := rapid.Custom(func(t *rapid.T) float64 { return runSharing(t, (*sharingFleet).leaseUnchecked) })
+		worst = max(worst, run.Example(seed))
 	}
 	if worst < 5 {
-		t.Errorf("overlapping fractions exceed the ceiling by %.1f units in 200 plays; the check must find more", worst)
+		t.Errorf("leases that overlap let %.1f units over the ceiling in 200 runs, which the check is to find", worst)
 	}
 }
 
-// A loan that arrives late is only worth what is left of it, as the lender uses its share again. Counted from its
-// arrival it would overlap.
+// Loans that come late are worth only what is left of them, as the lender uses its part again; counted from their
+// arrival they would overlap.
 func TestLateLoans(t *testing.T) {
 	for _, fromArrival := range []bool{false, true} {
 		worst := 0.0
 		rapid.Check(t, func(t *rapid.T) {
 			fleet := newSharingFleet(t, 3, quotashare.KeepNone)
-			fleet.countsLoansFromArrival = fromArrival
-			fleet.messageDelay = func() time.Duration { return drawMilliseconds(t, 700, "delay") }
+			fleet.loansFromArrival = fromArrival
+			fleet.delay = func() time.Duration {
+				return time.Duration(rapid.IntRange(0, 700).Draw(t, "late")) * time.Millisecond
+			}
 			for i := range fleet.gateways {
 				fleet.lease(i, 1.0/3, time.Hour, time.Hour)
 			}
@@ -265,19 +277,20 @@
 					}
 				}
 			}
-			worst = max(worst, fleet.worstDebt, fleet.worstSumExcess)
+			worst = max(worst, fleet.over, fleet.excess)
 		})
 		if !fromArrival && worst > 1e-6 || fromArrival && worst < 0.5 {
-			t.Errorf("counted from arrival %v: %.1f units over the ceiling", fromArrival, worst)
+			t.Errorf("counted from their arrival %v: %.1f units over the ceiling, or more than it shared out",
+				fromArrival, worst)
 		}
 	}
 }
 
-// If all requests of a customer come to one of three gateways, it has the whole ceiling, as the others lend what they
-// don't need. If they come to all gateways, each has its own share.
+// All of a customer's requests at one of three gateways have the whole ceiling, as the others grant loans of what they
+// don't need; when the demand is at all gateways, each has its own part.
 func TestLoansFollowDemand(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		for _, policy := range partitionPolicies {
+		for _, policy := range allPolicies {
 			fleet := newSharingFleet(t, 3, policy)
 			for i := range fleet.gateways {
 				fleet.lease(i, 1.0/3, time.Hour, time.Hour)
@@ -296,25 +309,26 @@
 					}
 				}
 			}
-			if one < 95 || fleet.worstDebt > 1e-6 || fleet.loanCount == 0 || min(each[0], each[1], each[2]) < 20 {
+			if one < 95 || fleet.over > 1e-6 || fleet.loans == 0 || min(each[0], each[1], each[2]) < 20 {
 				t.Fatalf("policy %v: %d of 100 at one gateway, %v at all, %.2f over, %d loans",
-					policy, one, each, fleet.worstDebt, fleet.loanCount)
+					policy, one, each, fleet.over, fleet.loans)
 			}
 		}
 	})
 }
 
-// A fraction that grows after a long time gives no full bucket at once, neither to a known customer nor to a new one.
+// A fraction that grows after a long time gives no full bucket at once, neither of a known customer nor of a new one.
 func TestGrownShareStartsEmpty(t *testing.T) {
 	for _, known := range []bool{true, false} {
 		t.Run(fmt.Sprint("known ", known), func(t *testing.T) {
 			rapid.Check(t, func(t *rapid.T) {
 				fleet := newSharingFleet(t, 2, quotashare.KeepNone)
-				fleet.dropsMessages = true
+				fleet.withoutLoans = true
 				now := time.Hour
 				fleet.lease(0, 0.5, now, time.Minute)
 				fleet.lease(1, 0.5, now, time.Minute)
-				if now += 50 * time.Second; known {
+				now += 50 * time.Second
+				if known {
 					fleet.request(1, now)
 				}
 				for range 20 {
@@ -328,21 +342,21 @@
 						got++
 					}
 				}
-				if fleet.worstDebt > 1e-6 || known && got != 9 || !known && got != 0 {
-					t.Fatalf("%d at once, %.1f over", got, fleet.worstDebt)
+				if fleet.over > 1e-6 || known && got != 9 || !known && got != 0 {
+					t.Fatalf("%d at once, %.1f over", got, fleet.over)
 				}
 			})
 		})
 	}
 }
 
-// A lease that has ended is worth nothing at the next decision, however long the gateway stood still before.
+// A lease that is over is worth nothing at the next decision, however long the gateway stood still before it.
 func TestSharesEndWithLease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fleet := newSharingFleet(t, 3, quotashare.KeepNone)
 		fleet.lease(0, 1, time.Hour, 2*time.Second)
 		if !fleet.request(0, time.Hour+1900*time.Millisecond) {
-			t.Fatal("rejected within the lease")
+			t.Fatal("nothing inside the lease")
 		}
 		if fleet.request(0, time.Hour+2*time.Second) || fleet.request(0, time.Hour+12*time.Second) {
 			t.Fatal("admitted after the lease")
@@ -350,18 +364,19 @@
 	})
 }
 
-// A gateway without a lease serves what its partition policy keeps: the even part of the quota, all of the even part,
-// or nothing.
+// A gateway that is cut off serves what it keeps without a lease: the quota's even part, all of its even part, or
+// nothing.
 func TestSharesKeptWithoutLease(t *testing.T) {
-	for policy, want := range map[quotashare.PartitionPolicy]int{
+	admittedIn30s := map[quotashare.PartitionPolicy]int{
 		quotashare.KeepQuota: 50,
 		quotashare.KeepAll:   100,
 		quotashare.KeepNone:  0,
-	} {
+	}
+	for policy, want := range admittedIn30s {
 		rapid.Check(t, func(t *rapid.T) {
 			fleet := newSharingFleet(t, 3, policy)
 			if fleet.request(0, time.Hour+5*time.Second) {
-				t.Fatal("admitted before the first ShareUpdate")
+				t.Fatal("admitted before the first share update")
 			}
 			fleet.gateways[0].Step(time.Hour+5*time.Second, []Event{ShareUpdate{}})
 			got := 0
@@ -370,14 +385,14 @@
 					got++
 				}
 			}
-			if want > 0 && got < want || got > want+8 { // the burst comes once
+			if want > 0 && got < want || got > want+8 { // the depth comes once
 				t.Fatalf("policy %v: %d admitted in 30 s, %d wanted", policy, got, want)
 			}
 		})
 	}
 }
 
-// A fraction that grew counts for MaxInFlight only when what others had in flight must be over.
+// A fraction that grew counts for a limit on requests in flight only when those of the former holder must be over.
 func TestOpenRequestsOfFormerLeaseHolder(t *testing.T) {
 	settings := Settings{
 		Gateways:     2,
@@ -412,8 +427,8 @@
 	}
 }
 
-// What gateways share without a strict bound goes by the live ones. With KeepNone the fallback share goes by the
-// lease.
+// What gateways share without a bound that must hold goes by those that are alive, and the fallback tokens of a plan
+// that keeps nothing without a lease go by the lease.
 func TestSharesOfLiveGateways(t *testing.T) {
 	settings := Settings{
 		Gateways:       5,
@@ -458,7 +473,7 @@
 		cust.quota.fallbackFilledAt = b.now
 		b.now += time.Minute
 		if b.refillFallback(cust, &b.settings.Plans[0]); cust.quota.fallbackTokens != want {
-			t.Errorf("%v units at once with a fraction of %v", cust.quota.fallbackTokens, fraction)
+			t.Errorf("%v units at once by a fraction of %v", cust.quota.fallbackTokens, fraction)
 		}
 		now = b.now
 	}
