--- /dev/null
+++ b/internal/counter/answer.go
@@ -0,0 +1,71 @@
+package counter
+
+import (
+	"bufio"
+	"bytes"
+	"errors"
+	"fmt"
+	"io"
+	"math"
+	"net"
+	"strconv"
+
+	"gapgap/internal/balancer"
+)
+
+// maxAnswerBytes bounds the line of an answer.
+const maxAnswerBytes = 256
+
+// errMalformed says that an answer can't be read.
+var errMalformed = errors.New("counter: an answer that can't be read")
+
+// read reads answers until the connection ends or one is malformed. It is the reader goroutine. A malformed answer
+// still says that the counter has taken the first call, with a total that is not known.
+func (c *connection) read(netConn net.Conn, epoch int) {
+	in := bufio.NewReaderSize(netConn, maxAnswerBytes)
+	for {
+		status, total, err := readAnswer(in)
+		switch {
+		case err == nil:
+			c.counter.loop.Post(func() { c.handleAnswer(epoch, status, total) })
+			continue
+		case errors.Is(err, errMalformed):
+			c.counter.loop.Post(func() {
+				c.handleAnswer(epoch, balancer.Failed, 0)
+				c.fail(epoch)
+			})
+		default:
+			c.counter.loop.Post(func() { c.fail(epoch) })
+		}
+		return
+	}
+}
+
+// readAnswer reads one answer. A line without end, or half of one, is malformed.
+func readAnswer(in *bufio.Reader) (balancer.Status, float64, error) {
+	line, err := in.ReadSlice('\n')
+	switch {
+	case err == nil:
+		return parseAnswer(line)
+	case errors.Is(err, bufio.ErrBufferFull), errors.Is(err, io.EOF) && len(line) > 0:
+		return 0, 0, errMalformed
+	}
+	return 0, 0, err
+}
+
+// parseAnswer reads the line of an answer.
+func parseAnswer(line []byte) (balancer.Status, float64, error) {
+	line = bytes.TrimRight(line, "\r\n")
+	if value, ok := bytes.CutPrefix(line, []byte("ok ")); ok {
+		total, err := strconv.ParseFloat(string(value), 64)
+		if err != nil || math.IsNaN(total) || math.IsInf(total, 0) {
+			return 0, 0, fmt.Errorf("%w: total %.40q", errMalformed, value)
+		}
+		return balancer.OK, total, nil
+	}
+	switch string(line) {
+	case "busy", "error":
+		return balancer.Rejected, 0, nil
+	}
+	return 0, 0, fmt.Errorf("%w: %.40q", errMalformed, line)
+}
--- a/internal/counter/counter.go
+++ b/internal/counter/counter.go
@@ -1,15 +1,12 @@
-// Package counter calls the platform's quota counter, a service that adds to named numbers over lines of text.
+// Package counter calls the platform's quota counter, a service that adds to named numbers by lines of text.
+//
+// The calls of one name go by one connection, one behind another, so their answers come in order. Answers belong to
+// calls by their order alone: a call that was given up on keeps its place.
 package counter
 
 import (
-	"bufio"
-	"bytes"
-	"errors"
 	"fmt"
 	"hash/fnv"
-	"io"
-	"math"
-	"net"
 	"slices"
 	"strconv"
 	"time"
@@ -20,347 +17,201 @@
 )
 
 const (
-	conns       = 4               // a name always goes by the same one: answers for a name come in order
-	idleMost    = 3 * time.Second // the counter closes an idle connection after 10 s or less
-	silenceMost = 2 * time.Second // a connection that owes answers for so long is given up
-	owedMost    = 1024            // calls of one connection whose answers are still to come
-	lineMost    = 256             // bytes of an answer
-	movedMost   = 2 * time.Second // at an old address answers are awaited no longer
+	// connections is how many connections there are. A name always goes by the same one.
+	connections = 4
+	// maxIdle closes an idle connection; the counter does so after 10 s or less.
+	maxIdle = 3 * time.Second
+	// maxSilence ends a connection that has owed an answer for so long.
+	maxSilence = 2 * time.Second
+	// maxOwed bounds the calls of one connection whose answers are still to come.
+	maxOwed = 1024
+	// maxMovedWait is how long answers are awaited at an address that was left.
+	maxMovedWait = 2 * time.Second
 )
 
-// Config says where the counter is.
+// Config says where the counter is and how it is called.
 type Config struct {
-	Addr        string        // host:port
-	Enabled     bool          // else every call ends at once as ConnectFailed
-	Cut         func() bool   // as long as it says so every call ends likewise; nil: never
-	Space       string        // names of one space are apart from those of another; empty: as the module makes them
-	Timeout     time.Duration // a call with no answer by then ends as Timeout
+	// Addr is host:port.
+	Addr string
+	// Enabled is false where there is no counter: then every call ends at once as ConnectFailed.
+	Enabled bool
+	// Cut makes calls end likewise for as long as it returns true; nil: never.
+	Cut func() bool
+	// Space keeps the names of one pool apart from those of others; empty: names are as the balancer makes them.
+	Space string
+	// Timeout ends a call without an answer as Timeout.
+	Timeout time.Duration
+	// DialTimeout is how long a connection may take to come up.
 	DialTimeout time.Duration
-	// Late is told by the loop goroutine of calls that have ended as Timeout and were added after all; nil: nobody is.
-	Late  func(balancer.LateCounterResult)
+	// Late takes calls that have ended as Timeout and were added after all; nil: nobody is told. The event loop calls
+	// it.
+	Late func(balancer.LateCounterResult)
+	// Trace takes a line for each call and connection; nil: none is written.
 	Trace *trace.Log
 }
 
-// Counter calls the quota counter. The calls of one name go by one connection, one behind another. The loop owns it.
+// Counter calls the quota counter. The event loop owns it.
 type Counter struct {
-	l     *eventloop.Loop
-	cfg   Config
-	sink  func(balancer.CounterResult)
-	addr  string
-	lines [conns]*line
-	space uint64
-	open  map[uint64][]*call // not yet told of, by name in the order of the calls
-}
-
-// line is a place for a connection to the counter, and the calls that go by it. The loop owns it.
-type line struct {
-	c     *Counter
-	l     *eventloop.Loop
-	addr  string
-	nc    net.Conn // nil: none yet
-	dials bool
-	left  bool    // the counter is at another address now
-	epoch int     // of the connection: what an older one still reports is passed over
-	calls []*call // in the order of their answers, those given up on too
-	wire  chan []byte
-	used  time.Duration // when a call or an answer last went by
-	owed  time.Duration // since when an answer is owed
-}
-
-// call is one add whose answer is still to come.
+	loop    *eventloop.Loop
+	cfg     Config
+	sink    func(balancer.CounterResult)
+	address string
+	// space is added to names.
+	space       uint64
+	connections [connections]*connection
+	// unreported has the calls whose results are not reported, by name in the order of the calls.
+	unreported map[uint64][]*call
+}
+
+// call is one addition.
 type call struct {
-	name    uint64
-	ticket  uint64
-	at      time.Duration
-	line    *line
-	text    []byte
-	written bool // it may have reached the counter
+	name       uint64
+	ticket     uint64
+	startedAt  time.Duration
+	connection *connection
+	text       []byte
+	// written says that it may have reached the counter.
+	written bool
+	// ended says that it has a result.
 	ended   bool
-	result  balancer.CounterResult // once it has ended
+	result  balancer.CounterResult
 	timeout *eventloop.Timer
 }
 
-// New makes a counter. The sink is told the one answer of each call, by the loop goroutine.
-func New(l *eventloop.Loop, cfg Config, sink func(balancer.CounterResult)) *Counter {
-	c := &Counter{l: l, cfg: cfg, sink: sink, open: map[uint64][]*call{}}
+// New returns a counter. The sink takes the one result of each call, by the event loop.
+func New(loop *eventloop.Loop, cfg Config, sink func(balancer.CounterResult)) *Counter {
+	c := &Counter{loop: loop, cfg: cfg, sink: sink, unreported: map[uint64][]*call{}}
 	if cfg.Space != "" {
-		h := fnv.New64a()
-		h.Write([]byte(cfg.Space))
-		c.space = h.Sum64() >> 1 // within the 63 bits of the module's names
+		hash := fnv.New64a()
+		_, _ = hash.Write([]byte(cfg.Space)) // a hash never fails
+		c.space = hash.Sum64() >> 1          // names have 63 bits
 	}
 	c.Move(cfg.Addr)
 	return c
 }
 
-// Addr is where the calls go.
-func (c *Counter) Addr() string { return c.addr }
+// Addr returns where the calls go.
+func (c *Counter) Addr() string { return c.address }
 
 // Close ends all connections.
 func (c *Counter) Close() {
-	for _, l := range c.lines {
-		l.left = true
-		l.close()
+	for _, conn := range c.connections {
+		conn.abandoned = true
+		conn.close()
 	}
 }
 
-// Move takes further calls, and those not yet written, to another address. What is owed by the old one may
-// still come.
-func (c *Counter) Move(addr string) {
-	c.addr = addr
-	now := c.l.Now()
-	for i, old := range c.lines {
-		l := &line{c: c, l: c.l, addr: addr, used: now, owed: now}
-		c.lines[i] = l
-		if old == nil {
-			continue
-		}
-		kept := 0
-		for kept < len(old.calls) && old.calls[kept].written { // those written come first
-			kept++
-		}
-		l.calls, old.calls = slices.Clone(old.calls[kept:]), old.calls[:kept]
-		for _, k := range l.calls {
-			k.line = l
-		}
-		old.left = true
-		if len(old.calls) == 0 {
-			old.close()
-		} else {
-			c.l.At(now+movedMost, func() { old.broke(old.epoch) })
-		}
-		if len(l.calls) > 0 {
-			l.flush()
-		}
-	}
-}
-
-// Add makes a call.
-func (c *Counter) Add(a balancer.CounterAdd) {
-	l := c.lines[a.Name%conns]
-	k := &call{name: a.Name, ticket: a.Ticket, at: c.l.Now(), line: l}
-	c.open[k.name] = append(c.open[k.name], k)
-	if !c.cfg.Enabled || c.cfg.Cut != nil && c.cfg.Cut() || len(l.calls) >= owedMost {
-		l.end(k, balancer.ConnectFailed, 0)
-		return
-	}
-	k.text = fmt.Appendf(nil, "add %d %s %d\r\n", a.Name^c.space, strconv.FormatFloat(a.Amount, 'f', -1, 64),
-		max(1, a.TTL.Milliseconds()))
-	now := c.l.Now()
-	if len(l.calls) == 0 {
-		l.owed = now
+// Move takes further calls, and those not yet written, to another address. Answers owed by the old one may still come.
+func (c *Counter) Move(address string) {
+	c.address = address
+	for i := range c.connections {
+		c.moveConnection(i, address)
 	}
-	l.calls = append(l.calls, k)
-	l.used = now
-	k.timeout = c.l.At(now+c.cfg.Timeout, func() { k.line.giveUp(k) })
-	l.flush()
 }
 
-// giveUp ends a call with no answer. One that has not been written is taken out, as it must not be written
-// any more; for the others the place among the answers is kept.
-func (l *line) giveUp(k *call) {
-	if k.written {
-		l.end(k, balancer.Timeout, 0)
+// moveConnection replaces one connection by one to another address.
+func (c *Counter) moveConnection(i int, address string) {
+	now := c.loop.Now()
+	old := c.connections[i]
+	moved := &connection{counter: c, address: address, usedAt: now, owedSince: now}
+	c.connections[i] = moved
+	if old == nil {
 		return
 	}
-	for i, o := range l.calls {
-		if o == k {
-			l.calls = append(l.calls[:i], l.calls[i+1:]...)
-			break
-		}
-	}
-	l.end(k, balancer.ConnectFailed, 0)
-}
-
-// end gives the one answer to a call, once those for the calls of its name before it are given: after a move
-// two connections may owe answers for one name.
-func (l *line) end(k *call, status balancer.Status, total float64) {
-	if k.ended {
-		return
+	written := 0
+	for written < len(old.calls) && old.calls[written].written {
+		written++
 	}
-	k.ended = true
-	if l.c.cfg.Trace.On() {
-		l.c.cfg.Trace.Line("count", "line=%d status=%d took=%.1f written=%t", k.name%conns, status, trace.MS(l.l.Now()-k.at), k.written)
+	moved.calls = slices.Clone(old.calls[written:])
+	old.calls = old.calls[:written]
+	for _, call := range moved.calls {
+		call.connection = moved
 	}
-	k.result = balancer.CounterResult{Name: k.name, Status: status, Total: total}
-	k.timeout.Stop()
-	open := l.c.open
-	all := open[k.name]
-	for len(all) > 0 && all[0].ended {
-		l.c.sink(all[0].result)
-		all = all[1:]
+	old.abandoned = true
+	if len(old.calls) == 0 {
+		old.close()
+	} else {
+		c.loop.At(now+maxMovedWait, func() { old.fail(old.epoch) })
 	}
-	if open[k.name] = all; len(all) == 0 {
-		delete(open, k.name)
+	if len(moved.calls) > 0 {
+		moved.flush()
 	}
 }
 
-// flush writes the calls that are not written yet, or dials first.
-func (l *line) flush() {
-	if l.nc == nil {
-		if !l.dials && !l.left {
-			l.dials = true
-			go l.dial(l.addr)
-		}
-		return
-	}
-	var b []byte
-	for _, k := range l.calls {
-		if !k.written {
-			b = append(b, k.text...)
-			k.written = true
-		}
-	}
-	if len(b) == 0 {
+// Add makes a call.
+func (c *Counter) Add(add balancer.CounterAdd) {
+	conn := c.connections[add.Name%connections]
+	added := &call{name: add.Name, ticket: add.Ticket, startedAt: c.loop.Now(), connection: conn}
+	c.unreported[added.name] = append(c.unreported[added.name], added)
+	isCut := c.cfg.Cut != nil && c.cfg.Cut()
+	if !c.cfg.Enabled || isCut || len(conn.calls) >= maxOwed {
+		c.end(added, balancer.ConnectFailed, 0)
 		return
 	}
-	select {
-	case l.wire <- b:
-	default: // the counter takes nothing any more
-		l.broke(l.epoch)
+	added.text = c.encode(add)
+	now := c.loop.Now()
+	if len(conn.calls) == 0 {
+		conn.owedSince = now
 	}
+	conn.calls = append(conn.calls, added)
+	conn.usedAt = now
+	added.timeout = c.loop.At(now+c.cfg.Timeout, func() { c.giveUp(added) })
+	conn.flush()
 }
 
-// dial connects. It gives up when the calls that wait for it have.
-func (l *line) dial(addr string) {
-	nc, err := net.DialTimeout("tcp", addr, l.c.cfg.DialTimeout)
-	l.l.Post(func() {
-		l.dials = false
-		l.c.cfg.Trace.Line("countdial", "ok=%t", err == nil)
-		if l.left { // the calls have moved
-			if err == nil {
-				nc.Close()
-			}
-			return
-		}
-		if err != nil {
-			l.broke(l.epoch)
-			return
-		}
-		l.epoch++
-		l.nc, l.wire = nc, make(chan []byte, 64)
-		go l.write(nc, l.wire, l.epoch)
-		go l.read(nc, l.epoch)
-		l.flush()
-	})
-}
-
-// write writes calls until the channel is closed.
-func (l *line) write(nc net.Conn, wire <-chan []byte, epoch int) {
-	for b := range wire {
-		nc.SetWriteDeadline(time.Now().Add(silenceMost))
-		if _, err := nc.Write(b); err != nil {
-			l.l.Post(func() { l.broke(epoch) })
-			return
-		}
-	}
-}
-
-// read reads answers until the connection ends or one makes no sense.
-func (l *line) read(nc net.Conn, epoch int) {
-	in := bufio.NewReaderSize(nc, lineMost)
-	for {
-		text, err := in.ReadSlice('\n')
-		if err == nil {
-			var status balancer.Status
-			var total float64
-			if status, total, err = readCount(text); err == nil {
-				l.l.Post(func() { l.answered(epoch, status, total) })
-			}
-		} else if errors.Is(err, bufio.ErrBufferFull) || errors.Is(err, io.EOF) && len(text) > 0 {
-			err = errSpoilt // an answer without end, or half of one
-		}
-		if errors.Is(err, errSpoilt) { // the counter has had its turn with the first call, and says so unreadably
-			l.l.Post(func() {
-				l.answered(epoch, balancer.Failed, 0)
-				l.broke(epoch)
-			})
-			return
-		}
-		if err != nil {
-			l.l.Post(func() { l.broke(epoch) })
-			return
-		}
-	}
-}
-
-var errSpoilt = errors.New("counter: an answer that can't be read")
-
-// readCount reads one answer.
-func readCount(text []byte) (balancer.Status, float64, error) {
-	text = bytes.TrimRight(text, "\r\n")
-	if v, ok := bytes.CutPrefix(text, []byte("ok ")); ok {
-		total, err := strconv.ParseFloat(string(v), 64)
-		if err != nil || math.IsNaN(total) || math.IsInf(total, 0) {
-			return 0, 0, fmt.Errorf("%w: total %.40q", errSpoilt, v)
-		}
-		return balancer.OK, total, nil
-	}
-	switch string(text) {
-	case "busy", "error":
-		return balancer.Rejected, 0, nil
-	}
-	return 0, 0, fmt.Errorf("%w: %.40q", errSpoilt, text)
+// encode returns the line of a call.
+func (c *Counter) encode(add balancer.CounterAdd) []byte {
+	amount := strconv.FormatFloat(add.Amount, 'f', -1, 64)
+	return fmt.Appendf(nil, "add %d %s %d\r\n", add.Name^c.space, amount, max(1, add.TTL.Milliseconds()))
 }
 
-// answered takes the answer to the call that is first in line.
-func (l *line) answered(epoch int, status balancer.Status, total float64) {
-	if epoch != l.epoch || l.nc == nil {
-		return
-	}
-	if len(l.calls) == 0 || !l.calls[0].written { // an answer to nothing
-		l.broke(epoch)
+// giveUp ends a call with no answer. One that is not written is taken out, as it must not be written any more; for
+// others the place among the answers is kept.
+func (c *Counter) giveUp(late *call) {
+	if late.written {
+		c.end(late, balancer.Timeout, 0)
 		return
 	}
-	k := l.calls[0]
-	l.calls[0] = nil
-	l.calls = l.calls[1:]
-	l.used = l.l.Now()
-	l.owed = l.used
-	if late := l.c.cfg.Late; k.ended && k.ticket != 0 && late != nil && (status == balancer.OK || status == balancer.Failed) {
-		late(balancer.LateCounterResult{Ticket: k.ticket, Status: status, Total: total})
-	}
-	l.end(k, status, total)
-	if l.left && len(l.calls) == 0 {
-		l.close()
-	}
+	conn := late.connection
+	conn.calls = slices.DeleteFunc(conn.calls, func(other *call) bool { return other == late })
+	c.end(late, balancer.ConnectFailed, 0)
 }
 
-// broke ends a connection, or the try to get one, and what waits for it.
-func (l *line) broke(epoch int) {
-	if epoch != l.epoch {
+// end gives a call its result, which is reported once those of the calls of its name before it are: after a move two
+// connections may owe answers for one name.
+func (c *Counter) end(ended *call, status balancer.Status, total float64) {
+	if ended.ended {
 		return
 	}
-	l.close()
-	calls := l.calls
-	l.calls = nil
-	for _, k := range calls {
-		if k.written {
-			l.end(k, balancer.Timeout, 0)
-		} else {
-			l.end(k, balancer.ConnectFailed, 0)
-		}
+	ended.ended = true
+	if c.cfg.Trace.On() {
+		took := trace.MS(c.loop.Now() - ended.startedAt)
+		c.cfg.Trace.Line("count", "line=%d status=%d took=%.1f written=%t", ended.name%connections, status, took,
+			ended.written)
 	}
-}
-
-func (l *line) close() {
-	l.epoch++
-	if l.nc != nil {
-		l.nc.Close()
-		close(l.wire)
-		l.nc, l.wire = nil, nil
+	ended.result = balancer.CounterResult{Name: ended.name, Status: status, Total: total}
+	ended.timeout.Stop()
+	calls := c.unreported[ended.name]
+	for len(calls) > 0 && calls[0].ended {
+		c.sink(calls[0].result)
+		calls = calls[1:]
+	}
+	c.unreported[ended.name] = calls
+	if len(calls) == 0 {
+		delete(c.unreported, ended.name)
 	}
 }
 
 // Sweep closes connections that are idle, before the counter does, and those that have fallen silent.
 func (c *Counter) Sweep() {
-	now := c.l.Now()
-	for _, l := range c.lines {
+	now := c.loop.Now()
+	for _, conn := range c.connections {
 		switch {
-		case l.nc == nil:
-		case len(l.calls) == 0 && now-l.used >= idleMost:
-			l.close()
-		case len(l.calls) > 0 && l.calls[0].written && now-l.owed >= silenceMost:
-			l.broke(l.epoch)
+		case conn.netConn == nil:
+		case len(conn.calls) == 0 && now-conn.usedAt >= maxIdle:
+			conn.close()
+		case len(conn.calls) > 0 && conn.calls[0].written && now-conn.owedSince >= maxSilence:
+			conn.fail(conn.epoch)
 		}
 	}
 }
--- a/internal/counter/counter_test.go
+++ b/internal/counter/counter_test.go
@@ -47,7 +47,7 @@
 	f.counter.Move(ln.Addr().String())
 	count(f, 8, -2.5)
 	p := peer.Accept(t, ln)
-	peer.Pump(t, f.Loop, func() bool { return f.counter.lines[0].nc != nil })
+	peer.Pump(t, f.Loop, func() bool { return f.counter.connections[0].netConn != nil })
 	p.Reads("add 8 -2.5 4000\r\n")
 	giveUpCalls(f)
 	if got := counted(f); len(got) != 1 || got[0].Status != balancer.Timeout {
@@ -78,7 +78,7 @@
 	if got := counted(f); len(got) != 1 || got[0].Status != balancer.ConnectFailed {
 		t.Fatalf("got %+v", got)
 	}
-	peer.Pump(t, f.Loop, func() bool { return f.counter.lines[0].nc != nil })
+	peer.Pump(t, f.Loop, func() bool { return f.counter.connections[0].netConn != nil })
 	count(f, 4, 1)
 	p.Reads("add 4 1 4000\r\n")
 }
@@ -88,7 +88,7 @@
 	ln := peer.Listen(t)
 	f := idle(t)
 	f.counter.Move(ln.Addr().String())
-	for _, odd := range []string{"", "what\r\n", "ok x\r\n", "ok nan\r\n", strings.Repeat("o", 2*lineMost)} {
+	for _, odd := range []string{"", "what\r\n", "ok x\r\n", "ok nan\r\n", strings.Repeat("o", 2*maxAnswerBytes)} {
 		f.events = nil
 		want := []balancer.Status{balancer.Failed, balancer.Timeout} // its turn is over; the next one's may be, too
 		if odd == "" {
@@ -97,11 +97,11 @@
 		count(f, 8, 1)
 		count(f, 12, 2) // by the same connection
 		p := peer.Accept(t, ln)
-		peer.Pump(t, f.Loop, func() bool { return f.counter.lines[0].nc != nil })
+		peer.Pump(t, f.Loop, func() bool { return f.counter.connections[0].netConn != nil })
 		p.Reads("add 8 1 4000\r\nadd 12 2 4000\r\n")
 		p.Write(odd)
 		if odd == "" {
-			p.NC.Close()
+			_ = p.NC.Close()
 		}
 		peer.Pump(t, f.Loop, func() bool { return len(counted(f)) > 1 })
 		if got := counted(f); len(got) != 2 || got[0].Status != want[0] || got[1].Status != want[1] {
@@ -123,20 +123,20 @@
 	f.counter.Move(ln.Addr().String())
 	count(f, 8, 1)
 	p := peer.Accept(t, ln)
-	l := f.counter.lines[0]
-	peer.Pump(t, f.Loop, func() bool { return l.nc != nil })
+	l := f.counter.connections[0]
+	peer.Pump(t, f.Loop, func() bool { return l.netConn != nil })
 	p.Reads("add 8 1 4000\r\n")
 	giveUpCalls(f)
-	l.owed -= silenceMost // as if so long had passed
+	l.owedSince -= maxSilence // as if so long had passed
 	f.counter.Sweep()
 	p.WantsEnd()
 	count(f, 8, 1)
 	p = peer.Accept(t, ln)
-	peer.Pump(t, f.Loop, func() bool { return l.nc != nil })
+	peer.Pump(t, f.Loop, func() bool { return l.netConn != nil })
 	p.Reads("add 8 1 4000\r\n")
 	p.Write("ok 1\r\n")
 	peer.Pump(t, f.Loop, func() bool { return len(l.calls) == 0 })
-	l.used -= idleMost
+	l.usedAt -= maxIdle
 	f.counter.Sweep()
 	p.WantsEnd()
 }
@@ -150,7 +150,7 @@
 	f.counter.Move(first.Addr().String())
 	count(f, 8, 1)
 	p := peer.Accept(t, first)
-	peer.Pump(t, f.Loop, func() bool { return f.counter.lines[0].nc != nil })
+	peer.Pump(t, f.Loop, func() bool { return f.counter.connections[0].netConn != nil })
 	p.Reads("add 8 1 4000\r\n")
 	count(f, 9, 1) // its connection is not up yet
 	f.counter.Move(second.Addr().String())
@@ -164,7 +164,7 @@
 		}()
 	}
 	peer.Pump(t, f.Loop, func() bool { return len(counted(f)) == 1 }) // that of 9
-	peer.Pump(t, f.Loop, func() bool { return len(f.counter.lines[0].calls) == 0 })
+	peer.Pump(t, f.Loop, func() bool { return len(f.counter.connections[0].calls) == 0 })
 	if got := counted(f); len(got) != 1 || got[0].Name != 9 || got[0].Total != 19 {
 		t.Fatalf("before the old counter has answered: %+v", got)
 	}
@@ -176,7 +176,8 @@
 	p.WantsEnd()
 }
 
-// An answer that comes after its call was given up is told of by the call's ticket, if it says that something was added.
+// An answer that comes after its call was given up is told of by the call's ticket, if it says that something was
+// added.
 func TestCounterTellsOfLateAnswers(t *testing.T) {
 	ln := peer.Listen(t)
 	f := idle(t)
@@ -187,14 +188,14 @@
 		f.counter.Add(balancer.CounterAdd{Name: name, Amount: 1, TTL: 4 * time.Second, Ticket: uint64(i + 1)})
 	}
 	p := peer.Accept(t, ln)
-	peer.Pump(t, f.Loop, func() bool { return f.counter.lines[0].nc != nil })
+	peer.Pump(t, f.Loop, func() bool { return f.counter.connections[0].netConn != nil })
 	p.Reads("add 4 1 4000\r\nadd 8 1 4000\r\nadd 12 1 4000\r\nadd 16 1 4000\r\n")
 	giveUpCalls(f)
 	if got := counted(f); len(got) != 4 || len(late) != 0 {
 		t.Fatalf("%+v, late %v before any answer", got, late)
 	}
 	p.Write("ok 1\r\nbusy\r\nok 7\r\nwhat\r\n")
-	peer.Pump(t, f.Loop, func() bool { return f.counter.lines[0].nc == nil })
+	peer.Pump(t, f.Loop, func() bool { return f.counter.connections[0].netConn == nil })
 	if want := []uint64{1, 3, 4}; !slices.Equal(late, want) { // what can't be read was added too
 		t.Errorf("late: %v, want %v", late, want)
 	}
