--- a/internal/balancer/queue.go
+++ b/internal/balancer/queue.go
@@ -1,5 +1,18 @@
 package balancer
 
+// Priority levels, 0 the highest.
+const (
+	// priorityBands is the number of levels by priority weight.
+	priorityBands = 6
+	// bandsPerHalving is the number of levels within which the priority weight halves.
+	bandsPerHalving = 2
+	// lowestLevel is the level of requests over a soft quota. Those within their quota have the first bands.
+	lowestLevel = 2 * priorityBands
+)
+
+// queueShareOfDeadline is the part of the usable time limit that the work of the open levels may take (EQ 4).
+const queueShareOfDeadline = 0.5
+
 // queueEntry is the place of a request in a queue.
 type queueEntry struct {
 	// request is nil once the request has left the queue.
