--- a/internal/balancer/quota_test.go
+++ b/internal/balancer/quota_test.go
@@ -32,19 +32,10 @@
 	return CounterAdd{}
 }
 
-// testRequests returns requests of one customer.
-func testRequests(count uint64) []Event {
-	var requests []Event
-	for id := range count {
-		requests = append(requests, testRequest(id+1, 0, 0))
-	}
-	return requests
-}
-
 func TestLeasePromotesRequests(t *testing.T) {
 	b := newTestBalancer(t, testSettings(), testEndpoints(8)...)
 	c := spendFallback(t, b, ms)
-	b.Step(2*ms, testRequests(5))
+	b.Step(2*ms, testRequests(0, 0, 1, 2, 3, 4, 5))
 	acts := b.Step(4*ms, []Event{CounterResult{c.Name, OK, c.Amount}})
 	if len(actionsOf[Dispatch](acts)) == 0 {
 		t.Errorf("nothing is sent after a lease: %v", acts)
@@ -54,7 +45,7 @@
 func TestEmptyBucketRejectsHardPlan(t *testing.T) {
 	b := newTestBalancer(t, testSettings(), testEndpoints(8)...)
 	c := spendFallback(t, b, ms)
-	b.Step(2*ms, testRequests(5))
+	b.Step(2*ms, testRequests(0, 0, 1, 2, 3, 4, 5))
 	acts := b.Step(4*ms, []Event{CounterResult{c.Name, OK, c.Amount + 30}})
 	if len(actionsOf[Reject](acts)) == 0 || len(actionsOf[Dispatch](acts)) != 0 {
 		t.Errorf("an empty bucket let requests through: %v", acts)
