--- a/internal/balancer/attemptresult.go
+++ b/internal/balancer/attemptresult.go
@@ -27,7 +27,7 @@
 	}
 	b.recordResult(att, ev)
 	if ev.Status == OK && b.settings.EstimatedUnits && ev.Units > 0 && req.withinQuota {
-		req.customer.quota.tokens -= ev.Units - req.units
+		req.customer.quota.spendTokens(ev.Units - req.units)
 	}
 	if ev.RequestClosed || ev.Status == OK {
 		b.finish(req)
--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -214,7 +214,7 @@
 // requests would go by their even shares while the others lease again.
 func (b *Balancer) testSilentCounter() {
 	if b.now < b.counter.leasingFrom && b.canCallCounter() {
-		b.counter.lastCallAt = b.now
+		b.counter.recordCall(b.now)
 		b.probeCounter()
 	}
 }
--- a/internal/balancer/bucketcarry.go
+++ b/internal/balancer/bucketcarry.go
@@ -28,8 +28,7 @@
 		b.callBucketLevel(cust)
 	}
 	if window := counterWindowAt(b.now); cust.bucket.carriedWindow != window {
-		cust.bucket.carriedWindow = window
-		cust.bucket.carriedAt = math.MaxInt64
+		cust.bucket.setCarried(window, math.MaxInt64)
 		b.callFirstInWindow(cust, window)
 	}
 }
@@ -66,9 +65,9 @@
 	case bucket.carriedWindow != call.window:
 		// A later window has begun.
 	case ev.Status != OK:
-		bucket.carriedWindow = 0 // the next lease asks again
+		bucket.setCarried(0, bucket.carriedAt) // the next lease asks again
 	case call.kind == windowFirstCall && ev.Total > 1:
-		bucket.carriedAt = b.now + carryDelay
+		bucket.setCarried(call.window, b.now+carryDelay)
 	case call.kind == windowFirstCall:
 		b.callPreviousWindow(call.customer, call.window)
 	default:
@@ -90,9 +89,16 @@
 	if lack > 0 {
 		b.callCounter(cust, 0, lack)
 	}
-	cust.bucket.carriedAt = b.now + carryDelay
+	delay := carryDelay
 	if previousTotal == 0 {
 		fillSeconds := plan.CeilingBurst / plan.CeilingRate
-		cust.bucket.carriedAt = b.now + time.Duration(fillSeconds*float64(time.Second))
+		delay = time.Duration(fillSeconds * float64(time.Second))
 	}
+	cust.bucket.setCarried(call.window, b.now+delay)
+}
+
+// setCarried takes the window into which the bucket's level is carried, and from when on its total holds it.
+func (bucket *sharedBucket) setCarried(window int64, at time.Duration) {
+	bucket.carriedWindow = window
+	bucket.carriedAt = at
 }
--- a/internal/balancer/ceiling.go
+++ b/internal/balancer/ceiling.go
@@ -52,9 +52,12 @@
 	lease ceilinglease.Lease
 }
 
-// fillShare adds the units of some seconds to this gateway's share, of which a part is kept for requests that ask for
-// admission only.
-func (ceiling *ceilingState) fillShare(share quotashare.Bucket, seconds, admitOnlyFraction float64) {
+// fillShare adds the units of the last seconds to this gateway's share, of which a part is kept for requests that ask
+// for admission only.
+func (ceiling *ceilingState) fillShare(
+	now time.Duration, share quotashare.Bucket, seconds, admitOnlyFraction float64,
+) {
+	ceiling.filledAt = now
 	ceiling.tokens += share.Rate * seconds
 	ceiling.tokens = min(ceiling.tokens, share.Depth)
 	if admitOnlyFraction <= 0 {
@@ -78,6 +81,18 @@
 	return true
 }
 
+// setTokens sets the units of a share that is not filled at a rate.
+func (ceiling *ceilingState) setTokens(now time.Duration, tokens float64) {
+	ceiling.tokens = tokens
+	ceiling.filledAt = now
+	ceiling.admitOnlyTokens = 0
+}
+
+// drawBeyondShare takes units that came from elsewhere out of this gateway's share too, down to a lowest level.
+func (ceiling *ceilingState) drawBeyondShare(units, lowest float64) {
+	ceiling.tokens = max(lowest, ceiling.tokens-units)
+}
+
 // drawTurn uses the turn for which a request was placed. It reports whether that was unused.
 func (ceiling *ceilingState) drawTurn(turn int64) bool {
 	if ceiling.lastTurn >= turn {
@@ -101,8 +116,8 @@
 			return b.refillByTurn(cust, turns)
 		}
 	}
-	cust.ceiling.fillShare(share, b.refillSeconds(cust.ceiling.filledAt), cust.demand.admitOnlyFraction())
-	cust.ceiling.filledAt = b.now
+	seconds := b.refillSeconds(cust.ceiling.filledAt)
+	cust.ceiling.fillShare(b.now, share, seconds, cust.demand.admitOnlyFraction())
 	return cust.ceiling.tokens
 }
 
@@ -173,7 +188,7 @@
 		return false
 	}
 	lowest := b.ceilingShare(cust, plan).Depth - plan.CeilingBurst
-	cust.ceiling.tokens = max(lowest, cust.ceiling.tokens-req.units)
+	cust.ceiling.drawBeyondShare(req.units, lowest)
 	return true
 }
 
--- a/internal/balancer/countercall.go
+++ b/internal/balancer/countercall.go
@@ -143,6 +143,9 @@
 	return pending[0]
 }
 
+// recordCall takes that tokens are asked for, or the counter is tested, now.
+func (calls *counterCalls) recordCall(now time.Duration) { calls.lastCallAt = now }
+
 // recordAnswer lets more requests call the counter for a fast answer and fewer for a slow one. Latency is in parts of
 // the call's timeout.
 func (calls *counterCalls) recordAnswer(latency float64) {
@@ -279,16 +282,16 @@
 // handleTokenLeaseResult takes the end of a call for tokens.
 func (b *Balancer) handleTokenLeaseResult(call *counterCall, ev CounterResult) {
 	quota := &call.customer.quota
-	quota.callPending = false
+	quota.endCall()
 	switch ev.Status {
 	case OK:
 		b.creditLease(call, ev.Total, b.now)
 	case Failed: // the amount was added without a lease of the block, which is returned
-		quota.debt -= call.block
+		quota.addDebt(-call.block)
 		call.customer.waiting.allowAnotherCall()
 	case Timeout:
 		b.handleCallTimeout(call)
 	default: // nothing was added
-		quota.debt += call.debt
+		quota.addDebt(call.debt)
 	}
 }
--- a/internal/balancer/fallback.go
+++ b/internal/balancer/fallback.go
@@ -9,11 +9,10 @@
 	fraction := 1 / cust.gateways
 	if b.settings.LeasedShares && plan.PartitionPolicy == quotashare.KeepNone && plan.CeilingRate > 0 {
 		fraction = b.leasedFraction(cust)
-		quota.fallbackTokens = min(quota.fallbackTokens, plan.Burst*fraction)
+		quota.limitFallback(plan.Burst * fraction)
 	}
 	filled := plan.Rate * fraction * (1 - b.counter.callFraction) * b.refillSeconds(quota.fallbackFilledAt)
-	quota.fallbackTokens = min(max(quota.fallbackTokens, plan.Burst*fraction), quota.fallbackTokens+filled)
-	quota.fallbackFilledAt = b.now
+	quota.fillFallback(b.now, filled, plan.Burst*fraction)
 }
 
 // leasedFraction is the leased part of what a customer's gateways have in common, 0 for a gateway that is excluded.
--- a/internal/balancer/handover.go
+++ b/internal/balancer/handover.go
@@ -104,9 +104,9 @@
 
 // giveUpTokens drops what has been handed over.
 func (cust *customer) giveUpTokens() {
-	cust.quota.tokens = 0
-	cust.quota.debt = 0
-	cust.quota.fallbackTokens = min(0, cust.quota.fallbackTokens)
+	cust.quota.dropTokens()
+	cust.quota.takeDebt()
+	cust.quota.limitFallback(0)
 	cust.ceiling.admitOnlyTokens = 0
 	cust.ceiling.tokens = min(cust.ceiling.tokens, cust.ceiling.reserved)
 }
@@ -214,33 +214,46 @@
 	if cust == nil {
 		cust = b.customerFor(Request{Customer: from.Name, Plan: from.Plan, Gateways: int(from.Gateways)})
 	}
-	cust.demand.rate = from.Demand
-	cust.demand.admitOnlyRate = from.AdmitOnlyDemand
-	cust.demand.updatedAt = from.DemandAt
 	cust.lastUsedAt = from.LastUsedAt
-	cust.quota.tokens = from.Tokens
-	cust.quota.tokensValidFrom = from.TokensValidFrom
-	cust.quota.leasedAt = from.LeasedAt
-	cust.quota.debt = from.Debt
-	cust.quota.fallbackTokens = min(from.FallbackTokens, plan.Burst/from.Gateways)
-	cust.quota.fallbackFilledAt = from.FallbackFilledAt
-	cust.bucket.known = from.BucketKnown
-	cust.bucket.knownAt = from.BucketKnownAt
-	cust.bucket.level = from.BucketLevel
-	cust.bucket.levelAt = from.BucketLevelAt
-	cust.bucket.peerDemand = from.PeerDemand
-	cust.bucket.seenWindow = from.SeenWindow
-	cust.bucket.seenTotal = from.SeenTotal
-	cust.bucket.carriedWindow = from.CarriedWindow
-	cust.bucket.carriedAt = from.CarriedAt
-	cust.bucket.emptyUntil = from.EmptyUntil
-	cust.ceiling.tokens = min(from.CeilingTokens, plan.CeilingBurst)
-	cust.ceiling.admitOnlyTokens = from.AdmitOnlyTokens
-	cust.ceiling.filledAt = from.CeilingFilledAt
-	cust.ceiling.lastTurn = from.LastTurn
+	cust.demand = demandRate{rate: from.Demand, admitOnlyRate: from.AdmitOnlyDemand, updatedAt: from.DemandAt}
+	cust.quota.restore(from, plan.Burst/from.Gateways)
+	cust.bucket.restore(from)
+	cust.ceiling.restore(from, plan.CeilingBurst)
 	return cust
 }
 
+// restore takes over the state of a quota. The fallback share is limited to a depth.
+func (quota *quotaState) restore(from *CustomerHandover, fallbackDepth float64) {
+	quota.tokens = from.Tokens
+	quota.tokensValidFrom = from.TokensValidFrom
+	quota.leasedAt = from.LeasedAt
+	quota.debt = from.Debt
+	quota.fallbackTokens = min(from.FallbackTokens, fallbackDepth)
+	quota.fallbackFilledAt = from.FallbackFilledAt
+}
+
+// restore takes over what was known of a bucket.
+func (bucket *sharedBucket) restore(from *CustomerHandover) {
+	bucket.known = from.BucketKnown
+	bucket.knownAt = from.BucketKnownAt
+	bucket.level = from.BucketLevel
+	bucket.levelAt = from.BucketLevelAt
+	bucket.peerDemand = from.PeerDemand
+	bucket.seenWindow = from.SeenWindow
+	bucket.seenTotal = from.SeenTotal
+	bucket.carriedWindow = from.CarriedWindow
+	bucket.carriedAt = from.CarriedAt
+	bucket.emptyUntil = from.EmptyUntil
+}
+
+// restore takes over the state of a ceiling, whose share is limited to a depth.
+func (ceiling *ceilingState) restore(from *CustomerHandover, depth float64) {
+	ceiling.tokens = min(from.CeilingTokens, depth)
+	ceiling.admitOnlyTokens = from.AdmitOnlyTokens
+	ceiling.filledAt = from.CeilingFilledAt
+	ceiling.lastTurn = from.LastTurn
+}
+
 // importInFlight counts the requests that are in flight at the former process against the plan's limit until they
 // have ended. Their identifiers begin at firstID.
 func (b *Balancer) importInFlight(cust *customer, from *CustomerHandover, firstID uint64) {
--- a/internal/balancer/largefleet.go
+++ b/internal/balancer/largefleet.go
@@ -72,7 +72,7 @@
 // hasTokensSoon reports whether leased tokens cover a request and will be valid while it may wait.
 func (b *Balancer) hasTokensSoon(req *request) bool {
 	quota := &req.customer.quota
-	return quota.tokens >= req.units && (quota.tokensValidFrom-b.now).Seconds() <= req.ceilingWaitLimit()
+	return quota.hasTokens(req.units) && (quota.tokensValidFrom-b.now).Seconds() <= req.ceilingWaitLimit()
 }
 
 // spendTokensLargeFleet is spendTokens for a large fleet.
@@ -80,8 +80,8 @@
 	cust := req.customer
 	b.returnUnusedTokens(cust, plan, 0)
 	switch {
-	case cust.quota.tokens >= req.units && b.now >= cust.quota.tokensValidFrom:
-		cust.quota.tokens -= req.units
+	case cust.quota.hasValidTokens(b.now, req.units):
+		cust.quota.spendTokens(req.units)
 		req.paidByCounter = true
 		return quotaCovered
 	case b.hasTokensSoon(req), cust.quota.callPending, b.awaitsLateAnswer(req):
@@ -95,8 +95,7 @@
 	case !req.counterCalled && !b.hasWaitedForCounter(req):
 		return quotaPending
 	case b.rng.Float64()*req.units < b.creditProbability(cust, plan):
-		cust.quota.fallbackTokens -= req.units
-		cust.quota.debt += req.units
+		cust.quota.spendShare(req.units)
 		req.onCredit = true
 		return quotaCovered
 	}
@@ -107,20 +106,13 @@
 // which holds minDepth units at least when it is full.
 func (b *Balancer) returnUnusedTokens(cust *customer, plan *Plan, minDepth float64) {
 	quota := &cust.quota
-	if window := counterWindowAt(b.now); quota.debtWindow != window {
-		// What was taken of an older total can't be returned to this one.
-		quota.debtWindow = window
-		quota.debt = max(0, quota.debt)
-	}
+	quota.beginDebtWindow(counterWindowAt(b.now))
 	age := b.now - max(quota.leasedAt, quota.tokensValidFrom)
 	if quota.hasExpiredTokens(age, largeFleetTokenTTL) {
-		quota.debt -= quota.tokens
-		quota.tokens = 0
+		quota.returnTokens()
 	}
-	depth := max(quota.fallbackTokens, minDepth, plan.Burst/cust.gateways)
 	filled := plan.Rate / cust.gateways * b.refillSeconds(quota.fallbackFilledAt)
-	quota.fallbackTokens = min(depth, quota.fallbackTokens+filled)
-	quota.fallbackFilledAt = b.now
+	quota.fillFallback(b.now, filled, max(minDepth, plan.Burst/cust.gateways))
 }
 
 // creditProbability is the chance that a request for which there is no call goes out without one, once for each
@@ -182,16 +174,15 @@
 	missing := call.block - available
 	fillTime := time.Duration(missing / plan.Rate * float64(time.Second))
 	if fillTime <= b.reservationHorizon(cust, plan) && call.kind == tokenLeaseCall && granted < call.block {
-		cust.quota.tokens += call.block - granted // the caller adds what was granted
-		cust.quota.tokensValidFrom = b.now + fillTime
-		cust.quota.debt += call.block + call.debt - call.amount
+		cust.quota.reserveTokens(call.block-granted, b.now+fillTime) // the caller adds what was granted
+		cust.quota.addDebt(call.block + call.debt - call.amount)
 		call.amount = call.block + call.debt
-		cust.bucket.emptyUntil = b.now + fillTime
+		cust.bucket.pauseCallsUntil(b.now + fillTime)
 		return
 	}
 	b.callCounter(cust, 0, granted+call.debt-call.amount)
 	call.amount = granted + call.debt
 	spread := minLargeFleetPauseSpread + b.rng.Float64()
 	pause := min(maxLargeFleetPause.Seconds(), max(missing, cust.gateways/gatewaysPerPause)/plan.Rate) * spread
-	cust.bucket.emptyUntil = b.now + time.Duration(pause*float64(time.Second))
+	cust.bucket.pauseCallsUntil(b.now + time.Duration(pause*float64(time.Second)))
 }
--- a/internal/balancer/quota.go
+++ b/internal/balancer/quota.go
@@ -166,5 +166,5 @@
 func (b *Balancer) quotaMayCover(req *request, plan *Plan) bool {
 	cust := req.customer
 	return plan.Rate > 0 &&
-		(cust.quota.tokens >= req.units || cust.quota.callPending || b.now >= cust.bucket.emptyUntil)
+		(cust.quota.hasTokens(req.units) || cust.quota.callPending || b.now >= cust.bucket.emptyUntil)
 }
--- a/internal/balancer/request.go
+++ b/internal/balancer/request.go
@@ -136,7 +136,7 @@
 	b.releaseCeiling(req, false)
 	b.cancelAttempts(req)
 	if len(req.attempts) == 0 && !req.admitted && req.withinQuota && b.settings.Plans[req.plan].Rate > 0 {
-		req.customer.quota.tokens += req.units
+		req.customer.quota.refund(req.units)
 	}
 	if req.inFlight {
 		req.inFlight = false
--- a/internal/balancer/sharedbucket.go
+++ b/internal/balancer/sharedbucket.go
@@ -53,13 +53,23 @@
 		bucket.seenTotal-total > max(minLostFraction*plan.Burst, bucket.seenTotal/2)
 }
 
-// record takes the total of a window as it was at a time.
-func (bucket *sharedBucket) record(window int64, total float64, at time.Duration) {
+// setKnown takes that the counter has told of the bucket for the first time, or anew after it lost its totals.
+func (bucket *sharedBucket) setKnown(now time.Duration) {
+	bucket.known = true
+	bucket.knownAt = now
+}
+
+// record takes the total of a window and the bucket's level as they were at a time.
+func (bucket *sharedBucket) record(window int64, total float64, at time.Duration, level float64) {
 	bucket.seenWindow = window
 	bucket.seenTotal = total
+	bucket.level = level
 	bucket.levelAt = at
 }
 
+// pauseCallsUntil takes that the bucket was found empty, so that no call is made before a time.
+func (bucket *sharedBucket) pauseCallsUntil(at time.Duration) { bucket.emptyUntil = at }
+
 // recordPeerDemand takes by how much the bucket has less than it would have without the peers' use.
 func (bucket *sharedBucket) recordPeerDemand(now time.Duration, taken float64) {
 	gap := (now - bucket.levelAt).Seconds()
--- a/internal/balancer/sparseshare.go
+++ b/internal/balancer/sparseshare.go
@@ -56,15 +56,14 @@
 // refillByTurn sets and returns the units of a gateway's share that has turns. The turn in which the gateway started
 // is left out, as a former process may have used it.
 func (b *Balancer) refillByTurn(cust *customer, turns ceilinglease.Turns) float64 {
-	cust.ceiling.tokens = 0
-	cust.ceiling.filledAt = b.now
-	cust.ceiling.admitOnlyTokens = 0
 	turn, open := turns.At(b.now, b.settings.Index)
 	firstTurn, _ := turns.At(b.startedAt, b.settings.Index)
+	tokens := 0.0
 	if open && turn > cust.ceiling.lastTurn && turn > firstTurn {
-		cust.ceiling.tokens = 1
+		tokens = 1
 	}
-	return cust.ceiling.tokens
+	cust.ceiling.setTokens(b.now, tokens)
+	return tokens
 }
 
 // counterMayCover reports whether the quota's bucket may pay for a request: a token is here, is asked for, or can be.
@@ -84,20 +83,19 @@
 	short := check.isCeilingShort()
 	switch {
 	case !short && quota.fallbackTokens >= req.units:
-		quota.fallbackTokens -= req.units
-		quota.debt += req.units
+		quota.spendShare(req.units)
 		b.reserveCeiling(req, fromEvenShare)
-	case quota.tokens >= req.units && b.now >= quota.tokensValidFrom:
-		quota.tokens -= req.units
+	case quota.hasValidTokens(b.now, req.units):
+		quota.spendTokens(req.units)
 		b.reserveCeiling(req, fromQuota)
 	case quota.callPending || short && (b.hasTokensSoon(req) || b.awaitsLateAnswer(req)):
 		return quotaPending
-	case quota.tokens < req.units && b.canCallForSparse(check):
+	case !quota.hasTokens(req.units) && b.canCallForSparse(check):
 		req.counterCalled = true
 		b.leaseTokensLargeFleet(req, plan)
 		return quotaPending
 	case !short:
-		quota.debt += req.units
+		quota.addDebt(req.units)
 		return quotaExceeded
 	case b.awaitsTurnToCall(check):
 		return quotaPending
--- a/internal/balancer/timedoutcall.go
+++ b/internal/balancer/timedoutcall.go
@@ -61,13 +61,13 @@
 // ended long before its timeout did so with its connection. No late answer can come on that, and whoever waits may call
 // once more, now.
 func (b *Balancer) handleCallTimeout(call *counterCall) {
-	call.customer.quota.lastCallLost = true
+	call.customer.quota.loseCall()
 	if b.now-call.sentAt < b.settings.CounterTimeout/2 {
 		call.customer.waiting.allowAnotherCall()
 		return
 	}
 	b.counter.timedOut.keep(call, b.now)
-	call.customer.quota.callsPausedUntil = b.now + timedOutCallPause
+	call.customer.quota.pauseCallsUntil(b.now + timedOutCallPause)
 }
 
 // handleLateCounterResult takes the answer to a call that timed out. It is of use in the window of the call only, as a
@@ -77,11 +77,11 @@
 	if call == nil || call.window != counterWindowAt(b.now) || b.now-call.sentAt > timedOutCallTTL {
 		return
 	}
-	call.customer.quota.callsPausedUntil = 0
+	call.customer.quota.pauseCallsUntil(0)
 	if ev.Status == OK {
 		b.creditLease(call, ev.Total, call.sentAt) // peers may have spent what the bucket gained since
 	} else {
-		call.customer.quota.debt -= call.block
+		call.customer.quota.addDebt(-call.block)
 	}
 	b.serveWaiting(call.customer)
 }
--- a/internal/balancer/tokenlease.go
+++ b/internal/balancer/tokenlease.go
@@ -28,45 +28,6 @@
 	maxRequestsPerCall = 3.0
 )
 
-// quotaState is what this gateway holds of a customer's quota. The quota's token bucket itself is on the counter (see
-// sharedBucket): all that leaves it is added there, so one call tells its level to a gateway that has never seen the
-// customer.
-type quotaState struct {
-	// tokens are leased from the counter and not yet spent, in units. Below 0: requests took more than estimated.
-	tokens float64
-	// tokensValidFrom is the time from which tokens may be spent.
-	tokensValidFrom time.Duration
-	// leasedAt is when the last lease came.
-	leasedAt time.Duration
-	// fallbackTokens are this gateway's own share, spent while the counter does not answer, in units. Below 0: credit.
-	fallbackTokens float64
-	// fallbackFilledAt is when fallbackTokens were filled last.
-	fallbackFilledAt time.Duration
-	// debt is the number of units spent without a lease, to be added to the counter. Below 0: units to be returned.
-	debt float64
-	// debtWindow is the counter window in which debt was last checked; used in a large fleet only.
-	debtWindow int64
-	// callPending is true while a call for tokens is out.
-	callPending bool
-	// lastCallLost is true when the last call for tokens had no answer.
-	lastCallLost bool
-	// callsPausedUntil is the time before which no call is made, as one that timed out may still be answered.
-	callsPausedUntil time.Duration
-}
-
-// hasExpiredTokens reports whether tokens of a lease are left that is older than its time to live.
-func (quota *quotaState) hasExpiredTokens(age, ttl time.Duration) bool {
-	return quota.tokens > 0 && !quota.callPending && age > ttl
-}
-
-// spendFallback pays units from the tokens that are left and for the rest from the fallback share. What the fallback
-// share pays is added to the counter later.
-func (quota *quotaState) spendFallback(units float64) {
-	quota.fallbackTokens -= units - max(0, quota.tokens)
-	quota.debt += units - max(0, quota.tokens)
-	quota.tokens = min(0, quota.tokens)
-}
-
 // spendTokens takes a request's units from the leased tokens, else from this gateway's own share, and calls the
 // counter for more. Only a part of the requests calls, as large as the counter can serve (counterCalls.callFraction);
 // each such call stands for the others too, and these spend this gateway's share, on credit by one request. A bucket
@@ -86,8 +47,8 @@
 	case short && !b.isBucketSettled(req.customer, plan):
 		b.learnBucket(req.customer)
 		return quotaExceeded
-	case quota.tokens >= req.units:
-		quota.tokens -= req.units
+	case quota.hasTokens(req.units):
+		quota.spendTokens(req.units)
 		req.paidByCounter = true
 		if canCall && b.shouldRenewTokens(req) {
 			b.leaseTokens(check)
@@ -103,7 +64,7 @@
 		b.leaseTokens(check)
 		return quotaPending
 	case !short && b.now >= bucket.emptyUntil && b.mayUseCredit(req):
-		quota.fallbackTokens -= req.units
+		quota.spendCredit(req.units)
 		req.onCredit = true
 		return quotaCovered
 	}
@@ -125,10 +86,11 @@
 	if !cust.quota.hasExpiredTokens(b.now-cust.quota.leasedAt, ttl) {
 		return
 	}
-	if !leased {
-		cust.quota.debt -= cust.quota.tokens
+	if leased {
+		cust.quota.dropTokens()
+		return
 	}
-	cust.quota.tokens = 0
+	cust.quota.returnTokens()
 }
 
 // canCallForTokens reports whether the counter may be called for a request's quota.
@@ -175,8 +137,8 @@
 		horizon = overShareTokenTTL
 	}
 	block := b.leaseSize(req, horizon, b.bucketLevel(cust, plan)/cust.gateways)
-	cust.quota.callPending = true
-	b.counter.lastCallAt = b.now
+	cust.quota.beginCall()
+	b.counter.recordCall(b.now)
 	if short {
 		b.learnBucket(cust)
 	}
@@ -195,8 +157,8 @@
 	cust := req.customer
 	horizon := tokenLeaseHorizon + b.extraLeaseTime(cust, plan)
 	block := b.leaseSize(req, horizon, b.bucketLevel(cust, plan)/largeFleetLeaseParts)
-	cust.quota.callPending = true
-	b.counter.lastCallAt = b.now
+	cust.quota.beginCall()
+	b.counter.recordCall(b.now)
 	if cust.quota.lastCallLost {
 		block = req.units
 	}
@@ -211,8 +173,7 @@
 
 // callForTokens calls the counter for a block of tokens and adds an amount and the debt to its number.
 func (b *Balancer) callForTokens(cust *customer, block, amount float64) *counterCall {
-	debt := cust.quota.debt
-	cust.quota.debt = 0
+	debt := cust.quota.takeDebt()
 	call := b.callCounter(cust, block, amount+debt)
 	call.debt = debt
 	return call
@@ -237,21 +198,17 @@
 		}
 	}
 	if !cust.bucket.known {
-		cust.bucket.known = true
-		cust.bucket.knownAt = b.now
-		cust.quota.fallbackTokens = min(cust.quota.fallbackTokens, 0)
+		cust.bucket.setKnown(b.now)
+		cust.quota.limitFallback(0)
 	}
-	cust.quota.tokens += granted
-	cust.quota.leasedAt = b.now
-	cust.quota.lastCallLost = false
+	cust.quota.creditTokens(b.now, granted)
 	if at < cust.bucket.levelAt {
 		return // a later call has told more
 	}
 	if cust.bucket.hasLostTotal(call.window, total, plan) {
-		cust.bucket.knownAt = b.now
+		cust.bucket.setKnown(b.now)
 	}
-	cust.bucket.record(call.window, total, at)
-	cust.bucket.level = max(level-call.amount, -plan.Burst/2)
+	cust.bucket.record(call.window, total, at, max(level-call.amount, -plan.Burst/2))
 }
 
 // returnUncovered returns the units of a block that the bucket did not have, with the next call where that comes
@@ -262,7 +219,7 @@
 	nextCallIsSoon := b.evidenceScarcity() == 0 &&
 		cust.demand.rate*tokenLeaseTTL.Seconds() >= minRenewRequests*call.block
 	if nextCallIsSoon {
-		cust.quota.debt += uncovered
+		cust.quota.addDebt(uncovered)
 	} else {
 		b.callCounter(cust, 0, uncovered)
 	}
@@ -270,7 +227,7 @@
 	rate := b.settings.Plans[cust.plan].Rate
 	needed := max(call.block-level, b.activeGateways(cust)/gatewaysPerRefill)
 	seconds := needed / rate * b.emptyPauseSpread(cust)
-	cust.bucket.emptyUntil = b.now + min(maxEmptyBucketPause, time.Duration(seconds*float64(time.Second)))
+	cust.bucket.pauseCallsUntil(b.now + min(maxEmptyBucketPause, time.Duration(seconds*float64(time.Second))))
 }
 
 // acceptedTokens is how many units of a block are taken when the bucket has so many available. Tokens of a plan whose
