--- a/internal/balancer/bucketcorrection_test.go
+++ b/internal/balancer/bucketcorrection_test.go
@@ -24,8 +24,8 @@
 func checkEmptiedCounter(t *testing.T, others float64, granted bool) {
 	t.Helper()
 	b := newTestBalancer(t, testSettings(), testEndpoints(8)...)
-	c := spendFallback(t, b, ms)
-	for _, back := range actionsOf[CounterAdd](b.Step(3*ms, []Event{CounterResult{c.Name, OK, 30}})) {
+	call := spendFallback(t, b, ms)
+	for _, back := range actionsOf[CounterAdd](b.Step(3*ms, []Event{CounterResult{call.Name, OK, 30}})) {
 		b.Step(5*ms, []Event{CounterResult{back.Name, OK, 30 + back.Amount}}) // what the bucket did not have
 	}
 	now := 9 * time.Second
@@ -36,9 +36,9 @@
 	if len(again) == 0 {
 		t.Fatal("no call after the bucket has filled")
 	}
-	acts := b.Step(now+2*ms, []Event{CounterResult{again[0].Name, OK, again[0].Amount + others}})
-	if granted != (len(actionsOf[Dispatch](acts)) > 0) {
-		t.Errorf("others added %v to an emptied counter: %v", others, acts)
+	actions := b.Step(now+2*ms, []Event{CounterResult{again[0].Name, OK, again[0].Amount + others}})
+	if granted != (len(actionsOf[Dispatch](actions)) > 0) {
+		t.Errorf("others added %v to an emptied counter: %v", others, actions)
 	}
 }
 
--- a/internal/balancer/ceiling_test.go
+++ b/internal/balancer/ceiling_test.go
@@ -12,9 +12,9 @@
 	sent := 0
 	for i := range 1000 {
 		now := time.Duration(i+1) * ms
-		for _, s := range actionsOf[Dispatch](b.Step(now, []Event{testRequest(uint64(i), 0, 1)})) {
+		for _, dispatch := range actionsOf[Dispatch](b.Step(now, []Event{testRequest(uint64(i), 0, 1)})) {
 			sent++
-			b.Step(now, []Event{succeeded(s, 0, 0)})
+			b.Step(now, []Event{succeeded(dispatch, 0, 0)})
 		}
 	}
 	if sent > 10 {
@@ -32,9 +32,9 @@
 	id, withRetryAfter := uint64(1), 0
 	for class := range 2 {
 		for range 60 {
-			acts := b.Step(time.Second, []Event{testRequest(id, class, 1)})
-			rejected := actionsOf[Reject](acts)
-			dispatched := len(actionsOf[Dispatch](acts)) > 0
+			actions := b.Step(time.Second, []Event{testRequest(id, class, 1)})
+			rejected := actionsOf[Reject](actions)
+			dispatched := len(actionsOf[Dispatch](actions)) > 0
 			switch {
 			case len(rejected) == 0 && !dispatched && b.requests[id].queuedOn == nil:
 				waits[class]++
--- a/internal/balancer/countercall_test.go
+++ b/internal/balancer/countercall_test.go
@@ -99,17 +99,17 @@
 	}
 	first := calls[0]
 	owed := b.customers.find("c").quota.debt
-	acts := b.Step(now+ms, []Event{CounterResult{Name: first.Name, Status: Failed}})
-	again := actionsOf[CounterAdd](acts)
-	if len(again) != 1 || len(actionsOf[Reject](acts)) != 0 {
-		t.Fatalf("after an invalid answer: %v; want one more call and no rejection", acts)
+	actions := b.Step(now+ms, []Event{CounterResult{Name: first.Name, Status: Failed}})
+	again := actionsOf[CounterAdd](actions)
+	if len(again) != 1 || len(actionsOf[Reject](actions)) != 0 {
+		t.Fatalf("after an invalid answer: %v; want one more call and no rejection", actions)
 	}
 	if sum := first.Amount + again[0].Amount; sum >= 2*first.Amount+owed {
 		t.Errorf("%v and then %v added; want the first block returned", first.Amount, again[0].Amount)
 	}
-	acts = b.Step(now+2*ms, []Event{CounterResult{Name: again[0].Name, Status: Failed}})
-	if len(actionsOf[CounterAdd](acts)) != 0 || len(actionsOf[Reject](acts)) != 1 {
-		t.Errorf("after a second one: %v; want a rejection and no third call", acts)
+	actions = b.Step(now+2*ms, []Event{CounterResult{Name: again[0].Name, Status: Failed}})
+	if len(actionsOf[CounterAdd](actions)) != 0 || len(actionsOf[Reject](actions)) != 1 {
+		t.Errorf("after a second one: %v; want a rejection and no third call", actions)
 	}
 }
 
@@ -144,8 +144,8 @@
 	b, call, now := newBalancerWithCallOut(t)
 	cust := b.customers.find("c")
 	b.Step(now+50*ms, []Event{CounterResult{Name: call.Name, Status: Timeout}})
-	if acts := b.Step(now+55*ms, []Event{testRequest(900, 0, 0)}); len(actionsOf[CounterAdd](acts)) != 0 {
-		t.Errorf("a second call before the first one is answered: %v", acts)
+	if actions := b.Step(now+55*ms, []Event{testRequest(900, 0, 0)}); len(actionsOf[CounterAdd](actions)) != 0 {
+		t.Errorf("a second call before the first one is answered: %v", actions)
 	}
 	before := cust.quota.tokens
 	b.Step(now+60*ms, []Event{LateCounterResult{Ticket: call.Ticket + 99, Status: OK}, LateCounterResult{Status: OK}})
@@ -228,8 +228,8 @@
 	again := 0
 	for seed := range uint64(20) { // the failure has decreased the call fraction, so a few do not call
 		b, call, now := newSeededBalancerWithCallOut(t, seed)
-		acts := b.Step(now+3*ms, []Event{CounterResult{Name: call.Name, Status: Timeout}})
-		again += len(actionsOf[CounterAdd](acts))
+		actions := b.Step(now+3*ms, []Event{CounterResult{Name: call.Name, Status: Timeout}})
+		again += len(actionsOf[CounterAdd](actions))
 		if len(b.counter.timedOut.byTicket) != 0 || b.customers.find("c").quota.callsPausedUntil != 0 {
 			t.Errorf("seed %d: a late answer is waited for on a connection that is gone", seed)
 		}
@@ -244,8 +244,8 @@
 	for _, status := range []Status{Rejected, ConnectFailed} {
 		for seed := range uint64(20) { // whether a request calls is partly chance
 			b, call, now := newSeededBalancerWithCallOut(t, seed)
-			acts := b.Step(now+3*ms, []Event{CounterResult{Name: call.Name, Status: status}})
-			if again := actionsOf[CounterAdd](acts); len(again) != 0 {
+			actions := b.Step(now+3*ms, []Event{CounterResult{Name: call.Name, Status: status}})
+			if again := actionsOf[CounterAdd](actions); len(again) != 0 {
 				t.Errorf("status %d, seed %d: called again at once: %v", status, seed, again)
 			}
 		}
@@ -280,13 +280,13 @@
 	}
 	b.Step(now+ms, []Event{CounterResult{Name: later[0].Name, Status: OK, Total: 90}})
 	before := cust.bucket
-	acts := b.Step(now+20*ms, []Event{LateCounterResult{call.Ticket, OK, call.Amount}})
+	actions := b.Step(now+20*ms, []Event{LateCounterResult{call.Ticket, OK, call.Amount}})
 	after := cust.bucket
 	if after.knownAt != before.knownAt || after.seenTotal != before.seenTotal || after.level != before.level ||
 		after.levelAt != before.levelAt {
 		t.Errorf("bucket %+v, want %+v", after, before)
 	}
-	for _, correction := range actionsOf[CounterAdd](acts) {
+	for _, correction := range actionsOf[CounterAdd](actions) {
 		if correction.Amount > 0 {
 			t.Errorf("%v added as a correction by an old total", correction.Amount)
 		}
--- a/internal/balancer/customer_test.go
+++ b/internal/balancer/customer_test.go
@@ -21,18 +21,15 @@
 				Request{ID: id, Plan: int(id % 2), Customer: fmt.Sprint(id), TimeLeft: 2 * time.Second, Units: 1},
 			)
 		}
-		for acts := b.Step(at, evs); len(acts) > 0; {
+		for actions := b.Step(at, evs); len(actions) > 0; {
 			var outs []Event
-			for _, s := range actionsOf[Dispatch](acts) {
-				outs = append(
-					outs,
-					AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Status: OK, Latency: ms, RequestClosed: true},
-				)
+			for _, dispatch := range actionsOf[Dispatch](actions) {
+				outs = append(outs, succeeded(dispatch, 0, ms))
 			}
 			if outs == nil {
 				break
 			}
-			acts = b.Step(at, outs)
+			actions = b.Step(at, outs)
 		}
 		if onTick != nil {
 			onTick(at)
@@ -75,18 +72,13 @@
 		}
 		for range 60 { // every 4 s it wants more than it may have
 			id++
-			acts := b.Step(
+			actions := b.Step(
 				at,
 				[]Event{Request{ID: id, Plan: 1, Customer: "known", TimeLeft: 2 * time.Second, Units: 1}},
 			)
-			for _, s := range actionsOf[Dispatch](acts) {
+			for _, dispatch := range actionsOf[Dispatch](actions) {
 				sent++
-				b.Step(
-					at,
-					[]Event{
-						AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Status: OK, Latency: ms, RequestClosed: true},
-					},
-				)
+				b.Step(at, []Event{succeeded(dispatch, 0, ms)})
 			}
 		}
 	})
--- a/internal/balancer/handover_test.go
+++ b/internal/balancer/handover_test.go
@@ -50,9 +50,9 @@
 		}
 		var pending []sentAttempt
 		step := func(b *Balancer, evs ...Event) {
-			for _, s := range actionsOf[Dispatch](b.Step(at, evs)) {
+			for _, dispatch := range actionsOf[Dispatch](b.Step(at, evs)) {
 				sent++
-				pending = append(pending, sentAttempt{b, s})
+				pending = append(pending, sentAttempt{b, dispatch})
 			}
 		}
 		for at < 30*time.Second {
@@ -97,9 +97,9 @@
 		at := time.Duration(i) * 100 * ms
 		for range 20 {
 			id++
-			for _, s := range actionsOf[Dispatch](b.Step(at, []Event{testRequest(id, 0, 0)})) {
+			for _, dispatch := range actionsOf[Dispatch](b.Step(at, []Event{testRequest(id, 0, 0)})) {
 				sent++
-				b.Step(at, []Event{succeeded(s, 0, ms)})
+				b.Step(at, []Event{succeeded(dispatch, 0, ms)})
 			}
 		}
 		b, _ = handOver(t, b, settings, at, list...)
--- a/internal/balancer/largefleet_test.go
+++ b/internal/balancer/largefleet_test.go
@@ -63,10 +63,10 @@
 		}
 		for i, b := range run.fleet {
 			for next := events[i]; len(next) > 0; {
-				acts := b.Step(now, next)
+				actions := b.Step(now, next)
 				next = nil
-				late[i] = append(late[i], run.counter.answer(acts)...)
-				for _, attempt := range actionsOf[Dispatch](acts) {
+				late[i] = append(late[i], run.counter.answer(actions)...)
+				for _, attempt := range actionsOf[Dispatch](actions) {
 					sent = append(sent, now)
 					next = append(next, succeeded(attempt, 0, 20*ms))
 				}
@@ -198,16 +198,16 @@
 		t.Fatalf("calls: %v, want one of a unit", calls)
 	}
 	// The bucket is short by a quarter of a unit: an eighth of a second.
-	acts := b.Step(now, []Event{CounterResult{calls[0].Name, OK, 8 + 2*2 + 0.25}})
-	if len(actionsOf[CounterAdd](acts))+len(actionsOf[Dispatch](acts))+len(actionsOf[Reject](acts)) != 0 {
-		t.Fatalf("the request should wait for what the bucket gains: %v", acts)
+	actions := b.Step(now, []Event{CounterResult{calls[0].Name, OK, 8 + 2*2 + 0.25}})
+	if len(actionsOf[CounterAdd](actions))+len(actionsOf[Dispatch](actions))+len(actionsOf[Reject](actions)) != 0 {
+		t.Fatalf("the request should wait for what the bucket gains: %v", actions)
 	}
 	for sent := false; !sent; now += 20 * ms {
-		acts = b.Step(now, []Event{TimerFired{0}})
-		if len(actionsOf[CounterAdd](acts)) != 0 || len(actionsOf[Reject](acts)) != 0 || now > 2400*ms {
-			t.Fatalf("at %v: %v", now, acts)
+		actions = b.Step(now, []Event{TimerFired{0}})
+		if len(actionsOf[CounterAdd](actions)) != 0 || len(actionsOf[Reject](actions)) != 0 || now > 2400*ms {
+			t.Fatalf("at %v: %v", now, actions)
 		}
-		if sent = len(actionsOf[Dispatch](acts)) == 1; sent && now < 2120*ms {
+		if sent = len(actionsOf[Dispatch](actions)) == 1; sent && now < 2120*ms {
 			t.Errorf("sent at %v, before the bucket had gained it", now)
 		}
 	}
@@ -215,10 +215,10 @@
 	b = newLargeFleet(t, 100)[1]
 	now = 2 * time.Second
 	calls = actionsOf[CounterAdd](b.Step(now, []Event{testRequest(1, 0, 0)}))
-	acts = b.Step(now, []Event{CounterResult{calls[0].Name, OK, 8 + 2*2 + 20}})
-	returned := actionsOf[CounterAdd](acts)
-	if len(returned) != 1 || returned[0].Amount != -1 || len(actionsOf[Reject](acts)) != 1 {
-		t.Fatalf("short by 19: %v", acts)
+	actions = b.Step(now, []Event{CounterResult{calls[0].Name, OK, 8 + 2*2 + 20}})
+	returned := actionsOf[CounterAdd](actions)
+	if len(returned) != 1 || returned[0].Amount != -1 || len(actionsOf[Reject](actions)) != 1 {
+		t.Fatalf("short by 19: %v", actions)
 	}
 	if more := actionsOf[CounterAdd](b.Step(now+time.Second, []Event{testRequest(2, 0, 0)})); len(more) != 0 {
 		t.Errorf("a bucket just found empty was asked again: %v", more)
@@ -231,13 +231,13 @@
 	now := 2 * time.Second
 	calls := actionsOf[CounterAdd](b.Step(now, []Event{testRequest(1, 0, 0)}))
 	now += 50 * ms
-	acts := b.Step(now, []Event{CounterResult{calls[0].Name, Timeout, 0}, TimerFired{0}})
-	if len(actionsOf[Reject](acts)) != 0 {
-		t.Fatalf("rejected at the timeout: %v", acts)
+	actions := b.Step(now, []Event{CounterResult{calls[0].Name, Timeout, 0}, TimerFired{0}})
+	if len(actionsOf[Reject](actions)) != 0 {
+		t.Fatalf("rejected at the timeout: %v", actions)
 	}
-	acts = b.Step(now+20*ms, []Event{LateCounterResult{calls[0].Ticket, OK, 1}})
-	if len(actionsOf[Dispatch](acts)) != 1 {
-		t.Errorf("not sent after the late answer: %v", acts)
+	actions = b.Step(now+20*ms, []Event{LateCounterResult{calls[0].Ticket, OK, 1}})
+	if len(actionsOf[Dispatch](actions)) != 1 {
+		t.Errorf("not sent after the late answer: %v", actions)
 	}
 }
 
@@ -250,9 +250,9 @@
 	counter := newFakeCounter()
 	for id := uint64(1); id <= 6; id++ {
 		for todo := []Event{testRequest(id, 0, 1)}; len(todo) > 0; {
-			acts := all[0].Step(10*time.Second, todo)
-			sent += len(actionsOf[Dispatch](acts))
-			todo = counter.answer(acts)
+			actions := all[0].Step(10*time.Second, todo)
+			sent += len(actionsOf[Dispatch](actions))
+			todo = counter.answer(actions)
 		}
 	}
 	if sent != 1 {
@@ -265,14 +265,14 @@
 	now := 10 * time.Second
 	step := func(todo ...Event) {
 		for len(todo) > 0 {
-			acts := b.Step(now, todo)
-			for _, a := range actionsOf[Admit](acts) {
+			actions := b.Step(now, todo)
+			for _, a := range actionsOf[Admit](actions) {
 				answered[a.ID] = true
 			}
-			for _, a := range actionsOf[Reject](acts) {
+			for _, a := range actionsOf[Reject](actions) {
 				answered[a.ID] = true
 			}
-			todo = counter.answer(acts)
+			todo = counter.answer(actions)
 		}
 	}
 	for id := uint64(1); id <= 60; id++ {
@@ -298,13 +298,13 @@
 		if len(calls) != 1 || calls[0].Amount != 1 {
 			t.Fatalf("calls: %v, want one of a unit", calls)
 		}
-		acts := b.Step(3*ms, []Event{CounterResult{calls[0].Name, OK, total}})
-		if n := len(actionsOf[Dispatch](acts)); n != want {
+		actions := b.Step(3*ms, []Event{CounterResult{calls[0].Name, OK, total}})
+		if n := len(actionsOf[Dispatch](actions)); n != want {
 			t.Errorf("total %v: %d sent, want %d", total, n, want)
 		}
 		if want == 0 {
-			if back := actionsOf[CounterAdd](acts); len(back) != 1 || back[0].Amount != -1 {
-				t.Errorf("what the bucket did not have was not returned: %v", acts)
+			if back := actionsOf[CounterAdd](actions); len(back) != 1 || back[0].Amount != -1 {
+				t.Errorf("what the bucket did not have was not returned: %v", actions)
 			}
 			if more := actionsOf[CounterAdd](b.Step(4*ms, []Event{testRequest(2, 0, 0)})); len(more) != 0 {
 				t.Errorf("a bucket just found empty was asked again: %v", more)
@@ -321,11 +321,11 @@
 		request := testRequest(uint64(i), 0, 0)
 		request.Customer = fmt.Sprint("c", i)
 		now := time.Duration(i+1) * 10 * ms
-		for _, c := range actionsOf[CounterAdd](b.Step(now, []Event{request, TimerFired{0}})) {
+		for _, call := range actionsOf[CounterAdd](b.Step(now, []Event{request, TimerFired{0}})) {
 			if i > 1000 {
 				late++
 			}
-			b.Step(now+5*ms, []Event{CounterResult{Name: c.Name, Status: Rejected}})
+			b.Step(now+5*ms, []Event{CounterResult{Name: call.Name, Status: Rejected}})
 		}
 	}
 	if late > 10 {
@@ -338,9 +338,9 @@
 	b := newTestBalancer(t, largeFleetSettings(100), testEndpoints(8)...)
 	now := 20 * time.Second
 	calls := actionsOf[CounterAdd](b.Step(now, []Event{testRequest(1, 0, 0)}))
-	acts := b.Step(now+2*ms, []Event{CounterResult{calls[0].Name, OK, 1}})
-	corrections := actionsOf[CounterAdd](acts)
-	if len(corrections) != 1 || corrections[0].Amount < 30 || len(actionsOf[Dispatch](acts)) != 1 {
-		t.Errorf("20 s of overflow at 2 a second: %v", acts)
+	actions := b.Step(now+2*ms, []Event{CounterResult{calls[0].Name, OK, 1}})
+	corrections := actionsOf[CounterAdd](actions)
+	if len(corrections) != 1 || corrections[0].Amount < 30 || len(actionsOf[Dispatch](actions)) != 1 {
+		t.Errorf("20 s of overflow at 2 a second: %v", actions)
 	}
 }
--- a/internal/balancer/share_test.go
+++ b/internal/balancer/share_test.go
@@ -136,8 +136,8 @@
 			event = granted
 		}
 	}
-	acts := slices.Clone(fleet.gateways[gateway].Step(now, []Event{event}))
-	for _, action := range acts {
+	actions := slices.Clone(fleet.gateways[gateway].Step(now, []Event{event}))
+	for _, action := range actions {
 		if _, ok := action.(Admit); fleet.withoutLoans && !ok {
 			continue
 		}
