--- a/internal/balancer/admission.go
+++ b/internal/balancer/admission.go
@@ -60,7 +60,7 @@
 		units:       max(0, ev.Units),
 		arrivedAt:   b.now,
 		timeLimit:   b.timeLimitOf(ev),
-		maxAttempts: b.settings.MaxAttempts,
+		attempts:    attemptHistory{limit: b.settings.MaxAttempts},
 		clientRetry: ev.ClientRetry,
 		admitOnly:   ev.AdmitOnly,
 		holdFor:     ev.HoldFor,
@@ -126,7 +126,7 @@
 	switch {
 	case ep == nil && b.endpoints.areAllAdminEjected():
 		b.reject(req, b.settings.MaxRetryAfter, EndpointsEjected)
-	case ep == nil && !req.mayHaveRun:
+	case ep == nil && !req.attempts.mayHaveRun:
 		b.unplaced = append(b.unplaced, req)
 	case ep == nil || b.shouldShed(req, ep):
 		b.reject(req, 0, QueueTooLong)
--- a/internal/balancer/admission_test.go
+++ b/internal/balancer/admission_test.go
@@ -19,7 +19,7 @@
 			b.Step(time.Second, []Event{testRequest(i, class, 0)})
 		}
 		for _, req := range b.requests {
-			if req.attemptsOut == 0 {
+			if req.attempts.open == 0 {
 				n++
 			}
 		}
--- a/internal/balancer/attemptresult.go
+++ b/internal/balancer/attemptresult.go
@@ -6,12 +6,11 @@
 	if req == nil {
 		return
 	}
-	att := req.openAttempt(ev.Attempt)
+	att := req.attempts.find(ev.Attempt)
 	if att == nil {
 		return
 	}
-	att.open = false
-	req.attemptsOut--
+	req.attempts.close(att)
 	if att.responseStarted { // its slot is free and its latency recorded since the first byte
 		b.finish(req)
 		b.forgetIfDone(req)
@@ -23,10 +22,10 @@
 		ep.slowStart.budget.CancelDispatch(att.sentAt, req.cost)
 	}
 	if ev.Status.mayHaveRun() {
-		req.recordRun(att)
+		req.attempts.recordRun(att)
 	}
 	b.recordResult(att, ev)
-	if ev.Status == OK && b.settings.EstimatedUnits && ev.Units > 0 && req.withinQuota {
+	if ev.Status == OK && b.settings.EstimatedUnits && ev.Units > 0 && req.quota.covered {
 		req.customer.quota.spendTokens(ev.Units - req.units)
 	}
 	if ev.RequestClosed || ev.Status == OK {
@@ -34,7 +33,7 @@
 	}
 	if req.ended {
 		b.forgetIfDone(req)
-	} else if !req.streaming && req.attemptsOut == 0 {
+	} else if !req.streaming && req.attempts.open == 0 {
 		b.retry(req)
 	}
 	b.dispatchQueued(ep)
@@ -47,15 +46,13 @@
 	if req == nil || req.streaming {
 		return
 	}
-	att := req.openAttempt(ev.Attempt)
+	att := req.attempts.find(ev.Attempt)
 	if att == nil {
 		return
 	}
 	req.streaming = true
 	att.responseStarted = true
-	req.mayHaveRun = true
-	req.firstRunAt = att.sentAt
-	req.firstRunOn = att.endpoint
+	req.attempts.recordRun(att)
 	att.endpoint.removeAttempt(att)
 	b.recordResult(att, AttemptResult{Status: OK, Latency: b.now - att.sentAt})
 	b.dispatchQueued(att.endpoint)
--- a/internal/balancer/ceiling.go
+++ b/internal/balancer/ceiling.go
@@ -178,13 +178,13 @@
 	}
 	b.refillCeiling(cust, plan)
 	switch {
-	case req.ceilingSource == fromQuota && b.hasSparseShares(cust, plan):
+	case req.ceiling.source == fromQuota && b.hasSparseShares(cust, plan):
 		return true
-	case req.ceilingSource == fromEvenShare && req.leaseWindow > 0:
-		return cust.ceiling.drawTurn(req.leaseWindow)
-	case req.ceilingSource == fromEvenShare:
+	case req.ceiling.source == fromEvenShare && req.ceiling.leaseWindow > 0:
+		return cust.ceiling.drawTurn(req.ceiling.leaseWindow)
+	case req.ceiling.source == fromEvenShare:
 		return cust.ceiling.drawShare(req)
-	case req.ceilingSource == fromLease && !b.renewLeasedUnits(req):
+	case req.ceiling.source == fromLease && !b.renewLeasedUnits(req):
 		return false
 	}
 	lowest := b.ceilingShare(cust, plan).Depth - plan.CeilingBurst
@@ -200,9 +200,9 @@
 		req.inFlight = true
 		cust.inFlight++
 	}
-	req.ceilingReserved = true
-	req.ceilingSource = source
-	req.leaseWindow = 0
+	req.ceiling.reserved = true
+	req.ceiling.source = source
+	req.ceiling.leaseWindow = 0
 	switch source {
 	case fromEvenShare:
 		cust.ceiling.reserved += req.units
@@ -210,25 +210,25 @@
 			return
 		}
 		if turns, ok := ceilingTurns(cust, plan); ok {
-			req.leaseWindow, _ = turns.At(b.now, b.settings.Index)
+			req.ceiling.leaseWindow, _ = turns.At(b.now, b.settings.Index)
 		}
 	case fromLease:
-		req.leaseWindow = cust.ceiling.lease.Spend(b.leaseTerms[req.plan], b.now, req.units, req.leaseUse())
+		req.ceiling.leaseWindow = cust.ceiling.lease.Spend(b.leaseTerms[req.plan], b.now, req.units, req.leaseUse())
 	}
 }
 
 // releaseCeiling ends the reservation of a request that is dispatched now or never.
 func (b *Balancer) releaseCeiling(req *request, dispatched bool) {
-	if !req.ceilingReserved {
+	if !req.ceiling.reserved {
 		return
 	}
-	req.ceilingReserved = false
+	req.ceiling.reserved = false
 	ceiling := &req.customer.ceiling
 	switch {
-	case req.ceilingSource == fromEvenShare:
+	case req.ceiling.source == fromEvenShare:
 		ceiling.reserved -= req.units
-	case req.ceilingSource == fromLease && !dispatched:
-		ceiling.lease.Return(b.leaseTerms[req.plan], b.now, req.leaseWindow, req.units, req.leaseUse())
+	case req.ceiling.source == fromLease && !dispatched:
+		ceiling.lease.Return(b.leaseTerms[req.plan], b.now, req.ceiling.leaseWindow, req.units, req.leaseUse())
 	}
 }
 
--- a/internal/balancer/ceilinglease.go
+++ b/internal/balancer/ceilinglease.go
@@ -50,13 +50,13 @@
 		return quotaExceeded
 	case lease.IsRequestPending():
 		return quotaPending
-	case req.admitOnly && req.leaseRequested:
+	case req.admitOnly && req.ceiling.leaseRequested:
 		return quotaExceeded
 	}
 	if b.canCallCounter() {
 		if block := lease.RequestSize(*terms, b.now, req.units, req.customer.demand.rate); block > 0 {
 			b.callCeilingLease(req.customer, *terms, block)
-			req.leaseRequested = true
+			req.ceiling.leaseRequested = true
 			return quotaPending
 		}
 	}
@@ -90,13 +90,13 @@
 // may not go out. It reports whether there are any.
 func (b *Balancer) renewLeasedUnits(req *request) bool {
 	terms := &b.leaseTerms[req.plan]
-	if terms.WindowIndex(b.now) == req.leaseWindow {
+	if terms.WindowIndex(b.now) == req.ceiling.leaseWindow {
 		return true
 	}
 	if b.leasedCeilingCapacity(req, terms) < req.units {
 		return false
 	}
-	req.leaseWindow = req.customer.ceiling.lease.Spend(*terms, b.now, req.units, req.leaseUse())
+	req.ceiling.leaseWindow = req.customer.ceiling.lease.Spend(*terms, b.now, req.units, req.leaseUse())
 	return true
 }
 
--- a/internal/balancer/countercall_test.go
+++ b/internal/balancer/countercall_test.go
@@ -159,7 +159,7 @@
 	}
 	before = cust.quota.tokens
 	b.Step(now+80*ms, []Event{testRequest(901, 0, 0)}) // the endpoints are full, but tokens cover it
-	if req := b.requests[901]; before >= 1 && (req == nil || !req.withinQuota || cust.quota.tokens != before-1) {
+	if req := b.requests[901]; before >= 1 && (req == nil || !req.quota.covered || cust.quota.tokens != before-1) {
 		t.Errorf("a request inside the lease of %v is not covered by it", before)
 	}
 }
--- a/internal/balancer/deadline.go
+++ b/internal/balancer/deadline.go
@@ -40,7 +40,7 @@
 
 // canReject reports whether a client may repeat the request without the risk of a second effect.
 func (b *Balancer) canReject(req *request) bool {
-	if !req.mayHaveRun && req.attemptsOut == 0 {
+	if !req.attempts.mayHaveRun && req.attempts.open == 0 {
 		return true
 	}
 	class := &b.settings.Classes[req.class]
--- a/internal/balancer/dispatch.go
+++ b/internal/balancer/dispatch.go
@@ -47,7 +47,7 @@
 		return
 	}
 	plan := &b.settings.Plans[req.plan]
-	if len(req.attempts) == 0 && !b.drawCeiling(req, plan) {
+	if len(req.attempts.all) == 0 && !b.drawCeiling(req, plan) {
 		b.reject(req, b.refillTime(req.customer, plan, req.units), CeilingExceeded)
 		return
 	}
@@ -60,8 +60,8 @@
 // canDispatch reports whether a request may have an attempt at an endpoint now: one at a time, so many in all, in
 // time, and without the risk of a second effect.
 func (b *Balancer) canDispatch(req *request, ep *endpoint) bool {
-	return req.attemptsOut == 0 &&
-		len(req.attempts) < req.maxAttempts &&
+	return req.attempts.open == 0 &&
+		req.attempts.canAdd() &&
 		b.canRetryOn(req, ep) &&
 		b.now < req.deadline()
 }
@@ -78,16 +78,8 @@
 
 // addAttempt records an attempt at its request and its endpoint.
 func (b *Balancer) addAttempt(req *request, ep *endpoint, kind attemptKind) {
-	att := &attempt{
-		request:  req,
-		number:   len(req.attempts),
-		endpoint: ep,
-		sentAt:   b.now,
-		kind:     kind,
-		open:     true,
-	}
-	req.attempts = append(req.attempts, att)
-	req.attemptsOut++
+	att := &attempt{request: req, endpoint: ep, sentAt: b.now, kind: kind}
+	req.attempts.add(att)
 	if kind == probeAttempt {
 		ep.outlier.probing = true
 	}
@@ -96,7 +88,7 @@
 
 // writeDeadline is when an attempt must be written whole, where a later one could have a second effect; 0: any time.
 func (b *Balancer) writeDeadline(req *request) time.Duration {
-	if req.mayHaveRun && b.settings.Classes[req.class].Idempotency == IdempotentByKey {
+	if req.attempts.mayHaveRun && b.settings.Classes[req.class].Idempotency == IdempotentByKey {
 		return b.retryDeadline(req)
 	}
 	return 0
--- a/internal/balancer/endpoints_test.go
+++ b/internal/balancer/endpoints_test.go
@@ -123,7 +123,7 @@
 	}
 	open := 0
 	for _, req := range b.requests {
-		if req.attemptsOut == 0 && !req.ended {
+		if req.attempts.open == 0 && !req.ended {
 			open++
 		}
 	}
--- a/internal/balancer/largefleet.go
+++ b/internal/balancer/largefleet.go
@@ -50,7 +50,7 @@
 func (b *Balancer) canCallForRequest(req *request, reserve float64) bool {
 	cust := req.customer
 	pausedUntil := max(cust.bucket.emptyUntil, cust.quota.callsPausedUntil)
-	if b.handedOver || req.counterCalled || b.now < pausedUntil || b.counter.isFull() {
+	if b.handedOver || req.quota.counterCalled || b.now < pausedUntil || b.counter.isFull() {
 		return false
 	}
 	if req.clientRetry {
@@ -66,7 +66,7 @@
 
 // awaitsLateAnswer reports whether a request's call timed out but may still be answered.
 func (b *Balancer) awaitsLateAnswer(req *request) bool {
-	return req.counterCalled && b.now < req.customer.quota.callsPausedUntil && !b.hasWaitedForCounter(req)
+	return req.quota.counterCalled && b.now < req.customer.quota.callsPausedUntil && !b.hasWaitedForCounter(req)
 }
 
 // hasTokensSoon reports whether leased tokens cover a request and will be valid while it may wait.
@@ -82,21 +82,21 @@
 	switch {
 	case cust.quota.hasValidTokens(b.now, req.units):
 		cust.quota.spendTokens(req.units)
-		req.paidByCounter = true
+		req.quota.paidByCounter = true
 		return quotaCovered
 	case b.hasTokensSoon(req), cust.quota.callPending, b.awaitsLateAnswer(req):
 		return quotaPending
 	case b.canCallForRequest(req, 0):
-		req.counterCalled = true
+		req.quota.counterCalled = true
 		b.leaseTokensLargeFleet(req, plan)
 		return quotaPending
 	case req.clientRetry || b.now < cust.bucket.emptyUntil:
 		return quotaExceeded
-	case !req.counterCalled && !b.hasWaitedForCounter(req):
+	case !req.quota.counterCalled && !b.hasWaitedForCounter(req):
 		return quotaPending
 	case b.rng.Float64()*req.units < b.creditProbability(cust, plan):
 		cust.quota.spendShare(req.units)
-		req.onCredit = true
+		req.quota.onCredit = true
 		return quotaCovered
 	}
 	return quotaExceeded
--- a/internal/balancer/outlier.go
+++ b/internal/balancer/outlier.go
@@ -205,8 +205,8 @@
 // canServeAsProbe reports whether a request loses nothing if its first attempt goes to an endpoint that may be down.
 func (b *Balancer) canServeAsProbe(req *request) bool {
 	return b.settings.Classes[req.class].Idempotency == Idempotent &&
-		len(req.attempts) == 0 &&
-		req.maxAttempts >= 2 &&
+		len(req.attempts.all) == 0 &&
+		req.attempts.limit >= 2 &&
 		req.timeLimit.Seconds() >= probeTimeLatencies*b.expectedLatency(req, nil)
 }
 
--- a/internal/balancer/queue.go
+++ b/internal/balancer/queue.go
@@ -42,7 +42,7 @@
 func (q *priorityQueue) add(req *request) {
 	entry := &queueEntry{req}
 	level := &q.levels[req.level]
-	if len(req.attempts) > 0 {
+	if len(req.attempts.all) > 0 {
 		level.entries = append([]*queueEntry{entry}, level.entries...)
 	} else {
 		level.entries = append(level.entries, entry)
--- a/internal/balancer/quota.go
+++ b/internal/balancer/quota.go
@@ -63,7 +63,7 @@
 	if decision != quotaCovered {
 		return decision
 	}
-	req.withinQuota = req.level < priorityBands
+	req.quota.covered = req.level < priorityBands
 	b.reserveCeiling(req, source)
 	return quotaCovered
 }
@@ -109,9 +109,9 @@
 		return fromEvenShare, quotaPending
 	case decision != quotaCovered:
 		return fromEvenShare, decision
-	case req.onCredit:
+	case req.quota.onCredit:
 		req.level += priorityBands
-	case leased && req.paidByCounter && b.isBucketSettled(req.customer, plan):
+	case leased && req.quota.paidByCounter && b.isBucketSettled(req.customer, plan):
 		return fromQuota, quotaCovered
 	}
 	return fromEvenShare, quotaCovered
--- a/internal/balancer/reload_test.go
+++ b/internal/balancer/reload_test.go
@@ -60,7 +60,7 @@
 	settings.Plans[0] = Plan{PriorityFactor: 1}
 	b := newTestBalancer(t, settings, testEndpoints(3)...)
 	retriesOf := func(id uint64, at time.Duration) int {
-		endpoint := b.requests[id].attempts[0].endpoint.name
+		endpoint := b.requests[id].attempts.all[0].endpoint.name
 		rejected := AttemptResult{ID: id, Endpoint: endpoint, Status: Rejected, Latency: ms}
 		return len(actionsOf[Dispatch](b.Step(at, []Event{rejected})))
 	}
--- a/internal/balancer/request.go
+++ b/internal/balancer/request.go
@@ -25,6 +25,8 @@
 	streaming bool
 	// ended is set once the final answer is given.
 	ended bool
+	// inFlight is set while the request counts against the plan's MaxInFlight.
+	inFlight bool
 
 	// admitOnly is set if the work is done elsewhere and only admission is decided.
 	admitOnly bool
@@ -35,39 +37,50 @@
 	// holdUntil is when that time ends.
 	holdUntil time.Duration
 
-	// withinQuota is set if tokens of the customer cover the request.
-	withinQuota bool
-	// inFlight is set while the request counts against the plan's MaxInFlight.
-	inFlight bool
-	// paidByCounter is set if the tokens that cover the request were leased from the counter.
+	quota    quotaProgress
+	ceiling  ceilingReservation
+	attempts attemptHistory
+
+	// queuedOn is the endpoint in whose queue the request waits, nil if in none.
+	queuedOn *endpoint
+	// queuePosition is its place in that queue.
+	queuePosition *queueEntry
+}
+
+// quotaProgress is how far the quota of a request is decided.
+type quotaProgress struct {
+	// covered is set if tokens of the customer cover the request.
+	covered bool
+	// paidByCounter is set if these tokens were leased from the counter.
 	paidByCounter bool
-	// onCredit is set if the request went on without leased tokens and without the counter's word.
+	// onCredit is set if the request went on without leased tokens and without an answer of the counter.
 	onCredit bool
 	// counterCalled is set once the request has called the counter.
 	counterCalled bool
 	// counterCalledTwice is set once it has done so a second time; it may not a third time.
 	counterCalledTwice bool
+}
 
-	// ceilingReserved is set while the request holds units of the ceiling.
-	ceilingReserved bool
-	// ceilingSource is where these units come from.
-	ceilingSource ceilingSource
+// ceilingReservation is what a queued request holds of its customer's ceiling.
+type ceilingReservation struct {
+	// reserved is set while units are held.
+	reserved bool
+	// source is where the units come from.
+	source ceilingSource
 	// leaseWindow is the window that the units were leased for, or with fromEvenShare the turn, if there are turns.
 	leaseWindow int64
 	// leaseRequested is set once the request has called the counter for a ceiling lease.
 	leaseRequested bool
+}
 
-	// queuedOn is the endpoint in whose queue the request waits, nil if in none.
-	queuedOn *endpoint
-	// queuePosition is its place in that queue.
-	queuePosition *queueEntry
-
-	// attempts has all attempts, in the order of dispatch.
-	attempts []*attempt
-	// attemptsOut is the number of them without a result.
-	attemptsOut int
-	// maxAttempts is the most attempts, by the settings that the request came under.
-	maxAttempts int
+// attemptHistory is what came of the attempts of a request.
+type attemptHistory struct {
+	// all has the attempts in the order of dispatch.
+	all []*attempt
+	// open is the number of them without a result.
+	open int
+	// limit is the most attempts, by the settings that the request came under.
+	limit int
 	// mayHaveRun is set once an attempt may have had an effect.
 	mayHaveRun bool
 	// firstRunAt is when the first such attempt was dispatched.
@@ -76,6 +89,41 @@
 	firstRunOn *endpoint
 }
 
+// add appends an attempt, whose number is its place in the order of dispatch.
+func (h *attemptHistory) add(att *attempt) {
+	att.number = len(h.all)
+	att.open = true
+	h.all = append(h.all, att)
+	h.open++
+}
+
+// close records that an attempt has its result.
+func (h *attemptHistory) close(att *attempt) {
+	att.open = false
+	h.open--
+}
+
+// find returns the attempt of a number if it has no result yet, else nil.
+func (h *attemptHistory) find(number int) *attempt {
+	if number < 0 || number >= len(h.all) || !h.all[number].open {
+		return nil
+	}
+	return h.all[number]
+}
+
+// canAdd reports whether the limit allows another attempt.
+func (h *attemptHistory) canAdd() bool { return len(h.all) < h.limit }
+
+// recordRun records that an attempt may have had an effect. The first such attempt counts.
+func (h *attemptHistory) recordRun(att *attempt) {
+	if h.mayHaveRun {
+		return
+	}
+	h.mayHaveRun = true
+	h.firstRunAt = att.sentAt
+	h.firstRunOn = att.endpoint
+}
+
 // attempt is one dispatch of a request.
 type attempt struct {
 	request *request
@@ -108,24 +156,6 @@
 // waited is the time since the request arrived.
 func (req *request) waited(now time.Duration) time.Duration { return now - req.arrivedAt }
 
-// openAttempt returns the attempt of a number if it has no result yet, else nil.
-func (req *request) openAttempt(number int) *attempt {
-	if number < 0 || number >= len(req.attempts) || !req.attempts[number].open {
-		return nil
-	}
-	return req.attempts[number]
-}
-
-// recordRun records that an attempt may have had an effect. The first such attempt counts.
-func (req *request) recordRun(att *attempt) {
-	if req.mayHaveRun {
-		return
-	}
-	req.mayHaveRun = true
-	req.firstRunAt = att.sentAt
-	req.firstRunOn = att.endpoint
-}
-
 // finish ends a request: it leaves its queue, gives back what it holds, and its attempts in flight are cancelled.
 func (b *Balancer) finish(req *request) {
 	if req.ended {
@@ -135,7 +165,7 @@
 	b.dequeue(req)
 	b.releaseCeiling(req, false)
 	b.cancelAttempts(req)
-	if len(req.attempts) == 0 && !req.admitted && req.withinQuota && b.settings.Plans[req.plan].Rate > 0 {
+	if len(req.attempts.all) == 0 && !req.admitted && req.quota.covered && b.settings.Plans[req.plan].Rate > 0 {
 		req.customer.quota.refund(req.units)
 	}
 	if req.inFlight {
@@ -152,7 +182,7 @@
 	if !b.settings.AllowCancel || req.streaming {
 		return
 	}
-	for _, att := range req.attempts {
+	for _, att := range req.attempts.all {
 		if att.open {
 			b.emit(CancelAttempt{ID: req.id, Attempt: att.number})
 		}
@@ -161,7 +191,7 @@
 
 // forgetIfDone drops a request that has ended and has no attempt in flight.
 func (b *Balancer) forgetIfDone(req *request) {
-	if req.ended && req.attemptsOut == 0 {
+	if req.ended && req.attempts.open == 0 {
 		delete(b.requests, req.id)
 	}
 }
--- a/internal/balancer/retry.go
+++ b/internal/balancer/retry.go
@@ -7,7 +7,7 @@
 
 // retry places a request again whose attempt failed, if it may have another attempt and an answer could be in time.
 func (b *Balancer) retry(req *request) {
-	if len(req.attempts) >= req.maxAttempts || !b.hasTimeForAttempt(req) {
+	if !req.attempts.canAdd() || !b.hasTimeForAttempt(req) {
 		b.reject(req, 0, RetryNotPossible)
 		return
 	}
@@ -23,7 +23,7 @@
 // request that has not run may go to any. One with an idempotency key may go to the endpoints that would recognize
 // it, until their deduplication window ends.
 func (b *Balancer) canRetryOn(req *request, ep *endpoint) bool {
-	if !req.mayHaveRun {
+	if !req.attempts.mayHaveRun {
 		return true
 	}
 	class := &b.settings.Classes[req.class]
@@ -31,7 +31,7 @@
 	case Idempotent:
 		return true
 	case IdempotentByKey:
-		return b.now < b.retryDeadline(req) && isInDedupScope(class.DedupScope, req.firstRunOn, ep)
+		return b.now < b.retryDeadline(req) && isInDedupScope(class.DedupScope, req.attempts.firstRunOn, ep)
 	default:
 		return false
 	}
@@ -51,5 +51,5 @@
 
 // retryDeadline is when the last retry of a request with an idempotency key may be written.
 func (b *Balancer) retryDeadline(req *request) time.Duration {
-	return req.firstRunAt + b.settings.Classes[req.class].DedupWindow - retryWriteMargin
+	return req.attempts.firstRunAt + b.settings.Classes[req.class].DedupWindow - retryWriteMargin
 }
--- a/internal/balancer/shedding.go
+++ b/internal/balancer/shedding.go
@@ -38,7 +38,7 @@
 // still try again in time.
 func (b *Balancer) shouldShed(req *request, ep *endpoint) bool {
 	hasFreeSlot := ep.hasFreeSlot(b.now)
-	if req.withinQuota && len(req.attempts) == 0 {
+	if req.quota.covered && len(req.attempts.all) == 0 {
 		b.recordShortage(hasFreeSlot)
 	}
 	// A free slot will soon be needed for a request of a higher level.
@@ -48,7 +48,7 @@
 	if hasFreeSlot {
 		return b.shouldShedByLatency(req)
 	}
-	return len(req.attempts) == 0 && b.isQueueTooLong(req, ep)
+	return len(req.attempts.all) == 0 && b.isQueueTooLong(req, ep)
 }
 
 // recordShortage adds to the shortage whether a request within its quota found a free slot.
--- a/internal/balancer/sparseshare.go
+++ b/internal/balancer/sparseshare.go
@@ -77,7 +77,7 @@
 func (b *Balancer) checkSparseQuota(check *quotaCheck) quotaDecision {
 	req, plan := check.request, check.plan
 	quota := &req.customer.quota
-	req.paidByCounter = false
+	req.quota.paidByCounter = false
 	req.level = b.priorityBand(req, plan)
 	b.returnUnusedTokens(req.customer, plan, 1)
 	short := check.isCeilingShort()
@@ -91,7 +91,7 @@
 	case quota.callPending || short && (b.hasTokensSoon(req) || b.awaitsLateAnswer(req)):
 		return quotaPending
 	case !quota.hasTokens(req.units) && b.canCallForSparse(check):
-		req.counterCalled = true
+		req.quota.counterCalled = true
 		b.leaseTokensLargeFleet(req, plan)
 		return quotaPending
 	case !short:
@@ -102,7 +102,7 @@
 	default:
 		return b.awaitSparseCeiling(check)
 	}
-	req.withinQuota = true
+	req.quota.covered = true
 	return quotaCovered
 }
 
@@ -118,7 +118,7 @@
 // awaitsTurnToCall reports whether a request waits until it may call the counter.
 func (b *Balancer) awaitsTurnToCall(check *quotaCheck) bool {
 	req, cust := check.request, check.request.customer
-	return !req.counterCalled && !check.nearlyLate &&
+	return !req.quota.counterCalled && !check.nearlyLate &&
 		b.now >= max(cust.bucket.emptyUntil, cust.quota.callsPausedUntil) &&
 		!b.hasWaitedForCounter(req)
 }
--- a/internal/balancer/tokenlease.go
+++ b/internal/balancer/tokenlease.go
@@ -36,7 +36,7 @@
 func (b *Balancer) spendTokens(check *quotaCheck) quotaDecision {
 	req, plan, short := check.request, check.plan, check.isCeilingShort()
 	quota, bucket := &req.customer.quota, &req.customer.bucket
-	req.paidByCounter = false
+	req.quota.paidByCounter = false
 	if b.isLargeFleet() {
 		return b.spendTokensLargeFleet(req, plan)
 	}
@@ -49,7 +49,7 @@
 		return quotaExceeded
 	case quota.hasTokens(req.units):
 		quota.spendTokens(req.units)
-		req.paidByCounter = true
+		req.quota.paidByCounter = true
 		if canCall && b.shouldRenewTokens(req) {
 			b.leaseTokens(check)
 		}
@@ -60,12 +60,12 @@
 	case quota.callPending:
 		return quotaPending
 	case canCall && b.drawsCall(req):
-		req.counterCalled = true
+		req.quota.counterCalled = true
 		b.leaseTokens(check)
 		return quotaPending
 	case !short && b.now >= bucket.emptyUntil && b.mayUseCredit(req):
 		quota.spendCredit(req.units)
-		req.onCredit = true
+		req.quota.onCredit = true
 		return quotaCovered
 	}
 	return quotaExceeded
@@ -96,7 +96,7 @@
 // canCallForTokens reports whether the counter may be called for a request's quota.
 func (b *Balancer) canCallForTokens(req *request) bool {
 	pausedUntil := max(req.customer.bucket.emptyUntil, req.customer.quota.callsPausedUntil)
-	return b.settings.UseCounter && !req.counterCalled && b.now >= pausedUntil && b.canCallCounter()
+	return b.settings.UseCounter && !req.quota.counterCalled && b.now >= pausedUntil && b.canCallCounter()
 }
 
 // shouldRenewTokens reports whether the tokens left are so few that the next lease is asked for ahead.
--- a/internal/balancer/waiting.go
+++ b/internal/balancer/waiting.go
@@ -39,8 +39,8 @@
 // allowAnotherCall lets each request that called the counter without an answer call it once more.
 func (waiting *waitingRequests) allowAnotherCall() {
 	for _, req := range waiting.requests {
-		req.counterCalled = req.counterCalled && req.counterCalledTwice
-		req.counterCalledTwice = true
+		req.quota.counterCalled = req.quota.counterCalled && req.quota.counterCalledTwice
+		req.quota.counterCalledTwice = true
 	}
 }
 
