--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -21,8 +21,14 @@
 	return watch(t, Config{Gateways: doors}, turnsAway, nil)
 }
 
-// watch is follow with more of a configuration, of an agent that is silent, without an answer, until a channel is closed.
-func watch(t *testing.T, cfg Config, turnsAway int, silent <-chan struct{}) (told <-chan endpoint.Update, calls *atomic.Int32) {
+// watch is follow with more of a configuration, of an agent that is silent, without an answer, until a channel is
+// closed.
+func watch(
+	t *testing.T,
+	cfg Config,
+	turnsAway int,
+	silent <-chan struct{},
+) (told <-chan endpoint.Update, calls *atomic.Int32) {
 	t.Helper()
 	calls = &atomic.Int32{}
 	agent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -39,7 +45,10 @@
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		fmt.Fprintln(w, `{"index":9,"snapshot":true,"endpoints":[{"name":"s","address":"127.0.0.1:1","status":"SERVING"}]}`)
+		_, _ = fmt.Fprintln(
+			w,
+			`{"index":9,"snapshot":true,"endpoints":[{"name":"s","address":"127.0.0.1:1","status":"SERVING"}]}`,
+		)
 		w.(http.Flusher).Flush()
 		<-r.Context().Done()
 	}))
@@ -82,42 +91,52 @@
 	}
 }
 
-// Where many front doors share a discovery that turns them away, each waits for longer, as it would never catch up; but for no longer than leaves time
+// Where many front doors share a discovery that turns them away, each waits for longer, as it would never catch up; but
+// for no longer than leaves time
 // to be told within 6 s.
 func TestManyFrontDoorsAskSeldom(t *testing.T) {
 	l := eventloop.New()
 	defer l.Close()
 	few := New(l, nil, Config{Gateways: 3}, nil)
 	many := New(l, nil, Config{Gateways: 80}, nil)
-	if few.turned.Initial > 200*time.Millisecond || few.turned.Max > time.Second {
-		t.Errorf("three front doors wait %v to %v", few.turned.Initial, few.turned.Max)
+	if few.afterRejection.Initial > 200*time.Millisecond || few.afterRejection.Max > time.Second {
+		t.Errorf("three front doors wait %v to %v", few.afterRejection.Initial, few.afterRejection.Max)
 	}
-	if all := time.Duration(80/rewatchesAll) * time.Second; many.turned.Initial < all/2 || many.turned.Max < all/2 {
-		t.Errorf("80 front doors wait %v to %v; discovery needs %v to answer each once", many.turned.Initial, many.turned.Max, all)
+	if all := time.Duration(
+		80/watchesPerSecond,
+	) * time.Second; many.afterRejection.Initial < all/2 ||
+		many.afterRejection.Max < all/2 {
+		t.Errorf(
+			"80 front doors wait %v to %v; discovery needs %v to answer each once",
+			many.afterRejection.Initial,
+			many.afterRejection.Max,
+			all,
+		)
 	}
 	for _, doors := range []int{1, 3, 80, 300, 10_000} {
 		d := New(l, nil, Config{Gateways: doors}, nil)
 		const room = 200 * time.Millisecond // a call's own wait in discovery's queue counts for nobody
-		if sum := signWithin + d.ended.Max*3/2 + listWithin; sum > toldWithin-room {
+		if sum := signTimeout + d.afterEnd.Max*3/2 + listTimeout; sum > toldWithin-room {
 			t.Errorf("%d front doors: %v after a watch that fell silent", doors, sum)
 		}
-		if sum := d.turned.Max*3/2 + listWithin; sum > toldWithin-room {
+		if sum := d.afterRejection.Max*3/2 + listTimeout; sum > toldWithin-room {
 			t.Errorf("%d front doors: %v after a call that was turned away", doors, sum)
 		}
-		if sum := answerWithin + d.ended.Max*3/2 + listWithin; sum > toldWithin-room {
+		if sum := answerTimeout + d.afterEnd.Max*3/2 + listTimeout; sum > toldWithin-room {
 			t.Errorf("%d front doors: %v after a call that was swallowed", doors, sum)
 		}
 	}
-	a := newApart() // one that waits for an agent with a queue, from when it was made
+	a := newCallInterval() // one that waits for an agent with a queue, from when it was made
 	for range 100 {
 		a.next()
 	}
-	if sum := a.next() + pushedWaits + listWithin; sum > toldWithin-200*time.Millisecond {
+	if sum := a.next() + maxParallelWait + listTimeout; sum > toldWithin-200*time.Millisecond {
 		t.Errorf("%v until a list is read of an agent that is back and has a queue", sum)
 	}
 }
 
-// Where lists are pushed the agent is silent while discovery is down, and has all at once when it is back: however many front doors there are, each
+// Where lists are pushed the agent is silent while discovery is down, and has all at once when it is back: however many
+// front doors there are, each
 // hears it before a drain binds. Before, each of 321 waited for 4 to 12 seconds, and then for longer.
 func TestSilentAgentIsHeardAtOnceWhenItIsBack(t *testing.T) {
 	back := make(chan struct{})
@@ -136,7 +155,8 @@
 	}
 }
 
-// An agent that takes its time is heard all the same; one that turns this door away is asked again by the terms of the fleet.
+// An agent that takes its time is heard all the same; one that turns this door away is asked again by the terms of the
+// fleet.
 func TestTurnedAwayWatchOfPushedLists(t *testing.T) {
 	told, calls := watch(t, Config{Gateways: 2, Pushed: true}, 3, nil)
 	<-told
--- a/internal/discovery/crossings_test.go
+++ b/internal/discovery/watch_test.go
@@ -24,12 +24,14 @@
 // toldWithin is when a change counts as told, from when discovery had it and could be reached.
 const toldWithin = 6 * time.Second
 
-// agent is a discovery agent on in-memory connections. What it does with a connection is settled when that is made, so that one which is swallowed
+// agent is a discovery agent on in-memory connections. What it does with a connection is settled when that is made, so
+// that one which is swallowed
 // stays so; what it does with a watch, as time goes on.
 type agent struct {
-	began   time.Time
-	change  time.Duration                     // when the backend begins to drain
-	does    func(call int) string             // "", refuse, silent, turn, half, trickle: with a connection that is made now
+	began  time.Time
+	change time.Duration // when the backend begins to drain
+	// does is what it does with a connection that is made now: "", refuse, silent, turn, half, trickle.
+	does    func(call int) string
 	mute    func(from, at time.Duration) bool // whether a watch opened at a time has fallen silent by another
 	indent  bool
 	pieces  int  // bytes of a list that are written at once; 0: all
@@ -49,7 +51,7 @@
 	near, far := net.Pipe()
 	a.mostAll.Store(max(a.mostAll.Load(), a.open.Add(1)))
 	go func() {
-		defer func() { far.Close(); a.open.Add(-1) }()
+		defer func() { _ = far.Close(); a.open.Add(-1) }()
 		a.serve(far, what)
 	}()
 	return near, nil
@@ -60,7 +62,11 @@
 	if a.at() >= a.change {
 		index, status = 2, "DRAINING"
 	}
-	s := fmt.Sprintf(`{"index":%d,"snapshot":true,"endpoints":[{"name":"s\"}{","address":"127.0.0.1:1","status":"%s"}]}`, index, status)
+	s := fmt.Sprintf(
+		`{"index":%d,"snapshot":true,"endpoints":[{"name":"s\"}{","address":"127.0.0.1:1","status":"%s"}]}`,
+		index,
+		status,
+	)
 	if a.indent {
 		s = strings.NewReplacer("[", "[\n  ", ",", ",\r\n  ", "}]", "\n}\n]").Replace(s)
 	}
@@ -74,7 +80,7 @@
 	}
 	ended := make(chan struct{})
 	go func() {
-		io.Copy(io.Discard, nc)
+		_, _ = io.Copy(io.Discard, nc)
 		close(ended)
 	}()
 	if what == "silent" {
@@ -82,14 +88,15 @@
 		return
 	}
 	if what == "turn" {
-		io.WriteString(nc, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
+		_, _ = io.WriteString(nc, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
 		return
 	}
-	head, put := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", func(s string) { fmt.Fprintf(nc, "%x\r\n%s\r\n", len(s), s) }
+	head := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+	put := func(s string) { _, _ = fmt.Fprintf(nc, "%x\r\n%s\r\n", len(s), s) }
 	if a.noEnd {
-		head, put = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n", func(s string) { io.WriteString(nc, s) }
+		head, put = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n", func(s string) { _, _ = io.WriteString(nc, s) }
 	}
-	io.WriteString(nc, head)
+	_, _ = io.WriteString(nc, head)
 	list := a.list()
 	switch what {
 	case "half":
@@ -144,7 +151,10 @@
 		l := eventloop.New()
 		drains := make(chan time.Duration, 1)
 		cfg.Addr, cfg.Dial = "agent:1", a.dial
-		cfg.Known = Members{Index: 1, Endpoints: []Endpoint{{Name: `s"}{`, Address: "127.0.0.1:1", Status: "SERVING"}}}
+		cfg.Known = EndpointList{
+			Index:     1,
+			Endpoints: []Endpoint{{Name: `s"}{`, Address: "127.0.0.1:1", Status: "SERVING"}},
+		}
 		d := New(l, slog.New(slog.NewTextHandler(io.Discard, nil)), cfg, func(u endpoint.Update) {
 			for _, e := range u.Entries {
 				if e.State == balancer.Draining {
@@ -185,7 +195,8 @@
 	return heard
 }
 
-// However a watch or a call fails, the change is heard within 6 s of discovery having it and being reachable, at whatever instants these fall.
+// However a watch or a call fails, the change is heard within 6 s of discovery having it and being reachable, at
+// whatever instants these fall.
 func TestWithinSixSeconds(t *testing.T) {
 	type script struct {
 		agent *agent
@@ -195,7 +206,13 @@
 	scripts := map[string]func(rng *rand.Rand) script{
 		"a watch falls silent": func(rng *rand.Rand) script {
 			silent := 3*time.Second + time.Duration(rng.Int64N(int64(4*time.Second)))
-			return script{agent: &agent{change: silent + 1, mute: func(from, at time.Duration) bool { return from < silent && at >= silent }}, from: silent}
+			return script{
+				agent: &agent{
+					change: silent + 1,
+					mute:   func(from, at time.Duration) bool { return from < silent && at >= silent },
+				},
+				from: silent,
+			}
 		},
 		"refused until it is back": func(rng *rand.Rand) script {
 			back := time.Duration(rng.Int64N(int64(12 * time.Second)))
@@ -237,7 +254,7 @@
 		},
 		"silent, then half a list": func(rng *rand.Rand) script {
 			silent := 3*time.Second + time.Duration(rng.Int64N(int64(4*time.Second)))
-			s := script{agent: &agent{change: silent + 1}, from: silent + signWithin}
+			s := script{agent: &agent{change: silent + 1}, from: silent + signTimeout}
 			s.agent.mute = func(from, at time.Duration) bool { return from < silent && at >= silent }
 			s.agent.does = func(call int) string {
 				if call == 1 {
@@ -282,7 +299,7 @@
 						if worst = max(worst, took); took > toldWithin {
 							t.Fatalf("seed %d: heard %v after it was there to be had", seed, took)
 						}
-						if s.agent.mostAll.Load() > pushedCalls+2 {
+						if s.agent.mostAll.Load() > maxParallelCalls+2 {
 							t.Fatalf("seed %d: %d connections at once", seed, s.agent.mostAll.Load())
 						}
 					}
@@ -303,7 +320,8 @@
 	}
 }
 
-// An older list, whole or not, changes nothing, wherever it comes from: one that is behind would bring back what drains.
+// An older list, whole or not, changes nothing, wherever it comes from: one that is behind would bring back what
+// drains.
 func TestOlderListChangesNothing(t *testing.T) {
 	var told []string
 	d := New(eventloop.New(), slog.New(slog.NewTextHandler(io.Discard, nil)), Config{}, func(u endpoint.Update) {
@@ -312,13 +330,26 @@
 		}
 	})
 	entry := func(index int64, whole bool, status string) {
-		d.discovered(Members{Index: index, Snapshot: whole, Endpoints: []Endpoint{{Name: "s", Address: "127.0.0.1:1", Status: status}}})
+		d.handleList(
+			EndpointList{
+				Index:     index,
+				Snapshot:  whole,
+				Endpoints: []Endpoint{{Name: "s", Address: "127.0.0.1:1", Status: status}},
+			},
+		)
 	}
 	entry(5, true, "SERVING")
 	entry(6, false, "DRAINING")
 	entry(5, true, "SERVING")
 	entry(4, false, "SERVING")
-	if want := []string{fmt.Sprint("s", balancer.Serving), fmt.Sprint("s", balancer.Draining)}; fmt.Sprint(told) != fmt.Sprint(want) {
+	if want := []string{
+		fmt.Sprint("s", balancer.Serving),
+		fmt.Sprint("s", balancer.Draining),
+	}; fmt.Sprint(
+		told,
+	) != fmt.Sprint(
+		want,
+	) {
 		t.Errorf("told %v, want %v", told, want)
 	}
 	if d.index != 6 {
@@ -330,9 +361,11 @@
 	}
 }
 
-// Whatever pieces lists come in, and on however many lines, they are cut where they end; what can't be one ends the watch.
+// Whatever pieces lists come in, and on however many lines, they are cut where they end; what can't be one ends the
+// watch.
 func TestFramer(t *testing.T) {
-	text := "\n\r\n  {\"index\":1,\"endpoints\":[{\"name\":\"a\\\\\\\"}{[\"}]}\n\n{\n \"index\": 2,\n \"endpoints\": [\n ]\n}{\"index\":3}\t\n"
+	text := "\n\r\n  {\"index\":1,\"endpoints\":[{\"name\":\"a\\\\\\\"}{[\"}]}\n\n" +
+		"{\n \"index\": 2,\n \"endpoints\": [\n ]\n}{\"index\":3}\t\n"
 	for piece := 1; piece <= len(text); piece++ {
 		var f framer
 		var got []int64
@@ -349,11 +382,11 @@
 				}
 			}
 		}
-		if fmt.Sprint(got) != "[1 2 3]" || f.inside() {
+		if fmt.Sprint(got) != "[1 2 3]" || f.isInside() {
 			t.Fatalf("pieces of %d bytes: %v", piece, got)
 		}
 	}
-	for _, bad := range []string{"x", "]", "{]", `{"index":}`, "{\"index\":\"" + strings.Repeat("x", mostList+1)} {
+	for _, bad := range []string{"x", "]", "{]", `{"index":}`, "{\"index\":\"" + strings.Repeat("x", maxListBytes+1)} {
 		var f framer
 		_, _, err := f.next([]byte(bad))
 		if err == nil {
--- a/internal/service/config.go
+++ b/internal/service/config.go
@@ -28,10 +28,10 @@
 	Sockets   int
 	Settings  balancer.Settings
 	Transport wire.Transport
-	Known     discovery.Members // the list of backends as last had, maybe old
-	Dir       string            // outlives the process where the platform upgrades it; empty: nothing does
-	Stall     time.Duration     // a long value of which nothing comes or is taken for so long is given up; 0: 5 s
-	Trace     io.Writer         // what becomes of each request and why; nil: not written
+	Known     discovery.EndpointList // the list of backends as last had, maybe old
+	Dir       string                 // outlives the process where the platform upgrades it; empty: nothing does
+	Stall     time.Duration          // a long value of which nothing comes or is taken for so long is given up; 0: 5 s
+	Trace     io.Writer              // what becomes of each request and why; nil: not written
 
 	keys map[string]bool // the paths of all keys that were given
 }
@@ -46,7 +46,7 @@
 			MemoryMB int `json:"memory_mb"`
 			Sockets  int
 		}
-		Known    discovery.Members
+		Known    discovery.EndpointList
 		Settings map[string]any
 	}
 	text, err := io.ReadAll(io.LimitReader(r, mostConfig+1))
--- a/internal/service/discovery_test.go
+++ b/internal/service/discovery_test.go
@@ -21,7 +21,7 @@
 	m.Snapshot = false
 	m.Endpoints[0].Status = "DRAINING"
 	w.news <- m
-	w.news <- discovery.Members{Index: -1}
+	w.news <- discovery.EndpointList{Index: -1}
 	if from := <-w.watches; from != "7" {
 		t.Errorf("the watch goes on at %s", from)
 	}
@@ -45,7 +45,7 @@
 	odd.Status = "ASLEEP"
 	m.Endpoints = append(m.Endpoints, odd, discovery.Endpoint{})
 	w.news <- m
-	w.news <- discovery.Members{Index: -1}
+	w.news <- discovery.EndpointList{Index: -1}
 	<-w.watches
 	<-w.watches
 	c.Command("PING")
@@ -64,11 +64,11 @@
 	w := start(t, nil)
 	<-w.watches
 	w.news <- members(5)
-	next := &world{t: t, news: make(chan discovery.Members), watches: make(chan string, 16)}
+	next := &world{t: t, news: make(chan discovery.EndpointList), watches: make(chan string, 16)}
 	agent := httptest.NewServer(http.HandlerFunc(next.serveWatch))
 	defer agent.Close()
 	defer agent.CloseClientConnections()
-	w.news <- discovery.Members{Index: -1} // the list was read before the watch ended, and the next begins
+	w.news <- discovery.EndpointList{Index: -1} // the list was read before the watch ended, and the next begins
 	if from := <-w.watches; from != "5" {
 		t.Errorf("the watch goes on at %s", from)
 	}
--- a/internal/service/golden_test.go
+++ b/internal/service/golden_test.go
@@ -63,7 +63,7 @@
 }
 
 // The types of a hand-over's state are all of the recorded one.
-var _ = estate{Core: proxy.HandoverState{Balancer: balancer.HandoverState{}}, Known: discovery.Members{}}
+var _ = estate{Core: proxy.HandoverState{Balancer: balancer.HandoverState{}}, Known: discovery.EndpointList{}}
 
 func TestGoldenBansFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "bans.json")
--- a/internal/service/upgrade.go
+++ b/internal/service/upgrade.go
@@ -26,9 +26,9 @@
 
 // estate is what the old process of an upgrade leaves to the new one, beside sockets.
 type estate struct {
-	Listen string              `json:"Listen"`
-	Core   proxy.HandoverState `json:"Core"`
-	Known  discovery.Members   `json:"Known"`
+	Listen string                 `json:"Listen"`
+	Core   proxy.HandoverState    `json:"Core"`
+	Known  discovery.EndpointList `json:"Known"`
 }
 
 // Inheritance is what a new process got from the old one.
@@ -200,8 +200,8 @@
 }
 
 // known is the list of backends as the loop has it.
-func (p *Platform) known(ctx context.Context) (m discovery.Members) {
-	got := make(chan discovery.Members, 1)
+func (p *Platform) known(ctx context.Context) (m discovery.EndpointList) {
+	got := make(chan discovery.EndpointList, 1)
 	if p.PostUntil(func() { got <- p.watch.List() }, ctx.Done()) {
 		select {
 		case m = <-got:
--- a/internal/service/world_test.go
+++ b/internal/service/world_test.go
@@ -38,8 +38,8 @@
 	call func(string) string // an operator's call and its answer
 
 	operators net.Listener
-	news      chan discovery.Members // to the watch
-	watches   chan string            // index each watch asked for
+	news      chan discovery.EndpointList // to the watch
+	watches   chan string                 // index each watch asked for
 }
 
 type option func(*Config, *testing.T)
@@ -47,7 +47,7 @@
 // start runs a front door that knows the given backends.
 func start(t *testing.T, addrs []string, options ...option) *world {
 	t.Helper()
-	w := &world{t: t, news: make(chan discovery.Members), watches: make(chan string, 16)}
+	w := &world{t: t, news: make(chan discovery.EndpointList), watches: make(chan string, 16)}
 	disco := httptest.NewServer(http.HandlerFunc(w.serveWatch))
 	cfg := config(t, false, 5_000_000)
 	cfg.Discovery = strings.TrimPrefix(disco.URL, "http://")
@@ -84,8 +84,8 @@
 	return cfg
 }
 
-func members(index int64, addrs ...string) discovery.Members {
-	m := discovery.Members{Index: index, Snapshot: true}
+func members(index int64, addrs ...string) discovery.EndpointList {
+	m := discovery.EndpointList{Index: index, Snapshot: true}
 	for i, a := range addrs {
 		m.Endpoints = append(m.Endpoints, discovery.Endpoint{Name: fmt.Sprint("s-", i), Address: a, Zone: "dc1", Type: "std",
 			Status: "SERVING", Weight: 1})
@@ -115,7 +115,7 @@
 }
 
 // lower gives a list discovery's own names.
-func lower(m discovery.Members) map[string]any {
+func lower(m discovery.EndpointList) map[string]any {
 	list := []map[string]any{}
 	for _, e := range m.Endpoints {
 		list = append(list, map[string]any{"name": e.Name, "address": e.Address, "zone": e.Zone, "type": e.Type,
