--- a/internal/service/hosted/fleet.go
+++ b/internal/service/hosted/fleet.go
@@ -55,7 +55,7 @@
 	f.peers, err = peer.New(peer.Config{Name: name, Listen: cfg.Listen, Gateways: cfg.Gateways, Key: cfg.Key, Identity: f.disk, Now: s.clock.Now, Log: s.log,
 		ApplyLease: f.apply, AppliedEpoch: f.applied, HandleLoanRequest: f.wanted, HandleLoan: f.loaned, SetClockWrong: f.wrongClock.Store, HandlePolicy: f.ofPolicy, RecoveryStep: func() string { return f.recovery.step() }, HandleKeys: func(from int, b []byte) {
 			if k := s.keys; k != nil {
-				k.Heard(from, b)
+				k.HandleMessage(from, b)
 			}
 		}})
 	if err != nil {
--- a/internal/service/hosted/hosted.go
+++ b/internal/service/hosted/hosted.go
@@ -51,7 +51,7 @@
 	metrics  *metrics                // nil: no listener shows them
 	fleet    *fleetSide              // nil: it stands alone
 	policy   *policySide             // nil: its policy is its file's
-	keys     *replica.Side           // nil: no class's keys are remembered
+	keys     *replica.Replica        // nil: no class's keys are remembered
 	disk     vfs.FS                  // of the state directory
 	recovery *comingBack             // nil: it stands alone
 
--- a/internal/service/hosted/keys.go
+++ b/internal/service/hosted/keys.go
@@ -11,9 +11,9 @@
 )
 
 // newKeys opens what this door remembers of keys.
-func (s *Service) newKeys(cfg *peer.Settings) (*replica.Side, error) {
-	k, err := replica.New(replica.Config{Rank: cfg.Index, Doors: len(cfg.Gateways), Voters: policyreplica.Voters(len(cfg.Gateways)), FS: s.disk, Dir: cfg.StateDir,
-		Inc: s.fleet.disk.Incarnation(), Keep: cfg.KeyRetention.Duration, Most: cfg.KeyRetention.MaxKeys, Now: s.clock.Now, Log: s.log.With("of", "keys"), Tell: s.fleet.peers.SendKeys})
+func (s *Service) newKeys(cfg *peer.Settings) (*replica.Replica, error) {
+	k, err := replica.New(replica.Config{Index: cfg.Index, Gateways: len(cfg.Gateways), Voters: policyreplica.Voters(len(cfg.Gateways)), FS: s.disk, Dir: cfg.StateDir,
+		Incarnation: s.fleet.disk.Incarnation(), Retention: cfg.KeyRetention.Duration, MaxKeys: cfg.KeyRetention.MaxKeys, Now: s.clock.Now, Log: s.log.With("of", "keys"), Send: s.fleet.peers.SendKeys})
 	if err != nil {
 		return nil, fmt.Errorf("fleet.remember: %w", err)
 	}
@@ -22,7 +22,7 @@
 
 // poolKeys claims keys for one pool. It implements [proxy.Keys].
 type poolKeys struct {
-	side *replica.Side
+	side *replica.Replica
 	pool string // as other doors know it
 }
 
@@ -33,7 +33,7 @@
 }
 
 func (p poolKeys) Claim(class, customer, key string, done func(proxy.Reservation)) uint64 {
-	return p.side.Claim(idempotency.KeyOf(p.pool, class, customer, key), func(v idempotency.Outcome) { done(verdictOf[v]) })
+	return p.side.Reserve(idempotency.KeyOf(p.pool, class, customer, key), func(v idempotency.Outcome) { done(verdictOf[v]) })
 }
 
-func (p poolKeys) End(n uint64, ran bool) { p.side.End(n, ran) }
+func (p poolKeys) End(n uint64, ran bool) { p.side.Finish(n, ran) }
--- a/internal/service/hosted/recovery.go
+++ b/internal/service/hosted/recovery.go
@@ -47,8 +47,8 @@
 	}
 	if s.keys != nil {
 		v := s.keys.View()
-		if t.HasKeys = true; v.Votes {
-			c.trust(s.keys.Found())
+		if t.HasKeys = true; v.IsVoter {
+			c.trust(s.keys.DiskSummary())
 		}
 	}
 	if s.policy != nil {
@@ -116,7 +116,7 @@
 	}
 	if s.keys != nil {
 		k := s.keys.View()
-		if seen.KeysReady, seen.KeysReason = s.keys.Reach() && (k.Ready || !k.Votes), k.Why; seen.KeysReason == "" {
+		if seen.KeysReady, seen.KeysReason = s.keys.HasQuorum() && (k.Ready || !k.IsVoter), k.Reason; seen.KeysReason == "" {
 			seen.KeysReason = "too few voters answer for keys: changes are refused"
 		}
 	}
