--- a/internal/peer/identity.go
+++ b/internal/peer/identity.go
@@ -19,7 +19,7 @@
 	Incarnation uint32 `json:"incarnation"`
 }
 
-var identityForm = statefile.Form{Kind: "gapgap door", Version: 1, Most: 4 << 10}
+var identityForm = statefile.Format{Kind: "gapgap door", Version: 1, MaxBytes: 4 << 10}
 
 // IdentityStore is a door's state directory, which one process has at a time.
 type IdentityStore struct {
--- a/internal/policyreplica/docs.go
+++ b/internal/policyreplica/docs.go
@@ -126,7 +126,7 @@
 	Version policy.Version `json:"version"`
 }
 
-var lastForm = statefile.Form{Kind: "gapgap policy version", Version: 1, Most: 4 << 10}
+var lastForm = statefile.Format{Kind: "gapgap policy version", Version: 1, MaxBytes: 4 << 10}
 
 func lastPath(dir string) string { return filepath.Join(dir, "policy.json") }
 
--- a/internal/raftlog/disk.go
+++ b/internal/raftlog/disk.go
@@ -21,7 +21,7 @@
 type Disk struct {
 	fs   vfs.FS
 	path string
-	form statefile.Form
+	form statefile.Format
 	is   kept
 }
 
@@ -43,14 +43,14 @@
 
 // OpenDisk opens the file in a directory, or makes it. Its errors say in one line what is wrong; then nothing has been changed.
 func OpenDisk(fsys vfs.FS, dir string) (*Disk, error) {
-	d := &Disk{fs: fsys, path: filepath.Join(dir, "policy.log"), form: statefile.Form{Kind: "gapgap policy log", Version: 1, Most: mostDisk}}
+	d := &Disk{fs: fsys, path: filepath.Join(dir, "policy.log"), form: statefile.Format{Kind: "gapgap policy log", Version: 1, MaxBytes: mostDisk}}
 	switch err := d.form.LoadFrom(fsys, d.path, &d.is); {
 	case errors.Is(err, fs.ErrNotExist):
 		var b [8]byte
 		rand.Read(b[:])
 		d.is.Number = binary.BigEndian.Uint64(b[:])>>1 | 1
 		return d, d.write()
-	case errors.Is(err, statefile.ErrDamaged):
+	case errors.Is(err, statefile.ErrCorrupt):
 		return nil, fmt.Errorf("%s: %w: %w", d.path, ErrDamaged, err)
 	case err != nil:
 		return nil, fmt.Errorf("%s: %w", d.path, err)
--- a/internal/service/bans.go
+++ b/internal/service/bans.go
@@ -21,7 +21,7 @@
 	bansEvery = 100 * time.Millisecond // how often another process's bans are looked for
 )
 
-var bansForm = statefile.Form{Kind: "gapgap-bans", Version: 1, Most: 1 << 20}
+var bansForm = statefile.Format{Kind: "gapgap-bans", Version: 1, MaxBytes: 1 << 20}
 
 // ban is a backend that is taken out by hand.
 type ban struct {
--- /dev/null
+++ b/internal/statefile/lock.go
@@ -0,0 +1,29 @@
+package statefile
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"syscall"
+)
+
+// Lock waits for the exclusive lock on a path and returns the function that releases it. The end of the process
+// releases it too. A missing file is created.
+func Lock(path string) (unlock func(), err error) {
+	file, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
+	if err != nil {
+		return nil, err
+	}
+	for {
+		err = syscall.Flock(int(file.Fd()), syscall.LOCK_EX)
+		if !errors.Is(err, syscall.EINTR) {
+			break
+		}
+	}
+	release := func() { _ = file.Close() } // nothing was written to it
+	if err != nil {
+		release()
+		return nil, fmt.Errorf("lock %s: %w", path, err)
+	}
+	return release, nil
+}
--- a/internal/statefile/statefile.go
+++ b/internal/statefile/statefile.go
@@ -1,5 +1,5 @@
-// Package statefile keeps small states in files that another process, or the next one, reads: written whole or not at all, with
-// the version of their form and a checksum.
+// Package statefile stores small states in files that another process, or the next one, reads. A file is replaced as a
+// whole or not at all, and has the kind and version of its format and a checksum.
 package statefile
 
 import (
@@ -7,108 +7,116 @@
 	"errors"
 	"fmt"
 	"hash/crc32"
-	"os"
-	"syscall"
 
 	"gapgap/internal/vfs"
 )
 
-// Errors of Load beside those of the file system. A file that is not there is [io/fs.ErrNotExist].
+// Errors of Decode and Load beside those of the file system. A missing file is [io/fs.ErrNotExist].
 var (
-	ErrDamaged = errors.New("the file is damaged")
-	ErrNewer   = errors.New("the file is of a newer version")
+	ErrCorrupt      = errors.New("the file is damaged")
+	ErrNewerVersion = errors.New("the file is of a newer version")
 )
 
-// Form names a kind of state and the version of its form. Older versions are read as far as their names say the same.
-type Form struct {
-	Kind    string
+// TooLargeError reports a state that is too large for its format.
+type TooLargeError struct {
+	// Kind is the format's.
+	Kind string
+	// Bytes is the size of the file, MaxBytes the largest allowed one.
+	Bytes, MaxBytes int64
+}
+
+// Error implements error.
+func (e *TooLargeError) Error() string {
+	return fmt.Sprintf("%s: %d bytes, %d at most", e.Kind, e.Bytes, e.MaxBytes)
+}
+
+// Format is the format of a kind of state, which is a value that encoding/json can encode.
+type Format struct {
+	Kind string
+	// Version is written. Lower ones are read too, as far as the names of fields are the same.
 	Version int
-	Most    int64 // bytes of a file
+	// MaxBytes limits the size of a file.
+	MaxBytes int64
 }
 
+// envelope is the content of a file.
 type envelope struct {
-	Kind    string          `json:"kind"`
-	Version int             `json:"version"`
-	Sum     uint32          `json:"crc32"`
-	Data    json.RawMessage `json:"data"`
+	Kind    string `json:"kind"`
+	Version int    `json:"version"`
+	// Checksum is the CRC-32 (IEEE) of Data.
+	Checksum uint32          `json:"crc32"`
+	Data     json.RawMessage `json:"data"`
 }
 
-// Encode makes the bytes of a state.
-func (f Form) Encode(state any) ([]byte, error) {
+// Encode returns the file content of a state. It may fail with a *TooLargeError.
+func (f Format) Encode(state any) ([]byte, error) {
 	data, err := json.Marshal(state)
 	if err != nil {
 		return nil, err
 	}
-	b, err := json.Marshal(envelope{f.Kind, f.Version, crc32.ChecksumIEEE(data), data})
-	if err == nil && int64(len(b)) > f.Most {
-		err = fmt.Errorf("%s: %d bytes, %d at most", f.Kind, len(b), f.Most)
+	content, err := json.Marshal(envelope{
+		Kind:     f.Kind,
+		Version:  f.Version,
+		Checksum: crc32.ChecksumIEEE(data),
+		Data:     data,
+	})
+	if err != nil {
+		return nil, err
+	}
+	if int64(len(content)) > f.MaxBytes {
+		return nil, &TooLargeError{Kind: f.Kind, Bytes: int64(len(content)), MaxBytes: f.MaxBytes}
 	}
-	return b, err
+	return content, nil
 }
 
-// Decode reads what Encode made. An error says that nothing was read.
-func (f Form) Decode(b []byte, state any) error {
-	var e envelope
-	if int64(len(b)) > f.Most {
-		return fmt.Errorf("%w: over %d bytes", ErrDamaged, f.Most)
+// Decode reads a file content into a state. Its errors wrap ErrCorrupt or ErrNewerVersion.
+func (f Format) Decode(content []byte, state any) error {
+	if int64(len(content)) > f.MaxBytes {
+		return f.errTooLong()
 	}
-	if err := json.Unmarshal(b, &e); err != nil {
-		return fmt.Errorf("%w: %w", ErrDamaged, err)
+	var e envelope
+	if err := json.Unmarshal(content, &e); err != nil {
+		return fmt.Errorf("%w: %w", ErrCorrupt, err)
 	}
 	switch {
 	case e.Kind != f.Kind:
-		return fmt.Errorf("%w: it is a %.20q, not a %q", ErrDamaged, e.Kind, f.Kind)
+		return fmt.Errorf("%w: it is a %.20q, not a %q", ErrCorrupt, e.Kind, f.Kind)
 	case e.Version > f.Version:
-		return fmt.Errorf("%w: %d; %d is known", ErrNewer, e.Version, f.Version)
-	case e.Version < 1 || crc32.ChecksumIEEE(e.Data) != e.Sum:
-		return fmt.Errorf("%w: its checksum is wrong", ErrDamaged)
+		return fmt.Errorf("%w: %d; %d is known", ErrNewerVersion, e.Version, f.Version)
+	case e.Version < 1 || crc32.ChecksumIEEE(e.Data) != e.Checksum:
+		return fmt.Errorf("%w: its checksum is wrong", ErrCorrupt)
 	}
 	if err := json.Unmarshal(e.Data, state); err != nil {
-		return fmt.Errorf("%w: %w", ErrDamaged, err)
+		return fmt.Errorf("%w: %w", ErrCorrupt, err)
 	}
 	return nil
 }
 
-// Save writes a state in the place of the one before, whole or not at all. When it returns nil the state outlives a power loss.
-func (f Form) Save(path string, state any) error { return f.SaveTo(vfs.OS{}, path, state) }
+func (f Format) errTooLong() error { return fmt.Errorf("%w: over %d bytes", ErrCorrupt, f.MaxBytes) }
+
+// Save replaces a file. When it returns nil, the state outlives a power loss.
+func (f Format) Save(path string, state any) error { return f.SaveTo(vfs.OS{}, path, state) }
 
 // SaveTo is Save on another file system.
-func (f Form) SaveTo(fs vfs.FS, path string, state any) error {
-	b, err := f.Encode(state)
+func (f Format) SaveTo(fsys vfs.FS, path string, state any) error {
+	content, err := f.Encode(state)
 	if err != nil {
 		return err
 	}
-	return vfs.ReplaceFile(fs, path, b)
+	return vfs.ReplaceFile(fsys, path, content)
 }
 
-// Load reads a state.
-func (f Form) Load(path string, state any) error { return f.LoadFrom(vfs.OS{}, path, state) }
+// Load reads a file into a state. An error that is not of the file system wraps ErrCorrupt or ErrNewerVersion.
+func (f Format) Load(path string, state any) error { return f.LoadFrom(vfs.OS{}, path, state) }
 
 // LoadFrom is Load on another file system.
-func (f Form) LoadFrom(fs vfs.FS, path string, state any) error {
-	b, err := vfs.ReadFile(fs, path, f.Most)
+func (f Format) LoadFrom(fsys vfs.FS, path string, state any) error {
+	content, err := vfs.ReadFile(fsys, path, f.MaxBytes)
 	if errors.Is(err, vfs.ErrTooLarge) {
-		return fmt.Errorf("%w: over %d bytes", ErrDamaged, f.Most)
-	} else if err != nil {
-		return err
+		return f.errTooLong()
 	}
-	return f.Decode(b, state)
-}
-
-// Lock waits for a lock that processes have on a path, and returns what gives it back. It goes with the process that has it.
-func Lock(path string) (unlock func(), err error) {
-	file, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
-		return nil, err
-	}
-	for {
-		if err = syscall.Flock(int(file.Fd()), syscall.LOCK_EX); !errors.Is(err, syscall.EINTR) {
-			break
-		}
-	}
-	if err != nil {
-		file.Close()
-		return nil, fmt.Errorf("lock %s: %w", path, err)
+		return err
 	}
-	return func() { file.Close() }, nil
+	return f.Decode(content, state)
 }
--- a/internal/statefile/statefile_test.go
+++ b/internal/statefile/statefile_test.go
@@ -4,107 +4,106 @@
 	"bytes"
 	"errors"
 	"io/fs"
-	"os"
 	"path/filepath"
-	"sync"
+	"slices"
 	"testing"
 )
 
+// state is a state of tests.
 type state struct{ Names []string }
 
-var form = Form{Kind: "test", Version: 2, Most: 1 << 10}
+var testFormat = Format{Kind: "test", Version: 2, MaxBytes: 1 << 10}
 
 func TestSaveAndLoad(t *testing.T) {
-	path := filepath.Join(t.TempDir(), "s")
-	var got state
-	if err := form.Load(path, &got); !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("no file: %v", err)
-	}
-	for _, names := range [][]string{{"a"}, {"b", "c"}} {
-		if err := form.Save(path, state{names}); err != nil {
+	path := filepath.Join(t.TempDir(), "state")
+	for _, want := range []state{{[]string{"a"}}, {[]string{"b", "c"}}} {
+		if err := testFormat.Save(path, want); err != nil {
 			t.Fatal(err)
 		}
-		if err := form.Load(path, &got); err != nil || len(got.Names) != len(names) || got.Names[0] != names[0] {
-			t.Errorf("%v, %v", got, err)
+		var got state
+		if err := testFormat.Load(path, &got); err != nil || !slices.Equal(got.Names, want.Names) {
+			t.Errorf("got %v, %v, want %v", got, err, want)
 		}
 	}
-	if left, _ := filepath.Glob(path + ".new*"); len(left) > 0 {
-		t.Errorf("left over: %v", left)
+	if left, err := filepath.Glob(path + ".new*"); err != nil || len(left) > 0 {
+		t.Errorf("left over: %v, %v", left, err)
+	}
+}
+
+func TestLoadRefusesOtherFiles(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "state")
+	if err := testFormat.Save(path, state{[]string{"a"}}); err != nil {
+		t.Fatal(err)
 	}
-	older := Form{Kind: "test", Version: 1, Most: 1 << 10}
-	if err := older.Load(path, &got); !errors.Is(err, ErrNewer) {
-		t.Errorf("a newer file: %v", err)
+	cases := []struct {
+		name   string
+		path   string
+		format Format
+		want   error
+	}{
+		{"no such file", path + "2", testFormat, fs.ErrNotExist},
+		{"a newer version", path, Format{Kind: "test", Version: 1, MaxBytes: 1 << 10}, ErrNewerVersion},
+		{"another kind", path, Format{Kind: "other", Version: 2, MaxBytes: 1 << 10}, ErrCorrupt},
+		{"a file that is too large", path, Format{Kind: "test", Version: 2, MaxBytes: 10}, ErrCorrupt},
 	}
-	if err := (Form{Kind: "other", Version: 2, Most: 1 << 10}).Load(path, &got); !errors.Is(err, ErrDamaged) {
-		t.Errorf("another kind: %v", err)
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			var got state
+			if err := c.format.Load(c.path, &got); !errors.Is(err, c.want) {
+				t.Errorf("got %v, want %v", err, c.want)
+			}
+		})
 	}
-	if err := form.Save(path, state{[]string{string(make([]byte, 4<<10))}}); err == nil {
-		t.Error("a state over the bound is saved")
+}
+
+// TestSaveRefusesLargeState holds that a state over the limit leaves the file as it was.
+func TestSaveRefusesLargeState(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "state")
+	if err := testFormat.Save(path, state{[]string{"b", "c"}}); err != nil {
+		t.Fatal(err)
 	}
-	if err := form.Load(path, &got); err != nil || got.Names[0] != "b" {
-		t.Errorf("the one before: %v, %v", got, err)
+	var tooLarge *TooLargeError
+	err := testFormat.Save(path, state{[]string{string(make([]byte, 4<<10))}})
+	if !errors.As(err, &tooLarge) || tooLarge.MaxBytes != testFormat.MaxBytes {
+		t.Errorf("got %v", err)
+	}
+	var got state
+	if err := testFormat.Load(path, &got); err != nil || !slices.Equal(got.Names, []string{"b", "c"}) {
+		t.Errorf("afterwards the file has %v, %v", got, err)
 	}
 }
 
-// Whatever byte is lost or changed, nothing wrong is read.
-func TestDamagedIsRefused(t *testing.T) {
-	good, err := form.Encode(state{[]string{"backend-1", "backend-2"}})
+// TestDecodeRefusesDamage changes each byte and cuts the content at each: nothing but the state that was saved is read.
+func TestDecodeRefusesDamage(t *testing.T) {
+	want := []string{"backend-1", "backend-2"}
+	content, err := testFormat.Encode(state{want})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i := range good {
-		bad := bytes.Clone(good)
-		bad[i] ^= 4
-		for _, b := range [][]byte{bad, good[:i]} {
+	for i := range content {
+		changed := bytes.Clone(content)
+		changed[i] ^= 4
+		for _, damaged := range [][]byte{changed, content[:i]} {
 			var got state
-			if err := form.Decode(b, &got); err == nil && (len(got.Names) != 2 || got.Names[0] != "backend-1" || got.Names[1] != "backend-2") {
+			if err := testFormat.Decode(damaged, &got); err == nil && !slices.Equal(got.Names, want) {
 				t.Errorf("byte %d: read as %v", i, got)
 			}
 		}
 	}
 }
 
-// Writers under the lock lose nothing of each other's.
-func TestLock(t *testing.T) {
-	path := filepath.Join(t.TempDir(), "s")
-	var wg sync.WaitGroup
-	for range 8 {
-		wg.Go(func() {
-			for range 10 {
-				unlock, err := Lock(path + ".lock")
-				if err != nil {
-					t.Error(err)
-					return
-				}
-				var s state
-				if err := form.Load(path, &s); err != nil && !errors.Is(err, fs.ErrNotExist) {
-					t.Error(err)
-				}
-				s.Names = append(s.Names, "x")
-				if err := form.Save(path, s); err != nil {
-					t.Error(err)
-				}
-				unlock()
-			}
-		})
-	}
-	wg.Wait()
-	var s state
-	if err := form.Load(path, &s); err != nil || len(s.Names) != 80 {
-		t.Errorf("%d, %v", len(s.Names), err)
-	}
-	if _, err := os.Stat(path + ".lock"); err != nil {
-		t.Error(err)
-	}
-}
-
+// FuzzDecode decodes arbitrary bytes. All errors are typed.
 func FuzzDecode(f *testing.F) {
-	good, _ := form.Encode(state{[]string{"a"}})
-	f.Add(good)
+	content, err := testFormat.Encode(state{[]string{"a"}})
+	if err != nil {
+		f.Fatal(err)
+	}
+	f.Add(content)
 	f.Add([]byte(`{"kind":"test","version":2,"data":null}`))
-	f.Fuzz(func(t *testing.T, b []byte) {
-		var s state
-		if err := form.Decode(b, &s); err != nil && !errors.Is(err, ErrDamaged) && !errors.Is(err, ErrNewer) {
+	f.Fuzz(func(t *testing.T, content []byte) {
+		var got state
+		err := testFormat.Decode(content, &got)
+		if err != nil && !errors.Is(err, ErrCorrupt) && !errors.Is(err, ErrNewerVersion) {
 			t.Errorf("%v", err)
 		}
 	})
