--- a/internal/idempotency/golden_test.go
+++ b/internal/idempotency/golden_test.go
@@ -11,18 +11,18 @@
 	"gapgap/internal/golden"
 )
 
-// goldenRetention is how long the voters of a play remember a key.
+// goldenRetention is how long the voters of a play retain a key.
 const goldenRetention = 10 * time.Second
 
 // goldenPlay is one deterministic run of coordinators and voters whose messages are lost, repeated and late.
 type goldenPlay struct {
 	name string
 	seed uint64
-	// voters and coordinators are how many of each there are.
-	voters, coordinators int
-	// keys is how many keys the requests share.
-	keys int
-	// capacity is how many keys a voter remembers.
+	// voterCount and coordinatorCount are how many of each there are.
+	voterCount, coordinatorCount int
+	// keyCount is how many keys the requests share.
+	keyCount int
+	// capacity is how many keys a voter retains.
 	capacity int
 	// loss is the probability that a message is lost.
 	loss float64
@@ -36,49 +36,56 @@
 
 // goldenVoter is a voter with its disk.
 type goldenVoter struct {
-	voter       *Voter
-	disk        []Record
+	voter *Voter
+	disk  []Record
+	// older is the disk as it was at the restart before.
 	older       []Record
 	incarnation uint32
 }
 
 // goldenMessage is a message on its way.
 type goldenMessage struct {
-	at    time.Duration
+	// at is when it arrives.
+	at time.Duration
+	// voter takes it, or sent the response.
 	voter int
 	// other is a coordinator, or a voter that sent a status.
 	other    int
 	request  *Request
 	response *Response
 	status   *VoterStatus
-	reply    bool
+	// isAnswer tells whether the status answers one.
+	isAnswer bool
 }
 
 // goldenRun is a play while it goes on.
 type goldenRun struct {
 	goldenPlay
-	rng         *rand.Rand
-	trace       *golden.Trace
-	now         time.Duration
-	starts      uint64
-	ranks       []int
-	voter       []*goldenVoter
-	coordinator []*Coordinator
-	active      [][]uint64
-	messages    []goldenMessage
+	rng   *rand.Rand
+	trace *golden.Trace
+	now   time.Duration
+	// starts counts voter processes.
+	starts       uint64
+	voterIndices []int
+	voters       []*goldenVoter
+	coordinators []*Coordinator
+	// active has the reservations that are not finished, by coordinator.
+	active   [][]uint64
+	messages []goldenMessage
 }
 
+// hash plays and returns the hash of all that the voters and coordinators return.
 func (p goldenPlay) hash() string {
 	r := &goldenRun{goldenPlay: p, rng: rand.New(rand.NewPCG(p.seed, 91)), trace: golden.NewTrace(), now: time.Hour}
-	for i := range p.voters {
-		r.ranks = append(r.ranks, i)
+	for i := range p.voterCount {
+		r.voterIndices = append(r.voterIndices, i)
 	}
-	for i := range p.voters {
-		r.voter = append(r.voter, &goldenVoter{})
+	for i := range p.voterCount {
+		r.voters = append(r.voters, &goldenVoter{})
 		r.start(i, nil)
 	}
-	for i := range p.coordinators {
-		r.coordinator = append(r.coordinator, NewCoordinator(uint64(100+i), r.ranks))
+	for i := range p.coordinatorCount {
+		r.coordinators = append(r.coordinators, NewCoordinator(uint64(100+i), r.voterIndices))
 		r.active = append(r.active, nil)
 	}
 	end := r.now + p.length
@@ -89,24 +96,24 @@
 		r.announce()
 		r.timers()
 		if r.rng.Float64() < p.restart {
-			r.restart(r.rng.IntN(p.voters))
+			r.restart(r.rng.IntN(p.voterCount))
 		}
 	}
-	for i := range r.voter {
-		r.trace.Int(int64(r.voter[i].voter.KeyCount()))
-		r.records(r.voter[i].voter.Snapshot(), true)
+	for i := range r.voters {
+		r.trace.Int(int64(r.voters[i].voter.KeyCount()))
+		r.hashUnordered(r.voters[i].voter.Snapshot())
 	}
 	return r.trace.Sum()
 }
 
 // start starts a voter with what its disk has.
 func (r *goldenRun) start(i int, disk []Record) {
-	v := r.voter[i]
+	v := r.voters[i]
 	v.incarnation++
 	r.starts++
 	config := VoterConfig{
 		Index:       i,
-		Voters:      r.ranks,
+		Voters:      r.voterIndices,
 		Process:     1000 + r.starts,
 		Retention:   goldenRetention,
 		MaxKeys:     r.capacity,
@@ -120,14 +127,14 @@
 
 // persist writes records to a voter's disk.
 func (r *goldenRun) persist(v *goldenVoter, out []Record) {
-	r.records(out, false)
+	r.hashRecords(out)
 	v.disk = append(v.disk, out...)
 	v.voter.MarkSynced()
 }
 
 // restart ends a voter's process and starts the next one.
 func (r *goldenRun) restart(i int) {
-	v := r.voter[i]
+	v := r.voters[i]
 	switch chance := r.rng.Float64(); {
 	case chance < r.emptyDisk:
 		v.incarnation = 0
@@ -170,9 +177,10 @@
 	}
 }
 
+// request has a request arrive at a voter.
 func (r *goldenRun) request(m goldenMessage) {
-	v := r.voter[m.voter]
-	answer, out, ok := v.voter.HandleRequest(r.now, r.coordinator[m.other].Process(), *m.request)
+	v := r.voters[m.voter]
+	answer, out, ok := v.voter.HandleRequest(r.now, r.coordinators[m.other].Process(), *m.request)
 	r.trace.Bool(ok)
 	r.trace.Uint(answer.Sequence)
 	r.trace.Uint(uint64(answer.Vote))
@@ -182,8 +190,9 @@
 	}
 }
 
+// response has a response arrive at a coordinator.
 func (r *goldenRun) response(m goldenMessage) {
-	result, ok := r.coordinator[m.other].HandleResponse(r.now, m.voter, *m.response)
+	result, ok := r.coordinators[m.other].HandleResponse(r.now, m.voter, *m.response)
 	r.trace.Bool(ok)
 	r.trace.Uint(result.Sequence)
 	r.trace.Int(int64(result.Outcome))
@@ -192,27 +201,29 @@
 	}
 }
 
+// status has a status arrive at a voter.
 func (r *goldenRun) status(m goldenMessage) {
-	v := r.voter[m.voter]
+	v := r.voters[m.voter]
 	out, answer := v.voter.HandleStatus(m.other, *m.status)
 	r.hashStatus(answer)
 	r.persist(v, out)
-	if !m.reply {
-		r.send(goldenMessage{voter: m.other, other: m.voter, status: &answer, reply: true})
+	if !m.isAnswer {
+		r.send(goldenMessage{voter: m.other, other: m.voter, status: &answer, isAnswer: true})
 	}
 }
 
 // finish ends a reservation.
-func (r *goldenRun) finish(coordinator int, n uint64, ran bool) {
-	r.coordinator[coordinator].Finish(r.now, n, ran)
-	r.active[coordinator] = slices.DeleteFunc(r.active[coordinator], func(other uint64) bool { return other == n })
+func (r *goldenRun) finish(coordinator int, sequence uint64, mayHaveRun bool) {
+	r.coordinators[coordinator].Finish(r.now, sequence, mayHaveRun)
+	isFinished := func(other uint64) bool { return other == sequence }
+	r.active[coordinator] = slices.DeleteFunc(r.active[coordinator], isFinished)
 }
 
 // requests begins and ends some reservations.
 func (r *goldenRun) requests() {
-	for i, c := range r.coordinator {
+	for i, c := range r.coordinators {
 		if r.rng.IntN(4) == 0 {
-			n, err := c.Reserve(r.now, KeyOf("customer", "class", fmt.Sprint(r.rng.IntN(r.keys))))
+			n, err := c.Reserve(r.now, KeyOf("customer", "class", fmt.Sprint(r.rng.IntN(r.keyCount))))
 			r.trace.Uint(n)
 			r.trace.Bool(err != nil)
 			if err == nil {
@@ -246,72 +257,76 @@
 
 // announce has a voter send its status to the others.
 func (r *goldenRun) announce() {
-	from := r.rng.IntN(len(r.ranks))
-	for _, to := range r.ranks {
+	from := r.rng.IntN(len(r.voterIndices))
+	for _, to := range r.voterIndices {
 		if to != from {
-			status := r.voter[from].voter.StatusFor(to)
+			status := r.voters[from].voter.StatusFor(to)
 			r.hashStatus(status)
 			r.send(goldenMessage{voter: to, other: from, status: &status})
 		}
 	}
 }
 
-// timers has the time go by at the voters.
+// timers advances the time of the voters.
 func (r *goldenRun) timers() {
-	for _, v := range r.voter {
+	for _, v := range r.voters {
 		out, rotated := v.voter.Tick(r.now)
 		r.trace.Bool(rotated)
 		r.persist(v, out)
 		if rotated && r.rng.IntN(2) == 0 {
-			r.records(v.voter.SegmentHeader(), true)
+			r.hashUnordered(v.voter.SegmentHeader())
 			v.disk = v.voter.Snapshot()
-			r.records(v.disk, true)
+			r.hashUnordered(v.disk)
 			v.voter.MarkSynced()
 		}
-		ready, why := v.voter.Ready(r.now)
+		ready, reason := v.voter.Ready(r.now)
 		r.trace.Bool(ready)
-		r.trace.String(why)
+		r.trace.String(reason)
 	}
 }
 
-// records hashes records; those that come from a map have no order of their own.
-func (r *goldenRun) records(records []Record, unordered bool) {
+// hashUnordered hashes records that come from a map, and so have no order.
+func (r *goldenRun) hashUnordered(records []Record) {
+	records = slices.Clone(records)
+	slices.SortFunc(records, func(a, b Record) int {
+		return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Voter, b.Voter),
+			slices.Compare(a.Key[:], b.Key[:]), cmp.Compare(a.Owner.Process, b.Owner.Process),
+			cmp.Compare(a.Owner.Sequence, b.Owner.Sequence))
+	})
+	r.hashRecords(records)
+}
+
+// hashRecords hashes records in their order.
+func (r *goldenRun) hashRecords(records []Record) {
 	r.trace.Int(int64(len(records)))
-	if unordered {
-		records = slices.Clone(records)
-		slices.SortFunc(records, func(a, b Record) int {
-			return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Voter, b.Voter),
-				slices.Compare(a.Key[:], b.Key[:]), cmp.Compare(a.Owner.Process, b.Owner.Process),
-				cmp.Compare(a.Owner.Sequence, b.Owner.Sequence))
-		})
-	}
 	for _, record := range records {
 		r.trace.Uint(uint64(record.Kind))
 		r.trace.String(string(record.Key[:]))
 		r.trace.Uint(record.Owner.Process)
 		r.trace.Uint(record.Owner.Sequence)
 		r.trace.Uint(record.ID)
-		r.disks(record.Disks)
+		r.hashDisks(record.Disks)
 		r.trace.Int(int64(record.Voter))
 		r.trace.Uint(uint64(record.Incarnation))
 		r.trace.Uint(record.RecordCount)
 	}
 }
 
-// disks hashes a set of disks, which has no order.
-func (r *goldenRun) disks(disks []uint64) {
+// hashDisks hashes a set of disks, which has no order.
+func (r *goldenRun) hashDisks(disks []uint64) {
 	r.trace.Int(int64(len(disks)))
 	for _, disk := range slices.Sorted(slices.Values(disks)) {
 		r.trace.Uint(disk)
 	}
 }
 
+// hashStatus hashes a status.
 func (r *goldenRun) hashStatus(status VoterStatus) {
 	r.trace.Uint(status.Process)
 	r.trace.Uint(uint64(status.Incarnation))
 	r.trace.Uint(status.Disk)
 	r.trace.Bool(status.Joined)
-	r.disks(status.InitialDisks)
+	r.hashDisks(status.InitialDisks)
 	r.trace.Uint(status.RecordsAtStart)
 	r.trace.Uint(status.RecordsSynced)
 	r.trace.Uint(status.ObservedProcess)
@@ -330,65 +345,65 @@
 		}
 	}
 	add(goldenPlay{
-		name:         "calm",
-		voters:       3,
-		coordinators: 3,
-		keys:         400,
-		capacity:     10_000,
+		name:             "calm",
+		voterCount:       3,
+		coordinatorCount: 3,
+		keyCount:         400,
+		capacity:         10_000,
 	})
 	add(goldenPlay{
-		name:         "contended",
-		voters:       3,
-		coordinators: 6,
-		keys:         5,
-		capacity:     10_000,
-		loss:         0.1,
+		name:             "contended",
+		voterCount:       3,
+		coordinatorCount: 6,
+		keyCount:         5,
+		capacity:         10_000,
+		loss:             0.1,
 	})
 	add(goldenPlay{
-		name:         "full",
-		voters:       3,
-		coordinators: 4,
-		keys:         300,
-		capacity:     30,
-		loss:         0.1,
+		name:             "full",
+		voterCount:       3,
+		coordinatorCount: 4,
+		keyCount:         300,
+		capacity:         30,
+		loss:             0.1,
 	})
 	add(goldenPlay{
-		name:         "lossy",
-		voters:       5,
-		coordinators: 3,
-		keys:         40,
-		capacity:     200,
-		loss:         0.5,
+		name:             "lossy",
+		voterCount:       5,
+		coordinatorCount: 3,
+		keyCount:         40,
+		capacity:         200,
+		loss:             0.5,
 	})
 	add(goldenPlay{
-		name:         "restarts",
-		voters:       3,
-		coordinators: 3,
-		keys:         40,
-		capacity:     200,
-		loss:         0.2,
-		restart:      0.02,
+		name:             "restarts",
+		voterCount:       3,
+		coordinatorCount: 3,
+		keyCount:         40,
+		capacity:         200,
+		loss:             0.2,
+		restart:          0.02,
 	})
 	add(goldenPlay{
-		name:         "disks",
-		voters:       3,
-		coordinators: 3,
-		keys:         40,
-		capacity:     200,
-		loss:         0.2,
-		restart:      0.01,
-		emptyDisk:    0.2,
-		oldDisk:      0.3,
+		name:             "disks",
+		voterCount:       3,
+		coordinatorCount: 3,
+		keyCount:         40,
+		capacity:         200,
+		loss:             0.2,
+		restart:          0.01,
+		emptyDisk:        0.2,
+		oldDisk:          0.3,
 	})
 	add(goldenPlay{
-		name:         "single",
-		voters:       1,
-		coordinators: 2,
-		keys:         40,
-		capacity:     200,
-		loss:         0.1,
-		restart:      0.005,
-		emptyDisk:    0.2,
+		name:             "single",
+		voterCount:       1,
+		coordinatorCount: 2,
+		keyCount:         40,
+		capacity:         200,
+		loss:             0.1,
+		restart:          0.005,
+		emptyDisk:        0.2,
 	})
 	return all
 }
--- a/internal/wal/golden_test.go
+++ b/internal/wal/golden_test.go
@@ -46,15 +46,15 @@
 	trace := golden.NewTrace()
 	disk := power.NewDisk(nil)
 	openAndHash := func(fs *power.Disk) *Log {
-		log, records, found, err := openAll(fs)
+		log, records, stats, err := openAll(fs)
 		hashError(trace, err)
 		trace.Int(int64(len(records)))
 		for _, record := range records {
 			trace.String(record)
 		}
-		trace.Int(int64(found.Segments))
-		trace.Int(int64(found.Records))
-		trace.Int(found.TornBytes)
+		trace.Int(int64(stats.Segments))
+		trace.Int(int64(stats.Records))
+		trace.Int(stats.TornBytes)
 		return log
 	}
 	log := openAndHash(disk)
@@ -163,9 +163,9 @@
 	if len(files) != len(recorded) {
 		t.Errorf("%d files", len(files))
 	}
-	_, got, found, err := openAll(power.NewDisk(recorded))
-	if err != nil || !slices.Equal(got, want) || found != (OpenStats{Segments: 2, Records: 4}) {
-		t.Errorf("recorded segments are read as %q, %+v, %v", got, found, err)
+	_, got, stats, err := openAll(power.NewDisk(recorded))
+	if err != nil || !slices.Equal(got, want) || stats != (OpenStats{Segments: 2, Records: 4}) {
+		t.Errorf("recorded segments are read as %q, %+v, %v", got, stats, err)
 	}
 }
 
