--- a/internal/idempotency/replica/replica_test.go
+++ b/internal/idempotency/replica/replica_test.go
@@ -59,15 +59,17 @@
 	for range config.gateways {
 		c.dirs = append(c.dirs, t.TempDir())
 	}
-	for i := range config.gateways {
-		c.start(i)
-	}
 	t.Cleanup(func() {
 		for i := range c.replicas {
 			c.stop(i)
 		}
 		c.inFlight.Wait()
 	})
+	for i := range config.gateways {
+		if err := c.start(i); err != nil {
+			t.Fatal(err)
+		}
+	}
 	c.waitForQuorum()
 	return c
 }
@@ -90,7 +92,7 @@
 }
 
 // start starts a replica on its disk.
-func (c *cluster) start(i int) {
+func (c *cluster) start(i int) error {
 	c.incarnations[i]++
 	config := testConfig(i, c.config.gateways, c.dirs[i])
 	config.Incarnation = c.incarnations[i]
@@ -100,12 +102,13 @@
 	config.Send = func(to int, datagram []byte) { c.send(i, to, datagram) }
 	r, err := New(config)
 	if err != nil {
-		c.t.Fatal(err)
+		return err
 	}
 	c.mu.Lock()
 	c.replicas[i] = r
 	c.mu.Unlock()
 	r.Start()
+	return nil
 }
 
 // stop stops a replica.
@@ -231,7 +234,10 @@
 		for n := range restarts {
 			time.Sleep(60 * time.Millisecond)
 			c.stop(n % 3)
-			c.start(n % 3)
+			if err := c.start(n % 3); err != nil {
+				t.Error(err)
+				return
+			}
 		}
 	})
 	workers.Wait()
