--- a/internal/balancer/handover_test.go
+++ b/internal/balancer/handover_test.go
@@ -171,21 +171,21 @@
 	list := backends(4)
 	old := open(t, settings, list...)
 	old.Step(time.Second, []Event{ask(1, 0, 0)})
-	old.classes[0] = classEstimate{meanLatency: 0.2, idleLatency: 0.1, answers: 77}
-	ep := old.endpoints[list[0].Name]
-	ep.warmingUp, ep.warmUpFrom, ep.latencyFactor, ep.concurrencyLimit = true, time.Second, 2, 3
-	ep.slowStart.Sent(time.Second, 1)
-	old.eject(old.endpoints[list[1].Name])
+	old.latency.classes[0] = classEstimate{meanLatency: 0.2, idleLatency: 0.1, answers: 77}
+	ep := old.endpoints.byName[list[0].Name]
+	ep.slowStart.active, ep.slowStart.since, ep.latency.factor, ep.concurrency.limit = true, time.Second, 2, 3
+	ep.slowStart.budget.RecordDispatch(time.Second, 1)
+	old.eject(old.endpoints.byName[list[1].Name])
 	b, m := pass(t, old, settings, 2*time.Second, list...)
-	if k := b.classes[0]; k.meanLatency != 0.2 || k.idleLatency != 0.1 || k.answers != 77 {
+	if k := b.latency.classes[0]; k.meanLatency != 0.2 || k.idleLatency != 0.1 || k.answers != 77 {
 		t.Errorf("%+v", k)
 	}
-	got := b.endpoints[list[0].Name]
-	if !got.warmingUp || got.warmUpFrom != time.Second || got.latencyFactor != 2 || got.concurrencyLimit != 3 ||
-		len(got.slowStart.Sends()) != 1 {
+	got := b.endpoints.byName[list[0].Name]
+	if !got.slowStart.active || got.slowStart.since != time.Second || got.latency.factor != 2 || got.concurrency.limit != 3 ||
+		len(got.slowStart.budget.Dispatches()) != 1 {
 		t.Errorf("%+v", got)
 	}
-	if !b.endpoints[list[1].Name].ejected {
+	if !b.endpoints.byName[list[1].Name].outlier.ejected {
 		t.Error("a server that was left out is used")
 	}
 	again := list[0]
@@ -198,7 +198,7 @@
 		2*time.Second,
 		[]Event{EndpointUpdate{Kind: CachedSnapshot, Entries: []Endpoint{again}}, ImportHandover{m}},
 	)
-	if got := fresh.endpoints[again.Name]; got.latencyFactor == 2 || got.warmUpFrom != again.StartedAt {
+	if got := fresh.endpoints.byName[again.Name]; got.latency.factor == 2 || got.slowStart.since != again.StartedAt {
 		t.Errorf("what is known of another process: %+v", got)
 	}
 }
@@ -210,15 +210,15 @@
 	b := open(t, settings, backends(2)...)
 	b.Step(time.Second, []Event{ask(1, 0, 1)})
 	cust := b.customers["c"]
-	ceil, spare := b.refillCeiling(cust, &settings.Plans[1]), cust.fallbackTokens
+	ceil, spare := b.refillCeiling(cust, &settings.Plans[1]), cust.quota.fallbackTokens
 	handed := only[HandoverReady](b.Step(time.Second, []Event{BeginHandover{}}))
-	if cust.ceilingTokens > cust.ceilingQueued || cust.fallbackTokens > 0 {
-		t.Errorf("kept: ceiling %v, spare %v", cust.ceilingTokens, cust.fallbackTokens)
+	if cust.ceiling.tokens > cust.ceiling.reserved || cust.quota.fallbackTokens > 0 {
+		t.Errorf("kept: ceiling %v, spare %v", cust.ceiling.tokens, cust.quota.fallbackTokens)
 	}
 	b.Step(2*time.Second, []Event{ask(2, 0, 1)}) // it fills nothing meanwhile
 	b.Step(3*time.Second, []Event{ImportHandover{handed[0].State}})
-	if math.Abs(cust.ceilingTokens-ceil) > 1e-9 || math.Abs(cust.fallbackTokens-spare) > 1e-9 {
-		t.Errorf("ceiling %v, was %v; spare %v, was %v", cust.ceilingTokens, ceil, cust.fallbackTokens, spare)
+	if math.Abs(cust.ceiling.tokens-ceil) > 1e-9 || math.Abs(cust.quota.fallbackTokens-spare) > 1e-9 {
+		t.Errorf("ceiling %v, was %v; spare %v, was %v", cust.ceiling.tokens, ceil, cust.quota.fallbackTokens, spare)
 	}
 	if b.handedOver {
 		t.Error("still away")
@@ -250,7 +250,7 @@
 	for i := range uint64(20) {
 		b.Step(time.Second+time.Duration(i)*20*ms, []Event{ask(i+1, 0, int(i)%4), TimerFired{0}})
 	}
-	if b.callFraction < minCallFraction || b.callFraction > 1 {
-		t.Errorf("callShare %v", b.callFraction)
+	if b.counter.callFraction < minCallFraction || b.counter.callFraction > 1 {
+		t.Errorf("callShare %v", b.counter.callFraction)
 	}
 }
