--- a/internal/cluster/golden_test.go
+++ b/internal/cluster/golden_test.go
@@ -22,47 +22,47 @@
 
 // clusterTrace adds all that the nodes of a play return to a trace.
 type clusterTrace struct {
-	trace *golden.Trace
-	world *world
+	trace   *golden.Trace
+	cluster *simulatedCluster
 }
 
-// hash plays and returns the hash of all messages, standings and changes, in order.
+// hash plays and returns the hash of all messages, share leases and transitions, in order.
 func (p clusterPlay) hash() string {
 	rng := rand.New(rand.NewPCG(p.seed, 24))
-	w := newWorld(p.seed, p.gateways)
-	w.lag = time.Duration(1+rng.IntN(300)) * time.Millisecond
-	recorder := &clusterTrace{trace: golden.NewTrace(), world: w}
-	w.onSend = recorder.message
-	w.onStanding = recorder.standing
+	c := newSimulatedCluster(p.seed, p.gateways)
+	c.maxApplyDelay = time.Duration(1+rng.IntN(300)) * time.Millisecond
+	recorder := &clusterTrace{trace: golden.NewTrace(), cluster: c}
+	c.onSend = recorder.message
+	c.onShareLease = recorder.shareLease
 	side := make([]int, p.gateways)
 	loss := 0.0
-	w.line = func(from, to int) (bool, time.Duration) {
-		return side[from] != side[to] || w.rng.Float64() < loss, time.Duration(1+w.rng.IntN(30)) * time.Millisecond
+	c.network = func(from, to int) (bool, time.Duration) {
+		return side[from] != side[to] || c.rng.Float64() < loss, time.Duration(1+c.rng.IntN(30)) * time.Millisecond
 	}
-	w.startAll()
-	w.run(w.now+3*time.Second, 50*time.Millisecond)
+	c.startAll()
+	c.run(3*time.Second, 50*time.Millisecond)
 	if p.duplicate {
 		recorder.runDuplicate()
 	}
-	for end := w.now + p.length; w.now < end; {
-		w.run(w.now+time.Duration(rng.IntN(2500))*time.Millisecond, 50*time.Millisecond)
-		target := w.doors[rng.IntN(p.gateways)]
+	for end := c.now + p.length; c.now < end; {
+		c.run(time.Duration(rng.IntN(2500))*time.Millisecond, 50*time.Millisecond)
+		target := c.gateways[rng.IntN(p.gateways)]
 		switch rng.IntN(9) {
 		case 0, 1:
-			if target.alive {
+			if target.isRunning {
 				target.kill()
 			} else {
 				target.start()
 			}
 		case 2:
-			if target.alive && !target.stopped {
-				target.stop()
-			} else if target.alive {
+			if target.isActive() {
+				target.suspend()
+			} else if target.isRunning {
 				target.resume()
 			}
 		case 3: // it has lost its disk
-			if target.alive && !target.stopped {
-				target.inc = 0
+			if target.isActive() {
+				target.incarnation = 0
 				target.start()
 			}
 		case 4:
@@ -72,11 +72,11 @@
 		case 5:
 			loss = rng.Float64() * 0.4
 		case 6:
-			if target.alive && !target.stopped {
+			if target.isActive() {
 				target.node.Leave()
 			}
 		case 7:
-			if target.alive && !target.stopped {
+			if target.isActive() {
 				err := target.node.Forget(target.clock(), rng.IntN(p.gateways))
 				recorder.trace.Bool(err == nil)
 			}
@@ -85,119 +85,121 @@
 			loss = 0
 		}
 	}
-	for _, d := range w.doors {
-		recorder.members(d)
+	for _, gateway := range c.gateways {
+		recorder.members(gateway)
 	}
 	return recorder.trace.Sum()
 }
 
 // runDuplicate runs a second process of gateway 0's name for some seconds, which hears gateway 1.
-func (c *clusterTrace) runDuplicate() {
-	w := c.world
-	duplicate := &door{w: w, rank: 0, drift: 1}
+func (recorder *clusterTrace) runDuplicate() {
+	c := recorder.cluster
+	duplicate := &simulatedGateway{cluster: c, index: 0, drift: 1}
 	duplicate.startAs(membership.ID{Incarnation: 1, Nonce: ^uint32(0)})
 	var relay func()
 	relay = func() {
-		heartbeat := w.doors[1].node.detector.Heartbeat(w.doors[1].clock())
-		duplicate.heard(1, Message{Heartbeat: &heartbeat})
-		if duplicate.alive {
-			w.after(200*time.Millisecond, relay)
+		heartbeat := c.gateways[1].node.detector.Heartbeat(c.gateways[1].clock())
+		duplicate.receive(1, Message{Heartbeat: &heartbeat})
+		if duplicate.isRunning {
+			c.schedule(200*time.Millisecond, relay)
 		}
 	}
 	relay()
-	w.run(w.now+4*time.Second, 50*time.Millisecond)
+	c.run(4*time.Second, 50*time.Millisecond)
 	duplicate.kill()
-	w.run(w.now+3*time.Second, 50*time.Millisecond)
+	c.run(3*time.Second, 50*time.Millisecond)
 }
 
 // message adds a message that a node sends.
-func (c *clusterTrace) message(from int, out Outgoing) {
-	c.trace.Int(1)
-	c.trace.Int(int64(from))
-	c.trace.Duration(c.world.now)
-	c.trace.Int(int64(out.To))
-	c.trace.Bool(out.ReplyToSender)
+func (recorder *clusterTrace) message(from int, out Outgoing) {
+	recorder.trace.Int(1)
+	recorder.trace.Int(int64(from))
+	recorder.trace.Duration(recorder.cluster.now)
+	recorder.trace.Int(int64(out.To))
+	recorder.trace.Bool(out.ReplyToSender)
 	switch {
 	case out.Message.Heartbeat != nil:
-		c.heartbeat(out.Message.Heartbeat)
+		recorder.heartbeat(out.Message.Heartbeat)
 	case out.Message.Request != nil:
-		c.trace.Int(2)
-		c.id(out.Message.Request.ID)
-		c.trace.Uint(uint64(out.Message.Request.Sequence))
-		c.trace.String(string(out.Message.Request.Slots))
+		recorder.trace.Int(2)
+		recorder.id(out.Message.Request.ID)
+		recorder.trace.Uint(uint64(out.Message.Request.Sequence))
+		recorder.trace.String(string(out.Message.Request.Slots))
 	case out.Message.Grant != nil:
-		c.trace.Int(3)
-		c.id(out.Message.Grant.ID)
-		c.trace.Uint(uint64(out.Message.Grant.Sequence))
-		c.trace.String(string(out.Message.Grant.Slots))
+		recorder.trace.Int(3)
+		recorder.id(out.Message.Grant.ID)
+		recorder.trace.Uint(uint64(out.Message.Grant.Sequence))
+		recorder.trace.String(string(out.Message.Grant.Slots))
 	}
 }
 
-func (c *clusterTrace) heartbeat(beat *membership.Heartbeat) {
-	c.trace.Int(1)
-	c.trace.Int(int64(len(beat.Entries)))
-	for _, entry := range beat.Entries {
-		c.trace.Int(int64(entry.Index))
-		c.id(entry.ID)
-		c.trace.Uint(uint64(entry.Counter))
-		c.trace.Int(int64(entry.Phase))
-		c.trace.Int(int64(entry.AgeMillis))
+func (recorder *clusterTrace) heartbeat(heartbeat *membership.Heartbeat) {
+	recorder.trace.Int(1)
+	recorder.trace.Int(int64(len(heartbeat.Entries)))
+	for _, entry := range heartbeat.Entries {
+		recorder.trace.Int(int64(entry.Index))
+		recorder.id(entry.ID)
+		recorder.trace.Uint(uint64(entry.Counter))
+		recorder.trace.Int(int64(entry.Phase))
+		recorder.trace.Int(int64(entry.AgeMillis))
 	}
-	c.trace.String(string(beat.AliveBits))
+	recorder.trace.String(string(heartbeat.AliveBits))
 }
 
-// standing adds what a node permits, and what changed.
-func (c *clusterTrace) standing(d *door, st ShareLease, changes []membership.Transition) {
-	c.trace.Int(2)
-	c.trace.Int(int64(d.rank))
-	c.trace.Duration(c.world.now)
-	c.trace.Uint(st.Epoch)
-	c.trace.Float(st.Fraction)
-	c.trace.Duration(st.Until)
-	c.trace.Bool(st.Excluded)
-	c.trace.Int(int64(len(st.DeadGateways)))
-	for _, index := range st.DeadGateways {
-		c.trace.Int(int64(index))
+// shareLease adds what a node permits, and what changed.
+func (recorder *clusterTrace) shareLease(
+	gateway *simulatedGateway, lease ShareLease, transitions []membership.Transition,
+) {
+	recorder.trace.Int(2)
+	recorder.trace.Int(int64(gateway.index))
+	recorder.trace.Duration(recorder.cluster.now)
+	recorder.trace.Uint(lease.Epoch)
+	recorder.trace.Float(lease.Fraction)
+	recorder.trace.Duration(lease.Until)
+	recorder.trace.Bool(lease.Excluded)
+	recorder.trace.Int(int64(len(lease.DeadGateways)))
+	for _, index := range lease.DeadGateways {
+		recorder.trace.Int(int64(index))
 	}
-	c.trace.Int(int64(len(changes)))
-	for _, change := range changes {
-		c.trace.Int(int64(change.Index))
-		c.trace.Int(int64(change.From))
-		c.trace.Int(int64(change.To))
-		c.trace.String(change.Cause)
-		c.id(change.ID)
+	recorder.trace.Int(int64(len(transitions)))
+	for _, transition := range transitions {
+		recorder.trace.Int(int64(transition.Index))
+		recorder.trace.Int(int64(transition.From))
+		recorder.trace.Int(int64(transition.To))
+		recorder.trace.String(transition.Cause)
+		recorder.id(transition.ID)
 	}
-	rival, hasRival := d.node.Duplicate(d.clock())
-	c.id(rival)
-	c.trace.Bool(hasRival)
-	c.trace.Bool(d.node.TakeIncarnationChange())
-	c.trace.Bool(d.node.HasLeft())
-	c.id(d.node.ID())
-	held, of := d.node.Slots(d.clock())
-	c.trace.Int(int64(held))
-	c.trace.Int(int64(of))
+	rival, hasRival := gateway.node.Duplicate(gateway.clock())
+	recorder.id(rival)
+	recorder.trace.Bool(hasRival)
+	recorder.trace.Bool(gateway.node.TakeIncarnationChange())
+	recorder.trace.Bool(gateway.node.HasLeft())
+	recorder.id(gateway.node.ID())
+	held, of := gateway.node.Slots(gateway.clock())
+	recorder.trace.Int(int64(held))
+	recorder.trace.Int(int64(of))
 }
 
 // members adds how a node sees all gateways.
-func (c *clusterTrace) members(d *door) {
-	for _, m := range d.node.Members() {
-		c.trace.Int(int64(m.Index))
-		c.trace.Int(int64(m.State))
-		c.trace.String(m.Cause)
-		c.trace.Duration(m.Since)
-		c.id(m.ID)
-		c.trace.Duration(m.LastHeard)
+func (recorder *clusterTrace) members(gateway *simulatedGateway) {
+	for _, m := range gateway.node.Members() {
+		recorder.trace.Int(int64(m.Index))
+		recorder.trace.Int(int64(m.State))
+		recorder.trace.String(m.Cause)
+		recorder.trace.Duration(m.Since)
+		recorder.id(m.ID)
+		recorder.trace.Duration(m.LastHeard)
 	}
 }
 
-func (c *clusterTrace) id(id membership.ID) {
-	c.trace.Uint(uint64(id.Incarnation))
-	c.trace.Uint(uint64(id.Nonce))
+func (recorder *clusterTrace) id(id membership.ID) {
+	recorder.trace.Uint(uint64(id.Incarnation))
+	recorder.trace.Uint(uint64(id.Nonce))
 }
 
 // TestGoldenCluster holds that a cluster behaves as in the program that the hashes were recorded from.
 func TestGoldenCluster(t *testing.T) {
-	skipRace(t)
+	skipUnderRaceDetector(t)
 	recorded := golden.LoadHashes(t, "testdata/golden/cluster.txt")
 	plays := 0
 	for _, size := range []struct {
@@ -227,8 +229,9 @@
 
 // TestInvalidMessagesAreRejected holds that a malformed message is answered by an error and by nothing else.
 func TestInvalidMessagesAreRejected(t *testing.T) {
-	node := New(Config{Index: 2, Gateways: 8, ID: membership.ID{Incarnation: 1}}, time.Hour, rand.New(rand.NewPCG(1, 1)))
-	last := New(Config{Index: 7, Gateways: 8, ID: membership.ID{Incarnation: 1}}, time.Hour, rand.New(rand.NewPCG(1, 1)))
+	id := membership.ID{Incarnation: 1}
+	node := New(Config{Index: 2, Gateways: 8, ID: id}, time.Hour, rand.New(rand.NewPCG(1, 1)))
+	last := New(Config{Index: 7, Gateways: 8, ID: id}, time.Hour, rand.New(rand.NewPCG(1, 1)))
 	set := quotalease.NewSlotSet(8)
 	cases := []struct {
 		name string
--- /dev/null
+++ b/internal/cluster/sharelease.go
@@ -0,0 +1,103 @@
+package cluster
+
+import (
+	"slices"
+	"time"
+
+	"gapgap/internal/quotalease"
+)
+
+// ShareLease is which share of the quotas a gateway may use.
+type ShareLease struct {
+	// Epoch grows when something is taken away; see [Node.ConfirmApplied].
+	Epoch uint64
+	// Fraction is the leased fraction of what all gateways share, from 0 to 1.
+	Fraction float64
+	// Until is when the lease ends, on this gateway's clock.
+	Until time.Duration
+	// Excluded is whether the gateway may not even use what it keeps without a lease: it is joining, has left, or
+	// another process of its name takes precedence.
+	Excluded bool
+	// DeadGateways are the indexes of gateways whose share others may use.
+	DeadGateways []int
+}
+
+// ShareLease returns which share this gateway may use.
+func (n *Node) ShareLease(now time.Duration) ShareLease {
+	lease := ShareLease{
+		Epoch:        n.epochs.current,
+		Excluded:     n.isExcluded(),
+		DeadGateways: slices.Clone(n.deadGateways),
+	}
+	if !lease.Excluded {
+		lease.Fraction, lease.Until = n.holder.Fraction(now)
+	}
+	return lease
+}
+
+// isExcluded reports whether this gateway takes part in nothing.
+func (n *Node) isExcluded() bool { return !n.isServing || n.isLeaving || n.hasDuplicate }
+
+// ConfirmApplied says that everyone who uses the share goes by the ShareLease of an epoch, or by a later one.
+func (n *Node) ConfirmApplied(epoch uint64) { n.epochs.applied = max(n.epochs.applied, epoch) }
+
+// Slots returns how many slots this gateway holds, and how many there are.
+func (n *Node) Slots(now time.Duration) (held, total int) {
+	held, _ = n.holder.Held(now)
+	return held, n.config.Gateways * quotalease.SlotsPerGateway(n.config.Gateways)
+}
+
+// requestSlots requests the slots that this gateway wants. It names slots that are no longer wanted until nobody uses
+// them.
+func (n *Node) requestSlots(now time.Duration) []Outgoing {
+	isDead := func(index int) bool { return n.isDead(now, index) }
+	wanted := quotalease.WantedSlots(n.config.Gateways, n.config.Index, isDead, n.isActive)
+	if n.holder.Release(now, wanted) {
+		n.epochs.requireNext()
+	}
+	if !n.epochs.mayRelease() {
+		wanted = n.holder.Requested()
+	}
+	request, ok := n.holder.NextRequest(now, wanted)
+	if !ok {
+		return nil
+	}
+	return n.sendRequest(now, request)
+}
+
+// sendRequest returns a request to each voter; this gateway's own voter answers at once.
+func (n *Node) sendRequest(now time.Duration, request quotalease.Request) []Outgoing {
+	var outgoing []Outgoing
+	for voter := range quotalease.VoterCount(n.config.Gateways) {
+		if voter != n.config.Index {
+			outgoing = append(outgoing, Outgoing{To: voter, Message: Message{Request: &request}})
+		} else if grant, ok := n.voter.HandleRequest(now, voter, request); ok {
+			n.holder.HandleGrant(voter, grant)
+		}
+	}
+	return outgoing
+}
+
+// Leave gives up the share as soon as nobody uses it; Tick then tells the other gateways, until HasLeft.
+func (n *Node) Leave() {
+	if !n.isLeaving {
+		n.isLeaving = true
+		n.epochs.requireNext()
+	}
+}
+
+// HasLeft reports whether the other gateways have been told that this one leaves.
+func (n *Node) HasLeft() bool { return n.detector.HasLeft() }
+
+// announceLeave gives up all slots and returns the messages that tell the voters so.
+func (n *Node) announceLeave(now time.Duration) []Outgoing {
+	var outgoing []Outgoing
+	request, ok := n.holder.NextRequest(now, quotalease.NewSlotSet(n.config.Gateways))
+	if ok && n.isServing && !n.hasDuplicate {
+		outgoing = n.sendRequest(now, request)
+	}
+	n.hasReleased = true
+	n.holder.ReleaseAll()
+	n.detector.Leave(now)
+	return outgoing
+}
