--- a/internal/balancer/selection.go
+++ b/internal/balancer/selection.go
@@ -95,7 +95,7 @@
 		b.endpoints.subsetSizedFor = count
 	}
 	using := b.settings.Gateways // few gateways have evidence enough of all endpoints
-	if using >= crowdFrom {
+	if using >= largeFleetGateways {
 		using = subsetting.GatewaysPerEndpoint(using, b.endpoints.subsetSizedFor, endpointsPerGateway)
 	}
 	b.endpoints.gatewaysPerEndpoint = using
