--- a/internal/peer/codec.go
+++ b/internal/peer/codec.go
@@ -12,189 +12,196 @@
 	"hash/fnv"
 
 	"github.com/fxamacker/cbor/v2"
-
-	"gapgap/internal/cluster"
 )
 
-// Form of a datagram: a version, the salt of its sender's process, a count, and the sealed message. Each process seals with a key of its
-// own, drawn from the shared one and its salt, so that counts may serve as nonces.
+// A datagram has a header of version, the salt of its sender's process and a count, then the sealed message. Each
+// process seals with a key of its own, derived from the shared key and its salt, so that counts serve as nonces.
 const (
-	version   = 1
-	saltBytes = 16
-	headBytes = 1 + saltBytes + 8
-
-	mostBytes = 16 << 10 // of a datagram; the largest that is sent has some 3 KB
-	leastKey  = 16       // bytes of a shared key
+	datagramVersion = 1
+	saltSize        = 16
+	countSize       = 8
+	headerSize      = 1 + saltSize + countSize
+	nonceSize       = 12
+	derivedKeySize  = 32
+
+	// maxDatagramBytes bounds a datagram; the largest that is sent has about 3 KB.
+	maxDatagramBytes = 16 << 10
+	// minSharedKeyBytes is the least length of the shared key.
+	minSharedKeyBytes = 16
+	// extraKnownSenders is how many processes are remembered beyond two for each gateway.
+	extraKnownSenders = 16
+
+	// keyContext separates keys that are derived for datagrams from others. It is part of the wire format.
+	keyContext = "gapgap fleet"
 )
 
-// message is what is sealed.
-type message struct {
-	ListHash      uint32           `cbor:"1,keyasint"` // a hash of the names: doors with different lists do not understand each other
-	From          uint16           `cbor:"2,keyasint"`
-	To            uint16           `cbor:"3,keyasint"`
-	Cluster       *cluster.Message `cbor:"4,keyasint,omitempty"`
-	StatusRequest uint32           `cbor:"5,keyasint,omitempty"` // for the receiver's view, by a number
-	StatusReply   *statusReply     `cbor:"6,keyasint,omitempty"`
-	LoanRequest   *LoanRequest     `cbor:"7,keyasint,omitempty"`
-	Loan          *Loan            `cbor:"8,keyasint,omitempty"`
-	Policy        []byte           `cbor:"9,keyasint,omitempty"`
-	Keys          []byte           `cbor:"10,keyasint,omitempty"`
-	SentAt        int64            `cbor:"11,keyasint,omitempty"` // its sender's clock, Unix nanoseconds; with a beat
-}
-
-// MaxPayloadBytes bounds what one datagram carries of policy, or of keys.
-const MaxPayloadBytes = 12 << 10
-
-// LoanRequest asks for a loan of a customer's ceiling.
-type LoanRequest struct {
-	Pool     string `cbor:"1,keyasint"`
-	Customer string `cbor:"2,keyasint"`
-	Plan     uint16 `cbor:"3,keyasint"`
-	At       int64  `cbor:"4,keyasint"` // when it was asked for, in nanoseconds on its door's clock
-}
-
-// Loan answers a Want.
-type Loan struct {
-	Request LoanRequest `cbor:"1,keyasint"`
-	Rate    float64     `cbor:"2,keyasint"`
-	Depth   float64     `cbor:"3,keyasint"`
-}
-
-// mostName bounds the names in a Want.
-const mostName = 64
-
-func (w *LoanRequest) good() bool { return len(w.Pool) <= mostName && len(w.Customer) <= mostName }
-
-// statusReply is how a door sees all others.
-type statusReply struct {
-	Number       uint32   `cbor:"1,keyasint"`
-	States       []byte   `cbor:"2,keyasint"` // by rank, each a members.State
-	Incarnations []uint32 `cbor:"3,keyasint"` // their incarnations
-	Fraction     float64  `cbor:"4,keyasint"`
-	RecoveryStep string   `cbor:"5,keyasint,omitempty"` // of its recovery
-}
-
-// mostStep bounds what a door says of its recovery.
-const mostStep = 160
-
-// Errors of open.
+// Errors of opener.open.
 var (
-	errForm     = errors.New("no datagram of this form")
-	errStranger = errors.New("not sealed with the fleet's key")
-	errList     = errors.New("from a door with another list of doors")
-	errTo       = errors.New("to another door")
+	errMalformedDatagram = errors.New("no datagram of this form")
+	errNotAuthentic      = errors.New("not sealed with the fleet's key")
+	errOtherList         = errors.New("from a door with another list of doors")
+	errOtherReceiver     = errors.New("to another door")
 )
 
-var decoder = func() cbor.DecMode {
-	m, err := cbor.DecOptions{MaxArrayElements: 4096, MaxMapPairs: 64, MaxNestedLevels: 8, IndefLength: cbor.IndefLengthForbidden,
-		DupMapKey: cbor.DupMapKeyEnforcedAPF, TagsMd: cbor.TagsForbidden}.DecMode()
+// decoder reads messages strictly.
+var decoder = newDecoder()
+
+func newDecoder() cbor.DecMode {
+	mode, err := cbor.DecOptions{
+		MaxArrayElements: 4096,
+		MaxMapPairs:      64,
+		MaxNestedLevels:  8,
+		IndefLength:      cbor.IndefLengthForbidden,
+		DupMapKey:        cbor.DupMapKeyEnforcedAPF,
+		TagsMd:           cbor.TagsForbidden,
+	}.DecMode()
 	if err != nil {
 		panic(err) // the options above are wrong
 	}
-	return m
-}()
+	return mode
+}
 
-// listOf is the hash of a list of doors.
-func listOf(names []string) uint32 {
+// hashList returns the hash of a list of gateways' names.
+func hashList(names []string) uint32 {
 	h := fnv.New32a()
-	for _, n := range names {
-		fmt.Fprintf(h, "%q ", n)
+	for _, name := range names {
+		_, _ = fmt.Fprintf(h, "%q ", name) // a hash takes all that is written
 	}
 	return h.Sum32()
 }
 
-// codec seals and opens. Sealing and opening may be done by one goroutine each.
-type codec struct {
-	shared []byte
-	list   uint32
-	rank   int
-	doors  int
+// salt is what a process's key is derived with.
+type salt [saltSize]byte
 
-	own   cipher.AEAD
-	head  [headBytes]byte
-	count uint64
+// deriveCipher returns the cipher of a process.
+func deriveCipher(sharedKey []byte, s salt) (cipher.AEAD, error) {
+	key, err := hkdf.Key(sha256.New, sharedKey, s[:], keyContext, derivedKeySize)
+	if err != nil {
+		return nil, err
+	}
+	block, err := aes.NewCipher(key)
+	if err != nil {
+		return nil, err
+	}
+	return cipher.NewGCM(block)
+}
 
-	known map[[saltBytes]byte]cipher.AEAD // of processes that were heard of
-	order [][saltBytes]byte
+// nonceOf returns the nonce of a datagram: the count in its header.
+func nonceOf(header []byte) []byte {
+	var nonce [nonceSize]byte
+	copy(nonce[nonceSize-countSize:], header[1+saltSize:headerSize])
+	return nonce[:]
 }
 
-func newCodec(key []byte, names []string, rank int) (*codec, error) {
-	c := &codec{shared: key, list: listOf(names), rank: rank, doors: len(names), known: map[[saltBytes]byte]cipher.AEAD{}}
-	c.head[0] = version
-	salt := c.head[1 : 1+saltBytes]
-	rand.Read(salt)
-	var err error
-	c.own, err = aead(key, salt)
-	return c, err
+// sealer makes datagrams. It belongs to one goroutine.
+type sealer struct {
+	listHash uint32
+	index    int
+	salt     salt
+	cipher   cipher.AEAD
+	// count is that of the last datagram.
+	count uint64
 }
 
-func aead(key, salt []byte) (cipher.AEAD, error) {
-	k, err := hkdf.Key(sha256.New, key, salt, "gapgap fleet", 32)
+// newSealer returns a sealer for the gateway at a position of a list.
+func newSealer(sharedKey []byte, names []string, index int) (*sealer, error) {
+	var s salt
+	rand.Read(s[:])
+	aead, err := deriveCipher(sharedKey, s)
 	if err != nil {
 		return nil, err
 	}
-	b, err := aes.NewCipher(k)
+	return &sealer{listHash: hashList(names), index: index, salt: s, cipher: aead}, nil
+}
+
+// seal returns the datagram of a message to m.To. It sets the message's ListHash and From.
+func (s *sealer) seal(m *message) ([]byte, error) {
+	m.ListHash, m.From = s.listHash, uint16(s.index)
+	body, err := cbor.Marshal(m)
 	if err != nil {
 		return nil, err
 	}
-	return cipher.NewGCM(b)
+	s.count++
+	datagram := make([]byte, 0, headerSize+len(body)+s.cipher.Overhead())
+	datagram = append(datagram, datagramVersion)
+	datagram = append(datagram, s.salt[:]...)
+	datagram = binary.BigEndian.AppendUint64(datagram, s.count)
+	return s.cipher.Seal(datagram, nonceOf(datagram), body, datagram), nil
 }
 
-func nonce(head []byte) []byte {
-	var n [12]byte
-	copy(n[4:], head[1+saltBytes:headBytes])
-	return n[:]
+// opener reads datagrams. It belongs to one goroutine.
+type opener struct {
+	sharedKey []byte
+	listHash  uint32
+	index     int
+	gateways  int
+	// known has the ciphers of processes that were heard of, and order their salts, the oldest first.
+	known map[salt]cipher.AEAD
+	order []salt
 }
 
-// seal makes a datagram.
-func (c *codec) seal(m *message) ([]byte, error) {
-	m.ListHash, m.From = c.list, uint16(c.rank)
-	body, err := cbor.Marshal(m)
+// newOpener returns an opener for the gateway at a position of a list.
+func newOpener(sharedKey []byte, names []string, index int) *opener {
+	return &opener{
+		sharedKey: sharedKey,
+		listHash:  hashList(names),
+		index:     index,
+		gateways:  len(names),
+		known:     map[salt]cipher.AEAD{},
+	}
+}
+
+// open returns the message of a datagram. Its error wraps one of those above.
+func (o *opener) open(datagram []byte) (*message, error) {
+	if len(datagram) < headerSize || len(datagram) > maxDatagramBytes || datagram[0] != datagramVersion {
+		return nil, errMalformedDatagram
+	}
+	body, err := o.decrypt(datagram[:headerSize], datagram[headerSize:])
 	if err != nil {
 		return nil, err
 	}
-	c.count++
-	binary.BigEndian.PutUint64(c.head[1+saltBytes:], c.count)
-	out := make([]byte, headBytes, headBytes+len(body)+c.own.Overhead())
-	copy(out, c.head[:])
-	return c.own.Seal(out, nonce(out), body, out[:headBytes]), nil
+	m := &message{}
+	if err := decoder.Unmarshal(body, m); err != nil {
+		return nil, fmt.Errorf("%w: %w", errMalformedDatagram, err)
+	}
+	switch {
+	case m.ListHash != o.listHash:
+		return nil, errOtherList
+	case int(m.To) != o.index:
+		return nil, errOtherReceiver
+	case int(m.From) >= o.gateways:
+		return nil, errMalformedDatagram
+	}
+	return m, nil
 }
 
-// open reads a datagram.
-func (c *codec) open(b []byte) (*message, error) {
-	if len(b) < headBytes || len(b) > mostBytes || b[0] != version {
-		return nil, errForm
-	}
-	salt := [saltBytes]byte(b[1 : 1+saltBytes])
-	a, known := c.known[salt]
-	if !known {
+// decrypt returns the sealed part of a datagram. It remembers the sender only if the datagram is authentic, so that
+// nothing is stored for others.
+func (o *opener) decrypt(header, sealed []byte) ([]byte, error) {
+	sender := salt(header[1 : 1+saltSize])
+	aead, isKnown := o.known[sender]
+	if !isKnown {
 		var err error
-		if a, err = aead(c.shared, salt[:]); err != nil {
+		if aead, err = deriveCipher(o.sharedKey, sender); err != nil {
 			return nil, err
 		}
 	}
-	body, err := a.Open(nil, nonce(b[:headBytes]), b[headBytes:], b[:headBytes])
+	body, err := aead.Open(nil, nonceOf(header), sealed, header)
 	if err != nil {
-		return nil, errStranger
+		return nil, errNotAuthentic
 	}
-	if !known { // only now, so that strangers fill nothing
-		if len(c.order) >= 2*c.doors+16 {
-			delete(c.known, c.order[0])
-			c.order = c.order[1:]
-		}
-		c.known[salt], c.order = a, append(c.order, salt)
+	if !isKnown {
+		o.remember(sender, aead)
 	}
-	m := &message{}
-	if err := decoder.Unmarshal(body, m); err != nil {
-		return nil, fmt.Errorf("%w: %w", errForm, err)
-	}
-	switch {
-	case m.ListHash != c.list:
-		return nil, errList
-	case int(m.To) != c.rank:
-		return nil, errTo
-	case int(m.From) >= c.doors:
-		return nil, errForm
+	return body, nil
+}
+
+// remember stores the cipher of a process, in place of the oldest one if there are too many.
+func (o *opener) remember(sender salt, aead cipher.AEAD) {
+	if len(o.order) >= 2*o.gateways+extraKnownSenders {
+		delete(o.known, o.order[0])
+		o.order = o.order[1:]
 	}
-	return m, nil
+	o.known[sender] = aead
+	o.order = append(o.order, sender)
 }
--- a/internal/peer/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -21,26 +21,45 @@
 // goldenMessages are messages of each kind, with a value in each field.
 func goldenMessages() map[string]*message {
 	id := membership.ID{Incarnation: 70_000, Nonce: 3_000_000_001}
-	want := LoanRequest{Pool: "checkout", Customer: "acme", Plan: 3, At: 7_200_000_000_123}
-	return map[string]*message{
-		"heartbeat": {
-			SentAt: 1_700_000_000_000_000_001,
-			Cluster: &cluster.Message{Heartbeat: &membership.Heartbeat{
-				Entries: []membership.Entry{
-					{Index: 1, ID: id, Counter: 5, Phase: membership.Serving, AgeMillis: 6},
-					{Index: 300, ID: membership.ID{Incarnation: 1, Nonce: 2}, Counter: 70_000, Phase: membership.Leaving, AgeMillis: 1400},
-				},
-				AliveBits: []byte{1, 0, 255},
-			}},
+	heartbeat := &membership.Heartbeat{
+		Entries: []membership.Entry{
+			{
+				Index:     1,
+				ID:        id,
+				Counter:   5,
+				Phase:     membership.Serving,
+				AgeMillis: 6,
+			},
+			{
+				Index:     300,
+				ID:        membership.ID{Incarnation: 1, Nonce: 2},
+				Counter:   70_000,
+				Phase:     membership.Leaving,
+				AgeMillis: 1400,
+			},
 		},
-		"claim":  {Cluster: &cluster.Message{Request: &quotalease.Request{ID: id, Sequence: 9, Slots: quotalease.SlotSet{1, 2, 3}}}},
-		"grant":  {Cluster: &cluster.Message{Grant: &quotalease.Grant{ID: id, Sequence: 9, Slots: quotalease.SlotSet{4, 5, 6}}}},
-		"query":  {StatusRequest: 42},
-		"report": {StatusReply: &statusReply{Number: 42, States: []byte{2, 3, 5}, Incarnations: []uint32{1, 70_000, 3}, Fraction: 0.375, RecoveryStep: "policy"}},
-		"want":   {LoanRequest: &want},
-		"loan":   {Loan: &Loan{Request: want, Rate: 12.5, Depth: 30.25}},
-		"policy": {Policy: []byte("policy bytes")},
-		"keys":   {Keys: []byte("key bytes")},
+		AliveBits: []byte{1, 0, 255},
+	}
+	request := &quotalease.Request{ID: id, Sequence: 9, Slots: quotalease.SlotSet{1, 2, 3}}
+	grant := &quotalease.Grant{ID: id, Sequence: 9, Slots: quotalease.SlotSet{4, 5, 6}}
+	reply := &statusReply{
+		Number:       42,
+		States:       []byte{2, 3, 5},
+		Incarnations: []uint32{1, 70_000, 3},
+		Fraction:     0.375,
+		RecoveryStep: "policy",
+	}
+	loanRequest := LoanRequest{Pool: "checkout", Customer: "acme", Plan: 3, At: 7_200_000_000_123}
+	return map[string]*message{
+		"heartbeat": {Cluster: &cluster.Message{Heartbeat: heartbeat}, SentAt: 1_700_000_000_000_000_001},
+		"claim":     {Cluster: &cluster.Message{Request: request}},
+		"grant":     {Cluster: &cluster.Message{Grant: grant}},
+		"query":     {StatusRequest: 42},
+		"report":    {StatusReply: reply},
+		"want":      {LoanRequest: &loanRequest},
+		"loan":      {Loan: &Loan{Request: loanRequest, Rate: 12.5, Depth: 30.25}},
+		"policy":    {Policy: []byte("policy bytes")},
+		"keys":      {Keys: []byte("key bytes")},
 	}
 }
 
@@ -48,7 +67,7 @@
 func TestGoldenMessages(t *testing.T) {
 	for name, m := range goldenMessages() {
 		t.Run(name, func(t *testing.T) {
-			m.ListHash, m.From, m.To = listOf(names), 1, 2
+			m.ListHash, m.From, m.To = hashList(testNames), 1, 2
 			encoded, err := cbor.Marshal(m)
 			if err != nil {
 				t.Fatal(err)
@@ -69,22 +88,18 @@
 // TestGoldenDatagram holds that a sealed datagram has the recorded form, and is opened.
 func TestGoldenDatagram(t *testing.T) {
 	const path = "testdata/golden/datagram.bin"
-	sender := mustCodec(t, key, names, 1)
-	salt := sender.head[1 : 1+saltBytes]
-	copy(salt, "sixteen bytes of")
+	sender := mustSealer(t, testKey, testNames, 1)
+	sender.salt = salt([]byte("sixteen bytes of"))
 	var err error
-	if sender.own, err = aead(key, salt); err != nil {
+	if sender.cipher, err = deriveCipher(testKey, sender.salt); err != nil {
 		t.Fatal(err)
 	}
 	sender.count = 258
 	want := goldenMessages()["heartbeat"]
 	want.To = 2
-	sealed, err := sender.seal(want)
-	if err != nil {
-		t.Fatal(err)
-	}
+	sealed := mustSeal(t, sender, want)
 	golden.CheckBytes(t, path, sealed)
-	got, err := mustCodec(t, key, names, 2).open(golden.Read(t, path))
+	got, err := newOpener(testKey, testNames, 2).open(golden.Read(t, path))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -133,16 +148,34 @@
 // TestGoldenView holds that the view of the cluster for operators has the recorded form, and is read back as it was.
 func TestGoldenView(t *testing.T) {
 	const path = "testdata/golden/view.json"
-	part := 0.25
+	fraction := 0.25
 	since := time.Date(2026, 1, 2, 3, 4, 5, 6_000_000, time.UTC)
 	want := View{
-		Name: "n0", Incarnation: 70_000, Fraction: 0.5, Excluded: true, HasDuplicate: true, WrongClock: true,
+		Name:         "n0",
+		Incarnation:  70_000,
+		Fraction:     0.5,
+		Excluded:     true,
+		HasDuplicate: true,
+		WrongClock:   true,
 		Gateways: []Member{
 			{
-				Name: "n0", State: membership.Alive.String(), Cause: "serves", Since: since, Incarnation: 70_000, Fraction: &part,
-				SeenBy: map[string]string{"n0": "alive", "n1": "suspect"}, Recovery: "policy", Disagree: true,
+				Name:        "n0",
+				State:       membership.Alive.String(),
+				Cause:       "serves",
+				Since:       since,
+				Incarnation: 70_000,
+				Fraction:    &fraction,
+				SeenBy:      map[string]string{"n0": "alive", "n1": "suspect"},
+				Recovery:    "policy",
+				Disagree:    true,
+			},
+			{
+				Name:        "n1",
+				State:       membership.Dead.String(),
+				Cause:       "no sign of life for 1.5s",
+				Since:       since,
+				Incarnation: 2,
 			},
-			{Name: "n1", State: membership.Dead.String(), Cause: "no sign of life for 1.5s", Since: since, Incarnation: 2},
 		},
 	}
 	var encoded bytes.Buffer
--- a/internal/peer/identity.go
+++ b/internal/peer/identity.go
@@ -13,7 +13,13 @@
 	"gapgap/internal/vfs"
 )
 
-// identity is what a door keeps of itself over its starts.
+// Files in a gateway's state directory.
+const (
+	identityFile = "door.json"
+	lockFile     = "door.lock"
+)
+
+// identity is what a gateway keeps of itself over its starts.
 type identity struct {
 	Name        string `json:"name"`
 	Incarnation uint32 `json:"incarnation"`
@@ -21,65 +27,81 @@
 
 var identityForm = statefile.Form{Kind: "gapgap door", Version: 1, Most: 4 << 10}
 
-// IdentityStore is a door's state directory, which one process has at a time.
+// IdentityStore is a gateway's state directory, which one process has at a time.
 type IdentityStore struct {
-	fs   vfs.FS
-	path string
-	lock *os.File
-	is   identity
+	fs       vfs.FS
+	path     string
+	lock     *os.File
+	identity identity
 }
 
-// OpenIdentity takes the state directory of a door and counts its incarnation up. Its errors say in one line what is wrong: another process
-// has it, it is another door's, or the file is damaged or of a newer version. Then nothing has been changed.
+// OpenIdentity locks the state directory of a gateway and increments its incarnation. Its errors say in one line what
+// is wrong: another process has the directory, it is another gateway's, or the file is damaged or of a newer version.
+// Then nothing has been changed.
 func OpenIdentity(fsys vfs.FS, dir, name string) (*IdentityStore, error) {
-	d := &IdentityStore{fs: fsys, path: filepath.Join(dir, "door.json")}
-	lock, err := os.OpenFile(filepath.Join(dir, "door.lock"), os.O_CREATE|os.O_RDWR, 0o600)
+	lock, err := lockDirectory(dir)
+	if err != nil {
+		return nil, err
+	}
+	s := &IdentityStore{fs: fsys, path: filepath.Join(dir, identityFile), lock: lock}
+	if err := s.load(name); err != nil {
+		s.Close()
+		return nil, err
+	}
+	if err := s.Save(s.identity.Incarnation + 1); err != nil {
+		s.Close()
+		return nil, err
+	}
+	return s, nil
+}
+
+// lockDirectory takes the lock of a state directory, which ends with the process or when the file is closed.
+func lockDirectory(dir string) (*os.File, error) {
+	lock, err := os.OpenFile(filepath.Join(dir, lockFile), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return nil, err
 	}
 	for {
-		if err = syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); !errors.Is(err, syscall.EINTR) {
+		err = syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
+		if !errors.Is(err, syscall.EINTR) {
 			break
 		}
 	}
 	if err != nil {
-		lock.Close()
+		_ = lock.Close() // nothing was written
 		return nil, fmt.Errorf("%s: another process has it (%w)", dir, err)
 	}
-	d.lock = lock
-	switch err := identityForm.LoadFrom(fsys, d.path, &d.is); {
+	return lock, nil
+}
+
+// load reads the identity of a gateway, or makes a new one in an empty directory.
+func (s *IdentityStore) load(name string) error {
+	switch err := identityForm.LoadFrom(s.fs, s.path, &s.identity); {
 	case errors.Is(err, fs.ErrNotExist):
-		d.is = identity{Name: name}
+		s.identity = identity{Name: name}
 	case err != nil:
-		lock.Close()
-		return nil, fmt.Errorf("%s: %w; a door that has lost its disk starts with an empty directory", d.path, err)
-	case d.is.Name != name:
-		lock.Close()
-		return nil, fmt.Errorf("%s is that of the door %q, not of %q", d.path, d.is.Name, name)
-	case d.is.Incarnation == math.MaxUint32:
-		lock.Close()
-		return nil, fmt.Errorf("%s has no further incarnation; start with an empty directory", d.path)
-	}
-	if err := d.Save(d.is.Incarnation + 1); err != nil {
-		lock.Close()
-		return nil, err
+		return fmt.Errorf("%s: %w; a door that has lost its disk starts with an empty directory", s.path, err)
+	case s.identity.Name != name:
+		return fmt.Errorf("%s is that of the door %q, not of %q", s.path, s.identity.Name, name)
+	case s.identity.Incarnation == math.MaxUint32:
+		return fmt.Errorf("%s has no further incarnation; start with an empty directory", s.path)
 	}
-	return d, nil
+	return nil
 }
 
-// Incarnation is that of this process.
-func (d *IdentityStore) Incarnation() uint32 { return d.is.Incarnation }
+// Incarnation returns that of this process.
+func (s *IdentityStore) Incarnation() uint32 { return s.identity.Incarnation }
 
-// Save writes another incarnation, durably.
-func (d *IdentityStore) Save(incarnation uint32) error {
-	next := d.is
+// Save writes another incarnation durably.
+func (s *IdentityStore) Save(incarnation uint32) error {
+	next := s.identity
 	next.Incarnation = incarnation
-	if err := identityForm.SaveTo(d.fs, d.path, next); err != nil {
-		return fmt.Errorf("%s: %w", d.path, err)
+	if err := identityForm.SaveTo(s.fs, s.path, next); err != nil {
+		return fmt.Errorf("%s: %w", s.path, err)
 	}
-	d.is = next
+	s.identity = next
 	return nil
 }
 
-// Close gives the directory back.
-func (d *IdentityStore) Close() { d.lock.Close() }
+// Close unlocks the directory.
+func (s *IdentityStore) Close() { _ = s.lock.Close() } // nothing was written to the lock
--- a/internal/service/hosted/config.go
+++ b/internal/service/hosted/config.go
@@ -534,7 +534,7 @@
 			return nil, fault(key("remember"), "%q is not disk", cl.Remember)
 		case cl.Remember != "" && effect != balancer.IdempotentByKey:
 			return nil, fault(key("remember"), "wants a keyed class")
-		case cl.Remember != "" && (f.Fleet == nil || f.Fleet.Remember == nil):
+		case cl.Remember != "" && (f.Fleet == nil || f.Fleet.KeyRetention == nil):
 			return nil, fault(key("remember"), "wants [fleet.remember]")
 		}
 		if cl.Remember != "" { // what servers remember of keys is lost with their power
--- a/internal/service/hosted/policy.go
+++ b/internal/service/hosted/policy.go
@@ -43,7 +43,7 @@
 		Tell: s.fleet.peers.SendPolicy, ID: func() policy.Ref { return policy.Ref{Rank: uint16(sec.Index), ID: s.fleet.peers.ID()} },
 		Begin: func() ([]byte, error) { return policyOf(cfg.text) }, GiveUp: sec.Policy.GiveUp, Fence: sec.Policy.Fence, Host: p}
 	if sec.Policy.UseLastKnown {
-		pc.Last = sec.Policy.After
+		pc.Last = sec.Policy.LastKnownWait
 	}
 	var err error
 	if p.side, err = policyreplica.New(pc); err != nil {
