--- a/internal/cluster/golden_test.go
+++ b/internal/cluster/golden_test.go
@@ -169,9 +169,9 @@
 		recorder.trace.String(transition.Cause)
 		recorder.id(transition.ID)
 	}
-	rival, hasRival := gateway.node.Duplicate(gateway.clock())
-	recorder.id(rival)
-	recorder.trace.Bool(hasRival)
+	duplicate, hasDuplicate := gateway.node.Duplicate(gateway.clock())
+	recorder.id(duplicate)
+	recorder.trace.Bool(hasDuplicate)
 	recorder.trace.Bool(gateway.node.TakeIncarnationChange())
 	recorder.trace.Bool(gateway.node.HasLeft())
 	recorder.id(gateway.node.ID())
--- a/internal/cluster/sharelease.go
+++ b/internal/cluster/sharelease.go
@@ -38,7 +38,7 @@
 // isExcluded reports whether this gateway takes part in nothing.
 func (n *Node) isExcluded() bool { return !n.isServing || n.isLeaving || n.hasDuplicate }
 
-// ConfirmApplied says that everyone who uses the share goes by the ShareLease of an epoch, or by a later one.
+// ConfirmApplied records that all users of the share have applied the ShareLease of an epoch, or a later one.
 func (n *Node) ConfirmApplied(epoch uint64) { n.epochs.applied = max(n.epochs.applied, epoch) }
 
 // Slots returns how many slots this gateway holds, and how many there are.
@@ -47,8 +47,8 @@
 	return held, n.config.Gateways * quotalease.SlotsPerGateway(n.config.Gateways)
 }
 
-// requestSlots requests the slots that this gateway wants. It names slots that are no longer wanted until nobody uses
-// them.
+// requestSlots requests the slots that this gateway wants. It still names slots that are no longer wanted while they
+// are in use.
 func (n *Node) requestSlots(now time.Duration) []Outgoing {
 	isDead := func(index int) bool { return n.isDead(now, index) }
 	wanted := quotalease.WantedSlots(n.config.Gateways, n.config.Index, isDead, n.isActive)
--- a/internal/cluster/simulation_test.go
+++ b/internal/cluster/simulation_test.go
@@ -16,7 +16,7 @@
 // datagramOverhead is the bytes that sealing adds to a message.
 const datagramOverhead = 56
 
-// simulatedCluster is a cluster in virtual time. Each gateway has a clock of its own, and pools that go by its share
+// simulatedCluster is a cluster in virtual time. Each gateway has a clock of its own, and pools that apply its share
 // lease some time after it changed.
 type simulatedCluster struct {
 	rng       *rand.Rand
@@ -26,7 +26,7 @@
 	gateways  []*simulatedGateway
 	// network says of each message whether it gets lost, and how late it arrives.
 	network func(from, to int) (isLost bool, delay time.Duration)
-	// maxApplyDelay is the longest time that a pool takes to go by a new share lease.
+	// maxApplyDelay is the longest time that a pool takes to apply a new share lease.
 	maxApplyDelay time.Duration
 	// violation describes the first slot that was used twice; empty means none.
 	violation string
@@ -124,7 +124,7 @@
 	lastSequences map[int]uint32
 	// lastSequence is that of the last request sent.
 	lastSequence uint32
-	// leasesSeen counts share leases, and leaseApplied is the number of that which the pools go by.
+	// leasesSeen counts share leases, and leaseApplied is the number of the one that the pools have applied.
 	leasesSeen   int
 	leaseApplied int
 }
@@ -327,7 +327,7 @@
 	g.cluster.schedule(delay, g.whileRunning(g.tick))
 }
 
-// applyLease has the pools go by the node's share lease, a little later.
+// applyLease has the pools apply the node's share lease, a little later.
 func (g *simulatedGateway) applyLease() {
 	transitions := g.node.TakeTransitions()
 	for _, transition := range transitions {
@@ -353,7 +353,7 @@
 	number := g.leasesSeen
 	g.cluster.schedule(g.cluster.randomDuration(g.cluster.maxApplyDelay), g.whileRunning(func() {
 		if number < g.leaseApplied {
-			return // the pools go by a newer one
+			return // the pools have applied a newer one
 		}
 		g.leaseApplied = number
 		g.usedSlots, g.until, g.isExcluded = held, lease.Until, lease.Excluded
--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -208,9 +208,9 @@
 		r.trace.String(change.Cause)
 		r.recordID(change.ID)
 	}
-	rival, hasRival := process.table.Duplicate(process.clock(r.now))
-	r.recordID(rival)
-	r.trace.Bool(hasRival)
+	duplicate, hasDuplicate := process.table.Duplicate(process.clock(r.now))
+	r.recordID(duplicate)
+	r.trace.Bool(hasDuplicate)
 	r.trace.Bool(process.table.TakeIncarnationChange())
 	r.trace.Bool(process.table.HasLeft())
 	r.recordID(process.table.ID())
--- a/internal/peer/operator.go
+++ b/internal/peer/operator.go
@@ -26,8 +26,8 @@
 // Error implements error. The text is shown to operators.
 func (e *PresentError) Error() string { return fmt.Sprintf("door %s is %v", e.Name, e.State) }
 
-// Leave gives up this gateway's share and tells the others that it leaves, once all who use the share go by that. It
-// returns an error if the time was too short.
+// Leave gives up this gateway's share and tells the others that it leaves, once all users of the share have applied
+// that. It returns an error if the time was too short.
 func (t *Transport) Leave(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
 	defer cancel()
--- a/internal/peer/send.go
+++ b/internal/peer/send.go
@@ -95,7 +95,7 @@
 	}
 }
 
-// saveIncarnation writes an incarnation that the node has taken, before any other gateway hears of it.
+// saveIncarnation writes an incarnation that the node has taken, before any other gateway receives it.
 func (t *Transport) saveIncarnation() {
 	if !t.node.TakeIncarnationChange() {
 		return
--- a/internal/quotalease/voter.go
+++ b/internal/quotalease/voter.go
@@ -43,7 +43,7 @@
 	holderID membership.ID
 	// heldUntil is when the grant ends; 0 means that the slot is free.
 	heldUntil time.Duration
-	// ownerDeniedAt is when its owner last asked for it in vain; 0 means never.
+	// ownerDeniedAt is when its owner was last denied it; 0 means never, or that it has it again.
 	ownerDeniedAt time.Duration
 }
 
