--- a/cmd/gapgapctl/policy.go
+++ b/cmd/gapgapctl/policy.go
@@ -155,7 +155,7 @@
 	case "":
 		return nil, &cli.Error{Code: cli.Misused, Err: errors.New("--file is missing")}
 	case "-":
-		return io.ReadAll(io.LimitReader(os.Stdin, policy.MostBytes+1))
+		return io.ReadAll(io.LimitReader(os.Stdin, policy.MaxDocumentBytes+1))
 	}
 	return os.ReadFile(file)
 }
@@ -191,7 +191,7 @@
 		}
 	}
 	if u, err := user.Current(); err == nil {
-		q.Set("who", u.Username[:min(len(u.Username), policy.MostID)])
+		q.Set("who", u.Username[:min(len(u.Username), policy.MaxIDBytes)])
 	}
 	body, err := callFor(c.Context(), socket, http.MethodPost, "/policy/propose?"+q.Encode(), bytes.NewReader(doc), p.wait+callWithin)
 	if err != nil {
@@ -227,14 +227,14 @@
 
 func statusTable(out io.Writer, s *hosted.PolicyStatus) error {
 	t := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	fmt.Fprintf(t, "door\t%s\ngoes by\tversion %d, %s\ndecides\t%t\n", s.Name, s.Version.N, s.Version.Hash.String()[:12], s.Decides)
+	fmt.Fprintf(t, "door\t%s\ngoes by\tversion %d, %s\ndecides\t%t\n", s.Name, s.Version.Number, s.Version.Hash.String()[:12], s.Decides)
 	if s.Present == nil {
 		fmt.Fprintf(t, "present\tnot known: no majority of the voters answers\n")
 		return t.Flush()
 	}
-	fmt.Fprintf(t, "present\tversion %d, %s\nmode\t%s\nleader\t%s\nmay decide\t%s\n", s.Present.N, s.Present.Hash.String()[:12], s.Mode, s.Leader, strings.Join(s.Serving, " "))
+	fmt.Fprintf(t, "present\tversion %d, %s\nmode\t%s\nleader\t%s\nmay decide\t%s\n", s.Present.Number, s.Present.Hash.String()[:12], s.Mode, s.Leader, strings.Join(s.Serving, " "))
 	if s.Change != nil {
-		fmt.Fprintf(t, "change\t%s by %s, %s\nwaits\t%s\n", s.Change.ID, s.Change.Who, s.Change.Mode, s.Waits)
+		fmt.Fprintf(t, "change\t%s by %s, %s\nwaits\t%s\n", s.Change.ID, s.Change.Author, s.Change.Mode, s.Waits)
 	}
 	return t.Flush()
 }
@@ -244,24 +244,24 @@
 	fmt.Fprintf(t, "VERSION\tID\tWHO\tWHEN\tMODE\tLOCKED\tFENCED\tSWITCHED WITHIN\tWHAT\n")
 	for _, o := range slices.Backward(past) {
 		version, what := "-", "dropped: "+o.Reason
-		if o.Taken {
-			version, what = strconv.FormatUint(o.N, 10), "taken"
+		if o.Committed {
+			version, what = strconv.FormatUint(o.Version, 10), "taken"
 		}
 		if o.Change.Note != "" {
 			what += " (" + o.Change.Note + ")"
 		}
 		switched := ""
-		if len(o.Switched) > 0 {
+		if len(o.SwitchedAt) > 0 {
 			first, last := int64(0), int64(0)
-			for _, at := range o.Switched {
+			for _, at := range o.SwitchedAt {
 				if first == 0 || at < first {
 					first = at
 				}
 				last = max(last, at)
 			}
-			switched = fmt.Sprintf("%d ms, %d doors", last-first, len(o.Switched))
+			switched = fmt.Sprintf("%d ms, %d doors", last-first, len(o.SwitchedAt))
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%d\t%d\t%s\t%s\n", version, o.Change.ID, o.Change.Who, time.UnixMilli(o.At).UTC().Format(time.DateTime), o.Change.Mode,
+		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%d\t%d\t%s\t%s\n", version, o.Change.ID, o.Change.Author, time.UnixMilli(o.DecidedAt).UTC().Format(time.DateTime), o.Change.Mode,
 			len(o.Locked), len(o.Fenced), switched, what)
 	}
 	return t.Flush()
--- a/cmd/gapgapctl/policy_test.go
+++ b/cmd/gapgapctl/policy_test.go
@@ -47,10 +47,10 @@
 		io.WriteString(w, "rate = 1"+r.URL.Query().Get("version")+"\n")
 	})
 	mux.HandleFunc("GET /policy/history", func(w http.ResponseWriter, _ *http.Request) {
-		put(w, []policy.Outcome{{Change: policy.Change{ID: "a", Who: "ann"}, Taken: true, N: 2, Switched: map[uint16]int64{0: 1000, 1: 1012}}, {Change: policy.Change{ID: "b"}, Reason: "it conflicts"}})
+		put(w, []policy.Outcome{{Change: policy.Change{ID: "a", Author: "ann"}, Committed: true, Version: 2, SwitchedAt: map[uint16]int64{0: 1000, 1: 1012}}, {Change: policy.Change{ID: "b"}, Reason: "it conflicts"}})
 	})
 	mux.HandleFunc("GET /policy/status", func(w http.ResponseWriter, _ *http.Request) {
-		put(w, hosted.PolicyStatus{Name: "n0", Version: policy.Version{N: 7}, Decides: true})
+		put(w, hosted.PolicyStatus{Name: "n0", Version: policy.Version{Number: 7}, Decides: true})
 	})
 	srv := &http.Server{Handler: mux}
 	go srv.Serve(ln)
--- a/internal/policy/golden_test.go
+++ b/internal/policy/golden_test.go
@@ -30,20 +30,20 @@
 
 // record adds what a node's call has come to. Requests and joins come in the order of a map: they are put into
 // one here, so that a play does not hang on it. Then what the call has proposed is handed on.
-func (d *worldDoor) record(outs []Out) []Out {
-	trace := d.w.trace
-	requests := slices.IndexFunc(outs, func(o Out) bool { return o.Msg.Say != nil })
+func (d *gateway) record(outs []Outgoing) []Outgoing {
+	trace := d.world.trace
+	requests := slices.IndexFunc(outs, func(o Outgoing) bool { return o.Message.Query != nil })
 	if requests >= 0 {
-		slices.SortStableFunc(outs[requests:], func(a, b Out) int {
-			return cmp.Or(cmp.Compare(a.Msg.Say.Ask, b.Msg.Say.Ask), cmp.Compare(a.To, b.To))
+		slices.SortStableFunc(outs[requests:], func(a, b Outgoing) int {
+			return cmp.Or(cmp.Compare(a.Message.Query.Number, b.Message.Query.Number), cmp.Compare(a.To, b.To))
 		})
 	}
-	trace.Int(int64(d.rank))
-	trace.Duration(d.w.now)
+	trace.Int(int64(d.index))
+	trace.Duration(d.world.now)
 	trace.Int(int64(len(outs)))
 	for _, o := range outs {
 		trace.Int(int64(o.To))
-		trace.message(&o.Msg)
+		trace.message(&o.Message)
 	}
 	proposed := d.proposed
 	d.proposed = nil
@@ -55,7 +55,7 @@
 		trace.encoded(b)
 		d.propose(b)
 	}
-	trace.participant(d.node.Door())
+	trace.participant(d.node.Participant())
 	return outs
 }
 
@@ -67,20 +67,20 @@
 	}
 	switch {
 	case e.Join != nil:
-		return int(e.Join.Rank)
+		return int(e.Join.Gateway)
 	case e.Leave != nil:
-		return int(e.Leave.Rank)
+		return int(e.Leave.Gateway)
 	}
 	return math.MaxInt
 }
 
-func (t worldTrace) ref(r Ref) {
-	t.Uint(uint64(r.Rank))
+func (t worldTrace) ref(r Process) {
+	t.Uint(uint64(r.Gateway))
 	t.Uint(uint64(r.ID.Incarnation))
 	t.Uint(uint64(r.ID.Nonce))
 }
 
-func (t worldTrace) refs(all []Ref) {
+func (t worldTrace) refs(all []Process) {
 	t.Int(int64(len(all)))
 	for _, r := range all {
 		t.ref(r)
@@ -88,7 +88,7 @@
 }
 
 func (t worldTrace) version(v Version) {
-	t.Uint(v.N)
+	t.Uint(v.Number)
 	t.String(string(v.Hash[:]))
 }
 
@@ -108,11 +108,11 @@
 	t.String(string(c.Hash[:]))
 	t.Int(c.Bytes)
 	t.Uint(uint64(c.Mode))
-	t.String(c.Who)
+	t.String(c.Author)
 	t.String(c.Note)
-	t.Int(c.At)
-	t.Uint(uint64(c.From))
-	t.Bool(c.Begin)
+	t.Int(c.ProposedAt)
+	t.Uint(uint64(c.Source))
+	t.Bool(c.Initial)
 }
 
 func (t worldTrace) times(all map[uint16]int64) {
@@ -128,52 +128,52 @@
 		return
 	}
 	t.change(&o.Change)
-	t.Bool(o.Taken)
-	t.Uint(o.N)
+	t.Bool(o.Committed)
+	t.Uint(o.Version)
 	t.String(o.Reason)
-	t.Int(o.At)
+	t.Int(o.DecidedAt)
 	t.refs(o.Locked)
 	t.refs(o.Fenced)
-	t.times(o.Switched)
+	t.times(o.SwitchedAt)
 }
 
-func (t worldTrace) message(m *Msg) {
-	if h := m.Hello; t.present(h != nil) {
-		t.ref(h.Ref)
-		t.Duration(h.At)
-		t.Uint(h.Has)
+func (t worldTrace) message(m *Message) {
+	if h := m.StatusRequest; t.present(h != nil) {
+		t.ref(h.Process)
+		t.Duration(h.SentAt)
+		t.Uint(h.Version)
 		t.Uint(h.Prepared)
-		t.Uint(h.No)
+		t.Uint(h.Rejected)
 		t.String(h.Reason)
 		t.Uint(h.Locked)
 		t.Bool(h.Leaving)
-		t.Int(h.Switched)
-	}
-	if w := m.Word; t.present(w != nil) {
-		t.Duration(w.At)
-		t.ref(w.ID)
-		t.version(w.Present)
-		t.Bool(w.May)
-		t.change(w.Change)
+		t.Int(h.SwitchedAt)
+	}
+	if w := m.StatusReply; t.present(w != nil) {
+		t.Duration(w.RequestSentAt)
+		t.ref(w.Process)
+		t.version(w.Current)
+		t.Bool(w.MayDecide)
+		t.change(w.Pending)
 		t.Bool(w.Lock)
 		t.Uint(uint64(w.Mode))
 	}
-	t.Uint(m.News)
-	if s := m.Say; t.present(s != nil) {
-		t.Uint(s.Ask)
-		t.String(s.ID)
+	t.Uint(m.StateChanged)
+	if s := m.Query; t.present(s != nil) {
+		t.Uint(s.Number)
+		t.String(s.ChangeID)
 		t.change(s.Change)
 		t.Uint(uint64(s.Forget))
-		t.Uint(uint64(s.Replace))
+		t.Uint(uint64(s.ReplaceVoter))
 	}
-	if s := m.Said; t.present(s != nil) {
-		t.Uint(s.Ask)
-		t.version(s.Present)
+	if s := m.QueryReply; t.present(s != nil) {
+		t.Uint(s.Number)
+		t.version(s.Current)
 		t.Uint(uint64(s.Mode))
-		t.change(s.Open)
-		t.String(s.Waits)
+		t.change(s.Pending)
+		t.String(s.WaitingFor)
 		t.outcome(s.Outcome)
-		t.refs(s.Serving)
+		t.refs(s.Participants)
 		t.Uint(uint64(s.Leader))
 		t.String(s.Reason)
 	}
@@ -192,51 +192,51 @@
 	if t.present(e.Leave != nil) {
 		t.ref(*e.Leave)
 	}
-	if t.present(e.Take != nil) {
-		t.Uint(e.Take.Index)
-		t.refs(e.Take.Locked)
-		t.refs(e.Take.Fenced)
-		t.Int(e.Take.At)
-	}
-	if t.present(e.Drop != nil) {
-		t.Uint(e.Drop.Index)
-		t.String(e.Drop.Reason)
-		t.Int(e.Drop.At)
-	}
-	if t.present(e.Report != nil) {
-		t.Uint(e.Report.N)
-		t.times(e.Report.Switched)
-	}
-	if t.present(e.Recover != nil) {
-		t.String(e.Recover.Who)
-		t.Int(int64(len(e.Recover.Lost)))
-		for _, rank := range e.Recover.Lost {
+	if t.present(e.Commit != nil) {
+		t.Uint(e.Commit.Index)
+		t.refs(e.Commit.Locked)
+		t.refs(e.Commit.Fenced)
+		t.Int(e.Commit.DecidedAt)
+	}
+	if t.present(e.Abort != nil) {
+		t.Uint(e.Abort.Index)
+		t.String(e.Abort.Reason)
+		t.Int(e.Abort.DecidedAt)
+	}
+	if t.present(e.SwitchReport != nil) {
+		t.Uint(e.SwitchReport.Version)
+		t.times(e.SwitchReport.SwitchedAt)
+	}
+	if t.present(e.Recovery != nil) {
+		t.String(e.Recovery.Author)
+		t.Int(int64(len(e.Recovery.Lost)))
+		for _, rank := range e.Recovery.Lost {
 			t.Uint(uint64(rank))
 		}
-		t.Int(e.Recover.At)
+		t.Int(e.Recovery.RecoveredAt)
 	}
 }
 
 func (t worldTrace) state(s *State) {
-	t.version(s.Present)
-	t.refs(s.Refs())
-	t.change(s.Change)
-	t.Int(int64(len(s.Past)))
-	for i := range s.Past {
-		t.outcome(&s.Past[i])
+	t.version(s.Current)
+	t.refs(s.Processes())
+	t.change(s.Pending)
+	t.Int(int64(len(s.Outcomes)))
+	for i := range s.Outcomes {
+		t.outcome(&s.Outcomes[i])
 	}
 	t.Uint(uint64(s.Mode))
 }
 
 // participant adds what a gateway may decide by, and until when.
-func (t worldTrace) participant(d *Door) {
-	t.version(d.Has())
-	t.Duration(d.Until())
-	t.Bool(d.Locked())
+func (t worldTrace) participant(d *Participant) {
+	t.version(d.Version())
+	t.Duration(d.DecidesUntil())
+	t.Bool(d.IsLocked())
 	pending, ok := d.Pending()
 	t.Bool(ok)
 	t.change(&pending)
-	hash, from, wants := d.Wants()
+	hash, from, wants := d.MissingDocument()
 	t.Bool(wants)
 	t.String(string(hash[:]))
 	t.Uint(uint64(from))
@@ -244,12 +244,12 @@
 
 // end adds all states as they stand in the end.
 func (w *world) end() string {
-	for _, d := range w.doors {
+	for _, d := range w.gateways {
 		w.trace.state(d.node.State())
-		w.trace.participant(d.node.Door())
-		w.trace.Bool(d.node.Gone())
+		w.trace.participant(d.node.Participant())
+		w.trace.Bool(d.node.IsLeaveConfirmed())
 	}
-	w.trace.Duration(w.window)
+	w.trace.Duration(w.worstWindow)
 	return w.trace.Sum()
 }
 
@@ -267,20 +267,20 @@
 	doors, mode := 4+int(seed%3), Mode(seed/4)
 	w := newWorld(seed, doors, mode)
 	w.trace = newWorldTrace()
-	w.late, w.loss, w.double = 20*time.Millisecond, 0.1, 0.3
-	w.asksAll(5 * time.Millisecond)
+	w.maxDelay, w.loss, w.duplication = 20*time.Millisecond, 0.1, 0.3
+	w.decideEvery(5 * time.Millisecond)
 	w.run(w.now + 4*time.Second)
-	c := &Change{ID: "x", Base: 1, Hash: Hash{2}, Mode: mode, From: uint16(doors - 1)}
-	asker := w.doors[doors-1]
-	asker.node.Ask(Say{ID: c.ID, Change: c})
+	c := &Change{ID: "x", Base: 1, Hash: Hash{2}, Mode: mode, Source: uint16(doors - 1)}
+	asker := w.gateways[doors-1]
+	asker.node.StartQuery(Query{ChangeID: c.ID, Change: c})
 	if !w.until(3*time.Second, func() bool { return step.at(w) }) {
 		t.Fatalf("%s, %s, seed %d: the change did not come to the step", step.name, trouble, seed)
 	}
-	again := stepTroubles()[trouble](w, asker)
+	again := stepFaults()[trouble](w, asker)
 	w.run(w.now + 700*time.Millisecond)
 	again()
 	w.run(w.now + 200*time.Millisecond)
-	w.doors[1].node.Ask(Say{ID: c.ID, Change: c})
+	w.gateways[1].node.StartQuery(Query{ChangeID: c.ID, Change: c})
 	w.run(w.now + 6*time.Second)
 	return w.end()
 }
@@ -292,42 +292,42 @@
 	doors := 4 + int(seed%9)
 	w := newWorld(seed, doors, mode)
 	w.trace = newWorldTrace()
-	w.late, w.loss, w.double = time.Duration(10+120*(seed%4))*time.Millisecond, 0.2*float64(seed%3), 0.1
-	w.asksAll(7 * time.Millisecond)
-	w.doors[doors-1].node.Door().Last(Version{1, Hash{1}})
+	w.maxDelay, w.loss, w.duplication = time.Duration(10+120*(seed%4))*time.Millisecond, 0.2*float64(seed%3), 0.1
+	w.decideEvery(7 * time.Millisecond)
+	w.gateways[doors-1].node.Participant().DecideWithoutQuorum(Version{1, Hash{1}})
 	w.run(w.now + 3*time.Second)
-	ask := func(d *worldDoor, say Say) {
-		if no, ok := d.node.Ask(say); ok {
+	ask := func(d *gateway, say Query) {
+		if no, ok := d.node.StartQuery(say); ok {
 			w.run(w.now + time.Second)
-			if got := d.node.Answer(no); w.trace.present(got != nil) {
-				w.trace.message(&Msg{Said: got})
+			if got := d.node.QueryReply(no); w.trace.present(got != nil) {
+				w.trace.message(&Message{QueryReply: got})
 			}
-			d.node.Done(no)
+			d.node.EndQuery(no)
 		}
 	}
-	ask(w.doors[1], Say{})
-	ask(w.doors[1], Say{Replace: 3})
-	leaver, off, renamed := w.doors[doors-1], w.doors[doors-2], w.doors[doors-3]
-	leaver.node.Door().Leave()
-	leaver.node.Soon()
+	ask(w.gateways[1], Query{})
+	ask(w.gateways[1], Query{ReplaceVoter: 3})
+	leaver, off, renamed := w.gateways[doors-1], w.gateways[doors-2], w.gateways[doors-3]
+	leaver.node.Participant().Leave()
+	leaver.node.PollNow()
 	w.run(w.now + 500*time.Millisecond)
-	ask(w.doors[0], Say{Forget: uint16(off.rank) + 1}) // it is there
+	ask(w.gateways[0], Query{Forget: uint16(off.index) + 1}) // it is there
 	off.alive, off.life = false, off.life+1
-	w.doors[2].node.Ask(Say{ID: "waits", Change: &Change{ID: "waits", Base: 1, Hash: Hash{2}, Mode: mode, Who: "o", Note: "n"}})
+	w.gateways[2].node.StartQuery(Query{ChangeID: "waits", Change: &Change{ID: "waits", Base: 1, Hash: Hash{2}, Mode: mode, Author: "o", Note: "n"}})
 	w.run(w.now + 3500*time.Millisecond)
-	ask(w.doors[0], Say{Forget: uint16(off.rank) + 1})
-	ask(w.doors[2], Say{ID: "waits"})
-	renamed.inc += 7
-	renamed.node.Renamed(Ref{Rank: uint16(renamed.rank), ID: membership.ID{Incarnation: renamed.inc, Nonce: 3}})
+	ask(w.gateways[0], Query{Forget: uint16(off.index) + 1})
+	ask(w.gateways[2], Query{ChangeID: "waits"})
+	renamed.incarnation += 7
+	renamed.node.SetProcess(Process{Gateway: uint16(renamed.index), ID: membership.ID{Incarnation: renamed.incarnation, Nonce: 3}})
 	w.run(w.now + time.Duration(rng.Int64N(int64(time.Second))))
-	w.doors[0].node.Ask(Say{ID: "bad", Change: &Change{ID: "bad", Base: w.doors[0].node.State().Present.N, Hash: Hash{3}, Mode: mode}})
-	w.until(2*time.Second, func() bool { c, ok := w.doors[1].node.Door().Pending(); return ok && c.ID == "bad" })
-	w.doors[1].node.Door().Cannot(Hash{3}, "line 7: no such class")
-	w.doors[1].node.Soon()
+	w.gateways[0].node.StartQuery(Query{ChangeID: "bad", Change: &Change{ID: "bad", Base: w.gateways[0].node.State().Current.Number, Hash: Hash{3}, Mode: mode}})
+	w.until(2*time.Second, func() bool { c, ok := w.gateways[1].node.Participant().Pending(); return ok && c.ID == "bad" })
+	w.gateways[1].node.Participant().RejectDocument(Hash{3}, "line 7: no such class")
+	w.gateways[1].node.PollNow()
 	w.run(w.now + time.Second)
-	w.agree(Entry{Recover: &Recover{Who: "o", Lost: []uint16{1, 2}, At: 77}})
+	w.commitEntry(Entry{Recovery: &Recovery{Author: "o", Lost: []uint16{1, 2}, RecoveredAt: 77}})
 	w.run(w.now + 7*time.Second)
-	ask(w.doors[1], Say{ID: "bad"})
+	ask(w.gateways[1], Query{ChangeID: "bad"})
 	return w.end()
 }
 
@@ -335,37 +335,37 @@
 func leaderHash(seed uint64, mode Mode) string {
 	rng := rand.New(rand.NewPCG(seed, 10))
 	trace, now, state, index := newWorldTrace(), time.Hour, NewState(), uint64(1)
-	state.Apply(index, Entry{Propose: &Change{ID: "begin", Hash: Hash{1}, Begin: true, Mode: mode}})
-	chair := NewChair(now, 4*time.Second)
+	state.Apply(index, Entry{Propose: &Change{ID: "begin", Hash: Hash{1}, Initial: true, Mode: mode}})
+	chair := NewCoordinator(now, 4*time.Second)
 	for round := range 600 {
 		now += time.Duration(rng.IntN(150)) * time.Millisecond
-		h := Hello{
-			Ref:     Ref{Rank: uint16(rng.IntN(5)), ID: membership.ID{Incarnation: uint32(1 + round/200 + rng.IntN(2))}},
-			At:      now - time.Duration(rng.IntN(200))*time.Millisecond,
-			Has:     state.Present.N - uint64(rng.IntN(2)),
+		h := StatusRequest{
+			Process: Process{Gateway: uint16(rng.IntN(5)), ID: membership.ID{Incarnation: uint32(1 + round/200 + rng.IntN(2))}},
+			SentAt:  now - time.Duration(rng.IntN(200))*time.Millisecond,
+			Version: state.Current.Number - uint64(rng.IntN(2)),
 			Leaving: rng.IntN(40) == 0,
 		}
-		if state.Change != nil {
+		if state.Pending != nil {
 			switch rng.IntN(12) {
 			case 0:
-				h.No, h.Reason = state.Change.Index, "line 7"
+				h.Rejected, h.Reason = state.Pending.Index, "line 7"
 			case 1, 2, 3:
-				h.Prepared = state.Change.Index
+				h.Prepared = state.Pending.Index
 			case 4, 5, 6, 7:
-				h.Locked = state.Change.Index
+				h.Locked = state.Pending.Index
 			}
 		} else if rng.IntN(10) == 0 {
 			index++
-			state.Apply(index, Entry{Propose: &Change{ID: fmt.Sprint(round), Base: state.Present.N, Hash: Hash{byte(round)}, Mode: Mode(rng.IntN(2))}})
+			state.Apply(index, Entry{Propose: &Change{ID: fmt.Sprint(round), Base: state.Current.Number, Hash: Hash{byte(round)}, Mode: Mode(rng.IntN(2))}})
 		}
-		if h.Has == state.Present.N {
-			h.Switched = now.Milliseconds()
+		if h.Version == state.Current.Number {
+			h.SwitchedAt = now.Milliseconds()
 		}
-		chair.Hello(now, h)
-		word := chair.Answer(now, state, h)
-		trace.message(&Msg{Word: &word})
-		trace.String(chair.Waits(now, state))
-		for _, rank := range chair.Ranks(state) {
+		chair.ReceiveStatus(now, h)
+		word := chair.Reply(now, state, h)
+		trace.message(&Message{StatusReply: &word})
+		trace.String(chair.WaitingFor(now, state))
+		for _, rank := range chair.PreparedGateways(state) {
 			trace.Uint(uint64(rank))
 		}
 		var entries [][]byte
@@ -388,7 +388,7 @@
 			}
 		}
 		if rng.IntN(80) == 0 {
-			chair = NewChair(now, 4*time.Second)
+			chair = NewCoordinator(now, 4*time.Second)
 		}
 		trace.state(state)
 	}
@@ -414,7 +414,7 @@
 		check(fmt.Sprint("schedule-", seed), func() string { return scheduleHash(seed) })
 	}
 	for i, step := range changeSteps() {
-		for _, trouble := range slices.Sorted(maps.Keys(stepTroubles())) {
+		for _, trouble := range slices.Sorted(maps.Keys(stepFaults())) {
 			for _, seed := range []uint64{uint64(i) % 4, 4 + uint64(i)%4} {
 				name := fmt.Sprintf("step-%d-%s-%d", i, map[string]string{
 					"leader killed":   "leader-killed",
@@ -436,23 +436,23 @@
 // goldenChange sets all fields of a change.
 func goldenChange() Change {
 	return Change{Index: 300, ID: "c", Base: 6, Hash: HashOf([]byte("doc")), Bytes: 1 << 20, Mode: Fence,
-		Who: "w", Note: "n", At: 1_700_000_000_001, From: 4, Begin: true}
+		Author: "w", Note: "n", ProposedAt: 1_700_000_000_001, Source: 4, Initial: true}
 }
 
-func goldenRef(rank uint16) Ref {
-	return Ref{Rank: rank, ID: membership.ID{Incarnation: 5 + uint32(rank), Nonce: 1 << 31}}
+func goldenRef(rank uint16) Process {
+	return Process{Gateway: rank, ID: membership.ID{Incarnation: 5 + uint32(rank), Nonce: 1 << 31}}
 }
 
 func goldenOutcome() Outcome {
-	return Outcome{Change: goldenChange(), Taken: true, N: 7, Reason: "r", At: 1_700_000_000_002,
-		Locked: []Ref{goldenRef(1), goldenRef(2)}, Fenced: []Ref{goldenRef(3)}, Switched: map[uint16]int64{1: 1_700_000_000_003}}
+	return Outcome{Change: goldenChange(), Committed: true, Version: 7, Reason: "r", DecidedAt: 1_700_000_000_002,
+		Locked: []Process{goldenRef(1), goldenRef(2)}, Fenced: []Process{goldenRef(3)}, SwitchedAt: map[uint16]int64{1: 1_700_000_000_003}}
 }
 
 // TestGoldenBytes compares the bytes of entries, messages and states with those recorded, and reads them back.
 func TestGoldenBytes(t *testing.T) {
 	change, outcome := goldenChange(), goldenOutcome()
 	join, leave := goldenRef(1), goldenRef(2)
-	version := Version{N: 7, Hash: HashOf([]byte("doc"))}
+	version := Version{Number: 7, Hash: HashOf([]byte("doc"))}
 	cases := []struct {
 		name  string
 		value any
@@ -460,20 +460,20 @@
 		{"entry-propose", &Entry{Propose: &change}},
 		{"entry-join", &Entry{Join: &join}},
 		{"entry-leave", &Entry{Leave: &leave}},
-		{"entry-take", &Entry{Take: &Take{Index: 300, Locked: []Ref{join}, Fenced: []Ref{leave}, At: 9}}},
-		{"entry-drop", &Entry{Drop: &Drop{Index: 300, Reason: "r", At: 9}}},
-		{"entry-report", &Entry{Report: &Report{N: 7, Switched: map[uint16]int64{3: 1_700_000_000_003}}}},
-		{"entry-recover", &Entry{Recover: &Recover{Who: "w", Lost: []uint16{1, 2}, At: 9}}},
-		{"state", &State{Present: version, Serving: map[uint16]membership.ID{2: leave.ID}, Change: &change,
-			Past: []Outcome{outcome, {Change: change, Reason: "dropped", At: 8}}, Mode: Fence}},
-		{"message-1", &Msg{Hello: &Hello{Ref: join, At: time.Hour + 1, Has: 7, Prepared: 300, No: 301, Reason: "r",
-			Locked: 302, Leaving: true, Switched: 1_700_000_000_003}}},
-		{"message-2", &Msg{Word: &Word{At: time.Hour + 1, ID: join, Present: version, May: true, Change: &change,
+		{"entry-take", &Entry{Commit: &Commit{Index: 300, Locked: []Process{join}, Fenced: []Process{leave}, DecidedAt: 9}}},
+		{"entry-drop", &Entry{Abort: &Abort{Index: 300, Reason: "r", DecidedAt: 9}}},
+		{"entry-report", &Entry{SwitchReport: &SwitchReport{Version: 7, SwitchedAt: map[uint16]int64{3: 1_700_000_000_003}}}},
+		{"entry-recover", &Entry{Recovery: &Recovery{Author: "w", Lost: []uint16{1, 2}, RecoveredAt: 9}}},
+		{"state", &State{Current: version, Participants: map[uint16]membership.ID{2: leave.ID}, Pending: &change,
+			Outcomes: []Outcome{outcome, {Change: change, Reason: "dropped", DecidedAt: 8}}, Mode: Fence}},
+		{"message-1", &Message{StatusRequest: &StatusRequest{Process: join, SentAt: time.Hour + 1, Version: 7, Prepared: 300, Rejected: 301, Reason: "r",
+			Locked: 302, Leaving: true, SwitchedAt: 1_700_000_000_003}}},
+		{"message-2", &Message{StatusReply: &StatusReply{RequestSentAt: time.Hour + 1, Process: join, Current: version, MayDecide: true, Pending: &change,
 			Lock: true, Mode: Fence}}},
-		{"message-3", &Msg{News: 303}},
-		{"message-4", &Msg{Say: &Say{Ask: 5, ID: "c", Change: &change, Forget: 3, Replace: 4}}},
-		{"message-5", &Msg{Said: &Said{Ask: 5, Present: version, Mode: Fence, Open: &change, Waits: "door 3 has not locked",
-			Outcome: &outcome, Serving: []Ref{join, leave}, Leader: 2, Reason: "r"}}},
+		{"message-3", &Message{StateChanged: 303}},
+		{"message-4", &Message{Query: &Query{Number: 5, ChangeID: "c", Change: &change, Forget: 3, ReplaceVoter: 4}}},
+		{"message-5", &Message{QueryReply: &QueryReply{Number: 5, Current: version, Mode: Fence, Pending: &change, WaitingFor: "door 3 has not locked",
+			Outcome: &outcome, Participants: []Process{join, leave}, Leader: 2, Reason: "r"}}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -504,7 +504,7 @@
 	trace := newWorldTrace()
 	names := []string{"propose", "join", "leave", "report", "take", "drop", "recover", "join", "report"}
 	for i, name := range names {
-		n.Applied(41+uint64(i), golden.Read(t, "testdata/golden/entry-"+name+".cbor"))
+		n.Apply(41+uint64(i), golden.Read(t, "testdata/golden/entry-"+name+".cbor"))
 		trace.state(n.State())
 		index, _, err := n.Snapshot()
 		if err != nil {
--- a/internal/policy/model_test.go
+++ b/internal/policy/model_test.go
@@ -21,12 +21,12 @@
 // questions, answers, entries, locks, lease ends, losses, doubles, one crash with a restart, one change of leader and a second change is
 // explored within the bounds. A message that is never delivered is a lost one.
 type modelBounds struct {
-	ticks, hellos, msgs, entries, crashes, leaders, doubles, changes int
-	step                                                             time.Duration
-	mode                                                             Mode
-	doors                                                            int
-	locked                                                           int  // doors that have locked at the beginning
-	unprepared                                                       bool // one door has not heard of the change yet
+	ticks, requests, messages, entries, crashes, leaders, duplicates, changes int
+	step                                                                      time.Duration
+	mode                                                                      Mode
+	participants                                                              int
+	locked                                                                    int  // doors that have locked at the beginning
+	unprepared                                                                bool // one door has not heard of the change yet
 }
 
 type modelFlaw int
@@ -45,98 +45,98 @@
 	modelFlaws
 )
 
-type modelDoor struct {
-	*Door
-	disk   map[Hash]bool // documents that a crash leaves
-	hellos int
-	inc    uint32
+type modelParticipant struct {
+	*Participant
+	disk        map[Hash]bool // documents that a crash leaves
+	requests    int
+	incarnation uint32
 }
 
-type modelMsg struct {
-	hello *Hello
-	word  *Word
-	stale bool // it goes to a leader that has been replaced
+type modelMessage struct {
+	request *StatusRequest
+	reply   *StatusReply
+	stale   bool // it goes to a leader that has been replaced
 }
 
 type model struct {
-	now      time.Duration
-	state    *State
-	old      *State // as the replaced leader has it
-	index    uint64
-	chair    *Chair
-	doors    []*modelDoor
-	msgs     []modelMsg
-	entries  []Entry
-	most     modelBounds
-	firstNew map[uint64]time.Duration // when a version was first decided by
-	outcomes map[string]bool
-	bad      string
+	now            time.Duration
+	state          *State
+	old            *State // as the replaced leader has it
+	index          uint64
+	coordinator    *Coordinator
+	participants   []*modelParticipant
+	messages       []modelMessage
+	entries        []Entry
+	bounds         modelBounds
+	firstDecidedAt map[uint64]time.Duration // when a version was first decided by
+	outcomes       map[string]bool
+	violation      string
 }
 
 func hashN(n byte) Hash { return Hash{n} }
 
 func newModel(b modelBounds) *model {
-	m := &model{now: time.Hour, state: NewState(), index: 10, most: b, firstNew: map[uint64]time.Duration{1: 0}, outcomes: map[string]bool{}}
-	m.state.Present, m.state.Mode = Version{1, hashN(1)}, b.mode
-	m.chair = NewChair(m.now-time.Hour/2, time.Hour)
-	for i := range b.doors {
-		ref := Ref{Rank: uint16(i), ID: membership.ID{Incarnation: 1}}
-		d := &modelDoor{Door: NewDoor(ref), disk: map[Hash]bool{hashN(1): true}, inc: 1}
-		d.ready[hashN(1)] = true
-		d.has, d.mode, d.until = m.state.Present, b.mode, Forever
+	m := &model{now: time.Hour, state: NewState(), index: 10, bounds: b, firstDecidedAt: map[uint64]time.Duration{1: 0}, outcomes: map[string]bool{}}
+	m.state.Current, m.state.Mode = Version{1, hashN(1)}, b.mode
+	m.coordinator = NewCoordinator(m.now-time.Hour/2, time.Hour)
+	for i := range b.participants {
+		ref := Process{Gateway: uint16(i), ID: membership.ID{Incarnation: 1}}
+		d := &modelParticipant{Participant: NewParticipant(ref), disk: map[Hash]bool{hashN(1): true}, incarnation: 1}
+		d.prepared[hashN(1)] = true
+		d.version, d.mode, d.decidesUntil = m.state.Current, b.mode, NoExpiry
 		if b.mode == Fence {
-			d.until = m.now + LeaseFor
+			d.decidesUntil = m.now + LeaseDuration
 		}
-		d.asked, d.told = m.now-1, m.now-1
-		m.state.Serving[uint16(i)] = ref.ID
-		m.chair.heard[uint16(i)] = &seat{hello: Hello{Ref: ref, At: m.now - 1, Has: 1}, at: m.now - 1, answered: m.now - 1}
-		m.doors = append(m.doors, d)
+		d.lastSentAt, d.lastReplyTo = m.now-1, m.now-1
+		m.state.Participants[uint16(i)] = ref.ID
+		m.coordinator.participants[uint16(i)] = &participantStatus{status: StatusRequest{Process: ref, SentAt: m.now - 1, Version: 1}, receivedAt: m.now - 1, lastReadAt: m.now - 1}
+		m.participants = append(m.participants, d)
 	}
-	m.change(1)
-	for _, d := range m.doors { // all have heard of it, have said yes, and the leader knows
-		d.change = *m.state.Change
-		d.ready[d.change.Hash], d.disk[d.change.Hash] = true, true
-		m.chair.heard[d.ref.Rank].hello.Prepared = d.change.Index
+	m.propose(1)
+	for _, d := range m.participants { // all have heard of it, have said yes, and the leader knows
+		d.pending = *m.state.Pending
+		d.prepared[d.pending.Hash], d.disk[d.pending.Hash] = true, true
+		m.coordinator.participants[d.process.Gateway].status.Prepared = d.pending.Index
 	}
-	for _, d := range m.doors[:b.locked] { // ... and these have locked, which the leader does not know yet
-		d.locked, d.lockAt, d.until = d.change.Index, m.now, min(d.until, m.now+LockFor)
+	for _, d := range m.participants[:b.locked] { // ... and these have locked, which the leader does not know yet
+		d.lockedChange, d.lockedAt, d.decidesUntil = d.pending.Index, m.now, min(d.decidesUntil, m.now+LockDuration)
 	}
 	if b.unprepared {
-		d := m.doors[0]
-		delete(d.ready, d.change.Hash)
-		delete(d.disk, d.change.Hash)
-		d.change = Change{}
-		m.chair.heard[0].hello.Prepared = 0
+		d := m.participants[0]
+		delete(d.prepared, d.pending.Hash)
+		delete(d.disk, d.pending.Hash)
+		d.pending = Change{}
+		m.coordinator.participants[0].status.Prepared = 0
 	}
 	return m
 }
 
-// change proposes the n-th change, which doors that hear of it can prepare.
-func (m *model) change(n int) {
+// propose proposes the n-th change, which doors that hear of it can prepare.
+func (m *model) propose(n int) {
 	m.index++
-	m.state.Apply(m.index, Entry{Propose: &Change{ID: fmt.Sprint("c", n), Base: m.state.Present.N, Hash: hashN(byte(1 + n)), Mode: m.most.mode}})
-	m.most.changes--
+	m.state.Apply(m.index, Entry{Propose: &Change{ID: fmt.Sprint("c", n), Base: m.state.Current.Number, Hash: hashN(byte(1 + n)), Mode: m.bounds.mode}})
+	m.bounds.changes--
 }
 
 func (m *model) clone() *model {
 	c := *m
 	c.state, c.old = cloneState(m.state), cloneState(m.old)
-	ch := *m.chair
-	ch.heard, ch.asked, ch.fenced = map[uint16]*seat{}, map[string]time.Duration{}, maps.Clone(m.chair.fenced)
-	for r, s := range m.chair.heard {
+	ch := *m.coordinator
+	ch.participants, ch.proposedAt, ch.fenced = map[uint16]*participantStatus{}, map[string]time.Duration{}, maps.Clone(m.coordinator.fenced)
+	for r, s := range m.coordinator.participants {
 		k := *s
-		ch.heard[r] = &k
-	}
-	c.chair = &ch
-	c.doors = nil
-	for _, d := range m.doors {
-		e, f := *d, *d.Door
-		f.ready, e.disk = maps.Clone(f.ready), maps.Clone(d.disk)
-		e.Door = &f
-		c.doors = append(c.doors, &e)
-	}
-	c.msgs, c.entries = slices.Clone(m.msgs), slices.Clone(m.entries)
-	c.firstNew, c.outcomes = maps.Clone(m.firstNew), maps.Clone(m.outcomes)
+		ch.participants[r] = &k
+	}
+	c.coordinator = &ch
+	c.participants = nil
+	for _, d := range m.participants {
+		e, f := *d, *d.Participant
+		f.prepared, e.disk = maps.Clone(f.prepared), maps.Clone(d.disk)
+		e.Participant = &f
+		c.participants = append(c.participants, &e)
+	}
+	c.messages, c.entries = slices.Clone(m.messages), slices.Clone(m.entries)
+	c.firstDecidedAt, c.outcomes = maps.Clone(m.firstDecidedAt), maps.Clone(m.outcomes)
 	return &c
 }
 
@@ -145,7 +145,7 @@
 		return nil
 	}
 	c := *s
-	c.Serving, c.Past = maps.Clone(s.Serving), slices.Clone(s.Past)
+	c.Participants, c.Outcomes = maps.Clone(s.Participants), slices.Clone(s.Outcomes)
 	return &c
 }
 
@@ -158,7 +158,7 @@
 		}
 	}
 	at := func(t time.Duration) uint64 {
-		if t == Forever {
+		if t == NoExpiry {
 			return 1
 		}
 		return uint64(max(0, t-m.now+time.Hour) + 2)
@@ -168,49 +168,49 @@
 			n(0)
 			return
 		}
-		n(1, s.Present.N, uint64(len(s.Past)))
-		if s.Change != nil {
-			n(s.Change.Index)
+		n(1, s.Current.Number, uint64(len(s.Outcomes)))
+		if s.Pending != nil {
+			n(s.Pending.Index)
 		}
 		n(0)
-		for _, r := range s.Refs() {
-			n(uint64(r.Rank), uint64(r.ID.Incarnation))
+		for _, r := range s.Processes() {
+			n(uint64(r.Gateway), uint64(r.ID.Incarnation))
 		}
 	}
-	hello := func(h *Hello) {
-		n(uint64(h.Ref.Rank), uint64(h.Ref.ID.Incarnation), at(h.At), h.Has, h.Prepared, h.No, h.Locked)
+	hello := func(h *StatusRequest) {
+		n(uint64(h.Process.Gateway), uint64(h.Process.ID.Incarnation), at(h.SentAt), h.Version, h.Prepared, h.Rejected, h.Locked)
 	}
 	state(m.state)
 	state(m.old)
 	n(99, m.index)
-	for _, d := range m.doors {
-		n(uint64(d.inc), uint64(d.hellos), at(d.asked), at(d.told), d.has.N, at(d.until), d.locked, at(d.lockAt), d.change.Index, d.wants.N,
-			uint64(len(d.ready)), uint64(len(d.disk)))
+	for _, d := range m.participants {
+		n(uint64(d.incarnation), uint64(d.requests), at(d.lastSentAt), at(d.lastReplyTo), d.version.Number, at(d.decidesUntil), d.lockedChange, at(d.lockedAt), d.pending.Index, d.required.Number,
+			uint64(len(d.prepared)), uint64(len(d.disk)))
 	}
-	n(at(m.chair.since), m.chair.index, uint64(len(m.chair.fenced)))
-	for r := range uint16(len(m.doors)) {
-		if m.chair.fenced[Ref{Rank: r, ID: m.state.Serving[r]}] {
+	n(at(m.coordinator.leadingSince), m.coordinator.changeIndex, uint64(len(m.coordinator.fenced)))
+	for r := range uint16(len(m.participants)) {
+		if m.coordinator.fenced[Process{Gateway: r, ID: m.state.Participants[r]}] {
 			n(uint64(r))
 		}
 	}
-	for r := range uint16(len(m.doors)) {
-		if s := m.chair.heard[r]; s != nil {
-			hello(&s.hello)
-			n(at(s.answered))
+	for r := range uint16(len(m.participants)) {
+		if s := m.coordinator.participants[r]; s != nil {
+			hello(&s.status)
+			n(at(s.lastReadAt))
 		}
 		n(98)
 	}
-	for _, x := range m.msgs {
+	for _, x := range m.messages {
 		n(97)
-		if x.hello != nil {
-			hello(x.hello)
+		if x.request != nil {
+			hello(x.request)
 		} else {
-			n(at(x.word.At), uint64(x.word.ID.Rank), uint64(x.word.ID.ID.Incarnation), x.word.Present.N)
-			if x.word.Change != nil {
-				n(x.word.Change.Index)
+			n(at(x.reply.RequestSentAt), uint64(x.reply.Process.Gateway), uint64(x.reply.Process.ID.Incarnation), x.reply.Current.Number)
+			if x.reply.Pending != nil {
+				n(x.reply.Pending.Index)
 			}
 		}
-		for _, f := range []bool{x.hello != nil, x.stale, x.word != nil && x.word.May, x.word != nil && x.word.Lock} {
+		for _, f := range []bool{x.request != nil, x.stale, x.reply != nil && x.reply.MayDecide, x.reply != nil && x.reply.Lock} {
 			if f {
 				n(1)
 			} else {
@@ -222,24 +222,24 @@
 		e := &m.entries[i]
 		n(96)
 		switch {
-		case e.Take != nil:
-			n(1, e.Take.Index)
-			for _, r := range append(slices.Clone(e.Take.Locked), e.Take.Fenced...) {
-				n(uint64(r.Rank), uint64(r.ID.Incarnation))
+		case e.Commit != nil:
+			n(1, e.Commit.Index)
+			for _, r := range append(slices.Clone(e.Commit.Locked), e.Commit.Fenced...) {
+				n(uint64(r.Gateway), uint64(r.ID.Incarnation))
 			}
-			n(uint64(len(e.Take.Fenced)))
-		case e.Drop != nil:
-			n(2, e.Drop.Index)
+			n(uint64(len(e.Commit.Fenced)))
+		case e.Abort != nil:
+			n(2, e.Abort.Index)
 		case e.Join != nil:
-			n(3, uint64(e.Join.Rank), uint64(e.Join.ID.Incarnation))
+			n(3, uint64(e.Join.Gateway), uint64(e.Join.ID.Incarnation))
 		}
 	}
 	for v := uint64(2); v < 5; v++ {
-		if t, ok := m.firstNew[v]; ok {
+		if t, ok := m.firstDecidedAt[v]; ok {
 			n(v, at(t))
 		}
 	}
-	n(uint64(m.most.ticks), uint64(m.most.crashes), uint64(m.most.leaders), uint64(m.most.doubles), uint64(m.most.changes+9))
+	n(uint64(m.bounds.ticks), uint64(m.bounds.crashes), uint64(m.bounds.leaders), uint64(m.bounds.duplicates), uint64(m.bounds.changes+9))
 	k[0], k[1] = maphash.Bytes(modelSeeds[0], b), maphash.Bytes(modelSeeds[1], b)
 	return k
 }
@@ -248,28 +248,28 @@
 
 // check says what of the promise is broken now.
 func (m *model) check() string {
-	for i, d := range m.doors {
-		if d.until <= m.now {
+	for i, d := range m.participants {
+		if d.decidesUntil <= m.now {
 			continue // it does not decide
 		}
-		if _, ok := m.firstNew[d.has.N]; !ok {
-			m.firstNew[d.has.N] = m.now
+		if _, ok := m.firstDecidedAt[d.version.Number]; !ok {
+			m.firstDecidedAt[d.version.Number] = m.now
 		}
-		for v, t := range m.firstNew {
-			if v > d.has.N && m.now > t+LockFor {
-				return fmt.Sprintf("door %d decides by version %d, %v after another one began with %d", i, d.has.N, m.now-t, v)
+		for v, t := range m.firstDecidedAt {
+			if v > d.version.Number && m.now > t+LockDuration {
+				return fmt.Sprintf("door %d decides by version %d, %v after another one began with %d", i, d.version.Number, m.now-t, v)
 			}
 		}
 	}
-	for i := range m.state.Past {
-		o := &m.state.Past[i]
-		if was, ok := m.outcomes[o.Change.ID]; ok && was != o.Taken {
-			return fmt.Sprintf("change %s was taken: %v, and then %v", o.Change.ID, was, o.Taken)
+	for i := range m.state.Outcomes {
+		o := &m.state.Outcomes[i]
+		if was, ok := m.outcomes[o.Change.ID]; ok && was != o.Committed {
+			return fmt.Sprintf("change %s was taken: %v, and then %v", o.Change.ID, was, o.Committed)
 		}
-		m.outcomes[o.Change.ID] = o.Taken
+		m.outcomes[o.Change.ID] = o.Committed
 		for _, r := range o.Locked {
-			if o.Taken && !m.doors[r.Rank].disk[o.Change.Hash] {
-				return fmt.Sprintf("door %d said yes to %s and its disk has not got it", r.Rank, o.Change.ID)
+			if o.Committed && !m.participants[r.Gateway].disk[o.Change.Hash] {
+				return fmt.Sprintf("door %d said yes to %s and its disk has not got it", r.Gateway, o.Change.ID)
 			}
 		}
 	}
@@ -281,76 +281,78 @@
 	to := func(do func(*model)) {
 		c := m.clone()
 		do(c)
-		if c.bad = c.check(); len(c.msgs) <= c.most.msgs && len(c.entries) <= c.most.entries {
+		if c.violation = c.check(); len(c.messages) <= c.bounds.messages && len(c.entries) <= c.bounds.entries {
 			all = append(all, c)
 		}
 	}
-	if m.most.ticks > 0 {
-		to(func(c *model) { c.most.ticks--; c.now += c.most.step })
+	if m.bounds.ticks > 0 {
+		to(func(c *model) { c.bounds.ticks--; c.now += c.bounds.step })
 	}
-	for i, d := range m.doors {
-		if d.hellos < m.most.hellos && len(m.msgs) < m.most.msgs {
+	for i, d := range m.participants {
+		if d.requests < m.bounds.requests && len(m.messages) < m.bounds.messages {
 			for _, stale := range []bool{false, true} {
 				if stale && (flaw != staleLeader || m.old == nil) {
 					continue
 				}
 				to(func(c *model) {
-					h := c.doors[i].Hello(c.now)
-					c.doors[i].hellos++
-					c.msgs = append(c.msgs, modelMsg{hello: &h, stale: stale})
+					h := c.participants[i].StatusRequest(c.now)
+					c.participants[i].requests++
+					c.messages = append(c.messages, modelMessage{request: &h, stale: stale})
 				})
 			}
 		}
 		if flaw == yesNotDurable {
-			for h := range d.ready {
+			for h := range d.prepared {
 				if !d.disk[h] {
-					to(func(c *model) { c.doors[i].disk[h] = true })
+					to(func(c *model) { c.participants[i].disk[h] = true })
 				}
 			}
 		}
-		if m.most.crashes > 0 {
+		if m.bounds.crashes > 0 {
 			to(func(c *model) { c.crash(i, flaw) })
 		}
 	}
-	if m.most.leaders > 0 {
+	if m.bounds.leaders > 0 {
 		to(func(c *model) {
-			c.most.leaders--
+			c.bounds.leaders--
 			if flaw == staleLeader {
 				c.old = cloneState(c.state)
 			}
-			c.chair = NewChair(c.now, time.Hour)
+			c.coordinator = NewCoordinator(c.now, time.Hour)
 		})
 	}
-	if m.most.changes > 0 && m.state.Change == nil {
-		to(func(c *model) { c.change(2) })
+	if m.bounds.changes > 0 && m.state.Pending == nil {
+		to(func(c *model) { c.propose(2) })
 	}
-	if flaw == idForgotten && m.state.Change == nil {
+	if flaw == idForgotten && m.state.Pending == nil {
 		to(func(c *model) { // its proposer asks again, and nobody knows the id
-			c.state.Past = nil
+			c.state.Outcomes = nil
 			c.index++
-			c.state.Apply(c.index, Entry{Propose: &Change{ID: "c1", Base: 1, Hash: hashN(2), Mode: c.most.mode}})
+			c.state.Apply(c.index, Entry{Propose: &Change{ID: "c1", Base: 1, Hash: hashN(2), Mode: c.bounds.mode}})
 		})
 	}
-	if len(m.entries) < m.most.entries {
+	if len(m.entries) < m.bounds.entries {
 		c := m.clone()
-		clear(c.chair.asked)
-		es := c.chair.Tick(c.now, c.state, 0)
-		if flaw == takeUnlocked && c.state.Change != nil && len(c.chair.all(c.state, func(k *seat) bool { return k.hello.Prepared == c.state.Change.Index }, c.now)) == 0 {
-			es = append(es, Entry{Take: &Take{Index: c.state.Change.Index, Locked: c.state.Refs()}})
+		clear(c.coordinator.proposedAt)
+		es := c.coordinator.Tick(c.now, c.state, 0)
+		if flaw == takeUnlocked && c.state.Pending != nil && len(c.coordinator.missing(c.state, func(k *participantStatus) bool { return k.status.Prepared == c.state.Pending.Index }, c.now)) == 0 {
+			es = append(es, Entry{Commit: &Commit{Index: c.state.Pending.Index, Locked: c.state.Processes()}})
 		}
-		if flaw == fencesAtOnce && c.state.Change != nil {
-			es = append(es, Entry{Take: &Take{Index: c.state.Change.Index, Fenced: c.state.Refs()}})
+		if flaw == fencesAtOnce && c.state.Pending != nil {
+			es = append(es, Entry{Commit: &Commit{Index: c.state.Pending.Index, Fenced: c.state.Processes()}})
 		}
 		for _, e := range es {
-			if e.Report == nil && !slices.ContainsFunc(m.entries, func(o Entry) bool { return fmt.Sprint(o.Take, o.Join, o.Drop) == fmt.Sprint(e.Take, e.Join, e.Drop) }) {
+			if e.SwitchReport == nil && !slices.ContainsFunc(m.entries, func(o Entry) bool {
+				return fmt.Sprint(o.Commit, o.Join, o.Abort) == fmt.Sprint(e.Commit, e.Join, e.Abort)
+			}) {
 				to(func(c *model) {
-					if i := c.chairIndex(); c.chair.index != i {
-						c.chair.index = i
-						clear(c.chair.fenced)
+					if i := c.changeIndex(); c.coordinator.changeIndex != i {
+						c.coordinator.changeIndex = i
+						clear(c.coordinator.fenced)
 					}
-					if e.Take != nil && flaw != renewsWhileTaking {
-						for _, r := range e.Take.Fenced {
-							c.chair.fenced[r] = true
+					if e.Commit != nil && flaw != renewsWhileTaking {
+						for _, r := range e.Commit.Fenced {
+							c.coordinator.fenced[r] = true
 						}
 					}
 					c.entries = append(c.entries, e)
@@ -362,23 +364,23 @@
 		to(func(c *model) { // applied; or lost with its leader, if that never comes
 			c.entries = slices.Delete(slices.Clone(c.entries), i, i+1)
 			c.index++
-			if flaw == joinUnnoticed && e.Take != nil {
-				t := *e.Take
-				t.Locked = c.state.Refs()
-				e.Take = &t
+			if flaw == joinUnnoticed && e.Commit != nil {
+				t := *e.Commit
+				t.Locked = c.state.Processes()
+				e.Commit = &t
 			}
 			c.state.Apply(c.index, e)
 		})
 	}
-	for i, x := range m.msgs {
+	for i, x := range m.messages {
 		for _, twice := range []bool{false, true} {
-			if twice && m.most.doubles == 0 {
+			if twice && m.bounds.duplicates == 0 {
 				continue
 			}
 			to(func(c *model) {
-				if c.msgs = slices.Delete(slices.Clone(c.msgs), i, i+1); twice {
-					c.msgs = append(c.msgs, x)
-					c.most.doubles--
+				if c.messages = slices.Delete(slices.Clone(c.messages), i, i+1); twice {
+					c.messages = append(c.messages, x)
+					c.bounds.duplicates--
 				}
 				c.deliver(x, flaw)
 			})
@@ -387,56 +389,56 @@
 	return all
 }
 
-func (m *model) chairIndex() uint64 {
-	if m.state.Change == nil {
+func (m *model) changeIndex() uint64 {
+	if m.state.Pending == nil {
 		return 0
 	}
-	return m.state.Change.Index
+	return m.state.Pending.Index
 }
 
 func (m *model) crash(i int, flaw modelFlaw) {
-	m.most.crashes--
-	d := m.doors[i]
-	d.inc++
-	has := d.has
-	d.Door = NewDoor(Ref{Rank: uint16(i), ID: membership.ID{Incarnation: d.inc}})
-	d.asked, d.told = m.now-1, m.now-1
+	m.bounds.crashes--
+	d := m.participants[i]
+	d.incarnation++
+	has := d.version
+	d.Participant = NewParticipant(Process{Gateway: uint16(i), ID: membership.ID{Incarnation: d.incarnation}})
+	d.lastSentAt, d.lastReplyTo = m.now-1, m.now-1
 	for h := range d.disk {
-		d.ready[h] = true
+		d.prepared[h] = true
 	}
 	if flaw == trustsDisk {
-		d.has, d.until = has, Forever
+		d.version, d.decidesUntil = has, NoExpiry
 	}
 }
 
-func (m *model) deliver(x modelMsg, flaw modelFlaw) {
-	if x.hello != nil {
+func (m *model) deliver(x modelMessage, flaw modelFlaw) {
+	if x.request != nil {
 		s := m.state
 		if x.stale {
 			s = m.old
 		} else {
-			m.chair.Hello(m.now, *x.hello)
+			m.coordinator.ReceiveStatus(m.now, *x.request)
 		}
-		w := m.chair.Answer(m.now, s, *x.hello)
-		m.msgs = append(m.msgs, modelMsg{word: &w})
+		w := m.coordinator.Reply(m.now, s, *x.request)
+		m.messages = append(m.messages, modelMessage{reply: &w})
 		return
 	}
-	d, w := m.doors[x.word.ID.Rank], *x.word
-	was := d.until
-	to, ok := d.Heard(m.now, w)
-	if h, _, wants := d.Wants(); wants { // it can prepare it at once
+	d, w := m.participants[x.reply.Process.Gateway], *x.reply
+	was := d.decidesUntil
+	to, ok := d.ReceiveReply(m.now, w)
+	if h, _, wants := d.MissingDocument(); wants { // it can prepare it at once
 		if flaw != yesNotDurable {
 			d.disk[h] = true
 		}
-		if d.Prepared(h); d.wants.N > 0 && w.May {
-			to, ok = d.wants, true
+		if d.DocumentPrepared(h); d.required.Number > 0 && w.MayDecide {
+			to, ok = d.required, true
 		}
 	}
-	if flaw == fromTheAnswer && d.until != Forever && d.until > was {
-		d.until += m.now - w.At
+	if flaw == fromTheAnswer && d.decidesUntil != NoExpiry && d.decidesUntil > was {
+		d.decidesUntil += m.now - w.RequestSentAt
 	}
 	if ok {
-		d.Switch(to, w.At, 0)
+		d.SwitchTo(to, w.RequestSentAt, 0)
 	}
 }
 
@@ -458,8 +460,8 @@
 		level = level[:0]
 		for _, p := range parts {
 			for _, c := range p {
-				if c.bad != "" {
-					return len(seen), c.bad
+				if c.violation != "" {
+					return len(seen), c.violation
 				}
 				if k := c.key(); !seen[k] {
 					seen[k] = true
@@ -474,19 +476,19 @@
 	return len(seen), ""
 }
 
-// modelPlays are the plays of each run, or with wider bounds.
-func modelPlays(wide bool) map[string]modelBounds {
+// modelCases are the plays of each run, or with wider bounds.
+func modelCases(wide bool) map[string]modelBounds {
 	all := map[string]modelBounds{
-		"three doors, another leader":   {ticks: 2, hellos: 2, msgs: 1, entries: 1, leaders: 1, step: LockFor * 2 / 3, doors: 3, locked: 3},
-		"two doors, late and doubled":   {ticks: 2, hellos: 2, msgs: 2, entries: 1, doubles: 1, changes: 1, step: LockFor * 2 / 3, doors: 2},
-		"two doors, crash, two leaders": {ticks: 2, hellos: 2, msgs: 1, entries: 1, crashes: 1, leaders: 1, changes: 2, step: LockFor * 2 / 3, doors: 2},
-		"two doors, leases, a crash":    {ticks: 2, hellos: 2, msgs: 1, entries: 1, crashes: 1, step: LeaseFor * 6 / 11, mode: Fence, doors: 2},
+		"three doors, another leader":   {ticks: 2, requests: 2, messages: 1, entries: 1, leaders: 1, step: LockDuration * 2 / 3, participants: 3, locked: 3},
+		"two doors, late and doubled":   {ticks: 2, requests: 2, messages: 2, entries: 1, duplicates: 1, changes: 1, step: LockDuration * 2 / 3, participants: 2},
+		"two doors, crash, two leaders": {ticks: 2, requests: 2, messages: 1, entries: 1, crashes: 1, leaders: 1, changes: 2, step: LockDuration * 2 / 3, participants: 2},
+		"two doors, leases, a crash":    {ticks: 2, requests: 2, messages: 1, entries: 1, crashes: 1, step: LeaseDuration * 6 / 11, mode: Fence, participants: 2},
 	}
 	if wide {
-		all["three doors, leases"] = modelBounds{ticks: 2, hellos: 2, msgs: 1, entries: 1, step: LeaseFor * 6 / 11, mode: Fence, doors: 3, locked: 2}
-		all["two doors, leases, a crash"] = modelBounds{ticks: 3, hellos: 2, msgs: 1, entries: 1, crashes: 1, step: LeaseFor * 6 / 11, mode: Fence, doors: 2}
-		all["three doors, a crash"] = modelBounds{ticks: 2, hellos: 2, msgs: 1, entries: 1, crashes: 1, step: LockFor * 2 / 3, doors: 3, locked: 3}
-		all["two doors, late and doubled"] = modelBounds{ticks: 2, hellos: 3, msgs: 2, entries: 1, doubles: 1, changes: 1, step: LockFor * 2 / 3, doors: 2}
+		all["three doors, leases"] = modelBounds{ticks: 2, requests: 2, messages: 1, entries: 1, step: LeaseDuration * 6 / 11, mode: Fence, participants: 3, locked: 2}
+		all["two doors, leases, a crash"] = modelBounds{ticks: 3, requests: 2, messages: 1, entries: 1, crashes: 1, step: LeaseDuration * 6 / 11, mode: Fence, participants: 2}
+		all["three doors, a crash"] = modelBounds{ticks: 2, requests: 2, messages: 1, entries: 1, crashes: 1, step: LockDuration * 2 / 3, participants: 3, locked: 3}
+		all["two doors, late and doubled"] = modelBounds{ticks: 2, requests: 3, messages: 2, entries: 1, duplicates: 1, changes: 1, step: LockDuration * 2 / 3, participants: 2}
 	}
 	return all
 }
@@ -495,7 +497,7 @@
 	if race.On {
 		t.Skip("it has no goroutines that share anything, and takes long under the race detector")
 	}
-	for name, b := range modelPlays(os.Getenv("GAPGAP_LONG") != "") {
+	for name, b := range modelCases(os.Getenv("GAPGAP_LONG") != "") {
 		t.Run(name, func(t *testing.T) {
 			began := time.Now()
 			states, bad := explore(b, modelSound, 3_000_000)
@@ -512,15 +514,15 @@
 	if race.On {
 		t.Skip("as TestPolicyModel")
 	}
-	wait := modelBounds{ticks: 2, hellos: 3, msgs: 1, entries: 1, step: LockFor * 2 / 3, doors: 2, locked: 2}
+	wait := modelBounds{ticks: 2, requests: 3, messages: 1, entries: 1, step: LockDuration * 2 / 3, participants: 2, locked: 2}
 	crash, join, late, leader, early, open := wait, wait, wait, wait, wait, wait
 	open.locked = 0
 	join.crashes, join.entries = 1, 2
-	crash.crashes, crash.hellos = 1, 4
-	late.ticks, late.msgs = 3, 2
+	crash.crashes, crash.requests = 1, 4
+	late.ticks, late.messages = 3, 2
 	leader.leaders, leader.ticks = 1, 3
-	early.unprepared, early.locked, early.hellos = true, 0, 4
-	leases := modelBounds{ticks: 3, hellos: 3, msgs: 1, entries: 1, step: LeaseFor * 6 / 11, mode: Fence, doors: 2, unprepared: true}
+	early.unprepared, early.locked, early.requests = true, 0, 4
+	leases := modelBounds{ticks: 3, requests: 3, messages: 1, entries: 1, step: LeaseDuration * 6 / 11, mode: Fence, participants: 2, unprepared: true}
 	for flaw, b := range map[modelFlaw]modelBounds{yesNotDurable: early, takeUnlocked: open, trustsDisk: crash, idForgotten: wait, staleLeader: leader, fromTheAnswer: late,
 		joinUnnoticed: join, fencesAtOnce: leases, renewsWhileTaking: leases} {
 		states, bad := explore(b, flaw, 1_500_000)
--- a/internal/policy/steps_test.go
+++ b/internal/policy/steps_test.go
@@ -16,30 +16,30 @@
 	for len(w.queue) > 0 && w.queue[0].at <= end {
 		e := heap.Pop(&w.queue).(worldEvent)
 		w.now = max(w.now, e.at)
-		if e.do(); holds() {
+		if e.run(); holds() {
 			return true
 		}
 	}
 	return false
 }
 
-// on says whether an entry of some kind is on its way into the log.
-func (w *world) on(kind func(Entry) bool) bool {
-	return slices.ContainsFunc(w.open, func(b *[]byte) bool {
+// isProposed says whether an entry of some kind is on its way into the log.
+func (w *world) isProposed(kind func(Entry) bool) bool {
+	return slices.ContainsFunc(w.uncommitted, func(b *[]byte) bool {
 		var e Entry
 		return cbor.Unmarshal(*b, &e) == nil && kind(e)
 	})
 }
 
-// heardOf counts the doors that may decide of which the leader has heard something about the change.
-func (w *world) heardOf(what func(Hello, uint64) bool) (some, all bool) {
-	n := w.doors[w.leader].node
-	if n.chair == nil || n.state.Change == nil {
+// receivedFrom counts the doors that may decide of which the leader has heard something about the change.
+func (w *world) receivedFrom(what func(StatusRequest, uint64) bool) (some, all bool) {
+	n := w.gateways[w.leader].node
+	if n.coordinator == nil || n.state.Pending == nil {
 		return false, false
 	}
 	all = true
-	for _, r := range n.state.Refs() {
-		if k := n.chair.heard[r.Rank]; k != nil && k.hello.Ref == r && what(k.hello, n.state.Change.Index) {
+	for _, r := range n.state.Processes() {
+		if k := n.coordinator.participants[r.Gateway]; k != nil && k.status.Process == r && what(k.status, n.state.Pending.Index) {
 			some = true
 		} else {
 			all = false
@@ -48,10 +48,10 @@
 	return some, all
 }
 
-// goBy counts the doors that go by a version.
-func (w *world) goBy(n uint64) (count int) {
-	for _, d := range w.doors {
-		if d.alive && d.node.Door().Has().N == n {
+// countVersion counts the doors that go by a version.
+func (w *world) countVersion(n uint64) (count int) {
+	for _, d := range w.gateways {
+		if d.alive && d.node.Participant().Version().Number == n {
 			count++
 		}
 	}
@@ -66,36 +66,38 @@
 
 // changeSteps are the steps of a change in their order.
 func changeSteps() []changeStep {
-	prepared := func(h Hello, index uint64) bool { return h.Prepared == index || h.Locked == index }
-	locked := func(h Hello, index uint64) bool { return h.Locked == index }
+	prepared := func(h StatusRequest, index uint64) bool { return h.Prepared == index || h.Locked == index }
+	locked := func(h StatusRequest, index uint64) bool { return h.Locked == index }
 	return []changeStep{
-		{"asked", func(w *world) bool { return w.on(func(e Entry) bool { return e.Propose != nil }) }},
-		{"in the log", func(w *world) bool { return w.doors[w.leader].node.state.Change != nil }},
-		{"the first yes", func(w *world) bool { some, _ := w.heardOf(prepared); return some }},
-		{"all said yes", func(w *world) bool { _, all := w.heardOf(prepared); return all }},
-		{"the first lock", func(w *world) bool { some, _ := w.heardOf(locked); return some }},
-		{"all locked, the take on its way", func(w *world) bool { return w.on(func(e Entry) bool { return e.Take != nil }) }},
-		{"taken, and nobody told", func(w *world) bool { return w.doors[w.leader].node.state.Present.N == 2 && w.goBy(2) == 0 }},
-		{"the first door has gone over", func(w *world) bool { return w.goBy(2) > 0 }},
+		{"asked", func(w *world) bool { return w.isProposed(func(e Entry) bool { return e.Propose != nil }) }},
+		{"in the log", func(w *world) bool { return w.gateways[w.leader].node.state.Pending != nil }},
+		{"the first yes", func(w *world) bool { some, _ := w.receivedFrom(prepared); return some }},
+		{"all said yes", func(w *world) bool { _, all := w.receivedFrom(prepared); return all }},
+		{"the first lock", func(w *world) bool { some, _ := w.receivedFrom(locked); return some }},
+		{"all locked, the take on its way", func(w *world) bool { return w.isProposed(func(e Entry) bool { return e.Commit != nil }) }},
+		{"taken, and nobody told", func(w *world) bool {
+			return w.gateways[w.leader].node.state.Current.Number == 2 && w.countVersion(2) == 0
+		}},
+		{"the first door has gone over", func(w *world) bool { return w.countVersion(2) > 0 }},
 	}
 }
 
-// stepTroubles go wrong at a step; what each returns ends it.
-func stepTroubles() map[string]func(w *world, asker *worldDoor) (again func()) {
-	return map[string]func(w *world, asker *worldDoor) (again func()){
-		"leader killed": func(w *world, _ *worldDoor) func() {
-			d := w.doors[w.leader]
+// stepFaults go wrong at a step; what each returns ends it.
+func stepFaults() map[string]func(w *world, asker *gateway) (again func()) {
+	return map[string]func(w *world, asker *gateway) (again func()){
+		"leader killed": func(w *world, _ *gateway) func() {
+			d := w.gateways[w.leader]
 			d.alive, d.life = false, d.life+1
-			w.elect((d.rank + 1) % 3)
+			w.elect((d.index + 1) % 3)
 			return func() { d.start(3) }
 		},
-		"leader stopped": func(w *world, _ *worldDoor) func() {
-			d := w.doors[w.leader]
+		"leader stopped": func(w *world, _ *gateway) func() {
+			d := w.gateways[w.leader]
 			d.stopped = true
-			w.elect((d.rank + 1) % 3)
+			w.elect((d.index + 1) % 3)
 			return d.resume
 		},
-		"proposer killed": func(w *world, d *worldDoor) func() {
+		"proposer killed": func(w *world, d *gateway) func() {
 			d.alive, d.life = false, d.life+1
 			return func() { d.start(3) }
 		},
@@ -107,21 +109,21 @@
 func TestPolicyLeaderKilledAtEachStep(t *testing.T) {
 	plays, taken := 0, 0
 	for _, step := range changeSteps() {
-		for trouble, do := range stepTroubles() {
+		for trouble, do := range stepFaults() {
 			for seed := range uint64(8) {
 				doors, mode := 4+int(seed%3), Mode(seed/4)
 				at := fmt.Sprintf("%s, %s, %d doors, %v, seed %d", step.name, trouble, doors, mode, seed)
 				w := newWorld(seed, doors, mode)
-				w.late = 20 * time.Millisecond
-				w.loss, w.double = 0.1, 0.3
-				w.asksAll(5 * time.Millisecond)
-				if !w.until(20*time.Second, func() bool { return w.goBy(1) == doors }) {
+				w.maxDelay = 20 * time.Millisecond
+				w.loss, w.duplication = 0.1, 0.3
+				w.decideEvery(5 * time.Millisecond)
+				if !w.until(20*time.Second, func() bool { return w.countVersion(1) == doors }) {
 					t.Fatalf("%s: the fleet has not begun", at)
 				}
 				w.run(w.now + 2*time.Second)
-				c := &Change{ID: "x", Base: 1, Hash: Hash{2}, Mode: mode, From: uint16(doors - 1)}
-				asker := w.doors[doors-1]
-				asker.node.Ask(Say{ID: c.ID, Change: c})
+				c := &Change{ID: "x", Base: 1, Hash: Hash{2}, Mode: mode, Source: uint16(doors - 1)}
+				asker := w.gateways[doors-1]
+				asker.node.StartQuery(Query{ChangeID: c.ID, Change: c})
 				if !w.until(2*time.Second, func() bool { return step.at(w) }) {
 					t.Fatalf("%s: it did not come to that", at)
 				}
@@ -129,37 +131,37 @@
 				w.run(w.now + 700*time.Millisecond)
 				again()
 				w.run(w.now + 200*time.Millisecond)
-				other := w.doors[1]
-				no, _ := other.node.Ask(Say{ID: c.ID, Change: c}) // whoever does not know asks again, by the same id
-				if !w.until(15*time.Second, func() bool { return other.node.Answer(no) != nil }) {
+				other := w.gateways[1]
+				no, _ := other.node.StartQuery(Query{ChangeID: c.ID, Change: c}) // whoever does not know asks again, by the same id
+				if !w.until(15*time.Second, func() bool { return other.node.QueryReply(no) != nil }) {
 					t.Fatalf("%s: it is not known what became of it", at)
 				}
-				got := *other.node.Answer(no).Outcome
-				for _, d := range w.doors {
-					no, _ := d.node.Ask(Say{ID: c.ID, Change: c})
-					if !w.until(5*time.Second, func() bool { return d.node.Answer(no) != nil }) {
-						t.Fatalf("%s: door %d does not learn what became of it", at, d.rank)
+				got := *other.node.QueryReply(no).Outcome
+				for _, d := range w.gateways {
+					no, _ := d.node.StartQuery(Query{ChangeID: c.ID, Change: c})
+					if !w.until(5*time.Second, func() bool { return d.node.QueryReply(no) != nil }) {
+						t.Fatalf("%s: door %d does not learn what became of it", at, d.index)
 					}
-					if o := d.node.Answer(no).Outcome; o.Taken != got.Taken || o.N != got.N {
-						t.Errorf("%s: %+v at door %d, %+v at another", at, o, d.rank, got)
+					if o := d.node.QueryReply(no).Outcome; o.Committed != got.Committed || o.Version != got.Version {
+						t.Errorf("%s: %+v at door %d, %+v at another", at, o, d.index, got)
 					}
 				}
 				want := uint64(1)
-				if got.Taken {
+				if got.Committed {
 					want = 2
 					taken++
 				}
-				if !w.until(5*time.Second, func() bool { return w.goBy(want) == doors }) {
-					t.Errorf("%s: %d of %d doors go by version %d", at, w.goBy(want), doors, want)
+				if !w.until(5*time.Second, func() bool { return w.countVersion(want) == doors }) {
+					t.Errorf("%s: %d of %d doors go by version %d", at, w.countVersion(want), doors, want)
 				}
 				times := 0
-				for _, o := range w.doors[w.leader].node.state.Past {
+				for _, o := range w.gateways[w.leader].node.state.Outcomes {
 					if o.Change.ID == c.ID {
 						times++
 					}
 				}
-				if times != 1 || w.window > 250*time.Millisecond {
-					t.Errorf("%s: decided %d times, window %v", at, times, w.window)
+				if times != 1 || w.worstWindow > 250*time.Millisecond {
+					t.Errorf("%s: decided %d times, window %v", at, times, w.worstWindow)
 				}
 				plays++
 			}
@@ -176,15 +178,15 @@
 	var worst time.Duration
 	for seed := range uint64(40) {
 		w := newWorld(seed, 5, Wait)
-		w.late = 20 * time.Millisecond
+		w.maxDelay = 20 * time.Millisecond
 		w.run(w.now + 5*time.Second)
-		w.loss, w.double = 0.3, 0.3
+		w.loss, w.duplication = 0.3, 0.3
 		begun := w.now
-		w.doors[4].node.Ask(Say{ID: "x", Change: &Change{ID: "x", Base: 1, Hash: Hash{2}, From: 4}})
-		if !w.until(10*time.Second, func() bool { return w.doors[w.leader].node.state.Find("x") != nil }) {
+		w.gateways[4].node.StartQuery(Query{ChangeID: "x", Change: &Change{ID: "x", Base: 1, Hash: Hash{2}, Source: 4}})
+		if !w.until(10*time.Second, func() bool { return w.gateways[w.leader].node.state.FindOutcome("x") != nil }) {
 			t.Fatalf("seed %d: not decided", seed)
 		}
-		if o := w.doors[w.leader].node.state.Find("x"); !o.Taken {
+		if o := w.gateways[w.leader].node.state.FindOutcome("x"); !o.Committed {
 			t.Errorf("seed %d: dropped: %s", seed, o.Reason)
 		}
 		worst = max(worst, w.now-begun)
--- a/internal/policyreplica/docs.go
+++ b/internal/policyreplica/docs.go
@@ -54,7 +54,7 @@
 
 // get reads a document.
 func (d *docs) get(h policy.Hash) ([]byte, error) {
-	b, err := vfs.ReadFile(d.fs, d.path(h), policy.MostBytes)
+	b, err := vfs.ReadFile(d.fs, d.path(h), policy.MaxDocumentBytes)
 	if err != nil {
 		return nil, err
 	}
@@ -146,7 +146,7 @@
 
 // history is a leader's answer that is too long for a datagram.
 func history(s *policy.State) []byte {
-	b, err := json.Marshal(s.Past)
+	b, err := json.Marshal(s.Outcomes)
 	if err != nil {
 		return []byte("[]")
 	}
--- a/internal/policyreplica/fetch.go
+++ b/internal/policyreplica/fetch.go
@@ -118,7 +118,7 @@
 		}
 		return nil, false
 	}
-	if p.Size > policy.MostBytes || f.size >= 0 && p.Size != f.size || p.At < 0 || p.At%partBytes != 0 || f.got[p.At] {
+	if p.Size > policy.MaxDocumentBytes || f.size >= 0 && p.Size != f.size || p.At < 0 || p.At%partBytes != 0 || f.got[p.At] {
 		return nil, false
 	}
 	if int64(len(p.Data)) != min(partBytes, p.Size-p.At) {
--- a/internal/policyreplica/golden_test.go
+++ b/internal/policyreplica/golden_test.go
@@ -19,25 +19,25 @@
 	"gapgap/internal/vfs"
 )
 
-func goldenRef(rank uint16) policy.Ref {
-	return policy.Ref{Rank: rank, ID: membership.ID{Incarnation: 5, Nonce: 1 << 31}}
+func goldenRef(rank uint16) policy.Process {
+	return policy.Process{Gateway: rank, ID: membership.ID{Incarnation: 5, Nonce: 1 << 31}}
 }
 
 func goldenChange() policy.Change {
 	return policy.Change{Index: 300, ID: "c", Base: 6, Hash: policy.HashOf([]byte("doc")), Bytes: 1 << 20, Mode: policy.Fence,
-		Who: "w", Note: "n", At: 1_700_000_000_001, From: 4, Begin: true}
+		Author: "w", Note: "n", ProposedAt: 1_700_000_000_001, Source: 4, Initial: true}
 }
 
 // TestGoldenMessages compares the bytes of each kind of datagram with those recorded, and reads them back.
 func TestGoldenMessages(t *testing.T) {
 	hash := policy.HashOf([]byte("doc"))
-	hello := policy.Hello{Ref: goldenRef(1), At: time.Hour, Has: 7, Prepared: 300, No: 301, Reason: "r", Locked: 302,
-		Leaving: true, Switched: 1_700_000_000_003}
+	hello := policy.StatusRequest{Process: goldenRef(1), SentAt: time.Hour, Version: 7, Prepared: 300, Rejected: 301, Reason: "r", Locked: 302,
+		Leaving: true, SwitchedAt: 1_700_000_000_003}
 	cases := []struct {
 		name  string
 		value wire
 	}{
-		{"node", wire{Msg: &policy.Msg{Hello: &hello}}},
+		{"node", wire{Msg: &policy.Message{StatusRequest: &hello}}},
 		{"log", wire{Log: []byte("S raft")}},
 		{"get", wire{Get: &get{Hash: hash, At: 8192}}},
 		{"part", wire{Part: &part{Hash: hash, At: 8192, Size: 10_000, Data: []byte("some bytes")}}},
@@ -67,7 +67,7 @@
 // TestGoldenVersionFile compares the file of the version gone by with the recorded one, and reads that back.
 func TestGoldenVersionFile(t *testing.T) {
 	path := "testdata/golden/policy.json"
-	want := policy.Version{N: 7, Hash: policy.HashOf([]byte("doc"))}
+	want := policy.Version{Number: 7, Hash: policy.HashOf([]byte("doc"))}
 	dir := t.TempDir()
 	if err := saveLast(vfs.OS{}, dir, want); err != nil {
 		t.Fatal(err)
@@ -85,10 +85,10 @@
 // TestGoldenHistory compares the JSON of all outcomes with the recorded one.
 func TestGoldenHistory(t *testing.T) {
 	change := goldenChange()
-	state := &policy.State{Past: []policy.Outcome{
-		{Change: change, Taken: true, N: 7, Reason: "r", At: 1_700_000_000_002, Locked: []policy.Ref{goldenRef(1)},
-			Fenced: []policy.Ref{goldenRef(3)}, Switched: map[uint16]int64{1: 1_700_000_000_003, 3: 4}},
-		{Change: policy.Change{ID: "d"}, Reason: "door 3 has not locked", At: 9},
+	state := &policy.State{Outcomes: []policy.Outcome{
+		{Change: change, Committed: true, Version: 7, Reason: "r", DecidedAt: 1_700_000_000_002, Locked: []policy.Process{goldenRef(1)},
+			Fenced: []policy.Process{goldenRef(3)}, SwitchedAt: map[uint16]int64{1: 1_700_000_000_003, 3: 4}},
+		{Change: policy.Change{ID: "d"}, Reason: "door 3 has not locked", DecidedAt: 9},
 	}}
 	golden.CheckBytes(t, "testdata/golden/history.json", history(state))
 	golden.CheckBytes(t, "testdata/golden/history-none.json", history(policy.NewState()))
--- a/internal/policyreplica/side.go
+++ b/internal/policyreplica/side.go
@@ -57,7 +57,7 @@
 	Now    func() time.Duration
 	Log    *slog.Logger
 	Tell   func(to int, b []byte) // a datagram's worth to a door; it may be lost
-	ID     func() policy.Ref      // this process
+	ID     func() policy.Process  // this process
 	Begin  func() ([]byte, error) // the policy that a fleet begins with
 	GiveUp time.Duration
 	Fence  bool
@@ -82,13 +82,13 @@
 
 // wire is what is told in a datagram: one field is set.
 type wire struct {
-	Msg  *policy.Msg `cbor:"1,keyasint,omitempty"`
-	Log  []byte      `cbor:"2,keyasint,omitempty"`
-	Get  *get        `cbor:"3,keyasint,omitempty"`
-	Part *part       `cbor:"4,keyasint,omitempty"`
-	Frag *frag       `cbor:"5,keyasint,omitempty"`
-	Want string      `cbor:"6,keyasint,omitempty"` // asks for an answer that is too long for a datagram: "history"
-	Long *long       `cbor:"7,keyasint,omitempty"`
+	Msg  *policy.Message `cbor:"1,keyasint,omitempty"`
+	Log  []byte          `cbor:"2,keyasint,omitempty"`
+	Get  *get            `cbor:"3,keyasint,omitempty"`
+	Part *part           `cbor:"4,keyasint,omitempty"`
+	Frag *frag           `cbor:"5,keyasint,omitempty"`
+	Want string          `cbor:"6,keyasint,omitempty"` // asks for an answer that is too long for a datagram: "history"
+	Long *long           `cbor:"7,keyasint,omitempty"`
 }
 
 // long says by which hash such an answer can be fetched.
@@ -128,7 +128,7 @@
 
 	// The loop's.
 	ticks    int
-	ref      policy.Ref
+	ref      policy.Process
 	fetch    *fetch
 	fetched  map[policy.Hash][]byte // read and not yet built
 	built    map[policy.Hash]any
@@ -172,7 +172,7 @@
 	if s.last, err = loadLast(cfg.FS, cfg.Dir); err != nil {
 		return nil, err
 	}
-	nc := policy.Config{Ref: s.ref, Doors: len(cfg.Names), Voters: s.voters, GiveUp: cfg.GiveUp}
+	nc := policy.Config{Process: s.ref, Gateways: len(cfg.Names), Voters: s.voters, AbortAfter: cfg.GiveUp}
 	if slices.Contains(s.voters, cfg.Rank) {
 		if s.disk, err = raftlog.OpenDisk(cfg.FS, cfg.Dir); err != nil {
 			return nil, err
@@ -182,8 +182,8 @@
 	s.node = policy.NewNode(nc)
 	if s.disk != nil {
 		s.log, err = raftlog.New(raftlog.Config{Rank: cfg.Rank, Voters: s.voters, Disk: s.disk, Log: cfg.Log,
-			Send: func(to int, b []byte) { s.tell(to, &wire{Log: b}) }, Applied: s.node.Applied,
-			Read:     func(token uint64) { s.send(s.node.Read(cfg.Now(), token)) },
+			Send: func(to int, b []byte) { s.tell(to, &wire{Log: b}) }, Applied: s.node.Apply,
+			Read:     func(token uint64) { s.send(s.node.ReadConfirmed(cfg.Now(), token)) },
 			Snapshot: s.node.Snapshot, Restore: s.node.Restore, Write: s.write})
 		if err != nil {
 			return nil, err
@@ -203,10 +203,10 @@
 	}
 	return v.log.Leading()
 }
-func (v *voterLog) Propose(b []byte) { v.log.Propose(b) }
-func (v *voterLog) Read(t uint64)    { v.log.Read(t) }
+func (v *voterLog) Propose(b []byte)     { v.log.Propose(b) }
+func (v *voterLog) ConfirmRead(t uint64) { v.log.Read(t) }
 
-func (v *voterLog) Replace(rank int) string { return v.log.Replace(rank) }
+func (v *voterLog) ReplaceVoter(rank int) string { return v.log.Replace(rank) }
 
 // Start begins.
 func (s *Side) Start() { s.wg.Go(s.loop) }
@@ -269,14 +269,14 @@
 	}
 	if ref := s.cfg.ID(); ref != s.ref { // its disk had lost its incarnation
 		s.ref = ref
-		s.node.Renamed(ref)
+		s.node.SetProcess(ref)
 	}
 	s.send(s.node.Tick(now, time.Now().UnixMilli()))
 	s.begin(now)
-	if s.cfg.Last > 0 && s.has.N == 0 && s.last.N > 0 && now-s.begun >= s.cfg.Last && s.node.Door().Has().N == 0 {
+	if s.cfg.Last > 0 && s.has.Number == 0 && s.last.Number > 0 && now-s.begun >= s.cfg.Last && s.node.Participant().Version().Number == 0 {
 		if s.ready(s.last.Hash) {
-			s.cfg.Log.Warn("no majority of the voters answers: this door goes by the version that its disk has, as without_quorum says", "version", s.last.N)
-			s.node.Door().Last(s.last)
+			s.cfg.Log.Warn("no majority of the voters answers: this door goes by the version that its disk has, as without_quorum says", "version", s.last.Number)
+			s.node.Participant().DecideWithoutQuorum(s.last)
 		}
 	}
 	for h, at := range s.failed {
@@ -296,11 +296,11 @@
 
 // begin proposes this door's own policy where the fleet has none.
 func (s *Side) begin(now time.Duration) {
-	if s.node.State().Present.N > 0 && s.beginAsk > 0 {
-		s.node.Done(s.beginAsk)
+	if s.node.State().Current.Number > 0 && s.beginAsk > 0 {
+		s.node.EndQuery(s.beginAsk)
 		s.beginAsk = 0
 	}
-	if !s.leads() || s.node.State().Present.N > 0 || now < s.beginAt {
+	if !s.leads() || s.node.State().Current.Number > 0 || now < s.beginAt {
 		return
 	}
 	s.beginAt = now + time.Second
@@ -312,17 +312,17 @@
 		s.cfg.Log.Error("the fleet's policy could not be begun", "error", err)
 		return
 	}
-	c := policy.Change{ID: "begin", Hash: policy.HashOf(doc), Bytes: int64(len(doc)), Who: s.cfg.Name, At: time.Now().UnixMilli(), From: uint16(s.cfg.Rank), Begin: true}
+	c := policy.Change{ID: "begin", Hash: policy.HashOf(doc), Bytes: int64(len(doc)), Author: s.cfg.Name, ProposedAt: time.Now().UnixMilli(), Source: uint16(s.cfg.Rank), Initial: true}
 	if s.cfg.Fence {
 		c.Mode = policy.Fence
 	}
-	s.node.Done(s.beginAsk)
-	s.beginAsk, _ = s.node.Ask(policy.Say{ID: c.ID, Change: &c})
+	s.node.EndQuery(s.beginAsk)
+	s.beginAsk, _ = s.node.StartQuery(policy.Query{ChangeID: c.ID, Change: &c})
 }
 
-func (s *Side) send(outs []policy.Out) {
+func (s *Side) send(outs []policy.Outgoing) {
 	for i := range outs {
-		s.tell(outs[i].To, &wire{Msg: &outs[i].Msg})
+		s.tell(outs[i].To, &wire{Msg: &outs[i].Message})
 	}
 }
 
@@ -376,7 +376,7 @@
 			s.heard(inMsg{in.from, whole})
 		}
 	case w.Msg != nil:
-		s.send(s.node.Heard(now, in.from, *w.Msg, time.Now().UnixMilli()))
+		s.send(s.node.Receive(now, in.from, *w.Msg, time.Now().UnixMilli()))
 	case w.Log != nil:
 		if s.log != nil {
 			if err := s.log.Step(in.from, w.Log); err != nil {
@@ -471,13 +471,13 @@
 	if r.err != nil {
 		s.failed[r.hash] = s.cfg.Now()
 		s.cfg.Log.Error("a policy can't be gone by here", "hash", r.hash.String()[:12], "error", r.err)
-		s.node.Door().Cannot(r.hash, r.err.Error())
-		s.node.Soon()
+		s.node.Participant().RejectDocument(r.hash, r.err.Error())
+		s.node.PollNow()
 		return
 	}
 	s.built[r.hash] = r.what
-	s.node.Door().Prepared(r.hash)
-	s.node.Soon()
+	s.node.Participant().DocumentPrepared(r.hash)
+	s.node.PollNow()
 }
 
 // work does what has come about: the log's, documents that are wanted, another version, another right.
@@ -486,8 +486,8 @@
 		s.log.Work() // a failure is logged, and ends this voter's part
 	}
 	now := s.cfg.Now()
-	d := s.node.Door()
-	if h, from, ok := d.Wants(); ok {
+	d := s.node.Participant()
+	if h, from, ok := d.MissingDocument(); ok {
 		s.want(now, h, int(from))
 	} else if s.fetch != nil && s.temps[s.fetch.hash] == nil && !s.wanted(s.fetch.hash) {
 		s.fetch = nil
@@ -498,10 +498,10 @@
 			s.tell(to, &wire{Get: &all[i]})
 		}
 	}
-	if has := d.Has(); has != s.has {
+	if has := d.Version(); has != s.has {
 		s.change(has)
 	}
-	if until := d.Until(); until != s.until {
+	if until := d.DecidesUntil(); until != s.until {
 		s.until = until
 		s.cfg.Host.Until(until)
 	}
@@ -528,13 +528,13 @@
 // want sees to it that a document comes to be ready.
 func (s *Side) want(now time.Duration, h policy.Hash, from int) {
 	if s.ready(h) {
-		s.node.Door().Prepared(h) // it was built before this process had its present name
-		s.node.Soon()
+		s.node.Participant().DocumentPrepared(h) // it was built before this process had its present name
+		s.node.PollNow()
 		return
 	}
 	if _, bad := s.failed[h]; bad {
-		if c, ok := s.node.Door().Pending(); ok && c.Hash == h {
-			s.node.Door().Cannot(h, "it could not be gone by a moment ago")
+		if c, ok := s.node.Participant().Pending(); ok && c.Hash == h {
+			s.node.Participant().RejectDocument(h, "it could not be gone by a moment ago")
 		}
 		return
 	}
@@ -565,21 +565,21 @@
 func (s *Side) change(to policy.Version) {
 	s.cfg.Host.Stop()
 	s.until = 0
-	if err := s.cfg.Host.Apply(to.N, s.built[to.Hash]); err != nil {
-		s.cfg.Log.Error("a policy that was prepared could not be gone over to: nothing is decided here", "version", to.N, "error", err)
-		s.node.Door().Leave()
+	if err := s.cfg.Host.Apply(to.Number, s.built[to.Hash]); err != nil {
+		s.cfg.Log.Error("a policy that was prepared could not be gone over to: nothing is decided here", "version", to.Number, "error", err)
+		s.node.Participant().Leave()
 		return
 	}
 	was := s.has
 	s.has = to
 	s.keepLast(to)
 	for h := range s.built {
-		if c, ok := s.node.Door().Pending(); h != to.Hash && (!ok || c.Hash != h) {
+		if c, ok := s.node.Participant().Pending(); h != to.Hash && (!ok || c.Hash != h) {
 			delete(s.built, h)
-			s.node.Door().Forget(h)
+			s.node.Participant().ForgetDocument(h)
 		}
 	}
-	s.cfg.Log.Info("policy", "version", to.N, "was", was.N, "hash", to.Hash.String()[:12])
+	s.cfg.Log.Info("policy", "version", to.Number, "was", was.Number, "hash", to.Hash.String()[:12])
 }
 
 // write has the log's file written beside the loop.
@@ -623,10 +623,10 @@
 func (s *Side) tellWhy(now time.Duration) {
 	why := ""
 	if s.until <= now {
-		switch c, pending := s.node.Door().Pending(); {
-		case s.has.N == 0:
+		switch c, pending := s.node.Participant().Pending(); {
+		case s.has.Number == 0:
 			why = "this door has not yet learned the fleet's policy"
-		case s.node.Door().Locked() && pending:
+		case s.node.Participant().IsLocked() && pending:
 			why = "the outcome of the change " + c.ID + " is not known here"
 		default:
 			why = "this door may not go by its version any more"
@@ -638,7 +638,7 @@
 	if s.said = why; why != "" {
 		s.cfg.Log.Warn("nothing is decided: " + why)
 	} else {
-		s.cfg.Log.Info("requests are decided again", "version", s.has.N)
+		s.cfg.Log.Info("requests are decided again", "version", s.has.Number)
 	}
 }
 
@@ -664,11 +664,11 @@
 
 // Ask asks the leader, and waits for the answer: for a change, until it is decided. An error of the context says that it is not known yet; then
 // the last that was said is returned with it, if anything was.
-func (s *Side) Ask(ctx context.Context, say policy.Say) (*policy.Said, error) {
+func (s *Side) Ask(ctx context.Context, say policy.Query) (*policy.QueryReply, error) {
 	var ask uint64
 	ok := false
 	if err := s.do(ctx, func() {
-		if ask, ok = s.node.Ask(say); ok {
+		if ask, ok = s.node.StartQuery(say); ok {
 			s.send(s.node.Tick(s.cfg.Now(), time.Now().UnixMilli()))
 		}
 	}); err != nil {
@@ -677,10 +677,10 @@
 	if !ok {
 		return nil, errors.New("too many questions wait for an answer already")
 	}
-	defer s.do(context.Background(), func() { s.node.Done(ask) })
+	defer s.do(context.Background(), func() { s.node.EndQuery(ask) })
 	for {
-		var got *policy.Said
-		if err := s.do(ctx, func() { got = s.node.Answer(ask) }); err != nil {
+		var got *policy.QueryReply
+		if err := s.do(ctx, func() { got = s.node.QueryReply(ask) }); err != nil {
 			return nil, err
 		}
 		if got != nil {
@@ -697,11 +697,11 @@
 // Recover has this door's voter go on alone where a majority of the voters' disks is lost for good; lost are ranks of voters whose disks are known to
 // be gone. It returns why that may not be.
 func (s *Side) Recover(ctx context.Context, lost []int, who string) (reason string, err error) {
-	r := policy.Recover{Who: who[:min(len(who), policy.MostID)], At: time.Now().UnixMilli()}
+	r := policy.Recovery{Author: who[:min(len(who), policy.MaxIDBytes)], RecoveredAt: time.Now().UnixMilli()}
 	for _, v := range lost {
 		r.Lost = append(r.Lost, uint16(v))
 	}
-	b, err := policy.Entry{Recover: &r}.Encode()
+	b, err := policy.Entry{Recovery: &r}.Encode()
 	if err != nil {
 		return "", err
 	}
@@ -715,8 +715,8 @@
 
 // Keep puts a document onto this door's disk, for the others to fetch.
 func (s *Side) Keep(ctx context.Context, doc []byte) (policy.Hash, error) {
-	if len(doc) == 0 || len(doc) > policy.MostBytes {
-		return policy.Hash{}, fmt.Errorf("a policy of %d bytes, not 1 to %d", len(doc), policy.MostBytes)
+	if len(doc) == 0 || len(doc) > policy.MaxDocumentBytes {
+		return policy.Hash{}, fmt.Errorf("a policy of %d bytes, not 1 to %d", len(doc), policy.MaxDocumentBytes)
 	}
 	var has policy.Hash
 	if err := s.do(ctx, func() { has = s.has.Hash }); err != nil {
@@ -788,10 +788,10 @@
 	for range leaveTries {
 		gone := false
 		if s.do(context.Background(), func() {
-			s.node.Door().Leave()
-			s.node.Soon()
+			s.node.Participant().Leave()
+			s.node.PollNow()
 			s.send(s.node.Tick(s.cfg.Now(), time.Now().UnixMilli()))
-			gone = s.node.Gone()
+			gone = s.node.IsLeaveConfirmed()
 		}) != nil || gone {
 			return
 		}
--- a/internal/service/hosted/golden_test.go
+++ b/internal/service/hosted/golden_test.go
@@ -30,10 +30,10 @@
 
 // The JSON that gapgapctl reads of a process.
 func TestGoldenViews(t *testing.T) {
-	version := policy.Version{N: 7, Hash: policy.Hash{1, 2, 3}}
+	version := policy.Version{Number: 7, Hash: policy.Hash{1, 2, 3}}
 	views := []any{
 		PolicyStatus{Name: "a", Version: version, Decides: true, Present: &version, Mode: "wait", Leader: "b",
-			Change: &policy.Change{ID: "c", Base: 6, Hash: policy.Hash{4}, Bytes: 10, Mode: 1, Who: "w", Note: "n", At: 5, From: 2, Begin: true},
+			Change: &policy.Change{ID: "c", Base: 6, Hash: policy.Hash{4}, Bytes: 10, Mode: 1, Author: "w", Note: "n", ProposedAt: 5, Source: 2, Initial: true},
 			Waits:  "x", Serving: []string{"a", "b"}},
 		PolicyStatus{},
 		PolicyResult{ID: "c", Known: true, Taken: true, Version: 7, Reason: "r", Waits: "w"},
--- a/internal/service/hosted/hosted.go
+++ b/internal/service/hosted/hosted.go
@@ -289,7 +289,7 @@
 	if err != nil {
 		return err
 	}
-	s.log.Info("the node's part of the file is read again; the policy is the fleet's, and the file's is not looked at", "policy", s.policy.side.View().Version.N)
+	s.log.Info("the node's part of the file is read again; the policy is the fleet's, and the file's is not looked at", "policy", s.policy.side.View().Version.Number)
 	return s.reload(next)
 }
 
--- a/internal/service/hosted/metrics.go
+++ b/internal/service/hosted/metrics.go
@@ -162,7 +162,7 @@
 		return
 	}
 	how := m.s.policy.side.View()
-	gauge(descVersion, float64(how.Version.N))
+	gauge(descVersion, float64(how.Version.Number))
 	gauge(descDecides, as(how.Until > m.s.clock.Now()))
 	gauge(descPending, as(how.Pending != ""))
 	counter(descPolicyOdd, m.s.policy.side.Dropped())
--- a/internal/service/hosted/policy.go
+++ b/internal/service/hosted/policy.go
@@ -40,7 +40,7 @@
 		p.names = append(p.names, d.Name)
 	}
 	pc := policyreplica.Config{Name: cfg.Node.Name, Rank: sec.Index, Names: p.names, FS: s.disk, Dir: sec.StateDir, Now: s.clock.Now, Log: s.log.With("of", "policy"),
-		Tell: s.fleet.peers.SendPolicy, ID: func() policy.Ref { return policy.Ref{Rank: uint16(sec.Index), ID: s.fleet.peers.ID()} },
+		Tell: s.fleet.peers.SendPolicy, ID: func() policy.Process { return policy.Process{Gateway: uint16(sec.Index), ID: s.fleet.peers.ID()} },
 		Begin: func() ([]byte, error) { return policyOf(cfg.text) }, GiveUp: sec.Policy.GiveUp, Fence: sec.Policy.Fence, Host: p}
 	if sec.Policy.UseLastKnown {
 		pc.Last = sec.Policy.After
@@ -90,7 +90,7 @@
 // with is the node's part of a configuration with the policy that this door goes by.
 func (p *policySide) with(cfg *Config) (*Config, error) {
 	v := p.side.View()
-	if v.Version.N == 0 {
+	if v.Version.Number == 0 {
 		return nil, errors.New("this door has not yet learned the fleet's policy")
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), controlWithin)
@@ -170,14 +170,14 @@
 func (p *policySide) status(ctx context.Context) *PolicyStatus {
 	v := p.side.View()
 	st := &PolicyStatus{Name: p.s.cfg.Node.Name, Version: v.Version, Decides: v.Until > p.s.clock.Now()}
-	said, err := p.side.Ask(ctx, policy.Say{})
+	said, err := p.side.Ask(ctx, policy.Query{})
 	if err != nil {
 		return st
 	}
-	st.Present, st.Mode, st.Change, st.Waits = &said.Present, said.Mode.String(), said.Open, p.named(said.Waits)
+	st.Present, st.Mode, st.Change, st.Waits = &said.Current, said.Mode.String(), said.Pending, p.named(said.WaitingFor)
 	st.Leader = p.name(said.Leader)
-	for _, r := range said.Serving {
-		st.Serving = append(st.Serving, p.name(r.Rank))
+	for _, r := range said.Participants {
+		st.Serving = append(st.Serving, p.name(r.Gateway))
 	}
 	return st
 }
@@ -190,7 +190,7 @@
 }
 
 // named puts names in the place of "door 2".
-func (p *policySide) named(s string) string { return policy.Named(s, p.names) }
+func (p *policySide) named(s string) string { return policy.ReplaceGatewayNumbers(s, p.names) }
 
 // PolicyResult is what became of a proposal.
 type PolicyResult struct {
@@ -211,17 +211,17 @@
 
 // propose brings a change and waits for what becomes of it.
 func (p *policySide) propose(ctx context.Context, q map[string]string, doc []byte) (*PolicyResult, error) {
-	c := &policy.Change{ID: q["id"], Who: q["who"], Note: q["note"], Bytes: int64(len(doc)), At: time.Now().UnixMilli(), From: uint16(slices.Index(p.names, p.s.cfg.Node.Name))}
+	c := &policy.Change{ID: q["id"], Author: q["who"], Note: q["note"], Bytes: int64(len(doc)), ProposedAt: time.Now().UnixMilli(), Source: uint16(slices.Index(p.names, p.s.cfg.Node.Name))}
 	if _, err := p.Read(doc); err != nil {
 		return nil, err
 	}
 	early, cancel := context.WithTimeout(ctx, askWithin)
 	defer cancel()
-	said, err := p.side.Ask(early, policy.Say{})
+	said, err := p.side.Ask(early, policy.Query{})
 	if err != nil {
 		return nil, fmt.Errorf("no majority of the voters answers, so nothing was proposed: %w", err)
 	}
-	if c.Base = said.Present.N; q["base"] != "" {
+	if c.Base = said.Current.Number; q["base"] != "" {
 		if c.Base, err = strconv.ParseUint(q["base"], 10, 64); err != nil {
 			return nil, fmt.Errorf("base %q is no version", q["base"])
 		}
@@ -231,27 +231,27 @@
 			return nil, err
 		}
 	}
-	if err := c.Check(); err != nil {
+	if err := c.Validate(); err != nil {
 		return nil, err
 	}
 	if c.Hash, err = p.side.Keep(ctx, doc); err != nil {
 		return nil, fmt.Errorf("the policy could not be kept here: %w", err)
 	}
-	return p.outcome(ctx, policy.Say{ID: c.ID, Change: c}), nil
+	return p.outcome(ctx, policy.Query{ChangeID: c.ID, Change: c}), nil
 }
 
 // outcome waits for what becomes of a change.
-func (p *policySide) outcome(ctx context.Context, say policy.Say) *PolicyResult {
-	r := &PolicyResult{ID: say.ID}
+func (p *policySide) outcome(ctx context.Context, say policy.Query) *PolicyResult {
+	r := &PolicyResult{ID: say.ChangeID}
 	said, err := p.side.Ask(ctx, say)
 	if err != nil || said.Outcome == nil {
-		if said != nil && said.Open != nil && said.Open.ID == say.ID {
-			r.Waits = p.named(said.Waits)
+		if said != nil && said.Pending != nil && said.Pending.ID == say.ChangeID {
+			r.Waits = p.named(said.WaitingFor)
 		}
 		return r
 	}
 	o := said.Outcome
-	r.Known, r.Taken, r.Version, r.Reason = true, o.Taken, o.N, p.named(o.Reason)
+	r.Known, r.Taken, r.Version, r.Reason = true, o.Committed, o.Version, p.named(o.Reason)
 	return r
 }
 
@@ -301,7 +301,7 @@
 	mux.HandleFunc("GET /policy/change", func(w http.ResponseWriter, r *http.Request) {
 		ctx, cancel := within(w, r, askWithin)
 		defer cancel()
-		put(w, http.StatusOK, p.outcome(ctx, policy.Say{ID: r.URL.Query().Get("id")}))
+		put(w, http.StatusOK, p.outcome(ctx, policy.Query{ChangeID: r.URL.Query().Get("id")}))
 	})
 	mux.HandleFunc("POST /policy/propose", func(w http.ResponseWriter, r *http.Request) {
 		wait := proposeUsual
@@ -310,7 +310,7 @@
 		}
 		ctx, cancel := within(w, r, wait)
 		defer cancel()
-		doc, err := io.ReadAll(http.MaxBytesReader(w, r.Body, policy.MostBytes))
+		doc, err := io.ReadAll(http.MaxBytesReader(w, r.Body, policy.MaxDocumentBytes))
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
@@ -336,7 +336,7 @@
 			return
 		}
 		for reason := ""; ; {
-			said, err := p.side.Ask(ctx, policy.Say{Replace: uint16(rank) + 1})
+			said, err := p.side.Ask(ctx, policy.Query{ReplaceVoter: uint16(rank) + 1})
 			switch {
 			case err == nil && said.Reason == "":
 				w.WriteHeader(http.StatusNoContent)
@@ -381,7 +381,7 @@
 			http.Error(w, fmt.Sprintf("%q: %v", r.URL.Query().Get("name"), peer.ErrUnknownGateway), http.StatusNotFound)
 			return
 		}
-		said, err := p.side.Ask(ctx, policy.Say{Forget: uint16(rank) + 1})
+		said, err := p.side.Ask(ctx, policy.Query{Forget: uint16(rank) + 1})
 		switch {
 		case err != nil:
 			http.Error(w, "no majority of the voters answers: "+err.Error(), http.StatusServiceUnavailable)
@@ -395,11 +395,11 @@
 
 // show is a version's document; of the present one, if none is named.
 func (p *policySide) show(ctx context.Context, version string) ([]byte, uint64, error) {
-	said, err := p.side.Ask(ctx, policy.Say{})
+	said, err := p.side.Ask(ctx, policy.Query{})
 	if err != nil {
 		return nil, 0, fmt.Errorf("no majority of the voters answers, so the present version is not known: %w", err)
 	}
-	v := said.Present
+	v := said.Current
 	if version != "" {
 		n, err := strconv.ParseUint(version, 10, 64)
 		if err != nil {
@@ -413,15 +413,15 @@
 		if err := json.Unmarshal(b, &past); err != nil {
 			return nil, 0, err
 		}
-		i := slices.IndexFunc(past, func(o policy.Outcome) bool { return o.Taken && o.N == n })
+		i := slices.IndexFunc(past, func(o policy.Outcome) bool { return o.Committed && o.Version == n })
 		if i < 0 {
-			return nil, 0, fmt.Errorf("version %d is not among the last %d changes", n, policy.MostPast)
+			return nil, 0, fmt.Errorf("version %d is not among the last %d changes", n, policy.MaxOutcomes)
 		}
-		v = policy.Version{N: n, Hash: past[i].Change.Hash}
+		v = policy.Version{Number: n, Hash: past[i].Change.Hash}
 	}
-	if v.N == 0 {
+	if v.Number == 0 {
 		return nil, 0, errors.New("the fleet has no policy yet")
 	}
 	doc, err := p.side.Document(ctx, v.Hash)
-	return doc, v.N, err
+	return doc, v.Number, err
 }
--- a/internal/service/hosted/recovery.go
+++ b/internal/service/hosted/recovery.go
@@ -48,8 +48,8 @@
 		}
 	}
 	if s.policy != nil {
-		if v := s.policy.side.Kept(); v.N > 0 {
-			c.trust(fmt.Sprintf("policy: the disk has version %d, which is gone by only if the voters say that it is present", v.N))
+		if v := s.policy.side.Kept(); v.Number > 0 {
+			c.trust(fmt.Sprintf("policy: the disk has version %d, which is gone by only if the voters say that it is present", v.Number))
 		}
 	}
 	c.trust("thrown away by rule: shares, leases, loans, balances, what was known of servers")
@@ -108,7 +108,7 @@
 	}
 	if s.policy != nil {
 		p := s.policy.side.View()
-		seen.Version, seen.Decides = p.Version.N, p.Until > s.clock.Now()
+		seen.Version, seen.Decides = p.Version.Number, p.Until > s.clock.Now()
 	}
 	if s.keys != nil {
 		k := s.keys.View()
