--- a/internal/policy/golden_test.go
+++ b/internal/policy/golden_test.go
@@ -297,7 +297,7 @@
 	w.gateways[doors-1].node.Participant().DecideWithoutQuorum(Version{1, Hash{1}})
 	w.run(w.now + 3*time.Second)
 	ask := func(d *gateway, say Query) {
-		if no, ok := d.node.StartQuery(say); ok {
+		if no, err := d.node.StartQuery(say); err == nil {
 			w.run(w.now + time.Second)
 			if got := d.node.QueryReply(no); w.trace.present(got != nil) {
 				w.trace.message(&Message{QueryReply: got})
@@ -331,6 +331,17 @@
 	return w.end()
 }
 
+// preparedGateways are the indices of the gateways that have prepared the pending change.
+func preparedGateways(c *Coordinator, s *State) (all []uint16) {
+	for gateway, known := range c.participants {
+		if s.Pending != nil && known.status.Prepared == s.Pending.Index {
+			all = append(all, gateway)
+		}
+	}
+	slices.Sort(all)
+	return all
+}
+
 // leaderHash is the trace of a leader alone, which hears random words of random processes.
 func leaderHash(seed uint64, mode Mode) string {
 	rng := rand.New(rand.NewPCG(seed, 10))
@@ -365,7 +376,7 @@
 		word := chair.Reply(now, state, h)
 		trace.message(&Message{StatusReply: &word})
 		trace.String(chair.WaitingFor(now, state))
-		for _, rank := range chair.PreparedGateways(state) {
+		for _, rank := range preparedGateways(chair, state) {
 			trace.Uint(uint64(rank))
 		}
 		var entries [][]byte
--- /dev/null
+++ b/internal/policy/leadership.go
@@ -0,0 +1,240 @@
+package policy
+
+import (
+	"fmt"
+	"time"
+)
+
+const (
+	// readTimeout is how long a read may take to be confirmed; then it counts as lost and another one is started.
+	readTimeout = 300 * time.Millisecond
+	// notifyInterval is the pause before gateways that have not voted on a change are notified again.
+	notifyInterval = 100 * time.Millisecond
+	// maxPendingRequests bounds the requests that wait for a read; more are dropped and sent again.
+	maxPendingRequests = 4096
+	// maxListedParticipants bounds the processes that a reply lists.
+	maxListedParticipants = 300
+)
+
+// leadership is the state of the leader, beside what it has applied. A request is answered by a read that was started
+// after the request had come and that a majority has confirmed.
+type leadership struct {
+	term        uint64
+	coordinator *Coordinator // nil: this gateway does not lead
+
+	requests      []pendingRequest            // for the next read
+	reads         map[uint64][]pendingRequest // by token, not yet confirmed
+	lastToken     uint64                      // never used twice, in whatever term
+	readStartedAt time.Duration               // of the last read
+
+	notifiedIndex uint64 // applied index of which the gateways were last notified
+	notifiedAt    time.Duration
+}
+
+// pendingRequest is a request that waits for a read. Either status or query is set.
+type pendingRequest struct {
+	from   int
+	status *StatusRequest
+	query  *Query
+}
+
+// reset drops what an earlier term has left.
+func (l *leadership) reset(term uint64) {
+	l.term = term
+	l.coordinator = nil
+	l.requests = nil
+	clear(l.reads)
+}
+
+func (l *leadership) enqueue(r pendingRequest) {
+	if len(l.requests) < maxPendingRequests {
+		l.requests = append(l.requests, r)
+	}
+}
+
+// startRead starts a read for the requests that wait, unless one is being confirmed. It returns false if none was
+// started.
+func (l *leadership) startRead(now time.Duration) (token uint64, ok bool) {
+	isConfirming := len(l.reads) > 0 && now-l.readStartedAt < readTimeout
+	if len(l.requests) == 0 || isConfirming {
+		return 0, false
+	}
+	clear(l.reads) // a read that was not confirmed in time is lost
+	l.lastToken++
+	l.reads[l.lastToken] = l.requests
+	l.requests = nil
+	l.readStartedAt = now
+	return l.lastToken, true
+}
+
+// finishRead returns the requests that a confirmed read answers.
+func (l *leadership) finishRead(token uint64) []pendingRequest {
+	requests := l.reads[token]
+	delete(l.reads, token)
+	return requests
+}
+
+// isLeader returns whether this gateway leads in the term for which it has a coordinator.
+func (n *Node) isLeader() bool {
+	if n.cfg.Log == nil || n.leadership.coordinator == nil {
+		return false
+	}
+	term, leads := n.cfg.Log.Leading()
+	return leads && term == n.leadership.term
+}
+
+// lead does the leader's work if this voter leads: it proposes entries, starts reads and notifies gateways.
+func (n *Node) lead(now time.Duration, wall int64) []Outgoing {
+	l := &n.leadership
+	term, leads := n.cfg.Log.Leading()
+	if !leads || term != l.term {
+		l.reset(term)
+	}
+	if !leads {
+		return nil
+	}
+	if l.coordinator == nil {
+		l.coordinator = NewCoordinator(now, n.cfg.AbortAfter)
+	}
+	for _, entry := range l.coordinator.Tick(now, n.state, wall) {
+		n.propose(entry)
+	}
+	if token, ok := l.startRead(now); ok {
+		n.cfg.Log.ConfirmRead(token)
+	}
+	return append(n.notifyAll(now), n.notifySilent(now)...)
+}
+
+// notifyAll tells all gateways that the state has changed, once for each state.
+func (n *Node) notifyAll(now time.Duration) (out []Outgoing) {
+	l := &n.leadership
+	if l.notifiedIndex == n.applied {
+		return nil
+	}
+	l.notifiedIndex, l.notifiedAt = n.applied, now
+	for gateway := range n.cfg.Gateways {
+		out = append(out, Outgoing{To: gateway, Message: Message{StateChanged: n.applied}})
+	}
+	return out
+}
+
+// notifySilent notifies again the participants that have not voted on the pending change: a message may be lost, and
+// idle ones poll seldom.
+func (n *Node) notifySilent(now time.Duration) (out []Outgoing) {
+	l := &n.leadership
+	change := n.state.Pending
+	if change == nil || now-l.notifiedAt < notifyInterval {
+		return nil
+	}
+	l.notifiedAt = now
+	for _, p := range n.state.Processes() {
+		known := l.coordinator.statusOf(p)
+		if known == nil || max(known.status.Prepared, known.status.Locked, known.status.Rejected) < change.Index {
+			out = append(out, Outgoing{To: int(p.Gateway), Message: Message{StateChanged: n.applied}})
+		}
+	}
+	return out
+}
+
+func (n *Node) propose(e Entry) {
+	if b, err := e.Encode(); err == nil {
+		n.cfg.Log.Propose(b)
+	}
+}
+
+// ReadConfirmed answers the requests for which the read with a token was started: the state is at least what was
+// committed then.
+func (n *Node) ReadConfirmed(now time.Duration, token uint64) (out []Outgoing) {
+	l := &n.leadership
+	requests := l.finishRead(token)
+	if !n.isLeader() {
+		return nil
+	}
+	for _, r := range requests {
+		var m Message
+		if r.status != nil {
+			reply := l.coordinator.Reply(l.readStartedAt, n.state, *r.status)
+			m.StatusReply = &reply
+		} else {
+			reply := n.answerQuery(now, r.query)
+			m.QueryReply = &reply
+		}
+		out = append(out, Outgoing{To: r.from, Message: m})
+	}
+	return append(out, n.lead(now, 0)...)
+}
+
+// answerQuery answers a query by the state, and does what it asks for.
+func (n *Node) answerQuery(now time.Duration, q *Query) QueryReply {
+	reply := QueryReply{
+		Number:     q.Number,
+		Current:    n.state.Current,
+		Mode:       n.state.Mode,
+		Pending:    n.state.Pending,
+		WaitingFor: n.leadership.coordinator.WaitingFor(now, n.state),
+		Leader:     n.cfg.Process.Gateway,
+	}
+	switch {
+	case q.Forget > 0:
+		reply.Reason = reasonOf(n.forgetGateway(now, q.Forget-1))
+	case q.ReplaceVoter > 0:
+		reply.Reason = reasonOf(n.cfg.Log.ReplaceVoter(int(q.ReplaceVoter) - 1))
+	case q.ChangeID == "":
+		processes := n.state.Processes()
+		reply.Participants = processes[:min(len(processes), maxListedParticipants)]
+	default:
+		reply.Outcome = n.outcomeOrPropose(q)
+	}
+	return reply
+}
+
+// reasonOf is the text of an error as a reply carries it; empty: none.
+func reasonOf(err error) string {
+	if err == nil {
+		return ""
+	}
+	return err.Error()
+}
+
+// outcomeOrPropose returns the outcome of the change that a query asks for, without its lists of processes. Where the
+// id is not known it proposes the change that the query brings, and returns nil.
+func (n *Node) outcomeOrPropose(q *Query) *Outcome {
+	if known := n.state.FindOutcome(q.ChangeID); known != nil {
+		outcome := *known
+		outcome.Locked, outcome.Fenced, outcome.SwitchedAt = nil, nil, nil
+		return &outcome
+	}
+	isPending := n.state.Pending != nil && n.state.Pending.ID == q.ChangeID
+	if q.Change != nil && !isPending && q.Change.ID == q.ChangeID && q.Change.Validate() == nil {
+		n.propose(Entry{Propose: q.Change})
+	}
+	return nil
+}
+
+// ReachableError says that a gateway can't be forgotten because it was heard of lately.
+type ReachableError struct {
+	// Gateway is its index.
+	Gateway uint16
+	// Age is that of its last status request.
+	Age time.Duration
+}
+
+func (e *ReachableError) Error() string {
+	return fmt.Sprintf("door %d is there: it was heard of %v ago", e.Gateway, e.Age.Round(time.Millisecond))
+}
+
+// forgetGateway proposes that a gateway that is off for good is not waited for any more. Its error is a
+// [*ReachableError].
+func (n *Node) forgetGateway(now time.Duration, gateway uint16) error {
+	id, ok := n.state.Participants[gateway]
+	if !ok {
+		return nil
+	}
+	participants := n.leadership.coordinator.participants
+	if known := participants[gateway]; known != nil && now-known.receivedAt <= unreachableAfter {
+		return &ReachableError{Gateway: gateway, Age: now - known.receivedAt}
+	}
+	delete(participants, gateway)
+	n.propose(Entry{Leave: &Process{Gateway: gateway, ID: id}})
+	return nil
+}
--- a/internal/policy/model_test.go
+++ b/internal/policy/model_test.go
@@ -122,7 +122,7 @@
 	c := *m
 	c.state, c.old = cloneState(m.state), cloneState(m.old)
 	ch := *m.coordinator
-	ch.participants, ch.proposedAt, ch.fenced = map[uint16]*participantStatus{}, map[string]time.Duration{}, maps.Clone(m.coordinator.fenced)
+	ch.participants, ch.proposedAt, ch.fenced = map[uint16]*participantStatus{}, map[proposalKey]time.Duration{}, maps.Clone(m.coordinator.fenced)
 	for r, s := range m.coordinator.participants {
 		k := *s
 		ch.participants[r] = &k
@@ -335,7 +335,7 @@
 		c := m.clone()
 		clear(c.coordinator.proposedAt)
 		es := c.coordinator.Tick(c.now, c.state, 0)
-		if flaw == takeUnlocked && c.state.Pending != nil && len(c.coordinator.missing(c.state, func(k *participantStatus) bool { return k.status.Prepared == c.state.Pending.Index }, c.now)) == 0 {
+		if flaw == takeUnlocked && c.state.Pending != nil && len(c.coordinator.missing(c.now, c.state, func(k *participantStatus, change uint64) bool { return k.status.Prepared == change })) == 0 {
 			es = append(es, Entry{Commit: &Commit{Index: c.state.Pending.Index, Locked: c.state.Processes()}})
 		}
 		if flaw == fencesAtOnce && c.state.Pending != nil {
--- a/internal/policy/state.go
+++ b/internal/policy/state.go
@@ -1,201 +1,35 @@
-// Package policy is how a change of policy takes hold at all doors of a fleet or at none (docs/design/policy.md has the promise and the
-// argument). It has three parts: [State], what the voters' log makes of its entries; [Coordinator], what the leader of the log does; and [Door],
-// which version a door may decide by and until when.
-//
-// Nothing here does input or output; time, messages and the log's entries are handed in. All times are those of one monotonic clock of the
-// door's own, which runs on while a process is stopped. Wall times are for people to read. Each value belongs to one goroutine.
 package policy
 
 import (
-	"crypto/sha256"
-	"encoding/hex"
-	"errors"
 	"fmt"
 	"maps"
 	"slices"
 
-	"github.com/fxamacker/cbor/v2"
-
 	"gapgap/internal/membership"
 )
 
-// Bounds.
-const (
-	MaxOutcomes      = 200      // changes whose outcome is kept
-	MaxIDBytes       = 64       // bytes of a change's id, and of who proposed it
-	MaxReasonBytes   = 512      // bytes of a reason and of a note
-	MaxDocumentBytes = 32 << 20 // of a document
-)
-
-// Hash names a document.
-type Hash [sha256.Size]byte
-
-// HashOf is a document's.
-func HashOf(doc []byte) Hash { return sha256.Sum256(doc) }
-
-func (h Hash) String() string { return hex.EncodeToString(h[:]) }
-
-// MarshalText and UnmarshalText are for JSON.
-func (h Hash) MarshalText() ([]byte, error) { return []byte(h.String()), nil }
-
-// UnmarshalText implements [encoding.TextUnmarshaler].
-func (h *Hash) UnmarshalText(b []byte) error {
-	if n, err := hex.Decode(h[:], b); err != nil || n != len(h) {
-		return fmt.Errorf("%q is no hash", b)
-	}
-	return nil
-}
-
-// Version is a policy that was taken. Number 0: there is none yet.
-type Version struct {
-	Number uint64 `cbor:"1,keyasint" json:"version"`
-	Hash   Hash   `cbor:"2,keyasint" json:"hash"`
-}
-
-// Process is one process of a door.
-type Process struct {
-	_       struct{}      `cbor:",toarray"`
-	Gateway uint16        `json:"rank"`
-	ID      membership.ID `json:"id"`
-}
-
-// Mode is what a change does about doors that can't be reached.
-type Mode uint8
-
-const (
-	Wait  Mode = iota // it is dropped after a time
-	Fence             // it waits until they have stopped deciding
-	modes
-)
-
-func (m Mode) String() string {
-	if m == Fence {
-		return "fence"
-	}
-	return "wait"
-}
-
-// MarshalText is for JSON.
-func (m Mode) MarshalText() ([]byte, error) { return []byte(m.String()), nil }
-
-// UnmarshalText implements [encoding.TextUnmarshaler].
-func (m *Mode) UnmarshalText(b []byte) (err error) {
-	*m, err = ParseMode(string(b))
-	return err
-}
-
-// ParseMode reads a mode's name.
-func ParseMode(s string) (Mode, error) {
-	switch s {
-	case "wait":
-		return Wait, nil
-	case "fence":
-		return Fence, nil
-	}
-	return 0, fmt.Errorf("%q is not wait or fence", s)
-}
-
-// Change is a proposal.
-type Change struct {
-	Index      uint64 `cbor:"1,keyasint" json:"-"` // of its entry in the log: no two changes have the same
-	ID         string `cbor:"2,keyasint" json:"id"`
-	Base       uint64 `cbor:"3,keyasint" json:"base"` // the version that it changes
-	Hash       Hash   `cbor:"4,keyasint" json:"hash"`
-	Bytes      int64  `cbor:"5,keyasint" json:"bytes"`
-	Mode       Mode   `cbor:"6,keyasint" json:"mode"`
-	Author     string `cbor:"7,keyasint,omitempty" json:"who,omitempty"`
-	Note       string `cbor:"8,keyasint,omitempty" json:"note,omitempty"`
-	ProposedAt int64  `cbor:"9,keyasint" json:"at"`                         // wall clock, Unix milliseconds
-	Source     uint16 `cbor:"10,keyasint" json:"from"`                      // the door that has the document
-	Initial    bool   `cbor:"11,keyasint,omitempty" json:"begin,omitempty"` // the first of a fleet: there is nobody to ask
-}
-
-// Validate says what is wrong with a proposal.
-func (c *Change) Validate() error {
-	switch {
-	case c.ID == "" || len(c.ID) > MaxIDBytes || len(c.Author) > MaxIDBytes:
-		return fmt.Errorf("an id and who proposes have up to %d bytes", MaxIDBytes)
-	case len(c.Note) > MaxReasonBytes:
-		return fmt.Errorf("a note has up to %d bytes", MaxReasonBytes)
-	case c.Bytes < 0 || c.Bytes > MaxDocumentBytes:
-		return fmt.Errorf("a document of %d bytes, %d at most", c.Bytes, MaxDocumentBytes)
-	case c.Mode >= modes:
-		return errors.New("no such mode")
-	}
-	return nil
-}
-
-// Outcome is a change that was decided.
-type Outcome struct {
-	Change     Change           `cbor:"1,keyasint" json:"change"`
-	Committed  bool             `cbor:"2,keyasint" json:"taken"`
-	Version    uint64           `cbor:"3,keyasint,omitempty" json:"version,omitempty"` // that it became
-	Reason     string           `cbor:"4,keyasint,omitempty" json:"reason,omitempty"`  // why it was dropped
-	DecidedAt  int64            `cbor:"5,keyasint" json:"at"`                          // wall clock, Unix milliseconds
-	Locked     []Process        `cbor:"6,keyasint,omitempty" json:"locked,omitempty"`
-	Fenced     []Process        `cbor:"7,keyasint,omitempty" json:"fenced,omitempty"`
-	SwitchedAt map[uint16]int64 `cbor:"8,keyasint,omitempty" json:"switched,omitempty"` // when each door did, by its wall clock
-}
-
-// Entry is one of the log's: one field is set.
-type Entry struct {
-	Propose      *Change       `cbor:"1,keyasint,omitempty"`
-	Join         *Process      `cbor:"2,keyasint,omitempty"`
-	Leave        *Process      `cbor:"3,keyasint,omitempty"`
-	Commit       *Commit       `cbor:"4,keyasint,omitempty"`
-	Abort        *Abort        `cbor:"5,keyasint,omitempty"`
-	SwitchReport *SwitchReport `cbor:"6,keyasint,omitempty"`
-
-	Recovery *Recovery `cbor:"7,keyasint,omitempty"`
-}
-
-// Recovery records that a majority of the voters' disks was given up, and that the log goes on by what one of them had.
-type Recovery struct {
-	Author      string   `cbor:"1,keyasint,omitempty"`
-	Lost        []uint16 `cbor:"2,keyasint,omitempty"` // voters that were named as lost
-	RecoveredAt int64    `cbor:"3,keyasint"`           // wall clock, Unix milliseconds
-}
-
-// RecoveryVersionSkip is by how much the version goes up then: no door may go by a higher one that only the lost voters knew of, as none goes back.
+// RecoveryVersionSkip is added to the version number by a recovery, so that it is above any that only the lost voters
+// knew of: gateways never go back to a lower number.
 const RecoveryVersionSkip = 1000
 
-// Encode makes an entry's bytes as Node.Applied reads them.
-func (e Entry) Encode() ([]byte, error) { return cbor.Marshal(e) }
-
-// Commit decides a change.
-type Commit struct {
-	Index     uint64    `cbor:"1,keyasint"` // of the change
-	Locked    []Process `cbor:"2,keyasint,omitempty"`
-	Fenced    []Process `cbor:"3,keyasint,omitempty"`
-	DecidedAt int64     `cbor:"4,keyasint"`
-}
-
-// Abort decides it the other way.
-type Abort struct {
-	Index     uint64 `cbor:"1,keyasint"`
-	Reason    string `cbor:"2,keyasint"`
-	DecidedAt int64  `cbor:"3,keyasint"`
-}
-
-// SwitchReport says when doors have switched to a version.
-type SwitchReport struct {
-	Version    uint64           `cbor:"1,keyasint"`
-	SwitchedAt map[uint16]int64 `cbor:"2,keyasint"`
-}
-
-// State is what the log's entries come to. All voters have the same at the same index.
+// State is the result of all entries of the log up to an index. It is the same on all voters.
 type State struct {
-	Current      Version                  `cbor:"1,keyasint"`
-	Participants map[uint16]membership.ID `cbor:"2,keyasint"` // which process of each door may decide
-	Pending      *Change                  `cbor:"3,keyasint,omitempty"`
-	Outcomes     []Outcome                `cbor:"4,keyasint"`           // the last MostPast
-	Mode         Mode                     `cbor:"5,keyasint,omitempty"` // of the fleet, from its beginning: whether doors hold leases
-}
-
-// NewState is that of an empty log.
+	// Current is the version that holds.
+	Current Version `cbor:"1,keyasint"`
+	// Participants is which process of each gateway may decide, by index.
+	Participants map[uint16]membership.ID `cbor:"2,keyasint"`
+	// Pending is the change that is being decided; nil: none.
+	Pending *Change `cbor:"3,keyasint,omitempty"`
+	// Outcomes are the last MaxOutcomes decided changes, the oldest first.
+	Outcomes []Outcome `cbor:"4,keyasint"`
+	// Mode is set by the initial change: with Fence all gateways hold leases.
+	Mode Mode `cbor:"5,keyasint,omitempty"`
+}
+
+// NewState returns the state of an empty log.
 func NewState() *State { return &State{Participants: map[uint16]membership.ID{}} }
 
-// FindOutcome is the outcome of the change with an id; nil: it is not known.
+// FindOutcome returns the outcome of the change with an id; nil: it is not known.
 func (s *State) FindOutcome(id string) *Outcome {
 	for i := len(s.Outcomes) - 1; i >= 0; i-- {
 		if s.Outcomes[i].Change.ID == id {
@@ -205,117 +39,169 @@
 	return nil
 }
 
-// MayDecide says whether a process may decide by the present version.
-func (s *State) MayDecide(r Process) bool { return s.Participants[r.Gateway] == r.ID }
+// MayDecide returns whether a process may decide by the current version.
+func (s *State) MayDecide(process Process) bool { return s.Participants[process.Gateway] == process.ID }
 
-// Processes are those that may decide, by rank.
+// Processes returns those that may decide, by the index of their gateway.
 func (s *State) Processes() (all []Process) {
-	for _, rank := range slices.Sorted(maps.Keys(s.Participants)) {
-		all = append(all, Process{Gateway: rank, ID: s.Participants[rank]})
+	for _, gateway := range slices.Sorted(maps.Keys(s.Participants)) {
+		all = append(all, Process{Gateway: gateway, ID: s.Participants[gateway]})
 	}
 	return all
 }
 
-// Apply takes the entry with an index. What can't be is passed over: a take that misses somebody, a second decision, a proposal that is known.
+// Apply applies the entry with an index. An entry that does not fit the state has no effect: a commit that misses a
+// participant, a second decision, a proposal with a known id.
 func (s *State) Apply(index uint64, e Entry) {
 	switch {
 	case e.Propose != nil:
 		s.propose(index, *e.Propose)
 	case e.Join != nil:
-		if was, ok := s.Participants[e.Join.Gateway]; s.Current.Number > 0 && (!ok || was.Before(e.Join.ID)) {
-			s.Participants[e.Join.Gateway] = e.Join.ID
-		}
+		s.join(*e.Join)
 	case e.Leave != nil:
-		if s.MayDecide(*e.Leave) {
-			delete(s.Participants, e.Leave.Gateway)
-		}
+		s.leave(*e.Leave)
 	case e.Commit != nil:
 		s.commit(*e.Commit)
 	case e.Abort != nil:
-		if c := s.Pending; c != nil && c.Index == e.Abort.Index {
-			s.Pending = nil
-			s.addOutcome(Outcome{Change: *c, Reason: e.Abort.Reason, DecidedAt: e.Abort.DecidedAt})
-		}
+		s.abort(*e.Abort)
 	case e.Recovery != nil:
 		s.recover(*e.Recovery)
 	case e.SwitchReport != nil:
-		for i := len(s.Outcomes) - 1; i >= 0; i-- {
-			if o := &s.Outcomes[i]; o.Committed && o.Version == e.SwitchReport.Version {
-				o.SwitchedAt = maps.Clone(o.SwitchedAt)
-				if o.SwitchedAt == nil {
-					o.SwitchedAt = map[uint16]int64{}
-				}
-				maps.Copy(o.SwitchedAt, e.SwitchReport.SwitchedAt)
-				return
-			}
-		}
+		s.addSwitchReport(*e.SwitchReport)
 	}
 }
 
+// propose makes a valid change pending, or the current version where it is the initial one. Others are aborted at once.
 func (s *State) propose(index uint64, c Change) {
-	if c.Validate() != nil || s.FindOutcome(c.ID) != nil || s.Pending != nil && s.Pending.ID == c.ID {
+	isPending := s.Pending != nil && s.Pending.ID == c.ID
+	if c.Validate() != nil || s.FindOutcome(c.ID) != nil || isPending {
 		return
 	}
 	c.Index = index
-	reason := ""
+	if reason := s.conflict(&c); reason != "" {
+		s.addOutcome(Outcome{Change: c, Reason: reason, DecidedAt: c.ProposedAt})
+		return
+	}
+	if !c.Initial {
+		s.Pending = &c
+		return
+	}
+	s.Current = Version{Number: 1, Hash: c.Hash}
+	s.Mode = c.Mode
+	s.addOutcome(Outcome{Change: c, Committed: true, Version: 1, DecidedAt: c.ProposedAt})
+}
+
+// conflict returns why a change can't be decided in this state; empty: it can.
+func (s *State) conflict(c *Change) string {
 	switch {
 	case c.Initial && s.Current.Number > 0:
-		reason = fmt.Sprintf("the fleet has a policy, version %d", s.Current.Number)
+		return fmt.Sprintf("the fleet has a policy, version %d", s.Current.Number)
 	case c.Initial:
-		s.Current, s.Mode = Version{1, c.Hash}, c.Mode
-		s.addOutcome(Outcome{Change: c, Committed: true, Version: 1, DecidedAt: c.ProposedAt})
-		return
+		return ""
 	case s.Current.Number == 0:
-		reason = "the fleet has not begun"
+		return "the fleet has not begun"
 	case s.Pending != nil:
-		reason = fmt.Sprintf("it conflicts with the change %q by %q, which is being decided", s.Pending.ID, s.Pending.Author)
+		return fmt.Sprintf("it conflicts with the change %q by %q, which is being decided", s.Pending.ID, s.Pending.Author)
 	case c.Mode == Fence && s.Mode != Fence:
-		reason = "the doors of this fleet hold no leases, so none can be fenced: its mode is wait"
+		return "the doors of this fleet hold no leases, so none can be fenced: its mode is wait"
 	case c.Base != s.Current.Number:
-		reason = fmt.Sprintf("it changes version %d, and the present one is %d", c.Base, s.Current.Number)
-	default:
-		s.Pending = &c
-		return
+		return fmt.Sprintf("it changes version %d, and the present one is %d", c.Base, s.Current.Number)
 	}
-	s.addOutcome(Outcome{Change: c, Reason: reason, DecidedAt: c.ProposedAt})
+	return ""
 }
 
-func (s *State) recover(r Recovery) {
-	if c := s.Pending; c != nil {
-		s.Pending = nil
-		s.addOutcome(Outcome{Change: *c, Reason: "a majority of the voters' disks was given up while it was decided", DecidedAt: r.RecoveredAt})
+// join lets a process decide in place of an earlier one of its gateway.
+func (s *State) join(p Process) {
+	previous, ok := s.Participants[p.Gateway]
+	if s.Current.Number > 0 && (!ok || previous.Before(p.ID)) {
+		s.Participants[p.Gateway] = p.ID
 	}
-	if s.Current.Number == 0 {
-		return
+}
+
+// leave removes a process from those that may decide.
+func (s *State) leave(p Process) {
+	if s.MayDecide(p) {
+		delete(s.Participants, p.Gateway)
 	}
-	c := Change{ID: fmt.Sprint("recover-", r.RecoveredAt), Base: s.Current.Number, Hash: s.Current.Hash, Mode: s.Mode, Author: r.Author, ProposedAt: r.RecoveredAt,
-		Note: "a majority of the voters' disks was given up; versions that only they knew of are lost"}
-	s.Current.Number += RecoveryVersionSkip
-	s.addOutcome(Outcome{Change: c, Committed: true, Version: s.Current.Number, DecidedAt: r.RecoveredAt})
 }
 
-func (s *State) commit(t Commit) {
-	c := s.Pending
-	if c == nil || c.Index != t.Index || len(t.Fenced) > 0 && c.Mode != Fence {
+// commit makes the pending change the current version, if the entry names all processes that may decide.
+func (s *State) commit(entry Commit) {
+	change := s.Pending
+	if change == nil || change.Index != entry.Index || len(entry.Fenced) > 0 && change.Mode != Fence {
 		return
 	}
-	for _, r := range s.Processes() {
-		if !slices.Contains(t.Locked, r) && !slices.Contains(t.Fenced, r) {
+	for _, p := range s.Processes() {
+		if !slices.Contains(entry.Locked, p) && !slices.Contains(entry.Fenced, p) {
 			return
 		}
 	}
-	for _, r := range t.Fenced {
-		if s.MayDecide(r) {
-			delete(s.Participants, r.Gateway)
-		}
+	for _, p := range entry.Fenced {
+		s.leave(p)
 	}
 	s.Pending = nil
-	s.Current = Version{s.Current.Number + 1, c.Hash}
-	s.addOutcome(Outcome{Change: *c, Committed: true, Version: s.Current.Number, DecidedAt: t.DecidedAt, Locked: t.Locked, Fenced: t.Fenced})
+	s.Current = Version{Number: s.Current.Number + 1, Hash: change.Hash}
+	s.addOutcome(Outcome{
+		Change:    *change,
+		Committed: true,
+		Version:   s.Current.Number,
+		DecidedAt: entry.DecidedAt,
+		Locked:    entry.Locked,
+		Fenced:    entry.Fenced,
+	})
+}
+
+// abort ends the pending change without effect.
+func (s *State) abort(entry Abort) {
+	change := s.Pending
+	if change == nil || change.Index != entry.Index {
+		return
+	}
+	s.Pending = nil
+	s.addOutcome(Outcome{Change: *change, Reason: entry.Reason, DecidedAt: entry.DecidedAt})
+}
+
+// recover aborts the pending change and raises the version number.
+func (s *State) recover(entry Recovery) {
+	if s.Pending != nil {
+		const reason = "a majority of the voters' disks was given up while it was decided"
+		s.abort(Abort{Index: s.Pending.Index, Reason: reason, DecidedAt: entry.RecoveredAt})
+	}
+	if s.Current.Number == 0 {
+		return
+	}
+	change := Change{
+		ID:         fmt.Sprint("recover-", entry.RecoveredAt),
+		Base:       s.Current.Number,
+		Hash:       s.Current.Hash,
+		Mode:       s.Mode,
+		Author:     entry.Author,
+		ProposedAt: entry.RecoveredAt,
+		Note:       "a majority of the voters' disks was given up; versions that only they knew of are lost",
+	}
+	s.Current.Number += RecoveryVersionSkip
+	s.addOutcome(Outcome{Change: change, Committed: true, Version: s.Current.Number, DecidedAt: entry.RecoveredAt})
+}
+
+// addSwitchReport adds the times to the outcome of the version, if that is kept.
+func (s *State) addSwitchReport(entry SwitchReport) {
+	for i := len(s.Outcomes) - 1; i >= 0; i-- {
+		outcome := &s.Outcomes[i]
+		if !outcome.Committed || outcome.Version != entry.Version {
+			continue
+		}
+		outcome.SwitchedAt = maps.Clone(outcome.SwitchedAt)
+		if outcome.SwitchedAt == nil {
+			outcome.SwitchedAt = map[uint16]int64{}
+		}
+		maps.Copy(outcome.SwitchedAt, entry.SwitchedAt)
+		return
+	}
 }
 
 func (s *State) addOutcome(o Outcome) {
-	if s.Outcomes = append(s.Outcomes, o); len(s.Outcomes) > MaxOutcomes {
-		s.Outcomes = slices.Clone(s.Outcomes[len(s.Outcomes)-MaxOutcomes:])
+	s.Outcomes = append(s.Outcomes, o)
+	if excess := len(s.Outcomes) - MaxOutcomes; excess > 0 {
+		s.Outcomes = slices.Clone(s.Outcomes[excess:])
 	}
 }
--- a/internal/policy/steps_test.go
+++ b/internal/policy/steps_test.go
@@ -34,12 +34,12 @@
 // receivedFrom counts the doors that may decide of which the leader has heard something about the change.
 func (w *world) receivedFrom(what func(StatusRequest, uint64) bool) (some, all bool) {
 	n := w.gateways[w.leader].node
-	if n.coordinator == nil || n.state.Pending == nil {
+	if n.leadership.coordinator == nil || n.state.Pending == nil {
 		return false, false
 	}
 	all = true
 	for _, r := range n.state.Processes() {
-		if k := n.coordinator.participants[r.Gateway]; k != nil && k.status.Process == r && what(k.status, n.state.Pending.Index) {
+		if k := n.leadership.coordinator.participants[r.Gateway]; k != nil && k.status.Process == r && what(k.status, n.state.Pending.Index) {
 			some = true
 		} else {
 			all = false
--- /dev/null
+++ b/internal/policy/switchreport.go
@@ -0,0 +1,44 @@
+package policy
+
+import (
+	"slices"
+	"time"
+)
+
+// switchReportTimeout is how long after a commit the switches are reported whoever is missing.
+const switchReportTimeout = 5 * time.Second
+
+// switchReport returns an entry that records when the gateways switched to the current version, once all have or some
+// time has passed.
+func (c *Coordinator) switchReport(now time.Duration, s *State) []Entry {
+	version := s.Current.Number
+	outcome := lastCommit(s)
+	if outcome == nil || outcome.Version != version || version <= 1 || outcome.SwitchedAt != nil {
+		return nil
+	}
+	if c.reportVersion != version {
+		c.reportVersion, c.reportSince = version, now
+	}
+	switchedAt := map[uint16]int64{}
+	processes := s.Processes()
+	for _, p := range processes {
+		known := c.statusOf(p)
+		if known != nil && known.status.Version == version && known.status.SwitchedAt > 0 {
+			switchedAt[p.Gateway] = known.status.SwitchedAt
+		}
+	}
+	if len(switchedAt) < len(processes) && now-c.reportSince < switchReportTimeout {
+		return nil
+	}
+	return c.propose(now, proposeReport, 0, Entry{SwitchReport: &SwitchReport{Version: version, SwitchedAt: switchedAt}})
+}
+
+// lastCommit returns the last outcome that was committed; nil: none is kept.
+func lastCommit(s *State) *Outcome {
+	for _, outcome := range slices.Backward(s.Outcomes) {
+		if outcome.Committed {
+			return &outcome
+		}
+	}
+	return nil
+}
--- a/internal/policy/world_test.go
+++ b/internal/policy/world_test.go
@@ -119,7 +119,7 @@
 func (proposalSink) Leading() (uint64, bool) { return 0, true }
 func (c proposalSink) Propose(b []byte)      { c(b) }
 func (proposalSink) ConfirmRead(uint64)      {}
-func (proposalSink) ReplaceVoter(int) string { return "" }
+func (proposalSink) ReplaceVoter(int) error  { return nil }
 
 func (d *gateway) clock() time.Duration {
 	return d.offset + time.Duration(float64(d.world.now)*d.drift)
@@ -281,7 +281,7 @@
 }
 
 // Read is confirmed only by who leads both when it is asked and when it is answered.
-func (*worldLog) ReplaceVoter(int) string { return "" }
+func (*worldLog) ReplaceVoter(int) error { return nil }
 
 func (l *worldLog) ConfirmRead(token uint64) {
 	w, d := l.world, (*gateway)(l)
--- a/internal/policyreplica/side.go
+++ b/internal/policyreplica/side.go
@@ -206,7 +206,12 @@
 func (v *voterLog) Propose(b []byte)     { v.log.Propose(b) }
 func (v *voterLog) ConfirmRead(t uint64) { v.log.Read(t) }
 
-func (v *voterLog) ReplaceVoter(rank int) string { return v.log.Replace(rank) }
+func (v *voterLog) ReplaceVoter(rank int) error {
+	if reason := v.log.Replace(rank); reason != "" {
+		return errors.New(reason)
+	}
+	return nil
+}
 
 // Start begins.
 func (s *Side) Start() { s.wg.Go(s.loop) }
@@ -666,16 +671,16 @@
 // the last that was said is returned with it, if anything was.
 func (s *Side) Ask(ctx context.Context, say policy.Query) (*policy.QueryReply, error) {
 	var ask uint64
-	ok := false
+	var startErr error
 	if err := s.do(ctx, func() {
-		if ask, ok = s.node.StartQuery(say); ok {
+		if ask, startErr = s.node.StartQuery(say); startErr == nil {
 			s.send(s.node.Tick(s.cfg.Now(), time.Now().UnixMilli()))
 		}
 	}); err != nil {
 		return nil, err
 	}
-	if !ok {
-		return nil, errors.New("too many questions wait for an answer already")
+	if startErr != nil {
+		return nil, startErr
 	}
 	defer s.do(context.Background(), func() { s.node.EndQuery(ask) })
 	for {
