--- a/internal/balancer/doc.go
+++ b/internal/balancer/doc.go
@@ -61,12 +61,15 @@
 // Each part of the state is a struct that only its own methods change:
 //
 //   - [Balancer]: the clock, the request table and the components below.
+//   - request (request.go): what is known of one request; its quotaProgress, ceilingReservation and attemptHistory.
 //   - endpointSet, endpoint (endpoints.go, endpoint.go): the endpoint list. Each endpoint owns its priorityQueue
 //     (queue.go), concurrencyLimit (concurrency.go), endpointLatency (latency.go), outlierState (outlier.go) and
 //     slowStartState (slowstart.go).
 //   - latencyEstimator (latency.go): latency and cost by class.
-//   - customer (customer.go): quota, bucket, ceiling and waiting requests of each customer.
-//   - counterCalls (countercall.go): the calls to the shared counter.
+//   - customerTable, customer (customer.go): what is known of the customers. Each customer owns its waitingRequests
+//     (waiting.go), demandRate (demand.go), quotaState (quotastate.go), sharedBucket (sharedbucket.go) and
+//     ceilingState (ceiling.go).
+//   - counterCalls (countercall.go): the calls to the shared counter, with timedOutCalls (timedoutcall.go).
 //   - shareState (share.go): this gateway's part of what all gateways have in common.
 //
 // dispatch.go is the only place that sends attempts, and grantAdmission the only one that admits work done elsewhere.
--- a/internal/balancer/golden_test.go
+++ b/internal/balancer/golden_test.go
@@ -25,8 +25,8 @@
 	stall    float64 // the gateway stands still for a while, in each round
 }
 
-// runFleet is one deterministic run of some instances of the decision module with random events.
-type runFleet struct {
+// play is one deterministic run of some instances of the decision module with random events.
+type play struct {
 	name     string
 	seed     uint64
 	settings balancer.Settings
@@ -69,7 +69,7 @@
 
 // run is a play while it goes on.
 type run struct {
-	runFleet
+	play
 	rng       *rand.Rand
 	now       time.Duration
 	trace     *golden.Trace
@@ -79,14 +79,14 @@
 }
 
 // hash plays and returns the hash of all actions in order.
-func (p runFleet) hash(t *testing.T) string {
+func (p play) hash(t *testing.T) string {
 	t.Helper()
 	r := &run{
-		runFleet: p,
-		rng:      rand.New(rand.NewPCG(p.seed, 77)),
-		now:      time.Hour,
-		trace:    golden.NewTrace(),
-		totals:   map[uint64]float64{},
+		play:   p,
+		rng:    rand.New(rand.NewPCG(p.seed, 77)),
+		now:    time.Hour,
+		trace:  golden.NewTrace(),
+		totals: map[uint64]float64{},
 	}
 	for i := range p.backends {
 		r.list = append(r.list, balancer.Endpoint{
@@ -699,13 +699,13 @@
 }
 
 // plays are all that is recorded.
-func plays() (all []runFleet) {
+func plays() (all []play) {
 	levels := map[string]faults{
 		"calm":  {},
 		"rough": {attempt: 0.08, silent: 0.04, counter: 0.06, late: 0.5, endpoint: 0.02, stall: 0.002},
 		"bad":   {attempt: 0.4, silent: 0.25, counter: 0.6, late: 0.7, endpoint: 0.06, stall: 0.02},
 	}
-	add := func(p runFleet, level string) {
+	add := func(p play, level string) {
 		p.faults = levels[level]
 		for seed := range uint64(4) {
 			p.seed = seed + 1
@@ -716,9 +716,9 @@
 	}
 	for _, site := range []string{"tight", "wide", "odd"} {
 		for _, level := range []string{"calm", "rough", "bad"} {
-			add(runFleet{name: site + "/few", settings: deployment(site, 3), gateways: 3, backends: 6, calls: 3}, level)
+			add(play{name: site + "/few", settings: deployment(site, 3), gateways: 3, backends: 6, calls: 3}, level)
 			add(
-				runFleet{
+				play{
 					name:     site + "/many",
 					settings: deployment(site, 60),
 					gateways: 4,
@@ -731,7 +731,7 @@
 			lent := deployment(site, 3)
 			lent.LeaseCeilings = true
 			add(
-				runFleet{
+				play{
 					name:     site + "/lent",
 					settings: lent,
 					gateways: 3,
@@ -749,7 +749,7 @@
 				viewed.Plans[i].PartitionPolicy = policies[i%len(policies)]
 			}
 			add(
-				runFleet{
+				play{
 					name:     site + "/leased",
 					settings: viewed,
 					gateways: 3,
@@ -761,7 +761,7 @@
 				level,
 			)
 			add(
-				runFleet{
+				play{
 					name:     site + "/changed",
 					settings: deployment(site, 2),
 					gateways: 2,
@@ -775,7 +775,7 @@
 			)
 		}
 		add(
-			runFleet{
+			play{
 				name:     site + "/alone",
 				settings: deployment(site, 1),
 				gateways: 1,
@@ -787,13 +787,13 @@
 		)
 		crowd := deployment(site, 300)
 		add(
-			runFleet{name: site + "/crowd", settings: crowd, gateways: 2, backends: 120, calls: 2, handover: true},
+			play{name: site + "/crowd", settings: crowd, gateways: 2, backends: 120, calls: 2, handover: true},
 			"rough",
 		)
 		both := deployment(site, 20)
 		both.LeasedShares, both.LeaseCeilings = true, true
 		add(
-			runFleet{
+			play{
 				name:     site + "/both",
 				settings: both,
 				gateways: 5,
--- a/internal/balancer/random_test.go
+++ b/internal/balancer/random_test.go
@@ -5,142 +5,245 @@
 	"math"
 	"math/rand/v2"
 	"reflect"
+	"slices"
 	"testing"
 	"time"
 )
 
-// runRandomEvents plays a random but legal order of events, and checks after each step what must always hold.
-func runRandomEvents(t testing.TB, seed uint64) (all []Action) {
-	rng := rand.New(rand.NewPCG(seed, 2))
-	settings := testSettings()
-	list := testEndpoints(5)
-	b := newTestBalancer(t, settings, list...)
-	type sent struct {
-		Dispatch
-		no int
-		at time.Duration
+// randomPlay is a random but legal order of events for one Balancer, with what it must not do.
+type randomPlay struct {
+	t         testing.TB
+	seed      uint64
+	rng       *rand.Rand
+	settings  Settings
+	balancer  *Balancer
+	endpoints []Endpoint
+	now       time.Duration
+	lastID    uint64
+	// attempts, calls and timers have no result yet.
+	attempts []randomAttempt
+	calls    []CounterAdd
+	timers   []SetTimer
+	// totals has the totals of the counter by name.
+	totals map[uint64]float64
+	// notServing has the endpoints that the list does not have as serving.
+	notServing map[string]bool
+	// deadlines has the requests without a final answer, by ID.
+	deadlines map[uint64]time.Duration
+	// classes, attemptCounts and inFlight are by request ID.
+	classes       map[uint64]int
+	attemptCounts map[uint64]int
+	inFlight      map[uint64]int
+	// ranOn has the endpoint that may have run a request.
+	ranOn map[uint64]string
+	// actions has all actions so far.
+	actions []Action
+}
+
+// randomAttempt is an attempt without a result.
+type randomAttempt struct {
+	Dispatch
+	number int
+	sentAt time.Duration
+}
+
+// runRandomEvents plays some seconds, checks after each step what must always hold, and returns all actions.
+func runRandomEvents(t testing.TB, seed uint64) []Action {
+	const steps = 600
+	const stepsWithRequests = 400
+	t.Helper()
+	p := &randomPlay{
+		t:             t,
+		seed:          seed,
+		rng:           rand.New(rand.NewPCG(seed, 2)),
+		settings:      testSettings(),
+		endpoints:     testEndpoints(5),
+		totals:        map[uint64]float64{},
+		notServing:    map[string]bool{},
+		deadlines:     map[uint64]time.Duration{},
+		classes:       map[uint64]int{},
+		attemptCounts: map[uint64]int{},
+		inFlight:      map[uint64]int{},
+		ranOn:         map[uint64]string{},
 	}
-	var results []sent
-	var counts []CounterAdd
-	var timers []SetTimer
-	due, class := map[uint64]time.Duration{}, map[uint64]int{}
-	tries, ran, dead, total := map[uint64]int{}, map[uint64]string{}, map[string]bool{}, map[uint64]float64{}
-	live := map[uint64]int{}
-	now, id := time.Duration(0), uint64(0)
-	for step := range 600 {
-		now += time.Duration(rng.IntN(12)) * ms
+	p.balancer = newTestBalancer(t, p.settings, p.endpoints...)
+	for step := range steps {
+		p.now += time.Duration(p.rng.IntN(12)) * ms
 		var events []Event
-		for range rng.IntN(4) {
-			if step > 400 {
-				break
+		for range p.rng.IntN(4) {
+			if step <= stepsWithRequests {
+				events = append(events, p.randomRequest())
 			}
-			id++
-			request := Request{ID: id, Class: rng.IntN(3), Plan: rng.IntN(4), Customer: fmt.Sprint("c", rng.IntN(6)),
-				TimeLeft: time.Duration(rng.IntN(2000)) * ms, Units: 1 + float64(rng.IntN(3)), Gateways: rng.IntN(3)}
-			due[id], class[id] = now+request.TimeLeft, request.Class
-			events = append(events, request)
 		}
-		for i := 0; i < len(results); i++ {
-			if rng.IntN(8) != 0 {
-				continue
-			}
-			o := results[i]
-			results = append(results[:i], results[i+1:]...)
-			st := Status(rng.IntN(8))
-			if rng.IntN(2) == 0 {
-				st = OK
-			}
-			live[o.ID]--
-			_, owed := due[o.ID]
-			if st == OK {
-				delete(due, o.ID)
-			} else if st != Rejected && st != ConnectFailed && st != NotSent {
-				ran[o.ID] = o.Endpoint
-			}
-			events = append(
-				events,
-				AttemptResult{ID: o.ID, Attempt: o.no, Endpoint: o.Endpoint, Status: st, Latency: now - o.at,
-					RequestClosed: st == OK || !owed},
-			)
+		events = append(events, p.attemptResults()...)
+		events = append(events, p.counterResults()...)
+		if p.rng.IntN(40) == 0 {
+			events = append([]Event{p.endpointUpdate()}, events...)
 		}
-		for len(counts) > 0 && rng.IntN(2) == 0 {
-			call := counts[0]
-			counts = counts[1:]
-			st := []Status{OK, OK, OK, Timeout, Rejected}[rng.IntN(5)]
-			if st != Rejected {
-				total[call.Name] += call.Amount
-			}
-			if rng.IntN(50) == 0 {
-				total[call.Name] = 0
-			}
-			events = append(events, CounterResult{call.Name, st, total[call.Name]})
+		events = append(events, p.dueTimers()...)
+		for _, action := range slices.Clone(p.balancer.Step(p.now, events)) {
+			p.actions = append(p.actions, action)
+			p.handle(action)
 		}
-		if rng.IntN(40) == 0 {
-			i := rng.IntN(len(list))
-			entry := list[i]
-			entry.State = EndpointState(rng.IntN(3))
-			entry.StartedAt = now * time.Duration(rng.IntN(2))
-			dead[entry.Name] = entry.State != Serving
-			events = append([]Event{EndpointUpdate{Kind: Delta, Entries: []Endpoint{entry}}}, events...)
+		p.checkDeadlines()
+	}
+	return p.actions
+}
+
+// randomRequest returns a request of any class, plan and customer.
+func (p *randomPlay) randomRequest() Request {
+	p.lastID++
+	request := Request{
+		ID:       p.lastID,
+		Class:    p.rng.IntN(3),
+		Plan:     p.rng.IntN(4),
+		Customer: fmt.Sprint("c", p.rng.IntN(6)),
+		TimeLeft: time.Duration(p.rng.IntN(2000)) * ms,
+		Units:    1 + float64(p.rng.IntN(3)),
+		Gateways: p.rng.IntN(3),
+	}
+	p.deadlines[request.ID] = p.now + request.TimeLeft
+	p.classes[request.ID] = request.Class
+	return request
+}
+
+// attemptResults ends some attempts, half of them well.
+func (p *randomPlay) attemptResults() []Event {
+	var events []Event
+	for i := 0; i < len(p.attempts); i++ {
+		if p.rng.IntN(8) != 0 {
+			continue
 		}
-		keep := timers[:0]
-		for _, x := range timers {
-			if x.At <= now {
-				events = append(events, TimerFired{x.Cookie})
-			} else {
-				keep = append(keep, x)
-			}
+		attempt := p.attempts[i]
+		p.attempts = slices.Delete(p.attempts, i, i+1)
+		status := Status(p.rng.IntN(8))
+		if p.rng.IntN(2) == 0 {
+			status = OK
 		}
-		timers = keep
-		actions := append([]Action(nil), b.Step(now, events)...)
-		all = append(all, actions...)
-		for _, a := range actions {
-			switch a := a.(type) {
-			case Dispatch:
-				if _, ok := due[a.ID]; !ok {
-					t.Fatalf("seed %d: dispatched after the end: %v", seed, a)
-				}
-				if dead[a.Endpoint] {
-					t.Fatalf("seed %d: dispatched to a draining endpoint: %v", seed, a)
-				}
-				if b, may := ran[a.ID]; may &&
-					(class[a.ID] == 2 || class[a.ID] == 1 && cellOf(list, b) != cellOf(list, a.Endpoint)) {
-					t.Fatalf("seed %d: an effect twice: %v", seed, a)
-				}
-				if live[a.ID]++; live[a.ID] > 1 || tries[a.ID] >= settings.MaxAttempts {
-					t.Fatalf("seed %d: too many attempts: %v", seed, a)
-				}
-				results = append(results, sent{a, tries[a.ID], now})
-				tries[a.ID]++
-			case Reject:
-				if _, ok := due[a.ID]; !ok {
-					t.Fatalf("seed %d: rejected after the end: %v", seed, a)
-				}
-				if _, may := ran[a.ID]; (may || live[a.ID] > 0) && class[a.ID] != 0 {
-					t.Fatalf("seed %d: rejected what may have run: %v", seed, a)
-				}
-				delete(due, a.ID)
-			case Fail:
-				if _, ok := due[a.ID]; !ok {
-					t.Fatalf("seed %d: failed after the end: %v", seed, a)
-				}
-				delete(due, a.ID)
-			case CounterAdd:
-				counts = append(counts, a)
-			case SetTimer:
-				if a.At <= now {
-					a.At = now + ms
-				}
-				timers = append(timers, a)
-			}
+		p.inFlight[attempt.ID]--
+		_, isOpen := p.deadlines[attempt.ID]
+		switch status {
+		case OK:
+			delete(p.deadlines, attempt.ID)
+		case Rejected, ConnectFailed, NotSent:
+		default:
+			p.ranOn[attempt.ID] = attempt.Endpoint
 		}
-		for id, at := range due {
-			if now > at+20*ms {
-				t.Fatalf("seed %d: request %d is lost", seed, id)
-			}
+		result := resultOf(attempt.Dispatch, status, p.now-attempt.sentAt)
+		result.Attempt = attempt.number
+		result.RequestClosed = status == OK || !isOpen
+		events = append(events, result)
+	}
+	return events
+}
+
+// counterResults answers some calls. Some time out or are rejected, and now and then the counter loses its total.
+func (p *randomPlay) counterResults() []Event {
+	var events []Event
+	for len(p.calls) > 0 && p.rng.IntN(2) == 0 {
+		call := p.calls[0]
+		p.calls = p.calls[1:]
+		status := []Status{OK, OK, OK, Timeout, Rejected}[p.rng.IntN(5)]
+		if status != Rejected {
+			p.totals[call.Name] += call.Amount
+		}
+		if p.rng.IntN(50) == 0 {
+			p.totals[call.Name] = 0
+		}
+		events = append(events, CounterResult{call.Name, status, p.totals[call.Name]})
+	}
+	return events
+}
+
+// endpointUpdate changes the state of one endpoint.
+func (p *randomPlay) endpointUpdate() Event {
+	entry := p.endpoints[p.rng.IntN(len(p.endpoints))]
+	entry.State = EndpointState(p.rng.IntN(3))
+	entry.StartedAt = p.now * time.Duration(p.rng.IntN(2))
+	p.notServing[entry.Name] = entry.State != Serving
+	return EndpointUpdate{Kind: Delta, Entries: []Endpoint{entry}}
+}
+
+// dueTimers fires the timers that are due.
+func (p *randomPlay) dueTimers() []Event {
+	var events []Event
+	var later []SetTimer
+	for _, timer := range p.timers {
+		if timer.At <= p.now {
+			events = append(events, TimerFired{timer.Cookie})
+		} else {
+			later = append(later, timer)
+		}
+	}
+	p.timers = later
+	return events
+}
+
+// handle carries out an action after a check that it is allowed.
+func (p *randomPlay) handle(action Action) {
+	p.t.Helper()
+	switch action := action.(type) {
+	case Dispatch:
+		p.checkDispatch(action)
+		p.attempts = append(p.attempts, randomAttempt{action, p.attemptCounts[action.ID], p.now})
+		p.attemptCounts[action.ID]++
+	case Reject:
+		_, mayHaveRun := p.ranOn[action.ID]
+		if (mayHaveRun || p.inFlight[action.ID] > 0) && p.classes[action.ID] != 0 {
+			p.t.Fatalf("seed %d: rejected what may have run: %v", p.seed, action)
+		}
+		p.answer(action.ID, action)
+	case Fail:
+		p.answer(action.ID, action)
+	case CounterAdd:
+		p.calls = append(p.calls, action)
+	case SetTimer:
+		if action.At <= p.now {
+			action.At = p.now + ms
+		}
+		p.timers = append(p.timers, action)
+	}
+}
+
+// checkDispatch checks that an attempt is the only one in flight, has no second effect and goes to a serving endpoint.
+func (p *randomPlay) checkDispatch(dispatch Dispatch) {
+	p.t.Helper()
+	if _, isOpen := p.deadlines[dispatch.ID]; !isOpen {
+		p.t.Fatalf("seed %d: dispatched after the end: %v", p.seed, dispatch)
+	}
+	if p.notServing[dispatch.Endpoint] {
+		p.t.Fatalf("seed %d: dispatched to a draining endpoint: %v", p.seed, dispatch)
+	}
+	if ranOn, mayHaveRun := p.ranOn[dispatch.ID]; mayHaveRun {
+		class := p.classes[dispatch.ID]
+		sameCell := cellOf(p.endpoints, ranOn) == cellOf(p.endpoints, dispatch.Endpoint)
+		if class == 2 || class == 1 && !sameCell {
+			p.t.Fatalf("seed %d: an effect twice: %v", p.seed, dispatch)
+		}
+	}
+	p.inFlight[dispatch.ID]++
+	if p.inFlight[dispatch.ID] > 1 || p.attemptCounts[dispatch.ID] >= p.settings.MaxAttempts {
+		p.t.Fatalf("seed %d: too many attempts: %v", p.seed, dispatch)
+	}
+}
+
+// answer records the final answer of a request, which must be its only one.
+func (p *randomPlay) answer(id uint64, action Action) {
+	p.t.Helper()
+	if _, isOpen := p.deadlines[id]; !isOpen {
+		p.t.Fatalf("seed %d: answered after the end: %v", p.seed, action)
+	}
+	delete(p.deadlines, id)
+}
+
+// checkDeadlines checks that no request is without a final answer past its deadline.
+func (p *randomPlay) checkDeadlines() {
+	p.t.Helper()
+	for id, deadline := range p.deadlines {
+		if p.now > deadline+20*ms {
+			p.t.Fatalf("seed %d: request %d is lost", p.seed, id)
 		}
 	}
-	return all
 }
 
 // cellOf returns the cell of an endpoint, or -1.
@@ -176,97 +279,129 @@
 	for _, gateways := range []int{1, 2, 12, 300} {
 		for _, index := range []int{-1, 0, gateways - 1, gateways, 1 << 40} {
 			for seed := range uint64(6) {
-				rng := rand.New(rand.NewPCG(seed, uint64(gateways)))
-				settings := testSettings()
-				settings.Gateways, settings.Index, settings.Zone = gateways, index, []int{0, -1, 99}[rng.IntN(3)]
-				b, err := New(settings, seed)
-				if err != nil {
-					t.Fatal(err)
-				}
-				entries := func() (list []Endpoint) {
-					for range rng.IntN(8) {
-						list = append(
-							list,
-							Endpoint{
-								Name: fmt.Sprint("b", rng.IntN(4)),
-								Zone: rng.IntN(5) - 1,
-								Cell: rng.IntN(3) - 1,
-								State: EndpointState(
-									rng.IntN(4),
-								),
-								Weight:         []float64{0, 1, -3, math.Inf(1), math.NaN(), 1e300}[rng.IntN(6)],
-								SlowStartShare: []float64{0, 1, -1, math.NaN()}[rng.IntN(4)],
-								StartedAt:      time.Duration(rng.IntN(3)-1) * 10 * time.Second,
-							},
-						)
-					}
-					return list
-				}
-				owed := map[uint64]bool{}
-				at, id := time.Duration(0), uint64(0)
-				var results []Dispatch
-				take := func(actions []Action) {
-					for _, a := range actions {
-						switch a := a.(type) {
-						case Dispatch:
-							results = append(results, a)
-						case Reject:
-							delete(owed, a.ID)
-						case Fail:
-							delete(owed, a.ID)
-						}
-					}
-				}
-				for range 300 {
-					at += tickInterval
-					events := []Event{TimerFired{tickCookie}}
-					switch rng.IntN(4) {
-					case 0:
-						events = append(events, EndpointUpdate{Kind: UpdateKind(rng.IntN(4)), Entries: entries()})
-					case 1:
-						name := fmt.Sprint("b", rng.IntN(5))
-						events = append(
-							events,
-							AdminEject{Endpoint: name},
-							AdminRestore{Endpoint: fmt.Sprint("b", rng.IntN(5))},
-							HealthCheckResult{Endpoint: name, Status: OK},
-						)
-					default:
-						for range 3 {
-							id++
-							request := testRequest(id, rng.IntN(3), rng.IntN(4))
-							request.Gateways = rng.IntN(400) - 50
-							request.Units = []float64{1, 0, -1, math.NaN(), 1e12}[rng.IntN(5)]
-							owed[id] = true
-							events = append(events, request)
-						}
-					}
-					for len(results) > 0 && rng.IntN(3) > 0 {
-						dispatch := results[0]
-						results = results[1:]
-						events = append(events, succeeded(dispatch, 0, 5*ms))
-						delete(owed, dispatch.ID)
-					}
-					take(b.Step(at, events))
-				}
-				// By the end of this each request's own timer is due.
-				for range 3 * int(time.Second/tickInterval) {
-					at += tickInterval
-					events := []Event{TimerFired{tickCookie}}
-					for i := range owed {
-						events = append(events, TimerFired{requestCookie(i)})
-					}
-					for _, dispatch := range results {
-						events = append(events, resultOf(dispatch, Timeout, time.Second))
-					}
-					results = nil
-					take(b.Step(at, events))
-				}
-				if len(owed) > 0 {
+				p := newUnusualPlay(t, gateways, index, seed)
+				p.run()
+				if len(p.open) > 0 {
 					t.Fatalf("gateways %d, index %d, seed %d: %d requests without an answer",
-						gateways, index, seed, len(owed))
+						gateways, index, seed, len(p.open))
 				}
 			}
 		}
 	}
 }
+
+// unusualPlay is a play of unusual settings, endpoint lists and requests.
+type unusualPlay struct {
+	rng      *rand.Rand
+	balancer *Balancer
+	now      time.Duration
+	lastID   uint64
+	// open has the requests without an answer, by ID.
+	open map[uint64]bool
+	// attempts are those without a result.
+	attempts []Dispatch
+}
+
+// newUnusualPlay starts a play.
+func newUnusualPlay(t *testing.T, gateways, index int, seed uint64) *unusualPlay {
+	t.Helper()
+	rng := rand.New(rand.NewPCG(seed, uint64(gateways)))
+	settings := testSettings()
+	settings.Gateways = gateways
+	settings.Index = index
+	settings.Zone = []int{0, -1, 99}[rng.IntN(3)]
+	b, err := New(settings, seed)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return &unusualPlay{rng: rng, balancer: b, open: map[uint64]bool{}}
+}
+
+// run plays some seconds of random events, and then until each request's own timer is due.
+func (p *unusualPlay) run() {
+	for range 300 {
+		p.now += tickInterval
+		events := append([]Event{TimerFired{tickCookie}}, p.randomEvents()...)
+		for len(p.attempts) > 0 && p.rng.IntN(3) > 0 {
+			dispatch := p.attempts[0]
+			p.attempts = p.attempts[1:]
+			events = append(events, succeeded(dispatch, 0, 5*ms))
+			delete(p.open, dispatch.ID)
+		}
+		p.step(events)
+	}
+	for range 3 * int(time.Second/tickInterval) {
+		p.now += tickInterval
+		events := []Event{TimerFired{tickCookie}}
+		for id := range p.open {
+			events = append(events, TimerFired{requestCookie(id)})
+		}
+		for _, dispatch := range p.attempts {
+			events = append(events, resultOf(dispatch, Timeout, time.Second))
+		}
+		p.attempts = nil
+		p.step(events)
+	}
+}
+
+// randomEvents returns an update of the endpoint list, events of an administrator, or requests.
+func (p *unusualPlay) randomEvents() []Event {
+	switch p.rng.IntN(4) {
+	case 0:
+		return []Event{EndpointUpdate{Kind: UpdateKind(p.rng.IntN(4)), Entries: p.randomEndpoints()}}
+	case 1:
+		name := fmt.Sprint("b", p.rng.IntN(5))
+		return []Event{
+			AdminEject{Endpoint: name},
+			AdminRestore{Endpoint: fmt.Sprint("b", p.rng.IntN(5))},
+			HealthCheckResult{Endpoint: name, Status: OK},
+		}
+	default:
+		return p.randomRequests()
+	}
+}
+
+// randomEndpoints returns entries of an endpoint list with unusual values.
+func (p *unusualPlay) randomEndpoints() []Endpoint {
+	var entries []Endpoint
+	for range p.rng.IntN(8) {
+		entries = append(entries, Endpoint{
+			Name:           fmt.Sprint("b", p.rng.IntN(4)),
+			Zone:           p.rng.IntN(5) - 1,
+			Cell:           p.rng.IntN(3) - 1,
+			State:          EndpointState(p.rng.IntN(4)),
+			Weight:         []float64{0, 1, -3, math.Inf(1), math.NaN(), 1e300}[p.rng.IntN(6)],
+			SlowStartShare: []float64{0, 1, -1, math.NaN()}[p.rng.IntN(4)],
+			StartedAt:      time.Duration(p.rng.IntN(3)-1) * 10 * time.Second,
+		})
+	}
+	return entries
+}
+
+// randomRequests returns requests with unusual values.
+func (p *unusualPlay) randomRequests() []Event {
+	var events []Event
+	for range 3 {
+		p.lastID++
+		request := testRequest(p.lastID, p.rng.IntN(3), p.rng.IntN(4))
+		request.Gateways = p.rng.IntN(400) - 50
+		request.Units = []float64{1, 0, -1, math.NaN(), 1e12}[p.rng.IntN(5)]
+		p.open[request.ID] = true
+		events = append(events, request)
+	}
+	return events
+}
+
+// step hands over events and records what comes of them.
+func (p *unusualPlay) step(events []Event) {
+	for _, action := range p.balancer.Step(p.now, events) {
+		switch action := action.(type) {
+		case Dispatch:
+			p.attempts = append(p.attempts, action)
+		case Reject:
+			delete(p.open, action.ID)
+		case Fail:
+			delete(p.open, action.ID)
+		}
+	}
+}
