--- a/internal/balancer/loan.go
+++ b/internal/balancer/loan.go
@@ -94,8 +94,8 @@
 	return b.customerFor(Request{Customer: ev.Customer, Plan: ev.Plan})
 }
 
-// lenderDemand is what this gateway itself needs of its share, units a second. A demand that has ended lately may come
-// again and is not to find all of the share granted.
+// lenderDemand is what this gateway itself needs of its share, units a second. A demand that has ended lately may
+// come again and is not to find all of the share granted.
 func (b *Balancer) lenderDemand(cust *customer, own quotashare.Bucket) float64 {
 	gap := b.now - cust.demand.updatedAt
 	demand := cust.demand.rate * math.Exp(-gap.Seconds()/lenderDemandDecay.Seconds())
@@ -117,8 +117,8 @@
 	b.serveWaiting(cust)
 }
 
-// expireLoans ends the loans of a customer that are over. Each fills the share until its end and not longer: the clock is
-// set back to that for a moment, as shares fill up to b.now.
+// expireLoans ends the loans of a customer that are over. Each fills the share until its end and not longer: the
+// clock is set back to that for a moment, as shares fill up to b.now.
 func (b *Balancer) expireLoans(cust *customer, plan *Plan) {
 	loans := &cust.ceiling.loans
 	if !loans.HasAny() {
--- a/internal/balancer/share.go
+++ b/internal/balancer/share.go
@@ -71,14 +71,14 @@
 }
 
 // liveGateways is the number of gateways that serve, as far as this one knows. It divides what the gateways share
-// without a bound that must hold: the least rate of calls to the counter and of its tests, the first concurrency limit
-// of an endpoint, the rate of probe requests.
+// without a bound that must hold: the least rate of calls to the counter and of its tests, the first concurrency
+// limit of an endpoint, the rate of probe requests.
 func (b *Balancer) liveGateways() float64 {
 	return float64(max(1, b.settings.Gateways-len(b.share.deadGateways)))
 }
 
-// expireShareLease ends a lease that is over. It fills the shares until its end and not longer: the clock is set back to
-// that for a moment, as shares fill up to b.now.
+// expireShareLease ends a lease that is over. It fills the shares until its end and not longer: the clock is set back
+// to that for a moment, as shares fill up to b.now.
 func (b *Balancer) expireShareLease() {
 	if !b.share.lease.HasExpired(b.now) {
 		return
