--- a/internal/balancer/queue.go
+++ b/internal/balancer/queue.go
@@ -148,14 +148,20 @@
 func (b *Balancer) rejectStaleHeads(from, to *endpoint, level int) {
 	for from.queue.levels[level].count > 0 {
 		req := from.queue.head(level)
-		expected := req.waited(b.now).Seconds() + b.expectedLatency(req, to)
-		if expected < req.timeLimit.Seconds()*latencyHeadroomFraction {
+		if !b.isStale(req, to) {
 			return
 		}
 		b.reject(req, 0, StaleInQueue)
 	}
 }
 
+// isStale reports whether a request that is dispatched to an endpoint now can't be expected to be answered within the
+// part of its time limit that waiting and answer may take (EQ 3). nil stands for any endpoint.
+func (b *Balancer) isStale(req *request, ep *endpoint) bool {
+	expected := req.waited(b.now).Seconds() + b.expectedLatency(req, ep)
+	return expected >= req.timeLimit.Seconds()*latencyHeadroomFraction
+}
+
 // isLevelOpen reports whether queued work down to a level, whose oldest request is given, can be expected to end
 // within the part of the time limit that queues may take (EQ 4).
 func (b *Balancer) isLevelOpen(req *request, to *endpoint, work float64) bool {
--- a/internal/balancer/quota.go
+++ b/internal/balancer/quota.go
@@ -48,7 +48,7 @@
 		request:      req,
 		plan:         plan,
 		leaseTerms:   b.ceilingLeaseTerms(req),
-		nearlyLate:   b.isNearlyLate(req),
+		nearlyLate:   b.isStale(req, nil),
 		inFlightFull: b.isInFlightFull(req, plan),
 		missing:      req.units - b.ceilingCapacity(req, plan),
 	}
@@ -68,12 +68,6 @@
 	return quotaCovered
 }
 
-// isNearlyLate reports whether a request that is dispatched now is expected to take the rest of its time.
-func (b *Balancer) isNearlyLate(req *request) bool {
-	waited := (b.now - req.arrivedAt).Seconds()
-	return waited+b.expectedLatency(req, nil) >= req.timeLimit.Seconds()*latencyHeadroomFraction
-}
-
 // awaitCeiling decides whether a request waits for a place among those in flight, or for the ceiling's share to fill.
 // A request of a soft plan waits for the share only if that fills soon.
 func (b *Balancer) awaitCeiling(check *quotaCheck) quotaDecision {
