--- a/internal/balancer/helpers_test.go
+++ b/internal/balancer/helpers_test.go
@@ -211,3 +211,15 @@
 	}
 	return events
 }
+
+// spendFallback spends a customer's fallback share and returns the counter call that the next request waits for.
+func spendFallback(t *testing.T, b *Balancer, now time.Duration) CounterAdd {
+	t.Helper()
+	for i := range 20 {
+		if c := actionsOf[CounterAdd](b.Step(now, []Event{testRequest(uint64(100+i), 0, 0)})); len(c) == 1 {
+			return c[0]
+		}
+	}
+	t.Fatal("no call for a lease")
+	return CounterAdd{}
+}
--- a/internal/balancer/loan.go
+++ b/internal/balancer/loan.go
@@ -117,7 +117,8 @@
 	b.serveWaiting(cust)
 }
 
-// expireLoans ends the loans of a customer that are over. Each fills the share until its end and not longer.
+// expireLoans ends the loans of a customer that are over. Each fills the share until its end and not longer: the clock
+// is set back to that for a moment, as shares fill up to b.now.
 func (b *Balancer) expireLoans(cust *customer, plan *Plan) {
 	loans := &cust.ceiling.loans
 	if !loans.HasAny() {
--- /dev/null
+++ b/internal/balancer/loan_test.go
@@ -0,0 +1,72 @@
+package balancer
+
+import (
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+
+	"gapgap/internal/balancer/quotashare"
+)
+
+// Loans that come late are worth only what is left of them, as the lender uses its part again; counted from their
+// arrival they would overlap.
+func TestLateLoans(t *testing.T) {
+	for _, fromArrival := range []bool{false, true} {
+		worst := 0.0
+		rapid.Check(t, func(t *rapid.T) {
+			fleet := newSharingFleet(t, 3, quotashare.KeepNone)
+			fleet.loansFromArrival = fromArrival
+			fleet.delay = func() time.Duration {
+				return time.Duration(rapid.IntRange(0, 700).Draw(t, "late")) * time.Millisecond
+			}
+			for i := range fleet.gateways {
+				fleet.lease(i, 1.0/3, time.Hour, time.Hour)
+			}
+			now := time.Hour + 10*time.Second
+			for round := range 8 { // the demand is at one gateway, then at all
+				for end := now + 2*time.Second; now < end; now += 20 * time.Millisecond {
+					for i := range 1 + 2*(round%2) {
+						fleet.request(i, now)
+					}
+				}
+			}
+			worst = max(worst, fleet.over, fleet.excess)
+		})
+		if !fromArrival && worst > 1e-6 || fromArrival && worst < 0.5 {
+			t.Errorf("counted from their arrival %v: %.1f units over the ceiling, or more than it shared out",
+				fromArrival, worst)
+		}
+	}
+}
+
+// All of a customer's requests at one of three gateways have the whole ceiling, as the others grant loans of what they
+// don't need; when the demand is at all gateways, each has its own part.
+func TestLoansFollowDemand(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		for _, policy := range allPolicies {
+			fleet := newSharingFleet(t, 3, policy)
+			for i := range fleet.gateways {
+				fleet.lease(i, 1.0/3, time.Hour, time.Hour)
+			}
+			one, now := 0, time.Hour
+			for ; now < time.Hour+12*time.Second; now += 20 * time.Millisecond {
+				if fleet.request(0, now) && now >= time.Hour+2*time.Second {
+					one++
+				}
+			}
+			var each [3]int
+			for begun := now; now < begun+12*time.Second; now += 20 * time.Millisecond {
+				for i := range fleet.gateways {
+					if fleet.request(i, now) && now >= begun+4*time.Second {
+						each[i]++
+					}
+				}
+			}
+			if one < 95 || fleet.over > 1e-6 || fleet.loans == 0 || min(each[0], each[1], each[2]) < 20 {
+				t.Fatalf("policy %v: %d of 100 at one gateway, %v at all, %.2f over, %d loans",
+					policy, one, each, fleet.over, fleet.loans)
+			}
+		}
+	})
+}
--- a/internal/balancer/share.go
+++ b/internal/balancer/share.go
@@ -77,7 +77,8 @@
 	return float64(max(1, b.settings.Gateways-len(b.share.deadGateways)))
 }
 
-// expireShareLease ends a lease that is over. It fills the shares until its end and not longer.
+// expireShareLease ends a lease that is over. It fills the shares until its end and not longer: the clock is set back
+// to that for a moment, as shares fill up to b.now.
 func (b *Balancer) expireShareLease() {
 	if !b.share.lease.HasExpired(b.now) {
 		return
