--- a/internal/balancer/attemptresult.go
+++ b/internal/balancer/attemptresult.go
@@ -118,8 +118,7 @@
 // recordConnectionFailure counts a broken connection. A single one says nothing of its endpoint; several in a row
 // shrink the concurrency limit and then eject the endpoint.
 func (b *Balancer) recordConnectionFailure(ep *endpoint) {
-	ep.outlier.connectionFailures++
-	if ep.outlier.connectionFailures > 1 {
+	if ep.outlier.recordConnectionFailure() > 1 {
 		ep.concurrency.decrease(rejectedDecrease)
 	}
 	if ep.outlier.hasBrokenConnections() && !ep.outlier.ejected {
@@ -132,7 +131,7 @@
 	if ep.outlier.ejected {
 		return
 	}
-	ep.outlier.timeouts++
+	ep.outlier.recordTimeout()
 	ep.latency.recordTimeout(ratio)
 	ep.concurrency.decrease(timeoutDecrease)
 }
--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -115,10 +115,10 @@
 func (b *Balancer) start() {
 	b.running = true
 	b.startedAt = b.now
-	b.warmRate.updatedAt = b.now
-	b.endpoints.roundRobin = b.rng.IntN(roundRobinStartRange)
+	b.warmRate.restart(b.now, 0)
+	b.endpoints.startRoundRobin(b.rng.IntN(roundRobinStartRange))
 	b.counter.pacer = b.newCallPacer()
-	b.latency.fleetSlowdown = 1
+	b.latency.start()
 	if b.settings.UseCounter {
 		b.counter.callFraction = 1
 	}
--- a/internal/balancer/concurrency.go
+++ b/internal/balancer/concurrency.go
@@ -71,6 +71,12 @@
 	c.limit = min(maxConcurrency, c.limit+concurrencyIncrease/max(1, c.limit))
 }
 
+// reset sets the limit of an endpoint that starts to warm up.
+func (c *concurrencyLimit) reset() { c.limit = slowStartConcurrency }
+
+// limitTo lowers the limit to a value, if it is higher.
+func (c *concurrencyLimit) limitTo(limit float64) { c.limit = min(limit, c.limit) }
+
 // restore sets the limit that a previous process handed over.
 func (c *concurrencyLimit) restore(limit float64) {
 	c.limit = min(maxConcurrency, max(minConcurrency, limit))
--- a/internal/balancer/dispatch.go
+++ b/internal/balancer/dispatch.go
@@ -81,7 +81,7 @@
 	att := &attempt{request: req, endpoint: ep, sentAt: b.now, kind: kind}
 	req.attempts.add(att)
 	if kind == probeAttempt {
-		ep.outlier.probing = true
+		ep.outlier.beginProbe()
 	}
 	ep.addAttempt(b.now, att)
 }
--- a/internal/balancer/endpoint.go
+++ b/internal/balancer/endpoint.go
@@ -85,5 +85,29 @@
 // beginSlowStart makes the endpoint warming up since a time, with one slot.
 func (ep *endpoint) beginSlowStart(since time.Duration) {
 	ep.slowStart.begin(since)
-	ep.concurrency.limit = slowStartConcurrency
+	ep.concurrency.reset()
+}
+
+// export returns what the next process gets of the endpoint.
+func (ep *endpoint) export() EndpointHandover {
+	state := EndpointHandover{
+		Name:             ep.name,
+		StartedAt:        ep.startedAt,
+		WarmUpFrom:       ep.slowStart.since,
+		WarmingUp:        ep.slowStart.active,
+		Ejected:          ep.outlier.ejected,
+		LatencyFactor:    ep.latency.factor,
+		ConcurrencyLimit: ep.concurrency.limit,
+	}
+	for _, dispatch := range ep.slowStart.budget.Dispatches() {
+		state.Sends = append(state.Sends, SlowStartSend(dispatch))
+	}
+	return state
+}
+
+// restore takes over what a former process has handed over, except for an ejection.
+func (ep *endpoint) restore(from *EndpointHandover) {
+	ep.slowStart.restore(from)
+	ep.concurrency.restore(from.ConcurrencyLimit)
+	ep.latency.restore(from.LatencyFactor)
 }
--- a/internal/balancer/endpoints.go
+++ b/internal/balancer/endpoints.go
@@ -48,6 +48,25 @@
 	s.ordered = append(s.ordered, ep)
 }
 
+// startRoundRobin sets where the first selection begins.
+func (s *endpointSet) startRoundRobin(position int) { s.roundRobin = position }
+
+// beginRound begins another selection.
+func (s *endpointSet) beginRound() { s.roundRobin++ }
+
+// inRound returns the endpoint at a position, from 0, of the current selection.
+func (s *endpointSet) inRound(position int) *endpoint {
+	return s.ordered[(s.roundRobin+position)%len(s.ordered)]
+}
+
+// resizeSubset follows the number of endpoints in service, if that has changed by a quarter.
+func (s *endpointSet) resizeSubset() {
+	count := s.inServiceCount()
+	if count > s.subsetSizedFor*5/4 || count < s.subsetSizedFor*3/4 || s.subsetSizedFor == 0 {
+		s.subsetSizedFor = count
+	}
+}
+
 // removeGone forgets endpoints that are not listed and have no attempt in flight.
 func (s *endpointSet) removeGone() {
 	kept := make([]*endpoint, 0, len(s.ordered))
@@ -100,12 +119,19 @@
 	w.backoff = 0
 }
 
-// nextBackoff returns the pause after a failure.
-func (w *endpointWatch) nextBackoff() time.Duration {
+// beginBackoff starts the pause after a failure and returns it.
+func (w *endpointWatch) beginBackoff() time.Duration {
+	w.retryPending = true
 	w.backoff = min(maxWatchBackoff, max(minWatchBackoff, 2*w.backoff))
 	return w.backoff
 }
 
+// endBackoff ends the pause.
+func (w *endpointWatch) endBackoff() { w.retryPending = false }
+
+// recordFetch records that the whole list has been requested.
+func (w *endpointWatch) recordFetch(now time.Duration) { w.updatedAt = now }
+
 // handleEndpointUpdate applies an update of the endpoint list, or plans another watch if it failed.
 func (b *Balancer) handleEndpointUpdate(ev EndpointUpdate) {
 	if ev.Kind == UpdateFailed {
@@ -131,13 +157,12 @@
 	if b.endpointWatch.retryPending {
 		return
 	}
-	b.endpointWatch.retryPending = true
-	b.emit(SetTimer{At: b.now + b.endpointWatch.nextBackoff(), Cookie: watchRetryCookie})
+	b.emit(SetTimer{At: b.now + b.endpointWatch.beginBackoff(), Cookie: watchRetryCookie})
 }
 
 // retryWatch starts the watch again.
 func (b *Balancer) retryWatch() {
-	b.endpointWatch.retryPending = false
+	b.endpointWatch.endBackoff()
 	b.emit(WatchEndpoints{})
 }
 
@@ -147,7 +172,7 @@
 		return
 	}
 	if b.now-b.endpointWatch.updatedAt > b.settings.PollInterval/2 {
-		b.endpointWatch.updatedAt = b.now
+		b.endpointWatch.recordFetch(b.now)
 		b.emit(FetchEndpoints{})
 	}
 }
--- a/internal/balancer/handover.go
+++ b/internal/balancer/handover.go
@@ -38,7 +38,7 @@
 		cust.giveUpTokens()
 	}
 	for _, ep := range b.endpoints.ordered {
-		state.Endpoints = append(state.Endpoints, exportEndpoint(ep))
+		state.Endpoints = append(state.Endpoints, ep.export())
 	}
 	b.handedOver = true
 	b.emit(HandoverReady{state})
@@ -111,23 +111,6 @@
 	cust.ceiling.tokens = min(cust.ceiling.tokens, cust.ceiling.reserved)
 }
 
-// exportEndpoint writes down what is known of an endpoint.
-func exportEndpoint(ep *endpoint) EndpointHandover {
-	state := EndpointHandover{
-		Name:             ep.name,
-		StartedAt:        ep.startedAt,
-		WarmUpFrom:       ep.slowStart.since,
-		WarmingUp:        ep.slowStart.active,
-		Ejected:          ep.outlier.ejected,
-		LatencyFactor:    ep.latency.factor,
-		ConcurrencyLimit: ep.concurrency.limit,
-	}
-	for _, sent := range ep.slowStart.budget.Dispatches() {
-		state.Sends = append(state.Sends, SlowStartSend(sent))
-	}
-	return state
-}
-
 // handleImportHandover takes over what another process has handed over. A process that gets its own state back, as the
 // next one failed, adds that to what came in meanwhile.
 func (b *Balancer) handleImportHandover(state HandoverState) {
@@ -157,10 +140,8 @@
 
 // importEstimates takes over what is known of the fleet, the classes and the endpoints.
 func (b *Balancer) importEstimates(state *HandoverState) {
-	b.latency.fleetSlowdown = cmp.Or(state.FleetSlowdown, b.latency.fleetSlowdown)
-	b.latency.fleetSlowdownAt = b.now
-	b.warmRate.value = state.WarmEndpointRate
-	b.warmRate.updatedAt = b.now
+	b.latency.restoreFleet(b.now, state.FleetSlowdown)
+	b.warmRate.restart(b.now, state.WarmEndpointRate)
 	b.shortage = state.Shortage
 	if b.settings.UseCounter {
 		b.counter.callFraction = min(1, max(minCallFraction, cmp.Or(state.CallFraction, 1)))
@@ -184,15 +165,7 @@
 	if ep == nil || ep.startedAt != from.StartedAt {
 		return
 	}
-	ep.slowStart.active = from.WarmingUp
-	ep.slowStart.since = from.WarmUpFrom
-	ep.concurrency.restore(from.ConcurrencyLimit)
-	if from.LatencyFactor > 0 {
-		ep.latency.factor = from.LatencyFactor
-	}
-	for _, sent := range from.Sends {
-		ep.slowStart.budget.RecordDispatch(sent.At, sent.Cost)
-	}
+	ep.restore(from)
 	if ep.inService && from.Ejected && !ep.outlier.ejected {
 		b.eject(ep)
 	}
--- a/internal/balancer/latency.go
+++ b/internal/balancer/latency.go
@@ -1,6 +1,7 @@
 package balancer
 
 import (
+	"cmp"
 	"time"
 
 	"gapgap/internal/balancer/costmodel"
@@ -70,6 +71,13 @@
 // reset makes the endpoint like the others.
 func (l *endpointLatency) reset() { l.factor = 1 }
 
+// restore takes over the factor that a former process has handed over; 0: none.
+func (l *endpointLatency) restore(factor float64) {
+	if factor > 0 {
+		l.factor = factor
+	}
+}
+
 // recordAnswer adds an answer's latency, in expected latencies of its class.
 func (l *endpointLatency) recordAnswer(ratio float64) {
 	l.factor = max(minLatencyFactor, l.factor+latencyFactorGain*(ratio-l.factor))
@@ -80,6 +88,15 @@
 	l.factor += latencyFactorGain * (ratio - l.factor)
 }
 
+// start sets the slowdown of endpoints of which nothing is known.
+func (l *latencyEstimator) start() { l.fleetSlowdown = 1 }
+
+// restoreFleet takes over the slowdown that a former process has handed over; 0: none.
+func (l *latencyEstimator) restoreFleet(now time.Duration, slowdown float64) {
+	l.fleetSlowdown = cmp.Or(slowdown, l.fleetSlowdown)
+	l.fleetSlowdownAt = now
+}
+
 // recordFleet adds a result of any endpoint to the slowdown of all, in expected latencies.
 func (l *latencyEstimator) recordFleet(now time.Duration, ratio float64) {
 	gain := min(fleetSlowdownMaxGain, (now-l.fleetSlowdownAt).Seconds()/fleetSlowdownSeconds)
--- a/internal/balancer/outlier.go
+++ b/internal/balancer/outlier.go
@@ -68,6 +68,15 @@
 	o.connectionFailures = 0
 }
 
+// recordTimeout counts an attempt without an answer in time.
+func (o *outlierState) recordTimeout() { o.timeouts++ }
+
+// recordConnectionFailure counts a broken connection and returns the number of them in a row.
+func (o *outlierState) recordConnectionFailure() int {
+	o.connectionFailures++
+	return o.connectionFailures
+}
+
 // becomeBusy records that the endpoint has work after having none: silence counts from here on.
 func (o *outlierState) becomeBusy(now time.Duration) {
 	o.lastResponseAt = max(o.lastResponseAt, now)
@@ -93,6 +102,12 @@
 	o.nextProbeAt = now + o.probePause
 }
 
+// beginProbe records that a probe is out.
+func (o *outlierState) beginProbe() { o.probing = true }
+
+// probeBy brings the next probe forward to a time, if it would come later.
+func (o *outlierState) probeBy(at time.Duration) { o.nextProbeAt = min(o.nextProbeAt, at) }
+
 // isProbeDue reports whether the endpoint is ejected and may be probed now.
 func (o *outlierState) isProbeDue(now time.Duration) bool {
 	return o.ejected && !o.probing && now >= o.nextProbeAt
@@ -117,7 +132,7 @@
 func (b *Balancer) checkEndpointHealth(ep *endpoint) {
 	if ep.outlier.ejected {
 		if ep.inService && b.settings.AllowHealthChecks && ep.outlier.isProbeDue(b.now) {
-			ep.outlier.probing = true
+			ep.outlier.beginProbe()
 			b.emit(HealthCheck{ep.name})
 		}
 		return
@@ -257,7 +272,7 @@
 	}
 	if !ep.slowStart.active || ep.slowStart.since < since {
 		ep.slowStart.begin(since)
-		ep.concurrency.limit = min(slowStartConcurrency, ep.concurrency.limit)
+		ep.concurrency.limitTo(slowStartConcurrency)
 	}
-	ep.outlier.nextProbeAt = min(ep.outlier.nextProbeAt, b.now)
+	ep.outlier.probeBy(b.now)
 }
--- a/internal/balancer/selection.go
+++ b/internal/balancer/selection.go
@@ -39,9 +39,9 @@
 	var best *endpoint
 	lowest := math.Inf(1)
 	randomness := b.evidenceScarcity()
-	b.endpoints.roundRobin++
-	for i := range b.endpoints.ordered {
-		ep := b.endpoints.ordered[(b.endpoints.roundRobin+i)%len(b.endpoints.ordered)]
+	b.endpoints.beginRound()
+	for position := range b.endpoints.ordered {
+		ep := b.endpoints.inRound(position)
 		if !ep.isUsable() || !b.canRetryOn(req, ep) {
 			continue
 		}
@@ -89,11 +89,7 @@
 // number of endpoints by a quarter, so that a rollout that takes out some does not move the connections of the
 // others.
 func (b *Balancer) updateSubset() {
-	count := b.endpoints.inServiceCount()
-	sizedFor := b.endpoints.subsetSizedFor
-	if count > sizedFor*5/4 || count < sizedFor*3/4 || sizedFor == 0 {
-		b.endpoints.subsetSizedFor = count
-	}
+	b.endpoints.resizeSubset()
 	using := b.settings.Gateways // few gateways have evidence enough of all endpoints
 	if using >= largeFleetGateways {
 		using = subsetting.GatewaysPerEndpoint(using, b.endpoints.subsetSizedFor, endpointsPerGateway)
--- a/internal/balancer/slowstart.go
+++ b/internal/balancer/slowstart.go
@@ -34,6 +34,15 @@
 	s.budget = slowstart.Budget{}
 }
 
+// restore takes over the warm-up that a former process has handed over.
+func (s *slowStartState) restore(from *EndpointHandover) {
+	s.active = from.WarmingUp
+	s.since = from.WarmUpFrom
+	for _, dispatch := range from.Sends {
+		s.budget.RecordDispatch(dispatch.At, dispatch.Cost)
+	}
+}
+
 // recordDispatch counts an attempt that goes out while the endpoint warms up; cost is in mean requests.
 func (s *slowStartState) recordDispatch(now time.Duration, cost float64) {
 	if s.active {
@@ -49,6 +58,12 @@
 	updatedAt time.Duration
 }
 
+// restart sets the rate, as learned by a former process or 0.
+func (r *warmRateEstimate) restart(now time.Duration, rate float64) {
+	r.value = rate
+	r.updatedAt = now
+}
+
 // record adds an answer that cost so many mean requests, of one of a number of warm endpoints.
 func (r *warmRateEstimate) record(now time.Duration, cost, warmEndpoints float64) {
 	decay := (now - r.updatedAt).Seconds() / warmRateSeconds
