--- a/internal/balancer/quota.go
+++ b/internal/balancer/quota.go
@@ -10,7 +10,15 @@
 // minPriority is the least priority of a request by which its band is found.
 const minPriority = 1e-9
 
-// quotaDecision is how a request stands with its customer's quota and ceiling.
+// quotaDecision is how a request stands with its customer's quota and ceiling. A gateway that stops spending a quota
+// does so for one of these reasons:
+//
+//   - The bucket on the counter was found empty, and is left alone for a while (sharedBucket.emptyUntil).
+//   - A call timed out, and its answer may still come (quotaState.callsPausedUntil).
+//   - The counter is silent or overloaded (counterCalls.isHealthy, canCallCounter), and the fallback share is spent.
+//   - This gateway's share of the ceiling is short, and the bucket is not known for long enough (isBucketSettled).
+//   - The customer has as many requests in flight here as it may have (isInFlightFull).
+//   - The gateway has no share (shareState.excluded, a lease that is over) or was handed over (Balancer.handedOver).
 type quotaDecision int
 
 const (
--- a/internal/balancer/sparseshare.go
+++ b/internal/balancer/sparseshare.go
@@ -10,7 +10,7 @@
 const (
 	// sparseShareUnits is the number of units in an even share below which shares are sparse.
 	sparseShareUnits = 4.0
-	// sparseInitialTokens are the units of a share at a gateway's start. A former process may have spent more.
+	// sparseInitialTokens are the units of a share at a gateway's start, as a former process may have spent the rest.
 	sparseInitialTokens = 1.0
 	// sparseRateFraction is the part of the rate beyond the quota that shares give. The rest is for units that a new
 	// window's total gives twice.
@@ -19,8 +19,8 @@
 	sparseSurplusTolerance = 0.25
 	// sparseQuotaReserve is the part of a burst that is kept back for the loss of the counter's totals.
 	sparseQuotaReserve = 0.75
-	// sparseQuotaBursts is the number of bursts that the quota's bucket may give at once, and again with a new total:
-	// 1 + sparseSurplusTolerance - sparseQuotaReserve, rounded up.
+	// sparseQuotaBursts is the number of bursts that the quota's bucket may give beyond its rate: 1 +
+	// sparseSurplusTolerance - sparseQuotaReserve at once, and as much again when a total is lost or begins anew.
 	sparseQuotaBursts = 1.0
 	// pressedSlowdown is the fleet's slowdown from which a promotion is worth a call.
 	pressedSlowdown = 1.5
--- a/internal/balancer/tokenlease.go
+++ b/internal/balancer/tokenlease.go
@@ -54,7 +54,7 @@
 			b.leaseTokens(check)
 		}
 		return quotaCovered
-	case !short && quota.fallbackTokens+max(0, quota.tokens) >= req.units:
+	case !short && quota.hasFallbackTokens(req.units):
 		quota.spendFallback(req.units)
 		return quotaCovered
 	case quota.callPending:
