--- a/internal/balancer/endpoints.go
+++ b/internal/balancer/endpoints.go
@@ -267,6 +267,6 @@
 // restorePause is a random pause before a restored endpoint gets its first attempt of this gateway. It keeps many
 // gateways from using the endpoint at once.
 func (b *Balancer) restorePause() time.Duration {
-	spread := adminRestoreSpread * time.Duration(max(1, int(b.liveGateways())/crowdFrom))
+	spread := adminRestoreSpread * time.Duration(max(1, int(b.liveGateways())/largeFleetGateways))
 	return time.Duration(b.rng.Int64N(int64(spread)))
 }
