--- a/internal/policyreplica/side.go
+++ b/internal/policyreplica/side.go
@@ -181,10 +181,10 @@
 	}
 	s.node = policy.NewNode(nc)
 	if s.disk != nil {
-		s.log, err = raftlog.New(raftlog.Config{Rank: cfg.Rank, Voters: s.voters, Disk: s.disk, Log: cfg.Log,
-			Send: func(to int, b []byte) { s.tell(to, &wire{Log: b}) }, Applied: s.node.Apply,
-			Read:     func(token uint64) { s.send(s.node.ReadConfirmed(cfg.Now(), token)) },
-			Snapshot: s.node.Snapshot, Restore: s.node.Restore, Write: s.write})
+		s.log, err = raftlog.New(raftlog.Config{Voter: cfg.Rank, Voters: s.voters, Disk: s.disk, Logger: cfg.Log,
+			Send: func(to int, b []byte) { s.tell(to, &wire{Log: b}) }, Apply: s.node.Apply,
+			ReadConfirmed: func(token uint64) { s.send(s.node.ReadConfirmed(cfg.Now(), token)) },
+			Snapshot:      s.node.Snapshot, Restore: s.node.Restore, WriteAsync: s.write})
 		if err != nil {
 			return nil, err
 		}
@@ -204,10 +204,10 @@
 	return v.log.Leading()
 }
 func (v *voterLog) Propose(b []byte)     { v.log.Propose(b) }
-func (v *voterLog) ConfirmRead(t uint64) { v.log.Read(t) }
+func (v *voterLog) ConfirmRead(t uint64) { v.log.ConfirmRead(t) }
 
 func (v *voterLog) ReplaceVoter(rank int) error {
-	if reason := v.log.Replace(rank); reason != "" {
+	if reason := v.log.ReplaceVoter(rank); reason != "" {
 		return errors.New(reason)
 	}
 	return nil
--- a/internal/raftlog/agree.go
+++ b/internal/raftlog/agree.go
@@ -22,72 +22,72 @@
 
 // Ticks and bounds.
 const (
-	electionTicks  = 12
-	heartbeatTicks = 2
-	beginTicks     = 5   // between two questions to other voters whether they have begun
-	heardTicks     = 40  // as long a voter counts as there after its last word on its log
-	snapshotTicks  = 20  // after which a snapshot that was sent counts as arrived, or is sent again
-	slowTicks      = 3   // a leader whose disk takes longer for one write gives the lead away ...
-	handTicks      = 200 // ... once in so long
-	keepEntries    = 100 // before the last snapshot, for voters that are a little behind
-	mostEntries    = 500 // since the last snapshot
-	mostEntry      = 64 << 10
-	mostWork       = 1000 // rounds of work at once
-	mostAfter      = 1024 // things that wait for a write; as many on, what other voters say is passed over
+	electionTicks        = 12
+	heartbeatTicks       = 2
+	bootstrapTicks       = 5   // between two questions to other voters whether they have begun
+	reachableTicks       = 40  // as long a voter counts as there after its last word on its log
+	snapshotTimeoutTicks = 20  // after which a snapshot that was sent counts as arrived, or is sent again
+	slowWriteTicks       = 3   // a leader whose disk takes longer for one write gives the lead away ...
+	transferPauseTicks   = 200 // ... once in so long
+	keptEntries          = 100 // before the last snapshot, for voters that are a little behind
+	maxEntries           = 500 // since the last snapshot
+	maxEntryBytes        = 64 << 10
+	maxWorkRounds        = 1000 // rounds of work at once
+	maxWaiting           = 1024 // things that wait for a write; as many on, what other voters say is passed over
 )
 
 // Kinds of messages, their first byte.
 const (
-	kindRaft  = 'S' // with the numbers of the disks that it is from and to: words of, or to, a disk that was replaced are passed over
-	kindBegin = 'B'
-	kindTail  = 'T' // of a voter that hears no leader: that it has its log, and how long it is
+	kindRaft      = 'S' // with the numbers of the disks that it is from and to: words of, or to, a disk that was replaced are passed over
+	kindBootstrap = 'B'
+	kindTail      = 'T' // of a voter that hears no leader: that it has its log, and how long it is
 )
 
 // Config is one voter.
 type Config struct {
-	Rank   int
+	Voter  int
 	Voters []int // ranks, this one among them
 	Disk   *Disk
-	Log    *slog.Logger
-
-	Send     func(to int, b []byte)
-	Applied  func(index uint64, entry []byte)
-	Read     func(token uint64)
-	Snapshot func() (index uint64, state []byte, err error) // of all that was applied
-	Restore  func(index uint64, state []byte) error
-	// Write has write run, by whatever goroutine, and then done called with its error by the one that owns the Log, and Work after it. There is
+	Logger *slog.Logger
+
+	Send          func(to int, b []byte)
+	Apply         func(index uint64, entry []byte)
+	ReadConfirmed func(token uint64)
+	Snapshot      func() (index uint64, state []byte, err error) // of all that was applied
+	Restore       func(index uint64, state []byte) error
+	// WriteAsync has write run, by whatever goroutine, and then done called with its error by the one that owns the Log, and Work after it. There is
 	// one at a time. nil: all is written at once, and Work takes as long as the disk does.
-	Write func(write func() error, done func(error))
+	WriteAsync func(write func() error, done func(error))
 }
 
 // Log is a voter's part in it.
 type Log struct {
-	cfg     Config
-	node    *raft.RawNode // nil: the log has not begun here
-	mem     *raft.MemoryStorage
-	conf    raftpb.ConfState
-	fresh   map[int]uint64 // voters that were heard of with an empty disk, and its number
-	freshAt map[int]int    // ... and at which tick last
-	tails   map[int]tail   // voters that hear no leader, with their logs
-	gives   map[int]uint64 // voters that are being replaced, and the number of the disk that comes
-	ticks   int
-	lost    bool
-	failed  error
-	snaps   map[uint64]int // voters that were sent a snapshot, and when
-	lastSaw uint64         // index of the last snapshot kept
-	applied uint64
-	reads   []raft.ReadState // confirmed, and waiting until all before them is applied
+	cfg             Config
+	node            *raft.RawNode // nil: the log has not begun here
+	storage         *raft.MemoryStorage
+	confState       raftpb.ConfState
+	fresh           map[int]uint64 // voters that were heard of with an empty disk, and its number
+	freshAt         map[int]int    // ... and at which tick last
+	tails           map[int]tail   // voters that hear no leader, with their logs
+	replacements    map[int]uint64 // voters that are being replaced, and the number of the disk that comes
+	ticks           int
+	isLost          bool
+	failure         error
+	snapshotsSentAt map[uint64]int // voters that were sent a snapshot, and when
+	snapshotIndex   uint64         // index of the last snapshot kept
+	applied         uint64
+	reads           []raft.ReadState // confirmed, and waiting until all before them is applied
 
 	// What goes to the disk. Raft goes on meanwhile: what must not be said before it is kept waits in after, then in the write's batch.
-	dirty   bool             // there is something that no write has yet
-	writing bool             // one is under way, since a tick
-	since   int              //
-	after   []raftpb.Message // raft's appends, and what is to be applied after them, in their order
-	held    int              // of those, to be applied
-	newest  term             // term and vote as of the last append, and as kept: what is said of a term waits until that is kept
-	kept    term
-	coming  uint64 // index of the last snapshot that came from another voter
-	handed  int    // tick at which this voter last gave the lead away
+	dirty            bool             // there is something that no write has yet
+	writing          bool             // one is under way, since a tick
+	since            int              //
+	after            []raftpb.Message // raft's appends, and what is to be applied after them, in their order
+	held             int              // of those, to be applied
+	newest           term             // term and vote as of the last append, and as kept: what is said of a term waits until that is kept
+	kept             term
+	incomingSnapshot uint64 // index of the last snapshot that came from another voter
+	transferredAt    int    // tick at which this voter last gave the lead away
 }
 
 // term is a term of the log and whom this voter has voted for in it.
@@ -95,36 +95,36 @@
 
 // New is a voter that has just started. What its disk has was checked by [OpenDisk].
 func New(cfg Config) (*Log, error) {
-	l := &Log{cfg: cfg, fresh: map[int]uint64{}, freshAt: map[int]int{}, tails: map[int]tail{}, gives: map[int]uint64{}, snaps: map[uint64]int{}}
+	l := &Log{cfg: cfg, fresh: map[int]uint64{}, freshAt: map[int]int{}, tails: map[int]tail{}, replacements: map[int]uint64{}, snapshotsSentAt: map[uint64]int{}}
 	for _, v := range cfg.Voters {
-		l.conf.Voters = append(l.conf.Voters, idOf(v))
+		l.confState.Voters = append(l.confState.Voters, raftID(v))
 	}
-	if cfg.Disk.begun() {
+	if cfg.Disk.hasLog() {
 		return l, l.start()
 	}
-	return l, l.maybeBegin()
+	return l, l.bootstrapIfComplete()
 }
 
-func idOf(rank int) uint64 { return uint64(rank) + 1 }
+func raftID(rank int) uint64 { return uint64(rank) + 1 }
 
 // start begins from what the disk has.
 func (l *Log) start() (err error) {
-	if l.mem, err = l.cfg.Disk.load(); err != nil {
+	if l.storage, err = l.cfg.Disk.load(); err != nil {
 		return err
 	}
-	snap, err := l.mem.Snapshot()
+	snap, err := l.storage.Snapshot()
 	if err != nil {
 		return err
 	}
-	hard, _, err := l.mem.InitialState()
+	hard, _, err := l.storage.InitialState()
 	if err != nil {
 		return err
 	}
 	l.newest = term{hard.Term, hard.Vote}
 	l.kept = l.newest
-	l.lastSaw, l.applied, l.conf = snap.Metadata.Index, snap.Metadata.Index, snap.Metadata.ConfState
+	l.snapshotIndex, l.applied, l.confState = snap.Metadata.Index, snap.Metadata.Index, snap.Metadata.ConfState
 	if len(snap.Data) > 0 {
-		_, state, err := unpack(snap.Data) // the disk's own numbers are as new, or newer
+		_, state, err := decodeSnapshot(snap.Data) // the disk's own numbers are as new, or newer
 		if err == nil {
 			err = l.cfg.Restore(snap.Metadata.Index, state)
 		}
@@ -132,49 +132,49 @@
 			return fmt.Errorf("%s: %w", l.cfg.Disk.path, err)
 		}
 	}
-	l.node, err = raft.NewRawNode(&raft.Config{ID: idOf(l.cfg.Rank), ElectionTick: electionTicks, HeartbeatTick: heartbeatTicks, Storage: l.mem,
+	l.node, err = raft.NewRawNode(&raft.Config{ID: raftID(l.cfg.Voter), ElectionTick: electionTicks, HeartbeatTick: heartbeatTicks, Storage: l.storage,
 		Applied: snap.Metadata.Index, AsyncStorageWrites: true, MaxSizePerMsg: 8 << 10, MaxInflightMsgs: 64, MaxUncommittedEntriesSize: 1 << 20, CheckQuorum: true, PreVote: true,
-		Logger: &logger{l.cfg.Log}})
+		Logger: &logger{l.cfg.Logger}})
 	return err
 }
 
-// maybeBegin begins the log once all voters were heard of with empty disks.
-func (l *Log) maybeBegin() error {
+// bootstrapIfComplete begins the log once all voters were heard of with empty disks.
+func (l *Log) bootstrapIfComplete() error {
 	for _, v := range l.cfg.Voters {
-		if v != l.cfg.Rank && l.fresh[v] == 0 {
+		if v != l.cfg.Voter && l.fresh[v] == 0 {
 			return nil
 		}
 	}
-	return l.begin(l.fresh, 0)
+	return l.bootstrap(l.fresh, 0)
 }
 
-// begin begins with some disks; in a term of others' in which this disk has no vote, if one is given.
-func (l *Log) begin(disks map[int]uint64, term uint64) error {
-	if l.node != nil || l.failed != nil {
+// bootstrap begins with some disks; in a term of others' in which this disk has no vote, if one is given.
+func (l *Log) bootstrap(disks map[int]uint64, term uint64) error {
+	if l.node != nil || l.failure != nil {
 		return nil
 	}
 	disks = maps.Clone(disks)
-	disks[l.cfg.Rank] = l.cfg.Disk.is.Number
+	disks[l.cfg.Voter] = l.cfg.Disk.content.Number
 	clear(l.fresh) // from here on: disks that ask to take part
-	if err := l.cfg.Disk.begin(disks, l.conf, term, idOf(l.cfg.Rank)); err != nil {
+	if err := l.cfg.Disk.bootstrap(disks, l.confState, term, raftID(l.cfg.Voter)); err != nil {
 		return l.fail(err)
 	}
-	l.cfg.Log.Info("the voters of the policy have begun", "voters", len(l.cfg.Voters))
+	l.cfg.Logger.Info("the voters of the policy have begun", "voters", len(l.cfg.Voters))
 	return l.start()
 }
 
 // fail ends this voter's part: what it can't keep it must not say.
 func (l *Log) fail(err error) error {
-	if l.failed == nil {
-		l.failed = err
-		l.cfg.Log.Error("this voter takes no part any more: its log could not be kept", "error", err)
+	if l.failure == nil {
+		l.failure = err
+		l.cfg.Logger.Error("this voter takes no part any more: its log could not be kept", "error", err)
 	}
 	return err
 }
 
 // Leading implements policy.Log.
 func (l *Log) Leading() (term uint64, leads bool) {
-	if l.node == nil || l.failed != nil {
+	if l.node == nil || l.failure != nil {
 		return 0, false
 	}
 	s := l.node.BasicStatus()
@@ -184,75 +184,75 @@
 // Propose implements policy.Log. Where this voter does not lead, the entry goes to the one that does.
 func (l *Log) Propose(b []byte) {
 	defer l.guard()
-	if l.node != nil && l.failed == nil && len(b) <= mostEntry {
+	if l.node != nil && l.failure == nil && len(b) <= maxEntryBytes {
 		l.node.Propose(b)
 	}
 }
 
-// Read implements policy.Log.
-func (l *Log) Read(token uint64) {
+// ConfirmRead implements policy.Log.
+func (l *Log) ConfirmRead(token uint64) {
 	defer l.guard()
-	if l.node != nil && l.failed == nil {
+	if l.node != nil && l.failure == nil {
 		l.node.ReadIndex(binary.BigEndian.AppendUint64(nil, token))
 	}
 }
 
-// Begun says whether this voter takes part.
-func (l *Log) Begun() bool { return l.node != nil && l.failed == nil }
+// HasStarted says whether this voter takes part.
+func (l *Log) HasStarted() bool { return l.node != nil && l.failure == nil }
 
 // Tick is the time that goes by.
 func (l *Log) Tick() {
 	defer l.guard()
 	l.ticks++
-	if l.failed != nil {
+	if l.failure != nil {
 		return
 	}
 	if l.node == nil {
-		if l.ticks%beginTicks == 1 {
+		if l.ticks%bootstrapTicks == 1 {
 			for _, v := range l.cfg.Voters {
-				if v != l.cfg.Rank {
-					l.tellBegin(v)
+				if v != l.cfg.Voter {
+					l.sendBootstrap(v)
 				}
 			}
 		}
 		return
 	}
-	for id, at := range l.snaps {
-		if l.ticks-at >= snapshotTicks {
-			delete(l.snaps, id)
+	for id, at := range l.snapshotsSentAt {
+		if l.ticks-at >= snapshotTimeoutTicks {
+			delete(l.snapshotsSentAt, id)
 			l.node.ReportSnapshot(id, raft.SnapshotFinish) // if it has not come, the voter's next answer says so
 		}
 	}
 	l.node.Tick()
-	l.handOn()
-	if l.ticks%beginTicks == 1 && l.node.BasicStatus().Lead == raft.None {
-		l.tellTail()
+	l.transferIfSlow()
+	if l.ticks%bootstrapTicks == 1 && l.node.BasicStatus().Lead == raft.None {
+		l.sendTail()
 	}
 }
 
-// handOn has another voter lead where this one's disk is slow: what is decided is applied, and so read, only once the leader itself has kept it.
-func (l *Log) handOn() {
-	if _, leads := l.Leading(); !leads || !l.writing || l.ticks-l.since <= slowTicks || l.handed > 0 && l.ticks-l.handed < handTicks {
+// transferIfSlow has another voter lead where this one's disk is slow: what is decided is applied, and so read, only once the leader itself has kept it.
+func (l *Log) transferIfSlow() {
+	if _, leads := l.Leading(); !leads || !l.writing || l.ticks-l.since <= slowWriteTicks || l.transferredAt > 0 && l.ticks-l.transferredAt < transferPauseTicks {
 		return
 	}
-	self, to, match := idOf(l.cfg.Rank), uint64(0), uint64(0)
+	self, to, match := raftID(l.cfg.Voter), uint64(0), uint64(0)
 	l.node.WithProgress(func(id uint64, _ raft.ProgressType, pr tracker.Progress) {
 		if id != self && pr.RecentActive && pr.Match > match {
 			to, match = id, pr.Match
 		}
 	})
 	if to != 0 {
-		l.handed = l.ticks
-		l.cfg.Log.Warn("this voter's disk is slow: another one is to lead", "voter", to-1)
+		l.transferredAt = l.ticks
+		l.cfg.Logger.Warn("this voter's disk is slow: another one is to lead", "voter", to-1)
 		l.node.TransferLeader(to)
 	}
 }
 
-// tellBegin says whether this voter has begun, with which disks, and which is its own.
-func (l *Log) tellBegin(to int) {
-	b := []byte{kindBegin}
-	b = binary.AppendUvarint(b, l.cfg.Disk.is.Number)
-	disks := l.cfg.Disk.is.Disks
+// sendBootstrap says whether this voter has begun, with which disks, and which is its own.
+func (l *Log) sendBootstrap(to int) {
+	b := []byte{kindBootstrap}
+	b = binary.AppendUvarint(b, l.cfg.Disk.content.Number)
+	disks := l.cfg.Disk.content.Disks
 	b = binary.AppendUvarint(b, uint64(len(disks)))
 	for _, v := range l.cfg.Voters {
 		if n, ok := disks[v]; ok {
@@ -265,10 +265,10 @@
 	l.cfg.Send(to, b)
 }
 
-var errForm = errors.New("no message of a voter")
+var ErrMalformed = errors.New("no message of a voter")
 
-// heardBegin takes what tellBegin says.
-func (l *Log) heardBegin(from int, b []byte) error {
+// receiveBootstrap takes what tellBegin says.
+func (l *Log) receiveBootstrap(from int, b []byte) error {
 	next := func() (x uint64) {
 		v, n := binary.Uvarint(b)
 		if n <= 0 {
@@ -280,7 +280,7 @@
 	}
 	number, count := next(), next()
 	if number == 0 || count > uint64(len(l.cfg.Voters)) {
-		return errForm
+		return ErrMalformed
 	}
 	disks := map[int]uint64{}
 	for range count {
@@ -289,25 +289,25 @@
 	}
 	term := next()
 	switch {
-	case l.node != nil || l.failed != nil:
+	case l.node != nil || l.failure != nil:
 		if count == 0 { // it asks
-			if l.cfg.Disk.is.Disks[from] != number { // else it is one that the log began with, and has not heard so yet
+			if l.cfg.Disk.content.Disks[from] != number { // else it is one that the log began with, and has not heard so yet
 				l.fresh[from], l.freshAt[from] = number, l.ticks
 			}
-			l.tellBegin(from)
-		} else if n, ok := disks[l.cfg.Rank]; l.node != nil && !l.lost && term > l.node.BasicStatus().Term && (!ok || n != l.cfg.Disk.is.Number) {
-			l.lost = true
-			l.cfg.Log.Error("the voters go on without this one, whose log is of before: it takes no part until it has an empty disk and is replaced", "voter", l.cfg.Rank)
+			l.sendBootstrap(from)
+		} else if n, ok := disks[l.cfg.Voter]; l.node != nil && !l.isLost && term > l.node.BasicStatus().Term && (!ok || n != l.cfg.Disk.content.Number) {
+			l.isLost = true
+			l.cfg.Logger.Error("the voters go on without this one, whose log is of before: it takes no part until it has an empty disk and is replaced", "voter", l.cfg.Voter)
 		}
 	case count == 0:
 		l.fresh[from], l.freshAt[from] = number, l.ticks
-		l.tellBegin(from)
-		return l.maybeBegin()
-	case disks[l.cfg.Rank] == l.cfg.Disk.is.Number:
-		return l.begin(disks, term)
-	case !l.lost:
-		l.lost = true
-		l.cfg.Log.Error("this voter's log is lost, and the other voters have one: it takes no part in deciding on policy", "voter", l.cfg.Rank)
+		l.sendBootstrap(from)
+		return l.bootstrapIfComplete()
+	case disks[l.cfg.Voter] == l.cfg.Disk.content.Number:
+		return l.bootstrap(disks, term)
+	case !l.isLost:
+		l.isLost = true
+		l.cfg.Logger.Error("this voter's log is lost, and the other voters have one: it takes no part in deciding on policy", "voter", l.cfg.Voter)
 	}
 	return nil
 }
@@ -315,35 +315,35 @@
 // Step takes what another voter says. An error says what is wrong with it; then nothing has changed.
 func (l *Log) Step(from int, b []byte) error {
 	defer l.guard()
-	if len(b) == 0 || !slices.Contains(l.cfg.Voters, from) || from == l.cfg.Rank {
-		return errForm
+	if len(b) == 0 || !slices.Contains(l.cfg.Voters, from) || from == l.cfg.Voter {
+		return ErrMalformed
 	}
-	if b[0] == kindBegin {
-		return l.heardBegin(from, b[1:])
+	if b[0] == kindBootstrap {
+		return l.receiveBootstrap(from, b[1:])
 	}
 	if b[0] == kindTail {
-		return l.heardTail(from, b[1:])
+		return l.receiveTail(from, b[1:])
 	}
-	if b[0] != kindRaft || l.node == nil || l.failed != nil || len(l.after) >= mostAfter {
+	if b[0] != kindRaft || l.node == nil || l.failure != nil || len(l.after) >= maxWaiting {
 		return nil
 	}
 	own, n := binary.Uvarint(b[1:])
 	if n <= 0 {
-		return errForm
+		return ErrMalformed
 	}
 	to, k := binary.Uvarint(b[1+n:])
 	if k <= 0 {
-		return errForm
+		return ErrMalformed
 	}
-	if is := &l.cfg.Disk.is; to != is.Number || own != is.Disks[from] {
+	if is := &l.cfg.Disk.content; to != is.Number || own != is.Disks[from] {
 		return nil
 	}
 	var m raftpb.Message
 	if err := m.Unmarshal(b[1+n+k:]); err != nil {
-		return fmt.Errorf("%w: %w", errForm, err)
+		return fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
-	if m.From != idOf(from) || m.To != idOf(l.cfg.Rank) || raft.IsLocalMsg(m.Type) {
-		return errForm
+	if m.From != raftID(from) || m.To != raftID(l.cfg.Voter) || raft.IsLocalMsg(m.Type) {
+		return ErrMalformed
 	}
 	if err := l.node.Step(m); err != nil && !errors.Is(err, raft.ErrProposalDropped) && !errors.Is(err, raft.ErrStepPeerNotFound) {
 		return err
@@ -354,13 +354,13 @@
 // Work keeps, sends and applies what has come about. It is called after each of the others.
 func (l *Log) Work() error {
 	defer l.guard()
-	for range mostWork {
-		if l.node == nil || l.failed != nil {
-			return l.failed
+	for range maxWorkRounds {
+		if l.node == nil || l.failure != nil {
+			return l.failure
 		}
 		if !l.node.HasReady() {
-			if !l.flush() {
-				return l.failed
+			if !l.startWrite() {
+				return l.failure
 			}
 			continue
 		}
@@ -371,16 +371,16 @@
 		for _, m := range rd.Messages {
 			switch m.To {
 			case raft.LocalAppendThread:
-				if !raft.IsEmptyHardState(hardOf(m)) || len(m.Entries) > 0 || m.Snapshot != nil {
-					if err := l.cfg.Disk.add(hardOf(m), m.Entries, m.Snapshot); err != nil {
+				if !raft.IsEmptyHardState(hardStateOf(m)) || len(m.Entries) > 0 || m.Snapshot != nil {
+					if err := l.cfg.Disk.record(hardStateOf(m), m.Entries, m.Snapshot); err != nil {
 						return l.fail(err)
 					}
 					l.dirty = true
 				}
 				if m.Snapshot != nil {
-					l.coming = m.Snapshot.Metadata.Index
+					l.incomingSnapshot = m.Snapshot.Metadata.Index
 				}
-				l.learn(m.Entries)
+				l.learnDiskNumbers(m.Entries)
 				l.after = append(l.after, m)
 			case raft.LocalApplyThread:
 				// A change of the voters is applied when it is kept that it was agreed on: a voter that has forgotten it would pass over all
@@ -397,7 +397,7 @@
 				switch {
 				case l.newest == l.kept:
 					l.send(m)
-				case len(l.after) < mostAfter: // else it is lost
+				case len(l.after) < maxWaiting: // else it is lost
 					l.after = append(l.after, m)
 				}
 			}
@@ -405,35 +405,35 @@
 		l.reads = append(l.reads, rd.ReadStates...)
 		l.readApplied()
 	}
-	return l.failed
+	return l.failure
 }
 
-// learn takes the numbers of new disks from entries as they come, agreed on or not: a new disk says nothing before its entry was agreed on, and it may be
+// learnDiskNumbers takes the numbers of new disks from entries as they come, agreed on or not: a new disk says nothing before its entry was agreed on, and it may be
 // the one that has to tell this voter so, where the leader has gone.
-func (l *Log) learn(entries []raftpb.Entry) {
+func (l *Log) learnDiskNumbers(entries []raftpb.Entry) {
 	for _, e := range entries {
 		var c raftpb.ConfChange
 		if e.Type == raftpb.EntryConfChange && c.Unmarshal(e.Data) == nil && c.Type == raftpb.ConfChangeAddNode && len(c.Context) == 8 && c.NodeID > 0 {
-			if rank := int(c.NodeID) - 1; rank != l.cfg.Rank {
-				l.cfg.Disk.is.Disks[rank], l.dirty = binary.BigEndian.Uint64(c.Context), true
+			if rank := int(c.NodeID) - 1; rank != l.cfg.Voter {
+				l.cfg.Disk.content.Disks[rank], l.dirty = binary.BigEndian.Uint64(c.Context), true
 			}
 		}
 	}
 }
 
-func hardOf(m raftpb.Message) raftpb.HardState {
+func hardStateOf(m raftpb.Message) raftpb.HardState {
 	return raftpb.HardState{Term: m.Term, Vote: m.Vote, Commit: m.Commit}
 }
 
-// flush has what is new written, if nothing is being written. It returns whether raft has heard of something by that already.
-func (l *Log) flush() bool {
+// startWrite has what is new written, if nothing is being written. It returns whether raft has heard of something by that already.
+func (l *Log) startWrite() bool {
 	if l.writing || !l.dirty && len(l.after) == 0 {
 		return false
 	}
 	batch := l.after
 	l.after = nil
 	if !l.dirty {
-		l.wrote(batch, nil)
+		l.finishWrite(batch, nil)
 		return true
 	}
 	b, err := l.cfg.Disk.encode()
@@ -442,23 +442,23 @@
 		return false
 	}
 	l.dirty, l.writing, l.since = false, true, l.ticks
-	write, done := func() error { return l.cfg.Disk.put(b) }, func(err error) {
+	write, done := func() error { return l.cfg.Disk.writeEncoded(b) }, func(err error) {
 		l.writing = false
-		l.wrote(batch, err)
+		l.finishWrite(batch, err)
 	}
-	if l.cfg.Write == nil {
+	if l.cfg.WriteAsync == nil {
 		done(write())
 		return true
 	}
-	l.cfg.Write(write, done)
+	l.cfg.WriteAsync(write, done)
 	return false
 }
 
-// wrote does what had to wait for a write.
-func (l *Log) wrote(batch []raftpb.Message, err error) {
+// finishWrite does what had to wait for a write.
+func (l *Log) finishWrite(batch []raftpb.Message, err error) {
 	defer l.guard()
 	for _, m := range batch {
-		if err != nil || l.failed != nil {
+		if err != nil || l.failure != nil {
 			break
 		}
 		switch m.To {
@@ -472,20 +472,20 @@
 			continue
 		}
 		if m.Snapshot != nil {
-			if err = l.mem.ApplySnapshot(*m.Snapshot); err != nil {
+			if err = l.storage.ApplySnapshot(*m.Snapshot); err != nil {
 				break
 			}
 			index := m.Snapshot.Metadata.Index
-			l.lastSaw, l.applied, l.conf = index, index, m.Snapshot.Metadata.ConfState
+			l.snapshotIndex, l.applied, l.confState = index, index, m.Snapshot.Metadata.ConfState
 			if err = l.restore(index, m.Snapshot.Data); err != nil {
 				break
 			}
 		}
-		if h := hardOf(m); !raft.IsEmptyHardState(h) {
-			l.mem.SetHardState(h)
+		if h := hardStateOf(m); !raft.IsEmptyHardState(h) {
+			l.storage.SetHardState(h)
 			l.kept = term{h.Term, h.Vote}
 		}
-		if err = l.mem.Append(m.Entries); err == nil {
+		if err = l.storage.Append(m.Entries); err == nil {
 			l.respond(m.Responses)
 		}
 	}
@@ -496,41 +496,41 @@
 
 // restore takes the state of a snapshot that came, and the numbers of disks of which the entries before it told.
 func (l *Log) restore(index uint64, data []byte) error {
-	disks, state, err := unpack(data)
+	disks, state, err := decodeSnapshot(data)
 	if err != nil {
 		return err
 	}
 	for v, n := range disks {
-		if v != l.cfg.Rank && l.cfg.Disk.is.Disks[v] != n {
-			l.cfg.Disk.is.Disks[v], l.dirty = n, true
+		if v != l.cfg.Voter && l.cfg.Disk.content.Disks[v] != n {
+			l.cfg.Disk.content.Disks[v], l.dirty = n, true
 		}
 	}
 	return l.cfg.Restore(index, state)
 }
 
-// packed begins a snapshot that has the numbers of the voters' disks before the state; those of earlier programs have the state alone. No state
+// snapshotWithDisks begins a snapshot that has the numbers of the voters' disks before the state; those of earlier programs have the state alone. No state
 // begins so.
-const packed = 0xff
+const snapshotWithDisks = 0xff
 
-// pack puts the numbers before a state.
-func (l *Log) pack(state []byte) []byte {
-	disks := l.cfg.Disk.is.Disks
-	b := binary.AppendUvarint([]byte{packed}, uint64(len(disks)))
+// encodeSnapshot puts the numbers before a state.
+func (l *Log) encodeSnapshot(state []byte) []byte {
+	disks := l.cfg.Disk.content.Disks
+	b := binary.AppendUvarint([]byte{snapshotWithDisks}, uint64(len(disks)))
 	for _, v := range slices.Sorted(maps.Keys(disks)) {
 		b = binary.AppendUvarint(binary.AppendUvarint(b, uint64(v)), disks[v])
 	}
 	return append(b, state...)
 }
 
-func unpack(b []byte) (disks map[int]uint64, state []byte, err error) {
-	if len(b) == 0 || b[0] != packed {
+func decodeSnapshot(b []byte) (disks map[int]uint64, state []byte, err error) {
+	if len(b) == 0 || b[0] != snapshotWithDisks {
 		return nil, b, nil
 	}
 	b = b[1:]
 	next := func() uint64 {
 		v, n := binary.Uvarint(b)
 		if n <= 0 {
-			err = fmt.Errorf("a snapshot's numbers of disks: %w", errForm)
+			err = fmt.Errorf("a snapshot's numbers of disks: %w", ErrMalformed)
 			b = nil
 			return 0
 		}
@@ -548,7 +548,7 @@
 // respond hands out what raft says once a thing is done, to itself and to others.
 func (l *Log) respond(all []raftpb.Message) {
 	for _, r := range all {
-		if r.To == idOf(l.cfg.Rank) {
+		if r.To == raftID(l.cfg.Voter) {
 			l.node.Step(r) // raft's own word: it refuses none
 		} else {
 			l.send(r)
@@ -558,10 +558,10 @@
 
 func (l *Log) send(m raftpb.Message) {
 	if m.Type == raftpb.MsgSnap {
-		l.snaps[m.To] = l.ticks
+		l.snapshotsSentAt[m.To] = l.ticks
 	}
 	if b, err := m.Marshal(); err == nil {
-		is := &l.cfg.Disk.is
+		is := &l.cfg.Disk.content
 		head := binary.AppendUvarint(binary.AppendUvarint([]byte{kindRaft}, is.Number), is.Disks[int(m.To)-1])
 		l.cfg.Send(int(m.To)-1, append(head, b...))
 	}
@@ -572,16 +572,16 @@
 	for _, e := range m.Entries {
 		switch l.applied = e.Index; e.Type {
 		case raftpb.EntryNormal:
-			l.cfg.Applied(e.Index, e.Data)
+			l.cfg.Apply(e.Index, e.Data)
 		case raftpb.EntryConfChange:
-			if err := l.changed(e.Data); err != nil {
+			if err := l.applyConfChange(e.Data); err != nil {
 				return err
 			}
 		}
 	}
 	l.respond(m.Responses)
 	l.readApplied()
-	if last := l.applied; last-l.lastSaw >= mostEntries && last >= l.coming {
+	if last := l.applied; last-l.snapshotIndex >= maxEntries && last >= l.incomingSnapshot {
 		return l.compact(last)
 	}
 	return nil
@@ -598,13 +598,13 @@
 		return true
 	})
 	for _, r := range now {
-		l.cfg.Read(binary.BigEndian.Uint64(r.RequestCtx))
+		l.cfg.ReadConfirmed(binary.BigEndian.Uint64(r.RequestCtx))
 	}
 }
 
-// Replace has a voter whose disk was lost take part again with its new, empty one. It returns why that can't be, or not yet; empty: it does.
+// ReplaceVoter has a voter whose disk was lost take part again with its new, empty one. It returns why that can't be, or not yet; empty: it does.
 // It is for the voter that leads, to be called again until it returns nothing.
-func (l *Log) Replace(rank int) string {
+func (l *Log) ReplaceVoter(rank int) string {
 	number := l.fresh[rank]
 	_, leads := l.Leading()
 	switch {
@@ -614,45 +614,45 @@
 		return fmt.Sprintf("door %d does not vote", rank)
 	case number == 0:
 		return fmt.Sprintf("door %d was not heard of with an empty disk", rank)
-	case l.cfg.Disk.is.Disks[rank] == number:
+	case l.cfg.Disk.content.Disks[rank] == number:
 		return ""
 	}
-	l.gives[rank] = number
-	l.give(rank)
+	l.replacements[rank] = number
+	l.proposeReplacement(rank)
 	return fmt.Sprintf("door %d is being replaced", rank)
 }
 
-// give proposes the next step of a replacement.
-func (l *Log) give(rank int) {
-	c := raftpb.ConfChange{Type: raftpb.ConfChangeAddNode, NodeID: idOf(rank), Context: binary.BigEndian.AppendUint64(nil, l.gives[rank])}
-	if slices.Contains(l.conf.Voters, idOf(rank)) {
+// proposeReplacement proposes the next step of a replacement.
+func (l *Log) proposeReplacement(rank int) {
+	c := raftpb.ConfChange{Type: raftpb.ConfChangeAddNode, NodeID: raftID(rank), Context: binary.BigEndian.AppendUint64(nil, l.replacements[rank])}
+	if slices.Contains(l.confState.Voters, raftID(rank)) {
 		c.Type = raftpb.ConfChangeRemoveNode
 	}
 	l.node.ProposeConfChange(c) // if it is lost, or another one is under way, the next call brings it again
 }
 
-// changed takes a change of the voters that was agreed on.
-func (l *Log) changed(b []byte) error {
+// applyConfChange takes a change of the voters that was agreed on.
+func (l *Log) applyConfChange(b []byte) error {
 	var c raftpb.ConfChange
 	if err := c.Unmarshal(b); err != nil {
 		return err
 	}
 	if len(c.Context) != 8 || c.NodeID == 0 {
-		l.conf = *l.node.ApplyConfChange(raftpb.ConfChange{}) // a proposal that raft has made void
+		l.confState = *l.node.ApplyConfChange(raftpb.ConfChange{}) // a proposal that raft has made void
 		return nil
 	}
-	l.conf = *l.node.ApplyConfChange(c)
+	l.confState = *l.node.ApplyConfChange(c)
 	rank, number := int(c.NodeID)-1, binary.BigEndian.Uint64(c.Context)
 	if c.Type == raftpb.ConfChangeRemoveNode {
-		if _, leads := l.Leading(); leads && l.gives[rank] == number {
-			l.give(rank)
+		if _, leads := l.Leading(); leads && l.replacements[rank] == number {
+			l.proposeReplacement(rank)
 		}
 		return nil
 	}
-	delete(l.gives, rank)
-	l.cfg.Log.Info("a voter of the policy was replaced", "voter", rank)
-	l.cfg.Disk.is.Disks[rank], l.dirty = number, true
-	if snap, err := l.mem.Snapshot(); err != nil || !slices.Contains(snap.Metadata.ConfState.Voters, c.NodeID) {
+	delete(l.replacements, rank)
+	l.cfg.Logger.Info("a voter of the policy was replaced", "voter", rank)
+	l.cfg.Disk.content.Disks[rank], l.dirty = number, true
+	if snap, err := l.storage.Snapshot(); err != nil || !slices.Contains(snap.Metadata.ConfState.Voters, c.NodeID) {
 		return errors.Join(err, l.compact(l.applied)) // a snapshot of a log that did not have it would be passed over by it
 	}
 	return nil
@@ -664,17 +664,17 @@
 	if err != nil {
 		return err
 	}
-	snap, err := l.mem.CreateSnapshot(index, &l.conf, l.pack(state))
+	snap, err := l.storage.CreateSnapshot(index, &l.confState, l.encodeSnapshot(state))
 	if err != nil {
 		return err
 	}
-	first := index - min(index, keepEntries)
+	first := index - min(index, keptEntries)
 	if err := l.cfg.Disk.compact(snap, first); err != nil {
 		return err
 	}
 	l.dirty = true
-	l.lastSaw = index
-	if err := l.mem.Compact(first); err != nil && !errors.Is(err, raft.ErrCompacted) {
+	l.snapshotIndex = index
+	if err := l.storage.Compact(first); err != nil && !errors.Is(err, raft.ErrCompacted) {
 		return err
 	}
 	return nil
--- a/internal/raftlog/golden_test.go
+++ b/internal/raftlog/golden_test.go
@@ -42,7 +42,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.is.Number = number
+	d.content.Number = number
 	if err := d.write(); err != nil {
 		t.Fatal(err)
 	}
@@ -51,28 +51,28 @@
 // goldenPlay is some voters whose disks have fixed numbers, in one goroutine. The first one is a candidate before any
 // election timeout, which raft draws by chance, and is heard of from then on, so no timeout ever runs out.
 type goldenPlay struct {
-	*fleet
+	*cluster
 	trace *golden.Trace
 }
 
 func newGoldenPlay(t *testing.T, voters int) *goldenPlay {
 	t.Helper()
-	f := &fleet{t: t}
+	f := &cluster{t: t}
 	for i := range voters {
 		f.dirs = append(f.dirs, t.TempDir())
 		f.voters = append(f.voters, nil)
 		numberDisk(t, f.dirs[i], uint64(1001+i))
 	}
-	p := &goldenPlay{fleet: f, trace: golden.NewTrace()}
+	p := &goldenPlay{cluster: f, trace: golden.NewTrace()}
 	for i := range voters {
 		p.start(i)
 	}
-	p.rounds(2)
+	p.ticks(2)
 	if err := f.voters[0].log.node.Campaign(); err != nil {
 		t.Fatal(err)
 	}
 	p.work(0)
-	p.rounds(3)
+	p.ticks(3)
 	if f.leader() != f.voters[0] {
 		t.Fatal("the first voter does not lead")
 	}
@@ -82,8 +82,8 @@
 // start starts a voter whose writes do not wait for the disk.
 func (p *goldenPlay) start(i int) {
 	p.t.Helper()
-	p.fleet.start(i)
-	p.voters[i].disk.fs = unsynced{}
+	p.cluster.start(i)
+	p.voters[i].disk.files = unsynced{}
 }
 
 // work has a voter do what has come about, and delivers all messages in their order.
@@ -97,17 +97,17 @@
 
 func (p *goldenPlay) deliver() {
 	p.t.Helper()
-	for len(p.sent) > 0 {
-		s := p.sent[0]
-		p.sent = p.sent[1:]
+	for len(p.messages) > 0 {
+		s := p.messages[0]
+		p.messages = p.messages[1:]
 		p.trace.Int(int64(s.from))
 		p.trace.Int(int64(s.to))
-		p.trace.String(string(s.b))
+		p.trace.String(string(s.data))
 		to := p.voters[s.to].log
 		if to == nil {
 			continue
 		}
-		if err := to.Step(s.from, s.b); err != nil {
+		if err := to.Step(s.from, s.data); err != nil {
 			p.t.Fatal(err)
 		}
 		if err := to.Work(); err != nil {
@@ -116,7 +116,7 @@
 	}
 }
 
-func (p *goldenPlay) rounds(n int) {
+func (p *goldenPlay) ticks(n int) {
 	p.t.Helper()
 	for range n {
 		for i, v := range p.voters {
@@ -135,10 +135,10 @@
 		if n%20 != 19 && n != to-1 {
 			continue // each write is the whole file: some entries have one together
 		}
-		p.voters[0].log.Read(uint64(n))
+		p.voters[0].log.ConfirmRead(uint64(n))
 		p.work(0)
 		if n%60 == 59 {
-			p.rounds(1)
+			p.ticks(1)
 		}
 	}
 }
@@ -148,8 +148,8 @@
 	p.t.Helper()
 	for i, v := range p.voters {
 		p.trace.Uint(v.index)
-		p.trace.Int(int64(len(v.all)))
-		for _, n := range v.all {
+		p.trace.Int(int64(len(v.applied)))
+		for _, n := range v.applied {
 			p.trace.Uint(n)
 		}
 		p.trace.Int(int64(v.reads))
@@ -169,7 +169,7 @@
 	p.stop(0)
 	p.start(0)
 	p.trace.Uint(p.voters[0].index)
-	p.trace.Int(int64(len(p.voters[0].all)))
+	p.trace.Int(int64(len(p.voters[0].applied)))
 	return p.end()
 }
 
@@ -180,7 +180,7 @@
 	p.stop(2)
 	p.propose(20, 700)
 	p.start(2)
-	p.rounds(60)
+	p.ticks(60)
 	p.propose(700, 720)
 	return p.end()
 }
@@ -196,15 +196,15 @@
 	numberDisk(t, p.dirs[2], 2003)
 	p.start(2)
 	for range 40 {
-		p.trace.String(p.voters[0].log.Replace(2))
+		p.trace.String(p.voters[0].log.ReplaceVoter(2))
 		p.work(0)
-		p.rounds(1)
+		p.ticks(1)
 	}
-	p.trace.Bool(p.voters[2].log.Begun())
+	p.trace.Bool(p.voters[2].log.HasStarted())
 	p.propose(30, 60)
-	p.trace.String(p.voters[0].log.Replace(1))
-	p.trace.String(p.voters[0].log.Replace(7))
-	p.trace.String(p.voters[1].log.Replace(2))
+	p.trace.String(p.voters[0].log.ReplaceVoter(1))
+	p.trace.String(p.voters[0].log.ReplaceVoter(7))
+	p.trace.String(p.voters[1].log.ReplaceVoter(2))
 	return p.end()
 }
 
@@ -212,11 +212,11 @@
 func stuckDiskHash(t *testing.T) string {
 	p := newGoldenPlay(t, 3)
 	p.propose(0, 5)
-	write := p.slow(0)
+	write := p.delayWrites(0)
 	p.voters[0].log.Propose(entry(5))
 	p.work(0)
 	for range 8 {
-		p.rounds(1)
+		p.ticks(1)
 		for _, v := range p.voters {
 			term, leads := v.log.Leading()
 			p.trace.Uint(term)
@@ -226,7 +226,7 @@
 	for range 5 {
 		write()
 		p.deliver()
-		p.rounds(1)
+		p.ticks(1)
 	}
 	return p.end()
 }
@@ -239,7 +239,7 @@
 	p.stop(1)
 	p.stop(2)
 	p.trace.String(p.voters[0].log.Recover([]int{1, 2}, entry(1)))
-	p.rounds(30) // it gives up the lead, as no majority answers
+	p.ticks(30) // it gives up the lead, as no majority answers
 	p.trace.String(p.voters[0].log.Recover([]int{1}, entry(1)))
 	return p.trace.Sum()
 }
@@ -272,22 +272,22 @@
 }
 
 // goldenKept sets all fields of a voter's file.
-func goldenKept(t *testing.T) kept {
+func goldenKept(t *testing.T) diskContent {
 	t.Helper()
-	d := &Disk{is: kept{Number: 1<<62 + 1, Disks: map[int]uint64{0: 1<<62 + 1, 1: 7, 2: 1 << 40}}}
+	d := &Disk{content: diskContent{Number: 1<<62 + 1, Disks: map[int]uint64{0: 1<<62 + 1, 1: 7, 2: 1 << 40}}}
 	hard := raftpb.HardState{Term: 4, Vote: 2, Commit: 302}
 	snap := raftpb.Snapshot{
-		Data:     append([]byte{packed, 2, 0, 5, 1, 7}, "state"...),
+		Data:     append([]byte{snapshotWithDisks, 2, 0, 5, 1, 7}, "state"...),
 		Metadata: raftpb.SnapshotMetadata{ConfState: raftpb.ConfState{Voters: []uint64{1, 2, 3}}, Index: 300, Term: 3},
 	}
 	entries := []raftpb.Entry{
 		{Term: 3, Index: 301, Data: []byte("an entry")},
 		{Term: 4, Index: 302, Type: raftpb.EntryConfChange, Data: []byte{8, 1}},
 	}
-	if err := d.add(hard, entries, &snap); err != nil {
+	if err := d.record(hard, entries, &snap); err != nil {
 		t.Fatal(err)
 	}
-	return d.is
+	return d.content
 }
 
 // TestGoldenVoterFile compares a voter's file with the recorded one, and reads that back.
@@ -299,7 +299,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.is = goldenKept(t)
+	d.content = goldenKept(t)
 	if err := d.write(); err != nil {
 		t.Fatal(err)
 	}
@@ -312,8 +312,8 @@
 	if d, err = OpenDisk(vfs.OS{}, dir); err != nil {
 		t.Fatal(err)
 	}
-	if want := goldenKept(t); !reflect.DeepEqual(d.is, want) {
-		t.Errorf("read back %+v, want %+v", d.is, want)
+	if want := goldenKept(t); !reflect.DeepEqual(d.content, want) {
+		t.Errorf("read back %+v, want %+v", d.content, want)
 	}
 	mem, err := d.load()
 	if err != nil {
@@ -327,14 +327,14 @@
 // TestGoldenSnapshotData compares the bytes of a snapshot with disk numbers, and reads them and those without back.
 func TestGoldenSnapshotData(t *testing.T) {
 	disks := map[int]uint64{0: 1<<62 + 1, 1: 7, 2: 1 << 40}
-	l := &Log{cfg: Config{Disk: &Disk{is: kept{Disks: disks}}}}
+	l := &Log{cfg: Config{Disk: &Disk{content: diskContent{Disks: disks}}}}
 	path := "testdata/golden/snapshot.bin"
-	golden.CheckBytes(t, path, l.pack([]byte("state")))
-	got, state, err := unpack(golden.Read(t, path))
+	golden.CheckBytes(t, path, l.encodeSnapshot([]byte("state")))
+	got, state, err := decodeSnapshot(golden.Read(t, path))
 	if err != nil || string(state) != "state" || !reflect.DeepEqual(got, disks) {
 		t.Errorf("read back %v, %q, %v", got, state, err)
 	}
-	got, state, err = unpack([]byte("of an earlier program"))
+	got, state, err = decodeSnapshot([]byte("of an earlier program"))
 	if err != nil || string(state) != "of an earlier program" || got != nil {
 		t.Errorf("without numbers: %v, %q, %v", got, state, err)
 	}
@@ -350,8 +350,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l, err := New(Config{Rank: 0, Voters: []int{0, 1}, Disk: d, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
-		Send: func(_ int, b []byte) { sent = append(sent, b) }, Applied: func(uint64, []byte) {}, Read: func(uint64) {}})
+	l, err := New(Config{Voter: 0, Voters: []int{0, 1}, Disk: d, Logger: slog.New(slog.NewTextHandler(io.Discard, nil)),
+		Send: func(_ int, b []byte) { sent = append(sent, b) }, Apply: func(uint64, []byte) {}, ReadConfirmed: func(uint64) {}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -376,7 +376,7 @@
 		t.Errorf("%d messages were sent, %d are recorded", len(sent), hashes.Len())
 	}
 	for _, malformed := range [][]byte{nil, {'B'}, {'S'}, {'S', 1}, {'T', 1}} {
-		if err := l.Step(1, malformed); !errors.Is(err, errForm) {
+		if err := l.Step(1, malformed); !errors.Is(err, ErrMalformed) {
 			t.Errorf("%v: %v", malformed, err)
 		}
 	}
--- a/internal/raftlog/agree_test.go
+++ b/internal/raftlog/log_test.go
@@ -16,31 +16,31 @@
 	"gapgap/internal/vfs"
 )
 
-// fleet is some voters in one goroutine: what they send goes into a list, and is lost by chance.
-type fleet struct {
-	t      *testing.T
-	rng    *rand.Rand
-	dirs   []string
-	voters []*voter
-	sent   []sent
-	loss   float64
+// cluster is some voters in one goroutine: what they send goes into a list, and is lost by chance.
+type cluster struct {
+	t        *testing.T
+	rng      *rand.Rand
+	dirs     []string
+	voters   []*voter
+	messages []message
+	loss     float64
 }
 
-type sent struct {
+type message struct {
 	from, to int
-	b        []byte
+	data     []byte
 }
 
 type voter struct {
-	log   *Log // nil: its process is down
-	disk  *Disk
-	index uint64
-	all   []uint64 // what was applied, by its number
-	reads int
+	log     *Log // nil: its process is down
+	disk    *Disk
+	index   uint64
+	applied []uint64 // what was applied, by its number
+	reads   int
 }
 
-func newFleet(t *testing.T, n int) *fleet {
-	f := &fleet{t: t, rng: rand.New(rand.NewPCG(1, 2))}
+func newCluster(t *testing.T, n int) *cluster {
+	f := &cluster{t: t, rng: rand.New(rand.NewPCG(1, 2))}
 	for range n {
 		f.dirs = append(f.dirs, t.TempDir())
 		f.voters = append(f.voters, nil)
@@ -56,7 +56,7 @@
 	return f
 }
 
-func (f *fleet) start(i int) {
+func (f *cluster) start(i int) {
 	f.t.Helper()
 	kept, err := OpenDisk(vfs.OS{}, f.dirs[i])
 	if err != nil {
@@ -67,25 +67,25 @@
 	for r := range f.voters {
 		ranks = append(ranks, r)
 	}
-	v.log, err = New(Config{Rank: i, Voters: ranks, Disk: kept, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
-		Send: func(to int, b []byte) { f.sent = append(f.sent, sent{i, to, b}) },
-		Applied: func(index uint64, b []byte) {
+	v.log, err = New(Config{Voter: i, Voters: ranks, Disk: kept, Logger: slog.New(slog.NewTextHandler(io.Discard, nil)),
+		Send: func(to int, b []byte) { f.messages = append(f.messages, message{i, to, b}) },
+		Apply: func(index uint64, b []byte) {
 			if v.index = index; len(b) >= 8 {
-				v.all = append(v.all, binary.BigEndian.Uint64(b))
+				v.applied = append(v.applied, binary.BigEndian.Uint64(b))
 			}
 		},
-		Read: func(uint64) { v.reads++ },
+		ReadConfirmed: func(uint64) { v.reads++ },
 		Snapshot: func() (uint64, []byte, error) {
 			b := []byte{}
-			for _, x := range v.all {
+			for _, x := range v.applied {
 				b = binary.BigEndian.AppendUint64(b, x)
 			}
 			return v.index, b, nil
 		},
 		Restore: func(index uint64, b []byte) error {
-			v.index, v.all = index, nil
+			v.index, v.applied = index, nil
 			for ; len(b) >= 8; b = b[8:] {
-				v.all = append(v.all, binary.BigEndian.Uint64(b))
+				v.applied = append(v.applied, binary.BigEndian.Uint64(b))
 			}
 			return nil
 		}})
@@ -95,25 +95,25 @@
 	f.voters[i] = v
 }
 
-func (f *fleet) stop(i int) {
+func (f *cluster) stop(i int) {
 	if v := f.voters[i]; v != nil && v.log != nil {
 		v.log = nil
 	}
 }
 
-// turn is a tick of all, and what comes of it.
-func (f *fleet) turn() {
+// tick is a tick of all, and what comes of it.
+func (f *cluster) tick() {
 	for _, v := range f.voters {
 		if v.log != nil {
 			v.log.Tick()
 			v.log.Work()
 		}
 	}
-	for n := 0; len(f.sent) > 0 && n < 10_000; n++ {
-		s := f.sent[0]
-		f.sent = f.sent[1:]
+	for n := 0; len(f.messages) > 0 && n < 10_000; n++ {
+		s := f.messages[0]
+		f.messages = f.messages[1:]
 		if to := f.voters[s.to]; to.log != nil && f.rng.Float64() >= f.loss {
-			if err := to.log.Step(s.from, s.b); err != nil {
+			if err := to.log.Step(s.from, s.data); err != nil {
 				f.t.Errorf("%v", err)
 			}
 			to.log.Work()
@@ -121,18 +121,18 @@
 	}
 }
 
-func (f *fleet) until(most int, what string, done func() bool) {
+func (f *cluster) until(most int, what string, done func() bool) {
 	f.t.Helper()
 	for range most {
 		if done() {
 			return
 		}
-		f.turn()
+		f.tick()
 	}
 	f.t.Fatalf("%s: not within %d ticks", what, most)
 }
 
-func (f *fleet) leader() *voter {
+func (f *cluster) leader() *voter {
 	for _, v := range f.voters {
 		if v.log == nil {
 			continue
@@ -153,14 +153,14 @@
 // started anew, and their files are bounded.
 func TestPolicyLogCatchesUp(t *testing.T) {
 	t.Parallel()
-	f := newFleet(t, 3)
+	f := newCluster(t, 3)
 	f.until(200, "a leader", func() bool { return f.leader() != nil })
 	f.stop(2)
 	f.until(200, "a leader of two", func() bool { return f.leader() != nil })
 	for n := 0; n < 10_000; {
 		l := f.leader()
 		if l == nil {
-			f.turn()
+			f.tick()
 			continue
 		}
 		for range 1000 {
@@ -168,12 +168,12 @@
 			n++
 		}
 		l.log.Work()
-		f.turn()
+		f.tick()
 	}
-	f.until(200, "agreed", func() bool { return len(f.voters[0].all) == 10_000 && len(f.voters[1].all) == 10_000 })
+	f.until(200, "agreed", func() bool { return len(f.voters[0].applied) == 10_000 && len(f.voters[1].applied) == 10_000 })
 	f.loss = 0.1
 	f.start(2)
-	f.until(2000, "caught up", func() bool { return len(f.voters[2].all) == 10_000 })
+	f.until(2000, "caught up", func() bool { return len(f.voters[2].applied) == 10_000 })
 	f.loss = 0
 	for i := range 3 {
 		f.stop(i)
@@ -182,16 +182,16 @@
 		}
 		f.start(i)
 	}
-	f.until(200, "a leader again", func() bool { return f.leader() != nil && f.leader().log.Begun() })
+	f.until(200, "a leader again", func() bool { return f.leader() != nil && f.leader().log.HasStarted() })
 	l := f.leader()
 	l.log.Propose(entry(10_000))
-	l.log.Read(7)
+	l.log.ConfirmRead(7)
 	l.log.Work()
 	f.until(200, "agreed again", func() bool {
-		return len(f.voters[0].all) == 10_001 && len(f.voters[1].all) == 10_001 && len(f.voters[2].all) == 10_001
+		return len(f.voters[0].applied) == 10_001 && len(f.voters[1].applied) == 10_001 && len(f.voters[2].applied) == 10_001
 	})
 	for i, v := range f.voters {
-		for n, x := range v.all {
+		for n, x := range v.applied {
 			if x != uint64(n) {
 				t.Fatalf("voter %d: entry %d is %d", i, n, x)
 			}
@@ -205,15 +205,15 @@
 // A voter that has lost its disk takes no part: what it said yes to before is not known any more.
 func TestPolicyLogLostDisk(t *testing.T) {
 	t.Parallel()
-	f := newFleet(t, 3)
+	f := newCluster(t, 3)
 	f.until(200, "a leader", func() bool { return f.leader() != nil })
 	f.stop(1)
 	os.Remove(filepath.Join(f.dirs[1], "policy.log"))
 	f.start(1)
 	for range 60 {
-		f.turn()
+		f.tick()
 	}
-	if v := f.voters[1]; v.log.Begun() || !v.log.lost {
+	if v := f.voters[1]; v.log.HasStarted() || !v.log.isLost {
 		t.Error("it takes part")
 	}
 	f.stop(0)
@@ -226,7 +226,7 @@
 func TestPolicyVoterReplaced(t *testing.T) {
 	t.Parallel()
 	for _, voters := range []int{3, 5} {
-		f := newFleet(t, voters)
+		f := newCluster(t, voters)
 		f.until(200, "a leader", func() bool { return f.leader() != nil })
 		n := 0
 		agree := func(most int) {
@@ -236,11 +236,11 @@
 				l := f.leader()
 				l.log.Propose(entry(n))
 				f.until(most, fmt.Sprint("entry ", n), func() bool {
-					if l.log != nil && !slices.Contains(l.all, uint64(n)) && f.rng.IntN(20) == 0 {
+					if l.log != nil && !slices.Contains(l.applied, uint64(n)) && f.rng.IntN(20) == 0 {
 						l.log.Propose(entry(n)) // it was lost
 					}
 					for _, v := range f.voters {
-						if v.log != nil && slices.Contains(v.all, uint64(n)) {
+						if v.log != nil && slices.Contains(v.applied, uint64(n)) {
 							return true
 						}
 					}
@@ -255,18 +255,18 @@
 				t.Fatal(err)
 			}
 			f.start(lost)
-			f.voters[lost].all = nil
+			f.voters[lost].applied = nil
 			agree(300)
-			if f.voters[lost].log.Begun() {
+			if f.voters[lost].log.HasStarted() {
 				t.Fatal("it takes part before it is replaced")
 			}
 			f.loss = 0.1
 			f.until(2000, "replaced", func() bool {
 				l := f.leader()
-				return l != nil && l.log.Replace(lost) == "" && f.voters[lost].log.Begun()
+				return l != nil && l.log.ReplaceVoter(lost) == "" && f.voters[lost].log.HasStarted()
 			})
 			f.loss = 0
-			f.until(500, "caught up", func() bool { return slices.Contains(f.voters[lost].all, uint64(n-1)) })
+			f.until(500, "caught up", func() bool { return slices.Contains(f.voters[lost].applied, uint64(n-1)) })
 			down := (lost + 1) % voters // now the new one is needed for a majority of three
 			f.stop(down)
 			agree(500)
@@ -281,7 +281,7 @@
 		agree(500)
 		f.until(500, "all have all", func() bool {
 			for _, v := range f.voters {
-				if !slices.Contains(v.all, uint64(n-1)) {
+				if !slices.Contains(v.applied, uint64(n-1)) {
 					return false
 				}
 			}
@@ -289,14 +289,14 @@
 		})
 		for i, v := range f.voters {
 			at := uint64(0)
-			for _, x := range v.all { // an entry that was proposed again may stand twice
+			for _, x := range v.applied { // an entry that was proposed again may stand twice
 				if x != at && x+1 != at {
 					t.Fatalf("voter %d: entry %d after %d", i, x, at)
 				}
 				at = x + 1
 			}
 		}
-		if r := f.leader().log.Replace(0); r == "" {
+		if r := f.leader().log.ReplaceVoter(0); r == "" {
 			t.Error("a voter that has its disk is replaced")
 		}
 	}
@@ -305,11 +305,11 @@
 // Whatever byte of the file is changed or missing, the file is refused in one line or holds what it held.
 func TestPolicyLogDamaged(t *testing.T) {
 	t.Parallel()
-	f := newFleet(t, 1)
+	f := newCluster(t, 1)
 	f.until(100, "a leader", func() bool { return f.leader() != nil })
 	for n := range 50 {
 		f.leader().log.Propose(entry(n))
-		f.turn()
+		f.tick()
 	}
 	f.stop(0)
 	path := filepath.Join(f.dirs[0], "policy.log")
@@ -354,24 +354,24 @@
 	f.Add([]byte("B\x01\x00"))
 	f.Add([]byte("R\x08\x01"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		fl := newFleet(t, 3)
+		fl := newCluster(t, 3)
 		for range 10 {
-			fl.turn()
+			fl.tick()
 		}
 		fl.voters[0].log.Step(1, b)
 		fl.voters[0].log.Work()
 	})
 }
 
-// slow has a voter's writes wait in a list; write does the first of them.
-func (f *fleet) slow(i int) (write func()) {
+// delayWrites has a voter's writes wait in a list; write does the first of them.
+func (f *cluster) delayWrites(i int) (write func()) {
 	type job struct {
 		write func() error
 		done  func(error)
 	}
 	var jobs []job
 	v := f.voters[i]
-	v.log.cfg.Write = func(write func() error, done func(error)) { jobs = append(jobs, job{write, done}) }
+	v.log.cfg.WriteAsync = func(write func() error, done func(error)) { jobs = append(jobs, job{write, done}) }
 	return func() {
 		if len(jobs) > 1 {
 			f.t.Errorf("voter %d has %d writes under way", i, len(jobs))
@@ -390,35 +390,35 @@
 func TestPolicyLogStuckDisk(t *testing.T) {
 	t.Parallel()
 	for _, leads := range []bool{true, false} {
-		f := newFleet(t, 3)
+		f := newCluster(t, 3)
 		f.until(200, "a leader", func() bool { return f.leader() != nil })
 		f.leader().log.Propose(entry(0))
 		f.until(50, "agreed", func() bool {
-			return len(f.voters[0].all) == 1 && len(f.voters[1].all) == 1 && len(f.voters[2].all) == 1
+			return len(f.voters[0].applied) == 1 && len(f.voters[1].applied) == 1 && len(f.voters[2].applied) == 1
 		})
 		stuck := slices.IndexFunc(f.voters, func(v *voter) bool { return (v == f.leader()) == leads })
-		write := f.slow(stuck)
+		write := f.delayWrites(stuck)
 		f.leader().log.Propose(entry(1))
 		f.leader().log.Work()
 		f.until(20, "another one leads", func() bool { l := f.leader(); return l != nil && l != f.voters[stuck] })
-		f.until(5, "agreed by two", func() bool { return len(f.leader().all) == 2 })
+		f.until(5, "agreed by two", func() bool { return len(f.leader().applied) == 2 })
 		l := f.leader()
-		l.log.Read(3)
+		l.log.ConfirmRead(3)
 		l.log.Work()
 		f.until(5, "a read", func() bool { return l.reads == 1 })
-		if n := len(f.voters[stuck].all); n != 1 {
+		if n := len(f.voters[stuck].applied); n != 1 {
 			t.Errorf("the voter whose disk stands still has applied %d entries", n)
 		}
 		for n := range 1500 { // long
 			if l := f.leader(); l != nil && n%2 == 0 {
 				l.log.Propose(entry(2))
 			}
-			f.turn()
+			f.tick()
 		}
-		if n := len(f.voters[stuck].log.after); n > mostAfter+20 {
+		if n := len(f.voters[stuck].log.after); n > maxWaiting+20 {
 			t.Errorf("%d things wait for the disk", n)
 		}
-		f.until(200, "all have all", func() bool { write(); return len(f.voters[stuck].all) == len(f.leader().all) })
+		f.until(200, "all have all", func() bool { write(); return len(f.voters[stuck].applied) == len(f.leader().applied) })
 	}
 }
 
@@ -427,14 +427,14 @@
 func TestPolicyLogLateWrites(t *testing.T) {
 	t.Parallel()
 	play := func(seed uint64, broken bool) (wrong string) {
-		f := newFleet(t, 3)
+		f := newCluster(t, 3)
 		f.rng = rand.New(rand.NewPCG(seed, 5))
 		f.until(200, "a leader", func() bool { return f.leader() != nil })
 		writes := make([]func(), 3)
 		late := func(i int) {
-			writes[i] = f.slow(i)
+			writes[i] = f.delayWrites(i)
 			if broken { // it says so, and keeps one in five
-				f.voters[i].log.cfg.Write = func(write func() error, done func(error)) {
+				f.voters[i].log.cfg.WriteAsync = func(write func() error, done func(error)) {
 					if f.rng.IntN(5) == 0 {
 						write()
 					}
@@ -449,7 +449,7 @@
 		var order []uint64 // as applied first by anybody
 		check := func() bool {
 			for i, v := range f.voters {
-				for n, x := range v.all {
+				for n, x := range v.applied {
 					if n == len(order) {
 						order = append(order, x)
 					}
@@ -468,7 +468,7 @@
 				l.log.Propose(entry(n))
 				n++
 			}
-			f.turn()
+			f.tick()
 			for i := range 3 {
 				if f.rng.IntN(3) == 0 {
 					writes[i]()
@@ -485,8 +485,8 @@
 				return wrong
 			}
 			for i, v := range f.voters {
-				if v.log.failed != nil {
-					return fmt.Sprintf("seed %d: voter %d: %v", seed, i, v.log.failed)
+				if v.log.failure != nil {
+					return fmt.Sprintf("seed %d: voter %d: %v", seed, i, v.log.failure)
 				}
 			}
 		}
@@ -495,16 +495,16 @@
 			for i := range 3 {
 				writes[i]()
 			}
-			return check() && len(f.voters[0].all) == len(order) && len(f.voters[1].all) == len(order) && len(f.voters[2].all) == len(order)
+			return check() && len(f.voters[0].applied) == len(order) && len(f.voters[1].applied) == len(order) && len(f.voters[2].applied) == len(order)
 		}
 		for range 500 {
 			if end() {
 				return ""
 			}
-			f.turn()
+			f.tick()
 		}
 		if wrong == "" {
-			wrong = fmt.Sprintf("seed %d: of %d that were applied the voters have %d, %d, %d in the end", seed, len(order), len(f.voters[0].all), len(f.voters[1].all), len(f.voters[2].all))
+			wrong = fmt.Sprintf("seed %d: of %d that were applied the voters have %d, %d, %d in the end", seed, len(order), len(f.voters[0].applied), len(f.voters[1].applied), len(f.voters[2].applied))
 		}
 		return wrong
 	}
--- a/internal/raftlog/recover_test.go
+++ b/internal/raftlog/recover_test.go
@@ -9,7 +9,7 @@
 )
 
 // wipe ends a voter and takes its disk.
-func (f *fleet) wipe(i int) {
+func (f *cluster) wipe(i int) {
 	f.t.Helper()
 	f.stop(i)
 	if err := os.Remove(filepath.Join(f.dirs[i], "policy.log")); err != nil {
@@ -17,23 +17,23 @@
 	}
 }
 
-func (f *fleet) turns(n int) {
+func (f *cluster) ticks(n int) {
 	for range n {
-		f.turn()
+		f.tick()
 	}
 }
 
-// has waits until a voter has applied an entry.
-func (f *fleet) has(i, n int) {
+// waitApplied waits until a voter has applied an entry.
+func (f *cluster) waitApplied(i, n int) {
 	f.t.Helper()
-	f.until(800, "all of it", func() bool { v := f.voters[i]; return v.log != nil && slices.Contains(v.all, uint64(n)) })
+	f.until(800, "all of it", func() bool { v := f.voters[i]; return v.log != nil && slices.Contains(v.applied, uint64(n)) })
 }
 
 // A majority of the voters' disks is lost for good. The voter with the longest log goes on alone, once that is known and not before; the others come
 // back one by one, and what it had all have. A voter of before takes no part, whatever it says.
 func TestPowerLostMajorityOfVoters(t *testing.T) {
 	t.Parallel()
-	f := newFleet(t, 5)
+	f := newCluster(t, 5)
 	f.until(200, "a leader", func() bool { return f.leader() != nil })
 	refused := func(i int, want string, lost ...int) {
 		t.Helper()
@@ -48,20 +48,20 @@
 	}
 	propose(0)
 	for i := range 5 {
-		f.has(i, 0)
+		f.waitApplied(i, 0)
 	}
 	refused(0, "have a leader")
 	f.stop(1) // it is behind from here on
 	propose(1)
 	for _, i := range []int{0, 2, 3, 4} {
-		f.has(i, 1)
+		f.waitApplied(i, 1)
 	}
 	for _, i := range []int{2, 3, 4} {
 		f.stop(i)
 	}
-	f.turns(60) // the leader, if it is left, gives up
+	f.ticks(60) // the leader, if it is left, gives up
 	f.start(1)
-	f.turns(60)
+	f.ticks(60)
 	refused(0, "[door 2 door 3 door 4] not heard of")
 	refused(0, "may still come", 2, 3)
 	refused(0, "is there with its log", 1, 2, 3, 4)
@@ -70,7 +70,7 @@
 	f.wipe(3)
 	f.start(2)
 	f.start(3)
-	f.turns(60)
+	f.ticks(60)
 	refused(0, "may still come")
 	if r := f.voters[0].log.Recover([]int{4}, entry(1000)); r != "" {
 		t.Fatal(r)
@@ -78,16 +78,16 @@
 	f.stop(0) // at once: it was one write
 	f.start(0)
 	f.until(200, "it leads alone", func() bool { return f.leader() == f.voters[0] })
-	if got := f.voters[0].all; !slices.Equal(got, []uint64{0, 1, 1000}) {
+	if got := f.voters[0].applied; !slices.Equal(got, []uint64{0, 1, 1000}) {
 		t.Errorf("it has %v", got)
 	}
 	propose(2)
-	f.has(0, 2)
+	f.waitApplied(0, 2)
 	f.start(4) // named as lost, and there with its old log all the same
-	f.turns(100)
+	f.ticks(100)
 	for _, i := range []int{1, 4} {
-		if v := f.voters[i]; !v.log.lost || slices.Contains(v.all, 2) {
-			t.Errorf("voter %d of before: it was told so: %v; it has %v", i, v.log.lost, v.all)
+		if v := f.voters[i]; !v.log.isLost || slices.Contains(v.applied, 2) {
+			t.Errorf("voter %d of before: it was told so: %v; it has %v", i, v.log.isLost, v.applied)
 		}
 	}
 	f.loss = 0.1
@@ -98,20 +98,20 @@
 		}
 		f.until(3000, "replaced", func() bool {
 			l := f.leader()
-			return l != nil && l.log.Replace(i) == "" && f.voters[i].log.Begun()
+			return l != nil && l.log.ReplaceVoter(i) == "" && f.voters[i].log.HasStarted()
 		})
-		f.has(i, 2)
+		f.waitApplied(i, 2)
 	}
 	f.loss = 0
 	f.stop(0)
 	f.stop(2)
 	propose(3)
-	f.has(1, 3)
+	f.waitApplied(1, 3)
 	f.start(0)
 	f.start(2)
 	for i, v := range f.voters {
-		f.has(i, 3)
-		if got := slices.Compact(slices.Clone(v.all)); !slices.Equal(got, []uint64{0, 1, 1000, 2, 3}) {
+		f.waitApplied(i, 3)
+		if got := slices.Compact(slices.Clone(v.applied)); !slices.Equal(got, []uint64{0, 1, 1000, 2, 3}) {
 			t.Errorf("voter %d has %v", i, got)
 		}
 	}
