--- a/internal/policyreplica/side.go
+++ b/internal/policyreplica/side.go
@@ -206,12 +206,7 @@
 func (v *voterLog) Propose(b []byte)     { v.log.Propose(b) }
 func (v *voterLog) ConfirmRead(t uint64) { v.log.ConfirmRead(t) }
 
-func (v *voterLog) ReplaceVoter(rank int) error {
-	if reason := v.log.ReplaceVoter(rank); reason != "" {
-		return errors.New(reason)
-	}
-	return nil
-}
+func (v *voterLog) ReplaceVoter(rank int) error { return v.log.ReplaceVoter(rank) }
 
 // Start begins.
 func (s *Side) Start() { s.wg.Go(s.loop) }
@@ -699,23 +694,45 @@
 	}
 }
 
-// Recover has this door's voter go on alone where a majority of the voters' disks is lost for good; lost are ranks of voters whose disks are known to
-// be gone. It returns why that may not be.
-func (s *Side) Recover(ctx context.Context, lost []int, who string) (reason string, err error) {
-	r := policy.Recovery{Author: who[:min(len(who), policy.MaxIDBytes)], RecoveredAt: time.Now().UnixMilli()}
-	for _, v := range lost {
-		r.Lost = append(r.Lost, uint16(v))
+// ErrNoVoter says that this gateway holds no log to recover.
+var ErrNoVoter = errors.New("this door does not vote: recover at one that does")
+
+// RecoveryRefusedError says why the voter must not go on alone.
+type RecoveryRefusedError struct {
+	Err error
+}
+
+func (e *RecoveryRefusedError) Error() string { return e.Err.Error() }
+
+// Unwrap returns Err.
+func (e *RecoveryRefusedError) Unwrap() error { return e.Err }
+
+// Recover makes this gateway's voter go on alone where a majority of the voters' disks is lost for good. lost are the
+// indices of voters whose disks are known to be gone. Its error is a [*RecoveryRefusedError], ErrClosed, or the context's.
+func (s *Side) Recover(ctx context.Context, lost []int, author string) error {
+	entry := policy.Recovery{
+		Author:      author[:min(len(author), policy.MaxIDBytes)],
+		RecoveredAt: time.Now().UnixMilli(),
 	}
-	b, err := policy.Entry{Recovery: &r}.Encode()
+	for _, voter := range lost {
+		entry.Lost = append(entry.Lost, uint16(voter))
+	}
+	b, err := policy.Entry{Recovery: &entry}.Encode()
 	if err != nil {
-		return "", err
+		return err
 	}
-	err = s.do(ctx, func() {
-		if reason = "this door does not vote: recover at one that does"; s.log != nil {
-			reason = s.log.Recover(lost, b)
+	refusal := ErrNoVoter
+	if err := s.do(ctx, func() {
+		if s.log != nil {
+			refusal = s.log.Recover(lost, b)
 		}
-	})
-	return reason, err
+	}); err != nil {
+		return err
+	}
+	if refusal != nil {
+		return &RecoveryRefusedError{Err: refusal}
+	}
+	return nil
 }
 
 // Keep puts a document onto this door's disk, for the others to fetch.
--- /dev/null
+++ b/internal/raftlog/bootstrap.go
@@ -0,0 +1,115 @@
+package raftlog
+
+import (
+	"maps"
+)
+
+// bootstrapTicks is the pause between two bootstrap messages, and between two tail messages.
+const bootstrapTicks = 5
+
+// emptyDisk is an empty disk of another voter.
+type emptyDisk struct {
+	number  uint64
+	heardAt int // tick
+}
+
+// sendBootstrapToAll asks the other voters whether they have a log.
+func (l *Log) sendBootstrapToAll() {
+	for _, voter := range l.cfg.Voters {
+		if voter != l.cfg.Voter {
+			l.sendBootstrap(voter)
+		}
+	}
+}
+
+// sendBootstrap tells a voter whether this one has a log, with which disks, and the number of its own.
+func (l *Log) sendBootstrap(to int) {
+	own := &l.cfg.Disk.content
+	m := bootstrapMessage{disk: own.Number, disks: own.Disks}
+	if l.node != nil {
+		m.term = l.node.BasicStatus().Term
+	}
+	l.cfg.Send(to, m.encode(l.cfg.Voters))
+}
+
+// receiveBootstrap takes what sendBootstrap sends.
+func (l *Log) receiveBootstrap(from int, body []byte) error {
+	m, err := decodeBootstrap(body, len(l.cfg.Voters))
+	if err != nil {
+		return err
+	}
+	isEmpty := len(m.disks) == 0
+	switch {
+	case l.node != nil || l.failure != nil:
+		if isEmpty {
+			l.receiveFromEmpty(from, m.disk)
+		} else {
+			l.checkStillMember(&m)
+		}
+	case isEmpty:
+		l.emptyDisks[from] = emptyDisk{number: m.disk, heardAt: l.ticks}
+		l.sendBootstrap(from)
+		return l.bootstrapIfComplete()
+	case m.disks[l.cfg.Voter] == l.cfg.Disk.content.Number:
+		return l.bootstrap(m.disks, m.term)
+	case !l.isLost:
+		l.isLost = true
+		l.cfg.Logger.Error("this voter's log is lost, and the other voters have one: "+
+			"it takes no part in deciding on policy", "voter", l.cfg.Voter)
+	}
+	return nil
+}
+
+// receiveFromEmpty answers a voter with an empty disk. A disk of this log has only not heard yet that it is
+// bootstrapped; any other waits to be replaced.
+func (l *Log) receiveFromEmpty(from int, disk uint64) {
+	if l.cfg.Disk.content.Disks[from] != disk {
+		l.emptyDisks[from] = emptyDisk{number: disk, heardAt: l.ticks}
+	}
+	l.sendBootstrap(from)
+}
+
+// checkStillMember finds out that the others have gone on without this voter's disk.
+func (l *Log) checkStillMember(m *bootstrapMessage) {
+	if l.node == nil || l.isLost || m.term <= l.node.BasicStatus().Term {
+		return
+	}
+	number, ok := m.disks[l.cfg.Voter]
+	if ok && number == l.cfg.Disk.content.Number {
+		return
+	}
+	l.isLost = true
+	l.cfg.Logger.Error("the voters go on without this one, whose log is of before: "+
+		"it takes no part until it has an empty disk and is replaced", "voter", l.cfg.Voter)
+}
+
+// bootstrapIfComplete bootstraps the log once all voters were heard of with empty disks.
+func (l *Log) bootstrapIfComplete() error {
+	disks := map[int]uint64{}
+	for _, voter := range l.cfg.Voters {
+		if voter == l.cfg.Voter {
+			continue
+		}
+		disk, ok := l.emptyDisks[voter]
+		if !ok {
+			return nil
+		}
+		disks[voter] = disk.number
+	}
+	return l.bootstrap(disks, 0)
+}
+
+// bootstrap starts the log with some disks. A term above 0 is that of a log that goes on: this disk has no vote in it.
+func (l *Log) bootstrap(disks map[int]uint64, term uint64) error {
+	if l.node != nil || l.failure != nil {
+		return nil
+	}
+	disks = maps.Clone(disks)
+	disks[l.cfg.Voter] = l.cfg.Disk.content.Number
+	clear(l.emptyDisks) // from here on: disks that wait to be replaced
+	if err := l.cfg.Disk.bootstrap(disks, l.confState, term, raftID(l.cfg.Voter)); err != nil {
+		return l.fail(err)
+	}
+	l.cfg.Logger.Info("the voters of the policy have begun", "voters", len(l.cfg.Voters))
+	return l.start()
+}
--- a/internal/raftlog/disk.go
+++ b/internal/raftlog/disk.go
@@ -7,6 +7,7 @@
 	"fmt"
 	"io/fs"
 	"path/filepath"
+	"slices"
 
 	"go.etcd.io/raft/v3"
 	"go.etcd.io/raft/v3/raftpb"
@@ -15,9 +16,28 @@
 	"gapgap/internal/vfs"
 )
 
-// Disk is a voter's log in one file, which is written whole or not at all, with a checksum: the log is short, as it is compacted each
-// mostEntries, and grows by a few entries a change. (bbolt was used first: of a damaged page it panics on a goroutine of its own, which no caller
-// can make a refusal of.)
+const (
+	// maxEntries is the number of entries after the last snapshot from which another one is made.
+	maxEntries = 500
+	// keptEntries is the number of entries before a snapshot that are kept for voters that are a little behind.
+	keptEntries = 100
+	// maxFileBytes bounds the file. Entries have some hundred bytes each.
+	maxFileBytes = 64 << 20
+)
+
+// fileName is the name of a voter's file in its directory.
+const fileName = "policy.log"
+
+// ErrDamaged says that a voter's file can't be trusted. The voter must not take part with it.
+var ErrDamaged = errors.New("the voter's log is damaged")
+
+var (
+	errNoBeginning    = errors.New("it has no beginning")
+	errEntriesMissing = errors.New("entries are missing")
+)
+
+// Disk is the storage of a voter: one file, which is written whole or not at all, with a checksum. The log is short
+// enough for that, as it is compacted.
 type Disk struct {
 	files   vfs.FS
 	path    string
@@ -27,43 +47,57 @@
 
 // diskContent is what the file has. Raft's parts are as raft marshals them.
 type diskContent struct {
-	Number    uint64         `json:"number"`          // of this disk, by chance; not 0
-	Disks     map[int]uint64 `json:"disks,omitempty"` // those with which the log began, by rank; empty: it has not begun
-	HardState []byte         `json:"hard,omitempty"`
-	Snapshot  []byte         `json:"snapshot,omitempty"`
-	First     uint64         `json:"first,omitempty"` // the index of the first entry
-	Entries   [][]byte       `json:"entries,omitempty"`
+	// Number is random and tells this disk from any other of the same voter. It is never 0.
+	Number uint64 `json:"number"`
+	// Disks are the numbers of all voters' disks, by voter; empty: the log is not bootstrapped.
+	Disks map[int]uint64 `json:"disks,omitempty"`
+	// HardState is a raftpb.HardState.
+	HardState []byte `json:"hard,omitempty"`
+	// Snapshot is a raftpb.Snapshot.
+	Snapshot []byte `json:"snapshot,omitempty"`
+	// First is the index of the first entry.
+	First uint64 `json:"first,omitempty"`
+	// Entries are of raftpb.Entry.
+	Entries [][]byte `json:"entries,omitempty"`
 }
 
-// maxFileBytes bounds the file: a snapshot, and mostEntries and keepEntries of mostEntry each would be more, but entries have some hundred bytes.
-const maxFileBytes = 64 << 20
-
-// ErrDamaged says that a voter's file can't be trusted. The voter must not take part by it.
-var ErrDamaged = errors.New("the voter's log is damaged")
+// randomDiskNumber returns the number of a new disk.
+func randomDiskNumber() uint64 {
+	var b [8]byte
+	_, _ = rand.Read(b[:]) // it never fails
+	return binary.BigEndian.Uint64(b[:])>>1 | 1
+}
 
-// OpenDisk opens the file in a directory, or makes it. Its errors say in one line what is wrong; then nothing has been changed.
-func OpenDisk(fsys vfs.FS, dir string) (*Disk, error) {
-	d := &Disk{files: fsys, path: filepath.Join(dir, "policy.log"), format: statefile.Form{Kind: "gapgap policy log", Version: 1, Most: maxFileBytes}}
-	switch err := d.format.LoadFrom(fsys, d.path, &d.content); {
+// OpenDisk opens the file in a directory, or makes it. Its errors have one line, and then nothing has been changed.
+func OpenDisk(files vfs.FS, dir string) (*Disk, error) {
+	d := &Disk{
+		files:  files,
+		path:   filepath.Join(dir, fileName),
+		format: statefile.Form{Kind: "gapgap policy log", Version: 1, Most: maxFileBytes},
+	}
+	err := d.format.LoadFrom(files, d.path, &d.content)
+	switch {
 	case errors.Is(err, fs.ErrNotExist):
-		var b [8]byte
-		rand.Read(b[:])
-		d.content.Number = binary.BigEndian.Uint64(b[:])>>1 | 1
+		d.content.Number = randomDiskNumber()
 		return d, d.write()
 	case errors.Is(err, statefile.ErrDamaged):
-		return nil, fmt.Errorf("%s: %w: %w", d.path, ErrDamaged, err)
+		return nil, d.damaged(err)
 	case err != nil:
 		return nil, fmt.Errorf("%s: %w", d.path, err)
 	}
-	if d.content.Number == 0 || len(d.content.Disks) > 0 && (len(d.content.HardState) == 0 || len(d.content.Snapshot) == 0) {
-		return nil, fmt.Errorf("%s: %w: it has no beginning", d.path, ErrDamaged)
+	isComplete := len(d.content.HardState) > 0 && len(d.content.Snapshot) > 0
+	if d.content.Number == 0 || d.hasLog() && !isComplete {
+		return nil, d.damaged(errNoBeginning)
 	}
 	return d, nil
 }
 
+func (d *Disk) damaged(err error) error { return fmt.Errorf("%s: %w: %w", d.path, ErrDamaged, err) }
+
+// hasLog returns whether the log is bootstrapped.
 func (d *Disk) hasLog() bool { return len(d.content.Disks) > 0 }
 
-// write keeps all; when it returns nil it outlives a power loss.
+// write stores the content; once it returns nil that outlives a power loss.
 func (d *Disk) write() error {
 	b, err := d.encode()
 	if err != nil {
@@ -72,7 +106,7 @@
 	return d.writeEncoded(b)
 }
 
-// encode makes of all that there is now what put writes.
+// encode returns the content as writeEncoded writes it.
 func (d *Disk) encode() ([]byte, error) {
 	b, err := d.format.Encode(d.content)
 	if err != nil {
@@ -81,7 +115,8 @@
 	return b, nil
 }
 
-// writeEncoded writes what encode made; when it returns nil that outlives a power loss. Any goroutine may call it, one at a time.
+// writeEncoded stores what encode has returned; once it returns nil that outlives a power loss. Any goroutine may call
+// it, one at a time.
 func (d *Disk) writeEncoded(b []byte) error {
 	if err := vfs.ReplaceFile(d.files, d.path, b); err != nil {
 		return fmt.Errorf("%s: %w", d.path, err)
@@ -89,102 +124,129 @@
 	return nil
 }
 
-// bootstrap keeps with which disks the log begins, and its empty beginning, which all voters have alike.
-func (d *Disk) bootstrap(disks map[int]uint64, conf raftpb.ConfState, term, self uint64) error {
-	snap := raftpb.Snapshot{Metadata: raftpb.SnapshotMetadata{ConfState: conf, Index: 1, Term: 1}}
-	hard := raftpb.HardState{Term: 1, Commit: 1}
-	if term > 1 { // a disk that was lost may have voted in it
-		hard.Term, hard.Vote = term, self
+// bootstrap stores the numbers of the disks and an empty log, the same on all voters. With a term above 1 this disk has
+// voted for itself in it: a disk that was lost may have voted in that term.
+func (d *Disk) bootstrap(disks map[int]uint64, voters raftpb.ConfState, term, self uint64) error {
+	snapshot := raftpb.Snapshot{Metadata: raftpb.SnapshotMetadata{ConfState: voters, Index: 1, Term: 1}}
+	hardState := raftpb.HardState{Term: 1, Commit: 1}
+	if term > 1 {
+		hardState.Term, hardState.Vote = term, self
 	}
-	s, err := snap.Marshal()
+	snapshotBytes, err := snapshot.Marshal()
 	if err != nil {
 		return err
 	}
-	h, err := hard.Marshal()
+	hardStateBytes, err := hardState.Marshal()
 	if err != nil {
 		return err
 	}
-	d.content.Disks, d.content.Snapshot, d.content.HardState = disks, s, h
+	d.content.Disks = disks
+	d.content.Snapshot = snapshotBytes
+	d.content.HardState = hardStateBytes
 	return d.write()
 }
 
-// record takes what has to be on the disk before anything that hangs on it is said.
-func (d *Disk) record(hard raftpb.HardState, entries []raftpb.Entry, snap *raftpb.Snapshot) error {
-	if snap != nil {
-		b, err := snap.Marshal()
+// record puts into the content what raft wants stored. A snapshot replaces all entries; a hard state may be empty.
+func (d *Disk) record(hardState raftpb.HardState, entries []raftpb.Entry, snapshot *raftpb.Snapshot) error {
+	if snapshot != nil {
+		b, err := snapshot.Marshal()
 		if err != nil {
 			return err
 		}
 		d.content.Snapshot, d.content.First, d.content.Entries = b, 0, nil
 	}
-	if !raft.IsEmptyHardState(hard) {
-		b, err := hard.Marshal()
+	if !raft.IsEmptyHardState(hardState) {
+		b, err := hardState.Marshal()
 		if err != nil {
 			return err
 		}
 		d.content.HardState = b
 	}
 	for i := range entries {
-		b, err := entries[i].Marshal()
-		if err != nil {
+		if err := d.recordEntry(&entries[i]); err != nil {
 			return err
 		}
-		index := entries[i].Index
-		switch n := uint64(len(d.content.Entries)); {
-		case n == 0:
-			d.content.First = index
-		case index < d.content.First || index > d.content.First+n:
-			return fmt.Errorf("entry %d does not follow those from %d on, %d of them", index, d.content.First, n)
-		default:
-			d.content.Entries = d.content.Entries[:index-d.content.First] // what stood behind it was never agreed on
-		}
-		d.content.Entries = append(d.content.Entries, b)
 	}
 	return nil
 }
 
-// compact takes a snapshot, and the entries behind an index.
-func (d *Disk) compact(snap raftpb.Snapshot, first uint64) error {
-	b, err := snap.Marshal()
+// recordEntry puts an entry in its place. Entries after it are dropped: they were never committed.
+func (d *Disk) recordEntry(e *raftpb.Entry) error {
+	b, err := e.Marshal()
+	if err != nil {
+		return err
+	}
+	content := &d.content
+	count := uint64(len(content.Entries))
+	switch {
+	case count == 0:
+		content.First = e.Index
+	case e.Index < content.First || e.Index > content.First+count:
+		return fmt.Errorf("entry %d does not follow those from %d on, %d of them", e.Index, content.First, count)
+	default:
+		content.Entries = content.Entries[:e.Index-content.First]
+	}
+	content.Entries = append(content.Entries, b)
+	return nil
+}
+
+// compact puts a snapshot into the content and drops the entries up to an index.
+func (d *Disk) compact(snapshot raftpb.Snapshot, lastDropped uint64) error {
+	b, err := snapshot.Marshal()
 	if err != nil {
 		return err
 	}
-	d.content.Snapshot = b
-	if first >= d.content.First && len(d.content.Entries) > 0 {
-		n := min(first+1-d.content.First, uint64(len(d.content.Entries)))
-		d.content.First, d.content.Entries = first+1, append([][]byte(nil), d.content.Entries[n:]...)
+	content := &d.content
+	content.Snapshot = b
+	if lastDropped < content.First || len(content.Entries) == 0 {
+		return nil
 	}
+	dropped := min(lastDropped+1-content.First, uint64(len(content.Entries)))
+	content.First = lastDropped + 1
+	content.Entries = slices.Clone(content.Entries[dropped:])
 	return nil
 }
 
-// load reads all into the memory that raft reads from.
+// load returns the storage that raft reads from. Its errors are ErrDamaged.
 func (d *Disk) load() (*raft.MemoryStorage, error) {
-	bad := func(err error) error { return fmt.Errorf("%s: %w: %w", d.path, ErrDamaged, err) }
-	mem := raft.NewMemoryStorage()
-	var snap raftpb.Snapshot
-	var hard raftpb.HardState
-	if err := errors.Join(snap.Unmarshal(d.content.Snapshot), hard.Unmarshal(d.content.HardState)); err != nil {
-		return nil, bad(err)
-	}
-	if err := mem.ApplySnapshot(snap); err != nil {
-		return nil, bad(err)
-	}
-	mem.SetHardState(hard)
-	var entries []raftpb.Entry
+	var snapshot raftpb.Snapshot
+	var hardState raftpb.HardState
+	err := errors.Join(snapshot.Unmarshal(d.content.Snapshot), hardState.Unmarshal(d.content.HardState))
+	if err != nil {
+		return nil, d.damaged(err)
+	}
+	storage := raft.NewMemoryStorage()
+	if err := storage.ApplySnapshot(snapshot); err != nil {
+		return nil, d.damaged(err)
+	}
+	if err := storage.SetHardState(hardState); err != nil {
+		return nil, d.damaged(err)
+	}
+	index := snapshot.Metadata.Index
+	entries, err := d.entriesAfter(index)
+	if err != nil {
+		return nil, d.damaged(err)
+	}
+	hasGap := len(entries) > 0 && entries[0].Index != index+1
+	if hasGap || hardState.Commit > index+uint64(len(entries)) {
+		return nil, d.damaged(errEntriesMissing)
+	}
+	return storage, storage.Append(entries)
+}
+
+// entriesAfter returns the entries after an index.
+func (d *Disk) entriesAfter(index uint64) (entries []raftpb.Entry, err error) {
 	for i, b := range d.content.Entries {
 		var e raftpb.Entry
 		if err := e.Unmarshal(b); err != nil {
-			return nil, bad(err)
+			return nil, err
 		}
-		if e.Index != d.content.First+uint64(i) {
-			return nil, bad(fmt.Errorf("entry %d stands for %d", e.Index, d.content.First+uint64(i)))
+		if want := d.content.First + uint64(i); e.Index != want {
+			return nil, fmt.Errorf("entry %d stands for %d", e.Index, want)
 		}
-		if e.Index > snap.Metadata.Index {
+		if e.Index > index {
 			entries = append(entries, e)
 		}
 	}
-	if len(entries) > 0 && entries[0].Index != snap.Metadata.Index+1 || hard.Commit > snap.Metadata.Index+uint64(len(entries)) {
-		return nil, bad(errors.New("entries are missing"))
-	}
-	return mem, mem.Append(entries)
+	return entries, nil
 }
--- a/internal/raftlog/golden_test.go
+++ b/internal/raftlog/golden_test.go
@@ -143,6 +143,15 @@
 	}
 }
 
+// error adds the text of an error; empty: none.
+func (p *goldenPlay) error(err error) {
+	text := ""
+	if err != nil {
+		text = err.Error()
+	}
+	p.trace.String(text)
+}
+
 // end adds what the voters have applied and kept.
 func (p *goldenPlay) end() string {
 	p.t.Helper()
@@ -196,15 +205,15 @@
 	numberDisk(t, p.dirs[2], 2003)
 	p.start(2)
 	for range 40 {
-		p.trace.String(p.voters[0].log.ReplaceVoter(2))
+		p.error(p.voters[0].log.ReplaceVoter(2))
 		p.work(0)
 		p.ticks(1)
 	}
 	p.trace.Bool(p.voters[2].log.HasStarted())
 	p.propose(30, 60)
-	p.trace.String(p.voters[0].log.ReplaceVoter(1))
-	p.trace.String(p.voters[0].log.ReplaceVoter(7))
-	p.trace.String(p.voters[1].log.ReplaceVoter(2))
+	p.error(p.voters[0].log.ReplaceVoter(1))
+	p.error(p.voters[0].log.ReplaceVoter(7))
+	p.error(p.voters[1].log.ReplaceVoter(2))
 	return p.end()
 }
 
@@ -234,13 +243,13 @@
 // A voter alone refuses a recovery for each of its reasons, as far as no leader is lost.
 func refusedRecoveryHash(t *testing.T) string {
 	p := newGoldenPlay(t, 3)
-	p.trace.String(p.voters[0].log.Recover(nil, entry(1)))
+	p.error(p.voters[0].log.Recover(nil, entry(1)))
 	p.propose(0, 3)
 	p.stop(1)
 	p.stop(2)
-	p.trace.String(p.voters[0].log.Recover([]int{1, 2}, entry(1)))
+	p.error(p.voters[0].log.Recover([]int{1, 2}, entry(1)))
 	p.ticks(30) // it gives up the lead, as no majority answers
-	p.trace.String(p.voters[0].log.Recover([]int{1}, entry(1)))
+	p.error(p.voters[0].log.Recover([]int{1}, entry(1)))
 	return p.trace.Sum()
 }
 
--- a/internal/raftlog/log_test.go
+++ b/internal/raftlog/log_test.go
@@ -263,7 +263,7 @@
 			f.loss = 0.1
 			f.until(2000, "replaced", func() bool {
 				l := f.leader()
-				return l != nil && l.log.ReplaceVoter(lost) == "" && f.voters[lost].log.HasStarted()
+				return l != nil && l.log.ReplaceVoter(lost) == nil && f.voters[lost].log.HasStarted()
 			})
 			f.loss = 0
 			f.until(500, "caught up", func() bool { return slices.Contains(f.voters[lost].applied, uint64(n-1)) })
@@ -296,7 +296,7 @@
 				at = x + 1
 			}
 		}
-		if r := f.leader().log.ReplaceVoter(0); r == "" {
+		if err := f.leader().log.ReplaceVoter(0); err == nil {
 			t.Error("a voter that has its disk is replaced")
 		}
 	}
@@ -415,7 +415,7 @@
 			}
 			f.tick()
 		}
-		if n := len(f.voters[stuck].log.after); n > maxWaiting+20 {
+		if n := len(f.voters[stuck].log.writes.waiting); n > maxWaiting+20 {
 			t.Errorf("%d things wait for the disk", n)
 		}
 		f.until(200, "all have all", func() bool { write(); return len(f.voters[stuck].applied) == len(f.leader().applied) })
--- /dev/null
+++ b/internal/raftlog/logger.go
@@ -0,0 +1,23 @@
+package raftlog
+
+import (
+	"fmt"
+	"log/slog"
+)
+
+// raftLogger implements [raft.Logger]. Errors are logged as such, warnings at the level of debugging and the rest not
+// at all. What ends the process in raft is a panic with a contradiction here.
+type raftLogger struct{ logger *slog.Logger }
+
+func (*raftLogger) Debug(...any)                       {}
+func (*raftLogger) Debugf(string, ...any)              {}
+func (*raftLogger) Info(...any)                        {}
+func (*raftLogger) Infof(string, ...any)               {}
+func (l *raftLogger) Warning(v ...any)                 { l.logger.Debug(fmt.Sprint(v...)) }
+func (l *raftLogger) Warningf(format string, v ...any) { l.logger.Debug(fmt.Sprintf(format, v...)) }
+func (l *raftLogger) Error(v ...any)                   { l.logger.Error(fmt.Sprint(v...)) }
+func (l *raftLogger) Errorf(format string, v ...any)   { l.logger.Error(fmt.Sprintf(format, v...)) }
+func (*raftLogger) Fatal(v ...any)                     { panic(contradiction(fmt.Sprint(v...))) }
+func (*raftLogger) Fatalf(format string, v ...any)     { panic(contradiction(fmt.Sprintf(format, v...))) }
+func (*raftLogger) Panic(v ...any)                     { panic(contradiction(fmt.Sprint(v...))) }
+func (*raftLogger) Panicf(format string, v ...any)     { panic(contradiction(fmt.Sprintf(format, v...))) }
--- a/internal/raftlog/recover.go
+++ b/internal/raftlog/recover.go
@@ -2,8 +2,7 @@
 
 import (
 	"cmp"
-	"crypto/rand"
-	"encoding/binary"
+	"errors"
 	"fmt"
 	"slices"
 
@@ -11,137 +10,179 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// tail is how long the log of a voter is that hears no leader.
-type tail struct {
-	number, term, index uint64
-	at                  int // the tick at which it was heard
+// reachableTicks is the age of its last message up to which a voter counts as there.
+const reachableTicks = 40
+
+// Errors of Recover. In [*VoterError] are those about another voter.
+var (
+	ErrNoLog       = errors.New("this voter has no log to recover from")
+	ErrHasLeader   = errors.New("the voters have a leader: nothing is lost")
+	ErrWriting     = errors.New("this voter's disk is being written: try again")
+	ErrHasMajority = errors.New("a majority of the voters is there: nothing is lost")
+	ErrNotLost     = errors.New("is there with its log: it is not lost")
+	ErrLongerLog   = errors.New("has a longer log: recover there")
+)
+
+// MajorityPossibleError says that voters that were not heard of may still make a majority.
+type MajorityPossibleError struct {
+	// Silent are their indices.
+	Silent []int
+}
+
+func (e *MajorityPossibleError) Error() string {
+	names := make([]string, 0, len(e.Silent))
+	for _, voter := range e.Silent {
+		names = append(names, fmt.Sprint("door ", voter))
+	}
+	return fmt.Sprintf("a majority may still come: %v not heard of; name those whose disks are lost for good", names)
 }
 
-func (t tail) longer(o tail) bool {
-	return cmp.Or(cmp.Compare(t.term, o.term), cmp.Compare(t.index, o.index)) > 0
+// logTail is how long the log of a voter is.
+type logTail struct {
+	disk        uint64 // number
+	term, index uint64 // of the last entry
+	heardAt     int    // tick
 }
 
-// tail is this voter's.
-func (l *Log) tail() (t tail, err error) {
+func (t logTail) isLongerThan(other logTail) bool {
+	return cmp.Or(cmp.Compare(t.term, other.term), cmp.Compare(t.index, other.index)) > 0
+}
+
+// ownTail is that of this voter.
+func (l *Log) ownTail() (t logTail, err error) {
 	if t.index, err = l.storage.LastIndex(); err != nil {
-		return tail{}, err
+		return logTail{}, err
 	}
-	t.number = l.cfg.Disk.content.Number
+	t.disk = l.cfg.Disk.content.Number
 	t.term, err = l.storage.Term(t.index)
 	return t, err
 }
 
 // sendTail tells the other voters that this one is there with its log.
 func (l *Log) sendTail() {
-	t, err := l.tail()
+	tail, err := l.ownTail()
 	if err != nil {
 		return
 	}
-	for _, v := range l.cfg.Voters {
-		if v == l.cfg.Voter {
+	for _, voter := range l.cfg.Voters {
+		if voter == l.cfg.Voter {
 			continue
 		}
-		b := []byte{kindTail}
-		for _, x := range []uint64{t.number, t.term, t.index, l.cfg.Disk.content.Disks[v]} { // the last one is the other's, as known here
-			b = binary.AppendUvarint(b, x)
+		m := tailMessage{
+			disk:         tail.disk,
+			term:         tail.term,
+			index:        tail.index,
+			receiverDisk: l.cfg.Disk.content.Disks[voter],
 		}
-		l.cfg.Send(v, b)
+		l.cfg.Send(voter, m.encode())
 	}
 }
 
-// receiveTail takes what tellTail says. One of another log than this one is no voter of this one's. One that knows this voter and has a longer log is,
-// though this voter may not have heard yet that its disk was replaced: who could tell so may be gone, and its vote be wanted. A disk that was replaced has
-// no longer log than any that has the entry by which it was.
-func (l *Log) receiveTail(from int, b []byte) error {
-	var v [4]uint64
-	for i := range v {
-		n := 0
-		if v[i], n = binary.Uvarint(b); n <= 0 {
-			return ErrMalformed
-		}
-		b = b[n:]
+// receiveTail takes what sendTail sends. A sender with another disk than the log's is no voter, with one exception: it
+// knows this voter's disk and has a longer log. Then this voter has not heard yet that the sender's disk was replaced;
+// who could tell so may be gone, and its vote be needed. A disk that was replaced never has a longer log than one that
+// has the entry by which it was.
+func (l *Log) receiveTail(from int, body []byte) error {
+	m, err := decodeTail(body)
+	if err != nil {
+		return err
 	}
-	if l.node == nil || l.failure != nil {
+	if !l.HasStarted() {
 		return nil
 	}
-	t, is := tail{v[0], v[1], v[2], l.ticks}, &l.cfg.Disk.content
-	if own, err := l.tail(); err == nil && is.Disks[from] != t.number && v[3] == is.Number && t.longer(own) {
-		is.Disks[from], l.dirty = t.number, true
+	tail := logTail{disk: m.disk, term: m.term, index: m.index, heardAt: l.ticks}
+	content := &l.cfg.Disk.content
+	own, err := l.ownTail()
+	if err == nil && content.Disks[from] != tail.disk && m.receiverDisk == content.Number && tail.isLongerThan(own) {
+		l.setDiskNumber(from, tail.disk)
 	}
-	if is.Disks[from] == t.number {
-		l.tails[from] = t
+	if content.Disks[from] == tail.disk {
+		l.tails[from] = tail
 	} else {
-		l.sendBootstrap(from) // it is one of before a recovery
+		l.sendBootstrap(from) // it has missed a recovery
 	}
 	return nil
 }
 
-// Recover has this voter go on alone where a majority of the voters' disks is lost for good: with all that its own log has, as if it had been
-// agreed on, and an entry behind it. What only the lost ones knew is gone. lost are voters whose disks an operator knows to be gone, beside those that
-// are heard of with empty ones. It returns why that may not be; empty: it is done and on the disk, and the others may be replaced.
-func (l *Log) Recover(lost []int, entry []byte) string {
-	if l.node == nil || l.failure != nil {
-		return "this voter has no log to recover from"
+// Recover makes this voter go on alone where a majority of the voters' disks is lost for good: with all that its own log
+// has, as if it had been committed, and one more entry. What only the lost voters knew is gone. lost are voters whose
+// disks an operator knows to be gone, beside those that are heard of with empty ones. Without an error it is done and
+// stored, and the others may be replaced.
+func (l *Log) Recover(lost []int, entry []byte) error {
+	if err := l.canRecover(); err != nil {
+		return err
 	}
-	if l.node.BasicStatus().Lead != raft.None {
-		return "the voters have a leader: nothing is lost"
+	own, err := l.ownTail()
+	if err != nil {
+		return err
 	}
-	if l.writing || l.dirty || len(l.after) > 0 {
-		return "this voter's disk is being written: try again"
+	if err := l.checkMajorityLost(own, lost); err != nil {
+		return err
 	}
-	own, err := l.tail()
-	if err != nil {
-		return err.Error()
-	}
-	gone, there := 0, 0
-	var unheard []string
-	for _, v := range l.cfg.Voters {
-		t, hasLog := l.tails[v]
-		hasLog = hasLog && l.ticks-t.at <= reachableTicks
-		number, empty := l.fresh[v]
-		empty = empty && number != l.cfg.Disk.content.Disks[v] && l.ticks-l.freshAt[v] <= reachableTicks
+	if err := l.goOnAlone(own, entry); err != nil {
+		return l.fail(err)
+	}
+	l.cfg.Logger.Warn("a majority of the voters' disks was given up: this voter goes on alone with what its log has",
+		"voter", l.cfg.Voter, "lost", lost)
+	return nil
+}
+
+// canRecover returns why this voter can't recover whatever the others have.
+func (l *Log) canRecover() error {
+	switch {
+	case !l.HasStarted():
+		return ErrNoLog
+	case l.node.BasicStatus().Lead != raft.None:
+		return ErrHasLeader
+	case l.writes.isWriting || l.writes.dirty || len(l.writes.waiting) > 0:
+		return ErrWriting
+	}
+	return nil
+}
+
+// checkMajorityLost returns why a majority of the disks is not lost, or not known to be, or why another voter is to
+// recover.
+func (l *Log) checkMajorityLost(own logTail, lost []int) error {
+	gone, present := 0, 0
+	var silent []int
+	for _, voter := range l.cfg.Voters {
+		tail, hasLog := l.tails[voter]
+		hasLog = hasLog && l.ticks-tail.heardAt <= reachableTicks
 		switch {
-		case v == l.cfg.Voter:
-			there++
-		case hasLog && slices.Contains(lost, v):
-			return fmt.Sprintf("door %d is there with its log: it is not lost", v)
-		case hasLog && t.longer(own):
-			return fmt.Sprintf("door %d has a longer log: recover there", v)
+		case voter == l.cfg.Voter:
+			present++
+		case hasLog && slices.Contains(lost, voter):
+			return &VoterError{Voter: voter, Err: ErrNotLost}
+		case hasLog && tail.isLongerThan(own):
+			return &VoterError{Voter: voter, Err: ErrLongerLog}
 		case hasLog:
-			there++
-		case empty, slices.Contains(lost, v):
+			present++
+		case l.hasEmptyDisk(voter), slices.Contains(lost, voter):
 			gone++
 		default:
-			unheard = append(unheard, fmt.Sprint("door ", v))
+			silent = append(silent, voter)
 		}
 	}
-	n := len(l.cfg.Voters)
-	if most := n/2 + 1; n-gone >= most {
-		if there >= most {
-			return "a majority of the voters is there: nothing is lost"
-		}
-		return fmt.Sprintf("a majority may still come: %v not heard of; name those whose disks are lost for good", unheard)
-	}
-	if err := l.goOnAlone(own, entry); err != nil {
-		l.fail(err)
-		return err.Error()
+	majority := len(l.cfg.Voters)/2 + 1
+	switch {
+	case len(l.cfg.Voters)-gone < majority:
+		return nil
+	case present >= majority:
+		return ErrHasMajority
 	}
-	l.cfg.Logger.Warn("a majority of the voters' disks was given up: this voter goes on alone with what its log has", "voter", l.cfg.Voter, "lost", lost)
-	return ""
+	return &MajorityPossibleError{Silent: silent}
 }
 
-// goOnAlone makes of the log one of which this is the only voter, in one write.
-func (l *Log) goOnAlone(own tail, entry []byte) error {
-	if own.index > l.applied {
-		all, err := l.storage.Entries(l.applied+1, own.index+1, 1<<62)
-		if err != nil {
-			return err
-		}
-		for _, e := range all {
-			if l.applied = e.Index; e.Type == raftpb.EntryNormal {
-				l.cfg.Apply(e.Index, e.Data)
-			}
-		}
+// hasEmptyDisk returns whether a voter was heard of lately with an empty disk that is not of this log.
+func (l *Log) hasEmptyDisk(voter int) bool {
+	empty, ok := l.emptyDisks[voter]
+	return ok && empty.number != l.cfg.Disk.content.Disks[voter] && l.ticks-empty.heardAt <= reachableTicks
+}
+
+// goOnAlone replaces the log, in one write, by one of which this is the only voter.
+func (l *Log) goOnAlone(own logTail, entry []byte) error {
+	if err := l.applyUncommitted(own.index); err != nil {
+		return err
 	}
 	index := own.index + 1
 	l.cfg.Apply(index, entry)
@@ -149,28 +190,53 @@
 	if err != nil {
 		return err
 	}
-	hard, _, err := l.storage.InitialState()
+	hardState, _, err := l.storage.InitialState()
 	if err != nil {
 		return err
 	}
 	self := raftID(l.cfg.Voter)
-	hard = raftpb.HardState{Term: max(hard.Term, l.node.BasicStatus().Term) + 1, Vote: self, Commit: index}
-	snap := raftpb.Snapshot{Metadata: raftpb.SnapshotMetadata{ConfState: raftpb.ConfState{Voters: []uint64{self}}, Index: index, Term: hard.Term}}
-	var b [8]byte
-	rand.Read(b[:])
-	d := l.cfg.Disk
-	d.content.Number = binary.BigEndian.Uint64(b[:])>>1 | 1
-	d.content.Disks = map[int]uint64{l.cfg.Voter: d.content.Number}
-	d.content.First, d.content.Entries, snap.Data = 0, nil, l.encodeSnapshot(state)
-	if err := d.record(hard, nil, &snap); err != nil {
+	term := max(hardState.Term, l.node.BasicStatus().Term) + 1
+	content := &l.cfg.Disk.content
+	content.Number = randomDiskNumber()
+	content.Disks = map[int]uint64{l.cfg.Voter: content.Number}
+	content.First, content.Entries = 0, nil
+	snapshot := raftpb.Snapshot{
+		Data: l.encodeSnapshot(state),
+		Metadata: raftpb.SnapshotMetadata{
+			ConfState: raftpb.ConfState{Voters: []uint64{self}},
+			Index:     index,
+			Term:      term,
+		},
+	}
+	hardState = raftpb.HardState{Term: term, Vote: self, Commit: index}
+	if err := l.cfg.Disk.record(hardState, nil, &snapshot); err != nil {
 		return err
 	}
-	if err := d.write(); err != nil {
+	if err := l.cfg.Disk.write(); err != nil {
 		return err
 	}
-	l.reads, l.held, l.incomingSnapshot = nil, 0, 0
+	l.reads, l.writes.waitingApplies, l.incomingSnapshot = nil, 0, 0
 	clear(l.replacements)
 	clear(l.snapshotsSentAt)
 	clear(l.tails)
 	return l.start()
 }
+
+// applyUncommitted applies the entries up to an index as if they had been committed.
+func (l *Log) applyUncommitted(last uint64) error {
+	if last <= l.applied {
+		return nil
+	}
+	const noLimit = 1 << 62 // bytes
+	entries, err := l.storage.Entries(l.applied+1, last+1, noLimit)
+	if err != nil {
+		return err
+	}
+	for _, e := range entries {
+		l.applied = e.Index
+		if e.Type == raftpb.EntryNormal {
+			l.cfg.Apply(e.Index, e.Data)
+		}
+	}
+	return nil
+}
--- a/internal/raftlog/recover_test.go
+++ b/internal/raftlog/recover_test.go
@@ -37,8 +37,8 @@
 	f.until(200, "a leader", func() bool { return f.leader() != nil })
 	refused := func(i int, want string, lost ...int) {
 		t.Helper()
-		if r := f.voters[i].log.Recover(lost, entry(1000)); !strings.Contains(r, want) {
-			t.Errorf("voter %d: %q, wanted %q", i, r, want)
+		if err := f.voters[i].log.Recover(lost, entry(1000)); err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("voter %d: %v, wanted %q", i, err, want)
 		}
 	}
 	propose := func(n int) {
@@ -72,8 +72,8 @@
 	f.start(3)
 	f.ticks(60)
 	refused(0, "may still come")
-	if r := f.voters[0].log.Recover([]int{4}, entry(1000)); r != "" {
-		t.Fatal(r)
+	if err := f.voters[0].log.Recover([]int{4}, entry(1000)); err != nil {
+		t.Fatal(err)
 	}
 	f.stop(0) // at once: it was one write
 	f.start(0)
@@ -98,7 +98,7 @@
 		}
 		f.until(3000, "replaced", func() bool {
 			l := f.leader()
-			return l != nil && l.log.ReplaceVoter(i) == "" && f.voters[i].log.HasStarted()
+			return l != nil && l.log.ReplaceVoter(i) == nil && f.voters[i].log.HasStarted()
 		})
 		f.waitApplied(i, 2)
 	}
--- /dev/null
+++ b/internal/raftlog/replace.go
@@ -0,0 +1,108 @@
+package raftlog
+
+import (
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"slices"
+
+	"go.etcd.io/raft/v3/raftpb"
+)
+
+// Errors of ReplaceVoter.
+var (
+	// ErrNotLeading says that another voter has to be asked.
+	ErrNotLeading = errors.New("this voter does not lead")
+	// ErrNoVoter, in a [*VoterError], says that a gateway does not vote.
+	ErrNoVoter = errors.New("does not vote")
+	// ErrNoEmptyDisk, in a [*VoterError], says that a voter was not heard of with an empty disk.
+	ErrNoEmptyDisk = errors.New("was not heard of with an empty disk")
+	// ErrReplacing, in a [*VoterError], says that the replacement is under way.
+	ErrReplacing = errors.New("is being replaced")
+)
+
+// VoterError is an error about one voter.
+type VoterError struct {
+	// Voter is its index.
+	Voter int
+	// Err says what is wrong with it.
+	Err error
+}
+
+func (e *VoterError) Error() string { return fmt.Sprintf("door %d %v", e.Voter, e.Err) }
+
+// Unwrap returns Err.
+func (e *VoterError) Unwrap() error { return e.Err }
+
+// ReplaceVoter lets a voter whose disk was lost take part again with its new, empty one. It is called on the leader
+// again and again, until it returns nil.
+func (l *Log) ReplaceVoter(voter int) error {
+	empty, hasEmptyDisk := l.emptyDisks[voter]
+	_, leads := l.Leading()
+	switch {
+	case !leads:
+		return ErrNotLeading
+	case !slices.Contains(l.cfg.Voters, voter):
+		return &VoterError{Voter: voter, Err: ErrNoVoter}
+	case !hasEmptyDisk:
+		return &VoterError{Voter: voter, Err: ErrNoEmptyDisk}
+	case l.cfg.Disk.content.Disks[voter] == empty.number:
+		return nil
+	}
+	l.replacements[voter] = empty.number
+	l.proposeReplacement(voter)
+	return &VoterError{Voter: voter, Err: ErrReplacing}
+}
+
+// proposeReplacement proposes the next step of a replacement: to remove the voter, and then to add it with its new
+// disk. If the proposal is lost, or another change is under way, the next call of ReplaceVoter brings it again.
+func (l *Log) proposeReplacement(voter int) {
+	change := raftpb.ConfChange{
+		Type:    raftpb.ConfChangeAddNode,
+		NodeID:  raftID(voter),
+		Context: binary.BigEndian.AppendUint64(nil, l.replacements[voter]),
+	}
+	if slices.Contains(l.confState.Voters, raftID(voter)) {
+		change.Type = raftpb.ConfChangeRemoveNode
+	}
+	_ = l.node.ProposeConfChange(change)
+}
+
+// diskNumberOf returns the number of the new disk that a change of the voters is about. A change that raft has made
+// void has none.
+func diskNumberOf(c *raftpb.ConfChange) (number uint64, ok bool) {
+	if len(c.Context) != 8 || c.NodeID == 0 {
+		return 0, false
+	}
+	return binary.BigEndian.Uint64(c.Context), true
+}
+
+// applyConfChange applies a committed change of the voters.
+func (l *Log) applyConfChange(data []byte) error {
+	var change raftpb.ConfChange
+	if err := change.Unmarshal(data); err != nil {
+		return err
+	}
+	number, ok := diskNumberOf(&change)
+	if !ok {
+		l.confState = *l.node.ApplyConfChange(raftpb.ConfChange{})
+		return nil
+	}
+	l.confState = *l.node.ApplyConfChange(change)
+	voter := voterOf(change.NodeID)
+	if change.Type == raftpb.ConfChangeRemoveNode {
+		if _, leads := l.Leading(); leads && l.replacements[voter] == number {
+			l.proposeReplacement(voter)
+		}
+		return nil
+	}
+	delete(l.replacements, voter)
+	l.cfg.Logger.Info("a voter of the policy was replaced", "voter", voter)
+	l.setDiskNumber(voter, number)
+	// The new voter would drop a snapshot of a log in which it is no voter.
+	snapshot, err := l.storage.Snapshot()
+	if err != nil || !slices.Contains(snapshot.Metadata.ConfState.Voters, change.NodeID) {
+		return errors.Join(err, l.compact(l.applied))
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/raftlog/work.go
@@ -0,0 +1,306 @@
+package raftlog
+
+import (
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"slices"
+
+	"go.etcd.io/raft/v3"
+	"go.etcd.io/raft/v3/raftpb"
+)
+
+const (
+	// maxWorkRounds bounds the work of one call.
+	maxWorkRounds = 1000
+	// maxWaiting bounds the messages that wait for a write. Beyond it, messages of other voters are dropped.
+	maxWaiting = 1024
+)
+
+// termVote is a term, and the raft id of the voter that this one has voted for in it.
+type termVote struct{ term, vote uint64 }
+
+// writeQueue is what waits to be stored. Raft goes on meanwhile; what must not be sent or applied before something is
+// stored waits here, and then in the batch of the write.
+type writeQueue struct {
+	dirty     bool // the disk's content has changed since the last write was started
+	isWriting bool
+	startedAt int // tick at which the last write was started
+	// waiting are raft's appends, and what is to be sent or applied after them, in their order.
+	waiting        []raftpb.Message
+	waitingApplies int      // messages in waiting, or in the batch of the write, that are to be applied
+	latest         termVote // as of the last append
+	stored         termVote // as of the last append that was stored
+}
+
+// isFull returns whether other voters' messages are to be dropped.
+func (q *writeQueue) isFull() bool { return len(q.waiting) >= maxWaiting }
+
+// Work stores, sends and applies what has come about. It is called after each of the other methods. Its error says why
+// this voter takes no part any more.
+func (l *Log) Work() error {
+	defer l.recoverContradiction()
+	for range maxWorkRounds {
+		if !l.HasStarted() {
+			return l.failure
+		}
+		if !l.node.HasReady() {
+			if !l.startWrite() {
+				return l.failure
+			}
+			continue
+		}
+		if err := l.handle(l.node.Ready()); err != nil {
+			return l.fail(err)
+		}
+	}
+	return l.failure
+}
+
+// handle takes what raft wants to be stored, sent and applied.
+func (l *Log) handle(ready raft.Ready) error {
+	if hardState := ready.HardState; !raft.IsEmptyHardState(hardState) {
+		l.writes.latest = termVote{hardState.Term, hardState.Vote}
+	}
+	for _, m := range ready.Messages {
+		var err error
+		switch m.To {
+		case raft.LocalAppendThread:
+			err = l.handleAppend(m)
+		case raft.LocalApplyThread:
+			err = l.handleApply(m)
+		default:
+			l.handleSend(m)
+		}
+		if err != nil {
+			return err
+		}
+	}
+	l.reads = append(l.reads, ready.ReadStates...)
+	l.finishReads()
+	return nil
+}
+
+// handleAppend puts what is to be stored into the disk's content.
+func (l *Log) handleAppend(m raftpb.Message) error {
+	hardState := hardStateOf(m)
+	if !raft.IsEmptyHardState(hardState) || len(m.Entries) > 0 || m.Snapshot != nil {
+		if err := l.cfg.Disk.record(hardState, m.Entries, m.Snapshot); err != nil {
+			return err
+		}
+		l.writes.dirty = true
+	}
+	if m.Snapshot != nil {
+		l.incomingSnapshot = m.Snapshot.Metadata.Index
+	}
+	l.learnDiskNumbers(m.Entries)
+	l.writes.waiting = append(l.writes.waiting, m)
+	return nil
+}
+
+// handleApply applies committed entries. A change of the voters is applied only once its commit is stored: a voter that
+// has forgotten it would drop all messages of the new disk. What follows it waits as well.
+func (l *Log) handleApply(m raftpb.Message) error {
+	if l.writes.waitingApplies > 0 || slices.ContainsFunc(m.Entries, isConfChange) {
+		l.writes.waiting = append(l.writes.waiting, m)
+		l.writes.waitingApplies++
+		return nil
+	}
+	return l.apply(m)
+}
+
+func isConfChange(e raftpb.Entry) bool { return e.Type == raftpb.EntryConfChange }
+
+// handleSend sends a message once this voter's term and vote are stored. Raft lets a candidate ask for votes, and lead,
+// before its own vote is stored; one that is restarted could then lead twice in one term.
+func (l *Log) handleSend(m raftpb.Message) {
+	switch {
+	case l.writes.latest == l.writes.stored:
+		l.send(m)
+	case !l.writes.isFull(): // else it is lost
+		l.writes.waiting = append(l.writes.waiting, m)
+	}
+}
+
+// learnDiskNumbers takes the numbers of new disks from entries as they come, committed or not. A new disk sends nothing
+// before its entry is committed, and it may be the one that has to tell this voter so, where the leader has gone.
+func (l *Log) learnDiskNumbers(entries []raftpb.Entry) {
+	for _, e := range entries {
+		var c raftpb.ConfChange
+		if !isConfChange(e) || c.Unmarshal(e.Data) != nil || c.Type != raftpb.ConfChangeAddNode {
+			continue
+		}
+		number, ok := diskNumberOf(&c)
+		if voter := voterOf(c.NodeID); ok && voter != l.cfg.Voter {
+			l.setDiskNumber(voter, number)
+		}
+	}
+}
+
+// setDiskNumber notes which disk of a voter belongs to the log.
+func (l *Log) setDiskNumber(voter int, number uint64) {
+	l.cfg.Disk.content.Disks[voter] = number
+	l.writes.dirty = true
+}
+
+func hardStateOf(m raftpb.Message) raftpb.HardState {
+	return raftpb.HardState{Term: m.Term, Vote: m.Vote, Commit: m.Commit}
+}
+
+// startWrite writes what is new, unless a write is under way. It returns whether raft may have more to do by that
+// already.
+func (l *Log) startWrite() bool {
+	q := &l.writes
+	if q.isWriting || !q.dirty && len(q.waiting) == 0 {
+		return false
+	}
+	batch := q.waiting
+	q.waiting = nil
+	if !q.dirty {
+		l.finishWrite(batch, nil)
+		return true
+	}
+	b, err := l.cfg.Disk.encode()
+	if err != nil {
+		_ = l.fail(err) // Work returns it
+		return false
+	}
+	q.dirty, q.isWriting, q.startedAt = false, true, l.ticks
+	write := func() error { return l.cfg.Disk.writeEncoded(b) }
+	done := func(err error) {
+		l.writes.isWriting = false
+		l.finishWrite(batch, err)
+	}
+	if l.cfg.WriteAsync == nil {
+		done(write())
+		return true
+	}
+	l.cfg.WriteAsync(write, done)
+	return false
+}
+
+// finishWrite does what had to wait for a write.
+func (l *Log) finishWrite(batch []raftpb.Message, err error) {
+	defer l.recoverContradiction()
+	for _, m := range batch {
+		if err != nil || l.failure != nil {
+			break
+		}
+		switch m.To {
+		case raft.LocalApplyThread:
+			l.writes.waitingApplies--
+			err = l.apply(m)
+		case raft.LocalAppendThread:
+			err = l.finishAppend(m)
+		default:
+			l.send(m)
+		}
+	}
+	if err != nil {
+		_ = l.fail(err) // Work returns it
+	}
+}
+
+// finishAppend tells raft that an append is stored.
+func (l *Log) finishAppend(m raftpb.Message) error {
+	if m.Snapshot != nil {
+		if err := l.restore(m.Snapshot); err != nil {
+			return err
+		}
+	}
+	if hardState := hardStateOf(m); !raft.IsEmptyHardState(hardState) {
+		if err := l.storage.SetHardState(hardState); err != nil {
+			return err
+		}
+		l.writes.stored = termVote{hardState.Term, hardState.Vote}
+	}
+	if err := l.storage.Append(m.Entries); err != nil {
+		return err
+	}
+	l.respond(m.Responses)
+	return nil
+}
+
+// respond hands out raft's responses to something that is done, to itself and to others.
+func (l *Log) respond(responses []raftpb.Message) {
+	for _, m := range responses {
+		if m.To == raftID(l.cfg.Voter) {
+			_ = l.node.Step(m) // raft refuses none of its own responses
+		} else {
+			l.send(m)
+		}
+	}
+}
+
+// apply applies committed entries.
+func (l *Log) apply(m raftpb.Message) error {
+	for _, e := range m.Entries {
+		l.applied = e.Index
+		switch e.Type {
+		case raftpb.EntryNormal:
+			l.cfg.Apply(e.Index, e.Data)
+		case raftpb.EntryConfChange:
+			if err := l.applyConfChange(e.Data); err != nil {
+				return err
+			}
+		}
+	}
+	l.respond(m.Responses)
+	l.finishReads()
+	if l.applied-l.snapshotIndex >= maxEntries && l.applied >= l.incomingSnapshot {
+		return l.compact(l.applied)
+	}
+	return nil
+}
+
+// finishReads reports the confirmed reads before which all is applied.
+func (l *Log) finishReads() {
+	var finished []raft.ReadState
+	l.reads = slices.DeleteFunc(l.reads, func(r raft.ReadState) bool {
+		if r.Index > l.applied {
+			return false
+		}
+		finished = append(finished, r)
+		return true
+	})
+	for _, r := range finished {
+		l.cfg.ReadConfirmed(binary.BigEndian.Uint64(r.RequestCtx))
+	}
+}
+
+// compact replaces the beginning of the log up to an index by a snapshot.
+func (l *Log) compact(index uint64) error {
+	_, state, err := l.cfg.Snapshot()
+	if err != nil {
+		return err
+	}
+	snapshot, err := l.storage.CreateSnapshot(index, &l.confState, l.encodeSnapshot(state))
+	if err != nil {
+		return err
+	}
+	lastDropped := index - min(index, keptEntries)
+	if err := l.cfg.Disk.compact(snapshot, lastDropped); err != nil {
+		return err
+	}
+	l.writes.dirty = true
+	l.snapshotIndex = index
+	if err := l.storage.Compact(lastDropped); err != nil && !errors.Is(err, raft.ErrCompacted) {
+		return err
+	}
+	return nil
+}
+
+// contradiction is what raft panics with here: it was told what can't be, as by a disk that has lost what it had stored.
+type contradiction string
+
+// recoverContradiction, deferred, ends this voter's part where raft has panicked; the gateway goes on. Any other panic
+// goes on.
+func (l *Log) recoverContradiction() {
+	switch p := recover().(type) {
+	case nil:
+	case contradiction:
+		_ = l.fail(fmt.Errorf("%w: it does not agree with the other voters': %s", ErrDamaged, string(p)))
+	default:
+		panic(p)
+	}
+}
