--- a/internal/raftlog/golden_test.go
+++ b/internal/raftlog/golden_test.go
@@ -4,7 +4,6 @@
 	"encoding/binary"
 	"errors"
 	"fmt"
-	"io"
 	"log/slog"
 	"os"
 	"path/filepath"
@@ -28,11 +27,11 @@
 func (unsynced) SyncDir(string) error { return nil }
 
 func (u unsynced) CreateTemp(dir, pattern string) (vfs.File, error) {
-	f, err := u.OS.CreateTemp(dir, pattern)
+	file, err := u.OS.CreateTemp(dir, pattern)
 	if err != nil {
 		return nil, err
 	}
-	return unsyncedFile{f}, nil
+	return unsyncedFile{file}, nil
 }
 
 // numberDisk gives a voter an empty disk with a number that is not drawn by chance.
@@ -57,23 +56,23 @@
 
 func newGoldenPlay(t *testing.T, voters int) *goldenPlay {
 	t.Helper()
-	f := &cluster{t: t}
+	c := &cluster{t: t}
 	for i := range voters {
-		f.dirs = append(f.dirs, t.TempDir())
-		f.voters = append(f.voters, nil)
-		numberDisk(t, f.dirs[i], uint64(1001+i))
+		c.dirs = append(c.dirs, t.TempDir())
+		c.voters = append(c.voters, nil)
+		numberDisk(t, c.dirs[i], uint64(1001+i))
 	}
-	p := &goldenPlay{cluster: f, trace: golden.NewTrace()}
+	p := &goldenPlay{cluster: c, trace: golden.NewTrace()}
 	for i := range voters {
 		p.start(i)
 	}
 	p.ticks(2)
-	if err := f.voters[0].log.node.Campaign(); err != nil {
+	if err := c.voters[0].log.node.Campaign(); err != nil {
 		t.Fatal(err)
 	}
 	p.work(0)
 	p.ticks(3)
-	if f.leader() != f.voters[0] {
+	if c.leader() != c.voters[0] {
 		t.Fatal("the first voter does not lead")
 	}
 	return p
@@ -162,7 +161,7 @@
 			p.trace.Uint(n)
 		}
 		p.trace.Int(int64(v.reads))
-		b, err := os.ReadFile(filepath.Join(p.dirs[i], "policy.log"))
+		b, err := os.ReadFile(filepath.Join(p.dirs[i], fileName))
 		if err != nil {
 			p.t.Fatal(err)
 		}
@@ -199,7 +198,7 @@
 	p := newGoldenPlay(t, 3)
 	p.propose(0, 30)
 	p.stop(2)
-	if err := os.Remove(filepath.Join(p.dirs[2], "policy.log")); err != nil {
+	if err := os.Remove(filepath.Join(p.dirs[2], fileName)); err != nil {
 		t.Fatal(err)
 	}
 	numberDisk(t, p.dirs[2], 2003)
@@ -312,10 +311,10 @@
 	if err := d.write(); err != nil {
 		t.Fatal(err)
 	}
-	golden.CheckBytes(t, path, golden.Read(t, filepath.Join(dir, "policy.log")))
+	golden.CheckBytes(t, path, golden.Read(t, filepath.Join(dir, fileName)))
 
 	dir = t.TempDir()
-	if err := os.WriteFile(filepath.Join(dir, "policy.log"), golden.Read(t, path), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, fileName), golden.Read(t, path), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if d, err = OpenDisk(vfs.OS{}, dir); err != nil {
@@ -359,8 +358,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l, err := New(Config{Voter: 0, Voters: []int{0, 1}, Disk: d, Logger: slog.New(slog.NewTextHandler(io.Discard, nil)),
-		Send: func(_ int, b []byte) { sent = append(sent, b) }, Apply: func(uint64, []byte) {}, ReadConfirmed: func(uint64) {}})
+	l, err := New(Config{
+		Voter:         0,
+		Voters:        []int{0, 1},
+		Disk:          d,
+		Logger:        slog.New(slog.DiscardHandler),
+		Send:          func(_ int, b []byte) { sent = append(sent, b) },
+		Apply:         func(uint64, []byte) {},
+		ReadConfirmed: func(uint64) {},
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/raftlog/log.go
+++ b/internal/raftlog/log.go
@@ -205,7 +205,8 @@
 	}
 }
 
-// finishSnapshots counts snapshots that were sent a while ago as arrived. The receiver's next reply says if one was not.
+// finishSnapshots counts snapshots that were sent a while ago as arrived. The receiver's next reply says if one was
+// not.
 func (l *Log) finishSnapshots() {
 	for id, sentAt := range l.snapshotsSentAt {
 		if l.ticks-sentAt >= snapshotTimeoutTicks {
@@ -224,7 +225,7 @@
 	if !leads || !isSlow || transferredLately {
 		return
 	}
-	self, successor, match := raftID(l.cfg.Voter), uint64(raft.None), uint64(0)
+	self, successor, match := raftID(l.cfg.Voter), raft.None, uint64(0)
 	l.node.WithProgress(func(id uint64, _ raft.ProgressType, progress tracker.Progress) {
 		if id != self && progress.RecentActive && progress.Match > match {
 			successor, match = id, progress.Match
--- a/internal/raftlog/recover.go
+++ b/internal/raftlog/recover.go
@@ -104,10 +104,10 @@
 	return nil
 }
 
-// Recover makes this voter go on alone where a majority of the voters' disks is lost for good: with all that its own log
-// has, as if it had been committed, and one more entry. What only the lost voters knew is gone. lost are voters whose
-// disks an operator knows to be gone, beside those that are heard of with empty ones. Without an error it is done and
-// stored, and the others may be replaced.
+// Recover makes this voter go on alone where a majority of the voters' disks is lost for good: with all that its own
+// log has, as if it had been committed, and one more entry. What only the lost voters knew is gone. lost are voters
+// whose disks an operator knows to be gone, beside those that are heard of with empty ones. Without an error it is done
+// and stored, and the others may be replaced.
 func (l *Log) Recover(lost []int, entry []byte) error {
 	if err := l.canRecover(); err != nil {
 		return err
--- a/internal/raftlog/work.go
+++ b/internal/raftlog/work.go
@@ -290,7 +290,8 @@
 	return nil
 }
 
-// contradiction is what raft panics with here: it was told what can't be, as by a disk that has lost what it had stored.
+// contradiction is what raft panics with here: it was told what can't be, as by a disk that has lost what it had
+// stored.
 type contradiction string
 
 // recoverContradiction, deferred, ends this voter's part where raft has panicked; the gateway goes on. Any other panic
