--- a/internal/policyreplica/docs.go
+++ b/internal/policyreplica/docs.go
@@ -21,14 +21,14 @@
 	suffix   = ".toml"
 )
 
-// docs are the documents that a door has on its disk, each in a file that is named by its hash.
-type docs struct {
+// documentStore are the documents that a door has on its disk, each in a file that is named by its hash.
+type documentStore struct {
 	fs  vfs.FS
 	dir string
 }
 
-func openDocs(fsys vfs.FS, dir string) (*docs, error) {
-	d := &docs{fsys, filepath.Join(dir, "policies")}
+func openDocumentStore(fsys vfs.FS, dir string) (*documentStore, error) {
+	d := &documentStore{fsys, filepath.Join(dir, "policies")}
 	if err := fsys.MkdirAll(d.dir, 0o700); err != nil {
 		return nil, err
 	}
@@ -47,13 +47,13 @@
 	return d, nil
 }
 
-func (d *docs) path(h policy.Hash) string { return filepath.Join(d.dir, h.String()+suffix) }
+func (d *documentStore) path(h policy.Hash) string { return filepath.Join(d.dir, h.String()+suffix) }
 
 // errDamaged says that a document's file is not what its name says.
 var errDamaged = errors.New("the document's file is damaged")
 
-// get reads a document.
-func (d *docs) get(h policy.Hash) ([]byte, error) {
+// read reads a document.
+func (d *documentStore) read(h policy.Hash) ([]byte, error) {
 	b, err := vfs.ReadFile(d.fs, d.path(h), policy.MaxDocumentBytes)
 	if err != nil {
 		return nil, err
@@ -64,10 +64,10 @@
 	return b, nil
 }
 
-// put keeps a document: when it returns nil it outlives a power loss. Others that were not used for long make room, but for those to keep.
-func (d *docs) put(b []byte, keep ...policy.Hash) error {
+// store keeps a document: when it returns nil it outlives a power loss. Others that were not used for long make room, but for those to keep.
+func (d *documentStore) store(b []byte, keep ...policy.Hash) error {
 	h := policy.HashOf(b)
-	if old, err := d.get(h); err == nil && len(old) == len(b) {
+	if old, err := d.read(h); err == nil && len(old) == len(b) {
 		now := time.Now()
 		os.Chtimes(d.path(h), now, now)
 		return d.fs.SyncDir(d.dir) // a process that was killed after its rename may not have come to that
@@ -79,7 +79,7 @@
 	return nil
 }
 
-func (d *docs) prune(keep []policy.Hash) {
+func (d *documentStore) prune(keep []policy.Hash) {
 	list, err := d.fs.ReadDir(d.dir)
 	if err != nil {
 		return
@@ -103,8 +103,8 @@
 	}
 }
 
-// part reads some bytes of a document, and how long it is.
-func (d *docs) part(h policy.Hash, at int64, b []byte) (n int, size int64, err error) {
+// readAt reads some bytes of a document, and how long it is.
+func (d *documentStore) readAt(h policy.Hash, at int64, b []byte) (n int, size int64, err error) {
 	f, err := d.fs.OpenFile(d.path(h), os.O_RDONLY, 0)
 	if err != nil {
 		return 0, 0, err
@@ -130,7 +130,7 @@
 
 func lastPath(dir string) string { return filepath.Join(dir, "policy.json") }
 
-func loadLast(fsys vfs.FS, dir string) (v policy.Version, err error) {
+func loadVersion(fsys vfs.FS, dir string) (v policy.Version, err error) {
 	var l last
 	if err = lastForm.LoadFrom(fsys, lastPath(dir), &l); errors.Is(err, fs.ErrNotExist) {
 		return policy.Version{}, nil
@@ -140,12 +140,12 @@
 	return l.Version, nil
 }
 
-func saveLast(fsys vfs.FS, dir string, v policy.Version) error {
+func saveVersion(fsys vfs.FS, dir string, v policy.Version) error {
 	return lastForm.SaveTo(fsys, lastPath(dir), last{v})
 }
 
-// history is a leader's answer that is too long for a datagram.
-func history(s *policy.State) []byte {
+// encodeHistory is a leader's answer that is too long for a datagram.
+func encodeHistory(s *policy.State) []byte {
 	b, err := json.Marshal(s.Outcomes)
 	if err != nil {
 		return []byte("[]")
--- a/internal/policyreplica/golden_test.go
+++ b/internal/policyreplica/golden_test.go
@@ -35,15 +35,15 @@
 		Leaving: true, SwitchedAt: 1_700_000_000_003}
 	cases := []struct {
 		name  string
-		value wire
+		value message
 	}{
-		{"node", wire{Msg: &policy.Message{StatusRequest: &hello}}},
-		{"log", wire{Log: []byte("S raft")}},
-		{"get", wire{Get: &get{Hash: hash, At: 8192}}},
-		{"part", wire{Part: &part{Hash: hash, At: 8192, Size: 10_000, Data: []byte("some bytes")}}},
-		{"fragment", wire{Frag: &frag{ID: 1 << 30, N: 2, Of: 3, Data: []byte("some bytes")}}},
-		{"want", wire{Want: "history"}},
-		{"long", wire{Long: &long{What: "history", Hash: hash}}},
+		{"node", message{Node: &policy.Message{StatusRequest: &hello}}},
+		{"log", message{Raft: []byte("S raft")}},
+		{"get", message{ChunkRequest: &chunkRequest{Hash: hash, Offset: 8192}}},
+		{"part", message{Chunk: &chunk{Hash: hash, Offset: 8192, DocumentSize: 10_000, Data: []byte("some bytes")}}},
+		{"fragment", message{Fragment: &fragment{MessageID: 1 << 30, Index: 2, Count: 3, Data: []byte("some bytes")}}},
+		{"want", message{ReportRequest: "history"}},
+		{"long", message{ReportLocation: &reportLocation{Report: "history", Hash: hash}}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -53,8 +53,8 @@
 				t.Fatal(err)
 			}
 			golden.CheckBytes(t, path, b)
-			var got wire
-			if err := decoder.Unmarshal(golden.Read(t, path), &got); err != nil {
+			var got message
+			if err := messageDecoder.Unmarshal(golden.Read(t, path), &got); err != nil {
 				t.Fatal(err)
 			}
 			if !reflect.DeepEqual(got, c.value) {
@@ -69,7 +69,7 @@
 	path := "testdata/golden/policy.json"
 	want := policy.Version{Number: 7, Hash: policy.HashOf([]byte("doc"))}
 	dir := t.TempDir()
-	if err := saveLast(vfs.OS{}, dir, want); err != nil {
+	if err := saveVersion(vfs.OS{}, dir, want); err != nil {
 		t.Fatal(err)
 	}
 	golden.CheckBytes(t, path, golden.Read(t, filepath.Join(dir, "policy.json")))
@@ -77,7 +77,7 @@
 	if err := os.WriteFile(filepath.Join(dir, "policy.json"), golden.Read(t, path), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if got, err := loadLast(vfs.OS{}, dir); err != nil || got != want {
+	if got, err := loadVersion(vfs.OS{}, dir); err != nil || got != want {
 		t.Errorf("read back %v, %v", got, err)
 	}
 }
@@ -90,8 +90,8 @@
 			Fenced: []policy.Process{goldenRef(3)}, SwitchedAt: map[uint16]int64{1: 1_700_000_000_003, 3: 4}},
 		{Change: policy.Change{ID: "d"}, Reason: "door 3 has not locked", DecidedAt: 9},
 	}}
-	golden.CheckBytes(t, "testdata/golden/history.json", history(state))
-	golden.CheckBytes(t, "testdata/golden/history-none.json", history(policy.NewState()))
+	golden.CheckBytes(t, "testdata/golden/history.json", encodeHistory(state))
+	golden.CheckBytes(t, "testdata/golden/history-none.json", encodeHistory(policy.NewState()))
 }
 
 // TestGoldenDocumentFiles compares the files of documents, and which are left when there are many.
@@ -104,14 +104,14 @@
 	if err := os.WriteFile(filepath.Join(dir, "policies", "x.toml.new1"), nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	d, err := openDocs(vfs.OS{}, dir)
+	d, err := openDocumentStore(vfs.OS{}, dir)
 	if err != nil {
 		t.Fatal(err)
 	}
 	first := policy.HashOf([]byte("document 0"))
 	for i := range 20 {
 		doc := fmt.Appendf(nil, "document %d", i)
-		if err := d.put(doc, first); err != nil {
+		if err := d.store(doc, first); err != nil {
 			t.Fatal(err)
 		}
 		at := time.Unix(int64(1_700_000_000+i), 0)
@@ -129,7 +129,7 @@
 		trace.String(string(golden.Read(t, filepath.Join(dir, "policies", e.Name()))))
 	}
 	b := make([]byte, 4)
-	n, size, err := d.part(first, 5, b)
+	n, size, err := d.readAt(first, 5, b)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -143,31 +143,31 @@
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 11))
 	trace, now := golden.NewTrace(), time.Hour
-	doc := make([]byte, 1+rng.IntN(60*partBytes))
+	doc := make([]byte, 1+rng.IntN(60*chunkBytes))
 	for i := range doc {
 		doc[i] = byte(rng.Uint32())
 	}
 	sources := []int{0, 3, 4}[:1+rng.IntN(3)]
-	f := newFetch(policy.HashOf(doc), sources, now)
+	f := newDownload(policy.HashOf(doc), sources, now)
 	for range 4000 {
-		to, gets := f.asks(now)
-		slices.SortFunc(gets, func(a, b get) int { return int(a.At - b.At) }) // those asked for again come in the order of a map
+		to, gets := f.nextRequests(now)
+		slices.SortFunc(gets, func(a, b chunkRequest) int { return int(a.Offset - b.Offset) }) // those asked for again come in the order of a map
 		trace.Int(int64(to))
 		trace.Int(int64(len(gets)))
 		for _, g := range gets {
 			trace.String(string(g.Hash[:]))
-			trace.Int(g.At)
+			trace.Int(g.Offset)
 			if rng.IntN(4) == 0 {
 				continue // lost
 			}
-			p := &part{Hash: g.Hash, At: g.At}
-			if rng.IntN(10) > 0 && to != 3 && g.At < int64(len(doc)) {
-				p.Size, p.Data = int64(len(doc)), bytes.Clone(doc[g.At:min(int64(len(doc)), g.At+partBytes)])
+			p := &chunk{Hash: g.Hash, Offset: g.Offset}
+			if rng.IntN(10) > 0 && to != 3 && g.Offset < int64(len(doc)) {
+				p.DocumentSize, p.Data = int64(len(doc)), bytes.Clone(doc[g.Offset:min(int64(len(doc)), g.Offset+chunkBytes)])
 			}
 			if rng.IntN(400) == 0 && len(p.Data) > 0 {
 				p.Data[0]++ // damaged
 			}
-			whole, ok := f.take(p)
+			whole, ok := f.receive(p)
 			trace.Bool(ok)
 			if ok {
 				trace.Bool(bytes.Equal(whole, doc))
@@ -183,14 +183,14 @@
 func joinHash(seed uint64) string {
 	rng := rand.New(rand.NewPCG(seed, 12))
 	trace := golden.NewTrace()
-	var j joins
+	var j reassembly
 	for id := range uint32(200) {
 		of := 1 + rng.IntN(6)
 		for _, n := range rng.Perm(of + 1) {
 			if rng.IntN(9) == 0 {
 				continue
 			}
-			whole := j.add(&frag{ID: id - uint32(rng.IntN(15)/14), N: uint16(n), Of: uint16(of), Data: fmt.Appendf(nil, "%d-%d,", id, n)})
+			whole := j.add(&fragment{MessageID: id - uint32(rng.IntN(15)/14), Index: uint16(n), Count: uint16(of), Data: fmt.Appendf(nil, "%d-%d,", id, n)})
 			trace.Bool(whole != nil)
 			trace.String(string(whole))
 		}
--- a/internal/policyreplica/side.go
+++ b/internal/policyreplica/side.go
@@ -37,32 +37,32 @@
 
 // Host serves by a policy.
 type Host interface {
-	// Read reads a document whole and makes all that it needs. Its error says what is wrong, with the line.
-	Read(doc []byte) (any, error)
-	// Stop has nothing be decided any more, from its return on.
-	Stop()
-	// Apply has all that is decided from now on go by what Read returned.
-	Apply(version uint64, built any) error
-	// Until says until when requests may be decided, on the clock of Config.Now.
-	Until(t time.Duration)
+	// Build reads a document whole and makes all that it needs. Its error says what is wrong, with the line.
+	Build(doc []byte) (any, error)
+	// StopDeciding has nothing be decided any more, from its return on.
+	StopDeciding()
+	// SwitchTo has all that is decided from now on go by what Read returned.
+	SwitchTo(version uint64, built any) error
+	// SetDecisionDeadline says until when requests may be decided, on the clock of Config.Now.
+	SetDecisionDeadline(t time.Duration)
 }
 
 // Config is a door's part.
 type Config struct {
-	Name   string
-	Rank   int
-	Names  []string // of all doors, by rank
-	FS     vfs.FS   // of its state directory ...
-	Dir    string   // ... which this process has
-	Now    func() time.Duration
-	Log    *slog.Logger
-	Tell   func(to int, b []byte) // a datagram's worth to a door; it may be lost
-	ID     func() policy.Process  // this process
-	Begin  func() ([]byte, error) // the policy that a fleet begins with
-	GiveUp time.Duration
-	Fence  bool
-	Last   time.Duration // after so long without the others a door that has started goes by what its disk has; 0: never
-	Host   Host
+	Name               string
+	Index              int
+	Gateways           []string // of all doors, by rank
+	FS                 vfs.FS   // of its state directory ...
+	Dir                string   // ... which this process has
+	Now                func() time.Duration
+	Log                *slog.Logger
+	Send               func(to int, b []byte) // a datagram's worth to a door; it may be lost
+	Process            func() policy.Process  // this process
+	InitialPolicy      func() ([]byte, error) // the policy that a fleet begins with
+	AbortAfter         time.Duration
+	Fence              bool
+	StoredVersionDelay time.Duration // after so long without the others a door that has started goes by what its disk has; 0: never
+	Host               Host
 }
 
 // Voters are the ranks of those that vote, of so many doors.
@@ -80,21 +80,21 @@
 	return all
 }
 
-// wire is what is told in a datagram: one field is set.
-type wire struct {
-	Msg  *policy.Message `cbor:"1,keyasint,omitempty"`
-	Log  []byte          `cbor:"2,keyasint,omitempty"`
-	Get  *get            `cbor:"3,keyasint,omitempty"`
-	Part *part           `cbor:"4,keyasint,omitempty"`
-	Frag *frag           `cbor:"5,keyasint,omitempty"`
-	Want string          `cbor:"6,keyasint,omitempty"` // asks for an answer that is too long for a datagram: "history"
-	Long *long           `cbor:"7,keyasint,omitempty"`
+// message is what is told in a datagram: one field is set.
+type message struct {
+	Node           *policy.Message `cbor:"1,keyasint,omitempty"`
+	Raft           []byte          `cbor:"2,keyasint,omitempty"`
+	ChunkRequest   *chunkRequest   `cbor:"3,keyasint,omitempty"`
+	Chunk          *chunk          `cbor:"4,keyasint,omitempty"`
+	Fragment       *fragment       `cbor:"5,keyasint,omitempty"`
+	ReportRequest  string          `cbor:"6,keyasint,omitempty"` // asks for an answer that is too long for a datagram: "history"
+	ReportLocation *reportLocation `cbor:"7,keyasint,omitempty"`
 }
 
-// long says by which hash such an answer can be fetched.
-type long struct {
-	What string      `cbor:"1,keyasint"`
-	Hash policy.Hash `cbor:"2,keyasint"`
+// reportLocation says by which hash such an answer can be fetched.
+type reportLocation struct {
+	Report string      `cbor:"1,keyasint"`
+	Hash   policy.Hash `cbor:"2,keyasint"`
 }
 
 type inMsg struct {
@@ -108,13 +108,13 @@
 	err  error
 }
 
-// Side is a running part.
-type Side struct {
+// Replica is a running part.
+type Replica struct {
 	cfg    Config
 	node   *policy.Node
 	log    *raftlog.Log  // nil: this door does not vote
 	disk   *raftlog.Disk // likewise
-	docs   *docs
+	docs   *documentStore
 	voters []int
 
 	inbox   chan inMsg
@@ -129,14 +129,14 @@
 	// The loop's.
 	ticks    int
 	ref      policy.Process
-	fetch    *fetch
+	fetch    *download
 	fetched  map[policy.Hash][]byte // read and not yet built
 	built    map[policy.Hash]any
 	building bool
 	failed   map[policy.Hash]time.Duration // documents that can't be gone by, and when that was found
 	has      policy.Version
 	until    time.Duration
-	joins    map[int]*joins
+	joins    map[int]*reassembly
 	fragID   uint32
 	temp     []policy.Hash
 	temps    map[policy.Hash][]byte
@@ -156,24 +156,24 @@
 
 // View is how a door stands.
 type View struct {
-	Version policy.Version // that it goes by; 0: none yet
-	Until   time.Duration  // it decides until then; 0: it does not
-	Pending string         // id of the change that is being decided, as far as it knows
+	Version       policy.Version // that it goes by; 0: none yet
+	DecidesUntil  time.Duration  // it decides until then; 0: it does not
+	PendingChange string         // id of the change that is being decided, as far as it knows
 }
 
 // New opens what the door's disk has. Its errors say in one line what is wrong.
-func New(cfg Config) (_ *Side, err error) {
-	s := &Side{cfg: cfg, voters: Voters(len(cfg.Names)), inbox: make(chan inMsg, inboxMost), calls: make(chan func()), results: make(chan built, 1), written: make(chan func()), done: make(chan struct{}),
-		fetched: map[policy.Hash][]byte{}, built: map[policy.Hash]any{}, failed: map[policy.Hash]time.Duration{}, joins: map[int]*joins{},
-		temps: map[policy.Hash][]byte{}, longs: map[string]policy.Hash{}, ref: cfg.ID()}
-	if s.docs, err = openDocs(cfg.FS, cfg.Dir); err != nil {
+func New(cfg Config) (_ *Replica, err error) {
+	s := &Replica{cfg: cfg, voters: Voters(len(cfg.Gateways)), inbox: make(chan inMsg, inboxMost), calls: make(chan func()), results: make(chan built, 1), written: make(chan func()), done: make(chan struct{}),
+		fetched: map[policy.Hash][]byte{}, built: map[policy.Hash]any{}, failed: map[policy.Hash]time.Duration{}, joins: map[int]*reassembly{},
+		temps: map[policy.Hash][]byte{}, longs: map[string]policy.Hash{}, ref: cfg.Process()}
+	if s.docs, err = openDocumentStore(cfg.FS, cfg.Dir); err != nil {
 		return nil, err
 	}
-	if s.last, err = loadLast(cfg.FS, cfg.Dir); err != nil {
+	if s.last, err = loadVersion(cfg.FS, cfg.Dir); err != nil {
 		return nil, err
 	}
-	nc := policy.Config{Process: s.ref, Gateways: len(cfg.Names), Voters: s.voters, AbortAfter: cfg.GiveUp}
-	if slices.Contains(s.voters, cfg.Rank) {
+	nc := policy.Config{Process: s.ref, Gateways: len(cfg.Gateways), Voters: s.voters, AbortAfter: cfg.AbortAfter}
+	if slices.Contains(s.voters, cfg.Index) {
 		if s.disk, err = raftlog.OpenDisk(cfg.FS, cfg.Dir); err != nil {
 			return nil, err
 		}
@@ -181,8 +181,8 @@
 	}
 	s.node = policy.NewNode(nc)
 	if s.disk != nil {
-		s.log, err = raftlog.New(raftlog.Config{Rank: cfg.Rank, Voters: s.voters, Disk: s.disk, Log: cfg.Log,
-			Send: func(to int, b []byte) { s.tell(to, &wire{Log: b}) }, Applied: s.node.Apply,
+		s.log, err = raftlog.New(raftlog.Config{Rank: cfg.Index, Voters: s.voters, Disk: s.disk, Log: cfg.Log,
+			Send: func(to int, b []byte) { s.tell(to, &message{Raft: b}) }, Applied: s.node.Apply,
 			Read:     func(token uint64) { s.send(s.node.ReadConfirmed(cfg.Now(), token)) },
 			Snapshot: s.node.Snapshot, Restore: s.node.Restore, Write: s.write})
 		if err != nil {
@@ -195,7 +195,7 @@
 }
 
 // voterLog is the log as the node sees it: while the log is being made there is none.
-type voterLog Side
+type voterLog Replica
 
 func (v *voterLog) Leading() (uint64, bool) {
 	if v.log == nil {
@@ -214,25 +214,25 @@
 }
 
 // Start begins.
-func (s *Side) Start() { s.wg.Go(s.loop) }
+func (s *Replica) Start() { s.wg.Go(s.loop) }
 
 // Close ends it without a word.
-func (s *Side) Close() {
+func (s *Replica) Close() {
 	s.stop()
 	s.wg.Wait()
 }
 
 // View is how the door stands. Any goroutine may call it.
-func (s *Side) View() View { return *s.view.Load() }
+func (s *Replica) View() View { return *s.view.Load() }
 
-// Kept is the version that the disk had at the start; 0: none.
-func (s *Side) Kept() policy.Version { return s.last }
+// StoredVersion is the version that the disk had at the start; 0: none.
+func (s *Replica) StoredVersion() policy.Version { return s.last }
 
-// Dropped is how many messages were not understood or had no place. Any goroutine may call it.
-func (s *Side) Dropped() uint64 { return s.dropped.Load() }
+// DroppedMessages is how many messages were not understood or had no place. Any goroutine may call it.
+func (s *Replica) DroppedMessages() uint64 { return s.dropped.Load() }
 
-// Heard takes what another door says. It returns at once. Any goroutine may call it.
-func (s *Side) Heard(from int, b []byte) {
+// HandleMessage takes what another door says. It returns at once. Any goroutine may call it.
+func (s *Replica) HandleMessage(from int, b []byte) {
 	select {
 	case s.inbox <- inMsg{from, b}:
 	default:
@@ -240,7 +240,7 @@
 	}
 }
 
-func (s *Side) loop() {
+func (s *Replica) loop() {
 	defer close(s.done)
 	tick := time.NewTicker(tickEvery)
 	defer tick.Stop()
@@ -267,18 +267,18 @@
 	}
 }
 
-func (s *Side) tick() {
+func (s *Replica) tick() {
 	now := s.cfg.Now()
 	if s.ticks++; s.log != nil && s.ticks%raftEvery == 0 {
 		s.log.Tick()
 	}
-	if ref := s.cfg.ID(); ref != s.ref { // its disk had lost its incarnation
+	if ref := s.cfg.Process(); ref != s.ref { // its disk had lost its incarnation
 		s.ref = ref
 		s.node.SetProcess(ref)
 	}
 	s.send(s.node.Tick(now, time.Now().UnixMilli()))
 	s.begin(now)
-	if s.cfg.Last > 0 && s.has.Number == 0 && s.last.Number > 0 && now-s.begun >= s.cfg.Last && s.node.Participant().Version().Number == 0 {
+	if s.cfg.StoredVersionDelay > 0 && s.has.Number == 0 && s.last.Number > 0 && now-s.begun >= s.cfg.StoredVersionDelay && s.node.Participant().Version().Number == 0 {
 		if s.ready(s.last.Hash) {
 			s.cfg.Log.Warn("no majority of the voters answers: this door goes by the version that its disk has, as without_quorum says", "version", s.last.Number)
 			s.node.Participant().DecideWithoutQuorum(s.last)
@@ -291,7 +291,7 @@
 	}
 }
 
-func (s *Side) leads() bool {
+func (s *Replica) leads() bool {
 	if s.log == nil {
 		return false
 	}
@@ -300,7 +300,7 @@
 }
 
 // begin proposes this door's own policy where the fleet has none.
-func (s *Side) begin(now time.Duration) {
+func (s *Replica) begin(now time.Duration) {
 	if s.node.State().Current.Number > 0 && s.beginAsk > 0 {
 		s.node.EndQuery(s.beginAsk)
 		s.beginAsk = 0
@@ -309,15 +309,15 @@
 		return
 	}
 	s.beginAt = now + time.Second
-	doc, err := s.cfg.Begin()
+	doc, err := s.cfg.InitialPolicy()
 	if err == nil {
-		err = s.docs.put(doc)
+		err = s.docs.store(doc)
 	}
 	if err != nil {
 		s.cfg.Log.Error("the fleet's policy could not be begun", "error", err)
 		return
 	}
-	c := policy.Change{ID: "begin", Hash: policy.HashOf(doc), Bytes: int64(len(doc)), Author: s.cfg.Name, ProposedAt: time.Now().UnixMilli(), Source: uint16(s.cfg.Rank), Initial: true}
+	c := policy.Change{ID: "begin", Hash: policy.HashOf(doc), Bytes: int64(len(doc)), Author: s.cfg.Name, ProposedAt: time.Now().UnixMilli(), Source: uint16(s.cfg.Index), Initial: true}
 	if s.cfg.Fence {
 		c.Mode = policy.Fence
 	}
@@ -325,37 +325,37 @@
 	s.beginAsk, _ = s.node.StartQuery(policy.Query{ChangeID: c.ID, Change: &c})
 }
 
-func (s *Side) send(outs []policy.Outgoing) {
+func (s *Replica) send(outs []policy.Outgoing) {
 	for i := range outs {
-		s.tell(outs[i].To, &wire{Msg: &outs[i].Message})
+		s.tell(outs[i].To, &message{Node: &outs[i].Message})
 	}
 }
 
 // tell tells a door something, in parts if it is long. This door is one, too.
-func (s *Side) tell(to int, w *wire) {
+func (s *Replica) tell(to int, w *message) {
 	b, err := cbor.Marshal(w)
 	if err != nil {
 		s.cfg.Log.Error("a message of policy could not be made", "error", err)
 		return
 	}
 	switch {
-	case to == s.cfg.Rank:
-		s.Heard(to, b)
+	case to == s.cfg.Index:
+		s.HandleMessage(to, b)
 	case len(b) <= fragBytes+1024:
-		s.cfg.Tell(to, b)
+		s.cfg.Send(to, b)
 	default:
 		s.fragID++
 		of := (len(b) + fragBytes - 1) / fragBytes
 		for n := range of {
-			f, err := cbor.Marshal(&wire{Frag: &frag{s.fragID, uint16(n), uint16(of), b[n*fragBytes : min(len(b), (n+1)*fragBytes)]}})
+			f, err := cbor.Marshal(&message{Fragment: &fragment{s.fragID, uint16(n), uint16(of), b[n*fragBytes : min(len(b), (n+1)*fragBytes)]}})
 			if err == nil {
-				s.cfg.Tell(to, f)
+				s.cfg.Send(to, f)
 			}
 		}
 	}
 }
 
-var decoder = func() cbor.DecMode {
+var messageDecoder = func() cbor.DecMode {
 	m, err := cbor.DecOptions{MaxArrayElements: 4096, MaxMapPairs: 4096, MaxNestedLevels: 12, IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden}.DecMode()
 	if err != nil {
 		panic(err) // the options above are wrong
@@ -363,42 +363,42 @@
 	return m
 }()
 
-func (s *Side) heard(in inMsg) {
-	var w wire
-	if decoder.Unmarshal(in.b, &w) != nil || in.from < 0 || in.from >= len(s.cfg.Names) {
+func (s *Replica) heard(in inMsg) {
+	var w message
+	if messageDecoder.Unmarshal(in.b, &w) != nil || in.from < 0 || in.from >= len(s.cfg.Gateways) {
 		s.dropped.Add(1)
 		return
 	}
 	now := s.cfg.Now()
 	switch {
-	case w.Frag != nil:
+	case w.Fragment != nil:
 		j := s.joins[in.from]
 		if j == nil {
-			j = &joins{}
+			j = &reassembly{}
 			s.joins[in.from] = j
 		}
-		if whole := j.add(w.Frag); whole != nil {
+		if whole := j.add(w.Fragment); whole != nil {
 			s.heard(inMsg{in.from, whole})
 		}
-	case w.Msg != nil:
-		s.send(s.node.Receive(now, in.from, *w.Msg, time.Now().UnixMilli()))
-	case w.Log != nil:
+	case w.Node != nil:
+		s.send(s.node.Receive(now, in.from, *w.Node, time.Now().UnixMilli()))
+	case w.Raft != nil:
 		if s.log != nil {
-			if err := s.log.Step(in.from, w.Log); err != nil {
+			if err := s.log.Step(in.from, w.Raft); err != nil {
 				s.dropped.Add(1)
 			}
 		}
-	case w.Get != nil:
-		s.give(in.from, w.Get)
-	case w.Part != nil:
-		if s.fetch != nil && s.fetch.hash == w.Part.Hash {
-			if whole, ok := s.fetch.take(w.Part); ok {
+	case w.ChunkRequest != nil:
+		s.give(in.from, w.ChunkRequest)
+	case w.Chunk != nil:
+		if s.fetch != nil && s.fetch.hash == w.Chunk.Hash {
+			if whole, ok := s.fetch.receive(w.Chunk); ok {
 				s.fetched[s.fetch.hash], s.fetch = whole, nil
 			}
 		}
-	case w.Want == "history":
+	case w.ReportRequest == "history":
 		if s.leads() {
-			b := history(s.node.State())
+			b := encodeHistory(s.node.State())
 			h := policy.HashOf(b)
 			if s.temps[h] == nil {
 				if s.temp = append(s.temp, h); len(s.temp) > mostTemp {
@@ -407,34 +407,34 @@
 				}
 				s.temps[h] = b
 			}
-			s.tell(in.from, &wire{Long: &long{w.Want, h}})
+			s.tell(in.from, &message{ReportLocation: &reportLocation{w.ReportRequest, h}})
 		}
-	case w.Long != nil:
-		if len(w.Long.What) < 16 {
-			s.longs[w.Long.What] = w.Long.Hash
+	case w.ReportLocation != nil:
+		if len(w.ReportLocation.Report) < 16 {
+			s.longs[w.ReportLocation.Report] = w.ReportLocation.Hash
 		}
 	}
 }
 
 // give answers a get.
-func (s *Side) give(to int, g *get) {
-	p := &part{Hash: g.Hash, At: g.At}
-	if g.At < 0 || g.At%partBytes != 0 {
+func (s *Replica) give(to int, g *chunkRequest) {
+	p := &chunk{Hash: g.Hash, Offset: g.Offset}
+	if g.Offset < 0 || g.Offset%chunkBytes != 0 {
 		return
 	}
-	if b := s.temps[g.Hash]; b != nil && g.At < int64(len(b)) {
-		p.Size, p.Data = int64(len(b)), b[g.At:min(int64(len(b)), g.At+partBytes)]
+	if b := s.temps[g.Hash]; b != nil && g.Offset < int64(len(b)) {
+		p.DocumentSize, p.Data = int64(len(b)), b[g.Offset:min(int64(len(b)), g.Offset+chunkBytes)]
 	} else {
-		b := make([]byte, partBytes)
-		if n, size, err := s.docs.part(g.Hash, g.At, b); err == nil && n > 0 {
-			p.Size, p.Data = size, b[:n]
+		b := make([]byte, chunkBytes)
+		if n, size, err := s.docs.readAt(g.Hash, g.Offset, b); err == nil && n > 0 {
+			p.DocumentSize, p.Data = size, b[:n]
 		}
 	}
-	s.tell(to, &wire{Part: p})
+	s.tell(to, &message{Chunk: p})
 }
 
 // ready says whether a document is read and built; if not, it is seen to.
-func (s *Side) ready(h policy.Hash) bool {
+func (s *Replica) ready(h policy.Hash) bool {
 	if _, ok := s.built[h]; ok {
 		return true
 	}
@@ -443,7 +443,7 @@
 	}
 	doc := s.fetched[h]
 	if doc == nil {
-		b, err := s.docs.get(h)
+		b, err := s.docs.read(h)
 		if errors.Is(err, errDamaged) {
 			s.cfg.Log.Error("a policy's file is not used: it is fetched anew", "error", err)
 		}
@@ -456,8 +456,8 @@
 	keep := []policy.Hash{s.has.Hash, h}
 	s.wg.Go(func() {
 		r := built{hash: h}
-		if r.what, r.err = s.cfg.Host.Read(doc); r.err == nil {
-			if err := s.docs.put(doc, keep...); err != nil {
+		if r.what, r.err = s.cfg.Host.Build(doc); r.err == nil {
+			if err := s.docs.store(doc, keep...); err != nil {
 				r.err = fmt.Errorf("it could not be kept: %w", err)
 			}
 		}
@@ -470,7 +470,7 @@
 }
 
 // was takes what has become of a document.
-func (s *Side) was(r built) {
+func (s *Replica) was(r built) {
 	s.building = false
 	delete(s.fetched, r.hash)
 	if r.err != nil {
@@ -486,7 +486,7 @@
 }
 
 // work does what has come about: the log's, documents that are wanted, another version, another right.
-func (s *Side) work() {
+func (s *Replica) work() {
 	if s.log != nil {
 		s.log.Work() // a failure is logged, and ends this voter's part
 	}
@@ -498,9 +498,9 @@
 		s.fetch = nil
 	}
 	if s.fetch != nil {
-		to, all := s.fetch.asks(now)
+		to, all := s.fetch.nextRequests(now)
 		for i := range all {
-			s.tell(to, &wire{Get: &all[i]})
+			s.tell(to, &message{ChunkRequest: &all[i]})
 		}
 	}
 	if has := d.Version(); has != s.has {
@@ -508,12 +508,12 @@
 	}
 	if until := d.DecidesUntil(); until != s.until {
 		s.until = until
-		s.cfg.Host.Until(until)
+		s.cfg.Host.SetDecisionDeadline(until)
 	}
 	s.tellWhy(now)
-	v := View{Version: s.has, Until: s.until}
+	v := View{Version: s.has, DecidesUntil: s.until}
 	if c, ok := d.Pending(); ok {
-		v.Pending = c.ID
+		v.PendingChange = c.ID
 	}
 	if v != *s.view.Load() {
 		s.view.Store(&v)
@@ -521,7 +521,7 @@
 }
 
 // wanted says that somebody waits for a long answer by this hash.
-func (s *Side) wanted(h policy.Hash) bool {
+func (s *Replica) wanted(h policy.Hash) bool {
 	for _, l := range s.longs {
 		if l == h {
 			return true
@@ -531,7 +531,7 @@
 }
 
 // want sees to it that a document comes to be ready.
-func (s *Side) want(now time.Duration, h policy.Hash, from int) {
+func (s *Replica) want(now time.Duration, h policy.Hash, from int) {
 	if s.ready(h) {
 		s.node.Participant().DocumentPrepared(h) // it was built before this process had its present name
 		s.node.PollNow()
@@ -546,31 +546,31 @@
 	if s.building || s.fetched[h] != nil || s.fetch != nil && s.fetch.hash == h {
 		return
 	}
-	s.fetch = newFetch(h, s.others(from), now)
+	s.fetch = newDownload(h, s.others(from), now)
 }
 
 // others are the doors that may have a document, the likeliest first.
-func (s *Side) others(first int) (all []int) {
+func (s *Replica) others(first int) (all []int) {
 	for _, r := range append([]int{first}, append(slices.Clone(s.voters), s.ranks()...)...) {
-		if r != s.cfg.Rank && r < len(s.cfg.Names) && !slices.Contains(all, r) {
+		if r != s.cfg.Index && r < len(s.cfg.Gateways) && !slices.Contains(all, r) {
 			all = append(all, r)
 		}
 	}
 	return all
 }
 
-func (s *Side) ranks() (all []int) {
-	for r := range s.cfg.Names {
+func (s *Replica) ranks() (all []int) {
+	for r := range s.cfg.Gateways {
 		all = append(all, r)
 	}
 	return all
 }
 
 // change goes over to another version: nothing is decided until all goes by it.
-func (s *Side) change(to policy.Version) {
-	s.cfg.Host.Stop()
+func (s *Replica) change(to policy.Version) {
+	s.cfg.Host.StopDeciding()
 	s.until = 0
-	if err := s.cfg.Host.Apply(to.Number, s.built[to.Hash]); err != nil {
+	if err := s.cfg.Host.SwitchTo(to.Number, s.built[to.Hash]); err != nil {
 		s.cfg.Log.Error("a policy that was prepared could not be gone over to: nothing is decided here", "version", to.Number, "error", err)
 		s.node.Participant().Leave()
 		return
@@ -588,7 +588,7 @@
 }
 
 // write has the log's file written beside the loop.
-func (s *Side) write(write func() error, done func(error)) {
+func (s *Replica) write(write func() error, done func(error)) {
 	s.wg.Go(func() {
 		err := write()
 		select {
@@ -600,7 +600,7 @@
 
 // keepLast has the version that this door goes by written beside the loop, the last one last. Deciding does not wait for it: the version is
 // asked of the voters at the next start, and without_quorum = "last" goes by what the disk has by then.
-func (s *Side) keepLast(v policy.Version) {
+func (s *Replica) keepLast(v policy.Version) {
 	s.keepMu.Lock()
 	defer s.keepMu.Unlock()
 	s.keep = &v
@@ -617,7 +617,7 @@
 			if next == nil {
 				return
 			}
-			if err := saveLast(s.cfg.FS, s.cfg.Dir, *next); err != nil {
+			if err := saveVersion(s.cfg.FS, s.cfg.Dir, *next); err != nil {
 				s.cfg.Log.Error("the version could not be kept", "error", err)
 			}
 		}
@@ -625,7 +625,7 @@
 }
 
 // tellWhy logs, once, why nothing is decided, and that it is again.
-func (s *Side) tellWhy(now time.Duration) {
+func (s *Replica) tellWhy(now time.Duration) {
 	why := ""
 	if s.until <= now {
 		switch c, pending := s.node.Participant().Pending(); {
@@ -651,7 +651,7 @@
 var ErrEnded = errors.New("the door is ending")
 
 // do has the loop do something and waits.
-func (s *Side) do(ctx context.Context, f func()) error {
+func (s *Replica) do(ctx context.Context, f func()) error {
 	ended := make(chan struct{})
 	select {
 	case s.calls <- func() { f(); close(ended) }:
@@ -667,9 +667,9 @@
 	return nil
 }
 
-// Ask asks the leader, and waits for the answer: for a change, until it is decided. An error of the context says that it is not known yet; then
+// Query asks the leader, and waits for the answer: for a change, until it is decided. An error of the context says that it is not known yet; then
 // the last that was said is returned with it, if anything was.
-func (s *Side) Ask(ctx context.Context, say policy.Query) (*policy.QueryReply, error) {
+func (s *Replica) Query(ctx context.Context, say policy.Query) (*policy.QueryReply, error) {
 	var ask uint64
 	var startErr error
 	if err := s.do(ctx, func() {
@@ -701,7 +701,7 @@
 
 // Recover has this door's voter go on alone where a majority of the voters' disks is lost for good; lost are ranks of voters whose disks are known to
 // be gone. It returns why that may not be.
-func (s *Side) Recover(ctx context.Context, lost []int, who string) (reason string, err error) {
+func (s *Replica) Recover(ctx context.Context, lost []int, who string) (reason string, err error) {
 	r := policy.Recovery{Author: who[:min(len(who), policy.MaxIDBytes)], RecoveredAt: time.Now().UnixMilli()}
 	for _, v := range lost {
 		r.Lost = append(r.Lost, uint16(v))
@@ -718,8 +718,8 @@
 	return reason, err
 }
 
-// Keep puts a document onto this door's disk, for the others to fetch.
-func (s *Side) Keep(ctx context.Context, doc []byte) (policy.Hash, error) {
+// StoreDocument puts a document onto this door's disk, for the others to fetch.
+func (s *Replica) StoreDocument(ctx context.Context, doc []byte) (policy.Hash, error) {
 	if len(doc) == 0 || len(doc) > policy.MaxDocumentBytes {
 		return policy.Hash{}, fmt.Errorf("a policy of %d bytes, not 1 to %d", len(doc), policy.MaxDocumentBytes)
 	}
@@ -727,16 +727,16 @@
 	if err := s.do(ctx, func() { has = s.has.Hash }); err != nil {
 		return policy.Hash{}, err
 	}
-	return policy.HashOf(doc), s.docs.put(doc, has)
+	return policy.HashOf(doc), s.docs.store(doc, has)
 }
 
 // Document gets one, from this door's disk or another's.
-func (s *Side) Document(ctx context.Context, h policy.Hash) ([]byte, error) {
-	b, err := s.docs.get(h)
+func (s *Replica) Document(ctx context.Context, h policy.Hash) ([]byte, error) {
+	b, err := s.docs.read(h)
 	if err == nil {
 		return b, nil
 	}
-	f := newFetch(h, s.others(0), s.cfg.Now())
+	f := newDownload(h, s.others(0), s.cfg.Now())
 	defer s.do(context.Background(), func() {
 		if s.fetch == f {
 			s.fetch = nil
@@ -766,13 +766,13 @@
 }
 
 // History is the outcome of the last changes, as JSON, from the leader.
-func (s *Side) History(ctx context.Context) ([]byte, error) {
+func (s *Replica) History(ctx context.Context) ([]byte, error) {
 	var h policy.Hash
 	for h == (policy.Hash{}) {
 		if err := s.do(ctx, func() {
 			if h = s.longs["history"]; h == (policy.Hash{}) {
 				for _, v := range s.voters {
-					s.tell(v, &wire{Want: "history"})
+					s.tell(v, &message{ReportRequest: "history"})
 				}
 			}
 		}); err != nil {
@@ -789,7 +789,7 @@
 }
 
 // Leave says that this door decides nothing any more; the host has stopped. It is said some times, as it may be lost.
-func (s *Side) Leave() {
+func (s *Replica) Leave() {
 	for range leaveTries {
 		gone := false
 		if s.do(context.Background(), func() {
--- a/internal/service/hosted/fleet.go
+++ b/internal/service/hosted/fleet.go
@@ -179,7 +179,7 @@
 // ofPolicy carries what other doors say of policy.
 func (f *fleetSide) ofPolicy(from int, b []byte) {
 	if p := f.policy.Load(); p != nil {
-		p.side.Heard(from, b)
+		p.side.HandleMessage(from, b)
 	}
 }
 
--- a/internal/service/hosted/metrics.go
+++ b/internal/service/hosted/metrics.go
@@ -163,9 +163,9 @@
 	}
 	how := m.s.policy.side.View()
 	gauge(descVersion, float64(how.Version.Number))
-	gauge(descDecides, as(how.Until > m.s.clock.Now()))
-	gauge(descPending, as(how.Pending != ""))
-	counter(descPolicyOdd, m.s.policy.side.Dropped())
+	gauge(descDecides, as(how.DecidesUntil > m.s.clock.Now()))
+	gauge(descPending, as(how.PendingChange != ""))
+	counter(descPolicyOdd, m.s.policy.side.DroppedMessages())
 }
 
 // metricsFront serves the figures. It asks nothing of any pool. It implements [proxy.Front].
--- a/internal/service/hosted/policy.go
+++ b/internal/service/hosted/policy.go
@@ -22,7 +22,7 @@
 // policySide has this process go by the fleet's policy. It implements [policyreplica.Host].
 type policySide struct {
 	s     *Service
-	side  *policyreplica.Side
+	side  *policyreplica.Replica
 	names []string
 	guard *proxy.DecisionLease
 	mu    sync.Mutex // held to change until
@@ -39,11 +39,11 @@
 	for _, d := range sec.Gateways {
 		p.names = append(p.names, d.Name)
 	}
-	pc := policyreplica.Config{Name: cfg.Node.Name, Rank: sec.Index, Names: p.names, FS: s.disk, Dir: sec.StateDir, Now: s.clock.Now, Log: s.log.With("of", "policy"),
-		Tell: s.fleet.peers.SendPolicy, ID: func() policy.Process { return policy.Process{Gateway: uint16(sec.Index), ID: s.fleet.peers.ID()} },
-		Begin: func() ([]byte, error) { return policyOf(cfg.text) }, GiveUp: sec.Policy.GiveUp, Fence: sec.Policy.Fence, Host: p}
+	pc := policyreplica.Config{Name: cfg.Node.Name, Index: sec.Index, Gateways: p.names, FS: s.disk, Dir: sec.StateDir, Now: s.clock.Now, Log: s.log.With("of", "policy"),
+		Send: s.fleet.peers.SendPolicy, Process: func() policy.Process { return policy.Process{Gateway: uint16(sec.Index), ID: s.fleet.peers.ID()} },
+		InitialPolicy: func() ([]byte, error) { return policyOf(cfg.text) }, AbortAfter: sec.Policy.GiveUp, Fence: sec.Policy.Fence, Host: p}
 	if sec.Policy.UseLastKnown {
-		pc.Last = sec.Policy.LastKnownWait
+		pc.StoredVersionDelay = sec.Policy.LastKnownWait
 	}
 	var err error
 	if p.side, err = policyreplica.New(pc); err != nil {
@@ -79,8 +79,8 @@
 	}
 }
 
-// Read implements [policyreplica.Host].
-func (p *policySide) Read(doc []byte) (any, error) {
+// Build implements [policyreplica.Host].
+func (p *policySide) Build(doc []byte) (any, error) {
 	p.s.mu.Lock()
 	own := p.s.cfg
 	p.s.mu.Unlock()
@@ -102,11 +102,11 @@
 	return ParseWith(cfg.file, cfg.text, "policy", doc)
 }
 
-// Stop implements [policyreplica.Host].
-func (p *policySide) Stop() { p.Until(0) }
+// StopDeciding implements [policyreplica.Host].
+func (p *policySide) StopDeciding() { p.SetDecisionDeadline(0) }
 
-// Until implements [policyreplica.Host].
-func (p *policySide) Until(t time.Duration) {
+// SetDecisionDeadline implements [policyreplica.Host].
+func (p *policySide) SetDecisionDeadline(t time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	stood := p.until <= p.s.clock.Now()
@@ -128,8 +128,8 @@
 	return all
 }
 
-// Apply implements [policyreplica.Host]. It returns once all loops go by the version.
-func (p *policySide) Apply(version uint64, built any) error {
+// SwitchTo implements [policyreplica.Host]. It returns once all loops go by the version.
+func (p *policySide) SwitchTo(version uint64, built any) error {
 	cfg, ok := built.(*Config)
 	if !ok {
 		return errors.New("it was not read")
@@ -169,8 +169,8 @@
 // status is asked of the leader, too.
 func (p *policySide) status(ctx context.Context) *PolicyStatus {
 	v := p.side.View()
-	st := &PolicyStatus{Name: p.s.cfg.Node.Name, Version: v.Version, Decides: v.Until > p.s.clock.Now()}
-	said, err := p.side.Ask(ctx, policy.Query{})
+	st := &PolicyStatus{Name: p.s.cfg.Node.Name, Version: v.Version, Decides: v.DecidesUntil > p.s.clock.Now()}
+	said, err := p.side.Query(ctx, policy.Query{})
 	if err != nil {
 		return st
 	}
@@ -212,12 +212,12 @@
 // propose brings a change and waits for what becomes of it.
 func (p *policySide) propose(ctx context.Context, q map[string]string, doc []byte) (*PolicyResult, error) {
 	c := &policy.Change{ID: q["id"], Author: q["who"], Note: q["note"], Bytes: int64(len(doc)), ProposedAt: time.Now().UnixMilli(), Source: uint16(slices.Index(p.names, p.s.cfg.Node.Name))}
-	if _, err := p.Read(doc); err != nil {
+	if _, err := p.Build(doc); err != nil {
 		return nil, err
 	}
 	early, cancel := context.WithTimeout(ctx, askWithin)
 	defer cancel()
-	said, err := p.side.Ask(early, policy.Query{})
+	said, err := p.side.Query(early, policy.Query{})
 	if err != nil {
 		return nil, fmt.Errorf("no majority of the voters answers, so nothing was proposed: %w", err)
 	}
@@ -234,7 +234,7 @@
 	if err := c.Validate(); err != nil {
 		return nil, err
 	}
-	if c.Hash, err = p.side.Keep(ctx, doc); err != nil {
+	if c.Hash, err = p.side.StoreDocument(ctx, doc); err != nil {
 		return nil, fmt.Errorf("the policy could not be kept here: %w", err)
 	}
 	return p.outcome(ctx, policy.Query{ChangeID: c.ID, Change: c}), nil
@@ -243,7 +243,7 @@
 // outcome waits for what becomes of a change.
 func (p *policySide) outcome(ctx context.Context, say policy.Query) *PolicyResult {
 	r := &PolicyResult{ID: say.ChangeID}
-	said, err := p.side.Ask(ctx, say)
+	said, err := p.side.Query(ctx, say)
 	if err != nil || said.Outcome == nil {
 		if said != nil && said.Pending != nil && said.Pending.ID == say.ChangeID {
 			r.Waits = p.named(said.WaitingFor)
@@ -336,7 +336,7 @@
 			return
 		}
 		for reason := ""; ; {
-			said, err := p.side.Ask(ctx, policy.Query{ReplaceVoter: uint16(rank) + 1})
+			said, err := p.side.Query(ctx, policy.Query{ReplaceVoter: uint16(rank) + 1})
 			switch {
 			case err == nil && said.Reason == "":
 				w.WriteHeader(http.StatusNoContent)
@@ -381,7 +381,7 @@
 			http.Error(w, fmt.Sprintf("%q: %v", r.URL.Query().Get("name"), peer.ErrUnknownGateway), http.StatusNotFound)
 			return
 		}
-		said, err := p.side.Ask(ctx, policy.Query{Forget: uint16(rank) + 1})
+		said, err := p.side.Query(ctx, policy.Query{Forget: uint16(rank) + 1})
 		switch {
 		case err != nil:
 			http.Error(w, "no majority of the voters answers: "+err.Error(), http.StatusServiceUnavailable)
@@ -395,7 +395,7 @@
 
 // show is a version's document; of the present one, if none is named.
 func (p *policySide) show(ctx context.Context, version string) ([]byte, uint64, error) {
-	said, err := p.side.Ask(ctx, policy.Query{})
+	said, err := p.side.Query(ctx, policy.Query{})
 	if err != nil {
 		return nil, 0, fmt.Errorf("no majority of the voters answers, so the present version is not known: %w", err)
 	}
