--- /dev/null
+++ b/internal/policyreplica/call.go
@@ -0,0 +1,263 @@
+package policyreplica
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"time"
+
+	"gapgap/internal/policy"
+)
+
+const (
+	// callPollInterval is how often a waiting call looks for its result.
+	callPollInterval = 20 * time.Millisecond
+	// leaveAttempts and leaveInterval are how often at most, and with what pause, the leader is notified of a leave.
+	leaveAttempts = 10
+	leaveInterval = 50 * time.Millisecond
+)
+
+// ErrClosed says that the replica ends.
+var ErrClosed = errors.New("the door is ending")
+
+// RefusedError says why an operator's command was not carried out. It may name gateways by index, see
+// [policy.ReplaceGatewayNumbers].
+type RefusedError struct {
+	Reason string
+}
+
+func (e *RefusedError) Error() string { return e.Reason }
+
+// DocumentSizeError says that a document is empty or too long.
+type DocumentSizeError struct {
+	// Bytes is the document's length.
+	Bytes int
+}
+
+func (e *DocumentSizeError) Error() string {
+	return fmt.Sprintf("a policy of %d bytes, not 1 to %d", e.Bytes, policy.MaxDocumentBytes)
+}
+
+// UnavailableDocumentError says that no gateway sent a document in time.
+type UnavailableDocumentError struct {
+	Hash policy.Hash
+	// Err is the error of the caller's context.
+	Err error
+}
+
+func (e *UnavailableDocumentError) Error() string {
+	return fmt.Sprintf("no door that answers has the document %s: %v", shortHash(e.Hash), e.Err)
+}
+
+// Unwrap returns the error of the caller's context.
+func (e *UnavailableDocumentError) Unwrap() error { return e.Err }
+
+// call runs a function on the replica's goroutine and waits for its end. Its error is ErrClosed or the context's.
+func (r *Replica) call(ctx context.Context, f func()) error {
+	returned := make(chan struct{})
+	call := func() {
+		f()
+		close(returned)
+	}
+	select {
+	case r.calls <- call:
+	case <-r.done:
+		return ErrClosed
+	case <-ctx.Done():
+		return ctx.Err()
+	}
+	select {
+	case <-returned:
+	case <-r.done:
+	}
+	return nil
+}
+
+// cleanUp runs a function on the replica's goroutine, unless that has ended and nothing is left to clean up.
+func (r *Replica) cleanUp(f func()) { _ = r.call(context.Background(), f) }
+
+// poll runs a function on the replica's goroutine again and again until it returns true. Its error is ErrClosed or the
+// context's.
+func (r *Replica) poll(ctx context.Context, isReady func() bool) error {
+	for {
+		ready := false
+		if err := r.call(ctx, func() { ready = isReady() }); err != nil {
+			return err
+		}
+		if ready {
+			return nil
+		}
+		select {
+		case <-ctx.Done():
+			return ctx.Err()
+		case <-time.After(callPollInterval):
+		}
+	}
+}
+
+// Query sends a query to the leader and waits for the reply, which for a change is its outcome. Its error is ErrClosed,
+// policy.ErrTooManyQueries, or the context's: then the outcome of a change is not known.
+func (r *Replica) Query(ctx context.Context, query policy.Query) (*policy.QueryReply, error) {
+	number, err := r.startQuery(ctx, query)
+	if err != nil {
+		return nil, err
+	}
+	defer r.cleanUp(func() { r.node.EndQuery(number) })
+	var reply *policy.QueryReply
+	err = r.poll(ctx, func() bool {
+		reply = r.node.QueryReply(number)
+		return reply != nil
+	})
+	if err != nil {
+		return nil, err
+	}
+	return reply, nil
+}
+
+// startQuery sends a query and returns its number.
+func (r *Replica) startQuery(ctx context.Context, query policy.Query) (number uint64, err error) {
+	var startErr error
+	err = r.call(ctx, func() {
+		number, startErr = r.node.StartQuery(query)
+		if startErr == nil {
+			r.sendAll(r.node.Tick(r.config.Now(), wallMilliseconds()))
+		}
+	})
+	if err != nil {
+		return 0, err
+	}
+	return number, startErr
+}
+
+// Recover makes this gateway's voter go on alone where a majority of the voters' disks is lost for good. lost are the
+// indices of the voters whose disks are known to be lost. Its error may be a *RefusedError, ErrClosed or the context's.
+func (r *Replica) Recover(ctx context.Context, lost []int, author string) error {
+	entry, err := encodeRecovery(lost, author)
+	if err != nil {
+		return err
+	}
+	reason := "this door does not vote: recover at one that does"
+	err = r.call(ctx, func() {
+		if r.raftLog != nil {
+			reason = r.raftLog.Recover(lost, entry)
+		}
+	})
+	if err != nil {
+		return err
+	}
+	if reason != "" {
+		return &RefusedError{Reason: reason}
+	}
+	return nil
+}
+
+// encodeRecovery returns the log entry of a recovery.
+func encodeRecovery(lost []int, author string) ([]byte, error) {
+	recovery := &policy.Recovery{
+		Author:      author[:min(len(author), policy.MaxIDBytes)],
+		RecoveredAt: wallMilliseconds(),
+	}
+	for _, index := range lost {
+		recovery.Lost = append(recovery.Lost, uint16(index))
+	}
+	return policy.Entry{Recovery: recovery}.Encode()
+}
+
+// StoreDocument stores a document on this gateway's disk, for others to fetch, and returns its hash. Its error may be a
+// *DocumentSizeError, ErrClosed or the context's.
+func (r *Replica) StoreDocument(ctx context.Context, document []byte) (policy.Hash, error) {
+	if len(document) == 0 || len(document) > policy.MaxDocumentBytes {
+		return policy.Hash{}, &DocumentSizeError{Bytes: len(document)}
+	}
+	var inUse policy.Hash
+	if err := r.call(ctx, func() { inUse = r.version.Hash }); err != nil {
+		return policy.Hash{}, err
+	}
+	return policy.HashOf(document), r.documents.store(document, inUse)
+}
+
+// Document returns a document, from this gateway's disk or another gateway. Its error may be an
+// *UnavailableDocumentError, ErrClosed or the context's.
+func (r *Replica) Document(ctx context.Context, hash policy.Hash) ([]byte, error) {
+	if document, err := r.documents.read(hash); err == nil {
+		return document, nil
+	}
+	own := newDownload(hash, r.sources(0))
+	defer r.cleanUp(func() {
+		if r.download == own {
+			r.download = nil
+		}
+		delete(r.awaited, shortHash(hash))
+		delete(r.preparer.downloaded, hash)
+	})
+	for {
+		var document []byte
+		err := r.call(ctx, func() { document = r.awaitDownload(own) })
+		if err != nil {
+			return nil, err
+		}
+		if document != nil {
+			return document, nil
+		}
+		select {
+		case <-ctx.Done():
+			return nil, &UnavailableDocumentError{Hash: hash, Err: ctx.Err()}
+		case <-time.After(callPollInterval):
+		}
+	}
+}
+
+// awaitDownload returns the document of a download that is complete. If it is not, and no other download runs, this one
+// runs next.
+func (r *Replica) awaitDownload(own *download) []byte {
+	document := r.preparer.downloaded[own.hash]
+	if document == nil && r.download == nil {
+		r.download = own
+		r.awaited[shortHash(own.hash)] = own.hash
+	}
+	return document
+}
+
+// History returns the outcomes of the last changes, as JSON, from the leader. Its errors are those of Document.
+func (r *Replica) History(ctx context.Context) ([]byte, error) {
+	hash, err := r.locateHistory(ctx)
+	if err != nil {
+		return nil, err
+	}
+	defer r.cleanUp(func() { delete(r.awaited, historyReport) })
+	return r.Document(ctx, hash)
+}
+
+// locateHistory returns the hash by which the leader's history can be fetched.
+func (r *Replica) locateHistory(ctx context.Context) (hash policy.Hash, err error) {
+	err = r.poll(ctx, func() bool {
+		located, ok := r.awaited[historyReport]
+		if !ok || located == (policy.Hash{}) {
+			for _, voter := range r.voters {
+				r.send(voter, &message{ReportRequest: historyReport})
+			}
+			return false
+		}
+		hash = located
+		return true
+	})
+	return hash, err
+}
+
+// Leave notifies the leader that this gateway decides nothing any more; the host has stopped before. It repeats that
+// until the leader has confirmed it, at most leaveAttempts times.
+func (r *Replica) Leave() {
+	for range leaveAttempts {
+		isConfirmed := false
+		err := r.call(context.Background(), func() {
+			r.node.Participant().Leave()
+			r.node.PollNow()
+			r.sendAll(r.node.Tick(r.config.Now(), wallMilliseconds()))
+			isConfirmed = r.node.IsLeaveConfirmed()
+		})
+		if err != nil || isConfirmed {
+			return
+		}
+		time.Sleep(leaveInterval)
+	}
+}
--- /dev/null
+++ b/internal/policyreplica/documentstore.go
@@ -0,0 +1,143 @@
+package policyreplica
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"time"
+
+	"gapgap/internal/policy"
+	"gapgap/internal/vfs"
+)
+
+const (
+	// maxStoredDocuments is how many documents stay on the disk: those used last.
+	maxStoredDocuments = 16
+
+	documentDirectory = "policies"
+	documentSuffix    = ".toml"
+	// temporaryMark is in the names of files that a process had not yet renamed when it ended.
+	temporaryMark = ".new"
+)
+
+// errDocumentDamaged says that a file's content does not have the hash in its name.
+var errDocumentDamaged = errors.New("the document's file is damaged")
+
+// documentStore has policy documents on the disk, each in a file that is named by its hash. Any goroutine may use it.
+type documentStore struct {
+	fs  vfs.FS
+	dir string
+}
+
+// openDocumentStore makes the store's directory in a state directory and removes unfinished files.
+func openDocumentStore(fsys vfs.FS, stateDir string) (*documentStore, error) {
+	d := &documentStore{fs: fsys, dir: filepath.Join(stateDir, documentDirectory)}
+	if err := fsys.MkdirAll(d.dir, 0o700); err != nil {
+		return nil, err
+	}
+	if err := fsys.SyncDir(stateDir); err != nil {
+		return nil, err
+	}
+	entries, err := fsys.ReadDir(d.dir)
+	if err != nil {
+		return nil, err
+	}
+	for _, entry := range entries {
+		if strings.Contains(entry.Name(), temporaryMark) {
+			_ = fsys.Remove(filepath.Join(d.dir, entry.Name())) // it takes space only
+		}
+	}
+	return d, nil
+}
+
+func (d *documentStore) path(hash policy.Hash) string {
+	return filepath.Join(d.dir, hash.String()+documentSuffix)
+}
+
+// read returns a document. Its error may wrap fs.ErrNotExist or errDocumentDamaged.
+func (d *documentStore) read(hash policy.Hash) ([]byte, error) {
+	document, err := vfs.ReadFile(d.fs, d.path(hash), policy.MaxDocumentBytes)
+	if err != nil {
+		return nil, err
+	}
+	if policy.HashOf(document) != hash {
+		return nil, fmt.Errorf("%s: %w", d.path(hash), errDocumentDamaged)
+	}
+	return document, nil
+}
+
+// store stores a document durably, and removes those that were not used for longest, but for those in use.
+func (d *documentStore) store(document []byte, inUse ...policy.Hash) error {
+	hash := policy.HashOf(document)
+	if stored, err := d.read(hash); err == nil && len(stored) == len(document) {
+		return d.touch(hash)
+	}
+	if err := vfs.ReplaceFile(d.fs, d.path(hash), document); err != nil {
+		return err
+	}
+	d.prune(append(inUse, hash))
+	return nil
+}
+
+// touch marks a document as used now. A process may have ended before it had synced the directory with the file.
+func (d *documentStore) touch(hash policy.Hash) error {
+	now := time.Now()
+	_ = os.Chtimes(d.path(hash), now, now) // it may be pruned too early, and is fetched again then
+	return d.fs.SyncDir(d.dir)
+}
+
+// storedDocument is a file with the time of its last use.
+type storedDocument struct {
+	name   string
+	usedAt time.Time
+}
+
+// prune removes documents beyond maxStoredDocuments, but for those in use.
+func (d *documentStore) prune(inUse []policy.Hash) {
+	stored := d.list()
+	slices.SortFunc(stored, func(a, b storedDocument) int { return b.usedAt.Compare(a.usedAt) })
+	for i, file := range stored {
+		isInUse := slices.ContainsFunc(inUse, func(hash policy.Hash) bool {
+			return file.name == hash.String()+documentSuffix
+		})
+		if i >= maxStoredDocuments && !isInUse {
+			_ = d.fs.Remove(filepath.Join(d.dir, file.name)) // the next prune tries again
+		}
+	}
+}
+
+// list returns the stored documents; none if the directory can't be read.
+func (d *documentStore) list() (stored []storedDocument) {
+	entries, err := d.fs.ReadDir(d.dir)
+	if err != nil {
+		return nil
+	}
+	for _, entry := range entries {
+		info, err := entry.Info()
+		if err == nil && strings.HasSuffix(entry.Name(), documentSuffix) {
+			stored = append(stored, storedDocument{name: entry.Name(), usedAt: info.ModTime()})
+		}
+	}
+	return stored
+}
+
+// readAt reads bytes of a document from an offset on, and the document's size. It reads fewer at the document's end.
+func (d *documentStore) readAt(hash policy.Hash, offset int64, b []byte) (n int, size int64, err error) {
+	file, err := d.fs.OpenFile(d.path(hash), os.O_RDONLY, 0)
+	if err != nil {
+		return 0, 0, err
+	}
+	defer func() { _ = file.Close() }() // it was only read
+	info, err := file.Stat()
+	if err != nil {
+		return 0, 0, err
+	}
+	n, err = file.ReadAt(b, offset)
+	if n > 0 {
+		err = nil
+	}
+	return n, info.Size(), err
+}
--- a/internal/policyreplica/golden_test.go
+++ b/internal/policyreplica/golden_test.go
@@ -19,25 +19,45 @@
 	"gapgap/internal/vfs"
 )
 
-func goldenRef(rank uint16) policy.Process {
-	return policy.Process{Gateway: rank, ID: membership.ID{Incarnation: 5, Nonce: 1 << 31}}
+func goldenProcess(gateway uint16) policy.Process {
+	return policy.Process{Gateway: gateway, ID: membership.ID{Incarnation: 5, Nonce: 1 << 31}}
 }
 
 func goldenChange() policy.Change {
-	return policy.Change{Index: 300, ID: "c", Base: 6, Hash: policy.HashOf([]byte("doc")), Bytes: 1 << 20, Mode: policy.Fence,
-		Author: "w", Note: "n", ProposedAt: 1_700_000_000_001, Source: 4, Initial: true}
+	return policy.Change{
+		Index:      300,
+		ID:         "c",
+		Base:       6,
+		Hash:       policy.HashOf([]byte("doc")),
+		Bytes:      1 << 20,
+		Mode:       policy.Fence,
+		Author:     "w",
+		Note:       "n",
+		ProposedAt: 1_700_000_000_001,
+		Source:     4,
+		Initial:    true,
+	}
 }
 
 // TestGoldenMessages compares the bytes of each kind of datagram with those recorded, and reads them back.
 func TestGoldenMessages(t *testing.T) {
 	hash := policy.HashOf([]byte("doc"))
-	hello := policy.StatusRequest{Process: goldenRef(1), SentAt: time.Hour, Version: 7, Prepared: 300, Rejected: 301, Reason: "r", Locked: 302,
-		Leaving: true, SwitchedAt: 1_700_000_000_003}
+	statusRequest := policy.StatusRequest{
+		Process:    goldenProcess(1),
+		SentAt:     time.Hour,
+		Version:    7,
+		Prepared:   300,
+		Rejected:   301,
+		Reason:     "r",
+		Locked:     302,
+		Leaving:    true,
+		SwitchedAt: 1_700_000_000_003,
+	}
 	cases := []struct {
 		name  string
 		value message
 	}{
-		{"node", message{Node: &policy.Message{StatusRequest: &hello}}},
+		{"node", message{Node: &policy.Message{StatusRequest: &statusRequest}}},
 		{"log", message{Raft: []byte("S raft")}},
 		{"get", message{ChunkRequest: &chunkRequest{Hash: hash, Offset: 8192}}},
 		{"part", message{Chunk: &chunk{Hash: hash, Offset: 8192, DocumentSize: 10_000, Data: []byte("some bytes")}}},
@@ -64,7 +84,7 @@
 	}
 }
 
-// TestGoldenVersionFile compares the file of the version gone by with the recorded one, and reads that back.
+// TestGoldenVersionFile compares the file of the version with the recorded one, and reads that back.
 func TestGoldenVersionFile(t *testing.T) {
 	path := "testdata/golden/policy.json"
 	want := policy.Version{Number: 7, Hash: policy.HashOf([]byte("doc"))}
@@ -86,8 +106,16 @@
 func TestGoldenHistory(t *testing.T) {
 	change := goldenChange()
 	state := &policy.State{Outcomes: []policy.Outcome{
-		{Change: change, Committed: true, Version: 7, Reason: "r", DecidedAt: 1_700_000_000_002, Locked: []policy.Process{goldenRef(1)},
-			Fenced: []policy.Process{goldenRef(3)}, SwitchedAt: map[uint16]int64{1: 1_700_000_000_003, 3: 4}},
+		{
+			Change:     change,
+			Committed:  true,
+			Version:    7,
+			Reason:     "r",
+			DecidedAt:  1_700_000_000_002,
+			Locked:     []policy.Process{goldenProcess(1)},
+			Fenced:     []policy.Process{goldenProcess(3)},
+			SwitchedAt: map[uint16]int64{1: 1_700_000_000_003, 3: 4},
+		},
 		{Change: policy.Change{ID: "d"}, Reason: "door 3 has not locked", DecidedAt: 9},
 	}}
 	golden.CheckBytes(t, "testdata/golden/history.json", encodeHistory(state))
@@ -104,18 +132,18 @@
 	if err := os.WriteFile(filepath.Join(dir, "policies", "x.toml.new1"), nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	d, err := openDocumentStore(vfs.OS{}, dir)
+	documents, err := openDocumentStore(vfs.OS{}, dir)
 	if err != nil {
 		t.Fatal(err)
 	}
 	first := policy.HashOf([]byte("document 0"))
 	for i := range 20 {
 		doc := fmt.Appendf(nil, "document %d", i)
-		if err := d.store(doc, first); err != nil {
+		if err := documents.store(doc, first); err != nil {
 			t.Fatal(err)
 		}
 		at := time.Unix(int64(1_700_000_000+i), 0)
-		if err := os.Chtimes(d.path(policy.HashOf(doc)), at, at); err != nil {
+		if err := os.Chtimes(documents.path(policy.HashOf(doc)), at, at); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -129,7 +157,7 @@
 		trace.String(string(golden.Read(t, filepath.Join(dir, "policies", e.Name()))))
 	}
 	b := make([]byte, 4)
-	n, size, err := d.readAt(first, 5, b)
+	n, size, err := documents.readAt(first, 5, b)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -138,39 +166,43 @@
 	hashes.Check(t, "documents", trace.Sum())
 }
 
-// fetchHash is the trace of fetching a document over lines that lose from gateways of which some do not have it.
-func fetchHash(t *testing.T, seed uint64) string {
+// downloadHash is the trace of a download over lossy links from gateways of which some do not have the document.
+func downloadHash(t *testing.T, seed uint64) string {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 11))
 	trace, now := golden.NewTrace(), time.Hour
-	doc := make([]byte, 1+rng.IntN(60*chunkBytes))
-	for i := range doc {
-		doc[i] = byte(rng.Uint32())
+	document := make([]byte, 1+rng.IntN(60*chunkBytes))
+	for i := range document {
+		document[i] = byte(rng.Uint32())
 	}
+	size := int64(len(document))
 	sources := []int{0, 3, 4}[:1+rng.IntN(3)]
-	f := newDownload(policy.HashOf(doc), sources, now)
+	d := newDownload(policy.HashOf(document), sources)
 	for range 4000 {
-		to, gets := f.nextRequests(now)
-		slices.SortFunc(gets, func(a, b chunkRequest) int { return int(a.Offset - b.Offset) }) // those asked for again come in the order of a map
+		to, requests := d.nextRequests(now)
+		slices.SortFunc(requests, func(a, b chunkRequest) int { // repeated ones come in the order of a map
+			return int(a.Offset - b.Offset)
+		})
 		trace.Int(int64(to))
-		trace.Int(int64(len(gets)))
-		for _, g := range gets {
-			trace.String(string(g.Hash[:]))
-			trace.Int(g.Offset)
+		trace.Int(int64(len(requests)))
+		for _, request := range requests {
+			trace.String(string(request.Hash[:]))
+			trace.Int(request.Offset)
 			if rng.IntN(4) == 0 {
 				continue // lost
 			}
-			p := &chunk{Hash: g.Hash, Offset: g.Offset}
-			if rng.IntN(10) > 0 && to != 3 && g.Offset < int64(len(doc)) {
-				p.DocumentSize, p.Data = int64(len(doc)), bytes.Clone(doc[g.Offset:min(int64(len(doc)), g.Offset+chunkBytes)])
+			reply := &chunk{Hash: request.Hash, Offset: request.Offset}
+			if rng.IntN(10) > 0 && to != 3 && request.Offset < size {
+				reply.DocumentSize = size
+				reply.Data = bytes.Clone(document[request.Offset:min(size, request.Offset+chunkBytes)])
 			}
-			if rng.IntN(400) == 0 && len(p.Data) > 0 {
-				p.Data[0]++ // damaged
+			if rng.IntN(400) == 0 && len(reply.Data) > 0 {
+				reply.Data[0]++ // damaged
 			}
-			whole, ok := f.receive(p)
+			received, ok := d.receive(reply)
 			trace.Bool(ok)
 			if ok {
-				trace.Bool(bytes.Equal(whole, doc))
+				trace.Bool(bytes.Equal(received, document))
 				return trace.Sum()
 			}
 		}
@@ -179,26 +211,31 @@
 	return trace.Sum()
 }
 
-// joinHash is the trace of messages in fragments that are lost, doubled and out of order.
-func joinHash(seed uint64) string {
+// reassemblyHash is the trace of messages in fragments that are lost, doubled and out of order.
+func reassemblyHash(seed uint64) string {
 	rng := rand.New(rand.NewPCG(seed, 12))
 	trace := golden.NewTrace()
-	var j reassembly
+	var r reassembly
 	for id := range uint32(200) {
-		of := 1 + rng.IntN(6)
-		for _, n := range rng.Perm(of + 1) {
+		count := 1 + rng.IntN(6)
+		for _, index := range rng.Perm(count + 1) {
 			if rng.IntN(9) == 0 {
 				continue
 			}
-			whole := j.add(&fragment{MessageID: id - uint32(rng.IntN(15)/14), Index: uint16(n), Count: uint16(of), Data: fmt.Appendf(nil, "%d-%d,", id, n)})
-			trace.Bool(whole != nil)
-			trace.String(string(whole))
+			encoded := r.add(&fragment{
+				MessageID: id - uint32(rng.IntN(15)/14),
+				Index:     uint16(index),
+				Count:     uint16(count),
+				Data:      fmt.Appendf(nil, "%d-%d,", id, index),
+			})
+			trace.Bool(encoded != nil)
+			trace.String(string(encoded))
 		}
 	}
 	return trace.Sum()
 }
 
-// TestGoldenTransfers compares how documents are fetched and messages are joined with what is recorded.
+// TestGoldenTransfers compares how documents are downloaded and messages reassembled with what is recorded.
 func TestGoldenTransfers(t *testing.T) {
 	hashes := golden.LoadHashes(t, "testdata/golden/hashes.txt")
 	check := func(name string, play func() string) {
@@ -211,13 +248,13 @@
 		hashes.Check(t, name, sum)
 	}
 	for seed := range uint64(20) {
-		check(fmt.Sprint("fetch-", seed), func() string { return fetchHash(t, seed) })
-		check(fmt.Sprint("join-", seed), func() string { return joinHash(seed) })
+		check(fmt.Sprint("fetch-", seed), func() string { return downloadHash(t, seed) })
+		check(fmt.Sprint("join-", seed), func() string { return reassemblyHash(seed) })
 	}
 	trace := golden.NewTrace()
 	for gateways := range 40 {
-		for _, rank := range Voters(gateways) {
-			trace.Int(int64(rank))
+		for _, index := range Voters(gateways) {
+			trace.Int(int64(index))
 		}
 		trace.Int(-1)
 	}
--- /dev/null
+++ b/internal/policyreplica/replica.go
@@ -0,0 +1,245 @@
+package policyreplica
+
+import (
+	"context"
+	"slices"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"gapgap/internal/policy"
+	"gapgap/internal/raftlog"
+)
+
+const (
+	// tickInterval is how often timers of the node are checked.
+	tickInterval = 10 * time.Millisecond
+	// ticksPerRaftTick is how many of these make a tick of the replicated log.
+	ticksPerRaftTick = 5
+	// maxQueuedMessages limits the messages that wait for the replica's goroutine. More are dropped.
+	maxQueuedMessages = 4096
+	// maxBatch limits the queued messages that are handled together, so that one write of the log has all of them.
+	maxBatch = 64
+)
+
+// View shows which version a gateway decides by.
+type View struct {
+	// Version is the version that it has switched to; the zero version: none yet.
+	Version policy.Version
+	// DecidesUntil is when its right to decide ends, by the clock Config.Now; zero: it has none.
+	DecidesUntil time.Duration
+	// PendingChange is the ID of the change that is being decided as far as the gateway knows; empty: none.
+	PendingChange string
+}
+
+// Replica is a gateway's part in the agreement on policy versions. Any goroutine may call its exported methods.
+type Replica struct {
+	config        Config
+	voters        []int
+	documents     *documentStore
+	versionWriter *versionWriter
+	// storedVersion is the version that the disk had at the start.
+	storedVersion   policy.Version
+	droppedMessages atomic.Uint64
+	view            atomic.Pointer[View]
+
+	inbox chan receivedDatagram
+	// calls and written are functions to run on the replica's goroutine: of callers, and after writes of the log.
+	calls     chan func()
+	written   chan func()
+	ctx       context.Context
+	cancel    context.CancelFunc
+	waitGroup sync.WaitGroup
+	// done is closed when the replica's goroutine ends.
+	done chan struct{}
+
+	// The fields below belong to the goroutine of run.
+
+	node *policy.Node
+	// raftLog is nil where this gateway is no voter.
+	raftLog *raftlog.Log
+	process policy.Process
+	// startedAt is when run started, and ticks counts its ticks.
+	startedAt time.Duration
+	ticks     int
+	// version and decidesUntil are what the host was given last.
+	version      policy.Version
+	decidesUntil time.Duration
+	// loggedReason is why nothing is decided, as logged last; empty: requests are decided.
+	loggedReason    string
+	preparer        *preparer
+	initialProposal initialProposal
+	// download is the one that runs; nil: none.
+	download *download
+	awaited  awaitedDocuments
+	reports  reportCache
+	// lastMessageID is that of the last message that was sent in fragments.
+	lastMessageID uint32
+	// reassemblies are of received messages, by sender.
+	reassemblies map[int]*reassembly
+}
+
+// New opens what the gateway's disk has of policy. Its errors say in one line what is wrong, and may wrap those of
+// packages statefile and raftlog.
+func New(config Config) (*Replica, error) {
+	documents, err := openDocumentStore(config.FS, config.Dir)
+	if err != nil {
+		return nil, err
+	}
+	storedVersion, err := loadVersion(config.FS, config.Dir)
+	if err != nil {
+		return nil, err
+	}
+	r := newReplica(config, documents)
+	r.storedVersion = storedVersion
+	if err := r.openNode(); err != nil {
+		return nil, err
+	}
+	r.ctx, r.cancel = context.WithCancel(context.Background())
+	return r, nil
+}
+
+// newReplica returns a replica without its node.
+func newReplica(config Config, documents *documentStore) *Replica {
+	r := &Replica{
+		config:       config,
+		voters:       Voters(len(config.Gateways)),
+		documents:    documents,
+		inbox:        make(chan receivedDatagram, maxQueuedMessages),
+		calls:        make(chan func()),
+		written:      make(chan func()),
+		done:         make(chan struct{}),
+		process:      config.Process(),
+		awaited:      awaitedDocuments{},
+		reports:      reportCache{byHash: map[policy.Hash][]byte{}},
+		reassemblies: map[int]*reassembly{},
+	}
+	r.versionWriter = &versionWriter{fs: config.FS, dir: config.Dir, log: config.Log, waitGroup: &r.waitGroup}
+	r.preparer = &preparer{
+		host:       config.Host,
+		documents:  documents,
+		log:        config.Log,
+		waitGroup:  &r.waitGroup,
+		results:    make(chan buildResult, 1),
+		done:       r.done,
+		downloaded: map[policy.Hash][]byte{},
+		built:      map[policy.Hash]any{},
+		failedAt:   map[policy.Hash]time.Duration{},
+	}
+	r.view.Store(&View{})
+	return r
+}
+
+// openNode makes the node, and opens the replicated log where this gateway is a voter.
+func (r *Replica) openNode() error {
+	nodeConfig := policy.Config{
+		Process:    r.process,
+		Gateways:   len(r.config.Gateways),
+		Voters:     r.voters,
+		AbortAfter: r.config.AbortAfter,
+	}
+	if !slices.Contains(r.voters, r.config.Index) {
+		r.node = policy.NewNode(nodeConfig)
+		return nil
+	}
+	disk, err := raftlog.OpenDisk(r.config.FS, r.config.Dir)
+	if err != nil {
+		return err
+	}
+	nodeConfig.Log = voterLog{replica: r}
+	r.node = policy.NewNode(nodeConfig)
+	return r.openLog(disk)
+}
+
+// Start starts the replica's goroutine.
+func (r *Replica) Start() { r.waitGroup.Go(r.run) }
+
+// Close ends the replica's goroutines. Other gateways are not notified; [Replica.Leave] does that before.
+func (r *Replica) Close() {
+	r.cancel()
+	r.waitGroup.Wait()
+}
+
+// View returns which version the gateway decides by.
+func (r *Replica) View() View { return *r.view.Load() }
+
+// StoredVersion returns the version that the disk had at the start; the zero version if it had none.
+func (r *Replica) StoredVersion() policy.Version { return r.storedVersion }
+
+// DroppedMessages returns how many messages were not understood or found a full queue.
+func (r *Replica) DroppedMessages() uint64 { return r.droppedMessages.Load() }
+
+// run handles messages, calls, results and ticks until the context is done.
+func (r *Replica) run() {
+	defer close(r.done)
+	ticker := time.NewTicker(tickInterval)
+	defer ticker.Stop()
+	r.startedAt = r.config.Now()
+	for {
+		select {
+		case <-r.ctx.Done():
+			return
+		case first := <-r.inbox:
+			r.handleQueued(first)
+		case call := <-r.calls:
+			call()
+		case result := <-r.preparer.results:
+			r.handleBuildResult(result)
+		case done := <-r.written:
+			done()
+		case <-ticker.C:
+			r.tick()
+		}
+		r.update()
+	}
+}
+
+// handleQueued handles a message and those that are queued behind it, up to maxBatch.
+func (r *Replica) handleQueued(first receivedDatagram) {
+	r.handle(first)
+	for range min(len(r.inbox), maxBatch) {
+		r.handle(<-r.inbox)
+	}
+}
+
+// tick does what is due.
+func (r *Replica) tick() {
+	now := r.config.Now()
+	r.ticks++
+	if r.raftLog != nil && r.ticks%ticksPerRaftTick == 0 {
+		r.raftLog.Tick()
+	}
+	if process := r.config.Process(); process != r.process {
+		r.process = process
+		r.node.SetProcess(process)
+	}
+	r.sendAll(r.node.Tick(now, wallMilliseconds()))
+	r.proposeInitialPolicy(now)
+	r.decideByStoredVersion(now)
+	r.preparer.expireFailures(now)
+}
+
+// update does what follows from the last event: writes of the log, transfers, and what the host has to know.
+func (r *Replica) update() {
+	if r.raftLog != nil {
+		_ = r.raftLog.Work() // it logs its failure, and the voter takes no part any more
+	}
+	now := r.config.Now()
+	r.updateDownload(now)
+	r.updateHost()
+	r.logDecisionState(now)
+	r.updateView()
+}
+
+func (r *Replica) updateView() {
+	view := View{Version: r.version, DecidesUntil: r.decidesUntil}
+	if change, ok := r.node.Participant().Pending(); ok {
+		view.PendingChange = change.ID
+	}
+	if view != *r.view.Load() {
+		r.view.Store(&view)
+	}
+}
+
+// wallMilliseconds is the wall time in Unix milliseconds.
+func wallMilliseconds() int64 { return time.Now().UnixMilli() }
--- /dev/null
+++ b/internal/policyreplica/report.go
@@ -0,0 +1,65 @@
+package policyreplica
+
+import (
+	"encoding/json"
+
+	"gapgap/internal/policy"
+)
+
+// maxCachedReports is how many reports a leader keeps for others to fetch.
+const maxCachedReports = 4
+
+// encodeHistory returns the outcomes of the last changes as JSON.
+func encodeHistory(state *policy.State) []byte {
+	encoded, err := json.Marshal(state.Outcomes)
+	if err != nil {
+		return []byte("[]")
+	}
+	return encoded
+}
+
+// reportCache has the reports that a leader made last, by hash.
+type reportCache struct {
+	// order has the hashes, the oldest first.
+	order  []policy.Hash
+	byHash map[policy.Hash][]byte
+}
+
+// add keeps a report, drops the oldest if there are too many, and returns the report's hash.
+func (c *reportCache) add(report []byte) policy.Hash {
+	hash := policy.HashOf(report)
+	if c.byHash[hash] != nil {
+		return hash
+	}
+	c.order = append(c.order, hash)
+	if len(c.order) > maxCachedReports {
+		delete(c.byHash, c.order[0])
+		c.order = c.order[1:]
+	}
+	c.byHash[hash] = report
+	return hash
+}
+
+// chunk returns the bytes of a report from an offset on, at most chunkBytes, and the report's size; nil if it has none.
+func (c *reportCache) chunk(hash policy.Hash, offset int64) (data []byte, size int64) {
+	report := c.byHash[hash]
+	size = int64(len(report))
+	if offset >= size {
+		return nil, 0
+	}
+	return report[offset:min(size, offset+chunkBytes)], size
+}
+
+// awaitedDocuments has the hashes of documents that callers wait for: of a report by its name, of a policy document by
+// its short hash.
+type awaitedDocuments map[string]policy.Hash
+
+// has tells whether a caller waits for a document.
+func (a awaitedDocuments) has(hash policy.Hash) bool {
+	for _, awaited := range a {
+		if awaited == hash {
+			return true
+		}
+	}
+	return false
+}
--- /dev/null
+++ b/internal/policyreplica/voterlog.go
@@ -0,0 +1,76 @@
+package policyreplica
+
+import (
+	"gapgap/internal/policy"
+	"gapgap/internal/raftlog"
+)
+
+// voterLog gives the node the replicated log. While the log is being opened it does not lead.
+type voterLog struct {
+	replica *Replica
+}
+
+var _ policy.Log = voterLog{}
+
+// Leading implements [policy.Log].
+func (v voterLog) Leading() (term uint64, leads bool) {
+	if v.replica.raftLog == nil {
+		return 0, false
+	}
+	return v.replica.raftLog.Leading()
+}
+
+// Propose implements [policy.Log].
+func (v voterLog) Propose(entry []byte) { v.replica.raftLog.Propose(entry) }
+
+// ConfirmRead implements [policy.Log].
+func (v voterLog) ConfirmRead(token uint64) { v.replica.raftLog.Read(token) }
+
+// ReplaceVoter implements [policy.Log].
+func (v voterLog) ReplaceVoter(gateway int) error {
+	if reason := v.replica.raftLog.Replace(gateway); reason != "" {
+		return &RefusedError{Reason: reason}
+	}
+	return nil
+}
+
+// openLog opens the replicated log of a voter. The node has to be there.
+func (r *Replica) openLog(disk *raftlog.Disk) (err error) {
+	r.raftLog, err = raftlog.New(raftlog.Config{
+		Rank:   r.config.Index,
+		Voters: r.voters,
+		Disk:   disk,
+		Log:    r.config.Log,
+		Send: func(to int, encoded []byte) {
+			r.send(to, &message{Raft: encoded})
+		},
+		Applied: r.node.Apply,
+		Read: func(token uint64) {
+			r.sendAll(r.node.ReadConfirmed(r.config.Now(), token))
+		},
+		Snapshot: r.node.Snapshot,
+		Restore:  r.node.Restore,
+		Write:    r.writeLog,
+	})
+	return err
+}
+
+// writeLog runs a write of the log on another goroutine, and then done on the replica's.
+func (r *Replica) writeLog(write func() error, done func(error)) {
+	r.waitGroup.Go(func() {
+		err := write()
+		select {
+		case r.written <- func() { done(err) }:
+		case <-r.done:
+		}
+	})
+}
+
+// isLeader tells whether this gateway's voter leads the others.
+func (r *Replica) isLeader() bool {
+	if r.raftLog == nil {
+		return false
+	}
+	_, leads := r.raftLog.Leading()
+	return leads
+}
--- a/internal/service/hosted/policy.go
+++ b/internal/service/hosted/policy.go
@@ -364,11 +364,13 @@
 			}
 			lost = append(lost, rank)
 		}
-		switch reason, err := p.side.Recover(ctx, lost, r.URL.Query().Get("who")); {
+		err := p.side.Recover(ctx, lost, r.URL.Query().Get("who"))
+		var refused *policyreplica.RefusedError
+		switch {
+		case errors.As(err, &refused):
+			http.Error(w, p.named(refused.Reason), http.StatusConflict)
 		case err != nil:
 			http.Error(w, err.Error(), http.StatusServiceUnavailable)
-		case reason != "":
-			http.Error(w, p.named(reason), http.StatusConflict)
 		default:
 			w.WriteHeader(http.StatusNoContent)
 		}
