--- a/internal/policyreplica/call.go
+++ b/internal/policyreplica/call.go
@@ -20,13 +20,20 @@
 // ErrClosed says that the replica ends.
 var ErrClosed = errors.New("the door is ending")
 
-// RefusedError says why an operator's command was not carried out. It may name gateways by index, see
+// ErrNoVoter says that this gateway has no log to recover.
+var ErrNoVoter = errors.New("this door does not vote: recover at one that does")
+
+// RecoveryRefusedError says why the voter must not go on alone. Its text may name gateways by index, see
 // [policy.ReplaceGatewayNumbers].
-type RefusedError struct {
-	Reason string
+type RecoveryRefusedError struct {
+	// Err is ErrNoVoter or an error of package raftlog.
+	Err error
 }
 
-func (e *RefusedError) Error() string { return e.Reason }
+func (e *RecoveryRefusedError) Error() string { return e.Err.Error() }
+
+// Unwrap returns Err.
+func (e *RecoveryRefusedError) Unwrap() error { return e.Err }
 
 // DocumentSizeError says that a document is empty or too long.
 type DocumentSizeError struct {
@@ -130,23 +137,24 @@
 }
 
 // Recover makes this gateway's voter go on alone where a majority of the voters' disks is lost for good. lost are the
-// indices of the voters whose disks are known to be lost. Its error may be a *RefusedError, ErrClosed or the context's.
+// indices of the voters whose disks are known to be lost. Its error may be a *RecoveryRefusedError, ErrClosed or the
+// context's.
 func (r *Replica) Recover(ctx context.Context, lost []int, author string) error {
 	entry, err := encodeRecovery(lost, author)
 	if err != nil {
 		return err
 	}
-	reason := "this door does not vote: recover at one that does"
+	refusal := ErrNoVoter
 	err = r.call(ctx, func() {
 		if r.raftLog != nil {
-			reason = r.raftLog.Recover(lost, entry)
+			refusal = r.raftLog.Recover(lost, entry)
 		}
 	})
 	if err != nil {
 		return err
 	}
-	if reason != "" {
-		return &RefusedError{Reason: reason}
+	if refusal != nil {
+		return &RecoveryRefusedError{Err: refusal}
 	}
 	return nil
 }
--- a/internal/policyreplica/voterlog.go
+++ b/internal/policyreplica/voterlog.go
@@ -24,33 +24,28 @@
 func (v voterLog) Propose(entry []byte) { v.replica.raftLog.Propose(entry) }
 
 // ConfirmRead implements [policy.Log].
-func (v voterLog) ConfirmRead(token uint64) { v.replica.raftLog.Read(token) }
+func (v voterLog) ConfirmRead(token uint64) { v.replica.raftLog.ConfirmRead(token) }
 
 // ReplaceVoter implements [policy.Log].
-func (v voterLog) ReplaceVoter(gateway int) error {
-	if reason := v.replica.raftLog.Replace(gateway); reason != "" {
-		return &RefusedError{Reason: reason}
-	}
-	return nil
-}
+func (v voterLog) ReplaceVoter(gateway int) error { return v.replica.raftLog.ReplaceVoter(gateway) }
 
 // openLog opens the replicated log of a voter. The node has to be there.
 func (r *Replica) openLog(disk *raftlog.Disk) (err error) {
 	r.raftLog, err = raftlog.New(raftlog.Config{
-		Rank:   r.config.Index,
+		Voter:  r.config.Index,
 		Voters: r.voters,
 		Disk:   disk,
-		Log:    r.config.Log,
+		Logger: r.config.Log,
 		Send: func(to int, encoded []byte) {
 			r.send(to, &message{Raft: encoded})
 		},
-		Applied: r.node.Apply,
-		Read: func(token uint64) {
+		Apply: r.node.Apply,
+		ReadConfirmed: func(token uint64) {
 			r.sendAll(r.node.ReadConfirmed(r.config.Now(), token))
 		},
-		Snapshot: r.node.Snapshot,
-		Restore:  r.node.Restore,
-		Write:    r.writeLog,
+		Snapshot:   r.node.Snapshot,
+		Restore:    r.node.Restore,
+		WriteAsync: r.writeLog,
 	})
 	return err
 }
--- a/internal/service/hosted/policy.go
+++ b/internal/service/hosted/policy.go
@@ -365,10 +365,10 @@
 			lost = append(lost, rank)
 		}
 		err := p.side.Recover(ctx, lost, r.URL.Query().Get("who"))
-		var refused *policyreplica.RefusedError
+		var refused *policyreplica.RecoveryRefusedError
 		switch {
 		case errors.As(err, &refused):
-			http.Error(w, p.named(refused.Reason), http.StatusConflict)
+			http.Error(w, p.named(refused.Error()), http.StatusConflict)
 		case err != nil:
 			http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		default:
