--- a/internal/balancer/concurrency_test.go
+++ b/internal/balancer/concurrency_test.go
@@ -5,31 +5,32 @@
 	"time"
 )
 
-// Servers that turn all away get a trickle, further attempts included.
+// Endpoints that reject everything get few attempts, retries included.
 func TestRejectingEndpointsGetFewAttempts(t *testing.T) {
 	b := newTestBalancer(t, largeFleetSettings(100), testEndpoints(30)...)
 	sent, attempts := 0, map[uint64]int{}
 	for i := range 3000 {
 		now := time.Duration(i+1) * 200 * ms
-		todo := actionsOf[Dispatch](b.Step(now, []Event{testRequest(uint64(i), 0, 2), TimerFired{0}}))
+		todo := actionsOf[Dispatch](b.Step(now, []Event{testRequest(uint64(i), 0, 2), TimerFired{tickCookie}}))
 		for len(todo) > 0 { // ends: a request has three attempts at most
-			s := todo[0]
-			st := AttemptResult{ID: s.ID, Attempt: attempts[s.ID], Endpoint: s.Endpoint, Status: Rejected, Latency: ms}
+			dispatch := todo[0]
+			result := resultOf(dispatch, Rejected, ms)
+			result.Attempt = attempts[dispatch.ID]
 			if i < 100 {
-				st = succeeded(s, attempts[s.ID], 40*ms)
+				result = succeeded(dispatch, attempts[dispatch.ID], 40*ms)
 			} else if i > 1500 {
 				sent++
 			}
-			attempts[s.ID]++
-			todo = append(todo[1:], actionsOf[Dispatch](b.Step(now+ms, []Event{st}))...)
+			attempts[dispatch.ID]++
+			todo = append(todo[1:], actionsOf[Dispatch](b.Step(now+ms, []Event{result}))...)
 		}
 	}
 	if sent == 0 || sent > 300 {
-		t.Errorf("%d sends for 1500 requests to servers that turn all away; want a few", sent)
+		t.Errorf("%d dispatches for 1500 requests to endpoints that reject all; want a few", sent)
 	}
 }
 
-// Places are filled by work: in the room of a few large requests there are many small ones.
+// Slots are filled by work: in place of a few large requests there are many small ones.
 func TestSlotsCountWork(t *testing.T) {
 	count := func(units float64) int {
 		b := newTrainedBalancer(t, testEndpoints(1)...)
@@ -42,6 +43,6 @@
 		return n
 	}
 	if small, large := count(1), count(4); small < 3*large || large == 0 {
-		t.Errorf("%d small requests at once and %d large ones; want three times as many at least", small, large)
+		t.Errorf("%d small or %d large requests in flight; want three times as many small ones at least", small, large)
 	}
 }
--- a/internal/balancer/quota_test.go
+++ b/internal/balancer/quota_test.go
@@ -9,14 +9,14 @@
 	settings := testSettings()
 	settings.UseCounter = false
 	b := newTestBalancer(t, settings, testEndpoints(8)...)
-	sent, refused := 0, 0
+	sent, rejected := 0, 0
 	for i := range 8 {
-		acts := b.Step(ms, []Event{testRequest(uint64(i), 0, 0)})
-		sent += len(actionsOf[Dispatch](acts))
-		refused += len(actionsOf[Reject](acts))
+		actions := b.Step(ms, []Event{testRequest(uint64(i), 0, 0)})
+		sent += len(actionsOf[Dispatch](actions))
+		rejected += len(actionsOf[Reject](actions))
 	}
-	if sent != 4 || refused != 4 {
-		t.Errorf("sent %d, refused %d of 8; want 4 and 4", sent, refused)
+	if sent != 4 || rejected != 4 {
+		t.Errorf("sent %d, rejected %d of 8; want 4 and 4", sent, rejected)
 	}
 }
 
@@ -28,44 +28,44 @@
 			return c[0]
 		}
 	}
-	t.Fatal("no lease was asked for")
+	t.Fatal("no call for a lease")
 	return CounterAdd{}
 }
 
 func TestLeasePromotesRequests(t *testing.T) {
 	b := newTestBalancer(t, testSettings(), testEndpoints(8)...)
-	c := spendFallback(t, b, ms)
-	b.Step(2*ms, []Event{testRequest(1, 0, 0), testRequest(2, 0, 0), testRequest(3, 0, 0), testRequest(4, 0, 0), testRequest(5, 0, 0)})
-	acts := b.Step(4*ms, []Event{CounterResult{c.Name, OK, c.Amount}})
-	if len(actionsOf[Dispatch](acts)) == 0 {
-		t.Errorf("a grant sent nothing on: %v", acts)
+	call := spendFallback(t, b, ms)
+	b.Step(2*ms, testRequests(0, 0, 1, 2, 3, 4, 5))
+	actions := b.Step(4*ms, []Event{CounterResult{call.Name, OK, call.Amount}})
+	if len(actionsOf[Dispatch](actions)) == 0 {
+		t.Errorf("nothing is sent after a lease: %v", actions)
 	}
 }
 
 func TestEmptyBucketRejectsHardPlan(t *testing.T) {
 	b := newTestBalancer(t, testSettings(), testEndpoints(8)...)
-	c := spendFallback(t, b, ms)
-	b.Step(2*ms, []Event{testRequest(1, 0, 0), testRequest(2, 0, 0), testRequest(3, 0, 0), testRequest(4, 0, 0), testRequest(5, 0, 0)})
-	acts := b.Step(4*ms, []Event{CounterResult{c.Name, OK, c.Amount + 30}})
-	if len(actionsOf[Reject](acts)) == 0 || len(actionsOf[Dispatch](acts)) != 0 {
-		t.Errorf("a spent store let requests in: %v", acts)
+	call := spendFallback(t, b, ms)
+	b.Step(2*ms, testRequests(0, 0, 1, 2, 3, 4, 5))
+	actions := b.Step(4*ms, []Event{CounterResult{call.Name, OK, call.Amount + 30}})
+	if len(actionsOf[Reject](actions)) == 0 || len(actionsOf[Dispatch](actions)) != 0 {
+		t.Errorf("an empty bucket let requests through: %v", actions)
 	}
 }
 
 func TestFallbackShareFillsWhileCounterIsSilent(t *testing.T) {
 	b := newTestBalancer(t, testSettings(), testEndpoints(8)...)
-	now, c := ms, spendFallback(t, b, ms)
+	now, call := ms, spendFallback(t, b, ms)
 	for i := range 12 {
 		now += 60 * ms
-		acts := b.Step(now, []Event{CounterResult{c.Name, Timeout, 0}, testRequest(uint64(10+i), 0, 0)})
-		if got := actionsOf[CounterAdd](acts); len(got) == 1 {
-			c = got[0]
+		actions := b.Step(now, []Event{CounterResult{call.Name, Timeout, 0}, testRequest(uint64(10+i), 0, 0)})
+		if got := actionsOf[CounterAdd](actions); len(got) == 1 {
+			call = got[0]
 		}
 	}
 	now += 3 * time.Second
-	acts := b.Step(now, []Event{testRequest(20, 0, 0)})
-	if len(actionsOf[Dispatch](acts)) != 1 {
-		t.Errorf("the fallback share did not fill while the counter was silent: %v", acts)
+	actions := b.Step(now, []Event{testRequest(20, 0, 0)})
+	if len(actionsOf[Dispatch](actions)) != 1 {
+		t.Errorf("the fallback share did not fill while the counter was silent: %v", actions)
 	}
 }
 
@@ -76,7 +76,7 @@
 		evs = append(evs, testRequest(uint64(i), 0, 3))
 	}
 	if n := len(actionsOf[Dispatch](b.Step(ms, evs))); n != 2 {
-		t.Errorf("%d attempts out for a cap of 4 over 2 doors", n)
+		t.Errorf("%d attempts out for a limit of 4 over 2 gateways", n)
 	}
 }
 
@@ -84,11 +84,14 @@
 	settings := testSettings()
 	for others, want := range map[float64]int{0: 3, 200: 2} {
 		b := newTestBalancer(t, settings, testEndpoints(10)...)
-		for _, s := range actionsOf[Dispatch](b.Step(ms, []Event{testRequest(1, 0, 3)})) {
-			b.Step(51*ms, []Event{succeeded(s, 0, 50*ms)})
+		for _, dispatch := range actionsOf[Dispatch](b.Step(ms, []Event{testRequest(1, 0, 3)})) {
+			b.Step(51*ms, []Event{succeeded(dispatch, 0, 50*ms)})
 		}
 		cust := b.customers.find("c")
-		cust.bucket.known, cust.bucket.peerDemand, cust.quota.tokens, cust.quota.leasedAt = true, others, 20, ms
+		cust.bucket.known = true
+		cust.bucket.peerDemand = others
+		cust.quota.tokens = 20
+		cust.quota.leasedAt = ms
 		var evs []Event
 		for i := range 10 {
 			evs = append(evs, testRequest(uint64(100+i), 0, 3))
@@ -108,13 +111,13 @@
 	for i := range 15 {
 		evs = append(evs, testRequest(uint64(i), 0, 1))
 	}
-	acts := b.Step(ms, evs)
-	if len(actionsOf[Reject](acts)) != 0 {
-		t.Errorf("a soft plan was refused beyond its quota: %v", acts)
+	actions := b.Step(ms, evs)
+	if len(actionsOf[Reject](actions)) != 0 {
+		t.Errorf("a soft plan was rejected beyond its quota: %v", actions)
 	}
 }
 
-// What brings more worth for its work goes first, also if it is of fewer units.
+// A request with more priority weight for its work goes first, also if it is of fewer units.
 func TestPriorityByWork(t *testing.T) {
 	b := newTrainedBalancer(t, testEndpoints(1)...)
 	level := func(units float64) int {
