--- a/cmd/gapgapctl/policy.go
+++ b/cmd/gapgapctl/policy.go
@@ -212,15 +212,15 @@
 		}
 	}
 	switch {
-	case r.Known && r.Taken:
+	case r.Known && r.Committed:
 		if !asJSON {
 			fmt.Fprintf(out, "%s: taken, version %d\n", r.ID, r.Version)
 		}
 		return nil
 	case r.Known:
 		return &cli.Error{Code: exitDropped, Err: fmt.Errorf("%s: dropped: %s", r.ID, r.Reason)}
-	case r.Waits != "":
-		return &cli.Error{Code: exitUnknown, Err: fmt.Errorf("%s: not known yet; it waits: %s", r.ID, r.Waits)}
+	case r.WaitingFor != "":
+		return &cli.Error{Code: exitUnknown, Err: fmt.Errorf("%s: not known yet; it waits: %s", r.ID, r.WaitingFor)}
 	}
 	return &cli.Error{Code: exitUnknown, Err: fmt.Errorf("%s: not known yet, or no such change", r.ID)}
 }
@@ -228,13 +228,13 @@
 func statusTable(out io.Writer, s *hosted.PolicyStatus) error {
 	t := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintf(t, "door\t%s\ngoes by\tversion %d, %s\ndecides\t%t\n", s.Name, s.Version.Number, s.Version.Hash.String()[:12], s.Decides)
-	if s.Present == nil {
+	if s.Current == nil {
 		fmt.Fprintf(t, "present\tnot known: no majority of the voters answers\n")
 		return t.Flush()
 	}
-	fmt.Fprintf(t, "present\tversion %d, %s\nmode\t%s\nleader\t%s\nmay decide\t%s\n", s.Present.Number, s.Present.Hash.String()[:12], s.Mode, s.Leader, strings.Join(s.Serving, " "))
-	if s.Change != nil {
-		fmt.Fprintf(t, "change\t%s by %s, %s\nwaits\t%s\n", s.Change.ID, s.Change.Author, s.Change.Mode, s.Waits)
+	fmt.Fprintf(t, "present\tversion %d, %s\nmode\t%s\nleader\t%s\nmay decide\t%s\n", s.Current.Number, s.Current.Hash.String()[:12], s.Mode, s.Leader, strings.Join(s.Participants, " "))
+	if s.Pending != nil {
+		fmt.Fprintf(t, "change\t%s by %s, %s\nwaits\t%s\n", s.Pending.ID, s.Pending.Author, s.Pending.Mode, s.WaitingFor)
 	}
 	return t.Flush()
 }
--- a/cmd/gapgapctl/policy_test.go
+++ b/cmd/gapgapctl/policy_test.go
@@ -28,8 +28,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	results := map[string]hosted.PolicyResult{"good": {ID: "good", Known: true, Taken: true, Version: 8}, "bad": {ID: "bad", Known: true, Reason: "n2 can't: policy:3: no"},
-		"late": {ID: "late", Waits: "n1 was not heard of"}}
+	results := map[string]hosted.PolicyResult{"good": {ID: "good", Known: true, Committed: true, Version: 8}, "bad": {ID: "bad", Known: true, Reason: "n2 can't: policy:3: no"},
+		"late": {ID: "late", WaitingFor: "n1 was not heard of"}}
 	proposed, note := "", ""
 	put := func(w http.ResponseWriter, v any) { json.NewEncoder(w).Encode(v) }
 	mux := http.NewServeMux()
--- a/internal/service/hosted/fleet.go
+++ b/internal/service/hosted/fleet.go
@@ -26,7 +26,7 @@
 	control net.Listener // of operators; nil: none
 	srv     *http.Server
 
-	policy   atomic.Pointer[policySide] // nil: none, or not yet
+	policy   atomic.Pointer[policyHost] // nil: none, or not yet
 	recovery *comingBack
 
 	wrongClock atomic.Bool // this door asks the counter for nothing: it would name other numbers than the others
@@ -179,12 +179,12 @@
 // ofPolicy carries what other doors say of policy.
 func (f *fleetSide) ofPolicy(from int, b []byte) {
 	if p := f.policy.Load(); p != nil {
-		p.side.HandleMessage(from, b)
+		p.replica.HandleMessage(from, b)
 	}
 }
 
 // begin begins to tell and hear, and to answer operators.
-func (f *fleetSide) begin(p *policySide) {
+func (f *fleetSide) begin(p *policyHost) {
 	if f == nil {
 		return
 	}
--- a/internal/service/hosted/hosted.go
+++ b/internal/service/hosted/hosted.go
@@ -50,7 +50,7 @@
 	shares   *shares                 // nil: there is one pool
 	metrics  *metrics                // nil: no listener shows them
 	fleet    *fleetSide              // nil: it stands alone
-	policy   *policySide             // nil: its policy is its file's
+	policy   *policyHost             // nil: its policy is its file's
 	keys     *replica.Replica        // nil: no class's keys are remembered
 	disk     vfs.FS                  // of the state directory
 	recovery *comingBack             // nil: it stands alone
@@ -96,7 +96,7 @@
 		}()
 	}
 	if cfg.Fleet != nil && cfg.Fleet.KeyRetention != nil {
-		if s.keys, err = s.newKeys(cfg.Fleet); err != nil {
+		if s.keys, err = s.openKeyReplica(cfg.Fleet); err != nil {
 			return nil, err
 		}
 		defer func() {
@@ -106,7 +106,7 @@
 		}()
 	}
 	if policyOn(cfg.Fleet) {
-		if s.policy, err = s.newPolicy(cfg); err != nil {
+		if s.policy, err = s.openPolicy(cfg); err != nil {
 			return nil, err
 		}
 		defer func() {
@@ -201,7 +201,7 @@
 		s.keys.Start()
 	}
 	s.fleet.begin(s.policy)
-	s.policy.begin()
+	s.policy.start()
 	s.recovery.begin()
 	if s.fleet != nil {
 		s.log.Info("serving", "listener", "fleet", "address", s.fleet.peers.Addr())
@@ -268,7 +268,7 @@
 	}
 	s.leaves.Wait()
 	s.recovery.end()
-	s.policy.end()
+	s.policy.leave()
 	if s.keys != nil {
 		s.keys.Close()
 	}
@@ -285,11 +285,11 @@
 	if s.policy == nil || !policyOn(cfg.Fleet) {
 		return s.reload(cfg)
 	}
-	next, err := s.policy.with(cfg)
+	next, err := s.policy.parseWithPolicy(cfg)
 	if err != nil {
 		return err
 	}
-	s.log.Info("the node's part of the file is read again; the policy is the fleet's, and the file's is not looked at", "policy", s.policy.side.View().Version.Number)
+	s.log.Info("the node's part of the file is read again; the policy is the fleet's, and the file's is not looked at", "policy", s.policy.replica.View().Version.Number)
 	return s.reload(next)
 }
 
--- a/internal/service/hosted/keys.go
+++ b/internal/service/hosted/keys.go
@@ -10,8 +10,8 @@
 	"gapgap/internal/proxy"
 )
 
-// newKeys opens what this door remembers of keys.
-func (s *Service) newKeys(cfg *peer.Settings) (*replica.Replica, error) {
+// openKeyReplica opens what this door remembers of keys.
+func (s *Service) openKeyReplica(cfg *peer.Settings) (*replica.Replica, error) {
 	k, err := replica.New(replica.Config{Index: cfg.Index, Gateways: len(cfg.Gateways), Voters: policyreplica.Voters(len(cfg.Gateways)), FS: s.disk, Dir: cfg.StateDir,
 		Incarnation: s.fleet.disk.Incarnation(), Retention: cfg.KeyRetention.Duration, MaxKeys: cfg.KeyRetention.MaxKeys, Now: s.clock.Now, Log: s.log.With("of", "keys"), Send: s.fleet.peers.SendKeys})
 	if err != nil {
@@ -22,18 +22,18 @@
 
 // poolKeys claims keys for one pool. It implements [proxy.Keys].
 type poolKeys struct {
-	side *replica.Replica
-	pool string // as other doors know it
+	replica  *replica.Replica
+	poolName string // as other doors know it
 }
 
-var verdictOf = [...]proxy.Reservation{
+var reservationOf = [...]proxy.Reservation{
 	idempotency.Reserved:    proxy.ReservationGranted,
 	idempotency.HeldByOther: proxy.ReservationHeld,
 	idempotency.NoCapacity:  proxy.ReservationUnavailable,
 }
 
 func (p poolKeys) Claim(class, customer, key string, done func(proxy.Reservation)) uint64 {
-	return p.side.Reserve(idempotency.KeyOf(p.pool, class, customer, key), func(v idempotency.Outcome) { done(verdictOf[v]) })
+	return p.replica.Reserve(idempotency.KeyOf(p.poolName, class, customer, key), func(v idempotency.Outcome) { done(reservationOf[v]) })
 }
 
-func (p poolKeys) End(n uint64, ran bool) { p.side.Finish(n, ran) }
+func (p poolKeys) End(n uint64, ran bool) { p.replica.Finish(n, ran) }
--- a/internal/service/hosted/metrics.go
+++ b/internal/service/hosted/metrics.go
@@ -161,11 +161,11 @@
 	if m.s.policy == nil {
 		return
 	}
-	how := m.s.policy.side.View()
+	how := m.s.policy.replica.View()
 	gauge(descVersion, float64(how.Version.Number))
 	gauge(descDecides, as(how.DecidesUntil > m.s.clock.Now()))
 	gauge(descPending, as(how.PendingChange != ""))
-	counter(descPolicyOdd, m.s.policy.side.DroppedMessages())
+	counter(descPolicyOdd, m.s.policy.replica.DroppedMessages())
 }
 
 // metricsFront serves the figures. It asks nothing of any pool. It implements [proxy.Front].
--- a/internal/service/hosted/policy.go
+++ b/internal/service/hosted/policy.go
@@ -19,83 +19,83 @@
 	"gapgap/internal/proxy"
 )
 
-// policySide has this process go by the fleet's policy. It implements [policyreplica.Host].
-type policySide struct {
-	s     *Service
-	side  *policyreplica.Replica
-	names []string
-	guard *proxy.DecisionLease
-	mu    sync.Mutex // held to change until
-	until time.Duration
+// policyHost has this process go by the fleet's policy. It implements [policyreplica.Host].
+type policyHost struct {
+	service      *Service
+	replica      *policyreplica.Replica
+	gateways     []string
+	lease        *proxy.DecisionLease
+	mu           sync.Mutex // held to change until
+	decidesUntil time.Duration
 }
 
-// stampWithin is how long the loops of all pools are given to go over to another version.
-const stampWithin = 2 * time.Second
+// switchTimeout is how long the loops of all pools are given to go over to another version.
+const switchTimeout = 2 * time.Second
 
-// newPolicy opens what the door's disk has of policy.
-func (s *Service) newPolicy(cfg *Config) (*policySide, error) {
+// openPolicy opens what the door's disk has of policy.
+func (s *Service) openPolicy(cfg *Config) (*policyHost, error) {
 	sec := cfg.Fleet
-	p := &policySide{s: s, guard: proxy.NewDecisionLease()}
+	p := &policyHost{service: s, lease: proxy.NewDecisionLease()}
 	for _, d := range sec.Gateways {
-		p.names = append(p.names, d.Name)
+		p.gateways = append(p.gateways, d.Name)
 	}
-	pc := policyreplica.Config{Name: cfg.Node.Name, Index: sec.Index, Gateways: p.names, FS: s.disk, Dir: sec.StateDir, Now: s.clock.Now, Log: s.log.With("of", "policy"),
+	pc := policyreplica.Config{Name: cfg.Node.Name, Index: sec.Index, Gateways: p.gateways, FS: s.disk, Dir: sec.StateDir, Now: s.clock.Now, Log: s.log.With("of", "policy"),
 		Send: s.fleet.peers.SendPolicy, Process: func() policy.Process { return policy.Process{Gateway: uint16(sec.Index), ID: s.fleet.peers.ID()} },
 		InitialPolicy: func() ([]byte, error) { return policyOf(cfg.text) }, AbortAfter: sec.Policy.GiveUp, Fence: sec.Policy.Fence, Host: p}
 	if sec.Policy.UseLastKnown {
 		pc.StoredVersionDelay = sec.Policy.LastKnownWait
 	}
 	var err error
-	if p.side, err = policyreplica.New(pc); err != nil {
+	if p.replica, err = policyreplica.New(pc); err != nil {
 		return nil, fmt.Errorf("fleet.policy: %w", err)
 	}
 	return p, nil
 }
 
-func (p *policySide) guardOf() *proxy.DecisionLease {
+func (p *policyHost) decisionLease() *proxy.DecisionLease {
 	if p == nil {
 		return nil
 	}
-	return p.guard
+	return p.lease
 }
 
-func (p *policySide) begin() {
+func (p *policyHost) start() {
 	if p != nil {
-		p.side.Start()
+		p.replica.Start()
 	}
 }
 
-func (p *policySide) close() {
+func (p *policyHost) close() {
 	if p != nil {
-		p.side.Close()
+		p.replica.Close()
 	}
 }
 
-// end says that this door decides nothing any more: the pools have ended.
-func (p *policySide) end() {
+// leave says that this door decides nothing any more: the pools have ended.
+func (p *policyHost) leave() {
 	if p != nil {
-		p.side.Leave()
-		p.side.Close()
+		p.replica.Leave()
+		p.replica.Close()
 	}
 }
 
 // Build implements [policyreplica.Host].
-func (p *policySide) Build(doc []byte) (any, error) {
-	p.s.mu.Lock()
-	own := p.s.cfg
-	p.s.mu.Unlock()
+func (p *policyHost) Build(doc []byte) (any, error) {
+	p.service.mu.Lock()
+	own := p.service.cfg
+	p.service.mu.Unlock()
 	return ParseWith(own.file, own.text, "policy", doc)
 }
 
-// with is the node's part of a configuration with the policy that this door goes by.
-func (p *policySide) with(cfg *Config) (*Config, error) {
-	v := p.side.View()
+// parseWithPolicy is the node's part of a configuration with the policy that this door goes by.
+func (p *policyHost) parseWithPolicy(cfg *Config) (*Config, error) {
+	v := p.replica.View()
 	if v.Version.Number == 0 {
 		return nil, errors.New("this door has not yet learned the fleet's policy")
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), controlWithin)
 	defer cancel()
-	doc, err := p.side.Document(ctx, v.Version.Hash)
+	doc, err := p.replica.Document(ctx, v.Version.Hash)
 	if err != nil {
 		return nil, err
 	}
@@ -103,46 +103,46 @@
 }
 
 // StopDeciding implements [policyreplica.Host].
-func (p *policySide) StopDeciding() { p.SetDecisionDeadline(0) }
+func (p *policyHost) StopDeciding() { p.SetDecisionDeadline(0) }
 
 // SetDecisionDeadline implements [policyreplica.Host].
-func (p *policySide) SetDecisionDeadline(t time.Duration) {
+func (p *policyHost) SetDecisionDeadline(t time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	stood := p.until <= p.s.clock.Now()
-	p.until = t
-	p.guard.Extend(t)
+	stood := p.decidesUntil <= p.service.clock.Now()
+	p.decidesUntil = t
+	p.lease.Extend(t)
 	if stood && t > 0 {
-		for _, c := range p.cores() {
+		for _, c := range p.proxies() {
 			c.Resume()
 		}
 	}
 }
 
-func (p *policySide) cores() (all []*proxy.Proxy) {
-	p.s.mu.Lock()
-	defer p.s.mu.Unlock()
-	for _, pl := range p.s.pools {
+func (p *policyHost) proxies() (all []*proxy.Proxy) {
+	p.service.mu.Lock()
+	defer p.service.mu.Unlock()
+	for _, pl := range p.service.pools {
 		all = append(all, pl.core)
 	}
 	return all
 }
 
 // SwitchTo implements [policyreplica.Host]. It returns once all loops go by the version.
-func (p *policySide) SwitchTo(version uint64, built any) error {
+func (p *policyHost) SwitchTo(version uint64, built any) error {
 	cfg, ok := built.(*Config)
 	if !ok {
 		return errors.New("it was not read")
 	}
-	if err := p.s.reload(cfg); err != nil {
+	if err := p.service.reload(cfg); err != nil {
 		return err
 	}
-	all := p.cores()
+	all := p.proxies()
 	done := make(chan struct{}, len(all))
 	for _, c := range all {
 		c.SetPolicyVersion(version, func() { done <- struct{}{} })
 	}
-	limit := time.After(stampWithin)
+	limit := time.After(switchTimeout)
 	for range all {
 		select {
 		case <-done:
@@ -155,69 +155,71 @@
 
 // PolicyStatus is how a door, and the leader of the voters, say that the policy stands.
 type PolicyStatus struct {
-	Name    string          `json:"name"`
-	Version policy.Version  `json:"goes_by"`
-	Decides bool            `json:"decides"`
-	Present *policy.Version `json:"present,omitempty"` // by the voters; null: no majority answers
-	Mode    string          `json:"mode,omitempty"`
-	Leader  string          `json:"leader,omitempty"`
-	Change  *policy.Change  `json:"change,omitempty"`
-	Waits   string          `json:"waits,omitempty"`
-	Serving []string        `json:"serving,omitempty"` // doors that may decide
+	Name         string          `json:"name"`
+	Version      policy.Version  `json:"goes_by"`
+	Decides      bool            `json:"decides"`
+	Current      *policy.Version `json:"present,omitempty"` // by the voters; null: no majority answers
+	Mode         string          `json:"mode,omitempty"`
+	Leader       string          `json:"leader,omitempty"`
+	Pending      *policy.Change  `json:"change,omitempty"`
+	WaitingFor   string          `json:"waits,omitempty"`
+	Participants []string        `json:"serving,omitempty"` // doors that may decide
 }
 
 // status is asked of the leader, too.
-func (p *policySide) status(ctx context.Context) *PolicyStatus {
-	v := p.side.View()
-	st := &PolicyStatus{Name: p.s.cfg.Node.Name, Version: v.Version, Decides: v.DecidesUntil > p.s.clock.Now()}
-	said, err := p.side.Query(ctx, policy.Query{})
+func (p *policyHost) status(ctx context.Context) *PolicyStatus {
+	v := p.replica.View()
+	st := &PolicyStatus{Name: p.service.cfg.Node.Name, Version: v.Version, Decides: v.DecidesUntil > p.service.clock.Now()}
+	said, err := p.replica.Query(ctx, policy.Query{})
 	if err != nil {
 		return st
 	}
-	st.Present, st.Mode, st.Change, st.Waits = &said.Current, said.Mode.String(), said.Pending, p.named(said.WaitingFor)
-	st.Leader = p.name(said.Leader)
+	st.Current, st.Mode, st.Pending, st.WaitingFor = &said.Current, said.Mode.String(), said.Pending, p.withGatewayNames(said.WaitingFor)
+	st.Leader = p.gatewayName(said.Leader)
 	for _, r := range said.Participants {
-		st.Serving = append(st.Serving, p.name(r.Gateway))
+		st.Participants = append(st.Participants, p.gatewayName(r.Gateway))
 	}
 	return st
 }
 
-func (p *policySide) name(rank uint16) string {
-	if int(rank) < len(p.names) {
-		return p.names[rank]
+func (p *policyHost) gatewayName(rank uint16) string {
+	if int(rank) < len(p.gateways) {
+		return p.gateways[rank]
 	}
 	return fmt.Sprint("door ", rank)
 }
 
-// named puts names in the place of "door 2".
-func (p *policySide) named(s string) string { return policy.ReplaceGatewayNumbers(s, p.names) }
+// withGatewayNames puts names in the place of "door 2".
+func (p *policyHost) withGatewayNames(s string) string {
+	return policy.ReplaceGatewayNumbers(s, p.gateways)
+}
 
 // PolicyResult is what became of a proposal.
 type PolicyResult struct {
-	ID      string `json:"id"`
-	Known   bool   `json:"known"` // else it is not known yet: ask by the id
-	Taken   bool   `json:"taken"`
-	Version uint64 `json:"version,omitempty"`
-	Reason  string `json:"reason,omitempty"`
-	Waits   string `json:"waits,omitempty"`
+	ID         string `json:"id"`
+	Known      bool   `json:"known"` // else it is not known yet: ask by the id
+	Committed  bool   `json:"taken"`
+	Version    uint64 `json:"version,omitempty"`
+	Reason     string `json:"reason,omitempty"`
+	WaitingFor string `json:"waits,omitempty"`
 }
 
 const (
-	proposeUsual  = 60 * time.Second // that a proposal's caller waits where it says nothing
-	replaceWithin = 4 * time.Second  // for a voter to be replaced ...
-	replaceEach   = 200 * time.Millisecond
-	askWithin     = 2 * time.Second // for the leader's answer on how things stand
+	defaultProposalWait  = 60 * time.Second // that a proposal's caller waits where it says nothing
+	replaceTimeout       = 4 * time.Second  // for a voter to be replaced ...
+	replaceRetryInterval = 200 * time.Millisecond
+	queryTimeout         = 2 * time.Second // for the leader's answer on how things stand
 )
 
 // propose brings a change and waits for what becomes of it.
-func (p *policySide) propose(ctx context.Context, q map[string]string, doc []byte) (*PolicyResult, error) {
-	c := &policy.Change{ID: q["id"], Author: q["who"], Note: q["note"], Bytes: int64(len(doc)), ProposedAt: time.Now().UnixMilli(), Source: uint16(slices.Index(p.names, p.s.cfg.Node.Name))}
+func (p *policyHost) propose(ctx context.Context, q map[string]string, doc []byte) (*PolicyResult, error) {
+	c := &policy.Change{ID: q["id"], Author: q["who"], Note: q["note"], Bytes: int64(len(doc)), ProposedAt: time.Now().UnixMilli(), Source: uint16(slices.Index(p.gateways, p.service.cfg.Node.Name))}
 	if _, err := p.Build(doc); err != nil {
 		return nil, err
 	}
-	early, cancel := context.WithTimeout(ctx, askWithin)
+	early, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
-	said, err := p.side.Query(early, policy.Query{})
+	said, err := p.replica.Query(early, policy.Query{})
 	if err != nil {
 		return nil, fmt.Errorf("no majority of the voters answers, so nothing was proposed: %w", err)
 	}
@@ -234,29 +236,29 @@
 	if err := c.Validate(); err != nil {
 		return nil, err
 	}
-	if c.Hash, err = p.side.StoreDocument(ctx, doc); err != nil {
+	if c.Hash, err = p.replica.StoreDocument(ctx, doc); err != nil {
 		return nil, fmt.Errorf("the policy could not be kept here: %w", err)
 	}
 	return p.outcome(ctx, policy.Query{ChangeID: c.ID, Change: c}), nil
 }
 
 // outcome waits for what becomes of a change.
-func (p *policySide) outcome(ctx context.Context, say policy.Query) *PolicyResult {
+func (p *policyHost) outcome(ctx context.Context, say policy.Query) *PolicyResult {
 	r := &PolicyResult{ID: say.ChangeID}
-	said, err := p.side.Query(ctx, say)
+	said, err := p.replica.Query(ctx, say)
 	if err != nil || said.Outcome == nil {
 		if said != nil && said.Pending != nil && said.Pending.ID == say.ChangeID {
-			r.Waits = p.named(said.WaitingFor)
+			r.WaitingFor = p.withGatewayNames(said.WaitingFor)
 		}
 		return r
 	}
 	o := said.Outcome
-	r.Known, r.Taken, r.Version, r.Reason = true, o.Committed, o.Version, p.named(o.Reason)
+	r.Known, r.Committed, r.Version, r.Reason = true, o.Committed, o.Version, p.withGatewayNames(o.Reason)
 	return r
 }
 
 // routes adds what operators ask of policy.
-func (p *policySide) routes(mux *http.ServeMux) {
+func (p *policyHost) routes(mux *http.ServeMux) {
 	if p == nil {
 		return
 	}
@@ -272,14 +274,14 @@
 		json.NewEncoder(w).Encode(v)
 	}
 	mux.HandleFunc("GET /policy/status", func(w http.ResponseWriter, r *http.Request) {
-		ctx, cancel := within(w, r, askWithin)
+		ctx, cancel := within(w, r, queryTimeout)
 		defer cancel()
 		put(w, http.StatusOK, p.status(ctx))
 	})
 	mux.HandleFunc("GET /policy/show", func(w http.ResponseWriter, r *http.Request) {
 		ctx, cancel := within(w, r, controlWithin)
 		defer cancel()
-		doc, v, err := p.show(ctx, r.URL.Query().Get("version"))
+		doc, v, err := p.document(ctx, r.URL.Query().Get("version"))
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusServiceUnavailable)
 			return
@@ -290,7 +292,7 @@
 	mux.HandleFunc("GET /policy/history", func(w http.ResponseWriter, r *http.Request) {
 		ctx, cancel := within(w, r, controlWithin)
 		defer cancel()
-		b, err := p.side.History(ctx)
+		b, err := p.replica.History(ctx)
 		if err != nil {
 			http.Error(w, "no majority of the voters answers: "+err.Error(), http.StatusServiceUnavailable)
 			return
@@ -299,12 +301,12 @@
 		w.Write(b)
 	})
 	mux.HandleFunc("GET /policy/change", func(w http.ResponseWriter, r *http.Request) {
-		ctx, cancel := within(w, r, askWithin)
+		ctx, cancel := within(w, r, queryTimeout)
 		defer cancel()
 		put(w, http.StatusOK, p.outcome(ctx, policy.Query{ChangeID: r.URL.Query().Get("id")}))
 	})
 	mux.HandleFunc("POST /policy/propose", func(w http.ResponseWriter, r *http.Request) {
-		wait := proposeUsual
+		wait := defaultProposalWait
 		if d, err := time.ParseDuration(r.URL.Query().Get("wait")); err == nil && d > 0 {
 			wait = min(d, peer.MaxProposalWait)
 		}
@@ -327,25 +329,25 @@
 		put(w, http.StatusOK, res)
 	})
 	mux.HandleFunc("POST /policy/voter", func(w http.ResponseWriter, r *http.Request) {
-		ctx, cancel := within(w, r, replaceWithin)
+		ctx, cancel := within(w, r, replaceTimeout)
 		defer cancel()
 		name := r.URL.Query().Get("name")
-		rank := slices.Index(p.names, name)
+		rank := slices.Index(p.gateways, name)
 		if rank < 0 {
 			http.Error(w, fmt.Sprintf("%q: %v", name, peer.ErrUnknownGateway), http.StatusNotFound)
 			return
 		}
 		for reason := ""; ; {
-			said, err := p.side.Query(ctx, policy.Query{ReplaceVoter: uint16(rank) + 1})
+			said, err := p.replica.Query(ctx, policy.Query{ReplaceVoter: uint16(rank) + 1})
 			switch {
 			case err == nil && said.Reason == "":
 				w.WriteHeader(http.StatusNoContent)
 				return
 			case err == nil:
-				reason = p.named(said.Reason)
+				reason = p.withGatewayNames(said.Reason)
 			}
 			select {
-			case <-time.After(replaceEach):
+			case <-time.After(replaceRetryInterval):
 			case <-ctx.Done():
 				http.Error(w, cmp.Or(reason, "no majority of the voters answers"), http.StatusConflict)
 				return
@@ -353,22 +355,22 @@
 		}
 	})
 	mux.HandleFunc("POST /policy/recover", func(w http.ResponseWriter, r *http.Request) {
-		ctx, cancel := within(w, r, replaceWithin)
+		ctx, cancel := within(w, r, replaceTimeout)
 		defer cancel()
 		var lost []int
 		for _, name := range r.URL.Query()["lost"] {
-			rank := slices.Index(p.names, name)
+			rank := slices.Index(p.gateways, name)
 			if rank < 0 {
 				http.Error(w, fmt.Sprintf("%q: %v", name, peer.ErrUnknownGateway), http.StatusNotFound)
 				return
 			}
 			lost = append(lost, rank)
 		}
-		err := p.side.Recover(ctx, lost, r.URL.Query().Get("who"))
+		err := p.replica.Recover(ctx, lost, r.URL.Query().Get("who"))
 		var refused *policyreplica.RecoveryRefusedError
 		switch {
 		case errors.As(err, &refused):
-			http.Error(w, p.named(refused.Error()), http.StatusConflict)
+			http.Error(w, p.withGatewayNames(refused.Error()), http.StatusConflict)
 		case err != nil:
 			http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		default:
@@ -376,28 +378,28 @@
 		}
 	})
 	mux.HandleFunc("POST /policy/forget", func(w http.ResponseWriter, r *http.Request) {
-		ctx, cancel := within(w, r, askWithin)
+		ctx, cancel := within(w, r, queryTimeout)
 		defer cancel()
-		rank := slices.Index(p.names, r.URL.Query().Get("name"))
+		rank := slices.Index(p.gateways, r.URL.Query().Get("name"))
 		if rank < 0 {
 			http.Error(w, fmt.Sprintf("%q: %v", r.URL.Query().Get("name"), peer.ErrUnknownGateway), http.StatusNotFound)
 			return
 		}
-		said, err := p.side.Query(ctx, policy.Query{Forget: uint16(rank) + 1})
+		said, err := p.replica.Query(ctx, policy.Query{Forget: uint16(rank) + 1})
 		switch {
 		case err != nil:
 			http.Error(w, "no majority of the voters answers: "+err.Error(), http.StatusServiceUnavailable)
 		case said.Reason != "":
-			http.Error(w, p.named(said.Reason), http.StatusConflict)
+			http.Error(w, p.withGatewayNames(said.Reason), http.StatusConflict)
 		default:
 			w.WriteHeader(http.StatusNoContent)
 		}
 	})
 }
 
-// show is a version's document; of the present one, if none is named.
-func (p *policySide) show(ctx context.Context, version string) ([]byte, uint64, error) {
-	said, err := p.side.Query(ctx, policy.Query{})
+// document is a version's document; of the present one, if none is named.
+func (p *policyHost) document(ctx context.Context, version string) ([]byte, uint64, error) {
+	said, err := p.replica.Query(ctx, policy.Query{})
 	if err != nil {
 		return nil, 0, fmt.Errorf("no majority of the voters answers, so the present version is not known: %w", err)
 	}
@@ -407,7 +409,7 @@
 		if err != nil {
 			return nil, 0, fmt.Errorf("%q is no version", version)
 		}
-		b, err := p.side.History(ctx)
+		b, err := p.replica.History(ctx)
 		if err != nil {
 			return nil, 0, err
 		}
@@ -424,6 +426,6 @@
 	if v.Number == 0 {
 		return nil, 0, errors.New("the fleet has no policy yet")
 	}
-	doc, err := p.side.Document(ctx, v.Hash)
+	doc, err := p.replica.Document(ctx, v.Hash)
 	return doc, v.Number, err
 }
--- a/internal/service/hosted/pool.go
+++ b/internal/service/hosted/pool.go
@@ -31,7 +31,7 @@
 // newPool makes one. It does nothing before start.
 func (s *Service) newPool(cfg *Pool) (*pool, error) {
 	p := &pool{cfg: cfg, share: s.shares.join(cfg.Node.Name), stop: make(chan struct{}), ended: make(chan struct{})}
-	parts := service.Parts{Space: cfg.Space, Gate: s.flow(cfg), Guard: s.policy.guardOf(),
+	parts := service.Parts{Space: cfg.Space, Gate: s.flow(cfg), Guard: s.policy.decisionLease(),
 		Tell: func(c *proxy.Proxy) func(endpoint.Update) {
 			p.box = s.members.add(c)
 			return p.box.tell
--- a/internal/service/hosted/recovery.go
+++ b/internal/service/hosted/recovery.go
@@ -52,7 +52,7 @@
 		}
 	}
 	if s.policy != nil {
-		if v := s.policy.side.StoredVersion(); v.Number > 0 {
+		if v := s.policy.replica.StoredVersion(); v.Number > 0 {
 			c.trust(fmt.Sprintf("policy: the disk has version %d, which is gone by only if the voters say that it is present", v.Number))
 		}
 	}
@@ -111,7 +111,7 @@
 		}
 	}
 	if s.policy != nil {
-		p := s.policy.side.View()
+		p := s.policy.replica.View()
 		seen.PolicyVersion, seen.MayDecide = p.Version.Number, p.DecidesUntil > s.clock.Now()
 	}
 	if s.keys != nil {
