--- a/internal/balancer/endpoints_test.go
+++ b/internal/balancer/endpoints_test.go
@@ -39,63 +39,83 @@
 
 // An endpoint that an administrator has ejected gets nothing, whatever the endpoint list says, until it is restored.
 func TestAdminEjectionOverridesEndpointList(t *testing.T) {
-	list := testEndpoints(4)
-	b := newTestBalancer(t, settingsWithoutCounter(), list...)
-	at := time.Second
-	if to := sendRequests(b, at, 1, 40); to[list[0].Name] == 0 {
-		t.Fatalf("not used before: %v", to)
-	}
-	id := uint64(1000)
-	never := func(when string) {
-		t.Helper()
-		at += 100 * ms
-		if to := sendRequests(b, at, id, 40); to[list[0].Name] > 0 || len(to) == 0 {
-			t.Errorf("%s: %v", when, to)
+	endpoints := testEndpoints(4)
+	ejected := endpoints[0]
+	b := newTestBalancer(t, settingsWithoutCounter(), endpoints...)
+	now := time.Second
+	id := uint64(1)
+	if attempts := sendRequests(b, now, id, 40); attempts[ejected.Name] == 0 {
+		t.Fatalf("not used before: %v", attempts)
+	}
+	restarted := ejected
+	restarted.StartedAt = now
+	removed := ejected
+	removed.State = Removed
+	for _, c := range []struct {
+		when   string
+		events []Event
+	}{
+		{"ejected", []Event{AdminEject{Endpoint: ejected.Name}}},
+		{"ejected again", []Event{AdminEject{Endpoint: ejected.Name}}},
+		{"listed as restarted", []Event{EndpointUpdate{Kind: Delta, Entries: []Endpoint{restarted}}}},
+		{"in a snapshot", []Event{EndpointUpdate{Kind: Snapshot, Entries: endpoints}}},
+		{"removed and listed again", []Event{
+			EndpointUpdate{Kind: Delta, Entries: []Endpoint{removed}},
+			EndpointUpdate{Kind: Snapshot, Entries: endpoints[1:]},
+			EndpointUpdate{Kind: Delta, Entries: []Endpoint{restarted}},
+		}},
+	} {
+		b.Step(now, c.events)
+		if listed, avoided := b.EndpointCounts(); listed != 4 || avoided != 1 {
+			t.Errorf("%s: %d listed, %d avoided", c.when, listed, avoided)
 		}
+		now += 100 * ms
 		id += 100
+		if attempts := sendRequests(b, now, id, 40); attempts[ejected.Name] > 0 || len(attempts) == 0 {
+			t.Errorf("%s: %v", c.when, attempts)
+		}
 	}
-	out := AdminEject{Endpoint: list[0].Name}
-	b.Step(at, []Event{out})
-	b.Step(at, []Event{out}) // again
-	never("at once")
-	if listed, avoided := b.EndpointCounts(); listed != 4 || avoided != 1 {
-		t.Errorf("%d listed, %d avoided", listed, avoided)
-	}
-	again := list[0]
-	again.StartedAt = at
-	b.Step(at, []Event{EndpointUpdate{Kind: Delta, Entries: []Endpoint{again}}})
-	never("restarted and in service by the list")
-	b.Step(at, []Event{EndpointUpdate{Kind: Snapshot, Entries: list}})
-	never("a snapshot")
-	gone := list[0]
-	gone.State = Removed
-	b.Step(at, []Event{EndpointUpdate{Kind: Delta, Entries: []Endpoint{gone}}})
-	b.Step(at, []Event{EndpointUpdate{Kind: Snapshot, Entries: list[1:]}})
-	b.Step(at, []Event{EndpointUpdate{Kind: Delta, Entries: []Endpoint{again}}})
-	never("removed and back")
-	at += 100 * ms
-	for i := range 40 { // it is not probed either
-		actions := b.Step(at+time.Duration(i)*tickInterval, []Event{TimerFired{tickCookie}})
-		if len(actionsOf[HealthCheck](actions)) > 0 {
+	for range 40 {
+		now += tickInterval
+		if len(actionsOf[HealthCheck](b.Step(now, []Event{TimerFired{tickCookie}}))) > 0 {
 			t.Error("probed")
 		}
 	}
-	at += 40 * tickInterval
-	b.Step(at, []Event{AdminRestore{list[0].Name}})
-	ep := b.endpoints.byName[list[0].Name]
+}
+
+// A restored endpoint is used again within seconds, although warm ones are idle, and warms up. Another restore changes
+// nothing.
+func TestAdminRestore(t *testing.T) {
+	endpoints := testEndpoints(4)
+	name := endpoints[0].Name
+	b := newTestBalancer(t, settingsWithoutCounter(), endpoints...)
+	now := time.Second
+	sendRequests(b, now, 1, 40)
+	b.Step(now, []Event{AdminEject{Endpoint: name}})
+	restarted := endpoints[0]
+	restarted.StartedAt = now + 100*ms
+	for round := range uint64(5) {
+		now += 100 * ms
+		b.Step(now, []Event{EndpointUpdate{Kind: Delta, Entries: []Endpoint{restarted}}})
+		sendRequests(b, now, 1000+100*round, 40)
+	}
+	now += 41 * tickInterval
+	b.Step(now, []Event{AdminRestore{name}})
+	ep := b.endpoints.byName[name]
 	if !ep.isUsable() || !ep.slowStart.active {
-		t.Fatalf("back: usable %t, warming %t", ep.isUsable(), ep.slowStart.active)
+		t.Fatalf("restored: usable %t, warming up %t", ep.isUsable(), ep.slowStart.active)
 	}
-	used := 0
-	for end := at + 5*time.Second; at < end && used == 0; at += 200 * ms { // although warm endpoints are idle
-		used = sendRequests(b, at, id, 1)[list[0].Name]
+	attempts := 0
+	id := uint64(2000)
+	for end := now + 5*time.Second; now < end && attempts == 0; now += 200 * ms {
+		attempts = sendRequests(b, now, id, 1)[name]
 		id++
 	}
-	if used == 0 {
+	if attempts == 0 {
 		t.Error("not used for 5 s after it was restored")
 	}
-	b.Step(at, []Event{AdminRestore{list[0].Name}, AdminRestore{"nobody"}}) // again: nothing is reset
-	if ep.slowStart.since > at-100*ms {
+	b.Step(now, []Event{AdminRestore{name}, AdminRestore{"unknown"}})
+	if ep.slowStart.since > now-100*ms {
 		t.Error("a second restore began another slow start")
 	}
 }
