--- a/internal/balancer/ceiling.go
+++ b/internal/balancer/ceiling.go
@@ -60,7 +60,7 @@
 	ceiling.filledAt = now
 	ceiling.tokens += share.Rate * seconds
 	ceiling.tokens = min(ceiling.tokens, share.Depth)
-	if admitOnlyFraction <= 0 {
+	if !(admitOnlyFraction > 0) { // not a number where there is no demand at all
 		ceiling.admitOnlyTokens = 0
 		return
 	}
