--- a/internal/balancer/ceilinglease_test.go
+++ b/internal/balancer/ceilinglease_test.go
@@ -37,3 +37,34 @@
 	b.Step(now, events)
 	return nil
 }
+
+// A reload may end the lease of a plan's ceiling while queued requests hold units of it: they must still end. KNOWN-RED.txt
+// lists it: the units are returned on the terms of the new plan, which has no lease.
+func TestReloadEndsLeaseOfQueuedRequests(t *testing.T) {
+	settings := testSettings()
+	settings.LeaseCeilings = true
+	settings.Plans[1].Rate = 0
+	settings.Plans[1].OverQuotaWeight = 1
+	b := newTestBalancer(t, settings)
+	const requests = 40
+	now := time.Second
+	for id := uint64(1); id < requests; id++ {
+		request := Request{ID: id, Plan: 1, Customer: "c", TimeLeft: time.Second, Units: 1}
+		actions := append([]Action(nil), b.Step(now, []Event{request})...)
+		for _, call := range actionsOf[CounterAdd](actions) {
+			b.Step(now, []Event{CounterResult{Name: call.Name, Status: OK, Total: call.Amount}})
+		}
+	}
+	next := settings
+	next.Plans = append([]Plan(nil), settings.Plans...)
+	next.Plans[1].CeilingRate = 0
+	update := SettingsUpdate{Settings: next, EvidenceFrom: []int{0, 1, 2}}
+	if err := stepRecovered(b, now+10*ms, update); err != nil {
+		t.Fatal(err)
+	}
+	for id := uint64(1); id < requests; id++ {
+		if err := stepRecovered(b, now+3*time.Second, TimerFired{requestCookie(id)}); err != nil {
+			t.Fatal(err)
+		}
+	}
+}
