--- a/internal/policy/steps_test.go
+++ b/internal/policy/steps_test.go
@@ -86,8 +86,8 @@
 }
 
 // stepFaults go wrong at a step; what each returns ends it.
-func stepFaults() map[string]func(w *world, asker *gateway) (again func()) {
-	return map[string]func(w *world, asker *gateway) (again func()){
+func stepFaults() map[string]func(w *world, asker *gateway) (repair func()) {
+	return map[string]func(w *world, asker *gateway) (repair func()){
 		"leader killed": func(w *world, _ *gateway) func() {
 			g := w.gateways[w.leader]
 			g.alive, g.life = false, g.life+1
@@ -107,96 +107,131 @@
 	}
 }
 
+// stepPlay is a change with a fault at one of its steps.
+type stepPlay struct {
+	*world
+	t     *testing.T
+	title string
+	step  changeStep
+	mode  Mode
+}
+
+// changeID is the id of the change that a stepPlay is about.
+const changeID = "x"
+
+// play proposes the change, injects the fault at the step and repairs it. It returns whether the change was committed.
+func (p *stepPlay) play(inject func(w *world, asker *gateway) (repair func())) bool {
+	p.t.Helper()
+	p.decideEvery(5 * time.Millisecond)
+	if !p.until(20*time.Second, func() bool { return p.countVersion(1) == len(p.gateways) }) {
+		p.t.Fatalf("%s: not all gateways have switched to the first version", p.title)
+	}
+	p.run(p.now + 2*time.Second)
+	proposer := p.gateways[len(p.gateways)-1]
+	change := &Change{ID: changeID, Base: 1, Hash: Hash{2}, Mode: p.mode, Source: uint16(proposer.index)}
+	proposer.query(Query{ChangeID: changeID, Change: change})
+	if !p.until(2*time.Second, func() bool { return p.step.at(p.world) }) {
+		p.t.Fatalf("%s: the change did not come to the step", p.title)
+	}
+	repair := inject(p.world, proposer)
+	p.run(p.now + 700*time.Millisecond)
+	repair()
+	p.run(p.now + 200*time.Millisecond)
+	outcome := p.outcomeAt(p.gateways[1], change, 15*time.Second)
+	p.checkOutcomes(change, outcome)
+	return outcome.Committed
+}
+
+// outcomeAt asks a gateway for the outcome of the change.
+func (p *stepPlay) outcomeAt(g *gateway, change *Change, limit time.Duration) *Outcome {
+	p.t.Helper()
+	number := g.query(Query{ChangeID: changeID, Change: change})
+	if !p.until(limit, func() bool { return g.node.QueryReply(number) != nil }) {
+		p.t.Fatalf("%s: gateway %d does not learn the outcome", p.title, g.index)
+	}
+	return g.node.QueryReply(number).Outcome
+}
+
+// checkOutcomes checks that all gateways know the same outcome and go by the version that follows from it, that the
+// change was decided once, and the window.
+func (p *stepPlay) checkOutcomes(change *Change, want *Outcome) {
+	p.t.Helper()
+	for _, g := range p.gateways {
+		got := p.outcomeAt(g, change, 5*time.Second)
+		if got.Committed != want.Committed || got.Version != want.Version {
+			p.t.Errorf("%s: %+v at gateway %d, %+v at another", p.title, got, g.index, want)
+		}
+	}
+	version := uint64(1)
+	if want.Committed {
+		version = 2
+	}
+	if !p.until(5*time.Second, func() bool { return p.countVersion(version) == len(p.gateways) }) {
+		p.t.Errorf("%s: %d of %d gateways go by version %d",
+			p.title, p.countVersion(version), len(p.gateways), version)
+	}
+	decided := 0
+	for _, o := range p.gateways[p.leader].node.state.Outcomes {
+		if o.Change.ID == changeID {
+			decided++
+		}
+	}
+	if decided != 1 || p.worstWindow > maxWindow {
+		p.t.Errorf("%s: decided %d times, window %v", p.title, decided, p.worstWindow)
+	}
+}
+
 // TestPolicyLeaderKilledAtEachStep kills or stops the leader, or the proposer, at the very event that makes each step
 // of a change. The change is decided once, its id gives the same answer from every gateway, all gateways come to go
 // by the same version, and the window is kept.
 func TestPolicyLeaderKilledAtEachStep(t *testing.T) {
-	plays, taken := 0, 0
+	plays, committed := 0, 0
 	for _, step := range changeSteps() {
-		for trouble, do := range stepFaults() {
+		for fault, inject := range stepFaults() {
 			for seed := range uint64(8) {
 				gateways, mode := 4+int(seed%3), Mode(seed/4)
-				at := fmt.Sprintf("%s, %s, %d gateways, %v, seed %d", step.name, trouble, gateways, mode, seed)
-				w := newWorld(seed, gateways, mode)
-				w.maxDelay = 20 * time.Millisecond
-				w.loss, w.duplication = 0.1, 0.3
-				w.decideEvery(5 * time.Millisecond)
-				if !w.until(20*time.Second, func() bool { return w.countVersion(1) == gateways }) {
-					t.Fatalf("%s: the fleet has not begun", at)
-				}
-				w.run(w.now + 2*time.Second)
-				c := &Change{ID: "x", Base: 1, Hash: Hash{2}, Mode: mode, Source: uint16(gateways - 1)}
-				asker := w.gateways[gateways-1]
-				asker.query(Query{ChangeID: c.ID, Change: c})
-				if !w.until(2*time.Second, func() bool { return step.at(w) }) {
-					t.Fatalf("%s: it did not come to that", at)
-				}
-				again := do(w, asker)
-				w.run(w.now + 700*time.Millisecond)
-				again()
-				w.run(w.now + 200*time.Millisecond)
-				other := w.gateways[1]
-				no := other.query(Query{ChangeID: c.ID, Change: c}) // whoever does not know queries the same id
-				if !w.until(15*time.Second, func() bool { return other.node.QueryReply(no) != nil }) {
-					t.Fatalf("%s: it is not known what became of it", at)
-				}
-				got := *other.node.QueryReply(no).Outcome
-				for _, g := range w.gateways {
-					no := g.query(Query{ChangeID: c.ID, Change: c})
-					if !w.until(5*time.Second, func() bool { return g.node.QueryReply(no) != nil }) {
-						t.Fatalf("%s: gateway %d does not learn what became of it", at, g.index)
-					}
-					if o := g.node.QueryReply(no).Outcome; o.Committed != got.Committed || o.Version != got.Version {
-						t.Errorf("%s: %+v at gateway %d, %+v at another", at, o, g.index, got)
-					}
-				}
-				want := uint64(1)
-				if got.Committed {
-					want = 2
-					taken++
-				}
-				if !w.until(5*time.Second, func() bool { return w.countVersion(want) == gateways }) {
-					t.Errorf("%s: %d of %d gateways go by version %d", at, w.countVersion(want), gateways, want)
-				}
-				times := 0
-				for _, o := range w.gateways[w.leader].node.state.Outcomes {
-					if o.Change.ID == c.ID {
-						times++
-					}
-				}
-				if times != 1 || w.worstWindow > maxWindow {
-					t.Errorf("%s: decided %d times, window %v", at, times, w.worstWindow)
+				p := &stepPlay{
+					world: newWorld(seed, gateways, mode),
+					t:     t,
+					title: fmt.Sprintf("%s, %s, %d gateways, %v, seed %d", step.name, fault, gateways, mode, seed),
+					step:  step,
+					mode:  mode,
 				}
+				p.maxDelay = 20 * time.Millisecond
+				p.loss, p.duplication = 0.1, 0.3
 				plays++
+				if p.play(inject) {
+					committed++
+				}
 			}
 		}
 	}
-	t.Logf("%d plays, the change taken in %d", plays, taken)
-	if taken < plays/2 {
-		t.Error("hardly any change was taken")
+	t.Logf("%d plays, the change committed in %d", plays, committed)
+	if committed < plays/2 {
+		t.Error("hardly any change was committed")
 	}
 }
 
-// TestPolicyTakenOverLossyLines commits a change over links that lose three messages of ten, within two seconds: a
+// TestPolicyCommittedOverLossyLinks commits a change over links that lose three messages of ten, within two seconds: a
 // gateway that has not voted is notified again.
-func TestPolicyTakenOverLossyLines(t *testing.T) {
+func TestPolicyCommittedOverLossyLinks(t *testing.T) {
 	var worst time.Duration
 	for seed := range uint64(40) {
 		w := newWorld(seed, 5, Wait)
 		w.maxDelay = 20 * time.Millisecond
 		w.run(w.now + 5*time.Second)
 		w.loss, w.duplication = 0.3, 0.3
-		begun := w.now
+		proposedAt := w.now
 		w.gateways[4].query(Query{ChangeID: "x", Change: &Change{ID: "x", Base: 1, Hash: Hash{2}, Source: 4}})
 		if !w.until(10*time.Second, func() bool { return w.gateways[w.leader].node.state.FindOutcome("x") != nil }) {
 			t.Fatalf("seed %d: not decided", seed)
 		}
 		if o := w.gateways[w.leader].node.state.FindOutcome("x"); !o.Committed {
-			t.Errorf("seed %d: dropped: %s", seed, o.Reason)
+			t.Errorf("seed %d: aborted: %s", seed, o.Reason)
 		}
-		worst = max(worst, w.now-begun)
+		worst = max(worst, w.now-proposedAt)
 	}
-	t.Logf("taken within %v at worst", worst)
+	t.Logf("committed within %v at worst", worst)
 	if worst > 2*time.Second {
 		t.Errorf("it took %v", worst)
 	}
--- /dev/null
+++ b/internal/policy/trace_test.go
@@ -0,0 +1,252 @@
+package policy
+
+import (
+	"cmp"
+	"maps"
+	"math"
+	"slices"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"gapgap/internal/golden"
+)
+
+// worldTrace is the hash of all that the nodes of a world send, propose and decide by.
+type worldTrace struct{ *golden.Trace }
+
+// wall is the wall clock of a world whose trace is recorded, in Unix milliseconds; 0 in others.
+func (w *world) wall() int64 {
+	if w.trace == nil {
+		return 0
+	}
+	return w.now.Milliseconds()
+}
+
+// record adds what a call of the node has returned and proposed, and proposes it. Queries, joins and leaves come in the
+// order of a map; they are sorted, so that a play does not depend on it.
+func (g *gateway) record(outs []Outgoing) []Outgoing {
+	trace := g.world.trace
+	queries := slices.IndexFunc(outs, func(o Outgoing) bool { return o.Message.Query != nil })
+	if queries >= 0 {
+		slices.SortStableFunc(outs[queries:], func(a, b Outgoing) int {
+			return cmp.Or(cmp.Compare(a.Message.Query.Number, b.Message.Query.Number), cmp.Compare(a.To, b.To))
+		})
+	}
+	trace.Int(int64(g.index))
+	trace.Duration(g.world.now)
+	trace.Int(int64(len(outs)))
+	for _, o := range outs {
+		trace.Int(int64(o.To))
+		trace.message(&o.Message)
+	}
+	proposed := g.proposed
+	g.proposed = nil
+	slices.SortStableFunc(proposed, func(a, b []byte) int {
+		return cmp.Compare(proposalOrder(a), proposalOrder(b))
+	})
+	trace.Int(int64(len(proposed)))
+	for _, b := range proposed {
+		trace.encoded(b)
+		g.propose(b)
+	}
+	trace.participant(g.node.Participant())
+	return outs
+}
+
+// proposalOrder is the place of an entry among those that one call proposes: joins and leaves by gateway, then the
+// others.
+func proposalOrder(b []byte) int {
+	var e Entry
+	if err := cbor.Unmarshal(b, &e); err != nil {
+		panic(err)
+	}
+	switch {
+	case e.Join != nil:
+		return int(e.Join.Gateway)
+	case e.Leave != nil:
+		return int(e.Leave.Gateway)
+	}
+	return math.MaxInt
+}
+
+// process adds the identity of a process.
+func (t worldTrace) process(p Process) {
+	t.Uint(uint64(p.Gateway))
+	t.Uint(uint64(p.ID.Incarnation))
+	t.Uint(uint64(p.ID.Nonce))
+}
+
+func (t worldTrace) processes(all []Process) {
+	t.Int(int64(len(all)))
+	for _, p := range all {
+		t.process(p)
+	}
+}
+
+func (t worldTrace) version(v Version) {
+	t.Uint(v.Number)
+	t.String(string(v.Hash[:]))
+}
+
+// present adds whether a part is there.
+func (t worldTrace) present(there bool) bool {
+	t.Bool(there)
+	return there
+}
+
+func (t worldTrace) change(c *Change) {
+	if !t.present(c != nil) {
+		return
+	}
+	t.Uint(c.Index)
+	t.String(c.ID)
+	t.Uint(c.Base)
+	t.String(string(c.Hash[:]))
+	t.Int(c.Bytes)
+	t.Uint(uint64(c.Mode))
+	t.String(c.Author)
+	t.String(c.Note)
+	t.Int(c.ProposedAt)
+	t.Uint(uint64(c.Source))
+	t.Bool(c.Initial)
+}
+
+func (t worldTrace) times(all map[uint16]int64) {
+	t.Int(int64(len(all)))
+	for _, rank := range slices.Sorted(maps.Keys(all)) {
+		t.Uint(uint64(rank))
+		t.Int(all[rank])
+	}
+}
+
+func (t worldTrace) outcome(o *Outcome) {
+	if !t.present(o != nil) {
+		return
+	}
+	t.change(&o.Change)
+	t.Bool(o.Committed)
+	t.Uint(o.Version)
+	t.String(o.Reason)
+	t.Int(o.DecidedAt)
+	t.processes(o.Locked)
+	t.processes(o.Fenced)
+	t.times(o.SwitchedAt)
+}
+
+func (t worldTrace) message(m *Message) {
+	if r := m.StatusRequest; t.present(r != nil) {
+		t.process(r.Process)
+		t.Duration(r.SentAt)
+		t.Uint(r.Version)
+		t.Uint(r.Prepared)
+		t.Uint(r.Rejected)
+		t.String(r.Reason)
+		t.Uint(r.Locked)
+		t.Bool(r.Leaving)
+		t.Int(r.SwitchedAt)
+	}
+	if r := m.StatusReply; t.present(r != nil) {
+		t.Duration(r.RequestSentAt)
+		t.process(r.Process)
+		t.version(r.Current)
+		t.Bool(r.MayDecide)
+		t.change(r.Pending)
+		t.Bool(r.Lock)
+		t.Uint(uint64(r.Mode))
+	}
+	t.Uint(m.StateChanged)
+	if q := m.Query; t.present(q != nil) {
+		t.Uint(q.Number)
+		t.String(q.ChangeID)
+		t.change(q.Change)
+		t.Uint(uint64(q.Forget))
+		t.Uint(uint64(q.ReplaceVoter))
+	}
+	if r := m.QueryReply; t.present(r != nil) {
+		t.Uint(r.Number)
+		t.version(r.Current)
+		t.Uint(uint64(r.Mode))
+		t.change(r.Pending)
+		t.String(r.WaitingFor)
+		t.outcome(r.Outcome)
+		t.processes(r.Participants)
+		t.Uint(uint64(r.Leader))
+		t.String(r.Reason)
+	}
+}
+
+// encoded adds an entry of the log.
+func (t worldTrace) encoded(b []byte) {
+	var e Entry
+	if err := cbor.Unmarshal(b, &e); err != nil {
+		panic(err)
+	}
+	t.change(e.Propose)
+	if t.present(e.Join != nil) {
+		t.process(*e.Join)
+	}
+	if t.present(e.Leave != nil) {
+		t.process(*e.Leave)
+	}
+	if t.present(e.Commit != nil) {
+		t.Uint(e.Commit.Index)
+		t.processes(e.Commit.Locked)
+		t.processes(e.Commit.Fenced)
+		t.Int(e.Commit.DecidedAt)
+	}
+	if t.present(e.Abort != nil) {
+		t.Uint(e.Abort.Index)
+		t.String(e.Abort.Reason)
+		t.Int(e.Abort.DecidedAt)
+	}
+	if t.present(e.SwitchReport != nil) {
+		t.Uint(e.SwitchReport.Version)
+		t.times(e.SwitchReport.SwitchedAt)
+	}
+	if t.present(e.Recovery != nil) {
+		t.String(e.Recovery.Author)
+		t.Int(int64(len(e.Recovery.Lost)))
+		for _, rank := range e.Recovery.Lost {
+			t.Uint(uint64(rank))
+		}
+		t.Int(e.Recovery.RecoveredAt)
+	}
+}
+
+func (t worldTrace) state(s *State) {
+	t.version(s.Current)
+	t.processes(s.Processes())
+	t.change(s.Pending)
+	t.Int(int64(len(s.Outcomes)))
+	for i := range s.Outcomes {
+		t.outcome(&s.Outcomes[i])
+	}
+	t.Uint(uint64(s.Mode))
+}
+
+// participant adds what a gateway may decide by, and until when.
+func (t worldTrace) participant(p *Participant) {
+	t.version(p.Version())
+	t.Duration(p.DecidesUntil())
+	t.Bool(p.IsLocked())
+	pending, ok := p.Pending()
+	t.Bool(ok)
+	t.change(&pending)
+	hash, from, wants := p.MissingDocument()
+	t.Bool(wants)
+	t.String(string(hash[:]))
+	t.Uint(uint64(from))
+}
+
+// end adds all states as they stand in the end.
+func (w *world) end() string {
+	for _, g := range w.gateways {
+		w.trace.state(g.node.State())
+		w.trace.participant(g.node.Participant())
+		w.trace.Bool(g.node.IsLeaveConfirmed())
+	}
+	w.trace.Duration(w.worstWindow)
+	return w.trace.Sum()
+}
+
+func newWorldTrace() *worldTrace { return &worldTrace{golden.NewTrace()} }
