--- /dev/null
+++ b/internal/policy/modelkey_test.go
@@ -0,0 +1,165 @@
+package policy
+
+import (
+	"encoding/binary"
+	"hash/maphash"
+	"slices"
+	"time"
+)
+
+// modelKey tells two states of the model apart.
+type modelKey [2]uint64
+
+var modelSeeds = [2]maphash.Seed{maphash.MakeSeed(), maphash.MakeSeed()}
+
+// Marks that begin a part of a key, or stand for one that is not there.
+const (
+	entryMark       = 96
+	messageMark     = 97
+	participantMark = 98
+	logMark         = 99
+)
+
+// keyWriter writes all of a model on which its future depends. Times are relative to now, so that states that differ
+// only in the time are the same.
+type keyWriter struct {
+	b   []byte
+	now time.Duration
+}
+
+func (w *keyWriter) numbers(values ...uint64) {
+	for _, value := range values {
+		w.b = binary.AppendUvarint(w.b, value)
+	}
+}
+
+func (w *keyWriter) flag(v bool) {
+	if v {
+		w.numbers(1)
+	} else {
+		w.numbers(2)
+	}
+}
+
+// at is a time relative to now, from an hour ago on.
+func (w *keyWriter) at(t time.Duration) uint64 {
+	if t == NoExpiry {
+		return 1
+	}
+	return uint64(max(0, t-w.now+time.Hour) + 2)
+}
+
+func (w *keyWriter) process(p Process) {
+	w.numbers(uint64(p.Gateway), uint64(p.ID.Incarnation))
+}
+
+func (w *keyWriter) state(s *State) {
+	if s == nil {
+		w.numbers(0)
+		return
+	}
+	w.numbers(1, s.Current.Number, uint64(len(s.Outcomes)))
+	if s.Pending != nil {
+		w.numbers(s.Pending.Index)
+	}
+	w.numbers(0)
+	for _, p := range s.Processes() {
+		w.process(p)
+	}
+}
+
+func (w *keyWriter) participant(p *modelParticipant) {
+	w.numbers(uint64(p.incarnation), uint64(p.requests), w.at(p.lastSentAt), w.at(p.lastReplyTo))
+	w.numbers(p.version.Number, w.at(p.decidesUntil), p.lockedChange, w.at(p.lockedAt))
+	w.numbers(p.pending.Index, p.required.Number, uint64(len(p.prepared)), uint64(len(p.disk)))
+}
+
+func (w *keyWriter) request(r *StatusRequest) {
+	w.process(r.Process)
+	w.numbers(w.at(r.SentAt), r.Version, r.Prepared, r.Rejected, r.Locked)
+}
+
+func (w *keyWriter) reply(r *StatusReply) {
+	w.numbers(w.at(r.RequestSentAt))
+	w.process(r.Process)
+	w.numbers(r.Current.Number)
+	if r.Pending != nil {
+		w.numbers(r.Pending.Index)
+	}
+}
+
+// coordinator writes what the leader knows, of the processes that may decide.
+func (w *keyWriter) coordinator(c *Coordinator, s *State, participants int) {
+	w.numbers(w.at(c.leadingSince), c.changeIndex, uint64(len(c.fenced)))
+	for gateway := range uint16(participants) {
+		if c.fenced[Process{Gateway: gateway, ID: s.Participants[gateway]}] {
+			w.numbers(uint64(gateway))
+		}
+	}
+	for gateway := range uint16(participants) {
+		if known := c.participants[gateway]; known != nil {
+			w.request(&known.status)
+			w.numbers(w.at(known.lastReadAt))
+		}
+		w.numbers(participantMark)
+	}
+}
+
+func (w *keyWriter) message(m *modelMessage) {
+	w.numbers(messageMark)
+	if m.request != nil {
+		w.request(m.request)
+	} else {
+		w.reply(m.reply)
+	}
+	w.flag(m.request != nil)
+	w.flag(m.stale)
+	w.flag(m.reply != nil && m.reply.MayDecide)
+	w.flag(m.reply != nil && m.reply.Lock)
+}
+
+func (w *keyWriter) entry(e *Entry) {
+	w.numbers(entryMark)
+	switch {
+	case e.Commit != nil:
+		w.numbers(1, e.Commit.Index)
+		for _, p := range slices.Concat(e.Commit.Locked, e.Commit.Fenced) {
+			w.process(p)
+		}
+		w.numbers(uint64(len(e.Commit.Fenced)))
+	case e.Abort != nil:
+		w.numbers(2, e.Abort.Index)
+	case e.Join != nil:
+		w.numbers(3)
+		w.process(*e.Join)
+	}
+}
+
+// key returns the key of this state.
+func (m *model) key() (k modelKey) {
+	w := &keyWriter{b: make([]byte, 0, 512), now: m.now}
+	w.state(m.state)
+	w.state(m.old)
+	w.numbers(logMark, m.index)
+	for _, p := range m.participants {
+		w.participant(p)
+	}
+	w.coordinator(m.coordinator, m.state, len(m.participants))
+	for i := range m.messages {
+		w.message(&m.messages[i])
+	}
+	for i := range m.entries {
+		w.entry(&m.entries[i])
+	}
+	for version := uint64(2); version < 5; version++ {
+		if t, ok := m.firstDecidedAt[version]; ok {
+			w.numbers(version, w.at(t))
+		}
+	}
+	b := &m.bounds
+	w.numbers(uint64(b.ticks), uint64(b.crashes), uint64(b.leaders), uint64(b.duplicates), uint64(b.changes+9))
+	for i := range k {
+		k[i] = maphash.Bytes(modelSeeds[i], w.b)
+	}
+	return k
+}
