--- a/internal/raftlog/replace_test.go
+++ b/internal/raftlog/replace_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// TestPolicyVoterReplaced replaces a voter whose disk was lost for good by one with an empty disk, over lines that
-// lose a tenth; from then on it counts: another voter may fail, all may start anew, and a second one may be replaced
-// likewise. Nothing that was agreed on is lost, and all have it in one order.
+// TestPolicyVoterReplaced replaces a voter whose disk was lost for good by one with an empty disk, over links that
+// lose a tenth. From then on it counts: another voter may fail, all may be restarted, and a second one may be replaced
+// likewise. Nothing that was committed is lost, and all have it in one order.
 func TestPolicyVoterReplaced(t *testing.T) {
 	t.Parallel()
 	for _, voters := range []int{3, 5} {
@@ -62,7 +62,7 @@
 			c.start(i)
 		}
 		commit(500)
-		c.until(500, "all have all", func() bool {
+		c.until(500, "all entries at all voters", func() bool {
 			for _, v := range c.voters {
 				if !slices.Contains(v.applied, uint64(n-1)) {
 					return false
--- a/internal/raftlog/work_test.go
+++ b/internal/raftlog/work_test.go
@@ -8,7 +8,7 @@
 )
 
 // TestPolicyLogStuckDisk stops the disk of a voter. That stops nobody but its own voter, whether it leads or follows:
-// the others decide and read, another one leads, and it has all once its disk goes on. What it did not keep it does
+// the others decide and read, another one leads, and it has all once its disk goes on. What it did not store it does
 // not count.
 func TestPolicyLogStuckDisk(t *testing.T) {
 	t.Parallel()
@@ -32,125 +32,148 @@
 		if n := len(c.voters[stuck].applied); n != 1 {
 			t.Errorf("the voter whose disk stands still has applied %d entries", n)
 		}
-		for n := range 1500 { // long
+		for n := range 1500 {
 			if l := c.leader(); l != nil && n%2 == 0 {
 				l.log.Propose(entry(2))
 			}
 			c.tick()
 		}
 		if n := len(c.voters[stuck].log.writes.waiting); n > maxWaiting+20 {
-			t.Errorf("%d things wait for the disk", n)
+			t.Errorf("%d messages wait for the disk", n)
 		}
-		c.until(200, "all have all", func() bool {
+		c.until(200, "all entries at all voters", func() bool {
 			write()
 			return len(c.voters[stuck].applied) == len(c.leader().applied)
 		})
 	}
 }
 
-// TestPolicyLogLateWrites plays voters whose writes are late at random, and that are killed with writes under way:
-// what one of them has applied all have in the end, in the same order, and no majority forgets it. A voter that
-// counts what it has not kept is found.
-func TestPolicyLogLateWrites(t *testing.T) {
-	t.Parallel()
-	play := func(seed uint64, broken bool) (wrong string) {
-		c := newCluster(t, 3)
-		c.rng = rand.New(rand.NewPCG(seed, 5))
-		c.until(200, "a leader", func() bool { return c.leader() != nil })
-		writes := make([]func(), 3)
-		late := func(i int) {
-			writes[i] = c.delayWrites(i)
-			if broken { // it says so, and keeps one in five
-				c.voters[i].log.cfg.WriteAsync = func(write func() error, done func(error)) {
-					if c.rng.IntN(5) == 0 {
-						_ = write()
-					}
-					done(nil)
-				}
-				writes[i] = func() {}
+// lateWritesPlay is voters whose writes are late at random, and that are killed with writes under way.
+type lateWritesPlay struct {
+	*cluster
+	seed uint64
+	// isBroken makes voters count what they have not stored.
+	isBroken bool
+	finish   []func() // the write that is under way, by voter
+	proposed int
+	order    []uint64 // entries as applied first by any voter
+}
+
+// play returns what is wrong; empty: nothing.
+func (p *lateWritesPlay) play() (wrong string) {
+	p.until(200, "a leader", func() bool { return p.leader() != nil })
+	p.finish = make([]func(), len(p.voters))
+	for i := range p.voters {
+		p.delay(i)
+	}
+	p.loss = 0.05
+	for range 400 {
+		p.step()
+		if wrong := p.check(); wrong != "" {
+			return wrong
+		}
+		for i, v := range p.voters {
+			if v.log.failure != nil {
+				return fmt.Sprintf("seed %d: voter %d: %v", p.seed, i, v.log.failure)
 			}
 		}
-		for i := range 3 {
-			late(i)
+	}
+	p.loss = 0
+	return p.catchUp()
+}
+
+// delay makes a voter's writes late. Those of a broken voter seem to be done at once, and one in five is.
+func (p *lateWritesPlay) delay(i int) {
+	p.finish[i] = p.delayWrites(i)
+	if !p.isBroken {
+		return
+	}
+	p.finish[i] = func() {}
+	p.voters[i].log.cfg.WriteAsync = func(write func() error, done func(error)) {
+		if p.rng.IntN(5) == 0 {
+			_ = write()
 		}
-		var order []uint64 // as applied first by anybody
-		check := func() bool {
-			for i, v := range c.voters {
-				for n, x := range v.applied {
-					if n == len(order) {
-						order = append(order, x)
-					}
-					if order[n] != x {
-						wrong = fmt.Sprintf("seed %d: voter %d has %d at %d, not %d", seed, i, x, n, order[n])
-						return false
-					}
-				}
-			}
-			return true
+		done(nil)
+	}
+}
+
+// step proposes an entry, ticks, finishes writes and restarts voters, each at random.
+func (p *lateWritesPlay) step() {
+	if l := p.leader(); l != nil && p.rng.IntN(2) == 0 {
+		l.log.Propose(entry(p.proposed))
+		p.proposed++
+	}
+	p.tick()
+	for _, finish := range p.finish {
+		if p.rng.IntN(3) == 0 {
+			finish()
 		}
-		n := 0
-		c.loss = 0.05
-		for range 400 {
-			if l := c.leader(); l != nil && c.rng.IntN(2) == 0 {
-				l.log.Propose(entry(n))
-				n++
-			}
-			c.tick()
-			for i := range 3 {
-				if c.rng.IntN(3) == 0 {
-					writes[i]()
-				}
-			}
-			if c.rng.IntN(15) == 0 {
-				for _, i := range c.rng.Perm(3)[:1+c.rng.IntN(3)] { // one, two or all: with what was not written
-					c.stop(i)
-					c.start(i)
-					late(i)
-				}
-			}
-			if !check() {
-				return wrong
+	}
+	if p.rng.IntN(15) > 0 {
+		return
+	}
+	for _, i := range p.rng.Perm(3)[:1+p.rng.IntN(3)] { // one, two or all: with what was not written
+		p.stop(i)
+		p.start(i)
+		p.delay(i)
+	}
+}
+
+// check returns which voter has applied something else than the others.
+func (p *lateWritesPlay) check() (wrong string) {
+	for i, v := range p.voters {
+		for n, applied := range v.applied {
+			if n == len(p.order) {
+				p.order = append(p.order, applied)
 			}
-			for i, v := range c.voters {
-				if v.log.failure != nil {
-					return fmt.Sprintf("seed %d: voter %d: %v", seed, i, v.log.failure)
-				}
+			if p.order[n] != applied {
+				return fmt.Sprintf("seed %d: voter %d has %d at %d, not %d", p.seed, i, applied, n, p.order[n])
 			}
 		}
-		c.loss = 0
-		end := func() bool {
-			for i := range 3 {
-				writes[i]()
-			}
-			lags := func(v *voter) bool { return len(v.applied) != len(order) }
-			return check() && !slices.ContainsFunc(c.voters, lags)
-		}
-		for range 500 {
-			if end() {
-				return ""
-			}
-			c.tick()
+	}
+	return ""
+}
+
+// catchUp ticks until all voters have applied what any of them has.
+func (p *lateWritesPlay) catchUp() (wrong string) {
+	lags := func(v *voter) bool { return len(v.applied) != len(p.order) }
+	for range 500 {
+		for _, finish := range p.finish {
+			finish()
 		}
-		if wrong == "" {
-			wrong = fmt.Sprintf(
-				"seed %d: of %d that were applied the voters have %d, %d, %d in the end",
-				seed,
-				len(order),
-				len(c.voters[0].applied),
-				len(c.voters[1].applied),
-				len(c.voters[2].applied),
-			)
+		if wrong = p.check(); wrong == "" && !slices.ContainsFunc(p.voters, lags) {
+			return ""
 		}
+		p.tick()
+	}
+	if wrong != "" {
 		return wrong
 	}
-	found := false // raft draws its time-outs itself, so no seed plays alike
+	return fmt.Sprintf("seed %d: of %d that were applied the voters have %d, %d, %d in the end", p.seed, len(p.order),
+		len(p.voters[0].applied), len(p.voters[1].applied), len(p.voters[2].applied))
+}
+
+// TestPolicyLogLateWrites plays voters whose writes are late, and that are killed with writes under way. What one of
+// them has applied all have in the end, in the same order. A voter that counts what it has not stored is found. Raft
+// draws election timeouts itself, so no seed plays alike.
+func TestPolicyLogLateWrites(t *testing.T) {
+	t.Parallel()
+	play := func(seed uint64, isBroken bool) string {
+		c := newCluster(t, 3)
+		c.rng = rand.New(rand.NewPCG(seed, 5))
+		p := &lateWritesPlay{cluster: c, seed: seed, isBroken: isBroken}
+		return p.play()
+	}
+	isFound := false
 	for seed := range uint64(20) {
 		if wrong := play(seed, false); wrong != "" {
 			t.Error(wrong)
 		}
-		found = found || play(seed, true) != ""
+		if wrong := play(seed, true); wrong != "" {
+			isFound = true
+		}
 	}
-	if !found {
-		t.Error("voters that count what they have not kept were not found")
+	if !isFound {
+		t.Error("voters that count what they have not stored were not found")
 	}
 }
