--- a/internal/service/hosted/keys.go
+++ b/internal/service/hosted/keys.go
@@ -10,30 +10,47 @@
 	"gapgap/internal/proxy"
 )
 
-// openKeyReplica opens what this door remembers of keys.
+// openKeyReplica opens this gateway's part in the reservation of idempotency keys.
 func (s *Service) openKeyReplica(cfg *peer.Settings) (*replica.Replica, error) {
-	k, err := replica.New(replica.Config{Index: cfg.Index, Gateways: len(cfg.Gateways), Voters: policyreplica.Voters(len(cfg.Gateways)), FS: s.disk, Dir: cfg.StateDir,
-		Incarnation: s.fleet.disk.Incarnation(), Retention: cfg.KeyRetention.Duration, MaxKeys: cfg.KeyRetention.MaxKeys, Now: s.clock.Now, Log: s.log.With("of", "keys"), Send: s.fleet.peers.SendKeys})
+	keys, err := replica.New(replica.Config{
+		Index:       cfg.Index,
+		Gateways:    len(cfg.Gateways),
+		Voters:      policyreplica.Voters(len(cfg.Gateways)),
+		FS:          s.disk,
+		Dir:         cfg.StateDir,
+		Incarnation: s.fleet.disk.Incarnation(),
+		Retention:   cfg.KeyRetention.Duration,
+		MaxKeys:     cfg.KeyRetention.MaxKeys,
+		Now:         s.clock.Now,
+		Log:         s.log.With("of", "keys"),
+		Send:        s.fleet.peers.SendKeys,
+	})
 	if err != nil {
 		return nil, fmt.Errorf("fleet.remember: %w", err)
 	}
-	return k, nil
+	return keys, nil
 }
 
-// poolKeys claims keys for one pool. It implements [proxy.Keys].
+// poolKeys reserves keys for one pool. It implements [proxy.Keys].
 type poolKeys struct {
-	replica  *replica.Replica
-	poolName string // as other doors know it
+	replica *replica.Replica
+	// poolName is the pool's name at all gateways.
+	poolName string
 }
 
+// reservationOf maps outcomes to what the proxy is told.
 var reservationOf = [...]proxy.Reservation{
 	idempotency.Reserved:    proxy.ReservationGranted,
 	idempotency.HeldByOther: proxy.ReservationHeld,
 	idempotency.NoCapacity:  proxy.ReservationUnavailable,
 }
 
+// Claim implements [proxy.Keys].
 func (p poolKeys) Claim(class, customer, key string, done func(proxy.Reservation)) uint64 {
-	return p.replica.Reserve(idempotency.KeyOf(p.poolName, class, customer, key), func(v idempotency.Outcome) { done(reservationOf[v]) })
+	return p.replica.Reserve(idempotency.KeyOf(p.poolName, class, customer, key), func(outcome idempotency.Outcome) {
+		done(reservationOf[outcome])
+	})
 }
 
-func (p poolKeys) End(n uint64, ran bool) { p.replica.Finish(n, ran) }
+// End implements [proxy.Keys].
+func (p poolKeys) End(id uint64, mayHaveRun bool) { p.replica.Finish(id, mayHaveRun) }
