--- a/internal/balancer/quota.go
+++ b/internal/balancer/quota.go
@@ -10,7 +10,15 @@
 // minPriority is the least priority of a request by which its band is found.
 const minPriority = 1e-9
 
-// quotaDecision is how a request stands with its customer's quota and ceiling.
+// quotaDecision is how a request stands with its customer's quota and ceiling. A gateway that stops spending a quota
+// does so for one of these reasons:
+//
+//   - The bucket on the counter was found empty, and is left alone for a while (sharedBucket.emptyUntil).
+//   - A call timed out, and its answer may still come (quotaState.callsPausedUntil).
+//   - The counter is silent or overloaded (counterCalls.isHealthy, canCallCounter), and the fallback share is spent.
+//   - This gateway's share of the ceiling is short, and the bucket is not known for long enough (isBucketSettled).
+//   - The customer has as many requests in flight here as it may have (isInFlightFull).
+//   - The gateway has no share (shareState.excluded, a lease that is over) or was handed over (Balancer.handedOver).
 type quotaDecision int
 
 const (
@@ -48,7 +56,7 @@
 		request:      req,
 		plan:         plan,
 		leaseTerms:   b.ceilingLeaseTerms(req),
-		nearlyLate:   b.isNearlyLate(req),
+		nearlyLate:   b.isStale(req, nil),
 		inFlightFull: b.isInFlightFull(req, plan),
 		missing:      req.units - b.ceilingCapacity(req, plan),
 	}
@@ -63,17 +71,11 @@
 	if decision != quotaCovered {
 		return decision
 	}
-	req.withinQuota = req.level < priorityBands
+	req.quota.covered = req.level < priorityBands
 	b.reserveCeiling(req, source)
 	return quotaCovered
 }
 
-// isNearlyLate reports whether a request that is dispatched now is expected to take the rest of its time.
-func (b *Balancer) isNearlyLate(req *request) bool {
-	waited := (b.now - req.arrivedAt).Seconds()
-	return waited+b.expectedLatency(req, nil) >= req.timeLimit.Seconds()*latencyHeadroomFraction
-}
-
 // awaitCeiling decides whether a request waits for a place among those in flight, or for the ceiling's share to fill.
 // A request of a soft plan waits for the share only if that fills soon.
 func (b *Balancer) awaitCeiling(check *quotaCheck) quotaDecision {
@@ -109,9 +111,9 @@
 		return fromEvenShare, quotaPending
 	case decision != quotaCovered:
 		return fromEvenShare, decision
-	case req.onCredit:
+	case req.quota.onCredit:
 		req.level += priorityBands
-	case leased && req.paidByCounter && b.isBucketSettled(req.customer, plan):
+	case leased && req.quota.paidByCounter && b.isBucketSettled(req.customer, plan):
 		return fromQuota, quotaCovered
 	}
 	return fromEvenShare, quotaCovered
--- a/internal/balancer/quotastate.go
+++ b/internal/balancer/quotastate.go
@@ -111,6 +111,11 @@
 	return quota.tokens > 0 && !quota.callPending && age > ttl
 }
 
+// hasFallbackTokens reports whether the tokens that are left and the fallback share together cover some units.
+func (quota *quotaState) hasFallbackTokens(units float64) bool {
+	return quota.fallbackTokens+max(0, quota.tokens) >= units
+}
+
 // spendFallback pays units from the tokens that are left and for the rest from the fallback share. What the fallback
 // share pays is added to the counter later.
 func (quota *quotaState) spendFallback(units float64) {
--- a/internal/balancer/sparseshare.go
+++ b/internal/balancer/sparseshare.go
@@ -10,7 +10,7 @@
 const (
 	// sparseShareUnits is the number of units in an even share below which shares are sparse.
 	sparseShareUnits = 4.0
-	// sparseInitialTokens are the units of a share at a gateway's start. A former process may have spent more.
+	// sparseInitialTokens are the units of a share at a gateway's start, as a former process may have spent the rest.
 	sparseInitialTokens = 1.0
 	// sparseRateFraction is the part of the rate beyond the quota that shares give. The rest is for units that a new
 	// window's total gives twice.
@@ -19,8 +19,8 @@
 	sparseSurplusTolerance = 0.25
 	// sparseQuotaReserve is the part of a burst that is kept back for the loss of the counter's totals.
 	sparseQuotaReserve = 0.75
-	// sparseQuotaBursts is the number of bursts that the quota's bucket may give at once, and again with a new total:
-	// 1 + sparseSurplusTolerance - sparseQuotaReserve, rounded up.
+	// sparseQuotaBursts is the number of bursts that the quota's bucket may give beyond its rate: 1 +
+	// sparseSurplusTolerance - sparseQuotaReserve at once, and as much again when a total is lost or begins anew.
 	sparseQuotaBursts = 1.0
 	// pressedSlowdown is the fleet's slowdown from which a promotion is worth a call.
 	pressedSlowdown = 1.5
@@ -77,7 +77,7 @@
 func (b *Balancer) checkSparseQuota(check *quotaCheck) quotaDecision {
 	req, plan := check.request, check.plan
 	quota := &req.customer.quota
-	req.paidByCounter = false
+	req.quota.paidByCounter = false
 	req.level = b.priorityBand(req, plan)
 	b.returnUnusedTokens(req.customer, plan, 1)
 	short := check.isCeilingShort()
@@ -91,7 +91,7 @@
 	case quota.callPending || short && (b.hasTokensSoon(req) || b.awaitsLateAnswer(req)):
 		return quotaPending
 	case !quota.hasTokens(req.units) && b.canCallForSparse(check):
-		req.counterCalled = true
+		req.quota.counterCalled = true
 		b.leaseTokensLargeFleet(req, plan)
 		return quotaPending
 	case !short:
@@ -102,7 +102,7 @@
 	default:
 		return b.awaitSparseCeiling(check)
 	}
-	req.withinQuota = true
+	req.quota.covered = true
 	return quotaCovered
 }
 
@@ -118,7 +118,7 @@
 // awaitsTurnToCall reports whether a request waits until it may call the counter.
 func (b *Balancer) awaitsTurnToCall(check *quotaCheck) bool {
 	req, cust := check.request, check.request.customer
-	return !req.counterCalled && !check.nearlyLate &&
+	return !req.quota.counterCalled && !check.nearlyLate &&
 		b.now >= max(cust.bucket.emptyUntil, cust.quota.callsPausedUntil) &&
 		!b.hasWaitedForCounter(req)
 }
