--- a/internal/policyreplica/prepare.go
+++ b/internal/policyreplica/prepare.go
@@ -124,5 +124,38 @@
 	}
 }
 
+// ensurePrepared has a document built that the node lacks, and downloads it first if it is not stored. source is the
+// gateway that most likely has it.
+func (r *Replica) ensurePrepared(hash policy.Hash, source int) {
+	participant := r.node.Participant()
+	if r.preparer.prepare(hash, r.version.Hash) {
+		participant.DocumentPrepared(hash) // it was built while the process had another identity
+		r.node.PollNow()
+		return
+	}
+	if r.preparer.hasFailed(hash) {
+		if change, ok := participant.Pending(); ok && change.Hash == hash {
+			participant.RejectDocument(hash, "it could not be gone by a moment ago")
+		}
+		return
+	}
+	isDownloading := r.download != nil && r.download.hash == hash
+	if r.preparer.isBuilding || r.preparer.downloaded[hash] != nil || isDownloading {
+		return
+	}
+	r.download = newDownload(hash, r.sources(source))
+}
+
+// handleBuildResult tells the node whether it can switch to a document.
+func (r *Replica) handleBuildResult(result buildResult) {
+	r.preparer.finish(result, r.config.Now())
+	if result.err != nil {
+		r.node.Participant().RejectDocument(result.hash, result.err.Error())
+	} else {
+		r.node.Participant().DocumentPrepared(result.hash)
+	}
+	r.node.PollNow()
+}
+
 // shortHash is the form of a hash in log lines and error messages.
 func shortHash(hash policy.Hash) string { return hash.String()[:12] }
