--- a/internal/balancer/outlier_test.go
+++ b/internal/balancer/outlier_test.go
@@ -7,40 +7,40 @@
 
 // An endpoint that answers nothing is ejected and then gets only probe requests.
 func TestSilentEndpointIsEjected(t *testing.T) {
+	const silent = "b0"
 	b := newTestBalancer(t, testSettings(), testEndpoints(4)...)
-	now, id := ms, uint64(0)
-	var open, lost []Dispatch
-	var openAt, lostAt []time.Duration
-	late, left := 0, false
-	for range 400 {
+	now := ms
+	var answered, lost []openAttempt
+	isEjected := false
+	attemptsAfterEjection := 0
+	for id := range uint64(400) {
 		now += 5 * ms
-		id++
-		events := []Event{testRequest(id, 0, 2), TimerFired{tickCookie}}
-		for len(open) > 0 && now >= openAt[0]+40*ms {
-			events = append(events, succeeded(open[0], 0, 40*ms))
-			open, openAt = open[1:], openAt[1:]
+		events := []Event{testRequest(id+1, 0, 2), TimerFired{tickCookie}}
+		for len(answered) > 0 && now >= answered[0].answeredAt {
+			events = append(events, succeeded(answered[0].Dispatch, 0, 40*ms))
+			answered = answered[1:]
 		}
-		for len(lost) > 0 && now >= lostAt[0]+lost[0].Timeout {
-			events = append(events, resultOf(lost[0], Timeout, lost[0].Timeout))
-			lost, lostAt = lost[1:], lostAt[1:]
+		for len(lost) > 0 && now >= lost[0].answeredAt {
+			events = append(events, resultOf(lost[0].Dispatch, Timeout, lost[0].Timeout))
+			lost = lost[1:]
 		}
 		actions := b.Step(now, events)
-		for _, l := range actionsOf[LogLine](actions) {
-			left = left || l.Text == "no longer used: b0"
+		for _, line := range actionsOf[LogLine](actions) {
+			isEjected = isEjected || line.Text == "no longer used: "+silent
 		}
 		for _, dispatch := range actionsOf[Dispatch](actions) {
-			if dispatch.Endpoint != "b0" {
-				open, openAt = append(open, dispatch), append(openAt, now)
-			} else {
-				lost, lostAt = append(lost, dispatch), append(lostAt, now)
-				if left {
-					late++
-				}
+			if dispatch.Endpoint != silent {
+				answered = append(answered, openAttempt{dispatch, now + 40*ms})
+				continue
+			}
+			lost = append(lost, openAttempt{dispatch, now + dispatch.Timeout})
+			if isEjected {
+				attemptsAfterEjection++
 			}
 		}
 	}
-	if !left || late > 2 {
-		t.Errorf("ejected: %v; %d requests dispatched to it after that, want the probe requests only", left, late)
+	if !isEjected || attemptsAfterEjection > 2 {
+		t.Errorf("ejected: %v; %d attempts after that, want the probe requests only", isEjected, attemptsAfterEjection)
 	}
 }
 
@@ -57,18 +57,9 @@
 		if len(dispatches) != 1 || ep.outlier.ejected {
 			t.Fatalf("before result %d: dispatched %v, ejected %v", i, dispatches, ep.outlier.ejected)
 		}
-		b.Step(
-			now+10*ms,
-			[]Event{
-				AttemptResult{
-					ID:            dispatches[0].ID,
-					Endpoint:      "b0",
-					Status:        status,
-					Latency:       10 * ms,
-					RequestClosed: status == OK,
-				},
-			},
-		)
+		result := resultOf(dispatches[0], status, 10*ms)
+		result.RequestClosed = status == OK
+		b.Step(now+10*ms, []Event{result})
 	}
 	if !ep.outlier.ejected {
 		t.Error("three in a row, and it is still used")
@@ -99,26 +90,32 @@
 	}
 }
 
-// Another pool's report of silence counts as timeouts: one attempt without an answer then ejects the endpoint, where
-// it takes more otherwise. A response since the report outweighs it.
-func TestReportedSilence(t *testing.T) {
-	play := func() *endpointFleet {
-		fleet := &endpointFleet{balancer: newTestBalancer(t, singleGatewaySettings(), testEndpoints(3)...)}
-		for range 200 { // all answer at first
-			fleet.step(1)
-		}
-		fleet.silent = "b0"
-		return fleet
-	}
-	fleet := play()
+// newSilencedFleet returns a fleet whose endpoints all answered for a while, and of which b0 is silent from now on.
+func newSilencedFleet(t *testing.T) *endpointFleet {
+	t.Helper()
+	fleet := &endpointFleet{balancer: newTestBalancer(t, singleGatewaySettings(), testEndpoints(3)...)}
+	for range 200 {
+		fleet.step(1)
+	}
+	fleet.silent = "b0"
+	return fleet
+}
+
+// The ejection of a silent endpoint is reported with the time of its last response.
+func TestEjectionIsReported(t *testing.T) {
+	fleet := newSilencedFleet(t)
 	got, _ := fleet.stepUntilEjected(t, 3)
 	if got.Health != Unresponsive || got.Endpoint != "b0" || got.Since > fleet.now-minSilence {
 		t.Fatalf("%+v at %v", got, fleet.now)
 	}
-	// A gateway with few requests, with and without a report.
-	alone := play()
-	_, without := alone.stepUntilEjected(t, 1)
-	reported := play()
+}
+
+// Another pool's report of silence counts as timeouts: one attempt without an answer then ejects the endpoint, where
+// it takes more otherwise.
+func TestReportedSilence(t *testing.T) {
+	unreported := newSilencedFleet(t)
+	_, without := unreported.stepUntilEjected(t, 1)
+	reported := newSilencedFleet(t)
 	for range 20 { // no request here since before the report
 		reported.step(0)
 	}
@@ -127,16 +124,19 @@
 	if with > minSilence+100*ms || with >= without {
 		t.Errorf("ejected after %v with a report, %v without", with, without)
 	}
-	// A later response outweighs the report.
-	heard := play()
-	heard.silent = ""
-	since := heard.now
+}
+
+// A response since a report of silence outweighs it.
+func TestLaterResponseOutweighsReportedSilence(t *testing.T) {
+	fleet := newSilencedFleet(t)
+	fleet.silent = ""
+	since := fleet.now
 	for range 50 {
-		heard.step(1)
+		fleet.step(1)
 	}
-	heard.step(0, HealthReport{"b0", Unresponsive, since})
-	if ep := heard.balancer.endpoints.byName["b0"]; ep.outlier.timeouts > 0 || ep.outlier.ejected {
-		t.Errorf("the report outweighs a later response: %+v", ep)
+	fleet.step(0, HealthReport{"b0", Unresponsive, since})
+	if ep := fleet.balancer.endpoints.byName["b0"]; ep.outlier.timeouts > 0 || ep.outlier.ejected {
+		t.Errorf("%+v", ep)
 	}
 }
 
@@ -172,39 +172,54 @@
 	}
 }
 
-// An endpoint that another pool has reinstated warms up here too, and is probed at once if it is ejected here. One
-// that has responded here all along does not.
+// An endpoint that another pool has reinstated warms up here too. One that has responded here all along does not.
 func TestReportedWarmUp(t *testing.T) {
-	const back = 20 * time.Second
-	warming := func(busy bool) *endpoint {
-		b := newTestBalancer(t, singleGatewaySettings(), testEndpoints(1)...)
-		for now := 10 * ms; busy && now < back; now += 100 * ms {
-			for _, dispatch := range actionsOf[Dispatch](b.Step(now, []Event{testRequest(uint64(now), 0, 2)})) {
-				b.Step(now+ms, []Event{succeeded(dispatch, 0, ms)})
+	const reinstatedAt = 20 * time.Second
+	for _, c := range []struct {
+		name       string
+		hasTraffic bool
+		warmsUp    bool
+	}{
+		{"idle", false, true},
+		{"responding", true, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			b := newTestBalancer(t, singleGatewaySettings(), testEndpoints(1)...)
+			for now := 10 * ms; c.hasTraffic && now < reinstatedAt; now += 100 * ms {
+				for _, dispatch := range actionsOf[Dispatch](b.Step(now, []Event{testRequest(uint64(now), 0, 2)})) {
+					b.Step(now+ms, []Event{succeeded(dispatch, 0, ms)})
+				}
 			}
-		}
-		b.Step(back, []Event{HealthReport{"b0", WarmingUp, back - ms}, HealthReport{"other", WarmingUp, back}})
-		return b.endpoints.byName["b0"]
-	}
-	if ep := warming(false); !ep.slowStart.active || ep.slowStart.since != back-ms {
-		t.Errorf("an endpoint that may have been restarted does not warm up: %+v", ep)
-	}
-	if ep := warming(true); ep.slowStart.active {
-		t.Error("an endpoint that answered all along warms up")
+			b.Step(reinstatedAt, []Event{
+				HealthReport{"b0", WarmingUp, reinstatedAt - ms},
+				HealthReport{"other", WarmingUp, reinstatedAt},
+			})
+			ep := b.endpoints.byName["b0"]
+			if ep.slowStart.active != c.warmsUp || c.warmsUp && ep.slowStart.since != reinstatedAt-ms {
+				t.Errorf("slow start %+v", ep.slowStart)
+			}
+		})
 	}
+}
+
+// An ejected endpoint that another pool has reinstated is probed at once, and its reinstatement is reported.
+func TestReportedWarmUpProbesEjectedEndpoint(t *testing.T) {
 	b := newTestBalancer(t, singleGatewaySettings(), testEndpoints(2)...)
-	ep, pool := b.endpoints.byName["b0"], &endpointFleet{balancer: b, silent: "b0"}
-	f, _ := pool.stepUntilEjected(t, 3)
-	now := pool.now
-	if !ep.outlier.ejected || len(actionsOf[HealthCheck](b.Step(now+20*ms, []Event{TimerFired{tickCookie}}))) > 0 {
-		t.Fatalf("%+v", f)
+	fleet := &endpointFleet{balancer: b, silent: "b0"}
+	fleet.stepUntilEjected(t, 3)
+	now := fleet.now
+	if !b.endpoints.byName["b0"].outlier.ejected {
+		t.Fatal("not ejected")
+	}
+	if len(actionsOf[HealthCheck](b.Step(now+20*ms, []Event{TimerFired{tickCookie}}))) > 0 {
+		t.Fatal("probed before the report")
 	}
 	actions := b.Step(now+40*ms, []Event{HealthReport{"b0", WarmingUp, now}, TimerFired{tickCookie}})
 	if len(actionsOf[HealthCheck](actions)) != 1 {
-		t.Error("it is not probed at once")
+		t.Error("not probed at once")
 	}
 	actions = b.Step(now+5*time.Second, []Event{HealthCheckResult{"b0", OK}})
-	if c := actionsOf[HealthReport](actions); len(c) != 1 || c[0].Health != WarmingUp {
+	if reports := actionsOf[HealthReport](actions); len(reports) != 1 || reports[0].Health != WarmingUp {
 		t.Errorf("a reinstated endpoint is not reported as warming up: %v", actions)
 	}
 }
