--- a/internal/balancer/event.go
+++ b/internal/balancer/event.go
@@ -70,7 +70,8 @@
 	Latency time.Duration
 	// RequestClosed is set if the request is over, whatever the status.
 	RequestClosed bool
-	// QuotaUsed is 1 plus the percentage of the customer's quota that all gateways used lately; 0: not known.
+	// QuotaUsed is 1 plus the percentage of the customer's quota that all gateways used lately; 0: not known. No rule
+	// uses it.
 	QuotaUsed int
 	// Units is the true number of units, with Settings.EstimatedUnits and the first OK; 0: not known.
 	Units float64
@@ -121,9 +122,13 @@
 
 // Endpoint is an entry of the endpoint list.
 type Endpoint struct {
-	Name  string
-	Zone  int
-	Kind  int
+	// Name identifies the endpoint.
+	Name string
+	// Zone is the zone that the endpoint runs in.
+	Zone int
+	// Kind is the endpoint's kind as listed; no rule uses it.
+	Kind int
+	// Cell is the cell that the endpoint belongs to; see DedupCell.
 	Cell  int
 	State EndpointState
 	// Weight is the capacity in relation to other endpoints; 0 counts as 1.
