--- a/internal/balancer/quota.go
+++ b/internal/balancer/quota.go
@@ -16,7 +16,7 @@
 //   - The bucket on the counter was found empty, and is left alone for a while (sharedBucket.emptyUntil).
 //   - A call timed out, and its answer may still come (quotaState.callsPausedUntil).
 //   - The counter is silent or overloaded (counterCalls.isHealthy, canCallCounter), and the fallback share is spent.
-//   - This gateway's share of the ceiling is short, and the bucket is not known for long enough (isBucketSettled).
+//   - This gateway's share of the ceiling is short, and the bucket is not known for long enough (isBucketReliable).
 //   - The customer has as many requests in flight here as it may have (isInFlightFull).
 //   - The gateway has no share (shareState.excluded, a lease that is over) or was handed over (Balancer.handedOver).
 type quotaDecision int
@@ -113,7 +113,7 @@
 		return fromEvenShare, decision
 	case req.quota.onCredit:
 		req.level += priorityBands
-	case leased && req.quota.paidByCounter && b.isBucketSettled(req.customer, plan):
+	case leased && req.quota.paidByCounter && b.isBucketReliable(req.customer, plan):
 		return fromQuota, quotaCovered
 	}
 	return fromEvenShare, quotaCovered
--- a/internal/balancer/quotastate.go
+++ b/internal/balancer/quotastate.go
@@ -45,7 +45,7 @@
 // addDebt adds units to those that the next call adds to the counter. Below 0 it returns units.
 func (quota *quotaState) addDebt(units float64) { quota.debt += units }
 
-// takeDebt ends the debt, which a call settles, and returns it.
+// takeDebt ends the debt, which a call adds to the counter, and returns it.
 func (quota *quotaState) takeDebt() float64 {
 	debt := quota.debt
 	quota.debt = 0
--- a/internal/balancer/sharedbucket.go
+++ b/internal/balancer/sharedbucket.go
@@ -90,10 +90,10 @@
 	return cust.bucket.level + plan.Rate*(b.now-cust.bucket.levelAt).Seconds()
 }
 
-// isBucketSettled reports whether this gateway has known a customer's bucket for as long as the ceiling takes to
+// isBucketReliable reports whether this gateway has known a customer's bucket for as long as the ceiling takes to
 // fill, this window included. A counter that has lost its totals tells that the bucket is full, and by then that is
 // true.
-func (b *Balancer) isBucketSettled(cust *customer, plan *Plan) bool {
+func (b *Balancer) isBucketReliable(cust *customer, plan *Plan) bool {
 	return cust.bucket.known && (b.now-cust.bucket.knownAt).Seconds() >= plan.CeilingBurst/plan.CeilingRate &&
 		b.isBucketCarried(cust, counterWindowAt(b.now))
 }
--- a/internal/balancer/tokenlease.go
+++ b/internal/balancer/tokenlease.go
@@ -44,7 +44,7 @@
 	b.refillFallback(req.customer, plan)
 	canCall := b.canCallForTokens(req)
 	switch {
-	case short && !b.isBucketSettled(req.customer, plan):
+	case short && !b.isBucketReliable(req.customer, plan):
 		b.learnBucket(req.customer)
 		return quotaExceeded
 	case quota.hasTokens(req.units):
