--- a/internal/balancer/ceilinglease_test.go
+++ b/internal/balancer/ceilinglease_test.go
@@ -38,8 +38,8 @@
 	return nil
 }
 
-// A reload may end the lease of a plan's ceiling while queued requests hold units of it: they must still end. KNOWN-RED.txt
-// lists it: the units are returned on the terms of the new plan, which has no lease.
+// A reload may end the lease of a plan's ceiling while queued requests hold units of it: they must still end.
+// KNOWN-RED.txt lists it: the units are returned on the terms of the new plan, which has no lease.
 func TestReloadEndsLeaseOfQueuedRequests(t *testing.T) {
 	settings := testSettings()
 	settings.LeaseCeilings = true
