--- a/internal/balancer/ceiling.go
+++ b/internal/balancer/ceiling.go
@@ -180,8 +180,8 @@
 	switch {
 	case req.ceiling.source == fromQuota && b.hasSparseShares(cust, plan):
 		return true
-	case req.ceiling.source == fromEvenShare && req.ceiling.leaseWindow > 0:
-		return cust.ceiling.drawTurn(req.ceiling.leaseWindow)
+	case req.ceiling.source == fromEvenShare && req.ceiling.turn > 0:
+		return cust.ceiling.drawTurn(req.ceiling.turn)
 	case req.ceiling.source == fromEvenShare:
 		return cust.ceiling.drawShare(req)
 	case req.ceiling.source == fromLease && !b.renewLeasedUnits(req):
@@ -203,6 +203,7 @@
 	req.ceiling.reserved = true
 	req.ceiling.source = source
 	req.ceiling.leaseWindow = 0
+	req.ceiling.turn = 0
 	switch source {
 	case fromEvenShare:
 		cust.ceiling.reserved += req.units
@@ -210,7 +211,7 @@
 			return
 		}
 		if turns, ok := ceilingTurns(cust, plan); ok {
-			req.ceiling.leaseWindow, _ = turns.At(b.now, b.settings.Index)
+			req.ceiling.turn, _ = turns.At(b.now, b.settings.Index)
 		}
 	case fromLease:
 		req.ceiling.leaseWindow = cust.ceiling.lease.Spend(b.leaseTerms[req.plan], b.now, req.units, req.leaseUse())
--- a/internal/balancer/request.go
+++ b/internal/balancer/request.go
@@ -67,8 +67,11 @@
 	reserved bool
 	// source is where the units come from.
 	source ceilingSource
-	// leaseWindow is the window that the units were leased for, or with fromEvenShare the turn, if there are turns.
+	// leaseWindow is the window that the units were leased for, with fromLease.
 	leaseWindow int64
+	// turn is the gateway's time slot that the request uses, with fromEvenShare where a share is less than a unit; 0:
+	// there are no turns.
+	turn int64
 	// leaseRequested is set once the request has called the counter for a ceiling lease.
 	leaseRequested bool
 }
--- a/internal/cluster/view.go
+++ b/internal/cluster/view.go
@@ -10,7 +10,7 @@
 // Delays of a start.
 const (
 	// minStartDelay is how long a gateway waits after its start before it uses a share. By then a duplicate process of
-	// its name is known, and loans that an earlier process granted (quotashare.LoanHold) have ended.
+	// its name is known, and loans that an earlier process granted (quotashare.LenderLoanDuration) have ended.
 	minStartDelay = 1100 * time.Millisecond
 	// maxStartDelay is after how long it serves, however few other gateways it has heard from.
 	maxStartDelay = 2 * time.Second
--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -43,16 +43,16 @@
 	}
 }
 
-// Like returns a loop with the clock of this one.
-func (l *Loop) Like() *Loop {
+// NewWithSameClock returns a loop with the clock of this one.
+func (l *Loop) NewWithSameClock() *Loop {
 	other := NewAt(l.started)
 	other.base = l.base
 	return other
 }
 
-// Ahead puts the clock ahead of the machine's, for tests of machines whose clock is wrong. It is called before all
+// SkewClock puts the clock ahead of the machine's, for tests of machines whose clock is wrong. It is called before all
 // else.
-func (l *Loop) Ahead(by time.Duration) { l.base += by }
+func (l *Loop) SkewClock(by time.Duration) { l.base += by }
 
 // Now returns the Unix time at the start and what has passed since, so it never goes back. All gateways read about the
 // same, as they name the counter's numbers by it. Any goroutine may call it.
@@ -105,11 +105,11 @@
 // due. It tells whether it was the signal that came.
 func (l *Loop) Wait(limit time.Duration, signal <-chan struct{}) bool {
 	first, signalled := l.Sleep(limit, signal)
-	l.Turn(first, len(l.tasks))
+	l.RunPending(first, len(l.tasks))
 	return signalled
 }
 
-// Sleep waits for a task, a due timer, the limit or the signal. If a task came it is to be handed to Turn.
+// Sleep waits for a task, a due timer, the limit or the signal. If a task came it must be handed to RunPending.
 func (l *Loop) Sleep(limit time.Duration, signal <-chan struct{}) (first func(), signalled bool) {
 	l.alarm.Reset(min(limit, l.untilNextTimer(l.Now())))
 	select {
@@ -121,8 +121,8 @@
 	return first, signalled
 }
 
-// Turn runs the first task, unless it is nil, up to a number more that wait, and the timers that are due.
-func (l *Loop) Turn(first func(), more int) {
+// RunPending runs the first task, unless it is nil, up to a number more that wait, and the timers that are due.
+func (l *Loop) RunPending(first func(), more int) {
 	l.coarse.Store(int64(l.Now()))
 	if first != nil {
 		first()
--- a/internal/proxy/run.go
+++ b/internal/proxy/run.go
@@ -48,7 +48,7 @@
 		var first func()
 		first, stopped = p.Sleep(idleWait, stop)
 		began := p.Scheduler.Enter()
-		p.Turn(first, maxTasksPerTurn)
+		p.RunPending(first, maxTasksPerTurn)
 		p.Step()
 		p.Scheduler.Leave(began)
 	}
--- a/internal/service/hosted/hosted.go
+++ b/internal/service/hosted/hosted.go
@@ -66,7 +66,7 @@
 func New(cfg *Config, log *slog.Logger) (_ *Service, err error) {
 	s := &Service{log: log, clock: eventloop.New(), addrs: map[string]net.Addr{}, done: make(chan struct{}), cfg: cfg, disk: vfs.OrOS(cfg.Disk), pools: map[string]*pool{},
 		members: members{fleet: sharedhealth.New(), boxes: map[string]*box{}}}
-	s.clock.Ahead(cfg.Ahead)
+	s.clock.SkewClock(cfg.Ahead)
 	s.Env = service.NewEnv(s.clock, cfg.Node.MemoryMB, cfg.Node.Sockets, &s.router)
 	s.router.log = log
 	if s.shares = newShares(cfg, s.Conns.Max()); s.shares != nil {
--- a/internal/service/hosted/pool.go
+++ b/internal/service/hosted/pool.go
@@ -52,7 +52,7 @@
 		parts.Observe = s.metrics.observer(cfg.Node.Name, cfg.Node.Transport.Classes)
 	}
 	p.share.parts(&parts, cfg.ServerConnections)
-	c, err := service.NewCore(s.clock.Like(), cfg.Node, parts, s.log.With("pool", cfg.Node.Name))
+	c, err := service.NewCore(s.clock.NewWithSameClock(), cfg.Node, parts, s.log.With("pool", cfg.Node.Name))
 	if err != nil {
 		p.share.leave()
 		return nil, err
