--- a/internal/frontend/admin/control_test.go
+++ b/internal/frontend/admin/admin_test.go
@@ -48,11 +48,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer nc.Close()
-	nc.SetDeadline(time.Now().Add(20 * time.Second))
-	io.WriteString(nc, text)
+	defer func() { _ = nc.Close() }()
+	_ = nc.SetDeadline(time.Now().Add(20 * time.Second))
+	_, _ = io.WriteString(nc, text)
 	if half {
-		nc.(*net.TCPConn).CloseWrite()
+		_ = nc.(*net.TCPConn).CloseWrite()
 	}
 	b, err := io.ReadAll(nc)
 	if err != nil {
@@ -67,10 +67,11 @@
 		"PING\r\n": "YES\n", "ping\n": "YES\n", "  Ping \t\r\n": "YES\n", "INFO\n": "svc.open_requests=14\nEND\n",
 		"PING\nPING\n": "YES\n", // one line to a connection
 		"\n":           "NO the line is empty\n", "PING now\n": "NO PING is followed by more than it wants\n",
-		"DETACH\n": "NO DETACH wants the ID of a backend\n", "ATTACH a b\n": "NO ATTACH is followed by more than it wants\n",
+		"DETACH\n":     "NO DETACH wants the ID of a backend\n",
+		"ATTACH a b\n": "NO ATTACH is followed by more than it wants\n",
 		"detach s-1\n": "YES\n", "ATTACH  s-1 \r\n": "YES\n", "DETACH S-1\n": "NO \"S-1\": never listed\n",
 		"RESTART\n": "NO unknown call \"RESTART\"\n", "PI\x00NG\n": "NO the line is not text\n",
-		strings.Repeat("x", 4*MostLine): fmt.Sprintf("NO the line is longer than %d bytes\n", MostLine),
+		strings.Repeat("x", 4*MaxLineBytes): fmt.Sprintf("NO the line is longer than %d bytes\n", MaxLineBytes),
 	} {
 		if got := ask(t, addr, text, false); got != want {
 			t.Errorf("%.40q: %q", text, got)
@@ -96,14 +97,14 @@
 func TestSilentCallersGiveWay(t *testing.T) {
 	f, addr := start(t, &desk{})
 	var silent []net.Conn
-	for i := range 3 * MostCalls {
+	for i := range 3 * MaxCalls {
 		nc, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer nc.Close()
+		defer func() { _ = nc.Close() }()
 		if i%2 == 0 {
-			io.WriteString(nc, "PIN")
+			_, _ = io.WriteString(nc, "PIN")
 		}
 		silent = append(silent, nc)
 	}
@@ -115,14 +116,14 @@
 		t.Errorf("the oldest silent caller is still held: %v", err)
 	}
 	f.mu.Lock()
-	held := f.held
+	held := f.open
 	f.mu.Unlock()
-	if held > MostCalls {
+	if held > MaxCalls {
 		t.Errorf("%d callers held", held)
 	}
 	last := silent[len(silent)-1] // the newest still has its place, and may finish its call
-	io.WriteString(last, "PING\n")
-	last.SetReadDeadline(time.Now().Add(20 * time.Second))
+	_, _ = io.WriteString(last, "PING\n")
+	_ = last.SetReadDeadline(time.Now().Add(20 * time.Second))
 	if line, err := bufio.NewReader(last).ReadString('\n'); err != nil || line != "YES\n" {
 		t.Errorf("the newest: %q, %v", line, err)
 	}
