--- a/internal/frontend/admin/admin_test.go
+++ b/internal/frontend/admin/admin_test.go
@@ -111,7 +111,7 @@
 	if got := ask(t, addr, "PING\n", false); got != "YES\n" {
 		t.Fatalf("beside silent callers: %q", got)
 	}
-	silent[0].SetReadDeadline(time.Now().Add(20 * time.Second))
+	_ = silent[0].SetReadDeadline(time.Now().Add(20 * time.Second))
 	if _, err := silent[0].Read(make([]byte, 1)); errors.Is(err, net.ErrClosed) || err == nil || isTimeout(err) {
 		t.Errorf("the oldest silent caller is still held: %v", err)
 	}
--- a/internal/frontend/resp2/client.go
+++ b/internal/frontend/resp2/client.go
@@ -183,7 +183,7 @@
 // mayMove says that the connection is to be handed to another process before more is read from it. With much of a command
 // read that goes on here first.
 func (c *client) mayMove() bool {
-	return c.fr.mover.Load() != nil && len(c.in.Unread()) <= handover.MostUnread
+	return c.fr.mover.Load() != nil && len(c.in.Unread()) <= handover.MaxUnreadBytes
 }
 
 // move waits until nothing is owed on the connection and hands it over. false: it stays, or has ended.
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -15,6 +15,7 @@
 		t.Fatal(err)
 	}
 	kinds := []byte{kindHello, kindRefused, kindState, kindListen, kindConfirm, kindConn}
-	out := fmt.Sprintf("%s %s %s %d %d %d %d %s\n", kinds, text, socketName, mostState, chunk, packet, MostUnread, stepWithin)
+	out := fmt.Sprintf("%s %s %s %d %d %d %d %s\n", kinds, text, socketName, maxStateBytes, chunkBytes,
+		maxPacketBytes, MaxUnreadBytes, stepTimeout)
 	golden.CheckBytes(t, "testdata/golden/packets.txt", []byte(out))
 }
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -36,16 +36,17 @@
 			return
 		}
 		f(c)
-		c.Close()
+		_ = c.Close()
 	}()
 	t.Cleanup(func() {
-		ln.Close()
+		_ = ln.Close()
 		<-done
 	})
 }
 
 func TestHandOver(t *testing.T) {
-	for name, dir := range map[string]string{"short": t.TempDir(), "long path": filepath.Join(t.TempDir(), strings.Repeat("d", 150))} {
+	for name, dir := range map[string]string{"short": t.TempDir(), "long path": filepath.Join(t.TempDir(),
+		strings.Repeat("d", 150))} {
 		t.Run(name, func(t *testing.T) {
 			if err := os.MkdirAll(dir, 0o700); err != nil {
 				t.Fatal(err)
@@ -56,7 +57,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer client.Close()
+			defer func() { _ = client.Close() }()
 			mine, err := socket.Accept()
 			if err != nil {
 				t.Fatal(err)
@@ -74,18 +75,18 @@
 				if err := l.Hand(mine.(syscall.Conn), []byte("half a comm")); err != nil {
 					t.Error(err)
 				}
-				if err := l.Hand(mine.(syscall.Conn), make([]byte, MostUnread+1)); err == nil {
+				if err := l.Hand(mine.(syscall.Conn), make([]byte, MaxUnreadBytes+1)); err == nil {
 					t.Error("more is handed over than a packet holds")
 				}
-				mine.Close()
+				_ = mine.Close()
 				l.Ended()
 			})
 			taken, err := Take(dir)
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer taken.Listener.Close()
-			defer taken.Link.Close()
+			defer func() { _ = taken.Listener.Close() }()
+			defer func() { _ = taken.Link.Close() }()
 			if !bytes.Equal(taken.State, state) {
 				t.Errorf("a state of %d bytes, %d were sent", len(taken.State), len(state))
 			}
@@ -96,23 +97,23 @@
 			if err != nil || string(unread) != "half a comm" {
 				t.Fatalf("%q, %v", unread, err)
 			}
-			defer nc.Close()
-			io.WriteString(client, "and")
+			defer func() { _ = nc.Close() }()
+			_, _ = io.WriteString(client, "and")
 			b := make([]byte, 3)
 			if _, err := io.ReadFull(nc, b); err != nil || string(b) != "and" {
 				t.Errorf("%q, %v", b, err)
 			}
-			socket.Close() // the queue is the other's too
+			_ = socket.Close() // the queue is the other's too
 			again, err := net.Dial("tcp", socket.Addr().String())
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer again.Close()
+			defer func() { _ = again.Close() }()
 			got, err := taken.Listener.Accept()
 			if err != nil {
 				t.Fatal(err)
 			}
-			got.Close()
+			_ = got.Close()
 		})
 	}
 }
@@ -127,7 +128,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ln.Close()
+	_ = ln.Close()
 	if _, err := Take(dead); !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Errorf("one that has died: %v", err)
 	}
@@ -139,13 +140,14 @@
 		"out of turn":    {"K"},
 		"a strange kind": {"?"},
 		"a short end":    {"Sabc", "L12"},
-		"a wrong packet": {strings.Repeat("S", packet+1)},
-		"more than fits": append(make([]string, 0), many("S"+strings.Repeat("x", chunk), mostState/chunk+1)...),
+		"a wrong packet": {strings.Repeat("S", maxPacketBytes+1)},
+		"more than fits": append(make([]string, 0), many("S"+strings.Repeat("x", chunkBytes),
+			maxStateBytes/chunkBytes+1)...),
 	} {
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
 			old(t, dir, func(c *net.UnixConn) {
-				(&Link{c: c}).receive(stepWithin)
+				(&Link{conn: c}).receive(stepTimeout)
 				for _, p := range packets {
 					if _, err := c.Write([]byte(p)); err != nil {
 						return
@@ -154,8 +156,8 @@
 			})
 			taken, err := Take(dir)
 			if err == nil {
-				taken.Listener.Close()
-				taken.Link.Close()
+				_ = taken.Listener.Close()
+				_ = taken.Link.Close()
 				t.Fatal("taken")
 			}
 			if name == "refuses" && (!errors.Is(err, ErrRefused) || !strings.Contains(err.Error(), "busy")) {
@@ -167,10 +169,10 @@
 		dir := t.TempDir()
 		socket := peer.Listen(t)
 		old(t, dir, func(c *net.UnixConn) {
-			l := &Link{c: c}
-			l.receive(stepWithin)
-			l.send(kindState, []byte("abd"))
-			l.sendFile(kindListen, sum, socket.(syscall.Conn))
+			l := &Link{conn: c}
+			_, _ = l.receive(stepTimeout)
+			_ = l.send(kindState, []byte("abd"))
+			_ = l.sendFile(kindListen, sum, socket.(syscall.Conn))
 			l.Ended()
 		})
 		if _, err := Take(dir); err == nil || !strings.Contains(err.Error(), "checksum") {
@@ -196,17 +198,18 @@
 					t.Error("taken for a new process")
 				}
 			})
-			c, err := net.DialUnix("unixpacket", nil, &net.UnixAddr{Name: filepath.Join(dir, socketName), Net: "unixpacket"})
+			c, err := net.DialUnix("unixpacket", nil, &net.UnixAddr{Name: filepath.Join(dir, socketName),
+				Net: "unixpacket"})
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer c.Close()
+			defer func() { _ = c.Close() }()
 			if first != "" {
-				c.Write([]byte(first))
+				_, _ = c.Write([]byte(first))
 			} else {
-				c.Close()
+				_ = c.Close()
 			}
-			io.Copy(io.Discard, c)
+			_, _ = io.Copy(io.Discard, c)
 		})
 	}
 	dir := t.TempDir()
@@ -225,8 +228,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	taken.Listener.Close()
-	taken.Link.Close()
+	_ = taken.Listener.Close()
+	_ = taken.Link.Close()
 }
 
 // What a packet says may be anything.
@@ -242,20 +245,20 @@
 		for i, fd := range fds {
 			file := os.NewFile(uintptr(fd), "end")
 			nc, err := net.FileConn(file)
-			file.Close()
+			_ = file.Close()
 			if err != nil {
 				t.Fatal(err)
 			}
 			ends[i] = nc.(*net.UnixConn)
-			defer nc.Close()
+			defer func() { _ = nc.Close() }()
 		}
 		for _, b := range [][]byte{one, two} {
-			if len(b) > 0 && len(b) < packet {
+			if len(b) > 0 && len(b) < maxPacketBytes {
 				ends[1].Write(b)
 			}
 		}
 		ends[1].CloseWrite()
-		if taken, err := take(&Link{c: ends[0]}); err == nil {
+		if taken, err := take(&Link{conn: ends[0]}); err == nil {
 			t.Errorf("taken without a socket: %q", taken.State)
 		}
 	})
@@ -268,19 +271,20 @@
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
 			old(t, dir, func(c *net.UnixConn) {
-				l := &Link{c: c}
-				if kind, _, _, err := l.receive(stepWithin); err != nil || kind != kindHello {
-					t.Error(kind, err)
+				l := &Link{conn: c}
+				if got, err := l.receive(stepTimeout); err != nil || got.kind != kindHello {
+					t.Error(got.kind, err)
 				}
 				if steps > 0 {
-					l.send(kindState, []byte("ab"))
+					_ = l.send(kindState, []byte("ab"))
 				}
 				if steps > 1 {
-					l.send(kindState, []byte("c"))
+					_ = l.send(kindState, []byte("c"))
 				}
 				if steps > 2 {
-					sum := binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint32(nil, 3), crc32.ChecksumIEEE([]byte("abc")))
-					l.sendFile(kindListen, sum, socket.(syscall.Conn))
+					sum := binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint32(nil, 3),
+						crc32.ChecksumIEEE([]byte("abc")))
+					_ = l.sendFile(kindListen, sum, socket.(syscall.Conn))
 				}
 			})
 			taken, err := Take(dir)
@@ -293,9 +297,9 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer taken.Listener.Close()
-			defer taken.Link.Close()
-			taken.Link.Confirm() // to nobody: the socket is its own now, whatever this says
+			defer func() { _ = taken.Listener.Close() }()
+			defer func() { _ = taken.Link.Close() }()
+			_ = taken.Link.Confirm() // to nobody: the socket is its own now, whatever this says
 			if _, _, err := taken.Link.Next(); err == nil {
 				t.Error("a connection came from nobody")
 			}
