--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -147,7 +147,7 @@
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
 			old(t, dir, func(c *net.UnixConn) {
-				(&Link{conn: c}).receive(stepTimeout)
+				_, _ = (&Link{conn: c}).receive(stepTimeout)
 				for _, p := range packets {
 					if _, err := c.Write([]byte(p)); err != nil {
 						return
@@ -254,10 +254,10 @@
 		}
 		for _, b := range [][]byte{one, two} {
 			if len(b) > 0 && len(b) < maxPacketBytes {
-				ends[1].Write(b)
+				_, _ = ends[1].Write(b)
 			}
 		}
-		ends[1].CloseWrite()
+		_ = ends[1].CloseWrite()
 		if taken, err := take(&Link{conn: ends[0]}); err == nil {
 			t.Errorf("taken without a socket: %q", taken.State)
 		}
