--- a/internal/frontend/extauthz/conn.go
+++ b/internal/frontend/extauthz/conn.go
@@ -68,7 +68,7 @@
 	if c.pool.Load() == p {
 		return true
 	}
-	if p.Clients != nil && !c.fr.env.Conns.Move(c, p.Clients) {
+	if p.Clients != nil && !c.fr.env.Conns.Assign(c, p.Clients) {
 		return false
 	}
 	c.pool.Store(p)
@@ -118,16 +118,16 @@
 	return c.Conn.Close()
 }
 
-// Idle implements [budget.Holder].
-func (c *conn) Idle() (time.Duration, bool) {
+// IdleSince implements [resourcelimit.ClientConnection].
+func (c *conn) IdleSince() (time.Duration, bool) {
 	if c.open.Load() > 0 {
 		return 0, true
 	}
 	return time.Duration(c.last.Load()), c.spoken.Load()
 }
 
-// GiveWay implements [budget.Holder].
-func (c *conn) GiveWay() {
+// CloseWhenIdle implements [resourcelimit.ClientConnection].
+func (c *conn) CloseWhenIdle() {
 	c.mu.Lock()
 	idle := c.open.Load() == 0 && c.fr.env.Now()-time.Duration(c.last.Load()) >= idleLeast
 	c.closed = c.closed || idle
--- a/internal/frontend/extauthz/front.go
+++ b/internal/frontend/extauthz/front.go
@@ -76,7 +76,7 @@
 // endLate ends the connections whose time is over.
 func (fr *Front) endLate() {
 	now := fr.env.Now()
-	for _, c := range resourcelimit.Of[*conn](fr.env.Conns) {
+	for _, c := range resourcelimit.ConnectionsOf[*conn](fr.env.Conns) {
 		if c.fr == fr && c.late(now) {
 			c.Close()
 		}
@@ -95,9 +95,9 @@
 			fr.srv.Shutdown(context.Background())
 		}()
 	}
-	for _, c := range resourcelimit.Of[*conn](fr.env.Conns) {
+	for _, c := range resourcelimit.ConnectionsOf[*conn](fr.env.Conns) {
 		if c.fr == fr {
-			c.GiveWay() // those on which nothing whole was asked: net/http would wait for them
+			c.CloseWhenIdle() // those on which nothing whole was asked: net/http would wait for them
 		}
 	}
 	select {
@@ -156,7 +156,7 @@
 		a.problem(http.StatusRequestHeaderFieldsTooLarge, "headers", "There are more header fields than are read here.")
 		return
 	}
-	if !fr.env.Memory.Take(cost) {
+	if !fr.env.Memory.TryReserve(cost) {
 		fr.s.Figures.NoRoom.Add(1)
 		a.undecided("memory")
 		return
@@ -193,15 +193,15 @@
 	if to == nil || to == c.mem {
 		return true
 	}
-	if !to.Take(c.cost) {
+	if !to.TryReserve(c.cost) {
 		return false
 	}
-	c.mem.Give(c.cost)
+	c.mem.Release(c.cost)
 	c.mem = to
 	return true
 }
 
-func (c *charge) end() { c.mem.Give(c.cost) }
+func (c *charge) end() { c.mem.Release(c.cost) }
 
 // weigh sums up the bytes and the number of header fields.
 func weigh(h http.Header) (cost int64, n int) {
--- a/internal/frontend/resp2/client.go
+++ b/internal/frontend/resp2/client.go
@@ -244,7 +244,7 @@
 		c.bad = 0
 		a.conn = c
 		cost := int64(len(m.Raw)) + askCost
-		if !c.mem.Take(cost) { // the reader alone changes mem
+		if !c.mem.TryReserve(cost) { // the reader alone changes mem
 			pool.CountRejected(&a.Request)
 			pool.Release()
 			return c.reply(string(busyAnswer(comeBack)))
@@ -284,7 +284,7 @@
 	if c.pool == pool {
 		return true
 	}
-	if pool.Clients != nil && !c.fr.env.Conns.Move(c, pool.Clients) {
+	if pool.Clients != nil && !c.fr.env.Conns.Assign(c, pool.Clients) {
 		return false
 	}
 	c.pool = pool
@@ -297,8 +297,8 @@
 	c.in.Charge(pool.Memory)
 	c.mu.Lock()
 	n := int64(len(c.out))
-	c.mem.Give(n)
-	pool.Memory.Force(n)
+	c.mem.Release(n)
+	pool.Memory.Adjust(n)
 	c.mem = pool.Memory
 	c.mu.Unlock()
 	return true
@@ -345,7 +345,7 @@
 		c.readAt = c.fr.env.Now() // the time for which a command waits for those before it does not count
 	}
 	if c.closed {
-		c.mem.Give(cost)
+		c.mem.Release(cost)
 		return nil
 	}
 	s := &slot{ask: a, cost: cost, mem: c.mem}
@@ -378,8 +378,8 @@
 	for len(c.slots) > 0 && c.slots[0].ready {
 		first := c.slots[0]
 		c.out = append(c.out, first.answer...)
-		first.mem.Give(first.cost)
-		c.mem.Force(int64(len(first.answer)))
+		first.mem.Release(first.cost)
+		c.mem.Adjust(int64(len(first.answer)))
 		c.slots[0] = nil
 		c.slots = c.slots[1:]
 		c.room.Broadcast()
@@ -387,7 +387,7 @@
 	if len(c.slots) == 0 {
 		c.idle.Store(int64(c.fr.env.Now()))
 	}
-	if len(c.out) > mostUnwritten || len(c.out) > resp.MostValue && c.mem.Over() {
+	if len(c.out) > mostUnwritten || len(c.out) > resp.MostValue && c.mem.IsExceeded() {
 		c.close()
 	} else if len(c.out) > 0 && !c.writing && !c.closed {
 		c.writeSome()
@@ -399,7 +399,7 @@
 // writeSome writes what the socket takes at once. The caller holds mu.
 func (c *client) writeSome() {
 	n, err := socket.WriteNow(c.nc, c.out)
-	c.mem.Give(int64(n))
+	c.mem.Release(int64(n))
 	if c.out = c.out[n:]; len(c.out) == 0 {
 		c.out = nil
 	}
@@ -426,7 +426,7 @@
 		c.nc.SetWriteDeadline(time.Now().Add(writeWithin))
 		_, err := c.nc.Write(out)
 		c.mu.Lock()
-		mem.Give(int64(len(out)))
+		mem.Release(int64(len(out)))
 		if err != nil {
 			c.close()
 		}
@@ -487,13 +487,13 @@
 	}
 }
 
-// Idle implements [resourcelimit.Holder].
-func (c *client) Idle() (time.Duration, bool) {
+// IdleSince implements [resourcelimit.ClientConnection].
+func (c *client) IdleSince() (time.Duration, bool) {
 	return time.Duration(c.idle.Load()), c.spoken.Load()
 }
 
-// GiveWay implements [resourcelimit.Holder]. The place is wanted now: the client's own end is not waited for.
-func (c *client) GiveWay() {
+// CloseWhenIdle implements [resourcelimit.ClientConnection]. The place is wanted now: the client's own end is not waited for.
+func (c *client) CloseWhenIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.last = true
@@ -558,9 +558,9 @@
 		if s.ask != nil {
 			left = append(left, s.ask)
 		}
-		s.mem.Give(s.cost)
+		s.mem.Release(s.cost)
 	}
-	c.mem.Give(int64(len(c.out)))
+	c.mem.Release(int64(len(c.out)))
 	c.slots, c.out = nil, nil
 	c.mu.Unlock()
 	c.in.Release()
--- a/internal/frontend/resp2/front.go
+++ b/internal/frontend/resp2/front.go
@@ -199,7 +199,7 @@
 
 // clients are this front's connections.
 func (fr *Front) clients() (all []*client) {
-	for _, c := range resourcelimit.Of[*client](fr.env.Conns) {
+	for _, c := range resourcelimit.ConnectionsOf[*client](fr.env.Conns) {
 		if c.fr == fr {
 			all = append(all, c)
 		}
--- a/internal/resourcelimit/bytes.go
+++ b/internal/resourcelimit/bytes.go
@@ -6,56 +6,56 @@
 
 // Bytes bounds bytes held. Any goroutine may call it.
 type Bytes struct {
-	most  int64
-	held  atomic.Int64
-	party *Allotment // nil: the bytes are not shared
+	limit     int64
+	held      atomic.Int64
+	allotment *Allotment // nil: the bytes are not shared
 }
 
 // NewBytes makes a bound of so many bytes.
-func NewBytes(most int64) *Bytes { return &Bytes{most: most} }
+func NewBytes(most int64) *Bytes { return &Bytes{limit: most} }
 
-// SharedBytes makes a bound that is a party's part of a SharedLimit.
-func SharedBytes(p *Allotment) *Bytes { return &Bytes{party: p} }
+// NewSharedBytes makes a bound that is a party's part of a SharedLimit.
+func NewSharedBytes(p *Allotment) *Bytes { return &Bytes{allotment: p} }
 
-// Take holds so many more bytes if that stays within the bound.
-func (b *Bytes) Take(n int64) bool {
-	if b.party != nil {
-		return b.party.Take(n)
+// TryReserve holds so many more bytes if that stays within the bound.
+func (b *Bytes) TryReserve(n int64) bool {
+	if b.allotment != nil {
+		return b.allotment.TryReserve(n)
 	}
-	if b.held.Add(n) > b.most {
+	if b.held.Add(n) > b.limit {
 		b.held.Add(-n)
 		return false
 	}
 	return true
 }
 
-// Force holds more or fewer bytes, whatever the bound.
-func (b *Bytes) Force(n int64) {
-	if b.party != nil {
-		b.party.Force(n)
+// Adjust holds more or fewer bytes, whatever the bound.
+func (b *Bytes) Adjust(n int64) {
+	if b.allotment != nil {
+		b.allotment.Adjust(n)
 		return
 	}
 	b.held.Add(n)
 }
 
-// Give gives bytes back.
-func (b *Bytes) Give(n int64) { b.Force(-n) }
+// Release gives bytes back.
+func (b *Bytes) Release(n int64) { b.Adjust(-n) }
 
-// Over says that more is held than the bound.
-func (b *Bytes) Over() bool {
-	if b.party != nil {
-		return b.party.Full()
+// IsExceeded says that more is held than the bound.
+func (b *Bytes) IsExceeded() bool {
+	if b.allotment != nil {
+		return b.allotment.IsExceeded()
 	}
-	return b.held.Load() > b.most
+	return b.held.Load() > b.limit
 }
 
 // Held is how many bytes are held.
 func (b *Bytes) Held() int64 {
-	if b.party != nil {
-		return b.party.Held()
+	if b.allotment != nil {
+		return b.allotment.Held()
 	}
 	return b.held.Load()
 }
 
 // Allotment is the share of a SharedLimit that this is; nil: it is not shared.
-func (b *Bytes) Allotment() *Allotment { return b.party }
+func (b *Bytes) Allotment() *Allotment { return b.allotment }
--- a/internal/resourcelimit/clientlimit.go
+++ b/internal/resourcelimit/clientlimit.go
@@ -8,22 +8,22 @@
 )
 
 const (
-	nearCap     = 0.9                    // of the connections that may be held: from here on idle ones are closed
-	idleAfter   = 2 * time.Second        // a connection with no open request may be closed after this ...
-	silentAfter = 500 * time.Millisecond // ... and, where there is no such, one on which nothing was ever asked
-	crowdAfter  = 250 * time.Millisecond // with no place left at all, any one after this: the newcomer has a request
+	assignableFraction = 0.9                    // of the connections that may be held: from here on idle ones are closed
+	idleTimeout        = 2 * time.Second        // a connection with no open request may be closed after this ...
+	unusedTimeout      = 500 * time.Millisecond // ... and, where there is no such, one on which nothing was ever asked
+	fullIdleTimeout    = 250 * time.Millisecond // with no place left at all, any one after this: the newcomer has a request
 )
 
-// NewcomersPart is the part of the connections that no guarantee may cover: it is for those that have asked nothing yet.
-const NewcomersPart = 1 - nearCap
+// UnassignedFraction is the part of the connections that no guarantee may cover: it is for those that have asked nothing yet.
+const UnassignedFraction = 1 - assignableFraction
 
-// Holder is a client's connection, of whichever front.
-type Holder interface {
-	// Idle tells since when no request is open on the connection, on the loop's clock, and whether anything was
+// ClientConnection is a client's connection, of whichever front.
+type ClientConnection interface {
+	// IdleSince tells since when no request is open on the connection, on the loop's clock, and whether anything was
 	// ever asked on it. 0: a request is open.
-	Idle() (since time.Duration, spoken bool)
-	// GiveWay closes the connection if it still is idle. One that is not is closed after its last answer.
-	GiveWay()
+	IdleSince() (since time.Duration, spoken bool)
+	// CloseWhenIdle closes the connection if it still is idle. One that is not is closed after its last answer.
+	CloseWhenIdle()
 }
 
 // Group is a pool's connections: those that asked it last. They stand under a guaranteed minimum; what a group has beyond
@@ -55,8 +55,8 @@
 // Refused is how many newcomers were sent away with their first request, the group having borrowed what there was.
 func (g *Group) Refused() uint64 { return g.refused.Load() }
 
-// over is how many connections the group has borrowed; those that have asked nothing yet (nil) are all borrowed.
-func (g *Group) over() int64 {
+// borrowed is how many connections the group has borrowed; those that have asked nothing yet (nil) are all borrowed.
+func (g *Group) borrowed() int64 {
 	if g == nil {
 		return 1 << 40
 	}
@@ -65,90 +65,90 @@
 
 // ClientLimit bounds the clients' connections of all fronts together. All of it may be called by any goroutine.
 type ClientLimit struct {
-	most  int64
+	limit int64
 	now   func() time.Duration
 	count atomic.Int64
 
-	mu      sync.Mutex
-	all     map[Holder]*place
-	grouped int64 // those that are of a group
+	mu          sync.Mutex
+	connections map[ClientConnection]*connectionState
+	assigned    int64 // those that are of a group
 }
 
-// place is what is known of a connection.
-type place struct {
-	group *Group // nil: it has asked no pool yet
-	sent  bool   // it was told to give way
+// connectionState is what is known of a connection.
+type connectionState struct {
+	group    *Group // nil: it has asked no pool yet
+	evicting bool   // it was told to give way
 }
 
 // NewClientLimit makes room for so many connections. The clock is the loop's.
 func NewClientLimit(most int, now func() time.Duration) *ClientLimit {
-	return &ClientLimit{most: int64(most), now: now, all: map[Holder]*place{}}
+	return &ClientLimit{limit: int64(most), now: now, connections: map[ClientConnection]*connectionState{}}
 }
 
 // HasCapacity says whether a newcomer may be taken in, and closes an idle connection for it where few places are left.
 func (c *ClientLimit) HasCapacity() bool {
 	n := c.count.Load()
-	if float64(n) < nearCap*float64(c.most) {
+	if float64(n) < assignableFraction*float64(c.limit) {
 		return true
 	}
-	return c.makeRoom(n >= c.most) || n < c.most
+	return c.evictIdle(n >= c.limit) || n < c.limit
 }
 
 // Add takes a connection in.
-func (c *ClientLimit) Add(h Holder) {
+func (c *ClientLimit) Add(h ClientConnection) {
 	c.count.Add(1)
 	c.mu.Lock()
-	c.all[h] = &place{}
+	c.connections[h] = &connectionState{}
 	c.mu.Unlock()
 }
 
-// Move says that a connection asks a pool's group. Whom a newcomer asks is known with its first request only, so the last
+// Assign says that a connection asks a pool's group. Whom a newcomer asks is known with its first request only, so the last
 // part of the places is kept for those that have asked nothing yet; false: the group has borrowed all that there is, and the
 // newcomer is to be refused and closed. One within the group's guarantee is always taken, and another group's busy
 // connection, borrowed, goes for it. A connection that was taken before is never refused.
-func (c *ClientLimit) Move(h Holder, to *Group) bool {
+func (c *ClientLimit) Assign(h ClientConnection, to *Group) bool {
 	c.mu.Lock()
-	p := c.all[h]
+	p := c.connections[h]
 	if p == nil || p.group == to {
 		c.mu.Unlock()
 		return true
 	}
-	full := float64(c.grouped) >= nearCap*float64(c.most)
-	if p.group == nil && full && to.over() >= 0 {
+	full := float64(c.assigned) >= assignableFraction*float64(c.limit)
+	if p.group == nil && full && to.borrowed() >= 0 {
 		c.mu.Unlock()
 		to.refused.Add(1)
 		return false
 	}
-	c.move(p, to)
-	var best Holder
+	c.assignLocked(p, to)
+	var best ClientConnection
 	if full {
-		best = c.borrowed()
+		best = c.selectBorrowed()
 	}
 	c.mu.Unlock()
 	if best != nil {
-		best.GiveWay()
+		best.CloseWhenIdle()
 	}
 	return true
 }
 
-// move counts a connection in its new group. The caller holds mu.
-func (c *ClientLimit) move(p *place, to *Group) {
+// assignLocked counts a connection in its new group. The caller holds mu.
+func (c *ClientLimit) assignLocked(p *connectionState, to *Group) {
 	if p.group != nil {
 		p.group.held.Add(-1)
-		c.grouped--
+		c.assigned--
 	}
 	if p.group = to; to != nil {
 		to.held.Add(1)
-		c.grouped++
+		c.assigned++
 	}
 }
 
 // Remove takes it out, once.
-func (c *ClientLimit) Remove(h Holder) {
+func (c *ClientLimit) Remove(h ClientConnection) {
 	c.mu.Lock()
-	if p, ok := c.all[h]; ok {
-		c.move(p, nil)
-		delete(c.all, h)
+	if p, ok := c.connections[h]; ok {
+		c.assignLocked(p, nil)
+		delete(c.connections, h)
 		c.count.Add(-1)
 	}
 	c.mu.Unlock()
@@ -158,14 +158,14 @@
 func (c *ClientLimit) Len() int { return int(c.count.Load()) }
 
 // Max is how many may be held.
-func (c *ClientLimit) Max() int { return int(c.most) }
+func (c *ClientLimit) Max() int { return int(c.limit) }
 
-// Of returns the connections that are of one type, which is one front's.
-func Of[T Holder](c *ClientLimit) []T {
+// ConnectionsOf returns the connections that are of one type, which is one front's.
+func ConnectionsOf[T ClientConnection](c *ClientLimit) []T {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	list := make([]T, 0, len(c.all))
-	for h := range c.all {
+	list := make([]T, 0, len(c.connections))
+	for h := range c.connections {
 		if t, ok := h.(T); ok {
 			list = append(list, t)
 		}
@@ -173,25 +173,25 @@
 	return list
 }
 
-// makeRoom closes the connection that has stood idle longest, if that may be. Clients that ask once, or never, and
+// evictIdle closes the connection that has stood idle longest, if that may be. Clients that ask once, or never, and
 // keep their connections would else fill the share, and the usual ones be turned away. Those within their group's
 // guarantee stay.
-func (c *ClientLimit) makeRoom(full bool) bool {
+func (c *ClientLimit) evictIdle(full bool) bool {
 	now := c.now()
-	var best Holder
+	var best ClientConnection
 	var since time.Duration
 	c.mu.Lock()
-	for h, p := range c.all {
-		at, spoken := h.Idle()
-		if at == 0 || p.group.over() <= 0 {
+	for h, p := range c.connections {
+		at, spoken := h.IdleSince()
+		if at == 0 || p.group.borrowed() <= 0 {
 			continue
 		}
 		switch idle := now - at; {
-		case idle >= idleAfter:
-		case idle >= silentAfter && !spoken:
-			at += idleAfter // after those that have been idle for long
-		case full && idle >= crowdAfter:
-			at += 2 * idleAfter // and last those that may be asked again soon
+		case idle >= idleTimeout:
+		case idle >= unusedTimeout && !spoken:
+			at += idleTimeout // after those that have been idle for long
+		case full && idle >= fullIdleTimeout:
+			at += 2 * idleTimeout // and last those that may be asked again soon
 		default:
 			continue
 		}
@@ -203,27 +203,27 @@
 	if best == nil {
 		return false
 	}
-	best.GiveWay()
+	best.CloseWhenIdle()
 	runtime.Gosched() // its reader gives the descriptor back
 	return true
 }
 
-// borrowed finds a connection of the group that has borrowed most, idle or busy: a flood that keeps all of its connections
+// selectBorrowed finds a connection of the group that has borrowed most, idle or busy: a flood that keeps all of its connections
 // busy would else lock the other pools' clients out. The caller holds mu.
-func (c *ClientLimit) borrowed() Holder {
-	var best Holder
-	var from *place
+func (c *ClientLimit) selectBorrowed() ClientConnection {
+	var best ClientConnection
+	var from *connectionState
 	most := int64(0)
-	for h, p := range c.all {
-		if p.group == nil || p.sent {
+	for h, p := range c.connections {
+		if p.group == nil || p.evicting {
 			continue
 		}
-		if over := p.group.over(); over > most {
+		if over := p.group.borrowed(); over > most {
 			best, from, most = h, p, over
 		}
 	}
 	if best != nil {
-		from.sent = true
+		from.evicting = true
 		from.group.evicted.Add(1)
 	}
 	return best
--- a/internal/resourcelimit/endpointlimit.go
+++ b/internal/resourcelimit/endpointlimit.go
@@ -5,13 +5,13 @@
 // EndpointLimits bounds connections to servers by address, over all pools that have a server: how many one bears is one number,
 // whoever opens them. Any goroutine may use it.
 type EndpointLimits struct {
-	mu  sync.Mutex
-	all map[string]*capped
-	due int // addresses at which those that nobody has any more are looked for
+	mu          sync.Mutex
+	endpoints   map[string]*sharedEndpoint
+	cleanupSize int // addresses at which those that nobody has any more are looked for
 }
 
-type capped struct {
-	pot     *SharedLimit
+type sharedEndpoint struct {
+	limit   *SharedLimit
 	members map[*EndpointLimit]struct{}
 }
 
@@ -19,16 +19,16 @@
 // keeps its connections busy can't lock the other out; the rest goes to whom it serves.
 type EndpointLimit struct {
 	*Allotment
-	caps *EndpointLimits
-	at   *capped
-	most int
+	limits         *EndpointLimits
+	endpoint       *sharedEndpoint
+	maxConnections int
 }
 
-const capsLeast = 64 // addresses that are kept without looking whether they are used
+const minCleanupSize = 64 // addresses that are kept without looking whether they are used
 
 // NewEndpointLimits makes one that knows no server.
 func NewEndpointLimits() *EndpointLimits {
-	return &EndpointLimits{all: map[string]*capped{}, due: capsLeast}
+	return &EndpointLimits{endpoints: map[string]*sharedEndpoint{}, cleanupSize: minCleanupSize}
 }
 
 // Join makes a pool's part of the connections to an address, which are so many at most: the least that any pool says.
@@ -36,48 +36,48 @@
 func (c *EndpointLimits) Join(addr, pool string, most int, lowered func(n int64)) *EndpointLimit {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.all) >= c.due {
-		for a, s := range c.all {
-			if len(s.members) == 0 && s.pot.Held() == 0 {
-				delete(c.all, a)
+	if len(c.endpoints) >= c.cleanupSize {
+		for a, s := range c.endpoints {
+			if len(s.members) == 0 && s.limit.Held() == 0 {
+				delete(c.endpoints, a)
 			}
 		}
-		c.due = max(capsLeast, 2*len(c.all))
+		c.cleanupSize = max(minCleanupSize, 2*len(c.endpoints))
 	}
-	s := c.all[addr]
+	s := c.endpoints[addr]
 	if s == nil {
-		s = &capped{pot: NewSharedLimit(0), members: map[*EndpointLimit]struct{}{}}
-		c.all[addr] = s
+		s = &sharedEndpoint{limit: NewSharedLimit(0), members: map[*EndpointLimit]struct{}{}}
+		c.endpoints[addr] = s
 	}
-	m := &EndpointLimit{Allotment: s.pot.Join(pool, 0, lowered), caps: c, at: s, most: most}
+	m := &EndpointLimit{Allotment: s.limit.Join(pool, 0, lowered), limits: c, endpoint: s, maxConnections: most}
 	s.members[m] = struct{}{}
-	s.divide()
+	s.redistribute()
 	return m
 }
 
 // Leave gives the part back. Connections that are still open count until each is given.
 func (m *EndpointLimit) Leave() {
-	m.caps.mu.Lock()
-	defer m.caps.mu.Unlock()
-	if _, ok := m.at.members[m]; ok {
-		delete(m.at.members, m)
+	m.limits.mu.Lock()
+	defer m.limits.mu.Unlock()
+	if _, ok := m.endpoint.members[m]; ok {
+		delete(m.endpoint.members, m)
 		m.Allotment.Leave()
-		m.at.divide()
+		m.endpoint.redistribute()
 	}
 }
 
-// divide sets the whole and the guarantees anew.
-func (s *capped) divide() {
+// redistribute sets the whole and the guarantees anew.
+func (s *sharedEndpoint) redistribute() {
 	least := 0
 	for m := range s.members {
-		if least == 0 || m.most < least {
-			least = m.most
+		if least == 0 || m.maxConnections < least {
+			least = m.maxConnections
 		}
 	}
 	if least == 0 {
 		return // nobody is there: what is open still counts
 	}
-	s.pot.SetTotal(int64(least))
+	s.limit.SetTotal(int64(least))
 	for m := range s.members {
 		m.SetGuarantee(int64(least) / int64(2*len(s.members)))
 	}
@@ -87,5 +87,5 @@
 func (c *EndpointLimits) Len() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.all)
+	return len(c.endpoints)
 }
--- a/internal/resourcelimit/sharedlimit.go
+++ b/internal/resourcelimit/sharedlimit.go
@@ -12,21 +12,21 @@
 //
 // A SharedLimit decides only and holds nothing itself; its units are the caller's: bytes, connections. Any goroutine may use it.
 type SharedLimit struct {
-	mu      sync.Mutex
-	total   int64
-	held    int64 // by all parties
-	unused  int64 // of the guarantees: what their parties do not hold of them
-	parties map[*Allotment]struct{}
+	mu               sync.Mutex
+	total            int64
+	held             int64 // by all parties
+	unusedGuarantees int64 // of the guarantees: what their parties do not hold of them
+	allotments       map[*Allotment]struct{}
 }
 
 // Allotment is one that shares in a SharedLimit.
 type Allotment struct {
 	name      string
-	pot       *SharedLimit
+	shared    *SharedLimit
 	guarantee int64
 	held      int64
-	lowered   func(n int64)
-	figures   AllotmentStats
+	reclaim   func(n int64)
+	stats     AllotmentStats
 }
 
 // AllotmentStats tell of a party so far.
@@ -37,7 +37,7 @@
 
 // NewSharedLimit makes a pot of so many units.
 func NewSharedLimit(total int64) *SharedLimit {
-	return &SharedLimit{total: max(0, total), parties: map[*Allotment]struct{}{}}
+	return &SharedLimit{total: max(0, total), allotments: map[*Allotment]struct{}{}}
 }
 
 // Join makes a party with a guarantee. The function, if there is one, is called when the party is asked to give back so many
@@ -46,14 +46,14 @@
 func (p *SharedLimit) Join(name string, guarantee int64, lowered func(n int64)) *Allotment {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	a := &Allotment{name: name, pot: p, guarantee: max(0, guarantee), lowered: lowered}
-	p.parties[a] = struct{}{}
-	p.unused += a.guarantee
+	a := &Allotment{name: name, shared: p, guarantee: max(0, guarantee), reclaim: lowered}
+	p.allotments[a] = struct{}{}
+	p.unusedGuarantees += a.guarantee
 	return a
 }
 
-// Fits says whether guarantees can all be kept by a whole.
-func Fits(total int64, guarantees ...int64) error {
+// CheckGuarantees says whether guarantees can all be kept by a whole.
+func CheckGuarantees(total int64, guarantees ...int64) error {
 	sum := int64(0)
 	for _, g := range guarantees {
 		if sum += g; g < 0 || sum > total {
@@ -88,61 +88,61 @@
 func (p *SharedLimit) Len() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return len(p.parties)
+	return len(p.allotments)
 }
 
 // Leave takes a party out. What it still holds stays counted until it is given; a party that has left borrows all of that.
 func (a *Allotment) Leave() {
 	a.SetGuarantee(0)
-	a.pot.mu.Lock()
-	defer a.pot.mu.Unlock()
-	delete(a.pot.parties, a)
+	a.shared.mu.Lock()
+	defer a.shared.mu.Unlock()
+	delete(a.shared.allotments, a)
 }
 
 // SetGuarantee changes the guaranteed minimum. A raised one may not be there until others have given back.
 func (a *Allotment) SetGuarantee(n int64) {
-	p := a.pot
+	p := a.shared
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	before := a.free()
+	before := a.unusedGuarantee()
 	a.guarantee = max(0, n)
-	p.unused += a.free() - before
+	p.unusedGuarantees += a.unusedGuarantee() - before
 }
 
-// free is what is left of the guarantee.
-func (a *Allotment) free() int64 { return max(0, a.guarantee-a.held) }
+// unusedGuarantee is what is left of the guarantee.
+func (a *Allotment) unusedGuarantee() int64 { return max(0, a.guarantee-a.held) }
 
-// Over is how much the party has borrowed.
-func (a *Allotment) Over() int64 {
-	a.pot.mu.Lock()
-	defer a.pot.mu.Unlock()
+// Borrowed is how much the party has borrowed.
+func (a *Allotment) Borrowed() int64 {
+	a.shared.mu.Lock()
+	defer a.shared.mu.Unlock()
 	return max(0, a.held-a.guarantee)
 }
 
-// Take takes units: of the guarantee, and beyond it of what no other party's guarantee needs. If there are none, the party
+// TryReserve takes units: of the guarantee, and beyond it of what no other party's guarantee needs. If there are none, the party
 // that has borrowed most is asked to give as many back, where that is not this one.
-func (a *Allotment) Take(n int64) bool {
-	p := a.pot
+func (a *Allotment) TryReserve(n int64) bool {
+	p := a.shared
 	p.mu.Lock()
-	free := a.free()
-	others := p.unused - free
+	free := a.unusedGuarantee()
+	others := p.unusedGuarantees - free
 	beyond := max(0, n-free)
 	if p.held+n <= p.total && (beyond == 0 || p.held+n+others <= p.total) {
-		a.change(n)
+		a.adjustLocked(n)
 		p.mu.Unlock()
 		return true
 	}
-	a.figures.Refused++
+	a.stats.Refused++
 	most, over := a, max(0, a.held+n-a.guarantee)
-	for o := range p.parties {
+	for o := range p.allotments {
 		if has := o.held - o.guarantee; o != a && has > over {
 			most, over = o, has
 		}
 	}
 	var ask func(int64)
 	if most != a {
-		most.figures.Reclaims++
-		ask = most.lowered
+		most.stats.Reclaims++
+		ask = most.reclaim
 	}
 	p.mu.Unlock()
 	if ask != nil {
@@ -151,35 +151,35 @@
 	return false
 }
 
-// Force takes units, or gives some back, whatever there is: for what is held already and only now known.
-func (a *Allotment) Force(n int64) {
-	a.pot.mu.Lock()
-	a.change(n)
-	a.pot.mu.Unlock()
+// Adjust takes units, or gives some back, whatever there is: for what is held already and only now known.
+func (a *Allotment) Adjust(n int64) {
+	a.shared.mu.Lock()
+	a.adjustLocked(n)
+	a.shared.mu.Unlock()
 }
 
-// Give gives units back.
-func (a *Allotment) Give(n int64) { a.Force(-n) }
+// Release gives units back.
+func (a *Allotment) Release(n int64) { a.Adjust(-n) }
 
-// change counts units. The caller holds mu.
-func (a *Allotment) change(n int64) {
-	before := a.free()
+// adjustLocked counts units. The caller holds mu.
+func (a *Allotment) adjustLocked(n int64) {
+	before := a.unusedGuarantee()
 	a.held += n
-	a.pot.held += n
-	a.pot.unused += a.free() - before
+	a.shared.held += n
+	a.shared.unusedGuarantees += a.unusedGuarantee() - before
 }
 
-// Full says that more is held than the whole, and by this party more than its guarantee: what it asks for by Force must end.
-func (a *Allotment) Full() bool {
-	a.pot.mu.Lock()
-	defer a.pot.mu.Unlock()
-	return a.pot.held > a.pot.total && a.held > a.guarantee
+// IsExceeded says that more is held than the whole, and by this party more than its guarantee: what it asks for by Force must end.
+func (a *Allotment) IsExceeded() bool {
+	a.shared.mu.Lock()
+	defer a.shared.mu.Unlock()
+	return a.shared.held > a.shared.total && a.held > a.guarantee
 }
 
 // Held is what the party holds.
 func (a *Allotment) Held() int64 {
-	a.pot.mu.Lock()
-	defer a.pot.mu.Unlock()
+	a.shared.mu.Lock()
+	defer a.shared.mu.Unlock()
 	return a.held
 }
 
@@ -188,9 +188,9 @@
 
 // Stats tells of the party.
 func (a *Allotment) Stats() AllotmentStats {
-	a.pot.mu.Lock()
-	defer a.pot.mu.Unlock()
-	f := a.figures
+	a.shared.mu.Lock()
+	defer a.shared.mu.Unlock()
+	f := a.stats
 	f.Held, f.Guarantee = a.held, a.guarantee
 	return f
 }
--- a/internal/resourcelimit/sharedlimit_test.go
+++ b/internal/resourcelimit/sharedlimit_test.go
@@ -34,11 +34,11 @@
 			n := rapid.Int64Range(0, 30).Draw(t, "n")
 			if rapid.Bool().Draw(t, "give") {
 				n = min(n, held[p])
-				p.Give(n)
+				p.Release(n)
 				held[p] -= n
 				continue
 			}
-			if p.Take(n) {
+			if p.TryReserve(n) {
 				held[p] += n
 			} else if held[p]+n <= guarantee[p] {
 				t.Fatalf("a guarantee of %d does not give %d to %d", guarantee[p], n, held[p])
@@ -48,10 +48,10 @@
 			}
 			for _, o := range all { // nothing taken may stand in the way of what is guaranteed
 				if free := guarantee[o] - held[o]; free > 0 {
-					if !o.Take(free) {
+					if !o.TryReserve(free) {
 						t.Fatalf("the last %d of a guarantee of %d are lent", free, guarantee[o])
 					}
-					o.Give(free)
+					o.Release(free)
 				}
 			}
 		}
@@ -66,25 +66,25 @@
 		return pot.Join(name, g, func(n int64) { asked[name] += n })
 	}
 	a, b, c := join("a", 2), join("b", 2), join("c", 0)
-	if !a.Take(8) || a.Take(1) || !b.Take(2) { // six borrowed; b's two are not to be had
+	if !a.TryReserve(8) || a.TryReserve(1) || !b.TryReserve(2) { // six borrowed; b's two are not to be had
 		t.Fatal("the wrong things are lent")
 	}
-	if b.Take(1); asked["a"] != 1 || asked["b"] != 0 || asked["c"] != 0 {
+	if b.TryReserve(1); asked["a"] != 1 || asked["b"] != 0 || asked["c"] != 0 {
 		t.Errorf("asked %v", asked)
 	}
-	a.Give(1)
-	if !c.Take(1) || a.Stats().Reclaims != 1 || b.Stats().Refused != 1 {
+	a.Release(1)
+	if !c.TryReserve(1) || a.Stats().Reclaims != 1 || b.Stats().Refused != 1 {
 		t.Errorf("what was given back is not there, or not told: %+v", a.Stats())
 	}
 	a.Leave() // what it holds counts until it is given
-	if a.Give(7); !c.Take(7) || c.Take(1) || pot.Held() != 10 || pot.Len() != 2 {
+	if a.Release(7); !c.TryReserve(7) || c.TryReserve(1) || pot.Held() != 10 || pot.Len() != 2 {
 		t.Errorf("%d held by %d", pot.Held(), pot.Len())
 	}
 	b.SetGuarantee(1)
-	if b.Give(2); !c.Take(1) || c.Take(1) {
+	if b.Release(2); !c.TryReserve(1) || c.TryReserve(1) {
 		t.Error("a lowered guarantee is not lent, or too much of it")
 	}
-	if Fits(10, 5, 5) != nil || Fits(10, 5, 6) == nil || Fits(10, -1) == nil {
+	if CheckGuarantees(10, 5, 5) != nil || CheckGuarantees(10, 5, 6) == nil || CheckGuarantees(10, -1) == nil {
 		t.Error("what fits is not told")
 	}
 }
@@ -94,25 +94,25 @@
 	caps := NewEndpointLimits()
 	yielded := 0
 	a := caps.Join("x", "a", 8, func(int64) { yielded++ })
-	if !a.Take(8) || a.Take(1) {
+	if !a.TryReserve(8) || a.TryReserve(1) {
 		t.Fatal("a pool alone has not the whole")
 	}
 	b := caps.Join("x", "b", 6, nil)
-	if b.Take(1) || yielded == 0 {
+	if b.TryReserve(1) || yielded == 0 {
 		t.Error("the cap is passed, or nothing is asked back")
 	}
-	a.Give(4)
-	if !b.Take(1) || !a.Take(1) || b.Take(1) || a.Take(1) { // of six, each is guaranteed one
+	a.Release(4)
+	if !b.TryReserve(1) || !a.TryReserve(1) || b.TryReserve(1) || a.TryReserve(1) { // of six, each is guaranteed one
 		t.Error("what a gave back is not shared")
 	}
 	b.Leave()
-	a.Give(5)
+	a.Release(5)
 	a.Leave()
-	b.Give(1)
-	for i := range 2 * capsLeast {
+	b.Release(1)
+	for i := range 2 * minCleanupSize {
 		caps.Join(string(rune('a'+i)), "a", 1, nil).Leave()
 	}
-	if caps.Len() > capsLeast {
+	if caps.Len() > minCleanupSize {
 		t.Errorf("%d addresses are kept that nobody has", caps.Len())
 	}
 }
@@ -129,7 +129,7 @@
 			t.Fatalf("no room for a newcomer: %d of 20", c.Len())
 		}
 		c.Add(h)
-		if c.Move(h, to) {
+		if c.Assign(h, to) {
 			return h, true
 		}
 		c.Remove(h)
@@ -166,7 +166,7 @@
 		t.Error("beyond its guarantee the quiet pool takes what is not there")
 	}
 	for _, h := range few {
-		h.since = now - 10*idleAfter // idle for long, and still guaranteed
+		h.since = now - 10*idleTimeout // idle for long, and still guaranteed
 	}
 	for range 2 {
 		c.Add(&holder{since: now})
@@ -174,13 +174,13 @@
 	if c.HasCapacity() || few[0].gone || loud.Held() != 14 || quiet.Held() != 4 || loud.Evicted() != 4 {
 		t.Errorf("%d loud, %d quiet", loud.Held(), quiet.Held())
 	}
-	if !c.Move(few[0], loud) { // a connection that was taken may ask another pool
+	if !c.Assign(few[0], loud) { // a connection that was taken may ask another pool
 		t.Error("a connection that was taken is refused")
 	}
 	for _, h := range append(few, all...) {
 		c.Remove(h)
 	}
-	if loud.Held() != 0 || quiet.Held() != 0 || c.grouped != 0 {
+	if loud.Held() != 0 || quiet.Held() != 0 || c.assigned != 0 {
 		t.Errorf("%d and %d are kept", loud.Held(), quiet.Held())
 	}
 }
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -71,7 +71,7 @@
 			return redcon.RESP{}, ErrMalformed
 		case len(r.buf) == cap(r.buf):
 			size := min(2*cap(r.buf), mostMessage)
-			if r.Memory != nil && !r.Memory.Take(int64(size-cap(r.buf))) {
+			if r.Memory != nil && !r.Memory.TryReserve(int64(size-cap(r.buf))) {
 				return redcon.RESP{}, ErrNoMemory
 			}
 			r.buf = append(make([]byte, 0, size), r.buf...)
@@ -87,8 +87,8 @@
 // Charge moves what the buffer costs to another budget, which holds for what follows.
 func (r *Reader) Charge(to *resourcelimit.Bytes) {
 	if n := int64(cap(r.buf) - usualBuffer); n > 0 && r.Memory != to {
-		r.Memory.Give(n)
-		to.Force(n)
+		r.Memory.Release(n)
+		to.Adjust(n)
 	}
 	r.Memory = to
 }
@@ -96,7 +96,7 @@
 // Release gives the buffer back.
 func (r *Reader) Release() {
 	if r.Memory != nil && cap(r.buf) > usualBuffer {
-		r.Memory.Give(int64(cap(r.buf) - usualBuffer))
+		r.Memory.Release(int64(cap(r.buf) - usualBuffer))
 	}
 	r.buf, r.start = nil, 0
 }
@@ -163,7 +163,7 @@
 func (r *Reader) Put(b []byte) {
 	r.buf = append(make([]byte, 0, max(usualBuffer, len(b))), b...)
 	if n := cap(r.buf) - usualBuffer; n > 0 && r.Memory != nil {
-		r.Memory.Force(int64(n))
+		r.Memory.Adjust(int64(n))
 	}
 }
 
--- a/internal/service/hosted/forwardauth_conn_test.go
+++ b/internal/service/hosted/forwardauth_conn_test.go
@@ -182,8 +182,8 @@
 	codes := make(chan int, 16)
 	n := d.Conns.Max()
 	for d.Conns.Len() > 0 { // those of spend end with their clients
-		for _, h := range resourcelimit.Of[resourcelimit.Holder](d.Conns) {
-			h.GiveWay()
+		for _, h := range resourcelimit.ConnectionsOf[resourcelimit.ClientConnection](d.Conns) {
+			h.CloseWhenIdle()
 		}
 		time.Sleep(time.Millisecond)
 	}
--- a/internal/service/hosted/forwardauth_test.go
+++ b/internal/service/hosted/forwardauth_test.go
@@ -421,12 +421,12 @@
 		}
 		w := start(t, 1, append(edits, "memory_mb", "memory_mb")[:2]...)
 		d := w.doors[0]
-		for !d.Memory.Take(1 << 20) { // never: the budget is larger
+		for !d.Memory.TryReserve(1 << 20) { // never: the budget is larger
 			t.Fatal("no memory")
 		}
-		d.Memory.Force(1 << 40) // as if clients held all of it
+		d.Memory.Adjust(1 << 40) // as if clients held all of it
 		code, h, _ := ask(t, client(), d.http+"/long", bearer("free")...)
-		d.Memory.Give(1<<40 + 1<<20)
+		d.Memory.Release(1<<40 + 1<<20)
 		f := &d.Shared.Figures
 		if allow && (code != 200 || f.UndecidedAllowed.Load() != 1) || !allow && (code != 503 || h.Get("Retry-After") == "" || f.UndecidedDenied.Load() != 1) {
 			t.Errorf("allow %v: %d %v", allow, code, h)
--- a/internal/service/hosted/hosted.go
+++ b/internal/service/hosted/hosted.go
@@ -70,7 +70,7 @@
 	s.Env = service.NewEnv(s.clock, cfg.Node.MemoryMB, cfg.Node.Sockets, &s.router)
 	s.router.log = log
 	if s.shares = newShares(cfg, s.Conns.Max()); s.shares != nil {
-		s.Memory = resourcelimit.SharedBytes(s.shares.unread)
+		s.Memory = resourcelimit.NewSharedBytes(s.shares.unread)
 	}
 	s.coarse.Store(int64(s.clock.Now()))
 	s.Coarse = func() time.Duration { return time.Duration(s.coarse.Load()) }
--- a/internal/service/hosted/shares.go
+++ b/internal/service/hosted/shares.go
@@ -20,7 +20,7 @@
 }
 
 // guaranteed is what all guarantees may cover together: the rest is for commands and connections whose pool is not known.
-const guaranteed = 1 - resourcelimit.NewcomersPart
+const guaranteed = 1 - resourcelimit.UnassignedFraction
 
 // newShares makes the parts of a process; nil: it has one pool, and nothing is to be shared.
 func newShares(cfg *Config, clients int) *shares {
@@ -29,7 +29,7 @@
 	}
 	s := &shares{memory: resourcelimit.NewSharedLimit(service.ClientMemory(cfg.Node.MemoryMB)),
 		sockets: resourcelimit.NewSharedLimit(int64(max(1, service.BackendSockets(cfg.Node.Sockets)))), caps: resourcelimit.NewEndpointLimits(), clients: clients}
-	s.unread = s.memory.Join("", int64(float64(s.memory.Total())*resourcelimit.NewcomersPart), nil)
+	s.unread = s.memory.Join("", int64(float64(s.memory.Total())*resourcelimit.UnassignedFraction), nil)
 	return s
 }
 
@@ -47,7 +47,7 @@
 	if s == nil {
 		return nil
 	}
-	return &share{of: s, memory: resourcelimit.SharedBytes(s.memory.Join(name, 0, nil)), clients: resourcelimit.NewGroup(name, 0)}
+	return &share{of: s, memory: resourcelimit.NewSharedBytes(s.memory.Join(name, 0, nil)), clients: resourcelimit.NewGroup(name, 0)}
 }
 
 // set sets the guaranteed part, from 0 to 1.
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -108,10 +108,10 @@
 	c.closed = true
 	p.connections--
 	if p.cfg.Allotment != nil {
-		p.cfg.Allotment.Give(1)
+		p.cfg.Allotment.Release(1)
 	}
 	if c.limit != nil {
-		c.limit.Give(1)
+		c.limit.Release(1)
 	}
 	delete(c.endpoint.connections, c)
 	if c.netConn != nil {
--- a/internal/upstream/limits.go
+++ b/internal/upstream/limits.go
@@ -9,13 +9,13 @@
 	if p.connections >= p.cfg.MaxConnections && !p.closeOldest() {
 		return false
 	}
-	if ep.limit != nil && !ep.limit.Take(1) {
+	if ep.limit != nil && !ep.limit.TryReserve(1) {
 		return false // none to this endpoint is idle here, or it would be used
 	}
-	for p.cfg.Allotment != nil && !p.cfg.Allotment.Take(1) {
+	for p.cfg.Allotment != nil && !p.cfg.Allotment.TryReserve(1) {
 		if !p.closeOldest() {
 			if ep.limit != nil {
-				ep.limit.Give(1)
+				ep.limit.Release(1)
 			}
 			return false
 		}
--- a/internal/upstream/longvalue.go
+++ b/internal/upstream/longvalue.go
@@ -35,8 +35,8 @@
 	memory := c.pool.cfg.ValueMemory
 	switch {
 	case memory == nil:
-	case memory.Take(chunk):
-		defer memory.Give(chunk)
+	case memory.TryReserve(chunk):
+		defer memory.Release(chunk)
 	default:
 		chunk = minLongChunkBytes
 	}
