--- /dev/null
+++ b/internal/resourcelimit/allotment.go
@@ -0,0 +1,135 @@
+package resourcelimit
+
+// Allotment is one participant's part of a SharedLimit. It is safe for concurrent use.
+type Allotment struct {
+	// name identifies the allotment in statistics.
+	name   string
+	shared *SharedLimit
+	// guarantee is the number of units that no other allotment can borrow.
+	guarantee int64
+	// held is the number of units held.
+	held int64
+	// reclaim asks the holder to release n borrowed units; nil if it can't.
+	reclaim func(n int64)
+	// stats holds the counters; Held and Guarantee are filled in by Stats.
+	stats AllotmentStats
+}
+
+// AllotmentStats are the figures of an allotment.
+type AllotmentStats struct {
+	// Held is the number of units held.
+	Held int64
+	// Guarantee is the guaranteed number of units.
+	Guarantee int64
+	// Refused counts the reservations that failed.
+	Refused uint64
+	// Reclaims counts how often the allotment was asked to release borrowed units.
+	Reclaims uint64
+}
+
+// Leave removes the allotment. Units it still holds stay counted, as borrowed, until they are released.
+func (a *Allotment) Leave() {
+	a.SetGuarantee(0)
+	a.shared.mu.Lock()
+	defer a.shared.mu.Unlock()
+	delete(a.shared.allotments, a)
+}
+
+// SetGuarantee changes the guaranteed minimum. A raised one may not be available until others have released units.
+func (a *Allotment) SetGuarantee(n int64) {
+	a.shared.mu.Lock()
+	defer a.shared.mu.Unlock()
+	before := a.unusedGuarantee()
+	a.guarantee = max(0, n)
+	a.shared.unusedGuarantees += a.unusedGuarantee() - before
+}
+
+// unusedGuarantee returns the part of the guarantee that is not held. The caller holds mu.
+func (a *Allotment) unusedGuarantee() int64 {
+	return max(0, a.guarantee-a.held)
+}
+
+// Borrowed returns the number of units held beyond the guarantee.
+func (a *Allotment) Borrowed() int64 {
+	a.shared.mu.Lock()
+	defer a.shared.mu.Unlock()
+	return max(0, a.held-a.guarantee)
+}
+
+// TryReserve reserves n units and returns true if the guarantee covers them or no other allotment's guarantee needs
+// them. Otherwise it asks the allotment that has borrowed most, if that is another, to release n units.
+func (a *Allotment) TryReserve(n int64) bool {
+	reserved, reclaim := a.reserveOrReclaim(n)
+	if reclaim != nil {
+		reclaim(n)
+	}
+	return reserved
+}
+
+// reserveOrReclaim reserves n units, or returns the function, if any, that asks the largest borrower for units. The
+// caller calls it without the lock.
+func (a *Allotment) reserveOrReclaim(n int64) (reserved bool, reclaim func(int64)) {
+	a.shared.mu.Lock()
+	defer a.shared.mu.Unlock()
+	if a.shared.canReserve(a, n) {
+		a.adjustLocked(n)
+		return true, nil
+	}
+	a.stats.Refused++
+	borrower := a.shared.largestBorrower(a, n)
+	if borrower == a {
+		return false, nil
+	}
+	borrower.stats.Reclaims++
+	return false, borrower.reclaim
+}
+
+// Adjust adds n units to those held, regardless of the limit, for what is held already. A negative n releases units.
+func (a *Allotment) Adjust(n int64) {
+	a.shared.mu.Lock()
+	defer a.shared.mu.Unlock()
+	a.adjustLocked(n)
+}
+
+// Release releases n units.
+func (a *Allotment) Release(n int64) {
+	a.Adjust(-n)
+}
+
+// adjustLocked adds n units to those held. The caller holds mu.
+func (a *Allotment) adjustLocked(n int64) {
+	before := a.unusedGuarantee()
+	a.held += n
+	a.shared.held += n
+	a.shared.unusedGuarantees += a.unusedGuarantee() - before
+}
+
+// IsExceeded reports whether the shared total is exceeded while this allotment holds more than its guarantee. Its
+// holder must then stop calling Adjust with positive numbers.
+func (a *Allotment) IsExceeded() bool {
+	a.shared.mu.Lock()
+	defer a.shared.mu.Unlock()
+	return a.shared.held > a.shared.total && a.held > a.guarantee
+}
+
+// Held returns the number of units held.
+func (a *Allotment) Held() int64 {
+	a.shared.mu.Lock()
+	defer a.shared.mu.Unlock()
+	return a.held
+}
+
+// Name returns the name given to [SharedLimit.Join].
+func (a *Allotment) Name() string {
+	return a.name
+}
+
+// Stats returns the current figures.
+func (a *Allotment) Stats() AllotmentStats {
+	a.shared.mu.Lock()
+	defer a.shared.mu.Unlock()
+	stats := a.stats
+	stats.Held = a.held
+	stats.Guarantee = a.guarantee
+	return stats
+}
--- a/internal/resourcelimit/bytes.go
+++ b/internal/resourcelimit/bytes.go
@@ -1,23 +1,28 @@
-// Package resourcelimit bounds what clients together, over all fronts, can make the process hold: bytes and connections. Where
-// there are several pools, each has a guaranteed minimum and borrows beyond it.
 package resourcelimit
 
 import "sync/atomic"
 
-// Bytes bounds bytes held. Any goroutine may call it.
+// Bytes bounds the bytes that are held at a time. It is safe for concurrent use.
 type Bytes struct {
-	limit     int64
-	held      atomic.Int64
-	allotment *Allotment // nil: the bytes are not shared
+	// limit is the number of bytes that may be held. It is not used with an allotment.
+	limit int64
+	// held is the number of bytes held. It is not used with an allotment.
+	held atomic.Int64
+	// allotment counts the bytes against a SharedLimit; nil means that the limit is not shared.
+	allotment *Allotment
 }
 
-// NewBytes makes a bound of so many bytes.
-func NewBytes(most int64) *Bytes { return &Bytes{limit: most} }
+// NewBytes returns a limit of that many bytes.
+func NewBytes(limit int64) *Bytes {
+	return &Bytes{limit: limit}
+}
 
-// NewSharedBytes makes a bound that is a party's part of a SharedLimit.
-func NewSharedBytes(p *Allotment) *Bytes { return &Bytes{allotment: p} }
+// NewSharedBytes returns a limit that counts its bytes against an allotment of a SharedLimit.
+func NewSharedBytes(allotment *Allotment) *Bytes {
+	return &Bytes{allotment: allotment}
+}
 
-// TryReserve holds so many more bytes if that stays within the bound.
+// TryReserve reserves n bytes and returns true if they fit; otherwise it reserves nothing.
 func (b *Bytes) TryReserve(n int64) bool {
 	if b.allotment != nil {
 		return b.allotment.TryReserve(n)
@@ -29,7 +34,7 @@
 	return true
 }
 
-// Adjust holds more or fewer bytes, whatever the bound.
+// Adjust adds n bytes to those held, regardless of the limit. A negative n releases bytes.
 func (b *Bytes) Adjust(n int64) {
 	if b.allotment != nil {
 		b.allotment.Adjust(n)
@@ -38,10 +43,12 @@
 	b.held.Add(n)
 }
 
-// Release gives bytes back.
-func (b *Bytes) Release(n int64) { b.Adjust(-n) }
+// Release releases n bytes.
+func (b *Bytes) Release(n int64) {
+	b.Adjust(-n)
+}
 
-// IsExceeded says that more is held than the bound.
+// IsExceeded reports whether more bytes are held than the limit allows. For a shared limit see [Allotment.IsExceeded].
 func (b *Bytes) IsExceeded() bool {
 	if b.allotment != nil {
 		return b.allotment.IsExceeded()
@@ -49,7 +56,7 @@
 	return b.held.Load() > b.limit
 }
 
-// Held is how many bytes are held.
+// Held returns the number of bytes held.
 func (b *Bytes) Held() int64 {
 	if b.allotment != nil {
 		return b.allotment.Held()
@@ -57,5 +64,7 @@
 	return b.held.Load()
 }
 
-// Allotment is the share of a SharedLimit that this is; nil: it is not shared.
-func (b *Bytes) Allotment() *Allotment { return b.allotment }
+// Allotment returns the allotment that the bytes count against, or nil if the limit is not shared.
+func (b *Bytes) Allotment() *Allotment {
+	return b.allotment
+}
