--- a/internal/resourcelimit/clientlimit.go
+++ b/internal/resourcelimit/clientlimit.go
@@ -8,223 +8,237 @@
 )
 
 const (
-	assignableFraction = 0.9                    // of the connections that may be held: from here on idle ones are closed
-	idleTimeout        = 2 * time.Second        // a connection with no open request may be closed after this ...
-	unusedTimeout      = 500 * time.Millisecond // ... and, where there is no such, one on which nothing was ever asked
-	fullIdleTimeout    = 250 * time.Millisecond // with no place left at all, any one after this: the newcomer has a request
+	// assignableFraction is the part of the connections that groups may hold. Beyond it idle connections are evicted.
+	assignableFraction = 0.9
+	// UnassignedFraction is the part of the connections that no guarantee may cover: it is reserved for connections
+	// that have not sent a request yet.
+	UnassignedFraction = 1 - assignableFraction
 )
 
-// UnassignedFraction is the part of the connections that no guarantee may cover: it is for those that have asked nothing yet.
-const UnassignedFraction = 1 - assignableFraction
+// Times after which a connection without an open request may be evicted. They are also the order of eviction.
+const (
+	// idleTimeout applies to every connection.
+	idleTimeout = 2 * time.Second
+	// unusedTimeout applies to a connection that has never sent a request.
+	unusedTimeout = 500 * time.Millisecond
+	// fullIdleTimeout applies to every connection once the limit is reached.
+	fullIdleTimeout = 250 * time.Millisecond
+)
 
-// ClientConnection is a client's connection, of whichever front.
+// ClientConnection is a client's connection to a frontend.
 type ClientConnection interface {
-	// IdleSince tells since when no request is open on the connection, on the loop's clock, and whether anything was
-	// ever asked on it. 0: a request is open.
-	IdleSince() (since time.Duration, spoken bool)
-	// CloseWhenIdle closes the connection if it still is idle. One that is not is closed after its last answer.
+	// IdleSince returns the event loop's time since which no request is open, or 0 while one is open, and whether the
+	// connection has ever sent a request.
+	IdleSince() (since time.Duration, used bool)
+	// CloseWhenIdle closes the connection now if it is idle, otherwise after its last answer.
 	CloseWhenIdle()
 }
 
-// Group is a pool's connections: those that asked it last. They stand under a guaranteed minimum; what a group has beyond
-// it is borrowed, and gives way when another's guarantee needs the place, also while it is busy: then with its last answer.
-type Group struct {
-	Name      string
-	guarantee atomic.Int64
-	held      atomic.Int64
-	evicted   atomic.Uint64
-	refused   atomic.Uint64
-}
-
-// NewGroup makes one with a guaranteed number of connections.
-func NewGroup(name string, guarantee int) *Group {
-	g := &Group{Name: name}
-	g.SetGuarantee(guarantee)
-	return g
-}
-
-// SetGuarantee changes the guaranteed number.
-func (g *Group) SetGuarantee(n int) { g.guarantee.Store(int64(max(0, n))) }
-
-// Held is how many connections there are.
-func (g *Group) Held() int { return int(g.held.Load()) }
-
-// Evicted is how many had to give way while they were busy.
-func (g *Group) Evicted() uint64 { return g.evicted.Load() }
-
-// Refused is how many newcomers were sent away with their first request, the group having borrowed what there was.
-func (g *Group) Refused() uint64 { return g.refused.Load() }
-
-// borrowed is how many connections the group has borrowed; those that have asked nothing yet (nil) are all borrowed.
-func (g *Group) borrowed() int64 {
-	if g == nil {
-		return 1 << 40
-	}
-	return g.held.Load() - g.guarantee.Load()
-}
-
-// ClientLimit bounds the clients' connections of all fronts together. All of it may be called by any goroutine.
+// ClientLimit bounds the client connections of all frontends together. It is safe for concurrent use.
 type ClientLimit struct {
+	// limit is the number of connections that may be held.
 	limit int64
-	now   func() time.Duration
+	// now is the event loop's clock.
+	now func() time.Duration
+	// count is the number of connections held.
 	count atomic.Int64
 
 	mu          sync.Mutex
 	connections map[ClientConnection]*connectionState
-	assigned    int64 // those that are of a group
+	// assigned is the number of connections that belong to a group.
+	assigned int64
 }
 
-// connectionState is what is known of a connection.
+// connectionState is what ClientLimit records about a connection.
 type connectionState struct {
-	group    *Group // nil: it has asked no pool yet
-	evicting bool   // it was told to give way
+	// group is the pool that the connection's last request went to; nil before its first request.
+	group *Group
+	// evicting is set once the connection was selected for eviction while it may be busy.
+	evicting bool
 }
 
-// NewClientLimit makes room for so many connections. The clock is the loop's.
-func NewClientLimit(most int, now func() time.Duration) *ClientLimit {
-	return &ClientLimit{limit: int64(most), now: now, connections: map[ClientConnection]*connectionState{}}
+// NewClientLimit returns a limit of that many connections. The clock is the event loop's.
+func NewClientLimit(limit int, now func() time.Duration) *ClientLimit {
+	return &ClientLimit{
+		limit:       int64(limit),
+		now:         now,
+		connections: map[ClientConnection]*connectionState{},
+	}
 }
 
-// HasCapacity says whether a newcomer may be taken in, and closes an idle connection for it where few places are left.
+// HasCapacity reports whether a new connection may be accepted. Near the limit it evicts an idle one for it.
 func (c *ClientLimit) HasCapacity() bool {
-	n := c.count.Load()
-	if float64(n) < assignableFraction*float64(c.limit) {
+	count := c.count.Load()
+	if !c.isNearLimit(count) {
 		return true
 	}
-	return c.evictIdle(n >= c.limit) || n < c.limit
+	full := count >= c.limit
+	evicted := c.evictIdle(full)
+	return evicted || !full
+}
+
+// isNearLimit reports whether that many connections leave only the unassigned part of the limit.
+func (c *ClientLimit) isNearLimit(count int64) bool {
+	return float64(count) >= assignableFraction*float64(c.limit)
 }
 
-// Add takes a connection in.
-func (c *ClientLimit) Add(h ClientConnection) {
+// Add counts an accepted connection.
+func (c *ClientLimit) Add(connection ClientConnection) {
 	c.count.Add(1)
 	c.mu.Lock()
-	c.connections[h] = &connectionState{}
-	c.mu.Unlock()
+	defer c.mu.Unlock()
+	c.connections[connection] = &connectionState{}
+}
+
+// Assign moves a connection to the group of the pool that it sends a request to. It returns false if this is the
+// connection's first request, the groups hold all they may and the group's guarantee is used up: the caller then
+// rejects the request and closes the connection. A connection within the guarantee is always accepted; a borrowed one
+// of another group is evicted for it.
+func (c *ClientLimit) Assign(connection ClientConnection, to *Group) bool {
+	accepted, victim := c.assign(connection, to)
+	if victim != nil {
+		victim.CloseWhenIdle()
+	}
+	return accepted
 }
 
-// Assign says that a connection asks a pool's group. Whom a newcomer asks is known with its first request only, so the last
-// part of the places is kept for those that have asked nothing yet; false: the group has borrowed all that there is, and the
-// newcomer is to be refused and closed. One within the group's guarantee is always taken, and another group's busy
-// connection, borrowed, goes for it. A connection that was taken before is never refused.
-func (c *ClientLimit) Assign(h ClientConnection, to *Group) bool {
+// assign does the work of Assign and returns the connection to evict, if any. The caller closes it without the lock.
+func (c *ClientLimit) assign(connection ClientConnection, to *Group) (accepted bool, victim ClientConnection) {
 	c.mu.Lock()
-	p := c.connections[h]
-	if p == nil || p.group == to {
-		c.mu.Unlock()
-		return true
+	defer c.mu.Unlock()
+	state := c.connections[connection]
+	if state == nil || state.group == to {
+		return true, nil
 	}
-	full := float64(c.assigned) >= assignableFraction*float64(c.limit)
-	if p.group == nil && full && to.borrowed() >= 0 {
-		c.mu.Unlock()
+	full := c.isNearLimit(c.assigned)
+	if full && state.group == nil && to.borrowed() >= 0 {
 		to.refused.Add(1)
-		return false
+		return false, nil
 	}
-	c.assignLocked(p, to)
-	var best ClientConnection
+	c.assignLocked(state, to)
 	if full {
-		best = c.selectBorrowed()
+		victim = c.selectBorrowed()
 	}
-	c.mu.Unlock()
-	if best != nil {
-		best.CloseWhenIdle()
-	}
-	return true
+	return true, victim
 }
 
-// assignLocked counts a connection in its new group. The caller holds mu.
-func (c *ClientLimit) assignLocked(p *connectionState, to *Group) {
-	if p.group != nil {
-		p.group.held.Add(-1)
+// assignLocked counts a connection in its new group; nil means none. The caller holds mu.
+func (c *ClientLimit) assignLocked(state *connectionState, to *Group) {
+	if state.group != nil {
+		state.group.held.Add(-1)
 		c.assigned--
 	}
-	if p.group = to; to != nil {
+	state.group = to
+	if to != nil {
 		to.held.Add(1)
 		c.assigned++
 	}
 }
 
-// Remove takes it out, once.
-func (c *ClientLimit) Remove(h ClientConnection) {
+// Remove stops counting a connection. Further calls for the same connection do nothing.
+func (c *ClientLimit) Remove(connection ClientConnection) {
 	c.mu.Lock()
-	if p, ok := c.connections[h]; ok {
-		c.assignLocked(p, nil)
-		delete(c.connections, h)
-		c.count.Add(-1)
+	defer c.mu.Unlock()
+	state, ok := c.connections[connection]
+	if !ok {
+		return
 	}
-	c.mu.Unlock()
+	c.assignLocked(state, nil)
+	delete(c.connections, connection)
+	c.count.Add(-1)
 }
 
-// Len is how many connections are held.
-func (c *ClientLimit) Len() int { return int(c.count.Load()) }
+// Len returns the number of connections held.
+func (c *ClientLimit) Len() int {
+	return int(c.count.Load())
+}
 
-// Max is how many may be held.
-func (c *ClientLimit) Max() int { return int(c.limit) }
+// Max returns the number of connections that may be held.
+func (c *ClientLimit) Max() int {
+	return int(c.limit)
+}
 
-// ConnectionsOf returns the connections that are of one type, which is one front's.
+// ConnectionsOf returns the connections of one type, which are those of one frontend.
 func ConnectionsOf[T ClientConnection](c *ClientLimit) []T {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	list := make([]T, 0, len(c.connections))
-	for h := range c.connections {
-		if t, ok := h.(T); ok {
-			list = append(list, t)
+	for connection := range c.connections {
+		if typed, ok := connection.(T); ok {
+			list = append(list, typed)
 		}
 	}
 	return list
 }
 
-// evictIdle closes the connection that has stood idle longest, if that may be. Clients that ask once, or never, and
-// keep their connections would else fill the share, and the usual ones be turned away. Those within their group's
-// guarantee stay.
+// evictIdle closes the idle connection that is first in the order of eviction and reports whether there was one.
+// Clients that keep connections without using them would otherwise lock others out.
 func (c *ClientLimit) evictIdle(full bool) bool {
-	now := c.now()
-	var best ClientConnection
-	var since time.Duration
+	victim := c.selectIdle(c.now(), full)
+	if victim == nil {
+		return false
+	}
+	victim.CloseWhenIdle()
+	// The connection's reader has to run for its descriptor to be closed.
+	runtime.Gosched()
+	return true
+}
+
+// selectIdle returns the connection to evict, or nil. Connections within their group's guarantee are exempt.
+func (c *ClientLimit) selectIdle(now time.Duration, full bool) ClientConnection {
 	c.mu.Lock()
-	for h, p := range c.connections {
-		at, spoken := h.IdleSince()
-		if at == 0 || p.group.borrowed() <= 0 {
-			continue
-		}
-		switch idle := now - at; {
-		case idle >= idleTimeout:
-		case idle >= unusedTimeout && !spoken:
-			at += idleTimeout // after those that have been idle for long
-		case full && idle >= fullIdleTimeout:
-			at += 2 * idleTimeout // and last those that may be asked again soon
-		default:
+	defer c.mu.Unlock()
+	var victim ClientConnection
+	var lowest time.Duration
+	for connection, state := range c.connections {
+		since, used := connection.IdleSince()
+		if since == 0 || state.group.borrowed() <= 0 {
 			continue
 		}
-		if best == nil || at < since {
-			best, since = h, at
+		rank, evictable := evictionRank(now, since, used, full)
+		if evictable && (victim == nil || rank < lowest) {
+			victim = connection
+			lowest = rank
 		}
 	}
-	c.mu.Unlock()
-	if best == nil {
-		return false
+	return victim
+}
+
+// evictionRank returns the place of an idle connection in the order of eviction, lowest first, and whether it may be
+// evicted at all: first those idle for long, then those never used, and at the limit all others.
+func evictionRank(now, since time.Duration, used, full bool) (rank time.Duration, evictable bool) {
+	idle := now - since
+	switch {
+	case idle >= idleTimeout:
+		return since, true
+	case idle >= unusedTimeout && !used:
+		return since + idleTimeout, true
+	case idle >= fullIdleTimeout && full:
+		return since + 2*idleTimeout, true
+	default:
+		return 0, false
 	}
-	best.CloseWhenIdle()
-	runtime.Gosched() // its reader gives the descriptor back
-	return true
 }
 
-// selectBorrowed finds a connection of the group that has borrowed most, idle or busy: a flood that keeps all of its connections
-// busy would else lock the other pools' clients out. The caller holds mu.
+// selectBorrowed returns a connection, idle or busy, of the group that has borrowed most, or nil. A pool that keeps all
+// its connections busy could otherwise lock the other pools' clients out. The caller holds mu.
 func (c *ClientLimit) selectBorrowed() ClientConnection {
-	var best ClientConnection
-	var from *connectionState
+	var victim ClientConnection
+	var victimState *connectionState
 	most := int64(0)
-	for h, p := range c.connections {
-		if p.group == nil || p.evicting {
+	for connection, state := range c.connections {
+		if state.group == nil || state.evicting {
 			continue
 		}
-		if over := p.group.borrowed(); over > most {
-			best, from, most = h, p, over
+		if borrowed := state.group.borrowed(); borrowed > most {
+			victim = connection
+			victimState = state
+			most = borrowed
 		}
 	}
-	if best != nil {
-		from.evicting = true
-		from.group.evicted.Add(1)
+	if victim != nil {
+		victimState.evicting = true
+		victimState.group.evicted.Add(1)
 	}
-	return best
+	return victim
 }
