--- a/internal/resourcelimit/clientlimit_test.go
+++ b/internal/resourcelimit/clientlimit_test.go
@@ -5,39 +5,129 @@
 	"time"
 )
 
-type holder struct {
+// fakeConnection is a client connection whose idle time the test sets.
+type fakeConnection struct {
 	since  time.Duration
-	spoken bool
-	gone   bool
+	used   bool
+	closed bool
 }
 
-func (h *holder) IdleSince() (time.Duration, bool) { return h.since, h.spoken }
-func (h *holder) CloseWhenIdle()                   { h.gone = true }
+func (f *fakeConnection) IdleSince() (time.Duration, bool) {
+	return f.since, f.used
+}
+
+func (f *fakeConnection) CloseWhenIdle() {
+	f.closed = true
+}
 
-// Connections that are kept for nothing give way to new ones, those that are idle longest first; one on which a
-// request is open never does.
-func TestIdleConnectionsGiveWay(t *testing.T) {
+// Idle connections are evicted for new ones, those that are idle longest first; one with an open request never is.
+func TestIdleConnectionsAreEvicted(t *testing.T) {
 	const now = time.Hour
-	busy, fresh := &holder{spoken: true}, &holder{since: now - fullIdleTimeout/2, spoken: true}
-	long, longer := &holder{since: now - idleTimeout, spoken: true}, &holder{since: now - 2*idleTimeout, spoken: true}
-	silent, crowd := &holder{since: now - unusedTimeout}, &holder{since: now - fullIdleTimeout, spoken: true}
-	c := NewClientLimit(6, func() time.Duration { return now })
-	for _, h := range []*holder{busy, fresh, long, longer, silent, crowd} {
-		c.Add(h)
-	}
-	for i, want := range []*holder{longer, long, silent, crowd} {
-		if !c.HasCapacity() || !want.gone {
-			t.Fatalf("number %d did not give way", i)
+	busy := &fakeConnection{used: true}
+	justIdle := &fakeConnection{since: now - fullIdleTimeout/2, used: true}
+	long := &fakeConnection{since: now - idleTimeout, used: true}
+	longer := &fakeConnection{since: now - 2*idleTimeout, used: true}
+	unused := &fakeConnection{since: now - unusedTimeout}
+	shortlyIdle := &fakeConnection{since: now - fullIdleTimeout, used: true}
+	limit := NewClientLimit(6, func() time.Duration { return now })
+	for _, connection := range []*fakeConnection{busy, justIdle, long, longer, unused, shortlyIdle} {
+		limit.Add(connection)
+	}
+	for i, want := range []*fakeConnection{longer, long, unused, shortlyIdle} {
+		if !limit.HasCapacity() || !want.closed {
+			t.Fatalf("connection %d was not evicted", i)
+		}
+		limit.Remove(want)
+		limit.Remove(want)
+		limit.Add(&fakeConnection{since: now})
+	}
+	if limit.HasCapacity() || busy.closed || justIdle.closed {
+		t.Error("a busy or just used connection was evicted")
+	}
+	if limit.Len() != 6 || len(ConnectionsOf[*fakeConnection](limit)) != 6 {
+		t.Errorf("%d connections are counted, want 6", limit.Len())
+	}
+	limit.Remove(busy)
+	if !limit.HasCapacity() {
+		t.Error("no capacity after a connection was removed")
+	}
+}
+
+// newGroupConnection adds a connection and assigns it to a group; false means that its first request is rejected.
+func newGroupConnection(t *testing.T, limit *ClientLimit, group *Group) (*fakeConnection, bool) {
+	t.Helper()
+	connection := &fakeConnection{used: true}
+	if !limit.HasCapacity() {
+		t.Fatalf("no capacity for a new connection: %d of %d", limit.Len(), limit.Max())
+	}
+	limit.Add(connection)
+	if limit.Assign(connection, group) {
+		return connection, true
+	}
+	limit.Remove(connection)
+	return connection, false
+}
+
+// removeClosed removes the connections that were told to close, as after their last answer, and returns their number.
+func removeClosed(limit *ClientLimit, connections []*fakeConnection) int {
+	removed := 0
+	for _, connection := range connections {
+		if connection.closed {
+			removed++
+			connection.closed = false
+			limit.Remove(connection)
 		}
-		c.Remove(want)
-		c.Remove(want)
-		c.Add(&holder{since: now})
 	}
-	if c.HasCapacity() || busy.gone || fresh.gone || c.Len() != 6 || len(ConnectionsOf[*holder](c)) != 6 {
-		t.Error("a busy connection gave way, or a place was counted twice")
+	return removed
+}
+
+// A pool takes all assignable connections and keeps them busy: new connections of that pool are rejected with their
+// first request, and those of another pool are accepted, within its guarantee, for connections that the first borrowed.
+func TestBusyConnectionsBeyondTheGuaranteeAreEvicted(t *testing.T) {
+	const now = time.Hour
+	limit := NewClientLimit(20, func() time.Duration { return now })
+	quiet := NewGroup("quiet", 4)
+	loud := NewGroup("loud", 4)
+	var loudConnections []*fakeConnection
+	for range 18 { // 90 % of the limit
+		if connection, ok := newGroupConnection(t, limit, loud); ok {
+			loudConnections = append(loudConnections, connection)
+		}
+	}
+	if _, ok := newGroupConnection(t, limit, loud); ok || loud.Held() != 18 || loud.Refused() != 1 {
+		t.Fatalf("%d of the loud pool, %d refused", loud.Held(), loud.Refused())
+	}
+	var quietConnections []*fakeConnection
+	for i := range 4 {
+		connection, ok := newGroupConnection(t, limit, quiet)
+		evicted := removeClosed(limit, loudConnections)
+		quietConnections = append(quietConnections, connection)
+		if !ok || evicted != 1 {
+			t.Fatalf("connection %d of the quiet pool: accepted %v, and %d of the loud pool evicted", i, ok, evicted)
+		}
+	}
+	if _, ok := newGroupConnection(t, limit, quiet); ok {
+		t.Error("the quiet pool gets a connection beyond its guarantee")
+	}
+	for _, connection := range quietConnections {
+		connection.since = now - 10*idleTimeout // idle for long, and still guaranteed
+	}
+	for range 2 {
+		limit.Add(&fakeConnection{since: now})
+	}
+	if limit.HasCapacity() || quietConnections[0].closed {
+		t.Error("a connection within the guarantee was evicted")
+	}
+	if loud.Held() != 14 || quiet.Held() != 4 || loud.Evicted() != 4 {
+		t.Errorf("%d loud, %d quiet, %d evicted", loud.Held(), quiet.Held(), loud.Evicted())
+	}
+	if !limit.Assign(quietConnections[0], loud) {
+		t.Error("an accepted connection is rejected when it changes pools")
+	}
+	for _, connection := range append(quietConnections, loudConnections...) {
+		limit.Remove(connection)
 	}
-	c.Remove(busy)
-	if !c.HasCapacity() {
-		t.Error("a free place is not given")
+	if loud.Held() != 0 || quiet.Held() != 0 || limit.assigned != 0 {
+		t.Errorf("%d and %d are still counted", loud.Held(), quiet.Held())
 	}
 }
