--- a/internal/frontend/resp2/client.go
+++ b/internal/frontend/resp2/client.go
@@ -82,7 +82,7 @@
 func newClient(fr *Front, nc net.Conn) *client {
 	c := &client{fr: fr, gate: fr.env.Scheduler, mem: fr.env.Memory, nc: nc, due: time.Now().Add(firstWithin), readAt: fr.env.Now()}
 	c.room = sync.NewCond(&c.mu)
-	c.in = resp.Reader{From: c, Memory: fr.env.Memory}
+	c.in = resp.Reader{Source: c, Memory: fr.env.Memory}
 	c.idle.Store(int64(fr.env.Now()))
 	return c
 }
@@ -107,7 +107,7 @@
 		case errors.Is(err, resp.ErrNoMemory):
 			c.turnAway("-ERR no memory for a command as long as this\r\n")
 			return
-		case errors.Is(err, os.ErrDeadlineExceeded) && c.in.Partial(): // else no line: it would cross a request
+		case errors.Is(err, os.ErrDeadlineExceeded) && c.in.HasPartialMessage(): // else no line: it would cross a request
 			c.turnAway("-ERR the command has not come in time\r\n")
 			return
 		case errors.Is(err, os.ErrDeadlineExceeded):
@@ -130,7 +130,7 @@
 // Read reads from the socket for the resp.Reader. A command has one deadline, however its bytes drip in, and so
 // has a new client's first.
 func (c *client) Read(b []byte) (int, error) {
-	if c.due.IsZero() && c.in.Partial() {
+	if c.due.IsZero() && c.in.HasPartialMessage() {
 		c.due = time.Now().Add(commandWithin)
 	}
 	if !c.awaits() {
@@ -294,7 +294,7 @@
 	if pool.Memory == nil {
 		return true
 	}
-	c.in.Charge(pool.Memory)
+	c.in.SetMemory(pool.Memory)
 	c.mu.Lock()
 	n := int64(len(c.out))
 	c.mem.Release(n)
@@ -387,7 +387,7 @@
 	if len(c.slots) == 0 {
 		c.idle.Store(int64(c.fr.env.Now()))
 	}
-	if len(c.out) > mostUnwritten || len(c.out) > resp.MostValue && c.mem.IsExceeded() {
+	if len(c.out) > mostUnwritten || len(c.out) > resp.MaxValueBytes && c.mem.IsExceeded() {
 		c.close()
 	} else if len(c.out) > 0 && !c.writing && !c.closed {
 		c.writeSome()
--- a/internal/frontend/resp2/front.go
+++ b/internal/frontend/resp2/front.go
@@ -191,7 +191,7 @@
 	c.due = time.Time{}
 	c.spoken.Store(true)
 	if len(unread) > 0 {
-		c.in.Put(unread)
+		c.in.Prefill(unread)
 	}
 	fr.env.Conns.Add(c)
 	go c.read()
--- a/internal/frontend/resp2/front_test.go
+++ b/internal/frontend/resp2/front_test.go
@@ -35,7 +35,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.Write(peer.Command("Q.ASK", peer.Customer, "1", peer.List, strings.Repeat("b", resp.MostValue)))
+		c.Write(peer.Command("Q.ASK", peer.Customer, "1", peer.List, strings.Repeat("b", resp.MaxValueBytes)))
 		for socket.IsQuiet(nc) {
 			time.Sleep(time.Millisecond)
 		}
--- a/internal/frontend/resp2/request.go
+++ b/internal/frontend/resp2/request.go
@@ -108,7 +108,7 @@
 			a.ClientRetry = v == "1"
 			ok = v == "1" || v == "0"
 		case "units":
-			a.Units, ok = resp.Decimal(v)
+			a.Units, ok = resp.ParseDecimal(v)
 			ok = ok && a.Units > 0 && a.Units <= cmp.Or(rules.Settings.MaxRequestUnits, 1e9)
 		case "spread":
 			n, err := strconv.ParseUint(v, 10, 31)
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -11,8 +11,8 @@
 )
 
 func TestRespReaderTakesPieces(t *testing.T) {
-	text := "*2\r\n$3\r\na\r\n\r\n*1\r\n$-1\r\n+OK\r\n-ERR x\r\n:5\r\n$" + "65536\r\n" + strings.Repeat("x", MostValue) + "\r\n"
-	in := &Reader{From: iotest.OneByteReader(strings.NewReader(text))}
+	text := "*2\r\n$3\r\na\r\n\r\n*1\r\n$-1\r\n+OK\r\n-ERR x\r\n:5\r\n$" + "65536\r\n" + strings.Repeat("x", MaxValueBytes) + "\r\n"
+	in := &Reader{Source: iotest.OneByteReader(strings.NewReader(text))}
 	var got string
 	for {
 		m, err := in.Next()
@@ -24,7 +24,7 @@
 		}
 		got += string(m.Raw)
 	}
-	if got != text || in.Partial() {
+	if got != text || in.HasPartialMessage() {
 		t.Errorf("%d of %d bytes", len(got), len(text))
 	}
 }
@@ -32,8 +32,8 @@
 // Neither a length nor a count that the other side names takes memory before the bytes have come.
 func TestRespReaderRefuses(t *testing.T) {
 	for _, bad := range []string{"PING\r\n", "\n", "$x\r\n", "$-2\r\n", "$65537\r\n", "*65\r\n", "*-2\r\n", "$1\r\nab\r\n",
-		"*1\n", "$" + strings.Repeat("1", mostHeader), "+" + strings.Repeat("a", mostLine), "*1\r\n*1\r\n*1\r\n:1\r\n"} {
-		in := &Reader{From: io.MultiReader(strings.NewReader(bad), iotest.ErrReader(errors.New("asked for more")))}
+		"*1\n", "$" + strings.Repeat("1", maxHeaderBytes), "+" + strings.Repeat("a", maxLineBytes), "*1\r\n*1\r\n*1\r\n:1\r\n"} {
+		in := &Reader{Source: io.MultiReader(strings.NewReader(bad), iotest.ErrReader(errors.New("asked for more")))}
 		if _, err := in.Next(); !errors.Is(err, ErrMalformed) {
 			t.Errorf("%.40q: %v", bad, err)
 		}
@@ -43,7 +43,7 @@
 func FuzzRespReader(f *testing.F) {
 	f.Add("*1\r\n$4\r\nPING\r\n")
 	f.Fuzz(func(t *testing.T, s string) {
-		in := &Reader{From: strings.NewReader(s)}
+		in := &Reader{Source: strings.NewReader(s)}
 		for {
 			if _, err := in.Next(); err != nil {
 				return
@@ -58,19 +58,19 @@
 	const long = 300 << 10
 	text := "*2\r\n$307200\r\n" + strings.Repeat("x", long) + "\r\n$-1\r\n"
 	mem := resourcelimit.NewBytes(2 * long)
-	in := &Reader{From: iotest.HalfReader(strings.NewReader(text)), Most: long, Memory: mem}
+	in := &Reader{Source: iotest.HalfReader(strings.NewReader(text)), MaxValue: long, Memory: mem}
 	if m, err := in.Next(); err != nil || len(m.Raw) != len(text) {
 		t.Fatalf("%d of %d bytes, %v", len(m.Raw), len(text), err)
 	}
-	if mem.Held() < long-usualBuffer {
+	if mem.Held() < long-defaultBufferBytes {
 		t.Errorf("%d bytes charged for a value of %d", mem.Held(), long)
 	}
 	in.Release()
 	if mem.Held() != 0 {
 		t.Errorf("%d bytes still charged", mem.Held())
 	}
-	for name, r := range map[string]*Reader{"too long": {Most: long - 1}, "as usual": {}, "no room": {Most: long, Memory: resourcelimit.NewBytes(long / 2)}} {
-		r.From = strings.NewReader(text)
+	for name, r := range map[string]*Reader{"too long": {MaxValue: long - 1}, "as usual": {}, "no room": {MaxValue: long, Memory: resourcelimit.NewBytes(long / 2)}} {
+		r.Source = strings.NewReader(text)
 		want := ErrMalformed
 		if r.Memory != nil {
 			want = ErrNoMemory
--- a/internal/service/clients_test.go
+++ b/internal/service/clients_test.go
@@ -19,7 +19,7 @@
 	c := w.dial()
 	c.Command("PING")
 	c.Wants("+PONG")
-	value, body := strings.Repeat("v\r\n-", 75<<10), strings.Repeat("b", resp.MostValue) // longer than a value is said to be
+	value, body := strings.Repeat("v\r\n-", 75<<10), strings.Repeat("b", resp.MaxValueBytes) // longer than a value is said to be
 	var b *peer.Peer
 	for range 2 {
 		c.Command("q.do", peer.Customer, "9b1f03aa5c7e2d41", peer.Keyed, body)
@@ -133,12 +133,12 @@
 	ln := peer.Listen(t)
 	w := start(t, []string{ln.Addr().String()})
 	slow := w.dial()
-	value := peer.Bulk(strings.Repeat("v", resp.MostValue))
+	value := peer.Bulk(strings.Repeat("v", resp.MaxValueBytes))
 	go func() {
 		nc, err := ln.Accept()
 		for err == nil { // a backend that serves all that comes
 			go func(nc net.Conn) {
-				in := &resp.Reader{From: nc}
+				in := &resp.Reader{Source: nc}
 				for {
 					if _, err := in.Next(); err != nil {
 						return
@@ -157,7 +157,7 @@
 	c := w.dial()
 	for served := false; !served; { // the module may refuse some meanwhile
 		c.Command("Q.ASK", peer.Customer, "2", peer.List)
-		served = len(c.Message()[0]) == resp.MostValue
+		served = len(c.Message()[0]) == resp.MaxValueBytes
 	}
 }
 
@@ -227,7 +227,7 @@
 // All clients together can't make the front door hold more than its share of memory.
 func TestClientMemoryIsBounded(t *testing.T) {
 	w := start(t, nil, func(c *Config, t *testing.T) { c.MemoryMB = 1 })
-	body := strings.Repeat("b", resp.MostValue)
+	body := strings.Repeat("b", resp.MaxValueBytes)
 	var last *peer.Peer
 	for i := range 8 { // none of these requests ends soon, as no backend is known
 		last = w.dial()
--- a/internal/service/crossings_test.go
+++ b/internal/service/crossings_test.go
@@ -123,7 +123,7 @@
 	first(b)
 	w.stop()
 	idle.WantsEnd()
-	body := strings.Repeat("b", resp.MostValue)
+	body := strings.Repeat("b", resp.MaxValueBytes)
 	for i := range 4 { // more than one read takes
 		c.Command("Q.DO", peer.Customer, fmt.Sprint("late", i), peer.Unsafe, body)
 	}
@@ -193,7 +193,7 @@
 	w.open(most)
 	for range 3 {
 		c := w.dial()
-		c.Write(peer.Command("Q.DO", peer.Customer, "x", peer.Keyed, strings.Repeat("b", resp.MostValue)))
+		c.Write(peer.Command("Q.DO", peer.Customer, "x", peer.Keyed, strings.Repeat("b", resp.MaxValueBytes)))
 		c.Wants("-BUSY 100")
 		wantsCleanEnd(t, c)
 		c.NC.Close()
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -149,8 +149,8 @@
 	}
 	c.pool.loop.Post(func() { c.handleDialled(netConn) })
 	c.reader = &resp.Reader{
-		From:   answerReader{connection: c, netConn: netConn},
-		Longer: maxValueBytes,
+		Source:   answerReader{connection: c, netConn: netConn},
+		MaxStreamedValue: maxValueBytes,
 		Memory: c.pool.cfg.ValueMemory,
 	}
 	defer c.reader.Release()
@@ -161,7 +161,7 @@
 			return
 		}
 		c.answersRead++
-		r.surplus = r.surplus || c.reader.Partial()
+		r.surplus = r.surplus || c.reader.HasPartialMessage()
 		c.pool.loop.Post(func() { c.pool.handleReply(c, r) })
 	}
 }
@@ -194,7 +194,7 @@
 func (c *connection) readAnswer() (reply, error) {
 	message, err := c.reader.Next()
 	switch {
-	case errors.Is(err, resp.ErrLong):
+	case errors.Is(err, resp.ErrLongValue):
 		return c.passLongValue()
 	case err != nil:
 		return reply{}, err
@@ -232,7 +232,7 @@
 	switch {
 	case c.longValue:
 		deadline = time.Now().Add(cmp.Or(c.pool.cfg.StallTimeout, defaultStallTimeout))
-	case c.reader.Partial():
+	case c.reader.HasPartialMessage():
 		deadline = time.Now().Add(partialAnswerTimeout)
 	}
 	if !deadline.IsZero() || c.deadlineSet {
--- a/internal/upstream/longvalue.go
+++ b/internal/upstream/longvalue.go
@@ -25,7 +25,7 @@
 // been taken, so whoever is slower sets the pace. The rest of the answer holds the figures only: if it does not come
 // the connection is not used again, and the value has been served all the same.
 func (c *connection) passLongValue() (reply, error) {
-	items, size := c.reader.Long()
+	items, size := c.reader.StartLongValue()
 	sink := c.beginLongValue(size)
 	if sink == nil {
 		c.unwanted.Store(true)
@@ -65,7 +65,7 @@
 func (c *connection) copyLongValue(sink Sink, size int, buffer []byte) error {
 	head := append(strconv.AppendInt(append(buffer[:0], '$'), int64(size), 10), "\r\n"...)
 	for left := size; left > 0; {
-		n, err := c.reader.ReadLong(buffer[len(head):min(len(buffer), len(head)+left)])
+		n, err := c.reader.ReadLongValue(buffer[len(head):min(len(buffer), len(head)+left)])
 		if n == 0 && err != nil {
 			return err
 		}
@@ -76,7 +76,7 @@
 		head = buffer[:0]
 	}
 	for end := buffer[:0]; len(end) < 2; {
-		n, err := c.reader.ReadLong(buffer[len(end):2])
+		n, err := c.reader.ReadLongValue(buffer[len(end):2])
 		if n == 0 && err != nil {
 			return err
 		}
--- a/internal/upstream/reply.go
+++ b/internal/upstream/reply.go
@@ -126,7 +126,7 @@
 		if !ok {
 			continue
 		}
-		if n, ok := resp.Decimal(string(value)); ok && n < maxQuotaUsed {
+		if n, ok := resp.ParseDecimal(string(value)); ok && n < maxQuotaUsed {
 			return int(n) + 1
 		}
 	}
