--- a/internal/resourcelimit/bytes.go
+++ b/internal/resourcelimit/bytes.go
@@ -1,61 +1,70 @@
-// Package resourcelimit bounds what clients together, over all fronts, can make the process hold: bytes and connections. Where
-// there are several pools, each has a guaranteed minimum and borrows beyond it.
 package resourcelimit
 
 import "sync/atomic"
 
-// Bytes bounds bytes held. Any goroutine may call it.
+// Bytes bounds the bytes that are held at a time. It is safe for concurrent use.
 type Bytes struct {
-	most  int64
-	held  atomic.Int64
-	party *Allotment // nil: the bytes are not shared
+	// limit is the number of bytes that may be held. It is not used with an allotment.
+	limit int64
+	// held is the number of bytes held. It is not used with an allotment.
+	held atomic.Int64
+	// allotment counts the bytes against a SharedLimit; nil means that the limit is not shared.
+	allotment *Allotment
 }
 
-// NewBytes makes a bound of so many bytes.
-func NewBytes(most int64) *Bytes { return &Bytes{most: most} }
+// NewBytes returns a limit of that many bytes.
+func NewBytes(limit int64) *Bytes {
+	return &Bytes{limit: limit}
+}
 
-// SharedBytes makes a bound that is a party's part of a SharedLimit.
-func SharedBytes(p *Allotment) *Bytes { return &Bytes{party: p} }
+// NewSharedBytes returns a limit that counts its bytes against an allotment of a SharedLimit.
+func NewSharedBytes(allotment *Allotment) *Bytes {
+	return &Bytes{allotment: allotment}
+}
 
-// Take holds so many more bytes if that stays within the bound.
-func (b *Bytes) Take(n int64) bool {
-	if b.party != nil {
-		return b.party.Take(n)
+// TryReserve reserves n bytes and returns true if they fit; otherwise it reserves nothing.
+func (b *Bytes) TryReserve(n int64) bool {
+	if b.allotment != nil {
+		return b.allotment.TryReserve(n)
 	}
-	if b.held.Add(n) > b.most {
+	if b.held.Add(n) > b.limit {
 		b.held.Add(-n)
 		return false
 	}
 	return true
 }
 
-// Force holds more or fewer bytes, whatever the bound.
-func (b *Bytes) Force(n int64) {
-	if b.party != nil {
-		b.party.Force(n)
+// Adjust adds n bytes to those held, regardless of the limit. A negative n releases bytes.
+func (b *Bytes) Adjust(n int64) {
+	if b.allotment != nil {
+		b.allotment.Adjust(n)
 		return
 	}
 	b.held.Add(n)
 }
 
-// Give gives bytes back.
-func (b *Bytes) Give(n int64) { b.Force(-n) }
+// Release releases n bytes.
+func (b *Bytes) Release(n int64) {
+	b.Adjust(-n)
+}
 
-// Over says that more is held than the bound.
-func (b *Bytes) Over() bool {
-	if b.party != nil {
-		return b.party.Full()
+// IsExceeded reports whether more bytes are held than the limit allows. For a shared limit see [Allotment.IsExceeded].
+func (b *Bytes) IsExceeded() bool {
+	if b.allotment != nil {
+		return b.allotment.IsExceeded()
 	}
-	return b.held.Load() > b.most
+	return b.held.Load() > b.limit
 }
 
-// Held is how many bytes are held.
+// Held returns the number of bytes held.
 func (b *Bytes) Held() int64 {
-	if b.party != nil {
-		return b.party.Held()
+	if b.allotment != nil {
+		return b.allotment.Held()
 	}
 	return b.held.Load()
 }
 
-// Allotment is the share of a SharedLimit that this is; nil: it is not shared.
-func (b *Bytes) Allotment() *Allotment { return b.party }
+// Allotment returns the allotment that the bytes count against, or nil if the limit is not shared.
+func (b *Bytes) Allotment() *Allotment {
+	return b.allotment
+}
