--- a/internal/balancer/bucketcorrection.go
+++ b/internal/balancer/bucketcorrection.go
@@ -30,12 +30,24 @@
 	total float64
 }
 
-// correctBucket corrects a bucket's total by a surplus, and returns the level that this gateway goes by. Where the
-// ceiling relies on the bucket only one gateway may correct it, though all may see the surplus within one round trip:
-// in a new window the first that calls, by the total of the last one (learnBucket), later the first that gets the
-// correction lock. A gateway that saw the bucket before anybody took of it corrects at once, as it alone knows the
-// level then; so does the gateway of a calm customer, which saves calls. A correction is undone when its answer tells
-// that a peer had made it already.
+// correctionPlan is what a gateway does about a surplus of a bucket that a leased ceiling relies on.
+type correctionPlan int
+
+const (
+	// correctToExpected takes the whole surplus off at once.
+	correctToExpected correctionPlan = iota
+	// correctToBurst takes off at once what is beyond the burst, and carries the bucket into the window.
+	correctToBurst
+	// deferCorrection goes by the expected level and calls nobody.
+	deferCorrection
+	// correctUnderLock asks for the correction lock, and goes by the least level meanwhile.
+	correctUnderLock
+	// carryIntoWindow carries the bucket into the window, and goes by the least level meanwhile.
+	carryIntoWindow
+)
+
+// correctBucket corrects a bucket's total by a surplus, and returns the level that this gateway goes by. Where no
+// leased ceiling relies on the bucket, it is corrected at once.
 func (b *Balancer) correctBucket(found *surplus) float64 {
 	call, cust := found.call, found.call.customer
 	plan := &b.settings.Plans[cust.plan]
@@ -43,29 +55,63 @@
 		b.callCounter(cust, 0, found.level-found.expected)
 		return found.expected
 	}
+	leastLevel := b.leastSurplusLevel(found)
+	switch b.planCorrection(found) {
+	case correctToExpected:
+		b.addSurplus(call, found.level-found.expected, found.total)
+	case correctToBurst:
+		b.addSurplus(call, found.level-plan.Burst, found.total)
+		b.learnBucket(cust) // what the bucket lacked before the window is carried
+	case correctUnderLock:
+		b.callCorrectionLock(call, found.level-leastLevel, found.total)
+		return leastLevel
+	case carryIntoWindow:
+		b.learnBucket(cust)
+		return leastLevel
+	case deferCorrection:
+	}
+	return found.expected
+}
+
+// planCorrection chooses how a surplus is corrected where a leased ceiling relies on the bucket. All gateways may see
+// the surplus within one round trip, and only one may correct it.
+func (b *Balancer) planCorrection(found *surplus) correctionPlan {
+	call, cust := found.call, found.call.customer
+	burst := b.settings.Plans[cust.plan].Burst
 	firstInWindow := cust.bucket.seenWindow != call.window
-	calm := cust.demand.rate*cust.gateways < plan.Rate
+	calm := b.isCalm(cust)
 	seenLately := cust.bucket.known && b.now-cust.bucket.levelAt < bucketTrustTime && call.kind != bucketLevelCall
-	least := found.expected
-	if cust.bucket.known && !calm {
-		least = min(found.expected, b.minimumLevel(call, found.total))
-	}
 	onlyUser := b.isOnlyUser(call, found.total)
 	switch {
 	case onlyUser && !firstInWindow, calm && seenLately:
-		b.addSurplus(call, found.level-found.expected, found.total)
-	case onlyUser && found.level > plan.Burst*(1+leasedSurplusTolerance):
-		b.addSurplus(call, found.level-plan.Burst, found.total)
-		b.learnBucket(cust) // what the bucket lacked before the window is carried
+		// An only user alone knows the level. For a calm customer a correction at once saves calls.
+		return correctToExpected
+	case onlyUser && found.level > burst*(1+leasedSurplusTolerance):
+		// The window is new to this gateway: what the bucket lacked before it is still to be carried.
+		return correctToBurst
 	case calm && !seenLately:
 		// A flood that begins at all gateways at once looks like this at first, and what this gateway may take is
 		// known without a correction.
+		return deferCorrection
 	case b.isBucketCarried(cust, call.window) && (!firstInWindow || calm):
-		b.callCorrectionLock(call, found.level-least, found.total)
-		return least
+		// Peers may see the same surplus: the first that gets the lock corrects it.
+		return correctUnderLock
 	default:
-		b.learnBucket(cust)
-		return least
+		// In a new window the first gateway that calls corrects the bucket, by the total of the last window.
+		return carryIntoWindow
+	}
+}
+
+// isCalm reports whether the demand for a customer, taken as alike at all of its gateways, is below its plan's rate.
+func (b *Balancer) isCalm(cust *customer) bool {
+	return cust.demand.rate*cust.gateways < b.settings.Plans[cust.plan].Rate
+}
+
+// leastSurplusLevel is the least level, in units, that a bucket may have until its surplus is corrected.
+func (b *Balancer) leastSurplusLevel(found *surplus) float64 {
+	cust := found.call.customer
+	if cust.bucket.known && !b.isCalm(cust) {
+		return min(found.expected, b.minimumLevel(found.call, found.total))
 	}
 	return found.expected
 }
