--- a/internal/balancer/tokenlease.go
+++ b/internal/balancer/tokenlease.go
@@ -191,24 +191,39 @@
 	}
 	granted := b.acceptedTokens(call, available)
 	if granted < call.block {
-		if b.isLargeFleet() {
-			b.reserveAhead(call, available, granted)
-		} else {
-			b.returnUncovered(call, level, granted)
-		}
+		b.returnShortfall(call, level, available, granted)
 	}
 	if !cust.bucket.known {
 		cust.bucket.setKnown(b.now)
 		cust.quota.limitFallback(0)
 	}
 	cust.quota.creditTokens(b.now, granted)
-	if at < cust.bucket.levelAt {
-		return // a later call has told more
+	b.recordBucket(call, level, total, at)
+}
+
+// returnShortfall settles the units of a block that were not granted. Level is what the bucket had by the answer,
+// available what of it this call may take.
+func (b *Balancer) returnShortfall(call *counterCall, level, available, granted float64) {
+	if b.isLargeFleet() {
+		b.reserveAhead(call, available, granted)
+		return
 	}
-	if cust.bucket.hasLostTotal(call.window, total, plan) {
-		cust.bucket.setKnown(b.now)
+	b.returnUncovered(call, level, granted)
+}
+
+// recordBucket records the level of a bucket, in units, that a call was answered at a time, less what the call took.
+// A total that the counter has lost makes the bucket known anew. An answer older than the last one recorded is left
+// out.
+func (b *Balancer) recordBucket(call *counterCall, level, total float64, at time.Duration) {
+	bucket := &call.customer.bucket
+	plan := &b.settings.Plans[call.customer.plan]
+	if at < bucket.levelAt {
+		return
+	}
+	if bucket.hasLostTotal(call.window, total, plan) {
+		bucket.setKnown(b.now)
 	}
-	cust.bucket.record(call.window, total, at, max(level-call.amount, -plan.Burst/2))
+	bucket.record(call.window, total, at, max(level-call.amount, -plan.Burst/2))
 }
 
 // returnUncovered returns the units of a block that the bucket did not have, with the next call where that comes
