--- a/internal/balancer/bucketcorrection.go
+++ b/internal/balancer/bucketcorrection.go
@@ -30,6 +30,15 @@
 	total float64
 }
 
+// bucketCorrection is the correction that a call makes (surplusCall), or that it asks for the lock of
+// (correctionLockCall, previousLockCall).
+type bucketCorrection struct {
+	// surplus is the number of units that are added to the bucket's total.
+	surplus float64
+	// totalBefore is the bucket's total without them.
+	totalBefore float64
+}
+
 // correctionPlan is what a gateway does about a surplus of a bucket that a leased ceiling relies on.
 type correctionPlan int
 
@@ -139,9 +148,8 @@
 // addSurplus adds a surplus to the total of a call's window, which came to total without it.
 func (b *Balancer) addSurplus(call *counterCall, amount, total float64) {
 	cust := call.customer
-	correction := b.sendCall(cust, surplusCall, call.window, counterName(cust.name, call.window), amount)
-	correction.amount = amount
-	correction.firstTotal = total
+	correctionCall := b.sendCall(cust, surplusCall, call.window, counterName(cust.name, call.window), amount)
+	correctionCall.correction = bucketCorrection{surplus: amount, totalBefore: total}
 }
 
 // callCorrectionLock asks for the lock under which a surplus may be added to a bucket's total. Gateways that see the
@@ -149,9 +157,7 @@
 func (b *Balancer) callCorrectionLock(found *counterCall, amount, total float64) {
 	name := correctionLockName(found.customer, int64(b.now/correctionLockInterval))
 	call := b.sendCall(found.customer, correctionLockCall, found.window, name, 1)
-	call.amount = amount
-	call.firstTotal = 1
-	call.total = total
+	call.correction = bucketCorrection{surplus: amount, totalBefore: total}
 }
 
 // callPreviousCorrectionLock asks whether a gateway was given the lock of the interval before: two that see the same
@@ -159,8 +165,7 @@
 func (b *Balancer) callPreviousCorrectionLock(lock *counterCall) {
 	name := correctionLockName(lock.customer, int64(lock.sentAt/correctionLockInterval)-1)
 	call := b.sendCall(lock.customer, previousLockCall, lock.window, name, 0)
-	call.amount = lock.amount
-	call.total = lock.total
+	call.correction = lock.correction
 }
 
 // correctionLockName is the counter's name for the correction lock of a customer in an interval.
@@ -168,11 +173,20 @@
 	return counterName(cust.name+" fix", interval)
 }
 
+// maxFreeLockTotal is the greatest total of a lock by which no peer has asked for it: a correctionLockCall adds 1 of
+// its own, a previousLockCall nothing.
+func maxFreeLockTotal(kind callKind) float64 {
+	if kind == correctionLockCall {
+		return 1
+	}
+	return 0
+}
+
 // handleCorrectionLock corrects a bucket when this gateway is the first that asked for the lock in its interval and,
 // at an interval's start, none was given that of the interval before.
 func (b *Balancer) handleCorrectionLock(call *counterCall, ev CounterResult) {
 	cust := call.customer
-	if ev.Status != OK || ev.Total > call.firstTotal || call.window != counterWindowAt(b.now) {
+	if ev.Status != OK || ev.Total > maxFreeLockTotal(call.kind) || call.window != counterWindowAt(b.now) {
 		return
 	}
 	leased := b.leaseTerms[cust.plan].Rate > 0
@@ -181,9 +195,9 @@
 	case leased && call.kind == correctionLockCall && atStart:
 		b.callPreviousCorrectionLock(call)
 	case leased:
-		b.addSurplus(call, call.amount, call.total)
+		b.addSurplus(call, call.correction.surplus, call.correction.totalBefore)
 	default:
-		b.callCounter(cust, 0, call.amount)
+		b.callCounter(cust, 0, call.correction.surplus)
 	}
 }
 
@@ -192,7 +206,8 @@
 	if ev.Status != OK || call.window != counterWindowAt(b.now) {
 		return
 	}
-	if ev.Total-call.firstTotal-call.amount > doubleCorrectionFraction*call.amount {
-		b.callCounter(call.customer, 0, -call.amount)
+	surplus := call.correction.surplus
+	if ev.Total-call.correction.totalBefore-surplus > doubleCorrectionFraction*surplus {
+		b.callCounter(call.customer, 0, -surplus)
 	}
 }
--- a/internal/balancer/countercall.go
+++ b/internal/balancer/countercall.go
@@ -81,7 +81,8 @@
 	customer *customer
 	// block is the number of units asked for.
 	block float64
-	// amount is the number of units that the call adds in all, and debt the part of them that was spent before.
+	// amount is the number of units that a tokenLeaseCall adds in all, and debt the part of them that was spent
+	// before. Both are 0 for the other kinds.
 	amount float64
 	debt   float64
 	// window is the window of the total.
@@ -89,10 +90,8 @@
 	sentAt time.Duration
 	// ticket names a call whose late answer is of use; 0: none.
 	ticket uint64
-	// firstTotal is the total by whose answer this gateway is the first, or before a surplus was added.
-	firstTotal float64
-	// total is what a bucket's total came to when its surplus was found.
-	total float64
+	// correction is set for a correctionLockCall, a previousLockCall and a surplusCall.
+	correction bucketCorrection
 	// overShare is true for a lease of tokens that go out past this gateway's share of the ceiling.
 	overShare bool
 }
