--- a/internal/balancer/bucketcorrection.go
+++ b/internal/balancer/bucketcorrection.go
@@ -30,12 +30,33 @@
 	total float64
 }
 
-// correctBucket corrects a bucket's total by a surplus, and returns the level that this gateway goes by. Where the
-// ceiling relies on the bucket only one gateway may correct it, though all may see the surplus within one round trip:
-// in a new window the first that calls, by the total of the last one (learnBucket), later the first that gets the
-// correction lock. A gateway that saw the bucket before anybody took of it corrects at once, as it alone knows the
-// level then; so does the gateway of a calm customer, which saves calls. A correction is undone when its answer tells
-// that a peer had made it already.
+// bucketCorrection is the correction that a call makes (surplusCall), or that it asks for the lock of
+// (correctionLockCall, previousLockCall).
+type bucketCorrection struct {
+	// surplus is the number of units that are added to the bucket's total.
+	surplus float64
+	// totalBefore is the bucket's total without them.
+	totalBefore float64
+}
+
+// correctionPlan is what a gateway does about a surplus of a bucket that a leased ceiling relies on.
+type correctionPlan int
+
+const (
+	// correctToExpected takes the whole surplus off at once.
+	correctToExpected correctionPlan = iota
+	// correctToBurst takes off at once what is beyond the burst, and carries the bucket into the window.
+	correctToBurst
+	// deferCorrection goes by the expected level and calls nobody.
+	deferCorrection
+	// correctUnderLock asks for the correction lock, and goes by the least level meanwhile.
+	correctUnderLock
+	// carryIntoWindow carries the bucket into the window, and goes by the least level meanwhile.
+	carryIntoWindow
+)
+
+// correctBucket corrects a bucket's total by a surplus, and returns the level that this gateway goes by. Where no
+// leased ceiling relies on the bucket, it is corrected at once.
 func (b *Balancer) correctBucket(found *surplus) float64 {
 	call, cust := found.call, found.call.customer
 	plan := &b.settings.Plans[cust.plan]
@@ -43,29 +64,63 @@
 		b.callCounter(cust, 0, found.level-found.expected)
 		return found.expected
 	}
+	leastLevel := b.leastSurplusLevel(found)
+	switch b.planCorrection(found) {
+	case correctToExpected:
+		b.addSurplus(call, found.level-found.expected, found.total)
+	case correctToBurst:
+		b.addSurplus(call, found.level-plan.Burst, found.total)
+		b.learnBucket(cust) // what the bucket lacked before the window is carried
+	case correctUnderLock:
+		b.callCorrectionLock(call, found.level-leastLevel, found.total)
+		return leastLevel
+	case carryIntoWindow:
+		b.learnBucket(cust)
+		return leastLevel
+	case deferCorrection:
+	}
+	return found.expected
+}
+
+// planCorrection chooses how a surplus is corrected where a leased ceiling relies on the bucket. All gateways may see
+// the surplus within one round trip, and only one may correct it.
+func (b *Balancer) planCorrection(found *surplus) correctionPlan {
+	call, cust := found.call, found.call.customer
+	burst := b.settings.Plans[cust.plan].Burst
 	firstInWindow := cust.bucket.seenWindow != call.window
-	calm := cust.demand.rate*cust.gateways < plan.Rate
+	calm := b.isCalm(cust)
 	seenLately := cust.bucket.known && b.now-cust.bucket.levelAt < bucketTrustTime && call.kind != bucketLevelCall
-	least := found.expected
-	if cust.bucket.known && !calm {
-		least = min(found.expected, b.minimumLevel(call, found.total))
-	}
 	onlyUser := b.isOnlyUser(call, found.total)
 	switch {
 	case onlyUser && !firstInWindow, calm && seenLately:
-		b.addSurplus(call, found.level-found.expected, found.total)
-	case onlyUser && found.level > plan.Burst*(1+leasedSurplusTolerance):
-		b.addSurplus(call, found.level-plan.Burst, found.total)
-		b.learnBucket(cust) // what the bucket lacked before the window is carried
+		// An only user alone knows the level. For a calm customer a correction at once saves calls.
+		return correctToExpected
+	case onlyUser && found.level > burst*(1+leasedSurplusTolerance):
+		// The window is new to this gateway: what the bucket lacked before it is still to be carried.
+		return correctToBurst
 	case calm && !seenLately:
 		// A flood that begins at all gateways at once looks like this at first, and what this gateway may take is
 		// known without a correction.
+		return deferCorrection
 	case b.isBucketCarried(cust, call.window) && (!firstInWindow || calm):
-		b.callCorrectionLock(call, found.level-least, found.total)
-		return least
+		// Peers may see the same surplus: the first that gets the lock corrects it.
+		return correctUnderLock
 	default:
-		b.learnBucket(cust)
-		return least
+		// In a new window the first gateway that calls corrects the bucket, by the total of the last window.
+		return carryIntoWindow
+	}
+}
+
+// isCalm reports whether the demand for a customer, taken as alike at all of its gateways, is below its plan's rate.
+func (b *Balancer) isCalm(cust *customer) bool {
+	return cust.demand.rate*cust.gateways < b.settings.Plans[cust.plan].Rate
+}
+
+// leastSurplusLevel is the least level, in units, that a bucket may have until its surplus is corrected.
+func (b *Balancer) leastSurplusLevel(found *surplus) float64 {
+	cust := found.call.customer
+	if cust.bucket.known && !b.isCalm(cust) {
+		return min(found.expected, b.minimumLevel(found.call, found.total))
 	}
 	return found.expected
 }
@@ -93,9 +148,8 @@
 // addSurplus adds a surplus to the total of a call's window, which came to total without it.
 func (b *Balancer) addSurplus(call *counterCall, amount, total float64) {
 	cust := call.customer
-	correction := b.sendCall(cust, surplusCall, call.window, counterName(cust.name, call.window), amount)
-	correction.amount = amount
-	correction.firstTotal = total
+	correctionCall := b.sendCall(cust, surplusCall, call.window, counterName(cust.name, call.window), amount)
+	correctionCall.correction = bucketCorrection{surplus: amount, totalBefore: total}
 }
 
 // callCorrectionLock asks for the lock under which a surplus may be added to a bucket's total. Gateways that see the
@@ -103,9 +157,7 @@
 func (b *Balancer) callCorrectionLock(found *counterCall, amount, total float64) {
 	name := correctionLockName(found.customer, int64(b.now/correctionLockInterval))
 	call := b.sendCall(found.customer, correctionLockCall, found.window, name, 1)
-	call.amount = amount
-	call.firstTotal = 1
-	call.total = total
+	call.correction = bucketCorrection{surplus: amount, totalBefore: total}
 }
 
 // callPreviousCorrectionLock asks whether a gateway was given the lock of the interval before: two that see the same
@@ -113,8 +165,7 @@
 func (b *Balancer) callPreviousCorrectionLock(lock *counterCall) {
 	name := correctionLockName(lock.customer, int64(lock.sentAt/correctionLockInterval)-1)
 	call := b.sendCall(lock.customer, previousLockCall, lock.window, name, 0)
-	call.amount = lock.amount
-	call.total = lock.total
+	call.correction = lock.correction
 }
 
 // correctionLockName is the counter's name for the correction lock of a customer in an interval.
@@ -122,11 +173,20 @@
 	return counterName(cust.name+" fix", interval)
 }
 
+// maxFreeLockTotal is the greatest total of a lock by which no peer has asked for it: a correctionLockCall adds 1 of
+// its own, a previousLockCall nothing.
+func maxFreeLockTotal(kind callKind) float64 {
+	if kind == correctionLockCall {
+		return 1
+	}
+	return 0
+}
+
 // handleCorrectionLock corrects a bucket when this gateway is the first that asked for the lock in its interval and,
 // at an interval's start, none was given that of the interval before.
 func (b *Balancer) handleCorrectionLock(call *counterCall, ev CounterResult) {
 	cust := call.customer
-	if ev.Status != OK || ev.Total > call.firstTotal || call.window != counterWindowAt(b.now) {
+	if ev.Status != OK || ev.Total > maxFreeLockTotal(call.kind) || call.window != counterWindowAt(b.now) {
 		return
 	}
 	leased := b.leaseTerms[cust.plan].Rate > 0
@@ -135,9 +195,9 @@
 	case leased && call.kind == correctionLockCall && atStart:
 		b.callPreviousCorrectionLock(call)
 	case leased:
-		b.addSurplus(call, call.amount, call.total)
+		b.addSurplus(call, call.correction.surplus, call.correction.totalBefore)
 	default:
-		b.callCounter(cust, 0, call.amount)
+		b.callCounter(cust, 0, call.correction.surplus)
 	}
 }
 
@@ -146,7 +206,8 @@
 	if ev.Status != OK || call.window != counterWindowAt(b.now) {
 		return
 	}
-	if ev.Total-call.firstTotal-call.amount > doubleCorrectionFraction*call.amount {
-		b.callCounter(call.customer, 0, -call.amount)
+	surplus := call.correction.surplus
+	if ev.Total-call.correction.totalBefore-surplus > doubleCorrectionFraction*surplus {
+		b.callCounter(call.customer, 0, -surplus)
 	}
 }
