--- a/internal/knownfailures/testrunner/main.go
+++ b/internal/knownfailures/testrunner/main.go
@@ -1,10 +1,10 @@
 // Command testrunner runs go test with the arguments given and judges the run by KNOWN-RED.txt in the working
 // directory; no such file: all tests must pass.
 //
-//	testrunner [-alone PACKAGE,PACKAGE] [flags of go test] PATTERN...
+//	testrunner [-alone PACKAGE,PACKAGE] [-few PACKAGE,PACKAGE] [flags of go test] PATTERN...
 //
-// Packages named by -alone are tested one after another when all others are done: their tests start processes and need
-// the machine to themselves.
+// Packages named by -few are tested two at a time when the others are done, and those named by -alone one after another
+// after that: their tests need the machine, or most of it, to themselves.
 package main
 
 import (
@@ -20,7 +20,8 @@
 	"gapgap/internal/knownfailures"
 )
 
-const file = "KNOWN-RED.txt"
+// listFile is the list of known failures.
+const listFile = "KNOWN-RED.txt"
 
 func main() {
 	if err := run(os.Args[1:]); err != nil {
@@ -29,17 +30,14 @@
 	}
 }
 
+// run runs and judges. Its error says what is wrong with the run.
 func run(args []string) error {
-	list, err := readList()
+	known, err := readList()
 	if err != nil {
-		return fmt.Errorf("%s: %w", file, err)
+		return fmt.Errorf("%s: %w", listFile, err)
 	}
-	var alone []string
-	if len(args) > 1 && args[0] == "-alone" {
-		alone = strings.Split(args[1], ",")
-		args = args[2:]
-	}
-	runs, err := plan(args, alone)
+	command := parse(args)
+	runs, err := command.runs()
 	if err != nil {
 		return err
 	}
@@ -53,15 +51,15 @@
 	return knownfailures.Judge(knownfailures.Run{
 		Events:   events,
 		Output:   os.Stdout,
-		Known:    list,
-		Complete: slices.Contains(args, "./..."),
+		Known:    known,
+		Complete: slices.Contains(command.patterns, "./..."),
 		Exit:     func() error { return <-result },
 	})
 }
 
 // readList reads the list of known failures; no such file is an empty list.
 func readList() ([]knownfailures.Entry, error) {
-	f, err := os.Open(file)
+	f, err := os.Open(listFile)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
 	}
@@ -72,43 +70,76 @@
 	return knownfailures.Read(f)
 }
 
-// plan returns the arguments of each run of go test: one for the packages that may be tested side by side, one for
-// those named by alone.
-func plan(args, alone []string) ([][]string, error) {
-	if len(alone) == 0 {
-		return [][]string{args}, nil
-	}
-	var flags, patterns []string
-	for _, arg := range args {
-		if strings.HasPrefix(arg, "./") || arg == "." {
-			patterns = append(patterns, arg)
-		} else {
-			flags = append(flags, arg)
+// group is packages that are tested together.
+type group struct {
+	// option names it on the command line.
+	option string
+	// parallel is how many packages are tested at a time, as go test's -p.
+	parallel string
+	packages []string
+}
+
+// command is a parsed command line.
+type command struct {
+	groups   []group
+	flags    []string
+	patterns []string
+}
+
+// parse reads a command line.
+func parse(args []string) command {
+	c := command{groups: []group{{option: "-few", parallel: "2"}, {option: "-alone", parallel: "1"}}}
+	for len(args) > 0 {
+		at := slices.IndexFunc(c.groups, func(g group) bool { return g.option == args[0] })
+		switch {
+		case at >= 0 && len(args) > 1:
+			c.groups[at].packages = strings.Split(args[1], ",")
+			args = args[2:]
+			continue
+		case strings.HasPrefix(args[0], "./") || args[0] == ".":
+			c.patterns = append(c.patterns, args[0])
+		default:
+			c.flags = append(c.flags, args[0])
 		}
+		args = args[1:]
 	}
-	out, err := exec.Command("go", append([]string{"list"}, patterns...)...).Output()
+	return c
+}
+
+// runs returns the arguments of each run of go test: first for the packages of no group, then a run for each group.
+func (c command) runs() ([][]string, error) {
+	out, err := exec.Command("go", append([]string{"list"}, c.patterns...)...).Output()
 	if err != nil {
 		return nil, fmt.Errorf("go list: %w", err)
 	}
-	var together, apart []string
-	for _, name := range strings.Fields(string(out)) {
-		_, path, _ := strings.Cut(name, "/")
-		if slices.Contains(alone, "./"+path) {
-			apart = append(apart, name)
-		} else {
-			together = append(together, name)
+	packages := strings.Fields(string(out))
+	var grouped [][]string
+	for _, g := range c.groups {
+		if len(g.packages) == 0 {
+			continue
+		}
+		chosen := slices.DeleteFunc(slices.Clone(packages), func(name string) bool { return !g.has(name) })
+		if len(chosen) != len(g.packages) {
+			return nil, fmt.Errorf("%s %s: only %d of these packages are among %s",
+				g.option, strings.Join(g.packages, ","), len(chosen), strings.Join(c.patterns, " "))
 		}
+		packages = slices.DeleteFunc(packages, g.has)
+		grouped = append(grouped, slices.Concat([]string{"-p", g.parallel}, c.flags, chosen))
 	}
-	if len(apart) != len(alone) {
-		return nil, fmt.Errorf("-alone %s: only %d of these packages are among %s",
-			strings.Join(alone, ","), len(apart), strings.Join(patterns, " "))
+	if len(packages) == 0 {
+		return grouped, nil
 	}
-	runs := [][]string{slices.Concat(flags, together)}
-	return append(runs, slices.Concat([]string{"-p", "1"}, flags, apart)), nil
+	return append([][]string{slices.Concat(c.flags, packages)}, grouped...), nil
+}
+
+// has tells whether a package, by its import path, is of the group.
+func (g group) has(name string) bool {
+	_, path, _ := strings.Cut(name, "/")
+	return slices.Contains(g.packages, "./"+path)
 }
 
-// runAll runs go test for each list of arguments in turn and writes the events of all of them. Its error is that of the
-// first run that failed.
+// runAll runs go test for each list of arguments in turn and writes the events of all of them. Its error is that of
+// the first run that failed.
 func runAll(runs [][]string, events io.Writer) error {
 	var first error
 	for _, args := range runs {
--- a/internal/scenario/power_test.go
+++ b/internal/scenario/power_test.go
@@ -46,6 +46,7 @@
 // Power lost everywhere, 3 to 300 front doors that come back in waves to cold servers: no server is pushed over, no ceiling broken, no effect done twice by a front door, and
 // half of the former service is there again within 3 s, 0.95 of it within 10 s.
 func TestPowerLostEverywhere(t *testing.T) {
+	t.Parallel()
 	plays := []struct{ doors, seeds int }{{3, 3}, {20, 1}}
 	if os.Getenv("GAPGAP_LONG") != "" {
 		plays = append(plays, []struct{ doors, seeds int }{{3, 20}, {20, 5}, {80, 2}, {300, 1}}...)
--- a/internal/scenario/rehearse_test.go
+++ b/internal/scenario/rehearse_test.go
@@ -34,6 +34,7 @@
 
 // The named day, twice: the same events in the same order, and the same in each second. All five rules hold.
 func TestRehearsalNamedDay(t *testing.T) {
+	t.Parallel()
 	a, b := play(t, load(t)), play(t, load(t))
 	t.Logf("service %.4f, totals %+v, %d events, %d calls in %v\n%s", a.Service, a.Totals, a.Events, a.Calls, a.Took, strings.Join(a.Trace, "\n"))
 	for _, l := range a.Broken {
@@ -54,6 +55,7 @@
 
 // What a front door holds when it is killed is lost, and counted so; nobody else's is.
 func TestRehearsalKilledDoorsLoseWhatTheyHold(t *testing.T) {
+	t.Parallel()
 	s := load(t)
 	for i := range 3 { // how many requests a door holds at one instant is chance
 		s.Events = append(s.Events[:i], Event{Name: fmt.Sprint("x", i), Do: KillDoors, At: time.Duration(10+7*i) * time.Second, For: 3e9, Count: 1})
@@ -66,6 +68,7 @@
 
 // A front door that is deliberately broken in one of the five ways is found by the right check, and by no other.
 func TestRehearsalFindsBrokenRules(t *testing.T) {
+	t.Parallel()
 	// more is the named day with one server more, to which something happens.
 	more := func(events ...Event) *Script {
 		s := load(t)
@@ -141,6 +144,7 @@
 
 // What is wrong with a script is told with its line and key.
 func TestRehearsalScriptErrors(t *testing.T) {
+	t.Parallel()
 	data, err := os.ReadFile(namedDay)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/simulator/backend_test.go
+++ b/internal/simulator/backend_test.go
@@ -18,6 +18,7 @@
 
 // Waiting times are those of theory: M/M/c (Erlang C), for some numbers of cores and loads.
 func TestRehearsalQueueAgainstTheory(t *testing.T) {
+	t.Parallel()
 	for _, c := range []struct {
 		cores int
 		load  float64
@@ -70,6 +71,7 @@
 }
 
 func TestRehearsalBackend(t *testing.T) {
+	t.Parallel()
 	check := func(name string, got []int, want ...int) {
 		t.Helper()
 		if fmt.Sprint(got) != fmt.Sprint(want) {
@@ -126,6 +128,7 @@
 
 // A server that was started anew does the cold share of its work, warms evenly, and falls over when it is pushed.
 func TestRehearsalColdStart(t *testing.T) {
+	t.Parallel()
 	w := New(1, 0)
 	cfg := steady
 	cfg.Room, cfg.ColdFrom, cfg.WarmWithin, cfg.FallAt, cfg.FallWindow = 1000, 0.25, 10*time.Second, 3, 2*time.Second
@@ -160,6 +163,7 @@
 
 // A repeat of a key is dropped within the window, and counted as done twice after it.
 func TestRehearsalEffects(t *testing.T) {
+	t.Parallel()
 	w := New(1, 0)
 	cfg := steady
 	cfg.Window = []time.Duration{time.Second}
@@ -179,6 +183,7 @@
 }
 
 func TestRehearsalBadBackend(t *testing.T) {
+	t.Parallel()
 	for field, spoil := range map[string]func(*BackendConfig){"cores": func(c *BackendConfig) { c.Cores = 0 }, "slots": func(c *BackendConfig) { c.Slots = 0 },
 		"room": func(c *BackendConfig) { c.Room = -1 }, "work": func(c *BackendConfig) { c.Work = nil }, "work[0]": func(c *BackendConfig) { c.Work = []Dist{{Kind: "odd", Mean: 1}} },
 		"cold_from": func(c *BackendConfig) { c.ColdFrom = 0.5 }, "fall_at": func(c *BackendConfig) { c.FallAt = 1 }, "held": func(c *BackendConfig) { c.HeldEach = -1 }} {
--- a/internal/simulator/ceilings_test.go
+++ b/internal/simulator/ceilings_test.go
@@ -96,6 +96,7 @@
 // traffic at one door has all of the quota, and nearly all of the ceiling from the second second on; evenly over the doors it
 // is no worse than with even shares.
 func TestCeilingsFollowDemand(t *testing.T) {
+	t.Parallel()
 	for _, grant := range []bool{true, false} {
 		t.Run(fmt.Sprint("grants ", grant), func(t *testing.T) {
 			at := func(lend bool, rate float64, door func(time.Duration, int) int) *flood {
@@ -225,6 +226,7 @@
 // the depth. Where doors die and the counter is slow, mute, gone or loses its numbers, it stays within what docs/design/
 // ceilings.md states. A failing seed is printed; GAPGAP_SEED plays it alone and tells its story.
 func TestCeilingsHoldInRandomSchedules(t *testing.T) {
+	t.Parallel()
 	if text := os.Getenv("GAPGAP_SEED"); text != "" {
 		seed, err := strconv.ParseUint(text, 10, 64)
 		if err != nil {
@@ -254,6 +256,7 @@
 
 // The check finds a lender that forgets: a counter that is emptied each second, as if no window were ever spent.
 func TestCeilingsCheckFindsForgetfulLending(t *testing.T) {
+	t.Parallel()
 	f := newFlood(t, 1, 4, true, business)
 	f.asks(0, 20*time.Second, 200, true, func(_ time.Duration, n int) int { return n % 4 })
 	for at := 100 * time.Millisecond; at < 20*time.Second; at += 100 * time.Millisecond {
@@ -268,6 +271,7 @@
 // Demand that moves from one door to another, and back each second; a borrower that is killed: what it had is in use again
 // within a window, and a moved demand has its share at once.
 func TestCeilingsMovedDemand(t *testing.T) {
+	t.Parallel()
 	const lasts = 40
 	moving := newFlood(t, 1, 3, true, business)
 	moving.asks(0, lasts*time.Second, 100, true, func(now time.Duration, _ int) int { return int(now/time.Second) % 2 })
@@ -297,6 +301,7 @@
 
 // Many accounts: only those that ask beyond their door's share cost calls, and a quiet fleet makes none for its ceilings.
 func TestCeilingsCostCallsWhereTheyAreNeeded(t *testing.T) {
+	t.Parallel()
 	calls := func(lend bool, rate float64, one bool) float64 {
 		w := New(1, 6)
 		for range 3 {
@@ -335,6 +340,7 @@
 // A plan that is lowered, raised and lowered again while units are lent: from a window after each change the plan that holds
 // then is kept, and what a change lets out beside it is one window's.
 func TestCeilingsPlanChangesWhileLent(t *testing.T) {
+	t.Parallel()
 	low := business
 	low.Rate, low.Burst, low.CeilingRate, low.CeilingBurst = 2, 4, 4, 8
 	w := New(1, 6)
--- a/internal/simulator/start_test.go
+++ b/internal/simulator/start_test.go
@@ -9,6 +9,7 @@
 // Three front doors that meet an account for the first time at the same instant, far into a window of the counter's numbers, must not
 // each put its store right: it would be empty for the rest of the window.
 func TestCeilingsAllDoorsMeetAnAccountAtOnce(t *testing.T) {
+	t.Parallel()
 	for _, from := range []time.Duration{0, 2500 * time.Millisecond, 2999 * time.Millisecond, 9 * time.Second} {
 		t.Run(fmt.Sprint("after ", from), func(t *testing.T) {
 			f := newFlood(t, 1, 3, true, business)
@@ -33,6 +34,7 @@
 // An account inside its quota whose requests come to all doors at the same instants, as a page's do that asks for several flags: the doors
 // all see that its store has overflowed, and must not each add that to its number, or it is refused for as long again.
 func TestCeilingsCalmAccountAtAllDoorsAtOnce(t *testing.T) {
+	t.Parallel()
 	for _, doors := range []int{2, 3, 5, 8} {
 		for _, gap := range []time.Duration{1650 * time.Millisecond, 2700 * time.Millisecond, 5 * time.Second} {
 			f := newFlood(t, 1, doors, true, business)
@@ -68,6 +70,7 @@
 // Clients that ask three doors at random moments, some for leave and some that may wait, have nearly all of a ceiling: what a door gets of the
 // quota's store in parts of a unit must not lie there until it is lost.
 func TestCeilingsNoPartOfAUnitIsLost(t *testing.T) {
+	t.Parallel()
 	for seed := uint64(1); seed <= 3; seed++ {
 		f := newFlood(t, seed, 3, true, business)
 		const first, last = 3 * time.Second, 33 * time.Second
@@ -99,6 +102,7 @@
 // Floods by clients that ask again at each of several doors, once and with pauses in which the store overflows, at any place in a window of the counter's
 // numbers: what was taken while the surplus is put right is not there once more. Beside them an account inside its quota asks all doors now and then.
 func TestCeilingsHoldWhereFloodsBegin(t *testing.T) {
+	t.Parallel()
 	for _, pause := range []time.Duration{0, 4 * time.Second, 12 * time.Second} {
 		for _, doors := range []int{2, 3, 5} {
 			takes := time.Millisecond // a call to the counter
