--- a/internal/balancer/largefleet.go
+++ b/internal/balancer/largefleet.go
@@ -165,24 +165,27 @@
 	return horizon
 }
 
-// reserveAhead keeps what a call took of a bucket that did not have it, where a gateway meets a customer so seldom
-// that returning it would cost a call each time: it may be spent when the bucket has gained it. What would take too
-// long is returned, and the customer's gateways, each pausing for a time of its own, ask a few times as often as there
-// is a unit.
-func (b *Balancer) reserveAhead(call *counterCall, available, granted float64) {
+// planLargeFleetShortfall reserves what a call took of a bucket that did not have it, where a gateway meets a customer
+// so seldom that returning it would cost a call each time: it may be spent when the bucket has gained it. What would
+// take too long is returned, and the customer's gateways, each pausing for a time of its own, ask a few times as often
+// as there is a unit.
+func (b *Balancer) planLargeFleetShortfall(call *counterCall, available, granted float64) shortfallPlan {
 	cust, plan := call.customer, &b.settings.Plans[call.customer.plan]
 	missing := call.block - available
 	fillTime := time.Duration(missing / plan.Rate * float64(time.Second))
 	if fillTime <= b.reservationHorizon(cust, plan) && call.kind == tokenLeaseCall && granted < call.block {
-		cust.quota.reserveTokens(call.block-granted, b.now+fillTime) // the caller adds what was granted
-		cust.quota.addDebt(call.block + call.debt - call.amount)
-		call.amount = call.block + call.debt
-		cust.bucket.pauseCallsUntil(b.now + fillTime)
-		return
+		return shortfallPlan{
+			reserved:           call.block - granted,
+			reservedFrom:       b.now + fillTime,
+			amount:             call.block + call.debt,
+			returnWithNextCall: true,
+			callsPausedUntil:   b.now + fillTime,
+		}
 	}
-	b.callCounter(cust, 0, granted+call.debt-call.amount)
-	call.amount = granted + call.debt
 	spread := minLargeFleetPauseSpread + b.rng.Float64()
 	pause := min(maxLargeFleetPause.Seconds(), max(missing, cust.gateways/gatewaysPerPause)/plan.Rate) * spread
-	cust.bucket.pauseCallsUntil(b.now + time.Duration(pause*float64(time.Second)))
+	return shortfallPlan{
+		amount:           granted + call.debt,
+		callsPausedUntil: b.now + time.Duration(pause*float64(time.Second)),
+	}
 }
--- a/internal/balancer/tokenlease.go
+++ b/internal/balancer/tokenlease.go
@@ -191,7 +191,7 @@
 	}
 	granted := b.acceptedTokens(call, available)
 	if granted < call.block {
-		b.returnShortfall(call, level, available, granted)
+		b.settleShortfall(call, b.planShortfall(call, level, available, granted))
 	}
 	if !cust.bucket.known {
 		cust.bucket.setKnown(b.now)
@@ -201,14 +201,42 @@
 	b.recordBucket(call, level, total, at)
 }
 
-// returnShortfall settles the units of a block that were not granted. Level is what the bucket had by the answer,
-// available what of it this call may take.
-func (b *Balancer) returnShortfall(call *counterCall, level, available, granted float64) {
+// shortfallPlan is what becomes of the units of a block that a bucket did not have.
+type shortfallPlan struct {
+	// reserved is the number of units that are kept, to be spent from reservedFrom on.
+	reserved     float64
+	reservedFrom time.Duration
+	// amount is the number of units that the call has taken in all, once the others are returned.
+	amount float64
+	// returnWithNextCall is true when they are returned with the next call instead of one of their own.
+	returnWithNextCall bool
+	// callsPausedUntil is when the customer's bucket may be asked again.
+	callsPausedUntil time.Duration
+}
+
+// planShortfall decides what becomes of the units of a block that were not granted. Level is what the bucket had by
+// the answer, available what of it this call may take.
+func (b *Balancer) planShortfall(call *counterCall, level, available, granted float64) shortfallPlan {
 	if b.isLargeFleet() {
-		b.reserveAhead(call, available, granted)
-		return
+		return b.planLargeFleetShortfall(call, available, granted)
+	}
+	return b.planSmallFleetShortfall(call, level, granted)
+}
+
+// settleShortfall reserves and returns units as planned, and pauses the calls for the customer.
+func (b *Balancer) settleShortfall(call *counterCall, planned shortfallPlan) {
+	cust := call.customer
+	if planned.reserved > 0 {
+		cust.quota.reserveTokens(planned.reserved, planned.reservedFrom)
+	}
+	returned := planned.amount - call.amount // negative: the counter's total gets smaller
+	if planned.returnWithNextCall {
+		cust.quota.addDebt(returned)
+	} else {
+		b.callCounter(cust, 0, returned)
 	}
-	b.returnUncovered(call, level, granted)
+	call.amount = planned.amount
+	cust.bucket.pauseCallsUntil(planned.callsPausedUntil)
 }
 
 // recordBucket records the level of a bucket, in units, that a call was answered at a time, less what the call took.
@@ -226,23 +254,21 @@
 	bucket.record(call.window, total, at, max(level-call.amount, -plan.Burst/2))
 }
 
-// returnUncovered returns the units of a block that the bucket did not have, with the next call where that comes
-// soon, and pauses the calls for the customer until its gateways together would find the bucket filled.
-func (b *Balancer) returnUncovered(call *counterCall, level, granted float64) {
+// planSmallFleetShortfall returns the units of a block that the bucket did not have, with the next call where that
+// comes soon, and pauses the calls for the customer until its gateways together would find the bucket filled.
+func (b *Balancer) planSmallFleetShortfall(call *counterCall, level, granted float64) shortfallPlan {
 	cust := call.customer
-	uncovered := granted + call.debt - call.amount
 	nextCallIsSoon := b.evidenceScarcity() == 0 &&
 		cust.demand.rate*tokenLeaseTTL.Seconds() >= minRenewRequests*call.block
-	if nextCallIsSoon {
-		cust.quota.addDebt(uncovered)
-	} else {
-		b.callCounter(cust, 0, uncovered)
-	}
-	call.amount = granted + call.debt
 	rate := b.settings.Plans[cust.plan].Rate
 	needed := max(call.block-level, b.activeGateways(cust)/gatewaysPerRefill)
 	seconds := needed / rate * b.emptyPauseSpread(cust)
-	cust.bucket.pauseCallsUntil(b.now + min(maxEmptyBucketPause, time.Duration(seconds*float64(time.Second))))
+	pause := min(maxEmptyBucketPause, time.Duration(seconds*float64(time.Second)))
+	return shortfallPlan{
+		amount:             granted + call.debt,
+		returnWithNextCall: nextCallIsSoon,
+		callsPausedUntil:   b.now + pause,
+	}
 }
 
 // acceptedTokens is how many units of a block are taken when the bucket has so many available. Tokens of a plan whose
