--- a/internal/balancer/ceiling.go
+++ b/internal/balancer/ceiling.go
@@ -105,19 +105,24 @@
 // refillCeiling fills this gateway's share of a customer's ceiling and returns its units; infinite without a ceiling.
 // A new gateway starts with an empty share, as it may have spent it before a restart.
 func (b *Balancer) refillCeiling(cust *customer, plan *Plan) float64 {
+	return b.refillCeilingUntil(cust, plan, b.now)
+}
+
+// refillCeilingUntil is refillCeiling up to a time, which is before now where a lease or a loan has ended then.
+func (b *Balancer) refillCeilingUntil(cust *customer, plan *Plan, now time.Duration) float64 {
 	if plan.CeilingRate == 0 {
 		return math.Inf(1)
 	}
-	b.expireLoans(cust, plan)
-	share := b.ceilingShare(cust, plan)
+	b.expireLoans(cust, plan, now)
+	share := b.ceilingShareAt(cust, plan, now)
 	if b.hasSparseShares(cust, plan) {
 		share = sparseCeilingShare(cust, plan)
 		if turns, ok := ceilingTurns(cust, plan); ok {
-			return b.refillByTurn(cust, turns)
+			return b.refillByTurn(cust, turns, now)
 		}
 	}
-	seconds := b.refillSeconds(cust.ceiling.filledAt)
-	cust.ceiling.fillShare(b.now, share, seconds, cust.demand.admitOnlyFraction())
+	seconds := b.refillSeconds(cust.ceiling.filledAt, now)
+	cust.ceiling.fillShare(now, share, seconds, cust.demand.admitOnlyFraction())
 	return cust.ceiling.tokens
 }
 
@@ -235,15 +240,20 @@
 
 // ceilingShare is this gateway's part of a customer's ceiling, with its loans.
 func (b *Balancer) ceilingShare(cust *customer, plan *Plan) quotashare.Bucket {
+	return b.ceilingShareAt(cust, plan, b.now)
+}
+
+// ceilingShareAt is ceilingShare at a time.
+func (b *Balancer) ceilingShareAt(cust *customer, plan *Plan, now time.Duration) quotashare.Bucket {
 	if !b.settings.LeasedShares {
 		return quotashare.Bucket{Rate: plan.CeilingRate / cust.gateways, Depth: plan.CeilingBurst / cust.gateways}
 	}
 	if b.share.excluded {
 		return quotashare.Bucket{}
 	}
-	share := b.ownCeilingShare(cust, plan, b.share.lease.Fraction(b.now))
+	share := b.ownCeilingShare(cust, plan, b.share.lease.Fraction(now))
 	if loans := &cust.ceiling.loans; loans.HasAny() {
-		share = share.Subtract(loans.Lent(b.now, quotashare.NoGateway)).Add(loans.Borrowed(b.now))
+		share = share.Subtract(loans.Lent(now, quotashare.NoGateway)).Add(loans.Borrowed(now))
 	}
 	return share
 }
@@ -261,11 +271,11 @@
 	return max(b.startedAt, b.share.excludedChangedAt, b.share.lease.IncreasedAt())
 }
 
-// refillSeconds is the time in seconds in which this gateway's shares have filled since a time. Once handed over they
-// do not fill.
-func (b *Balancer) refillSeconds(since time.Duration) float64 {
+// refillSeconds is the time in seconds in which this gateway's shares have filled between two times. Once handed over
+// they do not fill.
+func (b *Balancer) refillSeconds(since, until time.Duration) float64 {
 	if b.handedOver {
 		return 0
 	}
-	return (b.now - since).Seconds()
+	return (until - since).Seconds()
 }
--- a/internal/balancer/largefleet.go
+++ b/internal/balancer/largefleet.go
@@ -111,7 +111,7 @@
 	if quota.hasExpiredTokens(age, largeFleetTokenTTL) {
 		quota.returnTokens()
 	}
-	filled := plan.Rate / cust.gateways * b.refillSeconds(quota.fallbackFilledAt)
+	filled := plan.Rate / cust.gateways * b.refillSeconds(quota.fallbackFilledAt, b.now)
 	quota.fillFallback(b.now, filled, max(minDepth, plan.Burst/cust.gateways))
 }
 
--- a/internal/balancer/loan.go
+++ b/internal/balancer/loan.go
@@ -117,20 +117,16 @@
 	b.serveWaiting(cust)
 }
 
-// expireLoans ends the loans of a customer that are over. Each fills the share until its end and not longer: the clock
-// is set back to that for a moment, as shares fill up to b.now.
-func (b *Balancer) expireLoans(cust *customer, plan *Plan) {
+// expireLoans ends the loans of a customer that are over at a time. Each fills the share until its end and not longer.
+func (b *Balancer) expireLoans(cust *customer, plan *Plan, now time.Duration) {
 	loans := &cust.ceiling.loans
 	if !loans.HasAny() {
 		return
 	}
-	now := b.now
 	for at := loans.FirstExpiry(now); at > 0; at = loans.FirstExpiry(now) {
-		b.now = max(cust.ceiling.filledAt, at-1)
-		b.refillCeiling(cust, plan)
+		b.refillCeilingUntil(cust, plan, max(cust.ceiling.filledAt, at-1))
 		loans.DropExpired(at)
 	}
-	b.now = now
 	loans.DropExpired(now)
 }
 
--- a/internal/balancer/share.go
+++ b/internal/balancer/share.go
@@ -77,26 +77,25 @@
 	return float64(max(1, b.settings.Gateways-len(b.share.deadGateways)))
 }
 
-// expireShareLease ends a lease that is over. It fills the shares until its end and not longer: the clock is set back
-// to that for a moment, as shares fill up to b.now.
+// expireShareLease ends a lease that is over. It fills the shares by the lease until its end and not longer.
 func (b *Balancer) expireShareLease() {
 	if !b.share.lease.HasExpired(b.now) {
 		return
 	}
-	now := b.now
-	b.now = b.share.lease.Until() - 1
-	b.refillAllShares()
-	b.now = now
-	b.share.lease.Update(now, 0, now, 0)
+	b.refillAllSharesUntil(b.share.lease.Until() - 1)
+	b.share.lease.Update(b.now, 0, b.now, 0)
 	b.refillAllShares()
 }
 
 // refillAllShares fills the shares and the fallback tokens of all customers up to now.
-func (b *Balancer) refillAllShares() {
+func (b *Balancer) refillAllShares() { b.refillAllSharesUntil(b.now) }
+
+// refillAllSharesUntil is refillAllShares up to a time. Shares that are filled up to it or longer stay as they are.
+func (b *Balancer) refillAllSharesUntil(until time.Duration) {
 	for _, cust := range b.customers.order {
-		if cust.plan < len(b.settings.Plans) && cust.ceiling.filledAt < b.now {
-			b.refillCeiling(cust, &b.settings.Plans[cust.plan])
-			b.refillFallback(cust, &b.settings.Plans[cust.plan])
+		if cust.plan < len(b.settings.Plans) && cust.ceiling.filledAt < until {
+			b.refillCeilingUntil(cust, &b.settings.Plans[cust.plan], until)
+			b.refillFallbackUntil(cust, &b.settings.Plans[cust.plan], until)
 		}
 	}
 }
--- a/internal/balancer/sparseshare.go
+++ b/internal/balancer/sparseshare.go
@@ -1,6 +1,8 @@
 package balancer
 
 import (
+	"time"
+
 	"gapgap/internal/balancer/ceilinglease"
 	"gapgap/internal/balancer/quotashare"
 )
@@ -55,14 +57,14 @@
 
 // refillByTurn sets and returns the units of a gateway's share that has turns. The turn in which the gateway started
 // is left out, as a former process may have used it.
-func (b *Balancer) refillByTurn(cust *customer, turns ceilinglease.Turns) float64 {
-	turn, open := turns.At(b.now, b.settings.Index)
+func (b *Balancer) refillByTurn(cust *customer, turns ceilinglease.Turns, now time.Duration) float64 {
+	turn, open := turns.At(now, b.settings.Index)
 	firstTurn, _ := turns.At(b.startedAt, b.settings.Index)
 	tokens := 0.0
 	if open && turn > cust.ceiling.lastTurn && turn > firstTurn {
 		tokens = 1
 	}
-	cust.ceiling.setTokens(b.now, tokens)
+	cust.ceiling.setTokens(now, tokens)
 	return tokens
 }
 
