--- a/internal/balancer/event.go
+++ b/internal/balancer/event.go
@@ -70,8 +70,8 @@
 	Latency time.Duration
 	// RequestClosed is set if the request is over, whatever the status.
 	RequestClosed bool
-	// QuotaUsed is 1 plus the percentage of the customer's quota that all gateways used lately; 0: not known. No rule
-	// uses it.
+	// QuotaUsed is 1 plus the percentage of the customer's quota that all gateways used lately; 0: not known. The
+	// balancer does not read it.
 	QuotaUsed int
 	// Units is the true number of units, with Settings.EstimatedUnits and the first OK; 0: not known.
 	Units float64
@@ -126,7 +126,7 @@
 	Name string
 	// Zone is the zone that the endpoint runs in.
 	Zone int
-	// Kind is the endpoint's kind as listed; no rule uses it.
+	// Kind is the endpoint's kind as listed. The balancer does not read it.
 	Kind int
 	// Cell is the cell that the endpoint belongs to; see DedupCell.
 	Cell  int
@@ -210,7 +210,7 @@
 	EvidenceFrom []int
 }
 
-// Message is a message from another gateway. A Balancer ignores it.
+// Message is a message from another gateway. The balancer does not read it.
 type Message struct{ From int }
 
 // ShareUpdate tells what this gateway has leased of the common shares, and which other gateways serve.
--- a/internal/balancer/settings.go
+++ b/internal/balancer/settings.go
@@ -104,7 +104,7 @@
 
 	// MaxAttempts is the limit on the attempts of one request; 1 at least.
 	MaxAttempts int
-	// AllowHedging is true when a request may have two attempts out at once.
+	// AllowHedging is true when a request may have two attempts out at once. The balancer does not read it.
 	AllowHedging bool
 	// AllowCancel is true when the action CancelAttempt is allowed.
 	AllowCancel bool
