--- /dev/null
+++ b/internal/resp/reader.go
@@ -0,0 +1,153 @@
+package resp
+
+import (
+	"cmp"
+	"errors"
+	"io"
+
+	"github.com/tidwall/redcon"
+
+	"gapgap/internal/resourcelimit"
+)
+
+const (
+	// MaxValueBytes is the default limit on the bytes of a value.
+	MaxValueBytes = 64 << 10
+	// maxOverheadBytes is the limit on the bytes of a message beside one value of the largest size.
+	maxOverheadBytes = 8 << 10
+	// defaultBufferBytes is the size of a reader's buffer while it reads no long message.
+	defaultBufferBytes = 4 << 10
+)
+
+// Errors of a Reader. Errors of its source are returned unchanged.
+var (
+	// ErrMalformed is returned for bytes that can't become a message within the limits.
+	ErrMalformed = errors.New("malformed RESP")
+	// ErrNoMemory is returned when the memory limit has no bytes left for a message.
+	ErrNoMemory = errors.New("no memory left for a message")
+	// ErrLongValue is returned by Next for a message that the caller reads with StartLongValue and ReadLongValue.
+	ErrLongValue = errors.New("a message that begins with a long value")
+)
+
+// Reader reads complete RESP messages. Redcon's own reader accepts any length that the other side announces and does
+// not tell an incomplete message from a malformed one, so the Reader checks lengths before it allocates memory.
+// A Reader is not safe for concurrent use.
+type Reader struct {
+	// Source is what the messages are read from.
+	Source io.Reader
+	// Memory limits the buffer bytes beyond the default buffer size; nil means no limit.
+	Memory *resourcelimit.Bytes
+	// MaxValue is the limit on the bytes of a value; 0 means MaxValueBytes.
+	MaxValue int
+	// MaxStreamedValue is the limit on the bytes of a value longer than MaxValue that an array may begin with; 0 means
+	// that no value may be longer than MaxValue.
+	MaxStreamedValue int
+
+	buffer []byte
+	// start is the index of the first unread byte of the buffer.
+	start int
+}
+
+// Next returns the next message. Its bytes are valid until the next call. It returns ErrLongValue, ErrMalformed,
+// ErrNoMemory or an error of the source.
+func (r *Reader) Next() (redcon.RESP, error) {
+	maxValue := cmp.Or(r.MaxValue, MaxValueBytes)
+	for {
+		if r.hasLongValue() {
+			return redcon.RESP{}, ErrLongValue
+		}
+		length, err := messageLength(r.buffer[r.start:], maxArrayDepth, maxValue)
+		if err != nil {
+			return redcon.RESP{}, err
+		}
+		if length > 0 {
+			return r.parse(length)
+		}
+		if err := r.fill(maxValue + maxOverheadBytes); err != nil {
+			return redcon.RESP{}, err
+		}
+	}
+}
+
+// parse parses the message in the next length bytes of the buffer.
+func (r *Reader) parse(length int) (redcon.RESP, error) {
+	_, message := redcon.ReadNextRESP(r.buffer[r.start : r.start+length])
+	r.start += length
+	if message.Type == 0 {
+		return message, ErrMalformed
+	}
+	return message, nil
+}
+
+// fill reads more bytes from the source into the buffer, which holds one message of maxMessage bytes at most.
+func (r *Reader) fill(maxMessage int) error {
+	if r.start > 0 {
+		r.buffer = r.buffer[:copy(r.buffer, r.buffer[r.start:])]
+		r.start = 0
+	}
+	if err := r.ensureSpace(maxMessage); err != nil {
+		return err
+	}
+	n, err := r.Source.Read(r.buffer[len(r.buffer):cap(r.buffer)])
+	r.buffer = r.buffer[:len(r.buffer)+n]
+	if n == 0 {
+		return err
+	}
+	return nil
+}
+
+// ensureSpace makes space for at least one more byte. An empty buffer gets its default size again, which releases what
+// a long message took.
+func (r *Reader) ensureSpace(maxMessage int) error {
+	switch {
+	case len(r.buffer) == 0 && cap(r.buffer) != defaultBufferBytes:
+		r.Release()
+		r.buffer = make([]byte, 0, defaultBufferBytes)
+	case len(r.buffer) >= maxMessage:
+		return ErrMalformed
+	case len(r.buffer) == cap(r.buffer):
+		size := min(2*cap(r.buffer), maxMessage)
+		if r.Memory != nil && !r.Memory.TryReserve(int64(size-cap(r.buffer))) {
+			return ErrNoMemory
+		}
+		r.buffer = append(make([]byte, 0, size), r.buffer...)
+	}
+	return nil
+}
+
+// SetMemory changes the memory limit and moves the bytes that the buffer has reserved to the new one.
+func (r *Reader) SetMemory(to *resourcelimit.Bytes) {
+	if n := int64(cap(r.buffer) - defaultBufferBytes); n > 0 && r.Memory != to {
+		r.Memory.Release(n)
+		to.Adjust(n)
+	}
+	r.Memory = to
+}
+
+// Release drops the buffer, with what is unread, and releases its memory.
+func (r *Reader) Release() {
+	if r.Memory != nil && cap(r.buffer) > defaultBufferBytes {
+		r.Memory.Release(int64(cap(r.buffer) - defaultBufferBytes))
+	}
+	r.buffer = nil
+	r.start = 0
+}
+
+// Unread returns the bytes that were read from the source and are not part of a returned message. They are valid until
+// the next call.
+func (r *Reader) Unread() []byte {
+	return r.buffer[r.start:]
+}
+
+// Prefill makes a new Reader begin with what another Reader left unread.
+func (r *Reader) Prefill(unread []byte) {
+	r.buffer = append(make([]byte, 0, max(defaultBufferBytes, len(unread))), unread...)
+	if n := cap(r.buffer) - defaultBufferBytes; n > 0 && r.Memory != nil {
+		r.Memory.Adjust(int64(n))
+	}
+}
+
+// HasPartialMessage reports whether bytes beyond the last returned message were read.
+func (r *Reader) HasPartialMessage() bool {
+	return r.start < len(r.buffer)
+}
--- /dev/null
+++ b/internal/resp/reader_test.go
@@ -0,0 +1,139 @@
+package resp
+
+import (
+	"errors"
+	"io"
+	"strings"
+	"testing"
+	"testing/iotest"
+
+	"gapgap/internal/resourcelimit"
+)
+
+func TestReaderReadsMessagesInPieces(t *testing.T) {
+	text := "*2\r\n$3\r\na\r\n\r\n*1\r\n$-1\r\n+OK\r\n-ERR x\r\n:5\r\n" +
+		"$65536\r\n" + strings.Repeat("x", MaxValueBytes) + "\r\n"
+	reader := &Reader{Source: iotest.OneByteReader(strings.NewReader(text))}
+	var got string
+	for {
+		message, err := reader.Next()
+		if errors.Is(err, io.EOF) {
+			break
+		}
+		if err != nil {
+			t.Fatal(err)
+		}
+		got += string(message.Raw)
+	}
+	if got != text || reader.HasPartialMessage() {
+		t.Errorf("read %d of %d bytes", len(got), len(text))
+	}
+}
+
+// A malformed or too long length is rejected before the reader asks for more bytes.
+func TestReaderRejectsMalformedMessages(t *testing.T) {
+	tests := []struct {
+		name  string
+		input string
+	}{
+		{name: "inline command", input: "PING\r\n"},
+		{name: "empty line", input: "\n"},
+		{name: "bulk length without digits", input: "$x\r\n"},
+		{name: "negative bulk length", input: "$-2\r\n"},
+		{name: "bulk string too long", input: "$65537\r\n"},
+		{name: "array too long", input: "*65\r\n"},
+		{name: "negative array length", input: "*-2\r\n"},
+		{name: "bulk string without line end", input: "$1\r\nab\r\n"},
+		{name: "line end without carriage return", input: "*1\n"},
+		{name: "header line too long", input: "$" + strings.Repeat("1", maxHeaderBytes)},
+		{name: "simple string too long", input: "+" + strings.Repeat("a", maxLineBytes)},
+		{name: "arrays nested too deep", input: "*1\r\n*1\r\n*1\r\n:1\r\n"},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			atEnd := iotest.ErrReader(errors.New("asked for more"))
+			reader := &Reader{Source: io.MultiReader(strings.NewReader(test.input), atEnd)}
+			if _, err := reader.Next(); !errors.Is(err, ErrMalformed) {
+				t.Errorf("%.40q: %v, want %v", test.input, err, ErrMalformed)
+			}
+		})
+	}
+}
+
+func FuzzRespReader(f *testing.F) {
+	f.Add("*1\r\n$4\r\nPING\r\n")
+	f.Fuzz(func(_ *testing.T, s string) {
+		reader := &Reader{Source: strings.NewReader(s)}
+		for {
+			if _, err := reader.Next(); err != nil {
+				return
+			}
+		}
+	})
+}
+
+const (
+	longValueBytes = 300 << 10
+	// longMessageHeader announces an array of a value of longValueBytes and a null.
+	longMessageHeader = "*2\r\n$307200\r\n"
+)
+
+func longMessage() string {
+	return longMessageHeader + strings.Repeat("x", longValueBytes) + "\r\n$-1\r\n"
+}
+
+// The buffer bytes of a long value are reserved while it is read and released after.
+func TestReaderReservesMemoryForLongValues(t *testing.T) {
+	text := longMessage()
+	memory := resourcelimit.NewBytes(2 * longValueBytes)
+	reader := &Reader{
+		Source:   iotest.HalfReader(strings.NewReader(text)),
+		MaxValue: longValueBytes,
+		Memory:   memory,
+	}
+	message, err := reader.Next()
+	if err != nil || len(message.Raw) != len(text) {
+		t.Fatalf("%d of %d bytes, %v", len(message.Raw), len(text), err)
+	}
+	if memory.Held() < longValueBytes-defaultBufferBytes {
+		t.Errorf("%d bytes reserved for a value of %d", memory.Held(), longValueBytes)
+	}
+	reader.Release()
+	if memory.Held() != 0 {
+		t.Errorf("%d bytes still reserved", memory.Held())
+	}
+}
+
+func TestReaderRejectsLongValues(t *testing.T) {
+	tests := []struct {
+		name     string
+		maxValue int
+		memory   *resourcelimit.Bytes
+		want     error
+	}{
+		{name: "over the limit", maxValue: longValueBytes - 1, want: ErrMalformed},
+		{name: "over the default limit", want: ErrMalformed},
+		{
+			name:     "no memory",
+			maxValue: longValueBytes,
+			memory:   resourcelimit.NewBytes(longValueBytes / 2),
+			want:     ErrNoMemory,
+		},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			reader := &Reader{
+				Source:   strings.NewReader(longMessage()),
+				MaxValue: test.maxValue,
+				Memory:   test.memory,
+			}
+			if _, err := reader.Next(); !errors.Is(err, test.want) {
+				t.Errorf("%v, want %v", err, test.want)
+			}
+			reader.Release()
+			if test.memory != nil && test.memory.Held() != 0 {
+				t.Errorf("%d bytes still reserved", test.memory.Held())
+			}
+		})
+	}
+}
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -149,9 +149,9 @@
 	}
 	c.pool.loop.Post(func() { c.handleDialled(netConn) })
 	c.reader = &resp.Reader{
-		Source:   answerReader{connection: c, netConn: netConn},
+		Source:           answerReader{connection: c, netConn: netConn},
 		MaxStreamedValue: maxValueBytes,
-		Memory: c.pool.cfg.ValueMemory,
+		Memory:           c.pool.cfg.ValueMemory,
 	}
 	defer c.reader.Release()
 	for {
--- a/internal/upstream/longvalue.go
+++ b/internal/upstream/longvalue.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// maxValueBytes bounds an answer's value; from resp.MostValue on it is passed on as it comes.
+	// maxValueBytes bounds an answer's value; from resp.MaxValueBytes on it is passed on as it comes.
 	maxValueBytes = 4 << 20
 	// longChunkBytes is how much of a long value is held at most.
 	longChunkBytes = 32 << 10
