--- a/internal/resourcelimit/clientlimit.go
+++ b/internal/resourcelimit/clientlimit.go
@@ -191,11 +191,12 @@
 	var victim ClientConnection
 	var lowest time.Duration
 	for connection, state := range c.connections {
-		since, used := connection.IdleSince()
-		if since == 0 || state.group.borrowed() <= 0 {
+		var idle idleState
+		idle.since, idle.used = connection.IdleSince()
+		if idle.since == 0 || state.group.borrowed() <= 0 {
 			continue
 		}
-		rank, evictable := evictionRank(now, since, used, full)
+		rank, evictable := idle.evictionRank(now, full)
 		if evictable && (victim == nil || rank < lowest) {
 			victim = connection
 			lowest = rank
@@ -204,17 +205,25 @@
 	return victim
 }
 
+// idleState is what a connection reports by IdleSince.
+type idleState struct {
+	// since is the event loop's time since which no request is open.
+	since time.Duration
+	// used is true if the connection has ever sent a request.
+	used bool
+}
+
 // evictionRank returns the place of an idle connection in the order of eviction, lowest first, and whether it may be
 // evicted at all: first those idle for long, then those never used, and at the limit all others.
-func evictionRank(now, since time.Duration, used, full bool) (rank time.Duration, evictable bool) {
-	idle := now - since
+func (s idleState) evictionRank(now time.Duration, full bool) (rank time.Duration, evictable bool) {
+	idle := now - s.since
 	switch {
 	case idle >= idleTimeout:
-		return since, true
-	case idle >= unusedTimeout && !used:
-		return since + idleTimeout, true
+		return s.since, true
+	case idle >= unusedTimeout && !s.used:
+		return s.since + idleTimeout, true
 	case idle >= fullIdleTimeout && full:
-		return since + 2*idleTimeout, true
+		return s.since + 2*idleTimeout, true
 	default:
 		return 0, false
 	}
--- a/internal/resourcelimit/sharedlimit.go
+++ b/internal/resourcelimit/sharedlimit.go
@@ -46,13 +46,26 @@
 	return a
 }
 
-// CheckGuarantees returns an error if a guarantee is negative or their sum exceeds the total.
+// GuaranteeError says that guarantees do not fit a total.
+type GuaranteeError struct {
+	// Sum is the sum of the guarantees up to the first that does not fit.
+	Sum int64
+	// Total is the number of units to divide.
+	Total int64
+}
+
+// Error implements error.
+func (e *GuaranteeError) Error() string {
+	return fmt.Sprintf("guarantees of %d and more are over the whole of %d", e.Sum, e.Total)
+}
+
+// CheckGuarantees returns a *GuaranteeError if a guarantee is negative or their sum exceeds the total.
 func CheckGuarantees(total int64, guarantees ...int64) error {
 	sum := int64(0)
 	for _, guarantee := range guarantees {
 		sum += guarantee
 		if guarantee < 0 || sum > total {
-			return fmt.Errorf("guarantees of %d and more are over the whole of %d", sum, total)
+			return &GuaranteeError{Sum: sum, Total: total}
 		}
 	}
 	return nil
--- a/internal/resourcelimit/sharedlimit_test.go
+++ b/internal/resourcelimit/sharedlimit_test.go
@@ -1,6 +1,7 @@
 package resourcelimit
 
 import (
+	"errors"
 	"testing"
 
 	"pgregory.net/rapid"
@@ -128,7 +129,11 @@
 		t.Run(test.name, func(t *testing.T) {
 			err := CheckGuarantees(test.total, test.guarantees...)
 			if (err == nil) != test.isValid {
-				t.Errorf("error %v, want valid %v", err, test.isValid)
+				t.Fatalf("error %v, want valid %v", err, test.isValid)
+			}
+			var guaranteeError *GuaranteeError
+			if err != nil && !errors.As(err, &guaranteeError) {
+				t.Errorf("error %v is no GuaranteeError", err)
 			}
 		})
 	}
