--- a/internal/resourcelimit/allotment.go
+++ b/internal/resourcelimit/allotment.go
@@ -49,13 +49,6 @@
 	return max(0, a.guarantee-a.held)
 }
 
-// Borrowed returns the number of units held beyond the guarantee.
-func (a *Allotment) Borrowed() int64 {
-	a.shared.mu.Lock()
-	defer a.shared.mu.Unlock()
-	return max(0, a.held-a.guarantee)
-}
-
 // TryReserve reserves n units and returns true if the guarantee covers them or no other allotment's guarantee needs
 // them. Otherwise it asks the allotment that has borrowed most, if that is another, to release n units.
 func (a *Allotment) TryReserve(n int64) bool {
