--- a/internal/balancer/endpoints_test.go
+++ b/internal/balancer/endpoints_test.go
@@ -81,6 +81,7 @@
 			t.Error("probed")
 		}
 	}
+	checkRestored(t, b, ejected.Name, now+tickInterval, id+100)
 }
 
 // A restored endpoint is used again within seconds, although warm ones are idle, and warms up. Another restore changes
@@ -99,14 +100,19 @@
 		b.Step(now, []Event{EndpointUpdate{Kind: Delta, Entries: []Endpoint{restarted}}})
 		sendRequests(b, now, 1000+100*round, 40)
 	}
-	now += 41 * tickInterval
+	checkRestored(t, b, name, now+41*tickInterval, 2000)
+}
+
+// checkRestored restores an ejected endpoint and checks that it is used again within seconds, although warm ones are
+// idle, and warms up, and that another restore changes nothing.
+func checkRestored(t *testing.T, b *Balancer, name string, now time.Duration, id uint64) {
+	t.Helper()
 	b.Step(now, []Event{AdminRestore{name}})
 	ep := b.endpoints.byName[name]
 	if !ep.isUsable() || !ep.slowStart.active {
 		t.Fatalf("restored: usable %t, warming up %t", ep.isUsable(), ep.slowStart.active)
 	}
 	attempts := 0
-	id := uint64(2000)
 	for end := now + 5*time.Second; now < end && attempts == 0; now += 200 * ms {
 		attempts = sendRequests(b, now, id, 1)[name]
 		id++
