--- a/cmd/gapgapd/members_test.go
+++ b/cmd/gapgapd/members_test.go
@@ -235,6 +235,9 @@
 			}
 			if s.calm && (book.Calm < 10 || len(book.CalmDenied) > 0) {
 				t.Errorf("%d requests inside the quota, refused: %q", book.Calm, book.CalmDenied)
+				for _, d := range r.Doors {
+					t.Logf("%s:\n%s", d.Name, d.Log())
+				}
 			}
 			if s.least > 0 {
 				want := 10 * (lasted - s.from).Seconds()
--- a/internal/fake/rig/rig.go
+++ b/internal/fake/rig/rig.go
@@ -559,19 +559,20 @@
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	begun := time.Now()
-	checks := func(d *Door, key string, pause time.Duration, told func(ok bool, asked time.Time, err error)) {
+	checks := func(d *Door, key string, pause time.Duration, told func(answer checkAnswer, asked time.Time, err error)) {
 		c := &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 2}}
 		defer c.CloseIdleConnections()
 		for ctx.Err() == nil {
 			asked := time.Now()
-			ok, version, err := d.ask(ctx, c, key)
+			answer, err := d.check(ctx, c, key)
 			if ctx.Err() == nil {
 				mu.Lock()
 				b.ended(d, begun, asked, err)
-				if version > 0 {
-					b.Decided = append(b.Decided, Decided{asked.Sub(begun), time.Since(begun), d.n, version})
+				if answer.policyVersion > 0 {
+					decided := Decided{asked.Sub(begun), time.Since(begun), d.n, answer.policyVersion}
+					b.Decided = append(b.Decided, decided)
 				}
-				told(ok, asked, err)
+				told(answer, asked, err)
 				mu.Unlock()
 			}
 			select {
@@ -590,9 +591,9 @@
 			})
 		})
 		wg.Go(func() {
-			checks(d, Key, pause, func(ok bool, asked time.Time, err error) {
+			checks(d, Key, pause, func(answer checkAnswer, asked time.Time, err error) {
 				switch {
-				case ok:
+				case answer.allowed:
 					b.Served = append(b.Served, Served{asked.Sub(begun), time.Since(begun), n})
 				case err == nil:
 					b.Refused++
@@ -600,12 +601,13 @@
 			})
 		})
 		wg.Go(func() {
-			checks(d, calmKey, CalmEvery, func(ok bool, asked time.Time, err error) {
+			checks(d, calmKey, CalmEvery, func(answer checkAnswer, asked time.Time, err error) {
 				if err != nil || d.Away(asked.Add(-fillsWithin), time.Now()) {
 					return
 				}
-				if b.Calm++; !ok {
-					b.CalmDenied = append(b.CalmDenied, fmt.Sprintf("%s, %.3f s after the start", d.Name, asked.Sub(begun).Seconds()))
+				if b.Calm++; !answer.allowed {
+					b.CalmDenied = append(b.CalmDenied, fmt.Sprintf("%s, %.3f s after the start, answered %.3f s later: %s",
+						d.Name, asked.Sub(begun).Seconds(), time.Since(asked).Seconds(), answer))
 				}
 			})
 		})
@@ -721,30 +723,57 @@
 
 // Check asks a door whether one request of the account may pass.
 func (d *Door) Check(ctx context.Context, c *http.Client) (bool, error) {
-	ok, _, err := d.ask(ctx, c, Key)
-	return ok, err
+	answer, err := d.check(ctx, c, Key)
+	return answer.allowed, err
 }
 
-// ask asks for the account that has a key. It returns by which version of the policy it was decided, if that is told.
-func (d *Door) ask(ctx context.Context, c *http.Client, key string) (ok bool, version uint64, err error) {
+// checkAnswer is the answer to a check.
+type checkAnswer struct {
+	allowed bool
+	status  int
+	// policyVersion is the version of the policy that decided; 0: it is not told.
+	policyVersion uint64
+	// undecided is why the check was answered without a decision; empty: there was one.
+	undecided string
+	// rateLimit is how the account stands with its quota, as in the header RateLimit.
+	rateLimit string
+	// retryAfter is the pause that is asked for, in milliseconds.
+	retryAfter string
+}
+
+// String implements fmt.Stringer.
+func (a checkAnswer) String() string {
+	return fmt.Sprintf("status %d, undecided %q, rate limit %q, retry after %q ms",
+		a.status, a.undecided, a.rateLimit, a.retryAfter)
+}
+
+// check asks whether one request of the account that has a key may pass.
+func (d *Door) check(ctx context.Context, c *http.Client, key string) (checkAnswer, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+d.Addr("checks")+"/check", nil)
 	if err != nil {
-		return false, 0, err
+		return checkAnswer{}, err
 	}
 	req.Header = http.Header{"Authorization": {"Bearer " + key}, "X-Forwarded-Method": {"GET"},
 		"X-Forwarded-Host": {"flags.example.org"}, "X-Forwarded-Uri": {"/v1/flags"}}
 	res, err := c.Do(req)
 	if err != nil {
-		return false, 0, err
+		return checkAnswer{}, err
+	}
+	_, _ = io.Copy(io.Discard, res.Body)
+	_ = res.Body.Close()
+	answer := checkAnswer{
+		status:     res.StatusCode,
+		undecided:  res.Header.Get("X-Gapgap-Undecided"),
+		rateLimit:  res.Header.Get("RateLimit"),
+		retryAfter: res.Header.Get("X-Gapgap-Retry-After-Ms"),
 	}
-	io.Copy(io.Discard, res.Body)
-	res.Body.Close()
-	version, _ = strconv.ParseUint(res.Header.Get("X-Gapgap-Policy"), 10, 64)
+	answer.policyVersion, _ = strconv.ParseUint(res.Header.Get("X-Gapgap-Policy"), 10, 64)
 	switch res.StatusCode {
 	case http.StatusOK:
-		return true, version, nil
+		answer.allowed = true
+		return answer, nil
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		return false, version, nil
+		return answer, nil
 	}
-	return false, 0, fmt.Errorf("%w: %d", errOdd, res.StatusCode)
+	return checkAnswer{}, fmt.Errorf("%w: %d", errOdd, res.StatusCode)
 }
