--- a/internal/balancer/golden_test.go
+++ b/internal/balancer/golden_test.go
@@ -812,19 +812,9 @@
 // play is the same each time.
 func TestGoldenTraces(t *testing.T) {
 	recorded := golden.LoadHashes(t, "testdata/golden/decisions.txt")
-	seen := map[string]string{}
 	for _, p := range plays() {
-		sum := p.hash(t)
-		if again := p.hash(t); again != sum {
-			t.Errorf("%s: two runs differ", p.name)
-		}
-		if other, ok := seen[sum]; ok {
-			t.Errorf("%s and %s have one trace", p.name, other)
-		}
-		seen[sum] = p.name
-		recorded.Check(t, p.name, sum)
-	}
-	if recorded.Len() != len(seen) {
-		t.Errorf("%d traces are recorded, %d were played", recorded.Len(), len(seen))
+		recorded.CheckPlay(t, p.name, func() string { return p.hash(t) })
 	}
+	recorded.CheckDistinct(t)
+	recorded.CheckAllPlayed(t)
 }
--- a/internal/clockskew/golden_test.go
+++ b/internal/clockskew/golden_test.go
@@ -58,13 +58,7 @@
 	const plays = 40
 	for seed := range uint64(plays) {
 		name := fmt.Sprint("play-", seed)
-		sum := playClockSkew(seed)
-		if again := playClockSkew(seed); again != sum {
-			t.Errorf("%s: two runs differ", name)
-		}
-		recorded.Check(t, name, sum)
-	}
-	if recorded.Len() != plays {
-		t.Errorf("%d traces are recorded, %d were played", recorded.Len(), plays)
+		recorded.CheckPlay(t, name, func() string { return playClockSkew(seed) })
 	}
+	recorded.CheckAllPlayed(t)
 }
--- a/internal/cluster/golden_test.go
+++ b/internal/cluster/golden_test.go
@@ -201,7 +201,6 @@
 func TestGoldenCluster(t *testing.T) {
 	skipUnderRaceDetector(t)
 	recorded := golden.LoadHashes(t, "testdata/golden/cluster.txt")
-	plays := 0
 	for _, size := range []struct {
 		gateways int
 		length   time.Duration
@@ -214,17 +213,10 @@
 				duplicate: seed%2 == 1 && size.gateways < 80,
 			}
 			name := fmt.Sprintf("%d/%d", play.gateways, play.seed)
-			sum := play.hash()
-			if again := play.hash(); again != sum {
-				t.Errorf("%s: two runs differ", name)
-			}
-			recorded.Check(t, name, sum)
-			plays++
+			recorded.CheckPlay(t, name, play.hash)
 		}
 	}
-	if recorded.Len() != plays {
-		t.Errorf("%d traces are recorded, %d were played", recorded.Len(), plays)
-	}
+	recorded.CheckAllPlayed(t)
 }
 
 // TestInvalidMessagesAreRejected holds that a malformed message is answered by an error and by nothing else.
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -69,12 +69,14 @@
 type Hashes struct {
 	path     string
 	recorded map[string]string
+	// checked has the hashes that were compared with the recorded ones, by name.
+	checked map[string]string
 }
 
 // LoadHashes reads recorded hashes. A file that does not exist has none.
 func LoadHashes(t testing.TB, path string) *Hashes {
 	t.Helper()
-	h := &Hashes{path: path, recorded: map[string]string{}}
+	h := &Hashes{path: path, recorded: map[string]string{}, checked: map[string]string{}}
 	text, err := os.ReadFile(path)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		t.Fatal(err)
@@ -93,6 +95,7 @@
 // Check compares a hash with the one recorded under a name, which must hold no space.
 func (h *Hashes) Check(t testing.TB, name, sum string) {
 	t.Helper()
+	h.checked[name] = sum
 	want, ok := h.recorded[name]
 	switch {
 	case !ok && recording():
@@ -104,6 +107,36 @@
 	}
 }
 
+// CheckPlay plays twice, compares the two hashes with each other, and one with the hash recorded under a name.
+func (h *Hashes) CheckPlay(t testing.TB, name string, play func() string) {
+	t.Helper()
+	sum := play()
+	if again := play(); again != sum {
+		t.Errorf("%s: two runs differ", name)
+	}
+	h.Check(t, name, sum)
+}
+
+// CheckAllPlayed compares the number of recorded hashes with the number of names that were checked.
+func (h *Hashes) CheckAllPlayed(t testing.TB) {
+	t.Helper()
+	if len(h.recorded) != len(h.checked) {
+		t.Errorf("%s: %d traces are recorded, %d were played", h.path, len(h.recorded), len(h.checked))
+	}
+}
+
+// CheckDistinct checks that no two of the checked names have one hash.
+func (h *Hashes) CheckDistinct(t testing.TB) {
+	t.Helper()
+	names := map[string]string{}
+	for name, sum := range h.checked {
+		if other, ok := names[sum]; ok {
+			t.Errorf("%s: %s and %s have one trace", h.path, name, other)
+		}
+		names[sum] = name
+	}
+}
+
 // Len returns how many hashes are recorded.
 func (h *Hashes) Len() int { return len(h.recorded) }
 
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -80,6 +80,63 @@
 	}
 }
 
+// hashesOf writes recorded hashes to a file and loads them.
+func hashesOf(t *testing.T, lines string) *Hashes {
+	t.Helper()
+	path := filepath.Join(t.TempDir(), "hashes")
+	if err := os.WriteFile(path, []byte(lines), 0o644); err != nil {
+		t.Fatal(err)
+	}
+	return LoadHashes(t, path)
+}
+
+func TestPlaysAreChecked(t *testing.T) {
+	constant := func(sum string) func() string { return func() string { return sum } }
+	changing := func() func() string {
+		runs := 0
+		return func() string {
+			runs++
+			return []string{"aa", "ab"}[runs-1]
+		}
+	}
+	cases := []struct {
+		name  string
+		check func(testing.TB, *Hashes)
+		fails bool
+	}{
+		{"as recorded", func(tb testing.TB, h *Hashes) { h.CheckPlay(tb, "one", constant("aa")) }, false},
+		{"not as recorded", func(tb testing.TB, h *Hashes) { h.CheckPlay(tb, "one", constant("ab")) }, true},
+		{"two runs differ", func(tb testing.TB, h *Hashes) { h.CheckPlay(tb, "one", changing()) }, true},
+		{"all played", func(tb testing.TB, h *Hashes) {
+			h.CheckPlay(tb, "one", constant("aa"))
+			h.CheckPlay(tb, "two", constant("aa"))
+			h.CheckAllPlayed(tb)
+		}, false},
+		{"one not played", func(tb testing.TB, h *Hashes) {
+			h.CheckPlay(tb, "one", constant("aa"))
+			h.CheckAllPlayed(tb)
+		}, true},
+		{"one trace of two plays", func(tb testing.TB, h *Hashes) {
+			h.CheckPlay(tb, "one", constant("aa"))
+			h.CheckPlay(tb, "two", constant("aa"))
+			h.CheckDistinct(tb)
+		}, true},
+		{"one play", func(tb testing.TB, h *Hashes) {
+			h.CheckPlay(tb, "one", constant("aa"))
+			h.CheckDistinct(tb)
+		}, false},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			r := &recorder{TB: t}
+			c.check(r, hashesOf(t, "one aa\ntwo aa\n"))
+			if r.failed != c.fails {
+				t.Errorf("failed: %v, want %v", r.failed, c.fails)
+			}
+		})
+	}
+}
+
 func TestRecordingAddsOnly(t *testing.T) {
 	t.Setenv("GOLDEN_RECORD", "1")
 	dir := t.TempDir()
--- a/internal/idempotency/golden_test.go
+++ b/internal/idempotency/golden_test.go
@@ -411,19 +411,9 @@
 // TestGoldenTraces compares reservations, votes and records with the recorded ones, and each play with itself.
 func TestGoldenTraces(t *testing.T) {
 	recorded := golden.LoadHashes(t, "testdata/golden/reservations.txt")
-	seen := map[string]string{}
 	for _, p := range goldenPlays() {
-		sum := p.hash()
-		if again := p.hash(); again != sum {
-			t.Errorf("%s: two runs differ", p.name)
-		}
-		if other, ok := seen[sum]; ok {
-			t.Errorf("%s and %s have one trace", p.name, other)
-		}
-		seen[sum] = p.name
-		recorded.Check(t, p.name, sum)
-	}
-	if recorded.Len() != len(seen) {
-		t.Errorf("%d traces are recorded, %d were played", recorded.Len(), len(seen))
+		recorded.CheckPlay(t, p.name, p.hash)
 	}
+	recorded.CheckDistinct(t)
+	recorded.CheckAllPlayed(t)
 }
--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -239,7 +239,6 @@
 // TestGoldenGossip holds that the failure detector behaves as in the program that the hashes were recorded from.
 func TestGoldenGossip(t *testing.T) {
 	recorded := golden.LoadHashes(t, "testdata/golden/gossip.txt")
-	plays := 0
 	for _, size := range []struct {
 		gateways int
 		length   time.Duration
@@ -253,15 +252,8 @@
 				loss:     0.1 * float64(seed%4),
 			}
 			name := fmt.Sprintf("%d/%d", play.gateways, play.seed)
-			sum := play.hash()
-			if again := play.hash(); again != sum {
-				t.Errorf("%s: two runs differ", name)
-			}
-			recorded.Check(t, name, sum)
-			plays++
+			recorded.CheckPlay(t, name, play.hash)
 		}
 	}
-	if recorded.Len() != plays {
-		t.Errorf("%d traces are recorded, %d were played", recorded.Len(), plays)
-	}
+	recorded.CheckAllPlayed(t)
 }
--- a/internal/quotalease/golden_test.go
+++ b/internal/quotalease/golden_test.go
@@ -186,7 +186,6 @@
 // TestGoldenLeases holds that leases are granted as in the program that the hashes were recorded from.
 func TestGoldenLeases(t *testing.T) {
 	recorded := golden.LoadHashes(t, "testdata/golden/leases.txt")
-	plays := 0
 	sizes := []struct{ gateways, rounds int }{
 		{1, 200}, {2, 600}, {3, 1000}, {4, 600}, {5, 600}, {20, 150}, {40, 60},
 	}
@@ -199,15 +198,8 @@
 				loss:     0.1 * float64(seed%4),
 			}
 			name := fmt.Sprintf("%d/%d", play.gateways, play.seed)
-			sum := play.hash()
-			if again := play.hash(); again != sum {
-				t.Errorf("%s: two runs differ", name)
-			}
-			recorded.Check(t, name, sum)
-			plays++
+			recorded.CheckPlay(t, name, play.hash)
 		}
 	}
-	if recorded.Len() != plays {
-		t.Errorf("%d traces are recorded, %d were played", recorded.Len(), plays)
-	}
+	recorded.CheckAllPlayed(t)
 }
--- a/internal/recovery/golden_test.go
+++ b/internal/recovery/golden_test.go
@@ -53,7 +53,6 @@
 // TestGoldenTraces compares steps, their texts and Retry-After pauses with the recorded ones.
 func TestGoldenTraces(t *testing.T) {
 	recorded := golden.LoadHashes(t, "testdata/golden/recovery.txt")
-	seen := map[string]string{}
 	for gateways := 1; gateways <= 5; gateways += 2 {
 		for bits := range 16 {
 			config := Config{
@@ -65,19 +64,11 @@
 			}
 			for seed := range uint64(4) {
 				name := fmt.Sprintf("%d/%04b/%d", gateways, bits, seed)
-				sum := hashRecovery(uint64(1000*gateways+100*bits)+seed, config)
-				if again := hashRecovery(uint64(1000*gateways+100*bits)+seed, config); again != sum {
-					t.Errorf("%s: two runs differ", name)
-				}
-				if other, ok := seen[sum]; ok {
-					t.Errorf("%s and %s have one trace", name, other)
-				}
-				seen[sum] = name
-				recorded.Check(t, name, sum)
+				playSeed := uint64(1000*gateways+100*bits) + seed
+				recorded.CheckPlay(t, name, func() string { return hashRecovery(playSeed, config) })
 			}
 		}
 	}
-	if recorded.Len() != len(seen) {
-		t.Errorf("%d traces are recorded, %d were played", recorded.Len(), len(seen))
-	}
+	recorded.CheckDistinct(t)
+	recorded.CheckAllPlayed(t)
 }
--- a/internal/wal/golden_test.go
+++ b/internal/wal/golden_test.go
@@ -127,15 +127,9 @@
 	recorded := golden.LoadHashes(t, "testdata/golden/log.txt")
 	for seed := range uint64(12) {
 		name := fmt.Sprint("log/", seed)
-		sum := hashLog(t, seed)
-		if again := hashLog(t, seed); again != sum {
-			t.Errorf("%s: two runs differ", name)
-		}
-		recorded.Check(t, name, sum)
-	}
-	if recorded.Len() != 12 {
-		t.Errorf("%d traces are recorded", recorded.Len())
+		recorded.CheckPlay(t, name, func() string { return hashLog(t, seed) })
 	}
+	recorded.CheckAllPlayed(t)
 }
 
 // TestGoldenSegments holds the bytes of segments and that recorded ones are read.
