--- a/cmd/gapgapd/disk.go
+++ b/cmd/gapgapd/disk.go
@@ -8,8 +8,8 @@
 	"gapgap/internal/vfs"
 )
 
-// stateDisk is the file system for states that must outlive a power loss.
+// stateDisk returns the file system for the state that must outlive a power loss.
 func stateDisk(string) (vfs.FS, error) { return vfs.OS{}, nil }
 
-// clockAhead is by how much the clock is to be wrong: tests of that have a build of their own.
+// clockAhead returns by how much the clock is wrong on purpose: not at all but in builds for tests.
 func clockAhead() time.Duration { return 0 }
--- a/cmd/gapgapd/disk_powertest.go
+++ b/cmd/gapgapd/disk_powertest.go
@@ -9,17 +9,25 @@
 	"gapgap/internal/vfs"
 )
 
-// stateDisk records what is done to the state directory where the rig asks for that, so that it can make of it what a power cut leaves.
+// Environment variables by which tests set the disk and the clock.
+const (
+	recordVariable = "GAPGAP_POWER_RECORD"
+	faultVariable  = "GAPGAP_POWER_FAULT"
+	clockVariable  = "GAPGAP_POWER_CLOCK"
+)
+
+// stateDisk returns a file system that records what is done to the state directory, where a test asks for that: the
+// test makes of the record what a power loss may leave.
 func stateDisk(dir string) (vfs.FS, error) {
-	record := os.Getenv("GAPGAP_POWER_RECORD")
+	record := os.Getenv(recordVariable)
 	if record == "" || dir == "" {
 		return vfs.OS{}, nil
 	}
-	return vfs.NewRecorder(dir, record, os.Getenv("GAPGAP_POWER_FAULT"))
+	return vfs.NewRecorder(dir, record, os.Getenv(faultVariable))
 }
 
-// clockAhead is by how much the clock is wrong, as the rig says.
+// clockAhead returns by how much a test has the clock wrong.
 func clockAhead() time.Duration {
-	d, _ := time.ParseDuration(os.Getenv("GAPGAP_POWER_CLOCK"))
-	return d
+	ahead, _ := time.ParseDuration(os.Getenv(clockVariable)) // not set: not wrong
+	return ahead
 }
--- a/cmd/gapgapd/main_test.go
+++ b/cmd/gapgapd/main_test.go
@@ -397,7 +397,7 @@
 func TestForwardAuthCommandLine(t *testing.T) {
 	line := func(in string, args ...string) (code int, out, errs string) {
 		var o, e bytes.Buffer
-		c := command()
+		c := newCommand()
 		c.SetIn(strings.NewReader(in))
 		c.SetOut(&o)
 		code = cli.Run(t.Context(), c, args, &e)
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -11,7 +11,8 @@
 		"classes.0.worth=1 tiers-of-service.count=1\n"
 	var out strings.Builder
 	err := run(strings.NewReader("CLOCK 1 1\nEOF_BATCH\nCLOCK 2 2\n"+start+"CENSUS 0 1\n"+
-		"BACKEND a:1 0 0 0 in_service 1\nVIEW door/1 cached 1 0\nACCEPT door/1 9 0 0 u:a 2000000\nSTOP door/1\nEOF_BATCH\n"), &out)
+		"BACKEND a:1 0 0 0 in_service 1\nVIEW door/1 cached 1 0\n"+
+		"ACCEPT door/1 9 0 0 u:a 2000000\nSTOP door/1\nEOF_BATCH\n"), &out)
 	if err != nil || !strings.HasPrefix(out.String(), "YIELD 1\n") || !strings.HasSuffix(out.String(), "\nYIELD 2\n") {
 		t.Fatalf("%v, %q", err, out.String())
 	}
