--- /dev/null
+++ b/cmd/simulate/diff.go
@@ -0,0 +1,88 @@
+package main
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"math"
+	"os"
+
+	"github.com/spf13/cobra"
+
+	"gapgap/internal/scenario"
+)
+
+// defaultTolerance is by how much the service of two reports may differ.
+const defaultTolerance = 0.01
+
+// errNoReport is the error of a file that is not a report in JSON.
+var errNoReport = errors.New("is no report of simulate run --json")
+
+// newDiffCommand returns the command that compares two reports.
+func newDiffCommand() *cobra.Command {
+	var tolerance float64
+	command := &cobra.Command{
+		Use:   "diff A B",
+		Short: "Compare two reports in JSON; it fails past the tolerance",
+		Args:  cobra.ExactArgs(2),
+		RunE: func(command *cobra.Command, args []string) error {
+			first, err := readReport(args[0])
+			if err != nil {
+				return err
+			}
+			second, err := readReport(args[1])
+			if err != nil {
+				return err
+			}
+			if err := writeComparison(command.OutOrStdout(), first, second); err != nil {
+				return err
+			}
+			return compareReports(first, second, tolerance)
+		},
+	}
+	command.Flags().Float64Var(&tolerance, "within", defaultTolerance, "by how much service may differ")
+	return command
+}
+
+// readReport reads a report in JSON. Its error names the file.
+func readReport(name string) (*scenario.Report, error) {
+	data, err := os.ReadFile(name)
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", name, err)
+	}
+	report := &scenario.Report{}
+	if err := json.Unmarshal(data, report); err != nil {
+		return nil, fmt.Errorf("%s: %w", name, err)
+	}
+	if report.Digest == "" {
+		return nil, fmt.Errorf("%s: %w", name, errNoReport)
+	}
+	return report, nil
+}
+
+// writeComparison writes the totals of two reports.
+func writeComparison(out io.Writer, first, second *scenario.Report) error {
+	a := &first.Totals
+	b := &second.Totals
+	_, err := fmt.Fprintf(out, "service %.4f and %.4f\n"+
+		"refused %d and %d, late %d and %d, failed %d and %d, lost %d and %d\n",
+		first.Service, second.Service,
+		a.Rejected, b.Rejected, a.Late, b.Late, a.Failed, b.Failed, a.Lost, b.Lost)
+	return err
+}
+
+// compareReports returns an error if the second report is of another script, breaks more rules, or has another service
+// past the tolerance.
+func compareReports(first, second *scenario.Report, tolerance float64) error {
+	difference := math.Abs(first.Service - second.Service)
+	switch {
+	case first.Digest != second.Digest:
+		return fmt.Errorf("the scripts did other things: traces %s and %s", first.Digest, second.Digest)
+	case len(second.Violations) > len(first.Violations):
+		return fmt.Errorf("the second breaks %d rules, the first %d", len(second.Violations), len(first.Violations))
+	case difference > tolerance:
+		return fmt.Errorf("service differs by %.4f, over %.4f", difference, tolerance)
+	}
+	return nil
+}
--- a/cmd/simulate/main_test.go
+++ b/cmd/simulate/main_test.go
@@ -10,49 +10,75 @@
 	"gapgap/internal/cli"
 )
 
-// A run is printed, compared with itself and with one of another seed.
-func TestRehearsalCommandLine(t *testing.T) {
-	line := func(args ...string) (int, string, string) {
-		var o, e bytes.Buffer
-		c := command()
-		c.SetOut(&o)
-		return cli.Run(t.Context(), c, args, &e), o.String(), e.String()
-	}
+// simulate runs a command line and returns its exit code, its output and its errors.
+func simulate(t *testing.T, args ...string) (code int, output, errorOutput string) {
+	t.Helper()
+	var stdout, stderr bytes.Buffer
+	root := newRootCommand()
+	root.SetOut(&stdout)
+	code = cli.Run(t.Context(), root, args, &stderr)
+	return code, stdout.String(), stderr.String()
+}
+
+// libraryScripts are the scripts of the repository.
+func libraryScripts(t *testing.T) []string {
+	t.Helper()
 	scripts, err := filepath.Glob("../../scenarios/*.toml")
 	if err != nil || len(scripts) == 0 {
 		t.Fatal(err, "no scripts")
 	}
-	for _, s := range scripts { // the library: each is good and keeps the rules
-		if code, out, errs := line("run", s); code != cli.Good || !strings.Contains(out, "service 0.") {
-			t.Errorf("%s: %d %s %s", s, code, out[max(0, len(out)-500):], errs)
+	return scripts
+}
+
+// Each script of the repository is valid, and keeps the rules.
+func TestRehearsalLibraryKeepsTheRules(t *testing.T) {
+	for _, script := range libraryScripts(t) {
+		code, output, errorOutput := simulate(t, "run", script)
+		if code != cli.Good || !strings.Contains(output, "service 0.") {
+			t.Errorf("%s: %d %s %s", script, code, output[max(0, len(output)-500):], errorOutput)
 		}
 	}
+}
+
+// A run is printed, compared with itself and with one of another seed.
+func TestRehearsalCommandLine(t *testing.T) {
+	script := libraryScripts(t)[0]
 	dir := t.TempDir()
-	files := []string{filepath.Join(dir, "a"), filepath.Join(dir, "b")}
+	reports := []string{filepath.Join(dir, "a"), filepath.Join(dir, "b")}
 	for i, seed := range []string{"7", "8"} {
-		_, out, errs := line("run", scripts[0], "--json", "--seed", seed)
-		if err := os.WriteFile(files[i], []byte(out), 0o600); err != nil || errs != "" {
-			t.Fatal(err, errs)
+		_, output, errorOutput := simulate(t, "run", script, "--json", "--seed", seed)
+		if err := os.WriteFile(reports[i], []byte(output), 0o600); err != nil || errorOutput != "" {
+			t.Fatal(err, errorOutput)
 		}
 	}
-	if code, out, errs := line("diff", files[0], files[0]); code != cli.Good || !strings.Contains(out, "service") {
-		t.Errorf("%d %s %s", code, out, errs)
+	code, output, errorOutput := simulate(t, "diff", reports[0], reports[0])
+	if code != cli.Good || !strings.Contains(output, "service") {
+		t.Errorf("%d %s %s", code, output, errorOutput)
 	}
-	if code, _, errs := line("diff", files[0], files[1], "--within", "0"); code != cli.Failed || errs == "" {
-		t.Errorf("%d %s", code, errs)
+	code, _, errorOutput = simulate(t, "diff", reports[0], reports[1], "--within", "0")
+	if code != cli.Failed || errorOutput == "" {
+		t.Errorf("%d %s", code, errorOutput)
 	}
-	if code, _, errs := line("diff", files[0], scripts[0]); code != cli.Failed || !strings.Contains(errs, scripts[0]) {
-		t.Errorf("%d %s", code, errs)
+	code, _, errorOutput = simulate(t, "diff", reports[0], script)
+	if code != cli.Failed || !strings.Contains(errorOutput, script) {
+		t.Errorf("%d %s", code, errorOutput)
 	}
-	if code, _, _ := line("check", scripts[0]); code != cli.Good {
+	if code, _, _ := simulate(t, "check", script); code != cli.Good {
 		t.Error(code)
 	}
-	html := filepath.Join(dir, "page.html")
-	if code, out, errs := line("run", scripts[0], "--html", html); code != cli.Good || !strings.Contains(out, "plan     business") {
-		t.Errorf("%d %s %s", code, out, errs)
+}
+
+// The page of a run has its plots and its trace, and loads nothing.
+func TestRehearsalPage(t *testing.T) {
+	html := filepath.Join(t.TempDir(), "page.html")
+	code, output, errorOutput := simulate(t, "run", libraryScripts(t)[0], "--html", html)
+	if code != cli.Good || !strings.Contains(output, "plan     business") {
+		t.Errorf("%d %s %s", code, output, errorOutput)
 	}
 	data, err := os.ReadFile(html)
-	if text := string(data); err != nil || strings.Count(text, "<svg") != 3 || strings.Contains(text, "<script") || strings.Contains(text, "src=") || !strings.Contains(text, "killed begins") {
+	text := string(data)
+	if err != nil || strings.Count(text, "<svg") != 3 || strings.Contains(text, "<script") ||
+		strings.Contains(text, "src=") || !strings.Contains(text, "killed begins") {
 		t.Errorf("the page has not what it should: %v, %d bytes", err, len(data))
 	}
 }
--- /dev/null
+++ b/cmd/simulate/run.go
@@ -0,0 +1,89 @@
+package main
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"io"
+	"os"
+
+	"github.com/spf13/cobra"
+
+	"gapgap/internal/scenario"
+	"gapgap/internal/scenario/page"
+)
+
+// runOptions are the flags of the run command.
+type runOptions struct {
+	// seed is in place of the script's if hasSeed is set.
+	seed    int64
+	hasSeed bool
+	// pageFile is the file for the page with plots; empty: none is written.
+	pageFile string
+	asJSON   bool
+}
+
+// newRunCommand returns the command that plays a script.
+func newRunCommand() *cobra.Command {
+	var options runOptions
+	command := &cobra.Command{
+		Use:   "run SCRIPT",
+		Short: "Play a script; it fails if a rule is broken",
+		Args:  cobra.ExactArgs(1),
+		RunE: func(command *cobra.Command, args []string) error {
+			options.hasSeed = command.Flags().Changed("seed")
+			return runScript(command.OutOrStdout(), args[0], options)
+		},
+	}
+	command.Flags().Int64Var(&options.seed, "seed", 0, "a seed in place of the script's")
+	command.Flags().StringVar(&options.pageFile, "html", "", "write a page with plots to a file")
+	command.Flags().BoolVar(&options.asJSON, "json", false, "print JSON, for simulate diff")
+	return command
+}
+
+// runScript plays a script and writes its report. It returns an error also if a rule was broken.
+func runScript(out io.Writer, scriptFile string, options runOptions) error {
+	script, err := scenario.Load(scriptFile)
+	if err != nil {
+		return err
+	}
+	if options.hasSeed {
+		script.Seed = uint64(options.seed)
+	}
+	report, err := scenario.Play(script)
+	if err != nil {
+		return err
+	}
+	if options.pageFile != "" {
+		if err := writePage(options.pageFile, report); err != nil {
+			return err
+		}
+	}
+	if err := writeReport(out, report, options.asJSON); err != nil {
+		return err
+	}
+	if violations := len(report.Violations); violations > 0 {
+		return fmt.Errorf("%d rules were broken", violations)
+	}
+	return nil
+}
+
+// writePage writes the page with plots of a report to a file.
+func writePage(file string, report *scenario.Report) error {
+	var buffer bytes.Buffer
+	if err := page.Write(&buffer, report); err != nil {
+		return err
+	}
+	return os.WriteFile(file, buffer.Bytes(), 0o644)
+}
+
+// writeReport writes a report as JSON or as text.
+func writeReport(out io.Writer, report *scenario.Report, asJSON bool) error {
+	if asJSON {
+		encoder := json.NewEncoder(out)
+		encoder.SetIndent("", " ")
+		return encoder.Encode(report)
+	}
+	_, err := io.WriteString(out, reportText(report))
+	return err
+}
--- /dev/null
+++ b/internal/scenario/fault.go
@@ -0,0 +1,190 @@
+package scenario
+
+import (
+	"fmt"
+	"time"
+
+	"gapgap/internal/balancer"
+)
+
+// rampSteps is the number of steps in which a slowdown reaches its factor.
+const rampSteps = 10
+
+// effect is what an event has done.
+type effect struct {
+	// targets is how the trace names what it was done to.
+	targets string
+	// end undoes it; nil: there is nothing to undo.
+	end func()
+}
+
+// beginEvent lets an event happen, and schedules its end and the events after it.
+func (r *run) beginEvent(event Event) {
+	done := r.apply(event)
+	r.note("%s begins: %s %s", event.Name, event.Kind, done.targets)
+	if event.Duration == 0 {
+		return
+	}
+	r.world.After(event.Duration, func() {
+		if done.end != nil {
+			done.end()
+		}
+		r.note("%s ends", event.Name)
+		for _, follower := range r.followers[event.Name] {
+			r.world.After(follower.At, func() { r.beginEvent(follower) })
+		}
+	})
+}
+
+// apply carries an event out.
+func (r *run) apply(event Event) effect {
+	switch {
+	case event.Kind.isOfCounter():
+		return r.applyToCounter(event)
+	case event.Kind == FloodAccounts:
+		return r.floodAccounts(event)
+	case event.Kind == KillGateways:
+		return r.killGateways(event)
+	}
+	return r.applyToEndpoints(event)
+}
+
+// applyToCounter carries out an event of the counter.
+func (r *run) applyToCounter(event Event) effect {
+	counter := r.world.Counter
+	switch event.Kind {
+	case CounterUnreachable:
+		counter.IsUnreachable = true
+		return effect{end: func() { counter.IsUnreachable = false }}
+	case CounterSilent:
+		counter.IsSilent = true
+		return effect{end: func() { counter.IsSilent = false }}
+	case CounterSlow:
+		latencyBefore := counter.Latency
+		counter.Latency = event.CounterLatency
+		return effect{
+			targets: fmt.Sprint(event.CounterLatency),
+			end:     func() { counter.Latency = latencyBefore },
+		}
+	}
+	counter.Clear()
+	return effect{}
+}
+
+// floodAccounts makes accounts send more requests.
+func (r *run) floodAccounts(event Event) effect {
+	targets := chooseTargets(r, event, r.accounts, func(a *account) (name, group string) {
+		return a.name, a.group.Group
+	})
+	setFactor := func(factor float64) {
+		for _, target := range targets {
+			target.rateFactor = factor
+		}
+	}
+	setFactor(event.Factor)
+	return effect{
+		targets: listTargets(targets, func(a *account) string { return a.name }),
+		end:     func() { setFactor(1) },
+	}
+}
+
+// killGateways kills gateways, and starts them anew at the end.
+func (r *run) killGateways(event Event) effect {
+	indexes := make([]int, len(r.world.Doors))
+	for i := range indexes {
+		indexes[i] = i
+	}
+	targets := chooseTargets(r, event, indexes, func(index int) (name, group string) {
+		return fmt.Sprint("door-", index), "" // another name would choose others by the same seed
+	})
+	for _, index := range targets {
+		r.world.Doors[index].Kill()
+	}
+	return effect{
+		targets: listTargets(targets, func(index int) string { return fmt.Sprint(index) }),
+		end: func() {
+			for _, index := range targets {
+				if err := r.world.Doors[index].Start(); err != nil {
+					panic(err) // the same settings were valid at the first start
+				}
+			}
+		},
+	}
+}
+
+// applyToEndpoints carries out an event of endpoints.
+func (r *run) applyToEndpoints(event Event) effect {
+	targets := chooseTargets(r, event, r.endpoints, func(e *endpoint) (name, group string) {
+		return e.Name, e.group
+	})
+	forEach := func(do func(*endpoint)) {
+		for _, target := range targets {
+			do(target)
+		}
+	}
+	done := effect{targets: listTargets(targets, func(e *endpoint) string { return e.Name })}
+	switch event.Kind {
+	case SlowEndpoints:
+		r.rampSlowdown(targets, 1, event.Factor, event.Ramp)
+		done.end = func() { r.rampSlowdown(targets, event.Factor, 1, event.Ramp) }
+	case SilenceEndpoints:
+		forEach(func(e *endpoint) { e.SetSilent(true) })
+		done.end = func() { forEach(r.restartEndpoint) }
+	case PauseEndpoints:
+		forEach(func(e *endpoint) { e.Pause(event.Duration) })
+	case CrashEndpoints:
+		forEach(func(e *endpoint) { e.Crash() })
+		done.end = func() { forEach(r.restartEndpoint) }
+	case DrainEndpoints:
+		forEach(func(e *endpoint) { r.announce(e, balancer.Draining) })
+		done.end = func() { forEach(func(e *endpoint) { r.announce(e, balancer.Serving) }) }
+	}
+	return done
+}
+
+// rampSlowdown changes the slowdown of endpoints evenly within a time; 0: at once.
+func (r *run) rampSlowdown(targets []*endpoint, from, to float64, duration time.Duration) {
+	for step := 1; step <= rampSteps; step++ {
+		if duration == 0 && step < rampSteps {
+			continue
+		}
+		factor := from + (to-from)*float64(step)/rampSteps
+		r.world.After(duration*time.Duration(step)/rampSteps, func() {
+			for _, target := range targets {
+				target.SetSlowdown(factor)
+			}
+		})
+	}
+}
+
+// restartEndpoint starts an endpoint anew.
+func (r *run) restartEndpoint(restarted *endpoint) {
+	restarted.Restart()
+	r.announce(restarted, balancer.Serving)
+}
+
+// announce has discovery notify each gateway of an endpoint's state, each after a delay of its own.
+func (r *run) announce(announced *endpoint, state balancer.EndpointState) {
+	now := r.world.Now
+	startedAt := time.Duration(0)
+	if state == balancer.Serving {
+		startedAt = announced.StartedAt()
+	}
+	for i, gateway := range r.world.Doors {
+		// Another label would give other runs of the same seed.
+		rng := r.world.Rand("told", announced.Name, now, i)
+		delay := time.Duration(rng.Float64() * float64(r.script.DiscoveryDelay))
+		r.world.After(delay, func() {
+			announced.drainKnownAt[i] = 0
+			if state != balancer.Serving {
+				announced.drainKnownAt[i] = r.world.Now
+			}
+			gateway.UpdateEndpoints(balancer.Endpoint{
+				Name:      announced.Name,
+				Weight:    1,
+				State:     state,
+				StartedAt: startedAt,
+			})
+		})
+	}
+}
--- /dev/null
+++ b/internal/scenario/play.go
@@ -0,0 +1,223 @@
+package scenario
+
+import (
+	"fmt"
+	"math"
+	"slices"
+	"time"
+
+	"gapgap/internal/simulator"
+)
+
+// virtualDriver is the name of the driver in reports.
+const virtualDriver = "virtual"
+
+// answerMargin is how long a run goes on after the last client has given up.
+const answerMargin = time.Second
+
+// run is a script that is being played.
+type run struct {
+	script    *Script
+	world     *simulator.World
+	report    *Report
+	endpoints []*endpoint
+	accounts  []*account
+	// open are the requests whose end is not counted yet.
+	open map[*clientRequest]bool
+	// followers are the events that begin after the end of another one, by its name.
+	followers map[string][]Event
+
+	classes       []Breakdown
+	plans         []Breakdown
+	accountGroups []Breakdown
+}
+
+// endpoint is an endpoint of a run.
+type endpoint struct {
+	*simulator.Endpoint
+	group string
+	// drainKnownAt is, by gateway, when it was notified that the endpoint is draining; 0: it was not.
+	drainKnownAt []time.Duration
+}
+
+// account is a customer of a run and its clients.
+type account struct {
+	name  string
+	group *AccountGroup
+	// groupIndex is that of the group among those of the script.
+	groupIndex int
+	// firstGateway is the first of the gateways that the account's requests come through.
+	firstGateway int
+	// rateFactor is the factor on the account's rate.
+	rateFactor float64
+	// requests counts its requests so far.
+	requests int
+	ceiling  ceilingMeter
+}
+
+// Play plays a script in virtual time. An error means that the script is not one of [Load] or [Parse].
+func Play(script *Script) (*Report, error) {
+	r := newRun(script)
+	began := time.Now()
+	if err := r.addEndpoints(); err != nil {
+		return nil, err
+	}
+	if err := r.startGateways(); err != nil {
+		return nil, err
+	}
+	r.addBreakdowns()
+	r.addAccounts()
+	r.scheduleEvents()
+	r.scheduleSamples()
+	r.world.Run(simulator.Start + script.Duration + script.longestRequest() + answerMargin)
+	r.complete()
+	r.report.Elapsed = time.Since(began)
+	return r.report, nil
+}
+
+// newRun makes a run in an empty world.
+func newRun(script *Script) *run {
+	world := simulator.New(script.Seed, 0)
+	world.Endpoints = map[string]*simulator.Endpoint{}
+	return &run{
+		script: script,
+		world:  world,
+		report: &Report{
+			Script:  script.Name,
+			Seed:    script.Seed,
+			Driver:  virtualDriver,
+			Seconds: make([]Tally, int(math.Ceil(script.Duration.Seconds()))),
+		},
+		open:      map[*clientRequest]bool{},
+		followers: map[string][]Event{},
+	}
+}
+
+// addEndpoints adds the endpoints, which all drop repeats of each other's keys.
+func (r *run) addEndpoints() error {
+	for _, group := range r.script.Endpoints {
+		for i := range group.Count {
+			name := fmt.Sprintf("%s-%d", group.Group, i)
+			simulated, err := simulator.NewEndpoint(name, group.EndpointConfig, r.world, r.world.Rand)
+			if err != nil {
+				return err
+			}
+			r.world.Endpoints[name] = simulated
+			if len(r.endpoints) > 0 {
+				simulated.ShareDedupWith(r.endpoints[0].Endpoint)
+			}
+			r.endpoints = append(r.endpoints, &endpoint{
+				Endpoint:     simulated,
+				group:        group.Group,
+				drainKnownAt: make([]time.Duration, r.script.Gateways),
+			})
+		}
+	}
+	return nil
+}
+
+// startGateways adds and starts the gateways.
+func (r *run) startGateways() error {
+	for range r.script.Gateways {
+		settings := r.script.settings()
+		if r.script.changeSettings != nil {
+			r.script.changeSettings(&settings)
+		}
+		gateway := r.world.AddDoor(settings)
+		gateway.Intercept = r.script.intercept
+		gateway.Sent = r.checkCeiling
+		gateway.Done = r.requestDone
+		gateway.Attempted = r.checkAttempt
+		if err := gateway.Start(); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// addBreakdowns adds an empty tally for each class, plan and group of accounts.
+func (r *run) addBreakdowns() {
+	for _, class := range r.script.Classes {
+		r.classes = append(r.classes, Breakdown{Kind: "class", Name: class.Name})
+	}
+	for _, plan := range r.script.Plans {
+		r.plans = append(r.plans, Breakdown{Kind: "plan", Name: plan.Name})
+	}
+	for _, group := range r.script.Accounts {
+		r.accountGroups = append(r.accountGroups, Breakdown{Kind: "accounts", Name: group.Group})
+	}
+}
+
+// addAccounts adds the accounts, and schedules the first request of each.
+func (r *run) addAccounts() {
+	for groupIndex := range r.script.Accounts {
+		group := &r.script.Accounts[groupIndex]
+		for i := range group.Count {
+			name := fmt.Sprintf("%s-%d", group.Group, i)
+			rng := r.world.Rand("account", name)
+			added := &account{
+				name:         name,
+				group:        group,
+				groupIndex:   groupIndex,
+				firstGateway: rng.IntN(r.script.Gateways),
+				rateFactor:   1,
+			}
+			r.accounts = append(r.accounts, added)
+			r.world.After(interval(rng, group.Rate), func() { r.beginRequest(added) })
+		}
+	}
+}
+
+// scheduleEvents schedules the events that begin at a time of their own.
+func (r *run) scheduleEvents() {
+	for _, event := range r.script.Events {
+		if event.After != "" {
+			r.followers[event.After] = append(r.followers[event.After], event)
+			continue
+		}
+		r.world.At(simulator.Start+event.At, func() { r.beginEvent(event) })
+	}
+}
+
+// scheduleSamples schedules the count of the requests held by endpoints at the end of each second.
+func (r *run) scheduleSamples() {
+	for i := range r.report.Seconds {
+		r.world.At(simulator.Start+time.Duration(i+1)*time.Second, func() {
+			for _, sampled := range r.endpoints {
+				r.report.Seconds[i].Held += sampled.Held()
+			}
+		})
+	}
+}
+
+// longestRequest is the longest time that a client waits for a request with its retries, without pauses.
+func (s *Script) longestRequest() time.Duration {
+	longest := time.Duration(0)
+	for _, class := range s.Classes {
+		longest = max(longest, class.ClientTimeout)
+	}
+	return time.Duration(s.Retries+1) * longest
+}
+
+// now is the time since the start of the run.
+func (r *run) now() time.Duration { return r.world.Now - simulator.Start }
+
+// note adds a line to the trace.
+func (r *run) note(format string, args ...any) {
+	r.report.Trace = append(r.report.Trace, r.timestamp()+fmt.Sprintf(format, args...))
+}
+
+// timestamp is how lines of the report begin.
+func (r *run) timestamp() string { return fmt.Sprintf("%9.3f ", r.now().Seconds()) }
+
+// complete counts what is open and completes the report.
+func (r *run) complete() {
+	for request := range r.open {
+		r.count(request, Tally{Lost: 1})
+	}
+	r.checkEndpoints()
+	r.report.Breakdowns = slices.Concat(r.classes, r.plans, r.accountGroups)
+	r.report.Events = r.world.Events
+	r.report.CounterCalls = r.world.Counter.Calls
+	r.report.complete()
+}
--- /dev/null
+++ b/internal/scenario/play_test.go
@@ -0,0 +1,200 @@
+package scenario
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"gapgap/internal/balancer"
+)
+
+// slowdownScript is the incident that most tests begin with.
+const slowdownScript = "../../scenarios/all-slow-one-silent.toml"
+
+func loadScript(t *testing.T) *Script {
+	t.Helper()
+	script, err := Load(slowdownScript)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return script
+}
+
+func mustPlay(t *testing.T, script *Script) *Report {
+	t.Helper()
+	report, err := Play(script)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return report
+}
+
+// The script, twice: the same events in the same order, and the same in each second. All rules are kept.
+func TestRehearsalSameSeedSameRun(t *testing.T) {
+	t.Parallel()
+	first := mustPlay(t, loadScript(t))
+	second := mustPlay(t, loadScript(t))
+	t.Logf("service %.4f, totals %+v, %d events, %d calls in %v\n%s", first.Service, first.Totals, first.Events,
+		first.CounterCalls, first.Elapsed, strings.Join(first.Trace, "\n"))
+	for _, violation := range first.Violations {
+		t.Error(violation)
+	}
+	if first.Digest != second.Digest || first.Events != second.Events || first.Service != second.Service {
+		t.Errorf("two runs of one script: %s %d %v and %s %d %v", first.Digest, first.Events, first.Service,
+			second.Digest, second.Events, second.Service)
+	}
+	otherSeed := loadScript(t)
+	otherSeed.Seed++
+	if other := mustPlay(t, otherSeed); other.Service == first.Service || other.Events == first.Events {
+		t.Error("another seed gives the same run")
+	}
+	if first.Totals.Requests < 5000 || first.Service < 0.5 || first.Service > 0.999 {
+		t.Errorf("service %.3f of %d requests", first.Service, first.Totals.Requests)
+	}
+}
+
+// What a gateway holds when it is killed is lost, and counted so; no other request is.
+func TestRehearsalKilledGatewaysLoseWhatTheyHold(t *testing.T) {
+	t.Parallel()
+	script := loadScript(t)
+	for i := range 3 { // how many requests a gateway holds at one instant is chance
+		script.Events = append(script.Events[:i], Event{
+			Name:     fmt.Sprint("x", i),
+			Kind:     KillGateways,
+			At:       time.Duration(10+7*i) * time.Second,
+			Duration: 3 * time.Second,
+			Count:    1,
+		})
+	}
+	report := mustPlay(t, script)
+	if report.Totals.Lost < 2 || report.Totals.Lost > 60 || len(report.Violations) > 0 {
+		t.Errorf("%d lost, %v", report.Totals.Lost, report.Violations)
+	}
+}
+
+// withOneEndpointMore is the script with one endpoint more, in a group of its own, and other events.
+func withOneEndpointMore(t *testing.T, events ...Event) *Script {
+	t.Helper()
+	script := loadScript(t)
+	added := script.Endpoints[0]
+	added.Group = "more"
+	added.Count = 1
+	script.Endpoints = append(script.Endpoints, added)
+	script.Events = events
+	return script
+}
+
+// redirectEachFourth sends each fourth attempt to one endpoint. It would be rejected for want of room if all were.
+func redirectEachFourth(endpointName string) func(balancer.Action) []balancer.Action {
+	dispatched := 0
+	return func(action balancer.Action) []balancer.Action {
+		dispatch, isDispatch := action.(balancer.Dispatch)
+		if !isDispatch {
+			return []balancer.Action{action}
+		}
+		dispatched++
+		if dispatched%4 == 0 {
+			dispatch.Endpoint = endpointName
+		}
+		return []balancer.Action{dispatch}
+	}
+}
+
+// dropRejections makes a gateway give no answer in place of a rejection.
+func dropRejections(action balancer.Action) []balancer.Action {
+	if _, isReject := action.(balancer.Reject); isReject {
+		return nil
+	}
+	return []balancer.Action{action}
+}
+
+// answerLate makes a gateway wait for attempts beyond the client's deadline.
+func answerLate(action balancer.Action) []balancer.Action {
+	switch action := action.(type) {
+	case balancer.Dispatch:
+		action.Timeout += 10 * time.Second
+		return []balancer.Action{action}
+	case balancer.CancelAttempt, balancer.Reject, balancer.Fail:
+		return nil
+	}
+	return []balancer.Action{action}
+}
+
+// dispatchTwice makes a gateway send each attempt twice.
+func dispatchTwice(action balancer.Action) []balancer.Action {
+	if _, isDispatch := action.(balancer.Dispatch); isDispatch {
+		return []balancer.Action{action, action}
+	}
+	return []balancer.Action{action}
+}
+
+// brokenGateways are scripts whose gateways break a rule each, by what a violation of it contains.
+func brokenGateways(t *testing.T) map[string]*Script {
+	t.Helper()
+	unanswered := loadScript(t)
+	unanswered.intercept = dropRejections
+	late := withOneEndpointMore(t, Event{
+		Name:     "x",
+		Kind:     PauseEndpoints,
+		At:       10 * time.Second,
+		Duration: 6 * time.Second,
+	})
+	late.intercept = answerLate
+	twice := loadScript(t)
+	twice.Endpoints[0].DedupWindows[1] = 1
+	twice.intercept = dispatchTwice
+	drained := withOneEndpointMore(t, Event{
+		Name:  "x",
+		Kind:  DrainEndpoints,
+		At:    10 * time.Second,
+		Group: "more",
+	})
+	drained.intercept = redirectEachFourth("more-0")
+	overloaded := withOneEndpointMore(t, Event{
+		Name:     "x",
+		Kind:     CrashEndpoints,
+		At:       10 * time.Second,
+		Duration: time.Second,
+		Group:    "more",
+	})
+	overloaded.intercept = redirectEachFourth("more-0")
+	ceiling := loadScript(t)
+	ceiling.changeSettings = func(settings *balancer.Settings) { // each takes the whole ceiling for its own
+		settings.Gateways = 1
+		settings.Index = 0
+	}
+	ceiling.Accounts[1].Spread = 0
+	return map[string]*Script{
+		"no request lost":            unanswered,
+		"no request lost:":           late,
+		"no effect twice":            twice,
+		"drains are kept":            drained,
+		"no cold server pushed over": overloaded,
+		"ceilings are kept":          ceiling,
+	}
+}
+
+// A gateway that is deliberately broken in one of the five ways is found by the right check, and by no other.
+func TestRehearsalFindsBrokenRules(t *testing.T) {
+	t.Parallel()
+	for rule, script := range brokenGateways(t) {
+		report := mustPlay(t, script)
+		if len(report.Violations) == 0 {
+			t.Errorf("%q is not found", rule)
+		}
+		for _, violation := range report.Violations {
+			if !strings.Contains(violation, rule) {
+				t.Errorf("wanted %q only: %s", rule, violation)
+				break
+			}
+		}
+	}
+	// Clients that ask again with the same key when the endpoints have forgotten it: see docs/design/rehearsal.md.
+	sameKey := loadScript(t)
+	sameKey.RetryWithSameKey = true
+	report := mustPlay(t, sameKey)
+	if len(report.Violations) == 0 || !strings.Contains(report.Violations[0], "no effect twice") {
+		t.Errorf("%v", report.Violations)
+	}
+}
