--- a/internal/fake/flagserver/flagserver.go
+++ b/internal/fake/flagserver/flagserver.go
@@ -1,172 +1,151 @@
-// Package flagserver is a stand-in for a backend: it answers the platform's RESP2 commands on loopback.
+// Package flagserver is a fake endpoint: it answers the platform's RESP2 commands on loopback. It can be slow,
+// silent, of limited capacity or warming up, and records what it was sent and which keyed commands had their effect.
 package flagserver
 
 import (
 	"bufio"
 	"fmt"
 	"net"
-	"strconv"
-	"strings"
+	"slices"
 	"sync"
 	"time"
 
 	"gapgap/internal/fake/serve"
 )
 
-// Sent is one command that came whole.
+const (
+	// keyedCommand is the command that may have an effect.
+	keyedCommand = "Q.DO"
+	// pingAnswer answers a command that is no request.
+	pingAnswer = "+PONG\r\n"
+)
+
+// Positions of a request's arguments.
+const (
+	argumentName = iota
+	argumentCustomer
+	argumentID
+	argumentList
+)
+
+// Sent is one command that was read completely.
 type Sent struct {
-	At       time.Time
+	// At is when it was read.
+	At time.Time
+	// Customer is its second argument.
 	Customer string
-	ID       string
-	Name     string
+	// ID is its third argument, the request's id.
+	ID string
+	// Name is the command's name.
+	Name string
 }
 
-// Server is one flag server.
+// Server is one fake endpoint. It is safe for concurrent use.
 type Server struct {
 	*serve.Server
-	mu   sync.Mutex
-	cfg  Config
-	sent []Sent
-	busy time.Time // until then, with what has come so far
-}
 
-// Config says how it behaves. It may be changed while it runs.
-type Config struct {
-	Delay  time.Duration // before an answer
-	Silent bool          // commands are read and never answered
-	Value  string        // of each answer; empty: one that names the command
-	Keep   bool          // what comes is kept for Sent
-	Group  *Group        // remembers what keyed commands have run; nil: they have no effect
-
-	// Work is what a command takes of a server that is warm, one after another; 0: any number at once. It bears From of that when it is started, and all
-	// after Within.
-	Work, Within time.Duration
-	From         float64
-	Started      time.Time
+	// mu guards the fields below.
+	mu     sync.Mutex
+	config Config
+	sent   []Sent
+	// busyUntil is when the work of all commands so far is done, if Config.Work is set.
+	busyUntil time.Time
 }
 
-// Start listens on loopback.
+// Start starts a server on a free port of loopback.
 func Start(cfg Config) (s *Server, err error) {
-	s = &Server{cfg: cfg}
+	s = &Server{config: cfg}
 	s.Server, err = serve.Start(s.serve)
 	return s, err
 }
 
-// Set changes how it behaves.
+// Set replaces the configuration, for the commands that come from now on.
 func (s *Server) Set(cfg Config) {
 	s.mu.Lock()
-	s.cfg = cfg
-	s.mu.Unlock()
+	defer s.mu.Unlock()
+	s.config = cfg
 }
 
-// Sent returns the commands that came, in their order.
+// Sent returns the commands that were recorded, in the order in which they were read.
 func (s *Server) Sent() []Sent {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]Sent(nil), s.sent...)
+	return slices.Clone(s.sent)
 }
 
-func (s *Server) serve(nc net.Conn) {
-	in := bufio.NewReader(nc)
+// Restart makes the server begin to warm up at a time, with no work queued.
+func (s *Server) Restart(at time.Time) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.config.Started = at
+	s.busyUntil = at
+}
+
+// serve answers the commands of one connection until it ends or a command is malformed.
+func (s *Server) serve(conn net.Conn) {
+	reader := bufio.NewReader(conn)
 	for {
-		args, err := command(in)
+		arguments, err := readCommand(reader)
 		if err != nil {
 			return
 		}
-		at := time.Now()
-		s.mu.Lock()
-		cfg := s.cfg
-		if cfg.Keep && len(args) > 2 {
-			s.sent = append(s.sent, Sent{at, args[1], args[2], args[0]})
-		}
-		s.mu.Unlock()
-		if cfg.Group != nil && len(args) > 3 && args[0] == "Q.DO" {
-			cfg.Group.run(at, args[3])
+		answer := s.run(arguments)
+		if answer == "" {
+			continue
 		}
-		answer := "+PONG\r\n"
-		if len(args) > 2 {
-			if cfg.Silent {
-				continue
-			}
-			v := cfg.Value
-			if v == "" {
-				v = args[0] + " " + args[2]
-			}
-			answer = fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n", len(v), v)
-			time.Sleep(cfg.Delay + s.queue(at))
-		}
-		if _, err := nc.Write([]byte(answer)); err != nil {
+		if _, err := conn.Write([]byte(answer)); err != nil {
 			return
 		}
 	}
 }
 
-// Bears is the part of its work that the server can do at a time.
-func (c *Config) Bears(at time.Time) float64 {
-	if c.Within <= 0 || c.Started.IsZero() {
-		return 1
+// run records a command, has its effect, waits as long as it takes and returns its answer; empty: none.
+func (s *Server) run(arguments []string) string {
+	now := time.Now()
+	isRequest := len(arguments) > argumentID
+	config := s.record(now, arguments)
+	if config.Group != nil && len(arguments) > argumentList && arguments[argumentName] == keyedCommand {
+		config.Group.run(now, arguments[argumentList])
 	}
-	return c.From + (1-c.From)*max(0, min(1, at.Sub(c.Started).Seconds()/c.Within.Seconds()))
-}
-
-// queue is how long a command takes that comes now, behind those that came before it.
-func (s *Server) queue(at time.Time) time.Duration {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.cfg.Work <= 0 {
-		return 0
+	if !isRequest {
+		return pingAnswer
+	}
+	if config.Silent {
+		return ""
 	}
-	if s.busy.Before(at) || s.busy.Before(s.cfg.Started) {
-		s.busy = at
+	value := config.Value
+	if value == "" {
+		value = arguments[argumentName] + " " + arguments[argumentID]
 	}
-	s.busy = s.busy.Add(time.Duration(float64(s.cfg.Work) / s.cfg.Bears(at)))
-	return s.busy.Sub(at)
+	time.Sleep(config.Delay + s.queue(now))
+	return fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n", len(value), value)
 }
 
-// Restart has it begin anew, cold, with nothing to do.
-func (s *Server) Restart(at time.Time) {
+// record notes a request if the configuration says so, and returns the configuration that the command runs by.
+func (s *Server) record(at time.Time, arguments []string) Config {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.cfg.Started, s.busy = at, at
-}
-
-// command reads an array of bulk strings.
-func command(in *bufio.Reader) ([]string, error) {
-	n, err := number(in, '*')
-	if err != nil {
-		return nil, err
-	}
-	args := make([]string, 0, n)
-	for range n {
-		size, err := number(in, '$')
-		if err != nil {
-			return nil, err
-		}
-		b := make([]byte, size+2)
-		for at := 0; at < len(b); {
-			m, err := in.Read(b[at:])
-			if err != nil {
-				return nil, err
-			}
-			at += m
-		}
-		args = append(args, string(b[:size]))
+	if s.config.Keep && len(arguments) > argumentID {
+		s.sent = append(s.sent, Sent{
+			At:       at,
+			Customer: arguments[argumentCustomer],
+			ID:       arguments[argumentID],
+			Name:     arguments[argumentName],
+		})
 	}
-	return args, nil
+	return s.config
 }
 
-func number(in *bufio.Reader, kind byte) (int, error) {
-	line, err := in.ReadString('\n')
-	if err != nil {
-		return 0, err
-	}
-	line = strings.TrimRight(line, "\r\n")
-	if line == "" || line[0] != kind {
-		return 0, fmt.Errorf("%q does not begin with %q", line, kind)
+// queue adds a command that came at a time to the queued work and returns how long it takes to be done.
+func (s *Server) queue(at time.Time) time.Duration {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.config.Work <= 0 {
+		return 0
 	}
-	n, err := strconv.Atoi(line[1:])
-	if err != nil || n < 0 || n > 1<<20 {
-		return 0, fmt.Errorf("length %q", line)
+	if s.busyUntil.Before(at) || s.busyUntil.Before(s.config.Started) {
+		s.busyUntil = at
 	}
-	return n, nil
+	s.busyUntil = s.busyUntil.Add(time.Duration(float64(s.config.Work) / s.config.Bears(at)))
+	return s.busyUntil.Sub(at)
 }
--- a/internal/fake/peer/late.go
+++ b/internal/fake/peer/late.go
@@ -9,40 +9,56 @@
 	"time"
 )
 
-// ListenLate is a listener whose queue is full, so that a connection to it comes up when let makes room: with the system's next try, a second after the
-// first. let returns that connection; nil: none has come in time.
+// ListenLate listens on loopback with a full accept queue, so that a connection to addr comes up only after let has
+// made room, with the system's next attempt: a second after the first. let returns that connection, or nil if none
+// has come within a time.
 func ListenLate(t testing.TB) (addr string, let func(within time.Duration) *Peer) {
 	t.Helper()
-	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
+	listener, err := listenWithoutQueue()
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := os.NewFile(uintptr(fd), "listener")
-	err = errors.Join(syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}), syscall.Listen(fd, 0), syscall.SetNonblock(fd, true))
-	ln, lnErr := net.FileListener(f)
-	f.Close()
-	if err = errors.Join(err, lnErr); err != nil {
-		t.Fatal(err)
-	}
-	filler, err := net.Dial("tcp", ln.Addr().String()) // the queue holds one
+	filler, err := net.Dial("tcp", listener.Addr().String()) // the queue holds one
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		filler.Close()
-		ln.Close()
+		_ = filler.Close()
+		_ = listener.Close()
 	})
-	return ln.Addr().String(), func(within time.Duration) *Peer {
-		ln.(*net.TCPListener).SetDeadline(time.Now().Add(within))
-		if nc, err := ln.Accept(); err != nil {
+	return listener.Addr().String(), func(within time.Duration) *Peer {
+		if err := listener.(*net.TCPListener).SetDeadline(time.Now().Add(within)); err != nil {
+			t.Fatal(err)
+		}
+		accepted, err := listener.Accept()
+		if err != nil {
 			t.Fatal(err)
-		} else {
-			nc.Close() // the filler's
 		}
-		nc, err := ln.Accept()
+		_ = accepted.Close() // the filler's
+		conn, err := listener.Accept()
 		if err != nil {
 			return nil
 		}
-		return New(t, nc)
+		return New(t, conn)
+	}
+}
+
+// listenWithoutQueue listens on a free port of loopback with the shortest accept queue.
+func listenWithoutQueue() (net.Listener, error) {
+	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
+	if err != nil {
+		return nil, err
+	}
+	file := os.NewFile(uintptr(fd), "listener")
+	err = errors.Join(
+		syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}),
+		syscall.Listen(fd, 0),
+		syscall.SetNonblock(fd, true),
+	)
+	listener, listenErr := net.FileListener(file)
+	_ = file.Close() // the listener has a descriptor of its own
+	if err = errors.Join(err, listenErr); err != nil {
+		return nil, err
 	}
+	return listener, nil
 }
--- /dev/null
+++ b/internal/fake/peer/listen.go
@@ -0,0 +1,46 @@
+package peer
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"net"
+	"testing"
+	"time"
+)
+
+// Listen listens on a free port of loopback until the test ends.
+func Listen(t testing.TB) net.Listener {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = listener.Close() }) // the test may have closed it
+	return listener
+}
+
+// FreeAddr returns an address on which nothing listens, and which nobody is given before it is used. Its host is a
+// random one of loopback, since a port of 127.0.0.1 that is free now may be a client's a moment later.
+func FreeAddr(t testing.TB) string {
+	t.Helper()
+	octet := func() int { return 1 + rand.IntN(254) }
+	listener, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", octet(), octet(), octet()))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = listener.Close() }() // nothing has used it
+	return listener.Addr().String()
+}
+
+// Accept returns the next connection of a TCP listener. It waits for Patient at most.
+func Accept(t testing.TB, ln net.Listener) *Peer {
+	t.Helper()
+	if err := ln.(*net.TCPListener).SetDeadline(time.Now().Add(Patient)); err != nil {
+		t.Fatal(err)
+	}
+	conn, err := ln.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	return New(t, conn)
+}
--- a/internal/fake/peer/peer.go
+++ b/internal/fake/peer/peer.go
@@ -1,4 +1,3 @@
-// Package peer is one end of a RESP2 connection for tests: a scripted client or backend.
 package peer
 
 import (
@@ -6,83 +5,40 @@
 	"errors"
 	"fmt"
 	"io"
-	"math/rand/v2"
 	"net"
 	"strings"
 	"testing"
 	"time"
-
-	"gapgap/internal/eventloop"
 )
 
 // Patient bounds every wait; none is expected to take a noticeable part of it.
 const Patient = 20 * time.Second
 
-// Commands' parts that most tests use.
-const (
-	Customer = "00000000b4d65521"
-	List     = "c=evaluate,t=open,d=20000,units=1,spread=1,first=0"
-	Keyed    = "c=change,t=open,d=20000,k=5c0f6e1a2b3d4c59,units=1,spread=1,first=0,x=new"
-	Unsafe   = "c=once,t=open,d=20000,units=1,spread=1,first=0"
-)
-
-// Peer is one end of a connection.
+// Peer is one end of a connection. It belongs to one goroutine.
 type Peer struct {
-	t  testing.TB
+	t testing.TB
+	// NC is the connection.
 	NC net.Conn
+	// In reads from NC.
 	In *bufio.Reader
 }
 
-// New takes a connection over; it ends with the test.
+// New returns a peer on a connection, which has Patient for all that is sent and read and is closed when the test
+// ends.
 func New(t testing.TB, nc net.Conn) *Peer {
-	nc.SetDeadline(time.Now().Add(Patient))
-	t.Cleanup(func() { nc.Close() })
-	return &Peer{t, nc, bufio.NewReader(nc)}
+	_ = nc.SetDeadline(time.Now().Add(Patient)) // a closed connection fails at its first use
+	t.Cleanup(func() { _ = nc.Close() })        // the test may have closed it
+	return &Peer{t: t, NC: nc, In: bufio.NewReader(nc)}
 }
 
-// Dial connects a client.
+// Dial connects a client to an address.
 func Dial(t testing.TB, addr string) *Peer {
 	t.Helper()
-	nc, err := net.Dial("tcp", addr)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return New(t, nc)
-}
-
-// Listen listens on loopback until the test ends.
-func Listen(t testing.TB) net.Listener {
-	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { ln.Close() })
-	return ln
-}
-
-// FreeAddr is an address on which nothing listens, and which nobody is given before it is used: its host is one of loopback's by chance, as ports of
-// 127.0.0.1 that are free now may be a client's a moment later.
-func FreeAddr(t testing.TB) string {
-	t.Helper()
-	octet := func() int { return 1 + rand.IntN(254) }
-	ln, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", octet(), octet(), octet()))
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer ln.Close()
-	return ln.Addr().String()
-}
-
-// Accept takes the next connection of a backend.
-func Accept(t testing.TB, ln net.Listener) *Peer {
-	t.Helper()
-	ln.(*net.TCPListener).SetDeadline(time.Now().Add(Patient))
-	nc, err := ln.Accept()
+	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return New(t, nc)
+	return New(t, conn)
 }
 
 // Write sends bytes as they are.
@@ -99,79 +55,77 @@
 	p.Write(Command(args...))
 }
 
-// Command is a command's bytes.
-func Command(args ...string) string {
-	s := fmt.Sprintf("*%d\r\n", len(args))
-	for _, a := range args {
-		s += Bulk(a)
-	}
-	return s
-}
-
-// Bulk is a bulk string's bytes.
-func Bulk(s string) string { return fmt.Sprintf("$%d\r\n%s\r\n", len(s), s) }
-
-// Message reads one RESP message: its parts, a line that is no length being one of its own.
+// Message reads one RESP message and returns its strings: those of an array, a bulk string's content, or any other
+// line.
 func (p *Peer) Message() []string {
 	p.t.Helper()
-	m, err := p.Try()
+	message, err := p.Try()
 	if err != nil {
 		p.t.Fatal(err)
 	}
-	return m
+	return message
 }
 
-// Try is Message with the error.
+// Try is Message, but returns the error of the connection in place of failing the test.
 func (p *Peer) Try() ([]string, error) {
 	line, err := p.In.ReadString('\n')
 	if err != nil {
 		return nil, err
 	}
 	line = strings.TrimSuffix(line, "\r\n")
-	n := 0
 	switch line[0] {
 	case '*':
-		fmt.Sscan(line[1:], &n)
-		var all []string
-		for range n {
-			m, err := p.Try()
-			if err != nil {
-				return nil, err
-			}
-			all = append(all, m...)
-		}
-		return all, nil
+		return p.readArray(parseLength(line))
 	case '$':
-		fmt.Sscan(line[1:], &n)
-		b := make([]byte, n+2)
-		_, err := io.ReadFull(p.In, b)
-		return []string{string(b[:n])}, err
+		value := make([]byte, parseLength(line)+len("\r\n"))
+		_, err := io.ReadFull(p.In, value)
+		return []string{string(value[:len(value)-len("\r\n")])}, err
 	}
 	return []string{line}, nil
 }
 
-// Wants reads one answer and compares it.
+// parseLength returns the number behind a line's first character, or 0 if there is none.
+func parseLength(line string) int {
+	length := 0
+	_, _ = fmt.Sscan(line[1:], &length) // a test that gets a malformed line sees it in what follows
+	return length
+}
+
+// readArray reads the messages of an array and joins their strings.
+func (p *Peer) readArray(count int) ([]string, error) {
+	var joined []string
+	for range count {
+		message, err := p.Try()
+		if err != nil {
+			return nil, err
+		}
+		joined = append(joined, message...)
+	}
+	return joined, nil
+}
+
+// Wants reads one message and compares it.
 func (p *Peer) Wants(want string) {
 	p.t.Helper()
-	if m := p.Message(); len(m) != 1 || m[0] != want {
-		p.t.Fatalf("got %q, want %q", m, want)
+	if message := p.Message(); len(message) != 1 || message[0] != want {
+		p.t.Fatalf("got %q, want %q", message, want)
 	}
 }
 
-// WantsPrefix reads one answer and compares its beginning.
+// WantsPrefix reads one message and compares its beginning.
 func (p *Peer) WantsPrefix(want string) {
 	p.t.Helper()
-	if m := p.Message(); len(m) != 1 || !strings.HasPrefix(m[0], want) {
-		p.t.Fatalf("got %q, want %s...", m, want)
+	if message := p.Message(); len(message) != 1 || !strings.HasPrefix(message[0], want) {
+		p.t.Fatalf("got %q, want %s...", message, want)
 	}
 }
 
-// WantsEnd reads up to the end of the connection and fails if anything comes before it.
+// WantsEnd reads up to the end of the connection and fails the test if a message or the deadline comes before it.
 func (p *Peer) WantsEnd() {
 	p.t.Helper()
-	m, err := p.Try()
+	message, err := p.Try()
 	if err == nil {
-		p.t.Fatalf("got %q, want the end of the connection", m)
+		p.t.Fatalf("got %q, want the end of the connection", message)
 	}
 	var netError net.Error
 	if errors.As(err, &netError) && netError.Timeout() {
@@ -179,7 +133,7 @@
 	}
 }
 
-// Reads reads just that text.
+// Reads reads exactly a text, line by line.
 func (p *Peer) Reads(want string) {
 	p.t.Helper()
 	for _, line := range strings.SplitAfter(want, "\n") {
@@ -191,16 +145,3 @@
 		}
 	}
 }
-
-// Pump runs a loop's tasks until something holds.
-func Pump(t testing.TB, l *eventloop.Loop, until func() bool) {
-	t.Helper()
-	for end := time.Now().Add(Patient); !until(); {
-		if !l.RunTask() {
-			time.Sleep(100 * time.Microsecond)
-		}
-		if time.Now().After(end) {
-			t.Fatal("it never came to that")
-		}
-	}
-}
--- a/internal/fake/program/program.go
+++ b/internal/fake/program/program.go
@@ -9,11 +9,13 @@
 	"sync"
 )
 
-// Built returns a function that builds the program of the present folder once, under a name, and says where it is; and one that
-// takes it away again.
+// Built is BuiltFrom for the package in the working directory.
 func Built(name string) (build func() (string, error), remove func()) { return BuiltFrom(name, ".") }
 
-// BuiltFrom is Built of another package than the present folder's, such as gapgap/cmd/gapgapd, with further arguments for go build.
+// BuiltFrom returns build, which builds the program of a package such as gapgap/cmd/gapgapd under a name at its first
+// call and returns its path at each, and remove, which deletes it. args are further arguments of go build. A failed
+// build's error holds the compiler's output. build is safe for concurrent use; remove may be called once no test
+// runs.
 func BuiltFrom(name, pkg string, args ...string) (build func() (string, error), remove func()) {
 	dir := ""
 	build = sync.OnceValues(func() (path string, err error) {
@@ -21,14 +23,17 @@
 			return "", err
 		}
 		path = filepath.Join(dir, name)
-		if out, err := exec.Command("go", append(append([]string{"build", "-o", path}, args...), pkg)...).CombinedOutput(); err != nil {
-			return "", fmt.Errorf("%w: %s", err, out)
+		arguments := append([]string{"build", "-o", path}, args...)
+		arguments = append(arguments, pkg)
+		if output, err := exec.Command("go", arguments...).CombinedOutput(); err != nil {
+			return "", fmt.Errorf("%w: %s", err, output)
 		}
 		return path, nil
 	})
-	return build, func() {
+	remove = func() {
 		if dir != "" {
-			os.RemoveAll(dir)
+			_ = os.RemoveAll(dir) // what is left lies in the system's folder for temporary files
 		}
 	}
+	return build, remove
 }
--- a/internal/fake/quota/quota.go
+++ b/internal/fake/quota/quota.go
@@ -1,9 +1,10 @@
-// Package quota is a stand-in for the quota counter: named numbers with a life, over lines of text on loopback.
+// Package quota is a fake of the shared counter service: named totals that expire, over lines of text on loopback.
 package quota
 
 import (
 	"bufio"
 	"fmt"
+	"math"
 	"net"
 	"strconv"
 	"strings"
@@ -13,35 +14,50 @@
 	"gapgap/internal/fake/serve"
 )
 
-// Counter is one counter.
+const (
+	// maxNameBytes bounds a total's name.
+	maxNameBytes = 64
+	// maxAmount bounds what one call adds or subtracts.
+	maxAmount = 1e9
+	// maxLifeMS bounds a total's life in milliseconds; a longer one is cut to it.
+	maxLifeMS = 60_000
+	// errorAnswer answers a call that is malformed or out of bounds.
+	errorAnswer = "error"
+)
+
+// Counter is one fake counter. It is safe for concurrent use.
 type Counter struct {
 	*serve.Server
-	mu    sync.Mutex
-	names map[string]*number
-	stall chan struct{} // answers wait while it is not nil
+
+	// mu guards the fields below.
+	mu     sync.Mutex
+	totals map[string]*total
+	// stall is closed when stalled answers may go out; nil while answers go out at once.
+	stall chan struct{}
 	calls int
 }
 
-type number struct {
-	total float64
-	until time.Time
+// total is a named total until it expires.
+type total struct {
+	value     float64
+	expiresAt time.Time
 }
 
-// Start listens on loopback.
+// Start starts a counter without totals on a free port of loopback.
 func Start() (c *Counter, err error) {
-	c = &Counter{names: map[string]*number{}}
+	c = &Counter{totals: map[string]*total{}}
 	c.Server, err = serve.Start(c.serve)
 	return c, err
 }
 
-// Calls is how many calls have come.
+// Calls returns the number of valid calls so far, pings excluded.
 func (c *Counter) Calls() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.calls
 }
 
-// Stall holds all answers back until the function that it returns is called.
+// Stall holds all answers back until the function that it returns is called. The calls themselves take effect.
 func (c *Counter) Stall() (resume func()) {
 	stall := make(chan struct{})
 	c.mu.Lock()
@@ -55,32 +71,33 @@
 	})
 }
 
-// Empty forgets all numbers, as a counter that was started anew.
+// Empty drops all totals, like a counter that was started anew.
 func (c *Counter) Empty() {
 	c.mu.Lock()
-	c.names = map[string]*number{}
-	c.mu.Unlock()
+	defer c.mu.Unlock()
+	c.totals = map[string]*total{}
 }
 
-// Numbers copies what it knows. What it returns puts that back: a counter that has its numbers from before, or older ones.
+// Numbers copies all totals and returns a function that restores them, for a counter that has lost its latest ones.
+// The function may be called more than once.
 func (c *Counter) Numbers() func() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	kept := map[string]number{}
-	for name, n := range c.names {
-		kept[name] = *n
+	saved := map[string]total{}
+	for name, t := range c.totals {
+		saved[name] = *t
 	}
 	return func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.names = map[string]*number{}
-		for name, n := range kept {
-			c.names[name] = &n
+		c.totals = map[string]*total{}
+		for name, t := range saved {
+			c.totals[name] = &t
 		}
 	}
 }
 
-// Close ends it; its connections end too.
+// Close releases stalled answers, and closes the listener and all connections.
 func (c *Counter) Close() {
 	c.mu.Lock()
 	if c.stall != nil {
@@ -91,42 +108,49 @@
 	c.Server.Close()
 }
 
-func (c *Counter) serve(nc net.Conn) {
-	for in := bufio.NewScanner(nc); in.Scan(); {
-		answer := c.call(strings.Fields(in.Text()))
+// serve answers the calls of one connection until it ends.
+func (c *Counter) serve(conn net.Conn) {
+	for lines := bufio.NewScanner(conn); lines.Scan(); {
+		answer := c.call(strings.Fields(lines.Text()))
 		c.mu.Lock()
 		stall := c.stall
 		c.mu.Unlock()
 		if stall != nil {
 			<-stall
 		}
-		if _, err := nc.Write([]byte(answer + "\r\n")); err != nil {
+		if _, err := conn.Write([]byte(answer + "\r\n")); err != nil {
 			return
 		}
 	}
 }
 
+// call carries out one call, "ping" or "add name amount life", and returns its answer.
 func (c *Counter) call(words []string) string {
 	if len(words) == 1 && words[0] == "ping" {
 		return "pong"
 	}
-	if len(words) != 4 || words[0] != "add" || len(words[1]) > 64 {
-		return "error"
+	if len(words) != 4 || words[0] != "add" || len(words[1]) > maxNameBytes {
+		return errorAnswer
 	}
-	amount, err := strconv.ParseFloat(words[2], 64)
-	life, err2 := strconv.Atoi(words[3])
-	if err != nil || err2 != nil || life < 1 || amount > 1e9 || amount < -1e9 {
-		return "error"
+	amount, amountErr := strconv.ParseFloat(words[2], 64)
+	lifeMS, lifeErr := strconv.Atoi(words[3])
+	if amountErr != nil || lifeErr != nil || lifeMS < 1 || math.Abs(amount) > maxAmount {
+		return errorAnswer
 	}
+	return fmt.Sprintf("ok %.7g", c.add(words[1], amount, lifeMS))
+}
+
+// add adds to a total and returns it. A total that is new or has expired begins at zero, with a life in milliseconds.
+func (c *Counter) add(name string, amount float64, lifeMS int) float64 {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.calls++
-	n := c.names[words[1]]
-	if n == nil || !now.Before(n.until) {
-		n = &number{until: now.Add(time.Duration(min(life, 60_000)) * time.Millisecond)}
-		c.names[words[1]] = n
+	t := c.totals[name]
+	if t == nil || !now.Before(t.expiresAt) {
+		t = &total{expiresAt: now.Add(time.Duration(min(lifeMS, maxLifeMS)) * time.Millisecond)}
+		c.totals[name] = t
 	}
-	n.total += amount
-	return fmt.Sprintf("ok %.7g", n.total)
+	t.value += amount
+	return t.value
 }
