--- /dev/null
+++ b/internal/fake/rig/command.go
@@ -0,0 +1,33 @@
+package rig
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"strings"
+	"time"
+)
+
+// errUnexpectedAnswer says that an answer is neither that the request was let through nor that it was rejected.
+var errUnexpectedAnswer = errors.New("neither let through nor refused")
+
+// writeCommand writes an array of bulk strings.
+func writeCommand(w io.Writer, words ...string) error {
+	var command strings.Builder
+	fmt.Fprintf(&command, "*%d\r\n", len(words))
+	for _, word := range words {
+		fmt.Fprintf(&command, "$%d\r\n%s\r\n", len(word), word)
+	}
+	_, err := io.WriteString(w, command.String())
+	return err
+}
+
+// evaluateParameters returns the parameters of a request of the class "evaluate".
+func evaluateParameters(deadline time.Duration, spread int) string {
+	return fmt.Sprintf("c=evaluate,t=business,d=%d,units=1,spread=%d,first=0", deadline.Milliseconds(), spread)
+}
+
+// changeParameters returns the parameters of a request of the class "change".
+func changeParameters(deadline time.Duration, key string, spread int) string {
+	return fmt.Sprintf("c=change,t=trade,d=%d,k=%s,units=1,spread=%d,first=0", deadline.Milliseconds(), key, spread)
+}
