--- /dev/null
+++ b/internal/service/hosted/config_classes.go
@@ -0,0 +1,102 @@
+package hosted
+
+import (
+	"fmt"
+	"slices"
+	"time"
+
+	"gapgap/internal/balancer"
+)
+
+// rememberOnDisk is the value of a class's remember that has its keys reserved over all gateways.
+const rememberOnDisk = "disk"
+
+// idempotencies are the values of a class's effect, and dedupScopes those of its group.
+var (
+	idempotencies = map[string]balancer.Idempotency{
+		"safe":   balancer.Idempotent,
+		"keyed":  balancer.IdempotentByKey,
+		"unsafe": balancer.NonIdempotent,
+	}
+	dedupScopes = map[string]balancer.DedupScope{
+		"":     balancer.DedupAll,
+		"all":  balancer.DedupAll,
+		"zone": balancer.DedupZone,
+		"cell": balancer.DedupCell,
+	}
+)
+
+// classes checks the classes of a pool and returns them with their names.
+func (f *configFile) classes(spec *poolSpec) (classes []balancer.Class, names []string, err error) {
+	if len(spec.Classes) == 0 {
+		return nil, nil, fieldErrorf(spec.tablePrefix+"class", "there is none")
+	}
+	for i := range spec.Classes {
+		if err := f.checkClass(spec, i, names); err != nil {
+			return nil, nil, err
+		}
+		classes = append(classes, newClass(&spec.Classes[i]))
+		names = append(names, spec.Classes[i].Name)
+	}
+	return classes, names, nil
+}
+
+// checkClass checks one class; taken are the names of those before it.
+func (f *configFile) checkClass(spec *poolSpec, i int, taken []string) error {
+	table := &spec.Classes[i]
+	field := func(name string) string { return fmt.Sprintf("%sclass[%d].%s", spec.tablePrefix, i, name) }
+	idempotency, isEffect := idempotencies[table.Effect]
+	_, isGroup := dedupScopes[table.Group]
+	switch {
+	case !isPlainName(table.Name) || slices.Contains(taken, table.Name):
+		return fieldErrorf(field("name"), "%q is no name, or stands twice", table.Name)
+	case !isEffect:
+		return fieldErrorf(field("effect"), "%q is not safe, keyed or unsafe", table.Effect)
+	case !isGroup:
+		return fieldErrorf(field("group"), "%q is not all, zone or cell", table.Group)
+	case table.ClientTimeout <= 0:
+		return fieldErrorf(field("give_up"), "is not above 0")
+	case table.LatencyObjective < 0 || table.LatencyObjective > table.ClientTimeout:
+		return fieldErrorf(field("aim"), "is negative or over give_up")
+	case table.PriorityWeight < 0 || table.LateWeightFraction < 0:
+		return fieldErrorf(field("worth"), "or late_worth is negative")
+	case idempotency == balancer.IdempotentByKey && table.DedupWindow <= 0:
+		return fieldErrorf(field("window"), "is not above 0, but the class is keyed")
+	}
+	return f.checkRemember(table, field("remember"))
+}
+
+// checkRemember checks that a class's keys can be reserved over all gateways, if that is wanted.
+func (f *configFile) checkRemember(table *classTable, field string) error {
+	switch {
+	case table.Remember == "":
+		return nil
+	case table.Remember != rememberOnDisk:
+		return fieldErrorf(field, "%q is not disk", table.Remember)
+	case idempotencies[table.Effect] != balancer.IdempotentByKey:
+		return fieldErrorf(field, "wants a keyed class")
+	case f.Fleet == nil || f.Fleet.KeyRetention == nil:
+		return fieldErrorf(field, "wants [fleet.remember]")
+	}
+	return nil
+}
+
+// newClass returns a class that was checked. If its keys are reserved, its requests may run once at most, since
+// endpoints lose the keys that they know in a power loss.
+func newClass(table *classTable) balancer.Class {
+	idempotency := idempotencies[table.Effect]
+	isReserved := table.Remember != ""
+	if isReserved {
+		idempotency = balancer.NonIdempotent
+	}
+	return balancer.Class{
+		PriorityWeight:     table.PriorityWeight,
+		LateWeightFraction: table.LateWeightFraction,
+		LatencyObjective:   time.Duration(table.LatencyObjective),
+		ClientTimeout:      time.Duration(table.ClientTimeout),
+		Idempotency:        idempotency,
+		DedupScope:         dedupScopes[table.Group],
+		DedupWindow:        time.Duration(table.DedupWindow),
+		KeyReserved:        isReserved,
+	}
+}
--- a/internal/service/hosted/config_test.go
+++ b/internal/service/hosted/config_test.go
@@ -54,7 +54,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(c.Pools) != 2 || c.Routes.Len() != 2 || !c.Gated || c.Pools[0].Space != "" || c.Pools[1].Space != "audit" || c.Pools[0].Weight != 2 {
+	if len(c.Pools) != 2 || c.Routes.Len() != 2 || !c.SharesCPU || c.Pools[0].CounterSpace != "" || c.Pools[1].CounterSpace != "audit" || c.Pools[0].Weight != 2 {
 		t.Errorf("%+v", c.Pools)
 	}
 	for _, bad := range []struct{ old, new, key string }{
--- a/internal/service/hosted/fleet_test.go
+++ b/internal/service/hosted/fleet_test.go
@@ -109,7 +109,7 @@
 		t.Fatal(err)
 	}
 	with, err := ParseWith("x", []byte(good), "policy", doc)
-	if err != nil || with.Pools[0].text != c.Pools[0].text || with.Pools[0].plans != c.Pools[0].plans {
+	if err != nil || with.Pools[0].shape != c.Pools[0].shape || with.Pools[0].plans != c.Pools[0].plans {
 		t.Errorf("%v\n%s", err, doc)
 	}
 	var e *Error
--- a/internal/service/hosted/hosted.go
+++ b/internal/service/hosted/hosted.go
@@ -3,12 +3,10 @@
 import (
 	"context"
 	"crypto/tls"
-	"crypto/x509"
 	"errors"
 	"fmt"
 	"log/slog"
 	"net"
-	"os"
 	"runtime"
 	"slices"
 	"sync"
@@ -78,7 +76,7 @@
 		return nil, err
 	}
 	s.Shared.SetIdentities(cfg.Accounts)
-	if cfg.Gated {
+	if cfg.SharesCPU {
 		s.gate = cpuscheduler.New(runtime.GOMAXPROCS(0))
 		s.Scheduler = s.gate.Flow(1)
 	}
@@ -105,7 +103,7 @@
 			}
 		}()
 	}
-	if policyOn(cfg.Fleet) {
+	if hasFleetPolicy(cfg.Fleet) {
 		if s.policy, err = s.openPolicy(cfg); err != nil {
 			return nil, err
 		}
@@ -282,7 +280,7 @@
 // process has (memory, sockets, verdicts) stay as they are until a restart. A pool whose classes, limits or names of plans have
 // changed is made anew, and the old one answers what it took. Where the fleet has one policy only the node's part is taken.
 func (s *Service) Reload(cfg *Config) error {
-	if s.policy == nil || !policyOn(cfg.Fleet) {
+	if s.policy == nil || !hasFleetPolicy(cfg.Fleet) {
 		return s.reload(cfg)
 	}
 	next, err := s.policy.parseWithPolicy(cfg)
@@ -302,14 +300,14 @@
 	if !cfg.Fleet.Same(s.cfg.Fleet) {
 		return errors.New("what [fleet] says changes with a restart only")
 	}
-	if cfg.Several != (s.shares != nil) {
+	if cfg.HasPools != (s.shares != nil) {
 		return errors.New("whether there are pools changes with a restart only")
 	}
 	next, fresh := map[string]*pool{}, []*pool{}
 	for i := range cfg.Pools {
 		c := &cfg.Pools[i]
 		p := s.pools[c.Node.Name]
-		if p == nil || p.cfg.text != c.text {
+		if p == nil || p.cfg.shape != c.shape {
 			var err error
 			if p, err = s.newPool(c); err != nil {
 				for _, p := range fresh {
@@ -385,25 +383,3 @@
 	s.mu.Unlock()
 	s.log.Info("pool removed", "pool", p.cfg.Node.Name, "unanswered", p.core.Unanswered())
 }
-
-// load reads the files.
-func (f *TLSFiles) load() (*tls.Config, error) {
-	cert, err := tls.LoadX509KeyPair(f.Certificate, f.Key)
-	if err != nil {
-		return nil, err
-	}
-	c := &tls.Config{Certificates: []tls.Certificate{cert}, MinVersion: tls.VersionTLS12}
-	if f.ClientCA == "" {
-		return c, nil
-	}
-	pem, err := os.ReadFile(f.ClientCA)
-	if err != nil {
-		return nil, err
-	}
-	c.ClientCAs = x509.NewCertPool()
-	if !c.ClientCAs.AppendCertsFromPEM(pem) {
-		return nil, fmt.Errorf("%s holds no certificate", f.ClientCA)
-	}
-	c.ClientAuth = tls.VerifyClientCertIfGiven
-	return c, nil
-}
--- a/internal/service/hosted/pool.go
+++ b/internal/service/hosted/pool.go
@@ -31,7 +31,7 @@
 // newPool makes one. It does nothing before start.
 func (s *Service) newPool(cfg *Pool) (*pool, error) {
 	p := &pool{cfg: cfg, share: s.shares.join(cfg.Node.Name), stop: make(chan struct{}), ended: make(chan struct{})}
-	parts := service.Parts{Space: cfg.Space, Gate: s.flow(cfg), Guard: s.policy.decisionLease(),
+	parts := service.Parts{Space: cfg.CounterSpace, Gate: s.flow(cfg), Guard: s.policy.decisionLease(),
 		Tell: func(c *proxy.Proxy) func(endpoint.Update) {
 			p.box = s.members.add(c)
 			return p.box.tell
@@ -51,7 +51,7 @@
 	if s.metrics != nil {
 		parts.Observe = s.metrics.observer(cfg.Node.Name, cfg.Node.Transport.Classes)
 	}
-	p.share.parts(&parts, cfg.ServerConnections)
+	p.share.parts(&parts, cfg.MaxServerConnections)
 	c, err := service.NewCore(s.clock.NewWithSameClock(), cfg.Node, parts, s.log.With("pool", cfg.Node.Name))
 	if err != nil {
 		p.share.leave()
@@ -148,7 +148,7 @@
 
 // abroad is the name by which other doors know a pool. Where there is one, its own name is that of its door.
 func (s *Service) abroad(cfg *Pool) string {
-	if s.cfg.Several {
+	if s.cfg.HasPools {
 		return cfg.Node.Name
 	}
 	return ""
--- a/internal/service/hosted/shares.go
+++ b/internal/service/hosted/shares.go
@@ -19,12 +19,12 @@
 	clients         int // places for clients' connections
 }
 
-// guaranteed is what all guarantees may cover together: the rest is for commands and connections whose pool is not known.
-const guaranteed = 1 - resourcelimit.UnassignedFraction
+// maxGuaranteeSum is what all guarantees may cover together: the rest is for commands and connections whose pool is not known.
+const maxGuaranteeSum = 1 - resourcelimit.UnassignedFraction
 
 // newShares makes the parts of a process; nil: it has one pool, and nothing is to be shared.
 func newShares(cfg *Config, clients int) *shares {
-	if !cfg.Several {
+	if !cfg.HasPools {
 		return nil
 	}
 	s := &shares{memory: resourcelimit.NewSharedLimit(service.ClientMemory(cfg.Node.MemoryMB)),
