--- a/internal/service/hosted/golden_test.go
+++ b/internal/service/hosted/golden_test.go
@@ -17,14 +17,14 @@
 func TestGoldenMetrics(t *testing.T) {
 	descs := make(chan *prometheus.Desc, 100)
 	(&metrics{answers: prometheus.NewHistogramVec(prometheus.HistogramOpts{
-		Namespace: "gapgap", Name: "answer_seconds", Buckets: latencies,
+		Namespace: "gapgap", Name: "answer_seconds", Buckets: answerBuckets,
 	}, []string{"pool"})}).Describe(descs)
 	close(descs)
 	var out bytes.Buffer
 	for desc := range descs {
 		fmt.Fprintln(&out, desc)
 	}
-	fmt.Fprintln(&out, latencies)
+	fmt.Fprintln(&out, answerBuckets)
 	golden.CheckBytes(t, "testdata/golden/metrics.txt", out.Bytes())
 }
 
--- a/internal/service/hosted/keys.go
+++ b/internal/service/hosted/keys.go
@@ -18,12 +18,12 @@
 		Voters:      policyreplica.Voters(len(cfg.Gateways)),
 		FS:          s.disk,
 		Dir:         cfg.StateDir,
-		Incarnation: s.fleet.disk.Incarnation(),
+		Incarnation: s.cluster.identity.Incarnation(),
 		Retention:   cfg.KeyRetention.Duration,
 		MaxKeys:     cfg.KeyRetention.MaxKeys,
 		Now:         s.clock.Now,
 		Log:         s.log.With("of", "keys"),
-		Send:        s.fleet.peers.SendKeys,
+		Send:        s.cluster.transport.SendKeys,
 	})
 	if err != nil {
 		return nil, fmt.Errorf("fleet.remember: %w", err)
@@ -31,7 +31,7 @@
 	return keys, nil
 }
 
-// poolKeys reserves keys for one pool. It implements [proxy.Keys].
+// poolKeys reserves keys for one pool. It implements [proxy.KeyReserver].
 type poolKeys struct {
 	replica *replica.Replica
 	// poolName is the pool's name at all gateways.
@@ -45,12 +45,12 @@
 	idempotency.NoCapacity:  proxy.ReservationUnavailable,
 }
 
-// Claim implements [proxy.Keys].
+// Claim implements [proxy.KeyReserver].
 func (p poolKeys) Claim(class, customer, key string, done func(proxy.Reservation)) uint64 {
 	return p.replica.Reserve(idempotency.KeyOf(p.poolName, class, customer, key), func(outcome idempotency.Outcome) {
 		done(reservationOf[outcome])
 	})
 }
 
-// End implements [proxy.Keys].
+// End implements [proxy.KeyReserver].
 func (p poolKeys) End(id uint64, mayHaveRun bool) { p.replica.Finish(id, mayHaveRun) }
--- /dev/null
+++ b/internal/service/hosted/metricsfrontend.go
@@ -0,0 +1,67 @@
+package hosted
+
+import (
+	"net"
+	"net/http"
+	"time"
+
+	"github.com/prometheus/client_golang/prometheus/promhttp"
+
+	"gapgap/internal/proxy"
+)
+
+const (
+	// metricsTimeout bounds each request for metrics.
+	metricsTimeout = 5 * time.Second
+	// metricsWriteTimeout is longer, so that a request that takes too long is answered with that.
+	metricsWriteTimeout = 2 * metricsTimeout
+	// maxScrapes is how many requests are answered at once.
+	maxScrapes = 4
+	// maxMetricsHeaderBytes bounds a request's header.
+	maxMetricsHeaderBytes = 8 << 10
+)
+
+// metricsFrontend serves the metrics. It asks nothing of any pool.
+type metricsFrontend struct {
+	listener net.Listener
+	server   *http.Server
+}
+
+var _ proxy.Frontend = (*metricsFrontend)(nil)
+
+// newMetricsFrontend returns a frontend that serves GET /metrics at a listener.
+func newMetricsFrontend(m *metrics, listener net.Listener) *metricsFrontend {
+	mux := http.NewServeMux()
+	mux.Handle("GET /metrics", promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{
+		MaxRequestsInFlight: maxScrapes,
+		Timeout:             metricsTimeout,
+	}))
+	return &metricsFrontend{
+		listener: listener,
+		server: &http.Server{
+			Handler:        mux,
+			ReadTimeout:    metricsTimeout,
+			WriteTimeout:   metricsWriteTimeout,
+			IdleTimeout:    metricsTimeout,
+			MaxHeaderBytes: maxMetricsHeaderBytes,
+		},
+	}
+}
+
+// Serve implements [proxy.Frontend].
+func (f *metricsFrontend) Serve() {
+	go func() {
+		_ = f.server.Serve(f.listener) // it ends with Drain
+	}()
+}
+
+// CloseListeners implements [proxy.Frontend].
+func (f *metricsFrontend) CloseListeners() {
+	_ = f.listener.Close() // it may be closed already
+}
+
+// Drain implements [proxy.Frontend]. It ends all at once: no client's request waits here.
+func (f *metricsFrontend) Drain() bool {
+	_ = f.server.Close() // nothing is lost
+	return true
+}
--- a/internal/service/hosted/policy.go
+++ b/internal/service/hosted/policy.go
@@ -61,9 +61,9 @@
 		Dir:      fleet.StateDir,
 		Now:      s.clock.Now,
 		Log:      s.log.With("of", "policy"),
-		Send:     s.fleet.peers.SendPolicy,
+		Send:     s.cluster.transport.SendPolicy,
 		Process: func() policy.Process {
-			return policy.Process{Gateway: uint16(fleet.Index), ID: s.fleet.peers.ID()}
+			return policy.Process{Gateway: uint16(fleet.Index), ID: s.cluster.transport.ID()}
 		},
 		InitialPolicy: func() ([]byte, error) { return policyOf(cfg.text) },
 		AbortAfter:    fleet.Policy.GiveUp,
@@ -121,7 +121,7 @@
 	if view.Version.Number == 0 {
 		return nil, errNoVersion
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), controlWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), controlTimeout)
 	defer cancel()
 	document, err := p.replica.Document(ctx, view.Version.Hash)
 	if err != nil {
@@ -153,7 +153,7 @@
 	p.service.mu.Lock()
 	defer p.service.mu.Unlock()
 	for _, pool := range p.service.pools {
-		all = append(all, pool.core)
+		all = append(all, pool.proxy)
 	}
 	return all
 }
--- a/internal/service/hosted/policyroutes.go
+++ b/internal/service/hosted/policyroutes.go
@@ -44,7 +44,7 @@
 // withTimeout returns a context for a request that may take so long, and extends the connection's deadlines to fit.
 func withTimeout(w http.ResponseWriter, r *http.Request, d time.Duration) (context.Context, context.CancelFunc) {
 	controller := http.NewResponseController(w)
-	deadline := time.Now().Add(d + controlWithin)
+	deadline := time.Now().Add(d + controlTimeout)
 	_ = controller.SetWriteDeadline(deadline) // without it the server's own timeout holds
 	_ = controller.SetReadDeadline(deadline)
 	return context.WithTimeout(r.Context(), d)
@@ -74,7 +74,7 @@
 
 // handleShow writes the document of a version.
 func (p *policyHost) handleShow(w http.ResponseWriter, r *http.Request) {
-	ctx, cancel := withTimeout(w, r, controlWithin)
+	ctx, cancel := withTimeout(w, r, controlTimeout)
 	defer cancel()
 	document, version, err := p.document(ctx, r.URL.Query().Get("version"))
 	if err != nil {
@@ -87,7 +87,7 @@
 
 // handleHistory writes the outcomes of the last changes.
 func (p *policyHost) handleHistory(w http.ResponseWriter, r *http.Request) {
-	ctx, cancel := withTimeout(w, r, controlWithin)
+	ctx, cancel := withTimeout(w, r, controlTimeout)
 	defer cancel()
 	history, err := p.replica.History(ctx)
 	if err != nil {
--- a/internal/service/hosted/pools_test.go
+++ b/internal/service/hosted/pools_test.go
@@ -297,7 +297,7 @@
 		}
 	}
 	settled := func() (goroutines, files int, heap uint64) {
-		w.d.leaves.Wait()
+		w.d.removals.Wait()
 		http.DefaultClient.CloseIdleConnections()
 		for last := -1; ; time.Sleep(20 * time.Millisecond) {
 			if goroutines = runtime.NumGoroutine(); goroutines == last {
@@ -322,7 +322,7 @@
 	if after > before+20 || filesNow > files+20 || now > heap+4<<20 {
 		t.Errorf("%d goroutines, %d descriptors and %d KB before, %d, %d and %d after %d rounds", before, files, heap>>10, after, filesNow, now>>10, times)
 	}
-	if s := w.d.shares; s.memory.Len() != 3 || s.sockets.Len() != 2 || s.memory.Held() != 0 { // the unread bytes' too
+	if s := w.d.limits; s.memory.Len() != 3 || s.sockets.Len() != 2 || s.memory.Held() != 0 { // the unread bytes' too
 		t.Errorf("%d and %d parties are kept", s.memory.Len(), s.sockets.Len())
 	}
 	if n := w.d.Shared.Len(); n != 2 {
@@ -509,7 +509,7 @@
 		})
 	}
 	full := func() bool {
-		for _, f := range w.d.Figures() {
+		for _, f := range w.d.PoolStats() {
 			if f.Name == "loud" && f.Refused > 0 {
 				return true
 			}
@@ -542,7 +542,7 @@
 		}
 		from := time.Now()
 		if got := w.resp(keeps, fmt.Sprint("k", i), ""); got != "from quiet" {
-			t.Fatalf("the kept connection: %q after %v %+v", got, time.Since(from), w.d.Figures())
+			t.Fatalf("the kept connection: %q after %v %+v", got, time.Since(from), w.d.PoolStats())
 		}
 	}
 	t.Logf("%d newcomers came in with %d tries", newcomers, tries)
@@ -568,7 +568,7 @@
 		all = append(all, p)
 	}
 	refused := func() uint64 {
-		for _, f := range w.d.Figures() {
+		for _, f := range w.d.PoolStats() {
 			if f.Name == "loud" {
 				return f.Memory.Refused
 			}
@@ -587,16 +587,16 @@
 			t.Fatalf("a long command of the quiet pool: %q", got)
 		}
 	}
-	if pot := w.d.shares.memory; pot.Held() > pot.Total()+128<<10 { // answers on their way are counted whatever there is
+	if pot := w.d.limits.memory; pot.Held() > pot.Total()+128<<10 { // answers on their way are counted whatever there is
 		t.Errorf("%d bytes held of %d", pot.Held(), pot.Total())
 	}
 	for _, p := range all {
 		p.NC.Close()
 	}
 	p.NC.Close()
-	for end := time.Now().Add(peer.Patient); w.d.shares.memory.Held() != 0; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(peer.Patient); w.d.limits.memory.Held() != 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%d bytes stay held when all clients have gone: %+v", w.d.shares.memory.Held(), w.d.Figures())
+			t.Fatalf("%d bytes stay held when all clients have gone: %+v", w.d.limits.memory.Held(), w.d.PoolStats())
 		}
 	}
 }
@@ -634,7 +634,7 @@
 	if n := burst("quiet.org", "q", 4); n != 4 { // as many as the module sends to a server at first
 		t.Errorf("%d of 4 of the quiet pool served", n)
 	}
-	if pot := w.d.shares.sockets; pot.Held() > pot.Total() {
+	if pot := w.d.limits.sockets; pot.Held() > pot.Total() {
 		t.Errorf("%d sockets of %d", pot.Held(), pot.Total())
 	}
 }
@@ -875,7 +875,7 @@
 	if err := w.d.Reload(cfg); err != nil {
 		t.Fatal(err)
 	}
-	w.d.leaves.Wait()
+	w.d.removals.Wait()
 	if text = scrape(); strings.Contains(text, `pool="b"`) || !strings.Contains(text, `pool="a"`) {
 		t.Errorf("the removed pool's figures are kept, or all are gone:\n%s", text)
 	}
@@ -891,7 +891,7 @@
 	table := cfg.Routes
 	var out strings.Builder
 	r := &router{log: slog.New(slog.NewTextHandler(&out, &slog.HandlerOptions{Level: slog.LevelDebug}))}
-	r.view.Store(&view{table: table})
+	r.state.Store(&routerState{table: table})
 	r.Route(&route.Query{Host: "c.org"})
 	r.Route(&route.Query{Host: "b.org"})
 	for _, want := range []string{`host=c.org`, `pool=a passed=" b:host"`, `rule=b pool=b passed=""`} {
--- a/internal/service/hosted/recovery.go
+++ b/internal/service/hosted/recovery.go
@@ -1,10 +1,8 @@
 package hosted
 
 import (
-	"bufio"
 	"fmt"
 	"math/rand/v2"
-	"net"
 	"sync"
 	"time"
 
@@ -13,203 +11,199 @@
 )
 
 const (
-	lookEvery   = 20 * time.Millisecond  // at how far the door has come
-	askSpread   = 300 * time.Millisecond // over which the doors of a fleet ask the counter whether it is there
-	askEach     = 250 * time.Millisecond // and how often one asks until it answers
-	askLongest  = 200 * time.Millisecond // for an answer
-	trustedMost = 16                     // lines on what was trusted and what was thrown away
+	// recoveryInterval is how often the steps of the recovery are advanced.
+	recoveryInterval = 20 * time.Millisecond
+	// maxDiskReportLines bounds the report on what was taken from the disk.
+	maxDiskReportLines = 16
+
+	// noKeyQuorumText is the reason of keys that are not ready where the replica gives none.
+	noKeyQuorumText = "too few voters answer for keys: changes are refused"
 )
 
-// comingBack takes this process through the steps of its recovery, and keeps clients out until the last.
-type comingBack struct {
-	s      *Service
-	closed *proxy.StartupBarrier
-	stop   chan struct{}
-	ended  sync.WaitGroup
+// startupRecovery takes this process through the steps of its recovery, and rejects clients until the last is done. A
+// nil startupRecovery stands for a gateway that stands alone; of such a one only the methods that say so may be called.
+type startupRecovery struct {
+	service    *Service
+	barrier    *proxy.StartupBarrier
+	stopped    chan struct{}
+	goroutines sync.WaitGroup
 
+	// mu is held while the fields below are used.
 	mu      sync.Mutex
 	machine *recovery.Machine
-	counter bool     // it has answered
-	trusted []string // what was taken from the disk, and what was not
+	// hasCounterAnswered tells that all counters have.
+	hasCounterAnswered bool
+	// diskReport has a line for each thing that was taken from the disk, or was not.
+	diskReport []string
+}
+
+// RecoveryView is how far a gateway's recovery has come, as operators see it.
+type RecoveryView struct {
+	// Name is that of the gateway.
+	Name string `json:"name"`
+	// Open tells whether clients are let in.
+	Open bool `json:"open"`
+	// Steps are all steps in order.
+	Steps []recovery.StepView `json:"steps"`
+	// Trusted tells what was taken from the disk, and what was not.
+	Trusted []string `json:"trusted"`
 }
 
-// newComingBack begins it: the disk has been read.
-func (s *Service) newComingBack(cfg *Config) *comingBack {
-	c := &comingBack{s: s, stop: make(chan struct{})}
-	c.trust(fmt.Sprintf("incarnation %d, by the disk", s.fleet.disk.Incarnation()))
-	t := recovery.Config{
+// newStartupRecovery returns the recovery at its first step. The disk must have been read.
+func (s *Service) newStartupRecovery(cfg *Config) *startupRecovery {
+	r := &startupRecovery{service: s, stopped: make(chan struct{})}
+	identity := fmt.Sprintf("incarnation %d, by the disk", s.cluster.identity.Incarnation())
+	r.reportDisk(identity)
+	if s.keys != nil && s.keys.View().IsVoter {
+		r.reportDisk(s.keys.DiskSummary())
+	}
+	if s.policy != nil {
+		if version := s.policy.replica.StoredVersion().Number; version > 0 {
+			r.reportDisk(fmt.Sprintf("policy: the disk has version %d, "+
+				"which is gone by only if the voters say that it is present", version))
+		}
+	}
+	r.reportDisk("thrown away by rule: shares, leases, loans, balances, what was known of servers")
+	r.machine = recovery.New(s.clock.Now(), s.recoveryConfig(cfg), identity)
+	r.barrier = proxy.NewStartupBarrier(r.retryAfter)
+	return r
+}
+
+// recoveryConfig returns which conditions there are to wait for.
+func (s *Service) recoveryConfig(cfg *Config) recovery.Config {
+	config := recovery.Config{
 		Gateways:       len(cfg.Fleet.Gateways),
 		HasPolicy:      s.policy != nil,
 		PolicyRequired: s.policy != nil && !cfg.Fleet.Policy.UseLastKnown,
+		HasKeys:        s.keys != nil,
 	}
 	for i := range cfg.Pools {
-		t.HasCounter = t.HasCounter || cfg.Pools[i].Node.Counter != ""
-	}
-	if s.keys != nil {
-		v := s.keys.View()
-		if t.HasKeys = true; v.IsVoter {
-			c.trust(s.keys.DiskSummary())
-		}
-	}
-	if s.policy != nil {
-		if v := s.policy.replica.StoredVersion(); v.Number > 0 {
-			c.trust(fmt.Sprintf("policy: the disk has version %d, which is gone by only if the voters say that it is present", v.Number))
-		}
+		config.HasCounter = config.HasCounter || cfg.Pools[i].Node.Counter != ""
 	}
-	c.trust("thrown away by rule: shares, leases, loans, balances, what was known of servers")
-	c.machine = recovery.New(s.clock.Now(), t, c.trusted[0])
-	c.closed = proxy.NewStartupBarrier(c.pause)
-	return c
+	return config
 }
 
-func (c *comingBack) trust(line string) {
-	if len(c.trusted) < trustedMost {
-		c.trusted = append(c.trusted, line)
+// reportDisk adds a line to the report on the disk.
+func (r *startupRecovery) reportDisk(line string) {
+	if len(r.diskReport) < maxDiskReportLines {
+		r.diskReport = append(r.diskReport, line)
 	}
 }
 
-func (c *comingBack) pause() time.Duration {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.machine.RetryAfter(c.s.clock.Now(), rand.Float64)
+// retryAfter returns what a client that is rejected now is told.
+func (r *startupRecovery) retryAfter() time.Duration {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.machine.RetryAfter(r.service.clock.Now(), rand.Float64)
 }
 
-func (c *comingBack) begin() {
-	if c == nil {
+// start starts the recovery. A nil recovery has none.
+func (r *startupRecovery) start() {
+	if r == nil {
 		return
 	}
-	c.ended.Go(c.askCounter)
-	c.ended.Go(func() {
-		tick := time.NewTicker(lookEvery)
-		defer tick.Stop()
-		for !c.look() {
-			select {
-			case <-tick.C:
-			case <-c.stop:
-				return
-			}
-		}
-	})
+	r.goroutines.Go(r.awaitCounters)
+	r.goroutines.Go(r.run)
 }
 
-func (c *comingBack) end() {
-	if c == nil {
+// stop ends the recovery, whatever its step, and waits for that. A nil recovery has none.
+func (r *startupRecovery) stop() {
+	if r == nil {
 		return
 	}
-	close(c.stop)
-	c.ended.Wait()
+	close(r.stopped)
+	r.goroutines.Wait()
 }
 
-// look sees how things stand, and says whether clients are let in.
-func (c *comingBack) look() bool {
-	s := c.s
-	v := s.fleet.peers.View()
-	seen := recovery.Observation{HasRival: v.HasDuplicate, EndpointsServing: s.Ready()}
-	for _, d := range v.Gateways {
-		if d.Name != v.Name && d.IsPresent() {
-			seen.PeersHeard++
-		}
-	}
-	if s.policy != nil {
-		p := s.policy.replica.View()
-		seen.PolicyVersion, seen.MayDecide = p.Version.Number, p.DecidesUntil > s.clock.Now()
-	}
-	if s.keys != nil {
-		k := s.keys.View()
-		if seen.KeysReady, seen.KeysReason = s.keys.HasQuorum() && (k.Ready || !k.IsVoter), k.Reason; seen.KeysReason == "" {
-			seen.KeysReason = "too few voters answer for keys: changes are refused"
+// run advances the recovery until clients are let in.
+func (r *startupRecovery) run() {
+	tick := time.NewTicker(recoveryInterval)
+	defer tick.Stop()
+	for !r.advance() {
+		select {
+		case <-tick.C:
+		case <-r.stopped:
+			return
 		}
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	seen.CounterAnswered = c.counter
-	for _, e := range c.machine.Advance(s.clock.Now(), seen) {
-		s.log.Info("recovery", "step", e.Step, "is", e.State, "after", e.Since.Round(time.Millisecond), "what", e.Detail)
-	}
-	if !c.machine.IsOpen() {
+}
+
+// advance finishes the steps whose conditions are met. After the last it lets clients in and returns true.
+func (r *startupRecovery) advance() (isOpen bool) {
+	observed := r.service.observeRecovery()
+	log, now := r.service.log, r.service.clock.Now
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	observed.CounterAnswered = r.hasCounterAnswered
+	for _, step := range r.machine.Advance(now(), observed) {
+		log.Info("recovery",
+			"step", step.Step,
+			"is", step.State,
+			"after", step.Since.Round(time.Millisecond),
+			"what", step.Detail)
+	}
+	if !r.machine.IsOpen() {
 		return false
 	}
-	c.closed.Open()
-	s.log.Info("recovery: clients are let in", "after", c.machine.Current().Since.Round(time.Millisecond))
+	r.barrier.Open()
+	log.Info("recovery: clients are let in", "after", r.machine.Current().Since.Round(time.Millisecond))
 	return true
 }
 
-// askCounter asks each counter once it is there, at no cost to it; doors that start together do so spread out.
-func (c *comingBack) askCounter() {
-	c.s.mu.Lock()
-	addrs := map[string]bool{}
-	for i := range c.s.cfg.Pools {
-		if a := c.s.cfg.Pools[i].Node.Counter; a != "" {
-			addrs[a] = true
+// observeRecovery returns what the recovery waits for, but for the counters.
+func (s *Service) observeRecovery() recovery.Observation {
+	view := s.cluster.transport.View()
+	observed := recovery.Observation{HasRival: view.HasDuplicate, EndpointsServing: s.Ready()}
+	for _, gateway := range view.Gateways {
+		if gateway.Name != view.Name && gateway.IsPresent() {
+			observed.PeersHeard++
 		}
 	}
-	c.s.mu.Unlock()
-	wait := rand.N(askSpread)
-	for len(addrs) > 0 {
-		select {
-		case <-time.After(wait):
-		case <-c.stop:
-			return
-		}
-		for a := range addrs {
-			if ping(a) {
-				delete(addrs, a)
-			}
-		}
-		if wait = askEach/2 + rand.N(askEach); c.open() {
-			return
+	if s.policy != nil {
+		policy := s.policy.replica.View()
+		observed.PolicyVersion = policy.Version.Number
+		observed.MayDecide = policy.DecidesUntil > s.clock.Now()
+	}
+	if s.keys != nil {
+		keys := s.keys.View()
+		observed.KeysReady = s.keys.HasQuorum() && (keys.Ready || !keys.IsVoter)
+		observed.KeysReason = keys.Reason
+		if observed.KeysReason == "" {
+			observed.KeysReason = noKeyQuorumText
 		}
 	}
-	c.mu.Lock()
-	c.counter = true
-	c.mu.Unlock()
+	return observed
 }
 
-func (c *comingBack) open() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.machine.IsOpen()
+// isOpen reports whether clients are let in.
+func (r *startupRecovery) isOpen() bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.machine.IsOpen()
 }
 
-// ping asks a counter whether it is there.
-func ping(addr string) bool {
-	nc, err := net.DialTimeout("tcp", addr, askLongest)
-	if err != nil {
-		return false
-	}
-	defer nc.Close()
-	nc.SetDeadline(time.Now().Add(askLongest))
-	if _, err := nc.Write([]byte("ping\r\n")); err != nil {
-		return false
+// view returns how far the recovery has come.
+func (r *startupRecovery) view() RecoveryView {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return RecoveryView{
+		Name:    r.service.cfg.Node.Name,
+		Open:    r.machine.IsOpen(),
+		Steps:   r.machine.Steps(),
+		Trusted: r.diskReport,
 	}
-	_, err = bufio.NewReaderSize(nc, 16).ReadSlice('\n')
-	return err == nil
-}
-
-// RecoveryView is how far a door has come, as operators see it.
-type RecoveryView struct {
-	Name    string              `json:"name"`
-	Open    bool                `json:"open"` // clients are let in
-	Steps   []recovery.StepView `json:"steps"`
-	Trusted []string            `json:"trusted"` // what was taken from the disk, and what was not
-}
-
-func (c *comingBack) view() RecoveryView {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return RecoveryView{Name: c.s.cfg.Node.Name, Open: c.machine.IsOpen(), Steps: c.machine.Steps(), Trusted: c.trusted}
 }
 
-// step is the present one in few words, for the other doors' operators.
-func (c *comingBack) step() string {
-	if c == nil {
+// currentStep describes the current step to operators at other gateways. A nil recovery has none.
+func (r *startupRecovery) currentStep() string {
+	if r == nil {
 		return ""
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	v := c.machine.Current()
-	if c.machine.IsOpen() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.machine.IsOpen() {
 		return "open"
 	}
-	return fmt.Sprintf("%s: %s", v.Step, v.Detail)
+	step := r.machine.Current()
+	return fmt.Sprintf("%s: %s", step.Step, step.Detail)
 }
