--- a/internal/service/hosted/fleet_test.go
+++ b/internal/service/hosted/config_fleet_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"gapgap/internal/balancer"
-	parting "gapgap/internal/balancer/quotashare"
+	"gapgap/internal/balancer/quotashare"
 )
 
 // fleetExample is an example of a fleet under deploy with paths that are there.
@@ -34,7 +34,8 @@
 		t.Fatal(err)
 	}
 	s := c.Node.Settings
-	if !s.LeasedShares || !s.LeaseCeilings || s.Gateways != 3 || s.Index != 0 || s.Plans[0].PartitionPolicy != parting.KeepQuota || c.Fleet.Index != 0 || len(c.Fleet.Gateways) != 3 {
+	if !s.LeasedShares || !s.LeaseCeilings || s.Gateways != 3 || s.Index != 0 ||
+		s.Plans[0].PartitionPolicy != quotashare.KeepQuota || c.Fleet.Index != 0 || len(c.Fleet.Gateways) != 3 {
 		t.Errorf("%+v, %+v", s, c.Fleet)
 	}
 	for _, bad := range []struct{ old, new, key string }{
@@ -58,23 +59,25 @@
 			t.Errorf("%s: %v, wanted %s", bad.new, err, bad.key)
 		}
 	}
-	// Without [fleet] a door behaves as before, and what needs it is an error.
+	// Without [fleet] a gateway behaves as before, and what needs it is an error.
 	alone := example(t)
-	if c, err = Parse("x", []byte(alone)); err != nil || c.Fleet != nil || c.Node.Settings.LeasedShares || c.Node.Settings.LeaseCeilings {
+	c, err = Parse("x", []byte(alone))
+	if err != nil || c.Fleet != nil || c.Node.Settings.LeasedShares || c.Node.Settings.LeaseCeilings {
 		t.Errorf("%+v, %v", c, err)
 	}
-	if _, err := Parse("x", []byte(strings.Replace(alone, "ceiling_rate", "when_cut_off = \"keep\"\nceiling_rate", 1))); err == nil ||
-		!strings.Contains(err.Error(), "wants [fleet]") {
+	cutOff := strings.Replace(alone, "ceiling_rate", "when_cut_off = \"keep\"\nceiling_rate", 1)
+	if _, err := Parse("x", []byte(cutOff)); err == nil || !strings.Contains(err.Error(), "wants [fleet]") {
 		t.Error(err)
 	}
 }
 
-// wrong changes a good file in some ways, and wants an error of each that names its key and line.
-func wrong(t *testing.T, good string, ways [][3]string) {
+// checkFieldErrors changes a good file in some ways, and wants an error of each that names its key and line.
+func checkFieldErrors(t *testing.T, good string, ways [][3]string) {
 	t.Helper()
 	for _, w := range ways {
 		var e *Error
-		if _, err := Parse("x", []byte(strings.Replace(good, w[0], w[1], 1))); !errors.As(err, &e) || e.Key != w[2] || e.Line == 0 {
+		_, err := Parse("x", []byte(strings.Replace(good, w[0], w[1], 1)))
+		if !errors.As(err, &e) || e.Key != w[2] || e.Line == 0 {
 			t.Errorf("%s: %v", w[1], err)
 		}
 	}
@@ -84,14 +87,21 @@
 func TestPowerExampleIsGood(t *testing.T) {
 	good := fleetExample(t, "gapgapd-power.toml")
 	c, err := Parse("x", []byte(good))
-	if err != nil || c.Fleet.KeyRetention == nil || c.Fleet.KeyRetention.Duration != 10*time.Minute || c.Fleet.KeyRetention.MaxKeys != 500_000 {
+	if err != nil || c.Fleet.KeyRetention == nil || c.Fleet.KeyRetention.Duration != 10*time.Minute ||
+		c.Fleet.KeyRetention.MaxKeys != 500_000 {
 		t.Fatalf("%+v, %v", c, err)
 	}
-	if cl := c.Node.Settings.Classes; cl[0].KeyReserved || !cl[1].KeyReserved || cl[1].Idempotency != balancer.NonIdempotent {
+	if cl := c.Node.Settings.Classes; cl[0].KeyReserved || !cl[1].KeyReserved ||
+		cl[1].Idempotency != balancer.NonIdempotent {
 		t.Errorf("%+v", cl)
 	}
-	wrong(t, good, [][3]string{{`for = "10m"`, `for = "1s"`, "fleet.remember.for"}, {`most = 500000`, `most = -1`, "fleet.remember.most"},
-		{`remember = "disk"`, `remember = "tape"`, "class[1].remember"}, {`effect = "keyed"`, `effect = "unsafe"`, "class[1].remember"}, {`for = "10m"`, `age = "10m"`, "fleet.remember.age"}})
+	checkFieldErrors(t, good, [][3]string{
+		{`for = "10m"`, `for = "1s"`, "fleet.remember.for"},
+		{`most = 500000`, `most = -1`, "fleet.remember.most"},
+		{`remember = "disk"`, `remember = "tape"`, "class[1].remember"},
+		{`effect = "keyed"`, `effect = "unsafe"`, "class[1].remember"},
+		{`for = "10m"`, `age = "10m"`, "fleet.remember.age"},
+	})
 }
 
 // The example of a fleet with one policy is good, and what is wrong with [fleet.policy] is told by its key.
@@ -101,8 +111,12 @@
 	if err != nil || c.Fleet.Policy == nil || c.Fleet.Policy.Fence || c.Fleet.Policy.UseLastKnown {
 		t.Fatalf("%+v, %v", c, err)
 	}
-	wrong(t, good, [][3]string{{`mode = "wait"`, `mode = "now"`, "fleet.policy.mode"}, {`give_up = "30s"`, `give_up = "1ms"`, "fleet.policy.give_up"},
-		{`without_quorum = "refuse"`, `without_quorum = "maybe"`, "fleet.policy.without_quorum"}, {`give_up = "30s"`, `after = "3s"`, "fleet.policy.after"}})
+	checkFieldErrors(t, good, [][3]string{
+		{`mode = "wait"`, `mode = "now"`, "fleet.policy.mode"},
+		{`give_up = "30s"`, `give_up = "1ms"`, "fleet.policy.give_up"},
+		{`without_quorum = "refuse"`, `without_quorum = "maybe"`, "fleet.policy.without_quorum"},
+		{`give_up = "30s"`, `after = "3s"`, "fleet.policy.after"},
+	})
 	// The policy that is taken out of the file stands for the file's.
 	doc, err := policyOf([]byte(good))
 	if err != nil {
@@ -113,11 +127,14 @@
 		t.Errorf("%v\n%s", err, doc)
 	}
 	var e *Error
-	if _, err := ParseWith("x", []byte(good), "policy", append([]byte("[node]\nname = \"n2\"\n"), doc...)); !errors.As(err, &e) || e.Key != "node" || e.File != "policy" || e.Line != 1 {
+	withNode := append([]byte("[node]\nname = \"n2\"\n"), doc...)
+	_, err = ParseWith("x", []byte(good), "policy", withNode)
+	if !errors.As(err, &e) || e.Key != "node" || e.File != "policy" || e.Line != 1 {
 		t.Errorf("a node's part in a policy: %v", err)
 	}
 	changed := strings.Replace(string(doc), "ceiling_rate = 40.0", "ceiling_rate = -1.0", 1)
-	if _, err := ParseWith("x", []byte(good), "policy", []byte(changed)); !errors.As(err, &e) || e.File != "policy" || e.Key != "plan[0].ceiling_rate" || e.Line == 0 {
+	_, err = ParseWith("x", []byte(good), "policy", []byte(changed))
+	if !errors.As(err, &e) || e.File != "policy" || e.Key != "plan[0].ceiling_rate" || e.Line == 0 {
 		t.Errorf("a bad plan: %v", err)
 	}
 }
--- a/internal/service/hosted/config_test.go
+++ b/internal/service/hosted/config_test.go
@@ -27,7 +27,8 @@
 		t.Fatal(err)
 	}
 	s := c.Node.Settings
-	if s.Gateways != 3 || s.MaxRetryAfter != 5*time.Second || s.Classes[1].Idempotency != balancer.IdempotentByKey || s.Plans[1].CeilingRate != 40 ||
+	if s.Gateways != 3 || s.MaxRetryAfter != 5*time.Second || s.Classes[1].Idempotency != balancer.IdempotentByKey ||
+		s.Plans[1].CeilingRate != 40 ||
 		s.DrainGrace != 250*time.Millisecond || !s.UseCounter || s.MaxRequestUnits != 10 {
 		t.Errorf("settings %+v", s)
 	}
@@ -35,7 +36,8 @@
 		t.Fatalf("listeners %+v", c.Listeners)
 	}
 	r := c.Listeners[1].Authz.Routes
-	if r[0].Dialect != extauthz.Nginx || r[0].Repeat != extauthz.ByRequestID || r[0].DefaultClass != "evaluate" || r[1].NonceHeader != "Idempotency-Key" ||
+	if r[0].Dialect != extauthz.Nginx || r[0].Repeat != extauthz.ByRequestID || r[0].DefaultClass != "evaluate" ||
+		r[1].NonceHeader != "Idempotency-Key" ||
 		r[3].Identify[0] != extauthz.ByCertificate || r[3].UnitsHeader != "X-Units" {
 		t.Errorf("routes %+v", r)
 	}
@@ -54,7 +56,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(c.Pools) != 2 || c.Routes.Len() != 2 || !c.SharesCPU || c.Pools[0].CounterSpace != "" || c.Pools[1].CounterSpace != "audit" || c.Pools[0].Weight != 2 {
+	if len(c.Pools) != 2 || c.Routes.Len() != 2 || !c.SharesCPU || c.Pools[0].CounterSpace != "" ||
+		c.Pools[1].CounterSpace != "audit" ||
+		c.Pools[0].Weight != 2 {
 		t.Errorf("%+v", c.Pools)
 	}
 	for _, bad := range []struct{ old, new, key string }{
@@ -155,7 +159,8 @@
 		}
 		// A key that is there stands on its own line; one that is missing is told by the table where it should stand.
 		want := 1 + strings.Count(good[:strings.Index(good, c.old)], "\n")
-		if c.new != "" && !strings.Contains(c.new, "\n") && c.key != "verdicts" && c.key != "listener[1].trusted" && e.Line != want {
+		if c.new != "" && !strings.Contains(c.new, "\n") && c.key != "verdicts" && c.key != "listener[1].trusted" &&
+			e.Line != want {
 			t.Errorf("%s: line %d, want %d", c.key, e.Line, want)
 		}
 		if e.Line == 0 {
--- a/internal/service/hosted/forwardauth_conn_test.go
+++ b/internal/service/hosted/forwardauth_conn_test.go
@@ -40,7 +40,7 @@
 func TestForwardAuthHTTP2(t *testing.T) {
 	w := start(t, 1)
 	c := h2c()
-	req, _ := http.NewRequest(http.MethodGet, w.doors[0].http+"/traefik", nil)
+	req, _ := http.NewRequest(http.MethodGet, w.gateways[0].http+"/traefik", nil)
 	req.Header = http.Header{"X-Forwarded-Method": {"GET"}, "X-Forwarded-Uri": {"/"}, "X-Forwarded-Host": {"x"},
 		"Authorization": {"Bearer key-free"}}
 	for range 50 {
@@ -48,9 +48,9 @@
 		if err != nil || res.StatusCode != 200 || res.ProtoMajor != 2 {
 			t.Fatalf("%+v %v", res, err)
 		}
-		res.Body.Close()
+		_ = res.Body.Close()
 	}
-	if n := w.doors[0].Conns.Len(); n != 1 {
+	if n := w.gateways[0].Conns.Len(); n != 1 {
 		t.Errorf("%d connections for one client", n)
 	}
 }
@@ -62,11 +62,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { nc.Close() })
-	nc.SetDeadline(time.Now().Add(peer.Patient))
-	io.WriteString(nc, http2.ClientPreface)
+	t.Cleanup(func() { _ = nc.Close() })
+	_ = nc.SetDeadline(time.Now().Add(peer.Patient))
+	_, _ = io.WriteString(nc, http2.ClientPreface)
 	f := http2.NewFramer(nc, nc)
-	f.WriteSettings()
+	_ = f.WriteSettings()
 	return f, nc
 }
 
@@ -74,19 +74,28 @@
 	var b bytes.Buffer
 	e := hpack.NewEncoder(&b)
 	for i := 0; i < len(fields); i += 2 {
-		e.WriteField(hpack.HeaderField{Name: fields[i], Value: fields[i+1]})
+		_ = e.WriteField(hpack.HeaderField{Name: fields[i], Value: fields[i+1]})
 	}
 	return b.Bytes()
 }
 
-// Streams opened and reset by thousands, or opened beyond what is allowed, or held half open: the connection is ended or
-// its streams refused, nothing is left behind, and others are answered meanwhile.
+// Streams opened and reset by thousands, or opened beyond what is allowed, or held half open: the connection is ended
+// or its streams refused, nothing is left behind, and others are answered meanwhile.
 func TestForwardAuthStreamFloods(t *testing.T) {
-	check := block(":method", "GET", ":scheme", "http", ":path", "/traefik", ":authority", "x", "x-forwarded-method", "GET",
-		"x-forwarded-uri", "/", "x-forwarded-host", "x", "authorization", "Bearer key-free")
+	check := block(":method", "GET", ":scheme", "http", ":path", "/traefik", ":authority", "x",
+		"x-forwarded-method", "GET", "x-forwarded-uri", "/", "x-forwarded-host", "x",
+		"authorization", "Bearer key-free")
 	for name, flood := range map[string]func(f *http2.Framer, id uint32) error{
 		"resets": func(f *http2.Framer, id uint32) error {
-			f.WriteHeaders(http2.HeadersFrameParam{StreamID: id, BlockFragment: check, EndHeaders: true, EndStream: true})
+			headers := http2.HeadersFrameParam{
+				StreamID:      id,
+				BlockFragment: check,
+				EndHeaders:    true,
+				EndStream:     true,
+			}
+			if err := f.WriteHeaders(headers); err != nil {
+				return err
+			}
 			return f.WriteRSTStream(id, http2.ErrCodeCancel)
 		},
 		"half open": func(f *http2.Framer, id uint32) error {
@@ -103,10 +112,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := start(t, 1)
-			d := w.doors[0]
+			d := w.gateways[0]
 			before := runtime.NumGoroutine()
 			f, nc := framer(t, d.Addr("http").String())
-			go io.Copy(io.Discard, nc)
+			go func() { _, _ = io.Copy(io.Discard, nc) }()
 			for id := uint32(1); id < 10_000; id += 2 {
 				if flood(f, id) != nil {
 					break // ended by the other side
@@ -120,7 +129,7 @@
 			if n := runtime.NumGoroutine() - before; n > 400 {
 				t.Errorf("%d goroutines more", n)
 			}
-			nc.Close()
+			_ = nc.Close()
 			for end := time.Now().Add(peer.Patient); d.Memory.Held() > 0; time.Sleep(time.Millisecond) {
 				if time.Now().After(end) {
 					t.Fatalf("%d bytes are held", d.Memory.Held())
@@ -134,20 +143,21 @@
 // check is open does not.
 func TestForwardAuthConnectionsShareOneBudget(t *testing.T) {
 	w := start(t, 1, "sockets = 2048", "sockets = 10") // 6 for clients
-	d := w.doors[0]
+	d := w.gateways[0]
 	var idle []net.Conn
 	for range d.Conns.Max() {
 		nc, err := net.Dial("tcp", d.Addr("http").String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { nc.Close() })
-		nc.SetDeadline(time.Now().Add(peer.Patient))
-		io.WriteString(nc, "GET /none HTTP/1.1\r\nHost: x\r\n\r\n")
-		nc.Read(make([]byte, 4096))
+		t.Cleanup(func() { _ = nc.Close() })
+		_ = nc.SetDeadline(time.Now().Add(peer.Patient))
+		_, _ = io.WriteString(nc, "GET /none HTTP/1.1\r\nHost: x\r\n\r\n")
+		_, _ = nc.Read(make([]byte, 4096))
 		idle = append(idle, nc)
 	}
-	for end := time.Now().Add(peer.Patient); ; time.Sleep(20 * time.Millisecond) { // some have been idle long enough by then
+	// some have been idle long enough by then
+	for end := time.Now().Add(peer.Patient); ; time.Sleep(20 * time.Millisecond) {
 		p := peer.Dial(t, d.resp)
 		p.Command("PING")
 		if m, err := p.Try(); err == nil && m[0] == "+PONG" {
@@ -155,11 +165,11 @@
 		} else if time.Now().After(end) {
 			t.Fatalf("no room is made: %v %v", m, err)
 		}
-		p.NC.Close()
+		_ = p.NC.Close()
 	}
 	ended := 0
 	for _, nc := range idle {
-		nc.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
+		_ = nc.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 		if _, err := nc.Read(make([]byte, 1)); errors.Is(err, io.EOF) || err != nil && !os.IsTimeout(err) {
 			ended++
 		}
@@ -175,7 +185,7 @@
 // With every place held by a check that is open, a newcomer is told so and nothing is closed.
 func TestForwardAuthBusyConnectionsStay(t *testing.T) {
 	w := start(t, 1, "sockets = 2048", "sockets = 10")
-	d := w.doors[0]
+	d := w.gateways[0]
 	spend(t, d, "small", 6)
 	resume := w.counter.Stall()
 	defer resume()
@@ -221,10 +231,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	tmpl := &x509.Certificate{SerialNumber: big.NewInt(time.Now().UnixNano()), Subject: pkix.Name{CommonName: name}, DNSNames: []string{name},
-		NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour), IsCA: isCA, BasicConstraintsValid: true,
-		IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)}, KeyUsage: x509.KeyUsageDigitalSignature | x509.KeyUsageCertSign,
-		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}}
+	tmpl := &x509.Certificate{
+		SerialNumber:          big.NewInt(time.Now().UnixNano()),
+		Subject:               pkix.Name{CommonName: name},
+		DNSNames:              []string{name},
+		NotBefore:             time.Now().Add(-time.Hour),
+		NotAfter:              time.Now().Add(time.Hour),
+		IsCA:                  isCA,
+		BasicConstraintsValid: true,
+		IPAddresses:           []net.IP{net.IPv4(127, 0, 0, 1)},
+		KeyUsage:              x509.KeyUsageDigitalSignature | x509.KeyUsageCertSign,
+		ExtKeyUsage:           []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
+	}
 	parent, signer := tmpl, any(key)
 	if ca != nil {
 		parent, signer = ca.Leaf, ca.PrivateKey
@@ -233,10 +251,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	raw, _ := x509.MarshalPKCS8PrivateKey(key)
-	cert, secret := pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der}), pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: raw})
-	os.WriteFile(filepath.Join(dir, name+".pem"), cert, 0o600)
-	os.WriteFile(filepath.Join(dir, name+".key"), secret, 0o600)
+	raw, err := x509.MarshalPKCS8PrivateKey(key)
+	if err != nil {
+		t.Fatal(err)
+	}
+	cert := pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der})
+	secret := pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: raw})
+	if err := os.WriteFile(filepath.Join(dir, name+".pem"), cert, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(filepath.Join(dir, name+".key"), secret, 0o600); err != nil {
+		t.Fatal(err)
+	}
 	pair, err := tls.X509KeyPair(cert, secret)
 	if err != nil {
 		t.Fatal(err)
@@ -249,9 +275,10 @@
 	dir := t.TempDir()
 	ca, otherCA := keyPair(t, dir, "ca", nil, true), keyPair(t, dir, "otherca", nil, true)
 	keyPair(t, dir, "server", &ca, false)
-	w := start(t, 1, `trusted = ["127.0.0.1"]`, fmt.Sprintf("trusted_certificates = [\"proxy\"]\ntls = {certificate=%q, key=%q, client_ca=%q}",
-		dir+"/server.pem", dir+"/server.key", dir+"/ca.pem"))
-	url := "https://" + w.doors[0].Addr("http").String() + "/traefik"
+	w := start(t, 1, `trusted = ["127.0.0.1"]`,
+		fmt.Sprintf("trusted_certificates = [\"proxy\"]\ntls = {certificate=%q, key=%q, client_ca=%q}",
+			dir+"/server.pem", dir+"/server.key", dir+"/ca.pem"))
+	url := "https://" + w.gateways[0].Addr("http").String() + "/traefik"
 	roots := x509.NewCertPool()
 	roots.AddCert(ca.Leaf)
 	for _, h2 := range []bool{false, true} {
@@ -266,7 +293,8 @@
 		} {
 			tr := &http.Transport{ForceAttemptHTTP2: h2, TLSClientConfig: &tls.Config{RootCAs: roots}}
 			if c.certs != nil { // shown whatever authorities the server names
-				tr.TLSClientConfig.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return &c.certs[0], nil }
+				show := func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return &c.certs[0], nil }
+				tr.TLSClientConfig.GetClientCertificate = show
 			}
 			code, _, _, err := try(&http.Client{Transport: tr, Timeout: peer.Patient}, url, bearer("free")...)
 			if code != c.want || (err != nil) != (c.want == 0) {
@@ -275,33 +303,34 @@
 			tr.CloseIdleConnections()
 		}
 	}
-	if code, _, _, err := try(client(), strings.Replace(url, "https", "http", 1), bearer("free")...); err == nil && code < 400 {
+	code, _, _, err := try(client(), strings.Replace(url, "https", "http", 1), bearer("free")...)
+	if err == nil && code < 400 {
 		t.Errorf("without TLS: %d", code)
 	}
 }
 
-// A front door that has served, been flooded and shut down leaves no goroutine behind.
+// A gateway that has served, been flooded and shut down leaves no goroutine behind.
 func TestForwardAuthLeavesNothingBehind(t *testing.T) {
 	ignore := goleak.IgnoreCurrent()
 	w := start(t, 1)
 	for _, c := range []*http.Client{client(), h2c()} {
 		for range 20 {
-			ask(t, c, w.doors[0].http+"/traefik", bearer("free")...)
+			ask(t, c, w.gateways[0].http+"/traefik", bearer("free")...)
 		}
 		c.CloseIdleConnections()
 	}
-	half, err := net.Dial("tcp", w.doors[0].Addr("http").String())
+	half, err := net.Dial("tcp", w.gateways[0].Addr("http").String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	io.WriteString(half, "GET / HT")
-	p := peer.Dial(t, w.doors[0].resp)
+	_, _ = io.WriteString(half, "GET / HT")
+	p := peer.Dial(t, w.gateways[0].resp)
 	p.Command("Q.ASK", customers["free"], "1", "c=evaluate,t=open,d=2000,units=1,spread=1,first=0")
 	p.Message()
-	w.doors[0].stop()
-	<-w.doors[0].ended
-	half.Close()
-	p.NC.Close()
+	w.gateways[0].stop()
+	<-w.gateways[0].ended
+	_ = half.Close()
+	_ = p.NC.Close()
 	for _, s := range w.servers {
 		s.Close()
 	}
@@ -310,11 +339,11 @@
 	goleak.VerifyNone(t, ignore)
 }
 
-// A request that drips in has one deadline, however its bytes come: before the first check of a connection and after one.
-// The connection ends long before the request would be whole.
+// A request that drips in has one deadline, however its bytes come: before the first check of a connection and after
+// one. The connection ends long before the request would be whole.
 func TestForwardAuthDrippingHeaders(t *testing.T) {
 	w := start(t, 1)
-	addr := w.doors[0].Addr("http").String()
+	addr := w.gateways[0].Addr("http").String()
 	for name, before := range map[string]string{"first": "", "later": "GET /none HTTP/1.1\r\nHost: x\r\n\r\n"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -322,10 +351,10 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer nc.Close()
-			nc.SetDeadline(time.Now().Add(peer.Patient))
+			defer func() { _ = nc.Close() }()
+			_ = nc.SetDeadline(time.Now().Add(peer.Patient))
 			if before != "" {
-				io.WriteString(nc, before)
+				_, _ = io.WriteString(nc, before)
 				if _, err := nc.Read(make([]byte, 4096)); err != nil {
 					t.Fatal(err)
 				}
@@ -336,7 +365,7 @@
 				ended <- err
 			}()
 			for i := range 300 { // half a minute's worth
-				fmt.Fprintf(nc, "%c", ("GET /none HTTP/1.1\r\nX: " + strings.Repeat("y", 300))[i])
+				_, _ = fmt.Fprintf(nc, "%c", ("GET /none HTTP/1.1\r\nX: " + strings.Repeat("y", 300))[i])
 				select {
 				case err := <-ended:
 					var e net.Error
--- a/internal/service/hosted/forwardauth_quota_test.go
+++ b/internal/service/hosted/forwardauth_quota_test.go
@@ -11,16 +11,16 @@
 	"gapgap/internal/fake/peer"
 )
 
-// flood drives one account for a while from many clients at once, over RESP2, HTTP or both, through all doors, and
+// flood drives one account for a while from many clients at once, over RESP2, HTTP or both, through all gateways, and
 // returns when each of its requests went on.
 func flood(t *testing.T, w *world, account, plan string, resp, http bool, lasts time.Duration) []time.Time {
 	t.Helper()
-	const clients, pause = 8, 8 * time.Millisecond // each door gets 1,000 a second: 25 times the ceiling
+	const clients, pause = 8, 8 * time.Millisecond // each gateway gets 1,000 a second: 25 times the ceiling
 	var mu sync.Mutex
 	var went []time.Time
 	var wg sync.WaitGroup
 	end := time.Now().Add(lasts)
-	for i, d := range w.doors {
+	for i, d := range w.gateways {
 		for j := range clients {
 			if useHTTP := http && (!resp || j%2 == 0); useHTTP {
 				wg.Go(func() {
@@ -46,7 +46,7 @@
 				p := peer.Dial(t, d.resp)
 				for n := 0; time.Now().Before(end); n++ {
 					p.Command("Q.ASK", customers[account], fmt.Sprint("q", i, "-", j, "-", n),
-						fmt.Sprintf("c=evaluate,t=%s,d=1000,units=1,spread=%d,first=0", plan, len(w.doors)))
+						fmt.Sprintf("c=evaluate,t=%s,d=1000,units=1,spread=%d,first=0", plan, len(w.gateways)))
 					if _, err := p.Try(); err != nil {
 						t.Error(err)
 						return
@@ -69,23 +69,28 @@
 	return went
 }
 
-// One account, far over its ceiling, over RESP2 and HTTP at once, through one and through three front doors: in every
+// One account, far over its ceiling, over RESP2 and HTTP at once, through one and through three gateways: in every
 // window no more goes on than the ceiling gives, with its slack, and the split between the protocols changes nothing.
 func TestForwardAuthCeilingOverBothProtocols(t *testing.T) {
 	const lasts, rate, depth = 3 * time.Second, 40.0, 40.0
 	const slack = rate*0.15 + 0.1*depth // the platform's: what 150 ms give, and a tenth
-	for _, doors := range []int{1, 3} {
+	for _, gateways := range []int{1, 3} {
 		totals := map[string]float64{}
 		var mu sync.Mutex
-		t.Run(fmt.Sprint(doors, " doors"), func(t *testing.T) {
-			for name, use := range map[string][2]bool{"RESP2": {true, false}, "HTTP": {false, true}, "mixed": {true, true}} {
+		t.Run(fmt.Sprint(gateways, " doors"), func(t *testing.T) {
+			for name, use := range map[string][2]bool{
+				"RESP2": {true, false},
+				"HTTP":  {false, true},
+				"mixed": {true, true},
+			} {
 				t.Run(name, func(t *testing.T) {
 					t.Parallel()
-					went := flood(t, start(t, doors), "big", "business", use[0], use[1], lasts)
+					went := flood(t, start(t, gateways), "big", "business", use[0], use[1], lasts)
 					for i, from := range went {
 						for j := i; j < len(went); j++ {
 							if most := depth + rate*went[j].Sub(from).Seconds() + slack; float64(j-i+1) > most {
-								t.Fatalf("%d went on within %v; the ceiling with its slack is %.1f", j-i+1, went[j].Sub(from), most)
+								t.Fatalf("%d went on within %v; the ceiling with its slack is %.1f", j-i+1,
+									went[j].Sub(from), most)
 							}
 						}
 					}
@@ -101,19 +106,19 @@
 			least, most = min(least, n), max(most, n)
 		}
 		if most-least > slack+0.1*most {
-			t.Errorf("%d doors: the split changes the total: %v", doors, totals)
+			t.Errorf("%d doors: the split changes the total: %v", gateways, totals)
 		}
 		if least < 0.6*rate*lasts.Seconds() {
-			t.Errorf("%d doors: hardly anything went on: %v", doors, totals)
+			t.Errorf("%d doors: hardly anything went on: %v", gateways, totals)
 		}
 	}
 }
 
-// A check of an account that floods gets its final answer at once, and another account's checks are answered as if there
-// were no flood.
+// A check of an account that floods gets its final answer at once, and another account's checks are answered as if
+// there were no flood.
 func TestForwardAuthFloodHoldsNobodyUp(t *testing.T) {
 	w := start(t, 1)
-	d := w.doors[0]
+	d := w.gateways[0]
 	w.warm(d, "other")
 	stop := make(chan struct{})
 	var wg sync.WaitGroup
@@ -148,11 +153,11 @@
 	}
 }
 
-// The hosted accounts' plan and doors hold over all fronts: an account's requests that name another spread do not get
-// a larger share of its ceiling.
+// The hosted accounts' plan and gateways hold over all fronts: an account's requests that name another spread do not
+// get a larger share of its ceiling.
 func TestForwardAuthSpreadIsTheAccounts(t *testing.T) {
 	w := start(t, 3)
-	d := w.doors[0]
+	d := w.gateways[0]
 	p := peer.Dial(t, d.resp)
 	n := 0
 	for end := time.Now().Add(1500 * time.Millisecond); time.Now().Before(end); n++ {
--- a/internal/service/hosted/forwardauth_test.go
+++ b/internal/service/hosted/forwardauth_test.go
@@ -31,20 +31,21 @@
 				mu.Lock()
 				seen = append(seen, r)
 				mu.Unlock()
-				rw.Write([]byte("from the service"))
+				_, _ = rw.Write([]byte("from the service"))
 			})
-			p := proxy.Start(proxy.Config{Kind: kind, Check: w.doors[0].http + "/" + string(kind), Service: service})
+			p := proxy.Start(proxy.Config{Kind: kind, Check: w.gateways[0].http + "/" + string(kind), Service: service})
 			defer p.Close()
 			get := func(path string, fields ...string) (int, http.Header, string) {
 				t.Helper()
 				return ask(t, p.Client(), p.URL+path, append([]string{"Host", "flags.example.org"}, fields...)...)
 			}
-			w.warm(w.doors[0], "big")
+			w.warm(w.gateways[0], "big")
 			code, _, body := get("/v1/x?a=b", append(bearer("big"), "X-Gapgap-Account", "forged")...)
 			if code != 200 || body != "from the service" || len(seen) != 1 {
 				t.Fatalf("allowed: %d %q", code, body)
 			}
-			if h := seen[0].Header; h.Get("X-Gapgap-Account") != "big" || h.Get("X-Gapgap-Plan") != "business" || h.Get("X-Gapgap-Request-Id") == "" {
+			if h := seen[0].Header; h.Get("X-Gapgap-Account") != "big" || h.Get("X-Gapgap-Plan") != "business" ||
+				h.Get("X-Gapgap-Request-Id") == "" {
 				t.Errorf("the service sees %v", h)
 			}
 			code, h, _ := get("/v1/x", bearer("nobody")...)
@@ -82,13 +83,14 @@
 // The verdicts themselves, and the fields with them.
 func TestForwardAuthVerdicts(t *testing.T) {
 	w := start(t, 1)
-	d, c := w.doors[0], client()
+	d, c := w.gateways[0], client()
 	code, h, _ := ask(t, c, d.http+"/traefik", bearer("small")...)
 	if code != 200 || h.Get(extauthz.HeaderAccount) != "small" || h.Get(extauthz.HeaderPlan) != "starter" ||
 		h.Get("Ratelimit-Policy") != `"starter";q=6;w=60` || h.Get("Ratelimit") != `"starter";r=5;t=10` {
 		t.Errorf("allowed: %d %v", code, h)
 	}
-	if code, h, _ := ask(t, c, d.http+"/traefik", append(bearer("small"), "X-Forwarded-Uri", "//v1/%2e%2e/dear/x")...); code != 200 ||
+	dear := append(bearer("small"), "X-Forwarded-Uri", "//v1/%2e%2e/dear/x")
+	if code, h, _ := ask(t, c, d.http+"/traefik", dear...); code != 200 ||
 		h.Get("Ratelimit") != `"starter";r=0;t=60` {
 		t.Errorf("five units by an odd writing: %d %v", code, h)
 	}
@@ -111,36 +113,47 @@
 		fields []string
 		want   int
 	}{
-		"account by header":      {"/caddy", []string{"X-Account", "free"}, 200},
-		"unknown account":        {"/caddy", []string{"X-Account", "nobody"}, 401},
-		"header before key":      {"/caddy", append(bearer("free"), "X-Account", "nobody"), 401},
-		"account by certificate": {"/envoy/v1", []string{"X-Client-Cert-Name", "free.clients", "Host", "flags.example.org"}, 200},
-		"unknown certificate":    {"/envoy/v1", []string{"X-Client-Cert-Name", "x", "Host", "flags.example.org"}, 401},
-		"no header taken here":   {"/traefik", []string{"X-Account", "free"}, 401},
-		"key in its own field":   {"/traefik", []string{"X-Api-Key", "key-free"}, 200},
-		"no rule, no default":    {"/envoy/v1", append(bearer("free"), "Host", "elsewhere.example.org"), 403},
-		"prefix by segments":     {"/envoyx", append(bearer("free"), "Host", "flags.example.org"), 404},
-		"the prefix alone":       {"/envoy", append(bearer("free"), "Host", "flags.example.org"), 200},
-		"no such path":           {"/other", bearer("free"), 404},
-		"no method":              {"/traefik", append(bearer("free"), "X-Forwarded-Method", ""), 400},
-		"odd method":             {"/traefik", append(bearer("free"), "X-Forwarded-Method", "get it"), 400},
-		"no URI":                 {"/traefik", append(bearer("free"), "X-Forwarded-Uri", ""), 400},
-		"odd URI":                {"/traefik", append(bearer("free"), "X-Forwarded-Uri", "/%zz"), 400},
-		"odd host":               {"/traefik", append(bearer("free"), "X-Forwarded-Host", "a b"), 400},
-		"odd units":              {"/caddy", append(bearer("free"), "X-Units", "1e0"), 400},
-		"negative units":         {"/caddy", append(bearer("free"), "X-Units", "-1"), 400},
-		"units beyond the most":  {"/caddy", append(bearer("free"), "X-Units", "11"), 400},
-		"units not taken here":   {"/traefik", append(bearer("free"), "X-Units", "-1"), 200},
-		"nginx by URL":           {"/nginx", append(bearer("free"), "X-Original-Uri", "", "X-Original-Url", "https://flags.example.org/v1"), 200},
-		"nginx by URL and URI":   {"/nginx", append(bearer("free"), "X-Original-Url", "https://flags.example.org/v1"), 403},
-		"nginx, odd URL":         {"/nginx", append(bearer("free"), "X-Original-Uri", "", "X-Original-Url", "ftp://x/"), 403},
-		"nginx, unknown key":     {"/nginx", bearer("nobody"), 401},
+		"account by header": {"/caddy", []string{"X-Account", "free"}, 200},
+		"unknown account":   {"/caddy", []string{"X-Account", "nobody"}, 401},
+		"header before key": {"/caddy", append(bearer("free"), "X-Account", "nobody"), 401},
+		"account by certificate": {
+			"/envoy/v1", []string{"X-Client-Cert-Name", "free.clients", "Host", "flags.example.org"}, 200,
+		},
+		"unknown certificate":   {"/envoy/v1", []string{"X-Client-Cert-Name", "x", "Host", "flags.example.org"}, 401},
+		"no header taken here":  {"/traefik", []string{"X-Account", "free"}, 401},
+		"key in its own field":  {"/traefik", []string{"X-Api-Key", "key-free"}, 200},
+		"no rule, no default":   {"/envoy/v1", append(bearer("free"), "Host", "elsewhere.example.org"), 403},
+		"prefix by segments":    {"/envoyx", append(bearer("free"), "Host", "flags.example.org"), 404},
+		"the prefix alone":      {"/envoy", append(bearer("free"), "Host", "flags.example.org"), 200},
+		"no such path":          {"/other", bearer("free"), 404},
+		"no method":             {"/traefik", append(bearer("free"), "X-Forwarded-Method", ""), 400},
+		"odd method":            {"/traefik", append(bearer("free"), "X-Forwarded-Method", "get it"), 400},
+		"no URI":                {"/traefik", append(bearer("free"), "X-Forwarded-Uri", ""), 400},
+		"odd URI":               {"/traefik", append(bearer("free"), "X-Forwarded-Uri", "/%zz"), 400},
+		"odd host":              {"/traefik", append(bearer("free"), "X-Forwarded-Host", "a b"), 400},
+		"odd units":             {"/caddy", append(bearer("free"), "X-Units", "1e0"), 400},
+		"negative units":        {"/caddy", append(bearer("free"), "X-Units", "-1"), 400},
+		"units beyond the most": {"/caddy", append(bearer("free"), "X-Units", "11"), 400},
+		"units not taken here":  {"/traefik", append(bearer("free"), "X-Units", "-1"), 200},
+		"nginx by URL": {
+			"/nginx",
+			append(bearer("free"), "X-Original-Uri", "", "X-Original-Url", "https://flags.example.org/v1"),
+			200,
+		},
+		"nginx by URL and URI": {
+			"/nginx", append(bearer("free"), "X-Original-Url", "https://flags.example.org/v1"), 403,
+		},
+		"nginx, odd URL": {
+			"/nginx", append(bearer("free"), "X-Original-Uri", "", "X-Original-Url", "ftp://x/"), 403,
+		},
+		"nginx, unknown key": {"/nginx", bearer("nobody"), 401},
 	} {
 		if code, h, _ := ask(t, c, d.http+c2.path, c2.fields...); code != c2.want {
 			t.Errorf("%s: %d %v, want %d", name, code, h, c2.want)
 		}
 	}
-	if _, h, _ := ask(t, c, d.http+"/nginx", append(bearer("free"), "X-Original-Method", "")...); h.Get(extauthz.HeaderStatus) != "400" {
+	noMethod := append(bearer("free"), "X-Original-Method", "")
+	if _, h, _ := ask(t, c, d.http+"/nginx", noMethod...); h.Get(extauthz.HeaderStatus) != "400" {
 		t.Errorf("nginx: the true status is %q", h.Get(extauthz.HeaderStatus))
 	}
 	req, _ := http.NewRequest(http.MethodGet, d.http+"/traefik", nil)
@@ -150,41 +163,43 @@
 		t.Errorf("a field twice: %v %v", res, err)
 	}
 	f := &d.Shared.Figures
-	if f.Allowed.Load() == 0 || f.Refused.Load() == 0 || f.Unauthenticated.Load() == 0 || f.Forbidden.Load() == 0 || f.Bad.Load() == 0 {
+	if f.Allowed.Load() == 0 || f.Refused.Load() == 0 || f.Unauthenticated.Load() == 0 || f.Forbidden.Load() == 0 ||
+		f.Bad.Load() == 0 {
 		t.Errorf("figures %v", f.LogValue())
 	}
 }
 
-// Nobody but a listed proxy is answered, whatever it sends; and a client of a listed one can't have its own fields taken
-// for the proxy's.
+// Nobody but a listed proxy is answered, whatever it sends; and a client of a listed one can't have its own fields
+// taken for the proxy's.
 func TestForwardAuthTrust(t *testing.T) {
 	w := start(t, 1, `trusted = ["127.0.0.1"]`, `trusted = ["127.0.0.9"]`)
-	code, _, body := ask(t, client(), w.doors[0].http+"/caddy", "X-Account", "free", "X-Forwarded-For", "127.0.0.9")
-	if code != 403 || !strings.Contains(body, "untrusted") || w.doors[0].Shared.Figures.Untrusted.Load() != 1 {
+	code, _, body := ask(t, client(), w.gateways[0].http+"/caddy", "X-Account", "free", "X-Forwarded-For", "127.0.0.9")
+	if code != 403 || !strings.Contains(body, "untrusted") || w.gateways[0].Shared.Figures.Untrusted.Load() != 1 {
 		t.Errorf("from another address: %d %s", code, body)
 	}
-	if n := w.doors[0].Shared.Figures.Allowed.Load(); n != 0 {
+	if n := w.gateways[0].Shared.Figures.Allowed.Load(); n != 0 {
 		t.Errorf("%d allowed", n)
 	}
 	dialer := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.IPv4(127, 0, 0, 9)}}
 	listed := &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext}, Timeout: peer.Patient}
-	if code, _, _ := ask(t, listed, w.doors[0].http+"/caddy", "X-Account", "free"); code != 200 {
+	if code, _, _ := ask(t, listed, w.gateways[0].http+"/caddy", "X-Account", "free"); code != 200 {
 		t.Errorf("from the listed address: %d", code)
 	}
 	w = start(t, 1)
 	service := http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {})
 	for _, kind := range []proxy.Kind{proxy.Nginx, proxy.Traefik, proxy.Caddy, proxy.Envoy} {
-		p := proxy.Start(proxy.Config{Kind: kind, Check: w.doors[0].http + "/" + string(kind), Service: service})
+		p := proxy.Start(proxy.Config{Kind: kind, Check: w.gateways[0].http + "/" + string(kind), Service: service})
 		// The client would like to be seen at a path to which it is entitled, and to have asked before.
 		for range 3 {
-			code, _, _ := ask(t, p.Client(), p.URL+"/closed", append(bearer("small"), "Host", "flags.example.org", "X-Request-Id", "same")...)
+			code, _, _ := ask(t, p.Client(), p.URL+"/closed", append(bearer("small"), "Host", "flags.example.org",
+				"X-Request-Id", "same")...)
 			if code != 403 {
 				t.Errorf("%s: spoofed fields were taken: %d", kind, code)
 			}
 		}
 		p.Close()
 	}
-	if w.doors[0].Shared.Figures.Repeated.Load() != 0 {
+	if w.gateways[0].Shared.Figures.Repeated.Load() != 0 {
 		t.Error("a client's own request id was taken for the proxy's")
 	}
 }
@@ -195,7 +210,8 @@
 	w := start(t, 1)
 	allowed := 0
 	for range 400 {
-		code, _, _ := ask(t, client(), w.doors[0].http+"/traefik", append(bearer("small"), "Idempotency-Key", "one")...)
+		code, _, _ := ask(t, client(), w.gateways[0].http+"/traefik", append(bearer("small"), "Idempotency-Key",
+			"one")...)
 		if code == 200 {
 			allowed++
 		}
@@ -205,11 +221,11 @@
 	}
 }
 
-// Many askers of one check at one moment, whichever comes first: one is decided, those that may join it are told the same,
-// the others are turned away, and the account is charged once.
+// Many askers of one check at one moment, whichever comes first: one is decided, those that may join it are told the
+// same, the others are turned away, and the account is charged once.
 func TestForwardAuthSimultaneousRepeats(t *testing.T) {
 	w := start(t, 1)
-	d := w.doors[0]
+	d := w.gateways[0]
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	ids, refused := map[string]int{}, 0
@@ -241,10 +257,10 @@
 // A proxy's check that is asked again while the first is open joins it: both hear the same, and the account is charged
 // once. Afterwards it is told again. A refusal is told again too, with what is left of its pause.
 func TestForwardAuthRepeats(t *testing.T) {
-	w := start(t, 1, "doors = 1", "doors = 2") // half of the burst is this door's own, the rest is on the counter
-	d := w.doors[0]
+	w := start(t, 1, "doors = 1", "doors = 2") // half of the burst is this gateway's own, the rest is on the counter
+	d := w.gateways[0]
 	resume := w.counter.Stall()
-	spend(t, d, "small", 3) // this door's own share, so that the next one needs the counter
+	spend(t, d, "small", 3) // this gateway's own share, so that the next one needs the counter
 	var wg sync.WaitGroup
 	codes, ids, left := make([]int, 3), make([]string, 3), make([]string, 3)
 	waiting := func(n uint64) {
@@ -275,8 +291,8 @@
 		t.Errorf("another URI with that id: %d, %q", code, h.Get(extauthz.HeaderRequestID))
 	}
 	var first, next int
-	fmt.Sscanf(left[0], `"starter";r=%d`, &first)
-	fmt.Sscanf(h.Get("Ratelimit"), `"starter";r=%d`, &next)
+	_, _ = fmt.Sscanf(left[0], `"starter";r=%d`, &first)
+	_, _ = fmt.Sscanf(h.Get("Ratelimit"), `"starter";r=%d`, &next)
 	if next >= first || first-next > 2 { // one for the three, one for the other; a fraction may have filled
 		t.Errorf("left %q and then %q: three askers of one check are charged once", left[0], h.Get("Ratelimit"))
 	}
@@ -297,7 +313,7 @@
 }
 
 // spend makes checks until so many are allowed.
-func spend(t *testing.T, d *door, account string, n int) {
+func spend(t *testing.T, d *gateway, account string, n int) {
 	t.Helper()
 	for i := range n {
 		if code, _, _ := ask(t, client(), d.http+"/traefik", bearer(account)...); code != 200 {
@@ -306,7 +322,7 @@
 	}
 }
 
-func spendAll(t *testing.T, d *door, account string) {
+func spendAll(t *testing.T, d *gateway, account string) {
 	t.Helper()
 	for range 200 {
 		if code, _, _ := ask(t, client(), d.http+"/traefik", bearer(account)...); code == 429 {
@@ -316,17 +332,17 @@
 	t.Fatal("the quota has no end")
 }
 
-// A proxy gives up on a check and asks again: while the check waits for the counter, when it has just been answered, and
-// when the front door has been started anew. One front door charges it once; after a restart it is charged once more,
-// which is the loss that the page for operators states.
+// A proxy gives up on a check and asks again: while the check waits for the counter, when it has just been answered,
+// and when the gateway has been started anew. One gateway charges it once; after a restart it is charged once
+// more, which is the loss that the page for operators states.
 func TestForwardAuthProxyTimeouts(t *testing.T) {
 	w := start(t, 1)
-	d := w.doors[0]
+	d := w.gateways[0]
 	service := http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {})
 	p := proxy.Start(proxy.Config{Kind: proxy.Traefik, Check: d.http + "/long", Service: service,
 		Timeout: 100 * time.Millisecond, Retries: 40})
 	defer p.Close()
-	spend(t, d, "small", 5) // one is left of this door's own share
+	spend(t, d, "small", 5) // one is left of this gateway's own share
 	resume := w.counter.Stall()
 	code, _, _ := ask(t, p.Client(), p.URL+"/v1", append(bearer("small"), "Host", "flags.example.org")...)
 	if code != 200 {
@@ -358,7 +374,7 @@
 	// Started anew.
 	d.stop()
 	<-d.ended
-	d = w.door(1, 0)
+	d = w.startGateway(1, 0)
 	w.warm(d, "big")
 	_, again, _ = ask(t, client(), d.http+"/long", fields...)
 	if id := again.Get(extauthz.HeaderRequestID); id == "" || id == h.Get(extauthz.HeaderRequestID) {
@@ -370,7 +386,7 @@
 // over RESP2 share the places.
 func TestForwardAuthEndsAndHolds(t *testing.T) {
 	w := start(t, 1)
-	d, c := w.doors[0], client()
+	d, c := w.gateways[0], client()
 	var ids []string
 	for range 3 {
 		code, h, _ := ask(t, c, d.http+"/traefik", bearer("seated")...)
@@ -389,10 +405,17 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		res.Body.Close()
+		_ = res.Body.Close()
 		return res.StatusCode
 	}
-	if got := []int{end(ids[0], "GET"), end(ids[0], "POST"), end(ids[0], "POST"), end("x", "POST"), end("", "POST")}; fmt.Sprint(got) != "[405 204 404 404 404]" {
+	got := []int{
+		end(ids[0], "GET"),
+		end(ids[0], "POST"),
+		end(ids[0], "POST"),
+		end("x", "POST"),
+		end("", "POST"),
+	}
+	if fmt.Sprint(got) != "[405 204 404 404 404]" {
 		t.Errorf("end calls: %v", got)
 	}
 	r := peer.Dial(t, d.resp)
@@ -407,8 +430,8 @@
 	r.WantsPrefix("-ERR the plan")
 	r.Command("Q.DO", customers["small"], "4", "c=change,t=starter,d=300,k=1,units=1,spread=1,first=0", "x")
 	r.WantsPrefix("-ERR the account is not entitled")
-	if w.doors[0].Shared.Figures.Ended.Load() != 1 {
-		t.Errorf("%d ends", w.doors[0].Shared.Figures.Ended.Load())
+	if w.gateways[0].Shared.Figures.Ended.Load() != 1 {
+		t.Errorf("%d ends", w.gateways[0].Shared.Figures.Ended.Load())
 	}
 }
 
@@ -420,7 +443,7 @@
 			edits[1] = "path = \"/long\"\nundecided = \"allow\""
 		}
 		w := start(t, 1, append(edits, "memory_mb", "memory_mb")[:2]...)
-		d := w.doors[0]
+		d := w.gateways[0]
 		for !d.Memory.TryReserve(1 << 20) { // never: the budget is larger
 			t.Fatal("no memory")
 		}
@@ -428,7 +451,8 @@
 		code, h, _ := ask(t, client(), d.http+"/long", bearer("free")...)
 		d.Memory.Release(1<<40 + 1<<20)
 		f := &d.Shared.Figures
-		if allow && (code != 200 || f.UndecidedAllowed.Load() != 1) || !allow && (code != 503 || h.Get("Retry-After") == "" || f.UndecidedDenied.Load() != 1) {
+		if allow && (code != 200 || f.UndecidedAllowed.Load() != 1) ||
+			!allow && (code != 503 || h.Get("Retry-After") == "" || f.UndecidedDenied.Load() != 1) {
 			t.Errorf("allow %v: %d %v", allow, code, h)
 		}
 		if h.Get(extauthz.HeaderUndecided) == "" {
@@ -443,9 +467,10 @@
 // Bad bytes, half requests, floods of fields and bodies: each is answered or ended in time, and nobody else is held up.
 func TestForwardAuthBadInput(t *testing.T) {
 	w := start(t, 1)
-	d := w.doors[0]
+	d := w.gateways[0]
 	addr := d.Addr("http").String()
-	head := "GET /traefik HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer key-free\r\nX-Forwarded-Method: GET\r\nX-Forwarded-Uri: /\r\nX-Forwarded-Host: x\r\n"
+	head := "GET /traefik HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer key-free\r\n" +
+		"X-Forwarded-Method: GET\r\nX-Forwarded-Uri: /\r\nX-Forwarded-Host: x\r\n"
 	many := ""
 	for i := range 60 {
 		many += fmt.Sprintf("X-%d: y\r\n", i)
@@ -454,15 +479,17 @@
 		text string
 		want string // the status; empty: the connection ends with none
 	}{
-		"noise":             {"\x00\x01\x02" + strings.Repeat("x", 30) + "\r\n\r\n", "400"},
-		"short noise":       {"\x00\x01\x02\r\n\r\n", ""}, // it could still become HTTP/2
-		"RESP2":             {"*1\r\n$4\r\nPING\r\n\r\n", "400"},
-		"no version":        {"GET /" + strings.Repeat("x", 30) + "\r\n\r\n", "400"},
-		"long line":         {"GET /" + strings.Repeat("x", 64<<10), "431"},
-		"long field":        {head + "X-A: " + strings.Repeat("x", 64<<10) + "\r\n\r\n", "431"},
-		"many fields":       {head + many + "\r\n", "431"},
-		"long body":         {head + "Content-Length: 5000\r\n\r\n" + strings.Repeat("x", 5000), "413"},
-		"endless body":      {head + "Transfer-Encoding: chunked\r\n\r\n1000\r\n" + strings.Repeat("x", 4096) + "\r\n", "413"},
+		"noise":       {"\x00\x01\x02" + strings.Repeat("x", 30) + "\r\n\r\n", "400"},
+		"short noise": {"\x00\x01\x02\r\n\r\n", ""}, // it could still become HTTP/2
+		"RESP2":       {"*1\r\n$4\r\nPING\r\n\r\n", "400"},
+		"no version":  {"GET /" + strings.Repeat("x", 30) + "\r\n\r\n", "400"},
+		"long line":   {"GET /" + strings.Repeat("x", 64<<10), "431"},
+		"long field":  {head + "X-A: " + strings.Repeat("x", 64<<10) + "\r\n\r\n", "431"},
+		"many fields": {head + many + "\r\n", "431"},
+		"long body":   {head + "Content-Length: 5000\r\n\r\n" + strings.Repeat("x", 5000), "413"},
+		"endless body": {
+			head + "Transfer-Encoding: chunked\r\n\r\n1000\r\n" + strings.Repeat("x", 4096) + "\r\n", "413",
+		},
 		"short body":        {head + "Content-Length: 3\r\n\r\nabc", "200"},
 		"two lengths":       {head + "Content-Length: 3\r\nContent-Length: 4\r\n\r\nabc", "400"},
 		"half a request":    {head, ""},
@@ -478,9 +505,9 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer nc.Close()
-			nc.SetDeadline(time.Now().Add(peer.Patient))
-			go nc.Write([]byte(c.text))
+			defer func() { _ = nc.Close() }()
+			_ = nc.SetDeadline(time.Now().Add(peer.Patient))
+			go func() { _, _ = nc.Write([]byte(c.text)) }()
 			in := bufio.NewReader(nc)
 			line, err := in.ReadString('\n')
 			var e net.Error
--- a/internal/service/hosted/golden_test.go
+++ b/internal/service/hosted/golden_test.go
@@ -31,10 +31,30 @@
 // The JSON that gapgapctl reads of a process.
 func TestGoldenViews(t *testing.T) {
 	version := policy.Version{Number: 7, Hash: policy.Hash{1, 2, 3}}
+	change := &policy.Change{
+		ID:         "c",
+		Base:       6,
+		Hash:       policy.Hash{4},
+		Bytes:      10,
+		Mode:       1,
+		Author:     "w",
+		Note:       "n",
+		ProposedAt: 5,
+		Source:     2,
+		Initial:    true,
+	}
 	views := []any{
-		PolicyStatus{Name: "a", Version: version, Decides: true, Current: &version, Mode: "wait", Leader: "b",
-			Pending:    &policy.Change{ID: "c", Base: 6, Hash: policy.Hash{4}, Bytes: 10, Mode: 1, Author: "w", Note: "n", ProposedAt: 5, Source: 2, Initial: true},
-			WaitingFor: "x", Participants: []string{"a", "b"}},
+		PolicyStatus{
+			Name:         "a",
+			Version:      version,
+			Decides:      true,
+			Current:      &version,
+			Mode:         "wait",
+			Leader:       "b",
+			Pending:      change,
+			WaitingFor:   "x",
+			Participants: []string{"a", "b"},
+		},
 		PolicyStatus{},
 		PolicyResult{ID: "c", Known: true, Committed: true, Version: 7, Reason: "r", WaitingFor: "w"},
 		RecoveryView{Name: "a", Open: true, Steps: []recovery.StepView{{}}, Trusted: []string{"bans"}},
--- a/internal/service/hosted/world_test.go
+++ b/internal/service/hosted/world_test.go
@@ -17,24 +17,27 @@
 	"gapgap/internal/fake/quota"
 )
 
-// world is a number of front doors with what stands round them, all on loopback.
+// world is a number of gateways with what stands round them, all on loopback.
 type world struct {
-	t       testing.TB
-	doors   []*door
-	servers []*flagserver.Server
-	counter *quota.Counter
-	agent   *catalog.Agent
+	t        testing.TB
+	gateways []*gateway
+	servers  []*flagserver.Server
+	counter  *quota.Counter
+	agent    *catalog.Agent
 }
 
-// door is one service in this process.
-type door struct {
+// gateway is one service in this process.
+type gateway struct {
 	*Service
-	http, resp string
-	stop       context.CancelFunc
-	ended      chan struct{}
+	// http and resp are the URL and the address of its listeners.
+	http  string
+	resp  string
+	stop  context.CancelFunc
+	ended chan struct{}
 }
 
-// base is a configuration in which tests change parts; %s are discovery, counter, doors, rank.
+// base is a configuration in which tests change parts; its arguments are discovery, counter, and the number of gateways
+// and this one's index.
 const base = `
 [node]
 seed = "7"
@@ -141,9 +144,15 @@
 // accounts are named by their plans; the key of each is "key-" and its name.
 func accounts() string {
 	s := ""
-	for i, a := range [][2]string{{"small", "starter"}, {"big", "business"}, {"seated", "seats"}, {"free", "open"}, {"other", "business"}} {
-		s += fmt.Sprintf("[[account]]\nname = %q\nplan = %q\ncustomer = \"%016x\"\nkeys = [\"%x\"]\ncertificates = [\"%s.clients\"]\n",
-			a[0], a[1], i+1, sha256.Sum256([]byte("key-"+a[0])), a[0])
+	for i, a := range [][2]string{
+		{"small", "starter"},
+		{"big", "business"},
+		{"seated", "seats"},
+		{"free", "open"},
+		{"other", "business"},
+	} {
+		s += fmt.Sprintf("[[account]]\nname = %q\nplan = %q\ncustomer = \"%016x\"\n", a[0], a[1], i+1)
+		s += fmt.Sprintf("keys = [\"%x\"]\ncertificates = [\"%s.clients\"]\n", sha("key-"+a[0]), a[0])
 		if a[0] == "small" {
 			s += "classes = [\"evaluate\"]\n"
 		}
@@ -155,13 +164,18 @@
 }
 
 // customers are the numbers of the accounts.
-var customers = map[string]string{"small": fmt.Sprintf("%016x", 1), "big": fmt.Sprintf("%016x", 2),
-	"seated": fmt.Sprintf("%016x", 3), "free": fmt.Sprintf("%016x", 4), "other": fmt.Sprintf("%016x", 5)}
+var customers = map[string]string{
+	"small":  fmt.Sprintf("%016x", 1),
+	"big":    fmt.Sprintf("%016x", 2),
+	"seated": fmt.Sprintf("%016x", 3),
+	"free":   fmt.Sprintf("%016x", 4),
+	"other":  fmt.Sprintf("%016x", 5),
+}
 
 var discard = slog.New(slog.NewTextHandler(io.Discard, nil))
 
-// start runs front doors. The edits change the text of the configuration, in pairs of old and new.
-func start(t testing.TB, doors int, edits ...string) *world {
+// start runs gateways. The edits change the text of the configuration, in pairs of old and new.
+func start(t testing.TB, gateways int, edits ...string) *world {
 	t.Helper()
 	w := &world{t: t}
 	var list []catalog.Endpoint
@@ -183,15 +197,15 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(w.counter.Close)
-	for i := range doors {
-		w.doors = append(w.doors, w.door(doors, i, edits...))
+	for i := range gateways {
+		w.gateways = append(w.gateways, w.startGateway(gateways, i, edits...))
 	}
 	return w
 }
 
-// text is the configuration of one door.
-func (w *world) text(doors, rank int, edits ...string) string {
-	text := fmt.Sprintf(base, w.agent.Addr(), w.counter.Addr(), doors, rank) + accounts()
+// text is the configuration of one gateway.
+func (w *world) text(gateways, index int, edits ...string) string {
+	text := fmt.Sprintf(base, w.agent.Addr(), w.counter.Addr(), gateways, index) + accounts()
 	for i := 0; i < len(edits); i += 2 {
 		if !strings.Contains(text, edits[i]) {
 			w.t.Fatalf("the configuration has no %q", edits[i])
@@ -201,16 +215,16 @@
 	return text
 }
 
-func (w *world) door(doors, rank int, edits ...string) *door {
+func (w *world) startGateway(gateways, index int, edits ...string) *gateway {
 	w.t.Helper()
-	return w.run(w.text(doors, rank, edits...))
+	return w.run(w.text(gateways, index, edits...))
 }
 
 // sha is what a configuration has for a key.
 func sha(key string) [32]byte { return sha256.Sum256([]byte(key)) }
 
 // run runs a service by the text of its configuration.
-func (w *world) run(text string) *door {
+func (w *world) run(text string) *gateway {
 	w.t.Helper()
 	cfg, err := Parse("test.toml", []byte(text))
 	if err != nil {
@@ -221,8 +235,13 @@
 		w.t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	d := &door{Service: s, stop: stop, ended: make(chan struct{}), http: "http://" + s.Addr("http").String(),
-		resp: s.Addr("resp").String()}
+	d := &gateway{
+		Service: s,
+		http:    "http://" + s.Addr("http").String(),
+		resp:    s.Addr("resp").String(),
+		stop:    stop,
+		ended:   make(chan struct{}),
+	}
 	go func() {
 		defer close(d.ended)
 		s.Serve(ctx)
@@ -278,7 +297,7 @@
 	if err != nil {
 		return 0, nil, "", err
 	}
-	defer res.Body.Close()
+	defer func() { _ = res.Body.Close() }()
 	b, err := io.ReadAll(res.Body)
 	return res.StatusCode, res.Header, string(b), err
 }
@@ -286,9 +305,9 @@
 // bearer is the field that shows an account's key.
 func bearer(account string) []string { return []string{"Authorization", "Bearer key-" + account} }
 
-// warm waits until a fresh front door's share of an account's ceiling has begun to fill: it starts empty, as the door may
-// have spent it before a restart.
-func (w *world) warm(d *door, account string) {
+// warm waits until a fresh gateway's share of an account's ceiling has begun to fill: it starts empty, as the gateway
+// may have spent it before a restart.
+func (w *world) warm(d *gateway, account string) {
 	w.t.Helper()
 	for end := time.Now().Add(peer.Patient); ; time.Sleep(5 * time.Millisecond) {
 		if code, _, _ := ask(w.t, client(), d.http+"/traefik", bearer(account)...); code == 200 {
