--- a/internal/fake/race/off.go
+++ b/internal/fake/race/off.go
@@ -1,7 +1,8 @@
 //go:build !race
 
-// Package race says whether the race detector is built in: long plays on one goroutine tell it nothing, and are left out.
+// Package race tells tests whether the race detector is built in. Long plays on one goroutine leave themselves out
+// under it, as it has nothing to find there.
 package race
 
-// On says that it is.
+// On reports whether the program was built with the race detector.
 const On = false
