--- /dev/null
+++ b/cmd/demo/single.go
@@ -0,0 +1,113 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"log/slog"
+	"net"
+	"net/http"
+	"os"
+	"strings"
+	"time"
+
+	"gapgap/internal/fake/deployment"
+	"gapgap/internal/service/hosted"
+)
+
+const (
+	// tryTimeout is how long a check and a request are repeated until both are served.
+	tryTimeout = 10 * time.Second
+	// tryInterval is the pause between them.
+	tryInterval = 50 * time.Millisecond
+)
+
+// instructionsFormat tells how to try a gateway by hand. Its arguments are the API key, the address for checks, the
+// host and port for RESP2 and a request as an argument of the shell's printf.
+const instructionsFormat = `A check, as a proxy asks it (repeat it fast, and it is refused with Retry-After):
+
+  curl -i -H 'Authorization: Bearer %s' -H 'X-Forwarded-Method: GET' -H 'X-Forwarded-Host: flags.example.org' \
+    -H 'X-Forwarded-Uri: /v1/flags' http://%s/check
+
+The same account over RESP2, on the same quota:
+
+  exec 3<>/dev/tcp/%s/%s; printf '%s' >&3; timeout 1 cat <&3
+
+`
+
+// runSingle runs one gateway and prints how to try it. It returns when the context ends or, with options.once, when a
+// check and a request were served.
+func runSingle(ctx context.Context, opts options, fakes *deployment.Deployment, out io.Writer) error {
+	config := gatewayConfig{
+		name:             "demo",
+		discoveryAddress: fakes.DiscoveryAddress(),
+		counterAddress:   fakes.CounterAddress(),
+		resp2Address:     opts.resp2Address,
+		checkAddress:     opts.checkAddress,
+	}
+	parsed, err := hosted.Parse("demo", []byte(config.text()))
+	if err != nil {
+		return err
+	}
+	service, err := hosted.New(parsed, slog.New(slog.NewTextHandler(os.Stderr, nil)))
+	if err != nil {
+		return err
+	}
+	ctx, stop := context.WithCancel(ctx)
+	defer stop()
+	stopped := make(chan struct{})
+	go func() {
+		defer close(stopped)
+		service.Serve(ctx)
+	}()
+	resp2Address := service.Addr("resp2").String()
+	checkAddress := service.Addr("checks").String()
+	if err := printInstructions(out, resp2Address, checkAddress); err != nil {
+		return err
+	}
+	if opts.once {
+		if err := tryBoth(out, resp2Address, checkAddress); err != nil {
+			return err
+		}
+		stop()
+	}
+	<-stopped
+	return nil
+}
+
+// printInstructions tells how to try a gateway by hand.
+func printInstructions(out io.Writer, resp2Address, checkAddress string) error {
+	host, port, err := net.SplitHostPort(resp2Address)
+	if err != nil {
+		return err
+	}
+	shellCommand := strings.NewReplacer("\r", `\r`, "\n", `\n`).Replace(resp2Command("1"))
+	_, err = fmt.Fprintf(out, instructionsFormat, apiKey, checkAddress, host, port, shellCommand)
+	return err
+}
+
+// tryBoth makes a check and a request over RESP2, and repeats both until both are served: the ceiling of a gateway that
+// has just started begins empty.
+func tryBoth(out io.Writer, resp2Address, checkAddress string) error {
+	status := 0
+	line := ""
+	for deadline := time.Now().Add(tryTimeout); status != http.StatusOK || !isServed(line); {
+		if time.Now().After(deadline) {
+			return fmt.Errorf("a check was answered %d, a request %q", status, line)
+		}
+		admitted, err := check(context.Background(), checkAddress)
+		if err != nil {
+			return err
+		}
+		status = http.StatusForbidden
+		if admitted {
+			status = http.StatusOK
+		}
+		if line, err = sendRESP2(resp2Address); err != nil {
+			return err
+		}
+		time.Sleep(tryInterval)
+	}
+	_, err := fmt.Fprintf(out, "the check was answered %d, the request %q\n", status, line)
+	return err
+}
--- /dev/null
+++ b/internal/fake/deployment/deployment_test.go
@@ -0,0 +1,52 @@
+package deployment
+
+import (
+	"net"
+	"testing"
+
+	"gapgap/internal/fake/flagserver"
+)
+
+// All that was asked for listens until it is closed, and a counter that was not asked for is not there.
+func TestStartAndClose(t *testing.T) {
+	deployment, err := Start(Config{FlagServers: []flagserver.Config{{}, {}}, HasCounter: true})
+	if err != nil {
+		t.Fatal(err)
+	}
+	addresses := []string{deployment.DiscoveryAddress(), deployment.CounterAddress()}
+	for index, name := range []string{"s-0", "s-1"} {
+		endpoint := deployment.Endpoints[index]
+		if endpoint.Name != name || endpoint.Address != deployment.FlagServers[index].Addr() {
+			t.Errorf("endpoint %d is %+v", index, endpoint)
+		}
+		addresses = append(addresses, endpoint.Address)
+	}
+	for _, address := range addresses {
+		conn, err := net.Dial("tcp", address)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if err := conn.Close(); err != nil {
+			t.Error(err)
+		}
+	}
+	deployment.Close()
+	for _, address := range addresses {
+		if conn, err := net.Dial("tcp", address); err == nil {
+			t.Errorf("%s listens after Close", address)
+			_ = conn.Close()
+		}
+	}
+}
+
+// Without a counter there is no address of one.
+func TestStartWithoutCounter(t *testing.T) {
+	deployment, err := Start(Config{FlagServers: []flagserver.Config{{}}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer deployment.Close()
+	if address := deployment.CounterAddress(); address != "" {
+		t.Errorf("the counter's address is %q", address)
+	}
+}
