--- a/cmd/gapgapctl/fleet_test.go
+++ b/cmd/gapgapctl/fleet_test.go
@@ -1,12 +1,8 @@
 package main
 
 import (
-	"bytes"
-	"context"
 	"encoding/json"
-	"net"
 	"net/http"
-	"path/filepath"
 	"strings"
 	"testing"
 	"time"
@@ -15,22 +11,46 @@
 	"gapgap/internal/peer"
 )
 
-// The commands call at a door's socket, and say by their exit codes what came of it.
-func TestFleet(t *testing.T) {
-	socket := filepath.Join(t.TempDir(), "ctl")
-	ln, err := net.Listen("unix", socket)
-	if err != nil {
-		t.Fatal(err)
-	}
+// fakeFleet answers as a gateway of two does.
+type fakeFleet struct {
+	http.ServeMux
+	// hasLeft tells whether the gateway was told to leave.
+	hasLeft bool
+}
+
+// newFakeFleet returns a gateway that sees a duplicate of itself and a dead peer.
+func newFakeFleet() *fakeFleet {
 	half := 0.5
-	view := peer.View{Name: "n0", HasDuplicate: true, Gateways: []peer.Member{
-		{Name: "n0", State: "alive", Incarnation: 7, Fraction: &half, Since: time.Now().Add(-90 * time.Second), SeenBy: map[string]string{"n0": "alive", "n1": "dead"}, Disagree: true},
-		{Name: "n1", State: "dead", Cause: "no sign of life for 1.5s", SeenBy: map[string]string{"n0": "dead"}}}}
-	var left bool
-	mux := http.NewServeMux()
-	mux.HandleFunc("GET /fleet/status", func(w http.ResponseWriter, _ *http.Request) { json.NewEncoder(w).Encode(view) })
-	mux.HandleFunc("POST /fleet/leave", func(w http.ResponseWriter, _ *http.Request) { left = true; w.WriteHeader(http.StatusNoContent) })
-	mux.HandleFunc("POST /fleet/forget", func(w http.ResponseWriter, r *http.Request) {
+	view := peer.View{
+		Name:         "n0",
+		HasDuplicate: true,
+		Gateways: []peer.Member{
+			{
+				Name:        "n0",
+				State:       "alive",
+				Incarnation: 7,
+				Fraction:    &half,
+				Since:       time.Now().Add(-90 * time.Second),
+				SeenBy:      map[string]string{"n0": "alive", "n1": "dead"},
+				Disagree:    true,
+			},
+			{
+				Name:   "n1",
+				State:  "dead",
+				Cause:  "no sign of life for 1.5s",
+				SeenBy: map[string]string{"n0": "dead"},
+			},
+		},
+	}
+	fleet := &fakeFleet{}
+	fleet.HandleFunc("GET /fleet/status", func(w http.ResponseWriter, _ *http.Request) {
+		_ = json.NewEncoder(w).Encode(view) // the command fails then
+	})
+	fleet.HandleFunc("POST /fleet/leave", func(w http.ResponseWriter, _ *http.Request) {
+		fleet.hasLeft = true
+		w.WriteHeader(http.StatusNoContent)
+	})
+	fleet.HandleFunc("POST /fleet/forget", func(w http.ResponseWriter, r *http.Request) {
 		switch r.URL.Query().Get("name") {
 		case "n1":
 			w.WriteHeader(http.StatusNoContent)
@@ -40,41 +60,47 @@
 			http.Error(w, "no door of the list has this name", http.StatusNotFound)
 		}
 	})
-	srv := &http.Server{Handler: mux}
-	go srv.Serve(ln)
-	t.Cleanup(func() { srv.Close() })
-	run := func(args ...string) (string, int) {
-		var out bytes.Buffer
-		c := command()
-		c.SetOut(&out)
-		code := cli.Run(context.Background(), c, args, &out)
-		return out.String(), code
-	}
+	return fleet
+}
+
+// The commands call a gateway at its control socket, and their exit codes tell the outcome.
+func TestFleetCommands(t *testing.T) {
+	fleet := newFakeFleet()
+	socket := serveControlSocket(t, fleet)
 	for _, c := range []struct {
 		args string
 		code int
 		want []string
 	}{
-		{"fleet status --socket " + socket, cli.Good, []string{"1m30s", "0.500", "alive by 1, dead by 1, DISAGREE", "?", "no sign of life", "another process has the name n0"}},
-		{"fleet status --json --socket " + socket, cli.Good, []string{`"seen_by":{"n0":"alive","n1":"dead"}`}},
-		{"fleet leave --socket " + socket, cli.Good, nil},
-		{"fleet forget n1 --socket " + socket, cli.Good, nil},
-		{"fleet forget n0 --socket " + socket, cli.Failed, []string{"door n0 is alive"}},
-		{"fleet forget n9 --socket " + socket, cli.Nowhere, []string{"no door of the list"}},
-		{"fleet status --socket " + socket + "x", cli.Nowhere, []string{"no door is at"}},
-		{"fleet status", cli.Misused, []string{"socket"}},
+		{
+			args: "fleet status --socket " + socket,
+			code: cli.Good,
+			want: []string{"1m30s", "0.500", "alive by 1, dead by 1, DISAGREE", "?", "no sign of life",
+				"another process has the name n0"},
+		},
+		{
+			args: "fleet status --json --socket " + socket,
+			code: cli.Good,
+			want: []string{`"seen_by":{"n0":"alive","n1":"dead"}`},
+		},
+		{args: "fleet leave --socket " + socket, code: cli.Good},
+		{args: "fleet forget n1 --socket " + socket, code: cli.Good},
+		{args: "fleet forget n0 --socket " + socket, code: cli.Failed, want: []string{"door n0 is alive"}},
+		{args: "fleet forget n9 --socket " + socket, code: cli.Nowhere, want: []string{"no door of the list"}},
+		{args: "fleet status --socket " + socket + "x", code: cli.Nowhere, want: []string{"no door is at"}},
+		{args: "fleet status", code: cli.Misused, want: []string{"socket"}},
 	} {
-		out, code := run(strings.Fields(c.args)...)
+		code, out, errs := runCommand(t, strings.Fields(c.args)...)
 		if code != c.code {
-			t.Errorf("%s: exit code %d, not %d: %s", c.args, code, c.code, out)
+			t.Errorf("%s: exit code %d, not %d: %s%s", c.args, code, c.code, out, errs)
 		}
-		for _, w := range c.want {
-			if !strings.Contains(out, w) {
-				t.Errorf("%s: no %q in %q", c.args, w, out)
+		for _, want := range c.want {
+			if !strings.Contains(out+errs, want) {
+				t.Errorf("%s: no %q in %q", c.args, want, out+errs)
 			}
 		}
 	}
-	if !left {
-		t.Error("the door was not asked to leave")
+	if !fleet.hasLeft {
+		t.Error("the gateway was not told to leave")
 	}
 }
--- a/cmd/gapgapctl/policy.go
+++ b/cmd/gapgapctl/policy.go
@@ -1,22 +1,16 @@
 package main
 
 import (
-	"bytes"
 	"context"
-	"crypto/rand"
-	"encoding/hex"
 	"encoding/json"
 	"errors"
 	"fmt"
 	"io"
-	"net/http"
 	"net/url"
 	"os"
-	"os/user"
 	"slices"
 	"strconv"
 	"strings"
-	"text/tabwriter"
 	"time"
 
 	"github.com/pmezard/go-difflib/difflib"
@@ -27,130 +21,94 @@
 	"gapgap/internal/service/hosted"
 )
 
-// Exit codes of policy propose and revert beside those of all programs. Taken is 0.
-const (
-	exitDropped = 4
-	exitUnknown = 5 // ask again by the id
-)
+// policyClient is what the commands on the policy have in common.
+type policyClient struct {
+	controlSocket
+	// asJSON prints JSON in place of text.
+	asJSON bool
+}
 
-func policies() *cobra.Command {
-	var socket string
-	var asJSON bool
-	c := &cobra.Command{Use: "policy", Short: "The one policy of a fleet of front doors"}
-	c.PersistentFlags().StringVar(&socket, "socket", "", "the `path` of a front door's control socket, fleet.control in its file")
-	c.PersistentFlags().BoolVar(&asJSON, "json", false, "print JSON")
-	get := func(ctx context.Context, path string, to any) error {
-		body, err := call(ctx, socket, http.MethodGet, path)
-		if err != nil {
-			return err
-		}
-		if err := json.Unmarshal(body, to); err != nil {
-			return fmt.Errorf("the door's answer: %w", err)
-		}
-		return nil
-	}
-	show := &cobra.Command{Use: "show [VERSION]", Short: "Print the present policy, or that of a version", Args: cobra.MaximumNArgs(1),
+// newPolicyCommand is the command for the policy that all gateways have in common.
+func newPolicyCommand() *cobra.Command {
+	client := &policyClient{}
+	command := &cobra.Command{Use: "policy", Short: "The one policy of a fleet of front doors"}
+	client.addFlag(command)
+	command.PersistentFlags().BoolVar(&client.asJSON, "json", false, "print JSON")
+	command.AddCommand(
+		newReplaceVoterCommand(client),
+		newShowCommand(client),
+		newDiffCommand(client),
+		newProposeCommand(client),
+		newPolicyStatusCommand(client),
+		newHistoryCommand(client),
+		newRevertCommand(client),
+		newPolicyForgetCommand(client),
+	)
+	return command
+}
+
+// document reads the policy of a version, given as digits; empty: of the present one.
+func (p *policyClient) document(ctx context.Context, version string) ([]byte, error) {
+	return p.get(ctx, "/policy/show?version="+url.QueryEscape(version))
+}
+
+// newShowCommand is the command that prints a policy.
+func newShowCommand(client *policyClient) *cobra.Command {
+	return &cobra.Command{
+		Use:   "show [VERSION]",
+		Short: "Print the present policy, or that of a version",
+		Args:  cobra.MaximumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			doc, err := document(c.Context(), socket, slices.Concat(args, []string{""})[0])
-			if err == nil {
-				_, err = c.OutOrStdout().Write(doc)
-			}
-			return err
-		}}
-	var file string
-	diff := &cobra.Command{Use: "diff -f FILE", Short: "Say what a file would change of the present policy", Args: cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error {
-			next, err := read(file)
-			if err != nil {
-				return err
-			}
-			now, err := document(c.Context(), socket, "")
-			if err != nil {
-				return err
+			version := ""
+			if len(args) > 0 {
+				version = args[0]
 			}
-			return difflib.WriteUnifiedDiff(c.OutOrStdout(), difflib.UnifiedDiff{A: difflib.SplitLines(string(now)), B: difflib.SplitLines(string(next)),
-				FromFile: "present", ToFile: file, Context: 3})
-		}}
-	diff.Flags().StringVarP(&file, "file", "f", "", "the policy's `file`; - for standard input")
-	var p proposal
-	propose := &cobra.Command{Use: "propose -f FILE", Short: "Have a policy take hold at all front doors, or at none", Args: cobra.NoArgs,
-		Long: "Have a policy take hold at all front doors, or at none. Exit code 0: it was taken; 4: it was dropped, and why is printed; 5: it is not known\n" +
-			"yet which, ask again with the same --id (the same id never takes hold twice).",
-		RunE: func(c *cobra.Command, _ []string) error {
-			doc, err := read(p.file)
+			document, err := client.document(c.Context(), version)
 			if err != nil {
 				return err
 			}
-			return p.send(c, socket, asJSON, doc)
-		}}
-	p.flags(propose)
-	propose.Flags().StringVarP(&p.file, "file", "f", "", "the policy's `file`; - for standard input")
-	replace := &cobra.Command{Use: "replace-voter NAME", Short: "Have a voter whose disk was lost for good vote again with its new, empty one", Args: cobra.ExactArgs(1),
-		Long: "Have a voter whose disk was lost for good vote again with its new, empty one. The voter's process must run, and a majority of the voters\n" +
-			"must answer. Only one is replaced at a time; asked again, it says whether it is done.",
-		RunE: func(c *cobra.Command, args []string) error {
-			_, err := call(c.Context(), socket, http.MethodPost, "/policy/voter?name="+url.QueryEscape(args[0]))
+			_, err = c.OutOrStdout().Write(document)
 			return err
-		}}
-	var to uint64
-	var r proposal
-	revert := &cobra.Command{Use: "revert --to VERSION", Short: "Propose the policy of an earlier version", Args: cobra.NoArgs,
+		},
+	}
+}
+
+// newDiffCommand is the command that compares a file with the present policy.
+func newDiffCommand(client *policyClient) *cobra.Command {
+	var file string
+	command := &cobra.Command{
+		Use:   "diff -f FILE",
+		Short: "Say what a file would change of the present policy",
+		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			if to == 0 {
-				return &cli.Error{Code: cli.Misused, Err: errors.New("--to is missing")}
-			}
-			doc, err := document(c.Context(), socket, strconv.FormatUint(to, 10))
+			next, err := readPolicyFile(file)
 			if err != nil {
 				return err
 			}
-			if r.note == "" {
-				r.note = fmt.Sprintf("back to version %d", to)
-			}
-			return r.send(c, socket, asJSON, doc)
-		}}
-	r.flags(revert)
-	revert.Flags().Uint64Var(&to, "to", 0, "the `version`")
-	status := &cobra.Command{Use: "status [ID]", Short: "Say by which version the door goes, and what is being decided; or what became of a change", Args: cobra.MaximumNArgs(1),
-		RunE: func(c *cobra.Command, args []string) error {
-			if len(args) > 0 {
-				var res hosted.PolicyResult
-				if err := get(c.Context(), "/policy/change?id="+url.QueryEscape(args[0]), &res); err != nil {
-					return err
-				}
-				return told(c.OutOrStdout(), asJSON, &res)
-			}
-			var st hosted.PolicyStatus
-			if err := get(c.Context(), "/policy/status", &st); err != nil {
-				return err
-			}
-			if asJSON {
-				return json.NewEncoder(c.OutOrStdout()).Encode(&st)
-			}
-			return statusTable(c.OutOrStdout(), &st)
-		}}
-	history := &cobra.Command{Use: "history", Short: "Say who changed the policy when, and what became of it", Args: cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error {
-			var past []policy.Outcome
-			if err := get(c.Context(), "/policy/history", &past); err != nil {
+			present, err := client.document(c.Context(), "")
+			if err != nil {
 				return err
 			}
-			if asJSON {
-				return json.NewEncoder(c.OutOrStdout()).Encode(past)
-			}
-			return historyTable(c.OutOrStdout(), past)
-		}}
-	forget := &cobra.Command{Use: "forget NAME", Short: "Have changes not wait for a front door that is known to be off", Args: cobra.ExactArgs(1),
-		Long: "Have changes not wait for a front door that is known to be off. One that only can't be reached may still decide by an old version: then this\n" +
-			"breaks the promise. A door that is heard of is not forgotten; one that comes back joins again.",
-		RunE: func(c *cobra.Command, args []string) error {
-			_, err := call(c.Context(), socket, http.MethodPost, "/policy/forget?name="+url.QueryEscape(args[0]))
-			return err
-		}}
-	c.AddCommand(replace, show, diff, propose, status, history, revert, forget)
-	return c
+			return difflib.WriteUnifiedDiff(c.OutOrStdout(), difflib.UnifiedDiff{
+				A:        difflib.SplitLines(string(present)),
+				B:        difflib.SplitLines(string(next)),
+				FromFile: "present",
+				ToFile:   file,
+				Context:  3,
+			})
+		},
+	}
+	addPolicyFileFlag(command, &file)
+	return command
+}
+
+// addPolicyFileFlag adds the flag for a policy's file to a command.
+func addPolicyFileFlag(command *cobra.Command, file *string) {
+	command.Flags().StringVarP(file, "file", "f", "", "the policy's `file`; - for standard input")
 }
 
-func read(file string) ([]byte, error) {
+// readPolicyFile reads a policy from a file, or from standard input if its name is "-".
+func readPolicyFile(file string) ([]byte, error) {
 	switch file {
 	case "":
 		return nil, &cli.Error{Code: cli.Misused, Err: errors.New("--file is missing")}
@@ -160,109 +118,142 @@
 	return os.ReadFile(file)
 }
 
-func document(ctx context.Context, socket, version string) ([]byte, error) {
-	return call(ctx, socket, http.MethodGet, "/policy/show?version="+url.QueryEscape(version))
+// newReplaceVoterCommand is the command that takes in a voter's new, empty disk.
+func newReplaceVoterCommand(client *policyClient) *cobra.Command {
+	return &cobra.Command{
+		Use:   "replace-voter NAME",
+		Short: "Have a voter whose disk was lost for good vote again with its new, empty one",
+		Args:  cobra.ExactArgs(1),
+		Long: "Have a voter whose disk was lost for good vote again with its new, empty one. " +
+			"The voter's process must run, and a majority of the voters\n" +
+			"must answer. Only one is replaced at a time; asked again, it says whether it is done.",
+		RunE: func(c *cobra.Command, args []string) error {
+			return client.post(c.Context(), "/policy/voter?name="+url.QueryEscape(args[0]))
+		},
+	}
 }
 
-// proposal is what propose and revert have in common.
-type proposal struct {
-	file, id, mode, base, note string
-	wait                       time.Duration
+// newPolicyForgetCommand is the command that has changes not wait for a gateway.
+func newPolicyForgetCommand(client *policyClient) *cobra.Command {
+	return &cobra.Command{
+		Use:   "forget NAME",
+		Short: "Have changes not wait for a front door that is known to be off",
+		Args:  cobra.ExactArgs(1),
+		Long: "Have changes not wait for a front door that is known to be off. " +
+			"One that only can't be reached may still decide by an old version: then this\n" +
+			"breaks the promise. A door that is heard of is not forgotten; one that comes back joins again.",
+		RunE: func(c *cobra.Command, args []string) error {
+			return client.post(c.Context(), "/policy/forget?name="+url.QueryEscape(args[0]))
+		},
+	}
 }
 
-func (p *proposal) flags(c *cobra.Command) {
-	c.Flags().StringVar(&p.id, "id", "", "the change's `id`, to ask again by; left out: one by chance, which is printed")
-	c.Flags().StringVar(&p.mode, "mode", "", "wait or fence; left out: the fleet's")
-	c.Flags().StringVar(&p.base, "base", "", "the `version` that is changed; left out: the present one")
-	c.Flags().StringVar(&p.note, "note", "", "a note for the history")
-	c.Flags().DurationVar(&p.wait, "wait", time.Minute, "how long to wait for the outcome")
+// newPolicyStatusCommand is the command that prints a gateway's version, or the outcome of one change.
+func newPolicyStatusCommand(client *policyClient) *cobra.Command {
+	return &cobra.Command{
+		Use:   "status [ID]",
+		Short: "Say by which version the door goes, and what is being decided; or what became of a change",
+		Args:  cobra.MaximumNArgs(1),
+		RunE: func(c *cobra.Command, args []string) error {
+			if len(args) > 0 {
+				var result hosted.PolicyResult
+				err := client.getJSON(c.Context(), "/policy/change?id="+url.QueryEscape(args[0]), &result)
+				if err != nil {
+					return err
+				}
+				return printResult(c.OutOrStdout(), client.asJSON, &result)
+			}
+			var status hosted.PolicyStatus
+			if err := client.getJSON(c.Context(), "/policy/status", &status); err != nil {
+				return err
+			}
+			if client.asJSON {
+				return json.NewEncoder(c.OutOrStdout()).Encode(&status)
+			}
+			return printPolicyStatus(c.OutOrStdout(), &status)
+		},
+	}
 }
 
-func (p *proposal) send(c *cobra.Command, socket string, asJSON bool, doc []byte) error {
-	if p.id == "" {
-		var b [8]byte
-		rand.Read(b[:])
-		p.id = hex.EncodeToString(b[:])
+// printPolicyStatus writes for people by which version a gateway decides, and what the voters decide.
+func printPolicyStatus(out io.Writer, status *hosted.PolicyStatus) error {
+	rows := newTable(out)
+	rows.row("door", status.Name)
+	rows.row("goes by", versionText(status.Version))
+	rows.row("decides", status.Decides)
+	if status.Current == nil {
+		rows.row("present", "not known: no majority of the voters answers")
+		return rows.flush()
 	}
-	q := url.Values{"id": {p.id}, "wait": {p.wait.String()}}
-	for k, v := range map[string]string{"mode": p.mode, "base": p.base, "note": p.note} {
-		if v != "" {
-			q.Set(k, v)
-		}
-	}
-	if u, err := user.Current(); err == nil {
-		q.Set("who", u.Username[:min(len(u.Username), policy.MaxIDBytes)])
-	}
-	body, err := callFor(c.Context(), socket, http.MethodPost, "/policy/propose?"+q.Encode(), bytes.NewReader(doc), p.wait+callWithin)
-	if err != nil {
-		return err
+	rows.row("present", versionText(*status.Current))
+	rows.row("mode", status.Mode)
+	rows.row("leader", status.Leader)
+	rows.row("may decide", strings.Join(status.Participants, " "))
+	if pending := status.Pending; pending != nil {
+		rows.row("change", fmt.Sprintf("%s by %s, %s", pending.ID, pending.Author, pending.Mode))
+		rows.row("waits", status.WaitingFor)
 	}
-	var res hosted.PolicyResult
-	if err := json.Unmarshal(body, &res); err != nil {
-		return fmt.Errorf("the door's answer: %w", err)
-	}
-	return told(c.OutOrStdout(), asJSON, &res)
+	return rows.flush()
 }
 
-// told prints what became of a change, and returns its exit code.
-func told(out io.Writer, asJSON bool, r *hosted.PolicyResult) error {
-	if asJSON {
-		if err := json.NewEncoder(out).Encode(r); err != nil {
-			return err
-		}
-	}
-	switch {
-	case r.Known && r.Committed:
-		if !asJSON {
-			fmt.Fprintf(out, "%s: taken, version %d\n", r.ID, r.Version)
-		}
-		return nil
-	case r.Known:
-		return &cli.Error{Code: exitDropped, Err: fmt.Errorf("%s: dropped: %s", r.ID, r.Reason)}
-	case r.WaitingFor != "":
-		return &cli.Error{Code: exitUnknown, Err: fmt.Errorf("%s: not known yet; it waits: %s", r.ID, r.WaitingFor)}
-	}
-	return &cli.Error{Code: exitUnknown, Err: fmt.Errorf("%s: not known yet, or no such change", r.ID)}
+// versionText is a version's number and the first digits of its hash.
+func versionText(version policy.Version) string {
+	const hashDigits = 12
+	return fmt.Sprintf("version %d, %s", version.Number, version.Hash.String()[:hashDigits])
 }
 
-func statusTable(out io.Writer, s *hosted.PolicyStatus) error {
-	t := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	fmt.Fprintf(t, "door\t%s\ngoes by\tversion %d, %s\ndecides\t%t\n", s.Name, s.Version.Number, s.Version.Hash.String()[:12], s.Decides)
-	if s.Current == nil {
-		fmt.Fprintf(t, "present\tnot known: no majority of the voters answers\n")
-		return t.Flush()
-	}
-	fmt.Fprintf(t, "present\tversion %d, %s\nmode\t%s\nleader\t%s\nmay decide\t%s\n", s.Current.Number, s.Current.Hash.String()[:12], s.Mode, s.Leader, strings.Join(s.Participants, " "))
-	if s.Pending != nil {
-		fmt.Fprintf(t, "change\t%s by %s, %s\nwaits\t%s\n", s.Pending.ID, s.Pending.Author, s.Pending.Mode, s.WaitingFor)
+// newHistoryCommand is the command that prints earlier changes.
+func newHistoryCommand(client *policyClient) *cobra.Command {
+	return &cobra.Command{
+		Use:   "history",
+		Short: "Say who changed the policy when, and what became of it",
+		Args:  cobra.NoArgs,
+		RunE: func(c *cobra.Command, _ []string) error {
+			var outcomes []policy.Outcome
+			if err := client.getJSON(c.Context(), "/policy/history", &outcomes); err != nil {
+				return err
+			}
+			if client.asJSON {
+				return json.NewEncoder(c.OutOrStdout()).Encode(outcomes)
+			}
+			return printHistory(c.OutOrStdout(), outcomes)
+		},
 	}
-	return t.Flush()
 }
 
-func historyTable(out io.Writer, past []policy.Outcome) error {
-	t := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	fmt.Fprintf(t, "VERSION\tID\tWHO\tWHEN\tMODE\tLOCKED\tFENCED\tSWITCHED WITHIN\tWHAT\n")
-	for _, o := range slices.Backward(past) {
-		version, what := "-", "dropped: "+o.Reason
-		if o.Committed {
-			version, what = strconv.FormatUint(o.Version, 10), "taken"
+// printHistory writes the outcomes of changes for people to read, the last one first.
+func printHistory(out io.Writer, outcomes []policy.Outcome) error {
+	rows := newTable(out)
+	rows.row("VERSION", "ID", "WHO", "WHEN", "MODE", "LOCKED", "FENCED", "SWITCHED WITHIN", "WHAT")
+	for _, outcome := range slices.Backward(outcomes) {
+		version := "-"
+		result := "dropped: " + outcome.Reason
+		if outcome.Committed {
+			version = strconv.FormatUint(outcome.Version, 10)
+			result = "taken"
 		}
-		if o.Change.Note != "" {
-			what += " (" + o.Change.Note + ")"
+		if outcome.Change.Note != "" {
+			result += " (" + outcome.Change.Note + ")"
 		}
-		switched := ""
-		if len(o.SwitchedAt) > 0 {
-			first, last := int64(0), int64(0)
-			for _, at := range o.SwitchedAt {
-				if first == 0 || at < first {
-					first = at
-				}
-				last = max(last, at)
-			}
-			switched = fmt.Sprintf("%d ms, %d doors", last-first, len(o.SwitchedAt))
+		decidedAt := time.UnixMilli(outcome.DecidedAt).UTC().Format(time.DateTime)
+		rows.row(version, outcome.Change.ID, outcome.Change.Author, decidedAt, outcome.Change.Mode,
+			len(outcome.Locked), len(outcome.Fenced), switchedWithin(outcome.SwitchedAt), result)
+	}
+	return rows.flush()
+}
+
+// switchedWithin is the time from the first gateway's switch to the last one's, as one cell of a table. The times are
+// in Unix milliseconds; it is empty if no gateway has switched.
+func switchedWithin(switchedAt map[uint16]int64) string {
+	if len(switchedAt) == 0 {
+		return ""
+	}
+	first, last := int64(0), int64(0)
+	for _, at := range switchedAt {
+		if first == 0 || at < first {
+			first = at
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%d\t%d\t%s\t%s\n", version, o.Change.ID, o.Change.Author, time.UnixMilli(o.DecidedAt).UTC().Format(time.DateTime), o.Change.Mode,
-			len(o.Locked), len(o.Fenced), switched, what)
+		last = max(last, at)
 	}
-	return t.Flush()
+	return fmt.Sprintf("%d ms, %d doors", last-first, len(switchedAt))
 }
--- a/cmd/gapgapctl/policy_test.go
+++ b/cmd/gapgapctl/policy_test.go
@@ -1,11 +1,8 @@
 package main
 
 import (
-	"bytes"
-	"context"
 	"encoding/json"
 	"io"
-	"net"
 	"net/http"
 	"os"
 	"path/filepath"
@@ -17,76 +14,115 @@
 	"gapgap/internal/service/hosted"
 )
 
-// What became of a change is told by the exit code; what an earlier version had is proposed again as it was.
-func TestPolicy(t *testing.T) {
-	dir := t.TempDir()
-	socket, file := filepath.Join(dir, "ctl"), filepath.Join(dir, "p.toml")
-	if err := os.WriteFile(file, []byte("rate = 2\n"), 0o600); err != nil {
-		t.Fatal(err)
-	}
-	ln, err := net.Listen("unix", socket)
-	if err != nil {
-		t.Fatal(err)
-	}
-	results := map[string]hosted.PolicyResult{"good": {ID: "good", Known: true, Committed: true, Version: 8}, "bad": {ID: "bad", Known: true, Reason: "n2 can't: policy:3: no"},
-		"late": {ID: "late", WaitingFor: "n1 was not heard of"}}
-	proposed, note := "", ""
-	put := func(w http.ResponseWriter, v any) { json.NewEncoder(w).Encode(v) }
-	mux := http.NewServeMux()
-	mux.HandleFunc("POST /policy/propose", func(w http.ResponseWriter, r *http.Request) {
-		b, _ := io.ReadAll(r.Body)
-		proposed, note = string(b), r.URL.Query().Get("note")
-		if id := r.URL.Query().Get("id"); id == "odd" {
-			http.Error(w, "policy:1: rate: is odd", http.StatusConflict)
-		} else {
-			put(w, results[id])
-		}
+// fakePolicy answers as a gateway does to commands on the policy.
+type fakePolicy struct {
+	http.ServeMux
+	// proposed is the last document that was proposed, and note the note that came with it.
+	proposed string
+	note     string
+}
+
+// proposalResults are the outcomes of proposals by their ids.
+var proposalResults = map[string]hosted.PolicyResult{
+	"good": {ID: "good", Known: true, Committed: true, Version: 8},
+	"bad":  {ID: "bad", Known: true, Reason: "n2 can't: policy:3: no"},
+	"late": {ID: "late", WaitingFor: "n1 was not heard of"},
+}
+
+// newFakePolicy returns a gateway that goes by version 7 while no majority of the voters answers.
+func newFakePolicy() *fakePolicy {
+	fake := &fakePolicy{}
+	fake.HandleFunc("POST /policy/propose", fake.propose)
+	fake.HandleFunc("GET /policy/change", func(w http.ResponseWriter, r *http.Request) {
+		writeJSON(w, proposalResults[r.URL.Query().Get("id")])
 	})
-	mux.HandleFunc("GET /policy/change", func(w http.ResponseWriter, r *http.Request) { put(w, results[r.URL.Query().Get("id")]) })
-	mux.HandleFunc("GET /policy/show", func(w http.ResponseWriter, r *http.Request) {
-		io.WriteString(w, "rate = 1"+r.URL.Query().Get("version")+"\n")
+	fake.HandleFunc("GET /policy/show", func(w http.ResponseWriter, r *http.Request) {
+		_, _ = io.WriteString(w, "rate = 1"+r.URL.Query().Get("version")+"\n") // the command fails then
 	})
-	mux.HandleFunc("GET /policy/history", func(w http.ResponseWriter, _ *http.Request) {
-		put(w, []policy.Outcome{{Change: policy.Change{ID: "a", Author: "ann"}, Committed: true, Version: 2, SwitchedAt: map[uint16]int64{0: 1000, 1: 1012}}, {Change: policy.Change{ID: "b"}, Reason: "it conflicts"}})
+	fake.HandleFunc("GET /policy/history", func(w http.ResponseWriter, _ *http.Request) {
+		writeJSON(w, []policy.Outcome{
+			{
+				Change:     policy.Change{ID: "a", Author: "ann"},
+				Committed:  true,
+				Version:    2,
+				SwitchedAt: map[uint16]int64{0: 1000, 1: 1012},
+			},
+			{
+				Change: policy.Change{ID: "b"},
+				Reason: "it conflicts",
+			},
+		})
 	})
-	mux.HandleFunc("GET /policy/status", func(w http.ResponseWriter, _ *http.Request) {
-		put(w, hosted.PolicyStatus{Name: "n0", Version: policy.Version{Number: 7}, Decides: true})
+	fake.HandleFunc("GET /policy/status", func(w http.ResponseWriter, _ *http.Request) {
+		writeJSON(w, hosted.PolicyStatus{Name: "n0", Version: policy.Version{Number: 7}, Decides: true})
 	})
-	srv := &http.Server{Handler: mux}
-	go srv.Serve(ln)
-	t.Cleanup(func() { srv.Close() })
+	return fake
+}
+
+// propose keeps what was proposed and answers by the id.
+func (f *fakePolicy) propose(w http.ResponseWriter, r *http.Request) {
+	document, err := io.ReadAll(r.Body)
+	if err != nil {
+		http.Error(w, err.Error(), http.StatusBadRequest)
+		return
+	}
+	f.proposed = string(document)
+	f.note = r.URL.Query().Get("note")
+	id := r.URL.Query().Get("id")
+	if id == "odd" {
+		http.Error(w, "policy:1: rate: is odd", http.StatusConflict)
+		return
+	}
+	writeJSON(w, proposalResults[id])
+}
+
+// writeJSON answers with a value.
+func writeJSON(w http.ResponseWriter, value any) {
+	_ = json.NewEncoder(w).Encode(value) // the command fails then
+}
+
+// The outcome of a change is told by the exit code; the document of an earlier version is proposed again as it was.
+func TestPolicyCommands(t *testing.T) {
+	fake := newFakePolicy()
+	socket := serveControlSocket(t, fake)
+	file := filepath.Join(t.TempDir(), "p.toml")
+	if err := os.WriteFile(file, []byte("rate = 2\n"), 0o600); err != nil {
+		t.Fatal(err)
+	}
 	for _, c := range []struct {
 		args string
 		code int
 		want []string
 	}{
-		{"propose --id good -f " + file, cli.Good, []string{"taken, version 8"}},
-		{"propose --id bad -f " + file, exitDropped, []string{"n2 can't: policy:3: no"}},
-		{"propose --id late -f " + file, exitUnknown, []string{"not known yet", "n1 was not heard of"}},
-		{"propose --id odd -f " + file, cli.Failed, []string{"policy:1"}},
-		{"propose --json --id good -f " + file, cli.Good, []string{`"taken":true`}},
-		{"propose --id good", cli.Misused, []string{"--file is missing"}},
-		{"status late", exitUnknown, []string{"not known yet"}},
-		{"status", cli.Good, []string{"version 7", "not known: no majority"}},
-		{"history", cli.Good, []string{"12 ms, 2 doors", "ann", "dropped: it conflicts"}},
-		{"diff -f " + file, cli.Good, []string{"-rate = 1", "+rate = 2"}},
-		{"revert --to 4 --id good", cli.Good, []string{"taken"}},
-		{"revert", cli.Misused, []string{"--to is missing"}},
+		{args: "propose --id good -f " + file, code: cli.Good, want: []string{"taken, version 8"}},
+		{args: "propose --id bad -f " + file, code: exitAborted, want: []string{"n2 can't: policy:3: no"}},
+		{
+			args: "propose --id late -f " + file,
+			code: exitUnknown,
+			want: []string{"not known yet", "n1 was not heard of"},
+		},
+		{args: "propose --id odd -f " + file, code: cli.Failed, want: []string{"policy:1"}},
+		{args: "propose --json --id good -f " + file, code: cli.Good, want: []string{`"taken":true`}},
+		{args: "propose --id good", code: cli.Misused, want: []string{"--file is missing"}},
+		{args: "status late", code: exitUnknown, want: []string{"not known yet"}},
+		{args: "status", code: cli.Good, want: []string{"version 7", "not known: no majority"}},
+		{args: "history", code: cli.Good, want: []string{"12 ms, 2 doors", "ann", "dropped: it conflicts"}},
+		{args: "diff -f " + file, code: cli.Good, want: []string{"-rate = 1", "+rate = 2"}},
+		{args: "revert --to 4 --id good", code: cli.Good, want: []string{"taken"}},
+		{args: "revert", code: cli.Misused, want: []string{"--to is missing"}},
 	} {
-		var out bytes.Buffer
-		cmd := command()
-		cmd.SetOut(&out)
-		code := cli.Run(context.Background(), cmd, append([]string{"policy", "--socket", socket}, strings.Fields(c.args)...), &out)
+		args := append([]string{"policy", "--socket", socket}, strings.Fields(c.args)...)
+		code, out, errs := runCommand(t, args...)
 		if code != c.code {
-			t.Errorf("%s: exit code %d, not %d: %s", c.args, code, c.code, out.String())
+			t.Errorf("%s: exit code %d, not %d: %s%s", c.args, code, c.code, out, errs)
 		}
-		for _, w := range c.want {
-			if !strings.Contains(out.String(), w) {
-				t.Errorf("%s: no %q in %q", c.args, w, out.String())
+		for _, want := range c.want {
+			if !strings.Contains(out+errs, want) {
+				t.Errorf("%s: no %q in %q", c.args, want, out+errs)
 			}
 		}
 	}
-	if proposed != "rate = 14\n" || note != "back to version 4" {
-		t.Errorf("reverted to %q, %q", proposed, note)
+	if fake.proposed != "rate = 14\n" || fake.note != "back to version 4" {
+		t.Errorf("reverted to %q, %q", fake.proposed, fake.note)
 	}
 }
