--- /dev/null
+++ b/cmd/benchmark/request_test.go
@@ -0,0 +1,44 @@
+package main
+
+import (
+	"bufio"
+	"strings"
+	"testing"
+)
+
+// A request over RESP2 is an array of bulk strings.
+func TestRESP2Request(t *testing.T) {
+	want := "*4\r\n$5\r\nQ.ASK\r\n$1\r\nc\r\n$3\r\n1-2\r\n$7\r\nunits=1\r\n"
+	if got := string(resp2Request("c", "1-2", "units=1")); got != want {
+		t.Errorf("%q, not %q", got, want)
+	}
+}
+
+// Of answers to checks those with status 200 are served, and each is read whole.
+func TestReadHTTP(t *testing.T) {
+	answers := bufio.NewReader(strings.NewReader("HTTP/1.1 403 Forbidden\r\nContent-Length: 5\r\n\r\nHTTP/" +
+		"HTTP/1.1 200 OK\r\n\r\n"))
+	for _, want := range []bool{false, true} {
+		served, err := readHTTP(answers)
+		if err != nil || served != want {
+			t.Errorf("served %t, not %t: %v", served, want, err)
+		}
+	}
+	if _, err := readHTTP(answers); err == nil {
+		t.Error("an answer was read after the last one")
+	}
+}
+
+// Of answers over RESP2 bulk strings are served, and each is read whole.
+func TestReadRESP2(t *testing.T) {
+	answers := bufio.NewReader(strings.NewReader("-BUSY\r\n$3\r\n$1\r\r\n$1\r\nx\r\n"))
+	for _, want := range []bool{false, true, true} {
+		served, err := readRESP2(answers)
+		if err != nil || served != want {
+			t.Errorf("served %t, not %t: %v", served, want, err)
+		}
+	}
+	if _, err := readRESP2(answers); err == nil {
+		t.Error("an answer was read after the last one")
+	}
+}
