--- a/internal/sharedhealth/registry.go
+++ b/internal/sharedhealth/registry.go
@@ -1,229 +1,175 @@
-// Package sharedhealth decides what pools are told of servers that stand in several of them. A server is known by its address,
-// whatever each pool calls it. What it bears is one thing:
-//
-//   - A drain told to one pool is told to all. A removal, or a move to another address, stops it in all; another pool
-//     takes it up again only when its own source tells of it in service after that.
-//   - The newest start that any source tells of holds for all: a server that is cold for one is cold for all.
-//   - Each entry that has it in service gets an even part of what a cold one bears, so the budget holds over the sum.
-//
-// It does no input or output, and nothing but what pools are told hangs on it. One goroutine at a time may use a Fleet.
 package sharedhealth
 
 import (
-	"cmp"
+	"maps"
 	"slices"
 
 	"gapgap/internal/balancer"
 	"gapgap/internal/endpoint"
 )
 
-// Update is what one pool is to be told: changes, never a whole list.
+// Update is an endpoint update for one pool: changes, or a source's failure, never a whole list.
 type Update struct {
-	Pool   string
+	// Pool is the name of the pool.
+	Pool string
+	// Update is of kind balancer.Delta or balancer.UpdateFailed.
 	Update endpoint.Update
 }
 
-// Registry holds what each pool's source has told.
+// Registry holds what each pool's source has reported.
 type Registry struct {
-	pools map[string]map[string]*entry   // by pool and the pool's name for a server
-	at    map[string]map[*entry]struct{} // by address
-	dirty map[string]struct{}            // addresses to look at
-	gone  []Update                       // entries that their pool no longer has
-	sent  map[*entry]endpoint.Entry      // as the pool was told last
+	pools     map[string]poolEntries
+	byAddress map[string]entrySet
+	// changed has the addresses of which something was reported since the last flush.
+	changed map[string]struct{}
+	// removed has an update for each entry that was removed since the last flush.
+	removed []Update
+	// delivered is what the pool of each entry was told last.
+	delivered map[*entry]endpoint.Entry
 }
 
+// poolEntries are the entries of one pool, by name.
+type poolEntries map[string]*entry
+
+// entrySet has all entries of one address, whatever their pools.
+type entrySet map[*entry]struct{}
+
+// entry is an endpoint as one pool knows it.
 type entry struct {
-	pool    string
-	told    endpoint.Entry
-	stopped bool // another pool was told of a removal, and this one's source has not spoken since
+	pool string
+	// reported is what the pool's source has reported last.
+	reported endpoint.Entry
+	// stopped is true if another pool's source has removed the endpoint and this one's has not reported it as serving
+	// since.
+	stopped bool
 }
 
-// New makes a fleet of nothing.
+// New returns a Registry without pools.
 func New() *Registry {
-	return &Registry{pools: map[string]map[string]*entry{}, at: map[string]map[*entry]struct{}{}, dirty: map[string]struct{}{},
-		sent: map[*entry]endpoint.Entry{}}
+	return &Registry{
+		pools:     map[string]poolEntries{},
+		byAddress: map[string]entrySet{},
+		changed:   map[string]struct{}{},
+		delivered: map[*entry]endpoint.Entry{},
+	}
 }
 
-// Apply takes what a pool's source says and returns what pools are to be told, that pool among them.
-func (f *Registry) Apply(pool string, u endpoint.Update) []Update {
-	if u.Kind == balancer.UpdateFailed {
-		return []Update{{pool, u}}
+// Apply takes an update from a pool's source and returns the updates for all pools, in the order of their names. The
+// pool itself is among them if anything has changed for it.
+func (r *Registry) Apply(pool string, update endpoint.Update) []Update {
+	if update.Kind == balancer.UpdateFailed {
+		return []Update{{Pool: pool, Update: update}}
 	}
-	p := f.pools[pool]
-	if p == nil {
-		p = map[string]*entry{}
-		f.pools[pool] = p
+	entries := r.pools[pool]
+	if entries == nil {
+		entries = poolEntries{}
+		r.pools[pool] = entries
 	}
-	named := map[string]bool{}
-	for _, e := range u.Entries {
-		named[e.Name] = true
-		f.take(pool, p, e)
+	listed := map[string]bool{}
+	for _, reported := range update.Entries {
+		listed[reported.Name] = true
+		r.applyEntry(pool, entries, reported)
 	}
-	if u.Kind != balancer.Delta {
-		for _, name := range sorted(p) {
-			if e := p[name]; !named[name] {
-				f.remove(p, e, u.Kind == balancer.Snapshot) // what is missing from an old list says nothing
-			}
-		}
-	}
-	return f.settle()
-}
-
-// Remove forgets a pool. That is no word on its servers: the others have their parts again.
-func (f *Registry) Remove(pool string) []Update {
-	p := f.pools[pool]
-	for _, name := range sorted(p) {
-		f.remove(p, p[name], false)
+	if update.Kind != balancer.Delta {
+		r.removeUnlisted(entries, listed, update.Kind)
 	}
-	delete(f.pools, pool)
-	f.gone = nil // nobody is there to be told
-	return f.settle()
+	return r.flush()
 }
 
-// Peer is a server as another pool calls it.
-type Peer struct{ Pool, Name string }
-
-// Peers are the entries that other pools have of a pool's server, in a fixed order: who is to hear what the pool finds out
-// about it.
-func (f *Registry) Peers(pool, name string) []Peer {
-	e := f.pools[pool][name]
-	if e == nil {
-		return nil
-	}
-	var all []Peer
-	for o := range f.at[e.told.Address] {
-		if o.pool != pool {
-			all = append(all, Peer{o.pool, o.told.Name})
+// removeUnlisted removes the entries that are missing from a whole list. Only a current list, not a cached one, says
+// that their endpoints are gone.
+func (r *Registry) removeUnlisted(entries poolEntries, listed map[string]bool, kind balancer.UpdateKind) {
+	for _, name := range sortedNames(entries) {
+		if listed[name] {
+			continue
 		}
+		if kind == balancer.Snapshot {
+			r.stopElsewhere(entries[name])
+		}
+		r.remove(entries, entries[name])
 	}
-	slices.SortFunc(all, func(a, b Peer) int { return cmp.Or(cmp.Compare(a.Pool, b.Pool), cmp.Compare(a.Name, b.Name)) })
-	return all
 }
 
-func sorted(p map[string]*entry) []string {
-	names := make([]string, 0, len(p))
-	for n := range p {
-		names = append(names, n)
+// Remove forgets a pool and returns the updates for the others. It does not count as a removal of the pool's endpoints:
+// the other pools share their slow-start budgets from then on.
+func (r *Registry) Remove(pool string) []Update {
+	entries := r.pools[pool]
+	for _, name := range sortedNames(entries) {
+		r.remove(entries, entries[name])
 	}
-	slices.Sort(names)
-	return names
+	delete(r.pools, pool)
+	r.removed = nil // the pool itself gets no updates any more
+	return r.flush()
 }
 
-// take takes one entry of a pool.
-func (f *Registry) take(pool string, p map[string]*entry, told endpoint.Entry) {
-	e := p[told.Name]
-	if told.State == balancer.Removed {
+// applyEntry takes one entry of an update.
+func (r *Registry) applyEntry(pool string, entries poolEntries, reported endpoint.Entry) {
+	e := entries[reported.Name]
+	if reported.State == balancer.Removed {
 		if e != nil {
-			f.remove(p, e, true)
+			r.stopElsewhere(e)
+			r.remove(entries, e)
 		}
 		return
 	}
-	if e != nil && e.told.Address != told.Address { // another process; the old one is gone
-		f.stop(e)
-		f.unlink(e)
-	}
 	if e == nil {
 		e = &entry{pool: pool}
-		p[told.Name] = e
-	}
-	e.told = told
-	if told.State == balancer.Serving {
+		entries[reported.Name] = e
+	} else if e.reported.Address != reported.Address {
+		// The name is another process's now, and the old one is gone.
+		r.stopElsewhere(e)
+		r.unlink(e)
+	}
+	e.reported = reported
+	if reported.State == balancer.Serving {
 		e.stopped = false
 	}
-	if f.at[told.Address] == nil {
-		f.at[told.Address] = map[*entry]struct{}{}
-	}
-	f.at[told.Address][e] = struct{}{}
-	f.dirty[told.Address] = struct{}{}
+	r.link(e)
 }
 
-// remove takes an entry out of its pool, and stops the server in the others where that is word of its end.
-func (f *Registry) remove(p map[string]*entry, e *entry, ends bool) {
-	if ends {
-		f.stop(e)
-	}
-	f.unlink(e)
-	delete(p, e.told.Name)
-	last := e.told
+// remove removes an entry from its pool, which the next flush tells.
+func (r *Registry) remove(entries poolEntries, e *entry) {
+	r.unlink(e)
+	delete(entries, e.reported.Name)
+	delete(r.delivered, e)
+	last := e.reported
 	last.State = balancer.Removed
-	delete(f.sent, e)
-	f.gone = append(f.gone, Update{e.pool, endpoint.Update{Entries: []endpoint.Entry{last}}})
+	r.removed = append(r.removed, Update{
+		Pool:   e.pool,
+		Update: endpoint.Update{Entries: []endpoint.Entry{last}},
+	})
 }
 
-// stop stops the server of an entry in all other pools.
-func (f *Registry) stop(e *entry) {
-	for o := range f.at[e.told.Address] {
-		if o.pool != e.pool {
-			o.stopped = true
+// stopElsewhere stops the endpoint of an entry in all other pools.
+func (r *Registry) stopElsewhere(e *entry) {
+	for other := range r.byAddress[e.reported.Address] {
+		if other.pool != e.pool {
+			other.stopped = true
 		}
 	}
 }
 
-func (f *Registry) unlink(e *entry) {
-	delete(f.at[e.told.Address], e)
-	if len(f.at[e.told.Address]) == 0 {
-		delete(f.at, e.told.Address)
-	}
-	f.dirty[e.told.Address] = struct{}{}
-}
-
-// settle looks at the servers of which something has changed, and says who is to be told what.
-func (f *Registry) settle() []Update {
-	changes := map[string][]endpoint.Entry{}
-	for _, o := range f.gone {
-		changes[o.Pool] = append(changes[o.Pool], o.Update.Entries...)
-	}
-	f.gone = nil
-	for addr := range f.dirty {
-		for e, now := range f.effective(addr) {
-			if f.sent[e] != now {
-				f.sent[e] = now
-				changes[e.pool] = append(changes[e.pool], now)
-			}
-		}
-	}
-	clear(f.dirty)
-	var outs []Update
-	for pool, list := range changes {
-		// Ends first, so that a name that has a new address is not ended after it; then by name, for the same order always.
-		slices.SortStableFunc(list, func(a, b endpoint.Entry) int {
-			return cmp.Or(cmp.Compare(ended(b), ended(a)), cmp.Compare(a.Name, b.Name))
-		})
-		outs = append(outs, Update{pool, endpoint.Update{Kind: balancer.Delta, Entries: list}})
+// link adds an entry to those of its address.
+func (r *Registry) link(e *entry) {
+	address := e.reported.Address
+	if r.byAddress[address] == nil {
+		r.byAddress[address] = entrySet{}
 	}
-	slices.SortFunc(outs, func(a, b Update) int { return cmp.Compare(a.Pool, b.Pool) })
-	return outs
+	r.byAddress[address][e] = struct{}{}
+	r.changed[address] = struct{}{}
 }
 
-func ended(e endpoint.Entry) int {
-	if e.State == balancer.Removed {
-		return 1
+// unlink removes an entry from those of its address.
+func (r *Registry) unlink(e *entry) {
+	address := e.reported.Address
+	delete(r.byAddress[address], e)
+	if len(r.byAddress[address]) == 0 {
+		delete(r.byAddress, address)
 	}
-	return 0
+	r.changed[address] = struct{}{}
 }
 
-// effective is what the pools of one server are to know of it.
-func (f *Registry) effective(addr string) map[*entry]endpoint.Entry {
-	all := f.at[addr]
-	drains := false
-	use := 0 // entries that have it in service: a pool may have a server under two names
-	var started = balancer.Endpoint{}.StartedAt
-	for e := range all {
-		drains = drains || e.told.State != balancer.Serving
-		started = max(started, e.told.StartedAt)
-		if e.told.State == balancer.Serving && !e.stopped {
-			use++
-		}
-	}
-	now := map[*entry]endpoint.Entry{}
-	for e := range all {
-		n := e.told
-		n.StartedAt = started
-		n.SlowStartShare = 1 / float64(max(1, use))
-		if drains || e.stopped {
-			n.State = balancer.Draining
-		}
-		now[e] = n
-	}
-	return now
+// sortedNames returns the names of a pool's entries in order.
+func sortedNames(entries poolEntries) []string {
+	return slices.Sorted(maps.Keys(entries))
 }
--- a/internal/sharedhealth/registry_test.go
+++ b/internal/sharedhealth/registry_test.go
@@ -11,160 +11,196 @@
 	"gapgap/internal/endpoint"
 )
 
-func entryOf(name, addr string, state balancer.EndpointState, started time.Duration) endpoint.Entry {
-	return endpoint.Entry{Endpoint: balancer.Endpoint{Name: name, State: state, StartedAt: started}, Address: addr}
+// newEntry returns an entry as a source reports it.
+func newEntry(name, address string, state balancer.EndpointState, startedAt time.Duration) endpoint.Entry {
+	return endpoint.Entry{
+		Endpoint: balancer.Endpoint{
+			Name:      name,
+			State:     state,
+			StartedAt: startedAt,
+		},
+		Address: address,
+	}
 }
 
-func list(scope balancer.UpdateKind, all ...endpoint.Entry) endpoint.Update {
-	return endpoint.Update{Kind: scope, Entries: all}
+// newUpdate returns an update as a source reports it.
+func newUpdate(kind balancer.UpdateKind, entries ...endpoint.Entry) endpoint.Update {
+	return endpoint.Update{Kind: kind, Entries: entries}
 }
 
-// pools keeps what each pool was told, as a core would.
-type pools map[string]map[string]endpoint.Entry
+// poolViews has the entries that each pool knows, as a proxy would keep them.
+type poolViews map[string]map[string]endpoint.Entry
 
-func (p pools) take(outs []Update) {
-	for _, o := range outs {
-		if p[o.Pool] == nil {
-			p[o.Pool] = map[string]endpoint.Entry{}
+// apply tells the pools their updates.
+func (v poolViews) apply(updates []Update) {
+	for _, update := range updates {
+		if v[update.Pool] == nil {
+			v[update.Pool] = map[string]endpoint.Entry{}
 		}
-		for _, e := range o.Update.Entries {
+		for _, e := range update.Update.Entries {
 			if e.State == balancer.Removed {
-				delete(p[o.Pool], e.Name)
+				delete(v[update.Pool], e.Name)
 			} else {
-				p[o.Pool][e.Name] = e
+				v[update.Pool][e.Name] = e
 			}
 		}
 	}
 }
 
 func TestPoolsSharedServer(t *testing.T) {
-	const in, out, gone = balancer.Serving, balancer.Draining, balancer.Removed
-	f, p := New(), pools{}
-	tell := func(pool string, u endpoint.Update) { p.take(f.Apply(pool, u)) }
-	state := func(pool, name string, want balancer.EndpointState, share float64) {
+	const (
+		serving  = balancer.Serving
+		draining = balancer.Draining
+		removed  = balancer.Removed
+	)
+	registry := New()
+	views := poolViews{}
+	report := func(pool string, update endpoint.Update) { views.apply(registry.Apply(pool, update)) }
+	want := func(pool, name string, state balancer.EndpointState, share float64) {
 		t.Helper()
-		if e, ok := p[pool][name]; !ok || e.State != want || e.SlowStartShare != share {
-			t.Errorf("%s has %s as %+v, want state %v and share %v", pool, name, e, want, share)
+		if e, ok := views[pool][name]; !ok || e.State != state || e.SlowStartShare != share {
+			t.Errorf("%s has %s as %+v, want state %v and share %v", pool, name, e, state, share)
 		}
 	}
-	tell("a", list(balancer.Snapshot, entryOf("s1", "x", in, 0), entryOf("s2", "y", in, 0)))
-	state("a", "s1", in, 1)
-	tell("b", list(balancer.Snapshot, entryOf("t1", "x", in, 7))) // by another name; and newly started, as b knows
-	state("a", "s1", in, 0.5)
-	state("b", "t1", in, 0.5)
-	state("a", "s2", in, 1)
-	if p["a"]["s1"].StartedAt != 7 {
-		t.Error("a does not know of the start that b was told of")
+	report("a", newUpdate(balancer.Snapshot, newEntry("s1", "x", serving, 0), newEntry("s2", "y", serving, 0)))
+	want("a", "s1", serving, 1)
+	// By another name, and started lately as b knows.
+	report("b", newUpdate(balancer.Snapshot, newEntry("t1", "x", serving, 7)))
+	want("a", "s1", serving, 0.5)
+	want("b", "t1", serving, 0.5)
+	want("a", "s2", serving, 1)
+	if views["a"]["s1"].StartedAt != 7 {
+		t.Error("a does not know of the start that b's source has reported")
 	}
-	tell("a", list(balancer.Delta, entryOf("s1", "x", out, 0))) // a drain told to one
-	state("b", "t1", out, 1)
-	tell("b", list(balancer.Delta, entryOf("t1", "x", in, 7))) // the other's source says nothing of it
-	state("b", "t1", out, 1)
-	tell("a", list(balancer.Delta, entryOf("s1", "x", in, 9))) // it is back
-	state("a", "s1", in, 0.5)
-	state("b", "t1", in, 0.5)
-	tell("a", list(balancer.Delta, entryOf("s1", "x", gone, 0))) // removed from one
-	if _, there := p["a"]["s1"]; there {
+	// Draining by one source.
+	report("a", newUpdate(balancer.Delta, newEntry("s1", "x", draining, 0)))
+	want("b", "t1", draining, 1)
+	// The other source does not know of it.
+	report("b", newUpdate(balancer.Delta, newEntry("t1", "x", serving, 7)))
+	want("b", "t1", draining, 1)
+	// It is back.
+	report("a", newUpdate(balancer.Delta, newEntry("s1", "x", serving, 9)))
+	want("a", "s1", serving, 0.5)
+	want("b", "t1", serving, 0.5)
+	// Removed by one source.
+	report("a", newUpdate(balancer.Delta, newEntry("s1", "x", removed, 0)))
+	if _, ok := views["a"]["s1"]; ok {
 		t.Error("a still has it")
 	}
-	if e := p["b"]["t1"]; e.State != out {
-		t.Errorf("b goes on with a removed server: %+v", e)
+	if e := views["b"]["t1"]; e.State != draining {
+		t.Errorf("b goes on with a removed endpoint: %+v", e)
+	}
+	// The other pool's own source reports it as serving after that.
+	report("b", newUpdate(balancer.Delta, newEntry("t1", "x", serving, 7)))
+	want("b", "t1", serving, 1)
+	// Another name has that address now, and y is no longer in use.
+	report("a", newUpdate(balancer.Snapshot, newEntry("s2", "x", serving, 0)))
+	want("b", "t1", serving, 0.5)
+	// It returns at another address.
+	report("b", newUpdate(balancer.Delta, newEntry("t1", "z", serving, 8)))
+	want("b", "t1", serving, 1)
+	if e := views["a"]["s2"]; e.State != draining {
+		t.Errorf("a goes on with the address that b's endpoint has left: %+v", e)
 	}
-	tell("b", list(balancer.Delta, entryOf("t1", "x", in, 7))) // b's own source insists
-	state("b", "t1", in, 1)
-	tell("a", list(balancer.Snapshot, entryOf("s2", "x", in, 0))) // another name now has that address, and y is left
-	state("b", "t1", in, 0.5)
-	tell("b", list(balancer.Delta, entryOf("t1", "z", in, 8))) // it returns under a new address
-	state("b", "t1", in, 1)
-	if e := p["a"]["s2"]; e.State != out {
-		t.Errorf("a goes on with the address that b's server has left: %+v", e)
+	// An old list without entries.
+	report("b", newUpdate(balancer.CachedSnapshot))
+	if len(views["b"]) != 0 {
+		t.Errorf("b has %v", views["b"])
 	}
-	tell("b", list(balancer.CachedSnapshot)) // an old list that has nothing
-	if len(p["b"]) != 0 {
-		t.Errorf("b has %v", p["b"])
+	report("a", newUpdate(balancer.Snapshot, newEntry("s2", "x", serving, 0)))
+	report("b", newUpdate(balancer.Snapshot, newEntry("t1", "x", serving, 0)))
+	want("a", "s2", serving, 0.5)
+	// The pool is removed, not the endpoint.
+	views.apply(registry.Remove("b"))
+	want("a", "s2", serving, 1)
+	updates := registry.Apply("a", endpoint.Update{Kind: balancer.UpdateFailed})
+	if len(updates) != 1 || updates[0].Update.Kind != balancer.UpdateFailed {
+		t.Errorf("a failed list: %+v", updates)
 	}
-	tell("a", list(balancer.Snapshot, entryOf("s2", "x", in, 0)))
-	tell("b", list(balancer.Snapshot, entryOf("t1", "x", in, 0)))
-	state("a", "s2", in, 0.5)
-	p.take(f.Remove("b")) // the pool is removed, not the server
-	state("a", "s2", in, 1)
-	if got := f.Apply("a", endpoint.Update{Kind: balancer.UpdateFailed}); len(got) != 1 || got[0].Update.Kind != balancer.UpdateFailed {
-		t.Errorf("a failed list: %+v", got)
+}
+
+// drawUpdate returns some update and applies it to the entries that the source has reported.
+func drawUpdate(t *rapid.T, reported map[string]endpoint.Entry) endpoint.Update {
+	kinds := []balancer.UpdateKind{balancer.Delta, balancer.Delta, balancer.Snapshot, balancer.CachedSnapshot}
+	update := endpoint.Update{Kind: rapid.SampledFrom(kinds).Draw(t, "scope")}
+	if update.Kind != balancer.Delta {
+		clear(reported)
+	}
+	for i := range 3 {
+		if !rapid.Bool().Draw(t, "has") {
+			continue
+		}
+		address := rapid.SampledFrom([]string{"x", "y"}).Draw(t, "addr")
+		state := balancer.EndpointState(rapid.IntRange(0, 2).Draw(t, "state"))
+		startedAt := time.Duration(rapid.IntRange(0, 3).Draw(t, "started"))
+		e := newEntry(fmt.Sprint("s", i), address, state, startedAt)
+		update.Entries = append(update.Entries, e)
+		if e.State == balancer.Removed {
+			delete(reported, e.Name)
+		} else {
+			reported[e.Name] = e
+		}
 	}
+	return update
 }
 
-// Whatever sources say, in whatever order: no pool has a server in service that any pool's source says is draining; the
-// parts of a server that pools have in service never sum up to more than one; all know the newest start; and each pool
-// has just the names that its own source has.
+// checkViews checks what the pools know against what their sources have reported.
+func checkViews(t *rapid.T, views poolViews, reported map[string]map[string]endpoint.Entry) {
+	draining := map[string]bool{}
+	startedAt := map[string]time.Duration{}
+	for _, entries := range reported {
+		for _, e := range entries {
+			draining[e.Address] = draining[e.Address] || e.State != balancer.Serving
+			startedAt[e.Address] = max(startedAt[e.Address], e.StartedAt)
+		}
+	}
+	shares := map[string]float64{}
+	for pool, entries := range views {
+		if len(entries) != len(reported[pool]) {
+			t.Fatalf("%s has %v, its source %v", pool, entries, reported[pool])
+		}
+		for name, e := range entries {
+			own, ok := reported[pool][name]
+			if !ok || e.Address != own.Address || e.StartedAt != startedAt[e.Address] {
+				t.Fatalf("%s has %s as %+v, its source reported %+v", pool, name, e, own)
+			}
+			if e.State != balancer.Serving {
+				continue
+			}
+			if draining[e.Address] {
+				t.Fatalf("%s uses %s, which is draining", pool, e.Address)
+			}
+			shares[e.Address] += e.SlowStartShare
+		}
+	}
+	for address, sum := range shares {
+		if sum > 1.0001 {
+			t.Fatalf("the shares of %s sum up to %v", address, sum)
+		}
+	}
+}
+
+// Whatever sources report, in whatever order: no pool has an endpoint in service that any pool's source reports as
+// draining; the shares of an endpoint that pools have in service never sum up to more than one; all know the latest
+// start; and each pool has just the names that its own source has.
 func TestPoolsSharedServerInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f, p := New(), pools{}
-		told := map[string]map[string]endpoint.Entry{}
+		registry := New()
+		views := poolViews{}
+		reported := map[string]map[string]endpoint.Entry{}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			pool := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "pool")
 			if rapid.IntRange(0, 15).Draw(t, "drop") == 0 {
-				p.take(f.Remove(pool))
-				delete(told, pool)
-				delete(p, pool)
+				views.apply(registry.Remove(pool))
+				delete(reported, pool)
+				delete(views, pool)
 				continue
 			}
-			u := endpoint.Update{Kind: rapid.SampledFrom([]balancer.UpdateKind{balancer.Delta, balancer.Delta, balancer.Snapshot, balancer.CachedSnapshot}).Draw(t, "scope")}
-			if told[pool] == nil {
-				told[pool] = map[string]endpoint.Entry{}
-			}
-			if u.Kind != balancer.Delta {
-				clear(told[pool])
-			}
-			for i := range 3 {
-				if !rapid.Bool().Draw(t, "has") {
-					continue
-				}
-				e := entryOf(fmt.Sprint("s", i), rapid.SampledFrom([]string{"x", "y"}).Draw(t, "addr"),
-					balancer.EndpointState(rapid.IntRange(0, 2).Draw(t, "state")), time.Duration(rapid.IntRange(0, 3).Draw(t, "started")))
-				u.Entries = append(u.Entries, e)
-				if e.State == balancer.Removed {
-					delete(told[pool], e.Name)
-				} else {
-					told[pool][e.Name] = e
-				}
-			}
-			p.take(f.Apply(pool, u))
-			drains, shares, started := map[string]bool{}, map[string]map[string]float64{}, map[string]time.Duration{}
-			for _, list := range told {
-				for _, e := range list {
-					drains[e.Address] = drains[e.Address] || e.State != balancer.Serving
-					started[e.Address] = max(started[e.Address], e.StartedAt)
-				}
-			}
-			for pool, list := range p {
-				if len(list) != len(told[pool]) {
-					t.Fatalf("%s has %v, its source %v", pool, list, told[pool])
-				}
-				for name, e := range list {
-					o, ok := told[pool][name]
-					if !ok || e.Address != o.Address || e.StartedAt != started[e.Address] {
-						t.Fatalf("%s has %s as %+v, its source says %+v", pool, name, e, o)
-					}
-					if e.State == balancer.Serving {
-						if drains[e.Address] {
-							t.Fatalf("%s uses %s, which drains", pool, e.Address)
-						}
-						if shares[e.Address] == nil {
-							shares[e.Address] = map[string]float64{}
-						}
-						shares[e.Address][pool+" "+name] = e.SlowStartShare
-					}
-				}
-			}
-			for addr, by := range shares {
-				sum := 0.0
-				for _, s := range by {
-					sum += s
-				}
-				if sum > 1.0001 {
-					t.Fatalf("the parts of %s sum up to %v", addr, sum)
-				}
+			if reported[pool] == nil {
+				reported[pool] = map[string]endpoint.Entry{}
 			}
+			views.apply(registry.Apply(pool, drawUpdate(t, reported[pool])))
+			checkViews(t, views, reported)
 		}
 	})
 }
