--- a/internal/decisioncache/cache_test.go
+++ b/internal/decisioncache/cache_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/binary"
-	"fmt"
 	"slices"
 	"testing"
 	"time"
@@ -10,196 +9,207 @@
 	"pgregory.net/rapid"
 )
 
-func key(n int) (k Key) {
-	binary.BigEndian.PutUint64(k[:], uint64(n))
-	return k
+// testConfig is the configuration of most tests.
+var testConfig = Config{
+	Keep:       10 * time.Second,
+	Most:       100,
+	PerAccount: 10,
+	Repeats:    3,
 }
 
-func memory(t *testing.T, cfg Config) *Cache[int, int] {
+// numberedKey returns a key that has a number.
+func numberedKey(n int) (key Key) {
+	binary.BigEndian.PutUint64(key[:], uint64(n))
+	return key
+}
+
+// newTestCache returns an empty Cache.
+func newTestCache(t *testing.T, config Config) *Cache[int, int] {
 	t.Helper()
-	m, err := NewCache[int, int](cfg)
+	cache, err := NewCache[int, int](config)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return m
-}
-
-var usual = Config{Keep: 10 * time.Second, Most: 100, PerAccount: 10, Repeats: 3}
-
-func TestForwardAuthBoundsAreChecked(t *testing.T) {
-	for _, bad := range []Config{{}, {Keep: 1, Most: 1, PerAccount: 1}, {Keep: 1, Most: 1, Repeats: 1},
-		{Keep: 1, PerAccount: 2, Most: 1, Repeats: 1}, {Most: 1, PerAccount: 1, Repeats: 1}} {
-		if _, err := NewCache[int, int](bad); err == nil {
-			t.Errorf("%+v is taken", bad)
-		}
-	}
+	return cache
 }
 
-// A check that is asked again while it is open is told with the first; afterwards it gets the verdict, for as long
-// as that is kept and as often as may be.
+// A check that is asked again while it is pending gets its decision with the first; afterwards it is a hit, for as long
+// as the decision is kept and as often as may be.
 func TestForwardAuthJoinAndRepeat(t *testing.T) {
-	m := memory(t, usual)
-	e, s := m.Lookup(0, "a", key(1), 1)
-	if s != New {
-		t.Fatal(s)
+	cache := newTestCache(t, testConfig)
+	entry, state := cache.Lookup(0, "a", numberedKey(1), 1)
+	if state != Miss {
+		t.Fatal(state)
 	}
-	if _, s := m.Lookup(1, "a", key(1), 2); s != Open {
-		t.Errorf("an open check: %v", s)
+	if _, state := cache.Lookup(1, "a", numberedKey(1), 2); state != Pending {
+		t.Errorf("a pending check: %v", state)
 	}
-	if _, s := m.Lookup(1, "b", key(1), 9); s != New {
-		t.Errorf("another account's check of that key: %v", s)
+	if _, state := cache.Lookup(1, "b", numberedKey(1), 9); state != Miss {
+		t.Errorf("another account's check of that key: %v", state)
 	}
-	if who := m.Complete(2, e, 7, time.Hour); !slices.Equal(who, []int{2}) {
-		t.Errorf("told %v", who)
+	if waiters := cache.Complete(2, entry, 7, time.Hour); !slices.Equal(waiters, []int{2}) {
+		t.Errorf("waiters %v", waiters)
 	}
-	if who := m.Complete(2, e, 8, time.Hour); who != nil || m.Decision(e) != 7 {
-		t.Errorf("settled twice: told %v, %d", who, m.Decision(e))
+	if waiters := cache.Complete(2, entry, 8, time.Hour); waiters != nil || cache.Decision(entry) != 7 {
+		t.Errorf("completed twice: waiters %v, %d", waiters, cache.Decision(entry))
 	}
 	for range 2 {
-		if e, s := m.Lookup(3, "a", key(1), 3); s != Given || m.Decision(e) != 7 {
-			t.Errorf("a settled check: %v", s)
+		if entry, state := cache.Lookup(3, "a", numberedKey(1), 3); state != Hit || cache.Decision(entry) != 7 {
+			t.Errorf("a decided check: %v", state)
 		}
 	}
-	if e, s := m.Lookup(4, "a", key(1), 4); s != Worn || m.TTL(4, e) != usual.Keep-2 { // asked too often
-		t.Errorf("a worn check: %v", s)
+	entry, state = cache.Lookup(4, "a", numberedKey(1), 4)
+	if state != Exhausted || cache.TTL(4, entry) != testConfig.Keep-2 {
+		t.Errorf("a check that is asked too often: %v", state)
 	}
-	if _, s := m.Lookup(2+usual.Keep, "a", key(1), 4); s != New {
-		t.Errorf("a worn check that is forgotten: %v", s)
+	if _, state := cache.Lookup(2+testConfig.Keep, "a", numberedKey(1), 4); state != Miss {
+		t.Errorf("an exhausted check that is forgotten: %v", state)
 	}
-	e, _ = m.Lookup(5, "a", key(2), 1)
-	m.Complete(5, e, 1, time.Second)
-	if _, s := m.Lookup(5+time.Second, "a", key(2), 1); s != New {
-		t.Errorf("one that was kept for a second: %v", s)
+	entry, _ = cache.Lookup(5, "a", numberedKey(2), 1)
+	cache.Complete(5, entry, 1, time.Second)
+	if _, state := cache.Lookup(5+time.Second, "a", numberedKey(2), 1); state != Miss {
+		t.Errorf("one that was kept for a second: %v", state)
 	}
-	e, _ = m.Lookup(6, "a", key(3), 1)
-	m.Complete(6, e, 1, 0)
-	if _, s := m.Lookup(6, "a", key(3), 1); s != New {
-		t.Errorf("one that was not to be kept: %v", s)
+	entry, _ = cache.Lookup(6, "a", numberedKey(3), 1)
+	cache.Complete(6, entry, 1, 0)
+	if _, state := cache.Lookup(6, "a", numberedKey(3), 1); state != Miss {
+		t.Errorf("one that was not to be kept: %v", state)
 	}
 }
 
-// A flood of one account, settled or left open, takes no verdict of another's.
-func TestForwardAuthFloodPushesOutItsOwn(t *testing.T) {
-	for _, settle := range []bool{true, false} {
-		m := memory(t, usual)
-		for i := range 9 {
-			e, _ := m.Lookup(0, "quiet", key(i), 0)
-			m.Complete(0, e, i, time.Hour)
+// modelCheck identifies a check of the model.
+type modelCheck struct {
+	account string
+	key     int
+}
+
+// modelDecision is a decision that the model remembers.
+type modelDecision struct {
+	value     int
+	expiresAt time.Duration
+	// repeats is how often the check was asked again.
+	repeats int
+}
+
+// model keeps what each check must be answered, without the bounds of a Cache.
+type model struct {
+	config  Config
+	decided map[modelCheck]*modelDecision
+	pending map[modelCheck]Entry
+	waiters map[modelCheck][]int
+}
+
+// complete gives a pending check the decision value.
+func (m *model) complete(
+	t *rapid.T, cache *Cache[int, int], now time.Duration, check modelCheck, value int, keep time.Duration,
+) {
+	waiters := cache.Complete(now, m.pending[check], value, keep)
+	if !slices.Equal(waiters, m.waiters[check]) {
+		t.Fatalf("returned waiters %v, want %v", waiters, m.waiters[check])
+	}
+	m.decided[check] = &modelDecision{
+		value:     value,
+		expiresAt: now + min(keep, m.config.Keep),
+		repeats:   len(m.waiters[check]),
+	}
+	delete(m.pending, check)
+	delete(m.waiters, check)
+}
+
+// lookup looks up a check and compares the result with what the model knows.
+func (m *model) lookup(t *rapid.T, cache *Cache[int, int], now time.Duration, check modelCheck, waiter int) {
+	entry, state := cache.Lookup(now, check.account, numberedKey(check.key), waiter)
+	pending, isPending := m.pending[check]
+	decided := m.decided[check]
+	switch state {
+	case Miss:
+		if isPending {
+			t.Fatal("a pending check is a miss")
 		}
-		for i := range 5000 {
-			e, s := m.Lookup(1, "loud", key(i), 0)
-			if s == New && settle {
-				m.Complete(1, e, i, time.Hour)
-			}
+		m.pending[check] = entry
+		m.waiters[check] = nil
+		delete(m.decided, check)
+	case Pending:
+		if !isPending || pending != entry {
+			t.Fatal("joined what is not pending")
 		}
-		kept := 0
-		for i := range 9 {
-			if e, s := m.Lookup(3, "quiet", key(i), 0); s == Given && m.Decision(e) == i {
-				kept++
-			}
+		m.waiters[check] = append(m.waiters[check], waiter)
+		if len(m.waiters[check]) > m.config.Repeats {
+			t.Fatal("joined too often")
+		}
+	case Hit:
+		if decided == nil || decided.expiresAt <= now || cache.Decision(entry) != decided.value {
+			t.Fatalf("hit %d, which was not decided or is too old", cache.Decision(entry))
 		}
-		if settle && m.Figures.Forgotten == 0 || !settle && m.Figures.Unwatched == 0 {
-			t.Errorf("settle %v: nothing was pushed out: %+v", settle, m.Figures)
+		decided.repeats++
+		if decided.repeats > m.config.Repeats {
+			t.Fatal("hit too often")
 		}
-		if m.Len() > usual.Most || m.Of("loud") > usual.PerAccount {
-			t.Errorf("%d remembered, %d of one account", m.Len(), m.Of("loud"))
+	case Exhausted:
+		early := decided != nil && (decided.repeats < m.config.Repeats || decided.expiresAt <= now) ||
+			decided == nil && len(m.waiters[check]) < m.config.Repeats
+		if early {
+			t.Fatal("exhausted too early")
 		}
-		if kept != 9 {
-			t.Errorf("settle %v: %d of 9 verdicts kept", settle, kept)
+	case Untracked:
+		if !isPending && cache.AccountLen(check.account) < m.config.PerAccount && cache.Len() < m.config.Most {
+			t.Fatal("there is room")
 		}
 	}
-	m := memory(t, usual)
-	e, _ := m.Lookup(0, "quiet", key(1), 0)
-	m.Complete(0, e, 1, time.Hour)
-	for i := range 100_000 {
-		if e, s := m.Lookup(1, fmt.Sprint("loud", i%3), key(i), 0); s == New {
-			m.Complete(1, e, i, time.Hour)
+}
+
+// checkBounds checks the bounds of a cache and that its tables agree.
+func (m *model) checkBounds(t *rapid.T, cache *Cache[int, int]) {
+	n := 0
+	for _, name := range []string{"a", "b", "c"} {
+		if cache.AccountLen(name) > m.config.PerAccount {
+			t.Fatalf("%d of one account", cache.AccountLen(name))
 		}
+		n += cache.AccountLen(name)
 	}
-	if _, s := m.Lookup(2, "quiet", key(1), 0); s != Given {
-		t.Errorf("three floods pushed a quiet account's verdict out")
+	accounts := &cache.accounts
+	if n != cache.Len() || n > m.config.Most || len(cache.entries) != n || cache.slots.allocated > m.config.Most ||
+		accounts.bySize.Len() != len(accounts.byName) || len(accounts.byName) != len(accounts.byNumber) ||
+		len(cache.waiters) > len(m.pending) {
+		t.Fatalf("%d of all accounts; counted %d, %d entries, %d slots",
+			n, cache.Len(), len(cache.entries), cache.slots.allocated)
 	}
 }
 
-// Against a plain model, which keeps all: what the memory tells is what was decided, within its time; who waits is told
-// once; and no bound is passed.
+// Against a model that keeps all: a hit is what was decided, within its time; each waiter is returned once; and no
+// bound is exceeded.
 func TestForwardAuthMemoryAgainstModel(t *testing.T) {
-	type check struct {
-		account string
-		key     int
-	}
-	type fact struct {
-		verdict int
-		until   time.Duration
-		told    int
-	}
 	rapid.Check(t, func(t *rapid.T) {
-		cfg := Config{Keep: time.Duration(rapid.IntRange(1, 20).Draw(t, "keep")),
-			PerAccount: rapid.IntRange(1, 4).Draw(t, "per account"), Repeats: rapid.IntRange(1, 3).Draw(t, "repeats")}
-		cfg.Most = cfg.PerAccount + rapid.IntRange(0, 6).Draw(t, "more")
-		m, err := NewCache[int, int](cfg)
+		config := Config{
+			Keep:       time.Duration(rapid.IntRange(1, 20).Draw(t, "keep")),
+			PerAccount: rapid.IntRange(1, 4).Draw(t, "per account"),
+			Repeats:    rapid.IntRange(1, 3).Draw(t, "repeats"),
+		}
+		config.Most = config.PerAccount + rapid.IntRange(0, 6).Draw(t, "more")
+		cache, err := NewCache[int, int](config)
 		if err != nil {
 			t.Fatal(err)
 		}
-		facts := map[check]*fact{}
-		open := map[check]Entry{}
-		waiting := map[check][]int{}
+		reference := &model{
+			config:  config,
+			decided: map[modelCheck]*modelDecision{},
+			pending: map[modelCheck]Entry{},
+			waiters: map[modelCheck][]int{},
+		}
 		var now time.Duration
 		for step := range rapid.IntRange(1, 120).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 3).Draw(t, "gap"))
-			c := check{rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "account"), rapid.IntRange(0, 5).Draw(t, "key")}
-			if e, ok := open[c]; ok && rapid.Bool().Draw(t, "settle") {
+			check := modelCheck{
+				account: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "account"),
+				key:     rapid.IntRange(0, 5).Draw(t, "key"),
+			}
+			if _, isPending := reference.pending[check]; isPending && rapid.Bool().Draw(t, "settle") {
 				keep := time.Duration(rapid.IntRange(0, 25).Draw(t, "for"))
-				if who := m.Complete(now, e, step, keep); !slices.Equal(who, waiting[c]) {
-					t.Fatalf("told %v, waiting %v", who, waiting[c])
-				}
-				facts[c] = &fact{verdict: step, until: now + min(keep, cfg.Keep), told: len(waiting[c])}
-				delete(open, c)
-				delete(waiting, c)
+				reference.complete(t, cache, now, check, step, keep)
 				continue
 			}
-			switch e, s := m.Lookup(now, c.account, key(c.key), step); s {
-			case New:
-				if _, ok := open[c]; ok {
-					t.Fatal("an open check is new")
-				}
-				open[c], waiting[c] = e, nil
-				delete(facts, c)
-			case Open:
-				if o, ok := open[c]; !ok || o != e {
-					t.Fatal("joined what is not open")
-				}
-				if waiting[c] = append(waiting[c], step); len(waiting[c]) > cfg.Repeats {
-					t.Fatal("joined too often")
-				}
-			case Given:
-				f := facts[c]
-				if f == nil || f.until <= now || m.Decision(e) != f.verdict {
-					t.Fatalf("told %d, which was not decided or is too old", m.Decision(e))
-				}
-				if f.told++; f.told > cfg.Repeats {
-					t.Fatal("told too often")
-				}
-			case Worn:
-				if f := facts[c]; f != nil && (f.told < cfg.Repeats || f.until <= now) || f == nil && len(waiting[c]) < cfg.Repeats {
-					t.Fatal("turned away too early")
-				}
-			case Unwatched:
-				if _, ok := open[c]; !ok && m.Of(c.account) < cfg.PerAccount && m.Len() < cfg.Most {
-					t.Fatal("there is room")
-				}
-			}
-			n := 0
-			for _, a := range []string{"a", "b", "c"} {
-				if m.Of(a) > cfg.PerAccount {
-					t.Fatalf("%d of one account", m.Of(a))
-				}
-				n += m.Of(a)
-			}
-			if n != m.Len() || n > cfg.Most || len(m.find) != n || m.made > cfg.Most || m.bySize.Len() != len(m.names) ||
-				len(m.names) != len(m.numbers) || len(m.waiting) > len(open) {
-				t.Fatalf("%d remembered; counted %d, %d found, %d slots", n, m.Len(), len(m.find), m.made)
-			}
+			reference.lookup(t, cache, now, check, step)
+			reference.checkBounds(t, cache)
 		}
 	})
 }
--- a/internal/frontend/extauthz/shared.go
+++ b/internal/frontend/extauthz/shared.go
@@ -236,11 +236,11 @@
 		now := p.core.Coarse()
 		e, state := p.memory.Lookup(now, c.Customer, c.key, c)
 		switch state {
-		case decisioncache.Open:
+		case decisioncache.Pending:
 			s.Figures.Repeated.Add(1)
 			p.core.Release()
 			return
-		case decisioncache.Given:
+		case decisioncache.Hit:
 			s.Figures.Repeated.Add(1)
 			p.core.Release()
 			o := p.memory.Decision(e)
@@ -248,14 +248,14 @@
 			o.repeat = true
 			c.done <- o
 			return
-		case decisioncache.Worn:
+		case decisioncache.Exhausted:
 			s.Figures.Worn.Add(1)
 			p.core.Release()
 			c.done <- outcome{verdict: proxy.Rejected, pause: max(refusedKeep, p.memory.TTL(now, e)), at: now, repeat: true}
 			return
-		case decisioncache.Unwatched:
+		case decisioncache.Untracked:
 			s.Figures.Unwatched.Add(1)
-		case decisioncache.New:
+		case decisioncache.Miss:
 			c.entry, c.kept = e, true
 		}
 	}
