--- a/internal/frontend/extauthz/answer.go
+++ b/internal/frontend/extauthz/answer.go
@@ -2,163 +2,176 @@
 
 import (
 	"encoding/json"
-	"fmt"
-	"math"
 	"net/http"
 	"strconv"
 	"time"
 
 	"gapgap/internal/account"
-	"gapgap/internal/balancer"
-	"gapgap/internal/proxy"
 )
 
-// Names of the fields that answers carry, in canonical form.
+// Names of the header fields of answers, in canonical form.
 const (
-	HeaderAccount      = "X-Gapgap-Account"
-	HeaderPlan         = "X-Gapgap-Plan"
-	HeaderRequestID    = "X-Gapgap-Request-Id"
+	// HeaderAccount has the account's name.
+	HeaderAccount = "X-Gapgap-Account"
+	// HeaderPlan has the name of the account's plan.
+	HeaderPlan = "X-Gapgap-Plan"
+	// HeaderRequestID has the id of an admitted request, for its end call.
+	HeaderRequestID = "X-Gapgap-Request-Id"
+	// HeaderRetryAfterMS has the value of Retry-After in milliseconds.
 	HeaderRetryAfterMS = "X-Gapgap-Retry-After-Ms"
-	HeaderStatus       = "X-Gapgap-Status"    // the true status, where the dialect has no room for it
-	HeaderPolicy       = "X-Gapgap-Policy"    // the version of the fleet's policy by which it was decided
-	HeaderUndecided    = "X-Gapgap-Undecided" // why a check passed or not without a decision
+	// HeaderStatus has the true status where the dialect can't express it.
+	HeaderStatus = "X-Gapgap-Status"
+	// HeaderPolicy has the version of the fleet's policy that the check was decided by.
+	HeaderPolicy = "X-Gapgap-Policy"
+	// HeaderUndecided says why a check was answered without a decision.
+	HeaderUndecided = "X-Gapgap-Undecided"
 )
 
-// comeBack is the pause for which a client is asked that got no decision.
-const comeBack = time.Second
-
-// answer writes the one answer of a check in its dialect.
-type answer struct {
-	w     http.ResponseWriter
-	fr    *Front
-	rt    *Route // nil: no dialect is known
-	acct  *account.Account
-	plans []balancer.Plan // of the pool
-	held  *charge         // what the check costs
-}
+// undecidedRetryAfter is how long a client is asked to wait whose check could not be decided.
+const undecidedRetryAfter = time.Second
 
-// status is how a status is said in the dialect. Of nginx's auth_request only 2xx, 401 and 403 are understood; the true
-// status goes into a field, which auth_request_set can read.
-func (a answer) status(code int) int {
-	if a.rt != nil && a.rt.Dialect == Nginx && code >= 300 && code != http.StatusUnauthorized {
-		a.w.Header()[HeaderStatus] = []string{strconv.Itoa(code)}
-		return http.StatusForbidden
-	}
-	return code
-}
+// undecidedReason is the value of HeaderUndecided.
+type undecidedReason string
 
-// allowed says that the request may pass.
-func (a answer) allowed(o outcome) {
-	h := a.w.Header()
-	a.who(h)
-	o.by(h)
-	h[HeaderRequestID] = []string{a.fr.s.requestID(o.id)}
-	a.quota(h, o)
-	h["Content-Length"] = zero
-	a.w.WriteHeader(http.StatusOK)
-}
+const (
+	// undecidedMemory means that there was no memory left for the request.
+	undecidedMemory undecidedReason = "memory"
+	// undecidedConnections means that the pool had no room for the connection.
+	undecidedConnections undecidedReason = "connections"
+	// undecidedPolicy means that the gateway may not decide now.
+	undecidedPolicy undecidedReason = "policy"
+	// undecidedNoAnswer means that the pool's proxy gave no decision in time.
+	undecidedNoAnswer undecidedReason = "core"
+)
 
-// refused says that it may not, and when to come back.
-func (a answer) refused(o outcome) {
-	h := a.w.Header()
-	a.who(h)
-	o.by(h)
-	o.quota.Remaining = 0 // a share that fills meanwhile is of no use to who must stay away
-	a.quota(h, o)
-	if o.pause > 0 {
-		retryAfter(h, o.pause)
-	}
-	a.problem(http.StatusTooManyRequests, "quota", "The account's quota is spent.")
+// problemType is the kind of a problem, the last part of its URN.
+type problemType string
+
+const (
+	problemUntrusted   problemType = "untrusted"
+	problemHeaders     problemType = "headers"
+	problemBody        problemType = "body"
+	problemPath        problemType = "path"
+	problemMethod      problemType = "method"
+	problemID          problemType = "id"
+	problemTarget      problemType = "target"
+	problemCredential  problemType = "credential"
+	problemNoRoute     problemType = "no-route"
+	problemNotEntitled problemType = "not-entitled"
+	problemUnits       problemType = "units"
+	problemRequestID   problemType = "request-id"
+	problemQuota       problemType = "quota"
+	problemUndecided   problemType = "undecided"
+)
+
+// problemURNPrefix comes before the problemType.
+const problemURNPrefix = "urn:gapgap:"
+
+// problemDetails is the body of an answer that does not allow a request (RFC 9457).
+type problemDetails struct {
+	// Type is the URN of a problemType.
+	Type string `json:"type"`
+	// Title is the text of Status.
+	Title string `json:"title"`
+	// Status is the true HTTP status, also where the dialect can't express it.
+	Status int `json:"status"`
+	// Detail is a sentence on this occurrence.
+	Detail string `json:"detail"`
 }
 
-// undecided does what the operator chose for a check that can't be decided.
-func (a answer) undecided(why string) {
-	h := a.w.Header()
-	h[HeaderUndecided] = []string{why}
-	if a.rt != nil && a.rt.AllowUndecided {
-		a.fr.s.Figures.UndecidedAllowed.Add(1)
-		h["Content-Length"] = []string{"0"}
-		a.w.WriteHeader(http.StatusOK)
-		return
-	}
-	a.fr.s.Figures.UndecidedDenied.Add(1)
-	retryAfter(h, comeBack)
-	a.problem(http.StatusServiceUnavailable, "undecided", "The check could not be decided.")
+// emptyBodyLength is the Content-Length of an answer without a body.
+var emptyBodyLength = []string{"0"}
+
+// responder writes the one answer of a request in the dialect of its route.
+type responder struct {
+	w      http.ResponseWriter
+	shared *Shared
+	// route is nil if no dialect is known.
+	route *Route
 }
 
-// unauthenticated says that nobody is known by what was shown (RFC 6750, 3).
-func (a answer) unauthenticated() {
-	a.w.Header()["Www-Authenticate"] = []string{`Bearer realm="gapgap"`}
-	a.problem(http.StatusUnauthorized, "credential", "No account is known by this credential.")
+// allow answers that the request may pass.
+func (r *responder) allow(d decision, customer *account.Account) {
+	header := r.w.Header()
+	setAccount(header, customer)
+	setPolicyVersion(header, d.policyVersion)
+	header[HeaderRequestID] = []string{r.shared.formatRequestID(d.requestID)}
+	setRateLimit(header, customer, d.quota)
+	header["Content-Length"] = emptyBodyLength
+	r.w.WriteHeader(http.StatusOK)
 }
 
-// by tells the version of the policy, where there is one for the fleet.
-func (o *outcome) by(h http.Header) {
-	if o.version > 0 {
-		h[HeaderPolicy] = []string{strconv.FormatUint(o.version, 10)}
+// reject answers that the request may not pass, and when to try again.
+func (r *responder) reject(d decision, customer *account.Account) {
+	header := r.w.Header()
+	setAccount(header, customer)
+	setPolicyVersion(header, d.policyVersion)
+	d.quota.Remaining = 0 // what refills until then is of no use to a client that must wait
+	setRateLimit(header, customer, d.quota)
+	if d.retryAfter > 0 {
+		setRetryAfter(header, d.retryAfter)
 	}
+	r.problem(http.StatusTooManyRequests, problemQuota, "The account's quota is spent.")
 }
 
-func (a answer) who(h http.Header) {
-	if a.acct != nil {
-		h[HeaderAccount], h[HeaderPlan] = a.acct.Said.Name, a.acct.Said.Plan
+// undecided answers a check that can't be decided as Route.AllowUndecided says.
+func (r *responder) undecided(reason undecidedReason) {
+	header := r.w.Header()
+	header[HeaderUndecided] = []string{string(reason)}
+	if r.route != nil && r.route.AllowUndecided {
+		r.shared.Figures.UndecidedAllowed.Add(1)
+		header["Content-Length"] = emptyBodyLength
+		r.w.WriteHeader(http.StatusOK)
+		return
 	}
+	r.shared.Figures.UndecidedDenied.Add(1)
+	setRetryAfter(header, undecidedRetryAfter)
+	r.problem(http.StatusServiceUnavailable, problemUndecided, "The check could not be decided.")
 }
 
-// retryAfter tells a pause: in whole seconds, rounded up, and exactly.
-func retryAfter(h http.Header, pause time.Duration) {
-	ms := (pause + time.Millisecond - 1) / time.Millisecond
-	h["Retry-After"] = []string{strconv.FormatInt(int64((ms+999)/1000), 10)}
-	h[HeaderRetryAfterMS] = []string{strconv.FormatInt(int64(ms), 10)}
+// unauthenticated answers that no account has the credential (RFC 6750, section 3).
+func (r *responder) unauthenticated() {
+	r.w.Header()["Www-Authenticate"] = []string{`Bearer realm="gapgap"`}
+	r.problem(http.StatusUnauthorized, problemCredential, "No account is known by this credential.")
 }
 
-// Policies are the values of RateLimit-Policy for plans that have a quota: the burst, over the time in which it fills.
-func Policies(names []string, plans []balancer.Plan) map[string][]string {
-	all := map[string][]string{}
-	for i, p := range plans {
-		if p.Rate > 0 && p.Burst > 0 {
-			all[names[i]] = []string{fmt.Sprintf(`"%s";q=%d;w=%d`, names[i], int64(p.Burst), max(1, int64(math.Ceil(p.Burst/p.Rate))))}
-		}
-	}
-	return all
+// problem answers with a status and its reason. Nothing that a client sent is repeated in it.
+func (r *responder) problem(status int, kind problemType, detail string) {
+	// A struct of strings and numbers can always be encoded.
+	body, _ := json.Marshal(problemDetails{
+		Type:   problemURNPrefix + string(kind),
+		Title:  http.StatusText(status),
+		Status: status,
+		Detail: detail,
+	})
+	header := r.w.Header()
+	header["Content-Type"] = []string{"application/problem+json"}
+	header["Content-Length"] = []string{strconv.Itoa(len(body))}
+	header["Cache-Control"] = []string{"no-store"}
+	r.w.WriteHeader(r.dialectStatus(status))
+	_, _ = r.w.Write(body) // fails only if the proxy has gone
 }
 
-var zero = []string{"0"}
-
-// quota tells how the account stands, in the fields of draft-ietf-httpapi-ratelimit-headers: the plan's burst over the
-// time in which it fills, what is left of it, and when it is full again.
-func (a answer) quota(h http.Header, o outcome) {
-	if a.acct == nil || !o.quota.Told {
-		return
-	}
-	if a.acct.Said.Policy == nil {
-		return
+// dialectStatus returns how a status is expressed in the dialect. For nginx it sets HeaderStatus, which
+// auth_request_set can read.
+func (r *responder) dialectStatus(status int) int {
+	isNginx := r.route != nil && r.route.Dialect == Nginx
+	if !isNginx || status < 300 || status == http.StatusUnauthorized {
+		return status
 	}
-	h["Ratelimit-Policy"] = a.acct.Said.Policy
-	var room [96]byte
-	b := append(append(append(room[:0], '"'), a.acct.PlanName...), `";r=`...)
-	b = strconv.AppendInt(b, int64(o.quota.Remaining), 10)
-	b = strconv.AppendInt(append(b, ";t="...), int64(math.Ceil(o.quota.FullIn.Seconds())), 10)
-	h["Ratelimit"] = []string{string(b)}
+	r.w.Header()[HeaderStatus] = []string{strconv.Itoa(status)}
+	return http.StatusForbidden
 }
 
-// problemBody is a body of RFC 9457.
-type problemBody struct {
-	Type   string `json:"type"`
-	Title  string `json:"title"`
-	Status int    `json:"status"`
-	Detail string `json:"detail"`
+// setAccount sets the fields that name the account and its plan.
+func setAccount(header http.Header, customer *account.Account) {
+	header[HeaderAccount] = customer.Said.Name
+	header[HeaderPlan] = customer.Said.Plan
 }
 
-// problem answers with a status and its reason. Nothing that a client sent is repeated but where an error names a field.
-func (a answer) problem(code int, kind, detail string) {
-	body, _ := json.Marshal(problemBody{"urn:gapgap:" + kind, http.StatusText(code), code, detail})
-	h := a.w.Header()
-	h["Content-Type"] = []string{"application/problem+json"}
-	h["Content-Length"] = []string{strconv.Itoa(len(body))}
-	h["Cache-Control"] = []string{"no-store"}
-	a.w.WriteHeader(a.status(code))
-	a.w.Write(body)
+// setPolicyVersion sets HeaderPolicy unless the version is 0.
+func setPolicyVersion(header http.Header, version uint64) {
+	if version > 0 {
+		header[HeaderPolicy] = []string{strconv.FormatUint(version, 10)}
+	}
 }
-
-var _ proxy.Frontend = (*Front)(nil)
--- a/internal/frontend/extauthz/conn.go
+++ b/internal/frontend/extauthz/conn.go
@@ -1,7 +1,7 @@
 package extauthz
 
 import (
-	"errors"
+	"crypto/tls"
 	"net"
 	"sync"
 	"sync/atomic"
@@ -11,164 +11,180 @@
 	"gapgap/internal/proxy"
 )
 
-// idleLeast is how long nothing may have gone by on a connection before it may be closed for another: less would cross
-// a request that is on its way through net/http.
-const idleLeast = 200 * time.Millisecond
+// minEvictionIdle is how long a connection must have been idle before it is evicted. A shorter time could close it
+// while a request is on its way through net/http.
+const minEvictionIdle = 200 * time.Millisecond
 
-// conn is a proxy's connection under the budget that all fronts share.
+// conn is a connection from a proxy. It counts toward the limit that all frontends share. Times are on the event loops'
+// clock.
 type conn struct {
 	net.Conn
-	fr      *Front
-	trusted bool                        // by its address
-	pool    atomic.Pointer[proxy.Proxy] // that it asked last; nil: none yet
-	leave   atomic.Bool                 // to be closed with its next answer
-	born    time.Duration
-	open    atomic.Int32 // requests that a handler has
-	last    atomic.Int64 // when bytes last went by, on the loop's clock
-	begun   atomic.Int64 // when the first bytes came that no handler has yet; 0: there are none
-	came    atomic.Int64 // bytes that came since a handler began last
-	multi   atomic.Bool  // it speaks HTTP/2: frames come that belong to no check
-	spoken  atomic.Bool
+	front *Front
+	// trusted is true if the proxy may ask by its address.
+	trusted bool
+	// pool is the pool that the last check went to; nil before the first.
+	pool atomic.Pointer[proxy.Proxy]
+	// closeAfterAnswer is set once the connection is to be closed with its next answer.
+	closeAfterAnswer atomic.Bool
+	acceptedAt       time.Duration
+	// openRequests is the number of requests that handlers have.
+	openRequests atomic.Int32
+	// lastActivity is when bytes were last read or written.
+	lastActivity atomic.Int64
+	// requestBegan is when the first bytes were read that no handler has yet; 0: there are none.
+	requestBegan atomic.Int64
+	// unaccounted is the number of bytes read since a handler last began.
+	unaccounted atomic.Int64
+	// http2 is true for HTTP/2, where frames are read that belong to no request.
+	http2 atomic.Bool
+	// used is true once a handler had a request.
+	used atomic.Bool
 
 	mu     sync.Mutex
 	closed bool
 }
 
-// Read implements [net.Conn]. What comes on a connection that has given way is not read any more: it counts as crossing
-// the close.
+// newConn returns a connection that was accepted and counts it.
+func newConn(f *Front, netConn net.Conn) *conn {
+	c := &conn{
+		Conn:       netConn,
+		front:      f,
+		trusted:    f.config.isTrustedAddress(netConn.RemoteAddr()),
+		acceptedAt: f.env.Now(),
+	}
+	c.lastActivity.Store(int64(c.acceptedAt))
+	f.env.Conns.Add(c)
+	return c
+}
+
+// connKey is the key of the *conn in a request's context.
+type connKey struct{}
+
+// unwrapConn returns the conn below a connection of net/http, or nil.
+func unwrapConn(netConn net.Conn) *conn {
+	if tlsConn, ok := netConn.(*tls.Conn); ok {
+		netConn = tlsConn.NetConn()
+	}
+	c, _ := netConn.(*conn)
+	return c
+}
+
+// Read implements [net.Conn]. Bytes that arrive after the connection was closed are dropped, as if they had crossed the
+// close.
 func (c *conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	if n > 0 {
-		c.mu.Lock()
-		defer c.mu.Unlock()
-		if c.closed {
-			return 0, net.ErrClosed
-		}
-		now := int64(c.fr.env.Coarse())
-		c.last.Store(now)
-		c.came.Add(int64(n))
-		if c.open.Load() == 0 {
-			c.begun.CompareAndSwap(0, now)
-		}
+	if n == 0 {
+		return n, err
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.closed {
+		return 0, net.ErrClosed
+	}
+	now := int64(c.front.env.Coarse())
+	c.lastActivity.Store(now)
+	c.unaccounted.Add(int64(n))
+	if c.openRequests.Load() == 0 {
+		c.requestBegan.CompareAndSwap(0, now)
 	}
 	return n, err
 }
 
-// gate is the way to the processor of the pool that it asked last.
-func (c *conn) gate() *cpuscheduler.Flow {
+// Write implements [net.Conn].
+func (c *conn) Write(b []byte) (int, error) {
+	c.lastActivity.Store(int64(c.front.env.Coarse()))
+	return c.Conn.Write(b)
+}
+
+// Close implements [net.Conn].
+func (c *conn) Close() error {
+	c.mu.Lock()
+	c.closed = true
+	c.mu.Unlock()
+	c.front.env.Conns.Remove(c)
+	return c.Conn.Close()
+}
+
+// scheduler returns the processor share of the pool that the last check went to; nil if the processor is not shared.
+func (c *conn) scheduler() *cpuscheduler.Flow {
 	if p := c.pool.Load(); p != nil && p.Scheduler != nil {
 		return p.Scheduler
 	}
-	return c.fr.env.Scheduler
+	return c.front.env.Scheduler
 }
 
-// join takes the connection to a pool, whose part of the connections bears it from here on. false: the pool has no place
-// for a newcomer.
-func (c *conn) join(p *proxy.Proxy) bool {
+// assignTo counts the connection toward a pool's connections. It returns false if the pool has no room for a connection
+// that has no pool yet.
+func (c *conn) assignTo(p *proxy.Proxy) bool {
 	if c.pool.Load() == p {
 		return true
 	}
-	if p.Clients != nil && !c.fr.env.Conns.Assign(c, p.Clients) {
+	if p.Clients != nil && !c.front.env.Conns.Assign(c, p.Clients) {
 		return false
 	}
 	c.pool.Store(p)
 	return true
 }
 
-// handled says that a handler has a request, and how many bytes came for it.
-func (c *conn) handled(multi bool) int64 {
-	c.open.Add(1)
-	c.begun.Store(0)
-	if !c.spoken.Load() {
-		c.spoken.Store(true)
-		c.multi.Store(multi)
+// beginRequest counts a request that a handler has and returns the number of bytes that were read for it.
+func (c *conn) beginRequest(http2 bool) int64 {
+	c.openRequests.Add(1)
+	c.requestBegan.Store(0)
+	if !c.used.Load() {
+		c.used.Store(true)
+		c.http2.Store(http2)
 	}
-	return c.came.Swap(0)
+	return c.unaccounted.Swap(0)
 }
 
-// late says that the connection has been given its time: a request that has begun must come whole within that for
-// headers, and so must the first one of a connection; between two checks the idle time holds. net/http's own deadlines
-// do the same at the cost of three timers a check.
-func (c *conn) late(now time.Duration) bool {
-	if c.open.Load() > 0 {
+// endRequest counts that a handler has answered its request.
+func (c *conn) endRequest() {
+	c.openRequests.Add(-1)
+}
+
+// isOverdue reports whether the connection has exceeded a timeout: Config.HeaderTimeout for a request that has begun
+// and for the first one, and Config.IdleTimeout between two requests. The deadlines of net/http do the same at the cost
+// of three timers for each request.
+func (c *conn) isOverdue(now time.Duration) bool {
+	if c.openRequests.Load() > 0 {
 		return false
 	}
-	last, begun := time.Duration(c.last.Load()), time.Duration(c.begun.Load())
-	if !c.spoken.Load() {
-		return now-c.born > c.fr.cfg.HeaderTimeout
+	config := &c.front.config
+	lastActivity := time.Duration(c.lastActivity.Load())
+	requestBegan := time.Duration(c.requestBegan.Load())
+	if !c.used.Load() {
+		return now-c.acceptedAt > config.HeaderTimeout
 	}
-	if begun > 0 && !c.multi.Load() && now-begun > c.fr.cfg.HeaderTimeout {
+	if requestBegan > 0 && !c.http2.Load() && now-requestBegan > config.HeaderTimeout {
 		return true
 	}
-	return now-last > c.fr.cfg.IdleTimeout
-}
-
-// Write implements [net.Conn].
-func (c *conn) Write(b []byte) (int, error) {
-	c.last.Store(int64(c.fr.env.Coarse()))
-	return c.Conn.Write(b)
-}
-
-// Close implements [net.Conn].
-func (c *conn) Close() error {
-	c.mu.Lock()
-	c.closed = true
-	c.mu.Unlock()
-	c.fr.env.Conns.Remove(c)
-	return c.Conn.Close()
+	return now-lastActivity > config.IdleTimeout
 }
 
 // IdleSince implements [resourcelimit.ClientConnection].
-func (c *conn) IdleSince() (time.Duration, bool) {
-	if c.open.Load() > 0 {
+func (c *conn) IdleSince() (since time.Duration, used bool) {
+	if c.openRequests.Load() > 0 {
 		return 0, true
 	}
-	return time.Duration(c.last.Load()), c.spoken.Load()
+	return time.Duration(c.lastActivity.Load()), c.used.Load()
 }
 
 // CloseWhenIdle implements [resourcelimit.ClientConnection].
 func (c *conn) CloseWhenIdle() {
-	c.mu.Lock()
-	idle := c.open.Load() == 0 && c.fr.env.Now()-time.Duration(c.last.Load()) >= idleLeast
-	c.closed = c.closed || idle
-	c.mu.Unlock()
-	if idle {
-		c.Close()
-	} else {
-		c.leave.Store(true) // net/http closes it then: at HTTP/2 once its streams have ended
+	if c.closeIfIdle() {
+		_ = c.Close() // nothing more is sent on it
+		return
 	}
+	// net/http closes it then; with HTTP/2 once its streams have ended.
+	c.closeAfterAnswer.Store(true)
 }
 
-// listener takes connections in under the budget.
-type listener struct {
-	net.Listener
-	fr   *Front
-	full []byte // what a connection is told for which there is no room; nil: nothing
-}
-
-// Accept implements [net.Listener].
-func (l *listener) Accept() (net.Conn, error) {
-	for {
-		nc, err := l.Listener.Accept()
-		if errors.Is(err, net.ErrClosed) {
-			return nil, err
-		}
-		if err != nil { // out of descriptors, say: what was taken goes on meanwhile
-			l.fr.log.Warn("accept", "error", err)
-			time.Sleep(10 * time.Millisecond)
-			continue
-		}
-		if !l.fr.env.Conns.HasCapacity() {
-			l.fr.s.Figures.NoRoom.Add(1)
-			nc.SetWriteDeadline(time.Now().Add(time.Second))
-			nc.Write(l.full)
-			nc.Close()
-			continue
-		}
-		c := &conn{Conn: nc, fr: l.fr, trusted: l.fr.cfg.trusts(nc.RemoteAddr())}
-		c.born = l.fr.env.Now()
-		c.last.Store(int64(c.born))
-		l.fr.env.Conns.Add(c)
-		return c, nil
-	}
+// closeIfIdle makes Read drop what arrives from now on if the connection is idle, and reports whether it is.
+func (c *conn) closeIfIdle() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	idle := c.openRequests.Load() == 0 &&
+		c.front.env.Now()-time.Duration(c.lastActivity.Load()) >= minEvictionIdle
+	c.closed = c.closed || idle
+	return idle
 }
--- a/internal/frontend/extauthz/golden_test.go
+++ b/internal/frontend/extauthz/golden_test.go
@@ -15,14 +15,22 @@
 // Header values and problem bodies that clients are given keep their form.
 func TestGoldenAnswers(t *testing.T) {
 	var out bytes.Buffer
-	for _, pause := range []time.Duration{0, 1, time.Millisecond, 999 * time.Millisecond, 1001 * time.Millisecond, time.Minute} {
+	pauses := []time.Duration{
+		0, 1, time.Millisecond, 999 * time.Millisecond, 1001 * time.Millisecond, time.Minute,
+	}
+	for _, pause := range pauses {
 		header := http.Header{}
-		retryAfter(header, pause)
+		setRetryAfter(header, pause)
 		fmt.Fprintln(&out, pause, header)
 	}
 	plans := []balancer.Plan{{Rate: 5, Burst: 20}, {}, {Rate: 100, Burst: 10}}
 	fmt.Fprintln(&out, Policies([]string{"a", "b", "c"}, plans))
-	body, err := json.Marshal(problemBody{Type: "urn:gapgap:over-quota", Title: "Too Many Requests", Status: 429, Detail: "d"})
+	body, err := json.Marshal(problemDetails{
+		Type:   "urn:gapgap:over-quota",
+		Title:  "Too Many Requests",
+		Status: 429,
+		Detail: "d",
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
--- /dev/null
+++ b/internal/frontend/extauthz/target.go
@@ -0,0 +1,135 @@
+package extauthz
+
+import (
+	"errors"
+	"net/http"
+	"net/url"
+	"strings"
+)
+
+// Header fields in which nginx is configured to describe the client's request.
+const (
+	originalMethodHeader = "X-Original-Method"
+	originalURLHeader    = "X-Original-Url"
+	originalURIHeader    = "X-Original-Uri"
+	originalHostHeader   = "X-Original-Host"
+	originalProtoHeader  = "X-Original-Proto"
+)
+
+// Header fields in which other proxies describe the client's request.
+const (
+	forwardedMethodHeader = "X-Forwarded-Method"
+	forwardedURIHeader    = "X-Forwarded-Uri"
+	forwardedHostHeader   = "X-Forwarded-Host"
+	forwardedProtoHeader  = "X-Forwarded-Proto"
+)
+
+// Methods that are accepted.
+const (
+	methodCharacters = "ABCDEFGHIJKLMNOPQRSTUVWXYZ-"
+	maxMethodLength  = 32
+)
+
+// Faults of a target beside those of single header fields. Clients are told the texts.
+var (
+	errURLAndURI = errors.New(originalURLHeader + " and " + originalURIHeader + " exclude each other")
+	errMethod    = errors.New("the method can't be read")
+)
+
+// target is the client's request as the proxy describes it.
+type target struct {
+	method string
+	// scheme is empty if the proxy does not tell it.
+	scheme string
+	host   string
+	// uri is the path with the query, if there is one.
+	uri string
+}
+
+// readTarget returns the target of a check by the route's dialect. uri is the result of findRoute.
+func (r *Route) readTarget(request *http.Request, uri string) (target, error) {
+	var t target
+	var err error
+	switch r.Dialect {
+	case Envoy:
+		t, err = readEnvoyTarget(request, uri)
+	case Nginx:
+		t, err = readNginxTarget(request.Header)
+	default:
+		t, err = readForwardedTarget(request.Header)
+	}
+	if err != nil {
+		return target{}, err
+	}
+	if !isMethod(t.method) {
+		return target{}, errMethod
+	}
+	return t, nil
+}
+
+// isMethod reports whether a method is accepted.
+func isMethod(method string) bool {
+	return method != "" && strings.Trim(method, methodCharacters) == "" && len(method) <= maxMethodLength
+}
+
+// readEnvoyTarget returns the target of a check that has the client's own method and host.
+func readEnvoyTarget(request *http.Request, uri string) (target, error) {
+	reader := headerReader{header: request.Header}
+	t := target{
+		method: request.Method,
+		scheme: reader.optional(forwardedProtoHeader),
+		host:   request.Host,
+		uri:    uri,
+	}
+	return t, reader.err
+}
+
+// readNginxTarget returns the target that X-Original-* describes by either a whole URL or a URI and a host.
+func readNginxTarget(header http.Header) (target, error) {
+	reader := headerReader{header: header}
+	method := reader.required(originalMethodHeader)
+	fullURL := reader.optional(originalURLHeader)
+	uri := reader.optional(originalURIHeader)
+	host := reader.optional(originalHostHeader)
+	scheme := reader.optional(originalProtoHeader)
+	switch {
+	case reader.err != nil:
+		return target{}, reader.err
+	case fullURL != "" && uri != "":
+		return target{}, errURLAndURI
+	case fullURL != "":
+		return readURLTarget(method, fullURL)
+	case uri == "":
+		return target{}, &headerError{name: originalURIHeader, err: errMissing}
+	}
+	return target{
+		method: method,
+		scheme: scheme,
+		host:   host,
+		uri:    uri,
+	}, nil
+}
+
+// readURLTarget returns the target of an absolute URL.
+func readURLTarget(method, fullURL string) (target, error) {
+	parsed, err := url.Parse(fullURL)
+	if err != nil || parsed.Scheme != "http" && parsed.Scheme != "https" || parsed.Host == "" || parsed.User != nil {
+		return target{}, &headerError{name: originalURLHeader, err: errUnreadable}
+	}
+	return target{
+		method: method,
+		scheme: parsed.Scheme,
+		host:   parsed.Host,
+		uri:    parsed.RequestURI(),
+	}, nil
+}
+
+// readForwardedTarget returns the target that X-Forwarded-* describes.
+func readForwardedTarget(header http.Header) (target, error) {
+	reader := headerReader{header: header}
+	t := target{method: reader.required(forwardedMethodHeader)}
+	t.uri = reader.required(forwardedURIHeader)
+	t.host = reader.required(forwardedHostHeader)
+	t.scheme = reader.optional(forwardedProtoHeader)
+	return t, reader.err
+}
