--- a/internal/decisioncache/cache.go
+++ b/internal/decisioncache/cache.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// Key tells the checks of an account apart: a digest of all that makes two checks the same one.
+// Key identifies a check among those of its account: a digest of all that two checks must have in common for the second
+// to be a repeat of the first.
 type Key [16]byte
 
 // State says what a [Cache] knows of a check.
@@ -17,7 +18,7 @@
 	Hit
 	// Untracked means that the check was unknown and there is no room to track it. The caller decides it.
 	Untracked
-	// Exhausted means that the check was asked more often than Config.Repeats allows. The caller rejects it.
+	// Exhausted means that the check was asked more often than Config.MaxRepeats allows. The caller rejects it.
 	Exhausted
 )
 
@@ -35,7 +36,8 @@
 	Exhausted uint64
 }
 
-// Cache remembers checks. V is a decision, W somebody who waits for one. V should have no pointers.
+// Cache remembers checks and their decisions. V is the type of a decision, W that of a waiter for one. V should have no
+// pointers: see slot. A Cache must be made by [NewCache].
 type Cache[V, W any] struct {
 	// Stats may be read by the goroutine that uses the Cache.
 	Stats Stats
@@ -117,7 +119,7 @@
 		return noEntry, false
 	}
 	if s := c.slots.at(entry); s.decided && s.expiresAt <= now {
-		c.forget(entry) // expire leaves one that was kept for less than the decision before it
+		c.forget(entry) // expire leaves one with a shorter TTL than an older decision has
 		return noEntry, false
 	}
 	return entry, true
@@ -126,7 +128,7 @@
 // repeat counts that a known check was asked again.
 func (c *Cache[V, W]) repeat(entry Entry, waiter W) State {
 	s := c.slots.at(entry)
-	if s.repeats >= c.config.Repeats {
+	if s.repeats >= c.config.MaxRepeats {
 		c.Stats.Exhausted++
 		return Exhausted
 	}
@@ -151,9 +153,9 @@
 }
 
 // Complete sets the decision of a pending check and returns the waiters that joined it; the one whose Lookup was a Miss
-// is not among them. The decision is remembered for keep, at most for Config.Keep; 0 forgets it at once. Further calls
-// for a decided check do nothing.
-func (c *Cache[V, W]) Complete(now time.Duration, entry Entry, decision V, keep time.Duration) []W {
+// is not among them. The decision is remembered for ttl, but not longer than Config.MaxTTL; a ttl of 0 or less forgets
+// it at once. Further calls for a decided check do nothing.
+func (c *Cache[V, W]) Complete(now time.Duration, entry Entry, decision V, ttl time.Duration) []W {
 	s := c.slots.at(entry)
 	if s.decided {
 		return nil
@@ -166,11 +168,11 @@
 	s.decided = true
 	c.slots.pushBack(&c.accounts.byNumber[s.id.account].decided, entry)
 	c.slots.pushBack(&c.decided, entry)
-	keep = min(keep, c.config.Keep)
-	if keep <= 0 {
+	ttl = min(ttl, c.config.MaxTTL)
+	if ttl <= 0 {
 		c.forget(entry)
 		return waiters
 	}
-	s.expiresAt = now + keep
+	s.expiresAt = now + ttl
 	return waiters
 }
--- a/internal/decisioncache/cache_test.go
+++ b/internal/decisioncache/cache_test.go
@@ -11,10 +11,10 @@
 
 // testConfig is the configuration of most tests.
 var testConfig = Config{
-	Keep:       10 * time.Second,
-	Most:       100,
-	PerAccount: 10,
-	Repeats:    3,
+	MaxTTL:        10 * time.Second,
+	MaxEntries:    100,
+	MaxPerAccount: 10,
+	MaxRepeats:    3,
 }
 
 // numberedKey returns a key that has a number.
@@ -59,10 +59,10 @@
 		}
 	}
 	entry, state = cache.Lookup(4, "a", numberedKey(1), 4)
-	if state != Exhausted || cache.TTL(4, entry) != testConfig.Keep-2 {
+	if state != Exhausted || cache.TTL(4, entry) != testConfig.MaxTTL-2 {
 		t.Errorf("a check that is asked too often: %v", state)
 	}
-	if _, state := cache.Lookup(2+testConfig.Keep, "a", numberedKey(1), 4); state != Miss {
+	if _, state := cache.Lookup(2+testConfig.MaxTTL, "a", numberedKey(1), 4); state != Miss {
 		t.Errorf("an exhausted check that is forgotten: %v", state)
 	}
 	entry, _ = cache.Lookup(5, "a", numberedKey(2), 1)
@@ -109,7 +109,7 @@
 	}
 	m.decided[check] = &modelDecision{
 		value:     value,
-		expiresAt: now + min(keep, m.config.Keep),
+		expiresAt: now + min(keep, m.config.MaxTTL),
 		repeats:   len(m.waiters[check]),
 	}
 	delete(m.pending, check)
@@ -134,7 +134,7 @@
 			t.Fatal("joined what is not pending")
 		}
 		m.waiters[check] = append(m.waiters[check], waiter)
-		if len(m.waiters[check]) > m.config.Repeats {
+		if len(m.waiters[check]) > m.config.MaxRepeats {
 			t.Fatal("joined too often")
 		}
 	case Hit:
@@ -142,17 +142,17 @@
 			t.Fatalf("hit %d, which was not decided or is too old", cache.Decision(entry))
 		}
 		decided.repeats++
-		if decided.repeats > m.config.Repeats {
+		if decided.repeats > m.config.MaxRepeats {
 			t.Fatal("hit too often")
 		}
 	case Exhausted:
-		early := decided != nil && (decided.repeats < m.config.Repeats || decided.expiresAt <= now) ||
-			decided == nil && len(m.waiters[check]) < m.config.Repeats
+		early := decided != nil && (decided.repeats < m.config.MaxRepeats || decided.expiresAt <= now) ||
+			decided == nil && len(m.waiters[check]) < m.config.MaxRepeats
 		if early {
 			t.Fatal("exhausted too early")
 		}
 	case Untracked:
-		if !isPending && cache.AccountLen(check.account) < m.config.PerAccount && cache.Len() < m.config.Most {
+		if !isPending && cache.AccountLen(check.account) < m.config.MaxPerAccount && cache.Len() < m.config.MaxEntries {
 			t.Fatal("there is room")
 		}
 	}
@@ -162,13 +162,14 @@
 func (m *model) checkBounds(t *rapid.T, cache *Cache[int, int]) {
 	n := 0
 	for _, name := range []string{"a", "b", "c"} {
-		if cache.AccountLen(name) > m.config.PerAccount {
+		if cache.AccountLen(name) > m.config.MaxPerAccount {
 			t.Fatalf("%d of one account", cache.AccountLen(name))
 		}
 		n += cache.AccountLen(name)
 	}
 	accounts := &cache.accounts
-	if n != cache.Len() || n > m.config.Most || len(cache.entries) != n || cache.slots.allocated > m.config.Most ||
+	if n != cache.Len() || n > m.config.MaxEntries ||
+		len(cache.entries) != n || cache.slots.allocated > m.config.MaxEntries ||
 		accounts.bySize.Len() != len(accounts.byName) || len(accounts.byName) != len(accounts.byNumber) ||
 		len(cache.waiters) > len(m.pending) {
 		t.Fatalf("%d of all accounts; counted %d, %d entries, %d slots",
@@ -181,11 +182,11 @@
 func TestForwardAuthMemoryAgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		config := Config{
-			Keep:       time.Duration(rapid.IntRange(1, 20).Draw(t, "keep")),
-			PerAccount: rapid.IntRange(1, 4).Draw(t, "per account"),
-			Repeats:    rapid.IntRange(1, 3).Draw(t, "repeats"),
+			MaxTTL:        time.Duration(rapid.IntRange(1, 20).Draw(t, "keep")),
+			MaxPerAccount: rapid.IntRange(1, 4).Draw(t, "per account"),
+			MaxRepeats:    rapid.IntRange(1, 3).Draw(t, "repeats"),
 		}
-		config.Most = config.PerAccount + rapid.IntRange(0, 6).Draw(t, "more")
+		config.MaxEntries = config.MaxPerAccount + rapid.IntRange(0, 6).Draw(t, "more")
 		cache, err := NewCache[int, int](config)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/decisioncache/config_test.go
+++ b/internal/decisioncache/config_test.go
@@ -8,10 +8,10 @@
 func TestForwardAuthBoundsAreChecked(t *testing.T) {
 	for _, bad := range []Config{
 		{},
-		{Keep: 1, Most: 1, PerAccount: 1},
-		{Keep: 1, Most: 1, Repeats: 1},
-		{Keep: 1, PerAccount: 2, Most: 1, Repeats: 1},
-		{Most: 1, PerAccount: 1, Repeats: 1},
+		{MaxTTL: 1, MaxEntries: 1, MaxPerAccount: 1},
+		{MaxTTL: 1, MaxEntries: 1, MaxRepeats: 1},
+		{MaxTTL: 1, MaxPerAccount: 2, MaxEntries: 1, MaxRepeats: 1},
+		{MaxEntries: 1, MaxPerAccount: 1, MaxRepeats: 1},
 	} {
 		_, err := NewCache[int, int](bad)
 		var configError *ConfigError
--- a/internal/decisioncache/eviction.go
+++ b/internal/decisioncache/eviction.go
@@ -4,11 +4,15 @@
 
 // makeRoom evicts a decision if that is needed to track one more check of an account, and returns whether there is
 // room. The account is nil if it has no checks yet.
+//
+// An account at its own limit loses its own oldest decision. At the limit for all accounts the account with the most
+// checks loses its oldest one; among several, the account that asks. If the account selected has only pending checks,
+// nothing is evicted.
 func (c *Cache[V, W]) makeRoom(a *account) bool {
-	if a != nil && a.size >= c.config.PerAccount {
+	if a != nil && a.size >= c.config.MaxPerAccount {
 		return c.evictOldest(a)
 	}
-	if c.Len() < c.config.Most {
+	if c.Len() < c.config.MaxEntries {
 		return true
 	}
 	largest := c.accounts.bySize.First().Value
@@ -28,8 +32,8 @@
 	return true
 }
 
-// expire forgets decisions whose time is over. One that was kept for less than Config.Keep may stay in memory behind an
-// older one that was kept for longer; find does not return it any more.
+// expire forgets decisions whose TTL is over, in the order in which they were made. One whose TTL is below
+// Config.MaxTTL may so stay in memory behind an older one with a longer TTL; find does not return it any more.
 func (c *Cache[V, W]) expire(now time.Duration) {
 	for c.decided.first != noEntry && c.slots.at(c.decided.first).expiresAt <= now {
 		c.forget(c.decided.first)
--- a/internal/decisioncache/eviction_test.go
+++ b/internal/decisioncache/eviction_test.go
@@ -30,7 +30,7 @@
 		if complete && cache.Stats.Evicted == 0 || !complete && cache.Stats.Untracked == 0 {
 			t.Errorf("complete %v: nothing was evicted: %+v", complete, cache.Stats)
 		}
-		if cache.Len() > testConfig.Most || cache.AccountLen("loud") > testConfig.PerAccount {
+		if cache.Len() > testConfig.MaxEntries || cache.AccountLen("loud") > testConfig.MaxPerAccount {
 			t.Errorf("%d remembered, %d of one account", cache.Len(), cache.AccountLen("loud"))
 		}
 		if kept != 9 {
--- a/internal/frontend/extauthz/shared.go
+++ b/internal/frontend/extauthz/shared.go
@@ -13,10 +13,11 @@
 
 // SharedConfig configures what all listeners of a process share.
 type SharedConfig struct {
-	// Memory bounds the cached decisions of each pool.
-	Memory decisioncache.Config
-	// MostHolds is the number of admitted requests of each pool whose end calls are awaited.
-	MostHolds int
+	// Decisions bounds the decision cache of each pool.
+	Decisions decisioncache.Config
+	// MaxTrackedInFlight is the number of admitted requests of each pool whose end calls are awaited. Further requests
+	// are admitted too, but no end call can end them: they count as in flight for their whole HoldFor.
+	MaxTrackedInFlight int
 }
 
 // Shared is what all listeners of a process have in common. Any goroutine may use it.
@@ -46,7 +47,7 @@
 
 // NewShared returns a Shared without pools. Its error is a [*decisioncache.ConfigError].
 func NewShared(env *proxy.Env, config SharedConfig) (*Shared, error) {
-	if err := config.Memory.Validate(); err != nil {
+	if err := config.Decisions.Validate(); err != nil {
 		return nil, err
 	}
 	s := &Shared{
@@ -90,7 +91,7 @@
 		proxy:     p,
 		shared:    s,
 		decisions: s.newDecisionCache(),
-		inFlight:  newInFlightTable(s.config.MostHolds),
+		inFlight:  newInFlightTable(s.config.MaxTrackedInFlight),
 	}
 	added.accounts.Store(accounts)
 	next := maps.Clone(pools)
@@ -100,7 +101,7 @@
 
 // newDecisionCache returns the decision cache of a pool.
 func (s *Shared) newDecisionCache() *decisioncache.Cache[decision, *check] {
-	cache, err := decisioncache.NewCache[decision, *check](s.config.Memory)
+	cache, err := decisioncache.NewCache[decision, *check](s.config.Decisions)
 	if err != nil {
 		panic(fmt.Errorf("configuration that NewShared has validated: %w", err))
 	}
--- a/internal/service/hosted/config_decisions.go
+++ b/internal/service/hosted/config_decisions.go
@@ -8,31 +8,31 @@
 	"gapgap/internal/frontend/extauthz"
 )
 
-// Defaults of [verdicts].
+// Defaults of the table [verdicts], which configures the decision cache and the tracking of admitted requests.
 const (
-	defaultDecisionRetention = 10 * time.Second
-	defaultMaxDecisions      = 100_000
-	defaultMaxPerAccount     = 2_000
-	defaultMaxRepeats        = 3
-	defaultMaxReservations   = 10_000
+	defaultDecisionRetention  = 10 * time.Second
+	defaultMaxDecisions       = 100_000
+	defaultMaxPerAccount      = 2_000
+	defaultMaxRepeats         = 3
+	defaultMaxTrackedInFlight = 10_000
 )
 
 // sharedConfig checks [verdicts].
 func (f *configFile) sharedConfig() (extauthz.SharedConfig, error) {
 	table := &f.Decisions
 	shared := extauthz.SharedConfig{
-		MostHolds: cmp.Or(table.MaxReservations, defaultMaxReservations),
-		Memory: decisioncache.Config{
-			Keep:       cmp.Or(time.Duration(table.Retention), defaultDecisionRetention),
-			Most:       cmp.Or(table.MaxEntries, defaultMaxDecisions),
-			PerAccount: cmp.Or(table.MaxPerAccount, defaultMaxPerAccount),
-			Repeats:    cmp.Or(table.MaxRepeats, defaultMaxRepeats),
+		MaxTrackedInFlight: cmp.Or(table.MaxTrackedInFlight, defaultMaxTrackedInFlight),
+		Decisions: decisioncache.Config{
+			MaxTTL:        cmp.Or(time.Duration(table.Retention), defaultDecisionRetention),
+			MaxEntries:    cmp.Or(table.MaxEntries, defaultMaxDecisions),
+			MaxPerAccount: cmp.Or(table.MaxPerAccount, defaultMaxPerAccount),
+			MaxRepeats:    cmp.Or(table.MaxRepeats, defaultMaxRepeats),
 		},
 	}
-	if err := shared.Memory.Validate(); err != nil {
+	if err := shared.Decisions.Validate(); err != nil {
 		return extauthz.SharedConfig{}, &extauthz.Fault{Field: "verdicts", Err: err}
 	}
-	if shared.MostHolds < 0 {
+	if shared.MaxTrackedInFlight < 0 {
 		return extauthz.SharedConfig{}, fieldErrorf("verdicts.holds", "is negative")
 	}
 	return shared, nil
--- a/internal/service/hosted/configfile.go
+++ b/internal/service/hosted/configfile.go
@@ -149,11 +149,11 @@
 
 // decisionsTable is [verdicts]: the cache of decisions of authorization checks.
 type decisionsTable = struct {
-	Retention       tomlfile.Duration `toml:"keep"`
-	MaxEntries      int               `toml:"most"`
-	MaxPerAccount   int               `toml:"per_account"`
-	MaxRepeats      int               `toml:"repeats"`
-	MaxReservations int               `toml:"holds"`
+	Retention          tomlfile.Duration `toml:"keep"`
+	MaxEntries         int               `toml:"most"`
+	MaxPerAccount      int               `toml:"per_account"`
+	MaxRepeats         int               `toml:"repeats"`
+	MaxTrackedInFlight int               `toml:"holds"`
 }
 
 // listenerTable is [[listener]].
