--- a/internal/frontend/extauthz/answer.go
+++ b/internal/frontend/extauthz/answer.go
@@ -17,30 +17,31 @@
 	HeaderPlan = "X-Gapgap-Plan"
 	// HeaderRequestID has the id of an admitted request, for its end call.
 	HeaderRequestID = "X-Gapgap-Request-Id"
-	// HeaderRetryAfterMS has the value of Retry-After in milliseconds.
+	// HeaderRetryAfterMS has the same pause as Retry-After in milliseconds.
 	HeaderRetryAfterMS = "X-Gapgap-Retry-After-Ms"
 	// HeaderStatus has the true status where the dialect can't express it.
 	HeaderStatus = "X-Gapgap-Status"
-	// HeaderPolicy has the version of the fleet's policy that the check was decided by.
+	// HeaderPolicy has the number of the policy version of all gateways that the check was decided by.
 	HeaderPolicy = "X-Gapgap-Policy"
-	// HeaderUndecided says why a check was answered without a decision.
+	// HeaderUndecided has an undecidedReason.
 	HeaderUndecided = "X-Gapgap-Undecided"
 )
 
 // undecidedRetryAfter is how long a client is asked to wait whose check could not be decided.
 const undecidedRetryAfter = time.Second
 
-// undecidedReason is the value of HeaderUndecided.
+// undecidedReason says why a check was answered without a decision. It is the value of HeaderUndecided.
 type undecidedReason string
 
 const (
 	// undecidedMemory means that there was no memory left for the request.
 	undecidedMemory undecidedReason = "memory"
-	// undecidedConnections means that the pool had no room for the connection.
+	// undecidedConnections means that the pool had no room for the connection: see conn.assignTo.
 	undecidedConnections undecidedReason = "connections"
-	// undecidedPolicy means that the gateway may not decide now.
+	// undecidedPolicy means that the gateway may not decide now: its right to decide by its policy version has lapsed,
+	// or its recovery after the start has not come to its end.
 	undecidedPolicy undecidedReason = "policy"
-	// undecidedNoAnswer means that the pool's proxy gave no decision in time.
+	// undecidedNoAnswer means that the pool's proxy gave no decision in time, or that the pool has ended.
 	undecidedNoAnswer undecidedReason = "core"
 )
 
@@ -101,7 +102,9 @@
 	r.w.WriteHeader(http.StatusOK)
 }
 
-// reject answers that the request may not pass, and when to try again.
+// reject answers that the request may not pass, and when to try again. It is the answer to all rejections by the pool's
+// proxy (quota, ceiling, requests in flight, shed load) and to a check that was repeated too often; it does not tell
+// them apart.
 func (r *responder) reject(d decision, customer *account.Account) {
 	header := r.w.Header()
 	setAccount(header, customer)
@@ -152,8 +155,8 @@
 	_, _ = r.w.Write(body) // fails only if the proxy has gone
 }
 
-// dialectStatus returns how a status is expressed in the dialect. For nginx it sets HeaderStatus, which
-// auth_request_set can read.
+// dialectStatus returns the status to send in the route's dialect. nginx understands 2xx, 401 and 403 only: in place of
+// any other it is sent 403, with the true status in HeaderStatus, which auth_request_set can read.
 func (r *responder) dialectStatus(status int) int {
 	isNginx := r.route != nil && r.route.Dialect == Nginx
 	if !isNginx || status < 300 || status == http.StatusUnauthorized {
--- a/internal/frontend/extauthz/check.go
+++ b/internal/frontend/extauthz/check.go
@@ -6,12 +6,31 @@
 	"slices"
 
 	"gapgap/internal/account"
+	"gapgap/internal/decisioncache"
 	"gapgap/internal/proxy"
 	"gapgap/internal/route"
 )
 
-// check reads, decides and answers a check.
-func (e *exchange) check() {
+// check is a check whose account is known, as its pool's proxy decides it: the embedded request, and this as its
+// [proxy.Client].
+type check struct {
+	proxy.Request
+	pool    *pool
+	account *account.Account
+	// query is what the pool was found by.
+	query route.Query
+	// hasKey is true if a repeat of the check can be recognized, by key.
+	hasKey bool
+	key    decisioncache.Key
+	// tracked is true if the pool's decision cache has the check, as entry.
+	tracked bool
+	entry   decisioncache.Entry
+	// done receives the one decision.
+	done chan decision
+}
+
+// answerCheck reads, decides and answers a check.
+func (e *exchange) answerCheck() {
 	c := e.readCheck()
 	if c == nil {
 		return
@@ -32,8 +51,8 @@
 	}
 }
 
-// readCheck reads a check and finds its pool, which it acquires. It runs in a turn of the pool that the connection's
-// last check went to. It returns nil if it has answered the check.
+// readCheck reads a check and finds its pool, which it acquires. It runs on the processor share of the pool that the
+// connection's last check went to. It returns nil if it has answered the check.
 func (e *exchange) readCheck() *check {
 	scheduler := e.conn.scheduler()
 	began := scheduler.Enter()
@@ -106,7 +125,7 @@
 		if chosen != nil {
 			chosen.Release()
 		}
-		e.forbid(problemNoRoute, "No service stands behind this.")
+		e.forbidden(problemNoRoute, "No service stands behind this.")
 		return nil
 	}
 	if !e.conn.assignTo(chosen) {
@@ -131,13 +150,13 @@
 	accounts := c.pool.accounts.Load()
 	customer := accounts.ByCustomer(c.query.Account)
 	if customer == nil {
-		e.forbid(problemNotEntitled, "The account has no plan here.")
+		e.forbidden(problemNotEntitled, "The account has no plan here.")
 		return false
 	}
 	rules := c.pool.proxy.Rules()
 	class, units, ok := e.classify(accounts, rules, &c.query)
 	if !ok || !customer.Entitled(class) {
-		e.forbid(problemNotEntitled, "The account is not entitled to this.")
+		e.forbidden(problemNotEntitled, "The account is not entitled to this.")
 		return false
 	}
 	units, err := e.readUnits(accounts, units)
@@ -213,8 +232,8 @@
 	e.response.problem(http.StatusBadRequest, kind, err.Error())
 }
 
-// forbid answers a check that is not allowed whatever the account's quota is.
-func (e *exchange) forbid(kind problemType, detail string) {
+// forbidden answers a check that is not allowed whatever the account's quota is.
+func (e *exchange) forbidden(kind problemType, detail string) {
 	e.front.shared.Figures.Forbidden.Add(1)
 	e.response.problem(http.StatusForbidden, kind, detail)
 }
--- a/internal/frontend/extauthz/conn.go
+++ b/internal/frontend/extauthz/conn.go
@@ -113,8 +113,9 @@
 	return c.front.env.Scheduler
 }
 
-// assignTo counts the connection toward a pool's connections. It returns false if the pool has no room for a connection
-// that has no pool yet.
+// assignTo counts the connection toward the connections of the pool that its check goes to. It returns false for a
+// connection that has no pool yet if the pool's guarantee is used up and there is nothing to borrow: see
+// [resourcelimit.ClientLimit.Assign].
 func (c *conn) assignTo(p *proxy.Proxy) bool {
 	if c.pool.Load() == p {
 		return true
--- a/internal/frontend/extauthz/decision.go
+++ b/internal/frontend/extauthz/decision.go
@@ -4,39 +4,21 @@
 	"math"
 	"time"
 
-	"gapgap/internal/account"
 	"gapgap/internal/decisioncache"
 	"gapgap/internal/proxy"
-	"gapgap/internal/route"
 )
 
 const (
-	// answerGrace is how long a handler waits beyond a check's timeout, for the proxy's own last answer.
+	// answerGrace is how long a handler waits beyond a check's timeout, for the proxy's own last answer. It is also how
+	// long the task of an end call may wait for a place in an event loop's queue.
 	answerGrace = 100 * time.Millisecond
 	// minRejectionTTL is how long repeats of a rejected check get the same answer at least. A proxy's retry comes at
 	// once; a client that heeds Retry-After comes later, with a check that is decided anew.
 	minRejectionTTL = 250 * time.Millisecond
-	// maxTTL leaves it to the cache how long a decision is kept.
-	maxTTL = time.Duration(math.MaxInt64)
+	// untilCacheLimit is the TTL of a decision that is kept for as long as decisioncache.Config.MaxTTL allows.
+	untilCacheLimit = time.Duration(math.MaxInt64)
 )
 
-// check is a check whose account is known. It is the client of its own request.
-type check struct {
-	proxy.Request
-	pool    *pool
-	account *account.Account
-	// query is what the pool was found by.
-	query route.Query
-	// hasKey is true if a repeat of the check can be recognized, by key.
-	hasKey bool
-	key    decisioncache.Key
-	// tracked is true if the pool's decision cache has the check, as entry.
-	tracked bool
-	entry   decisioncache.Entry
-	// done receives the one decision.
-	done chan decision
-}
-
 // decision is what was decided for a check. It has no pointers since the decision cache has many of them.
 type decision struct {
 	outcome    proxy.Outcome
@@ -46,13 +28,15 @@
 	quota     proxy.Quota
 	// requestID is the number of an admitted request, for its end call.
 	requestID uint64
-	// unavailable is true if nothing could be decided.
+	// unavailable is true if nothing could be decided: the outcome is then no judgment on the account's quota.
 	unavailable bool
-	// policyVersion is the version of the policy that the request was taken in by; 0: not told.
+	// policyVersion is the number of the policy version that the request was submitted under; 0: there is none.
 	policyVersion uint64
 }
 
-// decide returns the decision for a check, whose pool is acquired. ok is false if there was none in time.
+// decide returns the decision for a check. Its pool is acquired; it is released here, by submit or by the pool's proxy.
+// ok is false if there was no decision within the check's timeout and answerGrace, or if the pool's event loop has
+// ended.
 func (f *Front) decide(c *check) (d decision, ok bool) {
 	owner := c.pool.proxy
 	deadline := c.At + c.Timeout + answerGrace
@@ -80,7 +64,7 @@
 	}
 }
 
-// submit hands the check to the pool's proxy unless it repeats one that is known. It is a task of the event loop.
+// submit hands the check to the pool's proxy unless joinKnown has dealt with it. It is a task of the event loop.
 func (c *check) submit() {
 	if c.hasKey && c.joinKnown() {
 		return
@@ -88,8 +72,9 @@
 	c.pool.proxy.Submit(&c.Request)
 }
 
-// joinKnown looks the check up in the decision cache and returns true if it is not to be decided by itself. It is not
-// charged then.
+// joinKnown looks the check up in the decision cache and returns true if it is not to be decided by itself: it repeats
+// one that is pending or decided, or it was repeated too often and is rejected. It is not charged then, and the pool is
+// released.
 func (c *check) joinKnown() bool {
 	p := c.pool
 	stats := &p.shared.Figures
@@ -154,11 +139,12 @@
 	}
 }
 
-// decisionTTL returns how long repeats get an answer. A check that could not be decided is decided anew.
+// decisionTTL returns how long repeats of a check get the same answer; the decision cache may bound it further. A
+// repeat of a check that could not be decided is decided anew.
 func decisionTTL(answer proxy.Answer) time.Duration {
 	switch {
 	case answer.Outcome == proxy.Admitted:
-		return maxTTL
+		return untilCacheLimit
 	case answer.Outcome == proxy.Rejected && !answer.Unavailable:
 		return max(minRejectionTTL, answer.RetryAfter)
 	default:
--- a/internal/frontend/extauthz/exchange.go
+++ b/internal/frontend/extauthz/exchange.go
@@ -48,8 +48,8 @@
 	e.serve()
 }
 
-// acceptHeader checks the size of a request's header and reserves memory for the request, of which a number of bytes
-// was received. It returns false if it has answered the request.
+// acceptHeader checks the number of a request's header fields and reserves memory for the request. received is the
+// number of bytes that were read for it. It returns false if it has answered the request.
 func (e *exchange) acceptHeader(received int64) bool {
 	stats := &e.front.shared.Figures
 	maxFields := e.front.config.MaxHeaders
@@ -86,17 +86,17 @@
 	endPath := e.front.config.EndPath
 	switch {
 	case endPath != "" && e.request.URL.Path == endPath:
-		e.end()
+		e.answerEnd()
 	case e.route == nil:
 		e.front.shared.Figures.Bad.Add(1)
 		e.response.problem(http.StatusNotFound, problemPath, "No check is asked at this path.")
 	default:
-		e.check()
+		e.answerCheck()
 	}
 }
 
-// end answers an end call: the work of an admitted request is over.
-func (e *exchange) end() {
+// answerEnd answers an end call: the work of an admitted request is over.
+func (e *exchange) answerEnd() {
 	if e.request.Method != http.MethodPost {
 		e.response.w.Header().Set("Allow", http.MethodPost)
 		e.response.problem(http.StatusMethodNotAllowed, problemMethod, "An end is told with POST.")
--- a/internal/frontend/extauthz/pool.go
+++ b/internal/frontend/extauthz/pool.go
@@ -50,7 +50,8 @@
 	return false
 }
 
-// finishAdmittedIn is finishAdmitted for one pool.
+// finishAdmittedIn is finishAdmitted for one pool. It waits for answerGrace at most until the task has a place in the
+// event loop's queue, and then until the task is done or the loop has ended.
 func (f *Front) finishAdmittedIn(p *pool, id uint64) bool {
 	finished := make(chan bool, 1)
 	deadline := f.env.Now() + answerGrace
--- a/internal/frontend/extauthz/stats.go
+++ b/internal/frontend/extauthz/stats.go
@@ -5,15 +5,17 @@
 	"sync/atomic"
 )
 
-// Stats counts what the listeners of a process did. Any goroutine may read it.
+// Stats counts what the listeners of a process did. Any goroutine may read it. Each has the counters' names in metrics
+// and logs.
 type Stats struct {
-	// Allowed is the number of checks that may pass by their quota.
+	// Allowed is the number of checks whose requests were admitted.
 	Allowed atomic.Uint64
-	// Refused is the number of checks rejected by their quota.
+	// Refused is the number of checks rejected by the pool's proxy, for whatever reason, or repeated too often.
 	Refused atomic.Uint64
 	// Unauthenticated is the number of checks without a known credential.
 	Unauthenticated atomic.Uint64
-	// Forbidden is the number of checks whose account may not do what they ask for, or that no pool serves.
+	// Forbidden is the number of checks whose account may not do what they ask for, or that no pool serves. Checks by
+	// untrusted proxies are not among them.
 	Forbidden atomic.Uint64
 	// UndecidedAllowed is the number of checks that could not be decided and may pass.
 	UndecidedAllowed atomic.Uint64
@@ -27,9 +29,10 @@
 	TooLarge atomic.Uint64
 	// NoCapacity is the number of requests and connections for which there was no memory or connection left.
 	NoCapacity atomic.Uint64
-	// Repeated is the number of repeats that got the decision of their first check.
+	// Repeated is the number of repeats that joined a pending check or got a cached decision. They are also
+	// counted by what they got, mostly as Allowed or Refused.
 	Repeated atomic.Uint64
-	// Exhausted is the number of repeats rejected since the check was asked too often.
+	// Exhausted is the number of repeats rejected since the check was asked too often. Refused counts them too.
 	Exhausted atomic.Uint64
 	// Untracked is the number of checks for which the decision cache had no room.
 	Untracked atomic.Uint64
