--- a/cmd/gapgapd/disk.go
+++ b/cmd/gapgapd/disk.go
@@ -11,5 +11,5 @@
 // stateDisk returns the file system for the state that must outlive a power loss.
 func stateDisk(string) (vfs.FS, error) { return vfs.OS{}, nil }
 
-// clockAhead returns by how much the clock is wrong on purpose: not at all but in builds for tests.
+// clockAhead returns by how much the clock is ahead of the machine's, which only tests set (build tag powertest).
 func clockAhead() time.Duration { return 0 }
--- a/cmd/gapgapd/disk_powertest.go
+++ b/cmd/gapgapd/disk_powertest.go
@@ -16,8 +16,8 @@
 	clockVariable  = "GAPGAP_POWER_CLOCK"
 )
 
-// stateDisk returns a file system that records what is done to the state directory, where a test asks for that: the
-// test makes of the record what a power loss may leave.
+// stateDisk returns a file system that records the changes to the state directory, where a test asks for that: from
+// the record the test derives the states that a power loss may leave.
 func stateDisk(dir string) (vfs.FS, error) {
 	record := os.Getenv(recordVariable)
 	if record == "" || dir == "" {
@@ -26,7 +26,7 @@
 	return vfs.NewRecorder(dir, record, os.Getenv(faultVariable))
 }
 
-// clockAhead returns by how much a test has the clock wrong.
+// clockAhead returns by how much the clock is ahead of the machine's, as a test sets it.
 func clockAhead() time.Duration {
 	ahead, _ := time.ParseDuration(os.Getenv(clockVariable)) // not set: not wrong
 	return ahead
--- a/cmd/gapgapd/main.go
+++ b/cmd/gapgapd/main.go
@@ -1,4 +1,4 @@
-// Command gapgapd is the hosted service: one proxy behind listeners of several protocols.
+// Command gapgapd is the hosted service: pools, each with a proxy of its own, behind listeners of several protocols.
 //
 //	gapgapd run FILE      serve until SIGTERM, then until all accepted requests are answered; SIGHUP reloads the file
 //	gapgapd check FILE    print what is wrong with a configuration, without starting
--- a/cmd/gapgapd/serve.go
+++ b/cmd/gapgapd/serve.go
@@ -11,14 +11,16 @@
 	"gapgap/internal/service/hosted"
 )
 
-// gcPercent is how much garbage may gather for each live byte: the heap has few MB, so collections would otherwise be
-// frequent. The memory limit makes them come sooner where that is needed.
+// gcPercent is the value of GOGC: garbage may grow to so many percent of the live heap, which has few MB, so
+// collections would otherwise be frequent. The memory limit makes them come sooner where that is needed.
 const gcPercent = 400
 
-// heapFraction is the part of the memory that the Go runtime may use; the rest is for stacks, sockets and the kernel.
+// heapFraction is the part of node.memory_mb that is the Go runtime's soft memory limit; the rest is for sockets and
+// the kernel.
 const heapFraction = 0.75
 
-// serve runs the service until SIGTERM or an interrupt, and reloads the file at SIGHUP.
+// serve runs the service until SIGTERM or an interrupt, and reloads the file at SIGHUP. The service then shuts down as
+// [hosted.Service.Serve] says; meanwhile SIGTERM and interrupts are ignored, and SIGHUP is refused with a log line.
 func serve(file string, log *slog.Logger) error {
 	reloads := make(chan os.Signal, 1)
 	signal.Notify(reloads, syscall.SIGHUP) // before anything else: by default the signal ends the program
@@ -58,13 +60,15 @@
 	return config, nil
 }
 
-// limitMemory sets the garbage collection for a memory in MB.
+// limitMemory sets the garbage collection for a memory in MiB.
 func limitMemory(megabytes int) {
 	debug.SetGCPercent(gcPercent)
 	debug.SetMemoryLimit(int64(heapFraction * float64(int64(megabytes)<<20)))
 }
 
-// reload reads the file again at each signal until the service has ended. A configuration that is invalid is not used.
+// reload reads the file again at each signal until the service has ended. A file that can't be read, is invalid, or
+// that [hosted.Service.Reload] does not accept is logged as an error and changes nothing: the service goes on as it
+// was.
 func reload(service *hosted.Service, file string, reloads <-chan os.Signal, log *slog.Logger) {
 	for {
 		select {
--- a/internal/service/hosted/clusterlease.go
+++ b/internal/service/hosted/clusterlease.go
@@ -9,7 +9,8 @@
 	"gapgap/internal/proxy"
 )
 
-// poolLease is the share lease as one pool has it.
+// poolLease hands the share lease of this gateway to one pool. Which lease that is decides package cluster: see
+// [cluster.Node.ShareLease].
 type poolLease struct {
 	proxy *proxy.Proxy
 	// poolName is the pool's name at all gateways.
@@ -22,7 +23,7 @@
 	appliedEpoch atomic.Uint64
 }
 
-// addPool has a pool go by the share lease. A nil member does nothing.
+// addPool has a pool use the share lease. A nil member does nothing.
 func (m *clusterMember) addPool(p *proxy.Proxy, poolName string) {
 	if m == nil {
 		return
@@ -31,7 +32,7 @@
 	defer m.mu.Unlock()
 	pool := &poolLease{proxy: p, poolName: poolName}
 	m.pools[p] = pool
-	pool.post(m.lease)
+	pool.postLease(m.lease)
 }
 
 // removePool forgets a pool whose event loop has ended, or never began. A nil member does nothing.
@@ -50,11 +51,12 @@
 	defer m.mu.Unlock()
 	m.lease = lease
 	for _, pool := range m.pools {
-		pool.post(lease)
+		pool.postLease(lease)
 	}
 }
 
-// appliedEpoch returns the epoch that all pools have applied. It implements [peer.Config].AppliedEpoch.
+// appliedEpoch returns the latest epoch that all pools have applied; without pools the largest number there is. It
+// implements [peer.Config].AppliedEpoch.
 func (m *clusterMember) appliedEpoch() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -65,8 +67,8 @@
 	return least
 }
 
-// post has the pool apply a lease soon.
-func (l *poolLease) post(lease cluster.ShareLease) {
+// postLease has the pool apply a lease soon.
+func (l *poolLease) postLease(lease cluster.ShareLease) {
 	l.newest.Store(&lease)
 	if l.isPosted.CompareAndSwap(false, true) {
 		go l.proxy.Post(l.apply) // posting may wait, and the caller must not
--- a/internal/service/hosted/clusterloans.go
+++ b/internal/service/hosted/clusterloans.go
@@ -43,7 +43,7 @@
 // handleLoanRequest hands another gateway's request for a loan to the pool. It implements
 // [peer.Config].HandleLoanRequest.
 func (m *clusterMember) handleLoanRequest(from int, request peer.LoanRequest) {
-	m.post(request.Pool, balancer.LoanRequest{
+	m.postEvent(request.Pool, balancer.LoanRequest{
 		From:     from,
 		Customer: request.Customer,
 		Plan:     int(request.Plan),
@@ -53,7 +53,7 @@
 
 // handleLoan hands another gateway's loan to the pool. It implements [peer.Config].HandleLoan.
 func (m *clusterMember) handleLoan(from int, loan peer.Loan) {
-	m.post(loan.Request.Pool, balancer.LoanGranted{
+	m.postEvent(loan.Request.Pool, balancer.LoanGranted{
 		From:     from,
 		Customer: loan.Request.Customer,
 		Plan:     int(loan.Request.Plan),
@@ -63,9 +63,9 @@
 	})
 }
 
-// post hands an event to the pools of a name and returns at once. If a pool's queue is full the event is lost: what it
-// says is repeated. There are two pools of one name while one of them is being removed.
-func (m *clusterMember) post(poolName string, event balancer.Event) {
+// postEvent hands an event to the pools of a name and returns at once. If a pool's queue is full the event is lost:
+// what it says is repeated. There are two pools of one name while one of them is being removed.
+func (m *clusterMember) postEvent(poolName string, event balancer.Event) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for p, pool := range m.pools {
--- a/internal/service/hosted/clustermember.go
+++ b/internal/service/hosted/clustermember.go
@@ -17,9 +17,9 @@
 // controlSocketMode lets only the user of the process connect to the operators' socket.
 const controlSocketMode = 0o600
 
-// clusterMember is this process's part in a cluster of gateways. Its pools go by its share lease; each applies the
-// newest on its own event loop. A nil clusterMember stands for a gateway that stands alone; of such a one only the
-// methods that say so may be called.
+// clusterMember is this process's part in a cluster of gateways. Its pools use the quota shares that its share lease
+// gives; each applies the newest lease on its own event loop. A nil clusterMember stands for a gateway that stands
+// alone; of such a one only the methods that say so may be called.
 type clusterMember struct {
 	transport *peer.Transport
 	identity  *peer.IdentityStore
@@ -32,17 +32,20 @@
 	policy   atomic.Pointer[policyHost]
 	recovery *startupRecovery
 
-	// isClockWrong has the pools call no counter: this gateway would name other counter windows than the others.
+	// isClockWrong stops the pools' counter calls: by a wrong clock they would name other counter windows than those of
+	// the other gateways.
 	isClockWrong atomic.Bool
 
 	// mu is held while the fields below are used.
 	mu sync.Mutex
-	// lease is the newest.
+	// lease is the newest share lease. After a start it excludes this gateway, which then has no share at all: a lease
+	// of the process before is not taken over. applyLease replaces it once [cluster.Node] serves, a short delay after
+	// the start; its fraction grows as the voters grant slots (package quotalease).
 	lease cluster.ShareLease
 	pools map[*proxy.Proxy]*poolLease
 }
 
-// newClusterMember takes the state directory and the addresses.
+// newClusterMember locks the state directory and opens the sockets for the other gateways and for operators.
 func (s *Service) newClusterMember(settings *peer.Settings, name string) (*clusterMember, error) {
 	m := &clusterMember{
 		pools: map[*proxy.Proxy]*poolLease{},
--- a/internal/service/hosted/config.go
+++ b/internal/service/hosted/config.go
@@ -19,14 +19,16 @@
 
 // Config is a checked configuration.
 type Config struct {
-	// Node is the configuration of the first pool, with what the process has.
+	// Node is the configuration of the first pool's proxy. Its memory and sockets are those of the process, and
+	// its name is used as the gateway's.
 	Node *service.Config
 	// Pools has one at least.
 	Pools  []Pool
 	Routes *route.Table
 	// SharesCPU tells whether pools share the processor by their weights.
 	SharesCPU bool
-	// HasPools tells whether the file has pools, though it may be one.
+	// HasPools tells whether the file has [[pool]] tables, though it may be one. Without any the whole file is one
+	// pool.
 	HasPools  bool
 	Listeners []Listener
 	// Accounts are those by whose credentials authorization checks are recognized.
@@ -59,9 +61,10 @@
 	// Accounts have the plans and classes of the pool.
 	Accounts *account.Table
 
-	// shape describes all of it but the accounts, the rules and what plans give: a change of it makes a new pool.
+	// shape describes the classes, the limits, the names of plans, the counter space, whether there is a counter, the
+	// weight and MaxServerConnections. A reload that changes it replaces the pool by a new one.
 	shape string
-	// plans describes what plans give: the pool goes on with a change of it.
+	// plans describes what plans give. A reload that changes it only updates the pool.
 	plans string
 }
 
--- a/internal/service/hosted/policy.go
+++ b/internal/service/hosted/policy.go
@@ -37,7 +37,7 @@
 
 var _ policyreplica.Host = (*policyHost)(nil)
 
-// openPolicy opens what the gateway's disk has of policy.
+// openPolicy opens the policy replica with what the gateway's disk has.
 func (s *Service) openPolicy(cfg *Config) (*policyHost, error) {
 	host := &policyHost{service: s, lease: proxy.NewDecisionLease()}
 	for _, gateway := range cfg.Fleet.Gateways {
@@ -133,7 +133,8 @@
 // StopDeciding implements [policyreplica.Host].
 func (p *policyHost) StopDeciding() { p.SetDecisionDeadline(0) }
 
-// SetDecisionDeadline implements [policyreplica.Host]. Pools that had no right to decide go on with what waits.
+// SetDecisionDeadline implements [policyreplica.Host]. If the right to decide had lapsed, the requests that were held
+// for want of it are decided.
 func (p *policyHost) SetDecisionDeadline(deadline time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -164,7 +165,7 @@
 	if !ok {
 		return errNotBuilt
 	}
-	if err := p.service.reload(cfg); err != nil {
+	if err := p.service.applyConfig(cfg); err != nil {
 		return err
 	}
 	all := p.proxies()
--- a/internal/service/hosted/policyroutes.go
+++ b/internal/service/hosted/policyroutes.go
@@ -53,7 +53,7 @@
 func writeJSON(w http.ResponseWriter, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(http.StatusOK)
-	_ = json.NewEncoder(w).Encode(value) // the client is gone
+	_ = json.NewEncoder(w).Encode(value) // fails only if the client has gone
 }
 
 // gatewayIndex returns the index of a gateway. If there is none of this name, it writes that to the client.
@@ -82,7 +82,7 @@
 		return
 	}
 	w.Header().Set("X-Gapgap-Policy", fmt.Sprint(version))
-	_, _ = w.Write(document) // the client is gone
+	_, _ = w.Write(document) // fails only if the client has gone
 }
 
 // handleHistory writes the outcomes of the last changes.
@@ -95,7 +95,7 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_, _ = w.Write(history) // the client is gone
+	_, _ = w.Write(history) // fails only if the client has gone
 }
 
 // handleChange writes the outcome of a change.
@@ -134,7 +134,8 @@
 	writeJSON(w, result)
 }
 
-// handleReplaceVoter lets a voter that has lost its disk take part again. It asks until that is so.
+// handleReplaceVoter lets a voter that has lost its disk take part again. It retries until that is done or
+// replaceTimeout is over.
 func (p *policyHost) handleReplaceVoter(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := withTimeout(w, r, replaceTimeout)
 	defer cancel()
--- a/internal/service/hosted/pool.go
+++ b/internal/service/hosted/pool.go
@@ -42,7 +42,7 @@
 	return p, nil
 }
 
-// poolParts returns what a pool has of the process.
+// poolParts returns what connects a pool's proxy to the other parts of the process.
 func (s *Service) poolParts(p *pool) service.Parts {
 	cfg := p.cfg
 	clusterName := s.clusterPoolName(cfg)
@@ -108,8 +108,8 @@
 	}
 }
 
-// discard undoes newPool for a pool that was not started.
-func (s *Service) discard(p *pool) {
+// discardPool undoes newPool for a pool that was not started.
+func (s *Service) discardPool(p *pool) {
 	p.inbox.remove()
 	p.limits.leave()
 	s.cluster.removePool(p.proxy)
--- a/internal/service/hosted/poolstats.go
+++ b/internal/service/hosted/poolstats.go
@@ -17,9 +17,10 @@
 	Places resourcelimit.AllotmentStats
 	// Clients is the number of connections that sent their last request to the pool.
 	Clients int
-	// Evicted counts connections that were closed for another pool's guarantee.
+	// Evicted counts clients' connections of the pool that were closed for another pool's guarantee.
 	Evicted uint64
-	// Refused counts new connections that were closed since the pool had borrowed all that there was.
+	// Refused counts clients' connections that were closed with their first request, since the pool's guarantee was
+	// used up and there was nothing to borrow.
 	Refused uint64
 }
 
--- a/internal/service/hosted/reload.go
+++ b/internal/service/hosted/reload.go
@@ -14,13 +14,14 @@
 	errHasPoolsChanged = errors.New("whether there are pools changes with a restart only")
 )
 
-// Reload takes the pools, routes, accounts and rules of another configuration, whole or not at all. Listeners and what
-// the process has (memory, sockets, the decision cache) stay as they are until a restart. A pool whose classes, limits
-// or names of plans have changed is made anew, and the old one answers what it took. Where the fleet has one policy,
-// only the node's part is taken.
+// Reload takes the pools, routes, accounts and rules of another configuration, whole or not at all. Its error says why
+// it takes nothing: the shutdown has begun, the configuration changes what takes a restart, or a new pool can't be
+// made. Changes of listeners and of what the process has (memory, sockets, the decision cache) are not looked at before
+// a restart. A pool whose shape has changed (see Pool) is replaced by a new one, and the old one answers what it took.
+// Where all gateways have one policy, only the node's part of the configuration is taken.
 func (s *Service) Reload(cfg *Config) error {
 	if s.policy == nil || !hasFleetPolicy(cfg.Fleet) {
-		return s.reload(cfg)
+		return s.applyConfig(cfg)
 	}
 	merged, err := s.policy.parseWithPolicy(cfg)
 	if err != nil {
@@ -28,11 +29,11 @@
 	}
 	s.log.Info("the node's part of the file is read again; the policy is the fleet's, and the file's is not looked at",
 		"policy", s.policy.replica.View().Version.Number)
-	return s.reload(merged)
+	return s.applyConfig(merged)
 }
 
-// reload takes another configuration, whole or not at all.
-func (s *Service) reload(cfg *Config) error {
+// applyConfig takes another configuration, whole or not at all, from a reload or a policy version.
+func (s *Service) applyConfig(cfg *Config) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err := s.checkReload(cfg); err != nil {
@@ -48,7 +49,7 @@
 		p.start()
 	}
 	for i := range cfg.Pools {
-		s.reconfigure(pools[cfg.Pools[i].Node.Name], &cfg.Pools[i])
+		s.updatePool(pools[cfg.Pools[i].Node.Name], &cfg.Pools[i])
 	}
 	s.Shared.SetIdentities(cfg.Accounts)
 	s.router.update(cfg.Routes, pools)
@@ -58,7 +59,7 @@
 	for name, p := range former {
 		if pools[name] != p {
 			s.removals.Add(1)
-			go s.remove(p)
+			go s.removePool(p)
 		}
 	}
 	return nil
@@ -88,7 +89,7 @@
 		if p == nil || p.cfg.shape != poolConfig.shape {
 			if p, err = s.newPool(poolConfig); err != nil {
 				for _, p := range added {
-					s.discard(p)
+					s.discardPool(p)
 				}
 				return nil, nil, fmt.Errorf("pool %s: %w", name, err)
 			}
@@ -112,9 +113,9 @@
 	}
 }
 
-// reconfigure applies a configuration of the same shape to a pool: its plans and classes have the same numbers. The
+// updatePool applies a configuration of the same shape to a pool: its plans and classes have the same numbers. The
 // caller holds mu.
-func (s *Service) reconfigure(p *pool, cfg *Pool) {
+func (s *Service) updatePool(p *pool, cfg *Pool) {
 	if p.cfg.plans != cfg.plans {
 		if err := p.proxy.UpdateSettings(cfg.Node.Rules()); err != nil { // a bug: the settings were checked
 			s.log.Error("a pool goes on with its plans as they were", "pool", cfg.Node.Name, "error", err)
@@ -125,8 +126,9 @@
 	p.proxy.SetAddresses(cfg.Node.Discovery, cfg.Node.Counter)
 }
 
-// remove ends a pool to which no route leads any more, once what it took is answered.
-func (s *Service) remove(p *pool) {
+// removePool ends a pool to which no route leads any more, once what it took is answered, or after the longest client
+// timeout and proxy.AnswerMargin at the latest.
+func (s *Service) removePool(p *pool) {
 	defer s.removals.Done()
 	p.proxy.Retire()
 	p.proxy.RejectHeld()
--- a/internal/service/hosted/serve.go
+++ b/internal/service/hosted/serve.go
@@ -16,7 +16,7 @@
 	drainInterval = 10 * time.Millisecond
 )
 
-// Serve serves until the context ends, then answers what was taken and returns. It may be called once.
+// Serve serves until the context ends, then shuts down and returns: see shutdown. It may be called once.
 func (s *Service) Serve(ctx context.Context) {
 	defer close(s.done)
 	s.start()
@@ -67,7 +67,14 @@
 	}
 }
 
-// shutdown answers what was taken and ends all parts of the service.
+// shutdown answers the requests that were taken and ends all parts of the service:
+//
+//  1. Reloads are refused from now on.
+//  2. For proxy.AcceptAfterTerm connections and requests are still accepted.
+//  3. Listeners and idle connections are closed until no client waits for an answer, for the longest client timeout and
+//     proxy.AnswerMargin at most. Requests without an answer after that are logged as unanswered.
+//  4. The pools' event loops end, then the recovery, the policy replica and the key replica.
+//  5. The other gateways are told that this one leaves, so that its share is free for them at once.
 func (s *Service) shutdown() {
 	s.log.Info("ending")
 	longestTimeout := s.stopReloads()
@@ -100,8 +107,8 @@
 	return longestTimeout
 }
 
-// drainFrontends closes all listeners at a time and returns when no client waits for an answer, at a second time at
-// the latest.
+// drainFrontends waits until closeListenersAt, then closes all listeners and returns when no client waits for an
+// answer, at giveUpAt at the latest. Both are times of the event loops' clock.
 func (s *Service) drainFrontends(closeListenersAt, giveUpAt time.Duration) {
 	for {
 		now := s.Now()
--- a/internal/service/hosted/sharedlimits.go
+++ b/internal/service/hosted/sharedlimits.go
@@ -13,15 +13,17 @@
 const maxGuaranteeSum = 1 - resourcelimit.UnassignedFraction
 
 // sharedLimits bound what the pools of a process hold in common: clients' bytes, clients' connections and connections
-// to endpoints. Each pool has a guaranteed part and borrows beyond it. A nil sharedLimits stands for a process with one
-// pool.
+// to endpoints. Each pool has a guaranteed part and borrows beyond it. Package resourcelimit decides who gets what: for
+// clients' connections see [resourcelimit.ClientLimit.Assign], for the others [resourcelimit.SharedLimit] and
+// [resourcelimit.EndpointLimits]. A nil sharedLimits stands for a process with one pool.
 type sharedLimits struct {
 	memory  *resourcelimit.SharedLimit
 	sockets *resourcelimit.SharedLimit
 	// unassigned has the bytes of commands whose pool is not known yet.
 	unassigned *resourcelimit.Allotment
 	endpoints  *resourcelimit.EndpointLimits
-	// maxClients bounds clients' connections.
+	// maxClients bounds the clients' connections of all pools together. Only the pools' guarantees are reckoned from it
+	// here; Env.Conns holds the limit.
 	maxClients int
 }
 
@@ -89,8 +91,8 @@
 	}
 }
 
-// setParts sets the limits among the parts that a pool's proxy is made of. The connections to one endpoint are bounded
-// unless maxServerConnections is 0.
+// setParts sets the limits among the parts that a pool's proxy is made of. maxServerConnections bounds the connections
+// to one endpoint, over all pools; 0 means no bound.
 func (l *poolLimits) setParts(parts *service.Parts, maxServerConnections int) {
 	if l == nil {
 		return
@@ -109,7 +111,7 @@
 }
 
 // reclaimer returns what has a pool close n idle connections for another pool; to one address only, unless that is
-// empty. One such request is out at a time, however often another pool needs connections.
+// empty. A pool has one such request at a time, whatever its address; others are dropped meanwhile.
 func (l *poolLimits) reclaimer(p *proxy.Proxy, address string) func(n int64) {
 	return func(n int64) {
 		if !l.isReclaiming.CompareAndSwap(false, true) {
