--- a/internal/sharedhealth/doc.go
+++ b/internal/sharedhealth/doc.go
@@ -7,6 +7,9 @@
 //     all of them.
 //   - Each entry that has the endpoint in service gets an even share of its slow-start budget, so that the budget holds
 //     for their sum.
+//   - A health report of one pool about an endpoint goes to all other pools that list it: see [Registry.Peers].
+//
+// The registry only says who gets what; internal/service/hosted (endpointinbox.go) delivers it to the pools.
 //
 // The package does no I/O. One goroutine at a time may use a [Registry].
 package sharedhealth
--- a/internal/sharedhealth/merge.go
+++ b/internal/sharedhealth/merge.go
@@ -52,7 +52,8 @@
 	}
 }
 
-// merge returns what the pools of an address's entries are to know of the endpoint.
+// merge returns, for each entry of one address, what its pool is to know of the endpoint: draining if any of the
+// entries is reported so or this one is stopped, the latest start, and an even share of the slow-start budget.
 func merge(entries entrySet) map[*entry]endpoint.Entry {
 	draining := false
 	serving := 0 // entries, not pools: a pool may list an endpoint under two names
--- a/internal/sharedhealth/registry.go
+++ b/internal/sharedhealth/registry.go
@@ -16,15 +16,17 @@
 	Update endpoint.Update
 }
 
-// Registry holds what each pool's source has reported.
+// Registry holds what each pool's source has reported, and what each pool was told. It must be made by [New].
 type Registry struct {
-	pools     map[string]poolEntries
+	// pools has the entries of each pool by the pool's name.
+	pools map[string]poolEntries
+	// byAddress has the entries of all pools by the endpoint's address.
 	byAddress map[string]entrySet
 	// changed has the addresses of which something was reported since the last flush.
 	changed map[string]struct{}
-	// removed has an update for each entry that was removed since the last flush.
+	// removed has the update that each entry's own pool is to get for its removal since the last flush.
 	removed []Update
-	// delivered is what the pool of each entry was told last.
+	// delivered has what flush last returned for each entry; unchanged entries are not returned again.
 	delivered map[*entry]endpoint.Entry
 }
 
@@ -116,7 +118,7 @@
 		e = &entry{pool: pool}
 		entries[reported.Name] = e
 	} else if e.reported.Address != reported.Address {
-		// The name is another process's now, and the old one is gone.
+		// A source that moves a name to another address says that the process at the old address is gone.
 		r.stopElsewhere(e)
 		r.unlink(e)
 	}
@@ -127,7 +129,7 @@
 	r.link(e)
 }
 
-// remove removes an entry from its pool, which the next flush tells.
+// remove removes an entry from its pool. The next flush returns that as an update.
 func (r *Registry) remove(entries poolEntries, e *entry) {
 	r.unlink(e)
 	delete(entries, e.reported.Name)
@@ -140,7 +142,8 @@
 	})
 }
 
-// stopElsewhere stops the endpoint of an entry in all other pools.
+// stopElsewhere marks the endpoint of an entry as stopped in all other pools: they drain it until their own sources
+// report it as serving again.
 func (r *Registry) stopElsewhere(e *entry) {
 	for other := range r.byAddress[e.reported.Address] {
 		if other.pool != e.pool {
