--- a/internal/frontend/extauthz/answer.go
+++ b/internal/frontend/extauthz/answer.go
@@ -122,12 +122,12 @@
 	header := r.w.Header()
 	header[HeaderUndecided] = []string{string(reason)}
 	if r.route != nil && r.route.AllowUndecided {
-		r.shared.Figures.UndecidedAllowed.Add(1)
+		r.shared.Stats.UndecidedAllowed.Add(1)
 		header["Content-Length"] = emptyBodyLength
 		r.w.WriteHeader(http.StatusOK)
 		return
 	}
-	r.shared.Figures.UndecidedDenied.Add(1)
+	r.shared.Stats.UndecidedDenied.Add(1)
 	setRetryAfter(header, undecidedRetryAfter)
 	r.problem(http.StatusServiceUnavailable, problemUndecided, "The check could not be decided.")
 }
--- a/internal/frontend/extauthz/check.go
+++ b/internal/frontend/extauthz/check.go
@@ -35,7 +35,7 @@
 	if c == nil {
 		return
 	}
-	stats := &e.front.shared.Figures
+	stats := &e.front.shared.Stats
 	d, ok := e.front.decide(c)
 	switch {
 	case d.unavailable:
@@ -104,7 +104,7 @@
 func (e *exchange) identify() *account.Account {
 	customer, err := e.route.identify(e.front.shared.identities.Load(), e.request.Header)
 	if errors.Is(err, errUnknownCredential) {
-		e.front.shared.Figures.Unauthenticated.Add(1)
+		e.front.shared.Stats.Unauthenticated.Add(1)
 		e.response.unauthenticated()
 		return nil
 	}
@@ -118,7 +118,7 @@
 // acquirePool finds and acquires the pool of a check and makes the connection and the reserved memory count toward it.
 // It returns nil if it has answered the check.
 func (e *exchange) acquirePool(query *route.Query) *pool {
-	stats := &e.front.shared.Figures
+	stats := &e.front.shared.Stats
 	chosen := e.front.env.Router.Route(query)
 	p := e.front.shared.poolOf(chosen)
 	if p == nil {
@@ -228,12 +228,12 @@
 
 // badRequest answers a malformed check. The client is told the error.
 func (e *exchange) badRequest(kind problemType, err error) {
-	e.front.shared.Figures.Bad.Add(1)
+	e.front.shared.Stats.Bad.Add(1)
 	e.response.problem(http.StatusBadRequest, kind, err.Error())
 }
 
 // forbidden answers a check that is not allowed whatever the account's quota is.
 func (e *exchange) forbidden(kind problemType, detail string) {
-	e.front.shared.Figures.Forbidden.Add(1)
+	e.front.shared.Stats.Forbidden.Add(1)
 	e.response.problem(http.StatusForbidden, kind, detail)
 }
--- a/internal/frontend/extauthz/decision.go
+++ b/internal/frontend/extauthz/decision.go
@@ -77,7 +77,7 @@
 // released.
 func (c *check) joinKnown() bool {
 	p := c.pool
-	stats := &p.shared.Figures
+	stats := &p.shared.Stats
 	now := p.proxy.Coarse()
 	entry, state := p.decisions.Lookup(now, c.Customer, c.key, c)
 	switch state {
--- a/internal/frontend/extauthz/exchange.go
+++ b/internal/frontend/extauthz/exchange.go
@@ -37,7 +37,7 @@
 		response: responder{w: w, shared: f.shared, route: route},
 	}
 	if !c.trusted && !f.config.hasTrustedCertificate(r.TLS) {
-		f.shared.Figures.Untrusted.Add(1)
+		f.shared.Stats.Untrusted.Add(1)
 		e.response.problem(http.StatusForbidden, problemUntrusted, "This address is not one that may ask.")
 		return
 	}
@@ -51,7 +51,7 @@
 // acceptHeader checks the number of a request's header fields and reserves memory for the request. received is the
 // number of bytes that were read for it. It returns false if it has answered the request.
 func (e *exchange) acceptHeader(received int64) bool {
-	stats := &e.front.shared.Figures
+	stats := &e.front.shared.Stats
 	maxFields := e.front.config.MaxHeaders
 	size := 2 * received
 	fields := len(e.request.Header)
@@ -78,7 +78,7 @@
 // serve reads the request's body and answers the request.
 func (e *exchange) serve() {
 	if err := e.discardBody(); err != nil {
-		e.front.shared.Figures.TooLarge.Add(1)
+		e.front.shared.Stats.TooLarge.Add(1)
 		e.response.w.Header().Set("Connection", "close")
 		e.response.problem(err.status, problemBody, err.detail)
 		return
@@ -88,7 +88,7 @@
 	case endPath != "" && e.request.URL.Path == endPath:
 		e.answerEnd()
 	case e.route == nil:
-		e.front.shared.Figures.Bad.Add(1)
+		e.front.shared.Stats.Bad.Add(1)
 		e.response.problem(http.StatusNotFound, problemPath, "No check is asked at this path.")
 	default:
 		e.answerCheck()
--- a/internal/frontend/extauthz/listener.go
+++ b/internal/frontend/extauthz/listener.go
@@ -35,7 +35,7 @@
 			continue
 		}
 		if !f.env.Conns.HasCapacity() {
-			f.shared.Figures.NoCapacity.Add(1)
+			f.shared.Stats.NoCapacity.Add(1)
 			l.reject(netConn)
 			continue
 		}
--- a/internal/frontend/extauthz/pool.go
+++ b/internal/frontend/extauthz/pool.go
@@ -23,7 +23,7 @@
 // trackInFlight keeps an admitted request for its end call if its plan bounds the requests in flight.
 func (p *pool) trackInFlight(id uint64, request *proxy.Request, now time.Duration) {
 	if request.HoldFor > 0 && !p.inFlight.add(id, request, now+request.HoldFor, now) {
-		p.shared.Figures.InFlightUntracked.Add(1)
+		p.shared.Stats.InFlightUntracked.Add(1)
 	}
 }
 
@@ -34,7 +34,7 @@
 	if request == nil {
 		return false
 	}
-	p.shared.Figures.Ended.Add(1)
+	p.shared.Stats.Ended.Add(1)
 	p.proxy.FinishAdmitted(request)
 	return true
 }
--- a/internal/frontend/extauthz/shared.go
+++ b/internal/frontend/extauthz/shared.go
@@ -22,8 +22,8 @@
 
 // Shared is what all listeners of a process have in common. Any goroutine may use it.
 type Shared struct {
-	// Figures counts what the listeners did.
-	Figures Stats
+	// Stats counts what the listeners did.
+	Stats Stats
 
 	config SharedConfig
 	env    *proxy.Env
--- a/internal/service/hosted/forwardauth_test.go
+++ b/internal/service/hosted/forwardauth_test.go
@@ -162,7 +162,7 @@
 	if res, err := c.Do(req); err != nil || res.StatusCode != 400 {
 		t.Errorf("a field twice: %v %v", res, err)
 	}
-	f := &d.Shared.Figures
+	f := &d.Shared.Stats
 	if f.Allowed.Load() == 0 || f.Refused.Load() == 0 || f.Unauthenticated.Load() == 0 || f.Forbidden.Load() == 0 ||
 		f.Bad.Load() == 0 {
 		t.Errorf("figures %v", f.LogValue())
@@ -174,10 +174,10 @@
 func TestForwardAuthTrust(t *testing.T) {
 	w := start(t, 1, `trusted = ["127.0.0.1"]`, `trusted = ["127.0.0.9"]`)
 	code, _, body := ask(t, client(), w.gateways[0].http+"/caddy", "X-Account", "free", "X-Forwarded-For", "127.0.0.9")
-	if code != 403 || !strings.Contains(body, "untrusted") || w.gateways[0].Shared.Figures.Untrusted.Load() != 1 {
+	if code != 403 || !strings.Contains(body, "untrusted") || w.gateways[0].Shared.Stats.Untrusted.Load() != 1 {
 		t.Errorf("from another address: %d %s", code, body)
 	}
-	if n := w.gateways[0].Shared.Figures.Allowed.Load(); n != 0 {
+	if n := w.gateways[0].Shared.Stats.Allowed.Load(); n != 0 {
 		t.Errorf("%d allowed", n)
 	}
 	dialer := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.IPv4(127, 0, 0, 9)}}
@@ -199,7 +199,7 @@
 		}
 		p.Close()
 	}
-	if w.gateways[0].Shared.Figures.Repeated.Load() != 0 {
+	if w.gateways[0].Shared.Stats.Repeated.Load() != 0 {
 		t.Error("a client's own request id was taken for the proxy's")
 	}
 }
@@ -264,7 +264,7 @@
 	var wg sync.WaitGroup
 	codes, ids, left := make([]int, 3), make([]string, 3), make([]string, 3)
 	waiting := func(n uint64) {
-		for end := time.Now().Add(peer.Patient); d.Shared.Figures.Repeated.Load() < n; time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(peer.Patient); d.Shared.Stats.Repeated.Load() < n; time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
 				t.Fatal("no repeat is seen")
 			}
@@ -304,10 +304,10 @@
 		t.Fatalf("%d", code)
 	}
 	first, _ = strconv.Atoi(h.Get(extauthz.HeaderRetryAfterMS))
-	refused := d.Shared.Figures.Repeated.Load()
+	refused := d.Shared.Stats.Repeated.Load()
 	code, h, _ = ask(t, client(), d.http+"/long", fields...)
 	second, _ := strconv.Atoi(h.Get(extauthz.HeaderRetryAfterMS))
-	if code != 429 || second > first || d.Shared.Figures.Repeated.Load() != refused+1 {
+	if code != 429 || second > first || d.Shared.Stats.Repeated.Load() != refused+1 {
 		t.Errorf("refused again: %d, pause %d then %d", code, first, second)
 	}
 }
@@ -353,7 +353,7 @@
 		code, _, _, _ := try(p.Client(), p.URL+"/v1", append(bearer("small"), "Host", "flags.example.org")...)
 		done <- code
 	}()
-	for end := time.Now().Add(peer.Patient); d.Shared.Figures.Repeated.Load() < 2; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(peer.Patient); d.Shared.Stats.Repeated.Load() < 2; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the proxy does not ask again")
 		}
@@ -430,8 +430,8 @@
 	r.WantsPrefix("-ERR the plan")
 	r.Command("Q.DO", customers["small"], "4", "c=change,t=starter,d=300,k=1,units=1,spread=1,first=0", "x")
 	r.WantsPrefix("-ERR the account is not entitled")
-	if w.gateways[0].Shared.Figures.Ended.Load() != 1 {
-		t.Errorf("%d ends", w.gateways[0].Shared.Figures.Ended.Load())
+	if w.gateways[0].Shared.Stats.Ended.Load() != 1 {
+		t.Errorf("%d ends", w.gateways[0].Shared.Stats.Ended.Load())
 	}
 }
 
@@ -450,7 +450,7 @@
 		d.Memory.Adjust(1 << 40) // as if clients held all of it
 		code, h, _ := ask(t, client(), d.http+"/long", bearer("free")...)
 		d.Memory.Release(1<<40 + 1<<20)
-		f := &d.Shared.Figures
+		f := &d.Shared.Stats
 		if allow && (code != 200 || f.UndecidedAllowed.Load() != 1) ||
 			!allow && (code != 503 || h.Get("Retry-After") == "" || f.UndecidedDenied.Load() != 1) {
 			t.Errorf("allow %v: %d %v", allow, code, h)
--- a/internal/service/hosted/metriccollector.go
+++ b/internal/service/hosted/metriccollector.go
@@ -46,7 +46,7 @@
 			sink.poolLimits(stats)
 		}
 	}
-	s.Shared.Figures.Each(func(outcome string, n uint64) { sink.counter(descChecks, n, outcome) })
+	s.Shared.Stats.Each(func(outcome string, n uint64) { sink.counter(descChecks, n, outcome) })
 	sink.gauge(descClientConnections, float64(s.Conns.Len()))
 	sink.gauge(descMaxClientConnections, float64(s.Conns.Max()))
 	sink.gauge(descRouteRules, float64(s.router.rules()))
--- a/internal/service/hosted/pool_test.go
+++ b/internal/service/hosted/pool_test.go
@@ -122,7 +122,7 @@
 		}
 		close(stop)
 		wg.Wait()
-		passed := w.gateway.Shared.Figures.Allowed.Load() - uint64(allowed)
+		passed := w.gateway.Shared.Stats.Allowed.Load() - uint64(allowed)
 		if most := 40 + 40*time.Since(begun).Seconds() + 10; float64(passed) > most || float64(passed) < most/4 {
 			t.Errorf("%d of the loud pool's let through; its ceiling is %.0f", passed, most)
 		}
--- a/internal/service/hosted/serve.go
+++ b/internal/service/hosted/serve.go
@@ -60,7 +60,7 @@
 		case <-coarseTick.C:
 			s.updateCoarseTime()
 		case <-statsTick.C:
-			s.log.Info("figures", "checks", &s.Shared.Figures, "pools", s.PoolStats())
+			s.log.Info("figures", "checks", &s.Shared.Stats, "pools", s.PoolStats())
 		case <-ctx.Done():
 			return
 		}
@@ -92,7 +92,7 @@
 	}
 	s.cluster.leave()
 	s.Shared.Close()
-	s.log.Info("figures", "checks", &s.Shared.Figures)
+	s.log.Info("figures", "checks", &s.Shared.Stats)
 	s.log.Info("ended", "unanswered", unanswered)
 }
 
