--- a/internal/scenario/event.go
+++ b/internal/scenario/event.go
@@ -8,27 +8,33 @@
 // EventKind is what an event does. Scripts use the same words.
 type EventKind string
 
-// The kinds of events. Those of endpoints, accounts and gateways have targets.
+// The kinds of events. Those of endpoints, accounts and gateways have targets: see Group, Count and Share of [Event].
+// Those of the counter ignore Count and Share, and need a counter. fault.go injects each kind.
 const (
-	// SlowEndpoints makes work take Factor times as long, reached evenly within Ramp.
+	// SlowEndpoints makes work take Factor times as long. It gets there in rampSteps equal steps within Ramp, and back
+	// in as many after its end.
 	SlowEndpoints EventKind = "slow"
-	// SilenceEndpoints stops answers without a reset. After it the endpoints have started anew.
+	// SilenceEndpoints stops answers and leaves connections open; the work goes on. At the end the endpoints start
+	// anew, with a slow start.
 	SilenceEndpoints EventKind = "silent"
-	// PauseEndpoints stops all work.
+	// PauseEndpoints stops all work, as a garbage collection does. Requests still arrive and wait. Duration must be
+	// above 0.
 	PauseEndpoints EventKind = "pause"
-	// CrashEndpoints breaks connections. After it the endpoints have started anew.
+	// CrashEndpoints ends the processes: connections break, and new ones are refused. At the end the endpoints start
+	// anew, with a slow start.
 	CrashEndpoints EventKind = "die"
-	// DrainEndpoints has discovery list endpoints as draining.
+	// DrainEndpoints has discovery list endpoints as draining, and as serving again at the end.
 	DrainEndpoints EventKind = "drain"
 	// FloodAccounts makes accounts send Factor times as many requests.
 	FloodAccounts EventKind = "flood"
-	// KillGateways ends gateways as SIGKILL does. After it they have started anew.
+	// KillGateways ends gateways as SIGKILL does. At the end they start anew. It takes no Group.
 	KillGateways EventKind = "kill-doors"
-	// CounterUnreachable makes the counter refuse connections.
+	// CounterUnreachable makes the counter refuse connections; nothing is added.
 	CounterUnreachable EventKind = "counter-gone"
-	// CounterSilent makes the counter add and not answer.
+	// CounterSilent makes the counter add what it is sent and never answer, so that calls time out.
 	CounterSilent EventKind = "counter-mute"
-	// CounterSlow makes a counter call take CounterLatency.
+	// CounterSlow makes a counter call take CounterLatency, there and back. A call beyond the gateways' time-out is
+	// added all the same, and its result comes late.
 	CounterSlow EventKind = "counter-late"
 	// CounterCleared makes the counter forget all numbers, once.
 	CounterCleared EventKind = "counter-empty"
@@ -75,9 +81,10 @@
 	// Name identifies the event in its script.
 	Name string
 	Kind EventKind
-	// At is the time from the start, or from the end of the event After.
+	// At is the time from the start of the run, or from the end of the event After.
 	At time.Duration
-	// After is the name of the event that must end before; empty: there is none.
+	// After is the name of the event that must end before; empty: there is none. SlowEndpoints ends when its way back
+	// begins.
 	After string
 	// Duration is how long the event lasts; 0: to the end of the run.
 	Duration time.Duration
@@ -89,10 +96,10 @@
 	Count int
 	Share float64
 
-	// Factor is that of SlowEndpoints and FloodAccounts.
+	// Factor is that of SlowEndpoints and FloodAccounts; above 0 for these, else unused.
 	Factor float64
-	// Ramp is the time in which SlowEndpoints reaches its factor, and goes back.
+	// Ramp is the time in which SlowEndpoints reaches its factor, and goes back; 0: at once.
 	Ramp time.Duration
-	// CounterLatency is that of CounterSlow.
+	// CounterLatency is that of CounterSlow; above 0 for it, else unused.
 	CounterLatency time.Duration
 }
--- a/internal/scenario/fault.go
+++ b/internal/scenario/fault.go
@@ -18,7 +18,7 @@
 	end func()
 }
 
-// beginEvent lets an event happen, and schedules its end and the events after it.
+// beginEvent applies an event, and schedules its end and the start of the events after it.
 func (r *run) beginEvent(event Event) {
 	done := r.apply(event)
 	r.note("%s begins: %s %s", event.Name, event.Kind, done.targets)
@@ -157,7 +157,7 @@
 	}
 }
 
-// restartEndpoint starts an endpoint anew.
+// restartEndpoint starts an endpoint anew, at its configured speed, and has discovery list it as serving.
 func (r *run) restartEndpoint(restarted *endpoint) {
 	restarted.Restart()
 	r.announce(restarted, balancer.Serving)
--- a/internal/scenario/report.go
+++ b/internal/scenario/report.go
@@ -24,7 +24,8 @@
 	Breakdowns []Breakdown `json:"parts"`
 	// Trace is what the script did, in order, each line with its time in seconds.
 	Trace []string `json:"trace"`
-	// Digest is that of the trace.
+	// Digest is that of Trace: equal digests mean the same events at the same times with the same targets. It does not
+	// cover what became of the requests.
 	Digest string `json:"digest"`
 	// Violations are broken rules, each with what was seen; none: all rules were kept.
 	Violations []string `json:"broken"`
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -7,7 +7,7 @@
 	"gapgap/internal/simulator"
 )
 
-// Bounds of a script. They make a slip of the pen an error and not a run without end.
+// Bounds of a script. They make a typing error an error of the script, in place of a run without end.
 const (
 	MaxEndpoints = 2000
 	MaxGateways  = 500
@@ -29,9 +29,9 @@
 	Gateways int
 	// UseCounter says that there is a counter.
 	UseCounter bool
-	// LeaseCeilings makes ceilings follow demand.
+	// LeaseCeilings makes gateways lease parts of ceilings by demand; false: each has an even share.
 	LeaseCeilings bool
-	// DiscoveryDelay is the time within which discovery notifies each gateway of a change.
+	// DiscoveryDelay bounds the random delay with which discovery notifies each gateway of a change; 0: none.
 	DiscoveryDelay time.Duration
 	// Retries is how often clients repeat a request that was rejected or failed.
 	Retries int
