--- a/cmd/gapgapctl/controlsocket.go
+++ b/cmd/gapgapctl/controlsocket.go
@@ -20,7 +20,7 @@
 )
 
 const (
-	// callTimeout bounds a call to a gateway.
+	// callTimeout bounds a call to a gateway. That of a proposal is longer, by the time it waits for the outcome.
 	callTimeout = 5 * time.Second
 	// maxAnswerBytes bounds a gateway's answer: a thousand gateways as seen by a thousand are some 20 MB.
 	maxAnswerBytes = 64 << 20
@@ -58,8 +58,12 @@
 	return err
 }
 
-// call makes one request and returns the answer's body. The error is a *[cli.Error] if no path is set, if nothing
-// listens there or if the gateway does not know what was asked about. Any other error of the gateway has its text.
+// call makes one request, without a retry, and returns the answer's body. The timeout bounds the whole call.
+//
+// The error is a *[cli.Error] with [cli.Misused] if no path is set, and with [cli.Nowhere] if there is no file at the
+// path or the gateway answers with status 404. Any other error has the exit code [cli.Failed]: a socket that a dead
+// gateway has left behind refuses the connection, one whose gateway hangs ends in the timeout. After a timeout the
+// gateway may still carry out what was asked for. Errors that the gateway answers with have its text.
 func (s *controlSocket) call(
 	ctx context.Context, method, path string, body io.Reader, timeout time.Duration,
 ) ([]byte, error) {
--- a/cmd/gapgapctl/proposal.go
+++ b/cmd/gapgapctl/proposal.go
@@ -24,7 +24,8 @@
 const (
 	// exitAborted says that the change was aborted.
 	exitAborted = 4
-	// exitUnknown says that the outcome is not known yet; it may be asked for by the change's id.
+	// exitUnknown says that a gateway answered that the outcome is not known yet. policy status with the change's id
+	// tells it later.
 	exitUnknown = 5
 )
 
@@ -55,7 +56,9 @@
 	flags.DurationVar(&p.wait, "wait", time.Minute, "how long to wait for the outcome")
 }
 
-// send proposes a document and prints the outcome. The error is a *[cli.Error] if the change is not committed.
+// send proposes a document and prints the outcome. The error is a *[cli.Error] if the change is not committed. If the
+// gateway does not answer within the time to wait and callTimeout, the error is that of [controlSocket.call], and the
+// change may still be committed: policy status with its id tells.
 func (p *proposal) send(command *cobra.Command, client *policyClient, document []byte) error {
 	if p.id == "" {
 		var random [proposalIDBytes]byte
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -18,7 +18,8 @@
 	Failed = 1
 	// Misused means that the command line is invalid.
 	Misused = 2
-	// Nowhere means that what was asked about does not exist, such as a route for a request.
+	// Nowhere means that what was asked about does not exist, such as a route for a request or a gateway's control
+	// socket.
 	Nowhere = 3
 )
 
