--- a/internal/simulator/doc.go
+++ b/internal/simulator/doc.go
@@ -5,5 +5,9 @@
 // A seed gives the same run each time. Random numbers depend on the identity of what they are drawn for, never on the
 // order of events, so one delayed message does not change all that follows.
 //
+// Faults are injected by the caller: into an endpoint by the methods in fault.go, which make it slow, paused, silent or
+// crashed; into the counter by the fields of [Counter]; into a gateway by [Gateway.Kill] and its ClockSkew. The network
+// has a fixed latency and no faults. The package internal/scenario injects them as a script says.
+//
 // One goroutine owns a [World] and all in it.
 package simulator
--- a/internal/simulator/fault.go
+++ b/internal/simulator/fault.go
@@ -24,19 +24,22 @@
 	e.change(func() { e.pausedUntil = max(e.pausedUntil, e.clock.Time()+duration) })
 }
 
-// SetSilent makes the endpoint answer nothing, or answer again. A reply that was due while it was silent never comes.
+// SetSilent makes the endpoint answer nothing, or answer again. It works on meanwhile and keeps connections open. A
+// reply that was due while it was silent never comes.
 func (e *Endpoint) SetSilent(isSilent bool) {
 	e.change(func() { e.isSilent = isSilent })
 }
 
-// change calls a function that changes the speed or the state.
+// change counts the work done at the former speed, calls a function that changes the speed or the state, and updates
+// the endpoint.
 func (e *Endpoint) change(do func()) {
 	e.countWork()
 	do()
 	e.update()
 }
 
-// Crash ends the process: the connections of all jobs that it holds break.
+// Crash ends the process: the connections of all jobs that it holds break, and new ones fail until Restart. The jobs of
+// a silent endpoint stay without a reply.
 func (e *Endpoint) Crash() {
 	e.countWork()
 	held := slices.Concat(e.inService, e.waiting)
