--- a/cmd/benchmark/ceilingmemory.go
+++ b/cmd/benchmark/ceilingmemory.go
@@ -27,7 +27,7 @@
 // measureCeilingMemory measures a gateway whose ceilings are leased or shared evenly.
 func measureCeilingMemory(leaseCeilings bool) (ceilingMemory, error) {
 	world := simulator.New(1, 10)
-	gateway := world.AddDoor(ceilingSettings(2, leaseCeilings))
+	gateway := world.AddGateway(ceilingSettings(2, leaseCeilings))
 	if err := gateway.Start(); err != nil {
 		return ceilingMemory{}, err
 	}
@@ -47,11 +47,11 @@
 func requestFromAccounts(world *simulator.World, gateway *simulator.Gateway, accounts, requests int) {
 	for account := range accounts {
 		for range requests {
-			gateway.Ask(&simulator.Request{
-				Customer: fmt.Sprint(account),
-				Units:    1,
-				Grant:    true,
-				Left:     ceilingRequestTimeout,
+			gateway.Submit(&simulator.Request{
+				Customer:  fmt.Sprint(account),
+				Units:     1,
+				AdmitOnly: true,
+				TimeLeft:  ceilingRequestTimeout,
 			})
 		}
 		world.Run(world.Now + 100*time.Microsecond)
--- a/cmd/benchmark/ceilings.go
+++ b/cmd/benchmark/ceilings.go
@@ -130,7 +130,7 @@
 	world := simulator.New(1, 10)
 	unitsBySecond := make([]float64, ceilingRunSeconds+1)
 	for range gateways {
-		gateway := world.AddDoor(ceilingSettings(gateways, leaseCeilings))
+		gateway := world.AddGateway(ceilingSettings(gateways, leaseCeilings))
 		gateway.Sent = func(request *simulator.Request) {
 			unitsBySecond[int((world.Now-simulator.Start)/time.Second)] += request.Units
 		}
@@ -141,11 +141,11 @@
 	n := 0
 	var sendNext func()
 	sendNext = func() {
-		world.Doors[choose(world.Now-simulator.Start, n)].Ask(&simulator.Request{
-			Customer: "c",
-			Units:    1,
-			Grant:    n%2 == 0,
-			Left:     ceilingRequestTimeout,
+		world.Gateways[choose(world.Now-simulator.Start, n)].Submit(&simulator.Request{
+			Customer:  "c",
+			Units:     1,
+			AdmitOnly: n%2 == 0,
+			TimeLeft:  ceilingRequestTimeout,
 		})
 		n++
 		world.After(ceilingRequestInterval, sendNext)
--- a/internal/scenario/client.go
+++ b/internal/scenario/client.go
@@ -105,7 +105,7 @@
 	class := &r.script.Classes[request.class]
 	rng := r.world.Rand("try", request.name, request.tries)
 	offset := rng.IntN(cmp.Or(group.Spread, r.script.Gateways))
-	gateway := r.world.Doors[(request.account.firstGateway+offset)%r.script.Gateways]
+	gateway := r.world.Gateways[(request.account.firstGateway+offset)%r.script.Gateways]
 	request.deadline = r.world.Now + class.ClientTimeout
 	sent := &simulator.Request{
 		Customer:    request.account.name,
@@ -114,14 +114,14 @@
 		Class:       request.class,
 		Plan:        group.Plan,
 		Units:       1,
-		Left:        class.ClientTimeout,
+		TimeLeft:    class.ClientTimeout,
 		Gateways:    group.Spread,
 		ClientRetry: request.tries > 1,
 		Owner:       request,
 	}
 	request.latest = sent
 	r.open[request] = true
-	if !gateway.Ask(sent) {
+	if !gateway.Submit(sent) {
 		r.world.After(connectFailureDelay, func() { r.retryOrEnd(request, 0, simulator.Failed) })
 		return
 	}
--- a/internal/scenario/fault.go
+++ b/internal/scenario/fault.go
@@ -90,7 +90,7 @@
 
 // killGateways kills gateways, and starts them anew at the end.
 func (r *run) killGateways(event Event) effect {
-	indexes := make([]int, len(r.world.Doors))
+	indexes := make([]int, len(r.world.Gateways))
 	for i := range indexes {
 		indexes[i] = i
 	}
@@ -98,13 +98,13 @@
 		return fmt.Sprint("door-", index), "" // another name would choose others by the same seed
 	})
 	for _, index := range targets {
-		r.world.Doors[index].Kill()
+		r.world.Gateways[index].Kill()
 	}
 	return effect{
 		targets: listTargets(targets, func(index int) string { return fmt.Sprint(index) }),
 		end: func() {
 			for _, index := range targets {
-				if err := r.world.Doors[index].Start(); err != nil {
+				if err := r.world.Gateways[index].Start(); err != nil {
 					panic(err) // the same settings were valid at the first start
 				}
 			}
@@ -170,7 +170,7 @@
 	if state == balancer.Serving {
 		startedAt = announced.StartedAt()
 	}
-	for i, gateway := range r.world.Doors {
+	for i, gateway := range r.world.Gateways {
 		// Another label would give other runs of the same seed.
 		rng := r.world.Rand("told", announced.Name, now, i)
 		delay := time.Duration(rng.Float64() * float64(r.script.DiscoveryDelay))
--- a/internal/scenario/play.go
+++ b/internal/scenario/play.go
@@ -123,7 +123,7 @@
 		if r.script.changeSettings != nil {
 			r.script.changeSettings(&settings)
 		}
-		gateway := r.world.AddDoor(settings)
+		gateway := r.world.AddGateway(settings)
 		gateway.Intercept = r.script.intercept
 		gateway.Sent = r.checkCeiling
 		gateway.Done = r.requestDone
--- a/internal/scenario/rules.go
+++ b/internal/scenario/rules.go
@@ -41,7 +41,7 @@
 	if !r.open[request] || request.latest != sent || request.answers > 0 {
 		return
 	}
-	gateway := r.world.Doors[sent.Gateway]
+	gateway := r.world.Gateways[sent.Gateway]
 	if gateway.IsAlive && sent.Incarnation == gateway.Incarnation() {
 		r.violation(ruleNoRequestLost, "%s of %s has no answer from front door %d, asked at %.3f", request.name,
 			r.script.Classes[request.class].Name, sent.Gateway, (sent.At - simulator.Start).Seconds())
--- a/internal/simulator/ceiling_test.go
+++ b/internal/simulator/ceiling_test.go
@@ -79,7 +79,7 @@
 	})
 	// The other gateway knows the account.
 	killed.sendRequests(0, seconds*time.Second, 1, true, func(time.Duration, int) int { return 1 })
-	killed.At(Start+20*time.Second, killed.Doors[0].Kill)
+	killed.At(Start+20*time.Second, killed.Gateways[0].Kill)
 	killed.Run(Start + seconds*time.Second)
 	if got := killed.unitsBetween(21, 26); got < 0.9*10*5 {
 		t.Errorf("%.0f of 50 after the lease holder was killed; by second %v", got, killed.unitsBySecond)
@@ -97,7 +97,7 @@
 	t.Helper()
 	w := New(1, 6)
 	for range 3 {
-		if err := w.AddDoor(testSettings(3, leaseCeilings, business)).Start(); err != nil {
+		if err := w.AddGateway(testSettings(3, leaseCeilings, business)).Start(); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -110,7 +110,7 @@
 			if atOneGateway {
 				gateway = customer % 3
 			}
-			w.Doors[gateway].Ask(&Request{Customer: fmt.Sprint(customer), Units: 1, Left: 2 * time.Second})
+			w.Gateways[gateway].Submit(&Request{Customer: fmt.Sprint(customer), Units: 1, TimeLeft: 2 * time.Second})
 			requests++
 			w.After(time.Duration(rng.ExpFloat64()/rate*float64(time.Second)), next)
 		}
@@ -152,7 +152,7 @@
 	w := New(1, 6)
 	unitsBySecond := map[int]float64{}
 	for range 3 {
-		g := w.AddDoor(testSettings(3, true, business, low))
+		g := w.AddGateway(testSettings(3, true, business, low))
 		g.Sent = func(r *Request) { unitsBySecond[int((w.Now-Start)/time.Second)] += r.Units }
 		if err := g.Start(); err != nil {
 			t.Fatal(err)
@@ -161,7 +161,7 @@
 	var next func()
 	next = func() {
 		plan := int((w.Now-Start)/(10*time.Second)) % 2
-		w.Doors[0].Ask(&Request{Customer: "c", Units: 1, Grant: true, Plan: plan, Left: time.Second})
+		w.Gateways[0].Submit(&Request{Customer: "c", Units: 1, AdmitOnly: true, Plan: plan, TimeLeft: time.Second})
 		w.After(10*time.Millisecond, next)
 	}
 	w.After(0, next)
--- a/internal/simulator/ceilingchaos_test.go
+++ b/internal/simulator/ceilingchaos_test.go
@@ -56,7 +56,7 @@
 
 // addFlood draws a flood that begins at a time.
 func (c *chaos) addFlood(at time.Duration) {
-	gateways := len(c.Doors)
+	gateways := len(c.Gateways)
 	flood := chaosFlood{
 		duration:  time.Duration((1 + 9*c.rng.Float64()) * float64(time.Second)),
 		rate:      c.bucket.plan.Rate * math.Exp(c.rng.Float64()*4-1.5),
@@ -87,7 +87,7 @@
 	fault := chaosFault{
 		duration:     time.Duration((0.3 + 8*c.rng.Float64()) * float64(time.Second)),
 		kind:         c.rng.IntN(7),
-		gateway:      c.rng.IntN(len(c.Doors)),
+		gateway:      c.rng.IntN(len(c.Gateways)),
 		losesNumbers: c.rng.IntN(2) == 0,
 	}
 	c.At(Start+at, func() { c.beginFault(fault) })
@@ -112,7 +112,7 @@
 		c.Counter.IsSilent = true
 		c.After(fault.duration, func() { c.Counter.IsSilent = false })
 	case 4:
-		c.Counter.Latency = time.Duration(1+fault.gateway*60/len(c.Doors)) * time.Millisecond
+		c.Counter.Latency = time.Duration(1+fault.gateway*60/len(c.Gateways)) * time.Millisecond
 		c.note("the counter takes %v", c.Counter.Latency)
 	case 5:
 		if fault.losesNumbers {
@@ -120,7 +120,7 @@
 			c.Counter.Clear()
 		}
 	case 6:
-		skewed := c.Doors[fault.gateway]
+		skewed := c.Gateways[fault.gateway]
 		skewed.ClockSkew = time.Duration(fault.gateway%11-5) * 10 * time.Millisecond
 		c.note("the clock of gateway %d is %v ahead", fault.gateway, skewed.ClockSkew)
 	}
@@ -128,9 +128,9 @@
 
 // killGateways kills a third of the gateways for a time.
 func (c *chaos) killGateways(fault chaosFault) {
-	killed := 1 + len(c.Doors)/3
+	killed := 1 + len(c.Gateways)/3
 	for i := range killed {
-		g := c.Doors[(fault.gateway+i)%len(c.Doors)]
+		g := c.Gateways[(fault.gateway+i)%len(c.Gateways)]
 		if !g.IsAlive {
 			continue
 		}
--- a/internal/simulator/ceilingflood_test.go
+++ b/internal/simulator/ceilingflood_test.go
@@ -34,7 +34,7 @@
 		case p.pause > 0 && (now-p.first)%(p.pause+floodBurst) > floodBurst:
 			p.After(10*time.Millisecond, send)
 		default:
-			g.Ask(&Request{Customer: "c", Units: 1, Grant: admitOnly, Left: time.Second, Owner: send})
+			g.Submit(&Request{Customer: "c", Units: 1, AdmitOnly: admitOnly, TimeLeft: time.Second, Owner: send})
 		}
 	}
 	p.At(Start+p.first+offset, send)
@@ -42,12 +42,12 @@
 
 // addCalm brings requests of an account inside its quota.
 func (p *floodPlay) addCalm(g *Gateway) {
-	interval := time.Duration(float64(len(p.Doors)) / 3 * float64(time.Second))
+	interval := time.Duration(float64(len(p.Gateways)) / 3 * float64(time.Second))
 	var send func()
 	send = func() {
 		if p.Now < Start+p.last {
 			p.calmRequests++
-			g.Ask(&Request{Customer: "calm", Units: 1, Grant: true, Left: 2 * time.Second})
+			g.Submit(&Request{Customer: "calm", Units: 1, AdmitOnly: true, TimeLeft: 2 * time.Second})
 			p.After(interval, send)
 		}
 	}
@@ -66,7 +66,7 @@
 	}
 	p.Counter.Latency = counterLatency
 	rng := p.Rand("clients")
-	for _, g := range p.Doors {
+	for _, g := range p.Gateways {
 		count := g.Sent
 		g.Sent = func(r *Request) {
 			if r.Customer == "c" {
--- a/internal/simulator/ceilingstart_test.go
+++ b/internal/simulator/ceilingstart_test.go
@@ -46,7 +46,7 @@
 			const first, last = 3 * time.Second, 60 * time.Second // by then a gateway's share of the ceiling has filled
 			requests := 0
 			rejected := 0
-			for i, g := range w.Doors {
+			for i, g := range w.Gateways {
 				g.Done = func(_ *Request, outcome Outcome) {
 					if outcome != Served {
 						rejected++
@@ -55,7 +55,7 @@
 				var next func()
 				next = func() {
 					requests++
-					g.Ask(&Request{Customer: "calm", Units: 1, Grant: true, Left: 2 * time.Second})
+					g.Submit(&Request{Customer: "calm", Units: 1, AdmitOnly: true, TimeLeft: 2 * time.Second})
 					if w.Now < Start+last {
 						w.After(interval, next)
 					}
@@ -82,7 +82,7 @@
 		thinkTime := func(draw float64) time.Duration {
 			return time.Duration(draw * 5 * float64(time.Millisecond))
 		}
-		for _, g := range w.Doors {
+		for _, g := range w.Gateways {
 			g.Done = func(r *Request, _ Outcome) {
 				w.After(thinkTime(rng.ExpFloat64()), r.Owner.(func()))
 			}
@@ -90,7 +90,13 @@
 				var send func()
 				send = func() {
 					if w.Now < Start+last {
-						g.Ask(&Request{Customer: "c", Units: 1, Grant: admitOnly, Left: time.Second, Owner: send})
+						g.Submit(&Request{
+							Customer:  "c",
+							Units:     1,
+							AdmitOnly: admitOnly,
+							TimeLeft:  time.Second,
+							Owner:     send,
+						})
 					}
 				}
 				w.At(Start+first+thinkTime(rng.Float64()), send)
--- a/internal/simulator/ceilingworld_test.go
+++ b/internal/simulator/ceilingworld_test.go
@@ -89,7 +89,7 @@
 		unitsBySecond: map[int]float64{},
 	}
 	for range gateways {
-		g := w.AddDoor(testSettings(gateways, leaseCeilings, plan))
+		g := w.AddGateway(testSettings(gateways, leaseCeilings, plan))
 		g.Sent = func(r *Request) {
 			w.bucket.take(w.Now, r.Units)
 			w.unitsBySecond[int((w.Now-Start)/time.Second)] += r.Units
@@ -114,11 +114,11 @@
 			return
 		}
 		w.requests++
-		w.Doors[gateway(w.Now-Start, n)].Ask(&Request{
-			Customer: "c",
-			Units:    1,
-			Grant:    admitOnly,
-			Left:     2 * time.Second,
+		w.Gateways[gateway(w.Now-Start, n)].Submit(&Request{
+			Customer:  "c",
+			Units:     1,
+			AdmitOnly: admitOnly,
+			TimeLeft:  2 * time.Second,
 		})
 		n++
 		w.After(interval, next)
--- a/internal/simulator/gateway.go
+++ b/internal/simulator/gateway.go
@@ -39,15 +39,15 @@
 	requests   map[uint64]*Request
 }
 
-// AddDoor adds a gateway, whose index it sets in the settings. [Gateway.Start] starts it.
-func (w *World) AddDoor(settings balancer.Settings) *Gateway {
-	settings.Index = len(w.Doors)
+// AddGateway adds a gateway, whose index it sets in the settings. [Gateway.Start] starts it.
+func (w *World) AddGateway(settings balancer.Settings) *Gateway {
+	settings.Index = len(w.Gateways)
 	g := &Gateway{
 		Index:    settings.Index,
 		world:    w,
 		settings: settings,
 	}
-	w.Doors = append(w.Doors, g)
+	w.Gateways = append(w.Gateways, g)
 	return g
 }
 
@@ -88,14 +88,15 @@
 // Incarnation is a number that goes up with each start and each death.
 func (g *Gateway) Incarnation() int { return g.incarnation }
 
-// Kill ends the gateway as SIGKILL does: neither clients nor endpoints learn of it.
+// Kill ends the gateway as SIGKILL does: neither clients nor endpoints learn of it, and what it knew is lost. Start
+// starts it again.
 func (g *Gateway) Kill() {
 	g.IsAlive = false
 	g.incarnation++
 }
 
-// Ask brings a request to the gateway. It returns false, and does nothing, if the gateway is dead.
-func (g *Gateway) Ask(request *Request) bool {
+// Submit brings a request to the gateway. It returns false, and does nothing, if the gateway is dead.
+func (g *Gateway) Submit(request *Request) bool {
 	if !g.IsAlive {
 		return false
 	}
@@ -110,11 +111,11 @@
 		Class:       request.Class,
 		Plan:        request.Plan,
 		Customer:    request.Customer,
-		TimeLeft:    request.Left,
+		TimeLeft:    request.TimeLeft,
 		Units:       request.Units,
 		Gateways:    request.Gateways,
 		ClientRetry: request.ClientRetry,
-		AdmitOnly:   request.Grant,
+		AdmitOnly:   request.AdmitOnly,
 	})
 	return true
 }
--- a/internal/simulator/request.go
+++ b/internal/simulator/request.go
@@ -19,7 +19,7 @@
 	Failed
 )
 
-// Request is one request of a client to a gateway. The caller of [Gateway.Ask] sets the fields of the first group.
+// Request is one request of a client to a gateway. The caller of [Gateway.Submit] sets the fields of the first group.
 type Request struct {
 	Customer string
 	// Name identifies the request: what is drawn for it depends on that.
@@ -34,10 +34,10 @@
 	Class int
 	Plan  int
 	Units float64
-	// Grant says that only admission is decided.
-	Grant bool
-	// Left is the time until the client gives up.
-	Left time.Duration
+	// AdmitOnly says that only admission is decided.
+	AdmitOnly bool
+	// TimeLeft is the time until the client gives up.
+	TimeLeft time.Duration
 	// Owner is what the caller attaches to the request; the simulator does not use it.
 	Owner any
 
--- a/internal/simulator/world.go
+++ b/internal/simulator/world.go
@@ -26,8 +26,8 @@
 	// Events is the number of events so far.
 	Events  int
 	Counter *Counter
-	// Doors are the gateways, by their index.
-	Doors []*Gateway
+	// Gateways are the gateways, by their index.
+	Gateways []*Gateway
 	// FixedLatencyEndpoints are the endpoints without a queue.
 	FixedLatencyEndpoints []*FixedLatencyEndpoint
 	// Endpoints are the endpoints with a queue, by name.
