--- a/internal/fake/rig/powercut.go
+++ b/internal/fake/rig/powercut.go
@@ -1,17 +1,14 @@
 package rig
 
 import (
-	"math/rand/v2"
-	"os"
 	"slices"
 	"sync"
 	"time"
-
-	"gapgap/internal/fake/power"
 )
 
 // PowerCut cuts the power of everything at once: gateways die, endpoints forget which keys have run, and the
 // counter's numbers are gone.
+// The gateways' disks keep everything until [Door.Leave] takes what was not synced. [Rig.PowerOn] ends the cut.
 func (r *Rig) PowerCut() {
 	var kills sync.WaitGroup
 	for _, gateway := range r.Doors {
@@ -54,39 +51,3 @@
 	}
 	return nil
 }
-
-// isNoState reports whether a file in a gateway's directory is none that it keeps state in.
-func isNoState(name string) bool {
-	return name == configFileName || name == "door.lock" || name == socketName
-}
-
-// recordPath returns the path of the record of what the gateway did to its disk.
-func (d *Door) recordPath() string { return d.Dir + ".record" }
-
-// faultPath returns the path of the file that says how the gateway's disk fails.
-func (d *Door) faultPath() string { return d.Dir + ".fault" }
-
-// Leave puts onto a dead gateway's disk what a power cut may leave of it: what was synced, and of the rest what is
-// drawn. It needs Config.Record.
-func (d *Door) Leave(how power.How, rng *rand.Rand) error {
-	record, err := os.ReadFile(d.recordPath())
-	if err != nil {
-		return err
-	}
-	return d.SetDisk(power.Replay(d.image, record).Cut(how, rng))
-}
-
-// Disk returns the image of a dead gateway's disk, for SetDisk.
-func (d *Door) Disk() (map[string][]byte, error) { return power.ReadDir(d.Dir, isNoState) }
-
-// SetDisk replaces the content of a dead gateway's disk by an image; nil: an empty disk.
-func (d *Door) SetDisk(image map[string][]byte) error { return power.WriteDir(d.Dir, image, isNoState) }
-
-// Fault makes all that the gateway writes to its disk fail, "full" or "readonly", or take its time, "slow 2s"; ""
-// ends that. It needs Config.Record.
-func (d *Door) Fault(what string) error {
-	if what == "" {
-		return os.Remove(d.faultPath())
-	}
-	return os.WriteFile(d.faultPath(), []byte(what), 0o600)
-}
--- a/internal/fake/rig/process.go
+++ b/internal/fake/rig/process.go
@@ -12,8 +12,6 @@
 	"strings"
 	"sync"
 	"time"
-
-	"gapgap/internal/fake/power"
 )
 
 // readyTimeout bounds how long a gateway may take until it serves.
@@ -38,7 +36,7 @@
 	Dir string
 	// Socket is the path of its control socket.
 	Socket string
-	// Ahead is by how much its next process's clock is wrong, if Config.Record is set.
+	// Ahead is by how much the clock of its next process is ahead, if Config.Record is set; below 0: behind.
 	Ahead time.Duration
 
 	rig   *Rig
@@ -118,19 +116,6 @@
 	return os.WriteFile(d.configPath(), []byte(text), 0o600)
 }
 
-// recordDisk keeps what the gateway's disk has, and makes a process that is to be started record its changes.
-func (d *Door) recordDisk(command *exec.Cmd) (err error) {
-	if d.image, err = power.ReadDir(d.Dir, isNoState); err != nil {
-		return err
-	}
-	command.Env = append(os.Environ(),
-		"GAPGAP_POWER_RECORD="+d.recordPath(),
-		"GAPGAP_POWER_FAULT="+d.faultPath(),
-		"GAPGAP_POWER_CLOCK="+d.Ahead.String(),
-	)
-	return nil
-}
-
 // Ready waits until all listeners of the process serve. Its error holds the log.
 func (d *Door) Ready() error {
 	timeout := time.After(readyTimeout)
