--- a/cmd/benchmark/main.go
+++ b/cmd/benchmark/main.go
@@ -1,5 +1,14 @@
-// Command benchmark takes the figures of docs/measured.md. Servers run as processes of their own with one core's worth
-// of threads; the load comes from this one. Each figure is a ratio within one run.
+// Command benchmark takes the figures of docs/measured.md. The servers under load are processes of their own on
+// loopback, and the load comes from this one; ceilings alone runs in virtual time. Figures that compare servers are
+// ratios within one run.
+//
+// The cost of a request is measured as CPU time per answer by
+//   - forward-auth: a check of gapgapd, against an answer of a bare HTTP handler;
+//   - members-cost: a request of a gateway in a fleet of three, against one of a gateway alone;
+//   - power-cost: a request where the keys of changes are kept on disk, against one where they are not;
+//   - platform: a request of each build of cmd/gapgap, over the whole life of its process.
+//
+// The variable MEASURE_PROFILE names a file for a CPU profile of the gateways that forward-auth and pools start.
 //
 //	benchmark forward-auth [--for 5s] [--rounds 3]
 //	    checks against a bare handler; a quiet account beside a flood
@@ -35,7 +44,7 @@
 	"gapgap/internal/cli"
 )
 
-// stretchFlags are the flags that all commands have.
+// stretchFlags are the flags that all commands take. Those whose length is fixed ignore them.
 type stretchFlags struct {
 	// duration is the length of each stretch of load.
 	duration time.Duration
