--- a/cmd/simulate/diff.go
+++ b/cmd/simulate/diff.go
@@ -13,7 +13,7 @@
 	"gapgap/internal/scenario"
 )
 
-// defaultTolerance is by how much the service of two reports may differ.
+// defaultTolerance is by how much the service of two reports, a fraction from 0 to 1, may differ.
 const defaultTolerance = 0.01
 
 // errNoReport is the error of a file that is not a report in JSON.
@@ -72,8 +72,9 @@
 	return err
 }
 
-// compareReports returns an error if the second report is of another script, breaks more rules, or has another service
-// past the tolerance.
+// compareReports returns an error if the events of the second report had other times or targets (another script, or
+// another seed that draws other targets), if it breaks more rules, or if its service differs by more than the
+// tolerance.
 func compareReports(first, second *scenario.Report, tolerance float64) error {
 	difference := math.Abs(first.Service - second.Service)
 	switch {
--- a/cmd/simulate/main.go
+++ b/cmd/simulate/main.go
@@ -1,4 +1,14 @@
 // Command simulate plays scripted incidents in virtual time, and compares runs. `simulate --help` lists its commands.
+//
+//	simulate check SCRIPT
+//	    whether a script is valid
+//	simulate run [--seed N] [--json] [--html FILE] SCRIPT
+//	    play it; exit code 1 if a rule was broken
+//	simulate diff [--within 0.01] A B
+//	    compare two reports of run --json; exit code 1 if they differ past the tolerance
+//
+// The directory scenarios has scripts. The package internal/scenario documents their keys, in scriptfile.go and
+// event.go.
 package main
 
 import (
--- a/cmd/simulate/text.go
+++ b/cmd/simulate/text.go
@@ -8,7 +8,8 @@
 	"gapgap/internal/scenario"
 )
 
-// reportText returns a report for people to read.
+// reportText returns a report for people to read. Its column "held" is the number of requests at all endpoints at the
+// end of the second, "lost" are requests without an answer.
 func reportText(report *scenario.Report) string {
 	var text strings.Builder
 	totals := report.Totals
--- a/internal/scenario/report.go
+++ b/internal/scenario/report.go
@@ -44,7 +44,8 @@
 	Late     int `json:"late"`
 	Rejected int `json:"refused"`
 	Failed   int `json:"failed"`
-	// Lost counts requests without an answer, as their gateway died.
+	// Lost counts requests without an answer by the client's deadline. Without a violation their gateway had died, or
+	// the run ended while they were open.
 	Lost int `json:"lost"`
 	// RequestedWeight is the priority weight of all requests, and ServedWeight that of those in time.
 	RequestedWeight float64 `json:"worth"`
