--- a/cmd/simulate/main_test.go
+++ b/cmd/simulate/main_test.go
@@ -31,7 +31,7 @@
 }
 
 // Each script of the repository is valid, and keeps the rules.
-func TestRehearsalLibraryKeepsTheRules(t *testing.T) {
+func TestLibraryKeepsTheRules(t *testing.T) {
 	for _, script := range libraryScripts(t) {
 		code, output, errorOutput := simulate(t, "run", script)
 		if code != cli.Good || !strings.Contains(output, "service 0.") {
@@ -41,7 +41,7 @@
 }
 
 // A run is printed, compared with itself and with one of another seed.
-func TestRehearsalCommandLine(t *testing.T) {
+func TestCommandLine(t *testing.T) {
 	script := libraryScripts(t)[0]
 	dir := t.TempDir()
 	reports := []string{filepath.Join(dir, "a"), filepath.Join(dir, "b")}
@@ -69,7 +69,7 @@
 }
 
 // The page of a run has its plots and its trace, and loads nothing.
-func TestRehearsalPage(t *testing.T) {
+func TestPage(t *testing.T) {
 	html := filepath.Join(t.TempDir(), "page.html")
 	code, output, errorOutput := simulate(t, "run", libraryScripts(t)[0], "--html", html)
 	if code != cli.Good || !strings.Contains(output, "plan     business") {
--- a/internal/scenario/play_test.go
+++ b/internal/scenario/play_test.go
@@ -31,7 +31,7 @@
 }
 
 // The script, twice: the same events in the same order, and the same in each second. All rules are kept.
-func TestRehearsalSameSeedSameRun(t *testing.T) {
+func TestSameSeedSameRun(t *testing.T) {
 	t.Parallel()
 	first := mustPlay(t, loadScript(t))
 	second := mustPlay(t, loadScript(t))
@@ -55,7 +55,7 @@
 }
 
 // What a gateway holds when it is killed is lost, and counted so; no other request is.
-func TestRehearsalKilledGatewaysLoseWhatTheyHold(t *testing.T) {
+func TestKilledGatewaysLoseWhatTheyHold(t *testing.T) {
 	t.Parallel()
 	script := loadScript(t)
 	for i := range 3 { // how many requests a gateway holds at one instant is chance
@@ -176,7 +176,7 @@
 }
 
 // A gateway that is deliberately broken in one of the five ways is found by the right check, and by no other.
-func TestRehearsalFindsBrokenRules(t *testing.T) {
+func TestFindsBrokenRules(t *testing.T) {
 	t.Parallel()
 	for rule, script := range brokenGateways(t) {
 		report := mustPlay(t, script)
--- a/internal/scenario/script_test.go
+++ b/internal/scenario/script_test.go
@@ -10,7 +10,7 @@
 )
 
 // An error in a script comes with its line and key.
-func TestRehearsalScriptErrors(t *testing.T) {
+func TestScriptErrors(t *testing.T) {
 	t.Parallel()
 	data, err := os.ReadFile(slowdownScript)
 	if err != nil {
@@ -53,7 +53,7 @@
 	}
 }
 
-func FuzzRehearsalScript(f *testing.F) {
+func FuzzScript(f *testing.F) {
 	if data, err := os.ReadFile(slowdownScript); err == nil {
 		f.Add(string(data))
 	}
--- a/internal/simulator/endpoint_test.go
+++ b/internal/simulator/endpoint_test.go
@@ -33,7 +33,7 @@
 }
 
 // Waiting times are those of theory, M/M/c, for some numbers of cores and loads.
-func TestRehearsalQueueAgainstTheory(t *testing.T) {
+func TestQueueAgainstTheory(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		cores    int
@@ -104,7 +104,7 @@
 	}
 }
 
-func TestRehearsalEndpoint(t *testing.T) {
+func TestEndpoint(t *testing.T) {
 	t.Parallel()
 	w := New(1, 0)
 	e := newTestEndpoint(t, w, steady)
@@ -157,7 +157,7 @@
 }
 
 // An endpoint that was restarted does its part of the work, warms up evenly, and crashes when it is overloaded.
-func TestRehearsalColdStart(t *testing.T) {
+func TestSlowStart(t *testing.T) {
 	t.Parallel()
 	w := New(1, 0)
 	config := steady
@@ -196,7 +196,7 @@
 }
 
 // A repeat of a key is dropped within the window, and counted as a duplicate after it.
-func TestRehearsalEffects(t *testing.T) {
+func TestEffects(t *testing.T) {
 	t.Parallel()
 	w := New(1, 0)
 	config := steady
@@ -216,7 +216,7 @@
 	}
 }
 
-func TestRehearsalInvalidEndpointConfig(t *testing.T) {
+func TestInvalidEndpointConfig(t *testing.T) {
 	t.Parallel()
 	for field, spoil := range map[string]func(*EndpointConfig){
 		"cores":     func(c *EndpointConfig) { c.Cores = 0 },
