--- a/cmd/gapgapctl/controlsocket.go
+++ b/cmd/gapgapctl/controlsocket.go
@@ -122,11 +122,11 @@
 	return nil
 }
 
-// operatorName is the name of who runs this program; empty: the system does not know.
-func operatorName() string {
+// operatorName is the name of who runs this program, which may be empty; isKnown is false if the system can't tell.
+func operatorName() (name string, isKnown bool) {
 	current, err := user.Current()
 	if err != nil {
-		return ""
+		return "", false
 	}
-	return current.Username
+	return current.Username, true
 }
--- a/cmd/gapgapctl/proposal.go
+++ b/cmd/gapgapctl/proposal.go
@@ -91,7 +91,7 @@
 			query.Set(name, value)
 		}
 	}
-	if name := operatorName(); name != "" {
+	if name, isKnown := operatorName(); isKnown {
 		query.Set("who", name[:min(len(name), policy.MaxIDBytes)])
 	}
 	return query
--- a/cmd/gapgapctl/recovery.go
+++ b/cmd/gapgapctl/recovery.go
@@ -61,11 +61,9 @@
 		return nil, err
 	}
 	report := &recoveryReport{Others: map[string]string{}}
-	if err := decodeAnswer(own, &report.RecoveryView); err != nil {
-		return nil, err
-	}
-	if err := decodeAnswer(fleet, &report.fleet); err != nil {
-		return nil, err
+	err = errors.Join(json.Unmarshal(own, &report.RecoveryView), json.Unmarshal(fleet, &report.fleet))
+	if err != nil {
+		return nil, fmt.Errorf("the door's answer: %w", err)
 	}
 	for _, member := range report.fleet.Gateways {
 		if member.Name != report.Name {
@@ -129,7 +127,7 @@
 				}
 			}
 			query := url.Values{"lost": lost}
-			if name := operatorName(); name != "" {
+			if name, isKnown := operatorName(); isKnown {
 				query.Set("who", name)
 			}
 			return socket.post(c.Context(), "/policy/recover?"+query.Encode())
--- a/cmd/gapgapctl/recovery_test.go
+++ b/cmd/gapgapctl/recovery_test.go
@@ -73,3 +73,15 @@
 		t.Errorf("%d %q, query %q", code, errs, query)
 	}
 }
+
+// Of two answers that can't be read, fleet recovery names both errors.
+func TestFleetRecoveryTwoBadAnswers(t *testing.T) {
+	mux := http.NewServeMux()
+	mux.HandleFunc("GET /fleet/recovery", func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("!")) })
+	mux.HandleFunc("GET /fleet/status", func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("?")) })
+	socket := serveControlSocket(t, mux)
+	code, _, errs := runCommand(t, "fleet", "recovery", "--socket", socket)
+	if code == cli.Good || !strings.Contains(errs, "'!'") || !strings.Contains(errs, "'?'") {
+		t.Errorf("%d %q", code, errs)
+	}
+}
