--- a/internal/balancer/admission.go
+++ b/internal/balancer/admission.go
@@ -2,15 +2,17 @@
 
 import "time"
 
-// Parts of a request's time limit.
+// Fractions of a request's time limit that admission decides by.
 const (
-	// latencyHeadroomFraction is the part that waiting and answer may take together (f of EQ 3 and EQ 4).
+	// latencyHeadroomFraction is the usable fraction of the time limit: queueing and the attempt together must fit into
+	// it (f in EQ 3 and EQ 4).
 	latencyHeadroomFraction = 0.9
-	// minTimeLatencies is the least time limit of a request, in expected latencies.
-	minTimeLatencies = 0.5
+	// minTimeLimitLatencies is the shortest time limit, in expected latencies, of a request that is admitted at all.
+	minTimeLimitLatencies = 0.5
 )
 
-// admit takes in a request: it is rejected at once, or waits for its quota, which may cover it at once.
+// admit handles a new request. It is rejected at once, or joins its customer's waiting requests until its quota is
+// decided, which may happen immediately.
 func (b *Balancer) admit(ev Request) {
 	if b.requests[ev.ID] != nil {
 		return
@@ -24,11 +26,11 @@
 	}
 	req := b.newRequest(ev)
 	b.requests[req.id] = req
-	if req.timeLimit.Seconds() <= b.expectedLatency(req, nil)*minTimeLatencies {
+	if req.timeLimit.Seconds() <= b.expectedLatency(req, nil)*minTimeLimitLatencies {
 		b.reject(req, 0, InsufficientTime)
 		return
 	}
-	if !req.admitOnly { // one for admission only is mostly decided at once, and gets its timer below
+	if !req.admitOnly { // mostly decided at once; waitForQuota sets the timer of one that must wait
 		b.setDeadlineTimer(req)
 	}
 	req.customer.recordDemand(b.now, req)
@@ -46,12 +48,12 @@
 	b.waitForQuota(req)
 }
 
-// hasClassAndPlan reports whether the settings have the class and the plan of a request.
+// hasClassAndPlan reports whether the settings define the class and the plan of a request.
 func (b *Balancer) hasClassAndPlan(ev Request) bool {
 	return ev.Class >= 0 && ev.Class < len(b.settings.Classes) && ev.Plan >= 0 && ev.Plan < len(b.settings.Plans)
 }
 
-// newRequest returns the state of a request that has arrived.
+// newRequest creates the state of a request that has just arrived.
 func (b *Balancer) newRequest(ev Request) *request {
 	req := &request{
 		id:          ev.ID,
@@ -70,10 +72,11 @@
 	return req
 }
 
-// timeLimitOf is the time within which an answer to a request is of use: the time that the client has left, or the
-// latency objective of a class where a later answer has no weight. If this gateway has just stood still, the request
-// may have waited before it was read. First requests of a class come with the same time left, so what is missing of
-// the longest one is that wait.
+// timeLimitOf returns the time within which an answer to a request is still useful: the time that the client has left,
+// capped at the latency objective if late answers of the class have no weight.
+//
+// If this gateway has just stalled, the request may have waited unread. First requests of a class arrive with the same
+// time left, so the shortfall against the longest time left seen so far estimates that wait.
 func (b *Balancer) timeLimitOf(ev Request) time.Duration {
 	class := &b.settings.Classes[ev.Class]
 	estimate := &b.latency.classes[ev.Class]
@@ -90,9 +93,10 @@
 	return limit
 }
 
-// maxCeilingWait is the longest time in seconds that a request may wait for its customer's ceiling. The wait must
-// stay short, or each request that still goes out is nearly late; and classes of less weight leave the capacity to
-// those of more. A request for admission only does not wait.
+// maxCeilingWait returns how long, in seconds, a request may wait for its customer's ceiling. The bound is short
+// because otherwise every request dispatched after the wait would be close to its deadline. It scales with the priority
+// weight, so that classes of lower weight leave capacity to those of higher weight. A request for admission only does
+// not wait.
 func (b *Balancer) maxCeilingWait(req *request) float64 {
 	if req.admitOnly {
 		return 0
@@ -101,7 +105,7 @@
 	return req.timeLimit.Seconds() * maxCeilingWaitFraction * weight / b.maxClassWeight
 }
 
-// waitForQuota puts a request at the end of its customer's queue, and serves what the quota covers now.
+// waitForQuota appends a request to its customer's waiting requests and serves those that the quota covers now.
 func (b *Balancer) waitForQuota(req *request) {
 	req.customer.waiting.push(req)
 	if req.admitOnly {
@@ -110,9 +114,9 @@
 	b.serveWaiting(req.customer)
 }
 
-// assign places a request that quota and ceiling cover: it is admitted, dispatched as a probe, queued at an endpoint,
-// or rejected if no endpoint can be expected to answer in time. A first attempt for which there is no endpoint waits
-// for the next tick.
+// assign places a request that is covered by quota and ceiling: it is admitted, dispatched as a probe, queued at an
+// endpoint, or rejected if no endpoint is expected to answer in time. A request that cannot have run yet and finds no
+// usable endpoint stays unplaced until the next tick.
 func (b *Balancer) assign(req *request) {
 	if req.admitOnly {
 		b.grantAdmission(req)
@@ -136,7 +140,7 @@
 	}
 }
 
-// assignUnplaced tries again to place the requests for which there was no endpoint.
+// assignUnplaced tries again to place the requests that found no usable endpoint.
 func (b *Balancer) assignUnplaced() {
 	unplaced := b.unplaced
 	b.unplaced = nil
@@ -147,8 +151,8 @@
 	}
 }
 
-// grantAdmission admits a request for admission only. It is the one place that does. Like a dispatch it draws units
-// from the ceiling, and it counts as in flight until its work is done or its hold time is over.
+// grantAdmission admits a request for admission only; no other function emits Admit. Like a dispatch, it draws units
+// from the ceiling. The request counts as in flight until it is reported done or its hold time has passed.
 func (b *Balancer) grantAdmission(req *request) {
 	plan := &b.settings.Plans[req.plan]
 	if b.now >= req.deadline() || !b.drawCeiling(req, plan) {
