--- a/internal/balancer/attemptresult.go
+++ b/internal/balancer/attemptresult.go
@@ -1,6 +1,6 @@
 package balancer
 
-// handleAttemptResult records the result of an attempt, and ends or retries its request.
+// handleAttemptResult records the result of an attempt, then finishes or retries its request.
 func (b *Balancer) handleAttemptResult(ev AttemptResult) {
 	req := b.requests[ev.ID]
 	if req == nil {
@@ -11,7 +11,7 @@
 		return
 	}
 	req.attempts.close(att)
-	if att.responseStarted { // its slot is free and its latency recorded since the first byte
+	if att.responseStarted { // handleFirstByte has freed the slot and recorded the latency
 		b.finish(req)
 		b.forgetIfDone(req)
 		return
@@ -39,8 +39,8 @@
 	b.dispatchQueued(ep)
 }
 
-// handleFirstByte frees the slot of an attempt whose streamed answer has started: the endpoint's work is done, and
-// the time that the rest takes says nothing about it.
+// handleFirstByte frees the slot of an attempt when its streamed response starts. The endpoint has done its work by
+// then, and the duration of the transfer says nothing about the endpoint.
 func (b *Balancer) handleFirstByte(ev FirstByte) {
 	req := b.requests[ev.ID]
 	if req == nil || req.streaming {
@@ -58,10 +58,10 @@
 	b.dispatchQueued(att.endpoint)
 }
 
-// mayHaveRun reports whether an attempt that ended so may have had an effect.
+// mayHaveRun reports whether an attempt with this result may have had an effect.
 func (s Status) mayHaveRun() bool { return s != Rejected && s != ConnectFailed && s != NotSent }
 
-// recordResult updates what is known of an endpoint by the result of one attempt: health, latency, concurrency limit.
+// recordResult updates an endpoint's health, latency and concurrency limit from the result of one attempt.
 func (b *Balancer) recordResult(att *attempt, ev AttemptResult) {
 	ep := att.endpoint
 	class := &b.latency.classes[att.request.class]
@@ -93,7 +93,7 @@
 	ep.concurrency.finishAttempt(b.now, b.expectedLatency(att.request, ep))
 }
 
-// recordFleetResult adds a result to the slowdown of all endpoints, if it tells of the endpoint's load.
+// recordFleetResult adds a result to the fleet slowdown if it reflects the endpoint's load.
 func (b *Balancer) recordFleetResult(ep *endpoint, status Status, ratio float64) {
 	switch {
 	case status == Rejected:
@@ -103,8 +103,8 @@
 	}
 }
 
-// statusForEndpoint is what a result says of the endpoint: an attempt that was cancelled because its request reached
-// its deadline is one without an answer in time.
+// statusForEndpoint returns the result as it counts for the endpoint. An attempt that was cancelled because its request
+// reached the deadline counts as a timeout.
 func (b *Balancer) statusForEndpoint(req *request, status Status) Status {
 	if status == Cancelled && req.ended && b.isNearDeadline(req) {
 		return Timeout
@@ -112,11 +112,11 @@
 	return status
 }
 
-// isNearDeadline reports whether a request's deadline is less than a tick away, or over.
+// isNearDeadline reports whether a request is less than a tick before its deadline, or past it.
 func (b *Balancer) isNearDeadline(req *request) bool { return b.now >= req.deadline()-tickInterval }
 
-// recordConnectionFailure counts a broken connection. A single one says nothing of its endpoint; several in a row
-// shrink the concurrency limit and then eject the endpoint.
+// recordConnectionFailure counts a broken connection. A single failure says nothing about the endpoint; consecutive
+// failures first shrink its concurrency limit and then eject it.
 func (b *Balancer) recordConnectionFailure(ep *endpoint) {
 	if ep.outlier.recordConnectionFailure() > 1 {
 		ep.concurrency.decrease(rejectedDecrease)
@@ -126,7 +126,7 @@
 	}
 }
 
-// recordTimeout counts an attempt without an answer in time; ratio is its time in expected latencies.
+// recordTimeout counts an attempt that was not answered in time. ratio is the attempt's duration in expected latencies.
 func (b *Balancer) recordTimeout(ep *endpoint, ratio float64) {
 	if ep.outlier.ejected {
 		return
@@ -136,8 +136,8 @@
 	ep.concurrency.decrease(timeoutDecrease)
 }
 
-// recordResponse counts any response as a sign of life, which reinstates an ejected endpoint. One that answers an
-// attempt from before its ejection has not been restarted since.
+// recordResponse treats any response as evidence that the endpoint is alive, and reinstates an ejected one. A response
+// to an attempt from before the ejection also shows that the endpoint has not restarted since, so it skips slow start.
 func (b *Balancer) recordResponse(att *attempt) {
 	ep := att.endpoint
 	switch {
@@ -151,7 +151,7 @@
 	}
 }
 
-// recordAnswer records the latency of a successful attempt, in seconds and in expected latencies.
+// recordAnswer records the latency of a successful attempt, given in seconds and as a ratio to the expected latency.
 func (b *Balancer) recordAnswer(att *attempt, latency, ratio float64) {
 	ep := att.endpoint
 	req := att.request
