--- a/internal/balancer/deadline.go
+++ b/internal/balancer/deadline.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// setDeadlineTimer sets the timer that rejects a request if it has no final answer at its deadline. It fires one
-// resolution early, so that the answer is not late.
+// setDeadlineTimer sets the timer that rejects a request that has no final answer by its deadline. The timer is set one
+// timer resolution early, so that the rejection itself is not late.
 func (b *Balancer) setDeadlineTimer(req *request) {
 	b.emit(SetTimer{At: req.deadline() - b.settings.Resolution, Cookie: requestCookie(req.id)})
 }
 
-// handleRequestTimer ends an admitted request whose hold time is over, or rejects one whose deadline has come. A
-// stream that has started goes on.
+// handleRequestTimer finishes an admitted request whose hold time has passed, or rejects a request at its deadline. A
+// response that has started streaming continues.
 func (b *Balancer) handleRequestTimer(req *request) {
 	switch {
 	case req.admitted && b.now >= req.holdUntil:
@@ -19,8 +19,8 @@
 	}
 }
 
-// reject gives a request its final answer: Reject if that is true, that is if it had no effect or repeating it is
-// harmless, else Fail. retryAfter is the pause advised to the client; 0: none.
+// reject gives a request its final answer. That is Reject if the request had no effect or repeating it is harmless,
+// else Fail. retryAfter is the delay that the client is advised to wait; 0 means none.
 func (b *Balancer) reject(req *request, retryAfter time.Duration, reason Reason) {
 	if req.ended {
 		return
@@ -38,7 +38,7 @@
 	b.forgetIfDone(req)
 }
 
-// canReject reports whether a client may repeat the request without the risk of a second effect.
+// canReject reports whether the client may repeat the request without risking a second effect.
 func (b *Balancer) canReject(req *request) bool {
 	if !req.attempts.mayHaveRun && req.attempts.open == 0 {
 		return true
@@ -48,7 +48,7 @@
 	case NonIdempotent:
 		return false
 	case IdempotentByKey:
-		// The client's repeat may reach any endpoint.
+		// The client's retry may reach any endpoint.
 		return class.DedupScope == DedupAll
 	default:
 		return true
