--- a/internal/balancer/dispatch.go
+++ b/internal/balancer/dispatch.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// dispatchQueued dispatches queued requests to an endpoint while it has a free slot. If its own queue is empty it
-// takes requests from the longest queue of an endpoint without a free slot.
+// dispatchQueued dispatches queued requests to an endpoint while it has a free slot. If the endpoint's own queue is
+// empty, it takes requests from the longest queue among the endpoints that have no free slot.
 func (b *Balancer) dispatchQueued(ep *endpoint) {
 	for ep.isUsable() && ep.hasFreeSlot(b.now) && !b.isSlowStartExhausted(ep) {
 		if b.endpoints.queuedRequests == 0 {
@@ -22,8 +22,8 @@
 	}
 }
 
-// longestBlockedQueue returns the endpoint without a free slot that has the longest queue, or the given one if none
-// of them has a longer queue.
+// longestBlockedQueue returns the endpoint with the longest queue among those that have no free slot, or the given
+// endpoint if none of them has a longer queue than it.
 func (b *Balancer) longestBlockedQueue(ep *endpoint) *endpoint {
 	longest := ep
 	for _, other := range b.endpoints.ordered {
@@ -34,9 +34,9 @@
 	return longest
 }
 
-// dispatch sends an attempt of a request to an endpoint. It is the one place that does, and checks once more what
-// must hold whatever was decided before: the endpoint is in service, the request may have this attempt, and the first
-// attempt draws its units from the ceiling.
+// dispatch sends an attempt of a request to an endpoint; no other function emits Dispatch. It therefore checks once
+// more the rules that must hold whatever was decided earlier: the endpoint is in service, the request may have this
+// attempt, and the first attempt draws its units from the ceiling.
 func (b *Balancer) dispatch(req *request, ep *endpoint, kind attemptKind) {
 	if !ep.inService {
 		b.assign(req)
@@ -57,8 +57,8 @@
 	b.emit(Dispatch{ID: req.id, Endpoint: ep.name, Timeout: timeout, WriteBy: b.writeDeadline(req)})
 }
 
-// canDispatch reports whether a request may have an attempt at an endpoint now: one at a time, so many in all, in
-// time, and without the risk of a second effect.
+// canDispatch reports whether a request may have an attempt at an endpoint now. It must have no open attempt, attempts
+// left and time before its deadline, and must not risk a second effect.
 func (b *Balancer) canDispatch(req *request, ep *endpoint) bool {
 	return req.attempts.open == 0 &&
 		req.attempts.canAdd() &&
@@ -66,7 +66,8 @@
 		b.now < req.deadline()
 }
 
-// attemptTimeout is the time that an attempt has from now on. A probe request leaves time for another attempt.
+// attemptTimeout returns the timeout of an attempt dispatched now. The timeout of a probe is short enough to leave time
+// for another attempt.
 func (b *Balancer) attemptTimeout(req *request, kind attemptKind) time.Duration {
 	timeout := req.deadline() - b.now
 	if kind == probeAttempt {
@@ -76,7 +77,7 @@
 	return timeout
 }
 
-// addAttempt records an attempt at its request and its endpoint.
+// addAttempt records an attempt with its request and its endpoint.
 func (b *Balancer) addAttempt(req *request, ep *endpoint, kind attemptKind) {
 	att := &attempt{request: req, endpoint: ep, sentAt: b.now, kind: kind}
 	req.attempts.add(att)
@@ -86,7 +87,8 @@
 	ep.addAttempt(b.now, att)
 }
 
-// writeDeadline is when an attempt must be written whole, where a later one could have a second effect; 0: any time.
+// writeDeadline returns the time by which a retry must be completely written because a later one could have a second
+// effect. It returns 0 if there is no such limit.
 func (b *Balancer) writeDeadline(req *request) time.Duration {
 	if req.attempts.mayHaveRun && b.settings.Classes[req.class].Idempotency == IdempotentByKey {
 		return b.retryDeadline(req)
