--- a/internal/balancer/endpoint.go
+++ b/internal/balancer/endpoint.go
@@ -5,31 +5,32 @@
 	"time"
 )
 
-// endpoint is what this gateway knows of one endpoint, and the requests that are queued for it or in flight to it.
+// endpoint is the state of one endpoint at this gateway, with the requests queued for it and in flight to it.
 type endpoint struct {
 	// name identifies the endpoint in the endpoint list and in actions.
 	name string
 	// zone is the zone that the endpoint runs in.
 	zone int
-	// cell is the cell that the endpoint belongs to; endpoints of a cell may drop each other's repeats.
+	// cell is the cell that the endpoint belongs to. Endpoints of a cell may recognize each other's requests as
+	// repeats.
 	cell int
-	// weight is the capacity in relation to other endpoints; above 0.
+	// weight is the capacity relative to other endpoints; it is above 0.
 	weight float64
-	// startedAt is when the endpoint last started, by the endpoint list; 0: long ago, -1: not known yet.
+	// startedAt is when the endpoint last started, according to the endpoint list. 0 means long ago, -1 not known yet.
 	startedAt time.Duration
 
 	// listed is set while the endpoint list has the endpoint as serving.
 	listed bool
-	// inService is set while the endpoint is listed and no administrator has ejected it.
+	// inService is set while the endpoint is listed and not administratively ejected.
 	inService bool
-	// inSubset is set if this gateway uses the endpoint as a rule.
+	// inSubset is set if the endpoint belongs to this gateway's subset.
 	inSubset bool
-	// preferNext is set after an administrator restored the endpoint, until the next attempt goes to it.
+	// preferNext is set when an administrator restores the endpoint, and cleared by its next attempt.
 	preferNext bool
 
-	// inFlight holds the attempts that have no result yet, in the order of dispatch.
+	// inFlight holds the attempts without a result, in order of dispatch.
 	inFlight []*attempt
-	// inFlightWork is the cost of inFlight, in mean requests.
+	// inFlightWork is the summed cost of inFlight, in mean requests.
 	inFlightWork float64
 
 	queue       priorityQueue
@@ -39,10 +40,10 @@
 	slowStart   slowStartState
 }
 
-// isUsable reports whether new requests may be placed at the endpoint. A probe request may go to an ejected one too.
+// isUsable reports whether new requests may be placed at the endpoint. Probe requests may also go to an ejected one.
 func (ep *endpoint) isUsable() bool { return ep.inService && !ep.outlier.ejected }
 
-// hasFreeSlot reports whether the concurrency limit admits another attempt now.
+// hasFreeSlot reports whether the concurrency limit allows another attempt now.
 func (ep *endpoint) hasFreeSlot(now time.Duration) bool {
 	return ep.concurrency.hasFreeSlot(now, ep.inFlightWork)
 }
@@ -58,7 +59,7 @@
 	ep.slowStart.recordDispatch(now, att.request.cost)
 }
 
-// removeAttempt records that an attempt holds no slot any more.
+// removeAttempt frees the slot of an attempt.
 func (ep *endpoint) removeAttempt(att *attempt) {
 	ep.inFlight = slices.DeleteFunc(ep.inFlight, func(other *attempt) bool { return other == att })
 	ep.inFlightWork -= att.request.cost
@@ -67,7 +68,7 @@
 	}
 }
 
-// oldestAttempt returns the attempt that has been in flight for longest, nil if there is none.
+// oldestAttempt returns the attempt that has been in flight longest, or nil if there is none.
 func (ep *endpoint) oldestAttempt() *attempt {
 	if len(ep.inFlight) == 0 {
 		return nil
@@ -75,20 +76,20 @@
 	return ep.inFlight[0]
 }
 
-// restart forgets what was known of an earlier process of the endpoint.
+// restart discards what was learned about the endpoint's previous process.
 func (ep *endpoint) restart(now, startedAt time.Duration) {
 	ep.startedAt = startedAt
 	ep.latency.reset()
 	ep.outlier.reset(now)
 }
 
-// beginSlowStart makes the endpoint warming up since a time, with one slot.
+// beginSlowStart starts the slow start of the endpoint as of the given time, with a concurrency limit of one slot.
 func (ep *endpoint) beginSlowStart(since time.Duration) {
 	ep.slowStart.begin(since)
 	ep.concurrency.reset()
 }
 
-// export returns what the next process gets of the endpoint.
+// export returns the state of the endpoint that is handed over to the next process.
 func (ep *endpoint) export() EndpointHandover {
 	state := EndpointHandover{
 		Name:             ep.name,
@@ -105,7 +106,7 @@
 	return state
 }
 
-// restore takes over what a former process has handed over, except for an ejection.
+// restore applies the state that the previous process handed over, except for an ejection.
 func (ep *endpoint) restore(from *EndpointHandover) {
 	ep.slowStart.restore(from)
 	ep.concurrency.restore(from.ConcurrencyLimit)
