--- a/internal/balancer/endpoints.go
+++ b/internal/balancer/endpoints.go
@@ -6,31 +6,33 @@
 )
 
 const (
-	// adminRestoreSpread is the time within which a restored endpoint is used again, where gateways are few.
+	// adminRestoreSpread is the range of the random pause before a restored endpoint is used again. It grows with the
+	// number of gateways in large fleets.
 	adminRestoreSpread = 2 * time.Second
-	// minWatchBackoff is the pause after the first failed watch of the endpoint list; it doubles with each further
-	// one.
+	// minWatchBackoff is the backoff after the first failed watch of the endpoint list. It doubles with each further
+	// failure.
 	minWatchBackoff = 500 * time.Millisecond
 	maxWatchBackoff = 8 * time.Second
 )
 
-// startedAtUnknown is the start time of an endpoint before its first entry is applied.
+// startedAtUnknown is the start time of an endpoint whose first entry has not been applied yet.
 const startedAtUnknown = time.Duration(-1)
 
-// endpointSet holds the endpoints that are listed or have attempts in flight.
+// endpointSet holds the endpoints that are listed or still have attempts in flight.
 type endpointSet struct {
 	byName map[string]*endpoint
-	// ordered holds the same endpoints in the order in which they came.
+	// ordered holds the same endpoints in the order in which they were added.
 	ordered []*endpoint
-	// adminEjected has the names that an administrator has ejected, listed or not, and since when.
+	// adminEjected maps the name of each administratively ejected endpoint, listed or not, to the time of its ejection.
 	adminEjected map[string]time.Duration
-	// roundRobin is the number of selections so far, from a random start; it sets where the next one begins.
+	// roundRobin counts the selections from a random start. It determines the endpoint at which the next selection
+	// begins.
 	roundRobin int
-	// queuedRequests is the number of requests in all endpoints' queues.
+	// queuedRequests is the number of requests in the queues of all endpoints.
 	queuedRequests int
-	// subsetSizedFor is the number of endpoints in service that the subset was last computed for.
+	// subsetSizedFor is the number of endpoints in service that the subset size was last computed for.
 	subsetSizedFor int
-	// gatewaysPerEndpoint is the number of gateways that use each endpoint as a rule.
+	// gatewaysPerEndpoint is the number of gateways whose subset includes a given endpoint.
 	gatewaysPerEndpoint int
 }
 
@@ -48,18 +50,18 @@
 	s.ordered = append(s.ordered, ep)
 }
 
-// startRoundRobin sets where the first selection begins.
+// startRoundRobin sets the position at which the first selection begins.
 func (s *endpointSet) startRoundRobin(position int) { s.roundRobin = position }
 
-// beginRound begins another selection.
+// beginRound starts the next selection, one position further.
 func (s *endpointSet) beginRound() { s.roundRobin++ }
 
-// inRound returns the endpoint at a position, from 0, of the current selection.
+// inRound returns the endpoint at a position of the current selection, counted from 0.
 func (s *endpointSet) inRound(position int) *endpoint {
 	return s.ordered[(s.roundRobin+position)%len(s.ordered)]
 }
 
-// resizeSubset follows the number of endpoints in service, if that has changed by a quarter.
+// resizeSubset adopts the current number of endpoints in service if it has changed by more than a quarter.
 func (s *endpointSet) resizeSubset() {
 	count := s.inServiceCount()
 	if count > s.subsetSizedFor*5/4 || count < s.subsetSizedFor*3/4 || s.subsetSizedFor == 0 {
@@ -67,7 +69,7 @@
 	}
 }
 
-// removeGone forgets endpoints that are not listed and have no attempt in flight.
+// removeGone deletes endpoints that are neither listed nor have attempts in flight.
 func (s *endpointSet) removeGone() {
 	kept := make([]*endpoint, 0, len(s.ordered))
 	for _, ep := range s.ordered {
@@ -80,7 +82,7 @@
 	s.ordered = kept
 }
 
-// inServiceCount is the number of endpoints in service.
+// inServiceCount returns the number of endpoints in service.
 func (s *endpointSet) inServiceCount() int {
 	count := 0
 	for _, ep := range s.ordered {
@@ -91,7 +93,7 @@
 	return count
 }
 
-// areAllAdminEjected reports whether there are listed endpoints and an administrator has ejected all of them.
+// areAllAdminEjected reports whether there are listed endpoints and all of them are administratively ejected.
 func (s *endpointSet) areAllAdminEjected() bool {
 	hasListed := false
 	for _, ep := range s.ordered {
@@ -105,34 +107,34 @@
 
 // endpointWatch is the state of the watch on the endpoint list.
 type endpointWatch struct {
-	// updatedAt is when the list was last updated, or a fetch of it last requested.
+	// updatedAt is when the list was last updated or its last fetch was requested.
 	updatedAt time.Duration
-	// backoff is the pause before the watch is started again; 0: it has not failed since the last update.
+	// backoff is the delay before the watch is restarted. It is 0 if the watch has not failed since the last update.
 	backoff time.Duration
-	// retryPending is set while that pause runs.
+	// retryPending is set during the backoff.
 	retryPending bool
 }
 
-// recordUpdate records that an update has come.
+// recordUpdate records that an update was received, and resets the backoff.
 func (w *endpointWatch) recordUpdate(now time.Duration) {
 	w.updatedAt = now
 	w.backoff = 0
 }
 
-// beginBackoff starts the pause after a failure and returns it.
+// beginBackoff starts the backoff after a failure and returns its duration.
 func (w *endpointWatch) beginBackoff() time.Duration {
 	w.retryPending = true
 	w.backoff = min(maxWatchBackoff, max(minWatchBackoff, 2*w.backoff))
 	return w.backoff
 }
 
-// endBackoff ends the pause.
+// endBackoff ends the backoff.
 func (w *endpointWatch) endBackoff() { w.retryPending = false }
 
-// recordFetch records that the whole list has been requested.
+// recordFetch records that the complete list was requested.
 func (w *endpointWatch) recordFetch(now time.Duration) { w.updatedAt = now }
 
-// handleEndpointUpdate applies an update of the endpoint list, or plans another watch if it failed.
+// handleEndpointUpdate applies an update of the endpoint list. If the watch failed, it schedules a retry.
 func (b *Balancer) handleEndpointUpdate(ev EndpointUpdate) {
 	if ev.Kind == UpdateFailed {
 		b.scheduleWatchRetry()
@@ -152,7 +154,7 @@
 	}
 }
 
-// scheduleWatchRetry sets the timer of another watch, unless it is set already.
+// scheduleWatchRetry sets the timer for restarting the watch, unless it is already set.
 func (b *Balancer) scheduleWatchRetry() {
 	if b.endpointWatch.retryPending {
 		return
@@ -160,13 +162,14 @@
 	b.emit(SetTimer{At: b.now + b.endpointWatch.beginBackoff(), Cookie: watchRetryCookie})
 }
 
-// retryWatch starts the watch again.
+// retryWatch restarts the watch.
 func (b *Balancer) retryWatch() {
 	b.endpointWatch.endBackoff()
 	b.emit(WatchEndpoints{})
 }
 
-// fetchIfStale requests the whole list where it must be polled and has had no update for half of its interval.
+// fetchIfStale requests the complete list if polling is enabled and half the poll interval has passed without an
+// update.
 func (b *Balancer) fetchIfStale() {
 	if !b.settings.PollEndpoints || b.settings.PollInterval <= 0 {
 		return
@@ -177,7 +180,7 @@
 	}
 }
 
-// applyEntry applies one entry of the endpoint list. An endpoint that started lately warms up.
+// applyEntry applies one entry of the endpoint list. A recently started endpoint begins slow start.
 func (b *Balancer) applyEntry(entry Endpoint) {
 	ep := b.endpoints.byName[entry.Name]
 	if ep == nil {
@@ -205,7 +208,7 @@
 	}
 }
 
-// newEndpoint returns an endpoint of which nothing is known but its name.
+// newEndpoint creates the state of an endpoint about which nothing but its name is known.
 func (b *Balancer) newEndpoint(name string) *endpoint {
 	limit := max(minConcurrency, initialConcurrency/b.liveGateways())
 	return &endpoint{
@@ -215,7 +218,7 @@
 	}
 }
 
-// stopDispatching takes an endpoint out of service and places the requests queued for it elsewhere.
+// stopDispatching takes an endpoint out of service and reassigns the requests queued for it.
 func (b *Balancer) stopDispatching(ep *endpoint) {
 	if ep.inService {
 		ep.inService = false
@@ -223,7 +226,7 @@
 	}
 }
 
-// removeUnlisted treats endpoints that a snapshot leaves out as removed.
+// removeUnlisted takes the endpoints out of service that are missing from a snapshot.
 func (b *Balancer) removeUnlisted(snapshot []Endpoint) {
 	listed := map[string]bool{}
 	for _, entry := range snapshot {
@@ -237,7 +240,7 @@
 	}
 }
 
-// EndpointCounts returns how many endpoints the list has, and how many of them get no requests now.
+// EndpointCounts returns the number of listed endpoints, and how many of them currently get no requests.
 func (b *Balancer) EndpointCounts() (listed, avoided int) {
 	for _, ep := range b.endpoints.ordered {
 		if !ep.listed {
@@ -263,8 +266,9 @@
 	}
 }
 
-// handleAdminRestore puts an endpoint back into service that an administrator had ejected. It may have been restarted
-// meanwhile, so it warms up: since its start if that came after the ejection, else from now on.
+// handleAdminRestore returns an administratively ejected endpoint to service. The endpoint may have been restarted
+// during the ejection, so it begins slow start: as of its start time if the endpoint list shows a start after the
+// ejection, else as of now.
 func (b *Balancer) handleAdminRestore(ev AdminRestore) {
 	ejectedAt, ok := b.endpoints.adminEjected[ev.Endpoint]
 	if !ok {
@@ -289,8 +293,8 @@
 	b.dispatchQueued(ep)
 }
 
-// restorePause is a random pause before a restored endpoint gets its first attempt of this gateway. It keeps many
-// gateways from using the endpoint at once.
+// restorePause returns a random pause before this gateway's first attempt to a restored endpoint, so that many gateways
+// do not start using it at the same moment.
 func (b *Balancer) restorePause() time.Duration {
 	spread := adminRestoreSpread * time.Duration(max(1, int(b.liveGateways())/largeFleetGateways))
 	return time.Duration(b.rng.Int64N(int64(spread)))
