--- a/internal/balancer/inflight.go
+++ b/internal/balancer/inflight.go
@@ -2,16 +2,17 @@
 
 import "gapgap/internal/balancer/quotashare"
 
-// inFlightSlack is the number of requests that peers may have in flight beyond what their demand makes likely.
+// inFlightSlack is the number of requests that peers may have in flight beyond the number expected from their demand.
 const inFlightSlack = 0.5
 
-// isInFlightFull reports whether a request's customer has as many requests in flight here as it may have.
+// isInFlightFull reports whether a customer has reached its limit on requests in flight at this gateway.
 func (b *Balancer) isInFlightFull(req *request, plan *Plan) bool {
 	return plan.MaxInFlight > 0 && req.customer.inFlight >= b.inFlightLimit(req, plan)
 }
 
-// inFlightLimit is how many of a customer's requests may be in flight here: this gateway's share of the plan's limit,
-// or what the peers' demand leaves of it where the counter tells that they need less than their shares.
+// inFlightLimit returns how many of a customer's requests may be in flight at this gateway. That is the gateway's share
+// of the plan's limit, or what the peers' demand leaves of the limit if the counter shows that the peers need less than
+// their shares.
 func (b *Balancer) inFlightLimit(req *request, plan *Plan) int {
 	limit := b.inFlightShare(req.customer, plan)
 	if req.customer.bucket.known && b.counter.isHealthy() {
@@ -22,7 +23,7 @@
 	return max(1, int(limit))
 }
 
-// inFlightShare is this gateway's share of a plan's limit on requests in flight.
+// inFlightShare returns this gateway's share of a plan's limit on requests in flight.
 func (b *Balancer) inFlightShare(cust *customer, plan *Plan) float64 {
 	if b.settings.LeasedShares && b.share.excluded {
 		return 0
