--- a/internal/balancer/queue.go
+++ b/internal/balancer/queue.go
@@ -1,19 +1,20 @@
 package balancer
 
-// Priority levels, 0 the highest.
+// Priority levels; 0 is the highest.
 const (
-	// priorityBands is the number of levels by priority weight.
+	// priorityBands is the number of levels that priority weights are divided into.
 	priorityBands = 6
-	// bandsPerHalving is the number of levels within which the priority weight halves.
+	// bandsPerHalving is the number of levels over which the priority weight halves.
 	bandsPerHalving = 2
-	// lowestLevel is the level of requests over a soft quota. Those within their quota have the first bands.
+	// lowestLevel is the level of requests over a soft quota. Requests within their quota use the first priorityBands
+	// levels.
 	lowestLevel = 2 * priorityBands
 )
 
-// queueShareOfDeadline is the part of the usable time limit that the work of the open levels may take (EQ 4).
+// queueShareOfDeadline is the fraction of the usable time limit that the work of the open levels may take (EQ 4).
 const queueShareOfDeadline = 0.5
 
-// queueEntry is the place of a request in a queue.
+// queueEntry is the position of a request in a queue.
 type queueEntry struct {
 	// request is nil once the request has left the queue.
 	request *request
@@ -21,7 +22,7 @@
 
 // queueLevel holds the requests of one priority level, oldest first.
 type queueLevel struct {
-	// entries may hold places whose request has left.
+	// entries may include entries whose request has left.
 	entries []*queueEntry
 	// count is the number of requests in entries.
 	count int
@@ -38,7 +39,7 @@
 	work float64
 }
 
-// add puts a request at the end of its level, or at the front if it is a retry: that has waited already.
+// add appends a request to its level. A retry goes to the front, because it has already waited.
 func (q *priorityQueue) add(req *request) {
 	entry := &queueEntry{req}
 	level := &q.levels[req.level]
@@ -54,7 +55,7 @@
 	req.queuePosition = entry
 }
 
-// remove takes a request out. Its empty place is dropped when it gets to the head of its level.
+// remove takes a request out of the queue. Its entry stays, without a request, until it reaches the head of its level.
 func (q *priorityQueue) remove(req *request) {
 	req.queuePosition.request = nil
 	req.queuePosition = nil
@@ -71,7 +72,7 @@
 	}
 }
 
-// head returns the oldest request of a level, which must hold one.
+// head returns the oldest request of a level, which must not be empty.
 func (q *priorityQueue) head(level int) *request {
 	entries := q.levels[level].entries
 	for entries[0].request == nil {
@@ -81,7 +82,8 @@
 	return entries[0].request
 }
 
-// workUpTo is the cost of the requests in a level and in the levels above it, plus that of a request that would join.
+// workUpTo returns the summed cost of the requests in a level and all higher levels, plus the cost of a request that
+// would join.
 func (q *priorityQueue) workUpTo(lowest int, joining float64) float64 {
 	sum := joining
 	for level := 0; level <= lowest; level++ {
@@ -103,14 +105,14 @@
 	return all
 }
 
-// enqueue makes a request wait for a slot of an endpoint.
+// enqueue adds a request to the queue of an endpoint.
 func (b *Balancer) enqueue(req *request, ep *endpoint) {
 	ep.queue.add(req)
 	req.queuedOn = ep
 	b.endpoints.queuedRequests++
 }
 
-// dequeue takes a request out of the queue that it waits in, if any.
+// dequeue removes a request from the queue that it waits in, if any.
 func (b *Balancer) dequeue(req *request) {
 	if req.queuedOn == nil {
 		return
@@ -120,9 +122,9 @@
 	b.endpoints.queuedRequests--
 }
 
-// nextRequest chooses a request from the queue of one endpoint for a free slot of another, mostly the same. A level
-// is open while the work of the levels down to it can be expected to end in time (EQ 4); the first level that holds a
-// request is always open. The oldest request at the head of an open level goes first.
+// nextRequest chooses a request from the queue of one endpoint for a free slot of another, usually the same endpoint. A
+// level is open while the work in it and in all higher levels is expected to finish in time (EQ 4). The highest
+// non-empty level is always open. Among the heads of the open levels, the oldest request is chosen.
 func (b *Balancer) nextRequest(from, to *endpoint) *request {
 	var best *request
 	work := 0.0
@@ -143,8 +145,8 @@
 	return best
 }
 
-// rejectStaleHeads rejects the oldest requests of a level that can't be answered in time any more (EQ 3). It covers
-// requests within their quota too: one that comes too late only delays the others.
+// rejectStaleHeads rejects the oldest requests of a level that can no longer be answered in time (EQ 3). This applies
+// to requests within their quota as well, since dispatching one that is too late only delays the others.
 func (b *Balancer) rejectStaleHeads(from, to *endpoint, level int) {
 	for from.queue.levels[level].count > 0 {
 		req := from.queue.head(level)
@@ -155,23 +157,23 @@
 	}
 }
 
-// isStale reports whether a request that is dispatched to an endpoint now can't be expected to be answered within the
-// part of its time limit that waiting and answer may take (EQ 3). nil stands for any endpoint.
+// isStale reports whether a request, if dispatched to an endpoint now, is expected to exceed the usable part of its
+// time limit (EQ 3). A nil endpoint means an average one.
 func (b *Balancer) isStale(req *request, ep *endpoint) bool {
 	expected := req.waited(b.now).Seconds() + b.expectedLatency(req, ep)
 	return expected >= req.timeLimit.Seconds()*latencyHeadroomFraction
 }
 
-// isLevelOpen reports whether queued work down to a level, whose oldest request is given, can be expected to end
-// within the part of the time limit that queues may take (EQ 4).
+// isLevelOpen reports whether the queued work down to a level is expected to finish within the part of the time limit
+// that queues may take (EQ 4). req is the oldest request of that level.
 func (b *Balancer) isLevelOpen(req *request, to *endpoint, work float64) bool {
 	meanLatency := b.latency.classes[req.class].meanLatency
 	ahead := (work + to.inFlightWork) * meanLatency * to.latency.factor / to.concurrency.limit
 	return ahead < req.timeLimit.Seconds()*latencyHeadroomFraction*queueShareOfDeadline
 }
 
-// reassignQueue places the requests of an endpoint anew that is not usable any more. All are taken out first, as
-// placing one may end others.
+// reassignQueue assigns the requests queued at an endpoint that is no longer usable to other endpoints. All of them are
+// removed first, because assigning one may end others.
 func (b *Balancer) reassignQueue(ep *endpoint) {
 	all := ep.queue.requests()
 	for _, req := range all {
