--- a/internal/balancer/retry.go
+++ b/internal/balancer/retry.go
@@ -2,10 +2,11 @@
 
 import "time"
 
-// retryWriteMargin is how long before its deduplication window ends the retry of a request must be written.
+// retryWriteMargin is the safety margin between the latest write of a retry and the end of its deduplication window.
 const retryWriteMargin = 20 * time.Millisecond
 
-// retry places a request again whose attempt failed, if it may have another attempt and an answer could be in time.
+// retry assigns a request again after a failed attempt, if it has attempts left and can still be answered in time.
+// Otherwise the request is rejected.
 func (b *Balancer) retry(req *request) {
 	if !req.attempts.canAdd() || !b.hasTimeForAttempt(req) {
 		b.reject(req, 0, RetryNotPossible)
@@ -14,14 +15,14 @@
 	b.assign(req)
 }
 
-// hasTimeForAttempt reports whether an attempt that goes out now can be expected to be answered in time.
+// hasTimeForAttempt reports whether an attempt dispatched now is expected to be answered before the deadline.
 func (b *Balancer) hasTimeForAttempt(req *request) bool {
 	return req.waited(b.now).Seconds()+b.expectedLatency(req, nil) < req.timeLimit.Seconds()
 }
 
-// canRetryOn reports whether an attempt of a request may go to an endpoint without the risk of a second effect. A
-// request that has not run may go to any. One with an idempotency key may go to the endpoints that would recognize
-// it, until their deduplication window ends.
+// canRetryOn reports whether an attempt of a request may go to an endpoint without risking a second effect. A request
+// that cannot have run may go to any endpoint. One with an idempotency key may go to endpoints that recognize it as a
+// repeat, until its deduplication window ends.
 func (b *Balancer) canRetryOn(req *request, ep *endpoint) bool {
 	if !req.attempts.mayHaveRun {
 		return true
@@ -37,7 +38,7 @@
 	}
 }
 
-// isInDedupScope reports whether an endpoint recognizes a request that another one has run.
+// isInDedupScope reports whether an endpoint recognizes a request that was run on another endpoint.
 func isInDedupScope(scope DedupScope, ranOn, ep *endpoint) bool {
 	switch {
 	case scope == DedupAll:
@@ -49,7 +50,7 @@
 	}
 }
 
-// retryDeadline is when the last retry of a request with an idempotency key may be written.
+// retryDeadline returns the latest time at which a retry of a request with an idempotency key may be written.
 func (b *Balancer) retryDeadline(req *request) time.Duration {
 	return req.attempts.firstRunAt + b.settings.Classes[req.class].DedupWindow - retryWriteMargin
 }
