--- a/internal/balancer/selection.go
+++ b/internal/balancer/selection.go
@@ -6,35 +6,34 @@
 	"gapgap/internal/balancer/subsetting"
 )
 
-// Costs by which endpoints are compared. The unit is the work in flight and queued, in mean requests, for an endpoint
-// of weight 1 with full capacity and the latency of the others.
+// Factors and penalties of the cost by which endpoints are compared. One unit of cost is one mean request in flight or
+// queued at an endpoint of weight 1 with full capacity and average latency.
 const (
-	// zonePenaltyMin is the factor for an endpoint of another zone, where crossing zones is free.
+	// zonePenaltyMin is the factor for an endpoint in another zone if crossing zones costs nothing.
 	zonePenaltyMin = 1.05
-	// zonePenaltyPerCost is what Settings.CrossZoneCost adds to that factor, as a multiple.
+	// zonePenaltyPerCost times Settings.CrossZoneCost is added to that factor.
 	zonePenaltyPerCost = 30.0
-	// outsideSubsetPenalty puts an endpoint outside the subset behind all of it that have a free slot.
+	// outsideSubsetPenalty ranks an endpoint outside the subset after all subset endpoints that have a free slot.
 	outsideSubsetPenalty = 500.0
-	// noFreeSlotPenalty and noFreeSlotFactor put an endpoint without a free slot behind those that have one.
+	// noFreeSlotPenalty and noFreeSlotFactor rank an endpoint without a free slot after those that have one.
 	noFreeSlotPenalty = 1e3
 	noFreeSlotFactor  = 10.0
-	// slowStartExhaustedPenalty puts a warming endpoint that has had its budget behind all others.
+	// slowStartExhaustedPenalty ranks an endpoint with an exhausted slow-start budget after all others.
 	slowStartExhaustedPenalty = 1e6
-	// minCostDifference is the difference below which costs are equal: then round robin decides.
+	// minCostDifference is the difference below which costs count as equal, so that round robin decides.
 	minCostDifference = 1e-9
 )
 
 const (
-	// endpointsPerGateway is the number of endpoints that a gateway uses as a rule, in the mean, where there are
-	// more.
+	// endpointsPerGateway is the mean size of a gateway's subset, if there are more endpoints than that.
 	endpointsPerGateway = 16
-	// currentEvidenceRate is the rate of answers by each endpoint, per second, that makes estimates current.
+	// currentEvidenceRate is the rate of answers per endpoint and second from which estimates count as current.
 	currentEvidenceRate = 1.0
 )
 
-// selectEndpoint chooses the endpoint for a request by lowest cost, and by round robin among equal ones. It returns
-// nil if no endpoint may be used. The cost of an endpoint is random in part where this gateway has little evidence of
-// each: otherwise many gateways would choose the same one.
+// selectEndpoint returns the endpoint with the lowest cost for a request, or nil if none is usable. Round robin decides
+// among endpoints of equal cost. Where this gateway has little evidence about each endpoint, part of the cost is
+// random; otherwise many gateways would choose the same endpoint.
 func (b *Balancer) selectEndpoint(req *request) *endpoint {
 	var best *endpoint
 	lowest := math.Inf(1)
@@ -54,8 +53,8 @@
 	return best
 }
 
-// selectionCost is the cost of placing a request at an endpoint. randomness, from 0 to 1, is the part of it that is
-// random.
+// selectionCost returns the cost of placing a request at an endpoint. randomness is the random fraction of it, from 0
+// to 1.
 func (b *Balancer) selectionCost(ep *endpoint, randomness float64) float64 {
 	cost := (ep.inFlightWork + ep.queue.work + 1) * ep.latency.factor / (ep.weight * b.capacityFraction(ep))
 	if ep.zone != b.settings.Zone {
@@ -67,7 +66,7 @@
 	if !ep.inSubset {
 		cost += outsideSubsetPenalty
 	}
-	if ep.preferNext { // warm endpoints could take all requests for seconds otherwise
+	if ep.preferNext { // otherwise warm endpoints could get all requests for seconds
 		cost = 0
 	}
 	if !ep.hasFreeSlot(b.now) {
@@ -79,23 +78,22 @@
 	return cost
 }
 
-// evidenceScarcity is 0 if this gateway's own requests keep its estimates of each endpoint current, up to 1 if they
-// tell nothing.
+// evidenceScarcity returns 0 if this gateway's own requests keep its estimates of each endpoint current, up to 1 if it
+// has no recent evidence.
 func (b *Balancer) evidenceScarcity() float64 {
 	return 1 - min(1, b.warmRate.value/currentEvidenceRate)
 }
 
-// updateSubset finds the endpoints that this gateway uses as a rule. The size of the subset changes only with the
-// number of endpoints by a quarter, so that a rollout that takes out some does not move the connections of the
-// others.
+// updateSubset recomputes this gateway's subset. The subset size changes only when the number of endpoints changes by a
+// quarter, so that a rollout that temporarily removes some endpoints does not move connections of the others.
 func (b *Balancer) updateSubset() {
 	b.endpoints.resizeSubset()
-	using := b.settings.Gateways // few gateways have evidence enough of all endpoints
-	if using >= largeFleetGateways {
-		using = subsetting.GatewaysPerEndpoint(using, b.endpoints.subsetSizedFor, endpointsPerGateway)
+	perEndpoint := b.settings.Gateways // a small fleet has enough evidence about all endpoints
+	if perEndpoint >= largeFleetGateways {
+		perEndpoint = subsetting.GatewaysPerEndpoint(perEndpoint, b.endpoints.subsetSizedFor, endpointsPerGateway)
 	}
-	b.endpoints.gatewaysPerEndpoint = using
+	b.endpoints.gatewaysPerEndpoint = perEndpoint
 	for _, ep := range b.endpoints.ordered {
-		ep.inSubset = subsetting.Uses(ep.name, b.settings.Index, b.settings.Gateways, using, b.share.deadGateways)
+		ep.inSubset = subsetting.Uses(ep.name, b.settings.Index, b.settings.Gateways, perEndpoint, b.share.deadGateways)
 	}
 }
