--- a/internal/balancer/slowstart.go
+++ b/internal/balancer/slowstart.go
@@ -7,34 +7,35 @@
 	"gapgap/internal/balancer/slowstart"
 )
 
-// warmRateSeconds is the time over which the answers of warm endpoints are averaged.
+// warmRateSeconds is the averaging time of the answer rate of warm endpoints.
 const warmRateSeconds = 3.0
 
-// slowStartState is the slow start of one endpoint: for a while after its start it has a part of its capacity.
+// slowStartState is the slow start of one endpoint, which has only part of its capacity for a time after its start.
 type slowStartState struct {
 	// active is set while the endpoint warms up.
 	active bool
-	// since is when the endpoint began to warm up.
+	// since is when the slow start began.
 	since time.Duration
-	// share is this gateway's part of what the endpoint can take while it warms up; 1: all of a gateway's part.
+	// share is the fraction of this gateway's rate-based slow-start budget that this Balancer may use; it is below 1 if
+	// several pools share the endpoint.
 	share float64
-	// budget counts what this gateway sent and got answered.
+	// budget tracks what this gateway sent and what was answered.
 	budget slowstart.Budget
 }
 
-// begin starts to warm up, or goes on warming up since another time.
+// begin starts a slow start, or moves the start of the current one.
 func (s *slowStartState) begin(since time.Duration) {
 	s.active = true
 	s.since = since
 }
 
-// finish ends the warm-up.
+// finish ends the slow start.
 func (s *slowStartState) finish() {
 	s.active = false
 	s.budget = slowstart.Budget{}
 }
 
-// restore takes over the warm-up that a former process has handed over.
+// restore applies the slow start that the previous process handed over.
 func (s *slowStartState) restore(from *EndpointHandover) {
 	s.active = from.WarmingUp
 	s.since = from.WarmUpFrom
@@ -43,7 +44,7 @@
 	}
 }
 
-// recordDispatch counts an attempt that goes out while the endpoint warms up; cost is in mean requests.
+// recordDispatch counts an attempt dispatched while the endpoint warms up. cost is in mean requests.
 func (s *slowStartState) recordDispatch(now time.Duration, cost float64) {
 	if s.active {
 		s.budget.RecordDispatch(now, cost)
@@ -52,27 +53,27 @@
 
 // warmRateEstimate is the mean rate at which a warm endpoint answers this gateway.
 type warmRateEstimate struct {
-	// value is in mean requests a second.
+	// value is in mean requests per second.
 	value float64
-	// updatedAt is when value last changed.
+	// updatedAt is when value was last updated.
 	updatedAt time.Duration
 }
 
-// restart sets the rate, as learned by a former process or 0.
+// restart sets the rate to the one learned by the previous process, or 0.
 func (r *warmRateEstimate) restart(now time.Duration, rate float64) {
 	r.value = rate
 	r.updatedAt = now
 }
 
-// record adds an answer that cost so many mean requests, of one of a number of warm endpoints.
+// record adds an answer of one of several warm endpoints. cost is in mean requests.
 func (r *warmRateEstimate) record(now time.Duration, cost, warmEndpoints float64) {
 	decay := (now - r.updatedAt).Seconds() / warmRateSeconds
 	r.value = r.value*math.Exp(-decay) + cost/(warmRateSeconds*max(1, warmEndpoints))
 	r.updatedAt = now
 }
 
-// isSlowStartExhausted reports whether a warming endpoint has had its budget; see package slowstart. It may draw a
-// random number.
+// isSlowStartExhausted reports whether a warming endpoint has used up its slow-start budget; see package slowstart. It
+// may draw a random number.
 func (b *Balancer) isSlowStartExhausted(ep *endpoint) bool {
 	capacity := slowstart.Capacity{
 		Now:  b.capacityFraction(ep),
@@ -85,7 +86,8 @@
 	return ep.slowStart.budget.IsExhausted(b.now, b.slowStartTerms(), rate, capacity, b.rng.Float64)
 }
 
-// capacityFraction is the part of its capacity that an endpoint has now at least. It ends a warm-up that is over.
+// capacityFraction returns the fraction of its capacity that an endpoint is expected to have at least now. It ends a
+// slow start whose duration has passed.
 func (b *Balancer) capacityFraction(ep *endpoint) float64 {
 	if !ep.slowStart.active || b.now-ep.slowStart.since >= b.settings.SlowStartDuration {
 		ep.slowStart.finish()
@@ -94,14 +96,14 @@
 	return b.capacityFractionAt(ep, b.now)
 }
 
-// capacityFractionAt is the part of its capacity that a warming endpoint had at a time. It grows evenly.
+// capacityFractionAt returns the fraction of its capacity that a warming endpoint has at a time. It grows linearly.
 func (b *Balancer) capacityFractionAt(ep *endpoint, at time.Duration) float64 {
 	initial := b.settings.SlowStartCapacity
 	elapsed := max(0, float64(at-ep.slowStart.since))
 	return initial + (1-initial)*elapsed/float64(b.settings.SlowStartDuration)
 }
 
-// slowStartTerms are what a warming endpoint can take, and how many gateways use it.
+// slowStartTerms returns the load that warming endpoints can take, and the number of gateways that use each endpoint.
 func (b *Balancer) slowStartTerms() slowstart.Terms {
 	return slowstart.Terms{
 		OverloadMultiple: b.settings.OverloadMultiple,
@@ -110,8 +112,8 @@
 	}
 }
 
-// recordWarmAnswer counts an answer of a warm endpoint. Answers are counted, as more than these is dispatched under
-// overload.
+// recordWarmAnswer counts an answer of a warm endpoint. Answers are counted rather than dispatches, because under
+// overload more is dispatched than answered.
 func (b *Balancer) recordWarmAnswer(cost float64) {
 	warm := 0.0
 	for _, ep := range b.endpoints.ordered {
