--- a/internal/balancer/waiting.go
+++ b/internal/balancer/waiting.go
@@ -2,18 +2,18 @@
 
 import "slices"
 
-// waitingRequests is the line of a customer's requests that wait for units of its quota or ceiling, or for one of its
-// requests in flight to end. The zero value is an empty line.
+// waitingRequests is the queue of a customer's requests that wait for units of its quota or ceiling, or for one of its
+// requests in flight to finish. The zero value is an empty queue.
 type waitingRequests struct {
-	// requests are in the order in which they arrived. One that has ended stays until it is reached.
+	// requests is in order of arrival. A request that has ended stays until it reaches the front.
 	requests []*request
-	// admitOnly counts those that ask for admission only.
+	// admitOnly is the number of requests for admission only.
 	admitOnly int
-	// listed is true while the customer is in Balancer.waitingCustomers.
+	// listed is set while the customer is in Balancer.waitingCustomers.
 	listed bool
 }
 
-// push adds a request at the end.
+// push appends a request.
 func (waiting *waitingRequests) push(req *request) {
 	waiting.requests = append(waiting.requests, req)
 	if req.admitOnly {
@@ -30,13 +30,13 @@
 	waiting.requests = waiting.requests[1:]
 }
 
-// removeAdmitOnly removes the request at a position, which asks for admission only.
+// removeAdmitOnly removes a request for admission only, given its position.
 func (waiting *waitingRequests) removeAdmitOnly(position int) {
 	waiting.requests = slices.Delete(waiting.requests, position, position+1)
 	waiting.admitOnly--
 }
 
-// allowAnotherCall lets each request that called the counter without an answer call it once more.
+// allowAnotherCall lets each request whose counter call was not answered call the counter once more.
 func (waiting *waitingRequests) allowAnotherCall() {
 	for _, req := range waiting.requests {
 		req.quota.counterCalled = req.quota.counterCalled && req.quota.counterCalledTwice
@@ -44,8 +44,8 @@
 	}
 }
 
-// serveWaiting decides for a customer's waiting requests in the order of their arrival, until one has to go on
-// waiting: for the counter's answer, for a request in flight to end, or for the ceiling's share to fill.
+// serveWaiting decides a customer's waiting requests in order of arrival, until one has to keep waiting for the
+// counter, for a request in flight to finish, or for the ceiling's share to refill.
 func (b *Balancer) serveWaiting(cust *customer) {
 	for len(cust.waiting.requests) > 0 {
 		req := cust.waiting.requests[0]
@@ -67,9 +67,9 @@
 	}
 }
 
-// serveAdmitOnly decides for the requests that ask for admission only, past those that wait for the ceiling's share
-// or for a request in flight to end. They wait for nothing but the counter's answer, as a client of a proxy is held
-// up by each of them.
+// serveAdmitOnly decides the requests for admission only, skipping those that wait for the ceiling's share or for a
+// request in flight to finish. Requests for admission only wait for nothing but the counter, because a proxy holds its
+// client up until the decision.
 func (b *Balancer) serveAdmitOnly(cust *customer) {
 	position := 0
 	for position < len(cust.waiting.requests) && cust.waiting.admitOnly > 0 {
@@ -87,15 +87,15 @@
 			}
 		}
 		cust.waiting.removeAdmitOnly(position)
-		position = 0 // the decision may serve others, so the line has to be read anew
+		position = 0 // applying the decision may change the queue, so start over
 		if !req.ended {
 			b.applyQuotaDecision(req, decision)
 		}
 	}
 }
 
-// applyQuotaDecision carries a decision out. The request must have left its customer's line, as this may serve others
-// of the line.
+// applyQuotaDecision carries out a quota decision. The request must have left its customer's queue, because this may
+// serve other requests of that queue.
 func (b *Balancer) applyQuotaDecision(req *request, decision quotaDecision) {
 	if decision == quotaExceeded {
 		b.handleOverQuota(req)
