--- a/internal/balancer/handover.go
+++ b/internal/balancer/handover.go
@@ -7,16 +7,17 @@
 )
 
 const (
-	// maxHandoverCustomers is the number of customers handed over, those used last. The others are met anew.
+	// maxHandoverCustomers is the number of most recently used customers that are handed over. The next process starts
+	// the others anew.
 	maxHandoverCustomers = 4096
-	// handoverRequestIDs is the first identifier of the requests that are in flight at the former process.
+	// handoverRequestIDs is the first ID of the requests that are in flight at the previous process.
 	handoverRequestIDs = 1 << 62
-	// handoverIDsPerCustomer is the number of such identifiers of each customer.
+	// handoverIDsPerCustomer is the number of such IDs reserved for each customer.
 	handoverIDsPerCustomer = 1 << 20
 )
 
-// handleBeginHandover writes down what the next process gets. From then on this one has no shares and no tokens but
-// those that its queued requests hold.
+// handleBeginHandover exports the state for the next process. From then on this process has no shares, and no tokens
+// except those that its queued requests have reserved.
 func (b *Balancer) handleBeginHandover() {
 	state := HandoverState{
 		At:               b.now,
@@ -46,7 +47,7 @@
 	b.emit(HandoverReady{state})
 }
 
-// inFlightUntil returns, for each customer, when its requests in flight end at the latest, in ascending order.
+// inFlightUntil returns, for each customer, the latest end times of its requests in flight, in ascending order.
 func (b *Balancer) inFlightUntil() map[*customer][]time.Duration {
 	ends := map[*customer][]time.Duration{}
 	for _, req := range b.requests {
@@ -60,7 +61,7 @@
 	return ends
 }
 
-// customersByUse returns all customers, those used last first.
+// customersByUse returns all customers, most recently used first.
 func (b *Balancer) customersByUse() []*customer {
 	all := slices.Clone(b.customers.order)
 	slices.SortFunc(all, func(left, right *customer) int {
@@ -69,7 +70,8 @@
 	return all
 }
 
-// exportCustomer writes down how a customer stands. Units that its queued requests hold stay here.
+// exportCustomer returns the state of a customer that is handed over. Units reserved by its queued requests stay with
+// this process.
 func exportCustomer(cust *customer, inFlightUntil []time.Duration) CustomerHandover {
 	reserved := min(cust.ceiling.tokens, cust.ceiling.reserved)
 	return CustomerHandover{
@@ -103,7 +105,8 @@
 	}
 }
 
-// exportTurn is the number of the last turn that a customer has used; 0: none, or its share does not go by turns.
+// exportTurn returns the number of the last turn that a customer has used. It returns 0 if there is none or if the
+// customer's share is not divided into turns.
 func (b *Balancer) exportTurn(cust *customer) int64 {
 	turns, ok := b.sparseTurns(cust, &b.settings.Plans[cust.plan])
 	if !ok {
@@ -112,15 +115,15 @@
 	return cust.ceiling.lastTurn(turns, b.settings.Index)
 }
 
-// importTurn takes over the number of the last turn that a customer has used. The former process may have counted
-// other turns, but used none that is still to come.
+// importTurn restores the last turn that a customer has used. The previous process may have numbered its turns
+// differently, but it cannot have used a turn that is still to come.
 func (b *Balancer) importTurn(cust *customer, plan *Plan, lastTurn int64) {
 	if turns, ok := b.sparseTurns(cust, plan); ok && lastTurn > 0 {
 		cust.ceiling.turnUsedAt = min(b.now, turns.StartOf(lastTurn, b.settings.Index))
 	}
 }
 
-// giveUpTokens drops what has been handed over.
+// giveUpTokens drops the tokens and the debt that have been handed over.
 func (cust *customer) giveUpTokens() {
 	cust.quota.dropTokens()
 	cust.quota.takeDebt()
@@ -129,12 +132,12 @@
 	cust.ceiling.tokens = min(cust.ceiling.tokens, cust.ceiling.reserved)
 }
 
-// handleImportHandover takes over what another process has handed over. A process that gets its own state back, as the
-// next one failed, adds that to what came in meanwhile.
+// handleImportHandover imports the state that another process handed over. A process whose successor failed gets its
+// own state back, and adds it to what it has received meanwhile.
 func (b *Balancer) handleImportHandover(state HandoverState) {
 	returned := b.handedOver
 	b.handedOver = false
-	for _, cust := range b.customers.order { // what filled meanwhile was the other's
+	for _, cust := range b.customers.order { // refills until now belonged to the other process
 		cust.quota.fallbackFilledAt = max(cust.quota.fallbackFilledAt, b.now)
 		cust.ceiling.filledAt = max(cust.ceiling.filledAt, b.now)
 	}
@@ -156,7 +159,7 @@
 	}
 }
 
-// importEstimates takes over what is known of the fleet, the classes and the endpoints.
+// importEstimates imports the estimates of the fleet, the classes and the endpoints.
 func (b *Balancer) importEstimates(state *HandoverState) {
 	b.latency.restoreFleet(b.now, state.FleetSlowdown)
 	b.warmRate.restart(b.now, state.WarmEndpointRate)
@@ -177,7 +180,7 @@
 	}
 }
 
-// importEndpoint takes over what is known of an endpoint, unless its process is another one now.
+// importEndpoint imports the state of an endpoint, unless the endpoint has been restarted since the export.
 func (b *Balancer) importEndpoint(from *EndpointHandover) {
 	ep := b.endpoints.byName[from.Name]
 	if ep == nil || ep.startedAt != from.StartedAt {
@@ -189,7 +192,7 @@
 	}
 }
 
-// takeBackTokens adds what was handed over and came back.
+// takeBackTokens adds the tokens that were handed over and have been returned.
 func (cust *customer) takeBackTokens(from *CustomerHandover) {
 	cust.quota.tokens += from.Tokens
 	cust.quota.debt += from.Debt
@@ -198,7 +201,7 @@
 	cust.ceiling.tokens += from.CeilingTokens
 }
 
-// importCustomer takes over how a customer stands.
+// importCustomer imports the state of a customer.
 func (b *Balancer) importCustomer(from *CustomerHandover) *customer {
 	plan := &b.settings.Plans[from.Plan]
 	cust := b.customers.find(from.Name)
@@ -214,7 +217,7 @@
 	return cust
 }
 
-// restore takes over the state of a quota. The fallback share is limited to a depth.
+// restore imports the state of a quota. The fallback tokens are capped at fallbackDepth.
 func (quota *quotaState) restore(from *CustomerHandover, fallbackDepth float64) {
 	quota.tokens = from.Tokens
 	quota.tokensValidFrom = from.TokensValidFrom
@@ -224,7 +227,7 @@
 	quota.fallbackFilledAt = from.FallbackFilledAt
 }
 
-// restore takes over what was known of a bucket.
+// restore imports what was known about a shared bucket.
 func (bucket *sharedBucket) restore(from *CustomerHandover) {
 	bucket.known = from.BucketKnown
 	bucket.knownAt = from.BucketKnownAt
@@ -238,15 +241,15 @@
 	bucket.emptyUntil = from.EmptyUntil
 }
 
-// restore takes over the state of a ceiling, whose share is limited to a depth.
+// restore imports the state of a ceiling. Its tokens are capped at depth.
 func (ceiling *ceilingState) restore(from *CustomerHandover, depth float64) {
 	ceiling.tokens = min(from.CeilingTokens, depth)
 	ceiling.admitOnlyTokens = from.AdmitOnlyTokens
 	ceiling.filledAt = from.CeilingFilledAt
 }
 
-// importInFlight counts the requests that are in flight at the former process against the plan's limit until they
-// have ended. Their identifiers begin at firstID.
+// importInFlight counts the requests in flight at the previous process against the plan's limit until they have ended.
+// Their IDs start at firstID.
 func (b *Balancer) importInFlight(cust *customer, from *CustomerHandover, firstID uint64) {
 	limit := max(0, b.settings.Plans[from.Plan].MaxInFlight)
 	for i, until := range from.InFlightUntil[:min(len(from.InFlightUntil), limit)] {
