--- a/internal/balancer/handoverstate.go
+++ b/internal/balancer/handoverstate.go
@@ -2,35 +2,36 @@
 
 import "time"
 
-// HandoverState is what a gateway's process hands over to the next one: what the rules need to hold over both, and
-// what the other would take seconds to learn. Classes and plans are numbered as in its settings, times are those of
-// the processes' common clock. The tags are the names of stored data and must not change.
+// HandoverState is the state that a gateway process hands over to its successor: what is needed to enforce limits
+// across both processes, and estimates that would take seconds to learn again. Classes and plans are numbered as in the
+// settings of the exporting process, and times are on the clock that the processes share. The tags are names of stored
+// data and must not change.
 type HandoverState struct {
-	// At is when the state was written.
+	// At is when the state was exported.
 	At        time.Duration      `json:"At"`
 	Classes   []ClassHandover    `json:"Classes"`
 	Customers []CustomerHandover `json:"Customers"`
 	Endpoints []EndpointHandover `json:"Servers"`
-	// FleetSlowdown is the latest latency over the mean of its class, of all endpoints.
+	// FleetSlowdown is the recent latency of all endpoints divided by the mean latency of the classes.
 	FleetSlowdown float64 `json:"Fleet"`
-	// WarmEndpointRate is the number of answers a second of a warm endpoint.
+	// WarmEndpointRate is the rate at which a warm endpoint answers this gateway, in mean requests per second.
 	WarmEndpointRate float64 `json:"Rate"`
-	// Shortage is the part of the requests within their quotas that find no free place, from 0 to 1.
+	// Shortage is the fraction of the requests within their quotas that find no free slot, from 0 to 1.
 	Shortage float64 `json:"Short"`
-	// CallFraction is the part of the requests without tokens that call the counter, from 0 to 1.
+	// CallFraction is the fraction of the requests without tokens that call the counter, from 0 to 1.
 	CallFraction float64 `json:"CallShare"`
 }
 
-// ClassHandover is what is known of a class.
+// ClassHandover holds the estimates for a class.
 type ClassHandover struct {
 	// MeanLatency and IdleLatency are in seconds.
 	MeanLatency float64 `json:"Base"`
 	IdleLatency float64 `json:"Floor"`
-	// Answers is the number of answers that the latencies are from.
+	// Answers is the number of answers that the latencies are based on.
 	Answers int `json:"Answers"`
 }
 
-// CustomerHandover is how a customer stands. Its fields are those of customer, quotaState, sharedBucket and
+// CustomerHandover is the state of a customer. Its fields are those of customer, quotaState, sharedBucket and
 // ceilingState.
 type CustomerHandover struct {
 	Name             string        `json:"Name"`
@@ -60,28 +61,29 @@
 	CeilingTokens    float64       `json:"Ceil"`
 	AdmitOnlyTokens  float64       `json:"Kept"`
 	CeilingFilledAt  time.Duration `json:"CeilAt"`
-	// InFlightUntil holds, for each request in flight that counts against the plan's limit, when it ends at the latest.
+	// InFlightUntil holds the latest end time of each request in flight that counts against the plan's limit.
 	InFlightUntil []time.Duration `json:"Open"`
 }
 
-// EndpointHandover is what is known of an endpoint.
+// EndpointHandover is the state of an endpoint.
 type EndpointHandover struct {
 	Name string `json:"Name"`
-	// StartedAt is when the endpoint's process started; of another process nothing is taken over.
+	// StartedAt is when the endpoint's process started. The state is discarded if the endpoint has been restarted
+	// since.
 	StartedAt  time.Duration `json:"Started"`
 	WarmUpFrom time.Duration `json:"ColdAt"`
 	WarmingUp  bool          `json:"Cold"`
 	Ejected    bool          `json:"Ejected"`
-	// LatencyFactor is the endpoint's latency over the mean of its classes.
+	// LatencyFactor is the endpoint's latency divided by the mean latency of its classes.
 	LatencyFactor    float64 `json:"Slow"`
 	ConcurrencyLimit float64 `json:"Slots"`
-	// Sends are the attempts of the last slow-start window.
+	// Sends holds the attempts of the last slow-start window.
 	Sends []SlowStartSend `json:"Sends"`
 }
 
-// SlowStartSend is one attempt that was sent to a warming endpoint.
+// SlowStartSend is one attempt dispatched to a warming endpoint.
 type SlowStartSend struct {
 	At time.Duration `json:"At"`
-	// Cost is its work in mean requests of its class.
+	// Cost is the work of the attempt, in mean requests of its class.
 	Cost float64 `json:"Size"`
 }
