--- a/internal/balancer/reload.go
+++ b/internal/balancer/reload.go
@@ -8,11 +8,11 @@
 	"gapgap/internal/balancer/costmodel"
 )
 
-// minMeanLatency is the least latency that is assumed of a class without answers, in seconds.
+// minMeanLatency is the lower bound, in seconds, of the assumed latency of a class without answers.
 const minMeanLatency = 0.001
 
-// applySettings takes settings, at the start or later. evidenceFrom gives for each class the index of the former class
-// whose estimates it goes on with, or -1; a class beyond its end starts anew.
+// applySettings applies the initial or reloaded settings. For each class, evidenceFrom holds the index of the previous
+// class whose estimates it inherits, or -1. Classes beyond the end of evidenceFrom start without estimates.
 func (b *Balancer) applySettings(settings Settings, evidenceFrom []int) {
 	b.settings = settings
 	b.applyLeaseTerms()
@@ -36,8 +36,8 @@
 	}
 }
 
-// applyLeaseTerms finds the terms on which each plan's ceiling is leased, and the longest time in which such a ceiling
-// fills.
+// applyLeaseTerms computes the terms on which the ceiling of each plan is leased, and the longest time that such a
+// ceiling takes to fill.
 func (b *Balancer) applyLeaseTerms() {
 	b.longestCeilingFill = 0
 	b.leaseTerms = make([]ceilinglease.Terms, len(b.settings.Plans))
@@ -54,7 +54,7 @@
 	}
 }
 
-// newClassEstimate makes the estimates of a class that has no answers yet.
+// newClassEstimate returns the initial estimates of a class without answers.
 func newClassEstimate(settings *Settings, class *Class) classEstimate {
 	timeLimit := cmp.Or(class.LatencyObjective, class.ClientTimeout).Seconds()
 	return classEstimate{
