--- a/internal/balancer/slowstart/slowstart_test.go
+++ b/internal/balancer/slowstart/slowstart_test.go
@@ -11,42 +11,43 @@
 	"pgregory.net/rapid"
 )
 
-// fleetPlay is an endpoint that warms up, serves what it can in the order in which it comes, and is sent by gateways
-// whatever their budgets allow.
-type fleetPlay struct {
+// scenario describes a simulated fleet. Its endpoint warms up and serves requests in order of arrival at its current
+// capacity, while the gateways send it whatever their budgets allow.
+type scenario struct {
 	gateways int
-	// capacity is in mean requests a second once the endpoint is warm.
+	// capacity is the capacity of the warm endpoint, in mean requests per second.
 	capacity float64
-	// initialFraction is the part of it at the start.
+	// initialFraction is the fraction of the capacity at the start.
 	initialFraction float64
 	// duration is the time until the endpoint is warm.
 	duration time.Duration
 	terms    Terms
-	// knowsRate is set if the gateways have seen the rate of a warm endpoint.
+	// knowsRate is set if the gateways have measured the rate of a warm endpoint.
 	knowsRate bool
-	// staleFactor is the multiple of the true rate that they remember; 0 counts as 1.
+	// staleFactor is the ratio of the remembered rate to the true one; 0 counts as 1.
 	staleFactor float64
-	// demand is the number of requests a second that each gateway would send.
+	// demand returns the number of requests per second that a gateway would send.
 	demand func(gateway int) float64
-	// isUp tells which gateways are there.
+	// isUp reports whether a gateway is up.
 	isUp func(gateway int) bool
-	// notifiedAt is when each gateway hears of the endpoint; nil: all at once.
+	// notifiedAt returns when a gateway learns of the endpoint; nil means that all of them do at the start.
 	notifiedAt func(gateway int) time.Duration
-	// restartedAt is when each gateway is restarted and forgets what it sent; a second later it knows the rate of a
-	// warm endpoint again. nil: never.
+	// restartedAt returns when a gateway is restarted and loses its budget. It knows the rate of a warm endpoint again
+	// a second later. nil means never.
 	restartedAt func(gateway int) time.Duration
 	seed        uint64
 	length      time.Duration
 
-	// countsAllAnswers is a mistake: each gateway goes by the answers to all.
+	// countsAllAnswers injects a fault: each gateway counts the answers to all gateways.
 	countsAllAnswers bool
-	// usesCurrentCapacity is another: budgets go by the capacity now, and not when the window began.
+	// usesCurrentCapacity injects a fault: budgets use the current capacity instead of that at the beginning of the
+	// window.
 	usesCurrentCapacity bool
 }
 
-// allowedExcess is what may go beyond a budget of n requests by chance. For an endpoint that can take no more than
-// two or three requests in a window, the first attempts of tens of gateways that know nothing of each other are
-// chance alone.
+// allowedExcess returns by how many requests a limit of n requests in a window may be exceeded by chance. If the
+// endpoint can take only two or three requests per window, chance dominates the first attempts of dozens of gateways
+// that know nothing of each other.
 func allowedExcess(n float64) float64 {
 	if n < 3 {
 		return 3*math.Sqrt(n) + 3
@@ -54,44 +55,44 @@
 	return 2*math.Sqrt(n) + 2
 }
 
-// capacityFraction is the part of its capacity that the endpoint has at an age.
-func (p *fleetPlay) capacityFraction(age time.Duration) float64 {
+// capacityFraction returns the fraction of its capacity that the endpoint has at an age.
+func (p *scenario) capacityFraction(age time.Duration) float64 {
 	return p.initialFraction + (1-p.initialFraction)*min(1, age.Seconds()/p.duration.Seconds())
 }
 
-// currentCapacity is the capacity at an age, in mean requests a second.
-func (p *fleetPlay) currentCapacity(age time.Duration) float64 {
+// currentCapacity returns the capacity at an age, in mean requests per second.
+func (p *scenario) currentCapacity(age time.Duration) float64 {
 	return p.capacity * p.capacityFraction(age)
 }
 
-// lag is how far back a gateway looks at the capacity.
-func (p *fleetPlay) lag() time.Duration {
+// lag returns the age of the capacity that a gateway uses as that of the beginning of the window.
+func (p *scenario) lag() time.Duration {
 	if p.usesCurrentCapacity {
 		return 0
 	}
 	return p.terms.Window
 }
 
-// fleetRun is the state of a play while it goes on.
-type fleetRun struct {
-	*fleetPlay
+// scenarioRun is the state of a scenario while it is simulated.
+type scenarioRun struct {
+	*scenario
 	rng         *rand.Rand
 	budgets     []Budget
 	credit      []float64
 	inFlight    []int
 	restartedAt []time.Duration
-	// queue has the gateways whose requests the endpoint has not served yet.
+	// queue holds the gateways whose requests the endpoint has not served yet.
 	queue []int
-	// served is the work done for the next request, in mean requests.
+	// served is the work already done for the next request, in mean requests.
 	served float64
-	// sent has the time of each attempt.
+	// sent holds the time of each attempt.
 	sent []time.Duration
 }
 
-// newFleetRun starts a play.
-func newFleetRun(p *fleetPlay) *fleetRun {
-	return &fleetRun{
-		fleetPlay:   p,
+// newScenarioRun returns the initial state of a simulation.
+func newScenarioRun(p *scenario) *scenarioRun {
+	return &scenarioRun{
+		scenario:    p,
 		rng:         rand.New(rand.NewPCG(p.seed, 4)),
 		budgets:     make([]Budget, p.gateways),
 		credit:      make([]float64, p.gateways),
@@ -100,11 +101,11 @@
 	}
 }
 
-const playStep = 10 * time.Millisecond
+const simulationStep = 10 * time.Millisecond
 
-// serve lets the endpoint work for one step.
-func (r *fleetRun) serve(now time.Duration) {
-	work := r.currentCapacity(now) * playStep.Seconds()
+// serve simulates one step of the endpoint.
+func (r *scenarioRun) serve(now time.Duration) {
+	work := r.currentCapacity(now) * simulationStep.Seconds()
 	r.served = min(r.served+work, float64(len(r.queue))+work)
 	for len(r.queue) > 0 && r.served >= 1 {
 		r.served--
@@ -119,17 +120,17 @@
 	}
 }
 
-// send lets a gateway send what its demand and its budget allow.
-func (r *fleetRun) send(now time.Duration, gateway int) {
+// send simulates one step of a gateway, which sends what its demand and its budget allow.
+func (r *scenarioRun) send(now time.Duration, gateway int) {
 	if !r.isUp(gateway) || r.notifiedAt != nil && now < r.notifiedAt(gateway) {
 		return
 	}
 	budget := &r.budgets[gateway]
-	if r.fleetPlay.restartedAt != nil && r.restartedAt[gateway] == 0 && now >= r.fleetPlay.restartedAt(gateway) {
+	if r.scenario.restartedAt != nil && r.restartedAt[gateway] == 0 && now >= r.scenario.restartedAt(gateway) {
 		*budget = Budget{}
 		r.restartedAt[gateway] = now
 	}
-	r.credit[gateway] = min(r.credit[gateway]+r.demand(gateway)*playStep.Seconds(), 8)
+	r.credit[gateway] = min(r.credit[gateway]+r.demand(gateway)*simulationStep.Seconds(), 8)
 	rate := 0.0
 	if r.knowsRate && (r.restartedAt[gateway] == 0 || now >= r.restartedAt[gateway]+time.Second) {
 		rate = r.capacity / float64(r.gateways) * cmp.Or(r.staleFactor, 1)
@@ -145,10 +146,10 @@
 	}
 }
 
-// run plays to the end and returns the time of each attempt.
-func (p *fleetPlay) run() []time.Duration {
-	r := newFleetRun(p)
-	for now := time.Duration(0); now < p.length; now += playStep {
+// run simulates the scenario to its end and returns the time of each attempt.
+func (p *scenario) run() []time.Duration {
+	r := newScenarioRun(p)
+	for now := time.Duration(0); now < p.length; now += simulationStep {
 		r.serve(now)
 		for _, gateway := range r.rng.Perm(p.gateways) {
 			r.send(now, gateway)
@@ -157,9 +158,9 @@
 	return r.sent
 }
 
-// worstExcess is by how many requests some window had more than the endpoint can take by its true terms, and more
-// than chance explains.
-func (p *fleetPlay) worstExcess(truth Terms) float64 {
+// worstExcess returns the largest number of requests by which any window exceeded what the endpoint can take according
+// to its true terms, beyond the excess that is allowed by chance.
+func (p *scenario) worstExcess(truth Terms) float64 {
 	sent := p.run()
 	worst := 0.0
 	end := 0
@@ -173,11 +174,12 @@
 	return worst
 }
 
-// drawPlay draws a play. The demand is at one gateway, at some or at all, and some gateways are not there.
-func drawPlay(t *rapid.T) *fleetPlay {
+// drawScenario draws a scenario. The demand is concentrated on one gateway, on some or on all of them, and some
+// gateways are down.
+func drawScenario(t *rapid.T) *scenario {
 	gateways := rapid.SampledFrom([]int{1, 2, 3, 5, 20, 40}).Draw(t, "gateways")
 	duration := time.Duration(rapid.IntRange(5, 20).Draw(t, "duration")) * time.Second
-	p := &fleetPlay{
+	p := &scenario{
 		gateways:        gateways,
 		capacity:        rapid.Float64Range(1, 200).Draw(t, "capacity"),
 		initialFraction: rapid.Float64Range(0.15, 0.5).Draw(t, "initialFraction"),
@@ -204,11 +206,11 @@
 	return p
 }
 
-// unevenPlay is a play of many gateways that differ in demand, hear of the endpoint at different times, and are
-// partly restarted while it warms up.
-func unevenPlay(gateways int, seed uint64) *fleetPlay {
+// unevenScenario returns a scenario of many gateways that differ in demand and learn of the endpoint at different
+// times, some of which are restarted while it warms up.
+func unevenScenario(gateways int, seed uint64) *scenario {
 	rng := rand.New(rand.NewPCG(seed, uint64(gateways)))
-	p := &fleetPlay{
+	p := &scenario{
 		gateways:        gateways,
 		seed:            seed,
 		knowsRate:       seed%4 > 0,
@@ -227,7 +229,7 @@
 	share := make([]float64, gateways)
 	sum := 0.0
 	for i := range share {
-		share[i] = math.Pow(rng.Float64(), float64(rng.IntN(4))) // from even to a few that have all
+		share[i] = math.Pow(rng.Float64(), float64(rng.IntN(4))) // from even to concentrated on a few gateways
 		sum += share[i]
 	}
 	demand := p.capacity * (1 + 9*rng.Float64())
@@ -246,47 +248,49 @@
 	return p
 }
 
-// The sum over all gateways is what counts: in none of a thousand uneven plays a window holds more attempts than the
-// endpoint can take when the window begins, and than chance explains.
+// TestSumOverManyGateways verifies the sum of what many uneven gateways send: no window of any scenario holds more
+// attempts than the endpoint can take at the beginning of the window, beyond what is allowed by chance.
 func TestSumOverManyGateways(t *testing.T) {
-	const plays = 500
+	const runs = 500
 	for _, gateways := range []int{20, 30} {
 		t.Run(fmt.Sprint(gateways, " gateways"), func(t *testing.T) {
 			overloads := 0
 			worst := math.Inf(-1)
-			for seed := range uint64(plays) {
-				p := unevenPlay(gateways, seed)
+			for seed := range uint64(runs) {
+				p := unevenScenario(gateways, seed)
 				excess := p.worstExcess(p.terms)
 				worst = max(worst, excess)
 				if excess > 0 {
 					overloads++
 				}
 			}
-			t.Logf("%d of %d plays over, %.1f at worst", overloads, plays, worst)
+			t.Logf("overloaded in %d of %d scenarios, by %.1f at worst", overloads, runs, worst)
 			if overloads > 0 {
-				t.Errorf("the endpoint was overloaded in %d of %d plays, by %.1f at worst", overloads, plays, worst)
+				t.Errorf("the endpoint was overloaded in %d of %d scenarios, by %.1f at worst", overloads, runs, worst)
 			}
 		})
 	}
 }
 
-// Whatever the demand and whoever is there, an endpoint that does what it can is not overloaded. The plays are the
-// same each time: of some ten thousand drawn ones one has, by chance, more than allowedExcess.
+// TestPowerWarmingEndpointIsNotOverloaded verifies that a warming endpoint that serves at its capacity is not
+// overloaded, whatever the demand and whichever gateways are up. The scenarios are the same in each run, because of
+// about ten thousand random ones one exceeds allowedExcess by chance.
 func TestPowerWarmingEndpointIsNotOverloaded(t *testing.T) {
-	all := rapid.Custom(drawPlay)
+	all := rapid.Custom(drawScenario)
 	for seed := range 2000 {
 		p := all.Example(seed)
 		if excess := p.worstExcess(p.terms); excess > 0 {
 			budget := p.terms.OverloadMultiple * p.capacity * p.initialFraction * p.terms.Window.Seconds()
-			t.Errorf("play %d: %.1f over what it can take in a window (%d gateways, %.1f at the start)",
+			t.Errorf("scenario %d: a window exceeds the endpoint's budget by %.1f (%d gateways, %.1f at the start)",
 				seed, excess, p.gateways, budget)
 		}
 	}
 }
 
-// The check finds mistakes: a remembered rate that is too high, a wrong number of gateways, answers to others.
+// TestPowerMistakesAreFound verifies that the simulation detects wrong budgets, such as those from a remembered rate
+// that is too high, a wrong number of gateways, or answers to other gateways.
 func TestPowerMistakesAreFound(t *testing.T) {
-	correct := fleetPlay{
+	correct := scenario{
 		gateways:        40,
 		capacity:        60,
 		initialFraction: 0.2,
@@ -299,41 +303,41 @@
 	}
 	for _, c := range []struct {
 		name   string
-		change func(*fleetPlay)
+		change func(*scenario)
 		found  bool
 	}{
-		{"none", func(*fleetPlay) {}, false},
-		{"four times the rate", func(p *fleetPlay) { p.knowsRate, p.staleFactor = true, 4 }, true},
-		{"each as if it were alone", func(p *fleetPlay) {
+		{"none", func(*scenario) {}, false},
+		{"four times the rate", func(p *scenario) { p.knowsRate, p.staleFactor = true, 4 }, true},
+		{"each as if it were alone", func(p *scenario) {
 			p.terms.Gateways, p.gateways, p.capacity = 1, 150, 20
 		}, true},
-		{"capacity now", func(p *fleetPlay) {
+		{"capacity now", func(p *scenario) {
 			p.knowsRate, p.usesCurrentCapacity, p.duration = true, true, 5*time.Second
 		}, true},
-		{"answers to all", func(p *fleetPlay) { p.countsAllAnswers = true }, true},
-		{"overload multiple too high", func(p *fleetPlay) { p.knowsRate, p.terms.OverloadMultiple = true, 12 }, true},
-		{"window too long", func(p *fleetPlay) { p.knowsRate, p.terms.Window = true, 12*time.Second }, true},
+		{"answers to all", func(p *scenario) { p.countsAllAnswers = true }, true},
+		{"overload multiple too high", func(p *scenario) { p.knowsRate, p.terms.OverloadMultiple = true, 12 }, true},
+		{"window too long", func(p *scenario) { p.knowsRate, p.terms.Window = true, 12*time.Second }, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			p := correct
 			c.change(&p)
 			if excess := p.worstExcess(correct.terms); (excess > 0) != c.found {
-				t.Errorf("%.1f over", excess)
+				t.Errorf("unexpected worst excess of %.1f requests", excess)
 			}
 		})
 	}
 }
 
-// An endpoint of which nothing is known is in use at once where gateways are few, and serves what it can long before
-// it is warm.
+// TestPowerWarmingEndpointIsUsed verifies that an endpoint of which nothing is known is used at once if there are few
+// gateways, and handles a good part of its capacity long before it is warm.
 func TestPowerWarmingEndpointIsUsed(t *testing.T) {
-	const plays = 20
-	const minAttempts = 60 // of the 26 a second and more that it can serve
+	const runs = 20
+	const minAttempts = 60 // in five seconds, at a capacity of at least 26 per second
 	for _, gateways := range []int{1, 3, 5, 20} {
 		t.Run(fmt.Sprint(gateways), func(t *testing.T) {
 			attempts := 0
-			for seed := range uint64(plays) {
-				p := fleetPlay{
+			for seed := range uint64(runs) {
+				p := scenario{
 					gateways:        gateways,
 					capacity:        100,
 					initialFraction: 0.26,
@@ -346,18 +350,19 @@
 				}
 				attempts += len(p.run())
 			}
-			if mean := float64(attempts) / plays; mean < minAttempts {
-				t.Errorf("%.0f in its first five seconds", mean)
+			if mean := float64(attempts) / runs; mean < minAttempts {
+				t.Errorf("only %.0f attempts in the first five seconds", mean)
 			}
 		})
 	}
 }
 
-// noChance draws the lowest random number.
-func noChance() float64 { return 0 }
+// lowestRandom is a random function that always returns the lowest number.
+func lowestRandom() float64 { return 0 }
 
-// Each gateway has its part of what an endpoint can take, by the rate of warm ones: rounded up where gateways are
-// few, and down, with the lowest random number, where they are many.
+// TestBudgetFollowsCapacity verifies that each gateway gets its share of what the endpoint can take, by the rate of
+// warm endpoints. The share is rounded up if there are few gateways, and rounded down, given the lowest random number,
+// if there are many.
 func TestBudgetFollowsCapacity(t *testing.T) {
 	for _, c := range []struct{ gateways, capacity, rate float64 }{
 		{4, 0.2, 50},
@@ -373,37 +378,37 @@
 			terms := Terms{OverloadMultiple: 3, Window: 2 * time.Second, Gateways: c.gateways}
 			capacity := Capacity{Then: c.capacity, Now: c.capacity}
 			count := 0
-			for !b.IsExhausted(time.Second, terms, c.rate, capacity, noChance) {
+			for !b.IsExhausted(time.Second, terms, c.rate, capacity, lowestRandom) {
 				b.RecordDispatch(time.Second, 1)
 				count++
 			}
 			want := int(math.Ceil(warmBudgetFraction*3*c.capacity*c.rate*2 - 1e-6))
-			if c.gateways > maxRoundingGateways {
+			if c.gateways > maxGatewaysRoundingUp {
 				want = int(math.Floor(warmBudgetFraction*3*c.capacity*c.rate*2 + 1e-6))
 			}
 			if count != want {
-				t.Errorf("%d attempts of one gateway, want %d", count, want)
+				t.Errorf("one gateway may send %d attempts, want %d", count, want)
 			}
-			if b.IsExhausted(time.Second+terms.Window, terms, c.rate, capacity, noChance) {
-				t.Error("still exhausted a window later")
+			if b.IsExhausted(time.Second+terms.Window, terms, c.rate, capacity, lowestRandom) {
+				t.Error("the budget is still exhausted a window later")
 			}
 		})
 	}
 }
 
-// An attempt that was never sent takes nothing of the budget.
+// TestCancelledDispatchIsGivenBack verifies that an attempt that was never sent does not use the budget.
 func TestCancelledDispatchIsGivenBack(t *testing.T) {
 	terms := Terms{OverloadMultiple: 3, Window: 2 * time.Second, Gateways: 1}
 	capacity := Capacity{Then: 0.3, Now: 0.3}
 	var b Budget
 	for n := range 5 {
 		at := time.Second + time.Duration(n)*time.Millisecond
-		if b.IsExhausted(at, terms, 0, capacity, noChance) {
-			t.Fatalf("exhausted after %d attempts that were taken back", n)
+		if b.IsExhausted(at, terms, 0, capacity, lowestRandom) {
+			t.Fatalf("the budget is exhausted after %d cancelled attempts", n)
 		}
 		b.RecordDispatch(at, 1)
-		if !b.IsExhausted(at, terms, 0, capacity, noChance) {
-			t.Fatal("not exhausted with one attempt out")
+		if !b.IsExhausted(at, terms, 0, capacity, lowestRandom) {
+			t.Fatal("the budget is not exhausted by one attempt")
 		}
 		b.CancelDispatch(at, 1)
 	}
