--- a/internal/balancer/subsetting/subsetting.go
+++ b/internal/balancer/subsetting/subsetting.go
@@ -1,12 +1,12 @@
-// Package subsetting chooses which of many endpoints each of many gateways uses as a rule. A gateway then has
-// evidence of those that it uses and keeps few connections, and an endpoint is used by few gateways. It does no input
+// Package subsetting chooses the endpoints that each of many gateways normally uses. A gateway then has enough evidence
+// about its endpoints and keeps few connections, and each endpoint is used by few gateways. The package does no input
 // or output.
 //
-// The choice is made for each endpoint by rendezvous hashing (Thaler and Ravishankar, 1998): a fixed number of
-// gateways use it, those whose hashes with its name are lowest. So all endpoints have the same number of gateways;
-// subsets that each gateway draws for itself would miss that by a fifth. An endpoint that comes or goes changes
-// nothing for the others, and gateways need not have the same list. The number of endpoints of a gateway varies,
-// which does no harm.
+// The choice is made per endpoint by rendezvous hashing (Thaler and Ravishankar, 1998): the endpoint is used by a fixed
+// number of gateways, those with the lowest hashes of gateway index and endpoint name. So all endpoints have the same
+// number of gateways; with subsets drawn independently by each gateway that number would vary by a fifth. Adding or
+// removing an endpoint does not affect the others, and the gateways need not have identical endpoint lists. The number
+// of endpoints per gateway varies, which is harmless.
 package subsetting
 
 import (
@@ -14,11 +14,11 @@
 	"slices"
 )
 
-// minGatewaysPerEndpoint is the least number of gateways that use an endpoint, where there are as many.
+// minGatewaysPerEndpoint is the minimum number of gateways that use an endpoint, if there are that many.
 const minGatewaysPerEndpoint = 2
 
-// GatewaysPerEndpoint is the number of gateways that use each endpoint, for gateways that should use a number of
-// endpoints each, in the mean. It is all gateways if there are no more endpoints than that.
+// GatewaysPerEndpoint returns the number of gateways that use each endpoint such that a gateway uses
+// endpointsPerGateway endpoints on average. It returns all gateways if there are no more endpoints than that.
 func GatewaysPerEndpoint(gateways, endpoints, endpointsPerGateway int) int {
 	if endpoints <= endpointsPerGateway || gateways <= minGatewaysPerEndpoint || endpointsPerGateway <= 0 {
 		return max(1, gateways)
@@ -27,9 +27,9 @@
 	return min(gateways, max(minGatewaysPerEndpoint, needed))
 }
 
-// Uses reports whether the gateway of an index, from 0, is among the gatewaysPerEndpoint that use the endpoint of a
-// name. Others stand in for gateways that are dead, given by index; whoever used the endpoint goes on with it. An
-// index outside the gateways counts modulo their number.
+// Uses reports whether the gateway with the given index, counted from 0, is one of the gatewaysPerEndpoint gateways
+// that use the named endpoint. Gateways listed in dead by index are replaced by others; the live gateways that already
+// use the endpoint keep it. An index out of range is taken modulo the number of gateways.
 func Uses(name string, index, gateways, gatewaysPerEndpoint int, dead []int) bool {
 	if gatewaysPerEndpoint >= gateways {
 		return true
@@ -54,14 +54,14 @@
 	return true
 }
 
-// hashName is the FNV-1a hash of a name.
+// hashName returns the FNV-1a hash of a name.
 func hashName(name string) uint64 {
 	h := fnv.New64a()
-	_, _ = h.Write([]byte(name)) // a hash never fails
+	_, _ = h.Write([]byte(name)) // writing to a hash never fails
 	return h.Sum64()
 }
 
-// mix is the hash of a name's hash and an index: the finalizer of SplitMix64.
+// mix combines the hash of a name with an index, using the finalizer of SplitMix64.
 func mix(seed uint64, index int) uint64 {
 	z := seed + uint64(index+1)*0x9e3779b97f4a7c15
 	z = (z ^ z>>30) * 0xbf58476d1ce4e5b9
