--- a/internal/balancer/admission_test.go
+++ b/internal/balancer/admission_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// The priority weight decides how long a request that joins a queue may be expected to wait.
+// TestPriorityDecidesQueueLength verifies that a request of higher priority weight may join a longer queue.
 func TestPriorityDecidesQueueLength(t *testing.T) {
 	joined := func(class int) int {
 		settings := testSettings()
@@ -26,12 +26,13 @@
 		return n
 	}
 	if low, high := joined(0), joined(1); high < 3*low || low == 0 {
-		t.Errorf("%d requests of low and %d of high priority may wait; want three times as many of high",
+		t.Errorf("%d requests of low and %d of high priority were queued; want at least three times as many of high",
 			low, high)
 	}
 }
 
-// Requests over a quota find a free slot as long as those within their quota do, and none once many of those do not.
+// TestShortageShedsOverQuotaRequests verifies that requests over a quota are dispatched while requests within their
+// quota find free slots, and that none is dispatched once many of those do not.
 func TestShortageShedsOverQuotaRequests(t *testing.T) {
 	dispatched := func(shortage float64) int {
 		settings := testSettings()
@@ -52,12 +53,13 @@
 		return n
 	}
 	if without, with := dispatched(0), dispatched(0.6); without < 100 || with != 0 {
-		t.Errorf("%d of 400 are dispatched over the quota without shortage, %d with it; want most of them, and none",
+		t.Errorf("%d of 400 requests over the quota dispatched without shortage, %d with it; want at least 100 and 0",
 			without, with)
 	}
 }
 
-// The shortage rises while requests within their quota find no free slot, and falls when they do.
+// TestShortageFollowsRequestsWithinQuota verifies that the shortage rises while requests within their quota find no
+// free slot, and falls while they find one.
 func TestShortageFollowsRequestsWithinQuota(t *testing.T) {
 	settings := testSettings()
 	settings.UseCounter, settings.Gateways = false, 1
@@ -68,7 +70,7 @@
 	}
 	high := b.shortage
 	if high < 0.3 {
-		t.Fatalf("shortage %.2f, while the one endpoint answers nothing", high)
+		t.Fatalf("shortage %.2f while the only endpoint answers nothing; want at least 0.3", high)
 	}
 	b = newTestBalancer(t, settings, testEndpoints(1)...)
 	b.shortage = high
@@ -79,11 +81,12 @@
 		}
 	}
 	if b.shortage > high/5 {
-		t.Errorf("shortage %.2f, and %.2f after two hundred requests that all found a free slot", high, b.shortage)
+		t.Errorf("shortage was %.2f, and still %.2f after 200 requests that all found a free slot", high, b.shortage)
 	}
 }
 
-// A request that came while the gateway stood still and can't be in time any more is rejected, not dispatched.
+// TestOldRequestAfterStallIsRejected verifies that a request that arrived while the gateway was stalled, and can no
+// longer be answered in time, is rejected instead of dispatched.
 func TestOldRequestAfterStallIsRejected(t *testing.T) {
 	b := newTestBalancer(t, testSettings(), testEndpoints(4)...)
 	b.Step(ms, []Event{testRequest(1, 0, 2)})
@@ -91,13 +94,13 @@
 	old.TimeLeft = 2*time.Second - 490*ms
 	actions := b.Step(time.Second, []Event{old})
 	if len(actionsOf[Dispatch](actions)) != 0 || len(actionsOf[Reject](actions)) != 1 {
-		t.Errorf("a request that has waited for 490 of its 500 ms: %v", actions)
+		t.Errorf("a request that waited for 490 of its 500 ms must be rejected and not dispatched: %v", actions)
 	}
 }
 
-// Where a gateway has little evidence of each endpoint, answers that are slow for a moment reject no request of the
-// highest level. Answers that take most of the time left do, but for a few requests whose answers tell when it is
-// over.
+// TestShedByLatencyWithLittleEvidence verifies load shedding by latency at a gateway with little evidence about each
+// endpoint. A moderate slowdown causes no rejection of requests of the highest level. Answers that take all of the time
+// left cause the rejection of all but a few requests, whose answers show when the overload is over.
 func TestShedByLatencyWithLittleEvidence(t *testing.T) {
 	b := newTestBalancer(t, largeFleetSettings(80), testEndpoints(20)...)
 	b.latency.classes[1].meanLatency, b.latency.classes[1].idleLatency = 0.05, 0.05
@@ -111,9 +114,9 @@
 		return n
 	}
 	if n := rejected(4); n != 0 { // 200 of 600 ms
-		t.Errorf("%d of 1000 rejected while answers take a third of the time left", n)
+		t.Errorf("%d of 1000 rejected while answers take a third of the time left; want none", n)
 	}
 	if n := rejected(12); n < 900 || n == 1000 {
-		t.Errorf("%d of 1000 rejected while answers take all of the time left", n)
+		t.Errorf("%d of 1000 rejected while answers take all of the time left; want 900 to 999", n)
 	}
 }
