--- a/internal/balancer/attemptresult_test.go
+++ b/internal/balancer/attemptresult_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A request that reaches its deadline is rejected by its own timer, and its attempt is cancelled. For the endpoint
-// that counts as a timeout.
+// TestDeadlineOfRequestCountsAsTimeout verifies that a request at its deadline is rejected by its own timer, that its
+// attempt is cancelled, and that the cancelled attempt counts as a timeout of the endpoint.
 func TestDeadlineOfRequestCountsAsTimeout(t *testing.T) {
 	b := newSingleGateway(t, 1)
 	dispatch := singleDispatch(t, b.Step(0, []Event{testRequest(1, 0, 2)}))
@@ -14,19 +14,20 @@
 	deadline := 498 * ms // the latency objective, less the resolution
 	actions := b.Step(deadline, []Event{TimerFired{requestCookie(1)}})
 	if len(actionsOf[CancelAttempt](actions)) != 1 || len(actionsOf[Reject](actions)) != 1 {
-		t.Fatalf("at the deadline: %v", actions)
+		t.Fatalf("not rejected and cancelled at the deadline: %v", actions)
 	}
 	limit := ep.concurrency.limit
 	cancelled := resultOf(dispatch, Cancelled, deadline)
 	cancelled.RequestClosed = true
 	b.Step(deadline, []Event{cancelled})
 	if ep.concurrency.limit >= limit || ep.outlier.timeouts != 1 || ep.latency.factor <= 1 {
-		t.Errorf("concurrency limit %v of %v, %d timeouts, latency factor %v: nothing was learned of the endpoint",
+		t.Errorf("concurrency limit %v was %v, %d timeouts, latency factor %v: the timeout was not recorded",
 			ep.concurrency.limit, limit, ep.outlier.timeouts, ep.latency.factor)
 	}
 }
 
-// An attempt that ends since its client has left says nothing of the endpoint.
+// TestClientThatLeftCountsAsNoTimeout verifies that an attempt that is cancelled because its client left does not count
+// against the endpoint.
 func TestClientThatLeftCountsAsNoTimeout(t *testing.T) {
 	b := newSingleGateway(t, 1)
 	dispatch := singleDispatch(t, b.Step(0, []Event{testRequest(1, 0, 2)}))
@@ -37,17 +38,17 @@
 	cancelled.RequestClosed = true
 	b.Step(5*ms, []Event{cancelled})
 	if ep.concurrency.limit != before.concurrency.limit || ep.outlier.timeouts != before.outlier.timeouts {
-		t.Error("a client that left counts against the endpoint")
+		t.Error("an attempt cancelled by its client counts against the endpoint")
 	}
 }
 
-// With the first byte of a streamed answer the endpoint's slot is free and its latency known. The rest of a slow
-// transfer is no silence, has no deadline and is never retried.
+// TestFirstByteFreesSlot verifies that the first byte of a streamed response frees the endpoint's slot and records its
+// latency. The rest of a slow transfer does not count as silence, has no deadline and is never retried.
 func TestFirstByteFreesSlot(t *testing.T) {
 	settings := settingsWithoutCounter()
 	b := newTestBalancer(t, settings, testEndpoints(4)...)
 	at := time.Second
-	for i := range uint64(40) { // it knows how long answers take
+	for i := range uint64(40) { // train the latency estimate
 		sendRequests(b, at+time.Duration(i)*tickInterval, 100+i, 1)
 	}
 	at += time.Second
@@ -69,12 +70,12 @@
 		for _, a := range b.Step(at+time.Duration(i)*tickInterval, timers) {
 			switch a := a.(type) {
 			case Reject, Fail, CancelAttempt, Dispatch:
-				t.Fatalf("%+v while the answer is streamed", a)
+				t.Fatalf("unexpected action while the response is streamed: %+v", a)
 			}
 		}
 	}
 	if ep.outlier.ejected {
-		t.Error("the endpoint is taken for silent")
+		t.Error("the endpoint was ejected as silent")
 	}
 	actions := b.Step(
 		at+4*time.Second,
@@ -82,7 +83,7 @@
 	)
 	if len(actionsOf[Dispatch](actions)) > 0 || ep.latency.factor != latencyFactor ||
 		len(b.requests) != 0 || ep.inFlightWork != 0 {
-		t.Errorf("%+v, latency factor %v was %v, %d requests, work %v",
+		t.Errorf("after the stream broke: %+v, latency factor %v was %v, %d requests stored, work %v",
 			actions, ep.latency.factor, latencyFactor, len(b.requests), ep.inFlightWork)
 	}
 }
