--- a/internal/balancer/concurrency_test.go
+++ b/internal/balancer/concurrency_test.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// Endpoints that reject everything get few attempts, retries included.
+// TestRejectingEndpointsGetFewAttempts verifies that endpoints that reject everything get few attempts, including
+// retries.
 func TestRejectingEndpointsGetFewAttempts(t *testing.T) {
 	b := newTestBalancer(t, largeFleetSettings(100), testEndpoints(30)...)
 	sent, attempts := 0, map[uint64]int{}
 	for i := range 3000 {
 		now := time.Duration(i+1) * 200 * ms
-		todo := actionsOf[Dispatch](b.Step(now, []Event{testRequest(uint64(i), 0, 2), TimerFired{tickCookie}}))
-		for len(todo) > 0 { // ends: a request has three attempts at most
-			dispatch := todo[0]
+		pending := actionsOf[Dispatch](b.Step(now, []Event{testRequest(uint64(i), 0, 2), TimerFired{tickCookie}}))
+		for len(pending) > 0 { // terminates, because a request has at most three attempts
+			dispatch := pending[0]
 			result := resultOf(dispatch, Rejected, ms)
 			result.Attempt = attempts[dispatch.ID]
 			if i < 100 {
@@ -22,15 +23,16 @@
 				sent++
 			}
 			attempts[dispatch.ID]++
-			todo = append(todo[1:], actionsOf[Dispatch](b.Step(now+ms, []Event{result}))...)
+			pending = append(pending[1:], actionsOf[Dispatch](b.Step(now+ms, []Event{result}))...)
 		}
 	}
 	if sent == 0 || sent > 300 {
-		t.Errorf("%d dispatches for 1500 requests to endpoints that reject all; want a few", sent)
+		t.Errorf("%d dispatches for 1500 requests to endpoints that reject all; want 1 to 300", sent)
 	}
 }
 
-// Slots are filled by work: in place of a few large requests there are many small ones.
+// TestSlotsCountWork verifies that slots are filled by work: many small requests fit into the slots of a few large
+// ones.
 func TestSlotsCountWork(t *testing.T) {
 	count := func(units float64) int {
 		b := newTrainedBalancer(t, testEndpoints(1)...)
@@ -43,6 +45,6 @@
 		return n
 	}
 	if small, large := count(1), count(4); small < 3*large || large == 0 {
-		t.Errorf("%d small or %d large requests in flight; want three times as many small ones at least", small, large)
+		t.Errorf("%d small or %d large requests in flight; want at least three times as many small ones", small, large)
 	}
 }
