--- a/internal/balancer/endpoints_test.go
+++ b/internal/balancer/endpoints_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// A draining endpoint gets no new attempts.
+// TestDrainingEndpointGetsNoRequests verifies that a draining endpoint gets no new attempts.
 func TestDrainingEndpointGetsNoRequests(t *testing.T) {
 	b := newTestBalancer(t, testSettings(), testEndpoints(2)...)
 	b.Step(ms, []Event{EndpointUpdate{Kind: Delta, Entries: []Endpoint{{Name: "b0", State: Draining}}}})
@@ -20,7 +20,7 @@
 	}
 }
 
-// Requests queued at a removed endpoint are dispatched elsewhere.
+// TestQueueOfRemovedEndpointIsReassigned verifies that requests queued at a removed endpoint are not dispatched to it.
 func TestQueueOfRemovedEndpointIsReassigned(t *testing.T) {
 	b := newTestBalancer(t, testSettings(), testEndpoints(3)...)
 	var events []Event
@@ -37,7 +37,8 @@
 	}
 }
 
-// An endpoint that an administrator has ejected gets nothing, whatever the endpoint list says, until it is restored.
+// TestAdminEjectionOverridesEndpointList verifies that an administratively ejected endpoint gets no requests until it
+// is restored, whatever the endpoint list says.
 func TestAdminEjectionOverridesEndpointList(t *testing.T) {
 	endpoints := testEndpoints(4)
 	ejected := endpoints[0]
@@ -45,7 +46,7 @@
 	now := time.Second
 	id := uint64(1)
 	if attempts := sendRequests(b, now, id, 40); attempts[ejected.Name] == 0 {
-		t.Fatalf("not used before: %v", attempts)
+		t.Fatalf("the endpoint is not used before its ejection: attempts %v", attempts)
 	}
 	restarted := ejected
 	restarted.StartedAt = now
@@ -67,25 +68,25 @@
 	} {
 		b.Step(now, c.events)
 		if listed, avoided := b.EndpointCounts(); listed != 4 || avoided != 1 {
-			t.Errorf("%s: %d listed, %d avoided", c.when, listed, avoided)
+			t.Errorf("%s: %d endpoints listed and %d avoided, want 4 and 1", c.when, listed, avoided)
 		}
 		now += 100 * ms
 		id += 100
 		if attempts := sendRequests(b, now, id, 40); attempts[ejected.Name] > 0 || len(attempts) == 0 {
-			t.Errorf("%s: %v", c.when, attempts)
+			t.Errorf("%s: attempts by endpoint %v, want some, but none to the ejected one", c.when, attempts)
 		}
 	}
 	for range 40 {
 		now += tickInterval
 		if len(actionsOf[HealthCheck](b.Step(now, []Event{TimerFired{tickCookie}}))) > 0 {
-			t.Error("probed")
+			t.Error("an administratively ejected endpoint was probed")
 		}
 	}
 	checkRestored(t, b, ejected.Name, now+tickInterval, id+100)
 }
 
-// A restored endpoint is used again within seconds, although warm ones are idle, and warms up. Another restore changes
-// nothing.
+// TestAdminRestore verifies that a restored endpoint begins slow start and is used again within seconds, even though
+// warm endpoints are idle, and that a second restore changes nothing.
 func TestAdminRestore(t *testing.T) {
 	endpoints := testEndpoints(4)
 	name := endpoints[0].Name
@@ -103,14 +104,14 @@
 	checkRestored(t, b, name, now+41*tickInterval, 2000)
 }
 
-// checkRestored restores an ejected endpoint and checks that it is used again within seconds, although warm ones are
-// idle, and warms up, and that another restore changes nothing.
+// checkRestored restores an ejected endpoint. It checks that the endpoint begins slow start and is used again within
+// seconds, even though warm endpoints are idle, and that a second restore changes nothing.
 func checkRestored(t *testing.T, b *Balancer, name string, now time.Duration, id uint64) {
 	t.Helper()
 	b.Step(now, []Event{AdminRestore{name}})
 	ep := b.endpoints.byName[name]
 	if !ep.isUsable() || !ep.slowStart.active {
-		t.Fatalf("restored: usable %t, warming up %t", ep.isUsable(), ep.slowStart.active)
+		t.Fatalf("after the restore: usable %t, warming up %t; want both", ep.isUsable(), ep.slowStart.active)
 	}
 	attempts := 0
 	for end := now + 5*time.Second; now < end && attempts == 0; now += 200 * ms {
@@ -118,7 +119,7 @@
 		id++
 	}
 	if attempts == 0 {
-		t.Error("not used for 5 s after it was restored")
+		t.Error("the endpoint was not used within 5 s after it was restored")
 	}
 	b.Step(now, []Event{AdminRestore{name}, AdminRestore{"unknown"}})
 	if ep.slowStart.since > now-100*ms {
@@ -126,8 +127,8 @@
 	}
 }
 
-// Requests queued at an ejected endpoint go elsewhere. Once all are ejected, waiting and new requests are rejected at
-// once.
+// TestAllAdminEjectedRejectsAtOnce verifies that requests queued at an administratively ejected endpoint are
+// reassigned, and that waiting and new requests are rejected at once when all endpoints are ejected.
 func TestAllAdminEjectedRejectsAtOnce(t *testing.T) {
 	settings := settingsWithoutCounter()
 	list := testEndpoints(2)
@@ -137,7 +138,7 @@
 	}
 	b.Step(time.Second, []Event{AdminEject{Endpoint: list[0].Name}})
 	if b.endpoints.byName[list[0].Name].queue.length > 0 {
-		t.Error("still queued there")
+		t.Error("requests are still queued at the ejected endpoint")
 	}
 	actions := b.Step(time.Second+ms, []Event{AdminEject{Endpoint: list[1].Name}, testRequest(100, 0, 0)})
 	rejected := map[uint64]bool{}
@@ -145,7 +146,7 @@
 		rejected[reject.ID] = reject.Reason == EndpointsEjected && reject.RetryAfter > 0
 	}
 	if !rejected[100] {
-		t.Errorf("not rejected at once: %+v", actions)
+		t.Errorf("a new request was not rejected at once: %+v", actions)
 	}
 	open := 0
 	for _, req := range b.requests {
@@ -154,26 +155,28 @@
 		}
 	}
 	if open > 0 {
-		t.Errorf("%d still wait", open)
+		t.Errorf("%d requests are still waiting", open)
 	}
 }
 
-// An endpoint that the list has as restarted during its ejection warms up since that start.
+// TestAdminRestoreUsesListedStart verifies that an endpoint that was restarted during its ejection, according to the
+// endpoint list, begins slow start as of that restart.
 func TestAdminRestoreUsesListedStart(t *testing.T) {
 	list := testEndpoints(3)
 	b := newTestBalancer(t, settingsWithoutCounter(), list...)
 	at := 100 * time.Second
 	b.Step(at, []Event{AdminEject{Endpoint: list[0].Name, At: at - time.Second}})
-	again := list[0]
-	again.StartedAt = at + time.Second
-	b.Step(at+5*time.Second, []Event{EndpointUpdate{Kind: Delta, Entries: []Endpoint{again}}})
+	restarted := list[0]
+	restarted.StartedAt = at + time.Second
+	b.Step(at+5*time.Second, []Event{EndpointUpdate{Kind: Delta, Entries: []Endpoint{restarted}}})
 	b.Step(at+9*time.Second, []Event{AdminRestore{list[0].Name}})
-	if got := b.endpoints.byName[list[0].Name].slowStart.since; got != again.StartedAt {
-		t.Errorf("warming from %v, started %v", got, again.StartedAt)
+	if got := b.endpoints.byName[list[0].Name].slowStart.since; got != restarted.StartedAt {
+		t.Errorf("slow start began at %v, want the start time %v", got, restarted.StartedAt)
 	}
 }
 
-// Ejections of unknown endpoints leave no state once they are restored.
+// TestAdminEjectionsLeaveNoState verifies that administrative ejections of unknown endpoints leave no state behind once
+// they are restored.
 func TestAdminEjectionsLeaveNoState(t *testing.T) {
 	b := newTestBalancer(t, settingsWithoutCounter(), testEndpoints(2)...)
 	for i := range 10000 {
@@ -181,6 +184,6 @@
 		b.Step(time.Duration(i)*ms, []Event{AdminEject{Endpoint: name}, AdminRestore{name}})
 	}
 	if len(b.endpoints.adminEjected) != 0 || len(b.endpoints.byName) != 2 {
-		t.Errorf("%d ejections, %d endpoints", len(b.endpoints.adminEjected), len(b.endpoints.byName))
+		t.Errorf("%d ejections and %d endpoints, want 0 and 2", len(b.endpoints.adminEjected), len(b.endpoints.byName))
 	}
 }
