--- a/internal/balancer/inflight_test.go
+++ b/internal/balancer/inflight_test.go
@@ -7,6 +7,7 @@
 	"gapgap/internal/balancer/quotashare"
 )
 
+// TestMaxInFlightShare verifies that a gateway has its share of a plan's limit on requests in flight.
 func TestMaxInFlightShare(t *testing.T) {
 	b := newTestBalancer(t, testSettings(), testEndpoints(10)...)
 	var evs []Event
@@ -14,10 +15,12 @@
 		evs = append(evs, testRequest(uint64(i), 0, 3))
 	}
 	if n := len(actionsOf[Dispatch](b.Step(ms, evs))); n != 2 {
-		t.Errorf("%d attempts out for a limit of 4 over 2 gateways", n)
+		t.Errorf("%d attempts dispatched for a limit of 4 over 2 gateways, want 2", n)
 	}
 }
 
+// TestMaxInFlightFollowsPeerDemand verifies that a gateway uses the part of the limit that peers do not need, as long
+// as the counter shows their demand to be low.
 func TestMaxInFlightFollowsPeerDemand(t *testing.T) {
 	settings := testSettings()
 	for others, want := range map[float64]int{0: 3, 200: 2} {
@@ -35,12 +38,13 @@
 			evs = append(evs, testRequest(uint64(100+i), 0, 3))
 		}
 		if n := len(actionsOf[Dispatch](b.Step(52*ms, evs))); n != want {
-			t.Errorf("others add %v a second: %d attempts out, want %d", others, n, want)
+			t.Errorf("peers use %v units per second: %d attempts dispatched, want %d", others, n, want)
 		}
 	}
 }
 
-// A fraction that grew counts for a limit on requests in flight only when those of the former holder must be over.
+// TestOpenRequestsOfFormerLeaseHolder verifies that a fraction that grew raises the limit on requests in flight only
+// after the requests of the former lease holder must have ended.
 func TestOpenRequestsOfFormerLeaseHolder(t *testing.T) {
 	settings := Settings{
 		Gateways:     2,
