--- a/internal/balancer/latency_test.go
+++ b/internal/balancer/latency_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// The first answer may be unusually fast. The idle latency is learned from more than that, or each later answer would
-// look slow and the concurrency limits would shrink.
+// TestIdleLatencyIgnoresOneFastAnswer verifies that an unusually fast first answer does not determine the idle latency.
+// Otherwise every later answer would look slow, and the concurrency limits would shrink.
 func TestIdleLatencyIgnoresOneFastAnswer(t *testing.T) {
 	b := newSingleGateway(t, 2)
 	for i := range uint64(60) {
@@ -20,22 +20,23 @@
 		}
 	}
 	if b.latency.classes[0].idleLatency < 0.06 {
-		t.Errorf("idle latency %.0f ms; all but the first answer took 80", 1000*b.latency.classes[0].idleLatency)
+		t.Errorf("idle latency %.0f ms; all but the first answer took 80 ms", 1000*b.latency.classes[0].idleLatency)
 	}
 }
 
-// A request of one unit still has time where one of four units has none: the class's mean fits neither.
+// TestLatencyGrowsWithUnits verifies that the expected latency depends on the units of a request: the same time left is
+// enough for one unit but not for four. The mean latency of the class fits neither.
 func TestLatencyGrowsWithUnits(t *testing.T) {
 	b := newTrainedBalancer(t, testEndpoints(2)...)
 	now := 200 * time.Second
-	b.Step(now-ms, nil) // otherwise the gateway seems to have stood still
+	b.Step(now-ms, nil) // otherwise the gateway seems to have stalled
 	small, large := testRequest(1000, 0, 2), testRequest(1001, 0, 2)
 	small.TimeLeft, large.TimeLeft, large.Units = 100*ms, 100*ms, 4
 	actions := b.Step(now, []Event{small, large})
 	if got := actionsOf[Dispatch](actions); len(got) != 1 || got[0].ID != 1000 {
-		t.Errorf("dispatched %v; want the small one, which 100 ms are enough for", got)
+		t.Errorf("dispatched %v; want only the small one, for which 100 ms are enough", got)
 	}
 	if got := actionsOf[Reject](actions); len(got) != 1 || got[0].ID != 1001 {
-		t.Errorf("rejected %v; want the large one at once", got)
+		t.Errorf("rejected %v; want only the large one, at once", got)
 	}
 }
