--- a/internal/balancer/outlier_test.go
+++ b/internal/balancer/outlier_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// An endpoint that answers nothing is ejected and then gets only probe requests.
+// TestSilentEndpointIsEjected verifies that an endpoint that answers nothing is ejected, and gets only probe requests
+// from then on.
 func TestSilentEndpointIsEjected(t *testing.T) {
 	const silent = "b0"
 	b := newTestBalancer(t, testSettings(), testEndpoints(4)...)
@@ -40,12 +41,12 @@
 		}
 	}
 	if !isEjected || attemptsAfterEjection > 2 {
-		t.Errorf("ejected: %v; %d attempts after that, want the probe requests only", isEjected, attemptsAfterEjection)
+		t.Errorf("ejected: %v; %d attempts after that, want at most 2 probe requests", isEjected, attemptsAfterEjection)
 	}
 }
 
-// A single broken connection ejects no endpoint, as that would move its queue and attempts. Several in a row do, and
-// an answer between them counts.
+// TestBrokenConnectionsEjectEndpoint verifies that several consecutive broken connections eject an endpoint. A single
+// one does not, because an ejection moves the endpoint's queue and attempts, and an answer in between resets the count.
 func TestBrokenConnectionsEjectEndpoint(t *testing.T) {
 	settings := testSettings()
 	settings.MaxAttempts, settings.UseCounter = 1, false
@@ -62,11 +63,12 @@
 		b.Step(now+10*ms, []Event{result})
 	}
 	if !ep.outlier.ejected {
-		t.Error("three in a row, and it is still used")
+		t.Error("not ejected after three consecutive broken connections")
 	}
 }
 
-// A gateway that stood still finds timeouts of its own making, and ejects no endpoint for them.
+// TestOwnStallEjectsNoEndpoint verifies that a gateway that has stalled does not eject endpoints for the overdue
+// answers that its own stall caused.
 func TestOwnStallEjectsNoEndpoint(t *testing.T) {
 	b := newTestBalancer(t, testSettings(), testEndpoints(4)...)
 	var dispatches []Dispatch
@@ -86,11 +88,11 @@
 		events = append(events, succeeded(dispatch, 0, 40*ms))
 	}
 	if logs := actionsOf[LogLine](b.Step(now, events)); len(logs) != 0 {
-		t.Errorf("after a stall of this gateway: %v", logs)
+		t.Errorf("endpoints were ejected after a stall of this gateway: %v", logs)
 	}
 }
 
-// newSilencedFleet returns a fleet whose endpoints all answered for a while, and of which b0 is silent from now on.
+// newSilencedFleet returns a fleet in which all endpoints have answered for a while, and b0 is silent from now on.
 func newSilencedFleet(t *testing.T) *endpointFleet {
 	t.Helper()
 	fleet := &endpointFleet{balancer: newTestBalancer(t, singleGatewaySettings(), testEndpoints(3)...)}
@@ -101,22 +103,23 @@
 	return fleet
 }
 
-// The ejection of a silent endpoint is reported with the time of its last response.
+// TestEjectionIsReported verifies that the ejection of a silent endpoint is reported with the time of its last
+// response.
 func TestEjectionIsReported(t *testing.T) {
 	fleet := newSilencedFleet(t)
 	got, _ := fleet.stepUntilEjected(t, 3)
 	if got.Health != Unresponsive || got.Endpoint != "b0" || got.Since > fleet.now-minSilence {
-		t.Fatalf("%+v at %v", got, fleet.now)
+		t.Fatalf("reported %+v at %v", got, fleet.now)
 	}
 }
 
-// Another pool's report of silence counts as timeouts: one attempt without an answer then ejects the endpoint, where
-// it takes more otherwise.
+// TestReportedSilence verifies that a silence reported by another pool counts as several timeouts, so that a single
+// unanswered attempt ejects the endpoint. Without a report it takes more attempts.
 func TestReportedSilence(t *testing.T) {
 	unreported := newSilencedFleet(t)
 	_, without := unreported.stepUntilEjected(t, 1)
 	reported := newSilencedFleet(t)
-	for range 20 { // no request here since before the report
+	for range 20 { // no requests here for a while before the report
 		reported.step(0)
 	}
 	reported.step(0, HealthReport{"b0", Unresponsive, reported.now})
@@ -126,7 +129,8 @@
 	}
 }
 
-// A response since a report of silence outweighs it.
+// TestLaterResponseOutweighsReportedSilence verifies that a response after the reported silence takes precedence over
+// the report.
 func TestLaterResponseOutweighsReportedSilence(t *testing.T) {
 	fleet := newSilencedFleet(t)
 	fleet.silent = ""
@@ -136,12 +140,12 @@
 	}
 	fleet.step(0, HealthReport{"b0", Unresponsive, since})
 	if ep := fleet.balancer.endpoints.byName["b0"]; ep.outlier.timeouts > 0 || ep.outlier.ejected {
-		t.Errorf("%+v", ep)
+		t.Errorf("the reported silence counts in spite of a later response: %+v", ep)
 	}
 }
 
-// An endpoint that another pool reports as broken is ejected with the first connection that breaks here, not with the
-// third.
+// TestReportedBrokenConnections verifies that an endpoint whose connections another pool reports as broken is ejected
+// at the first broken connection here instead of the third.
 func TestReportedBrokenConnections(t *testing.T) {
 	breaks := func(reported bool) (n int) {
 		b := newTestBalancer(t, singleGatewaySettings(), testEndpoints(2)...)
@@ -159,7 +163,7 @@
 				actions := b.Step(now+ms, []Event{resultOf(dispatch, ConnectFailed, 0)})
 				if f := actionsOf[HealthReport](actions); len(f) > 0 {
 					if f[0].Health != ConnectionsBroken || f[0].Endpoint != "b0" {
-						t.Errorf("%+v", f)
+						t.Errorf("reported %+v, want broken connections of b0", f)
 					}
 					return n
 				}
@@ -168,11 +172,12 @@
 		return n
 	}
 	if alone, reported := breaks(false), breaks(true); alone != maxConnectionFailures || reported != 1 {
-		t.Errorf("ejected after %d broken connections, and %d with a report", alone, reported)
+		t.Errorf("ejected after %d broken connections without a report, and after %d with one", alone, reported)
 	}
 }
 
-// An endpoint that another pool has reinstated warms up here too. One that has responded here all along does not.
+// TestReportedWarmUp verifies that an endpoint that another pool has reinstated begins slow start here too, unless it
+// has responded here all along.
 func TestReportedWarmUp(t *testing.T) {
 	const reinstatedAt = 20 * time.Second
 	for _, c := range []struct {
@@ -196,13 +201,14 @@
 			})
 			ep := b.endpoints.byName["b0"]
 			if ep.slowStart.active != c.warmsUp || c.warmsUp && ep.slowStart.since != reinstatedAt-ms {
-				t.Errorf("slow start %+v", ep.slowStart)
+				t.Errorf("unexpected slow start state %+v", ep.slowStart)
 			}
 		})
 	}
 }
 
-// An ejected endpoint that another pool has reinstated is probed at once, and its reinstatement is reported.
+// TestReportedWarmUpProbesEjectedEndpoint verifies that an ejected endpoint that another pool has reinstated is probed
+// at once, and that its reinstatement is reported.
 func TestReportedWarmUpProbesEjectedEndpoint(t *testing.T) {
 	b := newTestBalancer(t, singleGatewaySettings(), testEndpoints(2)...)
 	fleet := &endpointFleet{balancer: b, silent: "b0"}
@@ -224,8 +230,9 @@
 	}
 }
 
-// An endpoint that answers a probe request after a long silence may have been restarted: it warms up, as after a health
-// check. One that answers soon, or answers an attempt from before its ejection, was not restarted.
+// TestProbeRequestStartsSlowStart verifies that an endpoint that answers a probe request after a long silence begins
+// slow start, as after a health check, because it may have been restarted. One that answers soon after its ejection, or
+// answers an attempt from before it, was not restarted.
 func TestProbeRequestStartsSlowStart(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -254,8 +261,8 @@
 				dispatch = singleDispatch(t, b.Step(now, []Event{testRequest(2, 0, 2)}))
 			}
 			reports := actionsOf[HealthReport](b.Step(now+5*ms, []Event{succeeded(dispatch, 0, 5*ms)}))
-			told := len(reports) == 1 && reports[0].Health == WarmingUp
-			if ep.outlier.ejected || ep.slowStart.active != c.warms || told != c.warms {
+			reported := len(reports) == 1 && reports[0].Health == WarmingUp
+			if ep.outlier.ejected || ep.slowStart.active != c.warms || reported != c.warms {
 				t.Errorf("ejected %v, warming up %v, reports %v", ep.outlier.ejected, ep.slowStart.active, reports)
 			}
 		})
