--- a/internal/balancer/selection_test.go
+++ b/internal/balancer/selection_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A gateway of a large fleet keeps to its subset of endpoints while they serve, and uses others rather than reject
-// when they don't.
+// TestGatewayKeepsToItsSubset verifies that a gateway of a large fleet uses only its subset of endpoints while these
+// serve, and uses other endpoints rather than reject requests when they do not.
 func TestGatewayKeepsToItsSubset(t *testing.T) {
 	settings := largeFleetSettings(80)
 	settings.Index = 5
@@ -22,7 +22,7 @@
 		}
 	}
 	if len(used) < 6 || len(used) > 28 {
-		t.Errorf("%d of 60 endpoints used, one at a time", len(used))
+		t.Errorf("%d of 60 endpoints used by requests one at a time, want 6 to 28", len(used))
 	}
 	var drained []Endpoint
 	for name := range used {
@@ -31,11 +31,11 @@
 	now += time.Second
 	actions := b.Step(now, []Event{EndpointUpdate{Kind: Delta, Entries: drained}, testRequest(1000, 0, 2)})
 	if s := actionsOf[Dispatch](actions); len(s) != 1 || used[s[0].Endpoint] != 0 {
-		t.Errorf("with all its endpoints draining: %v", actions)
+		t.Errorf("no other endpoint was used with the whole subset draining: %v", actions)
 	}
 }
 
-// The gateways of a small fleet use all endpoints.
+// TestSmallFleetUsesAllEndpoints verifies that each gateway of a small fleet uses all endpoints.
 func TestSmallFleetUsesAllEndpoints(t *testing.T) {
 	settings := testSettings()
 	settings.Gateways = 4
@@ -51,7 +51,8 @@
 	}
 }
 
-// Where zone crossings cost, an endpoint of the gateway's zone is preferred until it has clearly more work.
+// TestZoneCrossingHasCost verifies that, if crossing zones has a cost, an endpoint of the gateway's own zone is
+// preferred until it has clearly more work than one of another zone.
 func TestZoneCrossingHasCost(t *testing.T) {
 	crossed := func(cost float64) int {
 		settings := testSettings()
@@ -72,6 +73,6 @@
 		return n
 	}
 	if free, costly := crossed(0), crossed(0.05); costly >= free/2 {
-		t.Errorf("%d of 200 crossed without a cost, %d with one; want less than half", free, costly)
+		t.Errorf("%d of 200 requests crossed zones without a cost, %d with one; want less than half", free, costly)
 	}
 }
