--- a/internal/balancer/slowstart_test.go
+++ b/internal/balancer/slowstart_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// An endpoint that warms up gets less than a warm one.
+// TestWarmingEndpointGetsLess verifies that a warming endpoint gets fewer attempts than a warm one.
 func TestWarmingEndpointGetsLess(t *testing.T) {
 	list := testEndpoints(4)
 	list[0].StartedAt = 99 * time.Second
@@ -22,11 +22,11 @@
 		}
 	}
 	if got["b0"]*2 > got["b1"] {
-		t.Errorf("warming endpoint got %d, a warm one %d", got["b0"], got["b1"])
+		t.Errorf("%d attempts to the warming endpoint, %d to a warm one; want at most half", got["b0"], got["b1"])
 	}
 }
 
-// The slow-start budget counts work, not requests.
+// TestWarmingEndpointIsLimitedByWork verifies that the slow-start budget counts work instead of requests.
 func TestWarmingEndpointIsLimitedByWork(t *testing.T) {
 	sent := func(units float64) int {
 		b := newTrainedBalancer(t, testEndpoints(2)...)
@@ -53,12 +53,13 @@
 		return n
 	}
 	if small, large := sent(1), sent(4); large == 0 || small < 2*large {
-		t.Errorf("%d small or %d large attempts in the first seconds; want far more small ones", small, large)
+		t.Errorf("%d small or %d large attempts in the first seconds; want twice as many small ones", small, large)
 	}
 }
 
-// checkOverload checks that no window of the attempts sent to an endpoint has more than it can take when the window
-// begins. Attempts after the slow start don't count. capacity is in mean requests a second once the endpoint is warm.
+// checkOverload checks that no window of the attempts sent to an endpoint holds more than the endpoint can take at the
+// beginning of the window. Attempts after the slow start do not count. capacity is the capacity of the warm endpoint,
+// in mean requests per second.
 func checkOverload(t *testing.T, settings Settings, start time.Duration, capacity float64, sent []time.Duration) {
 	t.Helper()
 	capacityAt := warmingCapacity(settings, start, capacity)
@@ -80,8 +81,8 @@
 	}
 }
 
-// Two pools that share an endpoint together send it no more than it can take in any window, while it warms up and
-// both are flooded.
+// TestPoolsShareSlowStartBudget verifies that two pools that share a warming endpoint, both under a flood of requests,
+// together send it no more than it can take in any window.
 func TestPoolsShareSlowStartBudget(t *testing.T) {
 	settings := singleGatewaySettings()
 	settings.OverloadWindow = 2 * time.Second
@@ -90,24 +91,24 @@
 		{balancer: newTestBalancer(t, settings, testEndpoints(4)...)},
 	}
 	warm := 0
-	for range 3000 { // 30 s: what a warm endpoint carries
+	for range 3000 { // 30 s, to measure what a warm endpoint handles
 		for _, pool := range pools {
 			pool.step(2)
 			warm += 2
 		}
 	}
-	capacity := float64(warm) / 30 / 4 // answers a second of one endpoint, of both pools
+	capacity := float64(warm) / 30 / 4 // answers per second of one endpoint to both pools
 	start := pools[0].now
 	warming := Endpoint{Name: "b0", Weight: 1, StartedAt: start, SlowStartShare: 0.5}
 	limited := &limitedEndpoint{capacity: warmingCapacity(settings, start, capacity), steppedAt: start}
 	var sent []time.Duration
-	for i := range 1700 { // longer than it takes to be warm
+	for i := range 1700 { // longer than the slow start
 		for _, pool := range pools {
 			var more []Event
 			switch i {
 			case 0:
 				more = []Event{EndpointUpdate{Entries: []Endpoint{warming}}}
-			case 100: // the worst case: it is all that is left
+			case 100: // the worst case: all other endpoints drain
 				gone := testEndpoints(4)[1:]
 				for j := range gone {
 					gone[j].State = Draining
@@ -127,12 +128,13 @@
 		}
 	}
 	if len(sent) < 100 {
-		t.Fatalf("only %d were sent to the warming endpoint", len(sent))
+		t.Fatalf("only %d attempts were sent to the warming endpoint, want at least 100", len(sent))
 	}
 	checkOverload(t, settings, start, capacity, sent)
 }
 
-// Many gateways that hear of a warming endpoint at once stay within its budget together, in each window.
+// TestLargeFleetKeepsSlowStartBudget verifies that many gateways that learn of a warming endpoint at the same time
+// together stay within its slow-start budget in each window.
 func TestLargeFleetKeepsSlowStartBudget(t *testing.T) {
 	const gateways, warm = 100, 9
 	settings := largeFleetSettings(gateways)
@@ -160,19 +162,19 @@
 			b.Step(now+50*ms, []Event{succeeded(dispatch, 0, 50*ms)})
 		}
 	}
-	for tick := range 220 { // each gateway gets two requests a second
+	for tick := range 220 { // two requests per second at each gateway
 		now := time.Duration(tick) * 500 * ms
 		for i, b := range all {
 			events := []Event{}
 			switch now {
 			case start:
-				if limited == nil { // it can do no more than a warm one is seen to carry
+				if limited == nil { // its capacity is what a warm endpoint was measured to handle
 					rate := float64(served) / warm / start.Seconds()
 					limited = &limitedEndpoint{capacity: warmingCapacity(settings, start, rate), steppedAt: start}
 				}
 				list[warm].StartedAt = start
 				events = append(events, EndpointUpdate{Kind: Delta, Entries: list[warm:]})
-			case start + 2*time.Second: // the worst case: it is all that is left
+			case start + 2*time.Second: // the worst case: all other endpoints drain
 				for j := range list[:warm] {
 					list[j].State = Draining
 				}
@@ -187,6 +189,6 @@
 			}
 		}
 	}
-	rate := float64(served) / warm / start.Seconds() // what a warm endpoint carries: its capacity is no less
+	rate := float64(served) / warm / start.Seconds() // what a warm endpoint handles, a lower bound of its capacity
 	checkOverload(t, settings, start, rate, sent)
 }
