--- a/internal/balancer/handover_test.go
+++ b/internal/balancer/handover_test.go
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// handOver hands one process's state to a new one, in the form in which processes send it.
+// handOver hands the state of one process over to a new one, encoded as between real processes.
 func handOver(
 	t *testing.T, from *Balancer, settings Settings, at time.Duration, list ...Endpoint,
 ) (*Balancer, HandoverState) {
 	t.Helper()
-	handed := actionsOf[HandoverReady](from.Step(at, []Event{BeginHandover{}}))
-	if len(handed) != 1 {
-		t.Fatalf("%d handover states", len(handed))
+	exported := actionsOf[HandoverReady](from.Step(at, []Event{BeginHandover{}}))
+	if len(exported) != 1 {
+		t.Fatalf("%d handover states exported, want 1", len(exported))
 	}
-	text, err := json.Marshal(handed[0].State)
+	text, err := json.Marshal(exported[0].State)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -33,7 +33,8 @@
 	return to, state
 }
 
-// A ceiling holds over any number of processes that take each other's place, old ones still sending queued requests.
+// TestCeilingHoldsOverHandovers verifies that a ceiling holds over any number of successive processes, while the old
+// ones still dispatch their queued requests.
 func TestCeilingHoldsOverHandovers(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 3))
@@ -74,18 +75,19 @@
 				next, _ := handOver(t, last, settings, at, list...)
 				processes = append(processes, next)
 			}
-			if most := 40 + 20*at.Seconds() + 1; sent > most {
-				t.Fatalf("seed %d: %.0f sent in %v over %d processes, the ceiling gives %.0f",
-					seed, sent, at, len(processes), most)
+			if limit := 40 + 20*at.Seconds() + 1; sent > limit {
+				t.Fatalf("seed %d: %.0f attempts in %v over %d processes, the ceiling allows %.0f",
+					seed, sent, at, len(processes), limit)
 			}
 		}
 		if sent < 20*at.Seconds()*0.8 || len(processes) < 10 {
-			t.Errorf("seed %d: %.0f sent over %d processes", seed, sent, len(processes))
+			t.Errorf("seed %d: only %.0f attempts over %d processes", seed, sent, len(processes))
 		}
 	}
 }
 
-// Tokens are handed over once: a customer gets no new burst from each of many processes.
+// TestQuotaIsHandedOverOnce verifies that tokens are handed over only once: a customer gets no new burst from each of
+// many processes.
 func TestQuotaIsHandedOverOnce(t *testing.T) {
 	settings := testSettings()
 	settings.UseCounter = false
@@ -105,11 +107,12 @@
 		b, _ = handOver(t, b, settings, at, list...)
 	}
 	if plan := settings.Plans[0]; float64(sent) > plan.Burst+plan.Rate+1 {
-		t.Errorf("%d sent in a second of a quota of %v and %v", sent, plan.Rate, plan.Burst)
+		t.Errorf("%d attempts in a second for a quota with rate %v and burst %v", sent, plan.Rate, plan.Burst)
 	}
 }
 
-// A limit on requests in flight counts those at the former process until their time is over.
+// TestMaxInFlightCountsHandedOverRequests verifies that a limit on requests in flight includes those at the previous
+// process until their time has passed.
 func TestMaxInFlightCountsHandedOverRequests(t *testing.T) {
 	settings := testSettings()
 	settings.UseCounter = false
@@ -118,7 +121,7 @@
 	old := newTestBalancer(t, settings, list...)
 	for i := range uint64(3) {
 		if n := len(actionsOf[Dispatch](old.Step(time.Second, []Event{testRequest(i+1, 0, 3)}))); n != 1 {
-			t.Fatalf("%d sends", n)
+			t.Fatalf("%d attempts dispatched, want 1", n)
 		}
 	}
 	b, _ := handOver(t, old, settings, time.Second, list...)
@@ -127,7 +130,7 @@
 		sends += len(actionsOf[Dispatch](b.Step(time.Second+ms, []Event{testRequest(i+1, 0, 3)})))
 	}
 	if sends != 1 {
-		t.Errorf("%d sent beside 3 at the former process; the limit is 4", sends)
+		t.Errorf("%d attempts dispatched in addition to 3 at the previous process, want 1 for a limit of 4", sends)
 	}
 	cust := b.customers.find("c")
 	b.Step(4*time.Second, []Event{
@@ -136,11 +139,12 @@
 		TimerFired{requestCookie(handoverRequestIDs + 2)},
 	})
 	if cust.inFlight > 1 {
-		t.Errorf("%d still count when their time is over", cust.inFlight)
+		t.Errorf("%d requests still count after their time has passed", cust.inFlight)
 	}
 }
 
-// Estimates are handed over: those of classes, and slow, warming and ejected endpoints.
+// TestEstimatesAreHandedOver verifies that the estimates of classes and the states of slow, warming and ejected
+// endpoints are handed over.
 func TestEstimatesAreHandedOver(t *testing.T) {
 	settings := settingsWithoutCounter()
 	list := testEndpoints(4)
@@ -156,32 +160,33 @@
 	old.eject(old.endpoints.byName[list[1].Name])
 	b, state := handOver(t, old, settings, 2*time.Second, list...)
 	if k := b.latency.classes[0]; k.meanLatency != 0.2 || k.idleLatency != 0.1 || k.answers != 77 {
-		t.Errorf("%+v", k)
+		t.Errorf("class estimate %+v was not handed over", k)
 	}
 	got := b.endpoints.byName[list[0].Name]
 	if !got.slowStart.active || got.slowStart.since != time.Second || got.latency.factor != 2 ||
 		got.concurrency.limit != 3 || len(got.slowStart.budget.Dispatches()) != 1 {
-		t.Errorf("%+v", got)
+		t.Errorf("endpoint state %+v was not handed over", got)
 	}
 	if !b.endpoints.byName[list[1].Name].outlier.ejected {
-		t.Error("an ejected endpoint is used")
+		t.Error("an ejected endpoint is in use after the handover")
 	}
-	again := list[0]
-	again.StartedAt = 1500 * ms // another process than the one that is known
+	restarted := list[0]
+	restarted.StartedAt = 1500 * ms // restarted since the export
 	fresh, err := New(settings, 9)
 	if err != nil {
 		t.Fatal(err)
 	}
 	fresh.Step(
 		2*time.Second,
-		[]Event{EndpointUpdate{Kind: CachedSnapshot, Entries: []Endpoint{again}}, ImportHandover{state}},
+		[]Event{EndpointUpdate{Kind: CachedSnapshot, Entries: []Endpoint{restarted}}, ImportHandover{state}},
 	)
-	if got := fresh.endpoints.byName[again.Name]; got.latency.factor == 2 || got.slowStart.since != again.StartedAt {
-		t.Errorf("taken over from another process: %+v", got)
+	if got := fresh.endpoints.byName[restarted.Name]; got.latency.factor == 2 ||
+		got.slowStart.since != restarted.StartedAt {
+		t.Errorf("the state of the endpoint's previous process was imported: %+v", got)
 	}
 }
 
-// A process that gets its state back goes on as before.
+// TestHandoverIsTakenBack verifies that a process that gets its exported state back has the same tokens as before.
 func TestHandoverIsTakenBack(t *testing.T) {
 	settings := testSettings()
 	settings.UseCounter = false
@@ -190,22 +195,23 @@
 	b.Step(time.Second, []Event{testRequest(1, 0, 1)})
 	cust := b.customers.find("c")
 	ceiling, fallback := b.refillCeiling(cust, &settings.Plans[1]), cust.quota.fallbackTokens
-	handed := actionsOf[HandoverReady](b.Step(time.Second, []Event{BeginHandover{}}))
+	exported := actionsOf[HandoverReady](b.Step(time.Second, []Event{BeginHandover{}}))
 	if cust.ceiling.tokens > cust.ceiling.reserved || cust.quota.fallbackTokens > 0 {
-		t.Errorf("kept: ceiling %v, fallback %v", cust.ceiling.tokens, cust.quota.fallbackTokens)
+		t.Errorf("tokens kept after export: ceiling %v, fallback %v", cust.ceiling.tokens, cust.quota.fallbackTokens)
 	}
-	b.Step(2*time.Second, []Event{testRequest(2, 0, 1)}) // nothing fills meanwhile
-	b.Step(3*time.Second, []Event{ImportHandover{handed[0].State}})
+	b.Step(2*time.Second, []Event{testRequest(2, 0, 1)}) // nothing refills meanwhile
+	b.Step(3*time.Second, []Event{ImportHandover{exported[0].State}})
 	if math.Abs(cust.ceiling.tokens-ceiling) > 1e-9 || math.Abs(cust.quota.fallbackTokens-fallback) > 1e-9 {
 		t.Errorf("ceiling %v, was %v; fallback %v, was %v",
 			cust.ceiling.tokens, ceiling, cust.quota.fallbackTokens, fallback)
 	}
 	if b.handedOver {
-		t.Error("still handed over")
+		t.Error("the state still counts as handed over")
 	}
 }
 
-// Handover state may be from other settings, or invalid.
+// TestImportOfInvalidHandover verifies that a handover state that is invalid, or that was exported under other
+// settings, can be imported.
 func TestImportOfInvalidHandover(t *testing.T) {
 	settings := testSettings()
 	b := newTestBalancer(t, settings, testEndpoints(1)...)
@@ -234,6 +240,6 @@
 		b.Step(time.Second+time.Duration(i)*20*ms, []Event{testRequest(i+1, 0, int(i)%4), TimerFired{0}})
 	}
 	if b.counter.callFraction < minCallFraction || b.counter.callFraction > 1 {
-		t.Errorf("call fraction %v", b.counter.callFraction)
+		t.Errorf("call fraction %v is out of range", b.counter.callFraction)
 	}
 }
