--- a/internal/balancer/reload_test.go
+++ b/internal/balancer/reload_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A class that is changed has a new number, under which its estimates go on; a request of the old number keeps the old
-// rules to its end.
+// TestReloadKeepsRulesOfOpenRequests verifies that a changed class gets a new number under which its estimates
+// continue, while a request of the old number keeps the old rules until it ends.
 func TestReloadKeepsRulesOfOpenRequests(t *testing.T) {
 	settings := testSettings()
 	settings.UseCounter = false
@@ -36,12 +36,12 @@
 	actions := b.Step(time.Second+ms, []Event{update, testRequest(2, fresh, 0)})
 	second := singleDispatch(t, actions)
 	if b.latency.classes[fresh].meanLatency != 0.123 {
-		t.Errorf("the estimate is lost: %v", b.latency.classes[fresh].meanLatency)
+		t.Errorf("the mean latency was not inherited: %v", b.latency.classes[fresh].meanLatency)
 	}
-	// The old request may still be retried, being of an idempotent class; the new one may have run and may not.
+	// The old request may still be retried, because its class is idempotent. The new one may have run, so it may not.
 	reset := AttemptResult{ID: 1, Endpoint: first.Endpoint, Status: Reset, Latency: ms}
 	if retry := singleDispatch(t, b.Step(time.Second+2*ms, []Event{reset})); retry.ID != 1 {
-		t.Errorf("%+v", retry)
+		t.Errorf("dispatched %+v, want a retry of request 1", retry)
 	}
 	reset = AttemptResult{ID: 2, Endpoint: second.Endpoint, Status: Reset, Latency: ms}
 	for _, retry := range actionsOf[Dispatch](b.Step(time.Second+3*ms, []Event{reset})) {
@@ -51,7 +51,7 @@
 	}
 }
 
-// Fewer attempts hold for new requests only.
+// TestReloadOfMaxAttempts verifies that a lower MaxAttempts applies only to new requests.
 func TestReloadOfMaxAttempts(t *testing.T) {
 	settings := testSettings()
 	settings.UseCounter = false
@@ -69,9 +69,9 @@
 	next.MaxAttempts = 1
 	b.Step(time.Second+ms, []Event{SettingsUpdate{Settings: next, EvidenceFrom: []int{0, 1, 2}}, testRequest(2, 0, 0)})
 	if n := retriesOf(1, time.Second+2*ms); n != 1 {
-		t.Errorf("the open request had %d retries", n)
+		t.Errorf("the open request had %d retries, want 1", n)
 	}
 	if n := retriesOf(2, time.Second+3*ms); n != 0 {
-		t.Errorf("the new one had %d", n)
+		t.Errorf("the new request had %d retries, want 0", n)
 	}
 }
