--- a/internal/balancer/costmodel/costmodel_test.go
+++ b/internal/balancer/costmodel/costmodel_test.go
@@ -7,7 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// An endpoint takes seven times as long for four units as for one: the profile finds that, also while latency changes.
+// TestCostFollowsWork verifies that the profile learns the work of requests by their units while the latency of the
+// class changes. Four units take seven times as long as one.
 func TestCostFollowsWork(t *testing.T) {
 	profile := New(4)
 	latencies := []float64{0.5, 1.5, 2.5, 3.5}
@@ -25,11 +26,11 @@
 		}
 	}
 	if one, four := profile.Density(1), profile.Density(4); one < 1.5*four {
-		t.Errorf("density %.2f of one unit, %.2f of four; want the first to be larger", one, four)
+		t.Errorf("density %.2f of one unit and %.2f of four; want at least 1.5 times as much of one", one, four)
 	}
 }
 
-// Where all requests have one unit the cost is 1, whatever their latencies.
+// TestCostWithOneRange verifies that the cost is 1, whatever the latencies, if all requests have one unit.
 func TestCostWithOneRange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		profile := New(rapid.Float64Range(-2, 1).Draw(t, "maxUnits"))
@@ -42,7 +43,8 @@
 	})
 }
 
-// Whatever units and latencies come, costs are usable numbers, and one unusual latency moves none far that has many.
+// TestCostOfInvalidValues verifies that costs are positive and finite whatever units and latencies are recorded, and
+// that a single unusual latency does not change a cost much that is based on many.
 func TestCostOfInvalidValues(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		maxUnits := rapid.OneOf(
@@ -63,7 +65,7 @@
 		}
 		units := value.Draw(t, "units asked for")
 		if cost := profile.Cost(units); !(cost >= minCost) || math.IsInf(cost, 0) {
-			t.Fatalf("cost %v of %v units", cost, units)
+			t.Fatalf("cost %v of %v units is not finite or is below the minimum", cost, units)
 		}
 		for range 500 {
 			profile.Add(2, 1, true)
@@ -71,7 +73,7 @@
 		before := profile.Cost(2)
 		profile.Add(2, 1e9, true)
 		if after := profile.Cost(2); after > before*1.4 {
-			t.Fatalf("one attempt moved a cost from %v to %v", before, after)
+			t.Fatalf("one attempt changed a cost from %v to %v", before, after)
 		}
 	})
 }
