--- a/internal/balancer/action.go
+++ b/internal/balancer/action.go
@@ -2,74 +2,74 @@
 
 import "time"
 
-// Action is something that the caller must do: one of the types of this file, or a HealthReport.
+// Action is an instruction to the caller. The implementations are the types in this file and HealthReport.
 type Action interface{ action() }
 
-// Dispatch sends an attempt of a request to an endpoint. Attempts of a request are numbered 0, 1, 2 in the order of
-// their Dispatch actions. An AttemptResult answers each.
+// Dispatch sends an attempt of a request to an endpoint. The attempts of a request are numbered from 0 in the order of
+// their Dispatch actions. Each is answered by an AttemptResult.
 type Dispatch struct {
 	ID       uint64
 	Endpoint string
-	// Timeout is the time after which the attempt ends as Timeout.
+	// Timeout is the time after which the attempt ends with status Timeout.
 	Timeout time.Duration
-	// WriteBy is when the last byte must be written, on the gateway's clock, or the attempt ends as NotSent: after
-	// that a repeat could have a second effect. 0: there is no such time.
+	// WriteBy is when the last byte must have been written, on the gateway's clock. An attempt not written by then ends
+	// with status NotSent, because a later copy could take effect a second time. 0 means no limit.
 	WriteBy time.Duration
 }
 
-// CancelAttempt stops waiting for an attempt, whose AttemptResult still comes.
+// CancelAttempt stops waiting for an attempt. Its AttemptResult is still required.
 type CancelAttempt struct {
 	ID      uint64
 	Attempt int
 }
 
-// Reject is a final answer: the request had no effect or may have it twice, so the client may repeat it.
+// Reject is a final answer. The request had no effect or may safely run twice, so the client may retry it.
 type Reject struct {
 	ID uint64
-	// RetryAfter is how long the client should wait; 0: no advice.
+	// RetryAfter is how long the client should wait before a retry; 0 means no advice.
 	RetryAfter time.Duration
 	Reason     Reason
 }
 
-// Fail is a final answer that promises nothing about the request's effect.
+// Fail is a final answer that guarantees nothing about the request's effect.
 type Fail struct {
 	ID     uint64
 	Reason Reason
 }
 
-// Admit is the final answer to a request with AdmitOnly: its work may be done.
+// Admit is the final answer to a request with AdmitOnly. Its work may be performed.
 type Admit struct{ ID uint64 }
 
-// Reason says why a request got no answer of an endpoint, for operators.
+// Reason tells operators why a request got no response from an endpoint.
 type Reason int
 
-// The reasons of Reject and Fail.
+// Reasons of Reject and Fail.
 const (
-	// UnknownClass is a class or plan that the settings lack.
+	// UnknownClass means that the settings have no such class or plan.
 	UnknownClass Reason = iota
-	// InsufficientTime is a request that arrived with too little time left.
+	// InsufficientTime means that the request arrived with too little time left.
 	InsufficientTime
-	// CeilingExceeded is a request that its customer's ceiling has no capacity for.
+	// CeilingExceeded means that the customer's ceiling has no capacity for the request.
 	CeilingExceeded
-	// QuotaExceeded is a request that no tokens cover.
+	// QuotaExceeded means that no tokens cover the request.
 	QuotaExceeded
-	// QueueTooLong is a request that would have to wait too long for an endpoint.
+	// QueueTooLong means that the request would have to wait too long for an endpoint.
 	QueueTooLong
-	// StaleInQueue is a request that has waited too long for an endpoint.
+	// StaleInQueue means that the request has waited too long for an endpoint.
 	StaleInQueue
-	// RetryNotPossible is a request whose attempt failed, and that may have no other or has no time for one.
+	// RetryNotPossible means that an attempt failed and a retry is not allowed or cannot finish in time.
 	RetryNotPossible
-	// DeadlineExceeded is a request whose deadline has come.
+	// DeadlineExceeded means that the request's deadline has passed.
 	DeadlineExceeded
-	// EndpointsEjected is a request that came while an administrator had ejected all endpoints.
+	// EndpointsEjected means that the request arrived while an administrator had ejected all endpoints.
 	EndpointsEjected
-	// TooManyCustomers is a request of a new customer that came while as many were known as may be.
+	// TooManyCustomers means that a request of a new customer arrived while the customer table was full.
 	TooManyCustomers
 	// NumReasons is the number of reasons.
 	NumReasons = iota
 )
 
-// reasonNames are the names that metrics and logs have.
+// reasonNames holds the names used in metrics and logs.
 var reasonNames = [NumReasons]string{
 	UnknownClass:     "unknown",
 	InsufficientTime: "too-late",
@@ -83,7 +83,7 @@
 	TooManyCustomers: "no-place",
 }
 
-// String returns the name that metrics and logs have for the reason; "other" if there is none.
+// String returns the reason's name in metrics and logs, or "other" if the reason is unknown.
 func (r Reason) String() string {
 	if r < 0 || r >= NumReasons {
 		return "other"
@@ -91,60 +91,61 @@
 	return reasonNames[r]
 }
 
-// HealthCheck probes an endpoint; a HealthCheckResult answers it.
+// HealthCheck probes an endpoint. The response is a HealthCheckResult.
 type HealthCheck struct{ Endpoint string }
 
-// CounterAdd adds to a counter that all gateways share; a CounterResult answers it.
+// CounterAdd adds to a counter that all gateways share. The response is a CounterResult.
 type CounterAdd struct {
-	// Name is that of the counter.
+	// Name identifies the counter.
 	Name uint64
-	// Amount is what is added.
+	// Amount is the number to add.
 	Amount float64
-	// TTL is the time after which a new counter is forgotten.
+	// TTL is the time after which a newly created counter expires.
 	TTL time.Duration
-	// Ticket identifies the call in a LateCounterResult; 0: none is wanted.
+	// Ticket identifies the call in a LateCounterResult; 0 means that none is needed.
 	Ticket uint64
 }
 
-// SetTimer asks for a TimerFired at or after a time.
+// SetTimer requests a TimerFired at or after a time.
 type SetTimer struct {
 	At     time.Duration
 	Cookie uint64
 }
 
-// WatchEndpoints asks for changes of the endpoint list from now on.
+// WatchEndpoints subscribes to changes of the endpoint list.
 type WatchEndpoints struct{}
 
-// FetchEndpoints asks for the complete endpoint list once.
+// FetchEndpoints requests the complete endpoint list once.
 type FetchEndpoints struct{}
 
-// RequestLoan asks all other gateways for what they don't need of a customer's ceiling: each gets a LoanRequest.
+// RequestLoan asks all other gateways for the part of a customer's ceiling that they do not need. Each of them gets a
+// LoanRequest.
 type RequestLoan struct {
 	Customer string
 	Plan     int
-	// At is the time of the request, on this gateway's clock. A loan counts from then on.
+	// At is the time of the request on this gateway's clock. The loan's duration is measured from then.
 	At time.Duration
 }
 
-// GrantLoan answers a LoanRequest: the gateway that asked gets a LoanGranted. If there is nothing to grant there is
+// GrantLoan answers a LoanRequest. The requesting gateway gets a LoanGranted. A gateway that has nothing to lend sends
 // no answer.
 type GrantLoan struct {
-	// To is the index of the gateway that asked.
+	// To is the index of the requesting gateway.
 	To       int
 	Customer string
 	Plan     int
-	// At is that of the LoanRequest.
+	// At is LoanRequest.At.
 	At time.Duration
-	// Rate is what is granted, in units a second.
+	// Rate is the rate granted, in units per second.
 	Rate float64
-	// Depth is what is granted of the burst, in units.
+	// Depth is the part of the burst granted, in units.
 	Depth float64
 }
 
-// HandoverReady answers a BeginHandover.
+// HandoverReady is the response to BeginHandover.
 type HandoverReady struct{ State HandoverState }
 
-// LogLine is a line for the log.
+// LogLine is a line to write to the log.
 type LogLine struct{ Text string }
 
 func (Dispatch) action()       {}
