--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -8,52 +8,53 @@
 )
 
 const (
-	// tickInterval is the interval of the checks that no event triggers.
+	// tickInterval is the interval of the periodic checks.
 	tickInterval = 20 * time.Millisecond
-	// stallThreshold is the time between two steps from which this gateway is taken to have stood still.
+	// stallThreshold is the time between two steps from which this gateway counts as stalled.
 	stallThreshold = 5 * tickInterval
-	// roundRobinStartRange is the range of the random start of the round robin.
+	// roundRobinStartRange is the range of the random start position of the round robin.
 	roundRobinStartRange = 1 << 16
 )
 
-// Timer cookies. Those of requests are odd.
+// Timer cookies. Odd cookies belong to requests.
 const (
 	tickCookie       uint64 = 0
 	watchRetryCookie uint64 = 2
 )
 
-// requestCookie is the cookie of a request's timers.
+// requestCookie returns the cookie of a request's timers.
 func requestCookie(id uint64) uint64 { return id<<1 | 1 }
 
-// requestOfCookie is the ID of the request that a timer cookie belongs to.
-func requestOfCookie(cookie uint64) uint64 { return cookie >> 1 }
+// requestIDFromCookie returns the ID of the request to which a timer cookie belongs.
+func requestIDFromCookie(cookie uint64) uint64 { return cookie >> 1 }
 
-// Balancer decides for one gateway. It is not safe for concurrent use.
+// Balancer makes the decisions of one gateway. It is not safe for concurrent use.
 type Balancer struct {
 	settings Settings
 	rng      *rand.Rand
-	// actions are those of the current Step.
+	// actions holds the actions of the current Step.
 	actions []Action
 
-	// now is the time of the current Step, startedAt that of the first one.
+	// now is the time of the current Step and startedAt the time of the first one.
 	now       time.Duration
 	startedAt time.Duration
-	// previousStepAt is the time of the Step before.
+	// previousStepAt is the time of the previous Step.
 	previousStepAt time.Duration
 	// tickedAt is the time of the last tick.
 	tickedAt time.Duration
 	// running is set by the first Step.
 	running bool
-	// handedOver is set while another process has taken this one's place.
+	// handedOver is set while another process has taken over from this one.
 	handedOver bool
 
-	// requests has the requests without a final answer or with attempts in flight, by ID.
+	// requests holds the requests that have no final answer or have attempts in flight, by ID.
 	requests map[uint64]*request
-	// unplaced are requests for which there was no endpoint; the next tick tries again.
+	// unplaced holds requests for which no endpoint was available. The next tick tries again.
 	unplaced []*request
-	// shortage is the part of the requests within their quota that find no free slot.
+	// shortage is the fraction of requests within their quota that find no free slot.
 	shortage float64
-	// maxClassWeight is the largest priority weight of a class, maxPriority that of a class and a plan together.
+	// maxClassWeight is the largest priority weight of a class, and maxPriority the largest product of a class's
+	// priority weight and a plan's priority factor.
 	maxClassWeight float64
 	maxPriority    float64
 
@@ -63,21 +64,22 @@
 	warmRate      warmRateEstimate
 
 	customers customerTable
-	// waitingCustomers are those with waiting requests that the next tick looks at.
+	// waitingCustomers holds the customers whose waiting requests the next tick serves.
 	waitingCustomers []*customer
 
-	// leaseTerms has the terms of the ceiling leases by plan; the zero value: its ceiling is not leased.
+	// leaseTerms holds the terms of the ceiling leases by plan. The zero value means that the plan's ceiling is not
+	// leased.
 	leaseTerms []ceilinglease.Terms
 	// longestCeilingFill is the longest time that a leased ceiling takes to fill.
 	longestCeilingFill time.Duration
-	// share is this gateway's part of what all gateways have in common.
+	// share is this gateway's share of the limits that all gateways have in common.
 	share shareState
 	// counter holds the calls to the shared counter.
 	counter counterCalls
 }
 
-// New returns a Balancer that knows nothing yet. The seed is for its random numbers. Its error tells which setting is
-// not valid; see Settings.Validate.
+// New returns a Balancer without endpoints or customers. The seed initializes its random numbers. The error names the
+// invalid setting; see Settings.Validate.
 func New(settings Settings, seed uint64) (*Balancer, error) {
 	if err := settings.Validate(); err != nil {
 		return nil, err
@@ -94,8 +96,8 @@
 	return b, nil
 }
 
-// Step handles what happened up to time now, in order, and returns what to do, in order. now must not go back; if it
-// does, the last time counts. The returned slice is valid until the next Step.
+// Step processes the events up to time now in order and returns the actions to take in order. now must not go
+// backwards; if it does, the latest time so far is used. The returned slice is valid until the next Step.
 func (b *Balancer) Step(now time.Duration, events []Event) []Action {
 	b.actions = b.actions[:0]
 	b.previousStepAt = b.now
@@ -110,7 +112,7 @@
 	return b.actions
 }
 
-// start sets the state that depends on the time of the first Step, and requests the first timer and the endpoint
+// start initializes the state that depends on the time of the first Step and requests the first timer and the endpoint
 // list.
 func (b *Balancer) start() {
 	b.running = true
@@ -128,7 +130,7 @@
 	}
 }
 
-// handle passes an event to the rule that it is for.
+// handle passes an event to its handler.
 func (b *Balancer) handle(ev Event) {
 	switch ev := ev.(type) {
 	case Request:
@@ -173,7 +175,7 @@
 // emit adds an action to those of the current Step.
 func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
 
-// handleTimer handles a timer: the tick, the retry of the endpoint watch, or a request's.
+// handleTimer handles an expired timer: the tick, the retry of the endpoint watch, or a request's timer.
 func (b *Balancer) handleTimer(ev TimerFired) {
 	switch ev.Cookie {
 	case tickCookie:
@@ -181,7 +183,7 @@
 	case watchRetryCookie:
 		b.retryWatch()
 	default:
-		if req := b.requests[requestOfCookie(ev.Cookie)]; req != nil {
+		if req := b.requests[requestIDFromCookie(ev.Cookie)]; req != nil {
 			b.handleRequestTimer(req)
 		}
 	}
@@ -192,17 +194,18 @@
 	b.emit(SetTimer{At: b.now + tickInterval, Cookie: tickCookie})
 }
 
-// tick does the checks that no event triggers.
+// tick performs the periodic checks.
 func (b *Balancer) tick() {
 	b.setTickTimer()
-	// After a stall, what came meanwhile is not read yet, so silence says nothing.
+	// After a stall, responses that arrived in the meantime have not been read yet, so missing responses are no
+	// evidence of a failed endpoint.
 	if b.now-b.tickedAt < stallThreshold {
 		for _, ep := range b.endpoints.ordered {
 			b.checkEndpointHealth(ep)
 		}
 	}
 	b.tickedAt = b.now
-	b.testSilentCounter()
+	b.probeSilentCounter()
 	b.assignUnplaced()
 	b.dispatchAllQueued()
 	b.serveWaitingCustomers()
@@ -210,9 +213,9 @@
 	b.fetchIfStale()
 }
 
-// testSilentCounter calls the counter while no ceiling is leased because it was silent. Otherwise gateways with few
-// requests would go by their even shares while the others lease again.
-func (b *Balancer) testSilentCounter() {
+// probeSilentCounter calls the counter while ceilings are not leased because the counter was silent. Without this call,
+// gateways with few requests would stay on their even shares while the others lease again.
+func (b *Balancer) probeSilentCounter() {
 	if b.now < b.counter.leasingFrom && b.canCallCounter() {
 		b.counter.recordCall(b.now)
 		b.probeCounter()
@@ -229,7 +232,7 @@
 	}
 }
 
-// serveWaitingCustomers serves the customers whose requests wait for quota or ceiling.
+// serveWaitingCustomers serves the customers whose requests wait for their quota or ceiling.
 func (b *Balancer) serveWaitingCustomers() {
 	list := b.waitingCustomers
 	b.waitingCustomers = nil
@@ -239,7 +242,7 @@
 	}
 }
 
-// handleSettingsUpdate replaces the settings. Shares fill up to now by the plans as they were.
+// handleSettingsUpdate replaces the settings. Shares are first filled up to now under the previous plans.
 func (b *Balancer) handleSettingsUpdate(ev SettingsUpdate) {
 	b.refillAllShares()
 	b.applySettings(ev.Settings, ev.EvidenceFrom)
