--- a/internal/balancer/request.go
+++ b/internal/balancer/request.go
@@ -2,37 +2,37 @@
 
 import "time"
 
-// request is a request that has no final answer yet, or still has attempts in flight.
+// request is a request that has no final answer yet or still has attempts in flight.
 type request struct {
 	id       uint64
 	customer *customer
 	// class and plan are indexes into the settings.
 	class int
 	plan  int
-	// units is what the request takes from quota and ceiling.
+	// units is the number of units that the request takes from the quota and the ceiling.
 	units float64
 	// cost is the work of the request, in mean requests of its class.
 	cost float64
 	// arrivedAt is when the request arrived.
 	arrivedAt time.Duration
-	// timeLimit is the time from arrival within which an answer is of use: tau of the paper.
+	// timeLimit is the time from arrival within which an answer is useful: tau in the paper.
 	timeLimit time.Duration
-	// level is the priority level, 0 the highest.
+	// level is the priority level; 0 is the highest.
 	level int
-	// clientRetry is set if the client repeats an earlier request.
+	// clientRetry is set if the client marked the request as a retry of an earlier one.
 	clientRetry bool
-	// streaming is set once the answer has started to come as a stream.
+	// streaming is set once the response has started to stream.
 	streaming bool
-	// ended is set once the final answer is given.
+	// ended is set once the final answer has been given.
 	ended bool
 	// inFlight is set while the request counts against the plan's MaxInFlight.
 	inFlight bool
 
-	// admitOnly is set if the work is done elsewhere and only admission is decided.
+	// admitOnly is set if the work is performed elsewhere and only admission is decided.
 	admitOnly bool
-	// admitted is set once such a request is admitted.
+	// admitted is set once an admitOnly request has been admitted.
 	admitted bool
-	// holdFor is how long an admitted request counts as in flight at most; 0: not at all.
+	// holdFor is the longest time that an admitted request counts as in flight; 0 means not at all.
 	holdFor time.Duration
 	// holdUntil is when that time ends.
 	holdUntil time.Duration
@@ -41,51 +41,53 @@
 	ceiling  ceilingReservation
 	attempts attemptHistory
 
-	// queuedOn is the endpoint in whose queue the request waits, nil if in none.
+	// queuedOn is the endpoint in whose queue the request waits, or nil.
 	queuedOn *endpoint
-	// queuePosition is its place in that queue.
+	// queuePosition is the request's entry in that queue.
 	queuePosition *queueEntry
 }
 
-// quotaProgress is how far the quota of a request is decided.
+// quotaProgress is the state of a request's quota decision.
 type quotaProgress struct {
-	// covered is set if tokens of the customer cover the request.
+	// covered is set if the customer's tokens cover the request.
 	covered bool
-	// charged is set if the request is covered by a quota: its units were spent. A plan without one covers for nothing.
+	// charged is set if the request is covered by a quota and its units were spent. A plan without a quota covers
+	// requests without charging them.
 	charged bool
-	// paidByCounter is set if these tokens were leased from the counter.
+	// paidByCounter is set if the tokens were leased from the counter.
 	paidByCounter bool
-	// onCredit is set if the request went on without leased tokens and without an answer of the counter.
+	// onCredit is set if the request proceeded without leased tokens and without an answer from the counter.
 	onCredit bool
 	// counterCalled is set once the request has called the counter.
 	counterCalled bool
-	// counterCalledTwice is set once it has done so a second time; it may not a third time.
+	// counterCalledTwice is set once the request has called the counter a second time. A third call is not allowed.
 	counterCalledTwice bool
 }
 
-// ceilingReservation is what a queued request holds of its customer's ceiling.
+// ceilingReservation is the part of its customer's ceiling that a queued request has reserved.
 type ceilingReservation struct {
-	// reserved is set while units are held.
+	// reserved is set while units are reserved.
 	reserved bool
-	// source is where the units come from.
+	// source is where the units were taken from.
 	source ceilingSource
-	// lease is what the units were leased on, and leaseWindow the window that they were leased for, with fromLease.
+	// lease is the ceiling lease that the units were taken from and leaseWindow the window for which they were leased.
+	// Both are used with source fromLease.
 	lease       *leasedCeiling
 	leaseWindow int64
-	// turnAt is a time in the gateway's turn that the request uses, with fromEvenShare where a share goes by turns; 0:
-	// it does not.
+	// turnAt is a time within the gateway's turn that the request uses, if source is fromEvenShare and the share is
+	// used in turns; otherwise 0.
 	turnAt time.Duration
 	// leaseRequested is set once the request has called the counter for a ceiling lease.
 	leaseRequested bool
 }
 
-// attemptHistory is what came of the attempts of a request.
+// attemptHistory records the attempts of a request.
 type attemptHistory struct {
-	// all has the attempts in the order of dispatch.
+	// all holds the attempts in the order of dispatch.
 	all []*attempt
-	// open is the number of them without a result.
+	// open is the number of attempts without a result.
 	open int
-	// limit is the most attempts, by the settings that the request came under.
+	// limit is the maximum number of attempts, from the settings in effect when the request arrived.
 	limit int
 	// mayHaveRun is set once an attempt may have had an effect.
 	mayHaveRun bool
@@ -95,7 +97,7 @@
 	firstRunOn *endpoint
 }
 
-// add appends an attempt, whose number is its place in the order of dispatch.
+// add appends an attempt and numbers it by its position in the order of dispatch.
 func (h *attemptHistory) add(att *attempt) {
 	att.number = len(h.all)
 	att.open = true
@@ -103,13 +105,13 @@
 	h.open++
 }
 
-// close records that an attempt has its result.
+// close records that an attempt has received its result.
 func (h *attemptHistory) close(att *attempt) {
 	att.open = false
 	h.open--
 }
 
-// find returns the attempt of a number if it has no result yet, else nil.
+// find returns the attempt with the given number, or nil if it does not exist or already has a result.
 func (h *attemptHistory) find(number int) *attempt {
 	if number < 0 || number >= len(h.all) || !h.all[number].open {
 		return nil
@@ -120,7 +122,7 @@
 // canAdd reports whether the limit allows another attempt.
 func (h *attemptHistory) canAdd() bool { return len(h.all) < h.limit }
 
-// recordRun records that an attempt may have had an effect. The first such attempt counts.
+// recordRun records that an attempt may have had an effect. Only the first such attempt is kept.
 func (h *attemptHistory) recordRun(att *attempt) {
 	if h.mayHaveRun {
 		return
@@ -133,36 +135,36 @@
 // attempt is one dispatch of a request.
 type attempt struct {
 	request *request
-	// number counts the request's attempts from 0.
+	// number is the index of the attempt among the request's attempts, starting at 0.
 	number   int
 	endpoint *endpoint
 	// sentAt is when the attempt was dispatched.
 	sentAt time.Duration
-	// kind tells probe requests from others.
+	// kind distinguishes probe requests from regular attempts.
 	kind attemptKind
-	// open is set until the attempt's result comes.
+	// open is set until the attempt's result arrives.
 	open bool
-	// responseStarted is set once the answer has begun to come: the endpoint has done its work.
+	// responseStarted is set once the response has started to arrive, which shows that the endpoint has done its work.
 	responseStarted bool
 }
 
-// attemptKind says why an attempt goes to its endpoint.
+// attemptKind is the reason why an attempt is sent to its endpoint.
 type attemptKind int
 
 const (
-	// regularAttempt goes to a usable endpoint.
+	// regularAttempt is sent to a usable endpoint.
 	regularAttempt attemptKind = iota
-	// probeAttempt goes to an ejected endpoint to find out whether it has recovered.
+	// probeAttempt is sent to an ejected endpoint to find out whether it has recovered.
 	probeAttempt
 )
 
-// deadline is when an answer is of no use any more.
+// deadline returns the time from which an answer is no longer useful.
 func (req *request) deadline() time.Duration { return req.arrivedAt + req.timeLimit }
 
-// waited is the time since the request arrived.
+// waited returns the time since the request arrived.
 func (req *request) waited(now time.Duration) time.Duration { return now - req.arrivedAt }
 
-// finish ends a request: it leaves its queue, gives back what it holds, and its attempts in flight are cancelled.
+// finish ends a request: removes it from its queue, releases its reservations and cancels its attempts in flight.
 func (b *Balancer) finish(req *request) {
 	if req.ended {
 		return
@@ -182,8 +184,8 @@
 	b.forgetIfDone(req)
 }
 
-// cancelAttempts cancels the attempts of a request that are in flight. A stream is not cancelled: the client reads
-// it.
+// cancelAttempts cancels a request's attempts in flight. A streaming request is left alone because the client is
+// reading the response.
 func (b *Balancer) cancelAttempts(req *request) {
 	if !b.settings.AllowCancel || req.streaming {
 		return
@@ -195,14 +197,14 @@
 	}
 }
 
-// forgetIfDone drops a request that has ended and has no attempt in flight.
+// forgetIfDone removes a request that has ended and has no attempt in flight.
 func (b *Balancer) forgetIfDone(req *request) {
 	if req.ended && req.attempts.open == 0 {
 		delete(b.requests, req.id)
 	}
 }
 
-// handleRequestDone ends a request whose client has left, or admitted work that is over.
+// handleRequestDone ends a request whose client has disconnected, or an admitted request whose work has finished.
 func (b *Balancer) handleRequestDone(ev RequestDone) {
 	if req := b.requests[ev.ID]; req != nil {
 		b.finish(req)
