--- a/internal/balancer/ceilinglease/lease.go
+++ b/internal/balancer/ceilinglease/lease.go
@@ -5,57 +5,58 @@
 	"time"
 )
 
-// leaseParts is the number of leases that use up a window: no gateway takes more at once, so that the next finds some.
-const leaseParts = 3.0
+// leasesPerWindow is the number of leases that use up a window. It limits the size of a lease so that the next gateway
+// still finds units.
+const leasesPerWindow = 3.0
 
-// Use is how leased units are used.
+// Use is the purpose for which leased units are spent.
 type Use int
 
 const (
-	// QueuedUse is that of requests that may wait in a queue.
+	// QueuedUse is for requests that may wait in a queue.
 	QueuedUse Use = iota
-	// ImmediateUse is that of requests that can't wait.
+	// ImmediateUse is for requests that cannot wait.
 	ImmediateUse
 )
 
-// Lease is what one gateway has of one customer's windows. The zero value has nothing.
+// Lease holds the units that one gateway has leased from one customer's ceiling. The zero value holds none.
 type Lease struct {
-	// window is the number of the window that the other values belong to.
+	// window is the index of the window to which the other values belong.
 	window int64
-	// unspent is the number of units not yet spent.
+	// unspent is the number of units that have not been spent yet.
 	unspent float64
-	// granted is the number of units that this window gave.
+	// granted is the number of units that were granted in this window.
 	granted float64
-	// queuedUse is the number of them that queued requests spent or hold.
+	// queuedUse is the number of granted units that queued requests have spent or reserved.
 	queuedUse float64
-	// exhausted is true when the window has no more.
+	// exhausted is true if the window has no more units.
 	exhausted bool
-	// requestPending is true while the counter's answer is awaited.
+	// requestPending is true while the counter's answer is outstanding.
 	requestPending bool
-	// retryAt is the time before which nothing is asked for, as a call has failed.
+	// retryAt is the time before which no units are requested because a call has failed.
 	retryAt time.Duration
 }
 
-// advance moves on to the window of a time. What was left of another window is void.
+// advance moves to the window that contains now. Units left from another window expire.
 func (lease *Lease) advance(terms Terms, now time.Duration) {
 	if window := terms.WindowIndex(now); window != lease.window {
 		*lease = Lease{window: window, requestPending: lease.requestPending, retryAt: lease.retryAt}
 	}
 }
 
-// Available is how many units may be spent now. reserved is the part of a window's units, from 0 to 1, that is left to
-// ImmediateUse, as queued requests would else take all at each window's beginning.
+// Available returns how many units may be spent now. reserved is the fraction of a window's units, from 0 to 1, that is
+// kept for ImmediateUse. Without it, queued requests would take all units at the start of each window.
 func (lease *Lease) Available(terms Terms, now time.Duration, use Use, reserved float64) float64 {
 	lease.advance(terms, now)
 	if use == ImmediateUse {
 		return lease.unspent
 	}
-	// Most requests take one unit, so of a single one queued requests have all.
+	// Rounding up lets queued requests use a single granted unit, since most requests take one unit.
 	limit := math.Ceil(lease.granted * (1 - reserved))
 	return max(0, min(lease.unspent, limit-lease.queuedUse))
 }
 
-// Spend takes units that Available has told of and returns their window, in which they must go out.
+// Spend spends units that Available has reported and returns the window in which they must be used.
 func (lease *Lease) Spend(terms Terms, now time.Duration, units float64, use Use) int64 {
 	lease.advance(terms, now)
 	lease.unspent -= units
@@ -65,7 +66,7 @@
 	return lease.window
 }
 
-// Return gives back units of a window that did not go out.
+// Return gives back unused units of a window.
 func (lease *Lease) Return(terms Terms, now time.Duration, window int64, units float64, use Use) {
 	lease.advance(terms, now)
 	if lease.window != window {
@@ -77,20 +78,20 @@
 	}
 }
 
-// RequestSize is how many units to add on the counter now for a request's units and a demand in units a second; 0:
-// none. Otherwise Grant or RecordFailure must follow.
+// RequestSize returns how many units to request from the counter now, given the units of a request and the demand in
+// units per second. If the result is not 0, Grant or RecordFailure must follow.
 func (lease *Lease) RequestSize(terms Terms, now time.Duration, units, demand float64) float64 {
 	lease.advance(terms, now)
 	if lease.requestPending || lease.exhausted || now < lease.retryAt {
 		return 0
 	}
 	lease.requestPending = true
-	expected := math.Ceil(min(demand*terms.WindowTimeLeft(now).Seconds(), terms.UnitsPerWindow/leaseParts))
+	expected := math.Ceil(min(demand*terms.WindowTimeLeft(now).Seconds(), terms.UnitsPerWindow/leasesPerWindow))
 	return min(terms.UnitsPerWindow, max(units, expected))
 }
 
-// Grant takes the counter's answer to a block that was added in a window: the total with it. It returns what the
-// gateway has got; nothing of a window that is over.
+// Grant processes the counter's answer to a request for block units that was made in a window. total is the counter's
+// total including the block. Grant returns the number of units granted, which is 0 if the window is over.
 func (lease *Lease) Grant(terms Terms, now time.Duration, window int64, block, total float64) float64 {
 	lease.requestPending = false
 	lease.advance(terms, now)
@@ -106,14 +107,14 @@
 	return granted
 }
 
-// RecordFailure takes a call's failure, after which nothing is asked for until the pause is over. Whether the block
-// was added is not known, so nothing was got.
+// RecordFailure records a failed call. No units are requested until the pause is over. Whether the counter added the
+// block is unknown, so no units are granted.
 func (lease *Lease) RecordFailure(now, pause time.Duration) {
 	lease.requestPending = false
 	lease.retryAt = now + pause
 }
 
-// WaitTime is how long it takes until units may be there: 0 unless the window has no more.
+// WaitTime returns the time until units may be available, which is 0 unless the window is exhausted.
 func (lease *Lease) WaitTime(terms Terms, now time.Duration) time.Duration {
 	lease.advance(terms, now)
 	if !lease.exhausted {
@@ -122,5 +123,5 @@
 	return terms.WindowTimeLeft(now)
 }
 
-// IsRequestPending reports whether the counter's answer is awaited.
+// IsRequestPending reports whether the counter's answer is outstanding.
 func (lease *Lease) IsRequestPending() bool { return lease.requestPending }
