--- a/internal/balancer/ceilinglease/turns.go
+++ b/internal/balancer/ceilinglease/turns.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// Turns are how gateways share a bucket of which each would hold less than a unit: each has a unit at a time of its
-// own, for a while, and what it has not used by then is gone.
+// Turns lets gateways share a bucket of which each would hold less than one unit. Each gateway has one unit for a
+// limited time at its own turn. If it does not use the unit by then, the unit expires.
 type Turns struct {
-	// interval is the time from one turn of a gateway to its next.
+	// interval is the time from one turn of a gateway to its next turn.
 	interval time.Duration
-	// length is how long the unit is there in each turn.
+	// length is how long the unit is available in each turn.
 	length time.Duration
 	// gateways is the number of gateways that take turns.
 	gateways int64
 }
 
-// TurnsOf makes the turns of gateways that share a bucket of a rate in units a second and a depth in units; false:
-// each holds a unit or more, or there is nothing to hold. The turns of all gateways are spread evenly, so in any time
-// t there are at most rate*t+depth, and one more for the instant at which they begin.
+// TurnsOf computes the turns of gateways that share a bucket with a rate in units per second and a depth in units. It
+// returns false if each gateway holds at least one unit or if there is nothing to share. The turns of all gateways are
+// evenly spaced, so in any time t they use at most rate*t+depth units, plus one for the instant at which they begin.
 func TurnsOf(rate, depth, gateways float64) (Turns, bool) {
 	count := math.Ceil(gateways)
 	if !(rate > 0 && depth > 0 && count >= 1) || depth >= count {
@@ -35,7 +35,7 @@
 	}, true
 }
 
-// At returns the number of a gateway's turn at a time, and whether its unit is there.
+// At returns the number of a gateway's turn at a time and whether its unit is available then.
 func (turns Turns) At(now time.Duration, gateway int) (turn int64, open bool) {
 	since := now - turns.offset(gateway)
 	turn = int64(since / turns.interval)
@@ -45,12 +45,12 @@
 	return turn, since%turns.interval < turns.length
 }
 
-// StartOf is when a gateway's turn of a number begins.
+// StartOf returns when a gateway's turn with the given number begins.
 func (turns Turns) StartOf(turn int64, gateway int) time.Duration {
 	return turns.offset(gateway) + time.Duration(turn)*turns.interval
 }
 
-// offset is when a gateway's turn 0 begins.
+// offset returns when a gateway's turn 0 begins.
 func (turns Turns) offset(gateway int) time.Duration {
 	return turns.interval / time.Duration(turns.gateways) * time.Duration(int64(max(0, gateway))%turns.gateways)
 }
