--- a/internal/balancer/ceilinglease/turns_test.go
+++ b/internal/balancer/ceilinglease/turns_test.go
@@ -6,39 +6,42 @@
 	"time"
 )
 
-// Gateways that use each turn they have take no more than the bucket gives, in any time, and nearly all of it.
+// TestTurnsStayWithinTheBucket verifies that gateways that use all of their turns spend no more than the bucket allows
+// in any period, and nearly all of it.
 func TestTurnsStayWithinTheBucket(t *testing.T) {
 	for _, c := range []struct{ rate, depth, gateways float64 }{{8, 19, 23}, {18, 1, 80}, {0.5, 3, 40}, {30, 29, 31}} {
 		turns, ok := TurnsOf(c.rate, c.depth, c.gateways)
 		if !ok {
-			t.Fatalf("%+v: none", c)
+			t.Fatalf("%+v: no turns", c)
 		}
-		used := make([]int64, int(c.gateways))
-		for i := range used {
-			used[i] = -1
+		lastTurns := make([]int64, int(c.gateways))
+		for i := range lastTurns {
+			lastTurns[i] = -1
 		}
-		bucket, last, n := c.depth, time.Duration(0), 0
-		idle := 20 * time.Second // all turns that are open when a flood begins go at once
-		end := idle + 200*time.Second
-		for now := idle; now < end; now += 10 * time.Millisecond {
-			for i := range used {
-				if turn, open := turns.At(now, i); open && used[i] != turn {
-					used[i] = turn
-					n++
-					bucket = min(c.depth, bucket+c.rate*(now-last).Seconds()) - 1
-					last = now
-					if bucket < -1.5 {
-						t.Fatalf("%+v: the bucket fell to %.2f at %v", c, bucket, now)
+		level, lastUseAt, units := c.depth, time.Duration(0), 0
+		start := 20 * time.Second // all turns that are open when the load starts are lastTurns at once
+		end := start + 200*time.Second
+		for now := start; now < end; now += 10 * time.Millisecond {
+			for i := range lastTurns {
+				if turn, open := turns.At(now, i); open && lastTurns[i] != turn {
+					lastTurns[i] = turn
+					units++
+					level = min(c.depth, level+c.rate*(now-lastUseAt).Seconds()) - 1
+					lastUseAt = now
+					if level < -1.5 {
+						t.Fatalf("%+v: bucket level fell to %.2f at %v", c, level, now)
 					}
 				}
 			}
 		}
-		if want := c.rate * (end - idle).Seconds(); float64(n) < 0.95*want {
-			t.Errorf("%+v: %d units in 200 s, want %.0f", c, n, want)
+		if want := c.rate * (end - start).Seconds(); float64(units) < 0.95*want {
+			t.Errorf("%+v: used %d units in 200 s, available %.0f", c, units, want)
 		}
 	}
 }
 
+// TestTurnsOfBucketsThatHaveNone verifies that there are no turns if each gateway holds a unit, or if the parameters
+// are invalid.
 func TestTurnsOfBucketsThatHaveNone(t *testing.T) {
 	cases := []struct {
 		name                  string
@@ -46,8 +49,8 @@
 	}{
 		{"no rate", 0, 1, 5},
 		{"no depth", 1, 0, 5},
-		{"a unit each", 1, 5, 5},
-		{"more than a unit each", 1, 6, 5},
+		{"one unit per gateway", 1, 5, 5},
+		{"more than one unit per gateway", 1, 6, 5},
 		{"no gateway", 1, 1, 0},
 		{"negative rate", -1, 1, 3},
 		{"rate is not a number", math.NaN(), 1, 3},
@@ -57,7 +60,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			if _, ok := TurnsOf(c.rate, c.depth, c.gateways); ok {
-				t.Error("there are turns")
+				t.Error("got turns, want none")
 			}
 		})
 	}
