--- a/internal/balancer/quotashare/partition.go
+++ b/internal/balancer/quotashare/partition.go
@@ -1,19 +1,20 @@
 package quotashare
 
-// PartitionPolicy is what a gateway keeps of a ceiling without a lease.
+// PartitionPolicy defines which part of a ceiling a gateway keeps without a lease.
 type PartitionPolicy int
 
 const (
-	// KeepQuota keeps its even part of what the quota allows, so that a gateway that is cut off serves that much.
+	// KeepQuota keeps the gateway's even share of the quota, so that a gateway that is cut off can still serve that
+	// much.
 	KeepQuota PartitionPolicy = iota
-	// KeepAll keeps its even part of all, so that no gateway ever takes over a dead one's part.
+	// KeepAll keeps the gateway's even share of the whole ceiling. No gateway takes over the share of a dead one.
 	KeepAll
-	// KeepNone keeps nothing: a dead gateway's whole part is taken over, and one that is cut off has none.
+	// KeepNone keeps nothing. The whole share of a dead gateway is taken over, and a gateway that is cut off has none.
 	KeepNone
 )
 
-// Share is a gateway's part of a ceiling's bucket. The quota's bucket is what KeepQuota keeps. even is the even part
-// of each gateway and leased its leased fraction, both from 0 to 1.
+// Share returns a gateway's share of a ceiling's bucket. quota is the part that KeepQuota keeps. even is the even
+// fraction of each gateway and leased is the fraction that this gateway has leased, both from 0 to 1.
 func (policy PartitionPolicy) Share(ceiling, quota Bucket, even, leased float64) Bucket {
 	var kept Bucket
 	switch policy {
@@ -28,11 +29,12 @@
 	}
 }
 
-// FractionAmong is a gateway's fraction for a customer that comes through some of all gateways only. These can't take
-// over from one that it does not come through, so none has more than its even part of these.
-func FractionAmong(fraction float64, some, all float64) float64 {
-	if some >= all {
+// FractionAmong returns a gateway's fraction for a customer whose requests arrive at only a subset of the gateways.
+// These gateways cannot take over the share of a gateway outside the subset, so the fraction is at most the even share
+// within the subset.
+func FractionAmong(fraction float64, subset, total float64) float64 {
+	if subset >= total {
 		return fraction
 	}
-	return min(1, fraction*all) / some
+	return min(1, fraction*total) / subset
 }
