--- a/internal/balancer/quotashare/sharelease_test.go
+++ b/internal/balancer/quotashare/sharelease_test.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
+// TestShareLeaseEnds verifies that the fraction is 0 once the lease has expired.
 func TestShareLeaseEnds(t *testing.T) {
 	var lease ShareLease
 	lease.Update(time.Second, 0.4, 3*time.Second, 0)
 	if got := lease.Fraction(2 * time.Second); got != 0.4 {
-		t.Errorf("fraction %v in the lease, want 0.4", got)
+		t.Errorf("fraction %v during the lease, want 0.4", got)
 	}
 	if lease.HasExpired(2 * time.Second) {
 		t.Error("expired before its end")
@@ -22,12 +23,13 @@
 	}
 }
 
-// A fraction that grows counts for requests in flight only after the longest time that one may be in flight.
+// TestInFlightFractionGrowsLate verifies that a larger fraction applies to requests in flight only after the longest
+// time that a request may be in flight.
 func TestInFlightFractionGrowsLate(t *testing.T) {
-	const longest = 2 * time.Second
+	const maxInFlight = 2 * time.Second
 	var lease ShareLease
-	lease.Update(0, 0.3, time.Hour, longest)
-	lease.Update(10*time.Second, 0.8, time.Hour, longest)
+	lease.Update(0, 0.3, time.Hour, maxInFlight)
+	lease.Update(10*time.Second, 0.8, time.Hour, maxInFlight)
 	if got := lease.IncreasedAt(); got != 10*time.Second {
 		t.Errorf("increased at %v, want 10 s", got)
 	}
@@ -36,9 +38,9 @@
 		at   time.Duration
 		want float64
 	}{
-		{"just after it grew", 10 * time.Second, 0.3},
-		{"before the longest request is over", 12*time.Second - 1, 0.3},
-		{"when the longest request is over", 12 * time.Second, 0.8},
+		{"just after the increase", 10 * time.Second, 0.3},
+		{"before the longest request ends", 12*time.Second - 1, 0.3},
+		{"when the longest request ends", 12 * time.Second, 0.8},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -49,6 +51,7 @@
 	}
 }
 
+// TestInFlightFractionShrinksAtOnce verifies that a smaller fraction applies to requests in flight immediately.
 func TestInFlightFractionShrinksAtOnce(t *testing.T) {
 	var lease ShareLease
 	lease.Update(0, 0.8, time.Hour, time.Second)
