--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Events of unknown requests, attempts, calls and endpoints change nothing, and each request gets one final answer.
+// TestUnexpectedEvents verifies that events for unknown requests, attempts, counter calls and endpoints change nothing,
+// and that each request gets exactly one final answer.
 func TestUnexpectedEvents(t *testing.T) {
 	b := newTestBalancer(t, testSettings())
 	actions := b.Step(ms, []Event{
@@ -29,16 +30,16 @@
 		t.Errorf("no final answer without an endpoint: %v", actions)
 	}
 	if actions := b.Step(501*ms, []Event{TimerFired{requestCookie(1)}, RequestDone{1}}); len(actions) != 0 {
-		t.Errorf("a second answer: %v", actions)
+		t.Errorf("a second final answer: %v", actions)
 	}
 	short := testRequest(2, 0, 2)
 	short.TimeLeft = 0
 	if actions := b.Step(502*ms, []Event{short, Request{ID: 3, Class: 99}}); len(actionsOf[Reject](actions)) != 2 {
-		t.Errorf("no time left, unknown class: %v", actions)
+		t.Errorf("want two rejects, for no time left and for an unknown class: %v", actions)
 	}
 }
 
-// Requests that have ended and customers that are idle are forgotten.
+// TestFinishedStateIsForgotten verifies that ended requests and idle customers are removed.
 func TestFinishedStateIsForgotten(t *testing.T) {
 	settings := testSettings()
 	b := newTestBalancer(t, settings, testEndpoints(4)...)
@@ -54,6 +55,6 @@
 		b.Step(70*time.Second+time.Duration(i)*ms, []Event{TimerFired{tickCookie}})
 	}
 	if len(b.requests) != 0 || len(b.customers.byName) != 0 || len(b.customers.order) != 0 {
-		t.Errorf("left: %d requests, %d customers", len(b.requests), len(b.customers.byName))
+		t.Errorf("%d requests and %d customers remain", len(b.requests), len(b.customers.byName))
 	}
 }
