--- a/internal/balancer/fakeendpoint_test.go
+++ b/internal/balancer/fakeendpoint_test.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// endpointFleet plays the endpoints of one gateway. All answer within 50 ms but the silent one, on which attempts
-// time out.
+// endpointFleet simulates the endpoints of one gateway. All endpoints answer within 50 ms, except the silent one, whose
+// attempts time out.
 type endpointFleet struct {
 	balancer *Balancer
-	// silent is the name of the endpoint that answers nothing.
+	// silent is the name of the endpoint that never answers.
 	silent   string
 	now      time.Duration
 	lastID   uint64
@@ -23,18 +23,17 @@
 	answeredAt time.Duration
 }
 
-// limitedEndpoint is an endpoint that works on its requests in order, within a capacity, whichever gateway they come
-// from.
+// limitedEndpoint is a simulated endpoint of limited capacity that processes the requests of all gateways in order.
 type limitedEndpoint struct {
-	// capacity is in mean requests a second.
+	// capacity is in mean requests per second.
 	capacity  func(now time.Duration) float64
 	steppedAt time.Duration
-	// workDone is the work done for the next attempt, in mean requests.
+	// workDone is the work done for the attempt at the head of the queue, in mean requests.
 	workDone float64
 	queue    []queuedWork
 }
 
-// queuedWork is an attempt that waits for a limitedEndpoint.
+// queuedWork is an attempt in the queue of a limitedEndpoint.
 type queuedWork struct {
 	gateway   *Balancer
 	dispatch  Dispatch
@@ -43,11 +42,11 @@
 }
 
 // enqueue adds an attempt to the queue.
-func (limited *limitedEndpoint) enqueue(now time.Duration, b *Balancer, dispatch Dispatch, size float64) {
-	limited.queue = append(limited.queue, queuedWork{b, dispatch, size, now})
+func (limited *limitedEndpoint) enqueue(now time.Duration, b *Balancer, dispatch Dispatch, cost float64) {
+	limited.queue = append(limited.queue, queuedWork{b, dispatch, cost, now})
 }
 
-// step answers the attempts that are done by now, and returns the actions of their gateways.
+// step answers the attempts that are finished by now and returns the resulting actions by gateway.
 func (limited *limitedEndpoint) step(now time.Duration) (actions map[*Balancer][]Action) {
 	actions = map[*Balancer][]Action{}
 	limited.workDone += limited.capacity(now) * (now - limited.steppedAt).Seconds()
@@ -65,8 +64,8 @@
 	return actions
 }
 
-// warmingCapacity is the capacity of an endpoint that started at a time and serves rate requests a second once it is
-// warm.
+// warmingCapacity returns the capacity over time of an endpoint that starts at a given time and serves rate requests
+// per second once it has warmed up.
 func warmingCapacity(settings Settings, start time.Duration, rate float64) func(time.Duration) float64 {
 	return func(now time.Duration) float64 {
 		elapsed := min(1, (now-start).Seconds()/settings.SlowStartDuration.Seconds())
@@ -74,14 +73,14 @@
 	}
 }
 
-// step goes on by 10 ms with a number of new requests, and returns what the gateway reports of its endpoints.
-func (fleet *endpointFleet) step(requests int, more ...Event) []HealthReport {
+// step advances the time by 10 ms, sends new requests, and returns the gateway's health reports.
+func (fleet *endpointFleet) step(requests int, extra ...Event) []HealthReport {
 	fleet.now += 10 * ms
-	events := append(more, TimerFired{tickCookie})
-	var left []openAttempt
+	events := append(extra, TimerFired{tickCookie})
+	var remaining []openAttempt
 	for _, attempt := range fleet.attempts {
 		if fleet.now < attempt.answeredAt {
-			left = append(left, attempt)
+			remaining = append(remaining, attempt)
 			continue
 		}
 		result := succeeded(attempt.Dispatch, 0, 50*ms)
@@ -91,7 +90,7 @@
 		}
 		events = append(events, result)
 	}
-	fleet.attempts = left
+	fleet.attempts = remaining
 	for range requests {
 		fleet.lastID++
 		events = append(events, testRequest(fleet.lastID, 0, 2))
@@ -101,43 +100,43 @@
 	return actionsOf[HealthReport](actions)
 }
 
-// record keeps the attempts that the gateway dispatches.
+// record stores the attempts that the gateway dispatches.
 func (fleet *endpointFleet) record(actions []Action) {
 	for _, dispatch := range actionsOf[Dispatch](actions) {
-		until := fleet.now + 50*ms
+		answeredAt := fleet.now + 50*ms
 		if dispatch.Endpoint == fleet.silent {
-			until = fleet.now + dispatch.Timeout
+			answeredAt = fleet.now + dispatch.Timeout
 		}
-		fleet.attempts = append(fleet.attempts, openAttempt{dispatch, until})
+		fleet.attempts = append(fleet.attempts, openAttempt{dispatch, answeredAt})
 	}
 }
 
-// moveTo moves the attempts that were just dispatched to b0 to a limitedEndpoint.
-func (fleet *endpointFleet) moveTo(limited *limitedEndpoint, sent *[]time.Duration) {
-	fleet.attempts = slices.DeleteFunc(fleet.attempts, func(s openAttempt) bool {
-		if s.Endpoint != "b0" || s.answeredAt != fleet.now+50*ms {
+// moveTo moves the attempts just dispatched to b0 to a limitedEndpoint and appends their times to sentAt.
+func (fleet *endpointFleet) moveTo(limited *limitedEndpoint, sentAt *[]time.Duration) {
+	fleet.attempts = slices.DeleteFunc(fleet.attempts, func(attempt openAttempt) bool {
+		if attempt.Endpoint != "b0" || attempt.answeredAt != fleet.now+50*ms {
 			return false
 		}
-		limited.enqueue(fleet.now, fleet.balancer, s.Dispatch, 1)
-		*sent = append(*sent, fleet.now)
+		limited.enqueue(fleet.now, fleet.balancer, attempt.Dispatch, 1)
+		*sentAt = append(*sentAt, fleet.now)
 		return true
 	})
 }
 
-// stepUntilEjected goes on until the gateway ejects the silent endpoint. It returns the report, and the time since
-// the first attempt there.
+// stepUntilEjected steps until the gateway ejects the silent endpoint. It returns the report and the time since the
+// first attempt on that endpoint.
 func (fleet *endpointFleet) stepUntilEjected(t *testing.T, requests int) (HealthReport, time.Duration) {
 	t.Helper()
-	first := time.Duration(0)
+	firstSentAt := time.Duration(0)
 	for range 2000 {
-		found := fleet.step(requests)
-		if first == 0 && len(fleet.balancer.endpoints.byName[fleet.silent].inFlight) > 0 {
-			first = fleet.now
+		reports := fleet.step(requests)
+		if firstSentAt == 0 && len(fleet.balancer.endpoints.byName[fleet.silent].inFlight) > 0 {
+			firstSentAt = fleet.now
 		}
-		if len(found) > 0 {
-			return found[0], fleet.now - first
+		if len(reports) > 0 {
+			return reports[0], fleet.now - firstSentAt
 		}
 	}
-	t.Fatal("a silent endpoint is never ejected")
+	t.Fatal("silent endpoint was not ejected")
 	return HealthReport{}, 0
 }
