--- a/internal/balancer/files_test.go
+++ b/internal/balancer/files_test.go
@@ -9,10 +9,11 @@
 	"unicode/utf8"
 )
 
-// Each file holds one rule and stays short enough to be read at once.
+// TestFileSizeLimits verifies that every source file is short and its lines are narrow. Each file implements one rule
+// and should be readable in one go.
 func TestFileSizeLimits(t *testing.T) {
 	const (
-		maxLines = 500 // that are not blank
+		maxLines = 500 // excluding blank lines
 		maxWidth = 120 // characters
 	)
 	files, err := filepath.Glob("*.go")
@@ -35,14 +36,14 @@
 				lines++
 			}
 			if n := utf8.RuneCount(line); n > maxWidth {
-				t.Errorf("%s: %d characters: %s", file, n, line)
+				t.Errorf("%s: line of %d characters: %s", file, n, line)
 			}
 		}
 		if lines > maxLines {
-			t.Errorf("%s has %d lines that are not blank, at most %d wanted", file, lines, maxLines)
+			t.Errorf("%s has %d non-blank lines, want at most %d", file, lines, maxLines)
 		}
 	}
 	if checked < 20 {
-		t.Errorf("%d files were checked, at least 20 wanted", checked)
+		t.Errorf("checked %d files, want at least 20", checked)
 	}
 }
