--- a/internal/balancer/helpers_test.go
+++ b/internal/balancer/helpers_test.go
@@ -8,8 +8,8 @@
 
 const ms = time.Millisecond
 
-// testSettings has a plan with a hard quota, one with a soft quota and a ceiling, one without quota, and one with
-// MaxInFlight.
+// testSettings returns settings with a plan with a hard quota, one with a soft quota and a ceiling, one without a
+// quota, and one with MaxInFlight.
 func testSettings() Settings {
 	return Settings{
 		Gateways:          2,
@@ -48,7 +48,7 @@
 	}
 }
 
-// settingsWithoutCounter has one gateway, health checks, and no quota in plan 0.
+// settingsWithoutCounter returns settings for one gateway with health checks, no counter, and no quota in plan 0.
 func settingsWithoutCounter() Settings {
 	settings := testSettings()
 	settings.UseCounter, settings.Gateways, settings.AllowHealthChecks = false, 1, true
@@ -56,21 +56,22 @@
 	return settings
 }
 
-// singleGatewaySettings has one gateway, health checks and no counter.
+// singleGatewaySettings returns settings for one gateway with health checks and no counter.
 func singleGatewaySettings() Settings {
 	settings := testSettings()
 	settings.Gateways, settings.UseCounter, settings.AllowHealthChecks = 1, false, true
 	return settings
 }
 
-// largeFleetSettings has more gateways than a customer's burst has units.
+// largeFleetSettings returns settings for a given number of gateways, which is meant to exceed the units of a
+// customer's burst.
 func largeFleetSettings(gateways int) Settings {
 	settings := testSettings()
 	settings.Gateways = gateways
 	return settings
 }
 
-// newTestBalancer returns a Balancer that knows some endpoints.
+// newTestBalancer returns a Balancer that has received a list of endpoints.
 func newTestBalancer(t testing.TB, settings Settings, list ...Endpoint) *Balancer {
 	t.Helper()
 	b, err := New(settings, 7)
@@ -81,7 +82,7 @@
 	return b
 }
 
-// newSingleGateway returns a Balancer of a single gateway without a counter.
+// newSingleGateway returns the Balancer of a single gateway without a counter.
 func newSingleGateway(t *testing.T, endpoints int) *Balancer {
 	t.Helper()
 	settings := testSettings()
@@ -89,26 +90,27 @@
 	return newTestBalancer(t, settings, testEndpoints(endpoints)...)
 }
 
-// newTrainedBalancer returns a Balancer that has seen requests of one unit take 40 ms and of four units 280 ms.
+// newTrainedBalancer returns a Balancer that has observed a latency of 40 ms for requests of one unit and 280 ms for
+// requests of four units.
 func newTrainedBalancer(t *testing.T, list ...Endpoint) *Balancer {
 	t.Helper()
 	settings := testSettings()
 	settings.UseCounter = false
 	b := newTestBalancer(t, settings, list...)
 	for i := range uint64(400) {
-		request, took := testRequest(i, 0, 2), 40*ms
+		request, latency := testRequest(i, 0, 2), 40*ms
 		if i%2 == 1 {
-			request.Units, took = 4, 280*ms
+			request.Units, latency = 4, 280*ms
 		}
 		now := time.Duration(i) * 300 * ms
 		for _, dispatch := range actionsOf[Dispatch](b.Step(now, []Event{request})) {
-			b.Step(now+took, []Event{succeeded(dispatch, 0, took)})
+			b.Step(now+latency, []Event{succeeded(dispatch, 0, latency)})
 		}
 	}
 	return b
 }
 
-// testEndpoints returns n endpoints, two in each cell.
+// testEndpoints returns n endpoints, two per cell.
 func testEndpoints(n int) (list []Endpoint) {
 	for i := range n {
 		list = append(list, Endpoint{Name: fmt.Sprint("b", i), Cell: i / 2, Weight: 1})
@@ -126,22 +128,22 @@
 	return got
 }
 
-// singleDispatch returns the only Dispatch of a Step.
+// singleDispatch returns the only Dispatch of a Step and fails the test if there is not exactly one.
 func singleDispatch(t *testing.T, actions []Action) Dispatch {
 	t.Helper()
 	all := actionsOf[Dispatch](actions)
 	if len(all) != 1 {
-		t.Fatalf("%d dispatches in %+v", len(all), actions)
+		t.Fatalf("got %d dispatches, want 1: %+v", len(all), actions)
 	}
 	return all[0]
 }
 
-// testRequest returns a request of one unit of customer c.
+// testRequest returns a request of one unit by customer c.
 func testRequest(id uint64, class, plan int) Request {
 	return Request{ID: id, Class: class, Plan: plan, Customer: "c", TimeLeft: 2 * time.Second, Units: 1}
 }
 
-// testRequests returns requests of one unit of customer c, with the IDs given.
+// testRequests returns requests of one unit by customer c with the given IDs.
 func testRequests(class, plan int, ids ...uint64) []Event {
 	var events []Event
 	for _, id := range ids {
@@ -150,14 +152,14 @@
 	return events
 }
 
-// admitOnlyRequest returns a request of one unit for admission only.
+// admitOnlyRequest returns an admission-only request of one unit.
 func admitOnlyRequest(id uint64, plan int) Request {
 	request := testRequest(id, 0, plan)
 	request.AdmitOnly = true
 	return request
 }
 
-// succeeded is the result of an attempt that was answered.
+// succeeded returns the result of an attempt that ended with OK.
 func succeeded(dispatch Dispatch, attempt int, latency time.Duration) AttemptResult {
 	result := resultOf(dispatch, OK, latency)
 	result.Attempt = attempt
@@ -165,13 +167,12 @@
 	return result
 }
 
-// resultOf is the result of a first attempt.
+// resultOf returns the result of a request's first attempt.
 func resultOf(dispatch Dispatch, status Status, latency time.Duration) AttemptResult {
 	return AttemptResult{ID: dispatch.ID, Endpoint: dispatch.Endpoint, Status: status, Latency: latency}
 }
 
-// sendRequests steps a Balancer with n requests one by one, answers each attempt at once, and counts the attempts by
-// endpoint.
+// sendRequests sends n requests one by one, answers each attempt immediately, and counts the attempts by endpoint.
 func sendRequests(b *Balancer, at time.Duration, firstID uint64, n int) map[string]int {
 	attempts := map[string]int{}
 	for i := range uint64(n) {
@@ -191,9 +192,9 @@
 	return attempts
 }
 
-// fakeCounter is a counter that answers at once and without faults.
+// fakeCounter is a counter that answers every call immediately and without errors.
 type fakeCounter struct {
-	// totals has the totals by counter name.
+	// totals holds the totals by counter name.
 	totals map[uint64]float64
 	// calls is the number of calls so far.
 	calls int
@@ -202,7 +203,7 @@
 // newFakeCounter returns a counter whose totals are all 0.
 func newFakeCounter() *fakeCounter { return &fakeCounter{totals: map[uint64]float64{}} }
 
-// answer returns the results of the calls among some actions.
+// answer returns the results of the counter calls in a list of actions.
 func (counter *fakeCounter) answer(actions []Action) (events []Event) {
 	for _, call := range actionsOf[CounterAdd](actions) {
 		counter.calls++
@@ -212,14 +213,14 @@
 	return events
 }
 
-// spendFallback spends a customer's fallback share and returns the counter call that the next request waits for.
+// spendFallback spends a customer's fallback share and returns the counter call on which the next request waits.
 func spendFallback(t *testing.T, b *Balancer, now time.Duration) CounterAdd {
 	t.Helper()
 	for i := range 20 {
-		if c := actionsOf[CounterAdd](b.Step(now, []Event{testRequest(uint64(100+i), 0, 0)})); len(c) == 1 {
-			return c[0]
+		if calls := actionsOf[CounterAdd](b.Step(now, []Event{testRequest(uint64(100+i), 0, 0)})); len(calls) == 1 {
+			return calls[0]
 		}
 	}
-	t.Fatal("no call for a lease")
+	t.Fatal("no counter call after 20 requests")
 	return CounterAdd{}
 }
