--- a/internal/balancer/random_test.go
+++ b/internal/balancer/random_test.go
@@ -10,8 +10,9 @@
 	"time"
 )
 
-// randomPlay is a random but legal order of events for one Balancer, with what it must not do.
-type randomPlay struct {
+// randomRun drives one Balancer with a random but valid sequence of events and holds the state needed to check its
+// actions.
+type randomRun struct {
 	t         testing.TB
 	seed      uint64
 	rng       *rand.Rand
@@ -20,23 +21,23 @@
 	endpoints []Endpoint
 	now       time.Duration
 	lastID    uint64
-	// attempts, calls and timers have no result yet.
+	// attempts, calls and timers hold those without a result.
 	attempts []randomAttempt
 	calls    []CounterAdd
 	timers   []SetTimer
-	// totals has the totals of the counter by name.
+	// totals holds the counter's totals by name.
 	totals map[uint64]float64
-	// notServing has the endpoints that the list does not have as serving.
+	// notServing holds the endpoints that the endpoint list does not show as serving.
 	notServing map[string]bool
-	// deadlines has the requests without a final answer, by ID.
+	// deadlines holds the requests without a final answer, by ID.
 	deadlines map[uint64]time.Duration
-	// classes, attemptCounts and inFlight are by request ID.
+	// classes, attemptCounts and inFlight are indexed by request ID.
 	classes       map[uint64]int
 	attemptCounts map[uint64]int
 	inFlight      map[uint64]int
-	// ranOn has the endpoint that may have run a request.
+	// ranOn holds the endpoint on which a request may have run.
 	ranOn map[uint64]string
-	// actions has all actions so far.
+	// actions holds all actions so far.
 	actions []Action
 }
 
@@ -47,12 +48,13 @@
 	sentAt time.Duration
 }
 
-// runRandomEvents plays some seconds, checks after each step what must always hold, and returns all actions.
+// runRandomEvents simulates a few seconds of random events, checks the invariants after each step, and returns all
+// actions.
 func runRandomEvents(t testing.TB, seed uint64) []Action {
 	const steps = 600
 	const stepsWithRequests = 400
 	t.Helper()
-	p := &randomPlay{
+	r := &randomRun{
 		t:             t,
 		seed:          seed,
 		rng:           rand.New(rand.NewPCG(seed, 2)),
@@ -66,70 +68,70 @@
 		inFlight:      map[uint64]int{},
 		ranOn:         map[uint64]string{},
 	}
-	p.balancer = newTestBalancer(t, p.settings, p.endpoints...)
+	r.balancer = newTestBalancer(t, r.settings, r.endpoints...)
 	for step := range steps {
-		p.now += time.Duration(p.rng.IntN(12)) * ms
+		r.now += time.Duration(r.rng.IntN(12)) * ms
 		var events []Event
-		for range p.rng.IntN(4) {
+		for range r.rng.IntN(4) {
 			if step <= stepsWithRequests {
-				events = append(events, p.randomRequest())
+				events = append(events, r.randomRequest())
 			}
 		}
-		events = append(events, p.attemptResults()...)
-		events = append(events, p.counterResults()...)
-		if p.rng.IntN(40) == 0 {
-			events = append([]Event{p.endpointUpdate()}, events...)
+		events = append(events, r.attemptResults()...)
+		events = append(events, r.counterResults()...)
+		if r.rng.IntN(40) == 0 {
+			events = append([]Event{r.endpointUpdate()}, events...)
 		}
-		events = append(events, p.dueTimers()...)
-		for _, action := range slices.Clone(p.balancer.Step(p.now, events)) {
-			p.actions = append(p.actions, action)
-			p.handle(action)
+		events = append(events, r.dueTimers()...)
+		for _, action := range slices.Clone(r.balancer.Step(r.now, events)) {
+			r.actions = append(r.actions, action)
+			r.handle(action)
 		}
-		p.checkDeadlines()
+		r.checkDeadlines()
 	}
-	return p.actions
+	return r.actions
 }
 
-// randomRequest returns a request of any class, plan and customer.
-func (p *randomPlay) randomRequest() Request {
-	p.lastID++
+// randomRequest returns a request with a random class, plan and customer.
+func (r *randomRun) randomRequest() Request {
+	r.lastID++
 	request := Request{
-		ID:       p.lastID,
-		Class:    p.rng.IntN(3),
-		Plan:     p.rng.IntN(4),
-		Customer: fmt.Sprint("c", p.rng.IntN(6)),
-		TimeLeft: time.Duration(p.rng.IntN(2000)) * ms,
-		Units:    1 + float64(p.rng.IntN(3)),
-		Gateways: p.rng.IntN(3),
+		ID:       r.lastID,
+		Class:    r.rng.IntN(3),
+		Plan:     r.rng.IntN(4),
+		Customer: fmt.Sprint("c", r.rng.IntN(6)),
+		TimeLeft: time.Duration(r.rng.IntN(2000)) * ms,
+		Units:    1 + float64(r.rng.IntN(3)),
+		Gateways: r.rng.IntN(3),
 	}
-	p.deadlines[request.ID] = p.now + request.TimeLeft
-	p.classes[request.ID] = request.Class
+	r.deadlines[request.ID] = r.now + request.TimeLeft
+	r.classes[request.ID] = request.Class
 	return request
 }
 
-// attemptResults ends some attempts, half of them well.
-func (p *randomPlay) attemptResults() []Event {
+// attemptResults ends some attempts, about half of them with OK.
+func (r *randomRun) attemptResults() []Event {
 	var events []Event
-	for i := 0; i < len(p.attempts); i++ {
-		if p.rng.IntN(8) != 0 {
+	for i := 0; i < len(r.attempts); i++ {
+		if r.rng.IntN(8) != 0 {
 			continue
 		}
-		attempt := p.attempts[i]
-		p.attempts = slices.Delete(p.attempts, i, i+1)
-		status := Status(p.rng.IntN(8))
-		if p.rng.IntN(2) == 0 {
+		attempt := r.attempts[i]
+		r.attempts = slices.Delete(r.attempts, i, i+1)
+		status := Status(r.rng.IntN(8))
+		if r.rng.IntN(2) == 0 {
 			status = OK
 		}
-		p.inFlight[attempt.ID]--
-		_, isOpen := p.deadlines[attempt.ID]
+		r.inFlight[attempt.ID]--
+		_, isOpen := r.deadlines[attempt.ID]
 		switch status {
 		case OK:
-			delete(p.deadlines, attempt.ID)
+			delete(r.deadlines, attempt.ID)
 		case Rejected, ConnectFailed, NotSent:
 		default:
-			p.ranOn[attempt.ID] = attempt.Endpoint
+			r.ranOn[attempt.ID] = attempt.Endpoint
 		}
-		result := resultOf(attempt.Dispatch, status, p.now-attempt.sentAt)
+		result := resultOf(attempt.Dispatch, status, r.now-attempt.sentAt)
 		result.Attempt = attempt.number
 		result.RequestClosed = status == OK || !isOpen
 		events = append(events, result)
@@ -137,116 +139,117 @@
 	return events
 }
 
-// counterResults answers some calls. Some time out or are rejected, and now and then the counter loses its total.
-func (p *randomPlay) counterResults() []Event {
+// counterResults answers some counter calls. Some time out or are rejected, and occasionally the counter loses a total.
+func (r *randomRun) counterResults() []Event {
 	var events []Event
-	for len(p.calls) > 0 && p.rng.IntN(2) == 0 {
-		call := p.calls[0]
-		p.calls = p.calls[1:]
-		status := []Status{OK, OK, OK, Timeout, Rejected}[p.rng.IntN(5)]
+	for len(r.calls) > 0 && r.rng.IntN(2) == 0 {
+		call := r.calls[0]
+		r.calls = r.calls[1:]
+		status := []Status{OK, OK, OK, Timeout, Rejected}[r.rng.IntN(5)]
 		if status != Rejected {
-			p.totals[call.Name] += call.Amount
+			r.totals[call.Name] += call.Amount
 		}
-		if p.rng.IntN(50) == 0 {
-			p.totals[call.Name] = 0
+		if r.rng.IntN(50) == 0 {
+			r.totals[call.Name] = 0
 		}
-		events = append(events, CounterResult{call.Name, status, p.totals[call.Name]})
+		events = append(events, CounterResult{call.Name, status, r.totals[call.Name]})
 	}
 	return events
 }
 
 // endpointUpdate changes the state of one endpoint.
-func (p *randomPlay) endpointUpdate() Event {
-	entry := p.endpoints[p.rng.IntN(len(p.endpoints))]
-	entry.State = EndpointState(p.rng.IntN(3))
-	entry.StartedAt = p.now * time.Duration(p.rng.IntN(2))
-	p.notServing[entry.Name] = entry.State != Serving
+func (r *randomRun) endpointUpdate() Event {
+	entry := r.endpoints[r.rng.IntN(len(r.endpoints))]
+	entry.State = EndpointState(r.rng.IntN(3))
+	entry.StartedAt = r.now * time.Duration(r.rng.IntN(2))
+	r.notServing[entry.Name] = entry.State != Serving
 	return EndpointUpdate{Kind: Delta, Entries: []Endpoint{entry}}
 }
 
 // dueTimers fires the timers that are due.
-func (p *randomPlay) dueTimers() []Event {
+func (r *randomRun) dueTimers() []Event {
 	var events []Event
 	var later []SetTimer
-	for _, timer := range p.timers {
-		if timer.At <= p.now {
+	for _, timer := range r.timers {
+		if timer.At <= r.now {
 			events = append(events, TimerFired{timer.Cookie})
 		} else {
 			later = append(later, timer)
 		}
 	}
-	p.timers = later
+	r.timers = later
 	return events
 }
 
-// handle carries out an action after a check that it is allowed.
-func (p *randomPlay) handle(action Action) {
-	p.t.Helper()
+// handle checks that an action is allowed and executes it.
+func (r *randomRun) handle(action Action) {
+	r.t.Helper()
 	switch action := action.(type) {
 	case Dispatch:
-		p.checkDispatch(action)
-		p.attempts = append(p.attempts, randomAttempt{action, p.attemptCounts[action.ID], p.now})
-		p.attemptCounts[action.ID]++
+		r.checkDispatch(action)
+		r.attempts = append(r.attempts, randomAttempt{action, r.attemptCounts[action.ID], r.now})
+		r.attemptCounts[action.ID]++
 	case Reject:
-		_, mayHaveRun := p.ranOn[action.ID]
-		if (mayHaveRun || p.inFlight[action.ID] > 0) && p.classes[action.ID] != 0 {
-			p.t.Fatalf("seed %d: rejected what may have run: %v", p.seed, action)
+		_, mayHaveRun := r.ranOn[action.ID]
+		if (mayHaveRun || r.inFlight[action.ID] > 0) && r.classes[action.ID] != 0 {
+			r.t.Fatalf("seed %d: rejected a request that may have run: %v", r.seed, action)
 		}
-		p.answer(action.ID, action)
+		r.answer(action.ID, action)
 	case Fail:
-		p.answer(action.ID, action)
+		r.answer(action.ID, action)
 	case CounterAdd:
-		p.calls = append(p.calls, action)
+		r.calls = append(r.calls, action)
 	case SetTimer:
-		if action.At <= p.now {
-			action.At = p.now + ms
+		if action.At <= r.now {
+			action.At = r.now + ms
 		}
-		p.timers = append(p.timers, action)
+		r.timers = append(r.timers, action)
 	}
 }
 
-// checkDispatch checks that an attempt is the only one in flight, has no second effect and goes to a serving endpoint.
-func (p *randomPlay) checkDispatch(dispatch Dispatch) {
-	p.t.Helper()
-	if _, isOpen := p.deadlines[dispatch.ID]; !isOpen {
-		p.t.Fatalf("seed %d: dispatched after the end: %v", p.seed, dispatch)
+// checkDispatch checks that an attempt is the request's only one in flight, cannot take effect a second time, and goes
+// to a serving endpoint.
+func (r *randomRun) checkDispatch(dispatch Dispatch) {
+	r.t.Helper()
+	if _, isOpen := r.deadlines[dispatch.ID]; !isOpen {
+		r.t.Fatalf("seed %d: dispatched after the request ended: %v", r.seed, dispatch)
 	}
-	if p.notServing[dispatch.Endpoint] {
-		p.t.Fatalf("seed %d: dispatched to a draining endpoint: %v", p.seed, dispatch)
+	if r.notServing[dispatch.Endpoint] {
+		r.t.Fatalf("seed %d: dispatched to an endpoint that is not serving: %v", r.seed, dispatch)
 	}
-	if ranOn, mayHaveRun := p.ranOn[dispatch.ID]; mayHaveRun {
-		class := p.classes[dispatch.ID]
-		sameCell := cellOf(p.endpoints, ranOn) == cellOf(p.endpoints, dispatch.Endpoint)
+	if ranOn, mayHaveRun := r.ranOn[dispatch.ID]; mayHaveRun {
+		class := r.classes[dispatch.ID]
+		sameCell := cellOf(r.endpoints, ranOn) == cellOf(r.endpoints, dispatch.Endpoint)
 		if class == 2 || class == 1 && !sameCell {
-			p.t.Fatalf("seed %d: an effect twice: %v", p.seed, dispatch)
+			r.t.Fatalf("seed %d: may take effect twice: %v", r.seed, dispatch)
 		}
 	}
-	p.inFlight[dispatch.ID]++
-	if p.inFlight[dispatch.ID] > 1 || p.attemptCounts[dispatch.ID] >= p.settings.MaxAttempts {
-		p.t.Fatalf("seed %d: too many attempts: %v", p.seed, dispatch)
+	r.inFlight[dispatch.ID]++
+	if r.inFlight[dispatch.ID] > 1 || r.attemptCounts[dispatch.ID] >= r.settings.MaxAttempts {
+		r.t.Fatalf("seed %d: too many attempts: %v", r.seed, dispatch)
 	}
 }
 
-// answer records the final answer of a request, which must be its only one.
-func (p *randomPlay) answer(id uint64, action Action) {
-	p.t.Helper()
-	if _, isOpen := p.deadlines[id]; !isOpen {
-		p.t.Fatalf("seed %d: answered after the end: %v", p.seed, action)
+// answer records the final answer of a request and checks that it is the only one.
+func (r *randomRun) answer(id uint64, action Action) {
+	r.t.Helper()
+	if _, isOpen := r.deadlines[id]; !isOpen {
+		r.t.Fatalf("seed %d: answered after the request ended: %v", r.seed, action)
 	}
-	delete(p.deadlines, id)
+	delete(r.deadlines, id)
 }
 
-// checkDeadlines checks that no request is without a final answer past its deadline.
-func (p *randomPlay) checkDeadlines() {
-	p.t.Helper()
-	for id, deadline := range p.deadlines {
-		if p.now > deadline+20*ms {
-			p.t.Fatalf("seed %d: request %d is lost", p.seed, id)
+// checkDeadlines checks that every request gets a final answer at most 20 ms after its deadline.
+func (r *randomRun) checkDeadlines() {
+	r.t.Helper()
+	for id, deadline := range r.deadlines {
+		if r.now > deadline+20*ms {
+			r.t.Fatalf("seed %d: request %d has no final answer after its deadline", r.seed, id)
 		}
 	}
 }
 
-// cellOf returns the cell of an endpoint, or -1.
+// cellOf returns the cell of an endpoint, or -1 if it is not listed.
 func cellOf(list []Endpoint, name string) int {
 	for _, entry := range list {
 		if entry.Name == name {
@@ -256,7 +259,7 @@
 	return -1
 }
 
-// The same settings, seed and events give the same actions.
+// TestDeterminism verifies that equal settings, seeds and events produce equal actions.
 func TestDeterminism(t *testing.T) {
 	for seed := range uint64(30) {
 		if !reflect.DeepEqual(runRandomEvents(t, seed), runRandomEvents(t, seed)) {
@@ -265,7 +268,7 @@
 	}
 }
 
-// FuzzRandomEvents checks runRandomEvents for any seed.
+// FuzzRandomEvents verifies the invariants of runRandomEvents for arbitrary seeds.
 func FuzzRandomEvents(f *testing.F) {
 	for seed := range uint64(100) {
 		f.Add(seed + 1000)
@@ -273,37 +276,37 @@
 	f.Fuzz(func(t *testing.T, seed uint64) { runRandomEvents(t, seed) })
 }
 
-// Unusual indexes, zones and endpoint lists, as a configuration or discovery may have them, cause no panic and leave
-// no request without an answer.
+// TestUnusualSettingsAndLists verifies that unusual indexes, zones and endpoint lists, which a configuration or
+// discovery may contain, cause no panic and leave no request without an answer.
 func TestUnusualSettingsAndLists(t *testing.T) {
 	for _, gateways := range []int{1, 2, 12, 300} {
 		for _, index := range []int{-1, 0, gateways - 1, gateways, 1 << 40} {
 			for seed := range uint64(6) {
-				p := newUnusualPlay(t, gateways, index, seed)
-				p.run()
-				if len(p.open) > 0 {
+				r := newUnusualRun(t, gateways, index, seed)
+				r.run()
+				if len(r.open) > 0 {
 					t.Fatalf("gateways %d, index %d, seed %d: %d requests without an answer",
-						gateways, index, seed, len(p.open))
+						gateways, index, seed, len(r.open))
 				}
 			}
 		}
 	}
 }
 
-// unusualPlay is a play of unusual settings, endpoint lists and requests.
-type unusualPlay struct {
+// unusualRun drives one Balancer with unusual settings, endpoint lists and requests.
+type unusualRun struct {
 	rng      *rand.Rand
 	balancer *Balancer
 	now      time.Duration
 	lastID   uint64
-	// open has the requests without an answer, by ID.
+	// open holds the requests without an answer, by ID.
 	open map[uint64]bool
-	// attempts are those without a result.
+	// attempts holds those without a result.
 	attempts []Dispatch
 }
 
-// newUnusualPlay starts a play.
-func newUnusualPlay(t *testing.T, gateways, index int, seed uint64) *unusualPlay {
+// newUnusualRun returns a run at time 0.
+func newUnusualRun(t *testing.T, gateways, index int, seed uint64) *unusualRun {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, uint64(gateways)))
 	settings := testSettings()
@@ -314,94 +317,94 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &unusualPlay{rng: rng, balancer: b, open: map[uint64]bool{}}
+	return &unusualRun{rng: rng, balancer: b, open: map[uint64]bool{}}
 }
 
-// run plays some seconds of random events, and then until each request's own timer is due.
-func (p *unusualPlay) run() {
+// run simulates a few seconds of random events and then fires the requests' timers until all have expired.
+func (r *unusualRun) run() {
 	for range 300 {
-		p.now += tickInterval
-		events := append([]Event{TimerFired{tickCookie}}, p.randomEvents()...)
-		for len(p.attempts) > 0 && p.rng.IntN(3) > 0 {
-			dispatch := p.attempts[0]
-			p.attempts = p.attempts[1:]
+		r.now += tickInterval
+		events := append([]Event{TimerFired{tickCookie}}, r.randomEvents()...)
+		for len(r.attempts) > 0 && r.rng.IntN(3) > 0 {
+			dispatch := r.attempts[0]
+			r.attempts = r.attempts[1:]
 			events = append(events, succeeded(dispatch, 0, 5*ms))
-			delete(p.open, dispatch.ID)
+			delete(r.open, dispatch.ID)
 		}
-		p.step(events)
+		r.step(events)
 	}
 	for range 3 * int(time.Second/tickInterval) {
-		p.now += tickInterval
+		r.now += tickInterval
 		events := []Event{TimerFired{tickCookie}}
-		for id := range p.open {
+		for id := range r.open {
 			events = append(events, TimerFired{requestCookie(id)})
 		}
-		for _, dispatch := range p.attempts {
+		for _, dispatch := range r.attempts {
 			events = append(events, resultOf(dispatch, Timeout, time.Second))
 		}
-		p.attempts = nil
-		p.step(events)
+		r.attempts = nil
+		r.step(events)
 	}
 }
 
-// randomEvents returns an update of the endpoint list, events of an administrator, or requests.
-func (p *unusualPlay) randomEvents() []Event {
-	switch p.rng.IntN(4) {
+// randomEvents returns an update of the endpoint list, administrative events, or requests.
+func (r *unusualRun) randomEvents() []Event {
+	switch r.rng.IntN(4) {
 	case 0:
-		return []Event{EndpointUpdate{Kind: UpdateKind(p.rng.IntN(4)), Entries: p.randomEndpoints()}}
+		return []Event{EndpointUpdate{Kind: UpdateKind(r.rng.IntN(4)), Entries: r.randomEndpoints()}}
 	case 1:
-		name := fmt.Sprint("b", p.rng.IntN(5))
+		name := fmt.Sprint("b", r.rng.IntN(5))
 		return []Event{
 			AdminEject{Endpoint: name},
-			AdminRestore{Endpoint: fmt.Sprint("b", p.rng.IntN(5))},
+			AdminRestore{Endpoint: fmt.Sprint("b", r.rng.IntN(5))},
 			HealthCheckResult{Endpoint: name, Status: OK},
 		}
 	default:
-		return p.randomRequests()
+		return r.randomRequests()
 	}
 }
 
-// randomEndpoints returns entries of an endpoint list with unusual values.
-func (p *unusualPlay) randomEndpoints() []Endpoint {
+// randomEndpoints returns endpoint list entries with unusual values.
+func (r *unusualRun) randomEndpoints() []Endpoint {
 	var entries []Endpoint
-	for range p.rng.IntN(8) {
+	for range r.rng.IntN(8) {
 		entries = append(entries, Endpoint{
-			Name:           fmt.Sprint("b", p.rng.IntN(4)),
-			Zone:           p.rng.IntN(5) - 1,
-			Cell:           p.rng.IntN(3) - 1,
-			State:          EndpointState(p.rng.IntN(4)),
-			Weight:         []float64{0, 1, -3, math.Inf(1), math.NaN(), 1e300}[p.rng.IntN(6)],
-			SlowStartShare: []float64{0, 1, -1, math.NaN()}[p.rng.IntN(4)],
-			StartedAt:      time.Duration(p.rng.IntN(3)-1) * 10 * time.Second,
+			Name:           fmt.Sprint("b", r.rng.IntN(4)),
+			Zone:           r.rng.IntN(5) - 1,
+			Cell:           r.rng.IntN(3) - 1,
+			State:          EndpointState(r.rng.IntN(4)),
+			Weight:         []float64{0, 1, -3, math.Inf(1), math.NaN(), 1e300}[r.rng.IntN(6)],
+			SlowStartShare: []float64{0, 1, -1, math.NaN()}[r.rng.IntN(4)],
+			StartedAt:      time.Duration(r.rng.IntN(3)-1) * 10 * time.Second,
 		})
 	}
 	return entries
 }
 
 // randomRequests returns requests with unusual values.
-func (p *unusualPlay) randomRequests() []Event {
+func (r *unusualRun) randomRequests() []Event {
 	var events []Event
 	for range 3 {
-		p.lastID++
-		request := testRequest(p.lastID, p.rng.IntN(3), p.rng.IntN(4))
-		request.Gateways = p.rng.IntN(400) - 50
-		request.Units = []float64{1, 0, -1, math.NaN(), 1e12}[p.rng.IntN(5)]
-		p.open[request.ID] = true
+		r.lastID++
+		request := testRequest(r.lastID, r.rng.IntN(3), r.rng.IntN(4))
+		request.Gateways = r.rng.IntN(400) - 50
+		request.Units = []float64{1, 0, -1, math.NaN(), 1e12}[r.rng.IntN(5)]
+		r.open[request.ID] = true
 		events = append(events, request)
 	}
 	return events
 }
 
-// step hands over events and records what comes of them.
-func (p *unusualPlay) step(events []Event) {
-	for _, action := range p.balancer.Step(p.now, events) {
+// step passes events to the Balancer and records the resulting dispatches and answers.
+func (r *unusualRun) step(events []Event) {
+	for _, action := range r.balancer.Step(r.now, events) {
 		switch action := action.(type) {
 		case Dispatch:
-			p.attempts = append(p.attempts, action)
+			r.attempts = append(r.attempts, action)
 		case Reject:
-			delete(p.open, action.ID)
+			delete(r.open, action.ID)
 		case Fail:
-			delete(p.open, action.ID)
+			delete(r.open, action.ID)
 		}
 	}
 }
