--- a/internal/balancer/settings_test.go
+++ b/internal/balancer/settings_test.go
@@ -5,10 +5,10 @@
 	"testing"
 )
 
-// invalidSettingsCases are changes that make settings invalid.
+// invalidSettingsCases are changes that make the settings invalid.
 var invalidSettingsCases = []struct {
-	name  string
-	spoil func(*Settings)
+	name       string
+	invalidate func(*Settings)
 }{
 	{"no gateway", func(s *Settings) { s.Gateways = 0 }},
 	{"no class", func(s *Settings) { s.Classes = nil }},
@@ -19,18 +19,20 @@
 	{"negative overload window", func(s *Settings) { s.OverloadWindow = -1 }},
 }
 
+// TestNewRejectsInvalidSettings verifies that New returns ErrInvalidSettings for invalid settings.
 func TestNewRejectsInvalidSettings(t *testing.T) {
 	for _, c := range invalidSettingsCases {
 		t.Run(c.name, func(t *testing.T) {
 			settings := testSettings()
-			c.spoil(&settings)
+			c.invalidate(&settings)
 			if _, err := New(settings, 1); !errors.Is(err, ErrInvalidSettings) {
-				t.Errorf("error %v", err)
+				t.Errorf("got error %v, want ErrInvalidSettings", err)
 			}
 		})
 	}
 }
 
+// TestValidate verifies that Validate accepts valid settings and returns ErrInvalidSettings for invalid ones.
 func TestValidate(t *testing.T) {
 	settings := testSettings()
 	if err := settings.Validate(); err != nil {
@@ -39,9 +41,9 @@
 	for _, c := range invalidSettingsCases {
 		t.Run(c.name, func(t *testing.T) {
 			settings := testSettings()
-			c.spoil(&settings)
+			c.invalidate(&settings)
 			if err := settings.Validate(); !errors.Is(err, ErrInvalidSettings) {
-				t.Errorf("error %v", err)
+				t.Errorf("got error %v, want ErrInvalidSettings", err)
 			}
 		})
 	}
