--- a/internal/balancer/sharingfleet_test.go
+++ b/internal/balancer/sharingfleet_test.go
@@ -9,54 +9,56 @@
 	"gapgap/internal/balancer/quotashare"
 )
 
-// sharingFleet are gateways without a counter that share one ceiling by leases, which a test gives them. It checks that
-// they send no more than the ceiling allows.
+// sharingFleet is a set of gateways without a counter that share one ceiling through leases assigned by the test. It
+// checks that together they forward no more than the ceiling allows.
 type sharingFleet struct {
 	gateways []*Balancer
 	settings Settings
-	// fractions and leaseEnds are the leases as given.
+	// fractions and leaseEnds hold the assigned leases by gateway.
 	fractions []float64
 	leaseEnds []time.Duration
-	// lent is the fraction that a gateway had before its lease shrank. It may have granted loans of it until lentUntil.
-	lent      []float64
-	lentUntil []time.Duration
-	lastID    uint64
-	ceiling   quotashare.Bucket
-	// level is that of the ceiling's bucket at levelAt, over how far it was below 0.
+	// previousFractions holds the fraction that a gateway had before its lease shrank. The gateway may have granted
+	// loans of that fraction until the time in loansEndAt.
+	previousFractions []float64
+	loansEndAt        []time.Duration
+	lastID            uint64
+	ceiling           quotashare.Bucket
+	// level is the level of the ceiling's bucket at levelAt, and over is the furthest that it fell below 0.
 	level   float64
 	levelAt time.Duration
 	over    float64
-	// excess is by how much the gateways' buckets together were larger than the ceiling's.
+	// excess is the largest amount by which the sum of the gateways' buckets exceeded the ceiling's bucket.
 	excess float64
-	// messages are those about loans that are on their way, delay is how long each takes.
+	// messages holds the loan messages in transit. delay returns the transit time of a message.
 	messages []loanMessage
 	delay    func() time.Duration
-	// loans counts the loans granted.
+	// loans is the number of loans granted.
 	loans int
-	// withoutLoans is true when no message about loans arrives.
+	// withoutLoans is true if no loan messages are delivered.
 	withoutLoans bool
-	// loansFromArrival is true when loans count from their arrival: a mistake that is to be found.
+	// loansFromArrival is true if loans are measured from their arrival. This is a deliberate mistake that the checks
+	// must detect.
 	loansFromArrival bool
 }
 
-// loanMessage is what one gateway sends another about a loan.
+// loanMessage is a loan message from one gateway to another.
 type loanMessage struct {
 	to    int
 	at    time.Duration
 	event Event
 }
 
-// newSharingFleet returns a number of gateways without leases.
+// newSharingFleet returns count gateways without leases.
 func newSharingFleet(t *rapid.T, count int, policy quotashare.PartitionPolicy) *sharingFleet {
 	fleet := &sharingFleet{
-		ceiling:   quotashare.Bucket{Rate: 10, Depth: 20},
-		level:     20,
-		levelAt:   time.Hour,
-		fractions: make([]float64, count),
-		leaseEnds: make([]time.Duration, count),
-		lent:      make([]float64, count),
-		lentUntil: make([]time.Duration, count),
-		delay:     func() time.Duration { return 0 },
+		ceiling:           quotashare.Bucket{Rate: 10, Depth: 20},
+		level:             20,
+		levelAt:           time.Hour,
+		fractions:         make([]float64, count),
+		leaseEnds:         make([]time.Duration, count),
+		previousFractions: make([]float64, count),
+		loansEndAt:        make([]time.Duration, count),
+		delay:             func() time.Duration { return 0 },
 	}
 	fleet.settings = Settings{
 		Gateways:       count,
@@ -90,8 +92,8 @@
 	return fleet
 }
 
-// request has a request come to a gateway, after the messages that have arrived by then, and reports whether it is
-// admitted.
+// request sends a request to a gateway after delivering the messages that have arrived by now. It reports whether the
+// request is admitted.
 func (fleet *sharingFleet) request(gateway int, now time.Duration) (admitted bool) {
 	fleet.lastID++
 	fleet.deliver(now)
@@ -114,7 +116,7 @@
 	return admitted
 }
 
-// deliver hands out the messages that have arrived, and those that these bring about.
+// deliver delivers the messages that have arrived, including those that the delivery itself causes.
 func (fleet *sharingFleet) deliver(now time.Duration) {
 	for i := 0; i < len(fleet.messages); i++ {
 		if message := fleet.messages[i]; message.at <= now {
@@ -125,7 +127,7 @@
 	}
 }
 
-// step hands an event to a gateway and sends its messages about loans. It reports whether a request was admitted.
+// step passes an event to a gateway and sends the gateway's loan messages. It reports whether a request was admitted.
 func (fleet *sharingFleet) step(gateway int, now time.Duration, event Event) (admitted bool) {
 	if granted, ok := event.(LoanGranted); ok {
 		fleet.loans++
@@ -164,43 +166,44 @@
 	return admitted
 }
 
-// lease gives a gateway a fraction, as far as what the others have leaves it.
+// lease assigns a fraction to a gateway, limited to what the other gateways leave free.
 func (fleet *sharingFleet) lease(gateway int, fraction float64, now, length time.Duration) {
-	sum := fleet.leasedSum(now)
-	free := 1 - sum + max(fleet.leased(gateway, now), fleet.lent[gateway])
+	sum := fleet.totalLeased(now)
+	free := 1 - sum + max(fleet.leasedFraction(gateway, now), fleet.previousFractions[gateway])
 	fleet.leaseUnchecked(gateway, max(0, min(fraction, free)), now, length)
 }
 
-// leaseUnchecked gives a gateway a fraction whatever the others have.
+// leaseUnchecked assigns a fraction to a gateway regardless of the other gateways.
 func (fleet *sharingFleet) leaseUnchecked(gateway int, fraction float64, now, length time.Duration) {
-	former := fleet.leased(gateway, now)
-	if fraction < former || now+length < fleet.leaseEnds[gateway] { // a shorter lease takes some away, too
-		fleet.lent[gateway] = max(former, fleet.lent[gateway])
-		fleet.lentUntil[gateway] = fleet.gateways[gateway].LoansEndAt()
+	previous := fleet.leasedFraction(gateway, now)
+	if fraction < previous || now+length < fleet.leaseEnds[gateway] { // a shorter lease also reduces the share
+		fleet.previousFractions[gateway] = max(previous, fleet.previousFractions[gateway])
+		fleet.loansEndAt[gateway] = fleet.gateways[gateway].LoansEndAt()
 	}
 	fleet.fractions[gateway] = fraction
 	fleet.leaseEnds[gateway] = now + length
 	fleet.gateways[gateway].Step(now, []Event{ShareUpdate{Fraction: fraction, Until: now + length}})
 }
 
-// leased is the fraction that a gateway has at a time.
-func (fleet *sharingFleet) leased(gateway int, now time.Duration) float64 {
+// leasedFraction returns the fraction that a gateway has at a time.
+func (fleet *sharingFleet) leasedFraction(gateway int, now time.Duration) float64 {
 	if now < fleet.leaseEnds[gateway] {
 		return fleet.fractions[gateway]
 	}
 	return 0
 }
 
-// leasedSum is the sum of all gateways' fractions, or of what they may have granted of former ones.
-func (fleet *sharingFleet) leasedSum(now time.Duration) (sum float64) {
+// totalLeased returns the sum of all gateways' fractions. A previous fraction counts instead if it is larger and loans
+// of it may still be in effect.
+func (fleet *sharingFleet) totalLeased(now time.Duration) (sum float64) {
 	for i := range fleet.fractions {
-		if now >= fleet.lentUntil[i] {
-			fleet.lent[i] = 0
+		if now >= fleet.loansEndAt[i] {
+			fleet.previousFractions[i] = 0
 		}
-		sum += max(fleet.leased(i, now), fleet.lent[i])
+		sum += max(fleet.leasedFraction(i, now), fleet.previousFractions[i])
 	}
 	return sum
 }
 
-// allPolicies are the policies that a plan may have.
+// allPolicies lists the partition policies that a plan can have.
 var allPolicies = []quotashare.PartitionPolicy{quotashare.KeepQuota, quotashare.KeepAll, quotashare.KeepNone}
