--- a/internal/balancer/termschange_test.go
+++ b/internal/balancer/termschange_test.go
@@ -12,35 +12,35 @@
 	"gapgap/internal/balancer/quotashare"
 )
 
-// termsPlay is a random play in which the terms change while calls are out and units are held: customers move between
-// plans, reloads give and take quotas, ceilings and leases, a hand-over is begun and taken back, and shares and loans
-// come and go.
-type termsPlay struct {
-	*randomPlay
-	// handover is the state that was handed over and not yet taken back.
+// termsRun is a random run in which the terms change while calls are outstanding and units are reserved: customers move
+// between plans, reloads add and remove quotas, ceilings and leases, a handover begins and is reverted, and shares and
+// loans change.
+type termsRun struct {
+	*randomRun
+	// handover is the state that was handed over and not yet returned, or nil.
 	handover *HandoverState
-	// timedOut has the calls that ended as Timeout and may be answered late.
+	// timedOut holds the counter calls that ended as Timeout and may still be answered late.
 	timedOut []CounterAdd
-	// requests has what each request came with, by ID.
+	// requests holds the requests as they were sent, by ID.
 	requests map[uint64]Request
-	// buckets has the ceiling of each customer and plan as it must hold at this gateway alone.
+	// buckets holds the ceiling of each customer and plan that this gateway alone must not exceed.
 	buckets map[ceilingKey]*ceilingBucket
 }
 
-// ceilingKey names a customer's ceiling.
+// ceilingKey identifies a customer's ceiling on one plan.
 type ceilingKey struct {
 	customer string
 	plan     int
 }
 
-// ceilingBucket is the token bucket that a ceiling stands for. A reload adds the store of the new ceiling.
+// ceilingBucket is a token bucket that models a ceiling. A reload adds the capacity of the new ceiling to its level.
 type ceilingBucket struct {
 	rate, depth float64
 	level       float64
 	filledAt    time.Duration
 }
 
-// fill moves the bucket on to a time.
+// fill fills the bucket up to now.
 func (bucket *ceilingBucket) fill(now time.Duration) {
 	if bucket.level < bucket.depth {
 		gained := bucket.rate * (now - bucket.filledAt).Seconds()
@@ -49,14 +49,15 @@
 	bucket.filledAt = now
 }
 
-// runTermsChange plays some seconds and ends with all requests answered, so that nothing may be held any more.
+// runTermsChange simulates a few seconds of random events and then ends all requests, after which nothing may be
+// reserved or in flight.
 func runTermsChange(t testing.TB, seed uint64, adjust func(*Settings)) {
 	const steps, stepsWithRequests = 700, 400
 	t.Helper()
 	settings := testSettings()
 	adjust(&settings)
-	p := &termsPlay{
-		randomPlay: &randomPlay{
+	r := &termsRun{
+		randomRun: &randomRun{
 			t:             t,
 			seed:          seed,
 			rng:           rand.New(rand.NewPCG(seed, 5)),
@@ -74,148 +75,148 @@
 		requests: map[uint64]Request{},
 		buckets:  map[ceilingKey]*ceilingBucket{},
 	}
-	p.balancer = newTestBalancer(t, settings, p.endpoints...)
+	r.balancer = newTestBalancer(t, settings, r.endpoints...)
 	for step := range steps {
-		p.now += time.Duration(p.rng.IntN(12)) * ms
+		r.now += time.Duration(r.rng.IntN(12)) * ms
 		var events []Event
 		if step <= stepsWithRequests {
-			events = p.termsEvents()
-			for range p.rng.IntN(4) {
-				events = append(events, p.termsRequest())
+			events = r.termsEvents()
+			for range r.rng.IntN(4) {
+				events = append(events, r.termsRequest())
 			}
 		}
-		events = append(events, p.attemptResults()...)
-		events = append(events, p.counterResults()...)
-		p.step(append(events, p.dueTimers()...))
+		events = append(events, r.attemptResults()...)
+		events = append(events, r.counterResults()...)
+		r.step(append(events, r.dueTimers()...))
 	}
-	p.checkNothingHeld()
+	r.checkNothingHeld()
 }
 
-// step hands over events, carries the actions out and checks what must hold.
-func (p *termsPlay) step(events []Event) {
-	p.t.Helper()
+// step passes events to the Balancer, executes the actions and checks the invariants.
+func (r *termsRun) step(events []Event) {
+	r.t.Helper()
 	defer func() {
 		if cause := recover(); cause != nil {
-			p.t.Fatalf("seed %d: the module panicked: %v\n%s", p.seed, cause, debug.Stack())
+			r.t.Fatalf("seed %d: Balancer panicked: %v\n%s", r.seed, cause, debug.Stack())
 		}
 	}()
-	for _, action := range slices.Clone(p.balancer.Step(p.now, events)) {
-		p.checkCeiling(action)
+	for _, action := range slices.Clone(r.balancer.Step(r.now, events)) {
+		r.checkCeiling(action)
 		switch action := action.(type) {
 		case Admit:
-			p.answer(action.ID, action)
+			r.answer(action.ID, action)
 		case HandoverReady:
-			p.handover = &action.State
+			r.handover = &action.State
 		default:
-			p.handle(action)
+			r.handle(action)
 		}
 	}
-	p.checkDeadlines()
-	p.checkHeld()
+	r.checkDeadlines()
+	r.checkHeld()
 }
 
-// termsRequest returns a request; some are for admission only.
-func (p *termsPlay) termsRequest() Request {
-	request := p.randomRequest()
-	if p.rng.IntN(3) == 0 {
+// termsRequest returns a request; some are admission-only.
+func (r *termsRun) termsRequest() Request {
+	request := r.randomRequest()
+	if r.rng.IntN(3) == 0 {
 		request.AdmitOnly = true
-		request.HoldFor = time.Duration(p.rng.IntN(300)) * ms
+		request.HoldFor = time.Duration(r.rng.IntN(300)) * ms
 	}
-	p.requests[request.ID] = request
+	r.requests[request.ID] = request
 	return request
 }
 
-// counterResults answers calls as randomPlay does, but no total is lost: a ceiling allows for one loss only. Some of
-// the calls that timed out are answered late.
-func (p *termsPlay) counterResults() []Event {
+// counterResults answers calls as randomRun does, but loses no totals, since a ceiling allows for only one loss. Some
+// of the calls that timed out are answered late.
+func (r *termsRun) counterResults() []Event {
 	var events []Event
-	for len(p.timedOut) > 0 && p.rng.IntN(10) == 0 {
-		call := p.timedOut[0]
-		p.timedOut = p.timedOut[1:]
-		events = append(events, LateCounterResult{call.Ticket, OK, p.totals[call.Name]})
+	for len(r.timedOut) > 0 && r.rng.IntN(10) == 0 {
+		call := r.timedOut[0]
+		r.timedOut = r.timedOut[1:]
+		events = append(events, LateCounterResult{call.Ticket, OK, r.totals[call.Name]})
 	}
-	for len(p.calls) > 0 && p.rng.IntN(3) == 0 {
-		call := p.calls[0]
-		p.calls = p.calls[1:]
-		status := []Status{OK, OK, OK, OK, Failed, Timeout, Rejected}[p.rng.IntN(7)]
+	for len(r.calls) > 0 && r.rng.IntN(3) == 0 {
+		call := r.calls[0]
+		r.calls = r.calls[1:]
+		status := []Status{OK, OK, OK, OK, Failed, Timeout, Rejected}[r.rng.IntN(7)]
 		if status != Rejected {
-			p.totals[call.Name] += call.Amount
+			r.totals[call.Name] += call.Amount
 		}
 		if status == Timeout && call.Ticket != 0 {
-			p.timedOut = append(p.timedOut, call)
+			r.timedOut = append(r.timedOut, call)
 		}
-		events = append(events, CounterResult{call.Name, status, p.totals[call.Name]})
+		events = append(events, CounterResult{call.Name, status, r.totals[call.Name]})
 	}
 	return events
 }
 
-// termsEvents returns events that change the terms.
-func (p *termsPlay) termsEvents() []Event {
+// termsEvents returns events that change the terms, or ends a request.
+func (r *termsRun) termsEvents() []Event {
 	switch {
-	case p.rng.IntN(20) == 0:
-		return []Event{p.reload()}
-	case p.rng.IntN(25) == 0 && p.handover == nil:
+	case r.rng.IntN(20) == 0:
+		return []Event{r.reload()}
+	case r.rng.IntN(25) == 0 && r.handover == nil:
 		return []Event{BeginHandover{}}
-	case p.rng.IntN(8) == 0 && p.handover != nil:
-		state := *p.handover
-		p.handover = nil
+	case r.rng.IntN(8) == 0 && r.handover != nil:
+		state := *r.handover
+		r.handover = nil
 		return []Event{ImportHandover{State: state}}
-	case p.settings.LeasedShares && p.rng.IntN(4) == 0:
-		return []Event{p.shareEvent()}
-	case p.rng.IntN(30) == 0 && p.lastID > 0:
-		id := 1 + uint64(p.rng.IntN(int(p.lastID)))
-		delete(p.deadlines, id)
+	case r.settings.LeasedShares && r.rng.IntN(4) == 0:
+		return []Event{r.shareEvent()}
+	case r.rng.IntN(30) == 0 && r.lastID > 0:
+		id := 1 + uint64(r.rng.IntN(int(r.lastID)))
+		delete(r.deadlines, id)
 		return []Event{RequestDone{ID: id}}
 	}
 	return nil
 }
 
-// shareEvent changes this gateway's share, or asks for or grants a loan. The parts of a ceiling that it has so never
-// exceed the ceiling.
-func (p *termsPlay) shareEvent() Event {
-	customer, plan := fmt.Sprint("c", p.rng.IntN(6)), p.rng.IntN(4)
-	ceiling := quotashare.Bucket{Rate: p.settings.Plans[plan].CeilingRate, Depth: p.settings.Plans[plan].CeilingBurst}
-	switch p.rng.IntN(3) {
+// shareEvent changes this gateway's share, or requests or grants a loan. The values are chosen so that this gateway's
+// part of a ceiling never exceeds the ceiling.
+func (r *termsRun) shareEvent() Event {
+	customer, plan := fmt.Sprint("c", r.rng.IntN(6)), r.rng.IntN(4)
+	ceiling := quotashare.Bucket{Rate: r.settings.Plans[plan].CeilingRate, Depth: r.settings.Plans[plan].CeilingBurst}
+	switch r.rng.IntN(3) {
 	case 0:
 		return ShareUpdate{
-			Fraction: []float64{0, 0.25, 0.5}[p.rng.IntN(3)],
-			Until:    p.now + time.Duration(p.rng.IntN(600))*ms,
-			Excluded: p.rng.IntN(6) == 0,
+			Fraction: []float64{0, 0.25, 0.5}[r.rng.IntN(3)],
+			Until:    r.now + time.Duration(r.rng.IntN(600))*ms,
+			Excluded: r.rng.IntN(6) == 0,
 		}
 	case 1:
-		return LoanRequest{From: 1, Customer: customer, Plan: plan, At: p.now}
+		return LoanRequest{From: 1, Customer: customer, Plan: plan, At: r.now}
 	default:
 		part := ceiling.Scale(0.4)
-		at := p.now - time.Duration(p.rng.IntN(1000))*ms
+		at := r.now - time.Duration(r.rng.IntN(1000))*ms
 		return LoanGranted{From: 1, Customer: customer, Plan: plan, At: at, Rate: part.Rate, Depth: part.Depth}
 	}
 }
 
-// reload changes quota, ceiling or limit of one plan, or whether ceilings are leased.
-func (p *termsPlay) reload() Event {
+// reload changes the quota, ceiling or in-flight limit of one plan, or whether ceilings are leased.
+func (r *termsRun) reload() Event {
 	initial := testSettings()
-	next := p.settings
+	next := r.settings
 	next.Plans = slices.Clone(next.Plans)
-	index := p.rng.IntN(len(next.Plans))
+	index := r.rng.IntN(len(next.Plans))
 	plan := &next.Plans[index]
-	switch p.rng.IntN(5) {
+	switch r.rng.IntN(5) {
 	case 0:
 		plan.CeilingRate, plan.CeilingBurst = 0, 0
 	case 1:
-		plan.CeilingRate = 5 + 40*p.rng.Float64()
-		plan.CeilingBurst = plan.CeilingRate * (0.5 + 2*p.rng.Float64())
+		plan.CeilingRate = 5 + 40*r.rng.Float64()
+		plan.CeilingBurst = plan.CeilingRate * (0.5 + 2*r.rng.Float64())
 	case 2:
 		plan.Rate, plan.Burst = 0, 0
 	case 3:
-		plan.Rate, plan.Burst = 1+10*p.rng.Float64(), 2+20*p.rng.Float64()
-		plan.MaxInFlight = initial.Plans[index].MaxInFlight * p.rng.IntN(2)
+		plan.Rate, plan.Burst = 1+10*r.rng.Float64(), 2+20*r.rng.Float64()
+		plan.MaxInFlight = initial.Plans[index].MaxInFlight * r.rng.IntN(2)
 	case 4:
 		next.LeaseCeilings = !next.LeaseCeilings && !next.LeasedShares
 	}
-	p.settings = next
-	for key, bucket := range p.buckets {
+	r.settings = next
+	for key, bucket := range r.buckets {
 		if key.plan == index {
-			bucket.fill(p.now)
+			bucket.fill(r.now)
 			bucket.rate, bucket.depth = plan.CeilingRate, plan.CeilingBurst
 			bucket.level += plan.CeilingBurst
 		}
@@ -223,13 +224,14 @@
 	return SettingsUpdate{Settings: next, EvidenceFrom: []int{0, 1, 2}}
 }
 
-// checkCeiling takes the first attempt or the admission of a request out of its ceiling.
-func (p *termsPlay) checkCeiling(action Action) {
-	p.t.Helper()
+// checkCeiling takes the units of a request's first attempt or admission from its ceiling and checks that they are
+// available.
+func (r *termsRun) checkCeiling(action Action) {
+	r.t.Helper()
 	var id uint64
 	switch action := action.(type) {
 	case Dispatch:
-		if p.attemptCounts[action.ID] > 0 {
+		if r.attemptCounts[action.ID] > 0 {
 			return
 		}
 		id = action.ID
@@ -238,30 +240,30 @@
 	default:
 		return
 	}
-	request := p.requests[id]
-	plan := p.settings.Plans[request.Plan]
+	request := r.requests[id]
+	plan := r.settings.Plans[request.Plan]
 	if plan.CeilingRate == 0 {
 		return
 	}
 	key := ceilingKey{request.Customer, request.Plan}
-	bucket := p.buckets[key]
+	bucket := r.buckets[key]
 	if bucket == nil {
-		bucket = &ceilingBucket{plan.CeilingRate, plan.CeilingBurst, plan.CeilingBurst, p.now}
-		p.buckets[key] = bucket
+		bucket = &ceilingBucket{plan.CeilingRate, plan.CeilingBurst, plan.CeilingBurst, r.now}
+		r.buckets[key] = bucket
 	}
-	bucket.fill(p.now)
+	bucket.fill(r.now)
 	bucket.level -= request.Units
 	if bucket.level < -1e-6 {
-		p.t.Fatalf("seed %d: %v over the ceiling of %+v", p.seed, -bucket.level, key)
+		r.t.Fatalf("seed %d: %v units over the ceiling of %+v", r.seed, -bucket.level, key)
 	}
 }
 
-// checkHeld compares what customers hold with the requests that hold it.
-func (p *termsPlay) checkHeld() {
-	p.t.Helper()
+// checkHeld checks that the units and in-flight counts of each customer match its requests.
+func (r *termsRun) checkHeld() {
+	r.t.Helper()
 	reserved := map[*customer]float64{}
 	inFlight := map[*customer]int{}
-	for _, req := range p.balancer.requests {
+	for _, req := range r.balancer.requests {
 		if req.ceiling.reserved && req.ceiling.source == fromEvenShare {
 			reserved[req.customer] += req.units
 		}
@@ -269,13 +271,14 @@
 			inFlight[req.customer]++
 		}
 	}
-	for _, cust := range p.balancer.customers.order {
+	for _, cust := range r.balancer.customers.order {
 		if held := cust.ceiling.reserved; held < 0 || math.Abs(held-reserved[cust]) > 1e-9 {
-			p.t.Fatalf("seed %d: %s has %v units reserved, its requests %v", p.seed, cust.name, held, reserved[cust])
+			r.t.Fatalf("seed %d: customer %s has %v units reserved, its requests have %v",
+				r.seed, cust.name, held, reserved[cust])
 		}
 		if cust.inFlight != inFlight[cust] {
-			p.t.Fatalf("seed %d: %s has %d in flight, its requests %d",
-				p.seed, cust.name, cust.inFlight, inFlight[cust])
+			r.t.Fatalf("seed %d: customer %s has %d requests in flight, its requests show %d",
+				r.seed, cust.name, cust.inFlight, inFlight[cust])
 		}
 		for name, value := range map[string]float64{
 			"tokens":          cust.quota.tokens,
@@ -285,45 +288,46 @@
 			"ceiling tokens":  cust.ceiling.tokens,
 		} {
 			if math.IsNaN(value) || math.IsInf(value, 0) {
-				p.t.Fatalf("seed %d: %s has %v %s", p.seed, cust.name, value, name)
+				r.t.Fatalf("seed %d: customer %s has %v %s", r.seed, cust.name, value, name)
 			}
 		}
 		if cust.bucket.emptyUntil < 0 || cust.bucket.carriedAt < 0 || cust.quota.tokensValidFrom < 0 {
-			p.t.Fatalf("seed %d: %s has a time before the start: %+v %+v", p.seed, cust.name, cust.bucket, cust.quota)
+			r.t.Fatalf("seed %d: customer %s has a negative time: %+v %+v", r.seed, cust.name, cust.bucket, cust.quota)
 		}
 	}
 }
 
-// checkNothingHeld ends the attempts and holds that are left and checks that no request and no unit is held.
-func (p *termsPlay) checkNothingHeld() {
-	p.t.Helper()
+// checkNothingHeld ends the remaining attempts and holds, and checks that no request is left and no units are reserved.
+func (r *termsRun) checkNothingHeld() {
+	r.t.Helper()
 	for range 400 {
-		p.now += tickInterval
+		r.now += tickInterval
 		var results []Event
-		for _, attempt := range p.attempts {
-			result := resultOf(attempt.Dispatch, Timeout, p.now-attempt.sentAt)
+		for _, attempt := range r.attempts {
+			result := resultOf(attempt.Dispatch, Timeout, r.now-attempt.sentAt)
 			result.Attempt = attempt.number
-			p.ranOn[attempt.ID] = attempt.Endpoint
-			p.inFlight[attempt.ID]--
+			r.ranOn[attempt.ID] = attempt.Endpoint
+			r.inFlight[attempt.ID]--
 			results = append(results, result)
 		}
-		p.attempts = nil
-		p.step(append(results, p.dueTimers()...))
+		r.attempts = nil
+		r.step(append(results, r.dueTimers()...))
 	}
-	if len(p.deadlines) > 0 || len(p.balancer.requests) > 0 || p.balancer.endpoints.queuedRequests != 0 {
-		p.t.Fatalf("seed %d: %d requests without an answer, %d kept, %d queued",
-			p.seed, len(p.deadlines), len(p.balancer.requests), p.balancer.endpoints.queuedRequests)
+	if len(r.deadlines) > 0 || len(r.balancer.requests) > 0 || r.balancer.endpoints.queuedRequests != 0 {
+		r.t.Fatalf("seed %d: %d requests without an answer, %d in the request table, %d queued",
+			r.seed, len(r.deadlines), len(r.balancer.requests), r.balancer.endpoints.queuedRequests)
 	}
-	for _, cust := range p.balancer.customers.order {
+	for _, cust := range r.balancer.customers.order {
 		if cust.ceiling.reserved != 0 || cust.inFlight != 0 {
-			p.t.Fatalf("seed %d: %s holds %v units and %d places",
-				p.seed, cust.name, cust.ceiling.reserved, cust.inFlight)
+			r.t.Fatalf("seed %d: customer %s has %v units reserved and %d requests in flight",
+				r.seed, cust.name, cust.ceiling.reserved, cust.inFlight)
 		}
 	}
 }
 
-// What was agreed when a call was sent or units were reserved is settled on those terms, whatever the customer's plan
-// has when the answer or the units come back: no panic, no lost request, no unit held for ever, no ceiling passed.
+// TestTermsChangeBetweenGivenAndTakenBack verifies that a counter call or a reservation is settled on the terms in
+// effect when it was made, whatever the customer's plan is when the answer arrives or the units are returned. Otherwise
+// the Balancer could panic, lose requests, hold units forever or exceed a ceiling.
 func TestTermsChangeBetweenGivenAndTakenBack(t *testing.T) {
 	cases := map[string]func(*Settings){
 		"even shares":    func(*Settings) {},
@@ -341,23 +345,24 @@
 	}
 }
 
-// A reload may give a quota to a plan while a request of it is queued that paid nothing: its end refunds nothing.
+// TestReloadGivesQuotaWhileRequestIsQueued verifies that a queued request that paid no units refunds none when it ends,
+// even if a reload has given its plan a quota in the meantime.
 func TestReloadGivesQuotaWhileRequestIsQueued(t *testing.T) {
 	settings := testSettings()
 	settings.Plans[3].Rate, settings.Plans[3].Burst = 0, 0
-	b := newTestBalancer(t, settings) // without endpoints the request waits
+	b := newTestBalancer(t, settings) // the request waits because there is no endpoint
 	b.Step(time.Second, []Event{testRequest(1, 0, 3)})
 	next := settings
 	next.Plans = slices.Clone(settings.Plans)
 	next.Plans[3].Rate, next.Plans[3].Burst = 100, 100
 	b.Step(time.Second, []Event{SettingsUpdate{Settings: next, EvidenceFrom: []int{0, 1, 2}}, RequestDone{ID: 1}})
 	if tokens := b.customers.find("c").quota.tokens; tokens != 0 {
-		t.Errorf("%v tokens that nobody leased", tokens)
+		t.Errorf("got %v tokens, want 0 because none were leased", tokens)
 	}
 }
 
-// A reload may change the length of the turns in which gateways with sparse shares have a unit: the turn that was used
-// last is one of the former turns and must not hold the new ones back.
+// TestReloadChangesTurnsOfSparseShares verifies that a reload may change the length of the turns in which gateways with
+// sparse shares have a unit. The last turn used is numbered in the previous turns and must not block the new ones.
 func TestReloadChangesTurnsOfSparseShares(t *testing.T) {
 	settings := largeFleetSettings(300)
 	b := newTestBalancer(t, settings, testEndpoints(3)...)
@@ -373,23 +378,24 @@
 	next.Plans[1].CeilingRate = 15
 	b.Step(time.Hour, []Event{SettingsUpdate{Settings: next, EvidenceFrom: []int{0, 1, 2}}})
 	plan := &b.settings.Plans[1]
-	longer, _ := ceilingTurns(cust, plan)
-	changedIn, _ := longer.At(time.Hour, b.settings.Index)
+	newTurns, _ := ceilingTurns(cust, plan)
+	reloadTurn, _ := newTurns.At(time.Hour, b.settings.Index)
 	units := 0.0
 	for now := time.Hour; now < time.Hour+5*time.Minute; now += tickInterval {
 		b.Step(now, nil)
 		got := b.refillCeiling(cust, plan)
-		if turn, _ := longer.At(now, b.settings.Index); turn == changedIn && got > 0 {
-			t.Fatalf("a unit in the turn of the reload, in which one was used before")
+		if turn, _ := newTurns.At(now, b.settings.Index); turn == reloadTurn && got > 0 {
+			t.Fatalf("got a second unit in the turn of the reload")
 		}
 		units = max(units, got)
 	}
 	if units != 1 {
-		t.Errorf("%v units in five minutes of turns, want one at a time", units)
+		t.Errorf("got at most %v units at a time within five minutes, want 1", units)
 	}
 }
 
-// A loan of a former plan's ceiling is no part of the ceiling of the plan that the customer moves to.
+// TestCustomerWithLoanMovesToOtherPlan verifies that a loan of the previous plan's ceiling does not count toward the
+// ceiling of the plan to which the customer moves.
 func TestCustomerWithLoanMovesToOtherPlan(t *testing.T) {
 	settings := testSettings()
 	settings.LeasedShares = true
@@ -402,6 +408,6 @@
 	cust := b.customers.find("c")
 	share := b.ceilingShare(cust, &b.settings.Plans[2])
 	if share.Rate > 1 || share.Depth > 1 {
-		t.Errorf("the share is %+v of a ceiling of 1 unit a second and 1 unit", share)
+		t.Errorf("share is %+v, ceiling is only 1 unit/s with a burst of 1 unit", share)
 	}
 }
