--- a/internal/balancer/golden_test.go
+++ b/internal/balancer/golden_test.go
@@ -12,36 +12,36 @@
 	"gapgap/internal/golden"
 )
 
-// playLength is the virtual time of one play.
-const playLength = 6 * time.Second
+// scenarioLength is the virtual duration of one scenario.
+const scenarioLength = 6 * time.Second
 
-// faults are the probabilities with which a play goes wrong.
+// faults are the probabilities of the faults in a scenario.
 type faults struct {
-	attempt  float64 // an attempt ends other than served
-	silent   float64 // an attempt has no result before its time is over
+	attempt  float64 // an attempt ends with a random status
+	silent   float64 // an attempt gets no response before its timeout
 	counter  float64 // a counter call fails or times out
-	late     float64 // a call that timed out is answered late
-	endpoint float64 // an endpoint changes its state, in each round
-	stall    float64 // the gateway stands still for a while, in each round
+	late     float64 // a timed-out call is answered late
+	endpoint float64 // an endpoint changes its state, per round
+	stall    float64 // all gateways stall for a while, per round
 }
 
-// play is one deterministic run of some instances of the decision module with random events.
-type play struct {
-	name     string
-	seed     uint64
-	settings balancer.Settings
-	gateways int // instances that are driven; the settings may name more
-	backends int
-	calls    int // requests a round at most, of each instance
-	faults   faults
-	loans    bool // shares are leased and lent between the instances
-	reload   bool // settings change in the middle
-	handover bool // each instance hands over to a new one in the middle, or takes it back
-	admin    bool // endpoints are ejected and restored by hand
-	grants   bool // some requests ask for admission only
+// scenario describes one deterministic run of several Balancer instances with random events.
+type scenario struct {
+	name          string
+	seed          uint64
+	settings      balancer.Settings
+	gateways      int // number of simulated instances; the settings may specify more gateways
+	endpointCount int
+	maxRequests   int // maximum number of requests per round and instance
+	faults        faults
+	loans         bool // shares are leased to the instances, which lend to each other
+	reload        bool // settings change mid-run
+	handover      bool // mid-run, each instance hands over to a new one or reverts the handover
+	admin         bool // an administrator ejects and restores endpoints
+	admitOnly     bool // some requests are admission-only
 }
 
-// attempt is a dispatched attempt that has no result yet.
+// attempt is a dispatched attempt without a result.
 type attempt struct {
 	balancer.Dispatch
 	number          int
@@ -50,63 +50,63 @@
 	due             time.Duration
 }
 
-// delayed is an event that reaches an instance at a time.
+// delayed is an event that reaches an instance at a given time.
 type delayed struct {
 	at    time.Duration
 	event balancer.Event
 }
 
-// instance is one driven gateway.
+// instance is one simulated gateway.
 type instance struct {
 	index    int
-	module   *balancer.Balancer
+	balancer *balancer.Balancer
 	lastID   uint64
 	attempts []*attempt
-	counts   map[uint64]int // attempts so far, by request
+	counts   map[uint64]int // number of attempts so far, by request ID
 	open     map[uint64]bool
 	inbox    []delayed
 }
 
-// run is a play while it goes on.
-type run struct {
-	play
+// scenarioRun is a scenario in progress.
+type scenarioRun struct {
+	scenario
 	rng       *rand.Rand
 	now       time.Duration
 	trace     *golden.Trace
 	instances []*instance
-	list      []balancer.Endpoint
+	endpoints []balancer.Endpoint
 	totals    map[uint64]float64
 }
 
-// hash plays and returns the hash of all actions in order.
-func (p play) hash(t *testing.T) string {
+// traceHash runs the scenario and returns the hash of all actions in order.
+func (s scenario) traceHash(t *testing.T) string {
 	t.Helper()
-	r := &run{
-		play:   p,
-		rng:    rand.New(rand.NewPCG(p.seed, 77)),
-		now:    time.Hour,
-		trace:  golden.NewTrace(),
-		totals: map[uint64]float64{},
-	}
-	for i := range p.backends {
-		r.list = append(r.list, balancer.Endpoint{
+	r := &scenarioRun{
+		scenario: s,
+		rng:      rand.New(rand.NewPCG(s.seed, 77)),
+		now:      time.Hour,
+		trace:    golden.NewTrace(),
+		totals:   map[uint64]float64{},
+	}
+	for i := range s.endpointCount {
+		r.endpoints = append(r.endpoints, balancer.Endpoint{
 			Name:   fmt.Sprint("b-", i),
 			Zone:   i % 3,
 			Cell:   i / 2,
 			Weight: 1 + float64(i%4)/2,
 		})
 	}
-	for i := range p.gateways {
+	for i := range s.gateways {
 		r.start(t, i)
 	}
-	end := r.now + playLength
+	end := r.now + scenarioLength
 	for round := 0; r.now < end; round++ {
 		r.now += time.Duration(1+r.rng.IntN(12)) * time.Millisecond
-		if r.rng.Float64() < p.faults.stall {
+		if r.rng.Float64() < s.faults.stall {
 			r.now += time.Duration(r.rng.IntN(700)) * time.Millisecond
 		}
 		if round == 250 {
-			r.middle(t)
+			r.applyMidpointChanges(t)
 		}
 		r.changeEndpoints()
 		for _, in := range r.instances {
@@ -116,24 +116,27 @@
 	return r.trace.Sum()
 }
 
-// start makes an instance that knows the endpoint list.
-func (r *run) start(t *testing.T, index int) *instance {
+// start creates an instance that has received the endpoint list.
+func (r *scenarioRun) start(t *testing.T, index int) *instance {
 	t.Helper()
 	settings := r.settings
 	settings.Index = index
 	settings.Classes = slices.Clone(settings.Classes)
 	settings.Plans = slices.Clone(settings.Plans)
-	module, err := balancer.New(settings, r.seed*1000+uint64(index))
+	b, err := balancer.New(settings, r.seed*1000+uint64(index))
 	if err != nil {
 		t.Fatal(err)
 	}
-	in := &instance{index: index, module: module, counts: map[uint64]int{}, open: map[uint64]bool{}}
+	in := &instance{index: index, balancer: b, counts: map[uint64]int{}, open: map[uint64]bool{}}
 	if index < len(r.instances) {
 		r.instances[index] = in
 	} else {
 		r.instances = append(r.instances, in)
 	}
-	r.step(in, []balancer.Event{balancer.EndpointUpdate{Kind: balancer.CachedSnapshot, Entries: slices.Clone(r.list)}})
+	r.step(
+		in,
+		[]balancer.Event{balancer.EndpointUpdate{Kind: balancer.CachedSnapshot, Entries: slices.Clone(r.endpoints)}},
+	)
 	if r.loans {
 		r.step(
 			in,
@@ -143,8 +146,8 @@
 	return in
 }
 
-// middle does what happens once in the middle of a play.
-func (r *run) middle(t *testing.T) {
+// applyMidpointChanges applies the reload and the handover that some scenarios have mid-run.
+func (r *scenarioRun) applyMidpointChanges(t *testing.T) {
 	t.Helper()
 	if r.reload {
 		settings := r.settings
@@ -155,26 +158,26 @@
 			settings.Plans[i].Rate *= 0.7
 			settings.Plans[i].Burst *= 0.9
 		}
-		from := []int{}
+		evidenceFrom := []int{}
 		for i := range r.settings.Classes {
-			from = append(from, i)
+			evidenceFrom = append(evidenceFrom, i)
 		}
-		from = append(from, -1)
+		evidenceFrom = append(evidenceFrom, -1)
 		for _, in := range r.instances {
-			own := settings
-			own.Index = in.index
-			r.step(in, []balancer.Event{balancer.SettingsUpdate{Settings: own, EvidenceFrom: from}})
+			updated := settings
+			updated.Index = in.index
+			r.step(in, []balancer.Event{balancer.SettingsUpdate{Settings: updated, EvidenceFrom: evidenceFrom}})
 		}
 	}
 	if r.handover {
 		for i, in := range r.instances {
 			var state balancer.HandoverState
 			for _, action := range r.step(in, []balancer.Event{balancer.BeginHandover{}}) {
-				if handed, ok := action.(balancer.HandoverReady); ok {
-					state = handed.State
+				if ready, ok := action.(balancer.HandoverReady); ok {
+					state = ready.State
 				}
 			}
-			if i%2 == 1 { // it comes to nothing: the old one goes on
+			if i%2 == 1 { // the handover is reverted and the old instance continues
 				r.step(in, []balancer.Event{balancer.ImportHandover{State: state}})
 				continue
 			}
@@ -183,13 +186,13 @@
 	}
 }
 
-// changeEndpoints changes an endpoint, and tells all instances at times of their own.
-func (r *run) changeEndpoints() {
-	if r.rng.Float64() >= r.faults.endpoint || len(r.list) == 0 {
+// changeEndpoints changes an endpoint and notifies each instance after its own delay.
+func (r *scenarioRun) changeEndpoints() {
+	if r.rng.Float64() >= r.faults.endpoint || len(r.endpoints) == 0 {
 		return
 	}
-	at := r.rng.IntN(len(r.list))
-	entry := &r.list[at]
+	index := r.rng.IntN(len(r.endpoints))
+	entry := &r.endpoints[index]
 	entry.State = balancer.EndpointState(r.rng.IntN(3))
 	if r.rng.IntN(2) == 0 {
 		entry.State = balancer.Serving
@@ -198,7 +201,7 @@
 	update := balancer.EndpointUpdate{Kind: balancer.Delta, Entries: []balancer.Endpoint{*entry}}
 	switch r.rng.IntN(5) {
 	case 0:
-		update = balancer.EndpointUpdate{Kind: balancer.Snapshot, Entries: slices.Clone(r.list)}
+		update = balancer.EndpointUpdate{Kind: balancer.Snapshot, Entries: slices.Clone(r.endpoints)}
 	case 1:
 		update = balancer.EndpointUpdate{Kind: balancer.UpdateFailed}
 	}
@@ -206,7 +209,7 @@
 		in.inbox = append(in.inbox, delayed{r.now + time.Duration(r.rng.IntN(300))*time.Millisecond, update})
 	}
 	if r.admin {
-		name := r.list[r.rng.IntN(len(r.list))].Name
+		name := r.endpoints[r.rng.IntN(len(r.endpoints))].Name
 		for _, in := range r.instances {
 			var event balancer.Event = balancer.AdminEject{Endpoint: name, At: r.now}
 			if r.rng.IntN(2) == 0 {
@@ -217,8 +220,8 @@
 	}
 }
 
-// events are what reaches an instance in this round.
-func (r *run) events(in *instance) (events []balancer.Event) {
+// events returns the events that reach an instance in this round.
+func (r *scenarioRun) events(in *instance) (events []balancer.Event) {
 	kept := in.inbox[:0]
 	for _, d := range in.inbox {
 		if d.at <= r.now {
@@ -229,7 +232,7 @@
 	}
 	in.inbox = kept
 	events = append(events, r.results(in)...)
-	for range r.rng.IntN(r.calls + 1) {
+	for range r.rng.IntN(r.maxRequests + 1) {
 		events = append(events, r.request(in))
 	}
 	if r.rng.IntN(60) == 0 && in.lastID > 4 {
@@ -241,8 +244,8 @@
 	return events
 }
 
-// shareLease is a renewal, a change or a loss of an instance's leased share.
-func (r *run) shareLease() balancer.Event {
+// shareLease returns a renewal, a change or a loss of an instance's leased share.
+func (r *scenarioRun) shareLease() balancer.Event {
 	lease := balancer.ShareUpdate{
 		Fraction: 1 / float64(r.gateways),
 		Until:    r.now + time.Duration(500+r.rng.IntN(1500))*time.Millisecond,
@@ -258,11 +261,11 @@
 	return lease
 }
 
-// request is a new request of a client.
-func (r *run) request(in *instance) balancer.Event {
+// request returns a new request from a client.
+func (r *scenarioRun) request(in *instance) balancer.Event {
 	in.lastID++
 	customer, plan := r.rng.IntN(12), r.rng.IntN(len(r.settings.Plans))
-	if r.settings.LeaseCeilings { // a plan that changes while a lease is asked for is a case of its own
+	if r.settings.LeaseCeilings { // plan changes during a lease request are a separate case
 		plan = customer % len(r.settings.Plans)
 	}
 	request := balancer.Request{
@@ -280,7 +283,7 @@
 	if r.rng.IntN(6) == 0 {
 		request.Gateways = 1 + r.rng.IntN(r.settings.Gateways)
 	}
-	if r.grants && r.rng.IntN(3) == 0 {
+	if r.admitOnly && r.rng.IntN(3) == 0 {
 		request.AdmitOnly = true
 		request.HoldFor = time.Duration(r.rng.IntN(400)) * time.Millisecond
 	}
@@ -288,8 +291,8 @@
 	return request
 }
 
-// results are the ends of attempts that are due.
-func (r *run) results(in *instance) (events []balancer.Event) {
+// results returns the results of the attempts that are due, and first bytes of others.
+func (r *scenarioRun) results(in *instance) (events []balancer.Event) {
 	kept := in.attempts[:0]
 	for _, a := range in.attempts {
 		streamed := r.settings.Classes[0].Streaming && !a.responseStarted && r.rng.IntN(4) == 0
@@ -309,8 +312,8 @@
 	return events
 }
 
-// status is how an attempt ends that is due.
-func (r *run) status(a *attempt) balancer.Status {
+// status returns the outcome of an attempt that is due.
+func (r *scenarioRun) status(a *attempt) balancer.Status {
 	if r.now >= a.sentAt+a.Timeout {
 		return balancer.Timeout
 	}
@@ -320,7 +323,8 @@
 	return balancer.OK
 }
 
-func (r *run) result(in *instance, a *attempt, status balancer.Status) balancer.Event {
+// result returns the result of an attempt.
+func (r *scenarioRun) result(in *instance, a *attempt, status balancer.Status) balancer.Event {
 	result := balancer.AttemptResult{
 		ID:            a.ID,
 		Attempt:       a.number,
@@ -339,21 +343,21 @@
 	return result
 }
 
-// step hands events to an instance, adds what it wants to the trace and carries it out.
-func (r *run) step(in *instance, events []balancer.Event) []balancer.Action {
-	actions := slices.Clone(in.module.Step(r.now, events))
+// step passes events to an instance, adds the returned actions to the trace and executes them.
+func (r *scenarioRun) step(in *instance, events []balancer.Event) []balancer.Action {
+	actions := slices.Clone(in.balancer.Step(r.now, events))
 	r.trace.Int(int64(in.index))
 	r.trace.Duration(r.now)
 	r.trace.Int(int64(len(actions)))
 	for _, action := range actions {
 		record(r.trace, action)
-		r.carryOut(in, action)
+		r.execute(in, action)
 	}
 	return actions
 }
 
-// carryOut does what an action asks for.
-func (r *run) carryOut(in *instance, action balancer.Action) {
+// execute performs an action.
+func (r *scenarioRun) execute(in *instance, action balancer.Action) {
 	later := func(d time.Duration, event balancer.Event) {
 		in.inbox = append(in.inbox, delayed{r.now + d, event})
 	}
@@ -361,15 +365,15 @@
 	case balancer.Dispatch:
 		number := in.counts[action.ID]
 		in.counts[action.ID]++
-		takes := time.Duration(5+r.rng.ExpFloat64()*60) * time.Millisecond
+		latency := time.Duration(5+r.rng.ExpFloat64()*60) * time.Millisecond
 		if r.rng.Float64() < r.faults.silent {
-			takes = action.Timeout
+			latency = action.Timeout
 		}
 		in.attempts = append(in.attempts, &attempt{
 			Dispatch: action,
 			number:   number,
 			sentAt:   r.now,
-			due:      r.now + min(takes, action.Timeout),
+			due:      r.now + min(latency, action.Timeout),
 		})
 	case balancer.CancelAttempt:
 		for i, a := range in.attempts {
@@ -389,7 +393,7 @@
 			later(time.Duration(r.rng.IntN(300))*time.Millisecond, balancer.RequestDone(action))
 		}
 	case balancer.CounterAdd:
-		r.count(in, action)
+		r.answerCounterCall(in, action)
 	case balancer.SetTimer:
 		later(max(time.Millisecond, action.At-r.now), balancer.TimerFired{Cookie: action.Cookie})
 	case balancer.HealthCheck:
@@ -399,7 +403,7 @@
 		}
 		later(5*time.Millisecond, balancer.HealthCheckResult{Endpoint: action.Endpoint, Status: status})
 	case balancer.WatchEndpoints, balancer.FetchEndpoints:
-		later(20*time.Millisecond, balancer.EndpointUpdate{Kind: balancer.Snapshot, Entries: slices.Clone(r.list)})
+		later(20*time.Millisecond, balancer.EndpointUpdate{Kind: balancer.Snapshot, Entries: slices.Clone(r.endpoints)})
 	case balancer.HealthReport:
 		for _, other := range r.instances {
 			if other != in {
@@ -421,20 +425,20 @@
 	case balancer.GrantLoan:
 		loan := balancer.LoanGranted{From: in.index, Customer: action.Customer, Plan: action.Plan, At: action.At,
 			Rate: action.Rate, Depth: action.Depth}
-		to := r.instances[action.To]
-		to.inbox = append(to.inbox, delayed{r.now + 2*time.Millisecond, loan})
+		borrower := r.instances[action.To]
+		borrower.inbox = append(borrower.inbox, delayed{r.now + 2*time.Millisecond, loan})
 	}
 }
 
-// count adds to a number of the counter and answers in time, late or never.
-func (r *run) count(in *instance, call balancer.CounterAdd) {
+// answerCounterCall adds to a counter and answers in time, late or not at all.
+func (r *scenarioRun) answerCounterCall(in *instance, call balancer.CounterAdd) {
 	answer := func(d time.Duration, event balancer.Event) {
 		in.inbox = append(in.inbox, delayed{r.now + d, event})
 	}
-	takes := time.Duration(1+r.rng.IntN(20)) * time.Millisecond
+	latency := time.Duration(1+r.rng.IntN(20)) * time.Millisecond
 	if r.rng.Float64() >= r.faults.counter {
 		r.totals[call.Name] += call.Amount
-		answer(takes, balancer.CounterResult{Name: call.Name, Status: balancer.OK, Total: r.totals[call.Name]})
+		answer(latency, balancer.CounterResult{Name: call.Name, Status: balancer.OK, Total: r.totals[call.Name]})
 		return
 	}
 	status := []balancer.Status{
@@ -445,19 +449,19 @@
 		balancer.Timeout,
 	}[r.rng.IntN(5)]
 	if status == balancer.Timeout {
-		takes = r.settings.CounterTimeout
+		latency = r.settings.CounterTimeout
 	}
 	if status == balancer.Failed || status == balancer.Timeout {
 		r.totals[call.Name] += call.Amount
 	}
-	answer(takes, balancer.CounterResult{Name: call.Name, Status: status})
+	answer(latency, balancer.CounterResult{Name: call.Name, Status: status})
 	if status == balancer.Timeout && r.rng.Float64() < r.faults.late {
 		late := balancer.LateCounterResult{Ticket: call.Ticket, Status: balancer.OK, Total: r.totals[call.Name]}
-		answer(takes+time.Duration(r.rng.IntN(900))*time.Millisecond, late)
+		answer(latency+time.Duration(r.rng.IntN(900))*time.Millisecond, late)
 	}
 }
 
-// record adds an action to a trace: a number for its kind, then each field.
+// record adds an action to a trace: the number of its type, then each field.
 func record(trace *golden.Trace, action balancer.Action) {
 	switch a := action.(type) {
 	case balancer.Dispatch:
@@ -521,21 +525,21 @@
 		trace.Float(a.Depth)
 	case balancer.HandoverReady:
 		trace.Int(15)
-		recordState(trace, a.State)
+		traceHandoverState(trace, a.State)
 	default:
-		panic(fmt.Sprintf("an action of an unknown kind: %T", a))
+		panic(fmt.Sprintf("unknown action type %T", a))
 	}
 }
 
-// recordState adds what is handed over to a trace, each field.
-func recordState(trace *golden.Trace, m balancer.HandoverState) {
-	trace.Duration(m.At)
-	for _, c := range m.Classes {
+// traceHandoverState adds each field of a handover state to a trace.
+func traceHandoverState(trace *golden.Trace, state balancer.HandoverState) {
+	trace.Duration(state.At)
+	for _, c := range state.Classes {
 		trace.Float(c.MeanLatency)
 		trace.Float(c.IdleLatency)
 		trace.Int(int64(c.Answers))
 	}
-	for _, c := range m.Customers {
+	for _, c := range state.Customers {
 		trace.String(c.Name)
 		trace.Int(int64(c.Plan))
 		for _, v := range []float64{
@@ -559,7 +563,7 @@
 			trace.Duration(v)
 		}
 	}
-	for _, s := range m.Endpoints {
+	for _, s := range state.Endpoints {
 		trace.String(s.Name)
 		trace.Duration(s.StartedAt)
 		trace.Duration(s.WarmUpFrom)
@@ -572,15 +576,15 @@
 			trace.Float(e.Cost)
 		}
 	}
-	trace.Float(m.FleetSlowdown)
-	trace.Float(m.WarmEndpointRate)
-	trace.Float(m.Shortage)
-	trace.Float(m.CallFraction)
+	trace.Float(state.FleetSlowdown)
+	trace.Float(state.WarmEndpointRate)
+	trace.Float(state.Shortage)
+	trace.Float(state.CallFraction)
 }
 
-// deployment is the settings of a deployment with all kinds of classes and plans. The classes are those of the sites in
-// deploy/sites.
-func deployment(site string, gateways int) balancer.Settings {
+// siteSettings returns the settings of a deployment with all kinds of classes and plans. The classes are those of
+// the sites in deploy/sites.
+func siteSettings(site string, gateways int) balancer.Settings {
 	settings := balancer.Settings{
 		Gateways:          gateways,
 		Zone:              1,
@@ -698,109 +702,125 @@
 	return settings
 }
 
-// plays are all that is recorded.
-func plays() (all []play) {
-	levels := map[string]faults{
+// scenarios returns all recorded scenarios.
+func scenarios() (all []scenario) {
+	faultLevels := map[string]faults{
 		"calm":  {},
 		"rough": {attempt: 0.08, silent: 0.04, counter: 0.06, late: 0.5, endpoint: 0.02, stall: 0.002},
 		"bad":   {attempt: 0.4, silent: 0.25, counter: 0.6, late: 0.7, endpoint: 0.06, stall: 0.02},
 	}
-	add := func(p play, level string) {
-		p.faults = levels[level]
+	add := func(s scenario, level string) {
+		s.faults = faultLevels[level]
 		for seed := range uint64(4) {
-			p.seed = seed + 1
-			one := p
-			one.name = fmt.Sprintf("%s/%s/%d", p.name, level, p.seed)
-			all = append(all, one)
+			s.seed = seed + 1
+			seeded := s
+			seeded.name = fmt.Sprintf("%s/%s/%d", s.name, level, s.seed)
+			all = append(all, seeded)
 		}
 	}
 	for _, site := range []string{"tight", "wide", "odd"} {
 		for _, level := range []string{"calm", "rough", "bad"} {
-			add(play{name: site + "/few", settings: deployment(site, 3), gateways: 3, backends: 6, calls: 3}, level)
 			add(
-				play{
-					name:     site + "/many",
-					settings: deployment(site, 60),
-					gateways: 4,
-					backends: 40,
-					calls:    2,
-					grants:   true,
+				scenario{
+					name:          site + "/few",
+					settings:      siteSettings(site, 3),
+					gateways:      3,
+					endpointCount: 6,
+					maxRequests:   3,
 				},
 				level,
 			)
-			lent := deployment(site, 3)
-			lent.LeaseCeilings = true
 			add(
-				play{
-					name:     site + "/lent",
-					settings: lent,
-					gateways: 3,
-					backends: 6,
-					calls:    3,
-					grants:   true,
-					handover: true,
+				scenario{
+					name:          site + "/many",
+					settings:      siteSettings(site, 60),
+					gateways:      4,
+					endpointCount: 40,
+					maxRequests:   2,
+					admitOnly:     true,
 				},
 				level,
 			)
-			viewed := deployment(site, 3)
-			viewed.LeasedShares = true
-			for i := range viewed.Plans {
+			leasedCeilings := siteSettings(site, 3)
+			leasedCeilings.LeaseCeilings = true
+			add(
+				scenario{
+					name:          site + "/lent",
+					settings:      leasedCeilings,
+					gateways:      3,
+					endpointCount: 6,
+					maxRequests:   3,
+					admitOnly:     true,
+					handover:      true,
+				},
+				level,
+			)
+			leasedShares := siteSettings(site, 3)
+			leasedShares.LeasedShares = true
+			for i := range leasedShares.Plans {
 				policies := []quotashare.PartitionPolicy{quotashare.KeepQuota, quotashare.KeepAll, quotashare.KeepNone}
-				viewed.Plans[i].PartitionPolicy = policies[i%len(policies)]
+				leasedShares.Plans[i].PartitionPolicy = policies[i%len(policies)]
 			}
 			add(
-				play{
-					name:     site + "/leased",
-					settings: viewed,
-					gateways: 3,
-					backends: 6,
-					calls:    3,
-					loans:    true,
-					admin:    true,
+				scenario{
+					name:          site + "/leased",
+					settings:      leasedShares,
+					gateways:      3,
+					endpointCount: 6,
+					maxRequests:   3,
+					loans:         true,
+					admin:         true,
 				},
 				level,
 			)
 			add(
-				play{
-					name:     site + "/changed",
-					settings: deployment(site, 2),
-					gateways: 2,
-					backends: 5,
-					calls:    4,
-					reload:   true,
-					handover: true,
-					admin:    true,
+				scenario{
+					name:          site + "/changed",
+					settings:      siteSettings(site, 2),
+					gateways:      2,
+					endpointCount: 5,
+					maxRequests:   4,
+					reload:        true,
+					handover:      true,
+					admin:         true,
 				},
 				level,
 			)
 		}
 		add(
-			play{
-				name:     site + "/alone",
-				settings: deployment(site, 1),
-				gateways: 1,
-				backends: 4,
-				calls:    6,
-				grants:   true,
+			scenario{
+				name:          site + "/alone",
+				settings:      siteSettings(site, 1),
+				gateways:      1,
+				endpointCount: 4,
+				maxRequests:   6,
+				admitOnly:     true,
 			},
 			"rough",
 		)
-		crowd := deployment(site, 300)
+		largeFleet := siteSettings(site, 300)
 		add(
-			play{name: site + "/crowd", settings: crowd, gateways: 2, backends: 120, calls: 2, handover: true},
+			scenario{
+				name:          site + "/crowd",
+				settings:      largeFleet,
+				gateways:      2,
+				endpointCount: 120,
+				maxRequests:   2,
+				handover:      true,
+			},
 			"rough",
 		)
-		both := deployment(site, 20)
-		both.LeasedShares, both.LeaseCeilings = true, true
+		allLeased := siteSettings(site, 20)
+		allLeased.LeasedShares, allLeased.LeaseCeilings = true, true
 		add(
-			play{
-				name:     site + "/both",
-				settings: both,
-				gateways: 5,
-				backends: 12,
-				calls:    2,
-				loans:    true,
-				reload:   true,
+			scenario{
+				name:          site + "/both",
+				settings:      allLeased,
+				gateways:      5,
+				endpointCount: 12,
+				maxRequests:   2,
+				loans:         true,
+				reload:        true,
 			},
 			"rough",
 		)
@@ -808,12 +828,11 @@
 	return all
 }
 
-// TestGoldenTraces holds that the decisions are those of the program that the hashes were recorded from, and that a
-// play is the same each time.
+// TestGoldenTraces verifies that the decisions match the recorded hashes and that every scenario is reproducible.
 func TestGoldenTraces(t *testing.T) {
 	recorded := golden.LoadHashes(t, "testdata/golden/decisions.txt")
-	for _, p := range plays() {
-		recorded.CheckPlay(t, p.name, func() string { return p.hash(t) })
+	for _, s := range scenarios() {
+		recorded.CheckPlay(t, s.name, func() string { return s.traceHash(t) })
 	}
 	recorded.CheckDistinct(t)
 	recorded.CheckAllPlayed(t)
