--- a/internal/balancer/callpacer/pacer.go
+++ b/internal/balancer/callpacer/pacer.go
@@ -106,8 +106,8 @@
 	return time.Duration(math.Ceil(missing / pacer.rate * float64(time.Second)))
 }
 
-// RecordAnswer records the latency of an answered call. The rate does not grow unless it is fully used, because a
-// partly used rate shows nothing about the service's capacity.
+// RecordAnswer records the latency of an answered call. The rate grows only if calls have made use of it, because an
+// unused rate shows nothing about the service's capacity.
 func (pacer *Pacer) RecordAnswer(now, latency time.Duration) {
 	if pacer.baseLatency == 0 || latency < pacer.baseLatency {
 		pacer.baseLatency = latency
