--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -8,60 +8,62 @@
 
 // Timeouts of the failure detector.
 const (
-	// HeartbeatInterval is the time between two heartbeats of a gateway.
+	// HeartbeatInterval is the time between two rounds of heartbeats of a gateway.
 	HeartbeatInterval = 200 * time.Millisecond
-	// SuspectTimeout is after how long without a higher counter a gateway is suspect.
+	// SuspectTimeout is how long a gateway's counter may stay unchanged before the gateway is suspect.
 	SuspectTimeout = 1100 * time.Millisecond
-	// DeadTimeout is after how long without a higher counter a gateway is dead.
+	// DeadTimeout is how long a gateway's counter may stay unchanged before the gateway is dead.
 	DeadTimeout = 1500 * time.Millisecond
 
-	// returnedPeriod is for how long a gateway that came back is shown as returned.
+	// returnedPeriod is how long a gateway that came back is shown as returned.
 	returnedPeriod = 10 * time.Second
-	// stallThreshold is the time between two calls from which on this process itself must have been suspended.
+	// stallThreshold is the time between two calls above which this process must itself have been suspended.
 	stallThreshold = 2 * HeartbeatInterval
-	// leaveHeartbeats is how many heartbeats announce that this gateway leaves.
+	// leaveHeartbeats is the number of heartbeat rounds that announce that this gateway leaves.
 	leaveHeartbeats = 3
 )
 
-// Config names a gateway and its place in the cluster.
+// Config identifies a gateway and its position in the cluster.
 type Config struct {
 	// Index is this gateway's position in the list, from 0.
 	Index int
-	// Gateways is the length of the list; at most 65,536.
+	// Gateways is the length of the list, at most 65,536.
 	Gateways int
-	// Hubs is how many of the first gateways exchange heartbeats with all others in a large cluster.
+	// Hubs is the number of gateways, from the start of the list, that exchange heartbeats with all others in a large
+	// cluster.
 	Hubs int
 	// ID identifies this process.
 	ID ID
 }
 
-// Detector is what one gateway knows of the cluster. It is changed by Tick and Receive.
+// Detector is one gateway's view of the cluster. Tick and Receive update it.
 type Detector struct {
 	config  Config
 	rng     *rand.Rand
 	members []member
-	// lastCall is the latest time that was handed in.
+	// lastCall is the latest time that a caller supplied.
 	lastCall time.Duration
 	// nextHeartbeat is when the next heartbeat is due.
 	nextHeartbeat time.Duration
 	// nextReply is the earliest time of the next reply to an outdated process.
 	nextReply time.Duration
-	// phase is what this gateway announces of itself.
+	// phase is what this gateway announces about itself.
 	phase Phase
-	// leaveAnnounced counts heartbeats that announced that this gateway leaves.
+	// leaveAnnounced counts the heartbeat rounds that announced that this gateway leaves.
 	leaveAnnounced int
-	// heartbeatsSent counts rounds of heartbeats.
+	// heartbeatsSent counts heartbeat rounds.
 	heartbeatsSent int
-	// nextEntry is the gateway after which entries are gossiped next, in a large cluster.
+	// nextEntry is the gateway whose entry was gossiped last in turn, in a large cluster; the next heartbeat continues
+	// after it.
 	nextEntry int
-	// duplicate is another process of this gateway's name that takes precedence; nil means none.
+	// duplicate is another process of the same name that takes precedence, or nil.
 	duplicate *duplicateProcess
-	// hasNewIncarnation is whether the incarnation has changed since TakeIncarnationChange.
+	// hasNewIncarnation reports whether the incarnation has changed since the last TakeIncarnationChange.
 	hasNewIncarnation bool
 	transitions       []Transition
 }
 
-// New returns a detector that has heard of no other gateway.
+// New returns a detector that has not heard from any other gateway.
 func New(config Config, now time.Duration, rng *rand.Rand) *Detector {
 	d := &Detector{
 		config:        config,
@@ -81,10 +83,10 @@
 	return d
 }
 
-// ID returns the identity of this process. Its incarnation may be higher than that of the Config.
+// ID returns the identity of this process. Its incarnation may be higher than the one in Config.
 func (d *Detector) ID() ID { return d.config.ID }
 
-// StartServing announces that this gateway serves.
+// StartServing announces that this gateway serves requests.
 func (d *Detector) StartServing(now time.Duration) {
 	if d.phase == Starting {
 		d.phase = Serving
@@ -92,7 +94,7 @@
 	}
 }
 
-// Leave announces by the next heartbeats that this gateway leaves, until HasLeft.
+// Leave announces in the next heartbeats that this gateway leaves, until HasLeft returns true.
 func (d *Detector) Leave(now time.Duration) {
 	if d.phase != Leaving {
 		d.phase = Leaving
@@ -104,19 +106,19 @@
 // HasLeft reports whether enough heartbeats have announced that this gateway leaves.
 func (d *Detector) HasLeft() bool { return d.leaveAnnounced >= leaveHeartbeats }
 
-// PresentError is returned for a gateway that cannot be forgotten, as it is present or is this one.
+// PresentError is returned for a gateway that cannot be forgotten because it is present or is this gateway.
 type PresentError struct {
 	// Index is the gateway's position in the list.
 	Index int
-	// State is how it is seen.
+	// State is the gateway's state.
 	State State
 }
 
 // Error implements error.
-func (e *PresentError) Error() string { return fmt.Sprintf("door %d is %v", e.Index, e.State) }
+func (e *PresentError) Error() string { return fmt.Sprintf("gateway %d is %v", e.Index, e.State) }
 
-// Forget takes a gateway as gone until a new process of it is heard of. It returns a *PresentError for a gateway that
-// is present, and for this one.
+// Forget marks a gateway as left until a heartbeat of a new process of it arrives. It returns a *PresentError for a
+// gateway that is present and for this gateway.
 func (d *Detector) Forget(now time.Duration, index int) error {
 	m := &d.members[index]
 	if m.State.IsPresent() || index == d.config.Index {
@@ -127,17 +129,17 @@
 	return nil
 }
 
-// TakeTransitions returns the transitions since it was last called.
+// TakeTransitions returns the transitions since the last call.
 func (d *Detector) TakeTransitions() []Transition {
 	transitions := d.transitions
 	d.transitions = nil
 	return transitions
 }
 
-// State returns how a gateway is seen.
+// State returns the state of a gateway.
 func (d *Detector) State(index int) State { return d.members[index].State }
 
-// Members returns all gateways in the order of the list.
+// Members returns all gateways in list order.
 func (d *Detector) Members() []Member {
 	members := make([]Member, len(d.members))
 	for i := range d.members {
@@ -149,10 +151,10 @@
 // self returns this gateway's own member.
 func (d *Detector) self() *member { return &d.members[d.config.Index] }
 
-// isLarge reports whether the cluster is too large for an entry of each gateway in a heartbeat.
+// isLarge reports whether the cluster has too many gateways for one heartbeat to hold an entry for each.
 func (d *Detector) isLarge() bool { return d.config.Gateways > MaxEntries }
 
-// transition changes a member's state. Transitions that nobody takes are bounded.
+// transition changes a member's state. The number of recorded transitions is bounded in case no caller takes them.
 func (d *Detector) transition(now time.Duration, m *member, to State, cause string) {
 	if m.State == to {
 		return
@@ -163,8 +165,8 @@
 	m.State, m.Cause, m.Since = to, cause, now
 }
 
-// advance moves the time on. A process that was suspended has heard nothing meanwhile and concludes nothing from that:
-// the time that it missed is given to all others.
+// advance moves the time forward. A process that was suspended received nothing in the meantime, so the missed time is
+// added to when each other gateway was last heard from: their silence says nothing about them.
 func (d *Detector) advance(now time.Duration) {
 	if missed := now - d.lastCall; missed > stallThreshold {
 		for i := range d.members {
@@ -179,14 +181,14 @@
 	d.lastCall = max(d.lastCall, now)
 }
 
-// Tick judges all gateways and returns the heartbeats that are due. It is to be called several times in
+// Tick updates the state of all gateways and returns the heartbeats that are due. It must be called several times per
 // HeartbeatInterval.
 func (d *Detector) Tick(now time.Duration) []Outgoing {
 	d.advance(now)
 	d.expireDuplicate(now)
 	for i := range d.members {
 		if i != d.config.Index {
-			d.judge(now, &d.members[i])
+			d.expireMember(now, &d.members[i])
 		}
 	}
 	if now < d.nextHeartbeat || d.duplicate != nil || d.HasLeft() {
@@ -196,8 +198,9 @@
 	return d.sendHeartbeats(now)
 }
 
-// judge changes the state of a member that was not heard of for too long.
-func (d *Detector) judge(now time.Duration, m *member) {
+// expireMember marks a member suspect or dead if its counter has not increased for too long, and ends its Returned
+// state after returnedPeriod.
+func (d *Detector) expireMember(now time.Duration, m *member) {
 	if m.State == Left || m.State == Dead || m.State == Absent {
 		return
 	}
@@ -207,7 +210,7 @@
 	case silence >= SuspectTimeout:
 		d.transition(now, m, Suspect, fmt.Sprintf(causeSilentFor, SuspectTimeout))
 	case m.State == Returned && now-m.Since >= returnedPeriod:
-		m.State = Alive // not logged: nobody needs to act on it
+		m.State = Alive // not recorded as a transition: operators need not act on it
 	}
 }
 
@@ -223,7 +226,7 @@
 	for _, to := range d.targets() {
 		heartbeat := full
 		if d.isLarge() && to < d.config.Hubs && !d.isHub() {
-			heartbeat = ownOnly // each gateway tells the hubs of itself
+			heartbeat = ownOnly // hubs hear from every gateway directly
 		}
 		outgoing = append(outgoing, Outgoing{To: to, Heartbeat: heartbeat})
 	}
