--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -5,57 +5,58 @@
 	"time"
 )
 
-// ID identifies one process of a gateway, among its earlier processes and among others that wrongly use its name.
+// ID identifies one process of a gateway. It distinguishes the process from earlier ones and from others that are
+// misconfigured with the same name.
 type ID struct {
 	_ struct{} `cbor:",toarray"`
-	// Incarnation grows with each start of the gateway and is kept on disk.
+	// Incarnation increases with each start of the gateway and is stored on disk.
 	Incarnation uint32
-	// Nonce is random. It distinguishes two processes that were started from one disk's state.
+	// Nonce is random. It distinguishes two processes that were started from the same stored state.
 	Nonce uint32
 }
 
-// Before reports whether the process a is older than b. News of the later process takes precedence.
+// Before reports whether process a is older than process b. Entries of the newer process take precedence.
 func (a ID) Before(b ID) bool {
 	return cmp.Or(cmp.Compare(a.Incarnation, b.Incarnation), cmp.Compare(a.Nonce, b.Nonce)) < 0
 }
 
-// Phase is what a gateway announces of itself.
+// Phase is what a gateway announces about itself.
 type Phase uint8
 
 const (
-	// Starting is a gateway that does not yet know whether it is the only process of its name.
+	// Starting means that the gateway does not yet know whether another process uses its name.
 	Starting Phase = iota
-	// Serving is a gateway that handles requests.
+	// Serving means that the gateway handles requests.
 	Serving
-	// Leaving is a gateway that goes until it is started again.
+	// Leaving means that the gateway leaves the cluster until it is started again.
 	Leaving
 	phaseCount
 )
 
-// State is how a gateway is seen from this one.
+// State is the state of a gateway as this gateway sees it.
 type State uint8
 
 const (
-	// Absent is a gateway that was never heard of since this one has started.
+	// Absent means that nothing was heard of the gateway since this process started.
 	Absent State = iota
-	// Joining is a gateway that is heard of and does not serve yet.
+	// Joining means that the gateway sends heartbeats and does not serve yet.
 	Joining
-	// Alive is a gateway that serves.
+	// Alive means that the gateway serves.
 	Alive
-	// Returned is a gateway that lately became alive again after it was dead or had left.
+	// Returned means that the gateway has recently become alive again after it was dead or had left, or has restarted.
 	Returned
-	// Suspect is a gateway that was not heard of for SuspectTimeout.
+	// Suspect means that the gateway's counter has not increased for SuspectTimeout.
 	Suspect
-	// Dead is a gateway that was not heard of for DeadTimeout.
+	// Dead means that the gateway's counter has not increased for DeadTimeout.
 	Dead
-	// Left is a gateway that has announced that it leaves, or that an operator has declared gone.
+	// Left means that the gateway has announced that it leaves, or that an operator has declared it gone.
 	Left
 	stateCount
 )
 
 var stateNames = [stateCount]string{"absent", "joining", "alive", "returned", "suspect", "dead", "left"}
 
-// String returns the state's name in logs, metrics and the status of the cluster.
+// String returns the name of the state in logs, metrics and the cluster status.
 func (s State) String() string {
 	if s >= stateCount {
 		return "unknown"
@@ -63,22 +64,22 @@
 	return stateNames[s]
 }
 
-// IsPresent reports whether a gateway in the state is taken to be running.
+// IsPresent reports whether a gateway in this state is considered to be running.
 func (s State) IsPresent() bool { return s == Joining || s == Alive || s == Returned || s == Suspect }
 
-// Member is one gateway as seen from this one.
+// Member is one gateway as this gateway sees it.
 type Member struct {
 	// Index is the gateway's position in the list, from 0.
 	Index int
-	// State is how the gateway is seen.
+	// State is the gateway's current state.
 	State State
-	// Cause says in a few words why it has this state, for operators.
+	// Cause is a short explanation of the state for operators.
 	Cause string
-	// Since is when it got the state, on this gateway's clock.
+	// Since is when the gateway entered the state, by this gateway's clock.
 	Since time.Duration
-	// ID is the latest process of the gateway that was heard of.
+	// ID is the newest known process of the gateway.
 	ID ID
-	// LastHeard is when its counter last grew here, on this gateway's clock; 0 means never.
+	// LastHeard is when the gateway's counter last increased, by this gateway's clock; 0 means never.
 	LastHeard time.Duration
 }
 
@@ -88,13 +89,13 @@
 	Index int
 	// From and To are the states before and after.
 	From, To State
-	// Cause says in a few words why the state changed, for operators.
+	// Cause is a short explanation of the change for operators.
 	Cause string
-	// ID is the process of the gateway that the transition is about.
+	// ID is the process of the gateway that changed state.
 	ID ID
 }
 
-// The causes of transitions. They are shown in the status of the cluster and in the log.
+// Causes of transitions, as they appear in the cluster status and in the log.
 const (
 	causeNeverHeard  = "not heard of yet"
 	causeStarted     = "started"
@@ -108,19 +109,19 @@
 	causeRestartedAs = "started again as incarnation %d"
 )
 
-// member is a gateway with what the detector keeps of it beside its public view.
+// member is the public view of a gateway together with the detector's internal state for it.
 type member struct {
 	Member
-	// counter is the highest heartbeat counter that was heard of the process.
+	// counter is the highest known heartbeat counter of the process.
 	counter uint32
 	phase   Phase
-	// firstHeard is when the present process was first heard of.
+	// firstHeard is when the first entry of the current process arrived.
 	firstHeard time.Duration
-	// isForgotten is whether an operator has declared the gateway gone; a new process of it is heard again.
+	// isForgotten is set when an operator has declared the gateway gone, and cleared by an entry of a new process.
 	isForgotten bool
 }
 
-// isFresh reports whether news of the member is recent enough to be gossiped.
+// isFresh reports whether the member's counter is recent enough to be gossiped.
 func (m *member) isFresh(now time.Duration) bool {
 	return m.LastHeard > 0 && now-m.LastHeard < DeadTimeout && !m.isForgotten
 }
