--- a/internal/membership/heartbeat.go
+++ b/internal/membership/heartbeat.go
@@ -7,31 +7,31 @@
 	"time"
 )
 
-// Contents of heartbeats.
+// Limits on the contents of heartbeats.
 const (
-	// MaxEntries bounds the entries of one heartbeat, so that it stays in one packet.
+	// MaxEntries bounds the entries of one heartbeat, so that it fits in one packet.
 	MaxEntries = 64
-	// aliveBitAge is how old the news behind a bit of Heartbeat.AliveBits may be; its receiver takes it to be that old.
+	// aliveBitAge is the maximum age of the counter behind a bit in Heartbeat.AliveBits. The receiver assumes that age.
 	aliveBitAge = 600 * time.Millisecond
-	// newProcessPeriod is for how long a new process of a gateway goes before other entries in a large cluster.
+	// newProcessPeriod is how long entries of a new process precede other entries in a large cluster.
 	newProcessPeriod = 2 * time.Second
 )
 
 // ErrMalformed is wrapped by the errors of [Detector.Validate].
 var ErrMalformed = errors.New("malformed heartbeat")
 
-// Entry is the news of one gateway.
+// Entry is the gossiped state of one gateway.
 type Entry struct {
 	_ struct{} `cbor:",toarray"`
 	// Index is the gateway's position in the list.
 	Index uint16
-	// ID is the gateway's process.
+	// ID identifies the gateway's process.
 	ID ID
-	// Counter is the process's heartbeat counter, from 1.
+	// Counter is the heartbeat counter of the process, starting at 1.
 	Counter uint32
-	// Phase is what the process announced with the counter.
+	// Phase is the phase that the process announced with this counter.
 	Phase Phase
-	// AgeMillis is for how many milliseconds the sender has known the counter, by its clock.
+	// AgeMillis is how long the sender has known the counter, in milliseconds by the sender's clock.
 	AgeMillis uint16
 }
 
@@ -39,34 +39,34 @@
 type Heartbeat struct {
 	_       struct{} `cbor:",toarray"`
 	Entries []Entry
-	// AliveBits has a bit for each gateway of which the sender has heard within aliveBitAge, in clusters that are too
-	// large for an entry each; empty in smaller ones.
+	// AliveBits has one bit per gateway, set if its counter increased at the sender within aliveBitAge. It is used only
+	// in clusters too large for one entry per gateway, and empty in smaller ones.
 	AliveBits []byte
 }
 
-// hasAliveBit reports whether the bit of a gateway is set.
+// hasAliveBit reports whether the alive bit of a gateway is set.
 func (h *Heartbeat) hasAliveBit(index int) bool {
 	return len(h.AliveBits) > 0 && h.AliveBits[index/8]&(1<<(index%8)) != 0
 }
 
-// Outgoing is a heartbeat to be sent to a gateway.
+// Outgoing is a heartbeat to send to a gateway.
 type Outgoing struct {
 	// To is the receiver's position in the list.
 	To        int
 	Heartbeat Heartbeat
-	// ReplyToSender asks to send it to the address that the answered heartbeat came from as well. That may be a second
-	// process of one name, whose address is in no list.
+	// ReplyToSender requests that the heartbeat also be sent to the source address of the heartbeat it answers. The
+	// sender may be a second process of the same name, whose address is not in the list.
 	ReplyToSender bool
 }
 
-// Heartbeat returns the present heartbeat: this gateway, then fresh news of others. In a large cluster new processes go
-// first, then a part of the other gateways in turns, and a bit each for who is alive.
+// Heartbeat returns the current heartbeat: the entry of this gateway followed by fresh entries of others. In a large
+// cluster, entries of new processes come first, then some of the other gateways in rotation, and AliveBits covers all.
 func (d *Detector) Heartbeat(now time.Duration) Heartbeat {
 	heartbeat := Heartbeat{Entries: []Entry{d.self().entry(now)}}
 	if d.isLarge() {
 		heartbeat.AliveBits = d.aliveBits(now)
 		heartbeat.Entries = d.appendNewProcesses(heartbeat.Entries, now)
-		heartbeat.Entries = d.appendInTurn(heartbeat.Entries, now)
+		heartbeat.Entries = d.appendRoundRobin(heartbeat.Entries, now)
 		return heartbeat
 	}
 	for i := range d.members {
@@ -77,7 +77,7 @@
 	return heartbeat
 }
 
-// entry returns the news of a member.
+// entry returns the heartbeat entry of a member.
 func (m *member) entry(now time.Duration) Entry {
 	age := max(0, now-m.LastHeard).Milliseconds()
 	return Entry{
@@ -89,7 +89,7 @@
 	}
 }
 
-// aliveBits returns a bit for each gateway that was heard of within aliveBitAge.
+// aliveBits returns a bit set of the gateways whose counter increased within aliveBitAge.
 func (d *Detector) aliveBits(now time.Duration) []byte {
 	bits := make([]byte, bitSetSize(len(d.members)))
 	for i := range d.members {
@@ -101,7 +101,7 @@
 	return bits
 }
 
-// appendNewProcesses appends entries of processes that were first heard of lately, up to half of a heartbeat.
+// appendNewProcesses appends entries of processes first heard of within newProcessPeriod, up to half of a heartbeat.
 func (d *Detector) appendNewProcesses(entries []Entry, now time.Duration) []Entry {
 	for i := range d.members {
 		m := &d.members[i]
@@ -113,8 +113,8 @@
 	return entries
 }
 
-// appendInTurn fills a heartbeat with entries of the other gateways, beginning where the last heartbeat ended.
-func (d *Detector) appendInTurn(entries []Entry, now time.Duration) []Entry {
+// appendRoundRobin fills a heartbeat with entries of the other gateways, starting where the last heartbeat ended.
+func (d *Detector) appendRoundRobin(entries []Entry, now time.Duration) []Entry {
 	for range d.members {
 		d.nextEntry = (d.nextEntry + 1) % len(d.members)
 		m := &d.members[d.nextEntry]
@@ -129,7 +129,7 @@
 	return entries
 }
 
-// Validate checks a heartbeat that came from a gateway. Its error wraps ErrMalformed.
+// Validate checks a heartbeat received from a gateway. Its error wraps ErrMalformed.
 func (d *Detector) Validate(from int, heartbeat *Heartbeat) error {
 	entries := heartbeat.Entries
 	if len(entries) == 0 || len(entries) > MaxEntries || int(entries[0].Index) != from {
@@ -146,5 +146,5 @@
 	return nil
 }
 
-// bitSetSize returns the bytes that a set of bits takes.
+// bitSetSize returns the size of a bit set in bytes.
 func bitSetSize(bits int) int { return (bits + 7) / 8 }
