--- a/internal/membership/receive.go
+++ b/internal/membership/receive.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// replyInterval is the pause between two replies to outdated processes.
+// replyInterval is the minimum time between two replies to outdated processes.
 const replyInterval = HeartbeatInterval
 
-// Receive takes a heartbeat that has passed Validate. It returns a reply if the sender is an outdated process of its
-// name, which learns by it of the later one.
+// Receive processes a heartbeat that has passed Validate. If the sender is an outdated process of its name, Receive
+// returns a reply that informs it of the newer process.
 func (d *Detector) Receive(now time.Duration, from int, heartbeat Heartbeat) []Outgoing {
 	d.advance(now)
 	isOutdated := from != d.config.Index && heartbeat.Entries[0].ID.Before(d.members[from].ID)
@@ -33,13 +33,13 @@
 	return []Outgoing{{To: from, Heartbeat: reply, ReplyToSender: true}}
 }
 
-// receiveEntry takes the news of another gateway, unless it is older than what is known.
+// receiveEntry applies an entry of another gateway, unless it is older than what is known.
 func (d *Detector) receiveEntry(now time.Duration, entry Entry) {
 	m := &d.members[entry.Index]
 	isNewProcess := m.LastHeard == 0 || m.ID.Before(entry.ID)
 	isOutdated := entry.ID.Before(m.ID) || !isNewProcess && entry.Counter <= m.counter
-	isGone := m.phase == Leaving || m.isForgotten
-	if isOutdated || isGone && !isNewProcess {
+	hasLeft := m.phase == Leaving || m.isForgotten
+	if isOutdated || hasLeft && !isNewProcess {
 		return
 	}
 	heardAt := max(1, now-time.Duration(entry.AgeMillis)*time.Millisecond)
@@ -67,14 +67,14 @@
 	}
 }
 
-// receiveAliveBit takes a bit that says that a gateway was heard of within aliveBitAge.
+// receiveAliveBit processes an alive bit of a member, which was set by a counter at most aliveBitAge old.
 func (d *Detector) receiveAliveBit(now time.Duration, m *member) {
 	if m.LastHeard > 0 && m.phase != Leaving && !m.isForgotten {
 		d.recordAlive(now, m, max(m.LastHeard, now-aliveBitAge))
 	}
 }
 
-// recordAlive takes a sign of life from a time. One that is too old changes no state.
+// recordAlive records that a member was alive at heardAt and updates its state if that is recent enough.
 func (d *Detector) recordAlive(now time.Duration, m *member, heardAt time.Duration) {
 	m.LastHeard = max(m.LastHeard, heardAt)
 	if now-m.LastHeard >= SuspectTimeout {
