--- a/internal/membership/target.go
+++ b/internal/membership/target.go
@@ -1,21 +1,21 @@
 package membership
 
-// Receivers of one round of heartbeats.
+// Number of receivers of one round of heartbeats.
 const (
-	// fanout is how many gateways get a heartbeat in each round.
+	// fanout is the number of gateways that receive a heartbeat in each round.
 	fanout = 8
-	// minAbsentTargets is how many of them are not present: so a new gateway, or the other side of a partition, is
-	// found.
+	// minAbsentTargets is the minimum number of receivers that are not present, so that new gateways and the other side
+	// of a partition are discovered.
 	minAbsentTargets = fanout / 4
-	// extraTargets is how many random gateways get a heartbeat beside the hubs, in a large cluster.
+	// extraTargets is the number of random receivers in addition to the hubs, in a large cluster.
 	extraTargets = 2
 )
 
 // isHub reports whether this gateway is a hub of a large cluster.
 func (d *Detector) isHub() bool { return d.config.Index < d.config.Hubs }
 
-// targets returns the gateways that get a heartbeat in this round: all of them where they are few or this gateway
-// leaves, else a random choice.
+// targets returns the gateways that receive a heartbeat in this round: all of them if they are few or this gateway is
+// leaving, otherwise a random choice.
 func (d *Detector) targets() []int {
 	if d.isLarge() && d.phase != Leaving {
 		return d.largeClusterTargets()
@@ -38,12 +38,13 @@
 	return append(chosen, d.sample(absent, wantAbsent)...)
 }
 
-// largeClusterTargets returns all hubs and some random gateways; at a hub also each second gateway in turns.
+// largeClusterTargets returns all hubs and some random gateways. At a hub it also returns every second gateway,
+// alternating between even and odd indexes each round.
 func (d *Detector) largeClusterTargets() []int {
 	var targets []int
 	for i := range d.members {
-		isTurn := d.isHub() && (i+d.heartbeatsSent)%2 == 0
-		if i != d.config.Index && (i < d.config.Hubs || isTurn) {
+		isInTurn := d.isHub() && (i+d.heartbeatsSent)%2 == 0
+		if i != d.config.Index && (i < d.config.Hubs || isInTurn) {
 			targets = append(targets, i)
 		}
 	}
@@ -55,7 +56,7 @@
 	return targets
 }
 
-// sample returns n random elements, or all where there are fewer. It changes the order of its argument.
+// sample returns n random elements, or all if there are fewer. It reorders its argument.
 func (d *Detector) sample(indexes []int, n int) []int {
 	d.rng.Shuffle(len(indexes), func(i, j int) { indexes[i], indexes[j] = indexes[j], indexes[i] })
 	return indexes[:min(n, len(indexes))]
