--- a/internal/membership/detector_test.go
+++ b/internal/membership/detector_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// testStart is the time at which the tests begin.
+// testStart is the time at which each test starts.
 const testStart = time.Hour
 
 func newTestDetector(index, gateways int, incarnation uint32) *Detector {
@@ -20,13 +20,14 @@
 	return New(config, testStart, rand.New(rand.NewPCG(1, 1)))
 }
 
-// run ticks a detector for a while.
+// run calls Tick at regular intervals for a length of time.
 func run(d *Detector, from, length time.Duration) {
 	for now := from; now <= from+length; now += HeartbeatInterval / 4 {
 		d.Tick(now)
 	}
 }
 
+// TestIDOrder verifies that IDs are ordered by incarnation, then by nonce.
 func TestIDOrder(t *testing.T) {
 	cases := []struct {
 		name string
@@ -47,6 +48,8 @@
 	}
 }
 
+// TestSilenceMakesSuspectThenDead verifies that a gateway becomes suspect and then dead exactly at the timeouts, and
+// returns with the next heartbeat.
 func TestSilenceMakesSuspectThenDead(t *testing.T) {
 	d := newTestDetector(0, 3, 1)
 	entry := Entry{Index: 1, ID: ID{Incarnation: 1}, Counter: 1, Phase: Serving}
@@ -75,23 +78,26 @@
 	entry.Counter++
 	d.Receive(now, 1, Heartbeat{Entries: []Entry{entry}})
 	if got := d.State(1); got != Returned {
-		t.Errorf("heard again: %v, want %v", got, Returned)
+		t.Errorf("after a new heartbeat: %v, want %v", got, Returned)
 	}
 	if transitions := d.TakeTransitions(); len(transitions) != 4 {
 		t.Errorf("%d transitions, want 4: %+v", len(transitions), transitions)
 	}
 }
 
+// TestSuspendedProcessFindsNobodyDead verifies that a process that was suspended does not mark other gateways dead for
+// the time in which it could not receive.
 func TestSuspendedProcessFindsNobodyDead(t *testing.T) {
 	d := newTestDetector(0, 3, 1)
 	entry := Entry{Index: 1, ID: ID{Incarnation: 1}, Counter: 1, Phase: Serving}
 	d.Receive(testStart, 1, Heartbeat{Entries: []Entry{entry}})
 	d.Tick(testStart + time.Minute)
 	if got := d.State(1); got != Alive {
-		t.Errorf("%v after a pause of a minute, want %v", got, Alive)
+		t.Errorf("%v after a suspension of a minute, want %v", got, Alive)
 	}
 }
 
+// TestMalformedHeartbeatsAreRejected verifies that Validate accepts valid heartbeats only.
 func TestMalformedHeartbeatsAreRejected(t *testing.T) {
 	valid := Entry{Index: 1, ID: ID{Incarnation: 1}, Counter: 1, Phase: Serving}
 	changed := func(change func(*Entry)) Entry {
@@ -108,7 +114,7 @@
 		{"alive bits", Heartbeat{Entries: []Entry{valid}, AliveBits: []byte{7}}, true},
 		{"no entries", Heartbeat{}, false},
 		{"too many entries", Heartbeat{Entries: make([]Entry, MaxEntries+1)}, false},
-		{"not the sender's", Heartbeat{Entries: []Entry{changed(func(e *Entry) { e.Index = 2 })}}, false},
+		{"first entry of another gateway", Heartbeat{Entries: []Entry{changed(func(e *Entry) { e.Index = 2 })}}, false},
 		{"unknown index", Heartbeat{Entries: []Entry{valid, changed(func(e *Entry) { e.Index = 3 })}}, false},
 		{"unknown phase", Heartbeat{Entries: []Entry{changed(func(e *Entry) { e.Phase = phaseCount })}}, false},
 		{"no counter", Heartbeat{Entries: []Entry{changed(func(e *Entry) { e.Counter = 0 })}}, false},
@@ -125,6 +131,8 @@
 	}
 }
 
+// TestPresentGatewaysAreNotForgotten verifies that Forget refuses this gateway and present ones, and accepts absent
+// ones.
 func TestPresentGatewaysAreNotForgotten(t *testing.T) {
 	d := newTestDetector(0, 3, 1)
 	entry := Entry{Index: 1, ID: ID{Incarnation: 1}, Counter: 1, Phase: Serving}
@@ -140,6 +148,8 @@
 	}
 }
 
+// TestLostIncarnationIsTakenAfterDuplicateIsSilent verifies that a process whose stored incarnation was lost sends
+// nothing while others gossip a higher one, and adopts the next incarnation after DeadTimeout.
 func TestLostIncarnationIsTakenAfterDuplicateIsSilent(t *testing.T) {
 	d := newTestDetector(0, 3, 1)
 	own := Entry{Index: 0, ID: ID{Incarnation: 5}, Counter: 7, Phase: Serving}
@@ -149,17 +159,19 @@
 		t.Fatalf("duplicate %v, %v", id, ok)
 	}
 	if out := d.Tick(testStart + HeartbeatInterval); len(out) > 0 {
-		t.Errorf("%d heartbeats beside a duplicate", len(out))
+		t.Errorf("%d heartbeats while a duplicate is alive", len(out))
 	}
 	run(d, testStart+HeartbeatInterval, DeadTimeout)
 	if d.ID().Incarnation != own.ID.Incarnation+1 {
 		t.Errorf("incarnation %d, want %d", d.ID().Incarnation, own.ID.Incarnation+1)
 	}
 	if !d.TakeIncarnationChange() || d.TakeIncarnationChange() {
-		t.Error("the change is not reported once")
+		t.Error("the change is not reported exactly once")
 	}
 }
 
+// TestOutdatedProcessGetsReply verifies that an outdated process is told of the newer one, at most once per
+// replyInterval.
 func TestOutdatedProcessGetsReply(t *testing.T) {
 	d := newTestDetector(0, 3, 1)
 	current := Entry{Index: 1, ID: ID{Incarnation: 2}, Counter: 1, Phase: Serving}
@@ -173,10 +185,12 @@
 		t.Errorf("entries %+v", entries)
 	}
 	if replies := d.Receive(testStart, 1, Heartbeat{Entries: []Entry{outdated}}); len(replies) > 0 {
-		t.Error("a second reply within the interval")
+		t.Error("second reply within replyInterval")
 	}
 }
 
+// TestLeaveIsAnnounced verifies that a leaving gateway announces it to all others in leaveHeartbeats rounds and then
+// sends nothing.
 func TestLeaveIsAnnounced(t *testing.T) {
 	d := newTestDetector(0, 3, 1)
 	d.StartServing(testStart)
@@ -194,6 +208,6 @@
 		t.Errorf("%d heartbeats, want %d to each of 2 gateways", announced, leaveHeartbeats)
 	}
 	if out := d.Tick(testStart + 2*time.Minute); len(out) > 0 {
-		t.Errorf("%d heartbeats after the leave", len(out))
+		t.Errorf("%d heartbeats after leaving", len(out))
 	}
 }
