--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -10,32 +10,32 @@
 	"gapgap/internal/membership"
 )
 
-// gossipPlay is one deterministic run of the failure detectors of a cluster with random faults.
-type gossipPlay struct {
+// gossipScenario describes a deterministic run of a cluster's failure detectors with random faults.
+type gossipScenario struct {
 	seed     uint64
 	gateways int
 	length   time.Duration
-	// faults is the probability of a fault in each round of goldenRound.
+	// faults is the probability of a fault in each round.
 	faults float64
-	// loss is the probability that a message gets lost.
+	// loss is the probability that a message is lost.
 	loss float64
 }
 
-// goldenRound is the time between two rounds of a play.
-const goldenRound = 50 * time.Millisecond
+// roundInterval is the time between two rounds of a scenario.
+const roundInterval = 50 * time.Millisecond
 
-// gossipProcess is one process of a gateway; two may have one index.
+// gossipProcess is one process of a gateway. Two processes may share an index.
 type gossipProcess struct {
 	index       int
 	incarnation uint32
-	table       *membership.Detector
+	detector    *membership.Detector
 	offset      time.Duration
 	startedAt   time.Duration
 	pausedUntil time.Duration
 	isDown      bool
 }
 
-// gossipMessage is a heartbeat on its way.
+// gossipMessage is a heartbeat in flight.
 type gossipMessage struct {
 	at       time.Duration
 	from     *gossipProcess
@@ -43,9 +43,9 @@
 	contents membership.Heartbeat
 }
 
-// gossipRun is a play while it goes on.
-type gossipRun struct {
-	gossipPlay
+// gossipSimulation is the state of a running scenario.
+type gossipSimulation struct {
+	gossipScenario
 	rng       *rand.Rand
 	now       time.Duration
 	trace     *golden.Trace
@@ -53,22 +53,22 @@
 	messages  []gossipMessage
 }
 
-// hash plays and returns the hash of all that the tables returned, in order.
-func (p gossipPlay) hash() string {
-	r := &gossipRun{
-		gossipPlay: p,
-		rng:        rand.New(rand.NewPCG(p.seed, 21)),
-		now:        time.Hour,
-		trace:      golden.NewTrace(),
+// hash runs the scenario and returns the hash of everything that the detectors returned, in order.
+func (s gossipScenario) hash() string {
+	r := &gossipSimulation{
+		gossipScenario: s,
+		rng:            rand.New(rand.NewPCG(s.seed, 21)),
+		now:            time.Hour,
+		trace:          golden.NewTrace(),
 	}
-	for i := range p.gateways {
+	for i := range s.gateways {
 		process := &gossipProcess{index: i, offset: time.Duration(r.rng.IntN(1000)) * time.Second}
 		r.processes = append(r.processes, process)
 		r.start(process)
 	}
-	for end := r.now + p.length; r.now < end; r.now += goldenRound {
-		if r.rng.Float64() < p.faults {
-			r.fault()
+	for end := r.now + s.length; r.now < end; r.now += roundInterval {
+		if r.rng.Float64() < s.faults {
+			r.injectFault()
 		}
 		r.deliver()
 		for _, process := range r.processes {
@@ -81,21 +81,21 @@
 	return r.trace.Sum()
 }
 
-func (process *gossipProcess) clock(now time.Duration) time.Duration { return now + process.offset }
+func (p *gossipProcess) clock(now time.Duration) time.Duration { return now + p.offset }
 
-// start starts a process anew, with one higher incarnation.
-func (r *gossipRun) start(process *gossipProcess) {
+// start starts a process, or restarts it, with the next incarnation.
+func (r *gossipSimulation) start(process *gossipProcess) {
 	process.incarnation++
 	process.isDown = false
 	process.startedAt = r.now
 	id := membership.ID{Incarnation: process.incarnation, Nonce: r.rng.Uint32()}
 	config := membership.Config{Index: process.index, Gateways: r.gateways, Hubs: min(7, r.gateways), ID: id}
 	seed := rand.NewPCG(r.seed, uint64(r.now)+uint64(process.index))
-	process.table = membership.New(config, process.clock(r.now), rand.New(seed))
+	process.detector = membership.New(config, process.clock(r.now), rand.New(seed))
 }
 
-// fault does one random thing to one process.
-func (r *gossipRun) fault() {
+// injectFault applies one random fault to one process.
+func (r *gossipSimulation) injectFault() {
 	process := r.processes[r.rng.IntN(len(r.processes))]
 	switch r.rng.IntN(8) {
 	case 0, 1:
@@ -106,15 +106,15 @@
 		}
 	case 2:
 		process.pausedUntil = r.now + time.Duration(r.rng.IntN(3000))*time.Millisecond
-	case 3: // it has lost its disk
+	case 3: // restart with an empty disk
 		process.incarnation = 0
 		r.start(process)
 	case 4:
-		process.table.Leave(process.clock(r.now))
+		process.detector.Leave(process.clock(r.now))
 	case 5:
-		err := process.table.Forget(process.clock(r.now), r.rng.IntN(r.gateways))
+		err := process.detector.Forget(process.clock(r.now), r.rng.IntN(r.gateways))
 		r.trace.Bool(err == nil)
-	case 6: // a second process has its index
+	case 6: // start a second process with the same index
 		if len(r.processes) < r.gateways+3 {
 			second := &gossipProcess{index: process.index, incarnation: process.incarnation, offset: process.offset}
 			r.processes = append(r.processes, second)
@@ -125,8 +125,8 @@
 	}
 }
 
-// deliver hands over the messages that have arrived.
-func (r *gossipRun) deliver() {
+// deliver delivers the messages that are due.
+func (r *gossipSimulation) deliver() {
 	due := r.messages
 	r.messages = nil
 	for _, message := range due {
@@ -138,26 +138,26 @@
 		case to.isDown:
 			continue
 		}
-		if err := to.table.Validate(message.from.index, &message.contents); err != nil {
+		if err := to.detector.Validate(message.from.index, &message.contents); err != nil {
 			r.trace.Int(-1)
 			continue
 		}
-		outs := to.table.Receive(to.clock(r.now), message.from.index, message.contents)
+		outs := to.detector.Receive(to.clock(r.now), message.from.index, message.contents)
 		r.record(to, outs)
 		r.send(to, outs, message.from)
 	}
 }
 
-// tick lets a process do what is due.
-func (r *gossipRun) tick(process *gossipProcess) {
+// tick runs the timers of a process.
+func (r *gossipSimulation) tick(process *gossipProcess) {
 	if process.isDown || r.now < process.pausedUntil {
 		return
 	}
 	now := process.clock(r.now)
 	if r.now-process.startedAt >= time.Second {
-		process.table.StartServing(now)
+		process.detector.StartServing(now)
 	}
-	outs := process.table.Tick(now)
+	outs := process.detector.Tick(now)
 	r.record(process, outs)
 	r.send(process, outs, nil)
 	if r.rng.IntN(100) == 0 {
@@ -165,8 +165,8 @@
 	}
 }
 
-// send sends to the first process of an index, and back to a process where that is wanted.
-func (r *gossipRun) send(from *gossipProcess, outs []membership.Outgoing, sender *gossipProcess) {
+// send sends heartbeats to the first process of each index, and also to the sender where a reply asks for it.
+func (r *gossipSimulation) send(from *gossipProcess, outs []membership.Outgoing, sender *gossipProcess) {
 	for _, out := range outs {
 		receivers := []*gossipProcess{r.processes[out.To]}
 		if out.ReplyToSender && sender != receivers[0] {
@@ -181,8 +181,8 @@
 	}
 }
 
-// record adds to the trace what a table returned and what changed in it.
-func (r *gossipRun) record(process *gossipProcess, outs []membership.Outgoing) {
+// record adds to the trace what a detector returned and what changed in it.
+func (r *gossipSimulation) record(process *gossipProcess, outs []membership.Outgoing) {
 	r.trace.Int(int64(process.index))
 	r.trace.Duration(r.now)
 	r.trace.Int(int64(len(outs)))
@@ -199,7 +199,7 @@
 		}
 		r.trace.String(string(out.Heartbeat.AliveBits))
 	}
-	changes := process.table.TakeTransitions()
+	changes := process.detector.TakeTransitions()
 	r.trace.Int(int64(len(changes)))
 	for _, change := range changes {
 		r.trace.Int(int64(change.Index))
@@ -208,17 +208,17 @@
 		r.trace.String(change.Cause)
 		r.recordID(change.ID)
 	}
-	duplicate, hasDuplicate := process.table.Duplicate(process.clock(r.now))
+	duplicate, hasDuplicate := process.detector.Duplicate(process.clock(r.now))
 	r.recordID(duplicate)
 	r.trace.Bool(hasDuplicate)
-	r.trace.Bool(process.table.TakeIncarnationChange())
-	r.trace.Bool(process.table.HasLeft())
-	r.recordID(process.table.ID())
+	r.trace.Bool(process.detector.TakeIncarnationChange())
+	r.trace.Bool(process.detector.HasLeft())
+	r.recordID(process.detector.ID())
 }
 
-// recordMembers adds to the trace how a process sees all gateways.
-func (r *gossipRun) recordMembers(process *gossipProcess) {
-	for _, member := range process.table.Members() {
+// recordMembers adds to the trace a process's view of all gateways.
+func (r *gossipSimulation) recordMembers(process *gossipProcess) {
+	for _, member := range process.detector.Members() {
 		r.trace.Int(int64(member.Index))
 		r.trace.Int(int64(member.State))
 		r.trace.Bool(member.State.IsPresent())
@@ -227,16 +227,17 @@
 		r.trace.Duration(member.Since)
 		r.recordID(member.ID)
 		r.trace.Duration(member.LastHeard)
-		r.trace.Bool(process.table.State(member.Index) == member.State)
+		r.trace.Bool(process.detector.State(member.Index) == member.State)
 	}
 }
 
-func (r *gossipRun) recordID(id membership.ID) {
+func (r *gossipSimulation) recordID(id membership.ID) {
 	r.trace.Uint(uint64(id.Incarnation))
 	r.trace.Uint(uint64(id.Nonce))
 }
 
-// TestGoldenGossip holds that the failure detector behaves as in the program that the hashes were recorded from.
+// TestGoldenGossip verifies that the failure detector produces the same traces as the version that the hashes were
+// recorded from.
 func TestGoldenGossip(t *testing.T) {
 	recorded := golden.LoadHashes(t, "testdata/golden/gossip.txt")
 	for _, size := range []struct {
@@ -244,15 +245,15 @@
 		length   time.Duration
 	}{{1, 5 * time.Second}, {3, time.Minute}, {5, time.Minute}, {20, 10 * time.Second}, {80, 4 * time.Second}} {
 		for seed := range uint64(6) {
-			play := gossipPlay{
+			scenario := gossipScenario{
 				seed:     seed + 1,
 				gateways: size.gateways,
 				length:   size.length,
 				faults:   0.02 * float64(seed),
 				loss:     0.1 * float64(seed%4),
 			}
-			name := fmt.Sprintf("%d/%d", play.gateways, play.seed)
-			recorded.CheckPlay(t, name, play.hash)
+			name := fmt.Sprintf("%d/%d", scenario.gateways, scenario.seed)
+			recorded.CheckPlay(t, name, scenario.hash)
 		}
 	}
 	recorded.CheckAllPlayed(t)
