--- a/internal/clockskew/clockskew.go
+++ b/internal/clockskew/clockskew.go
@@ -1,10 +1,10 @@
-// Package clockskew tells whether a gateway's clock can be right, by the clocks of the other gateways of its cluster.
-// Gateways name the numbers of the shared counter by the time, so one whose clock is an hour off shares no number with
-// the others and would admit all of a quota and of a ceiling by itself.
+// Package clockskew detects whether a gateway's clock is wrong by comparing it with the clocks of the other gateways of
+// its cluster. The names of shared counters contain the time, so a gateway whose clock is an hour off shares no counter
+// with the others and would admit a whole quota and a whole ceiling by itself.
 //
-// A gateway that hears a majority of the list agree with each other and not with itself takes its own clock to be
-// wrong. Gateways that are too few, or that do not agree, prove nothing: the loss of contact alone takes the counter
-// from nobody. The package does no input or output; a [Detector] belongs to one goroutine.
+// A gateway considers its clock wrong if a majority of the gateways in the list agree with each other but not with it.
+// Reports from fewer gateways, or reports that disagree, prove nothing, so that losing contact with the others does not
+// by itself deny a gateway the counter. The package performs no I/O; a [Detector] is not safe for concurrent use.
 package clockskew
 
 import (
@@ -12,44 +12,45 @@
 	"time"
 )
 
-// Rules of the comparison.
+// Parameters of the comparison.
 const (
-	// MaxSkew is by how much two clocks may differ. A clock that is off by it admits about as much too much, once, as
-	// calls that are in flight at the same time do.
+	// MaxSkew is the largest tolerated difference between two clocks. A clock with this skew causes, once, about as
+	// much excess admission as concurrent counter calls do.
 	MaxSkew = time.Second
-	// windowLength is for how long reports of a clock are kept, together with those of the window before. The report
-	// that arrived fastest tells most.
+	// windowLength is the length of the time windows in which clock reports are collected. The current and the previous
+	// window are used. Of each window the report with the smallest delay counts, as it is the most accurate.
 	windowLength = 5 * time.Second
-	// confirmDuration is how long a majority must disagree: a process that was suspended first hears old reports.
+	// confirmDuration is how long a majority must disagree before the clock counts as wrong, because a process that
+	// was suspended first receives old reports.
 	confirmDuration = 500 * time.Millisecond
 )
 
-// Detector is what one gateway knows of the other gateways' clocks.
+// Detector compares one gateway's clock with the clocks of the other gateways.
 type Detector struct {
 	gateways int
 	peers    []peerClock
-	// skew is by how much this gateway's clock is behind the majority's.
+	// skew is how far this gateway's clock is behind the majority's.
 	skew    time.Duration
 	isWrong bool
-	// disagreeingSince is since when a majority has disagreed; 0 means that it does not.
+	// disagreeingSince is when a majority began to disagree; 0 means that none does.
 	disagreeingSince time.Duration
 }
 
-// New returns a detector for a list of gateways.
+// New returns a detector for a list of the given number of gateways.
 func New(gateways int) *Detector {
 	return &Detector{gateways: gateways, peers: make([]peerClock, gateways)}
 }
 
-// Observe takes the clock that another gateway sent in a message that has just arrived. Both times are Unix times. An
-// index that is not in the list is ignored.
+// Observe records the clock reading that another gateway sent in a message that has just arrived. Both times are Unix
+// times. An index that is not in the list is ignored.
 func (d *Detector) Observe(now time.Duration, from int, remote time.Duration) {
 	if from >= 0 && from < len(d.peers) {
 		d.peers[from].observe(now, remote-now)
 	}
 }
 
-// Skew returns by how much this gateway's clock is behind the others' (below 0: ahead), and whether it is wrong. As
-// long as too few gateways are heard of, both stay as they were.
+// Skew returns how far this gateway's clock is behind the others' (negative: ahead), and whether it is wrong. While no
+// majority agrees, both results keep their last values.
 func (d *Detector) Skew(now time.Duration) (behind time.Duration, isWrong bool) {
 	if skew, ok := d.majoritySkew(now); ok {
 		d.update(now, skew)
@@ -75,7 +76,7 @@
 	return 0, false
 }
 
-// update takes the skew against a majority. It takes confirmDuration until the clock counts as wrong.
+// update applies the skew against a majority. The clock counts as wrong after a disagreement of confirmDuration.
 func (d *Detector) update(now, skew time.Duration) {
 	d.skew = skew
 	switch {
@@ -88,18 +89,18 @@
 	}
 }
 
-// peerClock is by how much another gateway's clock is ahead of this one's at least: the largest difference between what
-// it reported and the time of the arrival.
+// peerClock estimates how far another gateway's clock is ahead of this one's. The estimate is a lower bound: the
+// largest difference between a reported time and the time of its arrival.
 type peerClock struct {
-	// windowStart is when the present window began; 0 means that the gateway was never heard of.
+	// windowStart is when the current window began; 0 means that there was no report yet.
 	windowStart time.Duration
-	// current and previous are the offsets of the present window and of the one before.
+	// current and previous are the offsets of the current window and of the one before it.
 	current     time.Duration
 	previous    time.Duration
 	hasPrevious bool
 }
 
-// observe takes an offset that was just reported.
+// observe records an offset that was just reported.
 func (c *peerClock) observe(now, offset time.Duration) {
 	switch age := now - c.windowStart; {
 	case c.windowStart == 0 || age >= 2*windowLength || age < 0:
@@ -110,16 +111,16 @@
 		c.current = max(c.current, offset)
 	}
 	if c.hasPrevious && (c.previous-c.current).Abs() > MaxSkew {
-		c.hasPrevious = false // the gateway has restarted with another clock
+		c.hasPrevious = false // the gateway's clock was set
 	}
 }
 
-// isRecent reports whether the gateway was heard of lately.
+// isRecent reports whether there is a recent report of the gateway.
 func (c *peerClock) isRecent(now time.Duration) bool {
 	return c.windowStart > 0 && now-c.windowStart < 2*windowLength
 }
 
-// offset returns by how much the clock is ahead of this gateway's at least.
+// offset returns the lower bound of how far the clock is ahead of this gateway's.
 func (c *peerClock) offset() time.Duration {
 	if c.hasPrevious {
 		return max(c.current, c.previous)
