--- a/internal/clockskew/clockskew_test.go
+++ b/internal/clockskew/clockskew_test.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// epoch is the Unix time at which the tests begin.
+// epoch is the Unix time at which the tests start.
 const epoch = 1_000_000 * time.Hour
 
 // reportInterval is the time between two reports of a gateway.
 const reportInterval = 100 * time.Millisecond
 
-// clockCluster is gateways with wrong clocks that report their time to each other over a slow network.
+// clockCluster is a set of gateways with wrong clocks that report their time to each other over a slow network.
 type clockCluster struct {
 	offsets   []time.Duration
 	drifts    []float64
@@ -38,12 +38,12 @@
 	return c
 }
 
-// clock returns the time that a gateway's clock shows.
+// clock returns the reading of a gateway's clock.
 func (c *clockCluster) clock(gateway int, at time.Duration) time.Duration {
 	return epoch + at + c.offsets[gateway] + time.Duration(c.drifts[gateway]*float64(at))
 }
 
-// run lets all gateways report for a while.
+// run lets all gateways report to each other for a length of time.
 func (c *clockCluster) run(from, length time.Duration) {
 	for at := from; at < from+length; at += reportInterval {
 		for sender := range c.detectors {
@@ -54,7 +54,7 @@
 	}
 }
 
-// report has one gateway report to another one.
+// report sends one report from sender to receiver, which may be lost.
 func (c *clockCluster) report(at time.Duration, sender, receiver int) {
 	c.detectors[receiver].Skew(c.clock(receiver, at))
 	if sender == receiver || c.isDown[sender] || c.isDown[receiver] || c.rng.Float64() < c.loss {
@@ -64,7 +64,7 @@
 	c.detectors[receiver].Observe(c.clock(receiver, arrival), sender, c.clock(sender, at))
 }
 
-// checkWrong fails the test unless exactly some gateways take their clocks to be wrong.
+// checkWrong fails the test unless exactly the wanted gateways consider their clocks wrong.
 func (c *clockCluster) checkWrong(t *testing.T, at time.Duration, want ...int) {
 	t.Helper()
 	for gateway, detector := range c.detectors {
@@ -78,10 +78,9 @@
 	}
 }
 
-// TestWrongClocksOfMinorityAreFound holds that a gateway whose clock is off by more than two seconds finds out, and
-// that the others do not take their clocks to be wrong, over networks that lose three messages of ten and take up to
-// 400 ms. A clock that is right within a third of a second never counts as wrong. An hour back and a day ahead are
-// among them.
+// TestWrongClocksOfMinorityAreFound verifies that a gateway whose clock is off by 2.5 s or more, including an hour
+// behind and a day ahead, detects this, and that the others do not consider their clocks wrong, over a network with 30
+// % loss and delays of up to 400 ms. Clocks that are off by 300 ms never count as wrong.
 func TestWrongClocksOfMinorityAreFound(t *testing.T) {
 	choices := []time.Duration{
 		2500 * time.Millisecond, -2500 * time.Millisecond,
@@ -101,7 +100,7 @@
 		}
 		c := newClockCluster(seed, offsets...)
 		c.loss, c.maxDelay = 0.3, 400*time.Millisecond
-		for gateway := range c.drifts { // none moves by a tenth of a second in the play
+		for gateway := range c.drifts { // at most 100 ms over the 10 s of the run
 			c.drifts[gateway] = 0.01 * (2*rng.Float64() - 1)
 		}
 		c.run(0, 3*time.Second)
@@ -111,7 +110,7 @@
 	}
 }
 
-// TestNoMajorityProvesNothing holds that gateways that are too few, or do not agree, prove nothing.
+// TestNoMajorityProvesNothing verifies that no clock counts as wrong without a majority of gateways that agree.
 func TestNoMajorityProvesNothing(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -134,8 +133,8 @@
 	}
 }
 
-// TestFindingStaysUntilMajoritySaysOtherwise holds that, and that a gateway that has restarted with another clock is
-// judged by that one.
+// TestFindingStaysUntilMajoritySaysOtherwise verifies that a clock that counts as wrong does so until a majority agrees
+// with it, and that after a restart with another clock only that clock counts.
 func TestFindingStaysUntilMajoritySaysOtherwise(t *testing.T) {
 	c := newClockCluster(3, 0, 0, time.Hour)
 	c.isDown[1] = true
@@ -147,10 +146,10 @@
 
 	c.isDown[0] = true
 	c.run(7*time.Second, 20*time.Second)
-	c.checkWrong(t, 27*time.Second, 2) // one other gateway alone proves nothing new
+	c.checkWrong(t, 27*time.Second, 2) // a single other gateway is no majority
 
 	c.isDown[0] = false
-	c.offsets[2], c.detectors[2] = 0, New(3) // restarted, its clock set
+	c.offsets[2], c.detectors[2] = 0, New(3) // restarted with a correct clock
 	c.run(27*time.Second, 3*time.Second)
 	c.checkWrong(t, 30*time.Second)
 
@@ -159,7 +158,7 @@
 	c.checkWrong(t, 33*time.Second, 0)
 }
 
-// TestUnknownGatewayIsIgnored holds that a report from outside the list changes nothing.
+// TestUnknownGatewayIsIgnored verifies that a report with an index outside the list has no effect.
 func TestUnknownGatewayIsIgnored(t *testing.T) {
 	d := New(3)
 	for _, from := range []int{-1, 3, 99} {
@@ -170,8 +169,8 @@
 	}
 }
 
-// TestSuspendedProcessDoesNotBlameItsClock holds that a process that is resumed after ten seconds, and hears first what
-// was sent meanwhile, concludes nothing from that.
+// TestSuspendedProcessDoesNotBlameItsClock verifies that a process that is resumed after ten seconds, and first
+// receives the reports sent in the meantime, does not consider its clock wrong because of them.
 func TestSuspendedProcessDoesNotBlameItsClock(t *testing.T) {
 	c := newClockCluster(4, 0, 0, 0)
 	c.run(0, 5*time.Second)
