--- a/internal/endpoint/endpoint.go
+++ b/internal/endpoint/endpoint.go
@@ -1,17 +1,17 @@
-// Package endpoint is the form in which a proxy is told of the endpoint list, whatever system discovers it.
+// Package endpoint defines the form in which a proxy receives the endpoint list, independent of the discovery system.
 package endpoint
 
 import "gapgap/internal/balancer"
 
-// Update is the endpoint list or a change of it.
+// Update is the complete endpoint list or a change of it.
 type Update struct {
-	// Kind says whether Entries are all endpoints or the changed ones only.
+	// Kind tells whether Entries has all endpoints or only the changed ones.
 	Kind balancer.UpdateKind
-	// Entries has no meaning if Kind is balancer.UpdateFailed.
+	// Entries is meaningless if Kind is balancer.UpdateFailed.
 	Entries []Entry
 }
 
-// Entry is one endpoint and where it listens.
+// Entry is an endpoint and the address where it listens.
 type Entry struct {
 	balancer.Endpoint
 	// Address is host:port.
