--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -115,7 +115,7 @@
 }
 
 // Error implements error.
-func (e *PresentError) Error() string { return fmt.Sprintf("gateway %d is %v", e.Index, e.State) }
+func (e *PresentError) Error() string { return fmt.Sprintf("door %d is %v", e.Index, e.State) }
 
 // Forget marks a gateway as left until a heartbeat of a new process of it arrives. It returns a *PresentError for a
 // gateway that is present and for this gateway.
