--- a/internal/counter/answer.go
+++ b/internal/counter/answer.go
@@ -13,14 +13,14 @@
 	"gapgap/internal/balancer"
 )
 
-// maxAnswerBytes bounds the line of an answer.
+// maxAnswerBytes bounds the length of an answer line.
 const maxAnswerBytes = 256
 
-// errMalformed says that an answer can't be read.
-var errMalformed = errors.New("counter: an answer that can't be read")
+// errMalformed is wrapped by the errors for an answer that cannot be parsed.
+var errMalformed = errors.New("counter: malformed answer")
 
-// read reads answers until the connection ends or one is malformed. It is the reader goroutine. A malformed answer
-// still says that the counter has taken the first call, with a total that is not known.
+// read reads answers until the connection ends or an answer is malformed. It runs in the reader goroutine. A malformed
+// answer still shows that the counter has executed the oldest call, with an unknown total.
 func (c *connection) read(netConn net.Conn, epoch int) {
 	in := bufio.NewReaderSize(netConn, maxAnswerBytes)
 	for {
@@ -41,7 +41,7 @@
 	}
 }
 
-// readAnswer reads one answer. A line without end, or half of one, is malformed.
+// readAnswer reads one answer. A line that is too long or incomplete is malformed.
 func readAnswer(in *bufio.Reader) (balancer.Status, float64, error) {
 	line, err := in.ReadSlice('\n')
 	switch {
@@ -53,7 +53,7 @@
 	return 0, 0, err
 }
 
-// parseAnswer reads the line of an answer.
+// parseAnswer parses an answer line.
 func parseAnswer(line []byte) (balancer.Status, float64, error) {
 	line = bytes.TrimRight(line, "\r\n")
 	if value, ok := bytes.CutPrefix(line, []byte("ok ")); ok {
