--- a/internal/counter/connection.go
+++ b/internal/counter/connection.go
@@ -7,38 +7,39 @@
 	"gapgap/internal/balancer"
 )
 
-// maxQueuedWrites bounds the writes that wait for the writer goroutine.
+// maxQueuedWrites bounds the writes that are queued for the writer goroutine.
 const maxQueuedWrites = 64
 
-// connection is a place for a connection to the counter, and the calls that go by it. The event loop owns it; a
-// reader and a writer goroutine post what they find.
+// connection is one of the connections to the counter, with its calls. It dials and redials on demand. The event loop
+// owns it; a reader and a writer goroutine post their results to the loop.
 type connection struct {
 	counter *Counter
 	address string
 	// netConn is nil while there is no connection.
 	netConn net.Conn
-	// dialling says that a connection is being made.
-	dialling bool
-	// abandoned says that the counter is at another address now.
+	// dialing reports whether a dial is in progress.
+	dialing bool
+	// abandoned reports that the counter has moved to another address or was closed.
 	abandoned bool
-	// epoch counts connections: what an older one still reports is ignored.
+	// epoch is incremented with each network connection and each close. Reports from an older epoch are ignored.
 	epoch int
-	// calls are in the order of their answers, those given up on too.
+	// calls has the calls without an answer, in the order in which the answers will arrive. It includes calls that have
+	// timed out.
 	calls []*call
-	// writes go to the writer goroutine.
+	// writes is the queue of the writer goroutine.
 	writes chan []byte
-	// usedAt is when a call or an answer last went by.
-	usedAt time.Duration
-	// owedSince is since when an answer is owed.
-	owedSince time.Duration
+	// lastUsedAt is when the last call was made or the last answer arrived.
+	lastUsedAt time.Duration
+	// awaitingSince is when the wait for the oldest outstanding answer began.
+	awaitingSince time.Duration
 }
 
-// flush writes the calls that are not written yet, or dials first. Where the counter takes nothing any more the
-// connection fails.
+// flush queues all unwritten calls for writing, or dials first. If the write queue is full, because the counter has
+// stopped reading, the connection fails.
 func (c *connection) flush() {
 	if c.netConn == nil {
-		if !c.dialling && !c.abandoned {
-			c.dialling = true
+		if !c.dialing && !c.abandoned {
+			c.dialing = true
 			go c.dial(c.address)
 		}
 		return
@@ -60,19 +61,19 @@
 	}
 }
 
-// dial connects. The calls that wait for it have time-outs of their own.
+// dial connects to the counter. The calls that wait for the connection have their own timeouts.
 func (c *connection) dial(address string) {
 	netConn, err := net.DialTimeout("tcp", address, c.counter.cfg.DialTimeout)
-	c.counter.loop.Post(func() { c.handleDialled(netConn, err) })
+	c.counter.loop.Post(func() { c.handleDialResult(netConn, err) })
 }
 
-// handleDialled takes the end of a dial.
-func (c *connection) handleDialled(netConn net.Conn, err error) {
-	c.dialling = false
+// handleDialResult processes the result of a dial.
+func (c *connection) handleDialResult(netConn net.Conn, err error) {
+	c.dialing = false
 	c.counter.cfg.Trace.Line("countdial", "ok=%t", err == nil)
 	if c.abandoned {
 		if err == nil {
-			_ = netConn.Close() // nothing was written to it
+			_ = netConn.Close() // nothing was written, so the error does not matter
 		}
 		return
 	}
@@ -88,10 +89,11 @@
 	c.flush()
 }
 
-// write writes calls until the channel is closed. It is the writer goroutine.
+// write writes calls until the channel is closed or a write fails. It runs in the writer goroutine.
 func (c *connection) write(netConn net.Conn, writes <-chan []byte, epoch int) {
 	for text := range writes {
-		_ = netConn.SetWriteDeadline(time.Now().Add(maxSilence)) // fails with the connection, as Write does
+		// An error means that the connection has failed, which Write reports.
+		_ = netConn.SetWriteDeadline(time.Now().Add(maxAnswerWait))
 		if _, err := netConn.Write(text); err != nil {
 			c.counter.loop.Post(func() { c.fail(epoch) })
 			return
@@ -99,37 +101,37 @@
 	}
 }
 
-// handleAnswer takes the answer to the oldest call.
+// handleAnswer processes the answer to the oldest call.
 func (c *connection) handleAnswer(epoch int, status balancer.Status, total float64) {
 	if epoch != c.epoch || c.netConn == nil {
 		return
 	}
-	if len(c.calls) == 0 || !c.calls[0].written { // an answer to no call
+	if len(c.calls) == 0 || !c.calls[0].written { // an answer without a call
 		c.fail(epoch)
 		return
 	}
 	answered := c.calls[0]
 	c.calls[0] = nil
 	c.calls = c.calls[1:]
-	c.usedAt = c.counter.loop.Now()
-	c.owedSince = c.usedAt
+	c.lastUsedAt = c.counter.loop.Now()
+	c.awaitingSince = c.lastUsedAt
 	c.reportLate(answered, status, total)
-	c.counter.end(answered, status, total)
+	c.counter.complete(answered, status, total)
 	if c.abandoned && len(c.calls) == 0 {
 		c.close()
 	}
 }
 
-// reportLate reports a call that has ended as Timeout and was added after all.
+// reportLate reports a call that was completed as Timeout although the counter did add its amount.
 func (c *connection) reportLate(answered *call, status balancer.Status, total float64) {
-	late := c.counter.cfg.Late
+	reportLate := c.counter.cfg.Late
 	wasAdded := status == balancer.OK || status == balancer.Failed
-	if late != nil && answered.ended && answered.ticket != 0 && wasAdded {
-		late(balancer.LateCounterResult{Ticket: answered.ticket, Status: status, Total: total})
+	if reportLate != nil && answered.completed && answered.ticket != 0 && wasAdded {
+		reportLate(balancer.LateCounterResult{Ticket: answered.ticket, Status: status, Total: total})
 	}
 }
 
-// fail ends a connection, or the try to get one, and the calls that wait for it.
+// fail closes a connection after an error, or gives up an attempt to connect, and completes all its calls.
 func (c *connection) fail(epoch int) {
 	if epoch != c.epoch {
 		return
@@ -137,22 +139,22 @@
 	c.close()
 	calls := c.calls
 	c.calls = nil
-	for _, waiting := range calls {
+	for _, pending := range calls {
 		status := balancer.ConnectFailed
-		if waiting.written {
+		if pending.written {
 			status = balancer.Timeout
 		}
-		c.counter.end(waiting, status, 0)
+		c.counter.complete(pending, status, 0)
 	}
 }
 
-// close ends the connection.
+// close closes the network connection, if there is one, without completing any call.
 func (c *connection) close() {
 	c.epoch++
 	if c.netConn == nil {
 		return
 	}
-	_ = c.netConn.Close() // nobody waits for what is lost with it
+	_ = c.netConn.Close() // data lost with the connection is not needed
 	close(c.writes)
 	c.netConn = nil
 	c.writes = nil
--- a/internal/counter/counter.go
+++ b/internal/counter/counter.go
@@ -1,7 +1,8 @@
-// Package counter calls the platform's quota counter, a service that adds to named numbers by lines of text.
+// Package counter is a client of the platform's quota counter, a service with a line-based text protocol that adds
+// amounts to named counters.
 //
-// The calls of one name go by one connection, one behind another, so their answers come in order. Answers belong to
-// calls by their order alone: a call that was given up on keeps its place.
+// All calls for a name use the same connection and are pipelined, so their answers arrive in order. Answers carry no
+// identifier and are matched to calls by order alone, so a call that has timed out keeps its place in the sequence.
 package counter
 
 import (
@@ -17,83 +18,84 @@
 )
 
 const (
-	// connections is how many connections there are. A name always goes by the same one.
+	// connections is the number of connections. Each name is always assigned to the same one.
 	connections = 4
-	// maxIdle closes an idle connection; the counter does so after 10 s or less.
+	// maxIdle is when an idle connection is closed. The counter itself closes idle connections after 10 s or less.
 	maxIdle = 3 * time.Second
-	// maxSilence ends a connection that has owed an answer for so long.
-	maxSilence = 2 * time.Second
-	// maxOwed bounds the calls of one connection whose answers are still to come.
-	maxOwed = 1024
-	// maxMovedWait is how long answers are awaited at an address that was left.
+	// maxAnswerWait is when a connection fails because an answer is overdue or a write is blocked.
+	maxAnswerWait = 2 * time.Second
+	// maxPending bounds the calls of one connection that have no answer yet.
+	maxPending = 1024
+	// maxMovedWait is how long to wait for outstanding answers from the old address after a move.
 	maxMovedWait = 2 * time.Second
 )
 
-// Config says where the counter is and how it is called.
+// Config configures a Counter.
 type Config struct {
-	// Addr is host:port.
+	// Addr is the counter's host:port.
 	Addr string
-	// Enabled is false where there is no counter: then every call ends at once as ConnectFailed.
+	// Enabled is false if there is no counter. Every call then fails at once with ConnectFailed.
 	Enabled bool
-	// Cut makes calls end likewise for as long as it returns true; nil: never.
+	// Cut makes calls fail in the same way while it returns true. Nil means that they never do.
 	Cut func() bool
-	// Space keeps the names of one pool apart from those of others; empty: names are as the balancer makes them.
+	// Space is a namespace that separates the counter names of one pool from those of others. If it is empty, names are
+	// sent as the balancer makes them.
 	Space string
-	// Timeout ends a call without an answer as Timeout.
+	// Timeout is how long a call may take until it is completed as Timeout.
 	Timeout time.Duration
-	// DialTimeout is how long a connection may take to come up.
+	// DialTimeout is how long connecting may take.
 	DialTimeout time.Duration
-	// Late takes calls that have ended as Timeout and were added after all; nil: nobody is told. The event loop calls
-	// it.
+	// Late is called on the event loop for each call that was completed as Timeout although the counter did add its
+	// amount. It may be nil.
 	Late func(balancer.LateCounterResult)
-	// Trace takes a line for each call and connection; nil: none is written.
+	// Trace receives a line for each call and each dial. It may be nil.
 	Trace *trace.Log
 }
 
-// Counter calls the quota counter. The event loop owns it.
+// Counter is a client of the quota counter. The event loop owns it.
 type Counter struct {
 	loop    *eventloop.Loop
 	cfg     Config
 	sink    func(balancer.CounterResult)
 	address string
-	// space is added to names.
+	// space is XORed with each name.
 	space       uint64
 	connections [connections]*connection
-	// unreported has the calls whose results are not reported, by name in the order of the calls.
+	// unreported has the calls whose results are not reported yet, by name, in the order of the calls.
 	unreported map[uint64][]*call
 }
 
-// call is one addition.
+// call is a request to add an amount to a counter.
 type call struct {
 	name       uint64
 	ticket     uint64
 	startedAt  time.Duration
 	connection *connection
 	text       []byte
-	// written says that it may have reached the counter.
+	// written reports whether the call may have reached the counter.
 	written bool
-	// ended says that it has a result.
-	ended   bool
-	result  balancer.CounterResult
-	timeout *eventloop.Timer
+	// completed reports whether the call has a result.
+	completed bool
+	result    balancer.CounterResult
+	timeout   *eventloop.Timer
 }
 
-// New returns a counter. The sink takes the one result of each call, by the event loop.
+// New returns a client of the counter. The event loop calls the sink exactly once for each call, with its result.
 func New(loop *eventloop.Loop, cfg Config, sink func(balancer.CounterResult)) *Counter {
 	c := &Counter{loop: loop, cfg: cfg, sink: sink, unreported: map[uint64][]*call{}}
 	if cfg.Space != "" {
 		hash := fnv.New64a()
-		_, _ = hash.Write([]byte(cfg.Space)) // a hash never fails
+		_, _ = hash.Write([]byte(cfg.Space)) // never returns an error
 		c.space = hash.Sum64() >> 1          // names have 63 bits
 	}
 	c.Move(cfg.Addr)
 	return c
 }
 
-// Addr returns where the calls go.
+// Addr returns the address of the counter.
 func (c *Counter) Addr() string { return c.address }
 
-// Close ends all connections.
+// Close closes all connections.
 func (c *Counter) Close() {
 	for _, conn := range c.connections {
 		conn.abandoned = true
@@ -101,7 +103,8 @@
 	}
 }
 
-// Move takes further calls, and those not yet written, to another address. Answers owed by the old one may still come.
+// Move directs further calls, and those not yet written, to another address. Outstanding answers from the old address
+// are still accepted for maxMovedWait.
 func (c *Counter) Move(address string) {
 	c.address = address
 	for i := range c.connections {
@@ -109,11 +112,11 @@
 	}
 }
 
-// moveConnection replaces one connection by one to another address.
+// moveConnection replaces one connection with one to another address.
 func (c *Counter) moveConnection(i int, address string) {
 	now := c.loop.Now()
 	old := c.connections[i]
-	moved := &connection{counter: c, address: address, usedAt: now, owedSince: now}
+	moved := &connection{counter: c, address: address, lastUsedAt: now, awaitingSince: now}
 	c.connections[i] = moved
 	if old == nil {
 		return
@@ -138,79 +141,80 @@
 	}
 }
 
-// Add makes a call.
+// Add sends a call to the counter. Its result is passed to the sink.
 func (c *Counter) Add(add balancer.CounterAdd) {
 	conn := c.connections[add.Name%connections]
 	added := &call{name: add.Name, ticket: add.Ticket, startedAt: c.loop.Now(), connection: conn}
 	c.unreported[added.name] = append(c.unreported[added.name], added)
 	isCut := c.cfg.Cut != nil && c.cfg.Cut()
-	if !c.cfg.Enabled || isCut || len(conn.calls) >= maxOwed {
-		c.end(added, balancer.ConnectFailed, 0)
+	if !c.cfg.Enabled || isCut || len(conn.calls) >= maxPending {
+		c.complete(added, balancer.ConnectFailed, 0)
 		return
 	}
 	added.text = c.encode(add)
 	now := c.loop.Now()
 	if len(conn.calls) == 0 {
-		conn.owedSince = now
+		conn.awaitingSince = now
 	}
 	conn.calls = append(conn.calls, added)
-	conn.usedAt = now
-	added.timeout = c.loop.At(now+c.cfg.Timeout, func() { c.giveUp(added) })
+	conn.lastUsedAt = now
+	added.timeout = c.loop.At(now+c.cfg.Timeout, func() { c.handleTimeout(added) })
 	conn.flush()
 }
 
-// encode returns the line of a call.
+// encode returns the request line of a call.
 func (c *Counter) encode(add balancer.CounterAdd) []byte {
 	amount := strconv.FormatFloat(add.Amount, 'f', -1, 64)
 	return fmt.Appendf(nil, "add %d %s %d\r\n", add.Name^c.space, amount, max(1, add.TTL.Milliseconds()))
 }
 
-// giveUp ends a call with no answer. One that is not written is taken out, as it must not be written any more; for
-// others the place among the answers is kept.
-func (c *Counter) giveUp(late *call) {
-	if late.written {
-		c.end(late, balancer.Timeout, 0)
+// handleTimeout completes a call that has timed out. A call that is not written yet is removed, since it must not be
+// written after its result was reported. A written call keeps its place in the order of the answers.
+func (c *Counter) handleTimeout(timedOut *call) {
+	if timedOut.written {
+		c.complete(timedOut, balancer.Timeout, 0)
 		return
 	}
-	conn := late.connection
-	conn.calls = slices.DeleteFunc(conn.calls, func(other *call) bool { return other == late })
-	c.end(late, balancer.ConnectFailed, 0)
+	conn := timedOut.connection
+	conn.calls = slices.DeleteFunc(conn.calls, func(other *call) bool { return other == timedOut })
+	c.complete(timedOut, balancer.ConnectFailed, 0)
 }
 
-// end gives a call its result, which is reported once those of the calls of its name before it are: after a move two
-// connections may owe answers for one name.
-func (c *Counter) end(ended *call, status balancer.Status, total float64) {
-	if ended.ended {
+// complete sets the result of a call and reports it after those of all earlier calls for the same name. The order must
+// be enforced here because after a move the answers for one name may come from two connections.
+func (c *Counter) complete(done *call, status balancer.Status, total float64) {
+	if done.completed {
 		return
 	}
-	ended.ended = true
+	done.completed = true
 	if c.cfg.Trace.On() {
-		took := trace.MS(c.loop.Now() - ended.startedAt)
-		c.cfg.Trace.Line("count", "line=%d status=%d took=%.1f written=%t", ended.name%connections, status, took,
-			ended.written)
-	}
-	ended.result = balancer.CounterResult{Name: ended.name, Status: status, Total: total}
-	ended.timeout.Stop()
-	calls := c.unreported[ended.name]
-	for len(calls) > 0 && calls[0].ended {
+		took := trace.MS(c.loop.Now() - done.startedAt)
+		c.cfg.Trace.Line("count", "line=%d status=%d took=%.1f written=%t", done.name%connections, status, took,
+			done.written)
+	}
+	done.result = balancer.CounterResult{Name: done.name, Status: status, Total: total}
+	done.timeout.Stop()
+	calls := c.unreported[done.name]
+	for len(calls) > 0 && calls[0].completed {
 		c.sink(calls[0].result)
 		calls = calls[1:]
 	}
-	c.unreported[ended.name] = calls
+	c.unreported[done.name] = calls
 	if len(calls) == 0 {
-		delete(c.unreported, ended.name)
+		delete(c.unreported, done.name)
 	}
 }
 
-// Sweep closes connections that are idle, before the counter does, and those that have fallen silent.
+// Sweep closes idle connections, before the counter does, and fails those with an overdue answer. It must be called
+// regularly.
 func (c *Counter) Sweep() {
 	now := c.loop.Now()
 	for _, conn := range c.connections {
 		switch {
 		case conn.netConn == nil:
-		case len(conn.calls) == 0 && now-conn.usedAt >= maxIdle:
+		case len(conn.calls) == 0 && now-conn.lastUsedAt >= maxIdle:
 			conn.close()
-		case len(conn.calls) > 0 && conn.calls[0].written && now-conn.owedSince >= maxSilence:
+		case len(conn.calls) > 0 && conn.calls[0].written && now-conn.awaitingSince >= maxAnswerWait:
 			conn.fail(conn.epoch)
 		}
 	}
