--- a/internal/quotalease/message.go
+++ b/internal/quotalease/message.go
@@ -5,11 +5,11 @@
 // Request asks a voter for a lease of slots.
 type Request struct {
 	_ struct{} `cbor:",toarray"`
-	// ID is the process that asks.
+	// ID is the requesting process.
 	ID membership.ID
-	// Sequence grows with each request of a process, from 1.
+	// Sequence increases with each request of a process, starting at 1.
 	Sequence uint32
-	// Slots are all that the process holds or wants; all others are free of it.
+	// Slots are all slots that the process holds or wants; it gives up all others.
 	Slots SlotSet
 }
 
@@ -19,6 +19,6 @@
 	// ID and Sequence are those of the request.
 	ID       membership.ID
 	Sequence uint32
-	// Slots are those that the voter has granted.
+	// Slots are the slots that the voter granted.
 	Slots SlotSet
 }
