--- a/internal/quotalease/holder.go
+++ b/internal/quotalease/holder.go
@@ -7,16 +7,17 @@
 	"gapgap/internal/membership"
 )
 
-// Times of leases.
+// Timing of leases.
 const (
-	// RequestInterval is the time between two requests of a gateway; one that wants other slots waits half as long.
+	// RequestInterval is the time between two requests of a gateway. It is halved while the wanted slots differ from
+	// the requested ones.
 	RequestInterval = 400 * time.Millisecond
-	// LeaseDuration is for how long a slot is held after a request, by the holder's clock.
+	// LeaseDuration is how long a slot is held after the request, by the holder's clock.
 	LeaseDuration = 2 * time.Second
 	// MaxClockDrift is the fraction by which a gateway's clock may run too fast or too slow.
 	MaxClockDrift = 0.01
 
-	// requestHistory is how many requests a grant may be late by.
+	// requestHistory is the number of latest requests whose grants still count.
 	requestHistory = 16
 )
 
@@ -24,23 +25,23 @@
 type Holder struct {
 	gateways int
 	id       membership.ID
-	// sequence is that of the last request.
+	// sequence is the sequence number of the last request.
 	sequence uint32
-	// sentAt is when the last requests were sent, by their sequence modulo requestHistory.
+	// sentAt has the send times of the last requests, indexed by sequence modulo requestHistory.
 	sentAt []time.Duration
-	// requested is what the last request named.
+	// requested has the slots of the last request.
 	requested SlotSet
-	// released is what is no longer used, though requests may still name it.
+	// released has the slots that are no longer held although requests may still name them.
 	released SlotSet
-	// requestedSince is, by slot, the first request since which it has been named without a break.
+	// requestedSince has, by slot, the first of the consecutive requests up to the last one that name the slot.
 	requestedSince []uint32
-	// granted is, by voter and slot, the last request that the voter has granted.
+	// granted has, by voter and slot, the sequence number of the last request that the voter granted.
 	granted [][]uint32
 	// requestedAt is when the last request was sent.
 	requestedAt time.Duration
 }
 
-// NewHolder returns a holder that holds nothing, for a process of a gateway.
+// NewHolder returns a holder without slots for a process of a gateway.
 func NewHolder(gateways int, id membership.ID) *Holder {
 	h := &Holder{
 		gateways:       gateways,
@@ -56,8 +57,8 @@
 	return h
 }
 
-// Release takes requested slots that are no longer wanted out of what is held, and reports whether one of them was
-// held: then NextRequest must not be called with the new set before nobody uses them.
+// Release stops holding the requested slots that are no longer wanted, and reports whether any of them was held. If so,
+// NextRequest must not be called with the new set until all users of these slots have stopped.
 func (h *Holder) Release(now time.Duration, wanted SlotSet) (wasHeld bool) {
 	for i := range h.requestedSince {
 		if h.requested.Has(i) && !wanted.Has(i) && !h.released.Has(i) {
@@ -68,11 +69,11 @@
 	return wasHeld
 }
 
-// Requested returns what the last request named.
+// Requested returns the slots of the last request.
 func (h *Holder) Requested() SlotSet { return h.requested }
 
-// NextRequest returns the request to send to all voters now, or false if none is due. What it does not name is not held
-// from now on.
+// NextRequest returns the request to send to all voters now, or false if none is due. Slots that it does not name are
+// no longer held.
 func (h *Holder) NextRequest(now time.Duration, wanted SlotSet) (Request, bool) {
 	if !h.isDue(now, wanted) {
 		return Request{}, false
@@ -90,7 +91,7 @@
 	return Request{ID: h.id, Sequence: h.sequence, Slots: slices.Clone(wanted)}, true
 }
 
-// isDue reports whether a request is due: the first one and one that gives all up are at once.
+// isDue reports whether a request is due. The first request and one that gives up all slots are due at once.
 func (h *Holder) isDue(now time.Duration, wanted SlotSet) bool {
 	if h.sequence == 0 || wanted.isEmpty() {
 		return true
@@ -102,18 +103,18 @@
 	return now >= h.requestedAt+wait
 }
 
-// ReleaseAll gives everything up: nothing is held from now on.
+// ReleaseAll stops holding all slots.
 func (h *Holder) ReleaseAll() {
 	h.requested, h.released = NewSlotSet(h.gateways), NewSlotSet(h.gateways)
 }
 
-// ChangeID continues as another process: what the former one had is no longer held.
+// ChangeID continues under another process ID, without the slots held before.
 func (h *Holder) ChangeID(id membership.ID) {
 	h.ReleaseAll()
 	h.id = id
 }
 
-// HandleGrant takes the answer of a voter, whose slots have passed ValidateSlots.
+// HandleGrant processes a voter's answer whose slots have passed ValidateSlots.
 func (h *Holder) HandleGrant(voter int, grant Grant) {
 	if grant.ID != h.id || grant.Sequence > h.sequence || h.sequence-grant.Sequence >= requestHistory {
 		return
@@ -128,8 +129,8 @@
 	}
 }
 
-// leaseEnd returns when the lease of a slot ends, or 0 if it is not held: the latest end that a majority of the voters
-// has granted.
+// leaseEnd returns when the lease of a slot ends, or 0 if the slot is not held. The lease ends at the latest time until
+// which a majority of the voters has granted the slot.
 func (h *Holder) leaseEnd(slot int, now time.Duration) time.Duration {
 	if !h.requested.Has(slot) || h.released.Has(slot) {
 		return 0
@@ -138,7 +139,7 @@
 	latest := time.Duration(0)
 	for voter := range h.granted {
 		end := h.grantEnd(voter, slot)
-		if end > latest && h.votersUntil(slot, end) >= majority {
+		if end > latest && h.votersGranting(slot, end) >= majority {
 			latest = end
 		}
 	}
@@ -148,8 +149,8 @@
 	return latest
 }
 
-// votersUntil returns how many voters have granted a slot until a time at least.
-func (h *Holder) votersUntil(slot int, end time.Duration) int {
+// votersGranting returns how many voters have granted a slot until end or later.
+func (h *Holder) votersGranting(slot int, end time.Duration) int {
 	voters := 0
 	for voter := range h.granted {
 		if h.grantEnd(voter, slot) >= end {
@@ -159,7 +160,7 @@
 	return voters
 }
 
-// grantEnd returns when the last grant of a voter for a slot ends; 0 if there is none that counts.
+// grantEnd returns when the last grant of a voter for a slot ends, or 0 if there is no valid grant.
 func (h *Holder) grantEnd(voter, slot int) time.Duration {
 	sequence := h.granted[voter][slot]
 	if sequence == 0 || sequence < h.requestedSince[slot] || h.sequence-sequence >= requestHistory {
@@ -168,7 +169,7 @@
 	return h.sentAt[sequence%requestHistory] + LeaseDuration
 }
 
-// Held returns how many slots are held, and until when all of them are.
+// Held returns how many slots are held, and when the first of their leases ends.
 func (h *Holder) Held(now time.Duration) (slots int, until time.Duration) {
 	for i := range h.requestedSince {
 		end := h.leaseEnd(i, now)
@@ -185,7 +186,7 @@
 // IsHeld reports whether a slot is held.
 func (h *Holder) IsHeld(slot int, now time.Duration) bool { return h.leaseEnd(slot, now) > 0 }
 
-// Fraction returns which fraction of all slots is held, and until when all of it is.
+// Fraction returns the fraction of all slots that is held, and when the first of their leases ends.
 func (h *Holder) Fraction(now time.Duration) (fraction float64, until time.Duration) {
 	held, until := h.Held(now)
 	return float64(held) / float64(len(h.requestedSince)), until
