--- a/internal/quotalease/slot.go
+++ b/internal/quotalease/slot.go
@@ -7,7 +7,7 @@
 
 // Number of slots.
 const (
-	// targetSlots is about how many slots a small cluster has.
+	// targetSlots is the approximate number of slots of a small cluster.
 	targetSlots        = 60
 	maxSlotsPerGateway = 20
 	minSlotsPerGateway = 2
@@ -16,15 +16,15 @@
 // ErrMalformedSlots is wrapped by the errors of [ValidateSlots].
 var ErrMalformedSlots = errors.New("malformed set of slots")
 
-// SlotsPerGateway returns how many slots each gateway of a list has.
+// SlotsPerGateway returns how many slots each gateway in the list owns.
 func SlotsPerGateway(gateways int) int {
 	return min(maxSlotsPerGateway, max(minSlotsPerGateway, targetSlots/max(1, gateways)))
 }
 
-// slotCount returns how many slots a list of gateways has together.
+// slotCount returns the total number of slots.
 func slotCount(gateways int) int { return gateways * SlotsPerGateway(gateways) }
 
-// SlotSet is a set of slots, a bit each. Slots are numbered by their owners' places in the list.
+// SlotSet is a set of slots, one bit per slot. Slots are numbered in the list order of their owners.
 type SlotSet []byte
 
 // NewSlotSet returns an empty set for a list of gateways.
@@ -33,10 +33,10 @@
 // Has reports whether a slot is in the set.
 func (s SlotSet) Has(slot int) bool { return s[slot/8]&(1<<(slot%8)) != 0 }
 
-// Add puts a slot into the set.
+// Add adds a slot to the set.
 func (s SlotSet) Add(slot int) { s[slot/8] |= 1 << (slot % 8) }
 
-// isEmpty reports whether the set has no slot.
+// isEmpty reports whether the set has no slots.
 func (s SlotSet) isEmpty() bool {
 	for _, b := range s {
 		if b != 0 {
@@ -46,20 +46,20 @@
 	return true
 }
 
-// ValidateSlots checks a set that was received. Its error wraps ErrMalformedSlots.
+// ValidateSlots checks a received set. Its error wraps ErrMalformedSlots.
 func ValidateSlots(gateways int, set SlotSet) error {
 	if want := len(NewSlotSet(gateways)); len(set) != want {
-		return fmt.Errorf("%w: %d bytes, not %d", ErrMalformedSlots, len(set), want)
+		return fmt.Errorf("%w: %d bytes, want %d", ErrMalformedSlots, len(set), want)
 	}
 	if usedBits := slotCount(gateways) % 8; usedBits > 0 && set[len(set)-1]>>usedBits != 0 {
-		return fmt.Errorf("%w: a slot that does not exist", ErrMalformedSlots)
+		return fmt.Errorf("%w: slot number out of range", ErrMalformedSlots)
 	}
 	return nil
 }
 
-// WantedSlots returns the slots that a gateway is to request, by how it sees the others: its own, and those of dead
-// gateways, dealt out evenly to the active ones. IsDead reports that others may use a gateway's slots, isActive that a
-// gateway uses slots.
+// WantedSlots returns the slots that a gateway should request given its view of the others: its own slots, and its
+// share of the slots of dead gateways, which are distributed evenly among the active ones. isDead reports whether
+// others may use a gateway's slots, isActive whether a gateway uses slots.
 func WantedSlots(gateways, index int, isDead, isActive func(index int) bool) SlotSet {
 	perGateway := SlotsPerGateway(gateways)
 	wanted := NewSlotSet(gateways)
