--- a/internal/quotalease/voter.go
+++ b/internal/quotalease/voter.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// MaxVoters is how many gateways vote in a large cluster.
+	// MaxVoters is the number of gateways that vote in a large cluster.
 	MaxVoters = 7
 
-	// voterHoldDuration is for how long a voter keeps a slot for a gateway after it received the request: a lease by
-	// the slowest clock takes so long by the fastest.
+	// voterHoldDuration is how long a voter reserves a slot for a gateway after it received the request. A lease
+	// measured by the slowest clock ends within this time by the fastest one.
 	voterHoldDuration = time.Duration(float64(LeaseDuration) * (1 + 3*MaxClockDrift))
 )
 
-// VoterCount returns how many of the first gateways of a list vote: an odd number where that is possible.
+// VoterCount returns how many gateways, from the start of the list, vote: an odd number if possible.
 func VoterCount(gateways int) int {
 	switch {
 	case gateways >= MaxVoters:
@@ -26,24 +26,25 @@
 	return gateways
 }
 
-// Voter grants leases of slots, each to one gateway at a time.
+// Voter grants leases of slots, each slot to one gateway at a time.
 type Voter struct {
 	gateways int
-	// grantsFrom is when it begins to grant after its start.
+	// grantsFrom is when the voter starts to grant slots after its start.
 	grantsFrom time.Duration
 	slots      []slot
-	// lastRequests are the latest requests by gateway.
+	// lastRequests has the newest request of each gateway.
 	lastRequests []receivedRequest
 }
 
-// slot is what a voter knows of one slot.
+// slot is a voter's state for one slot.
 type slot struct {
-	// holder is the index of the gateway that it was granted to, and holderID that gateway's process.
+	// holder is the index of the gateway that the slot was granted to, and holderID the process of that gateway.
 	holder   int
 	holderID membership.ID
 	// heldUntil is when the grant ends; 0 means that the slot is free.
 	heldUntil time.Duration
-	// ownerDeniedAt is when its owner was last denied it; 0 means never, or that it has it again.
+	// ownerDeniedAt is when a request of the owner for the slot was last denied; 0 means never, or that the owner has
+	// acquired or given up the slot since.
 	ownerDeniedAt time.Duration
 }
 
@@ -53,7 +54,7 @@
 	sequence uint32
 }
 
-// NewVoter returns a voter that has just started, and may have forgotten what an earlier process granted.
+// NewVoter returns a voter that has just started. It does not know which leases an earlier process granted.
 func NewVoter(gateways int, now time.Duration) *Voter {
 	return &Voter{
 		gateways:     gateways,
@@ -63,8 +64,8 @@
 	}
 }
 
-// HandleRequest answers a request of a gateway whose slots have passed ValidateSlots. It returns false for a request
-// that is not newer than another one of that gateway.
+// HandleRequest answers a gateway's request whose slots have passed ValidateSlots. It returns false for a request that
+// is not newer than all earlier ones of that gateway.
 func (v *Voter) HandleRequest(now time.Duration, from int, request Request) (Grant, bool) {
 	last := &v.lastRequests[from]
 	if request.ID.Before(last.id) || request.ID == last.id && request.Sequence <= last.sequence {
@@ -87,7 +88,7 @@
 	return grant, true
 }
 
-// isHeldBy reports whether a process of a gateway holds the slot.
+// isHeldBy reports whether the slot is granted to a process of a gateway.
 func (s *slot) isHeldBy(now time.Duration, gateway int, id membership.ID) bool {
 	return s.holder == gateway && s.holderID == id && now < s.heldUntil
 }
@@ -102,8 +103,8 @@
 	}
 }
 
-// acquire grants the slot to a process, or renews its grant, unless another process holds it. A slot whose owner was
-// denied it lately is granted to nobody else, so that it falls back to its owner.
+// acquire grants the slot to a process, or renews its grant, unless another process holds it. For LeaseDuration after
+// the owner's request was denied the slot is not granted or renewed to others, so that it returns to its owner.
 func (s *slot) acquire(now time.Duration, gateway int, id membership.ID, isOwner bool) bool {
 	if now < s.heldUntil && !s.isHeldBy(now, gateway, id) {
 		if isOwner {
