--- a/internal/quotalease/model_test.go
+++ b/internal/quotalease/model_test.go
@@ -10,9 +10,10 @@
 	"gapgap/internal/membership"
 )
 
-// A model of one slot with its owner, gateway 0, gateway 1 that would use it, and three voters of which one may
-// restart. Every interleaving of requests (each reaches two voters, whichever), grants, losses, duplicates, late
-// messages, a change of mind and the passing of time is explored, within bounds, on the code that serves.
+// The tests of this file explore a model of one slot with three voters, of which one may restart, and two holders: the
+// owner, gateway 0, and gateway 1, which also requests the slot. They run the production code through every
+// interleaving, within bounds, of requests (each reaches any two voters), grants, lost, duplicated and late messages,
+// requests that give up the slot, and the passing of time.
 
 const (
 	modelStep     = LeaseDuration * 11 / 20
@@ -20,39 +21,39 @@
 	modelGateways = 3
 )
 
-// modelBounds are how often something may happen in an exploration.
+// modelBounds limits how often each kind of event may occur in an exploration.
 type modelBounds struct {
 	steps      int
 	restarts   int
 	duplicates int
-	// requests is by gateway.
+	// requests is the number of requests by gateway.
 	requests [2]int
-	// inFlight is how many messages may be on their way at once.
+	// inFlight is the maximum number of messages in flight at once.
 	inFlight int
 }
 
-// flaw is a way to break the rules on purpose, to see that the exploration finds it.
+// flaw is a protocol violation that is injected to check that the exploration detects it.
 type flaw int
 
 const (
 	noFlaw flaw = iota
-	// noWarmup: a voter that has restarted grants at once.
+	// noWarmup: a restarted voter grants at once.
 	noWarmup
-	// shortHold: a voter keeps a slot for half of a lease.
+	// shortHold: a voter reserves a slot for half of a lease only.
 	shortHold
-	// keepsOldGrants: a grant counts though the slot was released since.
+	// keepsOldGrants: a grant still counts after the slot was released.
 	keepsOldGrants
-	// acceptsOldRequests: a voter answers a request that is older than the last.
+	// acceptsOldRequests: a voter answers requests that are older than the last one.
 	acceptsOldRequests
-	// oneGrantSuffices: the grant of one voter is taken for a majority.
+	// oneGrantSuffices: the grant of a single voter counts as a majority.
 	oneGrantSuffices
-	// leaseFromGrant: a lease counts from when the grant was received.
+	// leaseFromGrant: a lease is measured from when the grant was received.
 	leaseFromGrant
-	// grantsTwice: a voter grants a slot to whoever asks.
+	// grantsTwice: a voter grants a slot that another gateway holds.
 	grantsTwice
 )
 
-// modelMessage is a request or a grant on its way.
+// modelMessage is a request or a grant in flight.
 type modelMessage struct {
 	gateway int
 	voter   int
@@ -60,12 +61,12 @@
 	grant   *Grant
 }
 
-// String describes the message's arrival.
+// String describes the arrival of the message.
 func (m modelMessage) String() string {
 	if m.grant != nil {
-		return fmt.Sprintf("grant of voter %d at %d", m.voter, m.gateway)
+		return fmt.Sprintf("grant of voter %d arrives at gateway %d", m.voter, m.gateway)
 	}
-	return fmt.Sprintf("request of %d at voter %d", m.gateway, m.voter)
+	return fmt.Sprintf("request of gateway %d arrives at voter %d", m.gateway, m.voter)
 }
 
 // slotModel is a state of the exploration.
@@ -125,7 +126,7 @@
 	return &c
 }
 
-// key distinguishes states by all that matters of the one slot.
+// key encodes everything that affects the one slot; states with equal keys are explored once.
 func (m *slotModel) key() string {
 	key := make([]byte, 0, 128)
 	add := func(values ...int) {
@@ -162,13 +163,13 @@
 	return string(key)
 }
 
-// exploration visits all states that may follow a state.
+// exploration visits all states reachable from a state.
 type exploration struct {
-	broken flaw
-	seen   map[string]bool
+	injected flaw
+	seen     map[string]bool
 }
 
-// explore returns a path to a state in which the slot is held twice, or nil if there is none.
+// explore returns a path to a state in which both gateways hold the slot, or nil if there is none.
 func (e *exploration) explore(m *slotModel) []string {
 	if m.holders[0].IsHeld(0, m.now) && m.holders[1].IsHeld(0, m.now) {
 		return []string{"held twice"}
@@ -180,7 +181,7 @@
 	e.seen[key] = true
 	for gateway := range m.holders {
 		for _, wants := range []bool{true, false} {
-			if path := e.exploreRequests(m, gateway, wants); path != nil {
+			if path := e.exploreRequest(m, gateway, wants); path != nil {
 				return path
 			}
 		}
@@ -196,23 +197,23 @@
 		}
 	}
 	if m.restarts < m.bounds.restarts {
-		return e.step(m, "voter 2 restarts", func(next *slotModel) { next.restartVoter(2, e.broken) })
+		return e.step(m, "voter 2 restarts", func(next *slotModel) { next.restartVoter(2, e.injected) })
 	}
 	return nil
 }
 
-// step explores what follows a change of a state.
-func (e *exploration) step(m *slotModel, what string, change func(*slotModel)) []string {
+// step applies a change to a copy of a state and explores from there. The description becomes part of the path.
+func (e *exploration) step(m *slotModel, description string, change func(*slotModel)) []string {
 	next := m.clone()
 	change(next)
 	if path := e.explore(next); path != nil {
-		return append([]string{what}, path...)
+		return append([]string{description}, path...)
 	}
 	return nil
 }
 
-// exploreRequests explores a request of a gateway that gets lost on the way to one of the voters.
-func (e *exploration) exploreRequests(m *slotModel, gateway int, wants bool) []string {
+// exploreRequest explores a request of a gateway that is lost on the way to one of the voters, for each voter.
+func (e *exploration) exploreRequest(m *slotModel, gateway int, wants bool) []string {
 	if m.requests[gateway] >= m.bounds.requests[gateway] || len(m.messages)+2 > m.bounds.inFlight {
 		return nil
 	}
@@ -220,8 +221,8 @@
 		return nil
 	}
 	for lost := range modelVoters {
-		what := fmt.Sprintf("%d requests %v, but not of %d", gateway, wants, lost)
-		path := e.step(m, what, func(next *slotModel) { next.request(gateway, wants, lost) })
+		description := fmt.Sprintf("gateway %d requests the slot: %v; lost to voter %d", gateway, wants, lost)
+		path := e.step(m, description, func(next *slotModel) { next.request(gateway, wants, lost) })
 		if path != nil {
 			return path
 		}
@@ -229,12 +230,12 @@
 	return nil
 }
 
-// exploreDelivery explores that a message arrives, gets lost or is duplicated.
+// exploreDelivery explores that a message arrives, that a grant is lost, and that a message is duplicated.
 func (e *exploration) exploreDelivery(m *slotModel, i int) []string {
 	message := m.messages[i]
 	path := e.step(m, message.String(), func(next *slotModel) {
 		next.messages = slices.Delete(next.messages, i, i+1)
-		next.deliver(message, e.broken)
+		next.deliver(message, e.injected)
 	})
 	if path != nil {
 		return path
@@ -250,7 +251,7 @@
 	if m.duplicates < m.bounds.duplicates && len(m.messages) < m.bounds.inFlight {
 		return e.step(m, "duplicated: "+message.String(), func(next *slotModel) {
 			next.duplicates++
-			next.deliver(message, e.broken)
+			next.deliver(message, e.injected)
 		})
 	}
 	return nil
@@ -275,32 +276,32 @@
 	}
 }
 
-func (m *slotModel) restartVoter(voter int, broken flaw) {
+func (m *slotModel) restartVoter(voter int, injected flaw) {
 	m.restarts++
 	m.voters[voter] = withOneSlot(NewVoter(modelGateways, m.now))
-	if broken == noWarmup {
+	if injected == noWarmup {
 		m.voters[voter].grantsFrom = 0
 	}
 }
 
-func (m *slotModel) deliver(message modelMessage, broken flaw) {
+func (m *slotModel) deliver(message modelMessage, injected flaw) {
 	if message.request != nil {
-		m.deliverRequest(message, broken)
+		m.deliverRequest(message, injected)
 	} else {
-		m.deliverGrant(message, broken)
+		m.deliverGrant(message, injected)
 	}
 }
 
-func (m *slotModel) deliverRequest(message modelMessage, broken flaw) {
+func (m *slotModel) deliverRequest(message modelMessage, injected flaw) {
 	voter := m.voters[message.voter]
-	switch broken {
+	switch injected {
 	case acceptsOldRequests:
 		voter.lastRequests[message.gateway] = receivedRequest{}
 	case grantsTwice:
 		voter.slots[0].heldUntil = 0
 	}
 	grant, ok := voter.HandleRequest(m.now, message.gateway, *message.request)
-	if broken == shortHold {
+	if injected == shortHold {
 		voter.slots[0].heldUntil = min(voter.slots[0].heldUntil, m.now+LeaseDuration/2)
 	}
 	if ok && grant.Slots.Has(0) {
@@ -309,10 +310,10 @@
 	}
 }
 
-func (m *slotModel) deliverGrant(message modelMessage, broken flaw) {
+func (m *slotModel) deliverGrant(message modelMessage, injected flaw) {
 	holder := m.holders[message.gateway]
 	grant := *message.grant
-	switch broken {
+	switch injected {
 	case keepsOldGrants:
 		grant.Sequence = holder.sequence
 	case leaseFromGrant:
@@ -323,7 +324,8 @@
 	holder.HandleGrant(message.voter, grant)
 }
 
-// explorations are with a voter that restarts, with duplicated messages, and two with a change of mind.
+// explorations has the bounds of each exploration: with a restarting voter, with duplicated messages, and two in which
+// a gateway can give up the slot and request it again.
 var explorations = []modelBounds{
 	{steps: 2, restarts: 1, requests: [2]int{1, 1}, inFlight: 3},
 	{steps: 2, duplicates: 1, requests: [2]int{1, 1}, inFlight: 3},
@@ -331,39 +333,41 @@
 	{requests: [2]int{3, 1}, inFlight: 4},
 }
 
-// TestNoInterleavingHoldsSlotTwice explores all interleavings within the bounds.
+// TestNoInterleavingHoldsSlotTwice verifies that in no interleaving within the bounds two gateways hold the slot at the
+// same time.
 func TestNoInterleavingHoldsSlotTwice(t *testing.T) {
 	skipUnderRaceDetector(t)
 	const minStates = 10_000
 	for _, bounds := range explorations {
 		t.Run(fmt.Sprintf("%+v", bounds), func(t *testing.T) {
 			t.Parallel()
-			e := &exploration{broken: noFlaw, seen: map[string]bool{}}
+			e := &exploration{injected: noFlaw, seen: map[string]bool{}}
 			if path := e.explore(newSlotModel(bounds)); path != nil {
 				t.Errorf("%q", path)
 			}
 			t.Logf("%d states", len(e.seen))
 			if len(e.seen) < minStates {
-				t.Errorf("%d states only", len(e.seen))
+				t.Errorf("only %d states explored", len(e.seen))
 			}
 		})
 	}
 }
 
-// skipUnderRaceDetector skips a test that uses one goroutine only and takes long under the race detector.
+// skipUnderRaceDetector skips a single-goroutine test that is slow under the race detector.
 func skipUnderRaceDetector(t *testing.T) {
 	t.Helper()
 	if race.On {
-		t.Skip("one goroutine")
+		t.Skip("single goroutine: nothing for the race detector to find")
 	}
 }
 
-// TestExplorationFindsFlaws holds that each way to break the rules leads to a slot that is held twice.
+// TestExplorationFindsFlaws verifies that the exploration detects each injected flaw: two gateways then hold the slot
+// at the same time.
 func TestExplorationFindsFlaws(t *testing.T) {
 	skipUnderRaceDetector(t)
 	cases := []struct {
-		name   string
-		broken flaw
+		name     string
+		injected flaw
 	}{
 		{"no warm-up", noWarmup},
 		{"short hold", shortHold},
@@ -377,11 +381,11 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			states, order := 0, slices.Clone(explorations)
-			if c.broken == keepsOldGrants || c.broken == acceptsOldRequests { // these take a change of mind
+			if c.injected == keepsOldGrants || c.injected == acceptsOldRequests { // need a slot that was given up
 				slices.Reverse(order)
 			}
 			for _, bounds := range order {
-				e := &exploration{broken: c.broken, seen: map[string]bool{}}
+				e := &exploration{injected: c.injected, seen: map[string]bool{}}
 				path := e.explore(newSlotModel(bounds))
 				if states += len(e.seen); path != nil {
 					t.Logf("%d states: %q", states, path)
