--- a/internal/quotalease/golden_test.go
+++ b/internal/quotalease/golden_test.go
@@ -11,34 +11,34 @@
 	"gapgap/internal/quotalease"
 )
 
-// leasePlay is one deterministic run of the lease holders and voters of a cluster with random faults.
-type leasePlay struct {
+// leaseScenario describes a deterministic run of a cluster's lease holders and voters with random faults.
+type leaseScenario struct {
 	seed     uint64
 	gateways int
 	rounds   int
-	// loss is the probability that a message gets lost.
+	// loss is the probability that a message is lost.
 	loss float64
 }
 
-// leaseProcess is one gateway that holds leases.
+// leaseProcess is one gateway with its lease holder.
 type leaseProcess struct {
 	index       int
 	incarnation uint32
 	holder      *quotalease.Holder
 }
 
-// leaseMessage is a claim or a grant on its way.
+// leaseMessage is a request or a grant in flight.
 type leaseMessage struct {
-	at    time.Duration
-	from  int
-	to    int
-	claim *quotalease.Request
-	grant *quotalease.Grant
+	at      time.Duration
+	from    int
+	to      int
+	request *quotalease.Request
+	grant   *quotalease.Grant
 }
 
-// leaseRun is a play while it goes on.
-type leaseRun struct {
-	leasePlay
+// leaseSimulation is the state of a running scenario.
+type leaseSimulation struct {
+	leaseScenario
 	rng       *rand.Rand
 	now       time.Duration
 	trace     *golden.Trace
@@ -48,28 +48,28 @@
 	messages  []leaseMessage
 }
 
-// hash plays and returns the hash of all claims, grants and leases, in order.
-func (p leasePlay) hash() string {
-	r := &leaseRun{
-		leasePlay: p,
-		rng:       rand.New(rand.NewPCG(p.seed, 22)),
-		now:       time.Hour,
-		trace:     golden.NewTrace(),
-		isDown:    make([]bool, p.gateways),
+// hash runs the scenario and returns the hash of all requests, grants and leases, in order.
+func (s leaseScenario) hash() string {
+	r := &leaseSimulation{
+		leaseScenario: s,
+		rng:           rand.New(rand.NewPCG(s.seed, 22)),
+		now:           time.Hour,
+		trace:         golden.NewTrace(),
+		isDown:        make([]bool, s.gateways),
 	}
-	for i := range p.gateways {
+	for i := range s.gateways {
 		id := membership.ID{Incarnation: 1, Nonce: r.rng.Uint32()}
-		holder := quotalease.NewHolder(p.gateways, id)
+		holder := quotalease.NewHolder(s.gateways, id)
 		r.processes = append(r.processes, &leaseProcess{index: i, incarnation: 1, holder: holder})
 	}
-	for range quotalease.VoterCount(p.gateways) {
-		r.voters = append(r.voters, quotalease.NewVoter(p.gateways, r.now))
+	for range quotalease.VoterCount(s.gateways) {
+		r.voters = append(r.voters, quotalease.NewVoter(s.gateways, r.now))
 	}
-	r.trace.Int(int64(quotalease.SlotsPerGateway(p.gateways)))
+	r.trace.Int(int64(quotalease.SlotsPerGateway(s.gateways)))
 	r.trace.Int(int64(len(r.voters)))
-	for range p.rounds {
+	for range s.rounds {
 		r.now += time.Duration(20+r.rng.IntN(100)) * time.Millisecond
-		r.fault()
+		r.injectFault()
 		r.deliver()
 		for _, process := range r.processes {
 			r.step(process)
@@ -78,8 +78,9 @@
 	return r.trace.Sum()
 }
 
-// fault changes at random what gateways believe of each other, and restarts some.
-func (r *leaseRun) fault() {
+// injectFault applies at most one random fault: it changes which gateways are considered down, restarts a voter or a
+// holder, changes a process ID, releases all slots of a holder, or lets time pass.
+func (r *leaseSimulation) injectFault() {
 	index := r.rng.IntN(r.gateways)
 	switch r.rng.IntN(60) {
 	case 0, 1, 2:
@@ -104,57 +105,57 @@
 	}
 }
 
-// step lets a gateway claim what it wants and records what it holds.
-func (r *leaseRun) step(process *leaseProcess) {
-	isGone := func(i int) bool { return r.isDown[i] }
-	isThere := func(i int) bool { return !r.isDown[i] }
-	want := quotalease.WantedSlots(r.gateways, process.index, isGone, isThere)
-	r.recordSet(want)
-	if process.holder.Release(r.now, want) {
+// step sends a gateway's request for the slots that it wants and records the slots that it holds.
+func (r *leaseSimulation) step(process *leaseProcess) {
+	isDead := func(i int) bool { return r.isDown[i] }
+	isActive := func(i int) bool { return !r.isDown[i] }
+	wanted := quotalease.WantedSlots(r.gateways, process.index, isDead, isActive)
+	r.recordSet(wanted)
+	if process.holder.Release(r.now, wanted) {
 		r.trace.Int(1)
 		if r.rng.IntN(3) > 0 {
-			want = process.holder.Requested()
+			wanted = process.holder.Requested()
 		}
 	}
-	if claim, ok := process.holder.NextRequest(r.now, want); ok {
+	if request, ok := process.holder.NextRequest(r.now, wanted); ok {
 		r.trace.Int(2)
-		r.trace.Uint(uint64(claim.ID.Incarnation))
-		r.trace.Uint(uint64(claim.ID.Nonce))
-		r.trace.Uint(uint64(claim.Sequence))
-		r.recordSet(claim.Slots)
+		r.trace.Uint(uint64(request.ID.Incarnation))
+		r.trace.Uint(uint64(request.ID.Nonce))
+		r.trace.Uint(uint64(request.Sequence))
+		r.recordSet(request.Slots)
 		for voter := range r.voters {
-			r.send(leaseMessage{from: process.index, to: voter, claim: &claim})
+			r.send(leaseMessage{from: process.index, to: voter, request: &request})
 		}
 	}
 	held, until := process.holder.Held(r.now)
-	part, partUntil := process.holder.Fraction(r.now)
+	fraction, fractionUntil := process.holder.Fraction(r.now)
 	r.trace.Int(int64(held))
 	r.trace.Duration(until)
-	r.trace.Float(part)
-	r.trace.Duration(partUntil)
+	r.trace.Float(fraction)
+	r.trace.Duration(fractionUntil)
 	for i := range r.gateways * quotalease.SlotsPerGateway(r.gateways) {
 		r.trace.Bool(process.holder.IsHeld(i, r.now))
 	}
 	r.recordSet(process.holder.Requested())
 }
 
-// send puts a message on its way, once, twice or not at all.
-func (r *leaseRun) send(message leaseMessage) {
+// send sends a message, which may be lost, or duplicated with a probability of 1/20.
+func (r *leaseSimulation) send(message leaseMessage) {
 	copies := 1
 	if r.rng.IntN(20) == 0 {
 		copies = 2
 	}
 	for range copies {
 		if r.rng.Float64() >= r.loss {
-			late := message
-			late.at = r.now + time.Duration(r.rng.IntN(150))*time.Millisecond
-			r.messages = append(r.messages, late)
+			delayed := message
+			delayed.at = r.now + time.Duration(r.rng.IntN(150))*time.Millisecond
+			r.messages = append(r.messages, delayed)
 		}
 	}
 }
 
-// deliver hands over the messages that have arrived.
-func (r *leaseRun) deliver() {
+// deliver delivers the messages that are due.
+func (r *leaseSimulation) deliver() {
 	due := r.messages
 	r.messages = nil
 	for _, message := range due {
@@ -167,8 +168,8 @@
 			r.processes[message.to].holder.HandleGrant(message.from, *message.grant)
 			continue
 		}
-		r.trace.Bool(quotalease.ValidateSlots(r.gateways, message.claim.Slots) == nil)
-		grant, ok := r.voters[message.to].HandleRequest(r.now, message.from, *message.claim)
+		r.trace.Bool(quotalease.ValidateSlots(r.gateways, message.request.Slots) == nil)
+		grant, ok := r.voters[message.to].HandleRequest(r.now, message.from, *message.request)
 		r.trace.Bool(ok)
 		if !ok {
 			continue
@@ -181,9 +182,10 @@
 	}
 }
 
-func (r *leaseRun) recordSet(set quotalease.SlotSet) { r.trace.String(string(set)) }
+func (r *leaseSimulation) recordSet(set quotalease.SlotSet) { r.trace.String(string(set)) }
 
-// TestGoldenLeases holds that leases are granted as in the program that the hashes were recorded from.
+// TestGoldenLeases verifies that lease holders and voters produce the same traces as the version that the hashes were
+// recorded from.
 func TestGoldenLeases(t *testing.T) {
 	recorded := golden.LoadHashes(t, "testdata/golden/leases.txt")
 	sizes := []struct{ gateways, rounds int }{
@@ -191,14 +193,14 @@
 	}
 	for _, size := range sizes {
 		for seed := range uint64(6) {
-			play := leasePlay{
+			scenario := leaseScenario{
 				seed:     seed + 1,
 				gateways: size.gateways,
 				rounds:   size.rounds,
 				loss:     0.1 * float64(seed%4),
 			}
-			name := fmt.Sprintf("%d/%d", play.gateways, play.seed)
-			recorded.CheckPlay(t, name, play.hash)
+			name := fmt.Sprintf("%d/%d", scenario.gateways, scenario.seed)
+			recorded.CheckPlay(t, name, scenario.hash)
 		}
 	}
 	recorded.CheckAllPlayed(t)
