--- a/internal/cluster/message.go
+++ b/internal/cluster/message.go
@@ -11,7 +11,7 @@
 
 // Errors of [Node.Receive].
 var (
-	// ErrEmptyMessage is returned for a message without content.
+	// ErrEmptyMessage is returned for a message in which no field is set.
 	ErrEmptyMessage = errors.New("empty message")
 	// ErrNotVoter is returned for a lease request to a gateway that does not vote.
 	ErrNotVoter = errors.New("lease request to a gateway that does not vote")
@@ -19,24 +19,24 @@
 	ErrUnknownSender = errors.New("sender is not in the list")
 )
 
-// Message is what one gateway sends to another. Exactly one field is set.
+// Message is a message between two gateways. Exactly one field is set.
 type Message struct {
 	Heartbeat *membership.Heartbeat `cbor:"1,keyasint,omitempty"`
 	Request   *quotalease.Request   `cbor:"2,keyasint,omitempty"`
 	Grant     *quotalease.Grant     `cbor:"3,keyasint,omitempty"`
 }
 
-// Outgoing is a message to be sent to a gateway.
+// Outgoing is a message to send to a gateway.
 type Outgoing struct {
 	// To is the receiver's position in the list.
 	To      int
 	Message Message
-	// ReplyToSender asks to send it to the address that the answered message came from as well.
+	// ReplyToSender requests that the message also be sent to the source address of the message it answers.
 	ReplyToSender bool
 }
 
-// Receive takes a message from a gateway and returns the answers to it. With an error, which says what is wrong with
-// the message, nothing has changed.
+// Receive processes a message from a gateway and returns the answers to it. If the message is invalid, Receive returns
+// an error and changes nothing.
 func (n *Node) Receive(now time.Duration, from int, message Message) ([]Outgoing, error) {
 	if from < 0 || from >= n.config.Gateways {
 		return nil, fmt.Errorf("index %d of %d: %w", from, n.config.Gateways, ErrUnknownSender)
@@ -52,7 +52,7 @@
 	return nil, ErrEmptyMessage
 }
 
-// receiveHeartbeat updates the view of the cluster.
+// receiveHeartbeat updates the view of the cluster from a heartbeat.
 func (n *Node) receiveHeartbeat(now time.Duration, from int, heartbeat *membership.Heartbeat) ([]Outgoing, error) {
 	if err := n.detector.Validate(from, heartbeat); err != nil {
 		return nil, err
@@ -65,7 +65,8 @@
 	return outgoing, nil
 }
 
-// receiveRequest answers a lease request, unless this process is a duplicate or the sender's own.
+// receiveRequest answers a lease request. It ignores the request if another process of this gateway's name takes
+// precedence, or if the sender has this gateway's index.
 func (n *Node) receiveRequest(now time.Duration, from int, request *quotalease.Request) ([]Outgoing, error) {
 	if err := quotalease.ValidateSlots(n.config.Gateways, request.Slots); err != nil {
 		return nil, err
@@ -83,7 +84,7 @@
 	return []Outgoing{{To: from, Message: Message{Grant: &grant}}}, nil
 }
 
-// receiveGrant takes a voter's answer to a lease request.
+// receiveGrant processes a voter's answer to a lease request.
 func (n *Node) receiveGrant(from int, grant *quotalease.Grant) error {
 	if err := quotalease.ValidateSlots(n.config.Gateways, grant.Slots); err != nil {
 		return err
@@ -92,7 +93,7 @@
 	return nil
 }
 
-// asMessages wraps heartbeats that are to be sent.
+// asMessages wraps outgoing heartbeats in messages.
 func asMessages(heartbeats []membership.Outgoing) []Outgoing {
 	var outgoing []Outgoing
 	for i := range heartbeats {
