--- a/internal/cluster/node.go
+++ b/internal/cluster/node.go
@@ -8,10 +8,10 @@
 	"gapgap/internal/quotalease"
 )
 
-// TickInterval is how often [Node.Tick] is to be called.
+// TickInterval is how often [Node.Tick] must be called.
 const TickInterval = 50 * time.Millisecond
 
-// Config names a gateway and its place in the cluster.
+// Config identifies a gateway and its position in the cluster.
 type Config struct {
 	// Index is this gateway's position in the list, from 0.
 	Index int
@@ -26,41 +26,41 @@
 	config   Config
 	detector *membership.Detector
 	holder   *quotalease.Holder
-	// voter is nil at a gateway that does not vote.
+	// voter is nil if this gateway does not vote.
 	voter     *quotalease.Voter
 	startedAt time.Duration
-	// heardFrom are the gateways that were heard from since the start, until this one serves.
+	// heardFrom has the other gateways that sent a heartbeat before this one began to serve.
 	heardFrom map[int]bool
 	isServing bool
-	// isLeaving is whether Leave was called, and hasReleased whether the slots have been given up since.
+	// isLeaving reports whether Leave was called, hasReleased whether the slots have been given up since.
 	isLeaving   bool
 	hasReleased bool
-	// hasDuplicate is whether another process of this gateway's name takes precedence.
+	// hasDuplicate reports whether another process of the same name takes precedence.
 	hasDuplicate bool
 	epochs       epochs
-	// deadGateways are the indexes of gateways whose slots others may use.
+	// deadGateways has the indexes of the gateways whose slots others may use.
 	deadGateways []int
 }
 
-// epochs count the times that something was taken away from this gateway's share.
+// epochs counts the reductions of this gateway's share and tracks which of them are applied.
 type epochs struct {
 	current uint64
 	// applied is the latest epoch that all users of the share have applied.
 	applied uint64
-	// required is the epoch that must be applied before slots may be given up.
+	// required is the epoch that must be applied before any slot may be given up.
 	required uint64
 }
 
-// requireNext begins an epoch that must be applied before slots are given up.
+// requireNext starts an epoch that must be applied before any slot may be given up.
 func (e *epochs) requireNext() {
 	e.current++
 	e.required = e.current
 }
 
-// mayRelease reports whether the slots that are to be given up are no longer used.
+// mayRelease reports whether the slots to be given up are no longer in use.
 func (e *epochs) mayRelease() bool { return e.applied >= e.required }
 
-// New returns a gateway that has just started.
+// New returns the node of a gateway that has just started.
 func New(config Config, now time.Duration, rng *rand.Rand) *Node {
 	voters := quotalease.VoterCount(config.Gateways)
 	n := &Node{
@@ -81,7 +81,7 @@
 	return n
 }
 
-// Tick does what is due and returns the messages to be sent.
+// Tick performs the actions that are due and returns the messages to send.
 func (n *Node) Tick(now time.Duration) []Outgoing {
 	var outgoing []Outgoing
 	if n.isLeaving && !n.hasReleased && n.epochs.mayRelease() {
@@ -95,21 +95,21 @@
 	return outgoing
 }
 
-// Forget takes a gateway as gone until a new process of it is heard of. It returns a *membership.PresentError for one
-// that is present.
+// Forget marks a gateway as left until a heartbeat of a new process of it arrives. It returns a
+// *membership.PresentError for a gateway that is present and for this gateway.
 func (n *Node) Forget(now time.Duration, index int) error { return n.detector.Forget(now, index) }
 
-// Members returns all gateways as they are seen from here, in the order of the list.
+// Members returns this gateway's view of all gateways, in list order.
 func (n *Node) Members() []membership.Member { return n.detector.Members() }
 
-// TakeTransitions returns the transitions of members since it was last called.
+// TakeTransitions returns the state transitions of members since the last call.
 func (n *Node) TakeTransitions() []membership.Transition { return n.detector.TakeTransitions() }
 
-// Duplicate returns another process of this gateway's name that takes precedence, if there is one.
+// Duplicate returns the other process of the same name that takes precedence, if there is one.
 func (n *Node) Duplicate(now time.Duration) (membership.ID, bool) { return n.detector.Duplicate(now) }
 
-// ID returns the identity of this process. It may take a higher incarnation than it was started with.
+// ID returns the identity of this process. Its incarnation may be higher than the one in Config.
 func (n *Node) ID() membership.ID { return n.config.ID }
 
-// TakeIncarnationChange reports, once, that the incarnation has changed and is to be written to disk.
+// TakeIncarnationChange reports, once per change, that the incarnation has changed and must be written to disk.
 func (n *Node) TakeIncarnationChange() bool { return n.detector.TakeIncarnationChange() }
