--- a/internal/cluster/sharelease.go
+++ b/internal/cluster/sharelease.go
@@ -7,22 +7,22 @@
 	"gapgap/internal/quotalease"
 )
 
-// ShareLease is which share of the quotas a gateway may use.
+// ShareLease is the share of the quotas that a gateway may use.
 type ShareLease struct {
-	// Epoch grows when something is taken away; see [Node.ConfirmApplied].
+	// Epoch increases when the share is reduced; see [Node.ConfirmApplied].
 	Epoch uint64
-	// Fraction is the leased fraction of what all gateways share, from 0 to 1.
+	// Fraction is the leased fraction of the shared quota, from 0 to 1.
 	Fraction float64
-	// Until is when the lease ends, on this gateway's clock.
+	// Until is when the lease ends, by this gateway's clock.
 	Until time.Duration
-	// Excluded is whether the gateway may not even use what it keeps without a lease: it is joining, has left, or
-	// another process of its name takes precedence.
+	// Excluded reports that the gateway may not use even the share that needs no lease, because it is joining or
+	// leaving, or because another process of the same name takes precedence.
 	Excluded bool
-	// DeadGateways are the indexes of gateways whose share others may use.
+	// DeadGateways has the indexes of the gateways whose share others may use.
 	DeadGateways []int
 }
 
-// ShareLease returns which share this gateway may use.
+// ShareLease returns the share that this gateway may use.
 func (n *Node) ShareLease(now time.Duration) ShareLease {
 	lease := ShareLease{
 		Epoch:        n.epochs.current,
@@ -35,20 +35,20 @@
 	return lease
 }
 
-// isExcluded reports whether this gateway takes part in nothing.
+// isExcluded reports whether this gateway may use no share at all; see [ShareLease].
 func (n *Node) isExcluded() bool { return !n.isServing || n.isLeaving || n.hasDuplicate }
 
 // ConfirmApplied records that all users of the share have applied the ShareLease of an epoch, or a later one.
 func (n *Node) ConfirmApplied(epoch uint64) { n.epochs.applied = max(n.epochs.applied, epoch) }
 
-// Slots returns how many slots this gateway holds, and how many there are.
+// Slots returns how many slots this gateway holds, and the total number of slots.
 func (n *Node) Slots(now time.Duration) (held, total int) {
 	held, _ = n.holder.Held(now)
 	return held, n.config.Gateways * quotalease.SlotsPerGateway(n.config.Gateways)
 }
 
-// requestSlots requests the slots that this gateway wants. It still names slots that are no longer wanted while they
-// are in use.
+// requestSlots requests the slots that this gateway wants. While unwanted slots are still in use, it repeats the last
+// request, which names them.
 func (n *Node) requestSlots(now time.Duration) []Outgoing {
 	isDead := func(index int) bool { return n.isDead(now, index) }
 	wanted := quotalease.WantedSlots(n.config.Gateways, n.config.Index, isDead, n.isActive)
@@ -65,7 +65,7 @@
 	return n.sendRequest(now, request)
 }
 
-// sendRequest returns a request to each voter; this gateway's own voter answers at once.
+// sendRequest returns a request to each remote voter. This gateway's own voter, if any, answers at once.
 func (n *Node) sendRequest(now time.Duration, request quotalease.Request) []Outgoing {
 	var outgoing []Outgoing
 	for voter := range quotalease.VoterCount(n.config.Gateways) {
@@ -78,7 +78,8 @@
 	return outgoing
 }
 
-// Leave gives up the share as soon as nobody uses it; Tick then tells the other gateways, until HasLeft.
+// Leave gives up the share once it is no longer in use. Tick then announces that this gateway leaves, until HasLeft
+// returns true.
 func (n *Node) Leave() {
 	if !n.isLeaving {
 		n.isLeaving = true
@@ -86,10 +87,10 @@
 	}
 }
 
-// HasLeft reports whether the other gateways have been told that this one leaves.
+// HasLeft reports whether this gateway has announced to the others that it leaves.
 func (n *Node) HasLeft() bool { return n.detector.HasLeft() }
 
-// announceLeave gives up all slots and returns the messages that tell the voters so.
+// announceLeave gives up all slots and returns the messages that inform the voters.
 func (n *Node) announceLeave(now time.Duration) []Outgoing {
 	var outgoing []Outgoing
 	request, ok := n.holder.NextRequest(now, quotalease.NewSlotSet(n.config.Gateways))
