--- a/internal/cluster/view.go
+++ b/internal/cluster/view.go
@@ -7,16 +7,16 @@
 	"gapgap/internal/quotalease"
 )
 
-// Delays of a start.
+// Delays after the start of a gateway.
 const (
-	// minStartDelay is how long a gateway waits after its start before it uses a share. By then a duplicate process of
-	// its name is known, and loans that an earlier process granted (quotashare.LenderLoanDuration) have ended.
+	// minStartDelay is the minimum time between a gateway's start and its use of a share. By then a duplicate process
+	// of the same name is known, and loans that an earlier process granted (quotashare.LenderLoanDuration) have ended.
 	minStartDelay = 1100 * time.Millisecond
-	// maxStartDelay is after how long it serves, however few other gateways it has heard from.
+	// maxStartDelay is when a gateway serves regardless of how many other gateways it has heard from.
 	maxStartDelay = 2 * time.Second
 )
 
-// updateView updates what this gateway makes of itself and of the others.
+// updateView updates this gateway's view of itself and of the others.
 func (n *Node) updateView(now time.Duration) {
 	n.updateDuplicate(now)
 	n.updateID()
@@ -24,12 +24,12 @@
 		n.isServing = true
 		n.detector.StartServing(now)
 	}
-	if n.seesMajority(now) { // else it is rather this gateway that is cut off: the others count as before
+	if n.seesMajority(now) { // otherwise this gateway is probably the one cut off, and keeps its view of the others
 		n.updateDeadGateways(now)
 	}
 }
 
-// updateDuplicate gives everything up when another process of this gateway's name takes precedence.
+// updateDuplicate gives up all slots when another process of the same name takes precedence.
 func (n *Node) updateDuplicate(now time.Duration) {
 	_, hasDuplicate := n.detector.Duplicate(now)
 	if hasDuplicate && !n.hasDuplicate {
@@ -39,7 +39,7 @@
 	n.hasDuplicate = hasDuplicate
 }
 
-// updateID takes an incarnation that the detector has changed.
+// updateID adopts the ID of the detector if its incarnation has changed.
 func (n *Node) updateID() {
 	if n.detector.ID() != n.config.ID {
 		n.config.ID = n.detector.ID()
@@ -48,7 +48,7 @@
 	}
 }
 
-// canServe reports whether the delay of the start is over: the longer one, or the shorter one if half of the other
+// canServe reports whether the start delay is over: maxStartDelay, or minStartDelay if at least half of the other
 // gateways have been heard from.
 func (n *Node) canServe(now time.Duration) bool {
 	if n.isServing || n.hasDuplicate {
@@ -59,7 +59,7 @@
 	return uptime >= maxStartDelay || uptime >= minStartDelay && hasHeardHalf
 }
 
-// seesMajority reports whether a majority of the voters is not dead, by what this gateway knows.
+// seesMajority reports whether a majority of the voters is not dead in this gateway's view.
 func (n *Node) seesMajority(now time.Duration) bool {
 	voters := quotalease.VoterCount(n.config.Gateways)
 	present := 0
@@ -71,6 +71,7 @@
 	return 2*present > voters
 }
 
+// updateDeadGateways recomputes which gateways' slots others may use.
 func (n *Node) updateDeadGateways(now time.Duration) {
 	n.deadGateways = n.deadGateways[:0]
 	for i := range n.config.Gateways {
@@ -80,8 +81,8 @@
 	}
 }
 
-// isDead reports whether others may use a gateway's slots. One that was never heard of may still come for as long as
-// the longest delay of a start.
+// isDead reports whether others may use a gateway's slots. A gateway that was never heard of counts as dead only after
+// maxStartDelay, since it may still be starting.
 func (n *Node) isDead(now time.Duration, index int) bool {
 	switch n.detector.State(index) {
 	case membership.Dead, membership.Left:
