--- a/internal/cluster/chaos_test.go
+++ b/internal/cluster/chaos_test.go
@@ -11,120 +11,122 @@
 	"gapgap/internal/fake/race"
 )
 
-// chaos is a random schedule: gateways die, restart, are suspended and resumed, lose their disks; networks drop, delay
-// and reorder; clusters are partitioned in two, in a star or one way; pools apply share leases late.
-type chaos struct {
+// chaosRun is a run of a simulated cluster under a random schedule of faults: gateways are killed, restarted, suspended
+// and resumed, and lose their disks; the network drops, delays and reorders messages; the cluster is partitioned into
+// two sides, in one or both directions, or into a star; pools apply share leases late.
+type chaosRun struct {
 	cluster *simulatedCluster
 	rng     *rand.Rand
-	// log says what was done, a line each.
+	// log has one line per action.
 	log []string
-	// side is the half of the cluster that each gateway is in, while it is partitioned.
+	// side is the side of each gateway in a partition.
 	side []int
-	// isOneWay is whether only one half does not reach the other.
+	// isOneWay reports whether the partition blocks messages in one direction only.
 	isOneWay bool
-	// hub is the one gateway that all others reach in a star; none if negative.
+	// hub is the only gateway that all others can reach in a star partition; negative means none.
 	hub      int
 	loss     float64
 	maxDelay time.Duration
 }
 
-// runChaos plays a schedule.
-func runChaos(seed uint64, length time.Duration, broken flaws) *chaos {
+// runChaos runs a cluster under the random schedule of a seed.
+func runChaos(seed uint64, length time.Duration, injected flaws) *chaosRun {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	gateways := 2 + rng.IntN(8)
 	if seed%10 == 0 {
 		gateways = 2 + rng.IntN(40)
 	}
 	c := newSimulatedCluster(seed, gateways)
-	c.flaws = broken
+	c.flaws = injected
 	c.maxApplyDelay = time.Duration(1+rng.IntN(400)) * time.Millisecond
-	if broken.slowClocks {
+	if injected.slowClocks {
 		for i := 0; i < gateways; i += 2 {
 			c.gateways[i].drift = 0.5
 		}
 	}
-	schedule := &chaos{cluster: c, rng: rng, side: make([]int, gateways), hub: -1, maxDelay: time.Millisecond}
-	schedule.logf("%d gateways, leases are applied within %v", gateways, c.maxApplyDelay)
-	c.network = schedule.network
+	run := &chaosRun{cluster: c, rng: rng, side: make([]int, gateways), hub: -1, maxDelay: time.Millisecond}
+	run.logf("%d gateways, share leases are applied within %v", gateways, c.maxApplyDelay)
+	c.network = run.network
 	c.startAll()
 	for end := c.now + length; c.now < end; {
 		c.run(time.Duration(rng.IntN(3000))*time.Millisecond, 20*time.Millisecond)
-		schedule.act(c.gateways[rng.IntN(gateways)])
+		run.act(c.gateways[rng.IntN(gateways)])
 	}
-	return schedule
+	return run
 }
 
-func (s *chaos) logf(format string, args ...any) {
-	elapsed := (s.cluster.now - time.Hour).Seconds()
-	s.log = append(s.log, fmt.Sprintf("%7.2f ", elapsed)+fmt.Sprintf(format, args...))
+func (r *chaosRun) logf(format string, args ...any) {
+	elapsed := (r.cluster.now - time.Hour).Seconds()
+	r.log = append(r.log, fmt.Sprintf("%7.2f ", elapsed)+fmt.Sprintf(format, args...))
 }
 
 // network implements simulatedCluster.network.
-func (s *chaos) network(from, to int) (isLost bool, delay time.Duration) {
-	isCut := s.side[from] != s.side[to] && (!s.isOneWay || s.side[from] > s.side[to])
-	isCut = isCut || s.hub >= 0 && from != s.hub && to != s.hub
-	isLost = isCut || s.cluster.rng.Float64() < s.loss
-	return isLost, s.cluster.randomDuration(s.maxDelay)
+func (r *chaosRun) network(from, to int) (isLost bool, delay time.Duration) {
+	isCut := r.side[from] != r.side[to] && (!r.isOneWay || r.side[from] > r.side[to])
+	isCut = isCut || r.hub >= 0 && from != r.hub && to != r.hub
+	isLost = isCut || r.cluster.rng.Float64() < r.loss
+	return isLost, r.cluster.randomDuration(r.maxDelay)
 }
 
-// act does one random thing, some of them to a gateway.
-func (s *chaos) act(gateway *simulatedGateway) {
-	switch s.rng.IntN(11) {
+// act performs one random action, some of which affect the given gateway.
+func (r *chaosRun) act(gateway *simulatedGateway) {
+	switch r.rng.IntN(11) {
 	case 0, 1:
-		s.killOrStart(gateway)
+		r.killOrStart(gateway)
 	case 2:
-		s.suspendOrResume(gateway)
+		r.suspendOrResume(gateway)
 	case 3:
 		if gateway.isActive() {
-			s.logf("%d restarts with an empty disk", gateway.index)
+			r.logf("gateway %d restarts with an empty disk", gateway.index)
 			gateway.incarnation = 0
 			gateway.start()
 		}
 	case 4:
-		for i := range s.side {
-			s.side[i] = s.rng.IntN(2)
+		for i := range r.side {
+			r.side[i] = r.rng.IntN(2)
 		}
-		s.isOneWay, s.hub = s.rng.IntN(2) == 0, -1
-		s.logf("partition %v, one way %v", s.side, s.isOneWay)
+		r.isOneWay, r.hub = r.rng.IntN(2) == 0, -1
+		r.logf("partition into sides %v, one way: %v", r.side, r.isOneWay)
 	case 5:
-		s.hub = s.rng.IntN(len(s.side))
-		s.logf("star about %d", s.hub)
+		r.hub = r.rng.IntN(len(r.side))
+		r.logf("star partition around gateway %d", r.hub)
 	case 6:
-		s.loss = s.rng.Float64() * 0.6
-		s.maxDelay = time.Duration(1+s.rng.IntN(1500)) * time.Millisecond
-		s.logf("loss %.2f, delay up to %v", s.loss, s.maxDelay)
+		r.loss = r.rng.Float64() * 0.6
+		r.maxDelay = time.Duration(1+r.rng.IntN(1500)) * time.Millisecond
+		r.logf("loss %.2f, delay up to %v", r.loss, r.maxDelay)
 	case 7:
-		gateway.extraTickDelay = time.Duration(s.rng.IntN(600)) * time.Millisecond
-		s.logf("%d ticks %v late", gateway.index, gateway.extraTickDelay)
+		gateway.extraTickDelay = time.Duration(r.rng.IntN(600)) * time.Millisecond
+		r.logf("gateway %d ticks %v late", gateway.index, gateway.extraTickDelay)
 	default:
-		clear(s.side)
-		s.loss, s.maxDelay, s.hub, gateway.extraTickDelay = 0, time.Millisecond, -1, 0
-		s.logf("healed")
+		clear(r.side)
+		r.loss, r.maxDelay, r.hub, gateway.extraTickDelay = 0, time.Millisecond, -1, 0
+		r.logf("network and gateway back to normal")
 	}
 }
 
-func (s *chaos) killOrStart(gateway *simulatedGateway) {
+func (r *chaosRun) killOrStart(gateway *simulatedGateway) {
 	if gateway.isRunning {
-		s.logf("%d dies", gateway.index)
+		r.logf("gateway %d is killed", gateway.index)
 		gateway.kill()
 		return
 	}
-	s.logf("%d starts", gateway.index)
+	r.logf("gateway %d starts", gateway.index)
 	gateway.start()
 }
 
-func (s *chaos) suspendOrResume(gateway *simulatedGateway) {
+func (r *chaosRun) suspendOrResume(gateway *simulatedGateway) {
 	switch {
 	case gateway.isActive():
-		s.logf("%d is suspended", gateway.index)
+		r.logf("gateway %d is suspended", gateway.index)
 		gateway.suspend()
 	case gateway.isRunning:
-		s.logf("%d is resumed", gateway.index)
+		r.logf("gateway %d is resumed", gateway.index)
 		gateway.resume()
 	}
 }
 
-// TestNoSlotIsUsedTwice holds that under any schedule. GAPGAP_SEED plays one again and prints it.
+// TestNoSlotIsUsedTwice verifies that no two gateways use the same slot at the same time under random schedules of
+// faults. GAPGAP_SEED runs a single schedule and prints it.
 func TestNoSlotIsUsedTwice(t *testing.T) {
 	skipUnderRaceDetector(t)
 	if text := os.Getenv("GAPGAP_SEED"); text != "" {
@@ -132,11 +134,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		schedule := runChaos(seed, 2*time.Minute, flaws{})
-		for _, line := range schedule.log {
+		run := runChaos(seed, 2*time.Minute, flaws{})
+		for _, line := range run.log {
 			t.Log(line)
 		}
-		t.Log(schedule.cluster.violation)
+		t.Log(run.cluster.violation)
 		return
 	}
 	for seed := uint64(1); seed <= 60; seed++ {
@@ -146,13 +148,14 @@
 	}
 }
 
-// TestSlotCheckFindsFlaws holds that each way to break the rules leads to a slot that is used twice.
+// TestSlotCheckFindsFlaws verifies that the slot check detects each injected flaw: two gateways then use the same slot
+// at the same time.
 func TestSlotCheckFindsFlaws(t *testing.T) {
 	skipUnderRaceDetector(t)
 	const schedules = 150
 	cases := []struct {
-		name   string
-		broken flaws
+		name     string
+		injected flaws
 	}{
 		{"voters forget", flaws{votersForget: true}},
 		{"slow clocks", flaws{slowClocks: true}},
@@ -165,7 +168,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			for seed := uint64(1); seed <= schedules; seed++ {
-				if runChaos(seed, 2*time.Minute, c.broken).cluster.violation != "" {
+				if runChaos(seed, 2*time.Minute, c.injected).cluster.violation != "" {
 					return
 				}
 			}
@@ -174,10 +177,10 @@
 	}
 }
 
-// skipUnderRaceDetector skips a test that uses one goroutine only and takes long under the race detector.
+// skipUnderRaceDetector skips a single-goroutine test that is slow under the race detector.
 func skipUnderRaceDetector(t *testing.T) {
 	t.Helper()
 	if race.On {
-		t.Skip("one goroutine")
+		t.Skip("single goroutine: nothing for the race detector to find")
 	}
 }
