--- a/internal/cluster/simulation_test.go
+++ b/internal/cluster/simulation_test.go
@@ -13,46 +13,47 @@
 	"gapgap/internal/quotalease"
 )
 
-// datagramOverhead is the bytes that sealing adds to a message.
+// datagramOverhead is the number of bytes that the datagram header and encryption add to a message.
 const datagramOverhead = 56
 
-// simulatedCluster is a cluster in virtual time. Each gateway has a clock of its own, and pools that apply its share
-// lease some time after it changed.
+// simulatedCluster is a cluster in virtual time. Each gateway has its own clock, and pools that apply a new share lease
+// after a delay.
 type simulatedCluster struct {
 	rng       *rand.Rand
 	now       time.Duration
 	events    *priorityqueue.Queue[event]
 	lastEvent int
 	gateways  []*simulatedGateway
-	// network says of each message whether it gets lost, and how late it arrives.
+	// network decides for each message whether it is lost, and its delay.
 	network func(from, to int) (isLost bool, delay time.Duration)
-	// maxApplyDelay is the longest time that a pool takes to apply a new share lease.
+	// maxApplyDelay is the maximum time until the pools apply a new share lease.
 	maxApplyDelay time.Duration
-	// violation describes the first slot that was used twice; empty means none.
+	// violation describes the first slot that two gateways used at the same time; empty means none.
 	violation string
 	traffic   traffic
 	flaws     flaws
-	// falseDeaths counts running gateways that were found dead.
+	// falseDeaths counts how often an active gateway was declared dead.
 	falseDeaths int
 
-	// onSend and onShareLease, if set, see each message and each share lease with the transitions before it.
+	// onSend and onShareLease, if set, are called with each message, and with each share lease and the transitions
+	// before it.
 	onSend       func(from int, out Outgoing)
 	onShareLease func(gateway *simulatedGateway, lease ShareLease, transitions []membership.Transition)
 }
 
-// traffic counts what all gateways have sent.
+// traffic counts the messages sent by all gateways.
 type traffic struct {
 	messages   int
 	heartbeats int
 	entries    int
 	requests   int
 	grants     int
-	// bytes are counted only if countBytes is set.
+	// bytes is counted only if countBytes is set.
 	bytes      int
 	countBytes bool
 }
 
-// count adds a message.
+// count counts a message.
 func (t *traffic) count(message Message) {
 	t.messages++
 	switch {
@@ -74,25 +75,25 @@
 	t.bytes += len(encoded) + datagramOverhead
 }
 
-// flaws break the rules on purpose, to see that the check of the slots finds it.
+// flaws selects protocol violations that are injected to check that checkSlots detects them.
 type flaws struct {
-	// votersForget: voters forget each second what they granted, and grant again at once.
+	// votersForget: every second, voters forget their grants and grant again at once.
 	votersForget bool
-	// slowClocks: the clocks of some gateways go at half the rate.
+	// slowClocks: the clocks of some gateways run at half the rate.
 	slowClocks bool
-	// keepsOldGrants: a grant counts for the last request, whichever it answers.
+	// keepsOldGrants: every grant counts for the last request, whichever it answers.
 	keepsOldGrants bool
-	// acceptsOldRequests: voters answer requests in the order in which they arrive.
+	// acceptsOldRequests: voters answer requests in the order of their arrival, ignoring sequence numbers.
 	acceptsOldRequests bool
-	// releasesAtOnce: slots are given up before the pools have ceased to use them.
+	// releasesAtOnce: slots are given up before the pools have stopped using them.
 	releasesAtOnce bool
-	// ignoresExpiry: pools go on when the lease is over.
+	// ignoresExpiry: pools keep using slots after the lease has ended.
 	ignoresExpiry bool
-	// oneGrantSuffices: the grant of one voter is taken for a majority.
+	// oneGrantSuffices: the grant of a single voter counts as a majority.
 	oneGrantSuffices bool
 }
 
-// event is something that happens at a time; events of one time happen in the order in which they were scheduled.
+// event is an action at a time. Events at the same time run in the order in which they were scheduled.
 type event struct {
 	at     time.Duration
 	number int
@@ -104,27 +105,28 @@
 	cluster *simulatedCluster
 	index   int
 	node    *Node
-	// process counts starts and ends; what was scheduled for an earlier process does not happen.
+	// process counts starts and kills. Actions scheduled for an earlier process are skipped.
 	process     int
 	isRunning   bool
 	isSuspended bool
-	// pending is what arrived while it was suspended.
+	// pending has the actions that fell due while the process was suspended.
 	pending []func()
 	offset  time.Duration
 	drift   float64
-	// incarnation is what its disk has.
+	// incarnation is the incarnation stored on disk.
 	incarnation uint32
-	// usedSlots are the slots that the pools use until a time, and isExcluded is whether they use nothing at all.
+	// usedSlots has the slots that the pools use before until, and isExcluded reports whether the applied lease
+	// excludes the gateway.
 	usedSlots  []int
 	until      time.Duration
 	isExcluded bool
-	// extraTickDelay is how much later than usual it calls Tick.
+	// extraTickDelay is added to the delay between two calls of Tick.
 	extraTickDelay time.Duration
-	// lastSequences are those received, by gateway, for flaws.acceptsOldRequests.
+	// lastSequences has the last sequence number received from each gateway, for flaws.acceptsOldRequests.
 	lastSequences map[int]uint32
-	// lastSequence is that of the last request sent.
+	// lastSequence is the sequence number of the last request sent, for flaws.keepsOldGrants.
 	lastSequence uint32
-	// leasesSeen counts share leases, and leaseApplied is the number of the one that the pools have applied.
+	// leasesSeen counts share leases; leaseApplied is the number of the one that the pools have applied.
 	leasesSeen   int
 	leaseApplied int
 }
@@ -159,7 +161,7 @@
 	c.events.Push(event{c.now + max(0, delay), c.lastEvent, action})
 }
 
-// run goes on for a time and checks at intervals that no slot is used twice.
+// run advances the simulation by a length of time, and calls checkSlots at intervals.
 func (c *simulatedCluster) run(length, checkInterval time.Duration) {
 	end := c.now + length
 	for check := c.now; c.now < end; {
@@ -174,7 +176,7 @@
 	}
 }
 
-// checkSlots notes the first slot that two gateways use.
+// checkSlots records the first slot that two gateways use at the same time.
 func (c *simulatedCluster) checkSlots() {
 	const nobody = -1
 	users := make([]int, c.slotCount())
@@ -188,14 +190,15 @@
 		for _, slot := range gateway.usedSlots {
 			if users[slot] != nobody && c.violation == "" {
 				at := c.now - time.Hour
-				c.violation = fmt.Sprintf("at %v slot %d is used by %d and %d", at, slot, users[slot], gateway.index)
+				c.violation = fmt.Sprintf("at %v slot %d is used by gateways %d and %d", at, slot, users[slot],
+					gateway.index)
 			}
 			users[slot] = gateway.index
 		}
 	}
 }
 
-// usedFraction returns which fraction of all slots is in use.
+// usedFraction returns the fraction of all slots that is in use.
 func (c *simulatedCluster) usedFraction() float64 {
 	used := 0
 	for _, gateway := range c.gateways {
@@ -209,12 +212,12 @@
 // checkAllUsed returns an error if a slot is not in use.
 func (c *simulatedCluster) checkAllUsed() error {
 	if fraction := c.usedFraction(); fraction < 0.999 {
-		return fmt.Errorf("%.3f of all slots is used", fraction)
+		return fmt.Errorf("fraction of slots in use is %.3f", fraction)
 	}
 	return nil
 }
 
-// checkViewsAgree returns an error if a running gateway sees another one otherwise than it is.
+// checkViewsAgree returns an error if an active gateway has a wrong view of whether a gateway is active.
 func (c *simulatedCluster) checkViewsAgree() error {
 	for _, gateway := range c.gateways {
 		if !gateway.isActive() {
@@ -223,15 +226,17 @@
 		for _, m := range gateway.node.Members() {
 			isActive := c.gateways[m.Index].isActive()
 			if isActive != (m.State == membership.Alive || m.State == membership.Returned) {
-				return fmt.Errorf("%d, active %v, is %v at %d: %s", m.Index, isActive, m.State, gateway.index, m.Cause)
+				return fmt.Errorf("gateway %d, active %v, is %v at gateway %d: %s", m.Index, isActive, m.State,
+					gateway.index, m.Cause)
 			}
 		}
 	}
 	return nil
 }
 
-// waitFor runs until a condition holds and returns how long that took; it fails the test after a time.
-func (c *simulatedCluster) waitFor(t testing.TB, limit time.Duration, what string, check func() error) time.Duration {
+// waitFor advances the simulation until check returns nil, and returns how long that took. It fails the test if that
+// takes longer than limit.
+func (c *simulatedCluster) waitFor(t testing.TB, limit time.Duration, goal string, check func() error) time.Duration {
 	t.Helper()
 	begin := c.now
 	var err error
@@ -241,7 +246,7 @@
 		}
 		c.run(10*time.Millisecond, 10*time.Millisecond)
 	}
-	t.Errorf("%s: not within %v: %v", what, limit, err)
+	t.Errorf("no %s within %v: %v", goal, limit, err)
 	return limit
 }
 
@@ -253,14 +258,14 @@
 	return c
 }
 
-// isActive reports whether the gateway runs and is not suspended.
+// isActive reports whether the gateway is running and not suspended.
 func (g *simulatedGateway) isActive() bool { return g.isRunning && !g.isSuspended }
 
 func (g *simulatedGateway) clock() time.Duration {
 	return g.offset + time.Duration(float64(g.cluster.now)*g.drift)
 }
 
-// start starts a new process with the incarnation after that of its disk.
+// start starts a new process with the incarnation after the one on disk.
 func (g *simulatedGateway) start() {
 	g.incarnation++
 	g.startAs(membership.ID{Incarnation: g.incarnation, Nonce: g.cluster.rng.Uint32()})
@@ -279,7 +284,7 @@
 	}
 }
 
-// forgetGrants replaces the voter each second by one that grants at once.
+// forgetGrants replaces the voter every second with a new one that grants at once.
 func (g *simulatedGateway) forgetGrants() {
 	g.node.voter = quotalease.NewVoter(len(g.cluster.gateways), g.clock()-time.Hour)
 	g.cluster.schedule(time.Second, g.whileRunning(g.forgetGrants))
@@ -301,7 +306,8 @@
 	}
 }
 
-// whileRunning returns an action that is done only by the present process, and later if that is suspended.
+// whileRunning returns an action that runs only if the current process is still running, and is deferred while the
+// process is suspended.
 func (g *simulatedGateway) whileRunning(action func()) func() {
 	const maxPending = 1000
 	process := g.process
@@ -327,7 +333,7 @@
 	g.cluster.schedule(delay, g.whileRunning(g.tick))
 }
 
-// applyLease has the pools apply the node's share lease, a little later.
+// applyLease lets the pools apply the node's share lease after a random delay.
 func (g *simulatedGateway) applyLease() {
 	transitions := g.node.TakeTransitions()
 	for _, transition := range transitions {
@@ -353,7 +359,7 @@
 	number := g.leasesSeen
 	g.cluster.schedule(g.cluster.randomDuration(g.cluster.maxApplyDelay), g.whileRunning(func() {
 		if number < g.leaseApplied {
-			return // the pools have applied a newer one
+			return // the pools have applied a newer lease
 		}
 		g.leaseApplied = number
 		g.usedSlots, g.until, g.isExcluded = held, lease.Until, lease.Excluded
@@ -361,7 +367,7 @@
 	}))
 }
 
-// send puts messages on their way.
+// send sends messages over the simulated network.
 func (g *simulatedGateway) send(outgoing []Outgoing) {
 	for _, out := range outgoing {
 		if g.cluster.onSend != nil {
@@ -380,7 +386,7 @@
 	}
 }
 
-// receive hands a message to the node, changed by the flaws.
+// receive passes a message to the node, modified by the injected flaws.
 func (g *simulatedGateway) receive(from int, message Message) {
 	flaws := g.cluster.flaws
 	if message.Request != nil && flaws.acceptsOldRequests {
