--- a/internal/cluster/golden_test.go
+++ b/internal/cluster/golden_test.go
@@ -11,42 +11,42 @@
 	"gapgap/internal/quotalease"
 )
 
-// clusterPlay is one deterministic run of a cluster with random faults.
-type clusterPlay struct {
+// clusterScenario describes a deterministic run of a cluster with random faults.
+type clusterScenario struct {
 	seed     uint64
 	gateways int
 	length   time.Duration
-	// duplicate is whether a second process of one name runs for a while.
+	// duplicate adds a temporary second process with the name of gateway 0.
 	duplicate bool
 }
 
-// clusterTrace adds all that the nodes of a play return to a trace.
-type clusterTrace struct {
+// clusterRecorder records everything that the nodes of a cluster return in a trace.
+type clusterRecorder struct {
 	trace   *golden.Trace
 	cluster *simulatedCluster
 }
 
-// hash plays and returns the hash of all messages, share leases and transitions, in order.
-func (p clusterPlay) hash() string {
-	rng := rand.New(rand.NewPCG(p.seed, 24))
-	c := newSimulatedCluster(p.seed, p.gateways)
+// hash runs the scenario and returns the hash of all messages, share leases and transitions, in order.
+func (s clusterScenario) hash() string {
+	rng := rand.New(rand.NewPCG(s.seed, 24))
+	c := newSimulatedCluster(s.seed, s.gateways)
 	c.maxApplyDelay = time.Duration(1+rng.IntN(300)) * time.Millisecond
-	recorder := &clusterTrace{trace: golden.NewTrace(), cluster: c}
-	c.onSend = recorder.message
-	c.onShareLease = recorder.shareLease
-	side := make([]int, p.gateways)
+	recorder := &clusterRecorder{trace: golden.NewTrace(), cluster: c}
+	c.onSend = recorder.recordMessage
+	c.onShareLease = recorder.recordShareLease
+	side := make([]int, s.gateways)
 	loss := 0.0
 	c.network = func(from, to int) (bool, time.Duration) {
 		return side[from] != side[to] || c.rng.Float64() < loss, time.Duration(1+c.rng.IntN(30)) * time.Millisecond
 	}
 	c.startAll()
 	c.run(3*time.Second, 50*time.Millisecond)
-	if p.duplicate {
+	if s.duplicate {
 		recorder.runDuplicate()
 	}
-	for end := c.now + p.length; c.now < end; {
+	for end := c.now + s.length; c.now < end; {
 		c.run(time.Duration(rng.IntN(2500))*time.Millisecond, 50*time.Millisecond)
-		target := c.gateways[rng.IntN(p.gateways)]
+		target := c.gateways[rng.IntN(s.gateways)]
 		switch rng.IntN(9) {
 		case 0, 1:
 			if target.isRunning {
@@ -60,7 +60,7 @@
 			} else if target.isRunning {
 				target.resume()
 			}
-		case 3: // it has lost its disk
+		case 3: // restart with an empty disk
 			if target.isActive() {
 				target.incarnation = 0
 				target.start()
@@ -77,7 +77,7 @@
 			}
 		case 7:
 			if target.isActive() {
-				err := target.node.Forget(target.clock(), rng.IntN(p.gateways))
+				err := target.node.Forget(target.clock(), rng.IntN(s.gateways))
 				recorder.trace.Bool(err == nil)
 			}
 		default:
@@ -86,13 +86,13 @@
 		}
 	}
 	for _, gateway := range c.gateways {
-		recorder.members(gateway)
+		recorder.recordMembers(gateway)
 	}
 	return recorder.trace.Sum()
 }
 
-// runDuplicate runs a second process of gateway 0's name for some seconds, which hears gateway 1.
-func (recorder *clusterTrace) runDuplicate() {
+// runDuplicate runs a second process with the name of gateway 0 for 4 s. It receives the heartbeats of gateway 1 only.
+func (recorder *clusterRecorder) runDuplicate() {
 	c := recorder.cluster
 	duplicate := &simulatedGateway{cluster: c, index: 0, drift: 1}
 	duplicate.startAs(membership.ID{Incarnation: 1, Nonce: ^uint32(0)})
@@ -110,8 +110,8 @@
 	c.run(3*time.Second, 50*time.Millisecond)
 }
 
-// message adds a message that a node sends.
-func (recorder *clusterTrace) message(from int, out Outgoing) {
+// recordMessage records a message that a node sends.
+func (recorder *clusterRecorder) recordMessage(from int, out Outgoing) {
 	recorder.trace.Int(1)
 	recorder.trace.Int(int64(from))
 	recorder.trace.Duration(recorder.cluster.now)
@@ -119,26 +119,26 @@
 	recorder.trace.Bool(out.ReplyToSender)
 	switch {
 	case out.Message.Heartbeat != nil:
-		recorder.heartbeat(out.Message.Heartbeat)
+		recorder.recordHeartbeat(out.Message.Heartbeat)
 	case out.Message.Request != nil:
 		recorder.trace.Int(2)
-		recorder.id(out.Message.Request.ID)
+		recorder.recordID(out.Message.Request.ID)
 		recorder.trace.Uint(uint64(out.Message.Request.Sequence))
 		recorder.trace.String(string(out.Message.Request.Slots))
 	case out.Message.Grant != nil:
 		recorder.trace.Int(3)
-		recorder.id(out.Message.Grant.ID)
+		recorder.recordID(out.Message.Grant.ID)
 		recorder.trace.Uint(uint64(out.Message.Grant.Sequence))
 		recorder.trace.String(string(out.Message.Grant.Slots))
 	}
 }
 
-func (recorder *clusterTrace) heartbeat(heartbeat *membership.Heartbeat) {
+func (recorder *clusterRecorder) recordHeartbeat(heartbeat *membership.Heartbeat) {
 	recorder.trace.Int(1)
 	recorder.trace.Int(int64(len(heartbeat.Entries)))
 	for _, entry := range heartbeat.Entries {
 		recorder.trace.Int(int64(entry.Index))
-		recorder.id(entry.ID)
+		recorder.recordID(entry.ID)
 		recorder.trace.Uint(uint64(entry.Counter))
 		recorder.trace.Int(int64(entry.Phase))
 		recorder.trace.Int(int64(entry.AgeMillis))
@@ -146,8 +146,8 @@
 	recorder.trace.String(string(heartbeat.AliveBits))
 }
 
-// shareLease adds what a node permits, and what changed.
-func (recorder *clusterTrace) shareLease(
+// recordShareLease records a node's share lease, its transitions and the rest of its state.
+func (recorder *clusterRecorder) recordShareLease(
 	gateway *simulatedGateway, lease ShareLease, transitions []membership.Transition,
 ) {
 	recorder.trace.Int(2)
@@ -167,37 +167,37 @@
 		recorder.trace.Int(int64(transition.From))
 		recorder.trace.Int(int64(transition.To))
 		recorder.trace.String(transition.Cause)
-		recorder.id(transition.ID)
+		recorder.recordID(transition.ID)
 	}
 	duplicate, hasDuplicate := gateway.node.Duplicate(gateway.clock())
-	recorder.id(duplicate)
+	recorder.recordID(duplicate)
 	recorder.trace.Bool(hasDuplicate)
 	recorder.trace.Bool(gateway.node.TakeIncarnationChange())
 	recorder.trace.Bool(gateway.node.HasLeft())
-	recorder.id(gateway.node.ID())
-	held, of := gateway.node.Slots(gateway.clock())
+	recorder.recordID(gateway.node.ID())
+	held, total := gateway.node.Slots(gateway.clock())
 	recorder.trace.Int(int64(held))
-	recorder.trace.Int(int64(of))
+	recorder.trace.Int(int64(total))
 }
 
-// members adds how a node sees all gateways.
-func (recorder *clusterTrace) members(gateway *simulatedGateway) {
+// recordMembers records a node's view of all gateways.
+func (recorder *clusterRecorder) recordMembers(gateway *simulatedGateway) {
 	for _, m := range gateway.node.Members() {
 		recorder.trace.Int(int64(m.Index))
 		recorder.trace.Int(int64(m.State))
 		recorder.trace.String(m.Cause)
 		recorder.trace.Duration(m.Since)
-		recorder.id(m.ID)
+		recorder.recordID(m.ID)
 		recorder.trace.Duration(m.LastHeard)
 	}
 }
 
-func (recorder *clusterTrace) id(id membership.ID) {
+func (recorder *clusterRecorder) recordID(id membership.ID) {
 	recorder.trace.Uint(uint64(id.Incarnation))
 	recorder.trace.Uint(uint64(id.Nonce))
 }
 
-// TestGoldenCluster holds that a cluster behaves as in the program that the hashes were recorded from.
+// TestGoldenCluster verifies that a cluster produces the same traces as the version that the hashes were recorded from.
 func TestGoldenCluster(t *testing.T) {
 	skipUnderRaceDetector(t)
 	recorded := golden.LoadHashes(t, "testdata/golden/cluster.txt")
@@ -206,24 +206,24 @@
 		length   time.Duration
 	}{{2, 20 * time.Second}, {3, 20 * time.Second}, {5, 20 * time.Second}, {20, 6 * time.Second}, {80, time.Second}} {
 		for seed := range uint64(5) {
-			play := clusterPlay{
+			scenario := clusterScenario{
 				seed:      seed + 1,
 				gateways:  size.gateways,
 				length:    size.length,
 				duplicate: seed%2 == 1 && size.gateways < 80,
 			}
-			name := fmt.Sprintf("%d/%d", play.gateways, play.seed)
-			recorded.CheckPlay(t, name, play.hash)
+			name := fmt.Sprintf("%d/%d", scenario.gateways, scenario.seed)
+			recorded.CheckPlay(t, name, scenario.hash)
 		}
 	}
 	recorded.CheckAllPlayed(t)
 }
 
-// TestInvalidMessagesAreRejected holds that a malformed message is answered by an error and by nothing else.
+// TestInvalidMessagesAreRejected verifies that Receive returns an error and no messages for an invalid message.
 func TestInvalidMessagesAreRejected(t *testing.T) {
 	id := membership.ID{Incarnation: 1}
 	node := New(Config{Index: 2, Gateways: 8, ID: id}, time.Hour, rand.New(rand.NewPCG(1, 1)))
-	last := New(Config{Index: 7, Gateways: 8, ID: id}, time.Hour, rand.New(rand.NewPCG(1, 1)))
+	nonVoter := New(Config{Index: 7, Gateways: 8, ID: id}, time.Hour, rand.New(rand.NewPCG(1, 1)))
 	set := quotalease.NewSlotSet(8)
 	cases := []struct {
 		name string
@@ -231,13 +231,13 @@
 		from int
 		msg  Message
 	}{
-		{"nothing in it", node, 1, Message{}},
-		{"sender below the list", node, -1, Message{Grant: &quotalease.Grant{Slots: set}}},
-		{"sender beyond the list", node, 8, Message{Grant: &quotalease.Grant{Slots: set}}},
+		{"empty message", node, 1, Message{}},
+		{"negative sender index", node, -1, Message{Grant: &quotalease.Grant{Slots: set}}},
+		{"sender index beyond the list", node, 8, Message{Grant: &quotalease.Grant{Slots: set}}},
 		{"heartbeat without entries", node, 1, Message{Heartbeat: &membership.Heartbeat{}}},
-		{"claim of a short set", node, 1, Message{Request: &quotalease.Request{Slots: set[1:]}}},
-		{"grant of a short set", node, 1, Message{Grant: &quotalease.Grant{Slots: set[1:]}}},
-		{"claim to a gateway without a vote", last, 1, Message{Request: &quotalease.Request{Sequence: 1, Slots: set}}},
+		{"request with a short slot set", node, 1, Message{Request: &quotalease.Request{Slots: set[1:]}}},
+		{"grant with a short slot set", node, 1, Message{Grant: &quotalease.Grant{Slots: set[1:]}}},
+		{"request to a non-voter", nonVoter, 1, Message{Request: &quotalease.Request{Sequence: 1, Slots: set}}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
