--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -8,15 +8,16 @@
 	"time"
 )
 
-// errRejected says that discovery answers and has no capacity for this gateway's watch.
-var errRejected = errors.New("discovery turns this door away")
+// errRejected is wrapped by the error for an answer with another status than 200: discovery is reachable but has no
+// capacity for this gateway's watch.
+var errRejected = errors.New("discovery rejected the watch")
 
-// listURL is where the list is watched.
+// listURL returns the URL at which the list is watched.
 func listURL(address string) string { return "http://" + address + "/catalog/members" }
 
-// open asks for a watch until one is there, and returns its response with what ends it. Where lists are pushed, further
-// calls are made beside one that is not answered, up to maxParallelCalls, and the first that is answered counts: open
-// then returns an error only when a call is rejected or the context ends.
+// open starts a watch and returns its response, with a function that ends the watch. If lists are pushed, open makes
+// further calls in parallel while none is answered, up to maxParallelCalls, and uses the first one that is answered. It
+// then returns an error only if a call is rejected or the context ends.
 func (w *Watch) open(ctx context.Context, interval *callInterval, url string) (*http.Response,
 	context.CancelFunc, error) {
 	calls := newParallelCalls(w, url)
@@ -38,7 +39,7 @@
 				next.Reset(answerTimeout)
 			}
 		case result := <-calls.results:
-			call, isOpen := calls.take(result)
+			call, isOpen := calls.finish(result)
 			switch {
 			case !isOpen:
 			case result.err == nil:
@@ -49,14 +50,14 @@
 				if !w.cfg.Pushed || errors.Is(result.err, errRejected) {
 					return nil, nil, result.err
 				}
-				next.Reset(pushedPause) // the agent can be reached, or is about to
+				next.Reset(pushedPause) // the call failed early: the agent is reachable or about to be
 			}
 		}
 	}
 }
 
-// parallelCalls are calls for one watch of which the first that is answered counts. The goroutine that watches owns it;
-// each call has a goroutine that ends with its result.
+// parallelCalls is a set of calls for one watch, of which the first one that is answered is used. The watch goroutine
+// owns it. Each call runs in its own goroutine, which ends when the result is delivered or discarded.
 type parallelCalls struct {
 	watch *Watch
 	url   string
@@ -64,35 +65,35 @@
 	made    int
 	open    map[int]openCall
 	results chan callResult
-	// over is closed when no result is wanted any more.
-	over chan struct{}
+	// done is closed when no further results are needed.
+	done chan struct{}
 }
 
-// openCall is a call without a result.
+// openCall is a call that has no result yet.
 type openCall struct {
 	cancel    context.CancelFunc
 	startedAt time.Time
 }
 
-// callResult is the result of a call. The response is nil if err is not.
+// callResult is the result of a call. The response is nil if err is non-nil.
 type callResult struct {
 	number   int
 	response *http.Response
 	err      error
 }
 
-// newParallelCalls returns a set of no calls.
+// newParallelCalls returns an empty set of calls.
 func newParallelCalls(w *Watch, url string) *parallelCalls {
 	return &parallelCalls{
 		watch:   w,
 		url:     url,
 		open:    map[int]openCall{},
 		results: make(chan callResult),
-		over:    make(chan struct{}),
+		done:    make(chan struct{}),
 	}
 }
 
-// start makes one more call, and gives up those that are too old or too many.
+// start starts another call, and cancels those that exceed maxParallelCalls or maxParallelWait.
 func (c *parallelCalls) start(ctx context.Context) {
 	for number, call := range c.open {
 		if number <= c.made-maxParallelCalls || time.Since(call.startedAt) >= maxParallelWait {
@@ -102,20 +103,21 @@
 	}
 	number := c.made
 	c.made++
-	own, cancel := context.WithCancel(ctx)
+	callCtx, cancel := context.WithCancel(ctx)
 	c.open[number] = openCall{cancel: cancel, startedAt: time.Now()}
 	go func() {
-		response, err := c.watch.get(own, c.url)
+		response, err := c.watch.get(callCtx, c.url)
 		select {
 		case c.results <- callResult{number: number, response: response, err: err}:
-		case <-c.over:
+		case <-c.done:
 			closeBody(response)
 		}
 	}()
 }
 
-// take returns the call of a result. It returns false if the call was given up: then its response is closed.
-func (c *parallelCalls) take(result callResult) (openCall, bool) {
+// finish removes and returns the call of a result. If the call was canceled, finish closes the response and returns
+// false.
+func (c *parallelCalls) finish(result callResult) (openCall, bool) {
 	call, isOpen := c.open[result.number]
 	delete(c.open, result.number)
 	if !isOpen {
@@ -124,15 +126,15 @@
 	return call, isOpen
 }
 
-// cancelAll gives up all calls that are open.
+// cancelAll cancels all open calls.
 func (c *parallelCalls) cancelAll() {
-	close(c.over)
+	close(c.done)
 	for _, call := range c.open {
 		call.cancel()
 	}
 }
 
-// get makes one call. Its response must be closed.
+// get makes one call. The caller must close the body of the response.
 func (w *Watch) get(ctx context.Context, url string) (*http.Response, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -149,7 +151,7 @@
 	return response, nil
 }
 
-// closeBody closes the body of a response; nil is ignored. Nobody reads it any more, so its error says nothing.
+// closeBody closes the body of a response, which may be nil. The error is ignored because the body is no longer read.
 func closeBody(response *http.Response) {
 	if response != nil {
 		_ = response.Body.Close()
