--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -1,9 +1,10 @@
-// Package backoff tells a client how long to wait before it tries again, when many others were rejected at the same
-// time. It does no input or output; the caller hands in the random source.
+// Package backoff computes randomized exponential retry delays for clients that were rejected at the same time. It
+// performs no I/O; the caller supplies the random source.
 //
-// Pauses grow by a factor and are drawn from the whole range around their mean, so clients that began together do not
-// come back together (Brooker, "Exponential Backoff and Jitter", 2015). The first mean grows with the number of
-// clients, as all of them come at once after a mass restart, while what they share answers only so many a second.
+// Delays grow by a constant factor and are jittered around their mean, so that clients which started together do not
+// retry together (Brooker, "Exponential Backoff and Jitter", 2015). The initial mean is proportional to the number of
+// clients: after a mass restart they all retry at once, while the service they share can answer only a limited number
+// per second.
 package backoff
 
 import (
@@ -11,38 +12,38 @@
 	"time"
 )
 
-// minRate replaces a rate of answers that is too low to divide by, per second.
-const minRate = 1e-3
+// minAnswerRate is the lower bound on an answer rate, per second. It avoids a division by zero.
+const minAnswerRate = 1e-3
 
-// Policy is the same for all clients of a service.
+// Policy holds the backoff parameters shared by all clients of a service.
 type Policy struct {
-	// Initial is the mean pause after the first failure.
+	// Initial is the mean delay after the first failure.
 	Initial time.Duration
-	// Max is the longest mean pause.
+	// Max is the upper bound on the mean delay.
 	Max time.Duration
-	// Multiplier is the factor from one mean to the next; under 1 counts as 1.
+	// Multiplier is the growth factor of the mean after each further failure. Values below 1 count as 1.
 	Multiplier float64
 }
 
-// PolicyFor returns the policy for a number of clients of a service that answers answersPerSecond in all. No pause is
-// shorter than by the policy given.
-func PolicyFor(clients int, answersPerSecond float64, shortest Policy) Policy {
-	seconds := float64(max(1, clients)) / max(minRate, answersPerSecond)
-	allAnswered := time.Duration(seconds * float64(time.Second))
-	policy := shortest
-	policy.Initial = max(shortest.Initial, allAnswered/2)
-	policy.Max = max(shortest.Max, policy.Initial, 2*allAnswered)
+// PolicyFor returns the policy for a number of clients sharing a service that answers answersPerSecond requests in
+// total. Its delays are never shorter than those of the minimum policy.
+func PolicyFor(clients int, answersPerSecond float64, minimum Policy) Policy {
+	seconds := float64(max(1, clients)) / max(minAnswerRate, answersPerSecond)
+	timeToAnswerAll := time.Duration(seconds * float64(time.Second))
+	policy := minimum
+	policy.Initial = max(minimum.Initial, timeToAnswerAll/2)
+	policy.Max = max(minimum.Max, policy.Initial, 2*timeToAnswerAll)
 	return policy
 }
 
-// Backoff is the state of one client. It is ready once its Policy is set, and belongs to one goroutine.
+// Backoff is the backoff state of one client. Set its Policy before use. It is not safe for concurrent use.
 type Backoff struct {
 	Policy
-	// mean is the last mean pause; 0: no failure since the last success.
+	// mean is the last mean delay. 0 means no failure since the last success.
 	mean time.Duration
 }
 
-// Next returns the pause after another failure. It is evenly distributed from half to one and a half times the mean.
+// Next returns the delay after another failure, uniformly distributed between half and one and a half times the mean.
 func (b *Backoff) Next(rng *rand.Rand) time.Duration {
 	if b.mean == 0 {
 		b.mean = b.Initial
@@ -52,5 +53,5 @@
 	return b.mean/2 + time.Duration(rng.Int64N(int64(b.mean)+1))
 }
 
-// Reset starts again with the first pause, after a success.
+// Reset returns to the initial delay. Call it after a success.
 func (b *Backoff) Reset() { b.mean = 0 }
