--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -9,8 +9,9 @@
 
 var minPolicy = Policy{Initial: 100 * time.Millisecond, Max: 500 * time.Millisecond, Multiplier: 1.5}
 
-// Clients that are all rejected at the same instant, by a service that answers 20 a second and rejects who would wait
-// for over 2 s, are all answered within a few times the time that this takes, and are seldom rejected.
+// TestAllClientsAreAnsweredAfterMassRestart verifies that clients which are all rejected at the same instant, by a
+// service that answers 20 requests per second and rejects those that would wait for more than 2 s, are all answered
+// within a small multiple of the minimum time and are rejected at most twice each on average.
 func TestAllClientsAreAnsweredAfterMassRestart(t *testing.T) {
 	for _, clients := range []int{2, 20, 80, 200} {
 		t.Run(fmt.Sprint(clients, " clients"), func(t *testing.T) {
@@ -18,17 +19,17 @@
 			lastAnswer, rejections := answerAll(t, clients, perSecond)
 			needed := time.Duration(float64(clients) / perSecond * float64(time.Second))
 			if lastAnswer > 3*needed+time.Second {
-				t.Errorf("the last client was answered after %v; %v would do", lastAnswer, needed)
+				t.Errorf("the last client was answered after %v; the minimum is %v", lastAnswer, needed)
 			}
 			if rejections > 2*clients {
-				t.Errorf("%d rejections", rejections)
+				t.Errorf("%d rejections, want at most two per client", rejections)
 			}
 		})
 	}
 }
 
-// answerAll lets clients try until all are answered. It returns when the last one was, and how often they were
-// rejected.
+// answerAll lets clients retry until all are answered. It returns the time of the last answer and the number of
+// rejections.
 func answerAll(t *testing.T, clients int, perSecond float64) (lastAnswer time.Duration, rejections int) {
 	t.Helper()
 	const answered = time.Duration(-1)
@@ -44,7 +45,7 @@
 	waiting := clients
 	for now := time.Duration(0); waiting > 0; now += 10 * time.Millisecond {
 		if now > 10*time.Minute {
-			t.Fatalf("%d of %d clients are not answered after ten minutes", waiting, clients)
+			t.Fatalf("%d of %d clients are still not answered after ten minutes", waiting, clients)
 		}
 		for i := range tryAt {
 			if tryAt[i] == answered || tryAt[i] > now {
@@ -63,37 +64,39 @@
 	return busyUntil, rejections
 }
 
+// TestPausesGrowToMaxAndReset verifies that delays grow up to the maximum and that Reset returns to the initial delay.
 func TestPausesGrowToMaxAndReset(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	b := Backoff{Policy: minPolicy}
 	first := b.Next(rng)
 	if first < 50*time.Millisecond || first > 150*time.Millisecond {
-		t.Errorf("first pause %v", first)
+		t.Errorf("first delay is %v, want 50 ms to 150 ms", first)
 	}
 	for range 100 {
-		if pause := b.Next(rng); pause > 750*time.Millisecond {
-			t.Fatalf("pause %v", pause)
+		if delay := b.Next(rng); delay > 750*time.Millisecond {
+			t.Fatalf("delay %v exceeds one and a half times the maximum mean", delay)
 		}
 	}
-	if pause := b.Next(rng); pause < 250*time.Millisecond {
-		t.Errorf("pause %v after many failures", pause)
+	if delay := b.Next(rng); delay < 250*time.Millisecond {
+		t.Errorf("delay is %v after many failures, want at least 250 ms", delay)
 	}
 	b.Reset()
-	if pause := b.Next(rng); pause > 150*time.Millisecond {
-		t.Errorf("pause %v after a success", pause)
+	if delay := b.Next(rng); delay > 150*time.Millisecond {
+		t.Errorf("delay is %v after a success, want at most 150 ms", delay)
 	}
 }
 
+// TestInvalidPolicies verifies that invalid client counts and zero rates or policies never yield a negative delay.
 func TestInvalidPolicies(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	for _, clients := range []int{-3, 0, 1} {
 		b := Backoff{Policy: PolicyFor(clients, 0, Policy{})}
-		if pause := b.Next(rng); pause < 0 {
-			t.Errorf("%d clients: pause %v", clients, pause)
+		if delay := b.Next(rng); delay < 0 {
+			t.Errorf("%d clients: negative delay %v", clients, delay)
 		}
 	}
 	var b Backoff
-	if pause := b.Next(rng); pause != 0 {
-		t.Errorf("no policy: pause %v", pause)
+	if delay := b.Next(rng); delay != 0 {
+		t.Errorf("zero policy: delay is %v, want 0", delay)
 	}
 }
