--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -1,5 +1,5 @@
-// Package eventloop runs tasks and timers on one goroutine. The goroutine that calls Loop.Wait again and again is the
-// loop goroutine: it alone runs tasks and timers, and it alone may touch what they own. All others hand it tasks by
+// Package eventloop runs tasks and timers on a single goroutine. The goroutine that repeatedly calls Loop.Wait is the
+// loop goroutine. Only it runs tasks and timers and accesses the data they own; other goroutines submit tasks with
 // Loop.Post.
 package eventloop
 
@@ -9,68 +9,69 @@
 )
 
 const (
-	// maxTasks is how many tasks may wait. A goroutine that posts more blocks until the loop has run one.
+	// maxTasks is the capacity of the task queue. Loop.Post blocks while the queue is full.
 	maxTasks = 1024
-	// noTimerWait is the longest wait of a loop without timers.
+	// noTimerWait bounds a wait when no timer is set.
 	noTimerWait = time.Hour
 )
 
-// Loop holds the tasks and timers of one loop goroutine. It is made by New, NewAt or Like.
+// Loop holds the task queue and the timers of one loop goroutine. Create it with New, NewAt or NewWithSameClock.
 type Loop struct {
 	started time.Time
-	// base is the clock at started.
-	base   time.Duration
-	tasks  chan func()
-	done   chan struct{}
-	alarm  *time.Timer
-	timers timerHeap
-	coarse atomic.Int64
+	// clockAtStart is the reading of the loop clock at the time started.
+	clockAtStart time.Duration
+	tasks        chan func()
+	done         chan struct{}
+	wakeTimer    *time.Timer
+	timers       timerHeap
+	coarseNow    atomic.Int64
 }
 
-// New returns a loop whose clock starts at the present Unix time.
+// New returns a loop whose clock starts at the current Unix time.
 func New() *Loop { return NewAt(time.Now()) }
 
-// NewAt returns a loop whose clock started at a time, so that several loops can have one clock.
+// NewAt returns a loop whose clock started at the given time, so that several loops can share a clock.
 func NewAt(started time.Time) *Loop {
-	alarm := time.NewTimer(noTimerWait)
-	alarm.Stop()
+	wakeTimer := time.NewTimer(noTimerWait)
+	wakeTimer.Stop()
 	return &Loop{
-		started: started,
-		base:    time.Duration(started.UnixNano()),
-		tasks:   make(chan func(), maxTasks),
-		done:    make(chan struct{}),
-		alarm:   alarm,
+		started:      started,
+		clockAtStart: time.Duration(started.UnixNano()),
+		tasks:        make(chan func(), maxTasks),
+		done:         make(chan struct{}),
+		wakeTimer:    wakeTimer,
 	}
 }
 
-// NewWithSameClock returns a loop with the clock of this one.
+// NewWithSameClock returns a new loop with the same clock as l.
 func (l *Loop) NewWithSameClock() *Loop {
 	other := NewAt(l.started)
-	other.base = l.base
+	other.clockAtStart = l.clockAtStart
 	return other
 }
 
-// SkewClock puts the clock ahead of the machine's, for tests of machines whose clock is wrong. It is called before all
-// else.
-func (l *Loop) SkewClock(by time.Duration) { l.base += by }
+// SkewClock moves the clock ahead of the system clock, for tests of machines whose clock is wrong. Call it before any
+// other method.
+func (l *Loop) SkewClock(by time.Duration) { l.clockAtStart += by }
 
-// Now returns the Unix time at the start and what has passed since, so it never goes back. All gateways read about the
-// same, as they name the counter's numbers by it. Any goroutine may call it.
+// Now returns the Unix time at the start plus the monotonic time elapsed since, so it never decreases. Gateways need
+// nearly equal clocks, since they derive the names of shared counter windows from it. It is safe for concurrent use.
 func (l *Loop) Now() time.Duration {
-	return l.base + time.Since(l.started)
+	return l.clockAtStart + time.Since(l.started)
 }
 
-// Coarse returns the clock as the loop read it when its turn began. It is cheap, exact enough for the loop's own tasks,
-// and some milliseconds late for other goroutines while the loop waits. Any goroutine may call it.
+// Coarse returns the clock reading taken at the start of the current turn of the loop. It is cheaper than Now and
+// precise enough for the tasks of the loop itself. For other goroutines it may be some milliseconds old while the loop
+// waits. It is safe for concurrent use.
 func (l *Loop) Coarse() time.Duration {
-	if t := l.coarse.Load(); t > 0 {
+	if t := l.coarseNow.Load(); t > 0 {
 		return time.Duration(t)
 	}
 	return l.Now()
 }
 
-// Post hands the loop a task and blocks while too many wait. After Close it does nothing. Any goroutine but the loop's
-// may call it.
+// Post submits a task to the loop, blocking while the queue is full. After Close it does nothing. Any goroutine except
+// the loop goroutine may call it.
 func (l *Loop) Post(task func()) {
 	select {
 	case l.tasks <- task:
@@ -78,8 +79,8 @@
 	}
 }
 
-// PostUntil is Post that gives up when the signal is closed or the loop is. It tells whether the task was posted, and
-// posts it whatever the signal where there is capacity.
+// PostUntil is like Post but gives up when signal or the loop is closed. It reports whether the task was queued. If the
+// queue has capacity, the task is queued even if signal is already closed.
 func (l *Loop) PostUntil(task func(), signal <-chan struct{}) bool {
 	select {
 	case l.tasks <- task:
@@ -98,32 +99,33 @@
 // Close ends the loop: it runs no more tasks.
 func (l *Loop) Close() { close(l.done) }
 
-// Done returns a channel that Close closes.
+// Done returns a channel that is closed by Close.
 func (l *Loop) Done() <-chan struct{} { return l.done }
 
-// Wait waits for a task, a due timer, the limit or the signal, and runs all tasks that wait and all timers that are
-// due. It tells whether it was the signal that came.
+// Wait waits for a task, a due timer, the time limit or the signal, then runs all queued tasks and all due timers. It
+// reports whether the signal was received.
 func (l *Loop) Wait(limit time.Duration, signal <-chan struct{}) bool {
 	first, signalled := l.Sleep(limit, signal)
 	l.RunPending(first, len(l.tasks))
 	return signalled
 }
 
-// Sleep waits for a task, a due timer, the limit or the signal. If a task came it must be handed to RunPending.
+// Sleep waits for a task, a due timer, the time limit or the signal. If it returns a task, the caller must pass it to
+// RunPending.
 func (l *Loop) Sleep(limit time.Duration, signal <-chan struct{}) (first func(), signalled bool) {
-	l.alarm.Reset(min(limit, l.untilNextTimer(l.Now())))
+	l.wakeTimer.Reset(min(limit, l.timeToNextTimer(l.Now())))
 	select {
 	case first = <-l.tasks:
-	case <-l.alarm.C:
+	case <-l.wakeTimer.C:
 	case <-signal:
 		signalled = true
 	}
 	return first, signalled
 }
 
-// RunPending runs the first task, unless it is nil, up to a number more that wait, and the timers that are due.
+// RunPending runs the first task, unless it is nil, then up to more queued tasks and all due timers.
 func (l *Loop) RunPending(first func(), more int) {
-	l.coarse.Store(int64(l.Now()))
+	l.coarseNow.Store(int64(l.Now()))
 	if first != nil {
 		first()
 	}
@@ -133,7 +135,7 @@
 	l.RunDue(l.Now())
 }
 
-// RunTask runs one task if one waits, and tells whether it did.
+// RunTask runs one task if one is queued, and reports whether it did.
 func (l *Loop) RunTask() bool {
 	select {
 	case task := <-l.tasks:
--- a/internal/eventloop/eventloop_test.go
+++ b/internal/eventloop/eventloop_test.go
@@ -5,16 +5,18 @@
 	"time"
 )
 
-// All front doors name the counter's numbers by the time, so theirs must be the same clock.
+// TestClockIsUnixTime verifies that the loop clock is Unix time. Gateways derive the names of shared counter windows
+// from the time, so their clocks must agree.
 func TestClockIsUnixTime(t *testing.T) {
 	l := New()
 	before := time.Now().UnixNano()
 	now := l.Now().Nanoseconds()
 	if after := time.Now().UnixNano(); now < before-int64(time.Second) || now > after+int64(time.Second) {
-		t.Errorf("the loop's clock is %v off", time.Duration(now-before))
+		t.Errorf("the loop clock is off by %v", time.Duration(now-before))
 	}
 }
 
+// TestTimers verifies that due timers run in order of their times and that stopped timers do not run.
 func TestTimers(t *testing.T) {
 	l := New()
 	var got []int
@@ -26,17 +28,17 @@
 	third.Stop()
 	third.Stop()
 	(*Timer)(nil).Stop()
-	if next := l.untilNextTimer(0); next != 1 {
-		t.Errorf("next in %d", next)
+	if next := l.timeToNextTimer(0); next != 1 {
+		t.Errorf("next timer is due in %d, want 1", next)
 	}
 	l.RunDue(3)
 	first.Stop()
-	if len(got) != 2 || got[0] != 1 || got[1] != 2 || l.untilNextTimer(9) != 0 {
-		t.Errorf("ran %v", got)
+	if len(got) != 2 || got[0] != 1 || got[1] != 2 || l.timeToNextTimer(9) != 0 {
+		t.Errorf("timers that ran: %v", got)
 	}
 }
 
-// What is posted after the end must not hold up the goroutine that posts it.
+// TestPostAfterClose verifies that posting to a closed loop does not block the calling goroutine.
 func TestPostAfterClose(t *testing.T) {
 	l := New()
 	l.Close()
--- a/internal/eventloop/timer.go
+++ b/internal/eventloop/timer.go
@@ -5,54 +5,55 @@
 	"time"
 )
 
-// Timer runs a task at a time of a loop's clock.
+// Timer runs a task at a given time of a loop clock.
 type Timer struct {
 	at   time.Duration
 	task func()
-	// position is the index in the heap; -1: the timer has run or was stopped.
+	// position is the index in the heap. -1 means that the timer has fired or was stopped.
 	position int
 	loop     *Loop
 }
 
-// At runs a task at or after a time of the loop's clock. Only the loop goroutine may call it.
+// At schedules a task to run at or after a given time of the loop clock. Only the loop goroutine may call it.
 func (l *Loop) At(at time.Duration, task func()) *Timer {
 	timer := &Timer{at: at, task: task, loop: l}
 	heap.Push(&l.timers, timer)
 	return timer
 }
 
-// Every runs a task again and again with a pause between. Only the loop goroutine may call it.
-func (l *Loop) Every(pause time.Duration, task func()) {
-	l.At(l.Now()+pause, func() {
+// Every runs a task repeatedly, with the given interval between runs. Only the loop goroutine may call it.
+func (l *Loop) Every(interval time.Duration, task func()) {
+	l.At(l.Now()+interval, func() {
 		task()
-		l.Every(pause, task)
+		l.Every(interval, task)
 	})
 }
 
-// Stop keeps the timer from running. A nil timer, or one that has run, is ignored. Only the loop goroutine may call it.
+// Stop cancels the timer. It does nothing if the timer is nil, has fired or was stopped before. Only the loop goroutine
+// may call it.
 func (t *Timer) Stop() {
 	if t != nil && t.position >= 0 {
 		heap.Remove(&t.loop.timers, t.position)
 	}
 }
 
-// RunDue runs the timers that are due at a time.
+// RunDue runs all timers that are due at the given time.
 func (l *Loop) RunDue(now time.Duration) {
 	for len(l.timers) > 0 && l.timers[0].at <= now {
 		heap.Pop(&l.timers).(*Timer).task()
 	}
 }
 
-// untilNextTimer returns the time until the first timer.
-func (l *Loop) untilNextTimer(now time.Duration) time.Duration {
+// timeToNextTimer returns the time until the earliest timer is due.
+func (l *Loop) timeToNextTimer(now time.Duration) time.Duration {
 	if len(l.timers) == 0 {
 		return noTimerWait
 	}
 	return max(0, l.timers[0].at-now)
 }
 
-// timerHeap implements heap.Interface. It does not use package priorityqueue, whose items cost more: each request sets
-// and stops a few timers (BenchmarkTimers).
+// timerHeap implements heap.Interface. It is used instead of package priorityqueue, whose items cost more: every
+// request sets and stops several timers (see BenchmarkTimers).
 type timerHeap []*Timer
 
 func (h timerHeap) Len() int           { return len(h) }
