--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -1,5 +1,5 @@
-// Package trace writes a line for each event of a gateway, for those who look for a cause: what became of each request
-// and why, each attempt, counter call, connection and endpoint update. It is off unless asked for.
+// Package trace writes one line per event of a gateway, for diagnosis: the outcome of each request and its reason, each
+// attempt, counter call, connection and endpoint update. It is off by default.
 //
 // The event loop owns a Log. All methods may be called on a nil *Log, which writes nothing.
 package trace
@@ -10,28 +10,29 @@
 	"time"
 )
 
-// MaxLines is how many lines are written in a second. Further ones are counted and reported in the next second.
+// MaxLines bounds the lines written per second. Further lines are counted and reported in the next second.
 const MaxLines = 2000
 
 // Log writes trace lines.
 type Log struct {
 	out io.Writer
 	now func() time.Duration
-	// second is that of the last line, lines how many it has had, dropped how many of them were not written.
+	// second is the clock second of the last line. lines counts the lines requested in that second, and dropped counts
+	// those that were not written.
 	second  int64
 	lines   int
 	dropped int
 	buffer  []byte
 }
 
-// New returns a log on a clock, whose milliseconds the lines tell.
+// New returns a log that timestamps its lines with the milliseconds of the given clock.
 func New(out io.Writer, now func() time.Duration) *Log { return &Log{out: out, now: now} }
 
-// On tells whether lines are written.
+// On reports whether tracing is enabled.
 func (l *Log) On() bool { return l != nil }
 
-// Line writes one line: a kind of event, then fields as key=value without spaces in them. Errors of the writer are
-// ignored: a trace must not disturb what it shows.
+// Line writes one line: the kind of event followed by key=value fields without spaces. Write errors are ignored, so
+// that tracing never affects the gateway it observes.
 func (l *Log) Line(kind string, format string, args ...any) {
 	if l == nil {
 		return
@@ -48,7 +49,7 @@
 	_, _ = l.out.Write(l.buffer)
 }
 
-// beginSecond starts to count anew with each second and reports what the last one dropped.
+// beginSecond resets the line count when a new second begins and reports the lines dropped in the last one.
 func (l *Log) beginSecond(now time.Duration) {
 	second := int64(now / time.Second)
 	if second == l.second {
@@ -62,5 +63,5 @@
 	}
 }
 
-// MS returns a duration in milliseconds, as lines tell it.
+// MS converts a duration to milliseconds, the unit used in trace lines.
 func MS(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -7,6 +7,8 @@
 	"time"
 )
 
+// TestLinesAreBoundedAndTheRestIsCounted verifies that at most MaxLines are written per second and that the next second
+// reports how many were dropped.
 func TestLinesAreBoundedAndTheRestIsCounted(t *testing.T) {
 	var out bytes.Buffer
 	now := 10 * time.Second
@@ -25,15 +27,16 @@
 	}
 }
 
+// TestOffWritesNothing verifies that a nil log can be used and is off.
 func TestOffWritesNothing(t *testing.T) {
 	var l *Log
 	if l.On() {
-		t.Error("a nil log is on")
+		t.Error("a nil log reports that tracing is on")
 	}
 	l.Line("end", "id=%d", 1) // must not panic
 }
 
-// What a log that is off costs where it is asked first: nothing that is allocated.
+// TestOffAllocatesNothing verifies that a disabled log causes no allocation when callers check On first.
 func TestOffAllocatesNothing(t *testing.T) {
 	var l *Log
 	if n := testing.AllocsPerRun(100, func() {
@@ -41,6 +44,6 @@
 			l.Line("end", "id=%d", 1)
 		}
 	}); n != 0 {
-		t.Errorf("%.0f allocations", n)
+		t.Errorf("got %.0f allocations, want 0", n)
 	}
 }
