--- a/internal/proxy/administration.go
+++ b/internal/proxy/administration.go
@@ -9,22 +9,22 @@
 	"gapgap/internal/balancer"
 )
 
-// errNoTime says that a call did not get its turn on the loop in time. It may yet be carried out.
-var errNoTime = errors.New("no time for it now: say it again")
+// errLoopTimeout says that a call did not get its turn on the loop in time. It may yet be carried out.
+var errLoopTimeout = errors.New("no time for it now: say it again")
 
 // AdminEject keeps new requests from an endpoint until AdminRestore, whatever the endpoint list says. When it returns
 // nil the Balancer and the connections to the endpoint have heard; a second call does no harm. since is when that was
 // first asked for; 0: now. Its error is ErrNeverListed or tells that there was no time. Any goroutine may call it; it
 // blocks until the loop has done it or the context ends.
 func (p *Proxy) AdminEject(ctx context.Context, name string, since time.Duration) error {
-	return p.administer(ctx, name, func() { p.eject(name, since) })
+	return p.runForKnownEndpoint(ctx, name, func() { p.eject(name, since) })
 }
 
 // AdminRestore ends AdminEject, under the same terms.
 func (p *Proxy) AdminRestore(ctx context.Context, name string) error {
-	return p.administer(ctx, name, func() {
+	return p.runForKnownEndpoint(ctx, name, func() {
 		delete(p.names.ejected, name)
-		p.upstream.Hold(name, false)
+		p.upstream.SetBlocked(name, false)
 		p.Enqueue(balancer.AdminRestore{Endpoint: name})
 	})
 }
@@ -51,11 +51,11 @@
 func (p *Proxy) eject(name string, since time.Duration) {
 	p.names.ejected[name] = true
 	p.Enqueue(balancer.AdminEject{Endpoint: name, At: since})
-	p.upstream.Hold(name, true)
+	p.upstream.SetBlocked(name, true)
 }
 
-// administer carries out a call for an endpoint that was listed once, and the step for it.
-func (p *Proxy) administer(ctx context.Context, name string, call func()) error {
+// runForKnownEndpoint carries out a call for an endpoint that was listed once, and the step for it.
+func (p *Proxy) runForKnownEndpoint(ctx context.Context, name string, call func()) error {
 	return p.runOnLoop(ctx, func() error {
 		if !p.names.contains(name) {
 			return fmt.Errorf("%q: %w", name, ErrNeverListed)
@@ -77,5 +77,5 @@
 		case <-p.Done():
 		}
 	}
-	return errNoTime
+	return errLoopTimeout
 }
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -21,8 +21,8 @@
 	sent bool
 }
 
-// Begun implements upstream.Owner. From here on the request has no deadline and no further attempt.
-func (a *attempt) Begun(size int) upstream.Sink {
+// StartLongValue implements upstream.Owner. From here on the request has no deadline and no further attempt.
+func (a *attempt) StartLongValue(size int) upstream.Sink {
 	streamer, ok := a.request.Client.(Streamer)
 	if !ok || a.request.ended {
 		return nil
@@ -41,16 +41,16 @@
 	return a.request.Client.Forward(wait)
 }
 
-// Ended implements upstream.Owner. A value ends the request, and the attempt's result says so. Once a response has
+// HandleResult implements upstream.Owner. A value ends the request, and the attempt's result says so. Once a response has
 // started nothing but its end may be answered.
-func (a *attempt) Ended(result upstream.Result) {
+func (a *attempt) HandleResult(result upstream.Result) {
 	switch {
 	case result.Status == balancer.OK:
 		a.proxy.answer(a.request, Answer{Outcome: Served, Value: result.Value})
 	case a.responseStarted:
 		a.proxy.answer(a.request, Answer{Outcome: Failed})
 	}
-	a.request.attemptsOut--
+	a.request.pendingAttempts--
 	if a.sent && mayHaveRun(result.Status) {
 		a.request.reservation.mayHaveRun = true
 	}
@@ -63,7 +63,7 @@
 		Attempt:       a.number,
 		Endpoint:      a.Endpoint,
 		Status:        result.Status,
-		Latency:       a.Took(a.proxy.Now()),
+		Latency:       a.Latency(a.proxy.Now()),
 		RequestClosed: a.request.ended,
 		QuotaUsed:     result.QuotaUsed,
 	})
@@ -95,10 +95,10 @@
 		a.Deadline = min(a.Deadline, now+action.Timeout)
 	}
 	request.attempts = append(request.attempts, a)
-	request.attemptsOut++
+	request.pendingAttempts++
 	settings := p.Rules().Settings
 	if request.ended || a.Deadline <= now || p.endIfClientGone(request, request.At) ||
-		request.attemptsOut > 1 && !settings.AllowHedging {
+		request.pendingAttempts > 1 && !settings.AllowHedging {
 		a.End(balancer.NotSent)
 		return
 	}
--- a/internal/proxy/decisionlease.go
+++ b/internal/proxy/decisionlease.go
@@ -35,21 +35,21 @@
 	maxHeldRequests = 4096
 	// heldMargin is left of a request's time when it is rejected for having waited in vain.
 	heldMargin = 20 * time.Millisecond
-	// lapsedRetryAfter is what a client is told that was rejected for the lapse of the lease.
-	lapsedRetryAfter = 250 * time.Millisecond
+	// leaseExpiredRetryAfter is what a client is told that was rejected for the lapse of the lease.
+	leaseExpiredRetryAfter = 250 * time.Millisecond
 )
 
 // hold keeps a request that can't be decided now, for as long as its client waits.
 func (p *Proxy) hold(request *Request) {
 	if len(p.held) >= maxHeldRequests {
-		p.answerUnseen(request, Rejected, lapsedRetryAfter)
+		p.answerUnregistered(request, Rejected, leaseExpiredRetryAfter)
 		return
 	}
 	p.held = append(p.held, request)
 	request.deadlineTimer = p.At(request.At+request.Timeout-heldMargin, func() {
 		if i := slices.Index(p.held, request); i >= 0 {
 			p.held = slices.Delete(p.held, i, i+1)
-			p.answerUnseen(request, Rejected, lapsedRetryAfter)
+			p.answerUnregistered(request, Rejected, leaseExpiredRetryAfter)
 		}
 	})
 }
@@ -69,7 +69,7 @@
 func (p *Proxy) RejectHeld() {
 	p.Post(func() {
 		for _, request := range p.takeHeld() {
-			p.answerUnseen(request, Rejected, lapsedRetryAfter)
+			p.answerUnregistered(request, Rejected, leaseExpiredRetryAfter)
 		}
 	})
 }
@@ -84,24 +84,24 @@
 	return held
 }
 
-// rejectLapsed rejects what came in time and is not dispatched yet, once the lease has ended: nothing may be admitted
+// rejectOnLeaseExpiry rejects what came in time and is not dispatched yet, once the lease has ended: nothing may be admitted
 // by it any more.
-func (p *Proxy) rejectLapsed() {
+func (p *Proxy) rejectOnLeaseExpiry() {
 	if !p.DecisionLease.isBounded() || p.DecisionLease.IsValid(p.Now()) {
-		p.lapsed = false
+		p.leaseExpired = false
 		return
 	}
-	if p.lapsed {
+	if p.leaseExpired {
 		return
 	}
-	p.lapsed = true
+	p.leaseExpired = true
 	for _, request := range p.requests {
 		if request.ended || len(request.attempts) > 0 {
 			continue
 		}
 		request.donePending = true
 		p.donePending = append(p.donePending, request)
-		p.answer(request, Answer{Outcome: Rejected, RetryAfter: lapsedRetryAfter, Unavailable: true})
+		p.answer(request, Answer{Outcome: Rejected, RetryAfter: leaseExpiredRetryAfter, Unavailable: true})
 		p.Enqueue(balancer.RequestDone{ID: request.id})
 	}
 }
--- a/internal/proxy/endpointnames_test.go
+++ b/internal/proxy/endpointnames_test.go
@@ -8,9 +8,9 @@
 	"gapgap/internal/endpoint"
 )
 
-func named(scope balancer.UpdateKind, state balancer.EndpointState, all ...string) (u endpoint.Update) {
-	u.Kind = scope
-	for _, n := range all {
+func newUpdate(kind balancer.UpdateKind, state balancer.EndpointState, names ...string) (u endpoint.Update) {
+	u.Kind = kind
+	for _, n := range names {
 		u.Entries = append(u.Entries, endpoint.Entry{Endpoint: balancer.Endpoint{Name: n, State: state}})
 	}
 	return u
@@ -20,14 +20,14 @@
 // that say the same again push nothing out.
 func TestEndpointNamesAreBounded(t *testing.T) {
 	names := newEndpointNames()
-	names.update(named(balancer.Snapshot, balancer.Serving, "stays", "banned", "left"))
+	names.update(newUpdate(balancer.Snapshot, balancer.Serving, "stays", "banned", "left"))
 	names.ejected["banned"] = true
-	names.update(named(balancer.Delta, balancer.Removed, "banned", "left", "never listed"))
+	names.update(newUpdate(balancer.Delta, balancer.Removed, "banned", "left", "never listed"))
 	if names.contains("never listed") || !names.contains("left") || names.departed != 2 {
 		t.Errorf("%v", names.departedAt)
 	}
 	for range 20000 {
-		names.update(named(balancer.Snapshot, balancer.Serving, "stays"))
+		names.update(newUpdate(balancer.Snapshot, balancer.Serving, "stays"))
 	}
 	if !names.contains("left") || names.departed != 2 {
 		t.Errorf("lists that say the same push names out: %v", names.departedAt)
@@ -37,7 +37,7 @@
 		for j := range 1000 {
 			all = append(all, fmt.Sprint(i, "-", j))
 		}
-		names.update(named(balancer.Snapshot, balancer.Serving, all...))
+		names.update(newUpdate(balancer.Snapshot, balancer.Serving, all...))
 		if len(names.departedAt) > maxDepartedNames+1100 {
 			t.Fatalf("%d names", len(names.departedAt))
 		}
--- a/internal/proxy/handover.go
+++ b/internal/proxy/handover.go
@@ -21,8 +21,8 @@
 // allIdle is more than there can be idle connections.
 const allIdle = 1 << 20
 
-// errHandedOver says that another process has already taken over.
-var errHandedOver = errors.New("another process has it already")
+// errAlreadyHandedOver says that another process has already taken over.
+var errAlreadyHandedOver = errors.New("another process has it already")
 
 // BeginHandover makes the proxy end what it has and take nothing more upon itself: what it returns belongs to another
 // process from then on, or goes to AbortHandover. Any goroutine may call it; it blocks until the loop has done it or
@@ -30,7 +30,7 @@
 func (p *Proxy) BeginHandover(ctx context.Context) (state HandoverState, err error) {
 	err = p.runOnLoop(ctx, func() error {
 		if p.handedOver {
-			return errHandedOver
+			return errAlreadyHandedOver
 		}
 		p.Enqueue(balancer.BeginHandover{})
 		p.Step()
@@ -69,15 +69,15 @@
 // that have no name here is dropped.
 func (p *Proxy) ImportHandover(state HandoverState) {
 	rules := p.Rules()
-	inherited := state.Balancer
-	inherited.Classes = renumberClasses(state.Balancer.Classes, state.Classes, rules.Classes)
-	inherited.Customers = renumberPlans(state.Balancer.Customers, state.Plans, rules.Plans)
+	imported := state.Balancer
+	imported.Classes = renumberClasses(state.Balancer.Classes, state.Classes, rules.Classes)
+	imported.Customers = renumberPlans(state.Balancer.Customers, state.Plans, rules.Plans)
 	for _, name := range state.Departed[:min(len(state.Departed), maxDepartedNames)] {
 		if !p.names.contains(name) {
 			p.names.markDeparted(name)
 		}
 	}
-	p.inherited = &inherited
+	p.importedState = &imported
 }
 
 // renumberClasses returns what is known of classes, numbered as in names rather than as in oldNames.
@@ -111,8 +111,8 @@
 
 // importHandover tells the Balancer, once it knows the endpoint list.
 func (p *Proxy) importHandover() {
-	if p.inherited != nil {
-		p.Enqueue(balancer.ImportHandover{State: *p.inherited})
-		p.inherited = nil
+	if p.importedState != nil {
+		p.Enqueue(balancer.ImportHandover{State: *p.importedState})
+		p.importedState = nil
 	}
 }
--- a/internal/proxy/interfaces.go
+++ b/internal/proxy/interfaces.go
@@ -25,8 +25,8 @@
 	CloseIdle(n int64, address string)
 	// SetMaxConnections bounds the connections from now on.
 	SetMaxConnections(n int)
-	// Hold keeps what is not yet written from an endpoint, whatever the list says, or ends that.
-	Hold(endpoint string, on bool)
+	// SetBlocked keeps what is not yet written from an endpoint, whatever the list says, or ends that.
+	SetBlocked(endpoint string, on bool)
 	// Sweep closes what has been idle for too long. It is called about once a second.
 	Sweep()
 	// Close ends all connections.
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -46,16 +46,16 @@
 
 	// handoverState is what the Balancer has just handed over.
 	handoverState balancer.HandoverState
-	// inherited is what the Balancer begins with; nil: nothing.
-	inherited *balancer.HandoverState
+	// importedState is what the Balancer begins with; nil: nothing.
+	importedState *balancer.HandoverState
 	// handedOver says that another process has taken over.
 	handedOver bool
 
 	policyVersion atomic.Uint64
 	// held are requests that wait for the decision lease.
 	held []*Request
-	// lapsed says that requests were rejected for the lapse of the decision lease that is still going on.
-	lapsed bool
+	// leaseExpired says that requests were rejected for the lapse of the decision lease that is still going on.
+	leaseExpired bool
 
 	// references counts the requests that frontends are about to submit and those that are open here.
 	references atomic.Int64
@@ -197,7 +197,7 @@
 // Step gives the Balancer what has happened and carries out what it wants, in order. An action may end at once and so
 // bring the next event.
 func (p *Proxy) Step() {
-	p.rejectLapsed()
+	p.rejectOnLeaseExpiry()
 	for len(p.events) > 0 {
 		events := p.events
 		p.events = nil
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -24,7 +24,7 @@
 func (s *fakeSystems) UpdateEndpoint(balancer.Endpoint, string) {}
 func (s *fakeSystems) KeepOnly([]endpoint.Entry)                {}
 func (s *fakeSystems) SetMaxConnections(int)                    {}
-func (s *fakeSystems) Hold(string, bool)                        {}
+func (s *fakeSystems) SetBlocked(string, bool)                  {}
 func (s *fakeSystems) CloseIdle(int64, string)                  {}
 func (s *fakeSystems) Sweep()                                   {}
 func (s *fakeSystems) Close()                                   {}
@@ -113,7 +113,7 @@
 	p.events = nil
 	p.dispatch(request, balancer.Dispatch{ID: request.id, Endpoint: "s-0"})
 	p.dispatch(request, balancer.Dispatch{ID: request.id, Endpoint: "s-1"}) // hedging is not allowed
-	s.sent[0].Owner.Ended(upstream.Result{Status: balancer.OK, Value: []byte("v")})
+	s.sent[0].Owner.HandleResult(upstream.Result{Status: balancer.OK, Value: []byte("v")})
 	p.dispatch(request, balancer.Dispatch{ID: request.id, Endpoint: "s-1"})
 	if len(s.sent) != 1 || len(client.answers) != 1 || client.answers[0].Outcome != Served {
 		t.Errorf("%d sent, answers %v", len(s.sent), client.answers)
@@ -157,11 +157,11 @@
 			queued, _ = submit(p, "")
 			p.Step()
 		}
-		s.sent[0].Owner.Ended(upstream.Result{Status: balancer.OK, Value: []byte("v")})
+		s.sent[0].Owner.HandleResult(upstream.Result{Status: balancer.OK, Value: []byte("v")})
 		p.ClientGone(queued)
 		p.Step()
 		for _, a := range s.sent[1:] {
-			a.Owner.Ended(upstream.Result{Status: balancer.OK, Value: []byte("v")})
+			a.Owner.HandleResult(upstream.Result{Status: balancer.OK, Value: []byte("v")})
 		}
 		s.sent = nil
 		p.Step()
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -46,9 +46,9 @@
 	deadlineTimer *eventloop.Timer
 	reservation   keyReservation
 	attempts      []*attempt
-	// attemptsOut counts attempts without a result.
-	attemptsOut   int
-	policyVersion uint64
+	// pendingAttempts counts attempts without a result.
+	pendingAttempts int
+	policyVersion   uint64
 	// ended says that it has its answer, or that its client has gone.
 	ended bool
 	// donePending says that the Balancer has not heard of its end yet.
@@ -65,7 +65,7 @@
 		p.CountRequest(request)
 	}
 	if retryAfter, closed := p.StartupBarrier.retryAfter(); closed {
-		p.answerUnseen(request, Rejected, retryAfter)
+		p.answerUnregistered(request, Rejected, retryAfter)
 		return
 	}
 	if p.DecisionLease.isBounded() && !p.DecisionLease.IsValid(p.Now()) {
@@ -75,12 +75,12 @@
 	request.policyVersion = p.policyVersion.Load()
 	limit := p.Rules().MaxInFlight
 	if limit > 0 && len(p.requests)-len(p.donePending) >= limit {
-		p.answerUnseen(request, Rejected, 0)
+		p.answerUnregistered(request, Rejected, 0)
 		return
 	}
 	if request.ID != "" {
 		if p.openIDs[request.ID] {
-			p.answerUnseen(request, Duplicate, 0)
+			p.answerUnregistered(request, Duplicate, 0)
 			return
 		}
 		p.openIDs[request.ID] = true
@@ -114,8 +114,8 @@
 	})
 }
 
-// answerUnseen answers a request that the Balancer never hears of. A pause says that the gateway is unavailable.
-func (p *Proxy) answerUnseen(request *Request, outcome Outcome, retryAfter time.Duration) {
+// answerUnregistered answers a request that the Balancer never hears of. A pause says that the gateway is unavailable.
+func (p *Proxy) answerUnregistered(request *Request, outcome Outcome, retryAfter time.Duration) {
 	p.Release()
 	request.counters.Ended(outcome.statsOutcome())
 	request.Client.Answer(Answer{Outcome: outcome, RetryAfter: retryAfter, Unavailable: retryAfter > 0})
@@ -226,7 +226,7 @@
 
 // forgetIfDone drops a request that is over and of which nothing is out.
 func (p *Proxy) forgetIfDone(request *Request) {
-	done := request.ended && request.attemptsOut == 0 && !request.donePending
+	done := request.ended && request.pendingAttempts == 0 && !request.donePending
 	if !done || p.requests[request.id] != request {
 		return
 	}
--- a/internal/proxy/settings.go
+++ b/internal/proxy/settings.go
@@ -30,16 +30,16 @@
 
 // withCounters gives rules the counters of their classes. A class without a name is counted where it was under the
 // rules before, or among the others.
-func (r Rules) withCounters(all *stats.Counters, before *Rules) *Rules {
+func (r Rules) withCounters(all *stats.Counters, previous *Rules) *Rules {
 	r.counters = make([]*stats.Class, len(r.Settings.Classes))
 	for i := range r.counters {
 		switch {
 		case i < len(r.Classes) && r.Classes[i] != "":
 			r.counters[i] = all.Class(r.Classes[i])
-		case before != nil && i < len(before.counters):
-			r.counters[i] = before.counters[i]
+		case previous != nil && i < len(previous.counters):
+			r.counters[i] = previous.counters[i]
 		default:
-			r.counters[i] = all.Class(stats.Others)
+			r.counters[i] = all.Class(stats.OtherClasses)
 		}
 	}
 	return &r
@@ -127,8 +127,8 @@
 // updateSettings is UpdateSettings on the loop.
 func (p *Proxy) updateSettings(rules Rules) {
 	now := p.Now()
-	before := p.Rules()
-	next, evidenceFrom := before.Next(rules, func(number int) bool { return p.isClassFree(number, now) })
+	previous := p.Rules()
+	next, evidenceFrom := previous.Next(rules, func(number int) bool { return p.isClassFree(number, now) })
 	for i, name := range next.Classes {
 		_, isRemoved := p.removedClasses[i]
 		switch {
@@ -139,7 +139,7 @@
 		}
 	}
 	p.Enqueue(balancer.SettingsUpdate{Settings: next.Settings, EvidenceFrom: evidenceFrom})
-	p.rules.Store(next.withCounters(p.Stats, before))
+	p.rules.Store(next.withCounters(p.Stats, previous))
 }
 
 // isClassFree tells whether the number of a removed class may stand for another: no request of it is open or may still
--- a/internal/proxy/settings_test.go
+++ b/internal/proxy/settings_test.go
@@ -15,11 +15,11 @@
 	"gapgap/internal/upstream"
 )
 
-func rulesOf(defs ...any) (r Rules) {
-	for i := 0; i < len(defs); i += 2 {
-		r.Classes = append(r.Classes, defs[i].(string))
+func newRules(namesAndIdempotency ...any) (r Rules) {
+	for i := 0; i < len(namesAndIdempotency); i += 2 {
+		r.Classes = append(r.Classes, namesAndIdempotency[i].(string))
 		r.Settings.Classes = append(r.Settings.Classes, balancer.Class{PriorityWeight: 1, ClientTimeout: time.Second,
-			Idempotency: defs[i+1].(balancer.Idempotency)})
+			Idempotency: namesAndIdempotency[i+1].(balancer.Idempotency)})
 	}
 	r.Plans, r.Settings.Plans = []string{"p"}, []balancer.Plan{{PriorityFactor: 1}}
 	r.Settings.Gateways, r.Settings.MaxAttempts = 1, 1
@@ -30,8 +30,8 @@
 func always(int) bool { return true }
 
 func TestRulesKeepNumbersOfClasses(t *testing.T) {
-	first := rulesOf("a", balancer.Idempotent, "b", balancer.IdempotentByKey)
-	second, from := first.Next(rulesOf("b", balancer.NonIdempotent, "c", balancer.Idempotent), never)
+	first := newRules("a", balancer.Idempotent, "b", balancer.IdempotentByKey)
+	second, from := first.Next(newRules("b", balancer.NonIdempotent, "c", balancer.Idempotent), never)
 	if want := []string{"", "", "b", "c"}; !slices.Equal(second.Classes, want) || !slices.Equal(from, []int{0,
 		1, 1, -1}) {
 		t.Fatalf("%q from %v", second.Classes, from)
@@ -41,12 +41,12 @@
 		t.Errorf("%+v", c)
 	}
 	// a number that is free stands for another
-	third, from := second.Next(rulesOf("b", balancer.NonIdempotent, "d", balancer.Idempotent), always)
+	third, from := second.Next(newRules("b", balancer.NonIdempotent, "d", balancer.Idempotent), always)
 	if want := []string{"d", "", "b", ""}; !slices.Equal(third.Classes, want) || from[0] != -1 || from[2] != 2 {
 		t.Errorf("%q from %v", third.Classes, from)
 	}
 	// the order in the file is no matter
-	same, from := third.Next(rulesOf("d", balancer.Idempotent, "b", balancer.NonIdempotent), always)
+	same, from := third.Next(newRules("d", balancer.Idempotent, "b", balancer.NonIdempotent), always)
 	if !slices.Equal(same.Classes, third.Classes) || !slices.Equal(from, []int{0, 1, 2, 3}) {
 		t.Errorf("%q from %v", same.Classes, from)
 	}
@@ -54,9 +54,9 @@
 
 // Classes that come and go for ever take no more numbers than are in use within the longest wait.
 func TestRulesAreBounded(t *testing.T) {
-	r := rulesOf("c0", balancer.Idempotent)
+	r := newRules("c0", balancer.Idempotent)
 	for i := range 1000 {
-		r, _ = r.Next(rulesOf(fmt.Sprint("c", i), balancer.Idempotent, fmt.Sprint("x", i),
+		r, _ = r.Next(newRules(fmt.Sprint("c", i), balancer.Idempotent, fmt.Sprint("x", i),
 			balancer.IdempotentByKey), always)
 	}
 	if len(r.Classes) > 4 {
@@ -117,7 +117,7 @@
 					i := rng.IntN(len(s.sent))
 					a := s.sent[i]
 					s.sent = slices.Delete(s.sent, i, i+1)
-					a.Owner.Ended(upstream.Result{Status: []balancer.Status{balancer.OK, balancer.Failed,
+					a.Owner.HandleResult(upstream.Result{Status: []balancer.Status{balancer.OK, balancer.Failed,
 						balancer.Rejected}[rng.IntN(3)]})
 				}
 			case 5:
@@ -144,7 +144,7 @@
 			}
 		}
 		var counted [stats.Faulted + 1]uint64
-		for _, name := range []string{"a", "b", "c", stats.Others} {
+		for _, name := range []string{"a", "b", "c", stats.OtherClasses} {
 			for o := range counted {
 				counted[o] += p.Stats.Class(name).Count(stats.Outcome(o))
 			}
--- a/internal/proxy/startupbarrier.go
+++ b/internal/proxy/startupbarrier.go
@@ -8,26 +8,26 @@
 // StartupBarrier makes proxies reject all requests at once until Open is called. Several proxies may share one. Any
 // goroutine may use it. A nil StartupBarrier is open.
 type StartupBarrier struct {
-	pause atomic.Pointer[func() time.Duration]
+	retryDelay atomic.Pointer[func() time.Duration]
 }
 
 // NewStartupBarrier returns a closed barrier. Clients are told to come back after what pause returns; any goroutine may
 // call that.
-func NewStartupBarrier(pause func() time.Duration) *StartupBarrier {
+func NewStartupBarrier(retryDelay func() time.Duration) *StartupBarrier {
 	barrier := &StartupBarrier{}
-	barrier.pause.Store(&pause)
+	barrier.retryDelay.Store(&retryDelay)
 	return barrier
 }
 
 // Open lets requests in for good.
-func (b *StartupBarrier) Open() { b.pause.Store(nil) }
+func (b *StartupBarrier) Open() { b.retryDelay.Store(nil) }
 
 // retryAfter returns what a client is to be told, and whether the barrier is closed.
 func (b *StartupBarrier) retryAfter() (time.Duration, bool) {
 	if b == nil {
 		return 0, false
 	}
-	pause := b.pause.Load()
+	pause := b.retryDelay.Load()
 	if pause == nil {
 		return 0, false
 	}
--- a/internal/stats/stats.go
+++ b/internal/stats/stats.go
@@ -1,5 +1,5 @@
-// Package stats counts what operators read: requests taken and how they ended, attempts written, configuration files
-// read. Counts run from the start of the process. Any goroutine may count or read at any time without waiting.
+// Package stats holds the counters reported to operators: requests received and their outcomes, attempts sent, and
+// configuration files read. Counters start at zero with the process. Any goroutine may update or read them at any time.
 package stats
 
 import (
@@ -11,70 +11,69 @@
 	"sync/atomic"
 )
 
-// Outcome is how a request ended, by what its client saw.
+// Outcome is the result of a request as seen by its client.
 type Outcome int
 
-// Outcomes.
 const (
-	// Fulfilled is served.
+	// Fulfilled means that the request was served.
 	Fulfilled Outcome = iota
-	// Throttled is rejected with no effect: it may be sent again.
+	// Throttled means that the request was rejected without any effect and may be retried.
 	Throttled
-	// Faulted is anything else.
+	// Faulted covers all other outcomes.
 	Faulted
 
-	outcomes
+	numOutcomes
 )
 
-// outcomeNames are those of the figures that operators read.
-var outcomeNames = [outcomes]string{"fulfilled", "throttled", "faulted"}
+// outcomeNames are the names of the outcomes in the output of Counters.Write.
+var outcomeNames = [numOutcomes]string{"fulfilled", "throttled", "faulted"}
 
-// Class counts the requests of one class.
-type Class struct{ ended [outcomes]atomic.Uint64 }
+// Class counts the outcomes of the requests of one class.
+type Class struct{ counts [numOutcomes]atomic.Uint64 }
 
-// Ended counts a request of the class by its outcome.
-func (c *Class) Ended(outcome Outcome) { c.ended[outcome].Add(1) }
+// Ended counts a completed request of the class.
+func (c *Class) Ended(outcome Outcome) { c.counts[outcome].Add(1) }
 
-// Count returns how many requests ended with an outcome.
-func (c *Class) Count(outcome Outcome) uint64 { return c.ended[outcome].Load() }
+// Count returns the number of requests with the given outcome.
+func (c *Class) Count(outcome Outcome) uint64 { return c.counts[outcome].Load() }
 
-// MaxClasses is how many names of classes are told apart; those that come later are counted together under Others. A
-// class that is removed keeps its counters, so that a count never goes back.
+// MaxClasses bounds the number of class names with counters of their own. Requests of further classes are counted under
+// OtherClasses. A removed class keeps its counters, so that counts never decrease.
 const MaxClasses = 256
 
-// Others is the name under which classes beyond MaxClasses are counted.
-const Others = "others"
+// OtherClasses is the name under which classes beyond MaxClasses are counted.
+const OtherClasses = "others"
 
-// Counters are those of one process. They are made by New.
+// Counters holds the counters of one process. Create it with New.
 type Counters struct {
-	// Taken counts requests taken so far.
+	// Taken counts requests received.
 	Taken atomic.Int64
-	// Gone counts requests that ended without an answer since their clients had disconnected.
+	// Gone counts requests that ended without an answer because the client disconnected.
 	Gone atomic.Int64
 	// Relayed counts attempts written in full to endpoints.
 	Relayed atomic.Uint64
-	// Listed is the number of endpoints in the list.
+	// Listed is the number of endpoints in the endpoint list.
 	Listed atomic.Int64
-	// Avoided is the number of these that get no requests now.
+	// Avoided is the number of listed endpoints that currently receive no requests.
 	Avoided atomic.Int64
-	// Accepted counts configuration files taken at a signal.
+	// Accepted counts configuration files accepted on a reload signal.
 	Accepted atomic.Uint64
-	// Invalid counts configuration files refused at a signal.
+	// Invalid counts configuration files refused on a reload signal.
 	Invalid atomic.Uint64
 
 	mu      sync.Mutex
 	classes map[string]*Class
 }
 
-// New returns counters at zero.
+// New returns counters initialized to zero.
 func New() *Counters { return &Counters{classes: map[string]*Class{}} }
 
-// Class returns the counters of a class. The same name always has the same ones.
+// Class returns the counters of a class. The same name always returns the same counters.
 func (c *Counters) Class(name string) *Class {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.classes) >= MaxClasses && c.classes[name] == nil {
-		name = Others
+		name = OtherClasses
 	}
 	class := c.classes[name]
 	if class == nil {
@@ -84,27 +83,27 @@
 	return class
 }
 
-// Open returns how many requests are taken and have not ended.
+// Open returns the number of requests received and not yet completed.
 func (c *Counters) Open() int64 {
-	ended := c.ended()
-	// Taken is read last: what has ended was taken before.
+	ended := c.endedRequests()
+	// Taken is read last: every request counted as ended was counted in Taken before.
 	return max(0, c.Taken.Load()-ended)
 }
 
-// ended returns how many requests have ended, with or without an answer.
-func (c *Counters) ended() int64 {
+// endedRequests returns the number of completed requests, with or without an answer.
+func (c *Counters) endedRequests() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	ended := c.Gone.Load()
 	for _, class := range c.classes {
-		for outcome := range class.ended {
-			ended += int64(class.ended[outcome].Load())
+		for outcome := range class.counts {
+			ended += int64(class.counts[outcome].Load())
 		}
 	}
 	return ended
 }
 
-// Write writes all figures, one "name=value" a line, sorted by class.
+// Write writes all counters, one "name=value" per line. Classes are sorted by name.
 func (c *Counters) Write(w io.Writer) error {
 	var out bytes.Buffer
 	c.appendClasses(&out)
@@ -126,7 +125,7 @@
 	return err
 }
 
-// appendClasses appends the figures of all classes.
+// appendClasses appends the counters of all classes.
 func (c *Counters) appendClasses(out *bytes.Buffer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/stats/stats_test.go
+++ b/internal/stats/stats_test.go
@@ -6,20 +6,21 @@
 	"testing"
 )
 
+// TestWrite verifies the names, values and order of the lines that Write produces.
 func TestWrite(t *testing.T) {
-	f := New()
+	counters := New()
 	for range 3 {
-		f.Taken.Add(1)
+		counters.Taken.Add(1)
 	}
-	f.Class("order").Ended(Fulfilled)
-	f.Class("order").Ended(Throttled)
-	f.Class("lookup")
-	f.Relayed.Add(2)
-	f.Listed.Store(10)
-	f.Avoided.Store(1)
-	f.Invalid.Add(1)
+	counters.Class("order").Ended(Fulfilled)
+	counters.Class("order").Ended(Throttled)
+	counters.Class("lookup")
+	counters.Relayed.Add(2)
+	counters.Listed.Store(10)
+	counters.Avoided.Store(1)
+	counters.Invalid.Add(1)
 	var b strings.Builder
-	if err := f.Write(&b); err != nil {
+	if err := counters.Write(&b); err != nil {
 		t.Fatal(err)
 	}
 	want := "svc.operations.lookup.fulfilled=0\nsvc.operations.lookup.throttled=0\nsvc.operations.lookup.faulted=0\n" +
@@ -31,20 +32,21 @@
 	}
 }
 
-// Names of classes that come and go for ever take bounded room, and no request is counted nowhere.
+// TestClassesAreBounded verifies that an unbounded sequence of class names uses bounded memory and that every request
+// is still counted.
 func TestClassesAreBounded(t *testing.T) {
-	f := New()
+	counters := New()
 	for i := range 4 * MaxClasses {
-		f.Taken.Add(1)
-		f.Class(fmt.Sprint("c", i)).Ended(Faulted)
+		counters.Taken.Add(1)
+		counters.Class(fmt.Sprint("c", i)).Ended(Faulted)
 	}
-	if len(f.classes) > MaxClasses+1 {
-		t.Errorf("%d classes", len(f.classes))
+	if len(counters.classes) > MaxClasses+1 {
+		t.Errorf("%d classes are kept", len(counters.classes))
 	}
-	if f.Open() != 0 {
-		t.Errorf("%d open", f.Open())
+	if counters.Open() != 0 {
+		t.Errorf("%d requests are counted as open, want 0", counters.Open())
 	}
-	if n := f.Class(Others).Count(Faulted); n != 3*MaxClasses {
-		t.Errorf("%d counted among the others", n)
+	if n := counters.Class(OtherClasses).Count(Faulted); n != 3*MaxClasses {
+		t.Errorf("%d requests are counted under OtherClasses", n)
 	}
 }
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -33,11 +33,11 @@
 	// Command returns the whole command for the endpoint, which tells it how long this side will wait; nil: nobody
 	// waits any more, and the attempt has been cancelled.
 	Command(wait time.Duration) []byte
-	// Begun says that a long value of a number of bytes comes, which is to be passed on piece by piece; nil: nobody
+	// StartLongValue says that a long value of a number of bytes comes, which is to be passed on piece by piece; nil: nobody
 	// wants it.
-	Begun(size int) Sink
-	// Ended takes the one result of the attempt.
-	Ended(Result)
+	StartLongValue(size int) Sink
+	// HandleResult takes the one result of the attempt.
+	HandleResult(Result)
 }
 
 // Sink takes a long value, as a bulk string with its head and its end of line. Write blocks until the piece is taken.
@@ -64,11 +64,11 @@
 	a.ended = true
 	a.timeoutTimer.Stop()
 	a.writeTimer.Stop()
-	a.Owner.Ended(result)
+	a.Owner.HandleResult(result)
 }
 
-// Took returns the time until the answer, or until the first byte of a long value.
-func (a *Attempt) Took(now time.Duration) time.Duration {
+// Latency returns the time until the answer, or until the first byte of a long value.
+func (a *Attempt) Latency(now time.Duration) time.Duration {
 	if a.longValueAt > 0 {
 		return a.longValueAt - a.SentAt
 	}
@@ -105,7 +105,7 @@
 	if c.writeState.Load() == writeNone {
 		status = balancer.ConnectFailed
 	}
-	p.handleSilence(c.endpoint, a.SentAt)
+	p.closeIdleIfUnresponsive(c.endpoint, a.SentAt)
 	p.drop(c, status)
 }
 
@@ -120,9 +120,9 @@
 	}
 }
 
-// handleSilence closes idle connections to an endpoint that has answered nothing since a time. Its machine may be gone,
+// closeIdleIfUnresponsive closes idle connections to an endpoint that has answered nothing since a time. Its machine may be gone,
 // and they would stay open and silent, so the next attempts must use new ones.
-func (p *Pool) handleSilence(ep *endpointPool, since time.Duration) {
+func (p *Pool) closeIdleIfUnresponsive(ep *endpointPool, since time.Duration) {
 	if ep.lastAnswerAt < since {
 		p.closeIdle(ep, since)
 	}
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -13,33 +13,33 @@
 // ends unsent when the time comes, and one that comes to be written late all the same, as when the loop stood still,
 // ends so too. Where a part is out, the rest may be: then it may have run.
 func TestNothingIsWrittenAfterItsTime(t *testing.T) {
-	attempt := func(f *rig, by time.Duration, o Owner) {
-		f.events = nil
-		f.pool.Send(&Attempt{Endpoint: "s-0", SentAt: f.Now(), Deadline: f.Now() + 10*time.Second, WriteBy: by,
+	sendWithWriteBy := func(h *harness, by time.Duration, o Owner) {
+		h.outcomes = nil
+		h.pool.Send(&Attempt{Endpoint: "s-0", SentAt: h.Now(), Deadline: h.Now() + 10*time.Second, WriteBy: by,
 			Owner: o})
 	}
 	t.Run("coming up", func(t *testing.T) {
-		addr, let := peer.ListenLate(t)
-		f := idle(t, addr)
-		attempt(f, f.Now()+300*time.Millisecond, owner{f})
-		for end := time.Now().Add(peer.Patient); len(f.events) == 0 && time.Now().Before(end); {
-			f.Wait(10*time.Millisecond, nil)
+		addr, accept := peer.ListenLate(t)
+		h := newHarness(t, addr)
+		sendWithWriteBy(h, h.Now()+300*time.Millisecond, testOwner{h})
+		for end := time.Now().Add(peer.Patient); len(h.outcomes) == 0 && time.Now().Before(end); {
+			h.Wait(10*time.Millisecond, nil)
 		}
-		wantOutcome(t, f, balancer.NotSent)
-		if b := let(1500 * time.Millisecond); b != nil {
+		wantOutcome(t, h, balancer.NotSent)
+		if b := accept(1500 * time.Millisecond); b != nil {
 			b.WantsEnd()
 		}
 	})
 	t.Run("no sooner", func(t *testing.T) {
-		addr, let := peer.ListenLate(t)
-		f := idle(t, addr)
-		attempt(f, f.Now()+peer.Patient, owner{f})
-		b := let(peer.Patient)
+		addr, accept := peer.ListenLate(t)
+		h := newHarness(t, addr)
+		sendWithWriteBy(h, h.Now()+peer.Patient, testOwner{h})
+		b := accept(peer.Patient)
 		if b == nil {
 			t.Fatal("no connection")
 		}
-		peer.Pump(t, f.Loop, func() bool {
-			for conn := range f.pool.endpoints["s-0"].connections {
+		peer.Pump(t, h.Loop, func() bool {
+			for conn := range h.pool.endpoints["s-0"].connections {
 				return conn.writeState.Load() == writeComplete
 			}
 			return false
@@ -48,34 +48,34 @@
 	})
 	t.Run("the loop stood still", func(t *testing.T) {
 		ln := peer.Listen(t)
-		f := idle(t, ln.Addr().String())
-		attempt(f, f.Now()+30*time.Millisecond, owner{f})
+		h := newHarness(t, ln.Addr().String())
+		sendWithWriteBy(h, h.Now()+30*time.Millisecond, testOwner{h})
 		b := peer.Accept(t, ln)
 		time.Sleep(60 * time.Millisecond) // no task and no timer has been run
-		peer.Pump(t, f.Loop, func() bool { return len(f.events) > 0 })
-		wantOutcome(t, f, balancer.NotSent)
+		peer.Pump(t, h.Loop, func() bool { return len(h.outcomes) > 0 })
+		wantOutcome(t, h, balancer.NotSent)
 		b.WantsEnd()
 	})
 	t.Run("half written", func(t *testing.T) {
 		ln := peer.Listen(t)
-		f := idle(t, ln.Addr().String())
-		attempt(f, f.Now()+300*time.Millisecond, long{owner{f}})
+		h := newHarness(t, ln.Addr().String())
+		sendWithWriteBy(h, h.Now()+300*time.Millisecond, longCommandOwner{testOwner{h}})
 		b := peer.Accept(t, ln)
-		peer.Pump(t, f.Loop, func() bool {
-			for conn := range f.pool.endpoints["s-0"].connections {
+		peer.Pump(t, h.Loop, func() bool {
+			for conn := range h.pool.endpoints["s-0"].connections {
 				return conn.writeState.Load() == writeStarted
 			}
 			return false
 		})
 		_, _ = b.In.Peek(1)
-		for end := time.Now().Add(peer.Patient); len(f.events) == 0 && time.Now().Before(end); {
-			f.Wait(10*time.Millisecond, nil)
+		for end := time.Now().Add(peer.Patient); len(h.outcomes) == 0 && time.Now().Before(end); {
+			h.Wait(10*time.Millisecond, nil)
 		}
-		wantOutcome(t, f, balancer.Reset)
+		wantOutcome(t, h, balancer.Reset)
 	})
 }
 
-// long has a command that no socket takes at once.
-type long struct{ owner }
+// longCommandOwner has a command that no socket takes at once.
+type longCommandOwner struct{ testOwner }
 
-func (long) Command(time.Duration) []byte { return []byte(strings.Repeat("x", 64<<20)) }
+func (longCommandOwner) Command(time.Duration) []byte { return []byte(strings.Repeat("x", 64<<20)) }
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -50,8 +50,8 @@
 	readerEnded atomic.Bool
 	// malformed says that this is since what came is no answer.
 	malformed atomic.Bool
-	// unwanted says that this is since nobody takes what comes.
-	unwanted atomic.Bool
+	// noConsumer says that this is since nobody takes what comes.
+	noConsumer atomic.Bool
 
 	// The reader goroutine's.
 	reader *resp.Reader
@@ -89,7 +89,7 @@
 		c.writeState.Store(writeNone)
 		return c
 	}
-	if !p.reserve(ep) {
+	if !p.reserveConnection(ep) {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), p.cfg.DialTimeout)
@@ -195,7 +195,7 @@
 	message, err := c.reader.Next()
 	switch {
 	case errors.Is(err, resp.ErrLongValue):
-		return c.passLongValue()
+		return c.forwardLongValue()
 	case err != nil:
 		return reply{}, err
 	}
@@ -310,7 +310,7 @@
 	}
 	status := balancer.Reset
 	switch {
-	case c.unwanted.Load():
+	case c.noConsumer.Load():
 		status = balancer.Cancelled
 	case c.malformed.Load():
 		status = balancer.Failed
--- a/internal/upstream/limits.go
+++ b/internal/upstream/limits.go
@@ -3,9 +3,9 @@
 // SetMaxConnections bounds the connections from now on. Those beyond it end as they are given up.
 func (p *Pool) SetMaxConnections(n int) { p.cfg.MaxConnections = n }
 
-// reserve makes sure that one more connection to an endpoint is allowed, by this pool's bound, the endpoint's and
+// reserveConnection makes sure that one more connection to an endpoint is allowed, by this pool's bound, the endpoint's and
 // that of the process. It closes idle connections of this pool where that makes the difference.
-func (p *Pool) reserve(ep *endpointPool) bool {
+func (p *Pool) reserveConnection(ep *endpointPool) bool {
 	if p.connections >= p.cfg.MaxConnections && !p.closeOldest() {
 		return false
 	}
--- a/internal/upstream/longvalue.go
+++ b/internal/upstream/longvalue.go
@@ -18,18 +18,18 @@
 	minLongChunkBytes = 4 << 10
 )
 
-// errUnwanted says that nobody takes the value.
-var errUnwanted = errors.New("nobody takes the value")
+// errNoConsumer says that nobody takes the value.
+var errNoConsumer = errors.New("nobody takes the value")
 
-// passLongValue reads an answer that begins with a long value and passes that on as it comes. It reads no more than has
+// forwardLongValue reads an answer that begins with a long value and passes that on as it comes. It reads no more than has
 // been taken, so whoever is slower sets the pace. The rest of the answer holds the figures only: if it does not come
 // the connection is not used again, and the value has been served all the same.
-func (c *connection) passLongValue() (reply, error) {
+func (c *connection) forwardLongValue() (reply, error) {
 	items, size := c.reader.StartLongValue()
 	sink := c.beginLongValue(size)
 	if sink == nil {
-		c.unwanted.Store(true)
-		return reply{}, errUnwanted
+		c.noConsumer.Store(true)
+		return reply{}, errNoConsumer
 	}
 	chunk := int64(longChunkBytes)
 	memory := c.pool.cfg.ValueMemory
@@ -70,7 +70,7 @@
 			return err
 		}
 		left -= n
-		if err := c.writeTo(sink, buffer[:len(head)+n]); err != nil {
+		if err := c.writeToSink(sink, buffer[:len(head)+n]); err != nil {
 			return err
 		}
 		head = buffer[:0]
@@ -85,14 +85,14 @@
 	if buffer[0] != '\r' || buffer[1] != '\n' {
 		return fmt.Errorf("%w: a long value with a wrong length", resp.ErrMalformed)
 	}
-	return c.writeTo(sink, buffer[:2])
+	return c.writeToSink(sink, buffer[:2])
 }
 
-// writeTo gives a sink a piece of a long value.
-func (c *connection) writeTo(sink Sink, piece []byte) error {
+// writeToSink gives a sink a piece of a long value.
+func (c *connection) writeToSink(sink Sink, piece []byte) error {
 	if err := sink.Write(piece); err != nil {
-		c.unwanted.Store(true)
-		return fmt.Errorf("%w: %w", errUnwanted, err)
+		c.noConsumer.Store(true)
+		return fmt.Errorf("%w: %w", errNoConsumer, err)
 	}
 	return nil
 }
@@ -115,7 +115,7 @@
 	if c.closed || attempt == nil || c.writeState.Load() != writeComplete {
 		return nil
 	}
-	sink := attempt.Owner.Begun(size)
+	sink := attempt.Owner.StartLongValue(size)
 	if sink != nil {
 		attempt.timeoutTimer.Stop()
 		attempt.longValueAt = p.loop.Now()
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -44,8 +44,8 @@
 	cfg           Config
 	onHealthCheck func(balancer.HealthCheckResult)
 	endpoints     map[string]*endpointPool
-	// held are endpoints to which nothing may be sent, whatever the list says.
-	held map[string]bool
+	// blocked are endpoints to which nothing may be sent, whatever the list says.
+	blocked map[string]bool
 	// connections counts them all, those being dialled too.
 	connections int
 }
@@ -76,7 +76,7 @@
 		cfg:           cfg,
 		onHealthCheck: onHealthCheck,
 		endpoints:     map[string]*endpointPool{},
-		held:          map[string]bool{},
+		blocked:       map[string]bool{},
 	}
 }
 
@@ -105,7 +105,7 @@
 		p.replace(ep, address, e.StartedAt)
 	}
 	ep.listed = e.State == balancer.Serving
-	ep.usable = ep.listed && !p.held[e.Name]
+	ep.usable = ep.listed && !p.blocked[e.Name]
 	if !ep.usable {
 		p.stopUsing(ep)
 	}
@@ -126,18 +126,18 @@
 	p.dropDialling(ep)
 }
 
-// Hold keeps all that is not yet written from an endpoint, whatever the list says, or ends that. When it returns
+// SetBlocked keeps all that is not yet written from an endpoint, whatever the list says, or ends that. When it returns
 // nothing waits for a connection to a held endpoint.
-func (p *Pool) Hold(name string, on bool) {
+func (p *Pool) SetBlocked(name string, on bool) {
 	ep := p.endpoints[name]
 	if !on {
-		delete(p.held, name)
+		delete(p.blocked, name)
 		if ep != nil {
 			ep.usable = ep.listed
 		}
 		return
 	}
-	p.held[name] = true
+	p.blocked[name] = true
 	if ep != nil {
 		ep.usable = false
 		p.stopUsing(ep)
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -11,61 +11,61 @@
 // a probe, nor after it came back at another address, until it is let through again.
 func TestHold(t *testing.T) {
 	ln, other := peer.Listen(t), peer.Listen(t)
-	f := idle(t, ln.Addr().String())
-	try(t, f)
+	h := newHarness(t, ln.Addr().String())
+	sendAttempt(t, h)
 	b := peer.Accept(t, ln)
 	go func() {
 		_, _ = b.Try()
 		_, _ = b.NC.Write([]byte("*1\r\n" + peer.Bulk("value")))
 	}()
-	peer.Pump(t, f.Loop, func() bool { return len(f.events) > 0 })
-	if len(f.pool.endpoints["s-0"].idle) != 1 {
+	peer.Pump(t, h.Loop, func() bool { return len(h.outcomes) > 0 })
+	if len(h.pool.endpoints["s-0"].idle) != 1 {
 		t.Fatal("no connection is held ready")
 	}
-	f.pool.Hold("s-0", true)
+	h.pool.SetBlocked("s-0", true)
 	b.WantsEnd()
-	refused := func(when string) {
+	wantNotSent := func(when string) {
 		t.Helper()
-		try(t, f)
-		wantOutcome(t, f, balancer.NotSent)
-		f.probed = nil
-		f.pool.HealthCheck("s-0")
-		if len(f.probed) != 1 || f.probed[0].Status != balancer.NotSent {
-			t.Errorf("%s: probed %+v", when, f.probed)
+		sendAttempt(t, h)
+		wantOutcome(t, h, balancer.NotSent)
+		h.healthChecks = nil
+		h.pool.HealthCheck("s-0")
+		if len(h.healthChecks) != 1 || h.healthChecks[0].Status != balancer.NotSent {
+			t.Errorf("%s: probed %+v", when, h.healthChecks)
 		}
 	}
-	refused("at once")
-	f.whole(ln.Addr().String())
-	refused("after a whole list")
-	f.whole()
-	f.whole(other.Addr().String())
-	refused("back at another address")
-	f.pool.Hold("s-0", false)
-	a := try(t, f) // waits for its connection
-	f.pool.Hold("s-0", true)
-	wantOutcome(t, f, balancer.NotSent)
+	wantNotSent("at once")
+	h.applySnapshot(ln.Addr().String())
+	wantNotSent("after a whole list")
+	h.applySnapshot()
+	h.applySnapshot(other.Addr().String())
+	wantNotSent("back at another address")
+	h.pool.SetBlocked("s-0", false)
+	a := sendAttempt(t, h) // waits for its connection
+	h.pool.SetBlocked("s-0", true)
+	wantOutcome(t, h, balancer.NotSent)
 	if !a.ended {
 		t.Error("it still waits")
 	}
-	f.pool.Hold("s-0", false)
-	f.pool.Hold("s-0", false)
-	try(t, f)
+	h.pool.SetBlocked("s-0", false)
+	h.pool.SetBlocked("s-0", false)
+	sendAttempt(t, h)
 	peer.Accept(t, other) // it may have been dialled for the one before; what counts is that one gets through
-	peer.Pump(t, f.Loop, func() bool {
-		for conn := range f.pool.endpoints["s-0"].connections {
+	peer.Pump(t, h.Loop, func() bool {
+		for conn := range h.pool.endpoints["s-0"].connections {
 			if conn.writeState.Load() == writeComplete {
 				return true
 			}
 		}
 		return false
 	})
-	for range mostHeld {
-		f.pool.Hold("nobody", true)
-		f.pool.Hold("nobody", false)
+	for range blockedNames {
+		h.pool.SetBlocked("nobody", true)
+		h.pool.SetBlocked("nobody", false)
 	}
-	if len(f.pool.held) != 0 {
-		t.Errorf("%d held", len(f.pool.held))
+	if len(h.pool.blocked) != 0 {
+		t.Errorf("%d held", len(h.pool.blocked))
 	}
 }
 
-const mostHeld = 100
+const blockedNames = 100
--- a/internal/upstream/reply.go
+++ b/internal/upstream/reply.go
@@ -18,8 +18,8 @@
 	quotaUsed int
 	// malformed says that it is no answer to a request.
 	malformed bool
-	// pong says that it answers a health check.
-	pong bool
+	// isPong says that it answers a health check.
+	isPong bool
 	// surplus says that more bytes came with it.
 	surplus bool
 }
@@ -41,7 +41,7 @@
 	}
 	now := p.loop.Now()
 	c.endpoint.lastAnswerAt = now
-	isExpected := attempt != nil && !r.malformed || check != nil && (!r.malformed || r.pong)
+	isExpected := attempt != nil && !r.malformed || check != nil && (!r.malformed || r.isPong)
 	if isExpected && !r.surplus && c.isReusable() {
 		c.idleAt = now
 		c.endpoint.idle = append(c.endpoint.idle, c)
@@ -71,7 +71,7 @@
 	case redcon.Error:
 		return parseError(message.Data)
 	case redcon.String:
-		return reply{status: balancer.OK, malformed: true, pong: true}
+		return reply{status: balancer.OK, malformed: true, isPong: true}
 	case redcon.Array:
 		return parseArray(message)
 	}
