--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -11,52 +11,53 @@
 type Attempt struct {
 	// Endpoint is the name of the endpoint.
 	Endpoint string
-	// SentAt is when it was dispatched, on the loop's clock.
+	// SentAt is the time of dispatch, on the loop clock.
 	SentAt time.Duration
-	// Deadline is when it ends as Timeout.
+	// Deadline is the time at which the attempt ends with status Timeout.
 	Deadline time.Duration
-	// WriteBy is when its last byte is to be written, or it ends as not sent; 0: there is no such time.
+	// WriteBy is the time by which the last byte must be written; otherwise the attempt ends as not sent. 0 means no
+	// limit.
 	WriteBy time.Duration
-	// Owner gives the command and takes the result.
+	// Owner supplies the command and receives the result.
 	Owner Owner
 
 	timeoutTimer *eventloop.Timer
 	writeTimer   *eventloop.Timer
 	connection   *connection
 	ended        bool
-	// longValueAt is when a long value began to come; 0: none has.
+	// longValueAt is the time at which a long value began to arrive. 0 means that none has.
 	longValueAt time.Duration
 }
 
-// Owner is what an attempt is made for. The event loop calls it.
+// Owner is the originator of an attempt. Its methods are called on the event loop.
 type Owner interface {
-	// Command returns the whole command for the endpoint, which tells it how long this side will wait; nil: nobody
-	// waits any more, and the attempt has been cancelled.
+	// Command returns the complete command for the endpoint, which includes how long this side will wait for the
+	// answer. nil means that no answer is needed any more and the attempt has been cancelled.
 	Command(wait time.Duration) []byte
-	// StartLongValue says that a long value of a number of bytes comes, which is to be passed on piece by piece; nil: nobody
-	// wants it.
+	// StartLongValue announces a long value of size bytes, which is forwarded in pieces. It returns nil if the value is
+	// not wanted.
 	StartLongValue(size int) Sink
-	// HandleResult takes the one result of the attempt.
+	// HandleResult receives the result of the attempt. It is called exactly once.
 	HandleResult(Result)
 }
 
-// Sink takes a long value, as a bulk string with its head and its end of line. Write blocks until the piece is taken.
-// One goroutine calls it, which is not the loop's.
+// Sink receives a long value encoded as a bulk string, including its header and final line end. Write blocks until the
+// piece has been accepted. It is called by a single goroutine other than the loop goroutine.
 type Sink interface{ Write([]byte) error }
 
 // Result is the result of an attempt.
 type Result struct {
 	Status balancer.Status
-	// Value is, with OK, the value as a RESP2 bulk string; nil: the Sink has it.
+	// Value is the value as a RESP2 bulk string if Status is OK. It is nil if the value was written to a Sink.
 	Value []byte
-	// QuotaUsed is one more than the percentage of the quota used; 0: not told.
+	// QuotaUsed is the percentage of the quota used plus one. 0 means that the endpoint did not report it.
 	QuotaUsed int
 }
 
-// End ends an attempt that Pool.Send has not been given.
+// End ends an attempt that was never passed to Pool.Send.
 func (a *Attempt) End(status balancer.Status) { a.end(Result{Status: status}) }
 
-// end gives the attempt its result, once.
+// end delivers the result to the owner, at most once.
 func (a *Attempt) end(result Result) {
 	if a.ended {
 		return
@@ -67,7 +68,7 @@
 	a.Owner.HandleResult(result)
 }
 
-// Latency returns the time until the answer, or until the first byte of a long value.
+// Latency returns the time from dispatch to the answer, or to the first byte of a long value.
 func (a *Attempt) Latency(now time.Duration) time.Duration {
 	if a.longValueAt > 0 {
 		return a.longValueAt - a.SentAt
@@ -75,8 +76,8 @@
 	return now - a.SentAt
 }
 
-// Send starts an attempt, on the idle connection used last if there is one: a new connection costs the endpoint work.
-// The attempt ends as not sent where the endpoint is not in use, or no connection can be had here.
+// Send starts an attempt. It uses the most recently used idle connection if there is one, since a new connection costs
+// the endpoint work. The attempt ends as not sent if the endpoint is not in use or no connection is available.
 func (p *Pool) Send(a *Attempt) {
 	ep := p.endpoints[a.Endpoint]
 	if ep == nil || !ep.usable {
@@ -99,7 +100,8 @@
 	}
 }
 
-// handleTimeout ends an attempt that has no answer in time. One whose connection is still being dialled never ran.
+// handleTimeout ends an attempt that was not answered in time. If its connection is still being dialled, the command
+// never ran.
 func (p *Pool) handleTimeout(c *connection, a *Attempt) {
 	status := balancer.Timeout
 	if c.writeState.Load() == writeNone {
@@ -109,8 +111,8 @@
 	p.drop(c, status)
 }
 
-// handleWriteDeadline takes an attempt back that is not written in full by WriteBy. Where a part of it is out, the rest
-// may be too.
+// handleWriteDeadline withdraws an attempt that was not written in full by WriteBy. If it was written in part, the rest
+// may reach the endpoint too, so its outcome is unknown.
 func (p *Pool) handleWriteDeadline(c *connection) {
 	switch c.writeState.Load() {
 	case writeNone:
@@ -120,15 +122,16 @@
 	}
 }
 
-// closeIdleIfUnresponsive closes idle connections to an endpoint that has answered nothing since a time. Its machine may be gone,
-// and they would stay open and silent, so the next attempts must use new ones.
+// closeIdleIfUnresponsive closes the idle connections to an endpoint that has not answered anything since the given
+// time. If its machine is down, these connections stay open without ever answering, so the next attempts must use new
+// ones.
 func (p *Pool) closeIdleIfUnresponsive(ep *endpointPool, since time.Duration) {
 	if ep.lastAnswerAt < since {
 		p.closeIdle(ep, since)
 	}
 }
 
-// Cancel ends an attempt. One that has ended, or that was never sent, is ignored.
+// Cancel ends an attempt. It does nothing if the attempt has ended or was never sent.
 func (p *Pool) Cancel(a *Attempt) {
 	if a.ended || a.connection == nil {
 		return
