--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -17,71 +17,72 @@
 )
 
 const (
-	// defaultStallTimeout ends a long value that has begun and stops for so long.
+	// defaultStallTimeout bounds the time between two pieces of a long value.
 	defaultStallTimeout = 5 * time.Second
-	// partialAnswerTimeout ends another answer that has begun and stops for so long: its length is wrong.
+	// partialAnswerTimeout bounds the time between two pieces of any other answer. An answer that stalls for so long
+	// announced a wrong length.
 	partialAnswerTimeout = 250 * time.Millisecond
 )
 
 // connection is a connection to an endpoint. It carries one attempt or health check at a time and is closed when that
-// is given up, so no answer is owed when it is used again. The event loop owns it but for the atomic fields and the
-// reader's.
+// is abandoned, so a reused connection never has an answer outstanding. The event loop owns it, except for the atomic
+// fields and the fields of the reader goroutine.
 type connection struct {
 	pool     *Pool
 	endpoint *endpointPool
-	// generation is that of the endpoint when it was dialled.
+	// generation is the generation of the endpoint at the time of dialling.
 	generation int
 	limit      *resourcelimit.EndpointLimit
 	// netConn is nil while the connection is being dialled.
 	netConn    net.Conn
 	cancelDial context.CancelFunc
 
-	// attempt and healthCheck are what the connection carries; both nil: nothing.
+	// attempt and healthCheck are what the connection carries. Both are nil while it is idle.
 	attempt     *Attempt
 	healthCheck *healthCheck
 	closed      bool
 	idleAt      time.Duration
 
-	// writeState tells how far the last command is written.
+	// writeState is the progress of writing the last command.
 	writeState atomic.Int32
-	// commandsSent counts the commands given to it.
+	// commandsSent counts the commands started on the connection.
 	commandsSent atomic.Int32
-	// readerEnded says that its reader has ended.
+	// readerEnded reports that the reader goroutine has ended.
 	readerEnded atomic.Bool
-	// malformed says that this is since what came is no answer.
+	// malformed reports that the reader ended because the received bytes were not a valid answer.
 	malformed atomic.Bool
-	// noConsumer says that this is since nobody takes what comes.
+	// noConsumer reports that the reader ended because nobody accepts the value.
 	noConsumer atomic.Bool
 
-	// The reader goroutine's.
+	// The following fields belong to the reader goroutine.
 	reader *resp.Reader
 	// answersRead counts the answers read.
 	answersRead int32
-	// deadlineSet says that a read deadline is set.
+	// deadlineSet reports that a read deadline is set.
 	deadlineSet bool
-	// longValue says that a long value comes in.
+	// longValue reports that a long value is being read.
 	longValue bool
 }
 
-// States of connection.writeState.
+// Values of connection.writeState.
 const (
 	writeNone int32 = iota
-	// writeStarted: a part may have gone out.
+	// writeStarted means that part of the command may have been sent.
 	writeStarted
-	// writeComplete: all bytes are written.
+	// writeComplete means that all bytes were written.
 	writeComplete
-	// writeFailed: the connection broke before.
+	// writeFailed means that the connection failed before all bytes were written.
 	writeFailed
 )
 
-// acquire returns an idle connection or starts to dial one; nil where none may be had.
+// acquire returns an idle connection or starts to dial a new one. It returns nil if no connection is allowed.
 func (p *Pool) acquire(ep *endpointPool) *connection {
 	for n := len(ep.idle); n > 0; n = len(ep.idle) {
 		c := ep.idle[n-1]
 		ep.idle[n-1] = nil
 		ep.idle = ep.idle[:n-1]
-		// What came since the last answer would be taken for the next one, and a connection that has ended would
-		// leave it open whether the command has run.
+		// Bytes that arrived since the last answer would be mistaken for the next one. On a connection that has ended,
+		// it would be unknown whether the command ran.
 		if c.readerEnded.Load() || !socket.IsQuiet(c.netConn) {
 			p.close(c)
 			continue
@@ -100,7 +101,7 @@
 	return c
 }
 
-// close ends a connection that carries nothing, or whose load has been taken off.
+// close closes a connection that carries nothing or whose attempt or health check was detached before.
 func (p *Pool) close(c *connection) {
 	if c.closed {
 		return
@@ -120,11 +121,12 @@
 	c.cancelDial()
 }
 
-// closeSocket closes a socket. What it may report was lost with the connection, which nobody uses any more.
+// closeSocket closes a socket. A close error affects only data of a connection that is no longer used, so it is
+// ignored.
 func closeSocket(netConn net.Conn) { _ = netConn.Close() }
 
-// drop closes a connection and then ends what it carried: the next attempt must not go out while this one can still be
-// answered.
+// drop closes a connection and then ends what it carried. The order matters: the next attempt must not be sent while
+// this one can still be answered.
 func (p *Pool) drop(c *connection, status balancer.Status) {
 	attempt := c.attempt
 	check := c.healthCheck
@@ -140,7 +142,7 @@
 	p.forgetIfUnused(c.endpoint)
 }
 
-// run dials and then reads answers until the connection ends. It is the connection's reader goroutine.
+// run dials and then reads answers until the connection ends. It is the reader goroutine of the connection.
 func (c *connection) run(ctx context.Context, address string) {
 	netConn, err := c.dial(ctx, address)
 	if err != nil {
@@ -166,7 +168,7 @@
 	}
 }
 
-// dial connects to an address and traces that.
+// dial connects to an address and writes a trace line.
 func (c *connection) dial(ctx context.Context, address string) (net.Conn, error) {
 	began := c.pool.loop.Now()
 	netConn, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
@@ -180,7 +182,7 @@
 	return netConn, err
 }
 
-// handleDialled takes a connection that has come up. Where it was given up meanwhile nothing may be written any more.
+// handleDialled adopts an established connection. If it was dropped while being dialled, nothing may be written to it.
 func (c *connection) handleDialled(netConn net.Conn) {
 	if c.closed {
 		closeSocket(netConn)
@@ -202,8 +204,8 @@
 	return parseReply(message), nil
 }
 
-// endReader notes why the reader ends. While a command is being written its writer posts the end, as it knows how far
-// it got.
+// endReader records why the reader ended. While a command is being written, its writer posts the end of the connection
+// instead, since only the writer knows how much was written.
 func (c *connection) endReader(netConn net.Conn, err error) {
 	malformed := errors.Is(err, resp.ErrMalformed) || errors.Is(err, errUnrequested) ||
 		errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, resp.ErrNoMemory)
@@ -215,11 +217,11 @@
 	}
 }
 
-// errUnrequested says that bytes came while no answer was owed.
-var errUnrequested = errors.New("an answer to no command")
+// errUnrequested reports bytes received while no answer was outstanding.
+var errUnrequested = errors.New("received bytes without an outstanding command")
 
-// answerReader reads from the socket for the resp.Reader. It takes nothing while no answer is owed: that would be
-// found in front of the next answer. And an answer that has begun must go on.
+// answerReader reads from the socket for a resp.Reader. It rejects bytes received while no answer is outstanding, since
+// they would be mistaken for the start of the next answer, and it times out an answer that stalls.
 type answerReader struct {
 	connection *connection
 	netConn    net.Conn
@@ -236,7 +238,7 @@
 		deadline = time.Now().Add(partialAnswerTimeout)
 	}
 	if !deadline.IsZero() || c.deadlineSet {
-		// Its error is that of a closed connection, which Read reports.
+		// SetReadDeadline fails only on a closed connection, which Read reports.
 		_ = r.netConn.SetReadDeadline(deadline)
 		c.deadlineSet = !deadline.IsZero()
 	}
@@ -247,9 +249,9 @@
 	return n, err
 }
 
-// writeCommand writes the command of what the connection carries. What the socket does not take at once is written by a
-// goroutine of its own: an endpoint that takes nothing must not block the loop, which closes the connection when the
-// time is up.
+// writeCommand writes the command of the attempt or health check that the connection carries. The part that the socket
+// does not accept at once is written by a separate goroutine: an endpoint that stops reading must not block the loop,
+// which closes the connection at the deadline.
 func (c *connection) writeCommand() {
 	command, isAttempt := c.command()
 	if command == nil {
@@ -269,7 +271,7 @@
 	}()
 }
 
-// command returns what is to be written; nil: nothing.
+// command returns the bytes to write, or nil if there are none.
 func (c *connection) command() (command []byte, isAttempt bool) {
 	switch {
 	case c.attempt != nil:
@@ -285,14 +287,14 @@
 	return nil, false
 }
 
-// handleWritten notes how the writing of a command ended. Any goroutine may call it.
+// handleWritten records how writing a command ended. It is safe for concurrent use.
 func (c *connection) handleWritten(isAttempt bool, err error) {
 	if err == nil && isAttempt && c.pool.cfg.OnWritten != nil {
 		c.pool.cfg.OnWritten(1)
 	}
 	if err != nil {
 		c.writeState.Store(writeFailed)
-		closeSocket(c.netConn) // so its reader ends, if it has not
+		closeSocket(c.netConn) // ends the reader
 	} else {
 		c.writeState.Store(writeComplete)
 	}
@@ -301,8 +303,9 @@
 	}
 }
 
-// handleEnd takes the end of a connection. If it broke before the last byte was written, the command never ran; if what
-// came is no answer, it has run, and the endpoint lives. Connections that have been idle for longer are no better.
+// handleEnd handles the end of a connection. If it failed before the last byte was written, the command never ran. If
+// the received bytes were not a valid answer, the command ran and the endpoint is alive. If a reused connection failed,
+// those that have been idle for longer are closed too, as they are likely to have failed as well.
 func (c *connection) handleEnd() {
 	c.endpoint.removeIdle(c)
 	if c.attempt != nil && c.commandsSent.Load() > 1 {
