--- a/internal/upstream/doc.go
+++ b/internal/upstream/doc.go
@@ -1,6 +1,7 @@
-// Package upstream holds the connections to endpoints and carries attempts and health checks on them, one at a time on
-// each connection. It decides nothing: which endpoint, when and how often is the balancer's.
+// Package upstream manages the connections to endpoints and sends attempts and health checks over them, one at a time
+// per connection. It makes no decisions: the balancer chooses the endpoint, the time and the number of attempts.
 //
-// The event loop owns a Pool, its connections and attempts. Each connection has a goroutine that dials and then reads
-// answers, and a goroutine for a command that the socket does not take at once; both post tasks to the loop.
+// The event loop owns a Pool, its connections and its attempts. Each connection has a goroutine that dials and then
+// reads answers. A command that the socket does not accept at once is written by a further goroutine. Both post tasks
+// to the loop.
 package upstream
