--- a/internal/upstream/healthcheck.go
+++ b/internal/upstream/healthcheck.go
@@ -5,10 +5,10 @@
 	"gapgap/internal/eventloop"
 )
 
-// pingCommand is the command of a health check.
+// pingCommand is the encoded command of a health check.
 const pingCommand = "*1\r\n$4\r\nPING\r\n"
 
-// healthCheckTimeouts is how many dial timeouts a health check may take in all.
+// healthCheckTimeouts is the time limit of a health check, in dial timeouts.
 const healthCheckTimeouts = 2
 
 // healthCheck is one health check of an endpoint.
@@ -17,7 +17,8 @@
 	timeout  *eventloop.Timer
 }
 
-// HealthCheck checks whether an endpoint can be reached by a new connection and answers.
+// HealthCheck checks whether an endpoint accepts a new connection and answers on it. It closes the idle connections to
+// the endpoint first.
 func (p *Pool) HealthCheck(name string) {
 	check := &healthCheck{endpoint: name}
 	ep := p.endpoints[name]
