--- a/internal/upstream/limits.go
+++ b/internal/upstream/limits.go
@@ -1,16 +1,17 @@
 package upstream
 
-// SetMaxConnections bounds the connections from now on. Those beyond it end as they are given up.
+// SetMaxConnections sets the limit on connections. Connections beyond a lower limit stay open until they are closed for
+// another reason.
 func (p *Pool) SetMaxConnections(n int) { p.cfg.MaxConnections = n }
 
-// reserveConnection makes sure that one more connection to an endpoint is allowed, by this pool's bound, the endpoint's and
-// that of the process. It closes idle connections of this pool where that makes the difference.
+// reserveConnection reserves one more connection to an endpoint and reports whether it could. It observes the limits of
+// this pool, of the endpoint and of the process, and closes idle connections of this pool if that makes room.
 func (p *Pool) reserveConnection(ep *endpointPool) bool {
 	if p.connections >= p.cfg.MaxConnections && !p.closeOldest() {
 		return false
 	}
 	if ep.limit != nil && !ep.limit.TryReserve(1) {
-		return false // none to this endpoint is idle here, or it would be used
+		return false // no connection to this endpoint is idle, since acquire would have used it
 	}
 	for p.cfg.Allotment != nil && !p.cfg.Allotment.TryReserve(1) {
 		if !p.closeOldest() {
@@ -23,8 +24,8 @@
 	return true
 }
 
-// CloseIdle closes up to n idle connections, those that have been idle longest, for other pools that want them; with an
-// address only those to that one.
+// CloseIdle closes up to n idle connections, least recently used first, because other pools need connections. If
+// address is not empty, only connections to that address are closed.
 func (p *Pool) CloseIdle(n int64, address string) {
 	for ; n > 0; n-- {
 		if address != "" {
@@ -37,7 +38,7 @@
 	}
 }
 
-// closeOldestTo closes the connection to an address that has been idle longest, if there is one.
+// closeOldestTo closes the least recently used idle connection to an address, if there is one.
 func (p *Pool) closeOldestTo(address string) {
 	for _, ep := range p.endpoints {
 		if ep.address == address && len(ep.idle) > 0 {
@@ -49,7 +50,7 @@
 	}
 }
 
-// closeOldest closes the connection that has been idle longest, and tells whether there was one.
+// closeOldest closes the least recently used idle connection and reports whether there was one.
 func (p *Pool) closeOldest() bool {
 	var oldest *connection
 	for _, ep := range p.endpoints {
