--- a/internal/upstream/longvalue.go
+++ b/internal/upstream/longvalue.go
@@ -10,20 +10,20 @@
 )
 
 const (
-	// maxValueBytes bounds an answer's value; from resp.MaxValueBytes on it is passed on as it comes.
+	// maxValueBytes bounds the value of an answer. Values of resp.MaxValueBytes or more are streamed.
 	maxValueBytes = 4 << 20
-	// longChunkBytes is how much of a long value is held at most.
+	// longChunkBytes is the buffer size for a long value.
 	longChunkBytes = 32 << 10
-	// minLongChunkBytes is held where the budget for long values is used up.
+	// minLongChunkBytes is the buffer size when the memory budget for long values is exhausted.
 	minLongChunkBytes = 4 << 10
 )
 
-// errNoConsumer says that nobody takes the value.
-var errNoConsumer = errors.New("nobody takes the value")
+// errNoConsumer reports that nobody accepts the value.
+var errNoConsumer = errors.New("nobody accepts the long value")
 
-// forwardLongValue reads an answer that begins with a long value and passes that on as it comes. It reads no more than has
-// been taken, so whoever is slower sets the pace. The rest of the answer holds the figures only: if it does not come
-// the connection is not used again, and the value has been served all the same.
+// forwardLongValue reads an answer that begins with a long value and streams the value to a sink. It reads no more than
+// the sink has accepted, so a slow client slows down the endpoint. The rest of the answer contains only usage figures:
+// if they do not arrive, the value still counts as served, but the connection is not reused.
 func (c *connection) forwardLongValue() (reply, error) {
 	items, size := c.reader.StartLongValue()
 	sink := c.beginLongValue(size)
@@ -60,8 +60,8 @@
 	return r, nil
 }
 
-// copyLongValue passes a value of a size on, with its head and its end of line. That end is checked before it goes
-// out: a value whose length is wrong must not look complete.
+// copyLongValue copies a value of the given size to a sink, including its header and line end. The line end is checked
+// before it is written: a value whose announced length is wrong must not look complete to the client.
 func (c *connection) copyLongValue(sink Sink, size int, buffer []byte) error {
 	head := append(strconv.AppendInt(append(buffer[:0], '$'), int64(size), 10), "\r\n"...)
 	for left := size; left > 0; {
@@ -83,12 +83,12 @@
 		end = buffer[:len(end)+n]
 	}
 	if buffer[0] != '\r' || buffer[1] != '\n' {
-		return fmt.Errorf("%w: a long value with a wrong length", resp.ErrMalformed)
+		return fmt.Errorf("%w: the long value does not end at its announced length", resp.ErrMalformed)
 	}
 	return c.writeToSink(sink, buffer[:2])
 }
 
-// writeToSink gives a sink a piece of a long value.
+// writeToSink writes a piece of a long value to a sink.
 func (c *connection) writeToSink(sink Sink, piece []byte) error {
 	if err := sink.Write(piece); err != nil {
 		c.noConsumer.Store(true)
@@ -97,7 +97,7 @@
 	return nil
 }
 
-// beginLongValue asks the loop who takes a long value; nil: the attempt has been given up.
+// beginLongValue asks the loop for the sink of a long value. It returns nil if the attempt has been abandoned.
 func (c *connection) beginLongValue(size int) Sink {
 	answer := make(chan Sink, 1)
 	c.pool.loop.Post(func() { answer <- c.pool.handleLongValue(c, size) })
@@ -109,7 +109,7 @@
 	}
 }
 
-// handleLongValue is the loop's part of beginLongValue. From here on the value has as long as it takes.
+// handleLongValue is the part of beginLongValue that runs on the loop. From here on the attempt has no deadline.
 func (p *Pool) handleLongValue(c *connection, size int) Sink {
 	attempt := c.attempt
 	if c.closed || attempt == nil || c.writeState.Load() != writeComplete {
