--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -11,65 +11,66 @@
 	"gapgap/internal/trace"
 )
 
-// idleCloseFraction is the part of Config.IdleTimeout after which an idle connection is closed here: before the
-// endpoint closes it, perhaps under a command on its way.
+// idleCloseFraction is the fraction of Config.IdleTimeout after which an idle connection is closed. It is below 1 so
+// that the endpoint does not close the connection first, possibly while a command is on its way.
 const idleCloseFraction = 0.6
 
-// Config bounds the connections.
+// Config holds the limits and timeouts of a Pool.
 type Config struct {
-	// MaxConnections bounds the connections to all endpoints.
+	// MaxConnections bounds the connections to all endpoints together.
 	MaxConnections int
-	// DialTimeout is how long a connection may take to come up.
+	// DialTimeout bounds the time for establishing a connection.
 	DialTimeout time.Duration
-	// IdleTimeout is after how long endpoints close an idle connection; 0: never.
+	// IdleTimeout is the time after which endpoints close an idle connection. 0 means never.
 	IdleTimeout time.Duration
-	// StallTimeout ends a long value that has begun and stops for so long; 0: 5 s.
+	// StallTimeout bounds the time between two pieces of a long value. 0 means 5 s.
 	StallTimeout time.Duration
-	// ValueMemory bounds what long answers hold while they come in; nil: unbounded.
+	// ValueMemory bounds the memory for long answers while they are received. nil means no limit.
 	ValueMemory *resourcelimit.Bytes
-	// Allotment is the pool's part of the connections of a process with several pools; nil: MaxConnections alone bounds
-	// them.
+	// Allotment is this pool's allotment of connections in a process with several pools. If it is nil, only
+	// MaxConnections applies.
 	Allotment *resourcelimit.Allotment
-	// EndpointLimit joins the bound on the connections to an address that pools share; nil: there is none.
+	// EndpointLimit returns the limit on connections to an address, which pools share. If it is nil, there is no such
+	// limit.
 	EndpointLimit func(address string) *resourcelimit.EndpointLimit
-	// OnWritten counts attempts whose last byte is written, on any goroutine; nil: nobody asks.
+	// OnWritten, if not nil, counts attempts whose last byte has been written. Any goroutine may call it.
 	OnWritten func(uint64) uint64
-	// Trace takes a line for each connection dialled; nil: none is written.
+	// Trace receives a line for each connection dialled. It may be nil.
 	Trace *trace.Log
 }
 
-// Pool holds the connections to all endpoints. The event loop owns it.
+// Pool manages the connections to all endpoints. The event loop owns it.
 type Pool struct {
 	loop          *eventloop.Loop
 	cfg           Config
 	onHealthCheck func(balancer.HealthCheckResult)
 	endpoints     map[string]*endpointPool
-	// blocked are endpoints to which nothing may be sent, whatever the list says.
+	// blocked holds the names of endpoints to which nothing may be sent, whatever the endpoint list says.
 	blocked map[string]bool
-	// connections counts them all, those being dialled too.
+	// connections counts all connections, including those being dialled.
 	connections int
 }
 
-// endpointPool is the connections to one endpoint.
+// endpointPool holds the connections to one endpoint.
 type endpointPool struct {
 	name      string
 	address   string
 	startedAt time.Duration
-	// generation grows with each new address or start of the endpoint.
+	// generation increases with each new address or start time of the endpoint.
 	generation int
-	// listed says that the endpoint list has it as serving.
+	// listed reports that the endpoint is serving according to the endpoint list.
 	listed bool
-	// usable says that it is listed and not held.
+	// usable reports that the endpoint is listed and not blocked.
 	usable      bool
 	connections map[*connection]bool
-	// idle has the one used last at the end.
+	// idle holds the idle connections, the most recently used one last.
 	idle         []*connection
 	lastAnswerAt time.Duration
-	// limit bounds the connections of all pools to the address; nil: nothing does.
+	// limit bounds the connections of all pools to the address. nil means no limit.
 	limit *resourcelimit.EndpointLimit
 }
 
-// New returns an empty pool. Results of health checks go to onHealthCheck, by the event loop.
+// New returns an empty pool. The event loop calls onHealthCheck with the results of health checks.
 func New(loop *eventloop.Loop, cfg Config, onHealthCheck func(balancer.HealthCheckResult)) *Pool {
 	return &Pool{
 		loop:          loop,
@@ -80,7 +81,7 @@
 	}
 }
 
-// Close ends all connections.
+// Close closes all connections.
 func (p *Pool) Close() {
 	for _, ep := range p.endpoints {
 		for c := range ep.connections {
@@ -93,8 +94,8 @@
 	}
 }
 
-// UpdateEndpoint takes what the endpoint list says of one endpoint. With another address or start it is another
-// process, to which no old connection leads; those in use are closed with their answers.
+// UpdateEndpoint applies an entry of the endpoint list. An endpoint with another address or start time is another
+// process: idle connections to the old one are closed at once, those in use after their answer.
 func (p *Pool) UpdateEndpoint(e balancer.Endpoint, address string) {
 	ep := p.endpoints[e.Name]
 	if ep == nil {
@@ -111,7 +112,7 @@
 	}
 }
 
-// replace moves an endpoint to another address or start.
+// replace records another address or start time of an endpoint.
 func (p *Pool) replace(ep *endpointPool, address string, startedAt time.Duration) {
 	ep.address = address
 	ep.startedAt = startedAt
@@ -126,11 +127,11 @@
 	p.dropDialling(ep)
 }
 
-// SetBlocked keeps all that is not yet written from an endpoint, whatever the list says, or ends that. When it returns
-// nothing waits for a connection to a held endpoint.
-func (p *Pool) SetBlocked(name string, on bool) {
+// SetBlocked blocks or unblocks an endpoint, whatever the endpoint list says. Nothing that has not been written yet is
+// sent to a blocked endpoint: when the call returns, no attempt waits for a connection to it.
+func (p *Pool) SetBlocked(name string, blocked bool) {
 	ep := p.endpoints[name]
-	if !on {
+	if !blocked {
 		delete(p.blocked, name)
 		if ep != nil {
 			ep.usable = ep.listed
@@ -144,7 +145,7 @@
 	}
 }
 
-// KeepOnly ends the use of the endpoints that a complete list leaves out.
+// KeepOnly stops using the endpoints that a complete list does not contain.
 func (p *Pool) KeepOnly(entries []endpoint.Entry) {
 	named := map[string]bool{}
 	for _, entry := range entries {
@@ -159,15 +160,16 @@
 	}
 }
 
-// stopUsing keeps anything new from an endpoint that drains or is gone. An attempt that still waits for its
-// connection is taken back: it would be written when that comes up, perhaps after the grace of the drain.
+// stopUsing prevents new attempts to an endpoint that is draining, removed or blocked. An attempt that still waits for
+// its connection is withdrawn: otherwise it would be written once the connection is established, possibly after the
+// drain period.
 func (p *Pool) stopUsing(ep *endpointPool) {
 	p.closeIdle(ep, p.loop.Now())
 	p.dropDialling(ep)
 	p.forgetIfUnused(ep)
 }
 
-// dropDialling takes back what waits for a connection.
+// dropDialling withdraws attempts and health checks that wait for a connection.
 func (p *Pool) dropDialling(ep *endpointPool) {
 	for c := range ep.connections {
 		if c.netConn == nil {
@@ -176,7 +178,8 @@
 	}
 }
 
-// forgetIfUnused drops an endpoint that is not listed and has no connections. The name may stand for a newer one.
+// forgetIfUnused removes an endpoint that is not listed and has no connections. By then its name may refer to a newer
+// endpoint, which is kept.
 func (p *Pool) forgetIfUnused(ep *endpointPool) {
 	if ep.listed || len(ep.connections) > 0 {
 		return
@@ -190,12 +193,12 @@
 	}
 }
 
-// removeIdle takes a connection out of the idle ones.
+// removeIdle removes a connection from the idle list.
 func (ep *endpointPool) removeIdle(c *connection) {
 	ep.idle = slices.DeleteFunc(ep.idle, func(other *connection) bool { return other == c })
 }
 
-// Sweep closes connections that have been idle for most of the time after which endpoints close them.
+// Sweep closes connections that have been idle for idleCloseFraction of Config.IdleTimeout.
 func (p *Pool) Sweep() {
 	if p.cfg.IdleTimeout <= 0 {
 		return
@@ -206,7 +209,7 @@
 	}
 }
 
-// closeIdle closes the idle connections to an endpoint that have not been used since a time.
+// closeIdle closes the idle connections to an endpoint that have not been used since the given time.
 func (p *Pool) closeIdle(ep *endpointPool, since time.Duration) {
 	kept := ep.idle[:0]
 	for _, c := range ep.idle {
