--- a/internal/upstream/reply.go
+++ b/internal/upstream/reply.go
@@ -9,22 +9,22 @@
 	"gapgap/internal/resp"
 )
 
-// reply is an answer of an endpoint.
+// reply is a parsed answer of an endpoint.
 type reply struct {
 	status balancer.Status
-	// value is the value as a bulk string, to be passed on.
+	// value is the value as a bulk string, ready to be forwarded.
 	value []byte
-	// quotaUsed is one more than the percentage of the quota used; 0: not told.
+	// quotaUsed is the percentage of the quota used plus one. 0 means that the endpoint did not report it.
 	quotaUsed int
-	// malformed says that it is no answer to a request.
+	// malformed reports that this is not a valid answer to a request.
 	malformed bool
-	// isPong says that it answers a health check.
+	// isPong reports that this is the answer to a health check.
 	isPong bool
-	// surplus says that more bytes came with it.
+	// surplus reports that more bytes were received than this answer.
 	surplus bool
 }
 
-// handleReply takes an answer. A connection on which more came than was asked for is not used again.
+// handleReply handles an answer. A connection that received more than was asked for is not reused.
 func (p *Pool) handleReply(c *connection, r reply) {
 	if c.closed {
 		return
@@ -58,14 +58,14 @@
 	}
 }
 
-// isReusable tells whether the connection may carry another command: the last one is written in full, and the
-// endpoint is in use and the same process.
+// isReusable reports whether the connection may carry another command: the last command was written in full, and the
+// endpoint is in use and still the same process.
 func (c *connection) isReusable() bool {
 	return c.writeState.Load() == writeComplete && c.endpoint.usable && c.generation == c.endpoint.generation
 }
 
-// parseReply reads an answer: an array of the value, the figures on use and the load report, or an error line behind
-// whose first word the figures may stand.
+// parseReply parses an answer. It is either an array of the value, the usage figures and the load report, or an error
+// line, which may contain the usage figures after its first word.
 func parseReply(message redcon.RESP) reply {
 	switch message.Type {
 	case redcon.Error:
@@ -78,7 +78,7 @@
 	return reply{status: balancer.Failed, malformed: true}
 }
 
-// parseError reads an error line.
+// parseError parses an error line.
 func parseError(line []byte) reply {
 	r := reply{status: balancer.Failed}
 	word, _, _ := bytes.Cut(line, []byte{' '})
@@ -97,7 +97,7 @@
 	return r
 }
 
-// parseArray reads an array.
+// parseArray parses an array.
 func parseArray(message redcon.RESP) reply {
 	r := reply{status: balancer.Failed, malformed: true}
 	i := 0
@@ -116,10 +116,11 @@
 	return r
 }
 
-// maxQuotaUsed is more than any percentage that is believed.
+// maxQuotaUsed is the lower bound of the percentages that are ignored as implausible.
 const maxQuotaUsed = 1e6
 
-// parseQuotaUsed finds the figure in a list such as used=37,cost=4 and returns one more; 0 if there is none.
+// parseQuotaUsed parses the quota figure in a list such as used=37,cost=4. It returns the percentage plus one, or 0 if
+// there is none.
 func parseQuotaUsed(list []byte) int {
 	for item := range bytes.SplitSeq(list, []byte{','}) {
 		value, ok := bytes.CutPrefix(item, []byte("used="))
