--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -9,9 +9,10 @@
 	"gapgap/internal/fake/peer"
 )
 
-// An attempt that has a time by which it is to be written is not written after that: while its connection comes up it
-// ends unsent when the time comes, and one that comes to be written late all the same, as when the loop stood still,
-// ends so too. Where a part is out, the rest may be: then it may have run.
+// TestNothingIsWrittenAfterItsTime verifies that an attempt is written before its WriteBy time or not at all. It ends
+// as not sent if its connection is still being dialled at that time, or if the loop was late and the time has passed
+// when the connection can be written to. If part of the command was written, the rest may reach the endpoint, so the
+// attempt ends as possibly run.
 func TestNothingIsWrittenAfterItsTime(t *testing.T) {
 	sendWithWriteBy := func(h *harness, by time.Duration, o Owner) {
 		h.outcomes = nil
@@ -51,7 +52,7 @@
 		h := newHarness(t, ln.Addr().String())
 		sendWithWriteBy(h, h.Now()+30*time.Millisecond, testOwner{h})
 		b := peer.Accept(t, ln)
-		time.Sleep(60 * time.Millisecond) // no task and no timer has been run
+		time.Sleep(60 * time.Millisecond) // the loop runs no task and no timer meanwhile
 		peer.Pump(t, h.Loop, func() bool { return len(h.outcomes) > 0 })
 		wantOutcome(t, h, balancer.NotSent)
 		b.WantsEnd()
@@ -75,7 +76,7 @@
 	})
 }
 
-// longCommandOwner has a command that no socket takes at once.
+// longCommandOwner has a command too long for a socket to accept at once.
 type longCommandOwner struct{ testOwner }
 
 func (longCommandOwner) Command(time.Duration) []byte { return []byte(strings.Repeat("x", 64<<20)) }
