--- a/internal/upstream/longvalue_test.go
+++ b/internal/upstream/longvalue_test.go
@@ -13,13 +13,13 @@
 	"gapgap/internal/resourcelimit"
 )
 
-// recordingSink takes a long value.
+// recordingSink is a Sink that records the value.
 type recordingSink struct {
 	size         int
 	mu           sync.Mutex
 	received     []byte
-	longestPiece int           // bytes of a piece
-	gate         chan struct{} // each piece waits for one; nil: none does
+	longestPiece int           // in bytes
+	gate         chan struct{} // if not nil, Write receives from it before each piece
 	err          error
 }
 
@@ -40,8 +40,8 @@
 	return string(s.received)
 }
 
-// A long value is passed on as it comes, whatever the pieces, and nothing of the answer beside it. The connection is
-// good for the next attempt.
+// TestLongValuesArePassedOn verifies that a long value is streamed however it is split on arrival, that nothing else of
+// the answer reaches the sink, and that the connection is reused for the next attempt.
 func TestLongValuesArePassedOn(t *testing.T) {
 	ln := peer.Listen(t)
 	h := newHarness(t, ln.Addr().String())
@@ -67,15 +67,17 @@
 		peer.Pump(t, h.Loop, func() bool { return len(h.outcomes) > 0 })
 		wantOutcome(t, h, balancer.OK)
 		if h.sink.text() != bulkValue || h.sink.size != size || h.sink.longestPiece > longChunkBytes {
-			t.Errorf("%d bytes of %d came, %d at once", len(h.sink.received), len(bulkValue), h.sink.longestPiece)
+			t.Errorf("the sink received %d bytes, want %d; longest piece %d", len(h.sink.received),
+				len(bulkValue), h.sink.longestPiece)
 		}
 		if h.pool.cfg.ValueMemory.Held() != 0 {
-			t.Error("the buffer is not given back")
+			t.Error("the memory of the buffer is not released")
 		}
 	}
 }
 
-// The first bytes go on before the last have come, and nothing is read from the backend that nobody takes.
+// TestSlowSinkSlowsTheBackend verifies that the first bytes of a long value are forwarded before the last have arrived,
+// and that no more is read from the endpoint than the sink accepts.
 func TestSlowSinkSlowsTheBackend(t *testing.T) {
 	ln := peer.Listen(t)
 	h := newHarness(t, ln.Addr().String())
@@ -88,15 +90,15 @@
 	b.Write(fmt.Sprintf("*3\r\n$%d\r\n%s", 2*half, strings.Repeat("v", half)))
 	peer.Pump(t, h.Loop, func() bool { return a.longValueAt > 0 })
 	h.sink.gate <- struct{}{} // the first piece
-	for range 8 {             // what is read is no more than the pieces that were taken and one buffer
+	for range 8 {             // at most the accepted pieces and one buffer are read
 		select {
 		case h.sink.gate <- struct{}{}:
 		default:
 		}
 	}
-	h.RunDue(h.Now() + time.Hour) // no deadline runs any more
+	h.RunDue(h.Now() + time.Hour) // the attempt has no deadline any more
 	if len(h.outcomes) > 0 {
-		t.Fatalf("ended in the middle: %v", h.outcomes)
+		t.Fatalf("the attempt ended before the value was complete: %v", h.outcomes)
 	}
 	close(h.sink.gate)
 	b.Write(strings.Repeat("v", half) + "\r\n$-1\r\n$-1\r\n")
@@ -104,7 +106,8 @@
 	wantOutcome(t, h, balancer.OK)
 }
 
-// Each way in which a long value can end badly has its outcome, and never looks whole.
+// TestLongValuesThatEndBadly verifies the result of each way in which a long value can fail, and that an incomplete
+// value never looks complete to the client.
 func TestLongValuesThatEndBadly(t *testing.T) {
 	head := fmt.Sprintf("*3\r\n$%d\r\n", 100<<10)
 	body := strings.Repeat("v", 100<<10)
@@ -114,11 +117,12 @@
 		sink  *recordingSink
 		want  balancer.Status
 	}{
-		"dies halfway":        {head + body[:50<<10], true, &recordingSink{}, balancer.Reset},
-		"stops halfway":       {head + body[:50<<10], false, &recordingSink{}, balancer.Failed},
-		"too long":            {head + body + "v\r\n$-1\r\n$-1\r\n", false, &recordingSink{}, balancer.Failed},
-		"longer than allowed": {fmt.Sprintf("*3\r\n$%d\r\n", maxValueBytes+1) + body, false, &recordingSink{}, balancer.Failed},
-		"nobody wants it":     {head + body + "\r\n$-1\r\n$-1\r\n", false, nil, balancer.Cancelled},
+		"dies halfway":  {head + body[:50<<10], true, &recordingSink{}, balancer.Reset},
+		"stops halfway": {head + body[:50<<10], false, &recordingSink{}, balancer.Failed},
+		"too long":      {head + body + "v\r\n$-1\r\n$-1\r\n", false, &recordingSink{}, balancer.Failed},
+		"longer than allowed": {fmt.Sprintf("*3\r\n$%d\r\n", maxValueBytes+1) + body, false, &recordingSink{},
+			balancer.Failed},
+		"nobody wants it": {head + body + "\r\n$-1\r\n$-1\r\n", false, nil, balancer.Cancelled},
 		"the client has gone": {head + body + "\r\n$-1\r\n$-1\r\n", false, &recordingSink{err: errors.New("gone")},
 			balancer.Cancelled},
 		"no figures come":      {head + body + "\r\n", true, &recordingSink{}, balancer.OK},
@@ -131,7 +135,7 @@
 			h.sink = c.sink
 			sendAttempt(t, h)
 			b := peer.Accept(t, ln)
-			go func() { // it ends when the other side closes
+			go func() { // ends when the other side closes the connection
 				_, _ = b.Try()
 				_, _ = b.NC.Write([]byte(c.text))
 				if c.close {
@@ -142,10 +146,10 @@
 			wantOutcome(t, h, c.want)
 			if c.sink != nil && c.want != balancer.OK && strings.HasSuffix(c.sink.text(), "\r\n") &&
 				len(c.sink.received) > 20 && c.sink.err == nil {
-				t.Errorf("it looks whole: %d bytes", len(c.sink.received))
+				t.Errorf("an incomplete value looks complete: %d bytes", len(c.sink.received))
 			}
 			if n := len(h.pool.endpoints["s-0"].idle); n != 0 {
-				t.Errorf("%d connections are kept for the next attempt", n)
+				t.Errorf("%d idle connections are kept, want 0", n)
 			}
 		})
 	}
