--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -16,6 +16,7 @@
 	"gapgap/internal/balancer"
 )
 
+// TestReadReply verifies the parsing of answers and error lines, valid and malformed.
 func TestReadReply(t *testing.T) {
 	for text, want := range map[string]reply{
 		"*3\r\n$2\r\nhi\r\n$14\r\nused=37,cost=4\r\n$-1\r\n": {status: balancer.OK, value: []byte("$2\r\nhi\r\n"),
@@ -39,16 +40,16 @@
 	}
 }
 
-// harness is a pool on a loop that the test plays.
+// harness is a pool on an event loop that the test runs.
 type harness struct {
 	*eventloop.Loop
 	pool         *Pool
-	outcomes     []balancer.Status // outcomes
+	outcomes     []balancer.Status
 	healthChecks []balancer.HealthCheckResult
-	sink         *recordingSink // of long values; nil: nobody wants them
+	sink         *recordingSink // receives long values; nil: they are not wanted
 }
 
-// testOwner is what the attempts of a rig are made for.
+// testOwner is the owner of the attempts of a harness.
 type testOwner struct{ h *harness }
 
 func (o testOwner) Command(time.Duration) []byte { return []byte("*1\r\n$5\r\nQ.ASK\r\n") }
@@ -61,7 +62,7 @@
 }
 func (o testOwner) HandleResult(r Result) { o.h.outcomes = append(o.h.outcomes, r.Status) }
 
-// newHarness is a pool that knows the given backends.
+// newHarness returns a harness whose pool knows endpoints at the given addresses.
 func newHarness(t *testing.T, addrs ...string) *harness {
 	t.Helper()
 	h := &harness{Loop: eventloop.New()}
@@ -74,6 +75,7 @@
 	return h
 }
 
+// newEntries returns the entries of endpoints s-0, s-1 and so on at the given addresses.
 func newEntries(addrs ...string) (all []endpoint.Entry) {
 	for i, a := range addrs {
 		all = append(all, endpoint.Entry{Endpoint: balancer.Endpoint{Name: fmt.Sprint("s-", i), Weight: 1}, Address: a})
@@ -81,7 +83,7 @@
 	return all
 }
 
-// applySnapshot gives the pool a applySnapshot list.
+// applySnapshot applies a complete endpoint list to the pool.
 func (h *harness) applySnapshot(addrs ...string) {
 	list := newEntries(addrs...)
 	for _, e := range list {
@@ -90,7 +92,7 @@
 	h.pool.KeepOnly(list)
 }
 
-// sendAttempt makes an attempt.
+// sendAttempt sends an attempt to the first endpoint.
 func sendAttempt(t *testing.T, h *harness) *Attempt {
 	t.Helper()
 	h.outcomes = nil
@@ -99,6 +101,7 @@
 	return a
 }
 
+// wantOutcome verifies that exactly one result has arrived, with the given status.
 func wantOutcome(t *testing.T, h *harness, want balancer.Status) {
 	t.Helper()
 	if got := h.outcomes; len(got) != 1 || got[0] != want {
@@ -106,6 +109,7 @@
 	}
 }
 
+// TestOneOutcomeForEachSend verifies that each attempt has exactly one result, whichever way it ends.
 func TestOneOutcomeForEachSend(t *testing.T) {
 	ends := map[string]struct {
 		want balancer.Status
@@ -117,7 +121,7 @@
 		"gone":    {balancer.Cancelled, func(h *harness, a *Attempt, b *peer.Peer) { h.pool.Cancel(a) }},
 		"noise":   {balancer.Failed, func(h *harness, a *Attempt, b *peer.Peer) { b.Write("\x00\x01\x02\r\n") }},
 		"length":  {balancer.Failed, func(h *harness, a *Attempt, b *peer.Peer) { b.Write("*1\r\n$3000000000\r\nx") }},
-		// and no more
+		// the announced length is wrong and nothing follows
 		"short":  {balancer.Failed, func(h *harness, a *Attempt, b *peer.Peer) { b.Write("*1\r\n$20\r\nx\r\n") }},
 		"line":   {balancer.Failed, func(h *harness, a *Attempt, b *peer.Peer) { b.Write("-OOPS\r\n") }},
 		"full":   {balancer.Rejected, func(h *harness, a *Attempt, b *peer.Peer) { b.Write("-BUSY\r\n") }},
@@ -138,7 +142,7 @@
 			end.do(h, a, b)
 			peer.Pump(t, h.Loop, func() bool { return a.ended })
 			wantOutcome(t, h, end.want)
-			h.pool.Cancel(a) // what comes later changes nothing
+			h.pool.Cancel(a) // later events change nothing
 			h.RunDue(a.Deadline)
 			conn.handleEnd()
 			wantOutcome(t, h, end.want)
@@ -149,8 +153,8 @@
 	}
 }
 
-// A request whose connection is still being made when its backend drains, the attempt is called off or the client
-// leaves must not be written afterwards.
+// TestPendingDialIsNotWritten verifies that an attempt whose connection is still being dialled when its endpoint drains
+// or is removed, or when the attempt is cancelled, is not written afterwards.
 func TestPendingDialIsNotWritten(t *testing.T) {
 	for name, end := range map[string]func(h *harness, a *Attempt){
 		"drain": func(h *harness, a *Attempt) {
@@ -166,7 +170,7 @@
 			ln := peer.Listen(t)
 			h := newHarness(t, ln.Addr().String())
 			a := sendAttempt(t, h)
-			b := peer.Accept(t, ln) // the connection is up, but the loop has not heard of it
+			b := peer.Accept(t, ln) // established, but the loop has not been notified
 			end(h, a)
 			wantOutcome(t, h, balancer.NotSent)
 			ended := make(chan struct{})
@@ -174,7 +178,7 @@
 				defer close(ended)
 				b.WantsEnd()
 			}()
-			peer.Pump(t, h.Loop, func() bool { // whatever the dial still reports
+			peer.Pump(t, h.Loop, func() bool { // runs the tasks that the dial still posts
 				select {
 				case <-ended:
 					return true
@@ -186,7 +190,8 @@
 	}
 }
 
-// With no socket left the connection that was idle longest makes room; with none idle the attempt is not sent.
+// TestConnectionsAreBounded verifies that at the connection limit the longest idle connection is closed to make room,
+// and that the attempt is not sent if none is idle.
 func TestConnectionsAreBounded(t *testing.T) {
 	first, second := peer.Listen(t), peer.Listen(t)
 	h := newHarness(t, first.Addr().String(), second.Addr().String())
@@ -209,6 +214,7 @@
 	peer.Accept(t, second)
 }
 
+// TestConnectFailed verifies that an attempt to an address on which nothing listens ends as ConnectFailed.
 func TestConnectFailed(t *testing.T) {
 	h := newHarness(t, peer.FreeAddr(t))
 	a := sendAttempt(t, h)
@@ -216,8 +222,8 @@
 	wantOutcome(t, h, balancer.ConnectFailed)
 }
 
-// A backend that has fallen silent may be a machine that is gone: connections that were idle since then are not
-// used again. One that was started anew has none of its old ones.
+// TestSilentAndRestartedBackendsLoseIdleConnections verifies that idle connections are closed when an endpoint stops
+// answering, since its machine may be down, and when it was restarted.
 func TestSilentAndRestartedBackendsLoseIdleConnections(t *testing.T) {
 	ln := peer.Listen(t)
 	h := newHarness(t, ln.Addr().String())
@@ -241,13 +247,13 @@
 		peer.Pump(t, h.Loop, func() bool { return len(ep.idle) == 1 })
 		end()
 		if len(ep.idle) != 0 || h.pool.connections != 0 {
-			t.Errorf("%d idle connections, %d in all", len(ep.idle), h.pool.connections)
+			t.Errorf("%d idle connections and %d in total, want 0", len(ep.idle), h.pool.connections)
 		}
 		p.WantsEnd()
 	}
 }
 
-// startAttempt makes an attempt on the one connection to a backend and waits until it has come there.
+// startAttempt sends an attempt on the only connection to an endpoint and waits until the endpoint has received it.
 func startAttempt(t *testing.T, h *harness, ln net.Listener) (*Attempt, *peer.Peer) {
 	t.Helper()
 	a := sendAttempt(t, h)
@@ -257,8 +263,8 @@
 	return a, p
 }
 
-// What comes on a connection while nothing is asked must not stand before the next answer, nor a whole second
-// copy be taken for it: the connection is not used again, whether its reader has seen it or not.
+// TestLateSurplusSpoilsTheConnection verifies that bytes received on an idle connection are never taken for the next
+// answer or the start of it: the connection is not reused, whether or not its reader has seen the bytes.
 func TestLateSurplusSpoilsTheConnection(t *testing.T) {
 	for _, surplus := range []string{"*1\r\n$5\r\nstray\r\n", "*1\r\n$5\r\nst", "x"} {
 		ln := peer.Listen(t)
@@ -271,12 +277,13 @@
 		peer.Pump(t, h.Loop, func() bool { return conn.closed })
 		p.WantsEnd()
 		if !conn.malformed.Load() || len(h.pool.endpoints["s-0"].idle) != 0 {
-			t.Errorf("%q: the connection is kept", surplus)
+			t.Errorf("after unrequested %q the connection is kept", surplus)
 		}
 	}
 }
 
-// Before an idle connection is used the socket itself is asked, as its reader may not have run since.
+// TestQuiet verifies the check of the socket itself before an idle connection is reused, as its reader may not have run
+// since the last bytes arrived.
 func TestQuiet(t *testing.T) {
 	ln := peer.Listen(t)
 	nc, err := net.Dial("tcp", ln.Addr().String())
@@ -286,17 +293,18 @@
 	defer func() { _ = nc.Close() }()
 	p := peer.Accept(t, ln)
 	if !socket.IsQuiet(nc) {
-		t.Error("nothing has come, and it is not quiet")
+		t.Error("the socket is not quiet, but nothing was sent")
 	}
 	p.Write("x")
 	for end := time.Now().Add(peer.Patient); socket.IsQuiet(nc); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("what has come is not seen")
+			t.Fatal("the socket stays quiet, but a byte was sent")
 		}
 	}
 }
 
-// A connection that was busy when its backend moved leads to the old process: it ends with its answer.
+// TestBusyConnectionOfAnOldAddressIsNotKept verifies that a connection in use while its endpoint moves to another
+// address is closed after its answer, as it leads to the old process.
 func TestBusyConnectionOfAnOldAddressIsNotKept(t *testing.T) {
 	ln, next := peer.Listen(t), peer.Listen(t)
 	h := newHarness(t, ln.Addr().String())
@@ -309,14 +317,14 @@
 	h.outcomes = nil
 	a = sendAttempt(t, h)
 	dialling := a.connection
-	h.applySnapshot(ln.Addr().String()) // it moves while it is being dialled
+	h.applySnapshot(ln.Addr().String()) // the endpoint moves while the connection is being dialled
 	wantOutcome(t, h, balancer.NotSent)
 	if !dialling.closed {
 		t.Error("the dial to the old address goes on")
 	}
 }
 
-// A backend that is gone must be forgotten with its last attempt, however that ends.
+// TestGoneBackendIsForgotten verifies that a removed endpoint is forgotten when its last attempt ends, however it ends.
 func TestGoneBackendIsForgotten(t *testing.T) {
 	ln := peer.Listen(t)
 	h := newHarness(t, ln.Addr().String())
@@ -325,11 +333,11 @@
 	h.RunDue(a.Deadline)
 	wantOutcome(t, h, balancer.Timeout)
 	if len(h.pool.endpoints) != 0 || h.pool.connections != 0 {
-		t.Errorf("%d backends and %d connections are kept", len(h.pool.endpoints), h.pool.connections)
+		t.Errorf("%d endpoints and %d connections are kept, want 0", len(h.pool.endpoints), h.pool.connections)
 	}
 }
 
-// Probes end once, whatever comes back.
+// TestProbe verifies that a health check has one result that matches the answer.
 func TestProbe(t *testing.T) {
 	ln := peer.Listen(t)
 	h := newHarness(t, ln.Addr().String())
@@ -349,6 +357,7 @@
 	}
 }
 
+// allDialled reports whether no connection to an endpoint is still being dialled.
 func (p *Pool) allDialled(name string) bool {
 	for conn := range p.endpoints[name].connections {
 		if conn.netConn == nil {
