--- a/internal/proxy/administration.go
+++ b/internal/proxy/administration.go
@@ -9,18 +9,18 @@
 	"gapgap/internal/balancer"
 )
 
-// errLoopTimeout says that a call did not get its turn on the loop in time. It may yet be carried out.
-var errLoopTimeout = errors.New("no time for it now: say it again")
+// errLoopTimeout reports that the event loop did not run a call in time. The call may still take effect later.
+var errLoopTimeout = errors.New("the event loop did not run the call in time; repeat it")
 
-// AdminEject keeps new requests from an endpoint until AdminRestore, whatever the endpoint list says. When it returns
-// nil the Balancer and the connections to the endpoint have heard; a second call does no harm. since is when that was
-// first asked for; 0: now. Its error is ErrNeverListed or tells that there was no time. Any goroutine may call it; it
-// blocks until the loop has done it or the context ends.
+// AdminEject stops new requests to an endpoint until AdminRestore, whatever the endpoint list says. It blocks until the
+// event loop has run the call or the context ends. When it returns nil, the Balancer and the connections to the
+// endpoint have been updated. It is idempotent. since is the time of the original ejection; 0 means now. The error is
+// ErrNeverListed or reports that the call was not run in time. It is safe for concurrent use.
 func (p *Proxy) AdminEject(ctx context.Context, name string, since time.Duration) error {
 	return p.runForKnownEndpoint(ctx, name, func() { p.eject(name, since) })
 }
 
-// AdminRestore ends AdminEject, under the same terms.
+// AdminRestore reverses AdminEject. It blocks and fails like AdminEject.
 func (p *Proxy) AdminRestore(ctx context.Context, name string) error {
 	return p.runForKnownEndpoint(ctx, name, func() {
 		delete(p.names.ejected, name)
@@ -29,8 +29,8 @@
 	})
 }
 
-// MirrorAdminEject is AdminEject of an endpoint that another process of this gateway was told to eject, where it was
-// listed.
+// MirrorAdminEject applies an AdminEject that another process of this gateway has accepted, even if no endpoint list of
+// this process has contained the name.
 func (p *Proxy) MirrorAdminEject(ctx context.Context, name string, since time.Duration) error {
 	return p.runOnLoop(ctx, func() error {
 		p.MarkEjected(name, since)
@@ -39,7 +39,7 @@
 	})
 }
 
-// MarkEjected is MirrorAdminEject for the event loop, or before it runs.
+// MarkEjected is MirrorAdminEject for callers on the event loop, or before the loop runs.
 func (p *Proxy) MarkEjected(name string, since time.Duration) {
 	if !p.names.contains(name) {
 		p.names.markDeparted(name)
@@ -47,14 +47,14 @@
 	p.eject(name, since)
 }
 
-// eject tells the Balancer and Upstream.
+// eject records the ejection and applies it to the Balancer and Upstream.
 func (p *Proxy) eject(name string, since time.Duration) {
 	p.names.ejected[name] = true
 	p.Enqueue(balancer.AdminEject{Endpoint: name, At: since})
 	p.upstream.SetBlocked(name, true)
 }
 
-// runForKnownEndpoint carries out a call for an endpoint that was listed once, and the step for it.
+// runForKnownEndpoint runs a call and a Step on the loop, for an endpoint that has been listed.
 func (p *Proxy) runForKnownEndpoint(ctx context.Context, name string, call func()) error {
 	return p.runOnLoop(ctx, func() error {
 		if !p.names.contains(name) {
@@ -66,7 +66,7 @@
 	})
 }
 
-// runOnLoop runs a task on the loop and waits for it, until the context or the loop ends.
+// runOnLoop runs a task on the loop and waits for its result, until the context or the loop ends.
 func (p *Proxy) runOnLoop(ctx context.Context, task func() error) error {
 	done := make(chan error, 1)
 	if p.PostUntil(func() { done <- task() }, ctx.Done()) {
