--- a/internal/proxy/answer.go
+++ b/internal/proxy/answer.go
@@ -11,23 +11,23 @@
 // Outcome is the kind of a final answer.
 type Outcome int
 
-// Outcomes. The trace tells them by their numbers.
+// The trace contains these values as numbers.
 const (
-	// Served comes with Answer.Value, or with a value that was streamed.
+	// Served means that the request succeeded. The value is in Answer.Value or was streamed.
 	Served Outcome = iota
-	// Rejected promises that the request had no effect; it may be sent again after Answer.RetryAfter.
+	// Rejected guarantees that the request had no effect. It may be retried after Answer.RetryAfter.
 	Rejected
-	// Failed makes no promise about the effect.
+	// Failed gives no guarantee about the effect.
 	Failed
-	// TimedOut is Failed since no decision came in time.
+	// TimedOut is like Failed, for a request that the Balancer did not answer by its deadline.
 	TimedOut
-	// Duplicate means that another open request has the same id; nothing was done.
+	// Duplicate means that another open request has the same ID. Nothing was done.
 	Duplicate
-	// Admitted answers a request with AdmitOnly.
+	// Admitted is the positive answer to a request with AdmitOnly.
 	Admitted
 )
 
-// statsOutcome returns how operators count an outcome.
+// statsOutcome maps an outcome to the one reported to operators.
 func (o Outcome) statsOutcome() stats.Outcome {
 	switch o {
 	case Served, Admitted:
@@ -38,31 +38,31 @@
 	return stats.Faulted
 }
 
-// Answer is a request's final answer.
+// Answer is the final answer to a request.
 type Answer struct {
 	Outcome Outcome
-	// Value is, with Served, the value as a RESP2 bulk string.
+	// Value is the value as a RESP2 bulk string. It is set with Served, unless the value was streamed.
 	Value []byte
-	// RetryAfter is, with Rejected, how long to stay away; 0: no advice.
+	// RetryAfter is the time the client should wait before a retry, with Rejected. 0 means no advice.
 	RetryAfter time.Duration
-	// Quota is told with the answers to requests with AdmitOnly.
+	// Quota is set in answers to requests with AdmitOnly.
 	Quota Quota
-	// Version is that of the policy by which the request was taken in; 0: not told.
+	// Version is the policy version under which the request was accepted. 0 means unknown.
 	Version uint64
-	// Unavailable says, with Rejected, that nothing could be decided, by no fault of the customer's.
+	// Unavailable reports, with Rejected, that the gateway could not decide, which is not the fault of the customer.
 	Unavailable bool
 
 	reason balancer.Reason
 }
 
-// Quota is how the customer stands with its plan's quota.
+// Quota is the status of a customer in the quota of its plan.
 type Quota struct {
 	balancer.QuotaStatus
-	// Told says that the status is known and that there is such a quota.
+	// Told reports that the plan has a quota and its status is known.
 	Told bool
 }
 
-// answer gives a request its final answer, once.
+// answer sends the final answer to a request, at most once.
 func (p *Proxy) answer(request *Request, answer Answer) {
 	if request == nil || request.ended {
 		return
