--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -13,15 +13,15 @@
 	upstream.Attempt
 	proxy   *Proxy
 	request *Request
-	// number counts the request's attempts from 0.
+	// number is the index of the attempt within its request, from 0.
 	number int
-	// responseStarted says that a long value came, or a part of it.
+	// responseStarted reports that a long value has begun to arrive.
 	responseStarted bool
-	// sent says that the attempt was given to Upstream.
+	// sent reports that the attempt was passed to Upstream.
 	sent bool
 }
 
-// StartLongValue implements upstream.Owner. From here on the request has no deadline and no further attempt.
+// StartLongValue implements upstream.Owner. From here on the request has no deadline and gets no further attempts.
 func (a *attempt) StartLongValue(size int) upstream.Sink {
 	streamer, ok := a.request.Client.(Streamer)
 	if !ok || a.request.ended {
@@ -33,7 +33,7 @@
 	return streamer.Stream(size)
 }
 
-// Command implements upstream.Owner. It returns nil if the client has gone.
+// Command implements upstream.Owner. It returns nil if the client has disconnected.
 func (a *attempt) Command(wait time.Duration) []byte {
 	if a.proxy.endIfClientGone(a.request, a.SentAt) {
 		return nil
@@ -41,8 +41,8 @@
 	return a.request.Client.Forward(wait)
 }
 
-// HandleResult implements upstream.Owner. A value ends the request, and the attempt's result says so. Once a response has
-// started nothing but its end may be answered.
+// HandleResult implements upstream.Owner. A value completes the request, and the AttemptResult event reports that. Once
+// a response has started, the only other possible answer is its failure.
 func (a *attempt) HandleResult(result upstream.Result) {
 	switch {
 	case result.Status == balancer.OK:
@@ -70,7 +70,7 @@
 	a.proxy.forgetIfDone(a.request)
 }
 
-// mayHaveRun tells whether an attempt that was sent and ended so may have had its effect.
+// mayHaveRun reports whether an attempt that was sent and ended with this status may have had an effect.
 func mayHaveRun(status balancer.Status) bool {
 	switch status {
 	case balancer.Rejected, balancer.ConnectFailed, balancer.NotSent:
@@ -79,8 +79,8 @@
 	return true
 }
 
-// dispatch starts an attempt, or ends it at once as not sent: where the request is over or its client gone, its time is
-// up, or another attempt is out and hedging is not allowed.
+// dispatch starts an attempt. It ends the attempt at once as not sent if the request has ended, its client has
+// disconnected, its time is up, or another attempt is in flight and hedging is not allowed.
 func (p *Proxy) dispatch(request *Request, action balancer.Dispatch) {
 	now := p.Now()
 	a := &attempt{proxy: p, request: request, number: len(request.attempts)}
@@ -110,7 +110,7 @@
 	p.send(a)
 }
 
-// send gives an attempt to Upstream.
+// send passes an attempt to Upstream.
 func (p *Proxy) send(a *attempt) {
 	a.sent = true
 	p.upstream.Send(&a.Attempt)
