--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -10,52 +10,53 @@
 	"gapgap/internal/trace"
 )
 
-// Env is what the frontends of a process share, whatever pools stand behind them. Any goroutine may use it.
+// Env holds what the frontends of a process share, independent of its pools. It is safe for concurrent use.
 type Env struct {
-	// Memory bounds the bytes that clients of all frontends make the process hold.
+	// Memory bounds the memory that clients of all frontends can make the process allocate.
 	Memory *resourcelimit.Bytes
-	// Conns bounds the clients' connections of all frontends.
+	// Conns bounds the client connections of all frontends.
 	Conns *resourcelimit.ClientLimit
-	// Now is the event loop's clock.
+	// Now returns the time of the event loop clock.
 	Now func() time.Duration
-	// Coarse is the same clock, cheaper and late by up to a turn of the loop.
+	// Coarse returns the time of the same clock. It is cheaper but lags by up to one turn of the loop.
 	Coarse func() time.Duration
-	// Router finds the proxy of a request.
+	// Router selects the proxy for a request.
 	Router Router
-	// Scheduler is for work whose pool is not known yet; nil: there is one pool.
+	// Scheduler schedules work whose pool is not known yet. It is nil if there is only one pool.
 	Scheduler *cpuscheduler.Flow
 }
 
-// Config is what a Proxy is made of beside the clients of outside systems.
+// Config holds the settings and callbacks of a Proxy. The clients of external systems are set by Connect.
 type Config struct {
-	// Name is that of the pool.
+	// Name is the name of the pool.
 	Name string
-	// Start are the rules at the start.
+	// Start holds the initial rules.
 	Start Rules
-	// Scheduler gives the pool its share of the processor; nil: it has it alone.
+	// Scheduler gives the pool its share of the CPU. It is nil if the pool does not share the CPU with others.
 	Scheduler *cpuscheduler.Flow
-	// Stats counts what becomes of requests; nil: counters of its own, which nobody reads.
+	// Stats receives the request counters. If it is nil, the proxy creates counters of its own.
 	Stats *stats.Counters
-	// Memory bounds what requests for the pool may hold; nil: the whole of the process.
+	// Memory bounds the memory of requests to the pool. If it is nil, only the limit of the process applies.
 	Memory *resourcelimit.Bytes
-	// Clients groups the connections that sent their last request here; nil: they are not told apart.
+	// Clients groups the client connections whose last request went to this pool. If it is nil, connections are not
+	// grouped by pool.
 	Clients *resourcelimit.Group
-	// OnHealthReport takes what this gateway has found out about an endpoint, for other pools that have it; nil:
-	// there are none. The event loop calls it.
+	// OnHealthReport receives what this gateway has learned about the health of an endpoint, for other pools with the
+	// same endpoint. The event loop calls it. It may be nil.
 	OnHealthReport func(balancer.HealthReport)
-	// OnPeerAction takes a balancer.RequestLoan or balancer.GrantLoan for other gateways of the cluster; nil: there are
-	// none. The event loop calls it.
+	// OnPeerAction receives balancer.RequestLoan and balancer.GrantLoan actions for other gateways of the cluster. The
+	// event loop calls it. It may be nil.
 	OnPeerAction func(balancer.Action)
-	// OnAnswer takes each final answer and the time that it took; nil: nobody asks. The event loop calls it.
+	// OnAnswer receives the outcome of each request and the time it took. The event loop calls it. It may be nil.
 	OnAnswer func(class int, outcome Outcome, took time.Duration)
-	// DecisionLease says whether requests may be decided; nil: always.
+	// DecisionLease limits how long requests may be decided. nil means no limit.
 	DecisionLease *DecisionLease
-	// StartupBarrier rejects requests while the gateway recovers; nil: it never does.
+	// StartupBarrier rejects requests while the gateway recovers. nil means that it never does.
 	StartupBarrier *StartupBarrier
-	// KeyReserver reserves keys of classes that want that; nil: there are none.
+	// KeyReserver reserves idempotency keys, for classes that require it. nil means that no keys are reserved.
 	KeyReserver KeyReserver
-	// Trace takes a line for each event; nil: none is written.
+	// Trace receives a line for each event. nil disables tracing.
 	Trace *trace.Log
-	// Seed is for the decision module's random numbers.
+	// Seed seeds the random numbers of the Balancer.
 	Seed uint64
 }
