--- a/internal/proxy/decisionlease.go
+++ b/internal/proxy/decisionlease.go
@@ -9,37 +9,40 @@
 	"gapgap/internal/balancer"
 )
 
-// DecisionLease says until when requests may be decided by the present version of the policy. Several proxies may share
-// one; each looks at it for every request that it takes in. Any goroutine may use it. A nil DecisionLease never ends.
+// DecisionLease holds the time until which requests may be decided under the current policy version. Several proxies
+// may share a lease; each checks it for every request it accepts. It is safe for concurrent use. A nil DecisionLease
+// never expires.
 type DecisionLease struct{ until atomic.Int64 }
 
-// Unbounded is the end of a lease that never ends.
+// Unbounded is the expiry time of a lease that never expires.
 const Unbounded = time.Duration(math.MaxInt64)
 
-// NewDecisionLease returns a lease that has ended.
+// NewDecisionLease returns an expired lease.
 func NewDecisionLease() *DecisionLease { return &DecisionLease{} }
 
-// Extend sets the end, on the proxies' clock. Where that is later than it was, the caller goes on to call Proxy.Resume.
+// Extend sets the expiry time, on the clock of the proxies. If the new time is later, the caller must then call
+// Proxy.Resume.
 func (l *DecisionLease) Extend(until time.Duration) { l.until.Store(int64(until)) }
 
-// IsValid tells whether requests may be decided at a time.
+// IsValid reports whether requests may be decided at the given time.
 func (l *DecisionLease) IsValid(now time.Duration) bool {
 	return l == nil || now < time.Duration(l.until.Load())
 }
 
-// isBounded tells whether the lease has an end.
+// isBounded reports whether the lease has an expiry time.
 func (l *DecisionLease) isBounded() bool { return l != nil && l.until.Load() != int64(Unbounded) }
 
 const (
-	// maxHeldRequests bounds the requests that wait for the lease; further ones are rejected.
+	// maxHeldRequests bounds the requests that wait for the lease. Further requests are rejected.
 	maxHeldRequests = 4096
-	// heldMargin is left of a request's time when it is rejected for having waited in vain.
+	// heldMargin is the time before its deadline at which a held request is rejected, so that the answer arrives in
+	// time.
 	heldMargin = 20 * time.Millisecond
-	// leaseExpiredRetryAfter is what a client is told that was rejected for the lapse of the lease.
+	// leaseExpiredRetryAfter is the retry delay for clients that are rejected because the lease has expired.
 	leaseExpiredRetryAfter = 250 * time.Millisecond
 )
 
-// hold keeps a request that can't be decided now, for as long as its client waits.
+// hold queues a request that cannot be decided now, until shortly before its deadline.
 func (p *Proxy) hold(request *Request) {
 	if len(p.held) >= maxHeldRequests {
 		p.answerUnregistered(request, Rejected, leaseExpiredRetryAfter)
@@ -54,7 +57,7 @@
 	})
 }
 
-// Resume submits the requests that were held. Any goroutine may call it.
+// Resume submits the held requests. It is safe for concurrent use.
 func (p *Proxy) Resume() {
 	p.Post(func() {
 		for _, request := range p.takeHeld() {
@@ -65,7 +68,7 @@
 	})
 }
 
-// RejectHeld rejects the requests that were held: another proxy has taken this one's place. Any goroutine may call it.
+// RejectHeld rejects the held requests, because another proxy has replaced this one. It is safe for concurrent use.
 func (p *Proxy) RejectHeld() {
 	p.Post(func() {
 		for _, request := range p.takeHeld() {
@@ -74,7 +77,7 @@
 	})
 }
 
-// takeHeld takes all held requests out and stops their timers.
+// takeHeld removes and returns all held requests and stops their timers.
 func (p *Proxy) takeHeld() []*Request {
 	held := p.held
 	p.held = nil
@@ -84,8 +87,8 @@
 	return held
 }
 
-// rejectOnLeaseExpiry rejects what came in time and is not dispatched yet, once the lease has ended: nothing may be admitted
-// by it any more.
+// rejectOnLeaseExpiry rejects the requests that were accepted but not dispatched before the lease expired, as nothing
+// may be admitted under an expired lease.
 func (p *Proxy) rejectOnLeaseExpiry() {
 	if !p.DecisionLease.isBounded() || p.DecisionLease.IsValid(p.Now()) {
 		p.leaseExpired = false
