--- a/internal/proxy/endpointnames.go
+++ b/internal/proxy/endpointnames.go
@@ -9,31 +9,31 @@
 	"gapgap/internal/endpoint"
 )
 
-// maxDepartedNames is how many names of endpoints are remembered that were listed once and are not now.
+// maxDepartedNames bounds the remembered names of endpoints that are no longer listed.
 const maxDepartedNames = 8192
 
-// ErrNeverListed says that no endpoint list has had a name.
+// ErrNeverListed reports that no endpoint list has contained the name.
 var ErrNeverListed = errors.New("never listed")
 
-// endpointNames are the names that endpoint lists have had. Those not listed now are bounded in number, except for
-// ejected ones: the call that restores one must find it.
+// endpointNames is the set of names that endpoint lists have contained. The number of names no longer listed is
+// bounded, except for ejected ones, which must stay known so that they can be restored.
 type endpointNames struct {
-	// departedAt tells when each name left the list, by a count that only grows; 0: it is listed now.
+	// departedAt maps each name to the sequence number of its removal from the list. 0 means that it is listed now.
 	departedAt map[string]uint64
-	// departures is the last of these counts.
+	// departures is the last sequence number used.
 	departures uint64
-	// departed is how many names are not listed now.
+	// departed is the number of names that are not listed now.
 	departed int
-	// ejected are the names that operators have ejected.
+	// ejected holds the names ejected by operators.
 	ejected map[string]bool
 }
 
-// newEndpointNames returns an empty set of names.
+// newEndpointNames returns an empty set.
 func newEndpointNames() endpointNames {
 	return endpointNames{departedAt: map[string]uint64{}, ejected: map[string]bool{}}
 }
 
-// update takes an endpoint list or a change of it.
+// update applies an endpoint list or a change to it.
 func (n *endpointNames) update(update endpoint.Update) {
 	named := map[string]bool{}
 	for _, entry := range update.Entries {
@@ -59,7 +59,8 @@
 	}
 }
 
-// markDeparted notes that a name is not listed now. When too many are not, half of them are forgotten, oldest first.
+// markDeparted records that a name is no longer listed. If there are too many such names, the oldest are forgotten
+// until half of the limit remain.
 func (n *endpointNames) markDeparted(name string) {
 	if at, known := n.departedAt[name]; !known || at == 0 {
 		n.departed++
@@ -77,7 +78,7 @@
 	}
 }
 
-// oldestDeparted returns the names that are not listed now, in the order in which they departed.
+// oldestDeparted returns the names that are no longer listed, the earliest removed first.
 func (n *endpointNames) oldestDeparted() (names []string) {
 	for name, at := range n.departedAt {
 		if at > 0 {
@@ -88,7 +89,7 @@
 	return names
 }
 
-// contains tells whether a list has had a name.
+// contains reports whether any list has contained the name.
 func (n *endpointNames) contains(name string) bool {
 	_, ok := n.departedAt[name]
 	return ok
