--- a/internal/proxy/handover.go
+++ b/internal/proxy/handover.go
@@ -8,25 +8,25 @@
 	"gapgap/internal/balancer"
 )
 
-// HandoverState is what a proxy hands to that of another process which takes its place. Classes and plans are
-// numbered as in the lists of their names. Its JSON form is read by other versions of the program.
+// HandoverState is the state that a proxy passes to its successor in another process. Classes and plans are numbered by
+// their position in the lists of names. The JSON form is read by other versions of the program.
 type HandoverState struct {
 	Classes []string `json:"Classes"`
 	Plans   []string `json:"Plans"`
-	// Departed are the names of endpoints that were listed once and are not now.
+	// Departed holds the names of endpoints that were listed before and are not now.
 	Departed []string               `json:"Gone"`
 	Balancer balancer.HandoverState `json:"Memory"`
 }
 
-// allIdle is more than there can be idle connections.
+// allIdle exceeds the possible number of idle connections.
 const allIdle = 1 << 20
 
-// errAlreadyHandedOver says that another process has already taken over.
-var errAlreadyHandedOver = errors.New("another process has it already")
+// errAlreadyHandedOver reports that the state was handed over before.
+var errAlreadyHandedOver = errors.New("the state has already been handed over to another process")
 
-// BeginHandover makes the proxy end what it has and take nothing more upon itself: what it returns belongs to another
-// process from then on, or goes to AbortHandover. Any goroutine may call it; it blocks until the loop has done it or
-// the context ends.
+// BeginHandover makes the proxy finish its open requests and take on no new obligations. The returned state belongs to
+// another process from then on, unless it is passed to AbortHandover. It blocks until the loop has run the call or the
+// context ends. It is safe for concurrent use.
 func (p *Proxy) BeginHandover(ctx context.Context) (state HandoverState, err error) {
 	err = p.runOnLoop(ctx, func() error {
 		if p.handedOver {
@@ -43,14 +43,14 @@
 			Balancer: p.handoverState,
 		}
 		p.handoverState = balancer.HandoverState{}
-		p.upstream.CloseIdle(allIdle, "") // the other process needs the connections
+		p.upstream.CloseIdle(allIdle, "") // leaves the connections to the other process
 		return nil
 	})
 	return state, err
 }
 
-// AbortHandover undoes BeginHandover. What was handed over and may have been spent does not come back: then the state
-// is empty. Any goroutine may call it; it blocks likewise.
+// AbortHandover reverses BeginHandover. If the other process may have used the state, the caller passes an empty one,
+// as nothing of it may be used twice. It blocks like BeginHandover and is safe for concurrent use.
 func (p *Proxy) AbortHandover(ctx context.Context, state HandoverState) error {
 	return p.runOnLoop(ctx, func() error {
 		if p.handedOver {
@@ -62,11 +62,11 @@
 	})
 }
 
-// IsHandedOver tells whether another process has taken over.
+// IsHandedOver reports whether another process has taken over.
 func (p *Proxy) IsHandedOver() bool { return p.handedOver }
 
-// ImportHandover gives the proxy what another process has handed over, before Run. What belongs to classes and plans
-// that have no name here is dropped.
+// ImportHandover sets the state handed over by another process. It must be called before Run. Classes and plans whose
+// names do not exist here are dropped.
 func (p *Proxy) ImportHandover(state HandoverState) {
 	rules := p.Rules()
 	imported := state.Balancer
@@ -80,7 +80,7 @@
 	p.importedState = &imported
 }
 
-// renumberClasses returns what is known of classes, numbered as in names rather than as in oldNames.
+// renumberClasses returns the state of the classes, renumbered from oldNames to names.
 func renumberClasses(classes []balancer.ClassHandover, oldNames, names []string) []balancer.ClassHandover {
 	renumbered := make([]balancer.ClassHandover, len(names))
 	for i, class := range classes {
@@ -94,7 +94,7 @@
 	return renumbered
 }
 
-// renumberPlans returns the customers whose plans have a name, numbered as in names rather than as in oldNames.
+// renumberPlans returns the customers whose plans exist in names, with their plans renumbered from oldNames to names.
 func renumberPlans(customers []balancer.CustomerHandover, oldNames, names []string) []balancer.CustomerHandover {
 	var renumbered []balancer.CustomerHandover
 	for _, customer := range customers {
@@ -109,7 +109,7 @@
 	return renumbered
 }
 
-// importHandover tells the Balancer, once it knows the endpoint list.
+// importHandover passes the imported state to the Balancer, which must know the endpoint list by then.
 func (p *Proxy) importHandover() {
 	if p.importedState != nil {
 		p.Enqueue(balancer.ImportHandover{State: *p.importedState})
