--- a/internal/proxy/interfaces.go
+++ b/internal/proxy/interfaces.go
@@ -9,109 +9,115 @@
 	"gapgap/internal/upstream"
 )
 
-// Upstream carries attempts and health checks to endpoints. Only the event loop calls it.
+// Upstream sends attempts and health checks to endpoints. Its methods are called only on the event loop.
 type Upstream interface {
-	// Send starts an attempt, which ends as one result at its owner.
+	// Send starts an attempt. Its owner receives exactly one result.
 	Send(*upstream.Attempt)
-	// Cancel ends an attempt. One that has ended is ignored.
+	// Cancel ends an attempt. It does nothing if the attempt has ended.
 	Cancel(*upstream.Attempt)
-	// HealthCheck checks an endpoint; the result comes to Proxy.HandleHealthCheckResult.
+	// HealthCheck checks an endpoint and reports the result to Proxy.HandleHealthCheckResult.
 	HealthCheck(endpoint string)
-	// UpdateEndpoint takes the state and address of an endpoint.
+	// UpdateEndpoint sets the state and address of an endpoint.
 	UpdateEndpoint(e balancer.Endpoint, address string)
-	// KeepOnly drops all endpoints but those given.
+	// KeepOnly removes all endpoints except the given ones.
 	KeepOnly([]endpoint.Entry)
-	// CloseIdle closes up to n idle connections that others want; to one address only, unless that is empty.
+	// CloseIdle closes up to n idle connections because other pools need them. If address is not empty, only
+	// connections to that address are closed.
 	CloseIdle(n int64, address string)
-	// SetMaxConnections bounds the connections from now on.
+	// SetMaxConnections sets the limit on connections.
 	SetMaxConnections(n int)
-	// SetBlocked keeps what is not yet written from an endpoint, whatever the list says, or ends that.
-	SetBlocked(endpoint string, on bool)
-	// Sweep closes what has been idle for too long. It is called about once a second.
+	// SetBlocked blocks or unblocks an endpoint, whatever the endpoint list says. Nothing that has not been written yet
+	// is sent to a blocked endpoint.
+	SetBlocked(endpoint string, blocked bool)
+	// Sweep closes connections that have been idle for too long. It is called about once a second.
 	Sweep()
-	// Close ends all connections.
+	// Close closes all connections.
 	Close()
 }
 
-// Counter adds to numbers that all gateways share. Only the event loop calls it.
+// Counter adds to counters that all gateways share. Its methods are called only on the event loop.
 type Counter interface {
-	// Add makes a call, which gets one result at Proxy.HandleCounterResult.
+	// Add starts a counter call. Proxy.HandleCounterResult receives exactly one result.
 	Add(balancer.CounterAdd)
-	// Move goes on at another address.
+	// Move switches to another address.
 	Move(address string)
-	// Addr returns the present address.
+	// Addr returns the current address.
 	Addr() string
 	// Sweep closes connections that have been idle for too long. It is called about once a second.
 	Sweep()
-	// Close ends all connections.
+	// Close closes all connections.
 	Close()
 }
 
-// KeyReserver reserves idempotency keys over all gateways of a cluster. Any goroutine may call it.
+// KeyReserver reserves idempotency keys across all gateways of a cluster. It is safe for concurrent use.
 type KeyReserver interface {
-	// Claim asks for the reservation of a key and returns its number, for End. 0: none can be asked for now. done is
-	// called once, by another goroutine.
+	// Claim requests the reservation of a key and returns its number, to be passed to End. 0 means that no reservation
+	// can be requested now. done is called once, on another goroutine.
 	Claim(class, customer, key string, done func(Reservation)) uint64
-	// End ends a reservation, whatever came of it. ran says that an attempt of the request may have run.
+	// End ends a reservation, whatever its result. ran reports that an attempt of the request may have run.
 	End(n uint64, ran bool)
 }
 
-// Reservation is what became of the reservation of an idempotency key.
+// Reservation is the result of reserving an idempotency key.
 type Reservation int
 
 const (
-	// ReservationGranted means that the request alone may go out by its key.
+	// ReservationGranted means that only this request may be sent under its key.
 	ReservationGranted Reservation = iota
-	// ReservationHeld means that another request by the key may have run.
+	// ReservationHeld means that another request with the same key may have run.
 	ReservationHeld
-	// ReservationUnavailable means that no reservation can be had now.
+	// ReservationUnavailable means that no reservation can be made now.
 	ReservationUnavailable
 )
 
-// EndpointSource tells of the endpoint list by Proxy.HandleEndpointUpdate. Only the event loop calls it.
+// EndpointSource reports the endpoint list to Proxy.HandleEndpointUpdate. Its methods are called only on the event
+// loop.
 type EndpointSource interface {
-	// Known reports the list as it was last known.
+	// Known reports the last known list.
 	Known()
 	// Follow watches the list at an address.
 	Follow(address string)
-	// Addr returns the present address.
+	// Addr returns the current address.
 	Addr() string
-	// Fetch asks for the whole list once.
+	// Fetch requests the complete list once.
 	Fetch()
 	// Stop ends the watch.
 	Stop()
 }
 
-// Frontend takes requests from clients by one protocol.
+// Frontend accepts requests from clients over one protocol.
 type Frontend interface {
-	// Serve begins to accept connections and returns at once.
+	// Serve starts to accept connections and returns at once.
 	Serve()
-	// CloseListeners ends accepting. It may be called again.
+	// CloseListeners stops accepting connections. It is idempotent.
 	CloseListeners()
-	// Drain closes connections that are between two requests and tells whether none is left.
+	// Drain closes connections that have no request in progress and reports whether none is left.
 	Drain() bool
 }
 
-// Router finds the proxy that decides a request, acquired; nil: there is none. Any goroutine may call it.
+// Router returns the proxy that decides a request, already acquired, or nil if there is none. It is safe for concurrent
+// use.
 type Router interface {
 	Route(*route.Query) *Proxy
 }
 
-// Client is the sender of a request, as its frontend presents it. The event loop calls it, so it must not block.
+// Client is the sender of a request, as represented by its frontend. Its methods are called on the event loop and must
+// not block.
 type Client interface {
-	// Forward returns the command for an endpoint, which tells it how long this gateway will wait.
+	// Forward returns the command for an endpoint, which includes how long this gateway will wait for the answer.
 	Forward(wait time.Duration) []byte
-	// Answer takes the one final answer.
+	// Answer receives the final answer. It is called at most once.
 	Answer(Answer)
 }
 
-// DisconnectDetector is a Client that can tell whether it has disconnected, also where nobody has read that yet.
+// DisconnectDetector is a Client that can report whether it has disconnected, even if the end of its connection has not
+// been read yet.
 type DisconnectDetector interface{ HasDisconnected() bool }
 
-// Streamer is a Client that takes long values as they come. Long values for others are answered as failed.
+// Streamer is a Client that accepts long values as a stream. For other clients a long value is answered as failed.
 type Streamer interface {
-	// Stream announces a value of a number of bytes. The final answer still comes by Answer: Served with no Value
-	// when the value is complete, and else another one, which the client must be shown, if only by the end of its
-	// connection.
+	// Stream announces a value of size bytes. The final answer still follows: Served without a Value if the value is
+	// complete, otherwise another outcome. The client must be able to notice the latter, if only because its connection
+	// is closed.
 	Stream(size int) upstream.Sink
 }
