--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -13,7 +13,8 @@
 	"gapgap/internal/stats"
 )
 
-// Proxy is one gateway, or one pool of a gateway. Unless a method says otherwise only the event loop may call it.
+// Proxy is one gateway, or one pool of a gateway. Unless stated otherwise, its methods may be called only on the event
+// loop.
 type Proxy struct {
 	Config
 	*eventloop.Loop
@@ -24,47 +25,47 @@
 	counter        Counter
 	endpointSource EndpointSource
 
-	// events are those for the next Step.
+	// events are queued for the next Step.
 	events []balancer.Event
-	// ready says that a serving endpoint has been known.
+	// ready reports that the endpoint list has contained a serving endpoint.
 	ready atomic.Bool
 	rules atomic.Pointer[Rules]
-	// removedClasses are the numbers of classes that clients can't name any more, and since when.
+	// removedClasses maps the numbers of classes that clients can no longer name to the time of their removal.
 	removedClasses map[int]time.Duration
 
 	requests map[uint64]*Request
 	lastID   uint64
-	// openIDs are the clients' ids of requests without a final answer.
+	// openIDs holds the client-chosen IDs of requests without a final answer.
 	openIDs map[string]bool
-	// newAdmitOnly are requests for admission only that were taken since the last Step.
+	// newAdmitOnly holds requests for admission only that arrived since the last Step.
 	newAdmitOnly []*Request
-	// overdue are requests whose deadline was over before the next Step, which may still answer them.
+	// overdue holds requests whose deadline passed while events were queued. The next Step may still answer them.
 	overdue []*Request
-	// donePending are ended requests of which the Balancer hears with the next Step.
+	// donePending holds ended requests whose end the Balancer learns in the next Step.
 	donePending []*Request
 	names       endpointNames
 
-	// handoverState is what the Balancer has just handed over.
+	// handoverState is the state that the Balancer has just handed over.
 	handoverState balancer.HandoverState
-	// importedState is what the Balancer begins with; nil: nothing.
+	// importedState is the initial state of the Balancer. nil means none.
 	importedState *balancer.HandoverState
-	// handedOver says that another process has taken over.
+	// handedOver reports that another process has taken over.
 	handedOver bool
 
 	policyVersion atomic.Uint64
-	// held are requests that wait for the decision lease.
+	// held are the requests that wait for the decision lease.
 	held []*Request
-	// leaseExpired says that requests were rejected for the lapse of the decision lease that is still going on.
+	// leaseExpired reports that the open requests were already rejected for the current expiry of the decision lease.
 	leaseExpired bool
 
-	// references counts the requests that frontends are about to submit and those that are open here.
+	// references counts the requests that frontends are about to submit and those that are open.
 	references atomic.Int64
-	// retired says that no further request is taken.
+	// retired reports that no further request is accepted.
 	retired atomic.Bool
 }
 
-// New makes a proxy on an event loop. It needs Connect before Run or Serve. Its error is that of settings that the
-// decision module can't go by.
+// New returns a proxy on an event loop. Connect must be called before Run or Serve. The error reports settings that the
+// Balancer does not accept.
 func New(l *eventloop.Loop, cfg Config, log *slog.Logger) (*Proxy, error) {
 	module, err := balancer.New(cfg.Start.Settings, cfg.Seed)
 	if err != nil {
@@ -87,27 +88,27 @@
 	return p, nil
 }
 
-// Connect gives the proxy the clients of outside systems.
+// Connect sets the clients of external systems.
 func (p *Proxy) Connect(u Upstream, c Counter, source EndpointSource) {
 	p.upstream = u
 	p.counter = c
 	p.endpointSource = source
 }
 
-// Enqueue keeps an event for the next Step.
+// Enqueue queues an event for the next Step.
 func (p *Proxy) Enqueue(event balancer.Event) { p.events = append(p.events, event) }
 
-// HandleHealthCheckResult takes the result of a health check.
+// HandleHealthCheckResult queues the result of a health check.
 func (p *Proxy) HandleHealthCheckResult(result balancer.HealthCheckResult) { p.Enqueue(result) }
 
-// HandleCounterResult takes the result of a counter call.
+// HandleCounterResult queues the result of a counter call.
 func (p *Proxy) HandleCounterResult(result balancer.CounterResult) { p.Enqueue(result) }
 
-// HandleHealthReport takes what another pool has found out about an endpoint.
+// HandleHealthReport queues what another pool has learned about the health of an endpoint.
 func (p *Proxy) HandleHealthReport(report balancer.HealthReport) { p.Enqueue(report) }
 
-// HandleEndpointUpdate takes the endpoint list or a change of it. The Balancer hears first: attempts that end with the
-// update must not lead to retries at endpoints that it removes.
+// HandleEndpointUpdate applies the endpoint list or a change to it. The Balancer receives it first: attempts that end
+// because of the update must not be retried at endpoints that it removes.
 func (p *Proxy) HandleEndpointUpdate(update endpoint.Update) {
 	list := balancer.EndpointUpdate{Kind: update.Kind}
 	for _, entry := range update.Entries {
@@ -127,11 +128,11 @@
 	p.Trace.Line("list", "scope=%d entries=%d", update.Kind, len(update.Entries))
 }
 
-// Ready tells whether a serving endpoint has been known. Any goroutine may call it.
+// Ready reports whether the endpoint list has contained a serving endpoint. It is safe for concurrent use.
 func (p *Proxy) Ready() bool { return p.ready.Load() }
 
-// Acquire keeps the proxy from ending while a frontend prepares a request for it; Submit or else Release gives it back.
-// It returns false if the proxy is being removed. Any goroutine may call it.
+// Acquire keeps the proxy from being removed while a frontend prepares a request for it. Each successful call must be
+// followed by Submit or Release. It returns false if the proxy is being removed. It is safe for concurrent use.
 func (p *Proxy) Acquire() bool {
 	p.references.Add(1)
 	if p.retired.Load() {
@@ -141,16 +142,16 @@
 	return true
 }
 
-// Release gives back what Acquire took, for a request that was never submitted. Any goroutine may call it.
+// Release undoes Acquire for a request that was not submitted. It is safe for concurrent use.
 func (p *Proxy) Release() { p.references.Add(-1) }
 
-// Busy returns how many requests hold the proxy. Any goroutine may call it.
+// Busy returns the number of requests that keep the proxy from being removed. It is safe for concurrent use.
 func (p *Proxy) Busy() int { return int(p.references.Load()) }
 
-// Retire makes Acquire fail from now on; open requests go on. Any goroutine may call it.
+// Retire makes Acquire fail from now on. Open requests continue. It is safe for concurrent use.
 func (p *Proxy) Retire() { p.retired.Store(true) }
 
-// Route implements Router for a process with one pool. Any goroutine may call it.
+// Route implements Router for a process with one pool. It is safe for concurrent use.
 func (p *Proxy) Route(*route.Query) *Proxy {
 	if p.Acquire() {
 		return p
@@ -158,24 +159,25 @@
 	return nil
 }
 
-// CloseIdle closes up to n idle connections to endpoints that other pools want; to one address only, unless that is
-// empty. Any goroutine may call it.
+// CloseIdle closes up to n idle connections to endpoints because other pools need them. If address is not empty, only
+// connections to that address are closed. It is safe for concurrent use.
 func (p *Proxy) CloseIdle(n int64, address string) {
 	p.Post(func() { p.upstream.CloseIdle(n, address) })
 }
 
-// SetMaxConnections bounds the connections to endpoints. Any goroutine may call it.
+// SetMaxConnections sets the limit on connections to endpoints. It is safe for concurrent use.
 func (p *Proxy) SetMaxConnections(n int) { p.Post(func() { p.upstream.SetMaxConnections(n) }) }
 
-// UpdateShare sets this gateway's share of what the cluster has in common; when it returns the Balancer goes by it. It
-// returns when the last loan ends that the Balancer has granted: what it has lent of a share is in use until then.
+// UpdateShare sets the share of this gateway in the resources of the cluster. The Balancer applies it before the call
+// returns. It returns the time at which the last loan granted by the Balancer ends: until then, the lent part of the
+// share is in use.
 func (p *Proxy) UpdateShare(update balancer.ShareUpdate) (loansEndAt time.Duration) {
 	p.Enqueue(update)
 	p.Step()
 	return p.balancer.LoansEndAt()
 }
 
-// LongestTimeout returns the longest time that a client of any class waits. Any goroutine may call it.
+// LongestTimeout returns the longest client timeout of any class. It is safe for concurrent use.
 func (p *Proxy) LongestTimeout() time.Duration {
 	longest := time.Duration(0)
 	for _, class := range p.Rules().Settings.Classes {
@@ -184,7 +186,7 @@
 	return longest
 }
 
-// Unanswered returns how many requests have no answer. It may also be called when the loop has ended.
+// Unanswered returns the number of requests without an answer. It may also be called after the loop has ended.
 func (p *Proxy) Unanswered() (n int) {
 	for _, request := range p.requests {
 		if !request.ended {
@@ -194,8 +196,8 @@
 	return n
 }
 
-// Step gives the Balancer what has happened and carries out what it wants, in order. An action may end at once and so
-// bring the next event.
+// Step passes the queued events to the Balancer and executes the actions that it returns, in order. An action may
+// complete at once and thereby queue the next event.
 func (p *Proxy) Step() {
 	p.rejectOnLeaseExpiry()
 	for len(p.events) > 0 {
@@ -223,7 +225,7 @@
 	p.donePending = p.donePending[:0]
 }
 
-// apply carries out one action.
+// apply executes one action.
 func (p *Proxy) apply(action balancer.Action) {
 	switch action := action.(type) {
 	case balancer.Dispatch:
@@ -264,7 +266,7 @@
 	}
 }
 
-// publishStats copies what only the Balancer knows to the counters that operators read.
+// publishStats copies figures that only the Balancer knows to the counters for operators.
 func (p *Proxy) publishStats() {
 	listed, avoided := p.balancer.EndpointCounts()
 	p.Stats.Listed.Store(int64(listed))
