--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -8,58 +8,59 @@
 	"gapgap/internal/stats"
 )
 
-// Request is a client's request. A frontend fills in the exported fields, checked, and hands it to Submit; from then on
-// the event loop owns it.
+// Request is a request of a client. A frontend validates it, sets the exported fields and passes it to Submit. From
+// then on the event loop owns it.
 type Request struct {
 	Client Client
-	// ID is the client's. No two open requests may have the same; empty: it is not told apart.
+	// ID is chosen by the client. No two open requests may have the same ID. If it is empty, duplicates are not
+	// detected.
 	ID string
-	// Class and Plan are numbered as in the Rules that the request was read under.
+	// Class and Plan are numbered as in the Rules in force when the request was read.
 	Class int
 	Plan  int
-	// Customer is the account whose quota it takes.
+	// Customer is the account whose quota is charged.
 	Customer string
-	// At is when its last byte was read, on the loop's clock.
+	// At is the time at which the last byte was read, on the loop clock.
 	At time.Duration
-	// Timeout is how long the client waits from then on.
+	// Timeout is how long the client waits, from At.
 	Timeout time.Duration
-	// Units is what it takes from the quota.
+	// Units is the quota charge.
 	Units float64
-	// Gateways is through how many gateways the customer's requests come; 0: all.
+	// Gateways is the number of gateways that receive requests of the customer. 0 means all.
 	Gateways int
-	// ClientRetry says that the client sent it before, where clients mark that.
+	// ClientRetry reports that the client marked the request as a retry.
 	ClientRetry bool
-	// AdmitOnly asks for admission only: Forward is never called, and the answer is Admitted or Rejected.
+	// AdmitOnly requests admission only: Forward is never called, and the answer is Admitted or Rejected.
 	AdmitOnly bool
-	// HoldFor is how long an admitted request counts as in flight where the plan bounds that, unless FinishAdmitted
-	// ends it.
+	// HoldFor is how long an admitted request counts as in flight if the plan bounds requests in flight, unless
+	// FinishAdmitted ends it earlier.
 	HoldFor time.Duration
-	// Key is its idempotency key, for classes whose keys are reserved.
+	// Key is the idempotency key, for classes whose keys are reserved.
 	Key string
 
-	// counters are those of its class.
+	// counters are the counters of the class.
 	counters *stats.Class
-	// id is its number at the Balancer.
+	// id identifies the request at the Balancer.
 	id uint64
-	// deadline is when the client gives up.
+	// deadline is the time at which the client gives up.
 	deadline      time.Duration
 	deadlineTimer *eventloop.Timer
 	reservation   keyReservation
 	attempts      []*attempt
-	// pendingAttempts counts attempts without a result.
+	// pendingAttempts counts the attempts without a result.
 	pendingAttempts int
 	policyVersion   uint64
-	// ended says that it has its answer, or that its client has gone.
+	// ended reports that the request was answered or its client has disconnected.
 	ended bool
-	// donePending says that the Balancer has not heard of its end yet.
+	// donePending reports that the Balancer does not know of the end of the request yet.
 	donePending bool
 }
 
-// disconnectCheckAfter is how long a request may have waited before its client's connection is looked at again. No
-// attempt may begin more than 100 ms after the client has gone.
+// disconnectCheckAfter is the age from which a request is checked for a disconnected client before an attempt. No
+// attempt may start more than 100 ms after the client has disconnected.
 const disconnectCheckAfter = 30 * time.Millisecond
 
-// Submit takes a request in, for which the proxy was acquired.
+// Submit accepts a request for which the proxy was acquired.
 func (p *Proxy) Submit(request *Request) {
 	if request.counters == nil {
 		p.CountRequest(request)
@@ -88,14 +89,14 @@
 	p.open(request)
 }
 
-// open numbers a request, starts its deadline and tells the Balancer.
+// open assigns an ID to a request, starts its deadline and passes it to the Balancer.
 func (p *Proxy) open(request *Request) {
 	p.lastID++
 	request.id = p.lastID
 	request.deadline = request.At + request.Timeout
 	p.requests[request.id] = request
 	if request.AdmitOnly {
-		// Most are answered by the next Step, which starts the deadline of the others.
+		// Most are answered in the next Step, which starts the deadlines of the others.
 		p.newAdmitOnly = append(p.newAdmitOnly, request)
 	} else {
 		p.startDeadline(request)
@@ -114,15 +115,17 @@
 	})
 }
 
-// answerUnregistered answers a request that the Balancer never hears of. A pause says that the gateway is unavailable.
+// answerUnregistered answers a request that is never passed to the Balancer. A positive retryAfter means that the
+// gateway is unavailable.
 func (p *Proxy) answerUnregistered(request *Request, outcome Outcome, retryAfter time.Duration) {
 	p.Release()
 	request.counters.Ended(outcome.statsOutcome())
 	request.Client.Answer(Answer{Outcome: outcome, RetryAfter: retryAfter, Unavailable: retryAfter > 0})
 }
 
-// startDeadline answers a request at its deadline. The Balancer does that by its own timers; this is for the case
-// that it does not. Where the loop is late both timers are due in one turn: the Balancer hears first.
+// startDeadline sets the timer that answers a request at its deadline. The timers of the Balancer normally do that;
+// this one covers the case that the Balancer fails to. If the loop is late and both timers are due in the same turn,
+// the events are passed to the Balancer first.
 func (p *Proxy) startDeadline(request *Request) {
 	request.deadlineTimer = p.At(request.deadline, func() {
 		if len(p.events) > 0 {
@@ -133,7 +136,7 @@
 	})
 }
 
-// answerOverdue answers the requests whose deadline was over before a Step that left them unanswered.
+// answerOverdue answers the requests whose deadline passed before a Step that left them unanswered.
 func (p *Proxy) answerOverdue() {
 	overdue := p.overdue
 	p.overdue = nil
@@ -155,8 +158,9 @@
 	request.Client.Answer(Answer{Outcome: TimedOut})
 }
 
-// correctTimeLeft takes off the requests' time left what events have waited in a turn that is later than the Balancer
-// is told that events wait at most. Otherwise the Balancer's deadlines would come after the clients'.
+// correctTimeLeft subtracts the time that request events have waited in the queue, if it exceeds the Resolution that
+// the Balancer assumes as the longest wait. Otherwise the deadlines of the Balancer would be later than those of the
+// clients.
 func (p *Proxy) correctTimeLeft(events []balancer.Event, now time.Duration) {
 	if now-p.Coarse() <= p.Rules().Settings.Resolution {
 		return
@@ -178,7 +182,8 @@
 	}
 }
 
-// endIfClientGone ends a request that has waited since a time if its client has disconnected, and tells whether it did.
+// endIfClientGone ends a request whose client has disconnected and reports whether it did. It does not check requests
+// that have waited for less than disconnectCheckAfter since the given time.
 func (p *Proxy) endIfClientGone(request *Request, since time.Duration) bool {
 	if p.Now()-since < disconnectCheckAfter {
 		return false
@@ -191,9 +196,9 @@
 	return true
 }
 
-// abandon ends a request of whose end the Balancer does not know yet. It is kept until the Balancer has heard: the same
-// Step may still dispatch an attempt for it, which must get its result, or the endpoint would count it as in flight for
-// ever.
+// abandon ends a request whose end the Balancer does not know yet. The request is kept until the Balancer has been
+// told: the same Step may still dispatch an attempt for it, which must get a result, or the endpoint would count it as
+// in flight forever.
 func (p *Proxy) abandon(request *Request) {
 	request.donePending = true
 	p.donePending = append(p.donePending, request)
@@ -201,15 +206,15 @@
 	p.Enqueue(balancer.RequestDone{ID: request.id})
 }
 
-// FinishAdmitted ends the work of an admitted request, so that another may have its place. One that was not admitted,
-// or whose HoldFor is over, is ignored.
+// FinishAdmitted ends the work of an admitted request, so that another request can be admitted. It does nothing if the
+// request was not admitted or its HoldFor has passed.
 func (p *Proxy) FinishAdmitted(request *Request) {
 	if request.AdmitOnly && request.ended {
 		p.Enqueue(balancer.RequestDone{ID: request.id})
 	}
 }
 
-// finish ends a request: attempts that are out are cancelled, and none goes out any more.
+// finish ends a request. Its attempts in flight are cancelled, and no further attempt is sent.
 func (p *Proxy) finish(request *Request) {
 	request.ended = true
 	delete(p.openIDs, request.ID)
@@ -224,7 +229,7 @@
 	p.forgetIfDone(request)
 }
 
-// forgetIfDone drops a request that is over and of which nothing is out.
+// forgetIfDone removes a request that has ended and has no attempt without a result.
 func (p *Proxy) forgetIfDone(request *Request) {
 	done := request.ended && request.pendingAttempts == 0 && !request.donePending
 	if !done || p.requests[request.id] != request {
@@ -237,14 +242,14 @@
 	p.Release()
 }
 
-// CountRequest counts a request as taken. The frontend that read it calls it, so that requests waiting for the loop are
-// counted too; Submit does it for others. Any goroutine may call it.
+// CountRequest counts a request as received. The frontend that read the request calls it, so that requests waiting for
+// the loop are counted too; Submit calls it for other requests. It is safe for concurrent use.
 func (p *Proxy) CountRequest(request *Request) {
 	request.counters = p.Rules().counters[request.Class]
 	p.Stats.Taken.Add(1)
 }
 
-// CountRejected counts a request that its frontend rejects without submitting it. Any goroutine may call it.
+// CountRejected counts a request that its frontend rejects without submitting it. It is safe for concurrent use.
 func (p *Proxy) CountRejected(request *Request) {
 	p.CountRequest(request)
 	request.counters.Ended(stats.Throttled)
