--- a/internal/proxy/reservation.go
+++ b/internal/proxy/reservation.go
@@ -7,24 +7,24 @@
 )
 
 const (
-	// reservationTimeout ends a request as rejected whose key is not reserved by then.
+	// reservationTimeout bounds the wait for the reservation of a key. The request is rejected after it.
 	reservationTimeout = 500 * time.Millisecond
-	// reservationRetryAfter is what its client is told.
+	// reservationRetryAfter is the retry delay for clients whose key could not be reserved.
 	reservationRetryAfter = 250 * time.Millisecond
 )
 
-// keyReservation is how a request stands with its idempotency key.
+// keyReservation is the state of the reservation of the idempotency key of a request.
 type keyReservation struct {
 	state reservationState
-	// id is the number that the KeyReserver gave; 0: none.
+	// id is the number assigned by the KeyReserver. 0 means none.
 	id uint64
-	// waiting is the attempt that goes out once the key is reserved.
+	// waiting is the attempt to send once the key is reserved.
 	waiting *attempt
-	// mayHaveRun says that an attempt that was sent may have had its effect.
+	// mayHaveRun reports that an attempt that was sent may have had an effect.
 	mayHaveRun bool
 }
 
-// reservationState is a state of a keyReservation.
+// reservationState is the progress of a keyReservation.
 type reservationState int
 
 const (
@@ -34,8 +34,8 @@
 	reservationDenied
 )
 
-// reserveKey asks for the reservation of an attempt's key and sends the attempt once that is granted. Nothing has gone
-// out until then, so a request that does not get its key in time is rejected.
+// reserveKey requests the reservation of the key of an attempt and sends the attempt once it is granted. Nothing was
+// sent before, so a request whose key is not reserved in time can be rejected.
 func (p *Proxy) reserveKey(a *attempt) {
 	request := a.request
 	request.reservation.waiting = a
@@ -58,14 +58,14 @@
 	p.At(timeout, func() { p.handleReservation(request, ReservationUnavailable) })
 }
 
-// closedChannel makes PostUntil return at once where the loop's queue is full.
+// closedChannel makes PostUntil return at once if the queue of the loop is full.
 var closedChannel = func() chan struct{} {
 	channel := make(chan struct{})
 	close(channel)
 	return channel
 }()
 
-// handleReservation takes the first result of a reservation; later ones are ignored.
+// handleReservation handles the first result of a reservation. Later results are ignored.
 func (p *Proxy) handleReservation(request *Request, result Reservation) {
 	reservation := &request.reservation
 	if reservation.state != reservationPending {
