--- a/internal/proxy/run.go
+++ b/internal/proxy/run.go
@@ -7,30 +7,30 @@
 	"time"
 )
 
-// Shutdown.
+// Timing of a shutdown.
 const (
-	// AcceptAfterTerm is how long new connections are still accepted after the signal.
+	// AcceptAfterTerm is how long new connections are still accepted after the termination signal.
 	AcceptAfterTerm = 500 * time.Millisecond
-	// AnswerMargin is added to the longest client timeout, for the last answers on their way.
+	// AnswerMargin is added to the longest client timeout to let the last answers be delivered.
 	AnswerMargin = 100 * time.Millisecond
-	// drainInterval is how often a shutdown looks whether all is done.
+	// drainInterval is how often a shutdown checks whether it is complete.
 	drainInterval = 10 * time.Millisecond
 )
 
-// Periodic work.
+// Intervals of periodic work.
 const (
 	sweepInterval   = time.Second
 	publishInterval = 100 * time.Millisecond
-	// idleWait is the longest wait of a loop with nothing to do.
+	// idleWait bounds a wait of the loop when there is nothing to do.
 	idleWait = time.Hour
 )
 
-// maxTasksPerTurn is how many tasks a pool's loop runs in one turn beside the first. Its turns are short, as pools
-// share the processor.
+// maxTasksPerTurn bounds the tasks that the loop of a pool runs per turn, in addition to the first. Turns are short
+// because pools share the CPU.
 const maxTasksPerTurn = 8
 
-// Run serves by the frontends until the context ends, then answers what was taken and returns. The goroutine that calls
-// it becomes the event loop.
+// Run serves requests of the frontends until the context ends, then completes the accepted requests and returns. The
+// calling goroutine becomes the event loop.
 func (p *Proxy) Run(ctx context.Context, frontends ...Frontend) {
 	defer p.start()()
 	for _, f := range frontends {
@@ -40,8 +40,8 @@
 	p.serveUntil(ctx, frontends)
 }
 
-// Serve runs the proxy as one pool of several until stop is closed; its frontends belong to the service. The goroutine
-// that calls it becomes the event loop.
+// Serve runs the proxy as one of several pools until stop is closed. The frontends are run by the service. The calling
+// goroutine becomes the event loop.
 func (p *Proxy) Serve(stop <-chan struct{}) {
 	defer p.start()()
 	for stopped := false; !stopped; {
@@ -54,8 +54,8 @@
 	}
 }
 
-// start makes the proxy able to serve and starts its periodic work. What it returns ends the clients of outside
-// systems.
+// start prepares the proxy for serving and starts its periodic work. The returned function closes the clients of
+// external systems and the loop.
 func (p *Proxy) start() (end func()) {
 	p.Trace.Line("settings", "%s", strings.ReplaceAll(fmt.Sprintf("%+v", p.Rules().Settings), " ", ","))
 	p.endpointSource.Known()
@@ -76,7 +76,7 @@
 	}
 }
 
-// serveUntil runs tasks, due timers and steps until a shutdown is complete.
+// serveUntil runs tasks, due timers and steps until the shutdown is complete.
 func (p *Proxy) serveUntil(ctx context.Context, frontends []Frontend) {
 	signal := ctx.Done()
 	var closeListenersAt, giveUpAt time.Duration // on the loop's clock; 0: not shutting down
@@ -92,7 +92,7 @@
 			giveUpAt = closeListenersAt + p.LongestTimeout() + AnswerMargin
 		}
 		p.Step()
-		// Once another process has taken over nobody connects here any more.
+		// Once another process has taken over, no client connects to this one any more.
 		now := p.Now()
 		if closeListenersAt == 0 || now < closeListenersAt && !p.handedOver {
 			continue
@@ -104,7 +104,7 @@
 	}
 }
 
-// drain closes all listeners and idle connections and tells whether no connection is left.
+// drain closes all listeners and idle connections and reports whether no connection is left.
 func drain(frontends []Frontend) bool {
 	drained := true
 	for _, f := range frontends {
