--- a/internal/proxy/settings.go
+++ b/internal/proxy/settings.go
@@ -10,26 +10,26 @@
 	"gapgap/internal/stats"
 )
 
-// classReuseMargin is added to the longest client timeout before the number of a removed class stands for another one.
+// classReuseMargin is added to the longest client timeout before the number of a removed class is reused.
 const classReuseMargin = 2 * time.Second
 
-// Rules are what requests are read and decided by: the settings, with the names that clients use. They are never
-// changed, only replaced as a whole, and a request goes by those that it was read under until its end.
+// Rules are the settings under which requests are read and decided, with the names that clients use. A value is
+// immutable and replaced as a whole. A request keeps the Rules under which it was read until it ends.
 type Rules struct {
-	// Classes are their names, numbered as in Settings; empty: clients can't name that class.
+	// Classes are the names of the classes, numbered as in Settings. Clients cannot name a class whose name is empty.
 	Classes []string
-	// Plans are their names likewise.
+	// Plans are the names of the plans, numbered likewise.
 	Plans    []string
 	Settings balancer.Settings
-	// MaxInFlight bounds the open requests; 0: unbounded.
+	// MaxInFlight bounds the open requests. 0 means no limit.
 	MaxInFlight int
 
-	// counters are those of the classes, numbered likewise.
+	// counters are the counters of the classes, numbered likewise.
 	counters []*stats.Class
 }
 
-// withCounters gives rules the counters of their classes. A class without a name is counted where it was under the
-// rules before, or among the others.
+// withCounters returns the rules with the counters of their classes. A class without a name keeps the counters it had
+// under the previous rules. If it had none, it is counted under stats.OtherClasses.
 func (r Rules) withCounters(all *stats.Counters, previous *Rules) *Rules {
 	r.counters = make([]*stats.Class, len(r.Settings.Classes))
 	for i := range r.counters {
@@ -45,10 +45,10 @@
 	return &r
 }
 
-// Next returns the rules that follow r: those of update, numbered so that requests which came under r keep their
-// classes and plans. A class that is the same keeps its number. One that was removed or changed keeps it too, and
-// clients can't name it any more. isFree tells which numbers of removed classes may be used again. evidenceFrom is
-// that of balancer.SettingsUpdate.
+// Next returns the rules that replace r: the rules of update, renumbered so that requests read under r keep their
+// classes and plans. An unchanged class keeps its number. A removed or changed class also keeps its number, but clients
+// can no longer name it. isFree reports whether the number of a removed class may be reused. evidenceFrom is the value
+// for balancer.SettingsUpdate.
 func (r *Rules) Next(update Rules, isFree func(number int) bool) (next Rules, evidenceFrom []int) {
 	next = update
 	evidenceFrom = r.nextClasses(update, &next, isFree)
@@ -56,7 +56,7 @@
 	return next, evidenceFrom
 }
 
-// nextClasses numbers the classes of an update in next.
+// nextClasses adds the classes of an update to next, with their numbers.
 func (r *Rules) nextClasses(update Rules, next *Rules, isFree func(number int) bool) (evidenceFrom []int) {
 	next.Classes = make([]string, len(r.Classes))
 	next.Settings.Classes = slices.Clone(r.Settings.Classes)
@@ -85,7 +85,8 @@
 	return evidenceFrom
 }
 
-// freeNumber returns the number of a removed class that may be used again and is not taken; negative: there is none.
+// freeNumber returns the number of a removed class that may be reused and is not taken, or a negative number if there
+// is none.
 func (r *Rules) freeNumber(taken []string, isFree func(int) bool) int {
 	for i, name := range r.Classes {
 		if name == "" && taken[i] == "" && isFree(i) {
@@ -95,7 +96,7 @@
 	return -1
 }
 
-// nextPlans numbers the plans of an update in next. A plan keeps its number by its name.
+// nextPlans adds the plans of an update to next. A plan keeps its number if its name is unchanged.
 func (r *Rules) nextPlans(update Rules, next *Rules) {
 	next.Plans = make([]string, len(r.Plans))
 	next.Settings.Plans = slices.Clone(r.Settings.Plans)
@@ -111,11 +112,11 @@
 	}
 }
 
-// Rules returns the rules that hold now. Any goroutine may call it.
+// Rules returns the current rules. It is safe for concurrent use.
 func (p *Proxy) Rules() *Rules { return p.rules.Load() }
 
-// UpdateSettings makes requests that are read from now on go by other rules. It returns an error and changes nothing if
-// the decision module can't go by them. Any goroutine may call it.
+// UpdateSettings replaces the rules for requests read from now on. If the Balancer does not accept the settings, it
+// returns an error and changes nothing. It is safe for concurrent use.
 func (p *Proxy) UpdateSettings(rules Rules) error {
 	if err := rules.Settings.Validate(); err != nil {
 		return fmt.Errorf("settings: %w", err)
@@ -124,7 +125,7 @@
 	return nil
 }
 
-// updateSettings is UpdateSettings on the loop.
+// updateSettings is the part of UpdateSettings that runs on the loop.
 func (p *Proxy) updateSettings(rules Rules) {
 	now := p.Now()
 	previous := p.Rules()
@@ -142,8 +143,8 @@
 	p.rules.Store(next.withCounters(p.Stats, previous))
 }
 
-// isClassFree tells whether the number of a removed class may stand for another: no request of it is open or may still
-// come.
+// isClassFree reports whether the number of a removed class may be reused: no request of the class is open or may still
+// arrive.
 func (p *Proxy) isClassFree(number int, now time.Duration) bool {
 	removedAt, ok := p.removedClasses[number]
 	if !ok || now-removedAt <= p.LongestTimeout()+classReuseMargin {
@@ -153,7 +154,7 @@
 	return !slices.ContainsFunc(requests, func(request *Request) bool { return request.Class == number })
 }
 
-// SetAddresses goes on with other addresses of discovery and the counter. Any goroutine may call it.
+// SetAddresses switches to other addresses of discovery and the counter. It is safe for concurrent use.
 func (p *Proxy) SetAddresses(discovery, counter string) {
 	p.Post(func() {
 		if discovery != p.endpointSource.Addr() {
