--- a/internal/proxy/endpointnames_test.go
+++ b/internal/proxy/endpointnames_test.go
@@ -8,6 +8,7 @@
 	"gapgap/internal/endpoint"
 )
 
+// newUpdate returns an update with entries of the given names, all in the same state.
 func newUpdate(kind balancer.UpdateKind, state balancer.EndpointState, names ...string) (u endpoint.Update) {
 	u.Kind = kind
 	for _, n := range names {
@@ -16,21 +17,21 @@
 	return u
 }
 
-// A million names that come and go take bounded room; what is listed, or banned, is never forgotten, and whole lists
-// that say the same again push nothing out.
+// TestEndpointNamesAreBounded verifies that a million names that are listed and removed use bounded memory, that listed
+// and ejected names are never forgotten, and that repeating the same list does not displace any name.
 func TestEndpointNamesAreBounded(t *testing.T) {
 	names := newEndpointNames()
 	names.update(newUpdate(balancer.Snapshot, balancer.Serving, "stays", "banned", "left"))
 	names.ejected["banned"] = true
 	names.update(newUpdate(balancer.Delta, balancer.Removed, "banned", "left", "never listed"))
 	if names.contains("never listed") || !names.contains("left") || names.departed != 2 {
-		t.Errorf("%v", names.departedAt)
+		t.Errorf("after the removals: %v", names.departedAt)
 	}
 	for range 20000 {
 		names.update(newUpdate(balancer.Snapshot, balancer.Serving, "stays"))
 	}
 	if !names.contains("left") || names.departed != 2 {
-		t.Errorf("lists that say the same push names out: %v", names.departedAt)
+		t.Errorf("repeating a list displaced names: %v", names.departedAt)
 	}
 	for i := range 1000 {
 		all := []string{"stays"}
@@ -39,11 +40,11 @@
 		}
 		names.update(newUpdate(balancer.Snapshot, balancer.Serving, all...))
 		if len(names.departedAt) > maxDepartedNames+1100 {
-			t.Fatalf("%d names", len(names.departedAt))
+			t.Fatalf("%d names are kept", len(names.departedAt))
 		}
 	}
 	if !names.contains("stays") || !names.contains("banned") || names.contains("left") || !names.contains("998-7") {
-		t.Errorf("stays %t, banned %t, left long ago %t, left last %t", names.contains("stays"),
-			names.contains("banned"), names.contains("left"), names.contains("998-7"))
+		t.Errorf("contains the listed name %t, the ejected %t, one removed long ago %t, one removed last %t",
+			names.contains("stays"), names.contains("banned"), names.contains("left"), names.contains("998-7"))
 	}
 }
