--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -12,7 +12,7 @@
 	"gapgap/internal/upstream"
 )
 
-// fakeSystems stands in for the upstream, the counter and the endpoint source; the test says what they answer.
+// fakeSystems implements Upstream, Counter and EndpointSource. It records attempts; the test supplies their results.
 type fakeSystems struct {
 	sent      []*upstream.Attempt
 	cancelled []*upstream.Attempt
@@ -36,13 +36,13 @@
 func (s *fakeSystems) Fetch()                                   {}
 func (s *fakeSystems) Stop()                                    {}
 
-// fakeClient keeps its answers.
+// fakeClient records its answers.
 type fakeClient struct{ answers []Answer }
 
 func (c *fakeClient) Forward(time.Duration) []byte { return nil }
 func (c *fakeClient) Answer(a Answer)              { c.answers = append(c.answers, a) }
 
-// newProxy returns a proxy with one class and one plan, and what stands in for outside systems.
+// newProxy returns a proxy with one class and one plan, and its fake external systems.
 func newProxy(t *testing.T) (*Proxy, *fakeSystems) {
 	t.Helper()
 	set := balancer.Settings{Gateways: 1, MaxAttempts: 2, Classes: []balancer.Class{{PriorityWeight: 1,
@@ -58,7 +58,7 @@
 	return p, s
 }
 
-// submit submits a request with an id.
+// submit submits a request with the given ID.
 func submit(p *Proxy, id string) (*Request, *fakeClient) {
 	client := &fakeClient{}
 	request := &Request{Client: client, ID: id, Customer: "a", At: p.Now(), Timeout: 10 * time.Second, Units: 1}
@@ -66,11 +66,12 @@
 	return request, client
 }
 
-// The module never lets a request go unanswered; should it, the loop's own timer answers and cancels.
+// TestDeadlineAnswersWhatTheModuleLeft verifies that the timer of the proxy answers a request and cancels its attempts
+// if the Balancer leaves the request unanswered.
 func TestDeadlineAnswersWhatTheModuleLeft(t *testing.T) {
 	p, s := newProxy(t)
 	request, client := submit(p, "1")
-	p.events = nil // the module never hears of it
+	p.events = nil // the Balancer never receives the request
 	p.dispatch(request, balancer.Dispatch{ID: request.id, Endpoint: "s-0"})
 	p.RunDue(request.deadline)
 	if len(client.answers) != 1 || client.answers[0].Outcome != TimedOut || len(s.cancelled) != 1 {
@@ -80,33 +81,35 @@
 		t.Errorf("events %+v", p.events)
 	}
 	s.sent[0].End(balancer.Cancelled)
-	s.sent[0].End(balancer.OK) // what comes later changes nothing
+	s.sent[0].End(balancer.OK) // later results change nothing
 	p.ClientGone(request)
 	p.Step()
 	if len(client.answers) != 1 || len(p.requests) != 0 || len(p.openIDs) != 0 {
-		t.Errorf("%d answers; %d requests are kept", len(client.answers), len(p.requests))
+		t.Errorf("%d answers, want 1; %d requests are kept, want 0", len(client.answers), len(p.requests))
 	}
 }
 
-// Two open requests never have the same id, and no more are open than may be.
+// TestSubmitIsBounded verifies that two open requests never have the same ID and that the number of open requests is
+// bounded.
 func TestSubmitIsBounded(t *testing.T) {
 	p, _ := newProxy(t)
 	first, _ := submit(p, "1")
 	if _, again := submit(p, "1"); len(again.answers) != 1 || again.answers[0].Outcome != Duplicate {
-		t.Errorf("an open id: %v", again.answers)
+		t.Errorf("ID of an open request: %v", again.answers)
 	}
 	submit(p, "")
 	submit(p, "")
 	if _, over := submit(p, "2"); len(over.answers) != 1 || over.answers[0].Outcome != Rejected {
-		t.Errorf("beyond the bound: %v", over.answers)
+		t.Errorf("request beyond the limit: %v", over.answers)
 	}
 	p.ClientGone(first)
 	if _, again := submit(p, "1"); len(again.answers) != 0 {
-		t.Errorf("the id is free again: %v", again.answers)
+		t.Errorf("ID of a closed request: %v", again.answers)
 	}
 }
 
-// Once a request has ended nothing goes out for it, whatever the module wants.
+// TestNothingIsSentAfterTheAnswer verifies that no attempt is sent after the request has ended, even if the Balancer
+// dispatches one.
 func TestNothingIsSentAfterTheAnswer(t *testing.T) {
 	p, s := newProxy(t)
 	request, client := submit(p, "1")
@@ -120,8 +123,8 @@
 	}
 }
 
-// A request is admitted without any outside system, a second end changes nothing, and the answer tells the quota
-// status.
+// TestAdmitOnly verifies that a request with AdmitOnly is admitted without any external system and that finishing it
+// twice has no further effect.
 func TestAdmitOnly(t *testing.T) {
 	p, s := newProxy(t)
 	p.HandleEndpointUpdate(endpoint.Update{Kind: balancer.CachedSnapshot})
@@ -142,8 +145,9 @@
 	}
 }
 
-// A client disconnects in the very turn in which a slot becomes free and the module sends its request: that attempt
-// must get its result too. Without it the endpoint would count it as in flight for ever, until no slot is left.
+// TestClientDisconnectsAsItsRequestIsDispatched verifies that an attempt gets its result even if the client disconnects
+// in the same turn in which a slot becomes free and the Balancer dispatches the request. Without a result the endpoint
+// would count the attempt as in flight forever, until no slot is left.
 func TestClientDisconnectsAsItsRequestIsDispatched(t *testing.T) {
 	p, s := newProxy(t)
 	p.Rules().MaxInFlight = 0
@@ -152,7 +156,7 @@
 	p.Step()
 	for range 30 {
 		var queued *Request
-		for sent := -1; sent != len(s.sent); { // until one is queued
+		for sent := -1; sent != len(s.sent); { // until a request is queued
 			sent = len(s.sent)
 			queued, _ = submit(p, "")
 			p.Step()
@@ -166,18 +170,19 @@
 		s.sent = nil
 		p.Step()
 		if len(s.sent) != 0 || len(p.requests) != 0 || len(p.donePending) != 0 {
-			t.Fatalf("%d sent for nobody; %d requests are kept", len(s.sent), len(p.requests))
+			t.Fatalf("%d attempts sent for a disconnected client; %d requests are kept", len(s.sent), len(p.requests))
 		}
 	}
 	if submit(p, ""); true {
 		p.Step()
 	}
 	if len(s.sent) != 1 {
-		t.Error("the backend has no slot left, though nothing is out there")
+		t.Error("the endpoint has no slot left, though no attempt is in flight")
 	}
 }
 
-// newProxyWithResolution returns a proxy whose module answers that much before a deadline, and has no endpoint.
+// newProxyWithResolution returns a proxy without endpoints whose Balancer answers requests by the given resolution
+// before their deadline.
 func newProxyWithResolution(t *testing.T, resolution time.Duration) *Proxy {
 	t.Helper()
 	p, _ := newProxy(t)
@@ -189,8 +194,8 @@
 	return p
 }
 
-// A loop that is late at a request's deadline finds the module's timer and its own due at once: the module answers,
-// with a rejection that the client may repeat, and not the loop's own timer.
+// TestLateLoopLeavesTheDeadlineToTheModule verifies that a request is answered by the Balancer, with a rejection that
+// the client may retry, if the loop is late and finds the timers of the Balancer and of the proxy due in the same turn.
 func TestLateLoopLeavesTheDeadlineToTheModule(t *testing.T) {
 	const resolution = 4 * time.Millisecond
 	p := newProxyWithResolution(t, resolution)
@@ -203,14 +208,14 @@
 	}
 }
 
-// A turn that takes long between the taking of a request and the module's step does not move the module's deadline
-// behind the loop's own.
+// TestLateStepLeavesTheDeadlineToTheModule verifies that a long delay between the arrival of a request and the Step of
+// the same turn does not move the deadline of the Balancer behind that of the proxy.
 func TestLateStepLeavesTheDeadlineToTheModule(t *testing.T) {
 	const resolution = 4 * time.Millisecond
 	p := newProxyWithResolution(t, resolution)
-	p.RunPending(nil, 0) // the turn begins
+	p.RunPending(nil, 0) // starts a turn
 	request, client := submit(p, "1")
-	p.SkewClock(5 * resolution) // other tasks of the turn take so long
+	p.SkewClock(5 * resolution) // simulates slow tasks in the same turn
 	p.Step()
 	p.RunDue(request.deadline)
 	p.Step()
