--- a/internal/proxy/settings_test.go
+++ b/internal/proxy/settings_test.go
@@ -15,6 +15,7 @@
 	"gapgap/internal/upstream"
 )
 
+// newRules returns rules with one plan and the given classes, as pairs of a name and a balancer.Idempotency.
 func newRules(namesAndIdempotency ...any) (r Rules) {
 	for i := 0; i < len(namesAndIdempotency); i += 2 {
 		r.Classes = append(r.Classes, namesAndIdempotency[i].(string))
@@ -29,6 +30,8 @@
 func never(int) bool  { return false }
 func always(int) bool { return true }
 
+// TestRulesKeepNumbersOfClasses verifies that unchanged classes keep their numbers across updates, that changed and
+// removed ones keep theirs without a name, and that free numbers are reused.
 func TestRulesKeepNumbersOfClasses(t *testing.T) {
 	first := newRules("a", balancer.Idempotent, "b", balancer.IdempotentByKey)
 	second, from := first.Next(newRules("b", balancer.NonIdempotent, "c", balancer.Idempotent), never)
@@ -40,19 +43,20 @@
 		c[1].Idempotency != balancer.IdempotentByKey || c[2].Idempotency != balancer.NonIdempotent || c[2].Removed {
 		t.Errorf("%+v", c)
 	}
-	// a number that is free stands for another
+	// a free number is reused for another class
 	third, from := second.Next(newRules("b", balancer.NonIdempotent, "d", balancer.Idempotent), always)
 	if want := []string{"d", "", "b", ""}; !slices.Equal(third.Classes, want) || from[0] != -1 || from[2] != 2 {
 		t.Errorf("%q from %v", third.Classes, from)
 	}
-	// the order in the file is no matter
+	// the order of the classes in the file does not matter
 	same, from := third.Next(newRules("d", balancer.Idempotent, "b", balancer.NonIdempotent), always)
 	if !slices.Equal(same.Classes, third.Classes) || !slices.Equal(from, []int{0, 1, 2, 3}) {
 		t.Errorf("%q from %v", same.Classes, from)
 	}
 }
 
-// Classes that come and go for ever take no more numbers than are in use within the longest wait.
+// TestRulesAreBounded verifies that an unbounded sequence of classes does not use more numbers than are in use at the
+// same time.
 func TestRulesAreBounded(t *testing.T) {
 	r := newRules("c0", balancer.Idempotent)
 	for i := range 1000 {
@@ -60,11 +64,12 @@
 			balancer.IdempotentByKey), always)
 	}
 	if len(r.Classes) > 4 {
-		t.Errorf("%d numbers", len(r.Classes))
+		t.Errorf("%d class numbers are in use, want at most 4", len(r.Classes))
 	}
 }
 
-// Over random scripts each request taken is counted once: as ended by what its client was told, as gone, or as open.
+// TestStatsAddUp verifies over random sequences of events that each request received is counted exactly once: by the
+// outcome its client was given, as ended by a disconnected client, or as open.
 func TestStatsAddUp(t *testing.T) {
 	for seed := range uint64(60) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -131,14 +136,14 @@
 			}
 			p.Step()
 		}
-		var told [stats.Faulted + 1]uint64
+		var answered [stats.Faulted + 1]uint64
 		open := int64(0)
 		for i, request := range reqs {
 			if len(clients[i].answers) > 1 {
-				t.Fatalf("seed %d: %d answers", seed, len(clients[i].answers))
+				t.Fatalf("seed %d: a client got %d answers, want at most 1", seed, len(clients[i].answers))
 			}
 			if len(clients[i].answers) == 1 {
-				told[clients[i].answers[0].Outcome.statsOutcome()]++
+				answered[clients[i].answers[0].Outcome.statsOutcome()]++
 			} else if !request.ended {
 				open++
 			}
@@ -149,13 +154,13 @@
 				counted[o] += p.Stats.Class(name).Count(stats.Outcome(o))
 			}
 		}
-		if counted != told || p.Stats.Open() != open || p.Stats.Taken.Load() != taken {
-			t.Fatalf("seed %d: counted %v, told %v; open %d, are %d; taken %d, are %d", seed, counted, told,
-				p.Stats.Open(), open, p.Stats.Taken.Load(), taken)
+		if counted != answered || p.Stats.Open() != open || p.Stats.Taken.Load() != taken {
+			t.Fatalf("seed %d: outcomes counted %v, want %v; open %d, want %d; taken %d, want %d", seed,
+				counted, answered, p.Stats.Open(), open, p.Stats.Taken.Load(), taken)
 		}
-		if told[stats.Fulfilled] == 0 || told[stats.Throttled] == 0 || told[stats.Faulted] == 0 ||
+		if answered[stats.Fulfilled] == 0 || answered[stats.Throttled] == 0 || answered[stats.Faulted] == 0 ||
 			p.Stats.Gone.Load() == 0 {
-			t.Logf("seed %d: %v, gone %d", seed, told, p.Stats.Gone.Load())
+			t.Logf("seed %d: %v, gone %d", seed, answered, p.Stats.Gone.Load())
 		}
 	}
 }
