--- a/internal/balancer/bucketcarry.go
+++ b/internal/balancer/bucketcarry.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// Carrying of a bucket's level from one window of the counter into the next.
+// Parameters for carrying a token bucket's deficit from one counter window into the next.
 const (
-	// carryDelay is the time in which the gateway that carries is expected to be done.
+	// carryDelay is how long the other gateways wait for the gateway that carries the deficit.
 	carryDelay = 100 * time.Millisecond
-	// maxCarriedTime is the time in which the rate fills what a bucket may lack beside its burst.
+	// maxCarriedTime limits the carried deficit to one burst plus the units that the rate adds in this time.
 	maxCarriedTime = 3 * time.Second
 )
 
-// learnBucket sees to it that a customer's bucket is known, and that what it lacked is carried into this window. It
-// matters to plans whose ceiling is leased only.
+// learnBucket makes sure that a customer's bucket level is known and that the deficit of the previous counter window is
+// carried into the current one. Only plans with a leased ceiling need it.
 //
-// Each window's total begins anew, and no gateway may know the last one, as the demand moves among many. The first
-// gateway that calls in a window asks for the total of the window before and adds what the bucket lacked; the others
-// give it the time for that.
+// Each counter window starts with a total of 0, and when demand moves between many gateways, no single gateway may know
+// the previous level. The first gateway that calls in a window fetches the previous window's total and adds the
+// deficit. The other gateways wait carryDelay for that to happen.
 func (b *Balancer) learnBucket(cust *customer) {
 	terms := b.callTermsOf(cust.plan)
 	if !terms.ceilingLeased || !b.canCallCounter() {
@@ -34,24 +34,24 @@
 	}
 }
 
-// callBucketLevel asks for the level of a customer's bucket.
+// callBucketLevel requests the level of a customer's bucket.
 func (b *Balancer) callBucketLevel(cust *customer, terms callTerms) {
 	window := counterWindowAt(b.now)
 	b.sendCall(cust, terms, bucketLevelCall, window, counterName(cust.name, window), 0)
 }
 
-// callFirstInWindow asks whether this gateway is the first that carries a customer's bucket into a window.
+// callFirstInWindow asks the counter whether this gateway is the first to carry a customer's bucket into a window.
 func (b *Balancer) callFirstInWindow(cust *customer, terms callTerms, window int64) {
 	b.sendCall(cust, terms, windowFirstCall, window, counterName(cust.name+" first", window), 1)
 }
 
-// callPreviousWindow asks for the total of the window before that of the call by which this gateway is the first.
+// callPreviousWindow requests the total of the window before the one in which this gateway was found to be the first.
 func (b *Balancer) callPreviousWindow(first *counterCall) {
 	cust, window := first.customer, first.window
 	b.sendCall(cust, first.terms, previousWindowCall, window, counterName(cust.name, window-1), 0)
 }
 
-// handleBucketCall takes the end of a call that is about a customer's bucket and leases no tokens.
+// handleBucketCall processes the result of a call that concerns a customer's bucket but leases no tokens.
 func (b *Balancer) handleBucketCall(call *counterCall, ev CounterResult) {
 	bucket := &call.customer.bucket
 	switch {
@@ -65,9 +65,9 @@
 	case call.kind == surplusCall:
 		b.handleSurplus(call, ev)
 	case bucket.carriedWindow != call.window:
-		// A later window has begun.
+		// The result is outdated: a later window has started.
 	case ev.Status != OK:
-		bucket.setCarried(0, bucket.carriedAt) // the next lease asks again
+		bucket.setCarried(0, bucket.carriedAt) // the next lease retries
 	case call.kind == windowFirstCall && ev.Total > 1:
 		bucket.setCarried(call.window, b.now+carryDelay)
 	case call.kind == windowFirstCall:
@@ -77,18 +77,19 @@
 	}
 }
 
-// carryBucket adds to a window's total what the bucket lacked at the end of the window before, whose total is given.
-// A total of 0 means that nobody called in that window, or that the counter has lost it.
+// carryBucket adds the bucket's deficit at the end of the previous window to the total of the call's window. A
+// previousTotal of 0 means that no gateway called in that window, or that the counter has lost its total. The level
+// then counts as carried only after the time in which the ceiling fills.
 func (b *Balancer) carryBucket(call *counterCall, previousTotal float64) {
 	cust, plan := call.customer, call.terms.plan
-	maxLack := plan.Burst + plan.Rate*maxCarriedTime.Seconds()
-	lack := min(maxLack, previousTotal-plan.Rate*counterWindow.Seconds())
+	maxDeficit := plan.Burst + plan.Rate*maxCarriedTime.Seconds()
+	deficit := min(maxDeficit, previousTotal-plan.Rate*counterWindow.Seconds())
 	filled := plan.Rate * (call.sentAt - windowStart(call.window)).Seconds()
 	if filled > plan.Burst*leasedSurplusTolerance {
-		lack -= filled // corrected as a surplus already
+		deficit -= filled // already corrected as a surplus
 	}
-	if lack > 0 {
-		b.callCounter(cust, call.terms, 0, lack)
+	if deficit > 0 {
+		b.callCounter(cust, call.terms, 0, deficit)
 	}
 	delay := carryDelay
 	if previousTotal == 0 {
@@ -98,7 +99,8 @@
 	cust.bucket.setCarried(call.window, b.now+delay)
 }
 
-// setCarried takes the window into which the bucket's level is carried, and from when on its total holds it.
+// setCarried records the window into which the deficit is carried, and the time from which that window's total includes
+// it.
 func (bucket *sharedBucket) setCarried(window int64, at time.Duration) {
 	bucket.carriedWindow = window
 	bucket.carriedAt = at
