--- a/internal/balancer/bucketcorrection_test.go
+++ b/internal/balancer/bucketcorrection_test.go
@@ -8,20 +8,20 @@
 func TestCounterThatLostItsTotals(t *testing.T) {
 	cases := []struct {
 		name string
-		// others is the number of units that the peers have added since the loss.
-		others  float64
-		granted bool
+		// peerUnits is the number of units that the peers have added since the loss.
+		peerUnits float64
+		granted   bool
 	}{
 		{"idle peers", 0, true},
 		{"busy peers", 30, false},
 	}
 	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) { checkEmptiedCounter(t, c.others, c.granted) })
+		t.Run(c.name, func(t *testing.T) { testLostTotals(t, c.peerUnits, c.granted) })
 	}
 }
 
-// checkEmptiedCounter lets the counter lose its totals, after which the peers add some units.
-func checkEmptiedCounter(t *testing.T, others float64, granted bool) {
+// testLostTotals lets the counter lose its totals, after which the peers add some units.
+func testLostTotals(t *testing.T, others float64, granted bool) {
 	t.Helper()
 	b := newTestBalancer(t, testSettings(), testEndpoints(8)...)
 	call := spendFallback(t, b, ms)
