--- a/internal/balancer/ceiling.go
+++ b/internal/balancer/ceiling.go
@@ -9,59 +9,63 @@
 )
 
 const (
-	// maxCeilingWaitFraction is the part of its time for which a request may wait for the ceiling.
+	// maxCeilingWaitFraction is the fraction of its time limit for which a request may wait for the ceiling.
 	maxCeilingWaitFraction = 0.3
-	// minCeilingRate stands for a rate of 0 where a waiting time is divided by it, units a second.
+	// minCeilingRate replaces a rate of 0 as a divisor in wait times, in units per second.
 	minCeilingRate = 1e-4
-	// minQueuedRateFraction is the least part of the ceiling's rate that is taken to be left for queued requests.
+	// minQueuedRateFraction is the minimum fraction of the ceiling's rate that is assumed to be left for queued
+	// requests.
 	minQueuedRateFraction = 0.1
 )
 
-// ceilingSource is where a request's units of the ceiling come from.
+// ceilingSource is where a request's ceiling units come from.
 type ceilingSource int
 
 const (
 	// fromEvenShare means this gateway's share of the ceiling.
 	fromEvenShare ceilingSource = iota
-	// fromQuota means that the quota's bucket on the counter has paid for the request, which bounds what goes out at
-	// all gateways.
+	// fromQuota means that the quota's bucket on the counter has paid for the request. That bucket bounds what all
+	// gateways send together.
 	fromQuota
 	// fromLease means units beyond the quota that were leased from the counter.
 	fromLease
 )
 
-// ceilingState is what this gateway holds of a customer's ceiling, the hard limit that no excess may pass. Whichever
-// source a request's units come from, this gateway's share is drawn down too, so that gateways which lose the counter
-// together hold no more than the ceiling's bucket does. docs/design/ceilings.md has the proof.
+// ceilingState is what this gateway holds of a customer's ceiling, the hard limit that must never be exceeded.
+// Whichever source a request's units come from, they are also drawn from this gateway's share. Gateways that lose the
+// counter at the same time therefore never hold more in total than the ceiling's bucket does. See
+// docs/design/ceilings.md for the proof.
 type ceilingState struct {
-	// tokens are the units in this gateway's share, those reserved included. Below 0: leased units went out beyond it.
+	// tokens is the number of units in this gateway's share, including reserved ones. It is negative if leased units
+	// were sent beyond the share.
 	tokens float64
-	// filledAt is when tokens were filled last.
+	// filledAt is when tokens was last refilled.
 	filledAt time.Duration
-	// reserved is the number of units of tokens that queued requests hold.
+	// reserved is the part of tokens that is reserved for queued requests.
 	reserved float64
-	// admitOnlyTokens is the number of units of tokens that are kept for requests that ask for admission only.
+	// admitOnlyTokens is the part of tokens that is set aside for admission-only requests.
 	admitOnlyTokens float64
-	// loans are the parts of the ceiling that peers have granted to this gateway, and it to them.
+	// loans are the parts of the ceiling that this gateway has borrowed from peers and lent to them.
 	loans quotashare.Loans
-	// nextLoanRequestAt is the time before which no loan is asked for.
+	// nextLoanRequestAt is the earliest time of the next loan request.
 	nextLoanRequestAt time.Duration
-	// turnUsedAt is a time in the last turn that was used, where shares are sparse (ceilinglease.Turns). Turns are
-	// numbered anew when the ceiling or the number of gateways changes, times are not.
+	// turnUsedAt is a time within the last turn that was used, where shares are sparse (ceilinglease.Turns). A time is
+	// stored because turns are renumbered when the ceiling or the number of gateways changes.
 	turnUsedAt time.Duration
-	// lease is what this gateway has leased of the ceiling beyond the quota on the last terms; nil: nothing yet.
+	// lease is what this gateway has leased of the ceiling beyond the quota on the most recent terms; nil if nothing
+	// yet.
 	lease *leasedCeiling
 }
 
-// fillShare adds the units of the last seconds to this gateway's share, of which a part is kept for requests that ask
-// for admission only.
+// fillShare adds the units of the elapsed seconds to this gateway's share and sets a fraction of them aside for
+// admission-only requests.
 func (ceiling *ceilingState) fillShare(
 	now time.Duration, share quotashare.Bucket, seconds, admitOnlyFraction float64,
 ) {
 	ceiling.filledAt = now
 	ceiling.tokens += share.Rate * seconds
 	ceiling.tokens = min(ceiling.tokens, share.Depth)
-	if !(admitOnlyFraction > 0) { // not a number where there is no demand at all
+	if !(admitOnlyFraction > 0) { // also true for NaN, which results from no demand at all
 		ceiling.admitOnlyTokens = 0
 		return
 	}
@@ -70,7 +74,7 @@
 	ceiling.admitOnlyTokens = max(0, min(ceiling.admitOnlyTokens, limit))
 }
 
-// drawShare takes a request's units out of this gateway's share. It reports whether they were there.
+// drawShare takes a request's units from this gateway's share. It reports whether there were enough.
 func (ceiling *ceilingState) drawShare(req *request) bool {
 	if ceiling.tokens < req.units {
 		return false
@@ -82,25 +86,25 @@
 	return true
 }
 
-// setTokens sets the units of a share that is not filled at a rate.
+// setTokens sets the units of a share that does not refill at a rate.
 func (ceiling *ceilingState) setTokens(now time.Duration, tokens float64) {
 	ceiling.tokens = tokens
 	ceiling.filledAt = now
 	ceiling.admitOnlyTokens = 0
 }
 
-// drawBeyondShare takes units that came from elsewhere out of this gateway's share too, down to a lowest level.
+// drawBeyondShare also takes units that came from another source from this gateway's share, down to a minimum level.
 func (ceiling *ceilingState) drawBeyondShare(units, lowest float64) {
 	ceiling.tokens = max(lowest, ceiling.tokens-units)
 }
 
-// lastTurn is the number of a gateway's last used turn as some turns count it.
+// lastTurn returns the number of the gateway's last used turn in the given numbering of turns.
 func (ceiling *ceilingState) lastTurn(turns ceilinglease.Turns, gateway int) int64 {
 	turn, _ := turns.At(ceiling.turnUsedAt, gateway)
 	return max(0, turn)
 }
 
-// drawTurn uses a gateway's turn at a time, for which a request was placed. It reports whether that was unused.
+// drawTurn uses the gateway's turn at the time for which a request was placed. It reports whether the turn was unused.
 func (ceiling *ceilingState) drawTurn(turns ceilinglease.Turns, gateway int, at time.Duration) bool {
 	if turn, _ := turns.At(at, gateway); ceiling.lastTurn(turns, gateway) >= turn {
 		return false
@@ -109,13 +113,13 @@
 	return true
 }
 
-// refillCeiling fills this gateway's share of a customer's ceiling and returns its units; infinite without a ceiling.
-// A new gateway starts with an empty share, as it may have spent it before a restart.
+// refillCeiling refills this gateway's share of a customer's ceiling and returns its units, which are infinite without
+// a ceiling. A new gateway starts with an empty share, since it may have spent the share before a restart.
 func (b *Balancer) refillCeiling(cust *customer, plan *Plan) float64 {
 	return b.refillCeilingUntil(cust, plan, b.now)
 }
 
-// refillCeilingUntil is refillCeiling up to a time, which is before now where a lease or a loan has ended then.
+// refillCeilingUntil is refillCeiling up to a given time, which is in the past if a lease or a loan ended then.
 func (b *Balancer) refillCeilingUntil(cust *customer, plan *Plan, now time.Duration) float64 {
 	if plan.CeilingRate == 0 {
 		return math.Inf(1)
@@ -125,8 +129,8 @@
 	return cust.ceiling.tokens
 }
 
-// fillCeilingShare fills this gateway's share of a customer's ceiling up to a time by what the share is at that time.
-// It ends no loan.
+// fillCeilingShare refills this gateway's share of a customer's ceiling up to a given time, at the rate that the share
+// has at that time. It does not expire loans.
 func (b *Balancer) fillCeilingShare(cust *customer, plan *Plan, now time.Duration) {
 	share := b.ceilingShareAt(cust, plan, now)
 	if b.hasSparseShares(cust, plan) {
@@ -140,9 +144,9 @@
 	cust.ceiling.fillShare(now, share, seconds, cust.demand.admitOnlyFraction())
 }
 
-// ceilingCapacity is how many units of this gateway's share of the ceiling a request can have now. Requests that ask
-// for admission only are never queued, so under overload the queued ones would take all of the share: a part is kept
-// for them by their part of the demand.
+// ceilingCapacity returns how many units of this gateway's share of the ceiling a request can use now. Admission-only
+// requests are never queued, so under overload the queued requests would use up the whole share. Part of it is
+// therefore set aside for admission-only requests, in proportion to their part of the demand.
 func (b *Balancer) ceilingCapacity(req *request, plan *Plan) float64 {
 	tokens := b.refillCeiling(req.customer, plan)
 	ceiling := &req.customer.ceiling
@@ -152,7 +156,7 @@
 	return tokens - ceiling.admitOnlyTokens - ceiling.reserved
 }
 
-// ceilingWait is the time in seconds until the ceiling has units for a request that would join its customer's line.
+// ceilingWait returns the time in seconds until the ceiling has units for a request that joins its customer's queue.
 func (b *Balancer) ceilingWait(req *request) float64 {
 	plan := &b.settings.Plans[req.plan]
 	if plan.CeilingRate == 0 {
@@ -167,7 +171,7 @@
 	return b.ceilingShareWait(req, plan)
 }
 
-// ceilingShareWait is ceilingWait by this gateway's share, for which it asks the peers for a loan when it is short.
+// ceilingShareWait is ceilingWait for this gateway's share. It requests a loan from the peers if the share is short.
 func (b *Balancer) ceilingShareWait(req *request, plan *Plan) float64 {
 	cust := req.customer
 	missing := req.units - b.ceilingCapacity(req, plan)
@@ -187,8 +191,9 @@
 	return max(0, missing) / rate
 }
 
-// drawCeiling takes the units of a request's first attempt out of the ceiling, and reports whether they were still
-// there. Units that the quota's bucket or a lease has given are taken from this gateway's share too (drawBeyondShare).
+// drawCeiling takes the units of a request's first attempt from the ceiling, and reports whether they were still
+// available. Units that came from the quota's bucket or from a lease are also taken from this gateway's share
+// (drawBeyondShare).
 func (b *Balancer) drawCeiling(req *request, plan *Plan) bool {
 	cust := req.customer
 	if plan.CeilingRate == 0 {
@@ -207,8 +212,8 @@
 	return true
 }
 
-// drawEvenShare takes a request's units out of this gateway's share, or uses the turn that the request was placed for;
-// one that was placed for none uses the present turn. It reports whether they were there.
+// drawEvenShare takes a request's units from this gateway's share, or uses the turn for which the request was placed,
+// which is the current turn if none was recorded. It reports whether they were available.
 func (b *Balancer) drawEvenShare(req *request, plan *Plan) bool {
 	ceiling := &req.customer.ceiling
 	turns, hasTurns := b.sparseTurns(req.customer, plan)
@@ -222,15 +227,15 @@
 	return open && ceiling.drawTurn(turns, b.settings.Index, b.now)
 }
 
-// drawBeyondShare takes units that the share has not given out of it too, down to where all gateways' shares together
-// are as empty as the ceiling's bucket can be.
+// drawBeyondShare takes units that came from another source from this gateway's share as well. The lower limit is the
+// level at which all gateways' shares together are as empty as the ceiling's bucket can be.
 func (b *Balancer) drawBeyondShare(req *request, plan *Plan) {
 	lowest := b.ceilingShare(req.customer, plan).Depth - plan.CeilingBurst
 	req.customer.ceiling.drawBeyondShare(req.units, lowest)
 }
 
-// reserveCeiling reserves units of the ceiling for a request, and a place among the requests in flight where its plan
-// limits these. releaseCeiling returns the units.
+// reserveCeiling reserves ceiling units for a request, and counts it as in flight if its plan limits requests in
+// flight. releaseCeiling returns the units.
 func (b *Balancer) reserveCeiling(req *request, source ceilingSource) {
 	cust, plan := req.customer, &b.settings.Plans[req.plan]
 	if plan.MaxInFlight > 0 {
@@ -249,11 +254,11 @@
 			req.ceiling.turnAt = b.now
 		}
 	case fromLease:
-		b.presentLease(req).spend(b.now, req)
+		b.currentLease(req).spend(b.now, req)
 	}
 }
 
-// releaseCeiling ends the reservation of a request that is dispatched now or never.
+// releaseCeiling ends the reservation of a request that is dispatched now or will never be.
 func (b *Balancer) releaseCeiling(req *request, dispatched bool) {
 	if !req.ceiling.reserved {
 		return
@@ -268,12 +273,12 @@
 	}
 }
 
-// ceilingShare is this gateway's part of a customer's ceiling, with its loans.
+// ceilingShare returns this gateway's share of a customer's ceiling, including loans.
 func (b *Balancer) ceilingShare(cust *customer, plan *Plan) quotashare.Bucket {
 	return b.ceilingShareAt(cust, plan, b.now)
 }
 
-// ceilingShareAt is ceilingShare at a time.
+// ceilingShareAt is ceilingShare at a given time.
 func (b *Balancer) ceilingShareAt(cust *customer, plan *Plan, now time.Duration) quotashare.Bucket {
 	if !b.settings.LeasedShares {
 		return quotashare.Bucket{Rate: plan.CeilingRate / cust.gateways, Depth: plan.CeilingBurst / cust.gateways}
@@ -288,7 +293,7 @@
 	return share
 }
 
-// ownCeilingShare is this gateway's part of a customer's ceiling with a leased fraction, without loans.
+// ownCeilingShare returns this gateway's share of a customer's ceiling for a leased fraction, without loans.
 func (b *Balancer) ownCeilingShare(cust *customer, plan *Plan, fraction float64) quotashare.Bucket {
 	ceiling := quotashare.Bucket{Rate: plan.CeilingRate, Depth: plan.CeilingBurst}
 	quota := quotashare.Bucket{Rate: plan.Rate, Depth: plan.Burst}
@@ -296,13 +301,13 @@
 	return plan.PartitionPolicy.Share(ceiling, quota, 1/cust.gateways, leased)
 }
 
-// sharesFilledSince is the time since which the share of a customer that is met now has filled.
+// sharesFilledSince returns the time since which the share of a customer that is first seen now has been filling.
 func (b *Balancer) sharesFilledSince() time.Duration {
 	return max(b.startedAt, b.share.excludedChangedAt, b.share.lease.IncreasedAt())
 }
 
-// refillSeconds is the time in seconds in which this gateway's shares have filled between two times. Once handed over
-// they do not fill.
+// refillSeconds returns for how many seconds this gateway's shares have been filling between two times. They do not
+// fill after a handover.
 func (b *Balancer) refillSeconds(since, until time.Duration) float64 {
 	if b.handedOver {
 		return 0
--- a/internal/balancer/ceilinglease.go
+++ b/internal/balancer/ceilinglease.go
@@ -7,53 +7,53 @@
 	"gapgap/internal/balancer/ceilinglease"
 )
 
-// With Settings.LeaseCeilings a customer's ceiling goes to the gateways where its demand is. What the quota's bucket
-// on the counter has paid for may go out at any gateway; what is beyond the quota is leased from the counter in
-// windows by the arithmetic of package ceilinglease.
+// With Settings.LeaseCeilings, a customer's ceiling is given to the gateways at which it has demand. Requests that the
+// quota's bucket on the counter has paid for may be sent by any gateway. Units beyond the quota are leased from the
+// counter in windows, as computed by package ceilinglease.
 
-// leasedCeiling is what this gateway has leased of a customer's ceiling on one set of terms. Other terms begin another
-// one. Calls and requests hold the one that they belong to, so that an answer, or units that come back, are settled on
-// the terms under which they went out.
+// leasedCeiling is what this gateway has leased of a customer's ceiling on one set of terms. When the terms change, a
+// new one is created. Calls and requests keep a reference to the one they belong to, so that results and returned units
+// are settled on the terms under which they were requested.
 type leasedCeiling struct {
 	terms ceilinglease.Terms
 	lease ceilinglease.Lease
 }
 
-// capacity is how many units a request may use now.
+// capacity returns how many units a request may use now.
 func (leased *leasedCeiling) capacity(now time.Duration, req *request) float64 {
 	return leased.lease.Available(leased.terms, now, req.leaseUse(), req.customer.demand.admitOnlyFraction())
 }
 
-// spend takes units for a request, which they belong to until their window is over.
+// spend takes units for a request. They are valid for that request until the end of their window.
 func (leased *leasedCeiling) spend(now time.Duration, req *request) {
 	req.ceiling.lease = leased
 	req.ceiling.leaseWindow = leased.lease.Spend(leased.terms, now, req.units, req.leaseUse())
 }
 
-// takeBack returns the units of a request that did not go out.
+// takeBack returns the units of a request that was not dispatched.
 func (leased *leasedCeiling) takeBack(now time.Duration, req *request) {
 	leased.lease.Return(leased.terms, now, req.ceiling.leaseWindow, req.units, req.leaseUse())
 }
 
-// holdsUnits reports whether a request's leased units are those of the present window, outside of which they may not
-// go out.
-func (reserved *ceilingReservation) holdsUnits(now time.Duration) bool {
-	return reserved.lease.terms.WindowIndex(now) == reserved.leaseWindow
+// holdsUnits reports whether a request's leased units belong to the current window. They must not be used in any other.
+func (reservation *ceilingReservation) holdsUnits(now time.Duration) bool {
+	return reservation.lease.terms.WindowIndex(now) == reservation.leaseWindow
 }
 
-// leasableCeiling is the lease by which a request's ceiling goes now; nil: it is not leased, and this gateway goes by
-// its share. While the counter does not answer nothing is leased. All gateways then go by their shares, from which
-// what went out meanwhile was drawn, so together they hold no more than the ceiling's bucket does.
+// leasableCeiling returns the lease that currently provides a request's ceiling units, or nil if the ceiling is not
+// leased and this gateway uses its share. Nothing is leased while the counter does not respond. All gateways then use
+// their shares, from which everything sent in the meantime has been drawn, so together they hold no more than the
+// ceiling's bucket does.
 func (b *Balancer) leasableCeiling(req *request) *leasedCeiling {
 	if req.customer.gateways <= 1 || b.now < b.counter.leasingFrom {
 		return nil
 	}
-	return b.presentLease(req)
+	return b.currentLease(req)
 }
 
-// presentLease is the lease on the present terms of a request's plan; nil: its ceiling is not leased. A request of a
-// plan that its customer has left leases nothing more.
-func (b *Balancer) presentLease(req *request) *leasedCeiling {
+// currentLease returns the lease on the current terms of a request's plan, or nil if its ceiling is not leased. A
+// request whose customer has since moved to another plan leases nothing more.
+func (b *Balancer) currentLease(req *request) *leasedCeiling {
 	terms, ceiling := b.leaseTerms[req.plan], &req.customer.ceiling
 	if terms.Rate <= 0 || req.plan != req.customer.plan {
 		return nil
@@ -64,7 +64,7 @@
 	return ceiling.lease
 }
 
-// leaseUse is how a request uses leased units: one that asks for admission only is never queued.
+// leaseUse returns how a request uses leased units: admission-only requests are never queued.
 func (req *request) leaseUse() ceilinglease.Use {
 	if req.admitOnly {
 		return ceilinglease.ImmediateUse
@@ -72,8 +72,8 @@
 	return ceilinglease.QueuedUse
 }
 
-// leaseCeiling decides whether the units leased beyond the quota cover a request, and leases more. A plan that gains
-// nothing by requests beyond its quota leases none.
+// leaseCeiling decides whether the units leased beyond the quota cover a request, and leases more if needed. A plan
+// that gains nothing from requests beyond its quota leases none.
 func (b *Balancer) leaseCeiling(check *quotaCheck) quotaDecision {
 	req, plan := check.request, check.plan
 	lease, terms := &check.lease.lease, check.lease.terms
@@ -102,12 +102,12 @@
 	return quotaPending
 }
 
-// ceilingWaitLimit is the time in seconds for which a request may wait for the ceiling.
+// ceilingWaitLimit returns how many seconds a request may wait for the ceiling.
 func (req *request) ceilingWaitLimit() float64 {
 	return req.timeLimit.Seconds() * maxCeilingWaitFraction
 }
 
-// ceilingLeaseWait is the time in seconds until a request that joins its customer's line may have leased units.
+// ceilingLeaseWait returns the time in seconds until a request that joins its customer's queue may have leased units.
 func (b *Balancer) ceilingLeaseWait(req *request, plan *Plan, leased *leasedCeiling) float64 {
 	cust := req.customer
 	wait := leased.lease.WaitTime(leased.terms, b.now)
@@ -122,26 +122,26 @@
 	return wait.Seconds()
 }
 
-// drawLeasedUnits sees to it that a request with leased units goes out on units of the present window. It reports
-// whether there are any: those that the request holds, those of the present lease, or, where its ceiling is leased no
-// more, those of this gateway's share.
+// drawLeasedUnits makes sure that a request with leased units is sent on units of the current window. These are the
+// units that the request holds, those of the current lease or, if its ceiling is no longer leased, those of this
+// gateway's share. It reports whether there were enough.
 func (b *Balancer) drawLeasedUnits(req *request, plan *Plan) bool {
 	if !req.ceiling.holdsUnits(b.now) {
-		present := b.presentLease(req)
+		current := b.currentLease(req)
 		switch {
-		case present == nil:
+		case current == nil:
 			return b.drawEvenShare(req, plan)
-		case present.capacity(b.now, req) < req.units:
+		case current.capacity(b.now, req) < req.units:
 			return false
 		}
-		present.spend(b.now, req)
+		current.spend(b.now, req)
 	}
 	b.drawBeyondShare(req, plan)
 	return true
 }
 
-// callCeilingLease calls the counter for units of a customer's ceiling beyond the quota, in the present window.
-// Gateways that go by other terms use another name and share nothing.
+// callCeilingLease requests units of a customer's ceiling beyond the quota from the counter, in the current window.
+// Gateways with different terms use different names and share nothing.
 func (b *Balancer) callCeilingLease(cust *customer, leased *leasedCeiling, block float64) {
 	window := leased.terms.WindowIndex(b.now)
 	name := counterName(fmt.Sprint(cust.name, " beyond ", leased.terms.Window), window)
@@ -157,7 +157,7 @@
 	b.emit(CounterAdd{name, block, leased.terms.CounterTTL(), 0})
 }
 
-// handleCeilingLeaseResult takes the end of such a call.
+// handleCeilingLeaseResult processes the result of a ceilingLeaseCall.
 func (b *Balancer) handleCeilingLeaseResult(call *counterCall, ev CounterResult) {
 	leased := call.lease
 	if ev.Status != OK {
