--- a/internal/balancer/customer.go
+++ b/internal/balancer/customer.go
@@ -5,67 +5,67 @@
 	"time"
 )
 
-// Limits of the table of customers.
+// Limits of the customer table.
 const (
-	// maxCustomers is the number of customers known at once. Requests of one more are rejected.
+	// maxCustomers is the maximum number of customers known at once. Requests of further customers are rejected.
 	maxCustomers = 16384
-	// customerTTL is the time after which an idle customer is forgotten.
+	// customerTTL is the time after which an idle customer is removed.
 	customerTTL = 60 * time.Second
 	// sweepTicks is the number of ticks in which the whole table is checked for idle customers.
 	sweepTicks = 500
-	// minSweep is the number of customers checked in a tick at least.
+	// minSweep is the minimum number of customers checked per tick.
 	minSweep = 8
-	// fullTableSweepTicks takes the place of sweepTicks when over half of the table is in use.
+	// fullTableSweepTicks replaces sweepTicks when over half of the table is in use.
 	fullTableSweepTicks = 50
-	// fullTableTTL is then the idle time after which a customer with full buckets is forgotten.
+	// fullTableTTL is the idle time after which a customer with full buckets is then removed.
 	fullTableTTL = 2 * time.Second
 )
 
-// customer is what this gateway knows of one customer.
+// customer is the state that this gateway keeps for one customer.
 type customer struct {
 	name string
-	// plan is the index of its plan in Settings.Plans.
+	// plan is the index of the customer's plan in Settings.Plans.
 	plan int
-	// gateways is the number of gateways through which its requests come, 1 at least.
+	// gateways is the number of gateways that receive the customer's requests, at least 1.
 	gateways float64
-	// lastUsedAt is when it last had a request here or was granted a part of its ceiling for a peer.
+	// lastUsedAt is when the customer last had a request here, or a part of its ceiling was last lent to a peer.
 	lastUsedAt time.Duration
 	demand     demandRate
 	waiting    waitingRequests
-	// inFlight counts its requests under way here, where its plan limits them.
+	// inFlight is the number of its requests in flight at this gateway, counted if its plan limits them.
 	inFlight int
 	quota    quotaState
 	bucket   sharedBucket
 	ceiling  ceilingState
 }
 
-// customerTable holds the customers that are known. The zero value is not ready; see newCustomerTable.
+// customerTable holds all known customers. The zero value is not usable; see newCustomerTable.
 type customerTable struct {
 	byName map[string]*customer
-	// order lists the customers in the order in which they were met, but for those moved by remove.
+	// order lists the customers in the order in which they were added, except for those moved by removeSwept.
 	order []*customer
-	// sweepIndex is the position in order that the sweep has reached.
+	// sweepIndex is the current position of the sweep in order.
 	sweepIndex int
 }
 
-// newCustomerTable makes an empty table.
+// newCustomerTable returns an empty table.
 func newCustomerTable() customerTable {
 	return customerTable{byName: map[string]*customer{}}
 }
 
-// find returns the customer of a name, or nil.
+// find returns the customer with the given name, or nil.
 func (table *customerTable) find(name string) *customer { return table.byName[name] }
 
 // isFull reports whether no further customer can be added.
 func (table *customerTable) isFull() bool { return len(table.byName) >= maxCustomers }
 
-// add puts a customer into the table.
+// add adds a customer to the table.
 func (table *customerTable) add(cust *customer) {
 	table.byName[cust.name] = cust
 	table.order = append(table.order, cust)
 }
 
-// removeSwept forgets the customer that the sweep has reached. The last one takes its position.
+// removeSwept removes the customer at the sweep position and moves the last one into its place.
 func (table *customerTable) removeSwept() {
 	last := len(table.order) - 1
 	delete(table.byName, table.order[table.sweepIndex].name)
@@ -74,13 +74,13 @@
 	table.order = table.order[:last]
 }
 
-// nextSwept moves the sweep on by one and returns the customer that it has reached.
+// nextSwept advances the sweep by one and returns the customer at the new position.
 func (table *customerTable) nextSwept() *customer {
 	table.sweepIndex = (table.sweepIndex + 1) % len(table.order)
 	return table.order[table.sweepIndex]
 }
 
-// customerFor returns the customer of a request, which it adds to the table when it is new.
+// customerFor returns the customer of a request, and adds it to the table if it is new.
 func (b *Balancer) customerFor(ev Request) *customer {
 	cust := b.customers.find(ev.Customer)
 	plan := &b.settings.Plans[ev.Plan]
@@ -101,7 +101,8 @@
 		b.customers.add(cust)
 	}
 	if cust.plan != ev.Plan {
-		// These are of the former plan's ceiling. What was lent of it stays out until it ends.
+		// The lease and the borrowed loans belong to the former plan's ceiling. Loans to peers remain until they
+		// expire.
 		cust.ceiling.lease = nil
 		cust.ceiling.loans.DropBorrowed()
 	}
@@ -110,8 +111,7 @@
 	return cust
 }
 
-// rejectIfTableFull rejects the request of an unknown customer when no further one can be added. It reports whether
-// it did.
+// rejectIfTableFull rejects the request of an unknown customer if the table is full. It reports whether it did.
 func (b *Balancer) rejectIfTableFull(ev Request) bool {
 	if !b.customers.isFull() || b.customers.find(ev.Customer) != nil {
 		return false
@@ -124,32 +124,32 @@
 	return true
 }
 
-// sweepCustomers checks the next part of the table and forgets idle customers. It runs once a tick.
+// sweepCustomers checks the next part of the table and removes idle customers. It runs once per tick.
 func (b *Balancer) sweepCustomers() {
-	crowded := len(b.customers.order) > maxCustomers/2
+	overHalfFull := len(b.customers.order) > maxCustomers/2
 	count := max(minSweep, len(b.customers.order)/sweepTicks)
-	if crowded {
+	if overHalfFull {
 		count = len(b.customers.order) / fullTableSweepTicks
 	}
 	for i := 0; i < count && len(b.customers.order) > 0; i++ {
 		cust := b.customers.nextSwept()
-		if b.isInUse(cust) || b.now-cust.lastUsedAt <= b.customerRetention(cust, crowded) {
+		if b.isInUse(cust) || b.now-cust.lastUsedAt <= b.customerRetention(cust, overHalfFull) {
 			continue
 		}
 		b.customers.removeSwept()
 	}
 }
 
-// isInUse reports whether a customer has requests here or awaits tokens from the counter.
+// isInUse reports whether a customer has requests here or is waiting for tokens from the counter.
 func (b *Balancer) isInUse(cust *customer) bool {
 	return cust.quota.callPending || cust.inFlight > 0 || len(cust.waiting.requests) > 0
 }
 
-// customerRetention is how long an idle customer is kept. A customer that is met again starts with full buckets, so
-// none is forgotten before its buckets are full.
-func (b *Balancer) customerRetention(cust *customer, crowded bool) time.Duration {
+// customerRetention returns how long an idle customer is kept. A customer that returns after removal starts with full
+// buckets, so none is removed before its buckets are full.
+func (b *Balancer) customerRetention(cust *customer, overHalfFull bool) time.Duration {
 	plan := &b.settings.Plans[cust.plan]
-	if !crowded || b.hasSparseShares(cust, plan) {
+	if !overHalfFull || b.hasSparseShares(cust, plan) {
 		return customerTTL
 	}
 	seconds := max(fullTableTTL.Seconds(), b.longestCeilingFill.Seconds())
