--- a/internal/balancer/demand.go
+++ b/internal/balancer/demand.go
@@ -8,16 +8,16 @@
 const (
 	// demandWindow is the time constant of the moving average of a customer's demand.
 	demandWindow = 2 * time.Second
-	// minAdmitOnlyFraction is the part of the demand below which admission-only requests are ignored: no part of the
-	// ceiling is kept for them.
+	// minAdmitOnlyFraction is the fraction of the demand below which admission-only requests are ignored and no part of
+	// the ceiling is set aside for them.
 	minAdmitOnlyFraction = 0.01
 )
 
-// demandRate is an exponential moving average of the units that a customer's requests ask for at this gateway.
+// demandRate is an exponential moving average of the units requested by a customer at this gateway.
 type demandRate struct {
-	// rate is the demand of all its requests, units a second.
+	// rate is the demand of all requests, in units per second.
 	rate float64
-	// admitOnlyRate is the part of rate that asks for admission only, units a second.
+	// admitOnlyRate is the part of rate that comes from admission-only requests, in units per second.
 	admitOnlyRate float64
 	// updatedAt is the time of the last request.
 	updatedAt time.Duration
@@ -34,7 +34,7 @@
 	demand.updatedAt = now
 }
 
-// admitOnlyFraction is the part of the demand that asks for admission only, from 0 to 1.
+// admitOnlyFraction returns the fraction of the demand that comes from admission-only requests, from 0 to 1.
 func (demand *demandRate) admitOnlyFraction() float64 {
 	if demand.admitOnlyRate < minAdmitOnlyFraction*demand.rate {
 		return 0
