--- a/internal/balancer/fallback.go
+++ b/internal/balancer/fallback.go
@@ -6,13 +6,13 @@
 	"gapgap/internal/balancer/quotashare"
 )
 
-// refillFallback fills the tokens that this gateway holds of a customer's quota for the time in which the counter
-// does not answer: its even share, or the leased share where the plan gives up shares without a lease.
+// refillFallback refills the tokens of a customer's quota that this gateway uses while the counter does not respond.
+// They come from its even share, or from its leased share if the plan keeps no share without a lease.
 func (b *Balancer) refillFallback(cust *customer, plan *Plan) {
 	b.refillFallbackUntil(cust, plan, b.now)
 }
 
-// refillFallbackUntil is refillFallback up to a time, which is before now where a lease has ended then.
+// refillFallbackUntil is refillFallback up to a given time, which is in the past if a lease ended then.
 func (b *Balancer) refillFallbackUntil(cust *customer, plan *Plan, now time.Duration) {
 	quota := &cust.quota
 	fraction := 1 / cust.gateways
@@ -24,8 +24,8 @@
 	quota.fillFallback(now, filled, plan.Burst*fraction)
 }
 
-// leasedFraction is the leased part, at a time, of what a customer's gateways have in common; 0 for a gateway that is
-// excluded.
+// leasedFraction returns this gateway's leased fraction, at a given time, of what a customer's gateways share. It is 0
+// for an excluded gateway.
 func (b *Balancer) leasedFraction(cust *customer, now time.Duration) float64 {
 	if b.share.excluded {
 		return 0
