--- a/internal/balancer/largefleet.go
+++ b/internal/balancer/largefleet.go
@@ -5,48 +5,49 @@
 	"time"
 )
 
-// Rules of a large fleet: so many gateways that the counter cannot serve a call for each request that a gateway's own
-// share does not cover, and that a gateway meets most customers too seldom to use up a lease.
+// Rules for a large fleet. It has so many gateways that the counter cannot serve a call for every request that exceeds
+// a gateway's own share, and that a gateway sees most customers too rarely to use up a lease.
 const (
 	// largeFleetGateways is the number of gateways from which a fleet is large.
 	largeFleetGateways = 12
-	// maxCounterWaitFraction is the part of its time for which a request may wait for the counter.
+	// maxCounterWaitFraction is the fraction of its time limit for which a request may wait for the counter.
 	maxCounterWaitFraction = 0.2
-	// largeFleetTokenTTL is the time after which tokens of a lease are returned.
+	// largeFleetTokenTTL is the time after which unspent leased tokens are returned.
 	largeFleetTokenTTL = 12 * time.Second
-	// largeFleetLeaseParts is the number of leases that use up a bucket.
+	// largeFleetLeaseParts is the number of maximum-size leases that use up a bucket.
 	largeFleetLeaseParts = 4.0
-	// maxReservationHorizon is how far ahead units are reserved at most.
+	// maxReservationHorizon is how far ahead units may be reserved.
 	maxReservationHorizon = time.Second
-	// gatewaysPerPause is the number of gateways that ask for a unit while an empty bucket gains it.
+	// gatewaysPerPause is the number of gateways that ask for a unit in the time in which an empty bucket gains one.
 	gatewaysPerPause = 2.0
-	// maxLargeFleetPause is the longest time for which a bucket that was found empty is left alone, before the spread.
+	// maxLargeFleetPause is the maximum pause in calls after a bucket was found empty, before random spreading.
 	maxLargeFleetPause = 12 * time.Second
-	// minLargeFleetPauseSpread is the least factor on that time; the greatest is larger by 1.
+	// minLargeFleetPauseSpread is the minimum random factor on that pause; the maximum is larger by 1.
 	minLargeFleetPauseSpread = 0.5
-	// maxCreditProbability is the greatest chance of a request that has no call to go out on credit.
+	// maxCreditProbability is the maximum probability, as it grows with the uptime, that a request without a call is
+	// sent on credit.
 	maxCreditProbability = 0.9
-	// creditGrowth is by how much the chance grows in the time in which this gateway's share gains a unit.
+	// creditGrowth is how much that probability grows in the time in which this gateway's share gains a unit.
 	creditGrowth = 4.0
-	// largeFleetSurplusTolerance is the number of bursts over its burst from which a bucket is corrected.
+	// largeFleetSurplusTolerance is how far, in bursts, a bucket may exceed its burst before it is corrected.
 	largeFleetSurplusTolerance = 0.5
-	// correctionProbability is the part of the gateways that correct a bucket of which they saw only a surplus.
+	// correctionProbability is the fraction of the gateways that correct a bucket of which they saw only a surplus.
 	correctionProbability = 0.1
-	// clientRetryCallReserve is the number of calls that a client's repeat leaves to other requests.
+	// clientRetryCallReserve is the number of calls that a client's retry leaves to other requests.
 	clientRetryCallReserve = 1.0
-	// softQuotaCallReserve is the number that a request leaves whose call would only promote it.
+	// softQuotaCallReserve is the number of calls left to others by a request that a call would only promote.
 	softQuotaCallReserve = 1.5
 )
 
-// isLargeFleet reports whether the rules of a large fleet hold. They do not where ceilings are leased: those rely on
-// buckets of which nothing is reserved ahead.
+// isLargeFleet reports whether the rules of a large fleet apply. They do not apply where ceilings are leased, because
+// those rely on buckets from which nothing is reserved ahead.
 func (b *Balancer) isLargeFleet() bool {
 	return b.settings.UseCounter && !b.settings.LeaseCeilings && b.settings.Gateways >= largeFleetGateways
 }
 
-// canCallForRequest reports whether the counter may be called for a request that leaves some calls to others. The
-// calls go first to requests for which they decide most: a client's repeat was rejected before, mostly with reason, and
-// a promotion helps only while endpoints are short.
+// canCallForRequest reports whether the counter may be called for a request while leaving a reserve of calls to others.
+// Calls go first to the requests for which they matter most: a client's retry was rejected before, usually with good
+// reason, and a promotion only helps while there is a shortage of endpoints.
 func (b *Balancer) canCallForRequest(req *request, reserve float64) bool {
 	cust := req.customer
 	pausedUntil := max(cust.bucket.emptyUntil, cust.quota.callsPausedUntil)
@@ -59,17 +60,18 @@
 	return b.counter.pacer.CanCall(b.now, reserve)
 }
 
-// hasWaitedForCounter reports whether a request has waited as long as it may for the counter or for a turn to call it.
+// hasWaitedForCounter reports whether a request has reached its limit of waiting for the counter or for its turn to
+// call it.
 func (b *Balancer) hasWaitedForCounter(req *request) bool {
 	return (b.now - req.arrivedAt).Seconds() > req.timeLimit.Seconds()*maxCounterWaitFraction
 }
 
-// awaitsLateAnswer reports whether a request's call timed out but may still be answered.
+// awaitsLateAnswer reports whether a request's call has timed out but may still be answered.
 func (b *Balancer) awaitsLateAnswer(req *request) bool {
 	return req.quota.counterCalled && b.now < req.customer.quota.callsPausedUntil && !b.hasWaitedForCounter(req)
 }
 
-// hasTokensSoon reports whether leased tokens cover a request and will be valid while it may wait.
+// hasTokensSoon reports whether leased tokens cover a request and become valid within its maximum wait.
 func (b *Balancer) hasTokensSoon(req *request) bool {
 	quota := &req.customer.quota
 	return quota.hasTokens(req.units) && (quota.tokensValidFrom-b.now).Seconds() <= req.ceilingWaitLimit()
@@ -102,8 +104,8 @@
 	return quotaExceeded
 }
 
-// returnUnusedTokens returns the tokens of a lease that is over, with the next call, and fills the fallback share,
-// which holds minDepth units at least when it is full.
+// returnUnusedTokens returns the tokens of an expired lease with the next call, and refills the fallback share, whose
+// capacity is at least minDepth units.
 func (b *Balancer) returnUnusedTokens(cust *customer, plan *Plan, minDepth float64) {
 	quota := &cust.quota
 	quota.beginDebtWindow(counterWindowAt(b.now))
@@ -115,10 +117,10 @@
 	quota.fillFallback(b.now, filled, max(minDepth, plan.Burst/cust.gateways))
 }
 
-// creditProbability is the chance that a request for which there is no call goes out without one, once for each
-// customer and again when its share has filled. A share of less than a unit is a unit by chance. The longer a gateway
-// has run, the more likely is a customer that it has not met, or not found empty, one of the many that stay well
-// inside their quotas.
+// creditProbability returns the probability that a request for which no call can be made is sent without one. This
+// happens once per customer, and again when its share has refilled. A share of less than one unit is treated as the
+// probability of having a whole unit. The longer a gateway has been running, the more likely it is that a customer that
+// it has not yet seen, or not found empty, is one of the many that stay well inside their quotas.
 func (b *Balancer) creditProbability(cust *customer, plan *Plan) float64 {
 	if cust.quota.fallbackTokens <= 0 {
 		return 0
@@ -127,9 +129,9 @@
 	return max(cust.quota.fallbackTokens, min(maxCreditProbability, grown))
 }
 
-// correctSurplus corrects a bucket that has more than its burst. Many gateways see it at once where it is much, as when
-// all have just started: the one whose call began the total corrects it, or, should that fail, one of those that ask
-// for the correction lock.
+// correctSurplus corrects a bucket that has more than its burst. Many gateways may see a large surplus at once, for
+// example when all have just started. The gateway whose call started the total corrects it; in case that fails, so does
+// one of those that request the correction lock.
 func (b *Balancer) correctSurplus(call *counterCall, amount float64, isFirstCall bool) {
 	cust, plan := call.customer, call.terms.plan
 	switch {
@@ -140,8 +142,8 @@
 	}
 }
 
-// surplusSlack is by how many bursts a bucket may be over its burst before a call is spent on it: by few where a
-// ceiling relies on it.
+// surplusSlack returns how far, in bursts, a bucket may exceed its burst before a call is spent on correcting it. The
+// tolerance is small where a ceiling relies on the bucket.
 func (b *Balancer) surplusSlack(cust *customer, plan *Plan) float64 {
 	if b.hasSparseShares(cust, plan) {
 		return sparseSurplusTolerance
@@ -149,8 +151,9 @@
 	return largeFleetSurplusTolerance
 }
 
-// reservationHorizon is how far ahead units are reserved. Of a hard plan it is as long as a request of any class may
-// wait: later units would mostly lie unused, as the gateway may not meet the customer again for long.
+// reservationHorizon returns how far ahead units are reserved. For a hard plan it is a time for which requests of
+// every class may wait: units reserved for later would mostly stay unused, since the gateway may not see the customer
+// again for a long time.
 func (b *Balancer) reservationHorizon(cust *customer, plan *Plan) time.Duration {
 	horizon := maxReservationHorizon
 	if b.hasSparseShares(cust, plan) {
@@ -164,10 +167,10 @@
 	return horizon
 }
 
-// planLargeFleetShortfall reserves what a call took of a bucket that did not have it, where a gateway meets a customer
-// so seldom that returning it would cost a call each time: it may be spent when the bucket has gained it. What would
-// take too long is returned, and the customer's gateways, each pausing for a time of its own, ask a few times as often
-// as there is a unit.
+// planLargeFleetShortfall reserves the units of a call that the bucket did not have, to be spent once the bucket has
+// gained them. A gateway sees a customer so rarely that returning them would cost an extra call each time. Units that
+// would take too long to gain are returned. The customer's gateways then pause for random times, chosen so that
+// together they ask a few times for each unit that the bucket gains.
 func (b *Balancer) planLargeFleetShortfall(call *counterCall, available, granted float64) shortfallPlan {
 	cust, plan := call.customer, call.terms.plan
 	missing := call.block - available
