--- a/internal/balancer/loan.go
+++ b/internal/balancer/loan.go
@@ -7,26 +7,27 @@
 	"gapgap/internal/balancer/quotashare"
 )
 
-// Loans of a ceiling between gateways, with Settings.LeasedShares.
+// Parameters for loans of a ceiling between gateways, used with Settings.LeasedShares.
 const (
-	// loanRequestInterval is the least time between two requests for loans of one customer.
+	// loanRequestInterval is the minimum time between two loan requests for the same customer.
 	loanRequestInterval = 300 * time.Millisecond
-	// maxLoanRequests is the number of customers for which loans are asked for in that time.
+	// maxLoanRequests is the maximum number of loan requests of a gateway in that time.
 	maxLoanRequests = 64
-	// loanRenewalFraction is the part of its own rate by which a customer with loans must have demand to renew them.
+	// loanRenewalFraction is the minimum demand of a customer, as a fraction of the gateway's own rate without loans,
+	// at which its loans are renewed.
 	loanRenewalFraction = 0.8
-	// lenderDemandDecay is the time without requests in which a lender's own demand falls to 1/e.
+	// lenderDemandDecay is the time without requests in which a lender's own demand decays to 1/e.
 	lenderDemandDecay = 500 * time.Millisecond
-	// lenderReserveTime is the time since the last request in which a lender keeps a part for itself.
+	// lenderReserveTime is how long after the last request a lender keeps a reserve for itself.
 	lenderReserveTime = 10 * time.Second
-	// lenderReserveFraction is that part.
+	// lenderReserveFraction is that reserve as a fraction of its own rate.
 	lenderReserveFraction = 0.2
 )
 
-// requestLoan asks the peers for a loan where this gateway's share of a customer's ceiling is short, or would be
-// without the loans that it has.
-func (b *Balancer) requestLoan(cust *customer, plan *Plan, short bool) {
-	if !b.canBorrow(cust, plan) || b.now < cust.ceiling.nextLoanRequestAt || !short && !b.needsLoans(cust, plan) {
+// requestLoan requests a loan from the peers if this gateway's share of a customer's ceiling is short, or would be
+// without its current loans.
+func (b *Balancer) requestLoan(cust *customer, plan *Plan, shareShort bool) {
+	if !b.canBorrow(cust, plan) || b.now < cust.ceiling.nextLoanRequestAt || !shareShort && !b.needsLoans(cust, plan) {
 		return
 	}
 	if b.share.countLoanRequest(b.now) {
@@ -35,14 +36,14 @@
 	}
 }
 
-// canBorrow reports whether peers may grant loans of a customer's ceiling to this gateway.
+// canBorrow reports whether peers may lend parts of a customer's ceiling to this gateway.
 func (b *Balancer) canBorrow(cust *customer, plan *Plan) bool {
 	return b.settings.LeasedShares && !b.share.excluded && b.settings.Gateways >= 2 &&
 		cust.gateways >= float64(b.settings.Gateways) &&
 		!b.hasSparseShares(cust, plan)
 }
 
-// needsLoans reports whether a customer has loans here and goes on needing them.
+// needsLoans reports whether a customer has loans here and still needs them.
 func (b *Balancer) needsLoans(cust *customer, plan *Plan) bool {
 	if !cust.ceiling.loans.HasAny() || cust.ceiling.loans.Borrowed(b.now).Rate <= 0 {
 		return false
@@ -51,7 +52,7 @@
 	return cust.demand.rate > loanRenewalFraction*own.Rate
 }
 
-// handleLoanRequest grants a peer what this gateway does not need of a customer's ceiling.
+// handleLoanRequest lends a peer the part of a customer's ceiling that this gateway does not need.
 func (b *Balancer) handleLoanRequest(ev LoanRequest) {
 	cust := b.loanCustomer(ev)
 	if cust == nil {
@@ -62,10 +63,10 @@
 		return
 	}
 	b.refillCeiling(cust, plan)
-	cust.lastUsedAt = b.now // a customer with loans is not forgotten
+	cust.lastUsedAt = b.now // a customer with loans is not removed
 	fraction, until := b.share.lease.Fraction(b.now), b.share.lease.Until()
 	if until < b.now+quotashare.LenderLoanDuration {
-		// The lease ends before the loan would: only what this gateway keeps without one is granted.
+		// The lease ends before the loan would, so only units that this gateway keeps without a lease are lent.
 		fraction = 0
 		until = b.now + quotashare.LenderLoanDuration
 	}
@@ -75,11 +76,11 @@
 		return
 	}
 	b.share.loansEndAt = max(b.share.loansEndAt, loan.Until)
-	b.refillCeiling(cust, plan) // what is over the smaller bucket is gone
+	b.refillCeiling(cust, plan) // drops what exceeds the smaller bucket
 	b.emit(GrantLoan{ev.From, ev.Customer, ev.Plan, ev.At, loan.Bucket.Rate, loan.Bucket.Depth})
 }
 
-// loanCustomer returns the customer of a request for a loan, which it adds when it is new; nil: no loan is granted.
+// loanCustomer returns the customer of a loan request and adds it if it is new. It returns nil if no loan is granted.
 func (b *Balancer) loanCustomer(ev LoanRequest) *customer {
 	if !b.settings.LeasedShares || b.share.excluded || b.handedOver || ev.Plan < 0 ||
 		ev.Plan >= len(b.settings.Plans) || b.settings.Plans[ev.Plan].CeilingRate == 0 {
@@ -94,8 +95,8 @@
 	return b.customerFor(Request{Customer: ev.Customer, Plan: ev.Plan})
 }
 
-// lenderDemand is what this gateway itself needs of its share, units a second. A demand that has ended lately may come
-// again and is not to find all of the share granted.
+// lenderDemand returns how much of its share this gateway needs itself, in units per second. Demand that ended recently
+// may return, and must not find the whole share lent out.
 func (b *Balancer) lenderDemand(cust *customer, own quotashare.Bucket) float64 {
 	gap := b.now - cust.demand.updatedAt
 	demand := cust.demand.rate * math.Exp(-gap.Seconds()/lenderDemandDecay.Seconds())
@@ -105,7 +106,7 @@
 	return demand
 }
 
-// handleLoanGranted takes a loan that a peer has granted.
+// handleLoanGranted adds a loan that a peer has granted.
 func (b *Balancer) handleLoanGranted(ev LoanGranted) {
 	cust := b.customers.find(ev.Customer)
 	if cust == nil || cust.plan != ev.Plan || ev.At > b.now {
@@ -117,8 +118,8 @@
 	b.serveWaiting(cust)
 }
 
-// expireLoans ends the loans of a customer that are over at a time. Each fills the share until its end and not longer;
-// one that ended while the share was not filled, as in a hand-over, fills nothing more.
+// expireLoans removes a customer's loans that have ended by a given time. Each loan fills the share until its end and
+// no longer. A loan that ended while the share was not being filled, such as during a handover, adds nothing more.
 func (b *Balancer) expireLoans(cust *customer, plan *Plan, now time.Duration) {
 	loans := &cust.ceiling.loans
 	if !loans.HasAny() {
@@ -131,6 +132,6 @@
 	loans.DropExpired(now)
 }
 
-// LoansEndAt is when the last loan is over that this gateway has granted. Whoever takes a part of the share away from
-// the gateway must give it to no other before.
+// LoansEndAt returns when the last loan granted by this gateway ends. If a part of this gateway's share is withdrawn,
+// that part must not be given to another gateway before then.
 func (b *Balancer) LoansEndAt() time.Duration { return b.share.loansEndAt }
