--- a/internal/balancer/quota.go
+++ b/internal/balancer/quota.go
@@ -5,49 +5,53 @@
 	"time"
 )
 
-// minPriority is the least priority of a request by which its band is found.
+// minPriority is the lowest priority that is distinguished when assigning a request to a priority band.
 const minPriority = 1e-9
 
-// quotaDecision is how a request stands with its customer's quota and ceiling. A gateway that stops spending a quota
-// does so for one of these reasons:
+// quotaDecision is the result of checking a request against its customer's quota and ceiling. A gateway stops spending
+// a quota for one of these reasons:
 //
-//   - The bucket on the counter was found empty, and is left alone for a while (sharedBucket.emptyUntil).
-//   - A call timed out, and its answer may still come (quotaState.callsPausedUntil).
-//   - The counter is silent or overloaded (counterCalls.isHealthy, canCallCounter), and the fallback share is spent.
-//   - This gateway's share of the ceiling is short, and the bucket is not known for long enough (isBucketReliable).
-//   - The customer has as many requests in flight here as it may have (isInFlightFull).
-//   - The gateway has no share (shareState.excluded, a lease that is over) or was handed over (Balancer.handedOver).
+//   - The bucket on the counter was found empty, and calls are paused for a while (sharedBucket.emptyUntil).
+//   - A call timed out, and its answer may still arrive (quotaState.callsPausedUntil).
+//   - The counter is unresponsive or overloaded (counterCalls.isHealthy, canCallCounter), and the fallback share is
+//     spent.
+//   - This gateway's share of the ceiling is short, and the bucket has not been known for long enough
+//     (isBucketReliable).
+//   - The customer has reached its limit of requests in flight at this gateway (isInFlightFull).
+//   - The gateway has no share (shareState.excluded, or its lease has expired) or was handed over
+//     (Balancer.handedOver).
 type quotaDecision int
 
 const (
-	// quotaCovered means that units are reserved for the request: it may be placed.
+	// quotaCovered means that units are reserved for the request and it may be placed.
 	quotaCovered quotaDecision = iota
-	// quotaPending means that the request has to wait, at most until its time is over.
+	// quotaPending means that the request has to wait, at most until its time limit.
 	quotaPending
-	// quotaExceeded means that no units are there for the request. A soft plan may still let it through.
+	// quotaExceeded means that there are no units for the request. A soft plan may still admit it.
 	quotaExceeded
 )
 
-// quotaCheck is what one decision about a request's quota and ceiling goes by.
+// quotaCheck holds the inputs of one decision about a request's quota and ceiling.
 type quotaCheck struct {
 	request *request
 	plan    *Plan
-	// lease is the lease by which the ceiling goes; nil: it is not leased from the counter.
+	// lease is the lease that provides the ceiling units; nil if the ceiling is not leased from the counter.
 	lease *leasedCeiling
-	// missing is the number of units that this gateway's share of the ceiling lacks for the request; 0 or less: none.
+	// missing is the number of units by which this gateway's share of the ceiling is short for the request; 0 or less
+	// if it is sufficient.
 	missing float64
-	// nearlyLate is true when the request has no time left to wait.
+	// nearlyLate is true if the request has no time left to wait.
 	nearlyLate bool
-	// inFlightFull is true when the customer has as many requests in flight as it may have here.
+	// inFlightFull is true if the customer has reached its limit of requests in flight at this gateway.
 	inFlightFull bool
 }
 
 // isCeilingShort reports whether this gateway's share of the ceiling has too few units for the request.
 func (check *quotaCheck) isCeilingShort() bool { return check.missing > 0 }
 
-// checkQuota decides whether a request may be placed now. It needs a place among the requests in flight, units of the
-// ceiling and, to be promoted over requests without quota, units of the quota. A request that is covered has them
-// reserved and its priority level set.
+// checkQuota decides whether a request may be placed now. It must fit the limit of requests in flight and needs units
+// of the ceiling. To be promoted above requests without quota, it also needs units of the quota. For a covered request,
+// the units are reserved and the priority level is set.
 func (b *Balancer) checkQuota(req *request) quotaDecision {
 	plan := &b.settings.Plans[req.plan]
 	check := quotaCheck{
@@ -75,8 +79,8 @@
 	return quotaCovered
 }
 
-// awaitCeiling decides whether a request waits for a place among those in flight, or for the ceiling's share to fill.
-// A request of a soft plan waits for the share only if that fills soon.
+// awaitCeiling decides whether a request waits until fewer requests are in flight or until the ceiling's share has
+// refilled. A request of a soft plan waits for the share only if it refills soon.
 func (b *Balancer) awaitCeiling(check *quotaCheck) quotaDecision {
 	req, plan := check.request, check.plan
 	if check.nearlyLate || req.admitOnly {
@@ -89,15 +93,15 @@
 	return quotaPending
 }
 
-// priorityBand is the band of priority levels that a request has by its priority weight for each unit of cost.
+// priorityBand returns the band of priority levels for a request, based on its priority weight per unit of cost.
 func (b *Balancer) priorityBand(req *request, plan *Plan) int {
 	density := b.latency.classes[req.class].costProfile.Density(req.units)
 	priority := max(minPriority, b.settings.Classes[req.class].PriorityWeight*plan.PriorityFactor*density)
 	return min(priorityBands-1, max(0, int(bandsPerHalving*math.Log2(b.maxPriority/priority))))
 }
 
-// spendUnits takes a request's units from the quota, or from the leased ceiling, and lowers its level when no quota
-// pays for it. It returns where the units of the ceiling come from.
+// spendUnits takes a request's units from the quota or from the leased ceiling, and lowers the request's priority if no
+// quota pays for it. It returns where the ceiling units come from.
 func (b *Balancer) spendUnits(check *quotaCheck) (ceilingSource, quotaDecision) {
 	req, plan := check.request, check.plan
 	if plan.Rate <= 0 {
@@ -118,8 +122,8 @@
 	return fromEvenShare, quotaCovered
 }
 
-// spendWithoutQuota is spendUnits for a plan that has no quota. Only a plan that limits the requests in flight is
-// promoted then.
+// spendWithoutQuota is spendUnits for a plan without a quota. Such a request is promoted only if its plan limits the
+// requests in flight.
 func (b *Balancer) spendWithoutQuota(check *quotaCheck) (ceilingSource, quotaDecision) {
 	if check.plan.MaxInFlight == 0 {
 		check.request.level += priorityBands
@@ -130,8 +134,8 @@
 	return fromLease, b.leaseCeiling(check)
 }
 
-// handleOverQuota decides for a request that no tokens pay for. A soft plan lets it through at the lowest level as
-// long as the ceiling has units for it; otherwise it is rejected.
+// handleOverQuota handles a request that no tokens pay for. A soft plan admits it at the lowest priority level while
+// the ceiling has units for it; otherwise it is rejected.
 func (b *Balancer) handleOverQuota(req *request) {
 	plan := &b.settings.Plans[req.plan]
 	inFlightFull := b.isInFlightFull(req, plan)
@@ -145,7 +149,7 @@
 	b.assign(req)
 }
 
-// overQuotaCapacity is how many units of the ceiling a request beyond the quota may use now, and where they are from.
+// overQuotaCapacity returns how many units of the ceiling a request beyond the quota may use now, and their source.
 func (b *Balancer) overQuotaCapacity(req *request, plan *Plan) (ceilingSource, float64) {
 	if leased := b.leasableCeiling(req); leased != nil {
 		return fromLease, leased.capacity(b.now, req)
@@ -153,11 +157,11 @@
 	return fromEvenShare, b.ceilingCapacity(req, plan)
 }
 
-// refillTime is the time until the customer's quota should have the units again, for a client's Retry-After.
+// refillTime estimates the time until the customer's quota has the requested units again, for Retry-After.
 func (b *Balancer) refillTime(cust *customer, plan *Plan, units float64) time.Duration {
 	const (
 		minSeconds = 0.01
-		minRate    = 0.1 // units a second
+		minRate    = 0.1 // units per second
 	)
 	seconds := max(minSeconds, (units-b.bucketLevel(cust, plan))/max(plan.Rate, minRate))
 	return time.Duration(seconds * float64(time.Second))
