--- a/internal/balancer/quotastate.go
+++ b/internal/balancer/quotastate.go
@@ -3,35 +3,38 @@
 import "time"
 
 // quotaState is what this gateway holds of a customer's quota. The quota's token bucket itself is on the counter (see
-// sharedBucket): all that leaves it is added there, so one call tells its level to a gateway that has never seen the
-// customer.
+// sharedBucket). All units that leave the bucket are added there, so a single call tells its level even to a gateway
+// that has never seen the customer.
 type quotaState struct {
-	// tokens are leased from the counter and not yet spent, in units. Below 0: requests took more than estimated.
+	// tokens is the number of units leased from the counter and not yet spent. It is negative if requests cost more
+	// than estimated.
 	tokens float64
 	// tokensValidFrom is the time from which tokens may be spent.
 	tokensValidFrom time.Duration
-	// leasedAt is when the last lease came.
+	// leasedAt is when the last lease was received.
 	leasedAt time.Duration
-	// fallbackTokens are this gateway's own share, spent while the counter does not answer, in units. Below 0: credit.
+	// fallbackTokens is this gateway's own share in units, spent while the counter does not respond. It is negative
+	// after spending on credit.
 	fallbackTokens float64
-	// fallbackFilledAt is when fallbackTokens were filled last.
+	// fallbackFilledAt is when fallbackTokens was last refilled.
 	fallbackFilledAt time.Duration
-	// debt is the number of units spent without a lease, to be added to the counter. Below 0: units to be returned.
+	// debt is the number of units spent without a lease that still have to be added to the counter. A negative debt is
+	// units to return.
 	debt float64
-	// debtWindow is the counter window in which debt was last checked; used in a large fleet only.
+	// debtWindow is the counter window in which debt was last checked. It is used in a large fleet only.
 	debtWindow int64
-	// callPending is true while a call for tokens is out.
+	// callPending is true while a call for tokens is pending.
 	callPending bool
-	// lastCallLost is true when the last call for tokens had no answer.
+	// lastCallLost is true if the last call for tokens was not answered.
 	lastCallLost bool
-	// callsPausedUntil is the time before which no call is made, as one that timed out may still be answered.
+	// callsPausedUntil is the time before which no call is made, since a timed-out call may still be answered.
 	callsPausedUntil time.Duration
 }
 
-// hasTokens reports whether the leased tokens cover some units.
+// hasTokens reports whether the leased tokens cover the given units.
 func (quota *quotaState) hasTokens(units float64) bool { return quota.tokens >= units }
 
-// hasValidTokens reports whether they do and may be spent now.
+// hasValidTokens reports whether the leased tokens cover the given units and may be spent now.
 func (quota *quotaState) hasValidTokens(now time.Duration, units float64) bool {
 	return quota.hasTokens(units) && now >= quota.tokensValidFrom
 }
@@ -39,26 +42,26 @@
 // spendTokens takes units from the leased tokens.
 func (quota *quotaState) spendTokens(units float64) { quota.tokens -= units }
 
-// refund gives back the units of a request that was never sent.
+// refund returns the units of a request that was never sent.
 func (quota *quotaState) refund(units float64) { quota.tokens += units }
 
-// addDebt adds units to those that the next call adds to the counter. Below 0 it returns units.
+// addDebt changes the number of units that the next call adds to the counter. A negative number returns units.
 func (quota *quotaState) addDebt(units float64) { quota.debt += units }
 
-// takeDebt ends the debt, which a call adds to the counter, and returns it.
+// takeDebt resets the debt and returns it, to be added to the counter by a call.
 func (quota *quotaState) takeDebt() float64 {
 	debt := quota.debt
 	quota.debt = 0
 	return debt
 }
 
-// spendShare takes units from the fallback share, to be added to the counter later.
+// spendShare takes units from the fallback share and adds them to the debt.
 func (quota *quotaState) spendShare(units float64) {
 	quota.fallbackTokens -= units
 	quota.debt += units
 }
 
-// spendCredit takes units from the fallback share, which may fall below 0.
+// spendCredit takes units from the fallback share, which may become negative.
 func (quota *quotaState) spendCredit(units float64) { quota.fallbackTokens -= units }
 
 // returnTokens returns the leased tokens with the next call.
@@ -67,65 +70,65 @@
 	quota.tokens = 0
 }
 
-// dropTokens loses the leased tokens.
+// dropTokens discards the leased tokens.
 func (quota *quotaState) dropTokens() { quota.tokens = 0 }
 
-// creditTokens adds the tokens that a call has leased.
+// creditTokens adds the tokens leased by a call.
 func (quota *quotaState) creditTokens(now time.Duration, units float64) {
 	quota.tokens += units
 	quota.leasedAt = now
 	quota.lastCallLost = false
 }
 
-// beginCall takes that a call for tokens goes out.
+// beginCall records that a call for tokens is sent.
 func (quota *quotaState) beginCall() { quota.callPending = true }
 
-// endCall takes that it has ended.
+// endCall records that the pending call has ended.
 func (quota *quotaState) endCall() { quota.callPending = false }
 
-// loseCall takes that it ended without an answer, so its block may be lost.
-func (quota *quotaState) loseCall() { quota.lastCallLost = true }
+// recordLostCall records that a call ended without an answer, so that its block may be lost.
+func (quota *quotaState) recordLostCall() { quota.lastCallLost = true }
 
-// pauseCallsUntil sets the time before which no call is made; 0: calls may be made again.
+// pauseCallsUntil sets the time before which no call is made; 0 allows calls again.
 func (quota *quotaState) pauseCallsUntil(at time.Duration) { quota.callsPausedUntil = at }
 
-// reserveTokens adds tokens that may be spent from a time on.
+// reserveTokens adds tokens that may be spent from a given time.
 func (quota *quotaState) reserveTokens(units float64, validFrom time.Duration) {
 	quota.tokens += units
 	quota.tokensValidFrom = validFrom
 }
 
-// fillFallback adds units to the fallback share, up to a depth.
+// fillFallback adds units to the fallback share, up to a capacity.
 func (quota *quotaState) fillFallback(now time.Duration, units, depth float64) {
 	quota.fallbackTokens = min(max(quota.fallbackTokens, depth), quota.fallbackTokens+units)
 	quota.fallbackFilledAt = now
 }
 
-// limitFallback drops what the fallback share has over a number of units.
+// limitFallback reduces the fallback share to at most the given units.
 func (quota *quotaState) limitFallback(units float64) {
 	quota.fallbackTokens = min(quota.fallbackTokens, units)
 }
 
-// hasExpiredTokens reports whether tokens of a lease are left that is older than its time to live.
+// hasExpiredTokens reports whether there are unspent tokens of a lease that is older than its time to live.
 func (quota *quotaState) hasExpiredTokens(age, ttl time.Duration) bool {
 	return quota.tokens > 0 && !quota.callPending && age > ttl
 }
 
-// hasFallbackTokens reports whether the tokens that are left and the fallback share together cover some units.
+// hasFallbackTokens reports whether the remaining tokens and the fallback share together cover the given units.
 func (quota *quotaState) hasFallbackTokens(units float64) bool {
 	return quota.fallbackTokens+max(0, quota.tokens) >= units
 }
 
-// spendFallback pays units from the tokens that are left and for the rest from the fallback share. What the fallback
-// share pays is added to the counter later.
+// spendFallback takes units from the remaining tokens first and then from the fallback share. Units taken from the
+// fallback share are added to the debt.
 func (quota *quotaState) spendFallback(units float64) {
 	quota.fallbackTokens -= units - max(0, quota.tokens)
 	quota.debt += units - max(0, quota.tokens)
 	quota.tokens = min(0, quota.tokens)
 }
 
-// beginDebtWindow drops units that were to be returned to the total of an older window: they can't be returned to this
-// one.
+// beginDebtWindow drops units that were to be returned to the total of an earlier window, since they cannot be returned
+// to the current one.
 func (quota *quotaState) beginDebtWindow(window int64) {
 	if quota.debtWindow == window {
 		return
--- a/internal/balancer/timedoutcall.go
+++ b/internal/balancer/timedoutcall.go
@@ -2,38 +2,38 @@
 
 import "time"
 
-// Calls to the counter that timed out.
+// Limits for timed-out calls to the counter.
 const (
-	// maxTimedOutCalls is the number of such calls that are kept; for one more the oldest is dropped.
+	// maxTimedOutCalls is the maximum number of timed-out calls that are kept. The oldest is dropped for a new one.
 	maxTimedOutCalls = 256
 	// timedOutCallTTL is how long after it was sent a call may still be answered.
 	timedOutCallTTL = 5 * time.Second
-	// timedOutCallPause is the time after a timeout in which no call is made for the customer.
+	// timedOutCallPause is the time after a timeout during which no call is made for the customer.
 	timedOutCallPause = 400 * time.Millisecond
 )
 
-// timedOutCalls are the calls for tokens that ended as Timeout, by their tickets. The zero value is ready.
+// timedOutCalls holds the calls for tokens that ended with Timeout, by ticket. The zero value is ready to use.
 //
-// Such a call has taken a block from its customer's bucket, or may yet, and no request had any use of it: where the
-// counter is slow, each call given up would shorten the customer's quota by a lease. So a late answer still leases its
-// block, and no further call is made for the customer until it has come, or for a while: a slow counter takes one
-// block and not ten. Returning the blocks instead would look to the peers as if the counter had lost its totals, and
-// each of them would correct the bucket.
+// Such a call has taken a block from its customer's bucket, or may still do so, but no request benefits from it. With a
+// slow counter, each abandoned call would reduce the customer's quota by one lease. Therefore a late answer still
+// leases its block, and no further call is made for the customer until the answer arrives or a pause has passed. A slow
+// counter then takes one block instead of ten. Returning the blocks would look to the peers as if the counter had lost
+// its totals, and each of them would correct the bucket.
 type timedOutCalls struct {
 	byTicket map[uint64]*counterCall
-	// order holds the tickets, oldest first. Calls that are taken leave theirs behind.
+	// order holds the tickets, oldest first. The tickets of calls that were taken remain in it.
 	order []uint64
-	// lastTicket is the last ticket given.
+	// lastTicket is the last ticket issued.
 	lastTicket uint64
 }
 
-// nextTicket makes a new ticket. 0 is none.
+// nextTicket returns a new ticket. 0 means no ticket.
 func (timedOut *timedOutCalls) nextTicket() uint64 {
 	timedOut.lastTicket++
 	return timedOut.lastTicket
 }
 
-// keep adds a call that has ended without an answer, and drops those that are too old or too many.
+// keep adds a call that ended without an answer, and drops calls that are too old or too many.
 func (timedOut *timedOutCalls) keep(call *counterCall, now time.Duration) {
 	if timedOut.byTicket == nil {
 		timedOut.byTicket = map[uint64]*counterCall{}
@@ -50,18 +50,18 @@
 	}
 }
 
-// take removes and returns the call of a ticket, or nil when it is not known or no longer.
+// take removes and returns the call of a ticket, or nil if there is none.
 func (timedOut *timedOutCalls) take(ticket uint64) *counterCall {
 	call := timedOut.byTicket[ticket]
 	delete(timedOut.byTicket, ticket)
 	return call
 }
 
-// handleCallTimeout takes a call for tokens that ended without an answer: its block may have been added. One that
-// ended long before its timeout did so with its connection. No late answer can come on that, and whoever waits may call
-// once more, now.
+// handleCallTimeout processes a call for tokens that ended without an answer, so that its block may have been added. A
+// call that ended long before its timeout did so because its connection broke. No late answer can arrive on that
+// connection, so the waiting requests may call once more immediately.
 func (b *Balancer) handleCallTimeout(call *counterCall) {
-	call.customer.quota.loseCall()
+	call.customer.quota.recordLostCall()
 	if b.now-call.sentAt < b.settings.CounterTimeout/2 {
 		call.customer.waiting.allowAnotherCall()
 		return
@@ -70,8 +70,8 @@
 	call.customer.quota.pauseCallsUntil(b.now + timedOutCallPause)
 }
 
-// handleLateCounterResult takes the answer to a call that timed out. It is of use in the window of the call only, as a
-// window's total does not outlive it.
+// handleLateCounterResult processes the answer to a timed-out call. It is only useful in the call's own window, since a
+// window's total is not used after that window.
 func (b *Balancer) handleLateCounterResult(ev LateCounterResult) {
 	call := b.counter.timedOut.take(ev.Ticket)
 	if call == nil || call.window != counterWindowAt(b.now) || b.now-call.sentAt > timedOutCallTTL {
@@ -79,7 +79,7 @@
 	}
 	call.customer.quota.pauseCallsUntil(0)
 	if ev.Status == OK {
-		b.creditLease(call, ev.Total, call.sentAt) // peers may have spent what the bucket gained since
+		b.creditLease(call, ev.Total, call.sentAt) // peers may have spent units gained since then
 	} else {
 		call.customer.quota.addDebt(-call.block)
 	}
