--- a/internal/balancer/quotastatus.go
+++ b/internal/balancer/quotastatus.go
@@ -2,18 +2,19 @@
 
 import "time"
 
-// QuotaStatus is how a customer stands with its quota, as far as this gateway knows.
+// QuotaStatus is the state of a customer's quota, as far as this gateway knows.
 type QuotaStatus struct {
-	// Remaining is the number of units that its token bucket has now.
+	// Remaining is the number of units currently in the token bucket.
 	Remaining float64
-	// FullIn is the time until the bucket is full if nothing is taken.
+	// FullIn is the time until the bucket is full if no more units are taken.
 	FullIn time.Duration
-	// Known is false while the counter has not told of the bucket: Remaining is then this gateway's share only.
+	// Known is false until the counter has reported the bucket's level. Remaining then only covers this gateway's
+	// share.
 	Known bool
 }
 
-// QuotaStatus returns how a customer stands. The second result is false for a customer that the gateway does not know
-// or whose plan has no quota.
+// QuotaStatus returns the state of a customer's quota. The second result is false if the gateway does not know the
+// customer or if the customer's plan has no quota.
 func (b *Balancer) QuotaStatus(name string) (QuotaStatus, bool) {
 	cust := b.customers.find(name)
 	if cust == nil || b.settings.Plans[cust.plan].Rate <= 0 {
