--- a/internal/balancer/share.go
+++ b/internal/balancer/share.go
@@ -7,25 +7,25 @@
 	"gapgap/internal/balancer/quotashare"
 )
 
-// shareState is this gateway's part of what all gateways have in common. With Settings.LeasedShares the part is a
-// lease that comes and goes while the gateway runs; else it is even for good. Package quotashare has the arithmetic
-// and the proof.
+// shareState is this gateway's part of what all gateways share. With Settings.LeasedShares this part is a lease that
+// changes while the gateway runs; otherwise it is a fixed even part. Package quotashare contains the arithmetic and the
+// proof.
 type shareState struct {
 	// lease is the leased fraction of all shares.
 	lease quotashare.ShareLease
-	// deadGateways are the indexes of the gateways that do not serve.
+	// deadGateways are the indexes of the gateways that are not serving.
 	deadGateways []int
-	// excluded is true while this gateway has no share at all, excludedChangedAt when that last changed.
+	// excluded is true while this gateway has no share at all, and excludedChangedAt is when that last changed.
 	excluded          bool
 	excludedChangedAt time.Duration
-	// loansEndAt is when the last loan is over that this gateway has granted.
+	// loansEndAt is when the last loan granted by this gateway ends.
 	loansEndAt time.Duration
-	// loanRequests counts the requests for loans since loanRequestsSince.
+	// loanRequests is the number of loan requests since loanRequestsSince.
 	loanRequests      int
 	loanRequestsSince time.Duration
 }
 
-// setExcluded takes whether this gateway has no share at all.
+// setExcluded records whether this gateway has no share at all.
 func (share *shareState) setExcluded(now time.Duration, excluded bool) {
 	if share.excluded == excluded {
 		return
@@ -34,7 +34,7 @@
 	share.excludedChangedAt = now
 }
 
-// countLoanRequest counts a request for a loan and reports whether it may be made.
+// countLoanRequest counts a loan request and reports whether it is within the rate limit.
 func (share *shareState) countLoanRequest(now time.Duration) bool {
 	if now >= share.loanRequestsSince+loanRequestInterval {
 		share.loanRequestsSince = now
@@ -44,7 +44,7 @@
 	return share.loanRequests <= maxLoanRequests
 }
 
-// handleShareUpdate takes this gateway's new share, and which gateways do not serve.
+// handleShareUpdate applies this gateway's new share and the list of gateways that are not serving.
 func (b *Balancer) handleShareUpdate(ev ShareUpdate) {
 	b.expireShareLease()
 	b.refillAllShares()
@@ -61,7 +61,7 @@
 	b.counter.pacer.SetMinRate(b.now, minFleetCallRate/b.liveGateways())
 }
 
-// longestRequest is the longest time for which a request of any class may be in flight.
+// longestRequest returns the longest time for which a request of any class may be in flight.
 func (b *Balancer) longestRequest() time.Duration {
 	longest := time.Duration(0)
 	for i := range b.settings.Classes {
@@ -70,14 +70,14 @@
 	return longest
 }
 
-// liveGateways is the number of gateways that serve, as far as this one knows. It divides what the gateways share
-// without a bound that must hold: the least rate of calls to the counter and of its tests, the first concurrency
-// limit of an endpoint, the rate of probe requests.
+// liveGateways returns the number of gateways that are serving, as far as this one knows. It divides shared amounts
+// that are not subject to a hard bound: the minimum call rate and the probe rate of the counter, the initial
+// concurrency limit of an endpoint, and the rate of probe requests.
 func (b *Balancer) liveGateways() float64 {
 	return float64(max(1, b.settings.Gateways-len(b.share.deadGateways)))
 }
 
-// expireShareLease ends a lease that is over. It fills the shares by the lease until its end and not longer.
+// expireShareLease ends an expired lease. Shares are refilled at the leased rate only until the end of the lease.
 func (b *Balancer) expireShareLease() {
 	if !b.share.lease.HasExpired(b.now) {
 		return
@@ -87,10 +87,11 @@
 	b.refillAllShares()
 }
 
-// refillAllShares fills the shares and the fallback tokens of all customers up to now.
+// refillAllShares refills the shares and fallback tokens of all customers up to now.
 func (b *Balancer) refillAllShares() { b.refillAllSharesUntil(b.now) }
 
-// refillAllSharesUntil is refillAllShares up to a time. Shares that are filled up to it or longer stay as they are.
+// refillAllSharesUntil is refillAllShares up to a given time. Shares that are already filled up to that time or later
+// are left unchanged.
 func (b *Balancer) refillAllSharesUntil(until time.Duration) {
 	for _, cust := range b.customers.order {
 		if cust.plan < len(b.settings.Plans) && cust.ceiling.filledAt < until {
