--- a/internal/balancer/sharedbucket.go
+++ b/internal/balancer/sharedbucket.go
@@ -5,61 +5,63 @@
 	"time"
 )
 
-// Use of a customer's bucket on the counter.
+// Parameters for using a customer's bucket on the counter.
 const (
-	// gatewaysPerRefill is the number of gateways that an empty bucket serves in the time in which it gains a unit.
+	// gatewaysPerRefill is the number of gateways that an empty bucket serves in the time in which it gains one unit.
 	gatewaysPerRefill = 4.0
-	// maxEmptyBucketPause is the longest time for which a bucket that was found empty is left alone.
+	// maxEmptyBucketPause is the maximum pause in calls after a bucket was found empty.
 	maxEmptyBucketPause = 8 * time.Second
-	// minPauseSpread is the least factor on that time where the gateways spread their calls.
+	// minPauseSpread is the minimum random factor on that pause where gateways spread their calls.
 	minPauseSpread = 0.6
-	// minLostFraction is the part of a burst by which a total must have fallen to count as lost.
+	// minLostFraction is the decrease of a total, as a fraction of the burst, from which the total counts as lost.
 	minLostFraction = 0.25
-	// minCarriedFraction is the part of a burst from which a lost level is carried into a new window.
+	// minCarriedFraction is the deficit, as a fraction of the burst, from which it is carried into a new window.
 	minCarriedFraction = 0.05
-	// totalTolerance is the rounding error of a total that the counter adds up, in units and as a part of an amount.
+	// totalTolerance is the tolerance for rounding errors in the counter's totals, in units and as a fraction of an
+	// amount.
 	totalTolerance = 1e-6
 )
 
-// sharedBucket is what this gateway knows of a customer's token bucket on the counter. The counter keeps one total
-// for each window of counterWindow, to which gateways add the units that leave the bucket. The level follows from
-// that total: burst + rate * time since the window began - total.
+// sharedBucket is what this gateway knows of a customer's token bucket on the counter. For each counterWindow the
+// counter keeps one total, to which gateways add the units that leave the bucket. The level follows from it: burst +
+// rate * time since the start of the window - total.
 type sharedBucket struct {
-	// known is true once the counter has told of the bucket.
+	// known is true once the counter has reported the bucket's total.
 	known bool
-	// knownAt is since when that is so, or since when the counter has not lost its totals.
+	// knownAt is when the bucket became known, or when it became known again after the counter lost its totals.
 	knownAt time.Duration
-	// level is the number of units in the bucket at levelAt, by the last answer.
+	// level is the number of units in the bucket at levelAt, according to the last answer.
 	level   float64
 	levelAt time.Duration
-	// peerDemand is a moving average of what the other gateways take, units a second.
+	// peerDemand is a moving average of what the other gateways take, in units per second.
 	peerDemand float64
-	// seenWindow and seenTotal are the window of the last answer and its total.
+	// seenWindow and seenTotal are the window and the total of the last answer.
 	seenWindow int64
 	seenTotal  float64
-	// carriedWindow is the window into which this gateway last carried what the bucket lacked, or saw it carried.
+	// carriedWindow is the last window into which this gateway carried the bucket's deficit, or saw it carried.
 	carriedWindow int64
-	// carriedAt is from when on the total of that window holds it.
+	// carriedAt is the time from which the total of that window includes the deficit.
 	carriedAt time.Duration
-	// levelCallPending is true while a call for the level is out.
+	// levelCallPending is true while a bucketLevelCall is pending.
 	levelCallPending bool
-	// emptyUntil is the time before which no call is made, as the bucket was found empty.
+	// emptyUntil is the time before which no call is made, since the bucket was found empty.
 	emptyUntil time.Duration
 }
 
-// hasLostTotal reports whether the counter has lost the total of a window since it was last seen.
+// hasLostTotal reports whether the counter has lost the total of a window since this gateway last saw it.
 func (bucket *sharedBucket) hasLostTotal(window int64, total float64, plan *Plan) bool {
 	return bucket.seenWindow == window &&
 		bucket.seenTotal-total > max(minLostFraction*plan.Burst, bucket.seenTotal/2)
 }
 
-// setKnown takes that the counter has told of the bucket for the first time, or anew after it lost its totals.
-func (bucket *sharedBucket) setKnown(now time.Duration) {
+// markKnown records that the counter has reported the bucket for the first time, or for the first time since it lost
+// its totals.
+func (bucket *sharedBucket) markKnown(now time.Duration) {
 	bucket.known = true
 	bucket.knownAt = now
 }
 
-// record takes the total of a window and the bucket's level as they were at a time.
+// record stores the total of a window and the bucket's level at a given time.
 func (bucket *sharedBucket) record(window int64, total float64, at time.Duration, level float64) {
 	bucket.seenWindow = window
 	bucket.seenTotal = total
@@ -67,10 +69,10 @@
 	bucket.levelAt = at
 }
 
-// pauseCallsUntil takes that the bucket was found empty, so that no call is made before a time.
+// pauseCallsUntil records that the bucket was found empty, so that no call is made before the given time.
 func (bucket *sharedBucket) pauseCallsUntil(at time.Duration) { bucket.emptyUntil = at }
 
-// recordPeerDemand takes by how much the bucket has less than it would have without the peers' use.
+// recordPeerDemand updates the peers' demand with the number of units that they have taken since the last answer.
 func (bucket *sharedBucket) recordPeerDemand(now time.Duration, taken float64) {
 	gap := (now - bucket.levelAt).Seconds()
 	if gap <= 0 {
@@ -80,31 +82,31 @@
 	bucket.peerDemand += weight * (max(0, taken)/gap - bucket.peerDemand)
 }
 
-// bucketLevel is the number of units that a customer's bucket should have now.
+// bucketLevel returns the expected number of units in a customer's bucket now.
 func (b *Balancer) bucketLevel(cust *customer, plan *Plan) float64 {
 	return min(plan.Burst, b.unboundedLevel(cust, plan))
 }
 
-// unboundedLevel is bucketLevel without the bound at the burst.
+// unboundedLevel is bucketLevel without the limit at the burst.
 func (b *Balancer) unboundedLevel(cust *customer, plan *Plan) float64 {
 	return cust.bucket.level + plan.Rate*(b.now-cust.bucket.levelAt).Seconds()
 }
 
-// isBucketReliable reports whether this gateway has known a customer's bucket for as long as the ceiling takes to
-// fill, this window included. A counter that has lost its totals tells that the bucket is full, and by then that is
-// true.
+// isBucketReliable reports whether this gateway has known a customer's bucket for as long as the ceiling takes to fill,
+// and whether the current window's total is complete. A counter that has lost its totals reports a full bucket, and
+// after this time that is true.
 func (b *Balancer) isBucketReliable(cust *customer, plan *Plan) bool {
 	return cust.bucket.known && (b.now-cust.bucket.knownAt).Seconds() >= plan.CeilingBurst/plan.CeilingRate &&
 		b.isBucketCarried(cust, counterWindowAt(b.now))
 }
 
-// isBucketCarried reports whether the total of a window holds what the bucket lacked in the window before.
+// isBucketCarried reports whether the total of a window includes the deficit of the previous window.
 func (b *Balancer) isBucketCarried(cust *customer, window int64) bool {
 	return cust.bucket.carriedWindow == window && b.now >= cust.bucket.carriedAt
 }
 
-// activeGateways is the number of gateways through which a customer's demand is taken to come: all that it names, or,
-// where its ceiling is leased, as many as the peers' demand suggests.
+// activeGateways returns the estimated number of gateways that receive a customer's requests: all of the customer's
+// gateways or, if its ceiling is leased, the number suggested by the peers' demand.
 func (cust *customer) activeGateways(terms callTerms) float64 {
 	if !terms.ceilingLeased {
 		return cust.gateways
@@ -113,8 +115,8 @@
 	return min(cust.gateways, 1+peerDemand*cust.gateways/max(terms.plan.Rate, peerDemand))
 }
 
-// emptyPauseSpread is the factor on the time for which an empty bucket is left alone. Gateways that lease a ceiling
-// draw it at random, as else the same one would find each new unit first.
+// emptyPauseSpread returns the factor on the pause after a bucket was found empty. Gateways that lease a ceiling draw
+// it at random; otherwise the same gateway would always get each new unit first.
 func (b *Balancer) emptyPauseSpread(terms callTerms) float64 {
 	if !terms.ceilingLeased {
 		return 1
@@ -122,9 +124,10 @@
 	return minPauseSpread + 2*(1-minPauseSpread)*b.rng.Float64()
 }
 
-// acceptedLevel is the level of a customer's bucket by the total of an answer, as it was at a time. A level over the
-// burst has overflowed, and one that grew faster than the rate tells that the counter has lost totals. Both are
-// corrected on the counter where that is worth a call, and by an answer that came in time only.
+// acceptedLevel returns the level of a customer's bucket at a given time, according to the total of an answer. A level
+// above the burst means that the bucket has overflowed, and a level that grew faster than the rate means that the
+// counter has lost totals. Both are corrected on the counter if that is worth a call, but only based on an answer that
+// arrived in time.
 func (b *Balancer) acceptedLevel(call *counterCall, total float64, at time.Duration) float64 {
 	cust, plan := call.customer, call.terms.plan
 	level := plan.Burst + plan.Rate*(at-windowStart(call.window)).Seconds() - total + call.amount
@@ -153,8 +156,8 @@
 	return level
 }
 
-// carryLevel is the level of a bucket in a window whose total knows nothing of the window before. The gateway whose
-// call began the total adds to it what the bucket lacked.
+// carryLevel returns the level of a bucket in a window whose total does not yet include the previous window. The
+// gateway whose call started the total adds the bucket's deficit to it.
 func (b *Balancer) carryLevel(call *counterCall, level, expected, total float64) float64 {
 	burst := call.terms.plan.Burst
 	isFirstCall := total <= call.amount+totalTolerance*math.Abs(call.amount)
@@ -164,8 +167,8 @@
 	return min(level, expected)
 }
 
-// acceptedLevelLargeFleet is acceptedLevel in a large fleet. Units that peers have returned look like a gain, so only
-// a large surplus is corrected.
+// acceptedLevelLargeFleet is acceptedLevel for a large fleet. Units returned by peers look like a surplus, so only a
+// large surplus is corrected.
 func (b *Balancer) acceptedLevelLargeFleet(call *counterCall, level, total float64) float64 {
 	cust, plan := call.customer, call.terms.plan
 	limit := plan.Burst * (1 + b.surplusSlack(cust, plan))
@@ -176,8 +179,8 @@
 	return min(level, limit)
 }
 
-// levelAfterPeers is the level of a bucket whose total is still to be corrected, by the last level known here and
-// what peers have taken since; infinite where that is not known.
+// levelAfterPeers returns the level of a bucket whose total still has to be corrected, based on the level last known to
+// this gateway and on what peers have taken since. It is infinite if that is not known.
 func (b *Balancer) levelAfterPeers(call *counterCall, total float64) float64 {
 	cust := call.customer
 	if !call.terms.ceilingLeased || !cust.bucket.known || cust.bucket.seenWindow != call.window {
