--- a/internal/balancer/bucketcarry_test.go
+++ b/internal/balancer/bucketcarry_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// The gateway whose call begins a window's total carries into it what the bucket lacked; one that calls later does not.
+// TestNewWindowCarriesDeficit verifies that the gateway whose call starts a window's total carries the bucket's deficit
+// into it, and that a gateway that calls later does not.
 func TestNewWindowCarriesDeficit(t *testing.T) {
 	for name, begins := range map[string]bool{"begins": true, "comes later": false} {
 		b := newTestBalancer(t, testSettings(), testEndpoints(2)...)
@@ -17,12 +18,12 @@
 		cust.quota.fallbackTokens = 0
 		cust.bucket.known = true
 		cust.bucket.seenWindow = counterWindowAt(now)
-		now = counterWindow + 100*ms // ten seconds later, in the next window
+		now = counterWindow + 100*ms // ten seconds later, in the next counter window
 		cust.bucket.level = 0
 		cust.bucket.levelAt = now - 200*ms
 		calls := actionsOf[CounterAdd](b.Step(now, []Event{testRequest(2, 0, 0)}))
 		if len(calls) != 1 {
-			t.Fatalf("%s: %d calls", name, len(calls))
+			t.Fatalf("%s: %d counter calls, want 1", name, len(calls))
 		}
 		total := calls[0].Amount
 		if !begins {
@@ -34,10 +35,10 @@
 			carried += call.Amount
 		}
 		if burst := b.settings.Plans[0].Burst; begins && carried < 0.8*burst || !begins && carried > 0 {
-			t.Errorf("%s: %.2f carried into the new window of a bucket of %v that was empty", name, carried, burst)
+			t.Errorf("%s: %.2f units carried into the new window of an empty bucket of %v", name, carried, burst)
 		}
 		if cust.quota.tokens > 1 {
-			t.Errorf("%s: %.2f tokens from a bucket that was empty", name, cust.quota.tokens)
+			t.Errorf("%s: %.2f tokens granted from an empty bucket", name, cust.quota.tokens)
 		}
 	}
 }
