--- a/internal/balancer/bucketcorrection_test.go
+++ b/internal/balancer/bucketcorrection_test.go
@@ -5,6 +5,8 @@
 	"time"
 )
 
+// TestCounterThatLostItsTotals verifies that after the counter lost its totals, a request is granted only if the peers
+// have not added many units since.
 func TestCounterThatLostItsTotals(t *testing.T) {
 	cases := []struct {
 		name string
@@ -20,24 +22,24 @@
 	}
 }
 
-// testLostTotals lets the counter lose its totals, after which the peers add some units.
-func testLostTotals(t *testing.T, others float64, granted bool) {
+// testLostTotals makes the counter lose its totals, after which the peers add some units.
+func testLostTotals(t *testing.T, peerUnits float64, granted bool) {
 	t.Helper()
 	b := newTestBalancer(t, testSettings(), testEndpoints(8)...)
 	call := spendFallback(t, b, ms)
-	for _, back := range actionsOf[CounterAdd](b.Step(3*ms, []Event{CounterResult{call.Name, OK, 30}})) {
-		b.Step(5*ms, []Event{CounterResult{back.Name, OK, 30 + back.Amount}}) // what the bucket did not have
+	for _, returned := range actionsOf[CounterAdd](b.Step(3*ms, []Event{CounterResult{call.Name, OK, 30}})) {
+		b.Step(5*ms, []Event{CounterResult{returned.Name, OK, 30 + returned.Amount}}) // units the bucket did not have
 	}
 	now := 9 * time.Second
-	var again []CounterAdd
+	var calls []CounterAdd
 	for i := range 6 {
-		again = append(again, actionsOf[CounterAdd](b.Step(now, []Event{testRequest(uint64(50+i), 0, 0)}))...)
+		calls = append(calls, actionsOf[CounterAdd](b.Step(now, []Event{testRequest(uint64(50+i), 0, 0)}))...)
 	}
-	if len(again) == 0 {
-		t.Fatal("no call after the bucket has filled")
+	if len(calls) == 0 {
+		t.Fatal("no counter call after the bucket has refilled")
 	}
-	actions := b.Step(now+2*ms, []Event{CounterResult{again[0].Name, OK, again[0].Amount + others}})
+	actions := b.Step(now+2*ms, []Event{CounterResult{calls[0].Name, OK, calls[0].Amount + peerUnits}})
 	if granted != (len(actionsOf[Dispatch](actions)) > 0) {
-		t.Errorf("others added %v to an emptied counter: %v", others, actions)
+		t.Errorf("%v units added by peers since the counter lost its totals: %v", peerUnits, actions)
 	}
 }
