--- a/internal/balancer/ceiling_test.go
+++ b/internal/balancer/ceiling_test.go
@@ -5,6 +5,7 @@
 	"time"
 )
 
+// TestNewGatewayStartsWithEmptyCeilingShare verifies that a new gateway's share of the ceiling fills only at its rate.
 func TestNewGatewayStartsWithEmptyCeilingShare(t *testing.T) {
 	settings := testSettings()
 	settings.UseCounter = false
@@ -18,12 +19,13 @@
 		}
 	}
 	if sent > 10 {
-		t.Errorf("%d units in the first second of a new gateway; its share of the ceiling is 10", sent)
+		t.Errorf("%d units sent in the first second of a new gateway; its share of the ceiling is 10", sent)
 	}
 }
 
-// A customer far beyond its ceiling has no long queue, out of which all would go nearly late: what would wait long is
-// rejected at once, with a Retry-After, and the sooner the less its priority weight.
+// TestCeilingQueueStaysShort verifies that a customer far beyond its ceiling gets no long queue, whose requests would
+// all be dispatched nearly too late. Requests that would wait too long are rejected immediately with a Retry-After, and
+// sooner for a lower priority weight.
 func TestCeilingQueueStaysShort(t *testing.T) {
 	settings := testSettings()
 	settings.UseCounter = false
@@ -45,9 +47,9 @@
 		}
 	}
 	if withRetryAfter == 0 {
-		t.Error("nobody got a Retry-After")
+		t.Error("no rejection has a Retry-After")
 	}
 	if waits[0] > 1 || waits[1] < 1 || waits[1] > 2 {
-		t.Errorf("by class, %v wait", waits)
+		t.Errorf("waiting requests by class: %v; want at most 1 of class 0, 1 or 2 of class 1", waits)
 	}
 }
