--- a/internal/balancer/ceilinglease_test.go
+++ b/internal/balancer/ceilinglease_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A customer may move to another plan while a call for a lease of its ceiling is out: the answer must be taken,
-// whatever the new plan has.
+// TestPlanChangesWhileLeaseCallIsOut verifies that a ceiling lease call is settled even if its customer has moved to
+// another plan while the call was pending, whatever the new plan's terms are.
 func TestPlanChangesWhileLeaseCallIsOut(t *testing.T) {
 	settings := testSettings()
 	settings.LeaseCeilings = true
@@ -26,18 +26,19 @@
 	}
 }
 
-// stepRecovered takes events and returns a panic as an error.
+// stepRecovered passes events to the balancer and returns a panic as an error.
 func stepRecovered(b *Balancer, now time.Duration, events ...Event) (err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
-			err = fmt.Errorf("the module panicked: %v", cause)
+			err = fmt.Errorf("the balancer panicked: %v", cause)
 		}
 	}()
 	b.Step(now, events)
 	return nil
 }
 
-// A reload may end the lease of a plan's ceiling while queued requests hold units of it: they must still end.
+// TestReloadEndsLeaseOfQueuedRequests verifies that queued requests that hold leased units can still end after a reload
+// has ended the lease of their plan's ceiling.
 func TestReloadEndsLeaseOfQueuedRequests(t *testing.T) {
 	settings := testSettings()
 	settings.LeaseCeilings = true
