--- a/internal/balancer/countercall_test.go
+++ b/internal/balancer/countercall_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Calls of one connection end together. They tell no more of the counter than one of them; a call that was made after
-// they ended does.
+// TestConcurrentCallFailuresCountOnce verifies that pending calls that fail together, as those of one connection do,
+// decrease the call fraction only once, and that the failure of a call made later decreases it again.
 func TestConcurrentCallFailuresCountOnce(t *testing.T) {
 	b := newTestBalancer(t, testSettings(), testEndpoints(2)...)
 	now := time.Second
@@ -19,7 +19,7 @@
 		}
 	}
 	if len(names) != 5 {
-		t.Fatalf("%d customers call", len(names))
+		t.Fatalf("%d customers call the counter, want 5", len(names))
 	}
 	before := b.counter.callFraction
 	var all []Event
@@ -28,7 +28,7 @@
 	}
 	b.Step(now+50*ms, all)
 	if want := before * callFractionDecrease; b.counter.callFraction != want {
-		t.Errorf("call fraction %v after five calls that ended together, want %v as after one",
+		t.Errorf("call fraction %v after five calls that ended together, want %v as after one call",
 			b.counter.callFraction, want)
 	}
 	cust := b.customers.find("a")
@@ -40,16 +40,16 @@
 	request.Customer = "a"
 	again := actionsOf[CounterAdd](b.Step(now+60*ms, []Event{request}))
 	if len(again) != 1 {
-		t.Fatalf("%d calls after that", len(again))
+		t.Fatalf("%d calls after the failures, want 1", len(again))
 	}
 	b.Step(now+110*ms, []Event{CounterResult{Name: again[0].Name, Status: Timeout}})
 	if b.counter.callFraction != callFractionDecrease {
-		t.Errorf("a later failure does not count: %v", b.counter.callFraction)
+		t.Errorf("call fraction %v after a later failure, which must decrease it", b.counter.callFraction)
 	}
 }
 
-// A counter whose answer can't be read has added the block all the same: it is returned with the next call, which is
-// made at once for the requests that wait, and once only.
+// TestUnreadableCounterResult verifies that a block is returned if the counter has added it but its answer cannot be
+// read. The block is returned with the next call, which is made immediately for the waiting requests, and only once.
 func TestUnreadableCounterResult(t *testing.T) {
 	b := newTestBalancer(t, testSettings(), testEndpoints(2)...)
 	var calls []CounterAdd
@@ -61,31 +61,31 @@
 		}
 	}
 	if len(calls) != 1 {
-		t.Fatal("no call of the counter")
+		t.Fatal("no counter call")
 	}
 	first := calls[0]
-	owed := b.customers.find("c").quota.debt
+	debt := b.customers.find("c").quota.debt
 	actions := b.Step(now+ms, []Event{CounterResult{Name: first.Name, Status: Failed}})
 	again := actionsOf[CounterAdd](actions)
 	if len(again) != 1 || len(actionsOf[Reject](actions)) != 0 {
-		t.Fatalf("after an invalid answer: %v; want one more call and no rejection", actions)
+		t.Fatalf("after an unreadable answer: %v; want one more call and no rejection", actions)
 	}
-	if sum := first.Amount + again[0].Amount; sum >= 2*first.Amount+owed {
-		t.Errorf("%v and then %v added; want the first block returned", first.Amount, again[0].Amount)
+	if sum := first.Amount + again[0].Amount; sum >= 2*first.Amount+debt {
+		t.Errorf("%v and then %v added; want the first block to be returned", first.Amount, again[0].Amount)
 	}
 	actions = b.Step(now+2*ms, []Event{CounterResult{Name: again[0].Name, Status: Failed}})
 	if len(actionsOf[CounterAdd](actions)) != 0 || len(actionsOf[Reject](actions)) != 1 {
-		t.Errorf("after a second one: %v; want a rejection and no third call", actions)
+		t.Errorf("after a second unreadable answer: %v; want a rejection and no third call", actions)
 	}
 }
 
-// newBalancerWithCallOut returns a gateway with one call to the counter out, for a request that waits for it.
+// newBalancerWithCallOut returns a balancer with one pending counter call, for a request that waits for it.
 func newBalancerWithCallOut(t *testing.T) (*Balancer, CounterAdd, time.Duration) {
 	t.Helper()
 	return newSeededBalancerWithCallOut(t, 7)
 }
 
-// newSeededBalancerWithCallOut is newBalancerWithCallOut with a seed.
+// newSeededBalancerWithCallOut is newBalancerWithCallOut with a given seed.
 func newSeededBalancerWithCallOut(t *testing.T, seed uint64) (*Balancer, CounterAdd, time.Duration) {
 	t.Helper()
 	b, err := New(testSettings(), seed)
@@ -100,34 +100,36 @@
 			return b, calls[0], now
 		}
 	}
-	t.Fatal("no call of the counter")
+	t.Fatal("no counter call")
 	return nil, CounterAdd{}, 0
 }
 
-// A connection that breaks ends its calls at once, and no late answer can come on it: the requests call once more.
+// TestCallIsRepeatedAfterBrokenConnection verifies that requests call the counter once more if a broken connection ends
+// their call early, since no late answer can arrive on that connection.
 func TestCallIsRepeatedAfterBrokenConnection(t *testing.T) {
 	again := 0
-	for seed := range uint64(20) { // the failure has decreased the call fraction, so a few do not call
+	for seed := range uint64(20) { // the failure decreases the call fraction, so a few do not call
 		b, call, now := newSeededBalancerWithCallOut(t, seed)
 		actions := b.Step(now+3*ms, []Event{CounterResult{Name: call.Name, Status: Timeout}})
 		again += len(actionsOf[CounterAdd](actions))
 		if len(b.counter.timedOut.byTicket) != 0 || b.customers.find("c").quota.callsPausedUntil != 0 {
-			t.Errorf("seed %d: a late answer is waited for on a connection that is gone", seed)
+			t.Errorf("seed %d: waits for a late answer on a broken connection", seed)
 		}
 	}
 	if again < 10 {
-		t.Errorf("%d of 20 called once more", again)
+		t.Errorf("%d of 20 called the counter once more, want at least 10", again)
 	}
 }
 
-// A counter that rejects a call, or takes no connection, is not called again at once.
+// TestRejectedCallIsNotRepeated verifies that a counter that rejects a call, or to which no connection can be made, is
+// not called again immediately.
 func TestRejectedCallIsNotRepeated(t *testing.T) {
 	for _, status := range []Status{Rejected, ConnectFailed} {
-		for seed := range uint64(20) { // whether a request calls is partly chance
+		for seed := range uint64(20) { // whether a request calls the counter is partly random
 			b, call, now := newSeededBalancerWithCallOut(t, seed)
 			actions := b.Step(now+3*ms, []Event{CounterResult{Name: call.Name, Status: status}})
 			if again := actionsOf[CounterAdd](actions); len(again) != 0 {
-				t.Errorf("status %d, seed %d: called again at once: %v", status, seed, again)
+				t.Errorf("status %d, seed %d: called again immediately: %v", status, seed, again)
 			}
 		}
 	}
