--- a/internal/balancer/customer_test.go
+++ b/internal/balancer/customer_test.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// floodWithNewCustomers steps a gateway through a time in which each tick brings some customers that were never seen
-// and never come again, and runs a function every tick. It returns the largest number of customers known.
+// floodWithNewCustomers steps a balancer through a period in which each tick brings some customers with a single
+// request each, and calls onTick after every tick. It returns the largest number of known customers.
 func floodWithNewCustomers(
 	b *Balancer, from, to time.Duration, perTick int, onTick func(at time.Duration),
-) (most int) {
+) (maxKnown int) {
 	id := uint64(1 << 32)
 	for at := from; at < to; at += tickInterval {
 		evs := []Event{TimerFired{0}}
@@ -34,12 +34,13 @@
 		if onTick != nil {
 			onTick(at)
 		}
-		most = max(most, len(b.customers.byName))
+		maxKnown = max(maxKnown, len(b.customers.byName))
 	}
-	return most
+	return maxKnown
 }
 
-// A million customers that are seen once take no more memory than stated, and are forgotten when they stop coming.
+// TestCustomerTableIsBounded verifies that a million customers with one request each never exceed the limit of the
+// customer table, and that they are removed once no more requests arrive.
 func TestCustomerTableIsBounded(t *testing.T) {
 	settings := settingsWithoutCounter()
 	settings.Plans[0] = Plan{Rate: 2, Burst: 8, PriorityFactor: 1}
@@ -47,18 +48,19 @@
 	b := newTestBalancer(t, settings, testEndpoints(3)...)
 	end := 200 * time.Second
 	if most := floodWithNewCustomers(b, 0, end, 100, nil); most > maxCustomers { // 5,000 a second
-		t.Errorf("%d customers are known, %d at most", most, maxCustomers)
+		t.Errorf("%d customers are known, want at most %d", most, maxCustomers)
 	}
 	if len(b.customers.order) != len(b.customers.byName) {
-		t.Errorf("%d in the order, %d known", len(b.customers.order), len(b.customers.byName))
+		t.Errorf("%d customers in order, %d in byName", len(b.customers.order), len(b.customers.byName))
 	}
 	floodWithNewCustomers(b, end, end+customerTTL+20*time.Second, 0, nil)
 	if len(b.customers.byName) > 0 || len(b.requests) > 0 {
-		t.Errorf("%d customers and %d requests are left", len(b.customers.byName), len(b.requests))
+		t.Errorf("%d customers and %d requests are left, want none", len(b.customers.byName), len(b.requests))
 	}
 }
 
-// A customer that is known before a flood of new ones keeps its place: its ceiling holds, and it is served.
+// TestFloodOfNewCustomersKeepsCeilings verifies that a customer that is known before a flood of new customers remains
+// in the table: its ceiling holds, and it is still served.
 func TestFloodOfNewCustomersKeepsCeilings(t *testing.T) {
 	settings := settingsWithoutCounter()
 	settings.Plans[0] = Plan{PriorityFactor: 1}
@@ -70,7 +72,7 @@
 		if at%(4*time.Second) != 0 {
 			return
 		}
-		for range 60 { // every 4 s it wants more than it may have
+		for range 60 { // every 4 s it requests more than its ceiling allows
 			id++
 			actions := b.Step(
 				at,
@@ -83,9 +85,9 @@
 		}
 	})
 	if most := 40 + 2*end.Seconds() + 1; float64(sent) > most {
-		t.Errorf("%d sent, the ceiling gives %.0f", sent, most)
+		t.Errorf("%d requests sent, the ceiling allows %.0f", sent, most)
 	}
 	if sent < 100 {
-		t.Errorf("%d sent: it is starved", sent)
+		t.Errorf("%d requests sent, want at least 100", sent)
 	}
 }
