--- a/internal/balancer/fallback_test.go
+++ b/internal/balancer/fallback_test.go
@@ -5,6 +5,8 @@
 	"time"
 )
 
+// TestNewCustomerSpendsEvenShareOfBurst verifies that without a counter, a new customer can spend the gateway's even
+// share of its burst and no more.
 func TestNewCustomerSpendsEvenShareOfBurst(t *testing.T) {
 	settings := testSettings()
 	settings.UseCounter = false
@@ -16,10 +18,12 @@
 		rejected += len(actionsOf[Reject](actions))
 	}
 	if sent != 4 || rejected != 4 {
-		t.Errorf("sent %d, rejected %d of 8; want 4 and 4", sent, rejected)
+		t.Errorf("%d of 8 requests sent and %d rejected; want 4 and 4", sent, rejected)
 	}
 }
 
+// TestFallbackShareFillsWhileCounterIsSilent verifies that the fallback share refills while the counter does not
+// respond.
 func TestFallbackShareFillsWhileCounterIsSilent(t *testing.T) {
 	b := newTestBalancer(t, testSettings(), testEndpoints(8)...)
 	now, call := ms, spendFallback(t, b, ms)
@@ -33,6 +37,6 @@
 	now += 3 * time.Second
 	actions := b.Step(now, []Event{testRequest(20, 0, 0)})
 	if len(actionsOf[Dispatch](actions)) != 1 {
-		t.Errorf("the fallback share did not fill while the counter was silent: %v", actions)
+		t.Errorf("the fallback share did not refill while the counter did not respond: %v", actions)
 	}
 }
