--- a/internal/balancer/largefleet_test.go
+++ b/internal/balancer/largefleet_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// newLargeFleet returns gateways with 20 endpoints. softPlans take the place of those from the second plan on.
+// newLargeFleet returns gateways with 20 endpoints. softPlans replace the plans from the second one on.
 func newLargeFleet(t *testing.T, gateways int, softPlans ...Plan) []*Balancer {
 	t.Helper()
 	settings := largeFleetSettings(gateways)
@@ -25,47 +25,47 @@
 	return all
 }
 
-// fleetRun is a time in which requests of one customer come to a fleet. The counter's answers come 50 ms later, so
-// gateways that call together all see each other's calls.
-type fleetRun struct {
+// fleetScenario is a period in which requests of one customer arrive at a fleet. The counter's answers arrive 50 ms
+// after the calls, so gateways that call at the same time all see each other's calls.
+type fleetScenario struct {
 	fleet   []*Balancer
 	counter *fakeCounter
 	plan    int
-	// from and to bound the run.
+	// from and to are the start and end of the scenario.
 	from, to time.Duration
-	// count is the number of requests that come each 50 ms.
+	// count returns the number of requests that arrive every 50 ms.
 	count func(now time.Duration) int
-	// pick is the gateway to which a request comes.
+	// pick returns the gateway that receives a request.
 	pick func(request int) int
-	// loseTotalsAt is when the counter loses its totals; 0: never.
+	// loseTotalsAt is when the counter loses its totals; 0 means never.
 	loseTotalsAt time.Duration
 }
 
-// play runs it and returns when each request was sent.
-func (run *fleetRun) play() (sent []time.Duration) {
+// run runs the scenario and returns when each request was sent.
+func (scenario *fleetScenario) run() (sent []time.Duration) {
 	const step = 50 * ms
 	id := uint64(0)
-	late := make([][]Event, len(run.fleet))
-	for now := run.from; now < run.to; now += step {
-		if run.loseTotalsAt > 0 && now >= run.loseTotalsAt {
-			run.counter.totals = map[uint64]float64{}
-			run.loseTotalsAt = 0
+	delayedResults := make([][]Event, len(scenario.fleet))
+	for now := scenario.from; now < scenario.to; now += step {
+		if scenario.loseTotalsAt > 0 && now >= scenario.loseTotalsAt {
+			scenario.counter.totals = map[uint64]float64{}
+			scenario.loseTotalsAt = 0
 		}
-		events := make([][]Event, len(run.fleet))
-		for i := range run.fleet {
-			events[i] = append(late[i], TimerFired{0})
-			late[i] = nil
+		events := make([][]Event, len(scenario.fleet))
+		for i := range scenario.fleet {
+			events[i] = append(delayedResults[i], TimerFired{0})
+			delayedResults[i] = nil
 		}
-		for range run.count(now) {
+		for range scenario.count(now) {
 			id++
-			i := run.pick(int(id))
-			events[i] = append(events[i], testRequest(id, 0, run.plan))
+			i := scenario.pick(int(id))
+			events[i] = append(events[i], testRequest(id, 0, scenario.plan))
 		}
-		for i, b := range run.fleet {
+		for i, b := range scenario.fleet {
 			for next := events[i]; len(next) > 0; {
 				actions := b.Step(now, next)
 				next = nil
-				late[i] = append(late[i], run.counter.answer(actions)...)
+				delayedResults[i] = append(delayedResults[i], scenario.counter.answer(actions)...)
 				for _, attempt := range actionsOf[Dispatch](actions) {
 					sent = append(sent, now)
 					next = append(next, succeeded(attempt, 0, 20*ms))
@@ -76,8 +76,9 @@
 	return sent
 }
 
-// However a flood comes to a large fleet, what goes out past the small shares by the quota's bucket and what goes out
-// by these stay together within the ceiling, also when the counter's window changes and when it loses its totals.
+// TestLargeFleetKeepsCeiling verifies that a large fleet stays within the ceiling for any distribution of a flood.
+// Requests sent beyond the small shares, paid for by the quota's bucket, and requests sent on these shares must
+// together stay within it, also when the counter's window changes and when the counter loses its totals.
 func TestLargeFleetKeepsCeiling(t *testing.T) {
 	plans := []Plan{
 		largeFleetSettings(40).Plans[1],
@@ -85,7 +86,7 @@
 	}
 	floods := map[string]func(now time.Duration) int{
 		"always": constantly(5),
-		"before a new window": func(now time.Duration) int { // after a calm time in which the bucket overflows
+		"before a new window": func(now time.Duration) int { // after low demand in which the bucket overflows
 			if now < 29*time.Second || now > 38*time.Second && now < 56*time.Second {
 				return int(now/(50*ms)) % 10 / 9
 			}
@@ -104,7 +105,7 @@
 					name := fmt.Sprintf("%s, %s, plan %d, totals lost %v", where, when, i, loseTotalsAt > 0)
 					t.Run(name, func(t *testing.T) {
 						rng := rand.New(rand.NewPCG(1, 2))
-						run := &fleetRun{
+						scenario := &fleetScenario{
 							fleet:        newLargeFleet(t, 40, plan),
 							counter:      newFakeCounter(),
 							plan:         1,
@@ -114,13 +115,13 @@
 							pick:         func(int) int { return pick(rng) },
 							loseTotalsAt: loseTotalsAt,
 						}
-						sent := run.play()
+						sent := scenario.run()
 						allowed := -plan.CeilingBurst/10 - 0.15*plan.CeilingRate
 						if lowest := lowestCeilingLevel(plan, sent); lowest < allowed {
-							t.Errorf("the ceiling's bucket fell to %.1f of %v", lowest, plan.CeilingBurst)
+							t.Errorf("the ceiling's bucket fell to %.1f of %v units", lowest, plan.CeilingBurst)
 						}
 						if rate := float64(len(sent)) / 73; when == "always" && rate < 0.6*plan.Rate {
-							t.Errorf("%.1f a second went out; the quota is %v", rate, plan.Rate)
+							t.Errorf("%.1f requests per second sent; the quota is %v", rate, plan.Rate)
 						}
 					})
 				}
@@ -129,7 +130,7 @@
 	}
 }
 
-// lowestCeilingLevel is the lowest level of a ceiling's bucket out of which requests were sent at some times.
+// lowestCeilingLevel returns the lowest level of a ceiling's bucket for requests sent at the given times.
 func lowestCeilingLevel(plan Plan, sent []time.Duration) float64 {
 	level := plan.CeilingBurst
 	lowest := plan.CeilingBurst
@@ -142,13 +143,13 @@
 	return lowest
 }
 
-// constantly is a flood of the same number of requests at all times.
+// constantly returns a flood with the same number of requests at all times.
 func constantly(n int) func(time.Duration) int { return func(time.Duration) int { return n } }
 
-// A customer inside its quota whose requests mostly come to one gateway of a large fleet is not held to that gateway's
-// share of its ceiling.
+// TestLargeFleetServesQuotaAtOneGateway verifies that a customer inside its quota is not limited to one gateway's share
+// of its ceiling if most of its requests arrive at that gateway of a large fleet.
 func TestLargeFleetServesQuotaAtOneGateway(t *testing.T) {
-	run := &fleetRun{
+	scenario := &fleetScenario{
 		fleet:   newLargeFleet(t, 40),
 		counter: newFakeCounter(),
 		plan:    1,
@@ -162,18 +163,19 @@
 			return 1 + request%39
 		},
 	}
-	sent := run.play()
-	if want := 0.75 * 20 * 10; float64(len(sent)) < want { // what the quota gives in 20 s, less what gateways keep
-		t.Errorf("%d sent in 20 s, want %.0f", len(sent), want)
+	sent := scenario.run()
+	if want := 0.75 * 20 * 10; float64(len(sent)) < want { // the quota of 20 s, minus units that gateways keep
+		t.Errorf("%d requests sent in 20 s, want at least %.0f", len(sent), want)
 	}
 }
 
-// Gateways that start together in the middle of a window all see a bucket that seems over its burst. Were each to
-// correct it, it would be empty for a while for each of them; and blocks that are returned are no gain to be corrected.
+// TestLargeFleetStartingTogetherServesQuota verifies that a fleet that starts in the middle of a window serves the
+// quota. All gateways then see a bucket that appears to exceed its burst. If each of them corrected it, the bucket
+// would be empty for all of them for a while. Returned blocks must not be corrected as a gain either.
 func TestLargeFleetStartingTogetherServesQuota(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 6))
 	plan := largeFleetSettings(60).Plans[0]
-	run := &fleetRun{
+	scenario := &fleetScenario{
 		fleet:   newLargeFleet(t, 60),
 		counter: newFakeCounter(),
 		plan:    0,
@@ -182,25 +184,25 @@
 		count:   constantly(1),
 		pick:    func(int) int { return rng.IntN(60) },
 	}
-	sent := run.play()
+	sent := scenario.run()
 	if n, most := float64(len(sent)), plan.Burst+30*plan.Rate; n < 0.75*most || n > 1.5*most {
-		t.Errorf("%.0f sent in 30 s for a customer that asks for ten times its quota, which gives %.0f", n, most)
+		t.Errorf("%.0f requests sent in 30 s for a customer that requests ten times its quota of %.0f", n, most)
 	}
 }
 
-// In a large fleet a call that finds the bucket a little short costs no second one: what it took is spent when the
-// bucket has gained it. Only what would take too long is returned.
+// TestLargeFleetSeldomCallsTwice verifies that a call in a large fleet causes no second call if the bucket is only
+// slightly short: the units are spent once the bucket has gained them. Units that would take too long are returned.
 func TestLargeFleetSeldomCallsTwice(t *testing.T) {
 	b := newLargeFleet(t, 100)[0]
 	now := 2 * time.Second
 	calls := actionsOf[CounterAdd](b.Step(now, []Event{testRequest(1, 0, 0)}))
 	if len(calls) != 1 || calls[0].Amount != 1 {
-		t.Fatalf("calls: %v, want one of a unit", calls)
+		t.Fatalf("calls: %v, want one for a single unit", calls)
 	}
 	// The bucket is short by a quarter of a unit: an eighth of a second.
 	actions := b.Step(now, []Event{CounterResult{calls[0].Name, OK, 8 + 2*2 + 0.25}})
 	if len(actionsOf[CounterAdd](actions))+len(actionsOf[Dispatch](actions))+len(actionsOf[Reject](actions)) != 0 {
-		t.Fatalf("the request should wait for what the bucket gains: %v", actions)
+		t.Fatalf("the request should wait until the bucket has gained its unit: %v", actions)
 	}
 	for sent := false; !sent; now += 20 * ms {
 		actions = b.Step(now, []Event{TimerFired{0}})
@@ -208,7 +210,7 @@
 			t.Fatalf("at %v: %v", now, actions)
 		}
 		if sent = len(actionsOf[Dispatch](actions)) == 1; sent && now < 2120*ms {
-			t.Errorf("sent at %v, before the bucket had gained it", now)
+			t.Errorf("sent at %v, before the bucket had gained the unit", now)
 		}
 	}
 
@@ -218,14 +220,14 @@
 	actions = b.Step(now, []Event{CounterResult{calls[0].Name, OK, 8 + 2*2 + 20}})
 	returned := actionsOf[CounterAdd](actions)
 	if len(returned) != 1 || returned[0].Amount != -1 || len(actionsOf[Reject](actions)) != 1 {
-		t.Fatalf("short by 19: %v", actions)
+		t.Fatalf("bucket short by 19 units: %v", actions)
 	}
 	if more := actionsOf[CounterAdd](b.Step(now+time.Second, []Event{testRequest(2, 0, 0)})); len(more) != 0 {
-		t.Errorf("a bucket just found empty was asked again: %v", more)
+		t.Errorf("counter called again for a bucket that was just found empty: %v", more)
 	}
 }
 
-// A call that is answered late still serves the request that it was made for.
+// TestLargeFleetWaitsForLateResult verifies that a late answer still serves the request for which its call was made.
 func TestLargeFleetWaitsForLateResult(t *testing.T) {
 	b := newLargeFleet(t, 100)[0]
 	now := 2 * time.Second
@@ -241,7 +243,8 @@
 	}
 }
 
-// A plan that limits requests in flight keeps the limit in a large fleet, and admission-only requests are decided soon.
+// TestLargeFleetKeepsMaxInFlightAndAnswersAdmitOnlySoon verifies that a plan's limit of requests in flight holds in a
+// large fleet, and that admission-only requests are decided soon.
 func TestLargeFleetKeepsMaxInFlightAndAnswersAdmitOnlySoon(t *testing.T) {
 	plan := largeFleetSettings(40).Plans[1]
 	plan.MaxInFlight = 1
@@ -249,30 +252,30 @@
 	sent := 0
 	counter := newFakeCounter()
 	for id := uint64(1); id <= 6; id++ {
-		for todo := []Event{testRequest(id, 0, 1)}; len(todo) > 0; {
-			actions := all[0].Step(10*time.Second, todo)
+		for pending := []Event{testRequest(id, 0, 1)}; len(pending) > 0; {
+			actions := all[0].Step(10*time.Second, pending)
 			sent += len(actionsOf[Dispatch](actions))
-			todo = counter.answer(actions)
+			pending = counter.answer(actions)
 		}
 	}
 	if sent != 1 {
-		t.Errorf("%d sent while one may be in flight", sent)
+		t.Errorf("%d requests sent, want 1 as only one may be in flight", sent)
 	}
 
 	counter = newFakeCounter()
 	b := newLargeFleet(t, 40)[0]
 	answered := map[uint64]bool{}
 	now := 10 * time.Second
-	step := func(todo ...Event) {
-		for len(todo) > 0 {
-			actions := b.Step(now, todo)
+	step := func(pending ...Event) {
+		for len(pending) > 0 {
+			actions := b.Step(now, pending)
 			for _, a := range actionsOf[Admit](actions) {
 				answered[a.ID] = true
 			}
 			for _, a := range actionsOf[Reject](actions) {
 				answered[a.ID] = true
 			}
-			todo = counter.answer(actions)
+			pending = counter.answer(actions)
 		}
 	}
 	for id := uint64(1); id <= 60; id++ {
@@ -281,36 +284,37 @@
 		step(request, TimerFired{0})
 		now += ms
 	}
-	for range 8 { // what waits for a turn to call does so for a fifth of its time, 100 ms
+	for range 8 { // requests wait for a turn to call for a fifth of their time limit, 100 ms
 		now += 20 * ms
 		step(TimerFired{0})
 	}
 	if len(answered) != 60 {
-		t.Errorf("%d of 60 requests answered 160 ms after the last", len(answered))
+		t.Errorf("%d of 60 requests answered 160 ms after the last one", len(answered))
 	}
 }
 
-// A counter that fails is called for fewer requests, and by each gateway rarely, however many there are.
+// TestFailingCounterIsCalledRarely verifies that a failing counter is called for fewer requests, and only rarely by
+// each gateway of a large fleet.
 func TestFailingCounterIsCalledRarely(t *testing.T) {
 	b := newTestBalancer(t, largeFleetSettings(300), testEndpoints(8)...)
-	late := 0
+	lateCalls := 0
 	for i := range 2000 {
 		request := testRequest(uint64(i), 0, 0)
 		request.Customer = fmt.Sprint("c", i)
 		now := time.Duration(i+1) * 10 * ms
 		for _, call := range actionsOf[CounterAdd](b.Step(now, []Event{request, TimerFired{0}})) {
 			if i > 1000 {
-				late++
+				lateCalls++
 			}
 			b.Step(now+5*ms, []Event{CounterResult{Name: call.Name, Status: Rejected}})
 		}
 	}
-	if late > 10 {
-		t.Errorf("%d calls in 10 s to a counter that rejects all", late)
+	if lateCalls > 10 {
+		t.Errorf("%d calls in 10 s to a counter that rejects every call, want at most 10", lateCalls)
 	}
 }
 
-// What the bucket seems to have gained over its burst is corrected once.
+// TestBucketOverflowIsAddedToCounter verifies that an apparent gain of a bucket beyond its burst is corrected once.
 func TestBucketOverflowIsAddedToCounter(t *testing.T) {
 	b := newTestBalancer(t, largeFleetSettings(100), testEndpoints(8)...)
 	now := 20 * time.Second
@@ -318,6 +322,6 @@
 	actions := b.Step(now+2*ms, []Event{CounterResult{calls[0].Name, OK, 1}})
 	corrections := actionsOf[CounterAdd](actions)
 	if len(corrections) != 1 || corrections[0].Amount < 30 || len(actionsOf[Dispatch](actions)) != 1 {
-		t.Errorf("20 s of overflow at 2 a second: %v", actions)
+		t.Errorf("20 s of overflow at 2 units per second: %v", actions)
 	}
 }
