--- a/internal/balancer/loan_golden_test.go
+++ b/internal/balancer/loan_golden_test.go
@@ -11,16 +11,18 @@
 
 const (
 	loanGateways = 3
-	// loanFlood is how long one gateway has all of a customer's requests, loanInterval the time between two of them.
+	// loanFlood is how long one gateway receives all of a customer's requests, and loanInterval is the time between two
+	// of them.
 	loanFlood    = 10 * time.Second
 	loanInterval = 10 * time.Millisecond
-	// loanSettled is when the loans must have followed the demand; minAdmitted is what of the ceiling's 70 units must
-	// then be admitted until the flood ends.
+	// loanSettled is the time by which the loans must have followed the demand. minAdmitted is how many of the
+	// ceiling's 70 units must then be admitted until the flood ends.
 	loanSettled = 3 * time.Second
 	minAdmitted = 60
 )
 
-// loanSettings are those of gateways that share a ceiling by leases and loans and call a counter that is away.
+// loanSettings returns the settings of gateways that share a ceiling by leases and loans, and whose counter is
+// unavailable.
 func loanSettings(index int) balancer.Settings {
 	return balancer.Settings{
 		Gateways:        loanGateways,
@@ -42,108 +44,108 @@
 	}
 }
 
-// loanPlay is three gateways without a counter, of which one after another has all requests of a customer.
-type loanPlay struct {
-	modules []*balancer.Balancer
-	inboxes [loanGateways][]delayed
-	trace   *golden.Trace
-	// status is how every counter call ends, admitOnly what kind of requests come.
+// loanScenario runs three gateways without a counter, each of which in turn receives all requests of a customer.
+type loanScenario struct {
+	balancers []*balancer.Balancer
+	inboxes   [loanGateways][]delayed
+	trace     *golden.Trace
+	// status is the result of every counter call. admitOnly selects admission-only requests.
 	status    balancer.Status
 	admitOnly bool
-	// admitted counts what is admitted once the loans have settled.
+	// admitted is the number of requests admitted at each gateway after the loans have settled.
 	admitted     [loanGateways]int
 	countingFrom time.Duration
 	now          time.Duration
 }
 
-// newLoanPlay starts the gateways, each with a third of the shares.
-func newLoanPlay(t *testing.T, status balancer.Status, admitOnly bool) *loanPlay {
+// newLoanScenario starts the gateways, each with a third of the shares.
+func newLoanScenario(t *testing.T, status balancer.Status, admitOnly bool) *loanScenario {
 	t.Helper()
-	p := &loanPlay{trace: golden.NewTrace(), status: status, admitOnly: admitOnly, now: time.Hour}
+	s := &loanScenario{trace: golden.NewTrace(), status: status, admitOnly: admitOnly, now: time.Hour}
 	for i := range loanGateways {
-		module, err := balancer.New(loanSettings(i), uint64(i))
+		instance, err := balancer.New(loanSettings(i), uint64(i))
 		if err != nil {
 			t.Fatal(err)
 		}
-		p.modules = append(p.modules, module)
-		p.step(i)
-		p.step(i, balancer.ShareUpdate{Fraction: 1.0 / loanGateways, Until: p.now + time.Hour})
+		s.balancers = append(s.balancers, instance)
+		s.step(i)
+		s.step(i, balancer.ShareUpdate{Fraction: 1.0 / loanGateways, Until: s.now + time.Hour})
 	}
-	return p
+	return s
 }
 
-// play has all requests come to one gateway and then to another.
-func (p *loanPlay) play() {
+// run sends all requests to one gateway, then to the next.
+func (s *loanScenario) run() {
 	id := uint64(0)
 	for _, at := range []int{0, 2, 1} {
-		p.countingFrom = p.now + loanSettled
-		for end := p.now + loanFlood; p.now < end; p.now += time.Millisecond {
-			for i := range p.modules {
-				p.deliver(i)
+		s.countingFrom = s.now + loanSettled
+		for end := s.now + loanFlood; s.now < end; s.now += time.Millisecond {
+			for i := range s.balancers {
+				s.deliver(i)
 			}
-			if p.now%loanInterval == 0 {
+			if s.now%loanInterval == 0 {
 				id++
-				p.step(at, balancer.Request{ID: id, Customer: "c", Units: 1, TimeLeft: time.Second,
-					AdmitOnly: p.admitOnly})
+				s.step(at, balancer.Request{ID: id, Customer: "c", Units: 1, TimeLeft: time.Second,
+					AdmitOnly: s.admitOnly})
 			}
 		}
 	}
 }
 
-// deliver hands a gateway what is due.
-func (p *loanPlay) deliver(i int) {
+// deliver passes all due events to a gateway.
+func (s *loanScenario) deliver(i int) {
 	var due []balancer.Event
-	kept := p.inboxes[i][:0]
-	for _, d := range p.inboxes[i] {
-		if d.at <= p.now {
+	kept := s.inboxes[i][:0]
+	for _, d := range s.inboxes[i] {
+		if d.at <= s.now {
 			due = append(due, d.event)
 		} else {
 			kept = append(kept, d)
 		}
 	}
-	p.inboxes[i] = kept
+	s.inboxes[i] = kept
 	if len(due) > 0 {
-		p.step(i, due...)
+		s.step(i, due...)
 	}
 }
 
-// send has an event reach a gateway.
-func (p *loanPlay) send(to int, after time.Duration, event balancer.Event) {
-	p.inboxes[to] = append(p.inboxes[to], delayed{p.now + after, event})
+// send schedules an event for a gateway.
+func (s *loanScenario) send(to int, after time.Duration, event balancer.Event) {
+	s.inboxes[to] = append(s.inboxes[to], delayed{s.now + after, event})
 }
 
-// step hands events to a gateway, adds its actions to the trace and carries them out.
-func (p *loanPlay) step(i int, events ...balancer.Event) {
-	actions := append([]balancer.Action(nil), p.modules[i].Step(p.now, events)...)
-	p.trace.Int(int64(i))
-	p.trace.Duration(p.now)
+// step passes events to a gateway, adds its actions to the trace and carries them out.
+func (s *loanScenario) step(i int, events ...balancer.Event) {
+	actions := append([]balancer.Action(nil), s.balancers[i].Step(s.now, events)...)
+	s.trace.Int(int64(i))
+	s.trace.Duration(s.now)
 	for _, action := range actions {
-		record(p.trace, action)
+		record(s.trace, action)
 		switch a := action.(type) {
 		case balancer.Admit:
-			if p.now >= p.countingFrom {
-				p.admitted[i]++
+			if s.now >= s.countingFrom {
+				s.admitted[i]++
 			}
 		case balancer.SetTimer:
-			p.send(i, max(time.Millisecond, a.At-p.now), balancer.TimerFired{Cookie: a.Cookie})
+			s.send(i, max(time.Millisecond, a.At-s.now), balancer.TimerFired{Cookie: a.Cookie})
 		case balancer.CounterAdd:
-			p.send(i, 50*time.Millisecond, balancer.CounterResult{Name: a.Name, Status: p.status})
+			s.send(i, 50*time.Millisecond, balancer.CounterResult{Name: a.Name, Status: s.status})
 		case balancer.RequestLoan:
-			for j := range p.modules {
+			for j := range s.balancers {
 				if j != i {
-					p.send(j, time.Millisecond, balancer.LoanRequest{From: i, Customer: a.Customer, Plan: a.Plan,
+					s.send(j, time.Millisecond, balancer.LoanRequest{From: i, Customer: a.Customer, Plan: a.Plan,
 						At: a.At})
 				}
 			}
 		case balancer.GrantLoan:
-			p.send(a.To, time.Millisecond, balancer.LoanGranted{
+			s.send(a.To, time.Millisecond, balancer.LoanGranted{
 				From: i, Customer: a.Customer, Plan: a.Plan, At: a.At, Rate: a.Rate, Depth: a.Depth})
 		}
 	}
 }
 
-// TestGoldenLoans holds that a ceiling goes where the demand is by loans, without the counter, as in the program that
-// the hashes were recorded from: also to a gateway that has only lent before.
+// TestGoldenLoans verifies that loans move a ceiling to the gateway with the demand while the counter is unavailable,
+// including to a gateway that has only lent so far. The golden traces must match the recorded hashes.
 func TestGoldenLoans(t *testing.T) {
 	recorded := golden.LoadHashes(t, "testdata/golden/loans.txt")
 	names := map[balancer.Status]string{
@@ -153,15 +155,15 @@
 	}
 	for status, name := range names {
 		for _, admitOnly := range []bool{true, false} {
-			p := newLoanPlay(t, status, admitOnly)
-			p.play()
-			recorded.Check(t, fmt.Sprintf("%s/admit-only-%t", name, admitOnly), p.trace.Sum())
+			s := newLoanScenario(t, status, admitOnly)
+			s.run()
+			recorded.Check(t, fmt.Sprintf("%s/admit-only-%t", name, admitOnly), s.trace.Sum())
 			if !admitOnly {
 				continue
 			}
-			for i, n := range p.admitted {
+			for i, n := range s.admitted {
 				if n < minAdmitted {
-					t.Errorf("%s: %d of 70 admitted at gateway %d, at least %d wanted", name, n, i, minAdmitted)
+					t.Errorf("%s: %d of 70 requests admitted at gateway %d, want at least %d", name, n, i, minAdmitted)
 				}
 			}
 		}
