--- a/internal/balancer/loan_test.go
+++ b/internal/balancer/loan_test.go
@@ -9,8 +9,8 @@
 	"gapgap/internal/balancer/quotashare"
 )
 
-// Loans that come late are worth only what is left of them, as the lender uses its part again; counted from their
-// arrival they would overlap.
+// TestLateLoans verifies that a loan that arrives late is valid only for its remaining time, since the lender then uses
+// its units again. It also verifies that the check detects the overlap if loans are counted from their arrival.
 func TestLateLoans(t *testing.T) {
 	for _, fromArrival := range []bool{false, true} {
 		worst := 0.0
@@ -24,7 +24,7 @@
 				fleet.lease(i, 1.0/3, time.Hour, time.Hour)
 			}
 			now := time.Hour + 10*time.Second
-			for round := range 8 { // the demand is at one gateway, then at all
+			for round := range 8 { // the demand alternates between one gateway and all of them
 				for end := now + 2*time.Second; now < end; now += 20 * time.Millisecond {
 					for i := range 1 + 2*(round%2) {
 						fleet.request(i, now)
@@ -34,14 +34,15 @@
 			worst = max(worst, fleet.over, fleet.excess)
 		})
 		if !fromArrival && worst > 1e-6 || fromArrival && worst < 0.5 {
-			t.Errorf("counted from their arrival %v: %.1f units over the ceiling, or more than it shared out",
+			t.Errorf("counted from arrival %v: %.1f units over the ceiling, or shared out beyond it",
 				fromArrival, worst)
 		}
 	}
 }
 
-// All of a customer's requests at one of three gateways have the whole ceiling, as the others grant loans of what they
-// don't need; when the demand is at all gateways, each has its own part.
+// TestLoansFollowDemand verifies that a customer can use its whole ceiling if all of its requests come to one of three
+// gateways, as the others lend what they do not need, and that each gateway has its own share if demand is at all of
+// them.
 func TestLoansFollowDemand(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		for _, policy := range allPolicies {
@@ -64,7 +65,7 @@
 				}
 			}
 			if one < 95 || fleet.over > 1e-6 || fleet.loans == 0 || min(each[0], each[1], each[2]) < 20 {
-				t.Fatalf("policy %v: %d of 100 at one gateway, %v at all, %.2f over, %d loans",
+				t.Fatalf("policy %v: %d of 100 admitted at one gateway, %v at all, %.2f over the ceiling, %d loans",
 					policy, one, each, fleet.over, fleet.loans)
 			}
 		}
