--- a/internal/balancer/loanhandover_test.go
+++ b/internal/balancer/loanhandover_test.go
@@ -9,25 +9,26 @@
 	"gapgap/internal/balancer/quotashare"
 )
 
-// childVariable has the test binary play the case in a process of its own: a stack overflow can't be recovered.
-const childVariable = "GAPGAP_TEST_LOAN_ENDS_DURING_HANDOVER"
+// childProcessVariable is the environment variable that makes the test binary run the case in a child process, because
+// a stack overflow cannot be recovered.
+const childProcessVariable = "GAPGAP_TEST_LOAN_ENDS_DURING_HANDOVER"
 
-// A gateway hands its state over, a loan that it borrowed ends meanwhile, and it takes the state back: its next request
-// must be decided.
+// TestLoanEndsDuringAbortedHandover verifies that a gateway decides its next request after an aborted handover. The
+// gateway hands its state over, a borrowed loan ends in the meantime, and the gateway takes the state back.
 func TestLoanEndsDuringAbortedHandover(t *testing.T) {
-	if os.Getenv(childVariable) != "" {
-		playLoanEndsDuringHandover(t)
+	if os.Getenv(childProcessVariable) != "" {
+		runLoanEndsDuringHandover(t)
 		return
 	}
 	command := exec.Command(os.Args[0], "-test.run=^TestLoanEndsDuringAbortedHandover$")
-	command.Env = append(os.Environ(), childVariable+"=1")
+	command.Env = append(os.Environ(), childProcessVariable+"=1")
 	if err := command.Run(); err != nil {
-		t.Errorf("the process that decides the request: %v", err)
+		t.Errorf("child process that decides the request: %v", err)
 	}
 }
 
-// playLoanEndsDuringHandover is the case.
-func playLoanEndsDuringHandover(t *testing.T) {
+// runLoanEndsDuringHandover runs the case in the child process.
+func runLoanEndsDuringHandover(t *testing.T) {
 	plan := Plan{
 		Rate:            5,
 		Burst:           10,
