--- a/internal/balancer/quota_test.go
+++ b/internal/balancer/quota_test.go
@@ -5,6 +5,8 @@
 	"time"
 )
 
+// TestSoftPlanIsNotRejectedOverQuota verifies that requests of a soft plan without a ceiling are not rejected beyond
+// the quota.
 func TestSoftPlanIsNotRejectedOverQuota(t *testing.T) {
 	settings := testSettings()
 	settings.UseCounter = false
@@ -16,11 +18,12 @@
 	}
 	actions := b.Step(ms, evs)
 	if len(actionsOf[Reject](actions)) != 0 {
-		t.Errorf("a soft plan was rejected beyond its quota: %v", actions)
+		t.Errorf("a request of a soft plan was rejected beyond the quota: %v", actions)
 	}
 }
 
-// A request with more priority weight for its work goes first, also if it is of fewer units.
+// TestPriorityByWork verifies that the request with the higher priority weight per unit of cost goes first, even if it
+// is for fewer units.
 func TestPriorityByWork(t *testing.T) {
 	b := newTrainedBalancer(t, testEndpoints(1)...)
 	level := func(units float64) int {
@@ -30,6 +33,6 @@
 		return b.requests[request.ID].level
 	}
 	if one, four := level(1), level(4); one >= four {
-		t.Errorf("level %d for one unit, %d for four; want the small one first", one, four)
+		t.Errorf("level %d for one unit, %d for four units; want the smaller request first", one, four)
 	}
 }
