--- a/internal/balancer/share_test.go
+++ b/internal/balancer/share_test.go
@@ -10,8 +10,8 @@
 	"gapgap/internal/balancer/quotashare"
 )
 
-// runSharing plays a random order of leases and requests and returns by how many units the ceiling was exceeded.
-// lease is the method that gives the leases.
+// runSharing plays a random sequence of leases and requests, and returns by how many units the ceiling was exceeded.
+// The parameter lease is the method that assigns the leases.
 func runSharing(
 	t *rapid.T, lease func(fleet *sharingFleet, gateway int, fraction float64, now, length time.Duration),
 ) float64 {
@@ -37,16 +37,18 @@
 	return max(fleet.over, fleet.excess)
 }
 
-// However fractions are leased and taken back, gateways admit no more than the ceiling's bucket holds.
+// TestLeasedSharesHoldCeiling verifies that gateways never admit more than the ceiling's bucket holds, regardless of
+// how fractions are leased and withdrawn.
 func TestLeasedSharesHoldCeiling(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		if over := runSharing(t, (*sharingFleet).lease); over > 1e-6 {
-			t.Fatalf("%.3f units over the ceiling", over)
+			t.Fatalf("%.3f units over the ceiling, want none", over)
 		}
 	})
 }
 
-// The check finds leases that overlap: a fraction that grows before another's lease is over.
+// TestSharingCheckFindsOverlap verifies that the check detects overlapping leases, where a fraction grows before
+// another gateway's lease has ended.
 func TestSharingCheckFindsOverlap(t *testing.T) {
 	worst := 0.0
 	for seed := range 200 {
@@ -54,11 +56,12 @@
 		worst = max(worst, run.Example(seed))
 	}
 	if worst < 5 {
-		t.Errorf("leases that overlap let %.1f units over the ceiling in 200 runs, which the check is to find", worst)
+		t.Errorf("%.1f units over the ceiling in 200 runs with overlapping leases, want at least 5", worst)
 	}
 }
 
-// A fraction that grows after a long time gives no full bucket at once, neither of a known customer nor of a new one.
+// TestGrownShareStartsEmpty verifies that a fraction that grows after a long time does not add a full bucket at once,
+// for a known customer or a new one.
 func TestGrownShareStartsEmpty(t *testing.T) {
 	for _, known := range []bool{true, false} {
 		t.Run(fmt.Sprint("known ", known), func(t *testing.T) {
@@ -84,29 +87,30 @@
 					}
 				}
 				if fleet.over > 1e-6 || known && got != 9 || !known && got != 0 {
-					t.Fatalf("%d at once, %.1f over", got, fleet.over)
+					t.Fatalf("%d units admitted at once, %.1f over the ceiling", got, fleet.over)
 				}
 			})
 		})
 	}
 }
 
-// A lease that is over is worth nothing at the next decision, however long the gateway stood still before it.
+// TestSharesEndWithLease verifies that an expired lease is worth nothing at the next decision, however long the gateway
+// was stopped before it.
 func TestSharesEndWithLease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fleet := newSharingFleet(t, 3, quotashare.KeepNone)
 		fleet.lease(0, 1, time.Hour, 2*time.Second)
 		if !fleet.request(0, time.Hour+1900*time.Millisecond) {
-			t.Fatal("nothing inside the lease")
+			t.Fatal("request not admitted before the end of the lease")
 		}
 		if fleet.request(0, time.Hour+2*time.Second) || fleet.request(0, time.Hour+12*time.Second) {
-			t.Fatal("admitted after the lease")
+			t.Fatal("request admitted after the end of the lease")
 		}
 	})
 }
 
-// A gateway that is cut off serves what it keeps without a lease: the quota's even part, all of its even part, or
-// nothing.
+// TestSharesKeptWithoutLease verifies what a partitioned gateway serves without a lease, depending on the partition
+// policy: its even part of the quota, its even part of the whole ceiling, or nothing.
 func TestSharesKeptWithoutLease(t *testing.T) {
 	admittedIn30s := map[quotashare.PartitionPolicy]int{
 		quotashare.KeepQuota: 50,
@@ -126,15 +130,15 @@
 					got++
 				}
 			}
-			if want > 0 && got < want || got > want+8 { // the depth comes once
-				t.Fatalf("policy %v: %d admitted in 30 s, %d wanted", policy, got, want)
+			if want > 0 && got < want || got > want+8 { // the bucket's depth is added once
+				t.Fatalf("policy %v: %d requests admitted in 30 s, want %d", policy, got, want)
 			}
 		})
 	}
 }
 
-// What gateways share without a bound that must hold goes by those that are alive, and the fallback tokens of a plan
-// that keeps nothing without a lease go by the lease.
+// TestSharesOfLiveGateways verifies that shared amounts without a hard bound are divided among the live gateways, and
+// that the fallback tokens of a plan that keeps no share without a lease follow the lease.
 func TestSharesOfLiveGateways(t *testing.T) {
 	settings := Settings{
 		Gateways:       5,
@@ -161,16 +165,16 @@
 	}
 	now := time.Hour
 	b.Step(now, []Event{ShareUpdate{Fraction: 0.2, Until: 2 * time.Hour}})
-	for i := range 200 { // failures, each counted
+	for i := range 200 { // failures that each count
 		b.counter.pacer.RecordFailure(now+time.Duration(i)*time.Second, now+time.Duration(i)*time.Second)
 	}
 	if got := b.counter.pacer.Rate(); got != minFleetCallRate/5 {
-		t.Errorf("%v calls a second at least, of five gateways", got)
+		t.Errorf("minimum of %v calls per second with five live gateways", got)
 	}
 	now += 300 * time.Second
 	b.Step(now, []Event{ShareUpdate{Fraction: 0.5, Until: 2 * time.Hour, DeadGateways: []int{1, 2, 3}}})
 	if got := b.counter.pacer.Rate(); got != minFleetCallRate/2 {
-		t.Errorf("%v calls a second at least, of two live gateways", got)
+		t.Errorf("minimum of %v calls per second with two live gateways", got)
 	}
 	cust := &customer{gateways: 5, quota: quotaState{fallbackFilledAt: now}}
 	b.counter.callFraction = 0
@@ -179,7 +183,7 @@
 		cust.quota.fallbackFilledAt = b.now
 		b.now += time.Minute
 		if b.refillFallback(cust, &b.settings.Plans[0]); cust.quota.fallbackTokens != want {
-			t.Errorf("%v units at once by a fraction of %v", cust.quota.fallbackTokens, fraction)
+			t.Errorf("%v fallback tokens with a fraction of %v", cust.quota.fallbackTokens, fraction)
 		}
 		now = b.now
 	}
