--- a/internal/balancer/tokenlease_test.go
+++ b/internal/balancer/tokenlease_test.go
@@ -5,27 +5,30 @@
 	"time"
 )
 
+// TestLeasePromotesRequests verifies that waiting requests are sent once a token lease is granted.
 func TestLeasePromotesRequests(t *testing.T) {
 	b := newTestBalancer(t, testSettings(), testEndpoints(8)...)
 	call := spendFallback(t, b, ms)
 	b.Step(2*ms, testRequests(0, 0, 1, 2, 3, 4, 5))
 	actions := b.Step(4*ms, []Event{CounterResult{call.Name, OK, call.Amount}})
 	if len(actionsOf[Dispatch](actions)) == 0 {
-		t.Errorf("nothing is sent after a lease: %v", actions)
+		t.Errorf("no request sent after a lease: %v", actions)
 	}
 }
 
+// TestEmptyBucketRejectsHardPlan verifies that requests of a hard plan are rejected if its bucket is empty.
 func TestEmptyBucketRejectsHardPlan(t *testing.T) {
 	b := newTestBalancer(t, testSettings(), testEndpoints(8)...)
 	call := spendFallback(t, b, ms)
 	b.Step(2*ms, testRequests(0, 0, 1, 2, 3, 4, 5))
 	actions := b.Step(4*ms, []Event{CounterResult{call.Name, OK, call.Amount + 30}})
 	if len(actionsOf[Reject](actions)) == 0 || len(actionsOf[Dispatch](actions)) != 0 {
-		t.Errorf("an empty bucket let requests through: %v", actions)
+		t.Errorf("requests sent or none rejected with an empty bucket: %v", actions)
 	}
 }
 
-// Where calls cost, a lease of a nearly full bucket reaches further ahead; one of a nearly empty bucket does not.
+// TestLeaseSizeGrowsWithCallCost verifies that a higher call cost increases the lease of a nearly full bucket, but not
+// that of a bucket that is only half full.
 func TestLeaseSizeGrowsWithCallCost(t *testing.T) {
 	block := func(callCost, fill float64) float64 {
 		settings := testSettings()
@@ -48,36 +51,37 @@
 		cust.bucket.levelAt = now
 		calls := actionsOf[CounterAdd](b.Step(now+ms, []Event{testRequest(2, 0, 0)}))
 		if len(calls) != 1 {
-			t.Fatalf("%d calls", len(calls))
+			t.Fatalf("%d counter calls, want 1", len(calls))
 		}
 		return calls[0].Amount - cust.quota.debt
 	}
-	free, dear, scarce := block(0, 1), block(0.02, 1), block(0.02, 0.5)
-	if dear < 3*free || scarce > free+1 {
-		t.Errorf("leases of %.0f where calls are free, %.0f where they cost, %.0f from a half empty bucket",
-			free, dear, scarce)
+	free, costly, halfFull := block(0, 1), block(0.02, 1), block(0.02, 0.5)
+	if costly < 3*free || halfFull > free+1 {
+		t.Errorf("leases of %.0f with free calls, %.0f with costly calls, %.0f with a half-full bucket",
+			free, costly, halfFull)
 	}
 }
 
-// A block without an answer is lost to the customer, so the next call asks for one request only. An answer ends that.
+// TestLeaseIsSmallestAfterLostCall verifies that the next call requests units for a single request only after a call
+// was not answered, since its block may be lost to the customer. The next answer ends this.
 func TestLeaseIsSmallestAfterLostCall(t *testing.T) {
 	b, call, now := newBalancerWithCallOut(t)
 	cust := b.customers.find("c")
 	b.Step(now+50*ms, []Event{CounterResult{Name: call.Name, Status: Timeout}})
-	cust.demand.rate = 100 // a flood, whose lease would be a large one
+	cust.demand.rate = 100 // a flood, for which a lease would be large
 	now += 50*ms + timedOutCallPause
 	calls := actionsOf[CounterAdd](b.Step(now, []Event{testRequest(800, 0, 0)}))
 	if len(calls) != 1 || calls[0].Amount > 1+1e-9 {
-		t.Fatalf("after a call without an answer: %v; want one for a single unit", calls)
+		t.Fatalf("calls after one without an answer: %v; want one for a single unit", calls)
 	}
 	b.Step(now+ms, []Event{CounterResult{Name: calls[0].Name, Status: OK, Total: 0}})
 	if cust.quota.lastCallLost {
-		t.Error("the counter has answered, and still the least is asked for")
+		t.Error("lastCallLost is still set after an answer")
 	}
 }
 
-// Where the ceiling is leased a gateway does not keep a part of a unit, which would stay there until it is lost: all of
-// the block is returned.
+// TestLeaseTakesWholeUnitsWithLeasedCeiling verifies that a gateway keeps no fraction of a unit if the ceiling is
+// leased, because the fraction would stay unused until it is lost. The rest of the block is returned.
 func TestLeaseTakesWholeUnitsWithLeasedCeiling(t *testing.T) {
 	for held, want := range map[float64]float64{0.91: 0, 1.4: 1, 2: 2, 5: 3} {
 		settings := testSettings()
@@ -116,7 +120,7 @@
 			returned += call.Amount
 		}
 		if cust.quota.tokens != want || returned < want-3-1e-9 || returned > want-3+1e-9 {
-			t.Errorf("of %v units in the bucket %v are taken, %v of 3 are returned", held, cust.quota.tokens, -returned)
+			t.Errorf("bucket of %v units: %v units taken, %v of 3 returned", held, cust.quota.tokens, -returned)
 		}
 	}
 }
