--- a/internal/balancer/bucketcarry.go
+++ b/internal/balancer/bucketcarry.go
@@ -13,13 +13,13 @@
 	maxCarriedTime = 3 * time.Second
 )
 
-// learnBucket makes sure that a customer's bucket level is known and that the deficit of the previous counter window is
+// syncBucket makes sure that a customer's bucket level is known and that the deficit of the previous counter window is
 // carried into the current one. Only plans with a leased ceiling need it.
 //
 // Each counter window starts with a total of 0, and when demand moves between many gateways, no single gateway may know
 // the previous level. The first gateway that calls in a window fetches the previous window's total and adds the
 // deficit. The other gateways wait carryDelay for that to happen.
-func (b *Balancer) learnBucket(cust *customer) {
+func (b *Balancer) syncBucket(cust *customer) {
 	terms := b.callTermsOf(cust.plan)
 	if !terms.ceilingLeased || !b.canCallCounter() {
 		return
--- a/internal/balancer/bucketcorrection.go
+++ b/internal/balancer/bucketcorrection.go
@@ -70,12 +70,12 @@
 		b.addSurplus(call, found.level-found.expected, found.total)
 	case correctToBurst:
 		b.addSurplus(call, found.level-call.terms.plan.Burst, found.total)
-		b.learnBucket(cust) // carries the deficit of the previous window
+		b.syncBucket(cust) // carries the deficit of the previous window
 	case correctUnderLock:
 		b.callCorrectionLock(call, found.level-leastLevel, found.total)
 		return leastLevel
 	case carryIntoWindow:
-		b.learnBucket(cust)
+		b.syncBucket(cust)
 		return leastLevel
 	case deferCorrection:
 	}
--- a/internal/balancer/tokenlease.go
+++ b/internal/balancer/tokenlease.go
@@ -47,7 +47,7 @@
 	canCall := b.canCallForTokens(req)
 	switch {
 	case ceilingShort && !b.isBucketReliable(req.customer, plan):
-		b.learnBucket(req.customer)
+		b.syncBucket(req.customer)
 		return quotaExceeded
 	case quota.hasTokens(req.units):
 		quota.spendTokens(req.units)
@@ -143,7 +143,7 @@
 	cust.quota.beginCall()
 	b.counter.recordCall(b.now)
 	if ceilingShort {
-		b.learnBucket(cust)
+		b.syncBucket(cust)
 	}
 	amount := block / max(b.counter.callFraction, 1/maxRequestsPerCall)
 	if !cust.bucket.known && b.leaseTerms[cust.plan].Rate > 0 || cust.quota.lastCallLost {
