--- a/internal/balancer/largefleet.go
+++ b/internal/balancer/largefleet.go
@@ -60,8 +60,8 @@
 	return b.counter.pacer.CanCall(b.now, reserve)
 }
 
-// hasWaitedForCounter reports whether a request has reached its limit of waiting for the counter or for its turn to
-// call it.
+// hasWaitedForCounter reports whether a request has reached its limit of waiting for the counter or for permission
+// to call it.
 func (b *Balancer) hasWaitedForCounter(req *request) bool {
 	return (b.now - req.arrivedAt).Seconds() > req.timeLimit.Seconds()*maxCounterWaitFraction
 }
--- a/internal/balancer/sparseshare.go
+++ b/internal/balancer/sparseshare.go
@@ -108,7 +108,7 @@
 	case !ceilingShort:
 		quota.addDebt(req.units)
 		return quotaExceeded
-	case b.awaitsTurnToCall(check):
+	case b.awaitsPermissionToCall(check):
 		return quotaPending
 	default:
 		return b.awaitSparseCeiling(check)
@@ -127,8 +127,8 @@
 	return b.latency.fleetSlowdown > minPromotionSlowdown && b.canCallForRequest(check.request, softQuotaCallReserve)
 }
 
-// awaitsTurnToCall reports whether a request waits until it may call the counter.
-func (b *Balancer) awaitsTurnToCall(check *quotaCheck) bool {
+// awaitsPermissionToCall reports whether a request waits until it is allowed to call the counter.
+func (b *Balancer) awaitsPermissionToCall(check *quotaCheck) bool {
 	req, cust := check.request, check.request.customer
 	return !req.quota.counterCalled && !check.nearlyLate &&
 		b.now >= max(cust.bucket.emptyUntil, cust.quota.callsPausedUntil) &&
