--- a/internal/balancer/countercall.go
+++ b/internal/balancer/countercall.go
@@ -47,7 +47,7 @@
 	minFleetCallRate = 40.0
 	// maxCallRate is the maximum rate of one gateway, in calls per second.
 	maxCallRate = 1000.0
-	// callBurst is the number of calls that a gateway may make at once.
+	// callBurst is the maximum number of calls that a gateway may make at once.
 	callBurst = 4.0
 )
 
@@ -313,7 +313,7 @@
 		call.customer.waiting.allowAnotherCall()
 	case Timeout:
 		b.handleCallTimeout(call)
-	default: // nothing was added
+	default: // the counter added nothing
 		quota.addDebt(call.debt)
 	}
 }
