--- a/internal/balancer/countercall_test.go
+++ b/internal/balancer/countercall_test.go
@@ -79,14 +79,14 @@
 	}
 }
 
-// newBalancerWithCallOut returns a balancer with one pending counter call, for a request that waits for it.
-func newBalancerWithCallOut(t *testing.T) (*Balancer, CounterAdd, time.Duration) {
+// newBalancerWithPendingCall returns a balancer with one pending counter call, for a request that waits for it.
+func newBalancerWithPendingCall(t *testing.T) (*Balancer, CounterAdd, time.Duration) {
 	t.Helper()
-	return newSeededBalancerWithCallOut(t, 7)
+	return newSeededBalancerWithPendingCall(t, 7)
 }
 
-// newSeededBalancerWithCallOut is newBalancerWithCallOut with a given seed.
-func newSeededBalancerWithCallOut(t *testing.T, seed uint64) (*Balancer, CounterAdd, time.Duration) {
+// newSeededBalancerWithPendingCall is newBalancerWithPendingCall with a given seed.
+func newSeededBalancerWithPendingCall(t *testing.T, seed uint64) (*Balancer, CounterAdd, time.Duration) {
 	t.Helper()
 	b, err := New(testSettings(), seed)
 	if err != nil {
@@ -109,7 +109,7 @@
 func TestCallIsRepeatedAfterBrokenConnection(t *testing.T) {
 	again := 0
 	for seed := range uint64(20) { // the failure decreases the call fraction, so a few do not call
-		b, call, now := newSeededBalancerWithCallOut(t, seed)
+		b, call, now := newSeededBalancerWithPendingCall(t, seed)
 		actions := b.Step(now+3*ms, []Event{CounterResult{Name: call.Name, Status: Timeout}})
 		again += len(actionsOf[CounterAdd](actions))
 		if len(b.counter.timedOut.byTicket) != 0 || b.customers.find("c").quota.callsPausedUntil != 0 {
@@ -126,7 +126,7 @@
 func TestRejectedCallIsNotRepeated(t *testing.T) {
 	for _, status := range []Status{Rejected, ConnectFailed} {
 		for seed := range uint64(20) { // whether a request calls the counter is partly random
-			b, call, now := newSeededBalancerWithCallOut(t, seed)
+			b, call, now := newSeededBalancerWithPendingCall(t, seed)
 			actions := b.Step(now+3*ms, []Event{CounterResult{Name: call.Name, Status: status}})
 			if again := actionsOf[CounterAdd](actions); len(again) != 0 {
 				t.Errorf("status %d, seed %d: called again immediately: %v", status, seed, again)
--- a/internal/balancer/timedoutcall_test.go
+++ b/internal/balancer/timedoutcall_test.go
@@ -9,7 +9,7 @@
 // added it. It is leased only once, regardless of repeated answers or answers to other calls, and no further call is
 // made in the meantime.
 func TestLateResultIsALease(t *testing.T) {
-	b, call, now := newBalancerWithCallOut(t)
+	b, call, now := newBalancerWithPendingCall(t)
 	cust := b.customers.find("c")
 	b.Step(now+50*ms, []Event{CounterResult{Name: call.Name, Status: Timeout}})
 	if actions := b.Step(now+55*ms, []Event{testRequest(900, 0, 0)}); len(actionsOf[CounterAdd](actions)) != 0 {
@@ -34,7 +34,7 @@
 
 // TestLateResultWithoutTotal verifies that the block of a late answer is returned if its total cannot be read.
 func TestLateResultWithoutTotal(t *testing.T) {
-	b, call, now := newBalancerWithCallOut(t)
+	b, call, now := newBalancerWithPendingCall(t)
 	cust := b.customers.find("c")
 	b.Step(now+50*ms, []Event{CounterResult{Name: call.Name, Status: Timeout}})
 	before := cust.quota.debt
@@ -48,7 +48,7 @@
 // that old calls are dropped.
 func TestLateResultOfAnotherWindow(t *testing.T) {
 	for _, after := range []time.Duration{counterWindow, timedOutCallTTL + time.Second} {
-		b, call, now := newBalancerWithCallOut(t)
+		b, call, now := newBalancerWithPendingCall(t)
 		cust := b.customers.find("c")
 		b.Step(now+50*ms, []Event{CounterResult{Name: call.Name, Status: Timeout}})
 		before := cust.quota.tokens
@@ -78,7 +78,7 @@
 // TestLateResultGrantsNoLaterRefill verifies that a late answer only grants units that the bucket had when the call was
 // made. Peers may have spent what it has gained since.
 func TestLateResultGrantsNoLaterRefill(t *testing.T) {
-	b, call, now := newBalancerWithCallOut(t)
+	b, call, now := newBalancerWithPendingCall(t)
 	cust := b.customers.find("c")
 	plan := b.settings.Plans[0]
 	b.Step(now+50*ms, []Event{CounterResult{Name: call.Name, Status: Timeout}})
@@ -93,7 +93,7 @@
 // TestLateResultAfterNewerOne verifies that a late total, which is older than that of a later call, neither looks like
 // a loss of the counter's totals nor replaces the newer one.
 func TestLateResultAfterNewerOne(t *testing.T) {
-	b, call, now := newBalancerWithCallOut(t)
+	b, call, now := newBalancerWithPendingCall(t)
 	cust := b.customers.find("c")
 	b.Step(now+50*ms, []Event{CounterResult{Name: call.Name, Status: Timeout}})
 	now += 50*ms + timedOutCallPause
--- a/internal/balancer/tokenlease_test.go
+++ b/internal/balancer/tokenlease_test.go
@@ -65,7 +65,7 @@
 // TestLeaseIsSmallestAfterLostCall verifies that the next call requests units for a single request only after a call
 // was not answered, since its block may be lost to the customer. The next answer ends this.
 func TestLeaseIsSmallestAfterLostCall(t *testing.T) {
-	b, call, now := newBalancerWithCallOut(t)
+	b, call, now := newBalancerWithPendingCall(t)
 	cust := b.customers.find("c")
 	b.Step(now+50*ms, []Event{CounterResult{Name: call.Name, Status: Timeout}})
 	cust.demand.rate = 100 // a flood, for which a lease would be large
