--- a/internal/balancer/customer_test.go
+++ b/internal/balancer/customer_test.go
@@ -47,7 +47,7 @@
 	settings.Plans[1] = Plan{PriorityFactor: 1, CeilingRate: 20, CeilingBurst: 40}
 	b := newTestBalancer(t, settings, testEndpoints(3)...)
 	end := 200 * time.Second
-	if most := floodWithNewCustomers(b, 0, end, 100, nil); most > maxCustomers { // 5,000 a second
+	if most := floodWithNewCustomers(b, 0, end, 100, nil); most > maxCustomers { // 5,000 per second
 		t.Errorf("%d customers are known, want at most %d", most, maxCustomers)
 	}
 	if len(b.customers.order) != len(b.customers.byName) {
--- a/internal/balancer/largefleet_test.go
+++ b/internal/balancer/largefleet_test.go
@@ -156,7 +156,7 @@
 		from:    2 * time.Second,
 		to:      22 * time.Second,
 		count:   constantly(1),
-		pick: func(request int) int { // 20 a second for 0.4 of the time: 8 of the 10 that the quota gives
+		pick: func(request int) int { // 20 per second for 0.4 of the time: 8 of the quota of 10
 			if request%50 < 20 {
 				return 0
 			}
@@ -199,7 +199,7 @@
 	if len(calls) != 1 || calls[0].Amount != 1 {
 		t.Fatalf("calls: %v, want one for a single unit", calls)
 	}
-	// The bucket is short by a quarter of a unit: an eighth of a second.
+	// The bucket is short by a quarter of a unit, which it gains in an eighth of a second.
 	actions := b.Step(now, []Event{CounterResult{calls[0].Name, OK, 8 + 2*2 + 0.25}})
 	if len(actionsOf[CounterAdd](actions))+len(actionsOf[Dispatch](actions))+len(actionsOf[Reject](actions)) != 0 {
 		t.Fatalf("the request should wait until the bucket has gained its unit: %v", actions)
@@ -284,7 +284,7 @@
 		step(request, TimerFired{0})
 		now += ms
 	}
-	for range 8 { // requests wait for a turn to call for a fifth of their time limit, 100 ms
+	for range 8 { // requests wait a fifth of their time limit, 100 ms, for permission to call
 		now += 20 * ms
 		step(TimerFired{0})
 	}
