--- a/internal/recovery/doc.go
+++ b/internal/recovery/doc.go
@@ -1,9 +1,9 @@
-// Package recovery orders the startup of a gateway of a cluster, so that after a power loss of all gateways none
-// decides by the little that the first of them can see.
+// Package recovery is the state machine that orders the startup of a gateway. After a power loss of the whole cluster
+// it keeps the first gateways that are up from making decisions on a partial view of the cluster.
 //
 // The steps are: state directory, identity, peers, policy, idempotency keys, counter, endpoints, clients. Each step
-// waits for a condition, most of them for a limited time, and the next one starts when that is met or given up. Until
-// the last step clients are rejected at once with a Retry-After.
+// waits for a condition, in most cases with a timeout; the next step starts when the condition is met or the wait times
+// out. Before the last step, clients are rejected immediately with a Retry-After.
 //
-// The package does no input or output: observations and times are passed in.
+// The package does no I/O: callers pass in observations and the current time.
 package recovery
