--- a/internal/recovery/step.go
+++ b/internal/recovery/step.go
@@ -2,13 +2,14 @@
 
 import "time"
 
-// Step is one of the steps, in their order.
+// Step is a step of the startup. The values are in the order of the steps.
 type Step int
 
 const (
-	// StepDisk reads the state directory. A gateway that can't does not start at all.
+	// StepDisk reads the state directory. A gateway that cannot read it does not start.
 	StepDisk Step = iota
-	// StepIdentity waits until this process owns the gateway's name: its incarnation is stored, no later one is known.
+	// StepIdentity waits until this process owns the gateway's name: its incarnation is stored and no process with a
+	// later one is known.
 	StepIdentity
 	// StepPeers waits for the other gateways.
 	StepPeers
@@ -18,7 +19,7 @@
 	StepKeys
 	// StepCounter waits for the counter's first answer.
 	StepCounter
-	// StepEndpoints waits for serving endpoints.
+	// StepEndpoints waits until each pool has serving endpoints.
 	StepEndpoints
 	// StepClients admits clients. It is the last step.
 	StepClients
@@ -26,65 +27,65 @@
 	stepCount = iota
 )
 
-// String returns the step's name as operators see it.
+// String returns the step's name as shown to operators.
 func (s Step) String() string {
 	return [...]string{"disk", "identity", "peers", "policy", "keys", "counter", "backends", "clients"}[s]
 }
 
-// State is how far a step is.
+// State is the progress of a step.
 type State string
 
-// States, in the words that operators see.
+// States of a step. Their texts are shown to operators.
 const (
-	// StatePending waits for the steps before.
+	// StatePending is the state of a step whose predecessors have not finished.
 	StatePending State = "ahead"
-	// StateWaiting is the current step's.
+	// StateWaiting is the state of the current step while its condition is not met.
 	StateWaiting State = "waiting"
 	StateDone    State = "done"
-	// StateTimedOut means that the step's condition was not met in time and startup goes on without.
+	// StateTimedOut means that the condition was not met in time and the startup continued without it.
 	StateTimedOut State = "passed"
-	// StateNotApplicable means that the gateway has nothing of the kind.
+	// StateNotApplicable means that the gateway's configuration has nothing to wait for.
 	StateNotApplicable State = "absent"
 )
 
-// StepView shows a step to operators.
+// StepView is a step as shown to operators.
 type StepView struct {
 	Step  string `json:"step"`
 	State State  `json:"state"`
-	// Since is when the step got into its state, from the start of the machine on.
+	// Since is when the step entered its state, as time since the machine was created.
 	Since time.Duration `json:"since_ns"`
-	// Detail tells what the step waits for or has found.
+	// Detail says what the step waits for or what it found.
 	Detail string `json:"what,omitempty"`
 }
 
-// Config tells which conditions there are to wait for.
+// Config says which conditions the gateway has to wait for.
 type Config struct {
-	// Gateways is the number of gateways of the cluster, this one among them.
+	// Gateways is the number of gateways of the cluster, including this one.
 	Gateways int
-	// HasPolicy tells whether the cluster has a policy.
+	// HasPolicy is whether the cluster has a policy.
 	HasPolicy bool
-	// PolicyRequired tells whether nothing may be decided before the policy is known.
+	// PolicyRequired is whether the gateway must not decide before it knows the cluster's current policy.
 	PolicyRequired bool
-	// HasKeys tells whether idempotency keys are reserved by the cluster.
+	// HasKeys is whether idempotency keys are reserved in the cluster.
 	HasKeys    bool
 	HasCounter bool
 }
 
-// Observation is what the gateway sees at a moment.
+// Observation is what the gateway knows of the startup conditions at one moment.
 type Observation struct {
-	// HasRival tells whether another process of this gateway's name takes precedence.
+	// HasRival is whether a duplicate of this gateway, another process of its name, takes precedence.
 	HasRival bool
-	// PeersHeard is how many other gateways are alive.
+	// PeersHeard is the number of other gateways that are alive.
 	PeersHeard int
-	// PolicyVersion is the version that the gateway has; zero if none.
+	// PolicyVersion is the policy version that the gateway has, or 0 if it has none.
 	PolicyVersion uint64
-	// MayDecide tells whether the gateway may decide by that version.
+	// MayDecide is whether the gateway may decide by that version.
 	MayDecide bool
-	// KeysReady tells whether enough voters answer for idempotency keys; if not, KeysReason tells why.
+	// KeysReady is whether enough voters answer for idempotency keys; if not, KeysReason says why.
 	KeysReady  bool
 	KeysReason string
-	// CounterAnswered tells whether the counter has answered yet.
+	// CounterAnswered is whether the counter has answered yet.
 	CounterAnswered bool
-	// EndpointsServing tells whether each pool has serving endpoints.
+	// EndpointsServing is whether each pool has serving endpoints.
 	EndpointsServing bool
 }
