--- a/internal/recovery/golden_test.go
+++ b/internal/recovery/golden_test.go
@@ -9,7 +9,7 @@
 	"gapgap/internal/golden"
 )
 
-// hashRecovery plays a recovery with random observations and returns the hash of all that is shown and told.
+// hashRecovery runs a machine on random observations and returns the hash of its views, states and Retry-After values.
 func hashRecovery(seed uint64, config Config) string {
 	rng := rand.New(rand.NewPCG(seed, 92))
 	trace := golden.NewTrace()
@@ -31,7 +31,7 @@
 			MayDecide:     rng.IntN(slowness) == 0,
 			KeysReason:    "its disk is empty",
 		}
-		rng.IntN(2) // drawn for a field that is gone; the recorded plays have it
+		rng.IntN(2) // was drawn for a field that has been removed; keeps the recorded sequence of random numbers
 		observed.KeysReady = rng.IntN(slowness) == 0
 		observed.CounterAnswered = rng.IntN(slowness) == 0
 		observed.EndpointsServing = rng.IntN(slowness) == 0
@@ -50,7 +50,7 @@
 	return trace.Sum()
 }
 
-// TestGoldenTraces compares steps, their texts and Retry-After pauses with the recorded ones.
+// TestGoldenTraces verifies that steps, their texts and Retry-After values match the recorded hashes.
 func TestGoldenTraces(t *testing.T) {
 	recorded := golden.LoadHashes(t, "testdata/golden/recovery.txt")
 	for gateways := 1; gateways <= 5; gateways += 2 {
