--- a/internal/recovery/machine_test.go
+++ b/internal/recovery/machine_test.go
@@ -9,13 +9,13 @@
 	"pgregory.net/rapid"
 )
 
-// observationAt is an observation with its time since the start.
+// observationAt is an observation and its time since the machine was created.
 type observationAt struct {
 	at       time.Duration
 	observed Observation
 }
 
-// advanceAll applies observations and returns the finished steps, each with its state and time.
+// advanceAll applies observations in turn and returns the finished steps, each with its state and time.
 func advanceAll(m *Machine, observations []observationAt) string {
 	var finished []string
 	for _, o := range observations {
@@ -26,10 +26,10 @@
 	return strings.Join(finished, ", ")
 }
 
-// fullConfig has something to wait for at each step.
+// fullConfig has a condition to wait for in every step.
 var fullConfig = Config{Gateways: 5, HasPolicy: true, PolicyRequired: true, HasKeys: true, HasCounter: true}
 
-// TestPowerOrderOfRecovery holds what each step waits for, for how long, and which ones time out.
+// TestPowerOrderOfRecovery verifies what each step waits for and for how long, and which steps time out.
 func TestPowerOrderOfRecovery(t *testing.T) {
 	const millisecond, second = time.Millisecond, time.Second
 	cases := []struct {
@@ -173,7 +173,7 @@
 	}
 }
 
-// stepNamed returns the step with a name.
+// stepNamed returns the step of a name.
 func stepNamed(name string) Step {
 	for step := range Step(stepCount) {
 		if step.String() == name {
@@ -183,11 +183,11 @@
 	return 0
 }
 
-// TestPowerRecoveryEnds holds for any observations: steps finish in order and once, a machine without a required policy
-// opens within the limits of its steps, and Retry-After is in its bounds.
+// TestPowerRecoveryEnds verifies, for any observations, that each step finishes once and in order, that a machine
+// without a policy opens within the timeouts of its steps, and that Retry-After is within its bounds.
 func TestPowerRecoveryEnds(t *testing.T) {
 	const start = time.Hour
-	const longest = maxPeersWait + maxKeysWait + maxCounterWait + maxEndpointsWait + time.Second
+	const maxStartup = maxPeersWait + maxKeysWait + maxCounterWait + maxEndpointsWait + time.Second
 	rapid.Check(t, func(t *rapid.T) {
 		config := Config{
 			Gateways:   rapid.IntRange(1, 300).Draw(t, "gateways"),
@@ -198,7 +198,7 @@
 		m := New(start, config, "")
 		last := Step(-1)
 		for now := start; !m.IsOpen(); {
-			if now > start+longest {
+			if now > start+maxStartup {
 				t.Fatalf("not open after %v: %+v", now-start, m.Current())
 			}
 			if wait := m.RetryAfter(now, random); wait < minRetryAfter || wait > 3*time.Second {
