--- a/internal/resourcelimit/doc.go
+++ b/internal/resourcelimit/doc.go
@@ -1,3 +1,3 @@
-// Package resourcelimit bounds the bytes and connections that clients of all frontends together can make the process
-// hold. Where several pools share a limit, each has a guaranteed minimum and may borrow beyond it.
+// Package resourcelimit bounds the memory and the connections that the clients of all frontends can make the process
+// use. Pools that share a limit each have a guaranteed minimum and may borrow beyond it.
 package resourcelimit
