--- a/internal/resourcelimit/allotment.go
+++ b/internal/resourcelimit/allotment.go
@@ -1,6 +1,7 @@
 package resourcelimit
 
-// Allotment is one participant's part of a SharedLimit. It is safe for concurrent use.
+// Allotment is the part of a SharedLimit that belongs to one participant, such as a pool. It is safe for concurrent
+// use.
 type Allotment struct {
 	// name identifies the allotment in statistics.
 	name   string
@@ -9,21 +10,21 @@
 	guarantee int64
 	// held is the number of units held.
 	held int64
-	// reclaim asks the holder to release n borrowed units; nil if it can't.
+	// reclaim asks the holder to release n borrowed units; nil if the holder cannot do so.
 	reclaim func(n int64)
 	// stats holds the counters; Held and Guarantee are filled in by Stats.
 	stats AllotmentStats
 }
 
-// AllotmentStats are the figures of an allotment.
+// AllotmentStats is a snapshot of an allotment's counters.
 type AllotmentStats struct {
 	// Held is the number of units held.
 	Held int64
 	// Guarantee is the guaranteed number of units.
 	Guarantee int64
-	// Refused counts the reservations that failed.
+	// Refused is the number of failed reservations.
 	Refused uint64
-	// Reclaims counts how often the allotment was asked to release borrowed units.
+	// Reclaims is how often the allotment was asked to release borrowed units.
 	Reclaims uint64
 }
 
@@ -35,7 +36,8 @@
 	delete(a.shared.allotments, a)
 }
 
-// SetGuarantee changes the guaranteed minimum. A raised one may not be available until others have released units.
+// SetGuarantee changes the guaranteed minimum. After an increase, units may be unavailable until other allotments
+// release some.
 func (a *Allotment) SetGuarantee(n int64) {
 	a.shared.mu.Lock()
 	defer a.shared.mu.Unlock()
@@ -50,7 +52,7 @@
 }
 
 // TryReserve reserves n units and returns true if the guarantee covers them or no other allotment's guarantee needs
-// them. Otherwise it asks the allotment that has borrowed most, if that is another, to release n units.
+// them. Otherwise it asks the largest borrower, if that is another allotment, to release n units.
 func (a *Allotment) TryReserve(n int64) bool {
 	reserved, reclaim := a.reserveOrReclaim(n)
 	if reclaim != nil {
@@ -59,8 +61,8 @@
 	return reserved
 }
 
-// reserveOrReclaim reserves n units, or returns the function, if any, that asks the largest borrower for units. The
-// caller calls it without the lock.
+// reserveOrReclaim reserves n units or returns the largest borrower's reclaim function, which may be nil. The
+// caller must call it without holding mu.
 func (a *Allotment) reserveOrReclaim(n int64) (reserved bool, reclaim func(int64)) {
 	a.shared.mu.Lock()
 	defer a.shared.mu.Unlock()
@@ -77,7 +79,8 @@
 	return false, borrower.reclaim
 }
 
-// Adjust adds n units to those held, regardless of the limit, for what is held already. A negative n releases units.
+// Adjust adds n units to those held, regardless of the limit, to account for units already in use. A negative n
+// releases units.
 func (a *Allotment) Adjust(n int64) {
 	a.shared.mu.Lock()
 	defer a.shared.mu.Unlock()
@@ -97,8 +100,8 @@
 	a.shared.unusedGuarantees += a.unusedGuarantee() - before
 }
 
-// IsExceeded reports whether the shared total is exceeded while this allotment holds more than its guarantee. Its
-// holder must then stop calling Adjust with positive numbers.
+// IsExceeded reports whether the shared total is exceeded and this allotment holds more than its guarantee. If so, its
+// holder must not call Adjust with a positive number.
 func (a *Allotment) IsExceeded() bool {
 	a.shared.mu.Lock()
 	defer a.shared.mu.Unlock()
@@ -117,7 +120,7 @@
 	return a.name
 }
 
-// Stats returns the current figures.
+// Stats returns the current values of the counters.
 func (a *Allotment) Stats() AllotmentStats {
 	a.shared.mu.Lock()
 	defer a.shared.mu.Unlock()
