--- a/internal/resourcelimit/bytes.go
+++ b/internal/resourcelimit/bytes.go
@@ -2,13 +2,13 @@
 
 import "sync/atomic"
 
-// Bytes bounds the bytes that are held at a time. It is safe for concurrent use.
+// Bytes bounds the number of bytes held at the same time. It is safe for concurrent use.
 type Bytes struct {
-	// limit is the number of bytes that may be held. It is not used with an allotment.
+	// limit is the maximum number of bytes held. It is not used with an allotment.
 	limit int64
 	// held is the number of bytes held. It is not used with an allotment.
 	held atomic.Int64
-	// allotment counts the bytes against a SharedLimit; nil means that the limit is not shared.
+	// allotment accounts for the bytes in a SharedLimit; nil means that the limit is not shared.
 	allotment *Allotment
 }
 
@@ -22,7 +22,7 @@
 	return &Bytes{allotment: allotment}
 }
 
-// TryReserve reserves n bytes and returns true if they fit; otherwise it reserves nothing.
+// TryReserve reserves n bytes and returns true if they are within the limit; otherwise it reserves nothing.
 func (b *Bytes) TryReserve(n int64) bool {
 	if b.allotment != nil {
 		return b.allotment.TryReserve(n)
