--- a/internal/resourcelimit/clientlimit.go
+++ b/internal/resourcelimit/clientlimit.go
@@ -8,39 +8,40 @@
 )
 
 const (
-	// assignableFraction is the part of the connections that groups may hold. Beyond it idle connections are evicted.
+	// assignableFraction is the fraction of the connections that groups may hold. Beyond it, idle connections are
+	// evicted.
 	assignableFraction = 0.9
-	// UnassignedFraction is the part of the connections that no guarantee may cover: it is reserved for connections
-	// that have not sent a request yet.
+	// UnassignedFraction is the fraction of the connections that guarantees must leave free: it is reserved for
+	// connections that have not sent a request yet.
 	UnassignedFraction = 1 - assignableFraction
 )
 
-// Times after which a connection without an open request may be evicted. They are also the order of eviction.
+// Times after which a connection without an open request may be evicted, in the order of eviction.
 const (
 	// idleTimeout applies to every connection.
 	idleTimeout = 2 * time.Second
 	// unusedTimeout applies to a connection that has never sent a request.
 	unusedTimeout = 500 * time.Millisecond
-	// fullIdleTimeout applies to every connection once the limit is reached.
+	// fullIdleTimeout applies to every connection when the limit is reached.
 	fullIdleTimeout = 250 * time.Millisecond
 )
 
 // ClientConnection is a client's connection to a frontend.
 type ClientConnection interface {
-	// IdleSince returns the event loop's time since which no request is open, or 0 while one is open, and whether the
-	// connection has ever sent a request.
+	// IdleSince returns the event loop's time at which the last open request ended, or 0 while one is open, and
+	// whether the connection has ever sent a request.
 	IdleSince() (since time.Duration, used bool)
-	// CloseWhenIdle closes the connection now if it is idle, otherwise after its last answer.
+	// CloseWhenIdle closes the connection now if it is idle, otherwise after its last response.
 	CloseWhenIdle()
 }
 
 // ClientLimit bounds the client connections of all frontends together. It is safe for concurrent use.
 type ClientLimit struct {
-	// limit is the number of connections that may be held.
+	// limit is the maximum number of connections.
 	limit int64
 	// now is the event loop's clock.
 	now func() time.Duration
-	// count is the number of connections held.
+	// count is the number of open connections.
 	count atomic.Int64
 
 	mu          sync.Mutex
@@ -49,11 +50,12 @@
 	assigned int64
 }
 
-// connectionState is what ClientLimit records about a connection.
+// connectionState is the state that ClientLimit keeps for a connection.
 type connectionState struct {
-	// group is the pool that the connection's last request went to; nil before its first request.
+	// group is that of the pool that received the connection's last request; nil before the first request.
 	group *Group
-	// evicting is set once the connection was selected for eviction while it may be busy.
+	// evicting is set when the connection, idle or busy, is selected for eviction. It may stay open until its last
+	// response.
 	evicting bool
 }
 
@@ -66,7 +68,8 @@
 	}
 }
 
-// HasCapacity reports whether a new connection may be accepted. Near the limit it evicts an idle one for it.
+// HasCapacity reports whether a new connection may be accepted. Near the limit it evicts an idle connection to make
+// room.
 func (c *ClientLimit) HasCapacity() bool {
 	count := c.count.Load()
 	if !c.isNearLimit(count) {
@@ -77,7 +80,7 @@
 	return evicted || !full
 }
 
-// isNearLimit reports whether that many connections leave only the unassigned part of the limit.
+// isNearLimit reports whether count connections leave at most the unassigned fraction of the limit free.
 func (c *ClientLimit) isNearLimit(count int64) bool {
 	return float64(count) >= assignableFraction*float64(c.limit)
 }
@@ -90,52 +93,52 @@
 	c.connections[connection] = &connectionState{}
 }
 
-// Assign moves a connection to the group of the pool that it sends a request to. It returns false if this is the
-// connection's first request, the groups hold all they may and the group's guarantee is used up: the caller then
-// rejects the request and closes the connection. A connection within the guarantee is always accepted; a borrowed one
-// of another group is evicted for it.
-func (c *ClientLimit) Assign(connection ClientConnection, to *Group) bool {
-	accepted, victim := c.assign(connection, to)
+// Assign moves a connection to the group of the pool that receives its current request. It returns false if this is the
+// connection's first request, no more connections are assignable and the group's guarantee is used up; the caller must
+// then reject the request and close the connection. A connection within the guarantee is always accepted; if no more
+// are assignable, a connection of the group that has borrowed most is evicted.
+func (c *ClientLimit) Assign(connection ClientConnection, group *Group) bool {
+	accepted, victim := c.assign(connection, group)
 	if victim != nil {
 		victim.CloseWhenIdle()
 	}
 	return accepted
 }
 
-// assign does the work of Assign and returns the connection to evict, if any. The caller closes it without the lock.
-func (c *ClientLimit) assign(connection ClientConnection, to *Group) (accepted bool, victim ClientConnection) {
+// assign implements Assign and returns the connection to evict, if any. The caller must close it without holding mu.
+func (c *ClientLimit) assign(connection ClientConnection, group *Group) (accepted bool, victim ClientConnection) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	state := c.connections[connection]
-	if state == nil || state.group == to {
+	if state == nil || state.group == group {
 		return true, nil
 	}
 	full := c.isNearLimit(c.assigned)
-	if full && state.group == nil && to.borrowed() >= 0 {
-		to.refused.Add(1)
+	if full && state.group == nil && group.borrowed() >= 0 {
+		group.refused.Add(1)
 		return false, nil
 	}
-	c.assignLocked(state, to)
+	c.assignLocked(state, group)
 	if full {
 		victim = c.selectBorrowed()
 	}
 	return true, victim
 }
 
-// assignLocked counts a connection in its new group; nil means none. The caller holds mu.
-func (c *ClientLimit) assignLocked(state *connectionState, to *Group) {
+// assignLocked moves a connection to a group, or to none if that is nil. The caller holds mu.
+func (c *ClientLimit) assignLocked(state *connectionState, group *Group) {
 	if state.group != nil {
 		state.group.held.Add(-1)
 		c.assigned--
 	}
-	state.group = to
-	if to != nil {
-		to.held.Add(1)
+	state.group = group
+	if group != nil {
+		group.held.Add(1)
 		c.assigned++
 	}
 }
 
-// Remove stops counting a connection. Further calls for the same connection do nothing.
+// Remove removes a connection that is closed. Further calls for the same connection have no effect.
 func (c *ClientLimit) Remove(connection ClientConnection) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -148,17 +151,17 @@
 	c.count.Add(-1)
 }
 
-// Len returns the number of connections held.
+// Len returns the number of open connections.
 func (c *ClientLimit) Len() int {
 	return int(c.count.Load())
 }
 
-// Max returns the number of connections that may be held.
+// Max returns the maximum number of connections.
 func (c *ClientLimit) Max() int {
 	return int(c.limit)
 }
 
-// ConnectionsOf returns the connections of one type, which are those of one frontend.
+// ConnectionsOf returns the connections of type T. Each frontend has its own type.
 func ConnectionsOf[T ClientConnection](c *ClientLimit) []T {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -172,7 +175,7 @@
 }
 
 // evictIdle closes the idle connection that is first in the order of eviction and reports whether there was one.
-// Clients that keep connections without using them would otherwise lock others out.
+// Without it, clients that keep unused connections open could lock out other clients.
 func (c *ClientLimit) evictIdle(full bool) bool {
 	victim := c.selectIdle(c.now(), full)
 	if victim == nil {
@@ -184,12 +187,12 @@
 	return true
 }
 
-// selectIdle returns the connection to evict, or nil. Connections within their group's guarantee are exempt.
+// selectIdle returns the idle connection to evict, or nil. Connections within their group's guarantee are exempt.
 func (c *ClientLimit) selectIdle(now time.Duration, full bool) ClientConnection {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var victim ClientConnection
-	var lowest time.Duration
+	var lowestRank time.Duration
 	for connection, state := range c.connections {
 		var idle idleState
 		idle.since, idle.used = connection.IdleSince()
@@ -197,24 +200,24 @@
 			continue
 		}
 		rank, evictable := idle.evictionRank(now, full)
-		if evictable && (victim == nil || rank < lowest) {
+		if evictable && (victim == nil || rank < lowestRank) {
 			victim = connection
-			lowest = rank
+			lowestRank = rank
 		}
 	}
 	return victim
 }
 
-// idleState is what a connection reports by IdleSince.
+// idleState is the result of a connection's IdleSince.
 type idleState struct {
-	// since is the event loop's time since which no request is open.
+	// since is the event loop's time at which the last open request ended.
 	since time.Duration
 	// used is true if the connection has ever sent a request.
 	used bool
 }
 
-// evictionRank returns the place of an idle connection in the order of eviction, lowest first, and whether it may be
-// evicted at all: first those idle for long, then those never used, and at the limit all others.
+// evictionRank returns the rank of an idle connection in the order of eviction, lowest first, and whether it may be
+// evicted at all. Connections idle for idleTimeout come first, then unused ones, then, at the limit, all others.
 func (s idleState) evictionRank(now time.Duration, full bool) (rank time.Duration, evictable bool) {
 	idle := now - s.since
 	switch {
@@ -229,20 +232,21 @@
 	}
 }
 
-// selectBorrowed returns a connection, idle or busy, of the group that has borrowed most, or nil. A pool that keeps all
-// its connections busy could otherwise lock the other pools' clients out. The caller holds mu.
+// selectBorrowed returns a connection, idle or busy, of the group that has borrowed most, or nil. Busy ones are
+// included because a pool that keeps all its connections busy could otherwise lock out the other pools' clients. The
+// caller holds mu.
 func (c *ClientLimit) selectBorrowed() ClientConnection {
 	var victim ClientConnection
 	var victimState *connectionState
-	most := int64(0)
+	mostBorrowed := int64(0)
 	for connection, state := range c.connections {
 		if state.group == nil || state.evicting {
 			continue
 		}
-		if borrowed := state.group.borrowed(); borrowed > most {
+		if borrowed := state.group.borrowed(); borrowed > mostBorrowed {
 			victim = connection
 			victimState = state
-			most = borrowed
+			mostBorrowed = borrowed
 		}
 	}
 	if victim != nil {
