--- a/internal/resourcelimit/endpointlimit.go
+++ b/internal/resourcelimit/endpointlimit.go
@@ -3,40 +3,41 @@
 import "sync"
 
 const (
-	// minCleanupSize is the number of addresses from which on unused ones are removed.
+	// minCleanupSize is the lowest table size at which unused addresses are removed.
 	minCleanupSize = 64
-	// cleanupGrowth is the growth of the address table, as a factor, between two removals of unused addresses.
+	// cleanupGrowth is the factor by which the address table grows between two removals of unused addresses.
 	cleanupGrowth = 2
-	// guaranteeDivisor sets aside one part in that many of an endpoint's connections as guarantees.
+	// guaranteeDivisor determines the part of an endpoint's connections that is set aside for guarantees: one in
+	// guaranteeDivisor.
 	guaranteeDivisor = 2
 )
 
-// EndpointLimits bounds the connections to each endpoint, by address, over all pools that use it. It is safe for
+// EndpointLimits bounds the connections to each endpoint address across all pools that use it. It is safe for
 // concurrent use.
 type EndpointLimits struct {
 	mu        sync.Mutex
 	endpoints map[string]*sharedEndpoint
-	// cleanupSize is the number of addresses at which unused ones are removed next.
+	// cleanupSize is the table size at which unused addresses are removed next.
 	cleanupSize int
 }
 
-// sharedEndpoint is one address with the pools that use it.
+// sharedEndpoint is an endpoint address with the limits of the pools that use it.
 type sharedEndpoint struct {
 	limit   *SharedLimit
 	members map[*EndpointLimit]struct{}
 }
 
-// EndpointLimit is one pool's part of an endpoint's connections. Half of the connections are guaranteed to the pools in
-// equal parts, so that no pool can lock another out; the rest goes to the pool that asks first.
+// EndpointLimit is one pool's allotment of an endpoint's connections. Half of the connections are divided evenly among
+// the pools as guarantees, so that no pool can lock out another; the rest is first come, first served.
 type EndpointLimit struct {
 	*Allotment
 	limits   *EndpointLimits
 	endpoint *sharedEndpoint
-	// maxConnections is the pool's own bound on the endpoint's connections.
+	// maxConnections is the pool's own limit for the endpoint.
 	maxConnections int
 }
 
-// NewEndpointLimits returns limits without any address.
+// NewEndpointLimits returns limits without addresses.
 func NewEndpointLimits() *EndpointLimits {
 	return &EndpointLimits{
 		endpoints:   map[string]*sharedEndpoint{},
@@ -44,8 +45,8 @@
 	}
 }
 
-// Join returns a pool's part of the connections to an address. The endpoint's limit is the lowest maxConnections of its
-// pools. For reclaim see [SharedLimit.Join].
+// Join adds a pool to an address and returns its allotment of the connections. The endpoint's total is the lowest
+// maxConnections of its pools. For reclaim see [SharedLimit.Join].
 func (l *EndpointLimits) Join(address, pool string, maxConnections int, reclaim func(n int64)) *EndpointLimit {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -71,7 +72,7 @@
 	return member
 }
 
-// removeUnused removes the addresses that no pool uses and that have no open connection. The caller holds mu.
+// removeUnused removes the addresses that have neither a pool nor an open connection. The caller holds mu.
 func (l *EndpointLimits) removeUnused() {
 	for address, endpoint := range l.endpoints {
 		if len(endpoint.members) == 0 && endpoint.limit.Held() == 0 {
@@ -88,7 +89,7 @@
 	return len(l.endpoints)
 }
 
-// Leave gives up the pool's part. Connections that are still open count until each is released.
+// Leave removes the pool from the endpoint. Connections that are still open count until they are released.
 func (m *EndpointLimit) Leave() {
 	m.limits.mu.Lock()
 	defer m.limits.mu.Unlock()
@@ -100,8 +101,8 @@
 	m.endpoint.redistribute()
 }
 
-// redistribute sets the endpoint's total and the pools' guarantees after a pool joined or left. Without pools the total
-// stays. The caller holds the mutex of the EndpointLimits.
+// redistribute recomputes the endpoint's total and the pools' guarantees after a pool joined or left. Without pools the
+// total is unchanged. The caller holds the mutex of the EndpointLimits.
 func (e *sharedEndpoint) redistribute() {
 	total := e.lowestMaximum()
 	if total == 0 {
@@ -114,7 +115,7 @@
 	}
 }
 
-// lowestMaximum returns the lowest bound that a pool sets, or 0 if no pool uses the endpoint.
+// lowestMaximum returns the lowest maxConnections of the pools, or 0 if no pool uses the endpoint.
 func (e *sharedEndpoint) lowestMaximum() int {
 	lowest := 0
 	for member := range e.members {
