--- a/internal/resourcelimit/sharedlimit.go
+++ b/internal/resourcelimit/sharedlimit.go
@@ -5,14 +5,14 @@
 	"sync"
 )
 
-// SharedLimit divides a total among allotments, each with a guaranteed minimum. Allotments borrow what no guarantee
-// covers; one that borrows most is asked to release some when another needs it. The unused part of a guarantee is never
-// lent, so that it is available at once (alternatives: docs/design/pools.md).
+// SharedLimit divides a total among allotments, each with a guaranteed minimum. Allotments may borrow the units that no
+// guarantee covers; when another allotment needs units, the largest borrower is asked to release some. The unused part
+// of a guarantee is never lent, so that it is available immediately (for alternatives see docs/design/pools.md).
 //
-// A SharedLimit only counts. Its units, such as bytes or connections, are the caller's. It is safe for concurrent use.
+// A SharedLimit only counts: the caller defines the unit, such as bytes or connections. It is safe for concurrent use.
 type SharedLimit struct {
 	mu sync.Mutex
-	// total is the number of units that may be held.
+	// total is the maximum number of units held.
 	total int64
 	// held is the number of units that all allotments hold, including those that have left.
 	held int64
@@ -21,7 +21,7 @@
 	allotments       map[*Allotment]struct{}
 }
 
-// NewSharedLimit returns a limit of that many units. A negative total means zero.
+// NewSharedLimit returns a limit with a total number of units. A negative total means 0.
 func NewSharedLimit(total int64) *SharedLimit {
 	return &SharedLimit{
 		total:      max(0, total),
@@ -30,8 +30,8 @@
 }
 
 // Join adds an allotment with a guarantee. If reclaim is not nil, it is called when the allotment should release n of
-// the units it has borrowed; it must neither block nor call the SharedLimit. If the guarantees together exceed the
-// total, they are served in order of arrival; see [CheckGuarantees].
+// its borrowed units; it must neither block nor call the SharedLimit. If the sum of the guarantees exceeds the total,
+// they are served first come, first served; see [CheckGuarantees].
 func (l *SharedLimit) Join(name string, guarantee int64, reclaim func(n int64)) *Allotment {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -46,9 +46,9 @@
 	return a
 }
 
-// GuaranteeError says that guarantees do not fit a total.
+// GuaranteeError reports that a guarantee is negative or that the guarantees exceed the total.
 type GuaranteeError struct {
-	// Sum is the sum of the guarantees up to the first that does not fit.
+	// Sum is the sum of the guarantees up to and including the first invalid one.
 	Sum int64
 	// Total is the number of units to divide.
 	Total int64
@@ -56,7 +56,7 @@
 
 // Error implements error.
 func (e *GuaranteeError) Error() string {
-	return fmt.Sprintf("guarantees of %d and more are over the whole of %d", e.Sum, e.Total)
+	return fmt.Sprintf("guarantees of %d or more exceed the total of %d", e.Sum, e.Total)
 }
 
 // CheckGuarantees returns a *GuaranteeError if a guarantee is negative or their sum exceeds the total.
@@ -71,14 +71,14 @@
 	return nil
 }
 
-// SetTotal changes the total. Units held beyond a lowered total stay counted until they are released.
+// SetTotal changes the total. After a decrease, excess units stay counted until they are released.
 func (l *SharedLimit) SetTotal(total int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.total = max(0, total)
 }
 
-// Total returns the number of units that may be held.
+// Total returns the maximum number of units held.
 func (l *SharedLimit) Total() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -92,15 +92,15 @@
 	return l.held
 }
 
-// Len returns the number of allotments that have joined and not left.
+// Len returns the number of allotments.
 func (l *SharedLimit) Len() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.allotments)
 }
 
-// canReserve reports whether an allotment can get n more units without touching other allotments' guarantees.
-// The caller holds mu.
+// canReserve reports whether an allotment can reserve n more units without using units that other allotments'
+// guarantees cover. The caller holds mu.
 func (l *SharedLimit) canReserve(a *Allotment, n int64) bool {
 	if l.held+n > l.total {
 		return false
@@ -113,16 +113,16 @@
 	return l.held+n+othersUnused <= l.total
 }
 
-// largestBorrower returns the allotment that has borrowed most, or a if none has borrowed more than a would with n
-// more units. The caller holds mu.
+// largestBorrower returns the allotment that has borrowed most. It returns a if no other allotment has borrowed more
+// than a would have with n more units. The caller holds mu.
 func (l *SharedLimit) largestBorrower(a *Allotment, n int64) *Allotment {
 	largest := a
-	most := max(0, a.held+n-a.guarantee)
+	mostBorrowed := max(0, a.held+n-a.guarantee)
 	for other := range l.allotments {
 		borrowed := other.held - other.guarantee
-		if other != a && borrowed > most {
+		if other != a && borrowed > mostBorrowed {
 			largest = other
-			most = borrowed
+			mostBorrowed = borrowed
 		}
 	}
 	return largest
