--- a/internal/resourcelimit/clientlimit_test.go
+++ b/internal/resourcelimit/clientlimit_test.go
@@ -20,7 +20,8 @@
 	f.closed = true
 }
 
-// Idle connections are evicted for new ones, those that are idle longest first; one with an open request never is.
+// TestIdleConnectionsAreEvicted verifies that idle connections are evicted for new ones, the longest idle first, and
+// that a connection with an open request is not.
 func TestIdleConnectionsAreEvicted(t *testing.T) {
 	const now = time.Hour
 	busy := &fakeConnection{used: true}
@@ -53,7 +54,7 @@
 	}
 }
 
-// newGroupConnection adds a connection and assigns it to a group; false means that its first request is rejected.
+// newGroupConnection adds a connection and assigns it to a group. It returns false if the first request is rejected.
 func newGroupConnection(t *testing.T, limit *ClientLimit, group *Group) (*fakeConnection, bool) {
 	t.Helper()
 	connection := &fakeConnection{used: true}
@@ -68,7 +69,8 @@
 	return connection, false
 }
 
-// removeClosed removes the connections that were told to close, as after their last answer, and returns their number.
+// removeClosed removes the connections whose CloseWhenIdle was called, as after their last response, and returns their
+// number.
 func removeClosed(limit *ClientLimit, connections []*fakeConnection) int {
 	removed := 0
 	for _, connection := range connections {
@@ -81,8 +83,9 @@
 	return removed
 }
 
-// A pool takes all assignable connections and keeps them busy: new connections of that pool are rejected with their
-// first request, and those of another pool are accepted, within its guarantee, for connections that the first borrowed.
+// TestBusyConnectionsBeyondTheGuaranteeAreEvicted verifies the limit when one pool holds all assignable connections and
+// keeps them busy: further connections of that pool are rejected at their first request, and each connection of another
+// pool within its guarantee is accepted and evicts a borrowed one.
 func TestBusyConnectionsBeyondTheGuaranteeAreEvicted(t *testing.T) {
 	const now = time.Hour
 	limit := NewClientLimit(20, func() time.Duration { return now })
