--- a/internal/resourcelimit/endpointlimit_test.go
+++ b/internal/resourcelimit/endpointlimit_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// An endpoint's connections are bounded over all pools by the lowest maximum, and no pool can lock another out.
+// TestEndpointLimitIsSharedByPools verifies that the lowest maximum bounds an endpoint's connections across all pools,
+// that no pool can lock out another, and that unused addresses are removed.
 func TestEndpointLimitIsSharedByPools(t *testing.T) {
 	limits := NewEndpointLimits()
 	reclaims := 0
