--- a/internal/resourcelimit/sharedlimit_test.go
+++ b/internal/resourcelimit/sharedlimit_test.go
@@ -7,14 +7,14 @@
 	"pgregory.net/rapid"
 )
 
-// allotmentModel is what the test expects of an allotment.
+// allotmentModel is the expected state of an allotment.
 type allotmentModel struct {
 	guarantee int64
 	held      int64
 }
 
-// Whatever is reserved and released, the total is never exceeded, and the unused part of each guarantee is available
-// at once as long as the guarantees fit and none was changed.
+// TestSharedLimitKeepsGuarantees verifies, for any reservations and releases, that the total is never exceeded and that
+// the unused part of each guarantee is available immediately. The guarantees fit the total and do not change.
 func TestSharedLimitKeepsGuarantees(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		total := rapid.Int64Range(0, 100).Draw(t, "total")
@@ -50,7 +50,7 @@
 	})
 }
 
-// checkHeld compares the units counted with those of the models.
+// checkHeld compares the held units with those of the models.
 func checkHeld(t *rapid.T, limit *SharedLimit, total int64, models map[*Allotment]*allotmentModel) {
 	t.Helper()
 	sum := int64(0)
@@ -65,7 +65,7 @@
 	}
 }
 
-// checkGuarantees reserves and releases what is unused of each guarantee.
+// checkGuarantees reserves and releases the unused part of each guarantee.
 func checkGuarantees(t *rapid.T, allotments []*Allotment, models map[*Allotment]*allotmentModel) {
 	t.Helper()
 	for _, allotment := range allotments {
@@ -81,7 +81,9 @@
 	}
 }
 
-// A failed reservation reclaims from the allotment that has borrowed most, if that is more than the caller would have.
+// TestSharedLimitReclaimsFromTheLargestBorrower verifies that a failed reservation reclaims units from the largest
+// borrower, unless the caller would itself have borrowed as much, and that released units and lowered guarantees become
+// available.
 func TestSharedLimitReclaimsFromTheLargestBorrower(t *testing.T) {
 	limit := NewSharedLimit(10)
 	reclaimed := map[string]int64{}
@@ -114,6 +116,7 @@
 	}
 }
 
+// TestCheckGuarantees verifies that guarantees must not be negative or exceed the total.
 func TestCheckGuarantees(t *testing.T) {
 	tests := []struct {
 		name       string
