--- a/internal/peer/doc.go
+++ b/internal/peer/doc.go
@@ -1,7 +1,7 @@
-// Package peer carries messages between the gateways of one cluster, in datagrams that are sealed with a shared key:
-// nothing is taken from, or revealed to, a process without it. It drives one [cluster.Node] and hands the node's
-// share lease to the users of the common quotas.
+// Package peer carries messages between the gateways of a cluster in UDP datagrams, encrypted and authenticated with a
+// shared key: messages from processes without the key are rejected, and such processes cannot read any. The package
+// drives one [cluster.Node] and passes the node's share lease to the users of the shared quotas.
 //
-// One goroutine, the event loop, owns the node; another one reads the socket and opens datagrams. A gateway is sent to
-// at its address in the list, wherever its own messages came from.
+// One goroutine, the event loop, owns the node; another one reads the socket and decrypts datagrams. Messages to a
+// gateway go to its configured address, whatever address its own messages came from.
 package peer
