--- a/internal/peer/codec.go
+++ b/internal/peer/codec.go
@@ -14,36 +14,38 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// A datagram has a header of version, the salt of its sender's process and a count, then the sealed message. Each
-// process seals with a key of its own, derived from the shared key and its salt, so that counts serve as nonces.
+// A datagram consists of a header and the encrypted message. The header has the version, the salt of the sending
+// process and a sequence number. Each process encrypts with its own key, derived from the shared key and its salt, so
+// that sequence numbers can serve as nonces.
 const (
 	datagramVersion = 1
 	saltSize        = 16
-	countSize       = 8
-	headerSize      = 1 + saltSize + countSize
+	sequenceSize    = 8
+	headerSize      = 1 + saltSize + sequenceSize
 	nonceSize       = 12
 	derivedKeySize  = 32
 
-	// maxDatagramBytes bounds a datagram; the largest that is sent has about 3 KB.
+	// maxDatagramBytes is the maximum size of a datagram; the largest that is sent has about 3 KB.
 	maxDatagramBytes = 16 << 10
-	// minSharedKeyBytes is the least length of the shared key.
+	// minSharedKeyBytes is the minimum length of the shared key.
 	minSharedKeyBytes = 16
-	// extraKnownSenders is how many processes are remembered beyond two for each gateway.
+	// extraKnownSenders is how many ciphers of processes are cached beyond two for each gateway.
 	extraKnownSenders = 16
 
-	// keyContext separates keys that are derived for datagrams from others. It is part of the wire format.
+	// keyContext is the context of the key derivation, which separates keys for datagrams from other derived keys. It
+	// is part of the wire format.
 	keyContext = "gapgap fleet"
 )
 
-// Errors of opener.open.
+// Errors of opener.open. Operator documentation quotes some of the texts.
 var (
-	errMalformedDatagram = errors.New("no datagram of this form")
+	errMalformedDatagram = errors.New("malformed datagram")
 	errNotAuthentic      = errors.New("not sealed with the fleet's key")
-	errOtherList         = errors.New("from a door with another list of doors")
-	errOtherReceiver     = errors.New("to another door")
+	errListMismatch      = errors.New("from a door with another list of doors")
+	errWrongReceiver     = errors.New("addressed to another gateway")
 )
 
-// decoder reads messages strictly.
+// decoder decodes messages. It rejects duplicate keys, tags, indefinite lengths and oversized values.
 var decoder = newDecoder()
 
 func newDecoder() cbor.DecMode {
@@ -56,24 +58,24 @@
 		TagsMd:           cbor.TagsForbidden,
 	}.DecMode()
 	if err != nil {
-		panic(err) // the options above are wrong
+		panic(err) // only if the options above are invalid
 	}
 	return mode
 }
 
-// hashList returns the hash of a list of gateways' names.
-func hashList(names []string) uint32 {
+// hashNames returns the hash of the list of gateway names.
+func hashNames(names []string) uint32 {
 	h := fnv.New32a()
 	for _, name := range names {
-		_, _ = fmt.Fprintf(h, "%q ", name) // a hash takes all that is written
+		_, _ = fmt.Fprintf(h, "%q ", name) // writes to a hash do not fail
 	}
 	return h.Sum32()
 }
 
-// salt is what a process's key is derived with.
+// salt is the random value that a process's key is derived from, together with the shared key.
 type salt [saltSize]byte
 
-// deriveCipher returns the cipher of a process.
+// deriveCipher returns the cipher of the process with a salt.
 func deriveCipher(sharedKey []byte, s salt) (cipher.AEAD, error) {
 	key, err := hkdf.Key(sha256.New, sharedKey, s[:], keyContext, derivedKeySize)
 	if err != nil {
@@ -86,24 +88,24 @@
 	return cipher.NewGCM(block)
 }
 
-// nonceOf returns the nonce of a datagram: the count in its header.
-func nonceOf(header []byte) []byte {
+// datagramNonce returns the nonce of a datagram, which is the sequence number in its header.
+func datagramNonce(header []byte) []byte {
 	var nonce [nonceSize]byte
-	copy(nonce[nonceSize-countSize:], header[1+saltSize:headerSize])
+	copy(nonce[nonceSize-sequenceSize:], header[1+saltSize:headerSize])
 	return nonce[:]
 }
 
-// sealer makes datagrams. It belongs to one goroutine.
+// sealer encrypts messages into datagrams. It belongs to one goroutine.
 type sealer struct {
 	listHash uint32
 	index    int
 	salt     salt
 	cipher   cipher.AEAD
-	// count is that of the last datagram.
-	count uint64
+	// sequence is the sequence number of the last datagram.
+	sequence uint64
 }
 
-// newSealer returns a sealer for the gateway at a position of a list.
+// newSealer returns a sealer for the gateway at an index of the list.
 func newSealer(sharedKey []byte, names []string, index int) (*sealer, error) {
 	var s salt
 	rand.Read(s[:])
@@ -111,47 +113,48 @@
 	if err != nil {
 		return nil, err
 	}
-	return &sealer{listHash: hashList(names), index: index, salt: s, cipher: aead}, nil
+	return &sealer{listHash: hashNames(names), index: index, salt: s, cipher: aead}, nil
 }
 
-// seal returns the datagram of a message to m.To. It sets the message's ListHash and From.
+// seal returns the datagram of a message, which must have its receiver set. It sets the message's ListHash and From.
 func (s *sealer) seal(m *message) ([]byte, error) {
 	m.ListHash, m.From = s.listHash, uint16(s.index)
 	body, err := cbor.Marshal(m)
 	if err != nil {
 		return nil, err
 	}
-	s.count++
+	s.sequence++
 	datagram := make([]byte, 0, headerSize+len(body)+s.cipher.Overhead())
 	datagram = append(datagram, datagramVersion)
 	datagram = append(datagram, s.salt[:]...)
-	datagram = binary.BigEndian.AppendUint64(datagram, s.count)
-	return s.cipher.Seal(datagram, nonceOf(datagram), body, datagram), nil
+	datagram = binary.BigEndian.AppendUint64(datagram, s.sequence)
+	return s.cipher.Seal(datagram, datagramNonce(datagram), body, datagram), nil
 }
 
-// opener reads datagrams. It belongs to one goroutine.
+// opener decrypts and decodes datagrams. It belongs to one goroutine.
 type opener struct {
 	sharedKey []byte
 	listHash  uint32
 	index     int
 	gateways  int
-	// known has the ciphers of processes that were heard of, and order their salts, the oldest first.
-	known map[salt]cipher.AEAD
-	order []salt
+	// ciphers has the ciphers of the processes that authentic datagrams came from, and senders their salts, the oldest
+	// first.
+	ciphers map[salt]cipher.AEAD
+	senders []salt
 }
 
-// newOpener returns an opener for the gateway at a position of a list.
+// newOpener returns an opener for the gateway at an index of the list.
 func newOpener(sharedKey []byte, names []string, index int) *opener {
 	return &opener{
 		sharedKey: sharedKey,
-		listHash:  hashList(names),
+		listHash:  hashNames(names),
 		index:     index,
 		gateways:  len(names),
-		known:     map[salt]cipher.AEAD{},
+		ciphers:   map[salt]cipher.AEAD{},
 	}
 }
 
-// open returns the message of a datagram. Its error wraps one of those above.
+// open returns the message of a datagram. Its error wraps one of those above, unless the key derivation fails.
 func (o *opener) open(datagram []byte) (*message, error) {
 	if len(datagram) < headerSize || len(datagram) > maxDatagramBytes || datagram[0] != datagramVersion {
 		return nil, errMalformedDatagram
@@ -166,42 +169,42 @@
 	}
 	switch {
 	case m.ListHash != o.listHash:
-		return nil, errOtherList
+		return nil, errListMismatch
 	case int(m.To) != o.index:
-		return nil, errOtherReceiver
+		return nil, errWrongReceiver
 	case int(m.From) >= o.gateways:
 		return nil, errMalformedDatagram
 	}
 	return m, nil
 }
 
-// decrypt returns the sealed part of a datagram. It remembers the sender only if the datagram is authentic, so that
-// nothing is stored for others.
+// decrypt returns the decrypted body of a datagram. It caches the sender's cipher only if the datagram is authentic, so
+// that datagrams of processes without the key use no memory.
 func (o *opener) decrypt(header, sealed []byte) ([]byte, error) {
 	sender := salt(header[1 : 1+saltSize])
-	aead, isKnown := o.known[sender]
+	aead, isKnown := o.ciphers[sender]
 	if !isKnown {
 		var err error
 		if aead, err = deriveCipher(o.sharedKey, sender); err != nil {
 			return nil, err
 		}
 	}
-	body, err := aead.Open(nil, nonceOf(header), sealed, header)
+	body, err := aead.Open(nil, datagramNonce(header), sealed, header)
 	if err != nil {
 		return nil, errNotAuthentic
 	}
 	if !isKnown {
-		o.remember(sender, aead)
+		o.addSender(sender, aead)
 	}
 	return body, nil
 }
 
-// remember stores the cipher of a process, in place of the oldest one if there are too many.
-func (o *opener) remember(sender salt, aead cipher.AEAD) {
-	if len(o.order) >= 2*o.gateways+extraKnownSenders {
-		delete(o.known, o.order[0])
-		o.order = o.order[1:]
+// addSender caches the cipher of a process and evicts the oldest one if the cache is full.
+func (o *opener) addSender(sender salt, aead cipher.AEAD) {
+	if len(o.senders) >= 2*o.gateways+extraKnownSenders {
+		delete(o.ciphers, o.senders[0])
+		o.senders = o.senders[1:]
 	}
-	o.known[sender] = aead
-	o.order = append(o.order, sender)
+	o.ciphers[sender] = aead
+	o.senders = append(o.senders, sender)
 }
--- a/internal/peer/codec_test.go
+++ b/internal/peer/codec_test.go
@@ -45,7 +45,8 @@
 	}}}}
 }
 
-// TestDatagramIsOpened holds that a gateway reads what another one seals for it, and that it can't be read on the way.
+// TestDatagramIsOpened verifies that a gateway can read a datagram that another one has sealed for it, and that the
+// content is encrypted.
 func TestDatagramIsOpened(t *testing.T) {
 	datagram := mustSeal(t, mustSealer(t, testKey, testNames, 1), &message{Cluster: testHeartbeat()})
 	m, err := newOpener(testKey, testNames, 0).open(datagram)
@@ -53,11 +54,12 @@
 		t.Fatalf("%+v, %v", m, err)
 	}
 	if bytes.Contains(datagram, []byte("n1")) {
-		t.Error("a name can be read")
+		t.Error("a name is not encrypted")
 	}
 }
 
-// TestForeignDatagramsAreRejected holds that a gateway reads nothing but what a gateway of its cluster sealed for it.
+// TestForeignDatagramsAreRejected verifies that a gateway accepts only datagrams that a gateway of its cluster has
+// sealed for it.
 func TestForeignDatagramsAreRejected(t *testing.T) {
 	otherKey, otherNames := []byte("another key, as long"), []string{"n0", "n1", "n3"}
 	sender := mustSealer(t, testKey, testNames, 1)
@@ -78,8 +80,8 @@
 		want     error
 	}{
 		{"another key", seal(mustSealer(t, otherKey, testNames, 1), 0), errNotAuthentic},
-		{"another list", seal(mustSealer(t, testKey, otherNames, 1), 0), errOtherList},
-		{"another receiver", seal(sender, 2), errOtherReceiver},
+		{"another list", seal(mustSealer(t, testKey, otherNames, 1), 0), errListMismatch},
+		{"another receiver", seal(sender, 2), errWrongReceiver},
 		{"a flipped bit", changed(len(valid)-1, 1), errNotAuthentic},
 		{"another count", changed(headerSize-1, 1), errNotAuthentic},
 		{"a newer version", newerVersion, errMalformedDatagram},
@@ -91,13 +93,14 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			if _, err := receiver.open(c.datagram); !errors.Is(err, c.want) {
-				t.Errorf("%v, not %v", err, c.want)
+				t.Errorf("got %v, want %v", err, c.want)
 			}
 		})
 	}
 }
 
-// TestKnownSendersAreBounded holds that processes that come and go, and foreign datagrams, fill no memory.
+// TestKnownSendersAreBounded verifies that the number of cached ciphers is bounded when many processes start and
+// foreign datagrams arrive.
 func TestKnownSendersAreBounded(t *testing.T) {
 	receiver := newOpener(testKey, testNames, 0)
 	for range 1000 {
@@ -111,13 +114,13 @@
 		}
 	}
 	limit := 2*len(testNames) + extraKnownSenders
-	if len(receiver.known) > limit || len(receiver.order) > limit {
-		t.Errorf("%d processes are remembered, their order has %d", len(receiver.known), len(receiver.order))
+	if len(receiver.ciphers) > limit || len(receiver.senders) > limit {
+		t.Errorf("%d ciphers are cached, with %d senders", len(receiver.ciphers), len(receiver.senders))
 	}
 }
 
-// FuzzMessages holds that a node takes whatever a gateway of the cluster sends, or returns an error, and holds no more
-// than before.
+// FuzzMessages verifies that a node accepts any message from a gateway of the cluster or returns an error, and that one
+// message never makes it hold quota slots.
 func FuzzMessages(f *testing.F) {
 	slots := quotalease.NewSlotSet(3)
 	reply := &statusReply{Number: 1, States: []byte{1, 2, 3}, Incarnations: []uint32{1, 2, 3}}
@@ -130,7 +133,7 @@
 		{Cluster: &cluster.Message{}},
 	}
 	for _, m := range seeds {
-		m.ListHash, m.From = hashList(testNames), 1
+		m.ListHash, m.From = hashNames(testNames), 1
 		encoded, err := cbor.Marshal(m)
 		if err != nil {
 			f.Fatal(err)
--- a/internal/peer/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -18,7 +18,7 @@
 	"gapgap/internal/vfs"
 )
 
-// goldenMessages are messages of each kind, with a value in each field.
+// goldenMessages returns a message of each kind, with a value in each field.
 func goldenMessages() map[string]*message {
 	id := membership.ID{Incarnation: 70_000, Nonce: 3_000_000_001}
 	heartbeat := &membership.Heartbeat{
@@ -63,11 +63,11 @@
 	}
 }
 
-// TestGoldenMessages holds that messages between gateways have the recorded form, and are read back as they were.
+// TestGoldenMessages verifies that encoded messages match the recorded bytes and are decoded to equal values.
 func TestGoldenMessages(t *testing.T) {
 	for name, m := range goldenMessages() {
 		t.Run(name, func(t *testing.T) {
-			m.ListHash, m.From, m.To = hashList(testNames), 1, 2
+			m.ListHash, m.From, m.To = hashNames(testNames), 1, 2
 			encoded, err := cbor.Marshal(m)
 			if err != nil {
 				t.Fatal(err)
@@ -85,7 +85,7 @@
 	}
 }
 
-// TestGoldenDatagram holds that a sealed datagram has the recorded form, and is opened.
+// TestGoldenDatagram verifies that a sealed datagram matches the recorded bytes and can be opened.
 func TestGoldenDatagram(t *testing.T) {
 	const path = "testdata/golden/datagram.bin"
 	sender := mustSealer(t, testKey, testNames, 1)
@@ -94,7 +94,7 @@
 	if sender.cipher, err = deriveCipher(testKey, sender.salt); err != nil {
 		t.Fatal(err)
 	}
-	sender.count = 258
+	sender.sequence = 258
 	want := goldenMessages()["heartbeat"]
 	want.To = 2
 	sealed := mustSeal(t, sender, want)
@@ -108,7 +108,8 @@
 	}
 }
 
-// TestGoldenIdentityFile holds that the file of a gateway's identity has the recorded form, and is read.
+// TestGoldenIdentityFile verifies that the file of a gateway's identity matches the recorded bytes and can be read, and
+// that the directory of another gateway is rejected.
 func TestGoldenIdentityFile(t *testing.T) {
 	const path = "testdata/golden/identity.json"
 	written := t.TempDir()
@@ -145,7 +146,7 @@
 	}
 }
 
-// TestGoldenView holds that the view of the cluster for operators has the recorded form, and is read back as it was.
+// TestGoldenView verifies that the JSON encoding of a view matches the recorded bytes and is decoded to an equal value.
 func TestGoldenView(t *testing.T) {
 	const path = "testdata/golden/view.json"
 	fraction := 0.25
