--- a/internal/peer/config.go
+++ b/internal/peer/config.go
@@ -8,46 +8,48 @@
 	"gapgap/internal/cluster"
 )
 
-// Gateway is one gateway of the list.
+// Gateway is an entry of the list of gateways.
 type Gateway struct {
 	Name string `toml:"name"`
-	// Address is its IP address and port for datagrams.
+	// Address is the IP address and port that it receives datagrams at.
 	Address string `toml:"address"`
 }
 
-// Config is a gateway's part in a cluster. Its functions are called by the event loop and must return at once.
+// Config configures a [Transport]. The event loop calls its functions, which must not block.
 type Config struct {
-	// Name is that of this gateway, one of the list.
+	// Name is this gateway's name in the list.
 	Name string
-	// Listen is the IP address and port to receive datagrams at.
+	// Listen is the IP address and port that datagrams are received at.
 	Listen string
-	// Gateways is the list, the same in the same order at all gateways.
+	// Gateways is the list of all gateways. Every gateway must have the same list in the same order.
 	Gateways []Gateway
 	// Key is the shared key.
 	Key      []byte
 	Identity *IdentityStore
-	// Now is the monotonic clock that the users of the common quotas have, too.
+	// Now is the monotonic clock. The users of the shared quotas must use the same one.
 	Now func() time.Duration
 	Log *slog.Logger
 
-	// ApplyLease hands a changed share lease to the users of the common quotas, which apply it soon after.
+	// ApplyLease passes a changed share lease to the users of the shared quotas, which apply it asynchronously.
 	ApplyLease func(cluster.ShareLease)
-	// AppliedEpoch returns the epoch that all of them have applied.
+	// AppliedEpoch returns the epoch of the share lease that all of these users have applied.
 	AppliedEpoch func() uint64
-	// SetClockWrong is called whenever this gateway's clock turns out to be wrong, or right again.
+	// SetClockWrong is called when this gateway's clock is found to be wrong, and when it is right again.
 	SetClockWrong func(isWrong bool)
 
-	// HandleLoanRequest and HandleLoan take what other gateways send of loans.
+	// HandleLoanRequest and HandleLoan receive loan requests and loans from other gateways.
 	HandleLoanRequest func(from int, request LoanRequest)
 	HandleLoan        func(from int, loan Loan)
-	// HandlePolicy and HandleKeys take what other gateways send of policy and of idempotency keys; nil ignores it.
+	// HandlePolicy and HandleKeys receive other gateways' messages on the policy and on idempotency keys. If nil, such
+	// messages are ignored.
 	HandlePolicy func(from int, payload []byte)
 	HandleKeys   func(from int, payload []byte)
-	// RecoveryStep returns how far this gateway's recovery has come, for operators; nil means that it is not shown.
+	// RecoveryStep returns the step that this gateway's startup is at, to be shown to operators; nil means that none is
+	// shown.
 	RecoveryStep func() string
 }
 
-// Stats count datagrams and transitions.
+// Stats has counters of datagrams and membership transitions.
 type Stats struct {
 	Sent          atomic.Uint64
 	SentBytes     atomic.Uint64
@@ -55,8 +57,8 @@
 	ReceivedBytes atomic.Uint64
 	// Rejected counts datagrams that were malformed or not authentic.
 	Rejected atomic.Uint64
-	// Dropped counts datagrams that were received, or queued to be sent, while the event loop was behind.
+	// Dropped counts received and outgoing messages that were dropped because a queue of the event loop was full.
 	Dropped atomic.Uint64
-	// Transitions counts changes of members' states.
+	// Transitions counts changes of gateways' membership states.
 	Transitions atomic.Uint64
 }
