--- a/internal/peer/filesettings_test.go
+++ b/internal/peer/filesettings_test.go
@@ -19,13 +19,14 @@
 	return path
 }
 
-// checkSettings checks settings with rules like those of the configuration.
+// checkSettings checks settings with rules like those for the configuration file.
 func checkSettings(f *FileSettings, name string) (*Settings, error) {
-	isName := func(text string) bool { return text != "" && !strings.Contains(text, " ") }
-	return f.Check(name, netip.Addr.IsLoopback, isName)
+	isValidName := func(text string) bool { return text != "" && !strings.Contains(text, " ") }
+	return f.Check(name, netip.Addr.IsLoopback, isValidName)
 }
 
-// TestSettingsErrorsNameTheField holds that valid settings are taken, and that the error of others names their field.
+// TestSettingsErrorsNameTheField verifies that valid settings are accepted and that the error for invalid ones names
+// the field.
 func TestSettingsErrorsNameTheField(t *testing.T) {
 	dir := t.TempDir()
 	keyFile := writeKey(t, dir, "key", " 0123456789abcdef\n")
@@ -44,7 +45,7 @@
 		t.Fatalf("%+v, %v", settings, err)
 	}
 	cases := []struct {
-		// wantPrefix is how the error begins.
+		// wantPrefix is the expected prefix of the error.
 		wantPrefix string
 		change     func(*FileSettings)
 	}{
@@ -72,7 +73,7 @@
 				t.Error(err)
 			}
 			if err == nil && other.Same(settings) {
-				t.Error("the same settings")
+				t.Error("invalid settings equal the valid ones")
 			}
 		})
 	}
