--- a/internal/peer/identity.go
+++ b/internal/peer/identity.go
@@ -19,15 +19,15 @@
 	lockFile     = "door.lock"
 )
 
-// identity is what a gateway keeps of itself over its starts.
+// identity is the part of a gateway's identity that is stored over restarts.
 type identity struct {
 	Name        string `json:"name"`
 	Incarnation uint32 `json:"incarnation"`
 }
 
-var identityForm = statefile.Format{Kind: "gapgap door", Version: 1, MaxBytes: 4 << 10}
+var identityFormat = statefile.Format{Kind: "gapgap door", Version: 1, MaxBytes: 4 << 10}
 
-// IdentityStore is a gateway's state directory, which one process has at a time.
+// IdentityStore stores a gateway's identity in its state directory, which it locks against other processes.
 type IdentityStore struct {
 	fs       vfs.FS
 	path     string
@@ -35,9 +35,9 @@
 	identity identity
 }
 
-// OpenIdentity locks the state directory of a gateway and increments its incarnation. Its errors say in one line what
-// is wrong: another process has the directory, it is another gateway's, or the file is damaged or of a newer version.
-// Then nothing has been changed.
+// OpenIdentity locks the state directory of a gateway and increments the stored incarnation. It fails if another
+// process has locked the directory, if that belongs to another gateway, and if the file is damaged or of a newer
+// version; the stored identity is then unchanged. Error texts have one line.
 func OpenIdentity(fsys vfs.FS, dir, name string) (*IdentityStore, error) {
 	lock, err := lockDirectory(dir)
 	if err != nil {
@@ -55,7 +55,7 @@
 	return s, nil
 }
 
-// lockDirectory takes the lock of a state directory, which ends with the process or when the file is closed.
+// lockDirectory locks a state directory. The lock is held until the returned file is closed or the process ends.
 func lockDirectory(dir string) (*os.File, error) {
 	lock, err := os.OpenFile(filepath.Join(dir, lockFile), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
@@ -74,29 +74,29 @@
 	return lock, nil
 }
 
-// load reads the identity of a gateway, or makes a new one in an empty directory.
+// load reads the stored identity. In an empty directory it starts with a new one.
 func (s *IdentityStore) load(name string) error {
-	switch err := identityForm.LoadFrom(s.fs, s.path, &s.identity); {
+	switch err := identityFormat.LoadFrom(s.fs, s.path, &s.identity); {
 	case errors.Is(err, fs.ErrNotExist):
 		s.identity = identity{Name: name}
 	case err != nil:
-		return fmt.Errorf("%s: %w; a door that has lost its disk starts with an empty directory", s.path, err)
+		return fmt.Errorf("%s: %w; a gateway that has lost its disk must start with an empty directory", s.path, err)
 	case s.identity.Name != name:
 		return fmt.Errorf("%s is that of the door %q, not of %q", s.path, s.identity.Name, name)
 	case s.identity.Incarnation == math.MaxUint32:
-		return fmt.Errorf("%s has no further incarnation; start with an empty directory", s.path)
+		return fmt.Errorf("%s: no higher incarnation is available; start with an empty directory", s.path)
 	}
 	return nil
 }
 
-// Incarnation returns that of this process.
+// Incarnation returns the incarnation of this process.
 func (s *IdentityStore) Incarnation() uint32 { return s.identity.Incarnation }
 
-// Save writes another incarnation durably.
+// Save stores a changed incarnation durably.
 func (s *IdentityStore) Save(incarnation uint32) error {
 	next := s.identity
 	next.Incarnation = incarnation
-	if err := identityForm.SaveTo(s.fs, s.path, next); err != nil {
+	if err := identityFormat.SaveTo(s.fs, s.path, next); err != nil {
 		return fmt.Errorf("%s: %w", s.path, err)
 	}
 	s.identity = next
@@ -104,4 +104,4 @@
 }
 
 // Close unlocks the directory.
-func (s *IdentityStore) Close() { _ = s.lock.Close() } // nothing was written to the lock
+func (s *IdentityStore) Close() { _ = s.lock.Close() } // nothing was written to the lock file
--- a/internal/peer/identity_test.go
+++ b/internal/peer/identity_test.go
@@ -10,8 +10,8 @@
 	"gapgap/internal/vfs"
 )
 
-// TestIncarnationGrowsWithEachStart holds that, also if a process was killed, and that a directory has one process at a
-// time.
+// TestIncarnationGrowsWithEachStart verifies that the incarnation increases with each start, even if the
+// previous process saved nothing before its end, and that two processes cannot use a directory at the same time.
 func TestIncarnationGrowsWithEachStart(t *testing.T) {
 	dir := t.TempDir()
 	for want := uint32(1); want < 4; want++ {
@@ -32,7 +32,7 @@
 	}
 }
 
-// TestMissingStateDirectory holds that it is an error.
+// TestMissingStateDirectory verifies that a missing state directory is an error.
 func TestMissingStateDirectory(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "none")
 	if _, err := OpenIdentity(vfs.OS{}, dir, "n0"); !errors.Is(err, fs.ErrNotExist) {
