--- a/internal/peer/operator.go
+++ b/internal/peer/operator.go
@@ -11,23 +11,23 @@
 	"gapgap/internal/membership"
 )
 
-// leaveTimeout is how long Leave tries to tell the other gateways.
+// leaveTimeout is the time limit of Leave.
 const leaveTimeout = time.Second
 
-// ErrUnknownGateway is wrapped by the error of [Transport.Forget] for a name that is not in the list.
+// ErrUnknownGateway is wrapped by the error that [Transport.Forget] returns for a name that is not in the list.
 var ErrUnknownGateway = errors.New("no door of the list has this name")
 
-// PresentError is returned for a gateway that cannot be forgotten as it is present.
+// PresentError is returned for a gateway that cannot be forgotten because it is present.
 type PresentError struct {
 	Name  string
 	State membership.State
 }
 
-// Error implements error. The text is shown to operators.
+// Error implements error. Operators see the text.
 func (e *PresentError) Error() string { return fmt.Sprintf("door %s is %v", e.Name, e.State) }
 
-// Leave gives up this gateway's share and tells the others that it leaves, once all users of the share have applied
-// that. It returns an error if the time was too short.
+// Leave gives up this gateway's share and, once all users of the share have applied that, tells the other gateways that
+// this one leaves. It returns an error if that takes longer than leaveTimeout.
 func (t *Transport) Leave(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
 	defer cancel()
@@ -47,9 +47,8 @@
 	return nil
 }
 
-// Forget takes a gateway that is not present as gone, at this gateway, until a new process of it is heard of. It
-// returns a *PresentError for one that is present, and an error that wraps ErrUnknownGateway for one that is not in the
-// list.
+// Forget makes this gateway treat an absent one as gone, until a new process of it is heard of. It returns a
+// *PresentError if the gateway is present, and an error that wraps ErrUnknownGateway if it is not in the list.
 func (t *Transport) Forget(ctx context.Context, name string) error {
 	index := slices.Index(t.names, name)
 	if index < 0 {
