--- a/internal/peer/receive.go
+++ b/internal/peer/receive.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// rejectionLogInterval is the pause between two log lines on rejected datagrams.
+// rejectionLogInterval is the minimum time between two log lines on rejected datagrams.
 const rejectionLogInterval = 10 * time.Second
 
-// receivedMessage is a message with the address that it came from.
+// receivedMessage is a message and its source address.
 type receivedMessage struct {
 	message *message
 	source  netip.AddrPort
 }
 
-// read opens datagrams for the event loop, until the socket is closed.
-func (t *Transport) read() {
+// readDatagrams reads and decrypts datagrams for the event loop until the socket is closed.
+func (t *Transport) readDatagrams() {
 	buffer := make([]byte, maxDatagramBytes+1)
 	for {
 		size, source, err := t.socket.ReadFromUDPAddrPort(buffer)
@@ -25,7 +25,7 @@
 			return
 		}
 		if err != nil {
-			continue // a datagram that was sent earlier was refused
+			continue // reports that an earlier datagram could not be delivered
 		}
 		t.Stats.Received.Add(1)
 		t.Stats.ReceivedBytes.Add(uint64(size))
@@ -42,7 +42,7 @@
 	}
 }
 
-// reject counts a datagram that could not be opened, and logs it now and then.
+// reject counts a datagram that was not accepted, and logs it at most once per rejectionLogInterval.
 func (t *Transport) reject(reason error, source netip.AddrPort) {
 	rejected := t.Stats.Rejected.Add(1)
 	if now := time.Now(); !now.Before(t.nextRejectionLog) {
@@ -51,8 +51,8 @@
 	}
 }
 
-// handle takes a message on the event loop.
-func (t *Transport) handle(received receivedMessage) {
+// handleMessage processes a message on the event loop.
+func (t *Transport) handleMessage(received receivedMessage) {
 	m, from := received.message, int(received.message.From)
 	switch {
 	case m.Cluster != nil:
@@ -72,7 +72,7 @@
 	}
 }
 
-// handleCluster hands a message to the node and sends its answers.
+// handleCluster passes a message to the node and sends the replies.
 func (t *Transport) handleCluster(received receivedMessage) {
 	m, from := received.message, int(received.message.From)
 	if m.SentAt > 0 {
@@ -86,7 +86,7 @@
 	t.sendAll(outgoing, received.source)
 }
 
-// handlePayload calls a handler, if there is one.
+// handlePayload calls a handler unless it is nil.
 func handlePayload(handler func(from int, payload []byte), from int, payload []byte) {
 	if handler != nil {
 		handler(from, payload)
--- a/internal/peer/transport.go
+++ b/internal/peer/transport.go
@@ -18,24 +18,25 @@
 	"gapgap/internal/membership"
 )
 
-// Bounds of queues and buffers.
+// Sizes of queues and buffers.
 const (
-	// maxReceived is how many datagrams wait for the event loop; more are dropped.
+	// maxReceived is the length of the queue of received messages. Messages are dropped when it is full.
 	maxReceived = 1024
-	// maxQueued is how many messages of pools, policy and keys wait to be sent; more are dropped.
+	// maxQueued is the length of the queue of messages that pools, policy and keys send. Messages are dropped when it
+	// is full.
 	maxQueued = 1024
 	// socketBufferBytes is the size of the socket's receive buffer.
 	socketBufferBytes = 1 << 20
 )
 
-// ErrNotListed is wrapped by the error of [New] for a name that is not in the list.
+// ErrNotListed is wrapped by the error that [New] returns for a name that is not in the list.
 var ErrNotListed = errors.New("no door of the list is named")
 
-// Transport runs a gateway's part in a cluster.
+// Transport connects a gateway to the other gateways of its cluster.
 type Transport struct {
 	Stats  Stats
 	config Config
-	// index is this gateway's position in the list; names and addresses are in its order.
+	// index is this gateway's index in the list; names and addresses are in the order of the list.
 	index     int
 	names     []string
 	addresses []netip.AddrPort
@@ -43,7 +44,7 @@
 
 	received chan receivedMessage
 	queued   chan queuedMessage
-	// calls are functions that the event loop is to call.
+	// calls passes functions to the event loop, which calls them.
 	calls chan func()
 	// done is closed when the event loop has ended.
 	done   chan struct{}
@@ -54,7 +55,7 @@
 	view atomic.Pointer[View]
 	id   atomic.Pointer[membership.ID]
 
-	// The following belongs to the event loop.
+	// The following fields belong to the event loop.
 	node         *cluster.Node
 	sealer       *sealer
 	clock        clockCheck
@@ -62,12 +63,12 @@
 	hasDuplicate bool
 	queries      statusQueries
 
-	// The following belongs to the reader.
+	// The following fields belong to the reader.
 	opener           *opener
 	nextRejectionLog time.Time
 }
 
-// New opens the socket. Nothing is sent or read before Start.
+// New returns a transport with an open socket. It neither sends nor reads before Start.
 func New(config Config) (*Transport, error) {
 	names, addresses, err := parseList(config.Gateways)
 	if err != nil {
@@ -106,12 +107,12 @@
 	return t, nil
 }
 
-// parseList returns the names and addresses of a list.
+// parseList returns the names and addresses of a list of gateways.
 func parseList(gateways []Gateway) (names []string, addresses []netip.AddrPort, err error) {
 	for _, gateway := range gateways {
 		address, err := netip.ParseAddrPort(gateway.Address)
 		if err != nil {
-			return nil, nil, fmt.Errorf("door %s: %w", gateway.Name, err)
+			return nil, nil, fmt.Errorf("gateway %s: %w", gateway.Name, err)
 		}
 		names = append(names, gateway.Name)
 		addresses = append(addresses, address)
@@ -119,7 +120,7 @@
 	return names, addresses, nil
 }
 
-// listen opens the socket for datagrams.
+// listen opens the UDP socket.
 func listen(at string) (*net.UDPConn, error) {
 	address, err := netip.ParseAddrPort(at)
 	if err != nil {
@@ -129,11 +130,11 @@
 	if err != nil {
 		return nil, err
 	}
-	_ = socket.SetReadBuffer(socketBufferBytes) // a smaller buffer loses more datagrams, which are sent again
+	_ = socket.SetReadBuffer(socketBufferBytes) // with a smaller buffer more datagrams are lost and sent again
 	return socket, nil
 }
 
-// newNode returns the node of a process, with a random nonce and a random source.
+// newNode returns the node of this process, with a random nonce and a randomly seeded source of random numbers.
 func newNode(config Config, index int) *cluster.Node {
 	var random [20]byte
 	rand.Read(random[:])
@@ -146,28 +147,29 @@
 	return cluster.New(nodeConfig, config.Now(), mathrand.New(seed))
 }
 
-// Addr returns the address that datagrams are received at.
+// Addr returns the local address of the socket.
 func (t *Transport) Addr() net.Addr { return t.socket.LocalAddr() }
 
-// ID returns the identity of this process. It may take a higher incarnation than it was started with. Any goroutine may
-// call it.
+// ID returns the identity of this process, which may take a higher incarnation than it was started with. It is safe for
+// concurrent use.
 func (t *Transport) ID() membership.ID { return *t.id.Load() }
 
-// Start starts the event loop and the reader. They end with Close.
+// Start starts the event loop and the reader, which run until Close.
 func (t *Transport) Start() {
-	t.wg.Go(t.read)
-	t.wg.Go(t.loop)
+	t.wg.Go(t.readDatagrams)
+	t.wg.Go(t.runEventLoop)
 }
 
-// Close ends both without a message to the other gateways; call Leave before it to tell them. It waits for their end.
+// Close stops the event loop and the reader and waits until both have ended. It does not tell the other gateways; call
+// Leave first to do that.
 func (t *Transport) Close() {
 	t.cancel()
-	_ = t.socket.Close() // the reader ends by it; no data is buffered
+	_ = t.socket.Close() // ends the reader; no data is buffered
 	t.wg.Wait()
 }
 
-// loop is the event loop. It owns the node.
-func (t *Transport) loop() {
+// runEventLoop is the event loop, which owns the node.
+func (t *Transport) runEventLoop() {
 	defer close(t.done)
 	ticker := time.NewTicker(cluster.TickInterval)
 	defer ticker.Stop()
@@ -178,7 +180,7 @@
 		case call := <-t.calls:
 			call()
 		case received := <-t.received:
-			t.handle(received)
+			t.handleMessage(received)
 		case queued := <-t.queued:
 			t.sendQueued(queued)
 		case <-ticker.C:
@@ -190,9 +192,9 @@
 }
 
 // errClosed is returned for calls after the event loop has ended.
-var errClosed = errors.New("the door is ending")
+var errClosed = errors.New("the gateway is shutting down")
 
-// runOnLoop has the event loop call a function and waits for it.
+// runOnLoop calls a function on the event loop and waits until it has returned.
 func (t *Transport) runOnLoop(ctx context.Context, f func()) error {
 	ended := make(chan struct{})
 	call := func() {
