--- a/internal/peer/send.go
+++ b/internal/peer/send.go
@@ -8,42 +8,44 @@
 )
 
 const (
-	// maxLenders is how many gateways are asked for a loan.
+	// maxLenders is the maximum number of gateways that are asked for a loan.
 	maxLenders = 16
 
-	// toLenders is the receiver of a message that goes to gateways that may grant a loan.
+	// toLenders, in place of a gateway's index, addresses a message to gateways that may grant a loan.
 	toLenders = -1
 )
 
-// queuedMessage is a message of another goroutine that is to be sent.
+// queuedMessage is a message that another goroutine has queued for sending.
 type queuedMessage struct {
-	// to is a position in the list, or toLenders.
+	// to is an index in the list, or toLenders.
 	to      int
 	message *message
 }
 
-// RequestLoan asks other gateways for a loan: all of them, or some where they are many. It may be lost. Any goroutine
-// may call it.
+// RequestLoan asks at most maxLenders other gateways for a loan. The message may be lost. It is safe for concurrent
+// use.
 func (t *Transport) RequestLoan(request LoanRequest) {
 	t.enqueue(queuedMessage{to: toLenders, message: &message{LoanRequest: &request}})
 }
 
-// GrantLoan answers a gateway's LoanRequest. It may be lost. Any goroutine may call it.
+// GrantLoan sends a loan to the gateway that requested it. The message may be lost. It is safe for concurrent use.
 func (t *Transport) GrantLoan(to int, loan Loan) {
 	t.enqueue(queuedMessage{to: to, message: &message{Loan: &loan}})
 }
 
-// SendPolicy sends at most MaxPayloadBytes of policy to a gateway. It may be lost. Any goroutine may call it.
+// SendPolicy sends a policy payload of at most MaxPayloadBytes to a gateway. The message may be lost. It is safe for
+// concurrent use.
 func (t *Transport) SendPolicy(to int, payload []byte) {
 	t.enqueue(queuedMessage{to: to, message: &message{Policy: payload}})
 }
 
-// SendKeys sends at most MaxPayloadBytes of idempotency keys to a gateway. It may be lost. Any goroutine may call it.
+// SendKeys sends an idempotency key payload of at most MaxPayloadBytes to a gateway. The message may be lost. It is
+// safe for concurrent use.
 func (t *Transport) SendKeys(to int, payload []byte) {
 	t.enqueue(queuedMessage{to: to, message: &message{Keys: payload}})
 }
 
-// enqueue hands a message to the event loop; it is dropped if that is behind.
+// enqueue queues a message for the event loop. It drops the message if the queue is full.
 func (t *Transport) enqueue(queued queuedMessage) {
 	select {
 	case t.queued <- queued:
@@ -52,7 +54,7 @@
 	}
 }
 
-// sendQueued sends a message of another goroutine.
+// sendQueued sends a queued message.
 func (t *Transport) sendQueued(queued queuedMessage) {
 	if queued.to != toLenders {
 		t.send(queued.to, queued.message, netip.AddrPort{})
@@ -63,7 +65,7 @@
 	}
 }
 
-// lenders returns some other gateways that are present, in random order.
+// lenders returns the indexes of at most maxLenders other gateways that are present, in random order.
 func (t *Transport) lenders() []int {
 	var present []int
 	for _, member := range t.node.Members() {
@@ -75,7 +77,7 @@
 	return present[:min(maxLenders, len(present))]
 }
 
-// sendAll sends messages of the node. Source is where the message came from that they answer, if there is one.
+// sendAll sends messages of the node. If they answer a message, source is the address that it came from.
 func (t *Transport) sendAll(outgoing []cluster.Outgoing, source netip.AddrPort) {
 	if len(outgoing) == 0 {
 		return
@@ -95,7 +97,7 @@
 	}
 }
 
-// saveIncarnation writes an incarnation that the node has taken, before any other gateway receives it.
+// saveIncarnation stores a new incarnation of the node before any other gateway learns of it.
 func (t *Transport) saveIncarnation() {
 	if !t.node.TakeIncarnationChange() {
 		return
@@ -109,16 +111,16 @@
 		"incarnation", incarnation)
 }
 
-// send sends a message to a gateway, and to one more address if that is given. What is lost is sent again by whoever
-// needs it.
-func (t *Transport) send(to int, m *message, also netip.AddrPort) {
+// send sends a message to a gateway at its configured address and, if replyTo is valid, to that address as well. Write
+// errors are ignored: the users of lost messages send them again.
+func (t *Transport) send(to int, m *message, replyTo netip.AddrPort) {
 	m.To = uint16(to)
 	datagram, err := t.sealer.seal(m)
 	if err != nil || len(datagram) > maxDatagramBytes {
 		t.config.Log.Error("message not sent", "to", t.names[to], "error", err, "bytes", len(datagram))
 		return
 	}
-	for _, address := range []netip.AddrPort{t.addresses[to], also} {
+	for _, address := range []netip.AddrPort{t.addresses[to], replyTo} {
 		if address.IsValid() {
 			_, _ = t.socket.WriteToUDPAddrPort(datagram, address)
 			t.Stats.Sent.Add(1)
