--- a/internal/peer/settings.go
+++ b/internal/peer/settings.go
@@ -6,42 +6,42 @@
 	"time"
 )
 
-// Settings are checked FileSettings.
+// Settings are validated FileSettings.
 type Settings struct {
 	Listen   string
 	StateDir string
 	Control  string
 	Gateways []Gateway
-	// Index is this gateway's position in the list.
+	// Index is this gateway's index in the list.
 	Index int
 	// Key is the shared key.
 	Key []byte
 	// Policy is nil if each gateway applies the policy of its own file.
 	Policy *PolicySettings
-	// KeyRetention is nil if no class's keys are kept.
+	// KeyRetention is nil if no class keeps idempotency keys over a power loss.
 	KeyRetention *KeyRetention
 }
 
-// PolicySettings are checked PolicyFileSettings.
+// PolicySettings are validated PolicyFileSettings.
 type PolicySettings struct {
-	// Fence is whether a gateway that missed a commit decides nothing, rather than that others wait for it.
+	// Fence is whether a gateway that may have missed a commit stops deciding. Otherwise commits wait for all gateways.
 	Fence bool
-	// GiveUp is after how long a proposal is aborted.
+	// GiveUp is the time after which a proposal is aborted.
 	GiveUp time.Duration
-	// LastKnownWait is after how long a gateway that has started without a quorum applies the policy on its disk, if
-	// UseLastKnown is set.
+	// LastKnownWait is the time after a start without a quorum at which a gateway applies the policy on its disk. It
+	// is used only if UseLastKnown is set.
 	LastKnownWait time.Duration
 	UseLastKnown  bool
 }
 
-// KeyRetention is how long idempotency keys are kept on disk, and how many.
+// KeyRetention says for how long idempotency keys are kept on disk, and how many.
 type KeyRetention struct {
 	Duration time.Duration
-	// MaxKeys is how many keys a voter keeps.
+	// MaxKeys is the maximum number of keys that a voter keeps.
 	MaxKeys int
 }
 
-// Same reports whether two settings are equal. A change of them takes a restart.
+// Same reports whether two settings are equal, where nil equals only nil. A change of them requires a restart.
 func (s *Settings) Same(other *Settings) bool {
 	if s == nil || other == nil {
 		return s == other
@@ -49,11 +49,11 @@
 	return s.Listen == other.Listen && s.StateDir == other.StateDir && s.Control == other.Control &&
 		s.Index == other.Index && bytes.Equal(s.Key, other.Key) &&
 		slices.Equal(s.Gateways, other.Gateways) &&
-		isSame(s.Policy, other.Policy) && isSame(s.KeyRetention, other.KeyRetention)
+		equalOrBothNil(s.Policy, other.Policy) && equalOrBothNil(s.KeyRetention, other.KeyRetention)
 }
 
-// isSame reports whether two values are equal, or both are missing.
-func isSame[T comparable](a, b *T) bool {
+// equalOrBothNil reports whether both pointers are nil or point to equal values.
+func equalOrBothNil[T comparable](a, b *T) bool {
 	if a == nil || b == nil {
 		return a == b
 	}
