--- a/internal/peer/sharelease.go
+++ b/internal/peer/sharelease.go
@@ -11,7 +11,7 @@
 // clockCheckInterval is the time between two checks of this gateway's clock.
 const clockCheckInterval = 100 * time.Millisecond
 
-// clockCheck tells whether this gateway's clock can be right.
+// clockCheck compares this gateway's clock with those of the others at regular times.
 type clockCheck struct {
 	detector *clockskew.Detector
 	isWrong  bool
@@ -22,8 +22,8 @@
 	return clockCheck{detector: clockskew.New(gateways)}
 }
 
-// check judges the clock if that is due. It returns by how much the clock is behind and whether the finding has
-// changed.
+// check checks the clock if a check is due. It returns by how much the clock is behind and whether the result, right or
+// wrong, has changed.
 func (c *clockCheck) check(now time.Duration) (behind time.Duration, hasChanged bool) {
 	if now < c.nextAt {
 		return 0, false
@@ -35,14 +35,14 @@
 	return behind, hasChanged
 }
 
-// applyChanges logs what has changed, and has a new share lease applied.
+// applyChanges logs changes of the cluster's state, passes on a new share lease and publishes a new view.
 func (t *Transport) applyChanges() {
 	now := t.config.Now()
 	hasTransitions := t.logTransitions()
 	t.checkDuplicate(now)
 	t.checkClock(now)
 	lease := t.shareLease(now)
-	if !isSameLease(lease, t.lease) {
+	if !equalLeases(lease, t.lease) {
 		if lease.Fraction != t.lease.Fraction || lease.Excluded != t.lease.Excluded {
 			t.config.Log.Debug("share lease", "fraction", lease.Fraction, "excluded", lease.Excluded)
 		}
@@ -55,14 +55,14 @@
 	}
 }
 
-// isSameLease reports whether nothing changes from one lease to another.
-func isSameLease(a, b cluster.ShareLease) bool {
+// equalLeases reports whether two leases are equal.
+func equalLeases(a, b cluster.ShareLease) bool {
 	return a.Epoch == b.Epoch && a.Fraction == b.Fraction && a.Until == b.Until && a.Excluded == b.Excluded &&
 		slices.Equal(a.DeadGateways, b.DeadGateways)
 }
 
-// logTransitions logs and counts transitions of members, and reports whether there were any. Operators' pages name the
-// line and its attributes.
+// logTransitions logs and counts the transitions of members and reports whether there were any. The operator
+// documentation names the log message and its attributes.
 func (t *Transport) logTransitions() bool {
 	transitions := t.node.TakeTransitions()
 	for _, transition := range transitions {
@@ -73,7 +73,7 @@
 	return len(transitions) > 0
 }
 
-// checkDuplicate logs when another process of this gateway's name begins or ends to take precedence.
+// checkDuplicate logs when another process of this gateway's name starts or stops taking precedence.
 func (t *Transport) checkDuplicate(now time.Duration) {
 	duplicate, hasDuplicate := t.node.Duplicate(now)
 	if hasDuplicate == t.hasDuplicate {
@@ -81,14 +81,15 @@
 	}
 	t.hasDuplicate = hasDuplicate
 	if !hasDuplicate {
-		t.config.Log.Info("the other process of this door's name is gone")
+		t.config.Log.Info("the other process of this gateway's name is gone")
 		return
 	}
 	t.config.Log.Error("another process has this door's name and goes before it: this one takes no share",
 		"other_incarnation", duplicate.Incarnation, "incarnation", t.node.ID().Incarnation)
 }
 
-// checkClock logs and tells when this gateway's clock turns out to be wrong, or right again.
+// checkClock logs, publishes and reports to SetClockWrong when this gateway's clock is found to be wrong or is right
+// again.
 func (t *Transport) checkClock(now time.Duration) {
 	behind, hasChanged := t.clock.check(now)
 	if !hasChanged {
@@ -96,16 +97,17 @@
 	}
 	if t.clock.isWrong {
 		t.config.Log.Error("this door's clock is not the others': it asks the counter for nothing and takes no share "+
-			"of ceilings. Set the machine's clock and start the door anew", "behind by", behind.Round(time.Millisecond))
+			"of ceilings. Set the machine's clock and restart the gateway", "behind by", behind.Round(time.Millisecond))
 	} else {
-		t.config.Log.Info("this door's clock is the others' again")
+		t.config.Log.Info("this gateway's clock agrees with the others' again")
 	}
 	t.config.SetClockWrong(t.clock.isWrong)
 	t.publish(now)
 }
 
-// shareLease returns which share this gateway may use. One whose clock is wrong uses none: the others use all of a
-// ceiling by the counter's numbers, which it cannot name. It keeps its slots, as pools apply this a little later.
+// shareLease returns the share that this gateway may use. With a wrong clock it may use none: the other gateways use
+// the whole ceiling by the counter, whose windows this gateway would name by the wrong time. It keeps its quota slots,
+// because pools apply the change a little later.
 func (t *Transport) shareLease(now time.Duration) cluster.ShareLease {
 	lease := t.node.ShareLease(now)
 	if t.clock.isWrong {
