--- a/internal/peer/status.go
+++ b/internal/peer/status.go
@@ -9,35 +9,36 @@
 	"gapgap/internal/membership"
 )
 
-// statusTimeout is how long a status query waits for the other gateways' views.
+// statusTimeout is how long a status query waits for replies.
 const statusTimeout = 400 * time.Millisecond
 
-// statusQueries are the queries that wait for replies, by number. They belong to the event loop.
+// statusQueries holds the status queries that wait for replies. It belongs to the event loop.
 type statusQueries struct {
-	waiting map[uint32]chan receivedStatus
-	last    uint32
+	// pending has the channels for replies, by the number of the query.
+	pending    map[uint32]chan receivedStatus
+	lastNumber uint32
 }
 
-// receivedStatus is the reply of a gateway.
+// receivedStatus is a reply and the index of the gateway that sent it.
 type receivedStatus struct {
 	from  int
 	reply *statusReply
 }
 
 func newStatusQueries() statusQueries {
-	return statusQueries{waiting: map[uint32]chan receivedStatus{}}
+	return statusQueries{pending: map[uint32]chan receivedStatus{}}
 }
 
-// start returns the number of a new query, whose replies go to a channel.
+// start adds a query whose replies go to a channel, and returns its number.
 func (q *statusQueries) start(replies chan receivedStatus) uint32 {
-	q.last++
-	q.waiting[q.last] = replies
-	return q.last
+	q.lastNumber++
+	q.pending[q.lastNumber] = replies
+	return q.lastNumber
 }
 
-// handleReply hands a reply to the query that waits for it. A malformed or late one is ignored.
+// handleReply passes a reply to the query that waits for it. It ignores malformed and late replies.
 func (q *statusQueries) handleReply(from int, reply *statusReply, gateways int) {
-	replies := q.waiting[reply.Number]
+	replies := q.pending[reply.Number]
 	if replies == nil || len(reply.States) != gateways || len(reply.Incarnations) != gateways {
 		return
 	}
@@ -47,7 +48,7 @@
 	}
 }
 
-// statusReply returns the reply to a query of another gateway.
+// statusReply returns the reply to another gateway's query.
 func (t *Transport) statusReply(number uint32) *statusReply {
 	reply := &statusReply{
 		Number:       number,
@@ -68,7 +69,7 @@
 	return truncateStep(t.config.RecoveryStep())
 }
 
-// Status returns how this gateway sees the cluster and how the others say that they do, as far as they answer within
+// Status returns this gateway's view of the cluster, together with the views of the gateways that reply within
 // statusTimeout.
 func (t *Transport) Status(ctx context.Context) (*View, error) {
 	replies := make(chan receivedStatus, len(t.names))
@@ -85,8 +86,8 @@
 		return nil, err
 	}
 	defer func() {
-		// An error means that the event loop has ended, and the queries with it.
-		_ = t.runOnLoop(context.Background(), func() { delete(t.queries.waiting, number) })
+		// An error means that the event loop has ended; its queries are no longer used.
+		_ = t.runOnLoop(context.Background(), func() { delete(t.queries.pending, number) })
 	}()
 	for i := range view.Gateways {
 		view.Gateways[i].SeenBy = map[string]string{t.config.Name: view.Gateways[i].State}
@@ -101,7 +102,7 @@
 	return &view, nil
 }
 
-// requestStatus asks all other gateways for their views.
+// requestStatus sends a query to all other gateways.
 func (t *Transport) requestStatus(number uint32) {
 	for to := range t.names {
 		if to != t.index {
@@ -110,7 +111,7 @@
 	}
 }
 
-// collectStatus adds replies to a view until all gateways have answered or the time is over.
+// collectStatus adds replies to a view until all gateways have replied, statusTimeout has passed or the context ends.
 func (t *Transport) collectStatus(ctx context.Context, view *View, replies <-chan receivedStatus) {
 	timeout := time.After(statusTimeout)
 	for answered := 1; answered < len(t.names); {
@@ -127,7 +128,7 @@
 	}
 }
 
-// addReply adds the reply of a gateway, and reports whether it is the first of that gateway.
+// addReply adds a gateway's reply to the view and reports whether it is the first reply of that gateway.
 func (v *View) addReply(received receivedStatus, name string) bool {
 	_, hasAnswered := v.Gateways[0].SeenBy[name]
 	for i, state := range received.reply.States {
