--- a/internal/peer/view.go
+++ b/internal/peer/view.go
@@ -6,40 +6,40 @@
 	"gapgap/internal/membership"
 )
 
-// View is how a gateway sees the cluster. Its JSON form is part of the control socket's protocol.
+// View is a gateway's view of the cluster. Its JSON encoding is part of the control socket's protocol.
 type View struct {
 	Name        string `json:"name"`
 	Incarnation uint32 `json:"incarnation"`
-	// Fraction is the fraction of the common quotas that this gateway has leased.
+	// Fraction is the fraction of the shared quotas that this gateway has leased.
 	Fraction float64 `json:"part"`
-	// Excluded is whether it uses no share at all.
+	// Excluded is whether this gateway must not use any share.
 	Excluded bool `json:"out"`
-	// HasDuplicate is whether another process of its name takes precedence.
+	// HasDuplicate is whether another process of this gateway's name takes precedence.
 	HasDuplicate bool `json:"rival,omitempty"`
-	// WrongClock is whether it makes no calls to the counter, as its clock is wrong.
+	// WrongClock is whether this gateway makes no counter calls because its clock is wrong.
 	WrongClock bool     `json:"wrong_clock,omitempty"`
 	Gateways   []Member `json:"doors"`
 	epoch      uint64
 }
 
-// Member is one gateway as this one sees it, and as the others do.
+// Member is the state of one gateway as seen by this gateway and by the others.
 type Member struct {
 	Name        string    `json:"name"`
 	State       string    `json:"state"`
 	Cause       string    `json:"cause"`
 	Since       time.Time `json:"since"`
 	Incarnation uint32    `json:"incarnation"`
-	// Fraction is the fraction that it says it has leased; nil means that it has not answered.
+	// Fraction is the leased fraction that the member has reported; nil means that it has not replied.
 	Fraction *float64 `json:"part,omitempty"`
-	// SeenBy is how it is seen, by the names of the gateways that have answered.
+	// SeenBy has the member's state as seen by each gateway that has replied, by the names of these gateways.
 	SeenBy map[string]string `json:"seen_by,omitempty"`
-	// Recovery is the step of the recovery that it says it is at.
+	// Recovery is the startup step that the member has reported.
 	Recovery string `json:"recovery,omitempty"`
-	// Disagree is whether some of the gateways that have answered take it to be present and some do not.
+	// Disagree is whether some of the gateways that have replied consider the member present and others do not.
 	Disagree bool `json:"disagree,omitempty"`
 }
 
-// IsPresent reports whether the gateway was heard of a moment ago.
+// IsPresent reports whether the member's state is alive, joining or returned.
 func (m *Member) IsPresent() bool {
 	switch m.State {
 	case membership.Alive.String(), membership.Joining.String(), membership.Returned.String():
@@ -48,7 +48,7 @@
 	return false
 }
 
-// updateDisagree compares how the gateways that have answered see the member.
+// updateDisagree sets Disagree according to SeenBy.
 func (m *Member) updateDisagree() {
 	present := 0
 	for _, state := range m.SeenBy {
@@ -61,10 +61,10 @@
 	m.Disagree = present > 0 && present < len(m.SeenBy)
 }
 
-// View returns how this gateway saw the cluster when that last changed. Any goroutine may call it.
+// View returns the last published view of the cluster. It is safe for concurrent use.
 func (t *Transport) View() *View { return t.view.Load() }
 
-// publish makes the present view and identity available to other goroutines.
+// publish makes the current view and identity available to other goroutines.
 func (t *Transport) publish(now time.Duration) {
 	lease, id := t.shareLease(now), t.node.ID()
 	t.id.Store(&id)
