--- a/internal/resourcelimit/clientlimit.go
+++ b/internal/resourcelimit/clientlimit.go
@@ -28,8 +28,8 @@
 
 // ClientConnection is a client's connection to a frontend.
 type ClientConnection interface {
-	// IdleSince returns the event loop's time at which the last open request ended, or 0 while one is open, and
-	// whether the connection has ever sent a request.
+	// IdleSince returns the event loop's time since which no request has been open, or 0 while one is open, and whether
+	// the connection has ever sent a request.
 	IdleSince() (since time.Duration, used bool)
 	// CloseWhenIdle closes the connection now if it is idle, otherwise after its last response.
 	CloseWhenIdle()
@@ -210,7 +210,7 @@
 
 // idleState is the result of a connection's IdleSince.
 type idleState struct {
-	// since is the event loop's time at which the last open request ended.
+	// since is the event loop's time since which no request has been open.
 	since time.Duration
 	// used is true if the connection has ever sent a request.
 	used bool
