--- a/internal/resourcelimit/allotment.go
+++ b/internal/resourcelimit/allotment.go
@@ -61,8 +61,8 @@
 	return reserved
 }
 
-// reserveOrReclaim reserves n units or returns the largest borrower's reclaim function, which may be nil. The
-// caller must call it without holding mu.
+// reserveOrReclaim reserves n units. If it cannot, it returns the reclaim function of the largest borrower, unless that
+// is a itself or has none. The caller must call the function without holding mu.
 func (a *Allotment) reserveOrReclaim(n int64) (reserved bool, reclaim func(int64)) {
 	a.shared.mu.Lock()
 	defer a.shared.mu.Unlock()
