--- a/internal/peer/codec.go
+++ b/internal/peer/codec.go
@@ -29,7 +29,7 @@
 	maxDatagramBytes = 16 << 10
 	// minSharedKeyBytes is the minimum length of the shared key.
 	minSharedKeyBytes = 16
-	// extraKnownSenders is how many ciphers of processes are cached beyond two for each gateway.
+	// extraKnownSenders is the number of cached ciphers beyond two per gateway.
 	extraKnownSenders = 16
 
 	// keyContext is the context of the key derivation, which separates keys for datagrams from other derived keys. It
@@ -116,7 +116,7 @@
 	return &sealer{listHash: hashNames(names), index: index, salt: s, cipher: aead}, nil
 }
 
-// seal returns the datagram of a message, which must have its receiver set. It sets the message's ListHash and From.
+// seal returns the datagram of a message, whose To must be set. It sets ListHash and From.
 func (s *sealer) seal(m *message) ([]byte, error) {
 	m.ListHash, m.From = s.listHash, uint16(s.index)
 	body, err := cbor.Marshal(m)
