--- a/internal/peer/view.go
+++ b/internal/peer/view.go
@@ -39,7 +39,7 @@
 	Disagree bool `json:"disagree,omitempty"`
 }
 
-// IsPresent reports whether the member's state is alive, joining or returned.
+// IsPresent reports whether the gateway has been heard of recently, which its state shows.
 func (m *Member) IsPresent() bool {
 	switch m.State {
 	case membership.Alive.String(), membership.Joining.String(), membership.Returned.String():
