--- a/internal/peer/operator.go
+++ b/internal/peer/operator.go
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// Forget makes this gateway treat an absent one as gone, until a new process of it is heard of. It returns a
+// Forget makes this gateway treat one that is not present as gone, until a new process of it is heard of. It returns a
 // *PresentError if the gateway is present, and an error that wraps ErrUnknownGateway if it is not in the list.
 func (t *Transport) Forget(ctx context.Context, name string) error {
 	index := slices.Index(t.names, name)
