--- a/internal/peer/send.go
+++ b/internal/peer/send.go
@@ -112,7 +112,7 @@
 }
 
 // send sends a message to a gateway at its configured address and, if replyTo is valid, to that address as well. Write
-// errors are ignored: the users of lost messages send them again.
+// errors are ignored: components that need a lost message send it again.
 func (t *Transport) send(to int, m *message, replyTo netip.AddrPort) {
 	m.To = uint16(to)
 	datagram, err := t.sealer.seal(m)
