--- a/internal/policyreplica/call.go
+++ b/internal/policyreplica/call.go
@@ -20,13 +20,13 @@
 // ErrClosed says that the replica ends.
 var ErrClosed = errors.New("the door is ending")
 
-// ErrNoVoter says that this gateway has no log to recover.
-var ErrNoVoter = errors.New("this door does not vote: recover at one that does")
+// ErrNotVoter says that this gateway has no log to recover.
+var ErrNotVoter = errors.New("this door does not vote: recover at one that does")
 
 // RecoveryRefusedError says why the voter must not go on alone. Its text may name gateways by index, see
 // [policy.ReplaceGatewayNumbers].
 type RecoveryRefusedError struct {
-	// Err is ErrNoVoter or an error of package raftlog.
+	// Err is ErrNotVoter or an error of package raftlog.
 	Err error
 }
 
@@ -144,7 +144,7 @@
 	if err != nil {
 		return err
 	}
-	refusal := ErrNoVoter
+	refusal := ErrNotVoter
 	err = r.call(ctx, func() {
 		if r.raftLog != nil {
 			refusal = r.raftLog.Recover(lost, entry)
@@ -190,9 +190,9 @@
 	if document, err := r.documents.read(hash); err == nil {
 		return document, nil
 	}
-	own := newDownload(hash, r.sources(0))
+	ownDownload := newDownload(hash, r.sources(0))
 	defer r.cleanUp(func() {
-		if r.download == own {
+		if r.download == ownDownload {
 			r.download = nil
 		}
 		delete(r.awaited, shortHash(hash))
@@ -200,7 +200,7 @@
 	})
 	for {
 		var document []byte
-		err := r.call(ctx, func() { document = r.awaitDownload(own) })
+		err := r.call(ctx, func() { document = r.awaitDownload(ownDownload) })
 		if err != nil {
 			return nil, err
 		}
@@ -217,14 +217,14 @@
 
 // awaitDownload returns the document of a download that is complete, or a report that this gateway itself made: the
 // leader's history is at no other gateway. If there is none, and no other download runs, this one runs next.
-func (r *Replica) awaitDownload(own *download) []byte {
-	if report := r.reports.byHash[own.hash]; report != nil {
+func (r *Replica) awaitDownload(ownDownload *download) []byte {
+	if report := r.reports.byHash[ownDownload.hash]; report != nil {
 		return report
 	}
-	document := r.preparer.downloaded[own.hash]
+	document := r.preparer.downloaded[ownDownload.hash]
 	if document == nil && r.download == nil {
-		r.download = own
-		r.awaited[shortHash(own.hash)] = own.hash
+		r.download = ownDownload
+		r.awaited[shortHash(ownDownload.hash)] = ownDownload.hash
 	}
 	return document
 }
--- a/internal/policyreplica/replica.go
+++ b/internal/policyreplica/replica.go
@@ -44,12 +44,13 @@
 	view            atomic.Pointer[View]
 
 	inbox chan receivedDatagram
-	// calls and written are functions to run on the replica's goroutine: of callers, and after writes of the log.
-	calls     chan func()
-	written   chan func()
-	ctx       context.Context
-	cancel    context.CancelFunc
-	waitGroup sync.WaitGroup
+	// calls and completedWrites carry functions that the replica's goroutine runs: those of callers, and the callbacks
+	// of finished log writes.
+	calls           chan func()
+	completedWrites chan func()
+	ctx             context.Context
+	cancel          context.CancelFunc
+	waitGroup       sync.WaitGroup
 	// done is closed when the replica's goroutine ends.
 	done chan struct{}
 
@@ -102,17 +103,17 @@
 // newReplica returns a replica without its node.
 func newReplica(config Config, documents *documentStore) *Replica {
 	r := &Replica{
-		config:       config,
-		voters:       Voters(len(config.Gateways)),
-		documents:    documents,
-		inbox:        make(chan receivedDatagram, maxQueuedMessages),
-		calls:        make(chan func()),
-		written:      make(chan func()),
-		done:         make(chan struct{}),
-		process:      config.Process(),
-		awaited:      awaitedDocuments{},
-		reports:      reportCache{byHash: map[policy.Hash][]byte{}},
-		reassemblies: map[int]*reassembly{},
+		config:          config,
+		voters:          Voters(len(config.Gateways)),
+		documents:       documents,
+		inbox:           make(chan receivedDatagram, maxQueuedMessages),
+		calls:           make(chan func()),
+		completedWrites: make(chan func()),
+		done:            make(chan struct{}),
+		process:         config.Process(),
+		awaited:         awaitedDocuments{},
+		reports:         reportCache{byHash: map[policy.Hash][]byte{}},
+		reassemblies:    map[int]*reassembly{},
 	}
 	r.versionWriter = &versionWriter{fs: config.FS, dir: config.Dir, log: config.Log, waitGroup: &r.waitGroup}
 	r.preparer = &preparer{
@@ -185,7 +186,7 @@
 			call()
 		case result := <-r.preparer.results:
 			r.handleBuildResult(result)
-		case done := <-r.written:
+		case done := <-r.completedWrites:
 			done()
 		case <-ticker.C:
 			r.tick()
@@ -222,7 +223,7 @@
 // update does what follows from the last event: writes of the log, transfers, and what the host has to know.
 func (r *Replica) update() {
 	if r.raftLog != nil {
-		_ = r.raftLog.Work() // it logs its failure, and the voter takes no part any more
+		_ = r.raftLog.ProcessReady() // it logs its failure, and the voter takes no part any more
 	}
 	now := r.config.Now()
 	r.updateDownload(now)
--- a/internal/policyreplica/replica_test.go
+++ b/internal/policyreplica/replica_test.go
@@ -315,7 +315,7 @@
 	for i, replica := range n.replicas {
 		err := replica.Recover(t.Context(), nil, "o")
 		var refused *RecoveryRefusedError
-		if !errors.As(err, &refused) || errors.Is(err, ErrNoVoter) != (i == 3) {
+		if !errors.As(err, &refused) || errors.Is(err, ErrNotVoter) != (i == 3) {
 			t.Errorf("gateway %d: %v", i, err)
 		}
 	}
--- a/internal/policyreplica/voterlog.go
+++ b/internal/policyreplica/voterlog.go
@@ -55,7 +55,7 @@
 	r.waitGroup.Go(func() {
 		err := write()
 		select {
-		case r.written <- func() { done(err) }:
+		case r.completedWrites <- func() { done(err) }:
 		case <-r.done:
 		}
 	})
--- a/internal/raftlog/bootstrap.go
+++ b/internal/raftlog/bootstrap.go
@@ -9,8 +9,8 @@
 
 // emptyDisk is an empty disk of another voter.
 type emptyDisk struct {
-	number  uint64
-	heardAt int // tick
+	number     uint64
+	receivedAt int // tick
 }
 
 // sendBootstrapToAll asks the other voters whether they have a log.
@@ -42,43 +42,43 @@
 	switch {
 	case l.node != nil || l.failure != nil:
 		if isEmpty {
-			l.receiveFromEmpty(from, m.disk)
+			l.receiveFromEmptyDisk(from, m.disk)
 		} else {
 			l.checkStillMember(&m)
 		}
 	case isEmpty:
-		l.emptyDisks[from] = emptyDisk{number: m.disk, heardAt: l.ticks}
+		l.emptyDisks[from] = emptyDisk{number: m.disk, receivedAt: l.ticks}
 		l.sendBootstrap(from)
 		return l.bootstrapIfComplete()
 	case m.disks[l.cfg.Voter] == l.cfg.Disk.content.Number:
 		return l.bootstrap(m.disks, m.term)
-	case !l.isLost:
-		l.isLost = true
+	case !l.isExcluded:
+		l.isExcluded = true
 		l.cfg.Logger.Error("this voter's log is lost, and the other voters have one: "+
 			"it takes no part in deciding on policy", "voter", l.cfg.Voter)
 	}
 	return nil
 }
 
-// receiveFromEmpty answers a voter with an empty disk. A disk of this log has only not heard yet that it is
+// receiveFromEmptyDisk answers a voter with an empty disk. A disk of this log has only not heard yet that it is
 // bootstrapped; any other waits to be replaced.
-func (l *Log) receiveFromEmpty(from int, disk uint64) {
+func (l *Log) receiveFromEmptyDisk(from int, disk uint64) {
 	if l.cfg.Disk.content.Disks[from] != disk {
-		l.emptyDisks[from] = emptyDisk{number: disk, heardAt: l.ticks}
+		l.emptyDisks[from] = emptyDisk{number: disk, receivedAt: l.ticks}
 	}
 	l.sendBootstrap(from)
 }
 
 // checkStillMember finds out that the others have gone on without this voter's disk.
 func (l *Log) checkStillMember(m *bootstrapMessage) {
-	if l.node == nil || l.isLost || m.term <= l.node.BasicStatus().Term {
+	if l.node == nil || l.isExcluded || m.term <= l.node.BasicStatus().Term {
 		return
 	}
 	number, ok := m.disks[l.cfg.Voter]
 	if ok && number == l.cfg.Disk.content.Number {
 		return
 	}
-	l.isLost = true
+	l.isExcluded = true
 	l.cfg.Logger.Error("the voters go on without this one, whose log is of before: "+
 		"it takes no part until it has an empty disk and is replaced", "voter", l.cfg.Voter)
 }
--- a/internal/raftlog/cluster_test.go
+++ b/internal/raftlog/cluster_test.go
@@ -35,8 +35,8 @@
 	reads   int
 }
 
-// work does what has come about. Why a voter takes no part any more is in its log's failure.
-func (v *voter) work() { _ = v.log.Work() }
+// processReady does what has come about. Why a voter takes no part any more is in its log's failure.
+func (v *voter) processReady() { _ = v.log.ProcessReady() }
 
 // newCluster starts voters with empty disks.
 func newCluster(t *testing.T, n int) *cluster {
@@ -113,7 +113,7 @@
 	for _, v := range c.voters {
 		if v.log != nil {
 			v.log.Tick()
-			v.work()
+			v.processReady()
 		}
 	}
 	for n := 0; len(c.messages) > 0 && n < 10_000; n++ {
@@ -123,13 +123,13 @@
 			if err := to.log.Step(s.from, s.data); err != nil {
 				c.t.Errorf("%v", err)
 			}
-			to.work()
+			to.processReady()
 		}
 	}
 }
 
-// until ticks until a condition holds.
-func (c *cluster) until(limit int, what string, done func() bool) {
+// waitUntil ticks until a condition holds.
+func (c *cluster) waitUntil(limit int, what string, done func() bool) {
 	c.t.Helper()
 	for range limit {
 		if done() {
@@ -168,8 +168,8 @@
 	}
 }
 
-// ticks is some ticks.
-func (c *cluster) ticks(n int) {
+// runTicks is some ticks.
+func (c *cluster) runTicks(n int) {
 	for range n {
 		c.tick()
 	}
@@ -178,7 +178,7 @@
 // waitApplied ticks until a voter has applied an entry.
 func (c *cluster) waitApplied(i, n int) {
 	c.t.Helper()
-	c.until(800, "all of it", func() bool {
+	c.waitUntil(800, "all of it", func() bool {
 		v := c.voters[i]
 		return v.log != nil && slices.Contains(v.applied, uint64(n))
 	})
@@ -201,7 +201,7 @@
 			j := jobs[0]
 			jobs = nil
 			j.done(j.write())
-			v.work()
+			v.processReady()
 		}
 	}
 }
--- a/internal/raftlog/disk.go
+++ b/internal/raftlog/disk.go
@@ -17,10 +17,10 @@
 )
 
 const (
-	// maxEntries is the number of entries after the last snapshot from which another one is made.
-	maxEntries = 500
-	// keptEntries is the number of entries before a snapshot that are kept for voters that are a little behind.
-	keptEntries = 100
+	// snapshotThreshold is the number of entries after the last snapshot from which another one is made.
+	snapshotThreshold = 500
+	// retainedEntries is the number of entries before a snapshot that are kept for voters that are a little behind.
+	retainedEntries = 100
 	// maxFileBytes bounds the file. Entries have some hundred bytes each.
 	maxFileBytes = 64 << 20
 )
@@ -32,7 +32,7 @@
 var ErrDamaged = errors.New("the voter's log is damaged")
 
 var (
-	errNoBeginning    = errors.New("it has no beginning")
+	errIncomplete     = errors.New("it has no beginning")
 	errEntriesMissing = errors.New("entries are missing")
 )
 
@@ -81,21 +81,23 @@
 		d.content.Number = randomDiskNumber()
 		return d, d.write()
 	case errors.Is(err, statefile.ErrCorrupt):
-		return nil, d.damaged(err)
+		return nil, d.damagedError(err)
 	case err != nil:
 		return nil, fmt.Errorf("%s: %w", d.path, err)
 	}
 	isComplete := len(d.content.HardState) > 0 && len(d.content.Snapshot) > 0
-	if d.content.Number == 0 || d.hasLog() && !isComplete {
-		return nil, d.damaged(errNoBeginning)
+	if d.content.Number == 0 || d.isBootstrapped() && !isComplete {
+		return nil, d.damagedError(errIncomplete)
 	}
 	return d, nil
 }
 
-func (d *Disk) damaged(err error) error { return fmt.Errorf("%s: %w: %w", d.path, ErrDamaged, err) }
+func (d *Disk) damagedError(err error) error {
+	return fmt.Errorf("%s: %w: %w", d.path, ErrDamaged, err)
+}
 
-// hasLog returns whether the log is bootstrapped.
-func (d *Disk) hasLog() bool { return len(d.content.Disks) > 0 }
+// isBootstrapped returns whether the log is bootstrapped.
+func (d *Disk) isBootstrapped() bool { return len(d.content.Disks) > 0 }
 
 // write stores the content; once it returns nil that outlives a power loss.
 func (d *Disk) write() error {
@@ -213,23 +215,23 @@
 	var hardState raftpb.HardState
 	err := errors.Join(snapshot.Unmarshal(d.content.Snapshot), hardState.Unmarshal(d.content.HardState))
 	if err != nil {
-		return nil, d.damaged(err)
+		return nil, d.damagedError(err)
 	}
 	storage := raft.NewMemoryStorage()
 	if err := storage.ApplySnapshot(snapshot); err != nil {
-		return nil, d.damaged(err)
+		return nil, d.damagedError(err)
 	}
 	if err := storage.SetHardState(hardState); err != nil {
-		return nil, d.damaged(err)
+		return nil, d.damagedError(err)
 	}
 	index := snapshot.Metadata.Index
 	entries, err := d.entriesAfter(index)
 	if err != nil {
-		return nil, d.damaged(err)
+		return nil, d.damagedError(err)
 	}
 	hasGap := len(entries) > 0 && entries[0].Index != index+1
 	if hasGap || hardState.Commit > index+uint64(len(entries)) {
-		return nil, d.damaged(errEntriesMissing)
+		return nil, d.damagedError(errEntriesMissing)
 	}
 	return storage, storage.Append(entries)
 }
--- a/internal/raftlog/disk_test.go
+++ b/internal/raftlog/disk_test.go
@@ -16,7 +16,7 @@
 func TestPolicyLogDamaged(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 1)
-	c.until(100, "a leader", func() bool { return c.leader() != nil })
+	c.waitUntil(100, "a leader", func() bool { return c.leader() != nil })
 	for n := range 50 {
 		c.leader().log.Propose(entry(n))
 		c.tick()
--- a/internal/raftlog/golden_test.go
+++ b/internal/raftlog/golden_test.go
@@ -16,17 +16,17 @@
 	"gapgap/internal/vfs"
 )
 
-// unsynced is the operating system's file system without waiting for the disk: no play has a power loss.
-type unsynced struct{ vfs.OS }
+// unsyncedFS is the operating system's file system without waiting for the disk: no play has a power loss.
+type unsyncedFS struct{ vfs.OS }
 
 // unsyncedFile does not wait for the disk.
 type unsyncedFile struct{ vfs.File }
 
 func (unsyncedFile) Sync() error { return nil }
 
-func (unsynced) SyncDir(string) error { return nil }
+func (unsyncedFS) SyncDir(string) error { return nil }
 
-func (u unsynced) CreateTemp(dir, pattern string) (vfs.File, error) {
+func (u unsyncedFS) CreateTemp(dir, pattern string) (vfs.File, error) {
 	file, err := u.OS.CreateTemp(dir, pattern)
 	if err != nil {
 		return nil, err
@@ -34,8 +34,8 @@
 	return unsyncedFile{file}, nil
 }
 
-// numberDisk gives a voter an empty disk with a number that is not drawn by chance.
-func numberDisk(t *testing.T, dir string, number uint64) {
+// createDisk gives a voter an empty disk with a number that is not drawn by chance.
+func createDisk(t *testing.T, dir string, number uint64) {
 	t.Helper()
 	d, err := OpenDisk(vfs.OS{}, dir)
 	if err != nil {
@@ -47,31 +47,31 @@
 	}
 }
 
-// goldenPlay is some voters whose disks have fixed numbers, in one goroutine. The first one is a candidate before any
-// election timeout, which raft draws by chance, and is heard of from then on, so no timeout ever runs out.
-type goldenPlay struct {
+// goldenCluster is a cluster with fixed disk numbers, driven from one goroutine. Raft randomizes election timeouts, so
+// the first voter campaigns before any of them expires, and its heartbeats keep all of them from expiring afterwards.
+type goldenCluster struct {
 	*cluster
 	trace *golden.Trace
 }
 
-func newGoldenPlay(t *testing.T, voters int) *goldenPlay {
+func newGoldenCluster(t *testing.T, voters int) *goldenCluster {
 	t.Helper()
 	c := &cluster{t: t}
 	for i := range voters {
 		c.dirs = append(c.dirs, t.TempDir())
 		c.voters = append(c.voters, nil)
-		numberDisk(t, c.dirs[i], uint64(1001+i))
+		createDisk(t, c.dirs[i], uint64(1001+i))
 	}
-	p := &goldenPlay{cluster: c, trace: golden.NewTrace()}
+	p := &goldenCluster{cluster: c, trace: golden.NewTrace()}
 	for i := range voters {
 		p.start(i)
 	}
-	p.ticks(2)
+	p.runTicks(2)
 	if err := c.voters[0].log.node.Campaign(); err != nil {
 		t.Fatal(err)
 	}
-	p.work(0)
-	p.ticks(3)
+	p.processReady(0)
+	p.runTicks(3)
 	if c.leader() != c.voters[0] {
 		t.Fatal("the first voter does not lead")
 	}
@@ -79,22 +79,22 @@
 }
 
 // start starts a voter whose writes do not wait for the disk.
-func (p *goldenPlay) start(i int) {
+func (p *goldenCluster) start(i int) {
 	p.t.Helper()
 	p.cluster.start(i)
-	p.voters[i].disk.files = unsynced{}
+	p.voters[i].disk.files = unsyncedFS{}
 }
 
-// work has a voter do what has come about, and delivers all messages in their order.
-func (p *goldenPlay) work(i int) {
+// processReady has a voter do what has come about, and delivers all messages in their order.
+func (p *goldenCluster) processReady(i int) {
 	p.t.Helper()
-	if err := p.voters[i].log.Work(); err != nil {
+	if err := p.voters[i].log.ProcessReady(); err != nil {
 		p.t.Fatal(err)
 	}
 	p.deliver()
 }
 
-func (p *goldenPlay) deliver() {
+func (p *goldenCluster) deliver() {
 	p.t.Helper()
 	for len(p.messages) > 0 {
 		s := p.messages[0]
@@ -109,25 +109,25 @@
 		if err := to.Step(s.from, s.data); err != nil {
 			p.t.Fatal(err)
 		}
-		if err := to.Work(); err != nil {
+		if err := to.ProcessReady(); err != nil {
 			p.t.Fatal(err)
 		}
 	}
 }
 
-func (p *goldenPlay) ticks(n int) {
+func (p *goldenCluster) runTicks(n int) {
 	p.t.Helper()
 	for range n {
 		for i, v := range p.voters {
 			if v.log != nil {
 				v.log.Tick()
-				p.work(i)
+				p.processReady(i)
 			}
 		}
 	}
 }
 
-func (p *goldenPlay) propose(from, to int) {
+func (p *goldenCluster) propose(from, to int) {
 	p.t.Helper()
 	for n := from; n < to; n++ {
 		p.voters[0].log.Propose(entry(n))
@@ -135,15 +135,15 @@
 			continue // each write is the whole file: some entries have one together
 		}
 		p.voters[0].log.ConfirmRead(uint64(n))
-		p.work(0)
+		p.processReady(0)
 		if n%60 == 59 {
-			p.ticks(1)
+			p.runTicks(1)
 		}
 	}
 }
 
-// error adds the text of an error; empty: none.
-func (p *goldenPlay) error(err error) {
+// recordError adds the text of an error; empty: none.
+func (p *goldenCluster) recordError(err error) {
 	text := ""
 	if err != nil {
 		text = err.Error()
@@ -151,8 +151,8 @@
 	p.trace.String(text)
 }
 
-// end adds what the voters have applied and kept.
-func (p *goldenPlay) end() string {
+// finalHash adds what the voters have applied and kept.
+func (p *goldenCluster) finalHash() string {
 	p.t.Helper()
 	for i, v := range p.voters {
 		p.trace.Uint(v.index)
@@ -171,60 +171,60 @@
 }
 
 // One voter past its compaction, and started anew.
-func aloneHash(t *testing.T) string {
-	p := newGoldenPlay(t, 1)
+func singleVoterHash(t *testing.T) string {
+	p := newGoldenCluster(t, 1)
 	p.propose(0, 1200)
 	p.stop(0)
 	p.start(0)
 	p.trace.Uint(p.voters[0].index)
 	p.trace.Int(int64(len(p.voters[0].applied)))
-	return p.end()
+	return p.finalHash()
 }
 
 // A follower that is away for more than a snapshot, and catches up.
 func snapshotHash(t *testing.T) string {
-	p := newGoldenPlay(t, 3)
+	p := newGoldenCluster(t, 3)
 	p.propose(0, 20)
 	p.stop(2)
 	p.propose(20, 700)
 	p.start(2)
-	p.ticks(60)
+	p.runTicks(60)
 	p.propose(700, 720)
-	return p.end()
+	return p.finalHash()
 }
 
 // A voter whose disk is lost and is replaced by another one.
 func replacedHash(t *testing.T) string {
-	p := newGoldenPlay(t, 3)
+	p := newGoldenCluster(t, 3)
 	p.propose(0, 30)
 	p.stop(2)
 	if err := os.Remove(filepath.Join(p.dirs[2], fileName)); err != nil {
 		t.Fatal(err)
 	}
-	numberDisk(t, p.dirs[2], 2003)
+	createDisk(t, p.dirs[2], 2003)
 	p.start(2)
 	for range 40 {
-		p.error(p.voters[0].log.ReplaceVoter(2))
-		p.work(0)
-		p.ticks(1)
+		p.recordError(p.voters[0].log.ReplaceVoter(2))
+		p.processReady(0)
+		p.runTicks(1)
 	}
 	p.trace.Bool(p.voters[2].log.HasStarted())
 	p.propose(30, 60)
-	p.error(p.voters[0].log.ReplaceVoter(1))
-	p.error(p.voters[0].log.ReplaceVoter(7))
-	p.error(p.voters[1].log.ReplaceVoter(2))
-	return p.end()
+	p.recordError(p.voters[0].log.ReplaceVoter(1))
+	p.recordError(p.voters[0].log.ReplaceVoter(7))
+	p.recordError(p.voters[1].log.ReplaceVoter(2))
+	return p.finalHash()
 }
 
 // A leader whose disk stands still gives the lead to another voter.
 func stuckDiskHash(t *testing.T) string {
-	p := newGoldenPlay(t, 3)
+	p := newGoldenCluster(t, 3)
 	p.propose(0, 5)
 	write := p.delayWrites(0)
 	p.voters[0].log.Propose(entry(5))
-	p.work(0)
+	p.processReady(0)
 	for range 8 {
-		p.ticks(1)
+		p.runTicks(1)
 		for _, v := range p.voters {
 			term, leads := v.log.Leading()
 			p.trace.Uint(term)
@@ -234,21 +234,21 @@
 	for range 5 {
 		write()
 		p.deliver()
-		p.ticks(1)
+		p.runTicks(1)
 	}
-	return p.end()
+	return p.finalHash()
 }
 
 // A voter alone refuses a recovery for each of its reasons, as far as no leader is lost.
-func refusedRecoveryHash(t *testing.T) string {
-	p := newGoldenPlay(t, 3)
-	p.error(p.voters[0].log.Recover(nil, entry(1)))
+func rejectedRecoveryHash(t *testing.T) string {
+	p := newGoldenCluster(t, 3)
+	p.recordError(p.voters[0].log.Recover(nil, entry(1)))
 	p.propose(0, 3)
 	p.stop(1)
 	p.stop(2)
-	p.error(p.voters[0].log.Recover([]int{1, 2}, entry(1)))
-	p.ticks(30) // it gives up the lead, as no majority answers
-	p.error(p.voters[0].log.Recover([]int{1}, entry(1)))
+	p.recordError(p.voters[0].log.Recover([]int{1, 2}, entry(1)))
+	p.runTicks(30) // it gives up the lead, as no majority answers
+	p.recordError(p.voters[0].log.Recover([]int{1}, entry(1)))
 	return p.trace.Sum()
 }
 
@@ -256,35 +256,35 @@
 // chance, so the plays are those in which none runs out.
 func TestGoldenVoters(t *testing.T) {
 	hashes := golden.LoadHashes(t, "testdata/golden/hashes.txt")
-	plays := []struct {
+	cases := []struct {
 		name string
 		hash func(*testing.T) string
 	}{
-		{"alone", aloneHash},
+		{"alone", singleVoterHash},
 		{"snapshot", snapshotHash},
 		{"replaced", replacedHash},
 		{"stuck-disk", stuckDiskHash},
-		{"refused-recovery", refusedRecoveryHash},
+		{"refused-recovery", rejectedRecoveryHash},
 	}
-	for _, play := range plays {
-		t.Run(play.name, func(t *testing.T) {
-			sum := play.hash(t)
-			if play.name != "snapshot" { // it takes seconds
-				if again := play.hash(t); again != sum {
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			sum := c.hash(t)
+			if c.name != "snapshot" { // it takes seconds
+				if again := c.hash(t); again != sum {
 					t.Fatalf("%s, then %s", sum, again)
 				}
 			}
-			hashes.Check(t, play.name, sum)
+			hashes.Check(t, c.name, sum)
 		})
 	}
 }
 
-// goldenKept sets all fields of a voter's file.
-func goldenKept(t *testing.T) diskContent {
+// goldenDiskContent sets all fields of a voter's file.
+func goldenDiskContent(t *testing.T) diskContent {
 	t.Helper()
 	d := &Disk{content: diskContent{Number: 1<<62 + 1, Disks: map[int]uint64{0: 1<<62 + 1, 1: 7, 2: 1 << 40}}}
-	hard := raftpb.HardState{Term: 4, Vote: 2, Commit: 302}
-	snap := raftpb.Snapshot{
+	hardState := raftpb.HardState{Term: 4, Vote: 2, Commit: 302}
+	snapshot := raftpb.Snapshot{
 		Data:     append([]byte{snapshotWithDisks, 2, 0, 5, 1, 7}, "state"...),
 		Metadata: raftpb.SnapshotMetadata{ConfState: raftpb.ConfState{Voters: []uint64{1, 2, 3}}, Index: 300, Term: 3},
 	}
@@ -292,7 +292,7 @@
 		{Term: 3, Index: 301, Data: []byte("an entry")},
 		{Term: 4, Index: 302, Type: raftpb.EntryConfChange, Data: []byte{8, 1}},
 	}
-	if err := d.record(hard, entries, &snap); err != nil {
+	if err := d.record(hardState, entries, &snapshot); err != nil {
 		t.Fatal(err)
 	}
 	return d.content
@@ -302,12 +302,12 @@
 func TestGoldenVoterFile(t *testing.T) {
 	path := "testdata/golden/policy.log"
 	dir := t.TempDir()
-	numberDisk(t, dir, 1)
+	createDisk(t, dir, 1)
 	d, err := OpenDisk(vfs.OS{}, dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.content = goldenKept(t)
+	d.content = goldenDiskContent(t)
 	if err := d.write(); err != nil {
 		t.Fatal(err)
 	}
@@ -320,14 +320,14 @@
 	if d, err = OpenDisk(vfs.OS{}, dir); err != nil {
 		t.Fatal(err)
 	}
-	if want := goldenKept(t); !reflect.DeepEqual(d.content, want) {
+	if want := goldenDiskContent(t); !reflect.DeepEqual(d.content, want) {
 		t.Errorf("read back %+v, want %+v", d.content, want)
 	}
-	mem, err := d.load()
+	storage, err := d.load()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if last, err := mem.LastIndex(); err != nil || last != 302 {
+	if last, err := storage.LastIndex(); err != nil || last != 302 {
 		t.Errorf("the last index is %d, %v", last, err)
 	}
 }
@@ -353,7 +353,7 @@
 	hashes := golden.LoadHashes(t, "testdata/golden/messages.txt")
 	var sent [][]byte
 	dir := t.TempDir()
-	numberDisk(t, dir, 1001)
+	createDisk(t, dir, 1001)
 	d, err := OpenDisk(vfs.OS{}, dir)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/raftlog/log.go
+++ b/internal/raftlog/log.go
@@ -58,12 +58,12 @@
 
 // Log is one voter's part in the replicated log.
 type Log struct {
-	cfg     Config
-	node    *raft.RawNode // nil: the log is not bootstrapped here
-	storage *raft.MemoryStorage
-	ticks   int
-	failure error // why this voter takes no part any more; nil: it does
-	isLost  bool  // the others go on without this voter's disk
+	cfg        Config
+	node       *raft.RawNode // nil: the log is not bootstrapped here
+	storage    *raft.MemoryStorage
+	ticks      int
+	failure    error // why this voter takes no part any more; nil: it does
+	isExcluded bool  // the others go on without this voter's disk
 
 	confState        raftpb.ConfState
 	applied          uint64 // index
@@ -91,7 +91,7 @@
 	for _, voter := range cfg.Voters {
 		l.confState.Voters = append(l.confState.Voters, raftID(voter))
 	}
-	if cfg.Disk.hasLog() {
+	if cfg.Disk.isBootstrapped() {
 		return l, l.start()
 	}
 	return l, l.bootstrapIfComplete()
@@ -170,7 +170,7 @@
 // Propose proposes an entry. Where this voter does not lead, the entry goes to the one that does. It may be lost, and
 // one of more than maxEntryBytes always is.
 func (l *Log) Propose(entry []byte) {
-	defer l.recoverContradiction()
+	defer l.recoverRaftPanic()
 	if l.HasStarted() && len(entry) <= maxEntryBytes {
 		_ = l.node.Propose(entry) // a dropped proposal is lost like any other
 	}
@@ -178,7 +178,7 @@
 
 // ConfirmRead has a majority confirm that this voter leads; Config.ReadConfirmed follows. It may be lost.
 func (l *Log) ConfirmRead(token uint64) {
-	defer l.recoverContradiction()
+	defer l.recoverRaftPanic()
 	if l.HasStarted() {
 		l.node.ReadIndex(binary.BigEndian.AppendUint64(nil, token))
 	}
@@ -186,7 +186,7 @@
 
 // Tick advances the time by one tick.
 func (l *Log) Tick() {
-	defer l.recoverContradiction()
+	defer l.recoverRaftPanic()
 	l.ticks++
 	isBootstrapTick := l.ticks%bootstrapTicks == 1
 	switch {
@@ -221,8 +221,8 @@
 func (l *Log) transferIfSlow() {
 	_, leads := l.Leading()
 	isSlow := l.writes.isWriting && l.ticks-l.writes.startedAt > slowWriteTicks
-	transferredLately := l.transferredAt > 0 && l.ticks-l.transferredAt < transferPauseTicks
-	if !leads || !isSlow || transferredLately {
+	transferredRecently := l.transferredAt > 0 && l.ticks-l.transferredAt < transferPauseTicks
+	if !leads || !isSlow || transferredRecently {
 		return
 	}
 	self, successor, match := raftID(l.cfg.Voter), raft.None, uint64(0)
@@ -241,7 +241,7 @@
 
 // Step takes a message from another voter. Its error says what is wrong with the message; then nothing has changed.
 func (l *Log) Step(from int, message []byte) error {
-	defer l.recoverContradiction()
+	defer l.recoverRaftPanic()
 	if len(message) == 0 || !slices.Contains(l.cfg.Voters, from) || from == l.cfg.Voter {
 		return ErrMalformed
 	}
--- a/internal/raftlog/log_test.go
+++ b/internal/raftlog/log_test.go
@@ -12,9 +12,9 @@
 func TestPolicyLogCatchesUp(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 3)
-	c.until(200, "a leader", func() bool { return c.leader() != nil })
+	c.waitUntil(200, "a leader", func() bool { return c.leader() != nil })
 	c.stop(2)
-	c.until(200, "a leader of two", func() bool { return c.leader() != nil })
+	c.waitUntil(200, "a leader of two", func() bool { return c.leader() != nil })
 	for n := 0; n < 10_000; {
 		l := c.leader()
 		if l == nil {
@@ -25,15 +25,15 @@
 			l.log.Propose(entry(n))
 			n++
 		}
-		l.work()
+		l.processReady()
 		c.tick()
 	}
-	c.until(200, "committed", func() bool {
+	c.waitUntil(200, "committed", func() bool {
 		return len(c.voters[0].applied) == 10_000 && len(c.voters[1].applied) == 10_000
 	})
 	c.loss = 0.1
 	c.start(2)
-	c.until(2000, "caught up", func() bool { return len(c.voters[2].applied) == 10_000 })
+	c.waitUntil(2000, "caught up", func() bool { return len(c.voters[2].applied) == 10_000 })
 	c.loss = 0
 	for i := range 3 {
 		c.stop(i)
@@ -42,12 +42,12 @@
 		}
 		c.start(i)
 	}
-	c.until(200, "a leader again", func() bool { return c.leader() != nil && c.leader().log.HasStarted() })
+	c.waitUntil(200, "a leader again", func() bool { return c.leader() != nil && c.leader().log.HasStarted() })
 	l := c.leader()
 	l.log.Propose(entry(10_000))
 	l.log.ConfirmRead(7)
-	l.work()
-	c.until(200, "committed again", func() bool {
+	l.processReady()
+	c.waitUntil(200, "committed again", func() bool {
 		return !slices.ContainsFunc(c.voters, func(v *voter) bool { return len(v.applied) != 10_001 })
 	})
 	for i, v := range c.voters {
@@ -66,16 +66,16 @@
 func TestPolicyLogLostDisk(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 3)
-	c.until(200, "a leader", func() bool { return c.leader() != nil })
+	c.waitUntil(200, "a leader", func() bool { return c.leader() != nil })
 	c.wipe(1)
 	c.start(1)
 	for range 60 {
 		c.tick()
 	}
-	if v := c.voters[1]; v.log.HasStarted() || !v.log.isLost {
+	if v := c.voters[1]; v.log.HasStarted() || !v.log.isExcluded {
 		t.Error("it takes part")
 	}
 	c.stop(0)
 	c.start(0)
-	c.until(200, "a leader of those that have theirs", func() bool { return c.leader() != nil })
+	c.waitUntil(200, "a leader of those that have theirs", func() bool { return c.leader() != nil })
 }
--- a/internal/raftlog/logger.go
+++ b/internal/raftlog/logger.go
@@ -17,7 +17,7 @@
 func (l *raftLogger) Warningf(format string, v ...any) { l.logger.Debug(fmt.Sprintf(format, v...)) }
 func (l *raftLogger) Error(v ...any)                   { l.logger.Error(fmt.Sprint(v...)) }
 func (l *raftLogger) Errorf(format string, v ...any)   { l.logger.Error(fmt.Sprintf(format, v...)) }
-func (*raftLogger) Fatal(v ...any)                     { panic(contradiction(fmt.Sprint(v...))) }
-func (*raftLogger) Fatalf(format string, v ...any)     { panic(contradiction(fmt.Sprintf(format, v...))) }
-func (*raftLogger) Panic(v ...any)                     { panic(contradiction(fmt.Sprint(v...))) }
-func (*raftLogger) Panicf(format string, v ...any)     { panic(contradiction(fmt.Sprintf(format, v...))) }
+func (*raftLogger) Fatal(v ...any)                     { panic(raftPanic(fmt.Sprint(v...))) }
+func (*raftLogger) Fatalf(format string, v ...any)     { panic(raftPanic(fmt.Sprintf(format, v...))) }
+func (*raftLogger) Panic(v ...any)                     { panic(raftPanic(fmt.Sprint(v...))) }
+func (*raftLogger) Panicf(format string, v ...any)     { panic(raftPanic(fmt.Sprintf(format, v...))) }
--- a/internal/raftlog/message_test.go
+++ b/internal/raftlog/message_test.go
@@ -14,6 +14,6 @@
 			c.tick()
 		}
 		_ = c.voters[0].log.Step(1, b) // whatever it is, it does no harm
-		c.voters[0].work()
+		c.voters[0].processReady()
 	})
 }
--- a/internal/raftlog/recover.go
+++ b/internal/raftlog/recover.go
@@ -25,13 +25,13 @@
 
 // MajorityPossibleError says that voters that were not heard of may still make a majority.
 type MajorityPossibleError struct {
-	// Silent are their indices.
-	Silent []int
+	// Unreachable are their indices.
+	Unreachable []int
 }
 
 func (e *MajorityPossibleError) Error() string {
-	names := make([]string, 0, len(e.Silent))
-	for _, voter := range e.Silent {
+	names := make([]string, 0, len(e.Unreachable))
+	for _, voter := range e.Unreachable {
 		names = append(names, fmt.Sprint("door ", voter))
 	}
 	return fmt.Sprintf("a majority may still come: %v not heard of; name those whose disks are lost for good", names)
@@ -41,7 +41,7 @@
 type logTail struct {
 	disk        uint64 // number
 	term, index uint64 // of the last entry
-	heardAt     int    // tick
+	receivedAt  int    // tick
 }
 
 func (t logTail) isLongerThan(other logTail) bool {
@@ -90,7 +90,7 @@
 	if !l.HasStarted() {
 		return nil
 	}
-	tail := logTail{disk: m.disk, term: m.term, index: m.index, heardAt: l.ticks}
+	tail := logTail{disk: m.disk, term: m.term, index: m.index, receivedAt: l.ticks}
 	content := &l.cfg.Disk.content
 	own, err := l.ownTail()
 	if err == nil && content.Disks[from] != tail.disk && m.receiverDisk == content.Number && tail.isLongerThan(own) {
@@ -119,7 +119,7 @@
 	if err := l.checkMajorityLost(own, lost); err != nil {
 		return err
 	}
-	if err := l.goOnAlone(own, entry); err != nil {
+	if err := l.restartAsSoleVoter(own, entry); err != nil {
 		return l.fail(err)
 	}
 	l.cfg.Logger.Warn("a majority of the voters' disks was given up: this voter goes on alone with what its log has",
@@ -134,7 +134,7 @@
 		return ErrNoLog
 	case l.node.BasicStatus().Lead != raft.None:
 		return ErrHasLeader
-	case l.writes.isWriting || l.writes.dirty || len(l.writes.waiting) > 0:
+	case l.writes.isWriting || l.writes.dirty || len(l.writes.queued) > 0:
 		return ErrWriting
 	}
 	return nil
@@ -143,44 +143,44 @@
 // checkMajorityLost returns why a majority of the disks is not lost, or not known to be, or why another voter is to
 // recover.
 func (l *Log) checkMajorityLost(own logTail, lost []int) error {
-	gone, present := 0, 0
-	var silent []int
+	lostVoters, presentVoters := 0, 0
+	var unreachable []int
 	for _, voter := range l.cfg.Voters {
 		tail, hasLog := l.tails[voter]
-		hasLog = hasLog && l.ticks-tail.heardAt <= reachableTicks
+		hasLog = hasLog && l.ticks-tail.receivedAt <= reachableTicks
 		switch {
 		case voter == l.cfg.Voter:
-			present++
+			presentVoters++
 		case hasLog && slices.Contains(lost, voter):
 			return &VoterError{Voter: voter, Err: ErrNotLost}
 		case hasLog && tail.isLongerThan(own):
 			return &VoterError{Voter: voter, Err: ErrLongerLog}
 		case hasLog:
-			present++
+			presentVoters++
 		case l.hasEmptyDisk(voter), slices.Contains(lost, voter):
-			gone++
+			lostVoters++
 		default:
-			silent = append(silent, voter)
+			unreachable = append(unreachable, voter)
 		}
 	}
 	majority := len(l.cfg.Voters)/2 + 1
 	switch {
-	case len(l.cfg.Voters)-gone < majority:
+	case len(l.cfg.Voters)-lostVoters < majority:
 		return nil
-	case present >= majority:
+	case presentVoters >= majority:
 		return ErrHasMajority
 	}
-	return &MajorityPossibleError{Silent: silent}
+	return &MajorityPossibleError{Unreachable: unreachable}
 }
 
 // hasEmptyDisk returns whether a voter was heard of lately with an empty disk that is not of this log.
 func (l *Log) hasEmptyDisk(voter int) bool {
 	empty, ok := l.emptyDisks[voter]
-	return ok && empty.number != l.cfg.Disk.content.Disks[voter] && l.ticks-empty.heardAt <= reachableTicks
+	return ok && empty.number != l.cfg.Disk.content.Disks[voter] && l.ticks-empty.receivedAt <= reachableTicks
 }
 
-// goOnAlone replaces the log, in one write, by one of which this is the only voter.
-func (l *Log) goOnAlone(own logTail, entry []byte) error {
+// restartAsSoleVoter replaces the log, in one write, by one of which this is the only voter.
+func (l *Log) restartAsSoleVoter(own logTail, entry []byte) error {
 	if err := l.applyUncommitted(own.index); err != nil {
 		return err
 	}
@@ -215,7 +215,7 @@
 	if err := l.cfg.Disk.write(); err != nil {
 		return err
 	}
-	l.reads, l.writes.waitingApplies, l.incomingSnapshot = nil, 0, 0
+	l.reads, l.writes.queuedApplies, l.incomingSnapshot = nil, 0, 0
 	clear(l.replacements)
 	clear(l.snapshotsSentAt)
 	clear(l.tails)
--- a/internal/raftlog/recover_test.go
+++ b/internal/raftlog/recover_test.go
@@ -12,7 +12,7 @@
 func TestPowerLostMajorityOfVoters(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 5)
-	c.until(200, "a leader", func() bool { return c.leader() != nil })
+	c.waitUntil(200, "a leader", func() bool { return c.leader() != nil })
 	rejected := func(i int, want string, lost ...int) {
 		t.Helper()
 		if err := c.voters[i].log.Recover(lost, entry(1000)); err == nil || !strings.Contains(err.Error(), want) {
@@ -21,7 +21,7 @@
 	}
 	propose := func(n int) {
 		t.Helper()
-		c.until(800, "a leader", func() bool { return c.leader() != nil })
+		c.waitUntil(800, "a leader", func() bool { return c.leader() != nil })
 		c.leader().log.Propose(entry(n))
 	}
 	propose(0)
@@ -37,9 +37,9 @@
 	for _, i := range []int{2, 3, 4} {
 		c.stop(i)
 	}
-	c.ticks(60) // the leader, if it is left, gives up
+	c.runTicks(60) // the leader, if it is left, gives up
 	c.start(1)
-	c.ticks(60)
+	c.runTicks(60)
 	rejected(0, "[door 2 door 3 door 4] not heard of")
 	rejected(0, "may still come", 2, 3)
 	rejected(0, "is there with its log", 1, 2, 3, 4)
@@ -48,24 +48,24 @@
 	c.wipe(3)
 	c.start(2)
 	c.start(3)
-	c.ticks(60)
+	c.runTicks(60)
 	rejected(0, "may still come")
 	if err := c.voters[0].log.Recover([]int{4}, entry(1000)); err != nil {
 		t.Fatal(err)
 	}
 	c.stop(0) // at once: it was one write
 	c.start(0)
-	c.until(200, "it leads alone", func() bool { return c.leader() == c.voters[0] })
+	c.waitUntil(200, "it leads alone", func() bool { return c.leader() == c.voters[0] })
 	if got := c.voters[0].applied; !slices.Equal(got, []uint64{0, 1, 1000}) {
 		t.Errorf("it has %v", got)
 	}
 	propose(2)
 	c.waitApplied(0, 2)
 	c.start(4) // named as lost, and there with its old log all the same
-	c.ticks(100)
+	c.runTicks(100)
 	for _, i := range []int{1, 4} {
-		if v := c.voters[i]; !v.log.isLost || slices.Contains(v.applied, 2) {
-			t.Errorf("voter %d of before: it was told so: %v; it has %v", i, v.log.isLost, v.applied)
+		if v := c.voters[i]; !v.log.isExcluded || slices.Contains(v.applied, 2) {
+			t.Errorf("voter %d of before: it was told so: %v; it has %v", i, v.log.isExcluded, v.applied)
 		}
 	}
 	c.loss = 0.1
@@ -74,7 +74,7 @@
 			c.wipe(i)
 			c.start(i)
 		}
-		c.until(3000, "replaced", func() bool {
+		c.waitUntil(3000, "replaced", func() bool {
 			l := c.leader()
 			return l != nil && l.log.ReplaceVoter(i) == nil && c.voters[i].log.HasStarted()
 		})
--- a/internal/raftlog/replace.go
+++ b/internal/raftlog/replace.go
@@ -13,8 +13,8 @@
 var (
 	// ErrNotLeading says that another voter has to be asked.
 	ErrNotLeading = errors.New("this voter does not lead")
-	// ErrNoVoter, in a [*VoterError], says that a gateway does not vote.
-	ErrNoVoter = errors.New("does not vote")
+	// ErrNotVoter, in a [*VoterError], says that a gateway does not vote.
+	ErrNotVoter = errors.New("does not vote")
 	// ErrNoEmptyDisk, in a [*VoterError], says that a voter was not heard of with an empty disk.
 	ErrNoEmptyDisk = errors.New("was not heard of with an empty disk")
 	// ErrReplacing, in a [*VoterError], says that the replacement is under way.
@@ -43,7 +43,7 @@
 	case !leads:
 		return ErrNotLeading
 	case !slices.Contains(l.cfg.Voters, voter):
-		return &VoterError{Voter: voter, Err: ErrNoVoter}
+		return &VoterError{Voter: voter, Err: ErrNotVoter}
 	case !hasEmptyDisk:
 		return &VoterError{Voter: voter, Err: ErrNoEmptyDisk}
 	case l.cfg.Disk.content.Disks[voter] == empty.number:
--- a/internal/raftlog/replace_test.go
+++ b/internal/raftlog/replace_test.go
@@ -13,15 +13,15 @@
 	t.Parallel()
 	for _, voters := range []int{3, 5} {
 		c := newCluster(t, voters)
-		c.until(200, "a leader", func() bool { return c.leader() != nil })
+		c.waitUntil(200, "a leader", func() bool { return c.leader() != nil })
 		n := 0
 		commit := func(limit int) {
 			t.Helper()
 			for to := n + 20; n < to; n++ {
-				c.until(limit, "a leader", func() bool { return c.leader() != nil })
+				c.waitUntil(limit, "a leader", func() bool { return c.leader() != nil })
 				l := c.leader()
 				l.log.Propose(entry(n))
-				c.until(limit, fmt.Sprint("entry ", n), func() bool {
+				c.waitUntil(limit, fmt.Sprint("entry ", n), func() bool {
 					if l.log != nil && !slices.Contains(l.applied, uint64(n)) && c.rng.IntN(20) == 0 {
 						l.log.Propose(entry(n)) // it was lost
 					}
@@ -44,12 +44,12 @@
 				t.Fatal("it takes part before it is replaced")
 			}
 			c.loss = 0.1
-			c.until(2000, "replaced", func() bool {
+			c.waitUntil(2000, "replaced", func() bool {
 				l := c.leader()
 				return l != nil && l.log.ReplaceVoter(lost) == nil && c.voters[lost].log.HasStarted()
 			})
 			c.loss = 0
-			c.until(500, "caught up", func() bool { return slices.Contains(c.voters[lost].applied, uint64(n-1)) })
+			c.waitUntil(500, "caught up", func() bool { return slices.Contains(c.voters[lost].applied, uint64(n-1)) })
 			down := (lost + 1) % voters // now the new one is needed for a majority of three
 			c.stop(down)
 			commit(500)
@@ -62,7 +62,7 @@
 			c.start(i)
 		}
 		commit(500)
-		c.until(500, "all entries at all voters", func() bool {
+		c.waitUntil(500, "all entries at all voters", func() bool {
 			for _, v := range c.voters {
 				if !slices.Contains(v.applied, uint64(n-1)) {
 					return false
--- a/internal/raftlog/work.go
+++ b/internal/raftlog/work.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	// maxWorkRounds bounds the work of one call.
-	maxWorkRounds = 1000
-	// maxWaiting bounds the messages that wait for a write. Beyond it, messages of other voters are dropped.
-	maxWaiting = 1024
+	// maxReadyRounds bounds the work of one call.
+	maxReadyRounds = 1000
+	// maxQueuedMessages bounds the messages that wait for a write. Beyond it, messages of other voters are dropped.
+	maxQueuedMessages = 1024
 )
 
 // termVote is a term, and the raft id of the voter that this one has voted for in it.
@@ -27,20 +27,20 @@
 	isWriting bool
 	startedAt int // tick at which the last write was started
 	// waiting are raft's appends, and what is to be sent or applied after them, in their order.
-	waiting        []raftpb.Message
-	waitingApplies int      // messages in waiting, or in the batch of the write, that are to be applied
-	latest         termVote // as of the last append
-	stored         termVote // as of the last append that was stored
+	queued        []raftpb.Message
+	queuedApplies int      // messages in waiting, or in the batch of the write, that are to be applied
+	latest        termVote // as of the last append
+	stored        termVote // as of the last append that was stored
 }
 
 // isFull returns whether other voters' messages are to be dropped.
-func (q *writeQueue) isFull() bool { return len(q.waiting) >= maxWaiting }
+func (q *writeQueue) isFull() bool { return len(q.queued) >= maxQueuedMessages }
 
-// Work stores, sends and applies what has come about. It is called after each of the other methods. Its error says why
-// this voter takes no part any more.
-func (l *Log) Work() error {
-	defer l.recoverContradiction()
-	for range maxWorkRounds {
+// ProcessReady stores, sends and applies what raft has ready. Callers must call it after each of the other methods. It
+// returns the error that stopped this voter, if any.
+func (l *Log) ProcessReady() error {
+	defer l.recoverRaftPanic()
+	for range maxReadyRounds {
 		if !l.HasStarted() {
 			return l.failure
 		}
@@ -50,15 +50,15 @@
 			}
 			continue
 		}
-		if err := l.handle(l.node.Ready()); err != nil {
+		if err := l.handleReady(l.node.Ready()); err != nil {
 			return l.fail(err)
 		}
 	}
 	return l.failure
 }
 
-// handle takes what raft wants to be stored, sent and applied.
-func (l *Log) handle(ready raft.Ready) error {
+// handleReady takes what raft wants to be stored, sent and applied.
+func (l *Log) handleReady(ready raft.Ready) error {
 	if hardState := ready.HardState; !raft.IsEmptyHardState(hardState) {
 		l.writes.latest = termVote{hardState.Term, hardState.Vote}
 	}
@@ -94,16 +94,16 @@
 		l.incomingSnapshot = m.Snapshot.Metadata.Index
 	}
 	l.learnDiskNumbers(m.Entries)
-	l.writes.waiting = append(l.writes.waiting, m)
+	l.writes.queued = append(l.writes.queued, m)
 	return nil
 }
 
 // handleApply applies committed entries. A change of the voters is applied only once its commit is stored: a voter that
 // has forgotten it would drop all messages of the new disk. What follows it waits as well.
 func (l *Log) handleApply(m raftpb.Message) error {
-	if l.writes.waitingApplies > 0 || slices.ContainsFunc(m.Entries, isConfChange) {
-		l.writes.waiting = append(l.writes.waiting, m)
-		l.writes.waitingApplies++
+	if l.writes.queuedApplies > 0 || slices.ContainsFunc(m.Entries, isConfChange) {
+		l.writes.queued = append(l.writes.queued, m)
+		l.writes.queuedApplies++
 		return nil
 	}
 	return l.apply(m)
@@ -118,7 +118,7 @@
 	case l.writes.latest == l.writes.stored:
 		l.send(m)
 	case !l.writes.isFull(): // else it is lost
-		l.writes.waiting = append(l.writes.waiting, m)
+		l.writes.queued = append(l.writes.queued, m)
 	}
 }
 
@@ -151,18 +151,18 @@
 // already.
 func (l *Log) startWrite() bool {
 	q := &l.writes
-	if q.isWriting || !q.dirty && len(q.waiting) == 0 {
+	if q.isWriting || !q.dirty && len(q.queued) == 0 {
 		return false
 	}
-	batch := q.waiting
-	q.waiting = nil
+	batch := q.queued
+	q.queued = nil
 	if !q.dirty {
 		l.finishWrite(batch, nil)
 		return true
 	}
 	b, err := l.cfg.Disk.encode()
 	if err != nil {
-		_ = l.fail(err) // Work returns it
+		_ = l.fail(err) // ProcessReady returns it
 		return false
 	}
 	q.dirty, q.isWriting, q.startedAt = false, true, l.ticks
@@ -181,14 +181,14 @@
 
 // finishWrite does what had to wait for a write.
 func (l *Log) finishWrite(batch []raftpb.Message, err error) {
-	defer l.recoverContradiction()
+	defer l.recoverRaftPanic()
 	for _, m := range batch {
 		if err != nil || l.failure != nil {
 			break
 		}
 		switch m.To {
 		case raft.LocalApplyThread:
-			l.writes.waitingApplies--
+			l.writes.queuedApplies--
 			err = l.apply(m)
 		case raft.LocalAppendThread:
 			err = l.finishAppend(m)
@@ -197,7 +197,7 @@
 		}
 	}
 	if err != nil {
-		_ = l.fail(err) // Work returns it
+		_ = l.fail(err) // ProcessReady returns it
 	}
 }
 
@@ -247,7 +247,7 @@
 	}
 	l.respond(m.Responses)
 	l.finishReads()
-	if l.applied-l.snapshotIndex >= maxEntries && l.applied >= l.incomingSnapshot {
+	if l.applied-l.snapshotIndex >= snapshotThreshold && l.applied >= l.incomingSnapshot {
 		return l.compact(l.applied)
 	}
 	return nil
@@ -278,7 +278,7 @@
 	if err != nil {
 		return err
 	}
-	lastDropped := index - min(index, keptEntries)
+	lastDropped := index - min(index, retainedEntries)
 	if err := l.cfg.Disk.compact(snapshot, lastDropped); err != nil {
 		return err
 	}
@@ -290,16 +290,16 @@
 	return nil
 }
 
-// contradiction is what raft panics with here: it was told what can't be, as by a disk that has lost what it had
+// raftPanic is what raft panics with here: it was told what can't be, as by a disk that has lost what it had
 // stored.
-type contradiction string
+type raftPanic string
 
-// recoverContradiction, deferred, ends this voter's part where raft has panicked; the gateway goes on. Any other panic
+// recoverRaftPanic, deferred, ends this voter's part where raft has panicked; the gateway goes on. Any other panic
 // goes on.
-func (l *Log) recoverContradiction() {
+func (l *Log) recoverRaftPanic() {
 	switch p := recover().(type) {
 	case nil:
-	case contradiction:
+	case raftPanic:
 		_ = l.fail(fmt.Errorf("%w: it does not agree with the other voters': %s", ErrDamaged, string(p)))
 	default:
 		panic(p)
--- a/internal/raftlog/work_test.go
+++ b/internal/raftlog/work_test.go
@@ -14,21 +14,21 @@
 	t.Parallel()
 	for _, leads := range []bool{true, false} {
 		c := newCluster(t, 3)
-		c.until(200, "a leader", func() bool { return c.leader() != nil })
+		c.waitUntil(200, "a leader", func() bool { return c.leader() != nil })
 		c.leader().log.Propose(entry(0))
-		c.until(50, "committed", func() bool {
+		c.waitUntil(50, "committed", func() bool {
 			return len(c.voters[0].applied) == 1 && len(c.voters[1].applied) == 1 && len(c.voters[2].applied) == 1
 		})
 		stuck := slices.IndexFunc(c.voters, func(v *voter) bool { return (v == c.leader()) == leads })
 		write := c.delayWrites(stuck)
 		c.leader().log.Propose(entry(1))
-		c.leader().work()
-		c.until(20, "another one leads", func() bool { l := c.leader(); return l != nil && l != c.voters[stuck] })
-		c.until(5, "committed by two", func() bool { return len(c.leader().applied) == 2 })
+		c.leader().processReady()
+		c.waitUntil(20, "another one leads", func() bool { l := c.leader(); return l != nil && l != c.voters[stuck] })
+		c.waitUntil(5, "committed by two", func() bool { return len(c.leader().applied) == 2 })
 		l := c.leader()
 		l.log.ConfirmRead(3)
-		l.work()
-		c.until(5, "a read", func() bool { return l.reads == 1 })
+		l.processReady()
+		c.waitUntil(5, "a read", func() bool { return l.reads == 1 })
 		if n := len(c.voters[stuck].applied); n != 1 {
 			t.Errorf("the voter whose disk stands still has applied %d entries", n)
 		}
@@ -38,30 +38,30 @@
 			}
 			c.tick()
 		}
-		if n := len(c.voters[stuck].log.writes.waiting); n > maxWaiting+20 {
+		if n := len(c.voters[stuck].log.writes.queued); n > maxQueuedMessages+20 {
 			t.Errorf("%d messages wait for the disk", n)
 		}
-		c.until(200, "all entries at all voters", func() bool {
+		c.waitUntil(200, "all entries at all voters", func() bool {
 			write()
 			return len(c.voters[stuck].applied) == len(c.leader().applied)
 		})
 	}
 }
 
-// lateWritesPlay is voters whose writes are late at random, and that are killed with writes under way.
-type lateWritesPlay struct {
+// delayedWrites is voters whose writes are late at random, and that are killed with writes under way.
+type delayedWrites struct {
 	*cluster
 	seed uint64
-	// isBroken makes voters count what they have not stored.
-	isBroken bool
-	finish   []func() // the write that is under way, by voter
-	proposed int
-	order    []uint64 // entries as applied first by any voter
+	// acknowledgesEarly makes voters count what they have not stored.
+	acknowledgesEarly bool
+	finish            []func() // the write that is under way, by voter
+	proposed          int
+	order             []uint64 // entries as applied first by any voter
 }
 
-// play returns what is wrong; empty: nothing.
-func (p *lateWritesPlay) play() (wrong string) {
-	p.until(200, "a leader", func() bool { return p.leader() != nil })
+// run returns what is problem; empty: nothing.
+func (p *delayedWrites) run() (problem string) {
+	p.waitUntil(200, "a leader", func() bool { return p.leader() != nil })
 	p.finish = make([]func(), len(p.voters))
 	for i := range p.voters {
 		p.delay(i)
@@ -69,8 +69,8 @@
 	p.loss = 0.05
 	for range 400 {
 		p.step()
-		if wrong := p.check(); wrong != "" {
-			return wrong
+		if problem := p.check(); problem != "" {
+			return problem
 		}
 		for i, v := range p.voters {
 			if v.log.failure != nil {
@@ -83,9 +83,9 @@
 }
 
 // delay makes a voter's writes late. Those of a broken voter seem to be done at once, and one in five is.
-func (p *lateWritesPlay) delay(i int) {
+func (p *delayedWrites) delay(i int) {
 	p.finish[i] = p.delayWrites(i)
-	if !p.isBroken {
+	if !p.acknowledgesEarly {
 		return
 	}
 	p.finish[i] = func() {}
@@ -98,7 +98,7 @@
 }
 
 // step proposes an entry, ticks, finishes writes and restarts voters, each at random.
-func (p *lateWritesPlay) step() {
+func (p *delayedWrites) step() {
 	if l := p.leader(); l != nil && p.rng.IntN(2) == 0 {
 		l.log.Propose(entry(p.proposed))
 		p.proposed++
@@ -120,7 +120,7 @@
 }
 
 // check returns which voter has applied something else than the others.
-func (p *lateWritesPlay) check() (wrong string) {
+func (p *delayedWrites) check() (problem string) {
 	for i, v := range p.voters {
 		for n, applied := range v.applied {
 			if n == len(p.order) {
@@ -135,19 +135,19 @@
 }
 
 // catchUp ticks until all voters have applied what any of them has.
-func (p *lateWritesPlay) catchUp() (wrong string) {
+func (p *delayedWrites) catchUp() (problem string) {
 	lags := func(v *voter) bool { return len(v.applied) != len(p.order) }
 	for range 500 {
 		for _, finish := range p.finish {
 			finish()
 		}
-		if wrong = p.check(); wrong == "" && !slices.ContainsFunc(p.voters, lags) {
+		if problem = p.check(); problem == "" && !slices.ContainsFunc(p.voters, lags) {
 			return ""
 		}
 		p.tick()
 	}
-	if wrong != "" {
-		return wrong
+	if problem != "" {
+		return problem
 	}
 	return fmt.Sprintf("seed %d: of %d that were applied the voters have %d, %d, %d in the end", p.seed, len(p.order),
 		len(p.voters[0].applied), len(p.voters[1].applied), len(p.voters[2].applied))
@@ -158,22 +158,22 @@
 // draws election timeouts itself, so no seed plays alike.
 func TestPolicyLogLateWrites(t *testing.T) {
 	t.Parallel()
-	play := func(seed uint64, isBroken bool) string {
+	simulate := func(seed uint64, acknowledgesEarly bool) string {
 		c := newCluster(t, 3)
 		c.rng = rand.New(rand.NewPCG(seed, 5))
-		p := &lateWritesPlay{cluster: c, seed: seed, isBroken: isBroken}
-		return p.play()
+		p := &delayedWrites{cluster: c, seed: seed, acknowledgesEarly: acknowledgesEarly}
+		return p.run()
 	}
-	isFound := false
+	isDetected := false
 	for seed := range uint64(20) {
-		if wrong := play(seed, false); wrong != "" {
-			t.Error(wrong)
+		if problem := simulate(seed, false); problem != "" {
+			t.Error(problem)
 		}
-		if wrong := play(seed, true); wrong != "" {
-			isFound = true
+		if problem := simulate(seed, true); problem != "" {
+			isDetected = true
 		}
 	}
-	if !isFound {
+	if !isDetected {
 		t.Error("voters that count what they have not stored were not found")
 	}
 }
