--- a/internal/raftlog/disk.go
+++ b/internal/raftlog/disk.go
@@ -17,27 +17,28 @@
 )
 
 const (
-	// snapshotThreshold is the number of entries after the last snapshot from which another one is made.
+	// snapshotThreshold is the number of entries applied since the last snapshot at which the next one is made.
 	snapshotThreshold = 500
-	// retainedEntries is the number of entries before a snapshot that are kept for voters that are a little behind.
+	// retainedEntries is the number of entries before a snapshot that are kept, so that voters that lag slightly catch
+	// up without a snapshot.
 	retainedEntries = 100
-	// maxFileBytes bounds the file. Entries have some hundred bytes each.
+	// maxFileBytes limits the size of the file. Entries are a few hundred bytes each.
 	maxFileBytes = 64 << 20
 )
 
 // fileName is the name of a voter's file in its directory.
 const fileName = "policy.log"
 
-// ErrDamaged says that a voter's file can't be trusted. The voter must not take part with it.
+// ErrDamaged is returned for a voter's file that can't be trusted. The voter must not participate with it.
 var ErrDamaged = errors.New("the voter's log is damaged")
 
 var (
-	errIncomplete     = errors.New("it has no beginning")
+	errIncomplete     = errors.New("its disk number, hard state or snapshot is missing")
 	errEntriesMissing = errors.New("entries are missing")
 )
 
-// Disk is the storage of a voter: one file, which is written whole or not at all, with a checksum. The log is short
-// enough for that, as it is compacted.
+// Disk is the storage of a voter: one file with a checksum, which each write replaces atomically. Compaction keeps the
+// log short enough to be rewritten each time.
 type Disk struct {
 	files   vfs.FS
 	path    string
@@ -45,30 +46,31 @@
 	content diskContent
 }
 
-// diskContent is what the file has. Raft's parts are as raft marshals them.
+// diskContent is the content of the file. Raft's structures are stored in raft's own encoding.
 type diskContent struct {
-	// Number is random and tells this disk from any other of the same voter. It is never 0.
+	// Number is random and distinguishes this disk from any other disk of the same voter. It is never 0.
 	Number uint64 `json:"number"`
-	// Disks are the numbers of all voters' disks, by voter; empty: the log is not bootstrapped.
+	// Disks maps each voter to the number of its disk. It is empty until the log is bootstrapped.
 	Disks map[int]uint64 `json:"disks,omitempty"`
-	// HardState is a raftpb.HardState.
+	// HardState is an encoded raftpb.HardState.
 	HardState []byte `json:"hard,omitempty"`
-	// Snapshot is a raftpb.Snapshot.
+	// Snapshot is an encoded raftpb.Snapshot.
 	Snapshot []byte `json:"snapshot,omitempty"`
-	// First is the index of the first entry.
+	// First is the index of the first element of Entries.
 	First uint64 `json:"first,omitempty"`
-	// Entries are of raftpb.Entry.
+	// Entries are encoded raftpb.Entry values with consecutive indices.
 	Entries [][]byte `json:"entries,omitempty"`
 }
 
-// randomDiskNumber returns the number of a new disk.
+// randomDiskNumber returns a nonzero number for a new disk.
 func randomDiskNumber() uint64 {
 	var b [8]byte
-	_, _ = rand.Read(b[:]) // it never fails
+	_, _ = rand.Read(b[:]) // crypto/rand.Read never returns an error
 	return binary.BigEndian.Uint64(b[:])>>1 | 1
 }
 
-// OpenDisk opens the file in a directory, or makes it. Its errors have one line, and then nothing has been changed.
+// OpenDisk opens the file in a directory, or creates it. Error messages have a single line. An existing file is not
+// modified.
 func OpenDisk(files vfs.FS, dir string) (*Disk, error) {
 	d := &Disk{
 		files:  files,
@@ -96,10 +98,10 @@
 	return fmt.Errorf("%s: %w: %w", d.path, ErrDamaged, err)
 }
 
-// isBootstrapped returns whether the log is bootstrapped.
+// isBootstrapped reports whether the log is bootstrapped.
 func (d *Disk) isBootstrapped() bool { return len(d.content.Disks) > 0 }
 
-// write stores the content; once it returns nil that outlives a power loss.
+// write stores the content durably: once it returns nil, the content survives a power loss.
 func (d *Disk) write() error {
 	b, err := d.encode()
 	if err != nil {
@@ -108,7 +110,7 @@
 	return d.writeEncoded(b)
 }
 
-// encode returns the content as writeEncoded writes it.
+// encode returns the content in the form that writeEncoded takes.
 func (d *Disk) encode() ([]byte, error) {
 	b, err := d.format.Encode(d.content)
 	if err != nil {
@@ -117,8 +119,7 @@
 	return b, nil
 }
 
-// writeEncoded stores what encode has returned; once it returns nil that outlives a power loss. Any goroutine may call
-// it, one at a time.
+// writeEncoded durably stores what encode has returned. Any goroutine may call it, but calls must not overlap.
 func (d *Disk) writeEncoded(b []byte) error {
 	if err := vfs.ReplaceFile(d.files, d.path, b); err != nil {
 		return fmt.Errorf("%s: %w", d.path, err)
@@ -126,8 +127,8 @@
 	return nil
 }
 
-// bootstrap stores the numbers of the disks and an empty log, the same on all voters. With a term above 1 this disk has
-// voted for itself in it: a disk that was lost may have voted in that term.
+// bootstrap stores the disk numbers and an empty log, which is the same on all voters. With a term above 1, the stored
+// hard state says that this voter voted for itself in that term: its lost disk may already have voted in it.
 func (d *Disk) bootstrap(disks map[int]uint64, voters raftpb.ConfState, term, self uint64) error {
 	snapshot := raftpb.Snapshot{Metadata: raftpb.SnapshotMetadata{ConfState: voters, Index: 1, Term: 1}}
 	hardState := raftpb.HardState{Term: 1, Commit: 1}
@@ -148,7 +149,8 @@
 	return d.write()
 }
 
-// record puts into the content what raft wants stored. A snapshot replaces all entries; a hard state may be empty.
+// record updates the content with what raft wants to be stored, without writing it. A snapshot replaces all entries; an
+// empty hard state leaves the recorded one as it is.
 func (d *Disk) record(hardState raftpb.HardState, entries []raftpb.Entry, snapshot *raftpb.Snapshot) error {
 	if snapshot != nil {
 		b, err := snapshot.Marshal()
@@ -172,7 +174,7 @@
 	return nil
 }
 
-// recordEntry puts an entry in its place. Entries after it are dropped: they were never committed.
+// recordEntry records an entry at its index and drops all later entries, which were never committed.
 func (d *Disk) recordEntry(e *raftpb.Entry) error {
 	b, err := e.Marshal()
 	if err != nil {
@@ -184,7 +186,7 @@
 	case count == 0:
 		content.First = e.Index
 	case e.Index < content.First || e.Index > content.First+count:
-		return fmt.Errorf("entry %d does not follow those from %d on, %d of them", e.Index, content.First, count)
+		return fmt.Errorf("entry %d does not extend a log from %d on with %d entries", e.Index, content.First, count)
 	default:
 		content.Entries = content.Entries[:e.Index-content.First]
 	}
@@ -192,7 +194,7 @@
 	return nil
 }
 
-// compact puts a snapshot into the content and drops the entries up to an index.
+// compact records a snapshot and drops the entries up to and including lastDropped.
 func (d *Disk) compact(snapshot raftpb.Snapshot, lastDropped uint64) error {
 	b, err := snapshot.Marshal()
 	if err != nil {
@@ -209,7 +211,7 @@
 	return nil
 }
 
-// load returns the storage that raft reads from. Its errors are ErrDamaged.
+// load returns the storage that raft reads from. Its errors wrap ErrDamaged.
 func (d *Disk) load() (*raft.MemoryStorage, error) {
 	var snapshot raftpb.Snapshot
 	var hardState raftpb.HardState
@@ -236,7 +238,7 @@
 	return storage, storage.Append(entries)
 }
 
-// entriesAfter returns the entries after an index.
+// entriesAfter returns the stored entries whose index is greater than the given one.
 func (d *Disk) entriesAfter(index uint64) (entries []raftpb.Entry, err error) {
 	for i, b := range d.content.Entries {
 		var e raftpb.Entry
@@ -244,7 +246,7 @@
 			return nil, err
 		}
 		if want := d.content.First + uint64(i); e.Index != want {
-			return nil, fmt.Errorf("entry %d stands for %d", e.Index, want)
+			return nil, fmt.Errorf("entry has index %d, want %d", e.Index, want)
 		}
 		if e.Index > index {
 			entries = append(entries, e)
