--- a/internal/raftlog/doc.go
+++ b/internal/raftlog/doc.go
@@ -1,11 +1,11 @@
-// Package raftlog is a replicated log of a few voters, by the raft of etcd (go.etcd.io/raft/v3), kept in one file for
-// each voter. Messages between voters are handed in and out as bytes and time as ticks; the file is the only input and
-// output. A [Log] belongs to one goroutine, which need not wait for its disk (Config.WriteAsync): until a write is
-// done, raft goes on with all that does not depend on it.
+// Package raftlog implements a replicated log for a small number of voters on top of etcd's raft library
+// (go.etcd.io/raft/v3). Each voter stores its log in one file, which is the only I/O of the package: the caller passes
+// messages in and out as bytes and drives time by ticks. A [Log] belongs to one goroutine. With Config.WriteAsync that
+// goroutine does not wait for the disk: during a write, raft continues with everything that does not depend on it.
 //
-// A log is bootstrapped once, when all voters are there with empty disks. Each disk has a random number. A voter whose
-// disk is found empty later may have voted before it lost the disk, so it takes no part until it is replaced
-// ([Log.ReplaceVoter]): the others first remove the lost disk and then add the new one, by its number, and the new one
-// starts in their term with its vote there used up. Where a majority of the disks is lost, one voter can go on alone
-// ([Log.Recover]).
+// A log is bootstrapped once, when all voters are present with empty disks. Each disk has a random number. A voter
+// whose disk is found empty later may have voted before the disk was lost, so it does not participate until it is
+// replaced ([Log.ReplaceVoter]): the other voters remove the lost disk, then add the new one by its number. The new
+// disk starts in their term with its vote in that term already used. If a majority of the disks is lost, one voter can
+// continue alone ([Log.Recover]).
 package raftlog
