--- a/internal/raftlog/bootstrap.go
+++ b/internal/raftlog/bootstrap.go
@@ -4,10 +4,10 @@
 	"maps"
 )
 
-// bootstrapTicks is the pause between two bootstrap messages, and between two tail messages.
+// bootstrapTicks is the interval between bootstrap messages, and between tail messages.
 const bootstrapTicks = 5
 
-// emptyDisk is an empty disk of another voter.
+// emptyDisk describes an empty disk that another voter has reported.
 type emptyDisk struct {
 	number     uint64
 	receivedAt int // tick
@@ -22,7 +22,7 @@
 	}
 }
 
-// sendBootstrap tells a voter whether this one has a log, with which disks, and the number of its own.
+// sendBootstrap sends a voter this voter's disk number, the disk numbers of its log if it has one, and its term.
 func (l *Log) sendBootstrap(to int) {
 	own := &l.cfg.Disk.content
 	m := bootstrapMessage{disk: own.Number, disks: own.Disks}
@@ -32,7 +32,7 @@
 	l.cfg.Send(to, m.encode(l.cfg.Voters))
 }
 
-// receiveBootstrap takes what sendBootstrap sends.
+// receiveBootstrap handles a message of sendBootstrap.
 func (l *Log) receiveBootstrap(from int, body []byte) error {
 	m, err := decodeBootstrap(body, len(l.cfg.Voters))
 	if err != nil {
@@ -60,8 +60,8 @@
 	return nil
 }
 
-// receiveFromEmptyDisk answers a voter with an empty disk. A disk of this log has only not heard yet that it is
-// bootstrapped; any other waits to be replaced.
+// receiveFromEmptyDisk replies to a voter with an empty disk. If the disk belongs to this log, the voter has not yet
+// learned that the log is bootstrapped. Any other disk is remembered as a candidate for replacement.
 func (l *Log) receiveFromEmptyDisk(from int, disk uint64) {
 	if l.cfg.Disk.content.Disks[from] != disk {
 		l.emptyDisks[from] = emptyDisk{number: disk, receivedAt: l.ticks}
@@ -69,7 +69,7 @@
 	l.sendBootstrap(from)
 }
 
-// checkStillMember finds out that the others have gone on without this voter's disk.
+// checkStillMember detects that the other voters continue without this voter's disk.
 func (l *Log) checkStillMember(m *bootstrapMessage) {
 	if l.node == nil || l.isExcluded || m.term <= l.node.BasicStatus().Term {
 		return
@@ -83,7 +83,7 @@
 		"it takes no part until it has an empty disk and is replaced", "voter", l.cfg.Voter)
 }
 
-// bootstrapIfComplete bootstraps the log once all voters were heard of with empty disks.
+// bootstrapIfComplete bootstraps the log once all other voters have reported empty disks.
 func (l *Log) bootstrapIfComplete() error {
 	disks := map[int]uint64{}
 	for _, voter := range l.cfg.Voters {
@@ -99,17 +99,18 @@
 	return l.bootstrap(disks, 0)
 }
 
-// bootstrap starts the log with some disks. A term above 0 is that of a log that goes on: this disk has no vote in it.
+// bootstrap starts the log with the given disks. A term above 0 is the term of a log that already exists: this disk
+// must not vote in that term.
 func (l *Log) bootstrap(disks map[int]uint64, term uint64) error {
 	if l.node != nil || l.failure != nil {
 		return nil
 	}
 	disks = maps.Clone(disks)
 	disks[l.cfg.Voter] = l.cfg.Disk.content.Number
-	clear(l.emptyDisks) // from here on: disks that wait to be replaced
+	clear(l.emptyDisks) // from now on it has candidates for replacement
 	if err := l.cfg.Disk.bootstrap(disks, l.confState, term, raftID(l.cfg.Voter)); err != nil {
 		return l.fail(err)
 	}
-	l.cfg.Logger.Info("the voters of the policy have begun", "voters", len(l.cfg.Voters))
+	l.cfg.Logger.Info("replicated policy log bootstrapped", "voters", len(l.cfg.Voters))
 	return l.start()
 }
