--- a/internal/raftlog/log.go
+++ b/internal/raftlog/log.go
@@ -23,15 +23,16 @@
 )
 
 const (
-	// snapshotTimeoutTicks is when a snapshot that was sent counts as arrived; if it was lost, it is sent again.
+	// snapshotTimeoutTicks is how long after it was sent a snapshot counts as received. If it was lost, raft sends it
+	// again.
 	snapshotTimeoutTicks = 20
-	// slowWriteTicks is how long a leader's write may take before another voter is to lead.
+	// slowWriteTicks is how long a leader's write may take before the leader transfers its leadership.
 	slowWriteTicks = 3
-	// transferPauseTicks is the pause between two transfers of the leadership by one voter.
+	// transferPauseTicks is the minimum time between two leadership transfers by the same voter.
 	transferPauseTicks = 200
 )
 
-// Config is one voter.
+// Config configures a voter.
 type Config struct {
 	// Voter is the index of this voter.
 	Voter int
@@ -39,47 +40,49 @@
 	Voters []int
 	// Disk is this voter's storage.
 	Disk *Disk
-	// Logger gets what operators need to know.
+	// Logger receives messages for operators.
 	Logger *slog.Logger
-	// Send sends a message to a voter. It may be lost.
+	// Send sends a message to a voter. The message may be lost.
 	Send func(to int, message []byte)
-	// Apply takes a committed entry.
+	// Apply applies a committed entry to the state.
 	Apply func(index uint64, entry []byte)
-	// ReadConfirmed follows a ConfirmRead once the read is confirmed and all that was committed before is applied.
+	// ReadConfirmed is called for a token of Log.ConfirmRead once the read is confirmed and all entries that were
+	// committed before it are applied.
 	ReadConfirmed func(token uint64)
-	// Snapshot returns the state that all applied entries amount to.
+	// Snapshot returns the encoded state after all applied entries, and the index of the last of them.
 	Snapshot func() (index uint64, state []byte, err error)
-	// Restore replaces the state by one that Snapshot has returned.
+	// Restore replaces the state with one that Snapshot returned.
 	Restore func(index uint64, state []byte) error
-	// WriteAsync runs write on some goroutine, and then done with its error and Work on the one that owns the Log. One
-	// write is under way at a time. Nil: writes are done at once, and Work takes as long as the disk does.
+	// WriteAsync runs write on any goroutine. Afterwards it must run done with the error of write, followed by
+	// Log.ProcessReady, on the goroutine that owns the Log. At most one write runs at a time. If WriteAsync is nil,
+	// Log.ProcessReady writes synchronously.
 	WriteAsync func(write func() error, done func(error))
 }
 
-// Log is one voter's part in the replicated log.
+// Log is one voter's instance of the replicated log.
 type Log struct {
 	cfg        Config
-	node       *raft.RawNode // nil: the log is not bootstrapped here
+	node       *raft.RawNode // nil until the log is bootstrapped on this voter
 	storage    *raft.MemoryStorage
 	ticks      int
-	failure    error // why this voter takes no part any more; nil: it does
-	isExcluded bool  // the others go on without this voter's disk
+	failure    error // why this voter has stopped; nil: it has not
+	isExcluded bool  // the other voters continue without this voter's disk
 
 	confState        raftpb.ConfState
 	applied          uint64 // index
-	snapshotIndex    uint64 // of the last snapshot that is stored
-	incomingSnapshot uint64 // index of the last snapshot that came from another voter
+	snapshotIndex    uint64 // of the latest snapshot in storage
+	incomingSnapshot uint64 // index of the latest snapshot from another voter
 	reads            []raft.ReadState
 	writes           writeQueue
 
 	emptyDisks      map[int]emptyDisk // by voter
-	tails           map[int]logTail   // of voters that know no leader
+	tails           map[int]logTail   // of voters without a leader
 	replacements    map[int]uint64    // numbers of new disks, by voter
 	snapshotsSentAt map[uint64]int    // tick, by raft id
 	transferredAt   int               // tick; 0: never
 }
 
-// New returns a voter that has just started, from a disk that [OpenDisk] has checked.
+// New starts a voter from a disk that [OpenDisk] returned.
 func New(cfg Config) (*Log, error) {
 	l := &Log{
 		cfg:             cfg,
@@ -97,13 +100,13 @@
 	return l, l.bootstrapIfComplete()
 }
 
-// raftID is the id of a voter in raft, where 0 stands for none.
+// raftID returns the raft ID of a voter. Raft reserves the ID 0.
 func raftID(voter int) uint64 { return uint64(voter) + 1 }
 
-// voterOf is the voter with an id in raft.
+// voterOf returns the voter with a raft ID.
 func voterOf(id uint64) int { return int(id) - 1 }
 
-// start starts raft with what the disk has.
+// start starts raft from the disk's content.
 func (l *Log) start() (err error) {
 	if l.storage, err = l.cfg.Disk.load(); err != nil {
 		return err
@@ -121,7 +124,7 @@
 	index := snapshot.Metadata.Index
 	l.snapshotIndex, l.applied, l.confState = index, index, snapshot.Metadata.ConfState
 	if len(snapshot.Data) > 0 {
-		_, state, err := decodeSnapshot(snapshot.Data) // the disk's own numbers are as new, or newer
+		_, state, err := decodeSnapshot(snapshot.Data) // the disk numbers in the file are at least as recent
 		if err == nil {
 			err = l.cfg.Restore(index, state)
 		}
@@ -146,7 +149,7 @@
 	return err
 }
 
-// fail ends this voter's part: what it can't store it must not promise.
+// fail stops this voter: it must not acknowledge what it can't store.
 func (l *Log) fail(err error) error {
 	if l.failure == nil {
 		l.failure = err
@@ -155,10 +158,10 @@
 	return err
 }
 
-// HasStarted returns whether this voter takes part.
+// HasStarted reports whether this voter participates in the log.
 func (l *Log) HasStarted() bool { return l.node != nil && l.failure == nil }
 
-// Leading returns whether this voter leads, and the term.
+// Leading returns the current term and whether this voter is the leader.
 func (l *Log) Leading() (term uint64, leads bool) {
 	if !l.HasStarted() {
 		return 0, false
@@ -167,16 +170,17 @@
 	return status.Term, status.RaftState == raft.StateLeader
 }
 
-// Propose proposes an entry. Where this voter does not lead, the entry goes to the one that does. It may be lost, and
-// one of more than maxEntryBytes always is.
+// Propose proposes an entry. A voter that is not the leader forwards it to the leader. The proposal may be lost, and an
+// entry of more than maxEntryBytes always is.
 func (l *Log) Propose(entry []byte) {
 	defer l.recoverRaftPanic()
 	if l.HasStarted() && len(entry) <= maxEntryBytes {
-		_ = l.node.Propose(entry) // a dropped proposal is lost like any other
+		_ = l.node.Propose(entry) // a dropped proposal is not distinguished from a lost one
 	}
 }
 
-// ConfirmRead has a majority confirm that this voter leads; Config.ReadConfirmed follows. It may be lost.
+// ConfirmRead asks a majority to confirm that this voter is the leader. Config.ReadConfirmed is called once they have.
+// The request may be lost.
 func (l *Log) ConfirmRead(token uint64) {
 	defer l.recoverRaftPanic()
 	if l.HasStarted() {
@@ -184,7 +188,7 @@
 	}
 }
 
-// Tick advances the time by one tick.
+// Tick advances the clock by one tick.
 func (l *Log) Tick() {
 	defer l.recoverRaftPanic()
 	l.ticks++
@@ -205,8 +209,8 @@
 	}
 }
 
-// finishSnapshots counts snapshots that were sent a while ago as arrived. The receiver's next reply says if one was
-// not.
+// finishSnapshots reports snapshots to raft as received snapshotTimeoutTicks after they were sent. If one was lost, the
+// receiver's next reply shows that.
 func (l *Log) finishSnapshots() {
 	for id, sentAt := range l.snapshotsSentAt {
 		if l.ticks-sentAt >= snapshotTimeoutTicks {
@@ -216,8 +220,8 @@
 	}
 }
 
-// transferIfSlow makes another voter the leader where this one leads and its disk is slow: what is committed is applied
-// and read only once the leader itself has stored it.
+// transferIfSlow transfers the leadership to another voter if this voter is the leader and its disk is slow: committed
+// entries are applied and read only once the leader itself has stored them.
 func (l *Log) transferIfSlow() {
 	_, leads := l.Leading()
 	isSlow := l.writes.isWriting && l.ticks-l.writes.startedAt > slowWriteTicks
@@ -239,7 +243,8 @@
 	l.node.TransferLeader(successor)
 }
 
-// Step takes a message from another voter. Its error says what is wrong with the message; then nothing has changed.
+// Step handles a message from another voter. A message that is malformed or that raft rejects has no effect, and Step
+// returns an error. It also returns an error if the bootstrap that a message completes can't be stored.
 func (l *Log) Step(from int, message []byte) error {
 	defer l.recoverRaftPanic()
 	if len(message) == 0 || !slices.Contains(l.cfg.Voters, from) || from == l.cfg.Voter {
@@ -257,7 +262,7 @@
 	return nil
 }
 
-// receiveRaft takes one of raft's own messages. One from or to a disk that was replaced has no effect.
+// receiveRaft handles a raft message. Messages from or to a replaced disk are ignored.
 func (l *Log) receiveRaft(from int, body []byte) error {
 	if !l.HasStarted() || l.writes.isFull() {
 		return nil
@@ -284,7 +289,7 @@
 	return err
 }
 
-// send sends one of raft's messages to another voter.
+// send sends a raft message to another voter.
 func (l *Log) send(m raftpb.Message) {
 	if m.Type == raftpb.MsgSnap {
 		l.snapshotsSentAt[m.To] = l.ticks
