--- a/internal/raftlog/logger.go
+++ b/internal/raftlog/logger.go
@@ -5,8 +5,8 @@
 	"log/slog"
 )
 
-// raftLogger implements [raft.Logger]. Errors are logged as such, warnings at the level of debugging and the rest not
-// at all. What ends the process in raft is a panic with a contradiction here.
+// raftLogger implements [raft.Logger]. Errors are logged as errors, warnings at debug level, and all else is dropped.
+// Fatal errors and panics of raft become panics with a raftPanic, which recoverRaftPanic recovers.
 type raftLogger struct{ logger *slog.Logger }
 
 func (*raftLogger) Debug(...any)                       {}
