--- a/internal/raftlog/message.go
+++ b/internal/raftlog/message.go
@@ -5,23 +5,23 @@
 	"errors"
 )
 
-// Kinds of messages between voters, their first byte.
+// Kinds of messages between voters. The kind is a message's first byte.
 const (
 	kindRaft      = 'S'
 	kindBootstrap = 'B'
 	kindTail      = 'T'
 )
 
-// ErrMalformed says that bytes are no message of a voter.
-var ErrMalformed = errors.New("no message of a voter")
+// ErrMalformed is returned for bytes that are not a valid message of a voter.
+var ErrMalformed = errors.New("malformed voter message")
 
-// uvarintReader reads numbers from the beginning of bytes.
+// uvarintReader reads consecutive uvarints from a byte slice.
 type uvarintReader struct {
 	rest   []byte
-	failed bool // there was no number
+	failed bool // an uvarint was missing or invalid
 }
 
-// next returns the next number; zero if there is none.
+// next returns the next uvarint, or zero if there is none.
 func (r *uvarintReader) next() uint64 {
 	value, n := binary.Uvarint(r.rest)
 	if n <= 0 {
@@ -32,7 +32,7 @@
 	return value
 }
 
-// appendUvarints appends numbers as uvarintReader reads them.
+// appendUvarints appends values in the encoding that uvarintReader reads.
 func appendUvarints(b []byte, values ...uint64) []byte {
 	for _, value := range values {
 		b = binary.AppendUvarint(b, value)
@@ -40,7 +40,7 @@
 	return b
 }
 
-// raftEnvelope is one of raft's own messages with the numbers of the disks that it is from and to.
+// raftEnvelope is a raft message with the disk numbers of its sender and receiver.
 type raftEnvelope struct {
 	fromDisk, toDisk uint64
 	message          []byte
@@ -60,14 +60,14 @@
 	return e, nil
 }
 
-// bootstrapMessage says whether the sender's log is bootstrapped.
+// bootstrapMessage describes the sender's disk and whether its log is bootstrapped.
 type bootstrapMessage struct {
-	disk  uint64         // number of the sender's own
-	disks map[int]uint64 // numbers of all disks of the sender's log, by voter; empty: it has none
-	term  uint64         // of the sender; zero without a log
+	disk  uint64         // number of the sender's disk
+	disks map[int]uint64 // disk numbers of the sender's log, by voter; empty: it has no log
+	term  uint64         // the sender's; zero: it has no log
 }
 
-// encode writes the disks of the given voters.
+// encode returns the message with the disk numbers of the given voters.
 func (m bootstrapMessage) encode(voters []int) []byte {
 	b := appendUvarints([]byte{kindBootstrap}, m.disk, uint64(len(m.disks)))
 	for _, voter := range voters {
@@ -93,15 +93,15 @@
 		voter, number := r.next(), r.next()
 		m.disks[int(voter)] = number
 	}
-	m.term = r.next() // zero if there is none
+	m.term = r.next() // zero if the message has no term
 	return m, nil
 }
 
-// tailMessage says how long the log of a voter is that knows no leader.
+// tailMessage reports the last entry of a voter's log. Voters without a leader send it.
 type tailMessage struct {
-	disk         uint64 // number of the sender's own
+	disk         uint64 // number of the sender's disk
 	term, index  uint64 // of the sender's last entry
-	receiverDisk uint64 // number of the receiver's disk as the sender knows it
+	receiverDisk uint64 // number of the receiver's disk, as known to the sender
 }
 
 func (m tailMessage) encode() []byte {
