--- a/internal/raftlog/recover.go
+++ b/internal/raftlog/recover.go
@@ -10,22 +10,22 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// reachableTicks is the age of its last message up to which a voter counts as there.
+// reachableTicks is how long after its last message a voter counts as present.
 const reachableTicks = 40
 
-// Errors of Recover. In [*VoterError] are those about another voter.
+// Errors of [Log.Recover]. ErrNotLost and ErrLongerLog are wrapped in a [*VoterError].
 var (
 	ErrNoLog       = errors.New("this voter has no log to recover from")
 	ErrHasLeader   = errors.New("the voters have a leader: nothing is lost")
 	ErrWriting     = errors.New("this voter's disk is being written: try again")
-	ErrHasMajority = errors.New("a majority of the voters is there: nothing is lost")
-	ErrNotLost     = errors.New("is there with its log: it is not lost")
+	ErrHasMajority = errors.New("a majority of the voters is present: nothing is lost")
+	ErrNotLost     = errors.New("is present with its log: it is not lost")
 	ErrLongerLog   = errors.New("has a longer log: recover there")
 )
 
-// MajorityPossibleError says that voters that were not heard of may still make a majority.
+// MajorityPossibleError is returned by [Log.Recover] if unreachable voters could still complete a majority.
 type MajorityPossibleError struct {
-	// Unreachable are their indices.
+	// Unreachable are the indices of these voters.
 	Unreachable []int
 }
 
@@ -37,9 +37,9 @@
 	return fmt.Sprintf("a majority may still come: %v not heard of; name those whose disks are lost for good", names)
 }
 
-// logTail is how long the log of a voter is.
+// logTail describes the last entry of a voter's log.
 type logTail struct {
-	disk        uint64 // number
+	disk        uint64 // number of the voter's disk
 	term, index uint64 // of the last entry
 	receivedAt  int    // tick
 }
@@ -48,7 +48,7 @@
 	return cmp.Or(cmp.Compare(t.term, other.term), cmp.Compare(t.index, other.index)) > 0
 }
 
-// ownTail is that of this voter.
+// ownTail returns the tail of this voter's log.
 func (l *Log) ownTail() (t logTail, err error) {
 	if t.index, err = l.storage.LastIndex(); err != nil {
 		return logTail{}, err
@@ -58,7 +58,7 @@
 	return t, err
 }
 
-// sendTail tells the other voters that this one is there with its log.
+// sendTail tells the other voters that this one is present, and where its log ends.
 func (l *Log) sendTail() {
 	tail, err := l.ownTail()
 	if err != nil {
@@ -78,10 +78,11 @@
 	}
 }
 
-// receiveTail takes what sendTail sends. A sender with another disk than the log's is no voter, with one exception: it
-// knows this voter's disk and has a longer log. Then this voter has not heard yet that the sender's disk was replaced;
-// who could tell so may be gone, and its vote be needed. A disk that was replaced never has a longer log than one that
-// has the entry by which it was.
+// receiveTail handles a message of sendTail. A sender whose disk is not the one recorded in this log is not a voter,
+// unless it knows this voter's disk and has a longer log: then this voter has not yet learned that the sender's disk
+// was replaced. The voters that could tell it may be down, and the sender's vote may be needed, so its new disk is
+// accepted. A replaced disk can't pass this check: its log is never longer than one that contains the entry that
+// replaced it.
 func (l *Log) receiveTail(from int, body []byte) error {
 	m, err := decodeTail(body)
 	if err != nil {
@@ -99,15 +100,15 @@
 	if content.Disks[from] == tail.disk {
 		l.tails[from] = tail
 	} else {
-		l.sendBootstrap(from) // it has missed a recovery
+		l.sendBootstrap(from) // the sender has missed a recovery
 	}
 	return nil
 }
 
-// Recover makes this voter go on alone where a majority of the voters' disks is lost for good: with all that its own
-// log has, as if it had been committed, and one more entry. What only the lost voters knew is gone. lost are voters
-// whose disks an operator knows to be gone, beside those that are heard of with empty ones. Without an error it is done
-// and stored, and the others may be replaced.
+// Recover makes this voter continue alone after a majority of the voters' disks is permanently lost. It treats all
+// entries of this voter's log as committed and appends one more entry. Entries that only the lost voters had are gone.
+// lost lists voters whose disks an operator knows to be lost; voters that have reported empty disks need not be listed.
+// When Recover returns nil, the new log is stored, and the other voters may be replaced.
 func (l *Log) Recover(lost []int, entry []byte) error {
 	if err := l.canRecover(); err != nil {
 		return err
@@ -122,12 +123,12 @@
 	if err := l.restartAsSoleVoter(own, entry); err != nil {
 		return l.fail(err)
 	}
-	l.cfg.Logger.Warn("a majority of the voters' disks was given up: this voter goes on alone with what its log has",
+	l.cfg.Logger.Warn("recovered without a majority of the voters' disks: this voter continues alone with its log",
 		"voter", l.cfg.Voter, "lost", lost)
 	return nil
 }
 
-// canRecover returns why this voter can't recover whatever the others have.
+// canRecover returns an error if this voter can't recover, regardless of the state of the other voters.
 func (l *Log) canRecover() error {
 	switch {
 	case !l.HasStarted():
@@ -140,8 +141,8 @@
 	return nil
 }
 
-// checkMajorityLost returns why a majority of the disks is not lost, or not known to be, or why another voter is to
-// recover.
+// checkMajorityLost returns an error if a majority of the disks is not known to be lost, or if another voter should
+// recover instead.
 func (l *Log) checkMajorityLost(own logTail, lost []int) error {
 	lostVoters, presentVoters := 0, 0
 	var unreachable []int
@@ -173,13 +174,13 @@
 	return &MajorityPossibleError{Unreachable: unreachable}
 }
 
-// hasEmptyDisk returns whether a voter was heard of lately with an empty disk that is not of this log.
+// hasEmptyDisk reports whether a voter has recently reported an empty disk that does not belong to this log.
 func (l *Log) hasEmptyDisk(voter int) bool {
 	empty, ok := l.emptyDisks[voter]
 	return ok && empty.number != l.cfg.Disk.content.Disks[voter] && l.ticks-empty.receivedAt <= reachableTicks
 }
 
-// restartAsSoleVoter replaces the log, in one write, by one of which this is the only voter.
+// restartAsSoleVoter replaces the log, in a single write, with one that has this voter as its only voter.
 func (l *Log) restartAsSoleVoter(own logTail, entry []byte) error {
 	if err := l.applyUncommitted(own.index); err != nil {
 		return err
@@ -222,7 +223,7 @@
 	return l.start()
 }
 
-// applyUncommitted applies the entries up to an index as if they had been committed.
+// applyUncommitted applies the stored entries up to and including last, whether or not they are committed.
 func (l *Log) applyUncommitted(last uint64) error {
 	if last <= l.applied {
 		return nil
--- a/internal/raftlog/recover_test.go
+++ b/internal/raftlog/recover_test.go
@@ -42,7 +42,7 @@
 	c.runTicks(60)
 	rejected(0, "[door 2 door 3 door 4] not heard of")
 	rejected(0, "may still come", 2, 3)
-	rejected(0, "is there with its log", 1, 2, 3, 4)
+	rejected(0, "is present with its log", 1, 2, 3, 4)
 	rejected(1, "door 0 has a longer log", 2, 3, 4)
 	c.wipe(2)
 	c.wipe(3)
