--- a/internal/raftlog/replace.go
+++ b/internal/raftlog/replace.go
@@ -9,23 +9,23 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// Errors of ReplaceVoter.
+// Errors of [Log.ReplaceVoter].
 var (
-	// ErrNotLeading says that another voter has to be asked.
+	// ErrNotLeading is returned if this voter is not the leader. The caller has to ask the leader.
 	ErrNotLeading = errors.New("this voter does not lead")
-	// ErrNotVoter, in a [*VoterError], says that a gateway does not vote.
+	// ErrNotVoter, in a [*VoterError], is returned for a gateway that is not a voter.
 	ErrNotVoter = errors.New("does not vote")
-	// ErrNoEmptyDisk, in a [*VoterError], says that a voter was not heard of with an empty disk.
+	// ErrNoEmptyDisk, in a [*VoterError], is returned for a voter that has not reported an empty disk.
 	ErrNoEmptyDisk = errors.New("was not heard of with an empty disk")
-	// ErrReplacing, in a [*VoterError], says that the replacement is under way.
+	// ErrReplacing, in a [*VoterError], is returned while the replacement is in progress.
 	ErrReplacing = errors.New("is being replaced")
 )
 
 // VoterError is an error about one voter.
 type VoterError struct {
-	// Voter is its index.
+	// Voter is the voter's index.
 	Voter int
-	// Err says what is wrong with it.
+	// Err is the underlying error.
 	Err error
 }
 
@@ -34,8 +34,8 @@
 // Unwrap returns Err.
 func (e *VoterError) Unwrap() error { return e.Err }
 
-// ReplaceVoter lets a voter whose disk was lost take part again with its new, empty one. It is called on the leader
-// again and again, until it returns nil.
+// ReplaceVoter readmits a voter whose disk was lost, with its new, empty disk. The caller repeats the call on the
+// leader until it returns nil.
 func (l *Log) ReplaceVoter(voter int) error {
 	empty, hasEmptyDisk := l.emptyDisks[voter]
 	_, leads := l.Leading()
@@ -54,8 +54,8 @@
 	return &VoterError{Voter: voter, Err: ErrReplacing}
 }
 
-// proposeReplacement proposes the next step of a replacement: to remove the voter, and then to add it with its new
-// disk. If the proposal is lost, or another change is under way, the next call of ReplaceVoter brings it again.
+// proposeReplacement proposes the next step of a replacement: to remove the voter, then to add it with its new disk. If
+// the proposal is lost or another membership change is in progress, the next call of ReplaceVoter proposes it again.
 func (l *Log) proposeReplacement(voter int) {
 	change := raftpb.ConfChange{
 		Type:    raftpb.ConfChangeAddNode,
@@ -68,8 +68,8 @@
 	_ = l.node.ProposeConfChange(change)
 }
 
-// diskNumberOf returns the number of the new disk that a change of the voters is about. A change that raft has made
-// void has none.
+// diskNumberOf returns the number of the new disk in a change of the voters. A change that raft has turned into a no-op
+// has none.
 func diskNumberOf(c *raftpb.ConfChange) (number uint64, ok bool) {
 	if len(c.Context) != 8 || c.NodeID == 0 {
 		return 0, false
@@ -97,9 +97,9 @@
 		return nil
 	}
 	delete(l.replacements, voter)
-	l.cfg.Logger.Info("a voter of the policy was replaced", "voter", voter)
+	l.cfg.Logger.Info("policy voter replaced", "voter", voter)
 	l.setDiskNumber(voter, number)
-	// The new voter would drop a snapshot of a log in which it is no voter.
+	// The new voter would drop a snapshot whose configuration does not include it.
 	snapshot, err := l.storage.Snapshot()
 	if err != nil || !slices.Contains(snapshot.Metadata.ConfState.Voters, change.NodeID) {
 		return errors.Join(err, l.compact(l.applied))
