--- a/internal/raftlog/snapshot.go
+++ b/internal/raftlog/snapshot.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	// snapshotWithDisks is the first byte of a snapshot that has the numbers of the voters' disks before the state.
-	// Those of earlier versions have the state alone, which never starts with it.
+	// snapshotWithDisks is the first byte of a snapshot in which the voters' disk numbers precede the state. Snapshots
+	// of earlier program versions contain only the state, which never starts with this byte.
 	snapshotWithDisks = 0xff
-	// maxSnapshotDisks bounds the numbers that are read.
+	// maxSnapshotDisks limits the disk numbers that are read from a snapshot.
 	maxSnapshotDisks = 64
 )
 
-// encodeSnapshot puts the numbers of the voters' disks before a state.
+// encodeSnapshot prepends the voters' disk numbers to an encoded state.
 func (l *Log) encodeSnapshot(state []byte) []byte {
 	disks := l.cfg.Disk.content.Disks
 	b := appendUvarints([]byte{snapshotWithDisks}, uint64(len(disks)))
@@ -26,7 +26,7 @@
 	return append(b, state...)
 }
 
-// decodeSnapshot reads what encodeSnapshot writes. A snapshot of an earlier version has no disks.
+// decodeSnapshot decodes what encodeSnapshot returns. disks is nil for a snapshot of an earlier program version.
 func decodeSnapshot(b []byte) (disks map[int]uint64, state []byte, err error) {
 	if len(b) == 0 || b[0] != snapshotWithDisks {
 		return nil, b, nil
@@ -38,12 +38,13 @@
 		disks[int(voter)] = r.next()
 	}
 	if r.failed {
-		return nil, nil, fmt.Errorf("a snapshot's numbers of disks: %w", ErrMalformed)
+		return nil, nil, fmt.Errorf("disk numbers of a snapshot: %w", ErrMalformed)
 	}
 	return disks, r.rest, nil
 }
 
-// restore takes a snapshot that came from another voter, with the numbers of disks that the entries before it told.
+// restore applies a snapshot from another voter, including the disk numbers that the entries it replaces would have
+// set.
 func (l *Log) restore(snapshot *raftpb.Snapshot) error {
 	if err := l.storage.ApplySnapshot(*snapshot); err != nil {
 		return err
