--- a/internal/raftlog/work.go
+++ b/internal/raftlog/work.go
@@ -11,29 +11,29 @@
 )
 
 const (
-	// maxReadyRounds bounds the work of one call.
+	// maxReadyRounds limits the iterations of one ProcessReady call.
 	maxReadyRounds = 1000
-	// maxQueuedMessages bounds the messages that wait for a write. Beyond it, messages of other voters are dropped.
+	// maxQueuedMessages limits the messages that wait for a write. Beyond it, messages from other voters are dropped.
 	maxQueuedMessages = 1024
 )
 
-// termVote is a term, and the raft id of the voter that this one has voted for in it.
+// termVote is a term and the raft ID of the voter that this one voted for in that term.
 type termVote struct{ term, vote uint64 }
 
-// writeQueue is what waits to be stored. Raft goes on meanwhile; what must not be sent or applied before something is
-// stored waits here, and then in the batch of the write.
+// writeQueue holds what waits to be stored. Raft continues meanwhile: messages that must not be sent or applied before
+// something is stored wait in the queue, and then in the batch of the write.
 type writeQueue struct {
 	dirty     bool // the disk's content has changed since the last write was started
 	isWriting bool
 	startedAt int // tick at which the last write was started
-	// waiting are raft's appends, and what is to be sent or applied after them, in their order.
+	// queued has raft's append messages, and the messages to send or apply after them, in order.
 	queued        []raftpb.Message
-	queuedApplies int      // messages in waiting, or in the batch of the write, that are to be applied
+	queuedApplies int      // apply messages in queued or in the batch of the write
 	latest        termVote // as of the last append
 	stored        termVote // as of the last append that was stored
 }
 
-// isFull returns whether other voters' messages are to be dropped.
+// isFull reports whether messages from other voters are to be dropped.
 func (q *writeQueue) isFull() bool { return len(q.queued) >= maxQueuedMessages }
 
 // ProcessReady stores, sends and applies what raft has ready. Callers must call it after each of the other methods. It
@@ -57,7 +57,7 @@
 	return l.failure
 }
 
-// handleReady takes what raft wants to be stored, sent and applied.
+// handleReady handles what raft wants to be stored, sent and applied.
 func (l *Log) handleReady(ready raft.Ready) error {
 	if hardState := ready.HardState; !raft.IsEmptyHardState(hardState) {
 		l.writes.latest = termVote{hardState.Term, hardState.Vote}
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// handleAppend puts what is to be stored into the disk's content.
+// handleAppend records what is to be stored in the disk's content, and queues the message until that is written.
 func (l *Log) handleAppend(m raftpb.Message) error {
 	hardState := hardStateOf(m)
 	if !raft.IsEmptyHardState(hardState) || len(m.Entries) > 0 || m.Snapshot != nil {
@@ -99,7 +99,7 @@
 }
 
 // handleApply applies committed entries. A change of the voters is applied only once its commit is stored: a voter that
-// has forgotten it would drop all messages of the new disk. What follows it waits as well.
+// lost the commit in a restart would drop all messages of the new disk. Later entries wait as well.
 func (l *Log) handleApply(m raftpb.Message) error {
 	if l.writes.queuedApplies > 0 || slices.ContainsFunc(m.Entries, isConfChange) {
 		l.writes.queued = append(l.writes.queued, m)
@@ -111,19 +111,19 @@
 
 func isConfChange(e raftpb.Entry) bool { return e.Type == raftpb.EntryConfChange }
 
-// handleSend sends a message once this voter's term and vote are stored. Raft lets a candidate ask for votes, and lead,
-// before its own vote is stored; one that is restarted could then lead twice in one term.
+// handleSend sends a message once this voter's term and vote are stored. Raft lets a candidate request votes, and even
+// become leader, before its own vote is stored; if it restarts then, it could become leader twice in the same term.
 func (l *Log) handleSend(m raftpb.Message) {
 	switch {
 	case l.writes.latest == l.writes.stored:
 		l.send(m)
-	case !l.writes.isFull(): // else it is lost
+	case !l.writes.isFull(): // otherwise the message is dropped
 		l.writes.queued = append(l.writes.queued, m)
 	}
 }
 
-// learnDiskNumbers takes the numbers of new disks from entries as they come, committed or not. A new disk sends nothing
-// before its entry is committed, and it may be the one that has to tell this voter so, where the leader has gone.
+// learnDiskNumbers records the numbers of new disks from received entries, committed or not. A new disk sends nothing
+// before its entry is committed, and if the leader is gone, it may be the only one to tell this voter of the commit.
 func (l *Log) learnDiskNumbers(entries []raftpb.Entry) {
 	for _, e := range entries {
 		var c raftpb.ConfChange
@@ -137,7 +137,7 @@
 	}
 }
 
-// setDiskNumber notes which disk of a voter belongs to the log.
+// setDiskNumber records which disk of a voter belongs to the log.
 func (l *Log) setDiskNumber(voter int, number uint64) {
 	l.cfg.Disk.content.Disks[voter] = number
 	l.writes.dirty = true
@@ -147,8 +147,8 @@
 	return raftpb.HardState{Term: m.Term, Vote: m.Vote, Commit: m.Commit}
 }
 
-// startWrite writes what is new, unless a write is under way. It returns whether raft may have more to do by that
-// already.
+// startWrite starts to write what has changed, unless a write is in progress. It returns true if the write is already
+// complete, so that raft may have more work.
 func (l *Log) startWrite() bool {
 	q := &l.writes
 	if q.isWriting || !q.dirty && len(q.queued) == 0 {
@@ -179,7 +179,7 @@
 	return false
 }
 
-// finishWrite does what had to wait for a write.
+// finishWrite handles the messages that waited for a write, unless the write failed.
 func (l *Log) finishWrite(batch []raftpb.Message, err error) {
 	defer l.recoverRaftPanic()
 	for _, m := range batch {
@@ -201,7 +201,7 @@
 	}
 }
 
-// finishAppend tells raft that an append is stored.
+// finishAppend updates raft's storage after an append is on the disk, and sends raft's responses to it.
 func (l *Log) finishAppend(m raftpb.Message) error {
 	if m.Snapshot != nil {
 		if err := l.restore(m.Snapshot); err != nil {
@@ -221,11 +221,11 @@
 	return nil
 }
 
-// respond hands out raft's responses to something that is done, to itself and to others.
+// respond delivers raft's responses to a finished append or apply, to this voter's raft node and to other voters.
 func (l *Log) respond(responses []raftpb.Message) {
 	for _, m := range responses {
 		if m.To == raftID(l.cfg.Voter) {
-			_ = l.node.Step(m) // raft refuses none of its own responses
+			_ = l.node.Step(m) // raft accepts all of its own responses
 		} else {
 			l.send(m)
 		}
@@ -253,7 +253,7 @@
 	return nil
 }
 
-// finishReads reports the confirmed reads before which all is applied.
+// finishReads reports the confirmed reads whose index is applied.
 func (l *Log) finishReads() {
 	var finished []raft.ReadState
 	l.reads = slices.DeleteFunc(l.reads, func(r raft.ReadState) bool {
@@ -268,7 +268,7 @@
 	}
 }
 
-// compact replaces the beginning of the log up to an index by a snapshot.
+// compact creates a snapshot at an index and drops the entries before it, except the last retainedEntries.
 func (l *Log) compact(index uint64) error {
 	_, state, err := l.cfg.Snapshot()
 	if err != nil {
@@ -290,12 +290,12 @@
 	return nil
 }
 
-// raftPanic is what raft panics with here: it was told what can't be, as by a disk that has lost what it had
-// stored.
+// raftPanic is the value that raftLogger panics with when raft finds an impossible state, such as a disk that has lost
+// what it had stored.
 type raftPanic string
 
-// recoverRaftPanic, deferred, ends this voter's part where raft has panicked; the gateway goes on. Any other panic
-// goes on.
+// recoverRaftPanic, when deferred, stops this voter after a raftPanic; the gateway keeps running. Any other panic
+// continues.
 func (l *Log) recoverRaftPanic() {
 	switch p := recover().(type) {
 	case nil:
