--- a/internal/raftlog/cluster_test.go
+++ b/internal/raftlog/cluster_test.go
@@ -12,7 +12,7 @@
 	"gapgap/internal/vfs"
 )
 
-// cluster is some voters in one goroutine. What they send goes into a list and is lost at random.
+// cluster runs several voters in one goroutine. Their messages go through a queue and are lost at random.
 type cluster struct {
 	t        *testing.T
 	rng      *rand.Rand
@@ -28,14 +28,14 @@
 }
 
 type voter struct {
-	log     *Log // nil: its process is down
+	log     *Log // nil while its process is down
 	disk    *Disk
 	index   uint64
-	applied []uint64 // numbers of the applied entries
+	applied []uint64 // numbers in the applied entries
 	reads   int
 }
 
-// processReady does what has come about. Why a voter takes no part any more is in its log's failure.
+// processReady calls ProcessReady. Its error is also in the log's failure.
 func (v *voter) processReady() { _ = v.log.ProcessReady() }
 
 // newCluster starts voters with empty disks.
@@ -56,7 +56,7 @@
 	return c
 }
 
-// start starts a voter with what its disk has.
+// start starts a voter from its disk.
 func (c *cluster) start(i int) {
 	c.t.Helper()
 	disk, err := OpenDisk(vfs.OS{}, c.dirs[i])
@@ -108,7 +108,7 @@
 	}
 }
 
-// tick advances the time of all voters by one tick and delivers the messages that follow.
+// tick advances all voters by one tick and delivers the resulting messages.
 func (c *cluster) tick() {
 	for _, v := range c.voters {
 		if v.log != nil {
@@ -117,10 +117,10 @@
 		}
 	}
 	for n := 0; len(c.messages) > 0 && n < 10_000; n++ {
-		s := c.messages[0]
+		m := c.messages[0]
 		c.messages = c.messages[1:]
-		if to := c.voters[s.to]; to.log != nil && c.rng.Float64() >= c.loss {
-			if err := to.log.Step(s.from, s.data); err != nil {
+		if to := c.voters[m.to]; to.log != nil && c.rng.Float64() >= c.loss {
+			if err := to.log.Step(m.from, m.data); err != nil {
 				c.t.Errorf("%v", err)
 			}
 			to.processReady()
@@ -128,8 +128,8 @@
 	}
 }
 
-// waitUntil ticks until a condition holds.
-func (c *cluster) waitUntil(limit int, what string, done func() bool) {
+// waitUntil ticks until a condition holds, and fails the test after limit ticks.
+func (c *cluster) waitUntil(limit int, event string, done func() bool) {
 	c.t.Helper()
 	for range limit {
 		if done() {
@@ -137,10 +137,10 @@
 		}
 		c.tick()
 	}
-	c.t.Fatalf("%s: not within %d ticks", what, limit)
+	c.t.Fatalf("%s: not within %d ticks", event, limit)
 }
 
-// leader is the voter that leads; nil: none does.
+// leader returns the leader, or nil if there is none.
 func (c *cluster) leader() *voter {
 	for _, v := range c.voters {
 		if v.log == nil {
@@ -153,7 +153,7 @@
 	return nil
 }
 
-// entry is an entry with a number.
+// entry returns an entry that contains a number.
 func entry(n int) []byte {
 	b := binary.BigEndian.AppendUint64(nil, uint64(n))
 	return append(b, make([]byte, 56)...)
@@ -168,7 +168,7 @@
 	}
 }
 
-// runTicks is some ticks.
+// runTicks runs n ticks.
 func (c *cluster) runTicks(n int) {
 	for range n {
 		c.tick()
@@ -178,13 +178,13 @@
 // waitApplied ticks until a voter has applied an entry.
 func (c *cluster) waitApplied(i, n int) {
 	c.t.Helper()
-	c.waitUntil(800, "all of it", func() bool {
+	c.waitUntil(800, "entry applied", func() bool {
 		v := c.voters[i]
 		return v.log != nil && slices.Contains(v.applied, uint64(n))
 	})
 }
 
-// delayWrites makes a voter's writes wait. The function that it returns does the one that is under way.
+// delayWrites holds a voter's writes back. The returned function performs the write that is in progress, if any.
 func (c *cluster) delayWrites(i int) (write func()) {
 	type job struct {
 		write func() error
@@ -195,7 +195,7 @@
 	v.log.cfg.WriteAsync = func(write func() error, done func(error)) { jobs = append(jobs, job{write, done}) }
 	return func() {
 		if len(jobs) > 1 {
-			c.t.Errorf("voter %d has %d writes under way", i, len(jobs))
+			c.t.Errorf("voter %d has %d writes in progress, want at most 1", i, len(jobs))
 		}
 		if len(jobs) > 0 && v.log != nil {
 			j := jobs[0]
