--- a/internal/raftlog/disk_test.go
+++ b/internal/raftlog/disk_test.go
@@ -11,8 +11,8 @@
 	"gapgap/internal/vfs"
 )
 
-// TestPolicyLogDamaged changes or cuts off bytes of the file at random. Either the file is rejected in one line or it
-// is read as it was.
+// TestPolicyLogDamaged verifies that a file with random bytes changed, or its end cut off, is either rejected with a
+// single-line error or loaded without one.
 func TestPolicyLogDamaged(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 1)
@@ -23,12 +23,12 @@
 	}
 	c.stop(0)
 	path := filepath.Join(c.dirs[0], fileName)
-	good, err := os.ReadFile(path)
+	valid, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	rejected := 0
-	try := func(what string, b []byte) {
+	open := func(damage string, b []byte) {
 		dir := t.TempDir()
 		if err := os.WriteFile(filepath.Join(dir, fileName), b, 0o600); err != nil {
 			t.Fatal(err)
@@ -43,18 +43,18 @@
 		rejected++
 		isExpected := errors.Is(err, ErrDamaged) || strings.Contains(err.Error(), "newer")
 		if !isExpected || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %q", what, err)
+			t.Errorf("%s: %q", damage, err)
 		}
 	}
 	for n := range 60 {
-		bad := append([]byte(nil), good...)
-		i := c.rng.IntN(len(bad))
-		for j := i; j < min(len(bad), i+64); j++ {
-			bad[j] ^= byte(1 + c.rng.IntN(255))
+		damaged := append([]byte(nil), valid...)
+		i := c.rng.IntN(len(damaged))
+		for j := i; j < min(len(damaged), i+64); j++ {
+			damaged[j] ^= byte(1 + c.rng.IntN(255))
 		}
-		try(fmt.Sprint("changed at ", i), bad)
+		open(fmt.Sprint("changed at ", i), damaged)
 		if n%2 == 0 {
-			try(fmt.Sprint("cut at ", i), good[:i])
+			open(fmt.Sprint("cut at ", i), valid[:i])
 		}
 	}
 	if rejected < 10 {
