--- a/internal/raftlog/log_test.go
+++ b/internal/raftlog/log_test.go
@@ -7,14 +7,15 @@
 	"testing"
 )
 
-// TestPolicyLogCatchesUp restarts a voter that was away for 10,000 entries. It catches up by a snapshot over links that
-// lose a tenth; all have all entries in one order, also after each was restarted, and their files are bounded.
+// TestPolicyLogCatchesUp verifies that a voter that was down for 10,000 entries catches up by a snapshot over links
+// that lose a tenth of the messages. All voters then have all entries in the same order, also after a restart of each,
+// and the size of their files is bounded.
 func TestPolicyLogCatchesUp(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 3)
 	c.waitUntil(200, "a leader", func() bool { return c.leader() != nil })
 	c.stop(2)
-	c.waitUntil(200, "a leader of two", func() bool { return c.leader() != nil })
+	c.waitUntil(200, "a leader of two voters", func() bool { return c.leader() != nil })
 	for n := 0; n < 10_000; {
 		l := c.leader()
 		if l == nil {
@@ -62,7 +63,8 @@
 	}
 }
 
-// TestPolicyLogLostDisk restarts a voter that has lost its disk. It takes no part: its votes are not known any more.
+// TestPolicyLogLostDisk verifies that a voter that has lost its disk does not participate after a restart, as the votes
+// it cast are unknown, and that the other voters can still elect a leader.
 func TestPolicyLogLostDisk(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 3)
@@ -73,9 +75,9 @@
 		c.tick()
 	}
 	if v := c.voters[1]; v.log.HasStarted() || !v.log.isExcluded {
-		t.Error("it takes part")
+		t.Error("the voter participates with an empty disk")
 	}
 	c.stop(0)
 	c.start(0)
-	c.waitUntil(200, "a leader of those that have theirs", func() bool { return c.leader() != nil })
+	c.waitUntil(200, "a leader among the voters that have their disks", func() bool { return c.leader() != nil })
 }
