--- a/internal/raftlog/replace_test.go
+++ b/internal/raftlog/replace_test.go
@@ -6,9 +6,10 @@
 	"testing"
 )
 
-// TestPolicyVoterReplaced replaces a voter whose disk was lost for good by one with an empty disk, over links that
-// lose a tenth. From then on it counts: another voter may fail, all may be restarted, and a second one may be replaced
-// likewise. Nothing that was committed is lost, and all have it in one order.
+// TestPolicyVoterReplaced verifies that a voter whose disk is permanently lost can be replaced by one with an empty
+// disk, over links that lose a tenth of the messages. The new voter counts towards the majority: another voter may
+// fail, all may restart, and a second voter may be replaced. No committed entry is lost, and all voters have the same
+// order.
 func TestPolicyVoterReplaced(t *testing.T) {
 	t.Parallel()
 	for _, voters := range []int{3, 5} {
@@ -23,7 +24,7 @@
 				l.log.Propose(entry(n))
 				c.waitUntil(limit, fmt.Sprint("entry ", n), func() bool {
 					if l.log != nil && !slices.Contains(l.applied, uint64(n)) && c.rng.IntN(20) == 0 {
-						l.log.Propose(entry(n)) // it was lost
+						l.log.Propose(entry(n)) // the proposal may be lost
 					}
 					for _, v := range c.voters {
 						if v.log != nil && slices.Contains(v.applied, uint64(n)) {
@@ -41,7 +42,7 @@
 			c.voters[lost].applied = nil
 			commit(300)
 			if c.voters[lost].log.HasStarted() {
-				t.Fatal("it takes part before it is replaced")
+				t.Fatal("the voter participates before it is replaced")
 			}
 			c.loss = 0.1
 			c.waitUntil(2000, "replaced", func() bool {
@@ -50,7 +51,7 @@
 			})
 			c.loss = 0
 			c.waitUntil(500, "caught up", func() bool { return slices.Contains(c.voters[lost].applied, uint64(n-1)) })
-			down := (lost + 1) % voters // now the new one is needed for a majority of three
+			down := (lost + 1) % voters // of three voters, the new one is now needed for a majority
 			c.stop(down)
 			commit(500)
 			c.start(down)
@@ -72,7 +73,7 @@
 		})
 		for i, v := range c.voters {
 			at := uint64(0)
-			for _, x := range v.applied { // an entry that was proposed again may stand twice
+			for _, x := range v.applied { // an entry that was proposed again may appear twice
 				if x != at && x+1 != at {
 					t.Fatalf("voter %d: entry %d after %d", i, x, at)
 				}
@@ -80,7 +81,7 @@
 			}
 		}
 		if err := c.leader().log.ReplaceVoter(0); err == nil {
-			t.Error("a voter that has its disk is replaced")
+			t.Error("a voter that has its disk can be replaced")
 		}
 	}
 }
