--- a/internal/raftlog/work_test.go
+++ b/internal/raftlog/work_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// TestPolicyLogStuckDisk stops the disk of a voter. That stops nobody but its own voter, whether it leads or follows:
-// the others decide and read, another one leads, and it has all once its disk goes on. What it did not store it does
-// not count.
+// TestPolicyLogStuckDisk verifies that a disk that stops affects only its own voter, whether that is the leader or a
+// follower: another voter leads, and the others commit and read. The voter applies nothing that it has not stored, and
+// catches up once its disk continues.
 func TestPolicyLogStuckDisk(t *testing.T) {
 	t.Parallel()
 	for _, leads := range []bool{true, false} {
@@ -23,14 +23,14 @@
 		write := c.delayWrites(stuck)
 		c.leader().log.Propose(entry(1))
 		c.leader().processReady()
-		c.waitUntil(20, "another one leads", func() bool { l := c.leader(); return l != nil && l != c.voters[stuck] })
+		c.waitUntil(20, "another leader", func() bool { l := c.leader(); return l != nil && l != c.voters[stuck] })
 		c.waitUntil(5, "committed by two", func() bool { return len(c.leader().applied) == 2 })
 		l := c.leader()
 		l.log.ConfirmRead(3)
 		l.processReady()
 		c.waitUntil(5, "a read", func() bool { return l.reads == 1 })
 		if n := len(c.voters[stuck].applied); n != 1 {
-			t.Errorf("the voter whose disk stands still has applied %d entries", n)
+			t.Errorf("the voter whose disk is stuck has applied %d entries", n)
 		}
 		for n := range 1500 {
 			if l := c.leader(); l != nil && n%2 == 0 {
@@ -48,18 +48,18 @@
 	}
 }
 
-// delayedWrites is voters whose writes are late at random, and that are killed with writes under way.
+// delayedWrites simulates voters whose writes are randomly delayed, and that are killed during writes.
 type delayedWrites struct {
 	*cluster
 	seed uint64
-	// acknowledgesEarly makes voters count what they have not stored.
+	// acknowledgesEarly makes voters treat entries as stored that they have not written.
 	acknowledgesEarly bool
-	finish            []func() // the write that is under way, by voter
+	finish            []func() // performs the write that is in progress, by voter
 	proposed          int
-	order             []uint64 // entries as applied first by any voter
+	order             []uint64 // entries in the order in which any voter first applied them
 }
 
-// run returns what is problem; empty: nothing.
+// run runs the simulation. It returns a description of the first problem, or an empty string.
 func (p *delayedWrites) run() (problem string) {
 	p.waitUntil(200, "a leader", func() bool { return p.leader() != nil })
 	p.finish = make([]func(), len(p.voters))
@@ -82,7 +82,8 @@
 	return p.catchUp()
 }
 
-// delay makes a voter's writes late. Those of a broken voter seem to be done at once, and one in five is.
+// delay delays a voter's writes. With acknowledgesEarly, writes are reported as done at once, but only one in five is
+// performed.
 func (p *delayedWrites) delay(i int) {
 	p.finish[i] = p.delayWrites(i)
 	if !p.acknowledgesEarly {
@@ -97,7 +98,7 @@
 	}
 }
 
-// step proposes an entry, ticks, finishes writes and restarts voters, each at random.
+// step runs a tick, and at random proposes an entry, finishes writes and restarts voters.
 func (p *delayedWrites) step() {
 	if l := p.leader(); l != nil && p.rng.IntN(2) == 0 {
 		l.log.Propose(entry(p.proposed))
@@ -112,14 +113,14 @@
 	if p.rng.IntN(15) > 0 {
 		return
 	}
-	for _, i := range p.rng.Perm(3)[:1+p.rng.IntN(3)] { // one, two or all: with what was not written
+	for _, i := range p.rng.Perm(3)[:1+p.rng.IntN(3)] { // one, two or all voters, which lose their pending writes
 		p.stop(i)
 		p.start(i)
 		p.delay(i)
 	}
 }
 
-// check returns which voter has applied something else than the others.
+// check returns a description of a voter that has applied other entries than the rest, or an empty string.
 func (p *delayedWrites) check() (problem string) {
 	for i, v := range p.voters {
 		for n, applied := range v.applied {
@@ -134,7 +135,7 @@
 	return ""
 }
 
-// catchUp ticks until all voters have applied what any of them has.
+// catchUp ticks until all voters have applied all entries that any of them has applied.
 func (p *delayedWrites) catchUp() (problem string) {
 	lags := func(v *voter) bool { return len(v.applied) != len(p.order) }
 	for range 500 {
@@ -149,13 +150,14 @@
 	if problem != "" {
 		return problem
 	}
-	return fmt.Sprintf("seed %d: of %d that were applied the voters have %d, %d, %d in the end", p.seed, len(p.order),
+	return fmt.Sprintf("seed %d: of %d applied entries the voters have %d, %d and %d at the end", p.seed, len(p.order),
 		len(p.voters[0].applied), len(p.voters[1].applied), len(p.voters[2].applied))
 }
 
-// TestPolicyLogLateWrites plays voters whose writes are late, and that are killed with writes under way. What one of
-// them has applied all have in the end, in the same order. A voter that counts what it has not stored is found. Raft
-// draws election timeouts itself, so no seed plays alike.
+// TestPolicyLogLateWrites verifies that all voters eventually apply the same entries in the same order if their writes
+// are delayed and they are killed during writes. As a check of the simulation itself, voters that acknowledge entries
+// before they have stored them must be detected. Raft randomizes election timeouts itself, so runs are not reproducible
+// by seed.
 func TestPolicyLogLateWrites(t *testing.T) {
 	t.Parallel()
 	simulate := func(seed uint64, acknowledgesEarly bool) string {
@@ -174,6 +176,6 @@
 		}
 	}
 	if !isDetected {
-		t.Error("voters that count what they have not stored were not found")
+		t.Error("voters that acknowledge entries before they are stored were not detected")
 	}
 }
