--- a/internal/raftlog/golden_test.go
+++ b/internal/raftlog/golden_test.go
@@ -16,10 +16,10 @@
 	"gapgap/internal/vfs"
 )
 
-// unsyncedFS is the operating system's file system without waiting for the disk: no play has a power loss.
+// unsyncedFS is the operating system's file system without syncs, which only matter for a power loss.
 type unsyncedFS struct{ vfs.OS }
 
-// unsyncedFile does not wait for the disk.
+// unsyncedFile is a file whose Sync does nothing.
 type unsyncedFile struct{ vfs.File }
 
 func (unsyncedFile) Sync() error { return nil }
@@ -34,7 +34,7 @@
 	return unsyncedFile{file}, nil
 }
 
-// createDisk gives a voter an empty disk with a number that is not drawn by chance.
+// createDisk creates an empty disk with a fixed number instead of a random one.
 func createDisk(t *testing.T, dir string, number uint64) {
 	t.Helper()
 	d, err := OpenDisk(vfs.OS{}, dir)
@@ -73,19 +73,19 @@
 	p.processReady(0)
 	p.runTicks(3)
 	if c.leader() != c.voters[0] {
-		t.Fatal("the first voter does not lead")
+		t.Fatal("the first voter is not the leader")
 	}
 	return p
 }
 
-// start starts a voter whose writes do not wait for the disk.
+// start starts a voter whose writes are not synced.
 func (p *goldenCluster) start(i int) {
 	p.t.Helper()
 	p.cluster.start(i)
 	p.voters[i].disk.files = unsyncedFS{}
 }
 
-// processReady has a voter do what has come about, and delivers all messages in their order.
+// processReady calls a voter's ProcessReady and delivers all messages in order.
 func (p *goldenCluster) processReady(i int) {
 	p.t.Helper()
 	if err := p.voters[i].log.ProcessReady(); err != nil {
@@ -97,16 +97,16 @@
 func (p *goldenCluster) deliver() {
 	p.t.Helper()
 	for len(p.messages) > 0 {
-		s := p.messages[0]
+		m := p.messages[0]
 		p.messages = p.messages[1:]
-		p.trace.Int(int64(s.from))
-		p.trace.Int(int64(s.to))
-		p.trace.String(string(s.data))
-		to := p.voters[s.to].log
+		p.trace.Int(int64(m.from))
+		p.trace.Int(int64(m.to))
+		p.trace.String(string(m.data))
+		to := p.voters[m.to].log
 		if to == nil {
 			continue
 		}
-		if err := to.Step(s.from, s.data); err != nil {
+		if err := to.Step(m.from, m.data); err != nil {
 			p.t.Fatal(err)
 		}
 		if err := to.ProcessReady(); err != nil {
@@ -132,7 +132,7 @@
 	for n := from; n < to; n++ {
 		p.voters[0].log.Propose(entry(n))
 		if n%20 != 19 && n != to-1 {
-			continue // each write is the whole file: some entries have one together
+			continue // a write rewrites the whole file, so several entries share one
 		}
 		p.voters[0].log.ConfirmRead(uint64(n))
 		p.processReady(0)
@@ -142,7 +142,7 @@
 	}
 }
 
-// recordError adds the text of an error; empty: none.
+// recordError adds the text of an error to the trace, or an empty string for nil.
 func (p *goldenCluster) recordError(err error) {
 	text := ""
 	if err != nil {
@@ -151,7 +151,7 @@
 	p.trace.String(text)
 }
 
-// finalHash adds what the voters have applied and kept.
+// finalHash adds the applied entries and the files of all voters to the trace, and returns its hash.
 func (p *goldenCluster) finalHash() string {
 	p.t.Helper()
 	for i, v := range p.voters {
@@ -170,7 +170,7 @@
 	return p.trace.Sum()
 }
 
-// One voter past its compaction, and started anew.
+// singleVoterHash runs a single voter past a compaction and restarts it.
 func singleVoterHash(t *testing.T) string {
 	p := newGoldenCluster(t, 1)
 	p.propose(0, 1200)
@@ -181,7 +181,7 @@
 	return p.finalHash()
 }
 
-// A follower that is away for more than a snapshot, and catches up.
+// snapshotHash runs a follower that is down until a snapshot is needed for it to catch up.
 func snapshotHash(t *testing.T) string {
 	p := newGoldenCluster(t, 3)
 	p.propose(0, 20)
@@ -193,7 +193,7 @@
 	return p.finalHash()
 }
 
-// A voter whose disk is lost and is replaced by another one.
+// replacedHash runs a voter that loses its disk and is replaced.
 func replacedHash(t *testing.T) string {
 	p := newGoldenCluster(t, 3)
 	p.propose(0, 30)
@@ -216,7 +216,7 @@
 	return p.finalHash()
 }
 
-// A leader whose disk stands still gives the lead to another voter.
+// stuckDiskHash runs a leader whose disk is stuck, so that it transfers its leadership.
 func stuckDiskHash(t *testing.T) string {
 	p := newGoldenCluster(t, 3)
 	p.propose(0, 5)
@@ -239,7 +239,7 @@
 	return p.finalHash()
 }
 
-// A voter alone refuses a recovery for each of its reasons, as far as no leader is lost.
+// rejectedRecoveryHash runs recoveries that are rejected because there is a leader or a majority may still return.
 func rejectedRecoveryHash(t *testing.T) string {
 	p := newGoldenCluster(t, 3)
 	p.recordError(p.voters[0].log.Recover(nil, entry(1)))
@@ -247,13 +247,13 @@
 	p.stop(1)
 	p.stop(2)
 	p.recordError(p.voters[0].log.Recover([]int{1, 2}, entry(1)))
-	p.runTicks(30) // it gives up the lead, as no majority answers
+	p.runTicks(30) // it steps down, as no majority answers
 	p.recordError(p.voters[0].log.Recover([]int{1}, entry(1)))
 	return p.trace.Sum()
 }
 
-// TestGoldenVoters compares what voters send, apply and keep with what is recorded. Raft draws election timeouts by
-// chance, so the plays are those in which none runs out.
+// TestGoldenVoters verifies that what voters send, apply and store matches the recorded hashes. Raft randomizes
+// election timeouts, so the cases are limited to runs in which no timeout expires.
 func TestGoldenVoters(t *testing.T) {
 	hashes := golden.LoadHashes(t, "testdata/golden/hashes.txt")
 	cases := []struct {
@@ -269,7 +269,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			sum := c.hash(t)
-			if c.name != "snapshot" { // it takes seconds
+			if c.name != "snapshot" { // a second run would take seconds
 				if again := c.hash(t); again != sum {
 					t.Fatalf("%s, then %s", sum, again)
 				}
@@ -279,7 +279,7 @@
 	}
 }
 
-// goldenDiskContent sets all fields of a voter's file.
+// goldenDiskContent returns a content of a voter's file with all fields set.
 func goldenDiskContent(t *testing.T) diskContent {
 	t.Helper()
 	d := &Disk{content: diskContent{Number: 1<<62 + 1, Disks: map[int]uint64{0: 1<<62 + 1, 1: 7, 2: 1 << 40}}}
@@ -298,7 +298,7 @@
 	return d.content
 }
 
-// TestGoldenVoterFile compares a voter's file with the recorded one, and reads that back.
+// TestGoldenVoterFile verifies that a voter's file matches the recorded one, and that the recorded one can be read.
 func TestGoldenVoterFile(t *testing.T) {
 	path := "testdata/golden/policy.log"
 	dir := t.TempDir()
@@ -332,7 +332,8 @@
 	}
 }
 
-// TestGoldenSnapshotData compares the bytes of a snapshot with disk numbers, and reads them and those without back.
+// TestGoldenSnapshotData verifies that an encoded snapshot with disk numbers matches the recorded one, and that
+// snapshots with and without disk numbers can be decoded.
 func TestGoldenSnapshotData(t *testing.T) {
 	disks := map[int]uint64{0: 1<<62 + 1, 1: 7, 2: 1 << 40}
 	l := &Log{cfg: Config{Disk: &Disk{content: diskContent{Disks: disks}}}}
@@ -344,11 +345,11 @@
 	}
 	got, state, err = decodeSnapshot([]byte("of an earlier program"))
 	if err != nil || string(state) != "of an earlier program" || got != nil {
-		t.Errorf("without numbers: %v, %q, %v", got, state, err)
+		t.Errorf("without disk numbers: %v, %q, %v", got, state, err)
 	}
 }
 
-// TestGoldenMessages compares the bytes of each kind of message between voters.
+// TestGoldenMessages verifies that each kind of message between voters matches its recorded hash.
 func TestGoldenMessages(t *testing.T) {
 	hashes := golden.LoadHashes(t, "testdata/golden/messages.txt")
 	var sent [][]byte
