--- a/internal/policyreplica/call.go
+++ b/internal/policyreplica/call.go
@@ -10,20 +10,20 @@
 )
 
 const (
-	// callPollInterval is how often a waiting call looks for its result.
+	// callPollInterval is how often a waiting call checks for its result.
 	callPollInterval = 20 * time.Millisecond
-	// leaveAttempts and leaveInterval are how often at most, and with what pause, the leader is notified of a leave.
+	// leaveAttempts limits how often the leader is notified of a leave, and leaveInterval is the pause in between.
 	leaveAttempts = 10
 	leaveInterval = 50 * time.Millisecond
 )
 
-// ErrClosed says that the replica ends.
-var ErrClosed = errors.New("the door is ending")
+// ErrClosed is returned by calls to a replica that is closed.
+var ErrClosed = errors.New("the gateway is shutting down")
 
-// ErrNotVoter says that this gateway has no log to recover.
-var ErrNotVoter = errors.New("this door does not vote: recover at one that does")
+// ErrNotVoter is returned by Recover on a gateway that is not a voter and so has no log to recover.
+var ErrNotVoter = errors.New("this gateway is not a voter: run the recovery on a voter")
 
-// RecoveryRefusedError says why the voter must not go on alone. Its text may name gateways by index, see
+// RecoveryRefusedError says why the voter must not continue alone. Its text may refer to gateways by index; see
 // [policy.ReplaceGatewayNumbers].
 type RecoveryRefusedError struct {
 	// Err is ErrNotVoter or an error of package raftlog.
@@ -35,17 +35,17 @@
 // Unwrap returns Err.
 func (e *RecoveryRefusedError) Unwrap() error { return e.Err }
 
-// DocumentSizeError says that a document is empty or too long.
+// DocumentSizeError is returned for a document that is empty or too long.
 type DocumentSizeError struct {
 	// Bytes is the document's length.
 	Bytes int
 }
 
 func (e *DocumentSizeError) Error() string {
-	return fmt.Sprintf("a policy of %d bytes, not 1 to %d", e.Bytes, policy.MaxDocumentBytes)
+	return fmt.Sprintf("policy document has %d bytes, want 1 to %d", e.Bytes, policy.MaxDocumentBytes)
 }
 
-// UnavailableDocumentError says that no gateway sent a document in time.
+// UnavailableDocumentError is returned if no gateway sent a document in time.
 type UnavailableDocumentError struct {
 	Hash policy.Hash
 	// Err is the error of the caller's context.
@@ -59,7 +59,7 @@
 // Unwrap returns the error of the caller's context.
 func (e *UnavailableDocumentError) Unwrap() error { return e.Err }
 
-// call runs a function on the replica's goroutine and waits for its end. Its error is ErrClosed or the context's.
+// call runs a function on the replica's goroutine and waits until it returns. Its error is ErrClosed or the context's.
 func (r *Replica) call(ctx context.Context, f func()) error {
 	returned := make(chan struct{})
 	call := func() {
@@ -80,11 +80,11 @@
 	return nil
 }
 
-// cleanUp runs a function on the replica's goroutine, unless that has ended and nothing is left to clean up.
+// cleanUp runs a function on the replica's goroutine. If that has ended, there is nothing left to clean up.
 func (r *Replica) cleanUp(f func()) { _ = r.call(context.Background(), f) }
 
-// poll runs a function on the replica's goroutine again and again until it returns true. Its error is ErrClosed or the
-// context's.
+// poll runs a function on the replica's goroutine every callPollInterval until it returns true. Its error is ErrClosed
+// or the context's.
 func (r *Replica) poll(ctx context.Context, isReady func() bool) error {
 	for {
 		ready := false
@@ -103,7 +103,7 @@
 }
 
 // Query sends a query to the leader and waits for the reply, which for a change is its outcome. Its error is ErrClosed,
-// policy.ErrTooManyQueries, or the context's: then the outcome of a change is not known.
+// policy.ErrTooManyQueries or the context's. After a context error, the outcome of a change is unknown.
 func (r *Replica) Query(ctx context.Context, query policy.Query) (*policy.QueryReply, error) {
 	number, err := r.startQuery(ctx, query)
 	if err != nil {
@@ -136,9 +136,9 @@
 	return number, startErr
 }
 
-// Recover makes this gateway's voter go on alone where a majority of the voters' disks is lost for good. lost are the
-// indices of the voters whose disks are known to be lost. Its error may be a *RecoveryRefusedError, ErrClosed or the
-// context's.
+// Recover makes this gateway's voter continue alone after a majority of the voters' disks is permanently lost. lost are
+// the indices of the voters whose disks are known to be lost. Its error may be a *RecoveryRefusedError, ErrClosed or
+// the context's.
 func (r *Replica) Recover(ctx context.Context, lost []int, author string) error {
 	entry, err := encodeRecovery(lost, author)
 	if err != nil {
@@ -159,7 +159,7 @@
 	return nil
 }
 
-// encodeRecovery returns the log entry of a recovery.
+// encodeRecovery returns the encoded log entry of a recovery.
 func encodeRecovery(lost []int, author string) ([]byte, error) {
 	recovery := &policy.Recovery{
 		Author:      author[:min(len(author), policy.MaxIDBytes)],
@@ -171,8 +171,8 @@
 	return policy.Entry{Recovery: recovery}.Encode()
 }
 
-// StoreDocument stores a document on this gateway's disk, for others to fetch, and returns its hash. Its error may be a
-// *DocumentSizeError, ErrClosed or the context's.
+// StoreDocument stores a document on this gateway's disk, from which other gateways can download it, and returns its
+// hash. Its error may be a *DocumentSizeError, ErrClosed or the context's.
 func (r *Replica) StoreDocument(ctx context.Context, document []byte) (policy.Hash, error) {
 	if len(document) == 0 || len(document) > policy.MaxDocumentBytes {
 		return policy.Hash{}, &DocumentSizeError{Bytes: len(document)}
@@ -184,7 +184,7 @@
 	return policy.HashOf(document), r.documents.store(document, inUse)
 }
 
-// Document returns a document, from this gateway's disk or another gateway. Its error may be an
+// Document returns a document from this gateway's disk, or else from another gateway. Its error may be an
 // *UnavailableDocumentError, ErrClosed or the context's.
 func (r *Replica) Document(ctx context.Context, hash policy.Hash) ([]byte, error) {
 	if document, err := r.documents.read(hash); err == nil {
@@ -215,8 +215,9 @@
 	}
 }
 
-// awaitDownload returns the document of a download that is complete, or a report that this gateway itself made: the
-// leader's history is at no other gateway. If there is none, and no other download runs, this one runs next.
+// awaitDownload returns the document of a complete download, or a report from this gateway's own cache, as no other
+// gateway has the reports of the leader. It returns nil while there is neither, and starts the download if no other one
+// is running.
 func (r *Replica) awaitDownload(ownDownload *download) []byte {
 	if report := r.reports.byHash[ownDownload.hash]; report != nil {
 		return report
@@ -229,7 +230,7 @@
 	return document
 }
 
-// History returns the outcomes of the last changes, as JSON, from the leader. Its errors are those of Document.
+// History returns the outcomes of the most recent changes, as JSON, from the leader. Its errors are those of Document.
 func (r *Replica) History(ctx context.Context) ([]byte, error) {
 	defer r.cleanUp(func() { delete(r.awaited, historyReport) })
 	hash, err := r.locateHistory(ctx)
@@ -239,12 +240,12 @@
 	return r.Document(ctx, hash)
 }
 
-// locateHistory returns the hash by which the leader's history can be fetched.
+// locateHistory returns the hash by which the leader's history can be downloaded.
 func (r *Replica) locateHistory(ctx context.Context) (hash policy.Hash, err error) {
 	err = r.poll(ctx, func() bool {
 		located := r.awaited[historyReport]
 		if located == (policy.Hash{}) {
-			r.awaited[historyReport] = policy.Hash{} // from now on a location is awaited
+			r.awaited[historyReport] = policy.Hash{} // marks the location as awaited
 			for _, voter := range r.voters {
 				r.send(voter, &message{ReportRequest: historyReport})
 			}
@@ -256,8 +257,8 @@
 	return hash, err
 }
 
-// Leave notifies the leader that this gateway decides nothing any more; the host has stopped before. It repeats that
-// until the leader has confirmed it, at most leaveAttempts times.
+// Leave notifies the leader that this gateway no longer decides requests. The host must have stopped before. The
+// notification is repeated until the leader confirms it, at most leaveAttempts times.
 func (r *Replica) Leave() {
 	for range leaveAttempts {
 		isConfirmed := false
