--- a/internal/policyreplica/config.go
+++ b/internal/policyreplica/config.go
@@ -9,56 +9,56 @@
 )
 
 const (
-	// minGatewaysForThreeVoters and minGatewaysForFiveVoters are fleet sizes from which on more voters fail alone.
+	// minGatewaysForThreeVoters and minGatewaysForFiveVoters are the smallest fleets that have that many voters.
 	minGatewaysForThreeVoters = 3
 	minGatewaysForFiveVoters  = 20
 )
 
-// Host decides requests by a policy version. The replica's goroutine calls all methods but Build.
+// Host decides requests by a policy version. All methods but Build are called by the replica's goroutine.
 type Host interface {
-	// Build reads a document and makes all that deciding by it needs. Its error says what is wrong, with the line.
-	// Another goroutine calls it, once at a time.
+	// Build parses a document and builds everything that is needed to decide by it. Its error says what is wrong, and
+	// in which line. It is called by another goroutine; calls do not overlap.
 	Build(document []byte) (any, error)
-	// StopDeciding ends the right to decide. Nothing is decided after it has returned.
+	// StopDeciding revokes the right to decide. No request is decided after it has returned.
 	StopDeciding()
-	// SwitchTo makes all later decisions go by a version; built is what Build returned for its document.
+	// SwitchTo makes all later decisions use a version. built is what Build returned for its document.
 	SwitchTo(version uint64, built any) error
-	// SetDecisionDeadline sets until when requests may be decided, by the clock Config.Now.
+	// SetDecisionDeadline sets the time, on the clock Config.Now, until which requests may be decided.
 	SetDecisionDeadline(deadline time.Duration)
 }
 
 // Config configures a replica.
 type Config struct {
-	// Name is this gateway's name, the author of an initial policy.
+	// Name is this gateway's name. It is recorded as the author of an initial policy.
 	Name string
 	// Index is this gateway's index in Gateways.
 	Index int
 	// Gateways are the names of all gateways.
 	Gateways []string
-	// FS has the state directory Dir.
+	// FS is the file system that contains the state directory Dir.
 	FS  vfs.FS
 	Dir string
-	// Now reads a clock that runs on while the process is stopped.
+	// Now reads a clock that continues to run while the process is stopped.
 	Now func() time.Duration
 	Log *slog.Logger
-	// Send sends a datagram to another gateway. It returns at once, and the datagram may be lost.
+	// Send sends a datagram to another gateway without blocking. The datagram may be lost.
 	Send func(to int, datagram []byte)
-	// Process returns the identity of this process, which changes if its disk turns out to have lost its incarnation.
+	// Process returns the identity of this process, which changes if the disk is found to have lost its incarnation.
 	Process func() policy.Process
-	// InitialPolicy returns the document that this gateway proposes where the fleet has no policy yet.
+	// InitialPolicy returns the document that this gateway proposes if the fleet has no policy yet.
 	InitialPolicy func() ([]byte, error)
-	// AbortAfter is how long a change may wait for gateways; zero: policy.DefaultAbortTimeout.
+	// AbortAfter is how long a change may wait for gateways. Zero means policy.DefaultAbortTimeout.
 	AbortAfter time.Duration
-	// Fence makes policy.Fence the mode of an initial policy.
+	// Fence sets the mode of an initial policy to policy.Fence.
 	Fence bool
-	// StoredVersionDelay is how long after the start a gateway that no majority answers decides by the version that
-	// its disk has; zero: never.
+	// StoredVersionDelay is how long after its start a gateway without an answer from a majority of the voters begins
+	// to decide by the version on its disk. Zero means never.
 	StoredVersionDelay time.Duration
-	// Host decides requests.
+	// Host decides requests by the versions that the replica gives it.
 	Host Host
 }
 
-// Voters returns the indices of the gateways that are voters, of so many gateways.
+// Voters returns the indices of the gateways that are voters in a fleet of the given size.
 func Voters(gateways int) (indices []int) {
 	voters := 5
 	switch {
