--- a/internal/policyreplica/decision.go
+++ b/internal/policyreplica/decision.go
@@ -6,7 +6,7 @@
 	"gapgap/internal/policy"
 )
 
-// updateHost makes the host decide by the node's version, until the node's deadline.
+// updateHost passes changes of the node's version and decision deadline on to the host.
 func (r *Replica) updateHost() {
 	participant := r.node.Participant()
 	if version := participant.Version(); version != r.version {
@@ -18,7 +18,7 @@
 	}
 }
 
-// switchTo makes the host decide by another version. It decides nothing until that holds for all decisions.
+// switchTo makes the host decide by another version. The host decides nothing until all decisions use that version.
 func (r *Replica) switchTo(version policy.Version) {
 	r.config.Host.StopDeciding()
 	r.decidesUntil = 0
@@ -35,7 +35,7 @@
 	r.config.Log.Info("policy", "version", version.Number, "was", previous.Number, "hash", shortHash(version.Hash))
 }
 
-// dropUnusedDocuments forgets what was built for versions other than the present one and the pending change's.
+// dropUnusedDocuments releases built documents, except those of the current version and the pending change.
 func (r *Replica) dropUnusedDocuments() {
 	participant := r.node.Participant()
 	change, isPending := participant.Pending()
@@ -48,8 +48,8 @@
 	}
 }
 
-// decideByStoredVersion makes a gateway that has just started decide by the version on its disk where no majority of
-// the voters has answered for Config.StoredVersionDelay. It has an effect where operators have set that only.
+// decideByStoredVersion makes a gateway decide by the version on its disk if no majority of the voters has answered
+// within Config.StoredVersionDelay of its start. It has no effect unless operators have set that delay.
 func (r *Replica) decideByStoredVersion(now time.Duration) {
 	participant := r.node.Participant()
 	hasVersion := r.version.Number > 0 || participant.Version().Number > 0
@@ -60,12 +60,12 @@
 	if !r.preparer.prepare(r.storedVersion.Hash, r.version.Hash) {
 		return
 	}
-	r.config.Log.Warn("no majority of the voters answers: decisions go by the stored version, as without_quorum says",
+	r.config.Log.Warn("no majority of the voters answers: requests are decided by the stored version (without_quorum)",
 		"version", r.storedVersion.Number)
 	participant.DecideWithoutQuorum(r.storedVersion)
 }
 
-// logDecisionState logs once why nothing is decided, and once that requests are decided again.
+// logDecisionState logs each change of the reason why nothing is decided, and when requests are decided again.
 func (r *Replica) logDecisionState(now time.Duration) {
 	reason := r.reasonNotDeciding(now)
 	if reason == r.loggedReason {
@@ -79,7 +79,7 @@
 	r.config.Log.Warn("nothing is decided: " + reason)
 }
 
-// reasonNotDeciding tells operators why nothing is decided. It is empty while requests are decided.
+// reasonNotDeciding returns, in words for operators, why nothing is decided; empty while requests are decided.
 func (r *Replica) reasonNotDeciding(now time.Duration) string {
 	if r.decidesUntil > now {
 		return ""
