--- a/internal/policyreplica/doc.go
+++ b/internal/policyreplica/doc.go
@@ -1,7 +1,7 @@
-// Package policyreplica runs a gateway's part in the agreement on policy versions. It drives one [policy.Node], the
-// replicated log where the gateway is a voter, and the transfer and storage of policy documents. A [Host] decides
-// requests by the version that the replica gives it, for as long as the replica lets it.
+// Package policyreplica runs the policy commit protocol on one gateway. It drives a [policy.Node], the replicated log
+// if the gateway is a voter, and the transfer and storage of policy documents. A [Host] decides requests by the version
+// that the replica gives it, until the deadline that the replica sets.
 //
-// One goroutine owns the node and the log and never waits for the disk: other goroutines, one for each file at a time,
-// write the log, documents and the file of the version. [Replica.Close] ends them all.
+// One goroutine owns the node and the log and does not wait for writes to the disk: other goroutines, at most one per
+// file at a time, write the log, the documents and the version file. [Replica.Close] stops all of them.
 package policyreplica
