--- a/internal/policyreplica/documentstore.go
+++ b/internal/policyreplica/documentstore.go
@@ -14,25 +14,25 @@
 )
 
 const (
-	// maxStoredDocuments is how many documents stay on the disk: those used last.
+	// maxStoredDocuments is how many documents are kept on the disk: the most recently used ones.
 	maxStoredDocuments = 16
 
 	documentDirectory = "policies"
 	documentSuffix    = ".toml"
-	// temporaryMark is in the names of files that a process had not yet renamed when it ended.
+	// temporaryMark is part of the names of temporary files. One is left over if a process ended before renaming it.
 	temporaryMark = ".new"
 )
 
-// errDocumentDamaged says that a file's content does not have the hash in its name.
+// errDocumentDamaged is returned if the hash of a file's content is not the one in its name.
 var errDocumentDamaged = errors.New("the document's file is damaged")
 
-// documentStore has policy documents on the disk, each in a file that is named by its hash. Any goroutine may use it.
+// documentStore stores policy documents on the disk, each in a file named by its hash. Any goroutine may use it.
 type documentStore struct {
 	fs  vfs.FS
 	dir string
 }
 
-// openDocumentStore makes the store's directory in a state directory and removes unfinished files.
+// openDocumentStore creates the store's directory in a state directory and removes leftover temporary files.
 func openDocumentStore(fsys vfs.FS, stateDir string) (*documentStore, error) {
 	d := &documentStore{fs: fsys, dir: filepath.Join(stateDir, documentDirectory)}
 	if err := fsys.MkdirAll(d.dir, 0o700); err != nil {
@@ -47,7 +47,7 @@
 	}
 	for _, entry := range entries {
 		if strings.Contains(entry.Name(), temporaryMark) {
-			_ = fsys.Remove(filepath.Join(d.dir, entry.Name())) // it takes space only
+			_ = fsys.Remove(filepath.Join(d.dir, entry.Name())) // a leftover file only takes up space
 		}
 	}
 	return d, nil
@@ -69,7 +69,7 @@
 	return document, nil
 }
 
-// store stores a document durably, and removes those that were not used for longest, but for those in use.
+// store stores a document durably, and removes the least recently used documents that are not in use.
 func (d *documentStore) store(document []byte, inUse ...policy.Hash) error {
 	hash := policy.HashOf(document)
 	if stored, err := d.read(hash); err == nil && len(stored) == len(document) {
@@ -82,20 +82,21 @@
 	return nil
 }
 
-// touch marks a document as used now. A process may have ended before it had synced the directory with the file.
+// touch marks a document as used now. It also syncs the directory, as an earlier process may have ended before it had
+// synced the directory entry of the file.
 func (d *documentStore) touch(hash policy.Hash) error {
 	now := time.Now()
-	_ = d.fs.Chtimes(d.path(hash), now, now) // it may be pruned too early, and is fetched again then
+	_ = d.fs.Chtimes(d.path(hash), now, now) // at worst it is pruned too early and downloaded again
 	return d.fs.SyncDir(d.dir)
 }
 
-// storedDocument is a file with the time of its last use.
+// storedDocument is the file of a document with the time of its last use.
 type storedDocument struct {
 	name   string
 	usedAt time.Time
 }
 
-// prune removes documents beyond maxStoredDocuments, but for those in use.
+// prune removes all but the maxStoredDocuments most recently used documents, except those in use.
 func (d *documentStore) prune(inUse []policy.Hash) {
 	stored := d.list()
 	slices.SortFunc(stored, func(a, b storedDocument) int { return b.usedAt.Compare(a.usedAt) })
@@ -109,7 +110,7 @@
 	}
 }
 
-// list returns the stored documents; none if the directory can't be read.
+// list returns the stored documents, or nil if the directory can't be read.
 func (d *documentStore) list() (stored []storedDocument) {
 	entries, err := d.fs.ReadDir(d.dir)
 	if err != nil {
@@ -124,13 +125,14 @@
 	return stored
 }
 
-// readAt reads bytes of a document from an offset on, and the document's size. It reads fewer at the document's end.
+// readAt reads up to len(b) bytes of a document from an offset on, and returns the document's size. It reads fewer
+// bytes at the end of the document.
 func (d *documentStore) readAt(hash policy.Hash, offset int64, b []byte) (n int, size int64, err error) {
 	file, err := d.fs.OpenFile(d.path(hash), os.O_RDONLY, 0)
 	if err != nil {
 		return 0, 0, err
 	}
-	defer func() { _ = file.Close() }() // it was only read
+	defer func() { _ = file.Close() }() // the file was only read
 	info, err := file.Stat()
 	if err != nil {
 		return 0, 0, err
