--- a/internal/policyreplica/download.go
+++ b/internal/policyreplica/download.go
@@ -7,35 +7,36 @@
 )
 
 const (
-	// chunkBytes is the length of each chunk but the last of a document.
+	// chunkBytes is the length of every chunk of a document but the last.
 	chunkBytes = 8 << 10
-	// maxRequestedChunks limits the chunks that are requested at the same time.
+	// maxRequestedChunks limits the number of outstanding chunk requests.
 	maxRequestedChunks = 24
-	// chunkTimeout is how long a request waits before it is sent again, to another gateway.
+	// chunkTimeout is how long to wait for a chunk before it is requested again, from another gateway.
 	chunkTimeout = 150 * time.Millisecond
 
 	unknownSize = -1
-	// retryNow as the time of a request makes it due at once, without counting as lost.
+	// retryNow, as the time of a request, makes the request due at once without counting it as timed out.
 	retryNow = time.Duration(0)
 )
 
-// download fetches one document in chunks from gateways that may have it.
+// download downloads one document in chunks from gateways that may have it.
 type download struct {
 	hash policy.Hash
-	// sources are the gateways to ask, the likeliest first, and source counts up to the next one.
+	// sources are the gateways to ask, the likeliest first. source, modulo their number, is the index of the current
+	// one.
 	sources []int
 	source  int
 	// size is the length of the document in bytes, or unknownSize.
 	size     int64
 	document []byte
-	// requestedAt is when each chunk without a reply was requested, by its offset.
+	// requestedAt is when each outstanding chunk was requested, by offset.
 	requestedAt map[int64]time.Duration
-	// nextOffset is the first chunk's that was never requested.
+	// nextOffset is the offset of the first chunk that was never requested.
 	nextOffset int64
-	// receivedBytes counts the bytes of received chunks, by offset.
+	// receivedBytes counts the bytes of received chunks, and received has the offsets of these chunks.
 	receivedBytes int64
 	received      map[int64]bool
-	// unavailable counts the replies of gateways that do not have the document.
+	// unavailable counts replies from gateways that do not have the document.
 	unavailable int
 }
 
@@ -49,7 +50,7 @@
 	}
 }
 
-// nextRequests returns the requests that are due, and the gateway to send them to.
+// nextRequests returns the requests that are due and the gateway to send them to.
 func (d *download) nextRequests(now time.Duration) (to int, requests []chunkRequest) {
 	hasTimedOut := false
 	for offset, at := range d.requestedAt {
@@ -74,7 +75,8 @@
 	return d.sources[d.source%len(d.sources)], requests
 }
 
-// hasUnrequested tells whether a chunk is known of that was never requested. The first one is always known.
+// hasUnrequested reports whether there is a chunk that was never requested. Until the size is known, only the first
+// chunk is known to exist.
 func (d *download) hasUnrequested() bool {
 	if d.size == unknownSize {
 		return d.nextOffset == 0
@@ -82,7 +84,7 @@
 	return d.nextOffset < d.size
 }
 
-// receive takes a chunk. It returns the document and true once that is complete.
+// receive handles a chunk. It returns the document and true once the document is complete.
 func (d *download) receive(c *chunk) (document []byte, ok bool) {
 	if c.DocumentSize == 0 {
 		d.tryNextSource(c.Offset)
@@ -109,8 +111,8 @@
 	return nil, false
 }
 
-// tryNextSource requests a chunk of the next gateway, as one does not have the document. Once none of them has it, the
-// request is sent again after chunkTimeout only.
+// tryNextSource requests a chunk from the next gateway, as the current one does not have the document. Once every
+// gateway has been tried, the request is repeated only after chunkTimeout.
 func (d *download) tryNextSource(offset int64) {
 	at, isRequested := d.requestedAt[offset]
 	if !isRequested || at <= retryNow {
@@ -123,7 +125,7 @@
 	}
 }
 
-// isUsable tells whether a chunk has the right place and length, and was not received before.
+// isUsable reports whether a chunk has a valid offset and length and was not received before.
 func (d *download) isUsable(c *chunk) bool {
 	if c.DocumentSize > policy.MaxDocumentBytes || d.size >= 0 && c.DocumentSize != d.size {
 		return false
@@ -134,7 +136,7 @@
 	return int64(len(c.Data)) == min(chunkBytes, c.DocumentSize-c.Offset)
 }
 
-// restart requests all chunks again, from another gateway first, as a chunk was wrong.
+// restart requests all chunks again, starting with another gateway, after the document's hash was wrong.
 func (d *download) restart() {
 	*d = *newDownload(d.hash, d.sources)
 	d.source++
