--- a/internal/policyreplica/fragment.go
+++ b/internal/policyreplica/fragment.go
@@ -1,25 +1,25 @@
 package policyreplica
 
 const (
-	// fragmentBytes is the length of the data of a fragment.
+	// fragmentBytes is the length of the data of every fragment but the last of a message.
 	fragmentBytes = 8 << 10
-	// maxUnfragmentedBytes is the length up to which a message is sent in one datagram.
+	// maxUnfragmentedBytes is the greatest length of a message that is sent in one datagram.
 	maxUnfragmentedBytes = fragmentBytes + 1024
-	// maxFragments limits the fragments of a received message.
+	// maxFragments limits the number of fragments of a received message.
 	maxFragments = 64
 )
 
 // fragment is a part of an encoded message that is too long for a datagram.
 type fragment struct {
-	// MessageID differs from that of the sender's message before.
+	// MessageID differs from that of the sender's previous message.
 	MessageID uint32 `cbor:"1,keyasint"`
-	// Index is this fragment's among Count.
+	// Index is the position of this fragment among the Count fragments of the message.
 	Index uint16 `cbor:"2,keyasint"`
 	Count uint16 `cbor:"3,keyasint"`
 	Data  []byte `cbor:"4,keyasint"`
 }
 
-// splitMessage returns the fragments of an encoded message.
+// splitMessage splits an encoded message into fragments.
 func splitMessage(messageID uint32, encoded []byte) []fragment {
 	count := (len(encoded) + fragmentBytes - 1) / fragmentBytes
 	fragments := make([]fragment, 0, count)
@@ -35,16 +35,16 @@
 	return fragments
 }
 
-// reassembly joins the fragments of one sender's message. A fragment of another message discards those before.
+// reassembly joins the fragments of one sender's message. A fragment of another message discards the previous message.
 type reassembly struct {
 	messageID uint32
-	// missing is how many fragments have not arrived.
+	// missing is the number of fragments that have not arrived.
 	missing int
-	// fragments is the data by index; nil: not yet arrived.
+	// fragments has the data by fragment index; nil: not yet arrived.
 	fragments [][]byte
 }
 
-// add takes a fragment and returns the whole message if it was the last one that was missing, nil otherwise.
+// add adds a fragment. It returns the encoded message once all fragments have arrived, and nil otherwise.
 func (r *reassembly) add(f *fragment) (encoded []byte) {
 	if f.Count == 0 || f.Count > maxFragments || f.Index >= f.Count {
 		return nil
