--- a/internal/policyreplica/initialpolicy.go
+++ b/internal/policyreplica/initialpolicy.go
@@ -7,21 +7,21 @@
 )
 
 const (
-	// initialChangeID is the ID of the change that brings a fleet's first policy.
+	// initialChangeID is the ID of the change that introduces a fleet's first policy.
 	initialChangeID = "begin"
-	// initialProposalInterval is the pause before an initial policy is proposed again.
+	// initialProposalInterval is the interval at which the initial policy is proposed again.
 	initialProposalInterval = time.Second
 )
 
-// initialProposal is a leader's proposal of its own policy where the fleet has none.
+// initialProposal is the state of a leader's proposal of its own policy to a fleet without one.
 type initialProposal struct {
-	// query is the number of the open query with the proposal; zero: none.
+	// query is the number of the open query that carries the proposal; zero: none.
 	query uint64
-	// nextAt is when it may be proposed next.
+	// nextAt is the earliest time of the next proposal.
 	nextAt time.Duration
 }
 
-// proposeInitialPolicy proposes this gateway's own policy if it leads and the fleet has no policy.
+// proposeInitialPolicy proposes this gateway's own policy if this gateway is the leader and the fleet has no policy.
 func (r *Replica) proposeInitialPolicy(now time.Duration) {
 	proposal := &r.initialProposal
 	hasPolicy := r.node.State().Current.Number > 0
@@ -38,11 +38,11 @@
 		err = r.documents.store(document)
 	}
 	if err != nil {
-		r.config.Log.Error("the fleet's first policy could not be proposed", "error", err)
+		r.config.Log.Error("initial policy could not be proposed", "error", err)
 		return
 	}
 	r.node.EndQuery(proposal.query)
-	// With too many queries open the number is zero, and it is proposed again later.
+	// If too many queries are open, the number is zero and the proposal is repeated later.
 	proposal.query, _ = r.node.StartQuery(policy.Query{ChangeID: initialChangeID, Change: r.initialChange(document)})
 }
 
