--- a/internal/policyreplica/prepare.go
+++ b/internal/policyreplica/prepare.go
@@ -10,50 +10,50 @@
 	"gapgap/internal/policy"
 )
 
-// buildRetryInterval is how long a document that could not be built is rejected before it is tried again.
+// buildRetryInterval is how long a document that could not be built is rejected before another attempt.
 const buildRetryInterval = time.Minute
 
-// buildResult is what Host.Build made of a document.
+// buildResult is the result of building and storing a document.
 type buildResult struct {
 	hash  policy.Hash
 	built any
 	err   error
 }
 
-// preparer builds and stores documents, one at a time, so that the host can switch to them at once. Its methods are
-// called by the replica's goroutine.
+// preparer builds and stores documents, one at a time, so that the host can switch to them without delay. Its methods
+// are called by the replica's goroutine, except build.
 type preparer struct {
 	host      Host
 	documents *documentStore
 	log       *slog.Logger
 	waitGroup *sync.WaitGroup
-	// results has the results of started builds, until done is closed.
+	// results receives the results of started builds, until done is closed.
 	results chan buildResult
 	done    <-chan struct{}
 
 	isBuilding bool
-	// downloaded has documents that are neither built nor stored yet.
+	// downloaded has documents that are not yet built and stored.
 	downloaded map[policy.Hash][]byte
-	// built has what Host.Build made of stored documents.
+	// built has the results of Host.Build for stored documents.
 	built map[policy.Hash]any
-	// failedAt is when each document turned out not to be usable.
+	// failedAt is when each document could not be built or stored.
 	failedAt map[policy.Hash]time.Duration
 }
 
-// isBuilt tells whether a document is stored and built.
+// isBuilt reports whether a document is built and stored.
 func (p *preparer) isBuilt(hash policy.Hash) bool {
 	_, ok := p.built[hash]
 	return ok
 }
 
-// hasFailed tells whether a document could not be built a short time ago.
+// hasFailed reports whether a document could not be built or stored within the last buildRetryInterval.
 func (p *preparer) hasFailed(hash policy.Hash) bool {
 	_, ok := p.failedAt[hash]
 	return ok
 }
 
-// prepare returns whether a document is built. If not, and if it is at hand, it starts to build it. inUse is a document
-// that stays on the disk.
+// prepare reports whether a document is built. If it is not, but is downloaded or stored, prepare starts to build it.
+// inUse is a document that must not be pruned from the disk.
 func (p *preparer) prepare(hash, inUse policy.Hash) bool {
 	if p.isBuilt(hash) {
 		return true
@@ -76,7 +76,7 @@
 	return false
 }
 
-// find returns a document that was downloaded or is stored; nil if there is none.
+// find returns a downloaded or stored document, or nil if there is none.
 func (p *preparer) find(hash policy.Hash) []byte {
 	if document := p.downloaded[hash]; document != nil {
 		return document
@@ -91,19 +91,19 @@
 	return document
 }
 
-// build builds and stores a document. It runs on a goroutine of its own.
+// build builds and stores a document. It runs on its own goroutine.
 func (p *preparer) build(hash policy.Hash, document []byte, inUse policy.Hash) buildResult {
 	built, err := p.host.Build(document)
 	if err != nil {
 		return buildResult{hash: hash, err: err}
 	}
 	if err := p.documents.store(document, inUse, hash); err != nil {
-		return buildResult{hash: hash, err: fmt.Errorf("it could not be kept: %w", err)}
+		return buildResult{hash: hash, err: fmt.Errorf("document could not be stored: %w", err)}
 	}
 	return buildResult{hash: hash, built: built}
 }
 
-// finish takes the result of the build that is running.
+// finish records the result of the running build.
 func (p *preparer) finish(result buildResult, now time.Duration) {
 	p.isBuilding = false
 	delete(p.downloaded, result.hash)
@@ -115,7 +115,7 @@
 	p.built[result.hash] = result.built
 }
 
-// expireFailures lets documents that failed long ago be built again.
+// expireFailures allows documents that failed more than buildRetryInterval ago to be built again.
 func (p *preparer) expireFailures(now time.Duration) {
 	for hash, at := range p.failedAt {
 		if now-at > buildRetryInterval {
@@ -124,18 +124,18 @@
 	}
 }
 
-// ensurePrepared has a document built that the node lacks, and downloads it first if it is not stored. source is the
-// gateway that most likely has it.
+// ensurePrepared starts to build a document that the node lacks, or to download it if it is not stored. source is the
+// gateway that is most likely to have it.
 func (r *Replica) ensurePrepared(hash policy.Hash, source int) {
 	participant := r.node.Participant()
 	if r.preparer.prepare(hash, r.version.Hash) {
-		participant.DocumentPrepared(hash) // it was built while the process had another identity
+		participant.DocumentPrepared(hash) // it was built under an earlier identity of the process
 		r.node.PollNow()
 		return
 	}
 	if r.preparer.hasFailed(hash) {
 		if change, ok := participant.Pending(); ok && change.Hash == hash {
-			participant.RejectDocument(hash, "it could not be gone by a moment ago")
+			participant.RejectDocument(hash, "document could not be built a moment ago")
 		}
 		return
 	}
@@ -146,7 +146,7 @@
 	r.download = newDownload(hash, r.sources(source))
 }
 
-// handleBuildResult tells the node whether it can switch to a document.
+// handleBuildResult tells the node whether the host can switch to a document.
 func (r *Replica) handleBuildResult(result buildResult) {
 	r.preparer.finish(result, r.config.Now())
 	if result.err != nil {
@@ -157,5 +157,5 @@
 	r.node.PollNow()
 }
 
-// shortHash is the form of a hash in log lines and error messages.
+// shortHash returns the prefix of a hash that log lines and error messages show.
 func shortHash(hash policy.Hash) string { return hash.String()[:12] }
