--- a/internal/policyreplica/replica.go
+++ b/internal/policyreplica/replica.go
@@ -12,33 +12,33 @@
 )
 
 const (
-	// tickInterval is how often timers of the node are checked.
+	// tickInterval is how often the replica checks the timers of the node.
 	tickInterval = 10 * time.Millisecond
-	// ticksPerRaftTick is how many of these make a tick of the replicated log.
+	// ticksPerRaftTick is the number of replica ticks in one tick of the replicated log.
 	ticksPerRaftTick = 5
-	// maxQueuedMessages limits the messages that wait for the replica's goroutine. More are dropped.
+	// maxQueuedMessages limits the messages that wait for the replica's goroutine. Further messages are dropped.
 	maxQueuedMessages = 4096
-	// maxBatch limits the queued messages that are handled together, so that one write of the log has all of them.
+	// maxBatch limits the queued messages that are handled together. A batch needs only one write of the log.
 	maxBatch = 64
 )
 
-// View shows which version a gateway decides by.
+// View is a snapshot of the version that a gateway decides by.
 type View struct {
-	// Version is the version that it has switched to; the zero version: none yet.
+	// Version is the version that the gateway has switched to; the zero version: none yet.
 	Version policy.Version
-	// DecidesUntil is when its right to decide ends, by the clock Config.Now; zero: it has none.
+	// DecidesUntil is when the gateway's right to decide ends, on the clock Config.Now; zero: it has no such right.
 	DecidesUntil time.Duration
-	// PendingChange is the ID of the change that is being decided as far as the gateway knows; empty: none.
+	// PendingChange is the ID of the change that is pending as far as the gateway knows; empty: none.
 	PendingChange string
 }
 
-// Replica is a gateway's part in the agreement on policy versions. Any goroutine may call its exported methods.
+// Replica runs the policy commit protocol on one gateway. Any goroutine may call its exported methods.
 type Replica struct {
 	config        Config
 	voters        []int
 	documents     *documentStore
 	versionWriter *versionWriter
-	// storedVersion is the version that the disk had at the start.
+	// storedVersion is the version that was on the disk at the start.
 	storedVersion   policy.Version
 	droppedMessages atomic.Uint64
 	view            atomic.Pointer[View]
@@ -57,30 +57,30 @@
 	// The fields below belong to the goroutine of run.
 
 	node *policy.Node
-	// raftLog is nil where this gateway is no voter.
+	// raftLog is nil if this gateway is not a voter.
 	raftLog *raftlog.Log
 	process policy.Process
 	// startedAt is when run started, and ticks counts its ticks.
 	startedAt time.Duration
 	ticks     int
-	// version and decidesUntil are what the host was given last.
+	// version and decidesUntil are the values that were last passed to the host.
 	version      policy.Version
 	decidesUntil time.Duration
-	// loggedReason is why nothing is decided, as logged last; empty: requests are decided.
+	// loggedReason is the last logged reason why nothing is decided; empty: requests are decided.
 	loggedReason    string
 	preparer        *preparer
 	initialProposal initialProposal
-	// download is the one that runs; nil: none.
+	// download is the running download; nil: none.
 	download *download
 	awaited  awaitedDocuments
 	reports  reportCache
-	// lastMessageID is that of the last message that was sent in fragments.
+	// lastMessageID is the ID of the last message that was sent in fragments.
 	lastMessageID uint32
-	// reassemblies are of received messages, by sender.
+	// reassemblies has the incomplete received messages, by sender.
 	reassemblies map[int]*reassembly
 }
 
-// New opens what the gateway's disk has of policy. Its errors say in one line what is wrong, and may wrap those of
+// New opens the policy state on the gateway's disk. Its error messages have a single line. They may wrap errors of
 // packages statefile and raftlog.
 func New(config Config) (*Replica, error) {
 	documents, err := openDocumentStore(config.FS, config.Dir)
@@ -100,7 +100,7 @@
 	return r, nil
 }
 
-// newReplica returns a replica without its node.
+// newReplica returns a replica without a node.
 func newReplica(config Config, documents *documentStore) *Replica {
 	r := &Replica{
 		config:          config,
@@ -131,7 +131,7 @@
 	return r
 }
 
-// openNode makes the node, and opens the replicated log where this gateway is a voter.
+// openNode creates the node, and opens the replicated log if this gateway is a voter.
 func (r *Replica) openNode() error {
 	nodeConfig := policy.Config{
 		Process:    r.process,
@@ -155,22 +155,22 @@
 // Start starts the replica's goroutine.
 func (r *Replica) Start() { r.waitGroup.Go(r.run) }
 
-// Close ends the replica's goroutines. Other gateways are not notified; [Replica.Leave] does that before.
+// Close stops the replica's goroutines. It does not notify other gateways; call [Replica.Leave] first for that.
 func (r *Replica) Close() {
 	r.cancel()
 	r.waitGroup.Wait()
 }
 
-// View returns which version the gateway decides by.
+// View returns the version that the gateway decides by.
 func (r *Replica) View() View { return *r.view.Load() }
 
-// StoredVersion returns the version that the disk had at the start; the zero version if it had none.
+// StoredVersion returns the version that was on the disk at the start, or the zero version if there was none.
 func (r *Replica) StoredVersion() policy.Version { return r.storedVersion }
 
-// DroppedMessages returns how many messages were not understood or found a full queue.
+// DroppedMessages returns the number of messages that were invalid or arrived at a full queue.
 func (r *Replica) DroppedMessages() uint64 { return r.droppedMessages.Load() }
 
-// run handles messages, calls, results and ticks until the context is done.
+// run handles messages, calls, results and ticks until the context is canceled.
 func (r *Replica) run() {
 	defer close(r.done)
 	ticker := time.NewTicker(tickInterval)
@@ -195,7 +195,7 @@
 	}
 }
 
-// handleQueued handles a message and those that are queued behind it, up to maxBatch.
+// handleQueued handles a message and up to maxBatch more that are already queued.
 func (r *Replica) handleQueued(first receivedDatagram) {
 	r.handle(first)
 	for range min(len(r.inbox), maxBatch) {
@@ -203,7 +203,7 @@
 	}
 }
 
-// tick does what is due.
+// tick advances the log, the node and the replica's own timers.
 func (r *Replica) tick() {
 	now := r.config.Now()
 	r.ticks++
@@ -220,10 +220,10 @@
 	r.preparer.expireFailures(now)
 }
 
-// update does what follows from the last event: writes of the log, transfers, and what the host has to know.
+// update processes the effects of the last event: log writes, downloads, and changes for the host and the view.
 func (r *Replica) update() {
 	if r.raftLog != nil {
-		_ = r.raftLog.ProcessReady() // it logs its failure, and the voter takes no part any more
+		_ = r.raftLog.ProcessReady() // the log reports its failure itself, and the voter stops
 	}
 	now := r.config.Now()
 	r.updateDownload(now)
@@ -242,5 +242,5 @@
 	}
 }
 
-// wallMilliseconds is the wall time in Unix milliseconds.
+// wallMilliseconds returns the wall-clock time in Unix milliseconds.
 func wallMilliseconds() int64 { return time.Now().UnixMilli() }
