--- a/internal/policyreplica/report.go
+++ b/internal/policyreplica/report.go
@@ -6,10 +6,10 @@
 	"gapgap/internal/policy"
 )
 
-// maxCachedReports is how many reports a leader keeps for others to fetch.
+// maxCachedReports is how many reports a leader keeps for other gateways to download.
 const maxCachedReports = 4
 
-// encodeHistory returns the outcomes of the last changes as JSON.
+// encodeHistory returns the outcomes of the most recent changes as JSON.
 func encodeHistory(state *policy.State) []byte {
 	encoded, err := json.Marshal(state.Outcomes)
 	if err != nil {
@@ -18,14 +18,14 @@
 	return encoded
 }
 
-// reportCache has the reports that a leader made last, by hash.
+// reportCache keeps the most recent reports of a leader by hash.
 type reportCache struct {
-	// order has the hashes, the oldest first.
+	// order has the hashes of the reports, oldest first.
 	order  []policy.Hash
 	byHash map[policy.Hash][]byte
 }
 
-// add keeps a report, drops the oldest if there are too many, and returns the report's hash.
+// add adds a report, drops the oldest one if there are too many, and returns the report's hash.
 func (c *reportCache) add(report []byte) policy.Hash {
 	hash := policy.HashOf(report)
 	if c.byHash[hash] != nil {
@@ -40,7 +40,8 @@
 	return hash
 }
 
-// chunk returns the bytes of a report from an offset on, at most chunkBytes, and the report's size; nil if it has none.
+// chunk returns up to chunkBytes of a report from an offset on, and the report's size. data is nil if the cache does
+// not have the report or the offset is beyond its end.
 func (c *reportCache) chunk(hash policy.Hash, offset int64) (data []byte, size int64) {
 	report := c.byHash[hash]
 	size = int64(len(report))
@@ -50,11 +51,11 @@
 	return report[offset:min(size, offset+chunkBytes)], size
 }
 
-// awaitedDocuments has the hashes of documents that callers wait for: of a report by its name, of a policy document by
-// its short hash.
+// awaitedDocuments has the hashes of documents that callers wait for. The key is the name of a report, or the short
+// hash of a policy document.
 type awaitedDocuments map[string]policy.Hash
 
-// has tells whether a caller waits for a document.
+// has reports whether a caller waits for a document.
 func (a awaitedDocuments) has(hash policy.Hash) bool {
 	for _, awaited := range a {
 		if awaited == hash {
