--- a/internal/policyreplica/transfer.go
+++ b/internal/policyreplica/transfer.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// updateDownload starts, drops or continues the download of a document.
+// updateDownload starts, continues or drops the download of a document.
 func (r *Replica) updateDownload(now time.Duration) {
 	if hash, source, ok := r.node.Participant().MissingDocument(); ok {
 		r.ensurePrepared(hash, int(source))
@@ -20,7 +20,8 @@
 	}
 }
 
-// sources returns the gateways that may have a document: the given one, then the voters, then all others.
+// sources returns the gateways that may have a document, without this one: first the given one, then the voters, then
+// the others.
 func (r *Replica) sources(first int) (gateways []int) {
 	candidates := append([]int{first}, r.voters...)
 	for index := range r.config.Gateways {
@@ -36,7 +37,7 @@
 	return gateways
 }
 
-// handleChunkRequest replies with a part of a report or of a stored document.
+// handleChunkRequest replies with a chunk of a report or of a stored document.
 func (r *Replica) handleChunkRequest(from int, request *chunkRequest) {
 	if request.Offset < 0 || request.Offset%chunkBytes != 0 {
 		return
@@ -64,7 +65,7 @@
 	}
 }
 
-// handleHistoryRequest makes the report of the history and replies with its hash. Only the leader does.
+// handleHistoryRequest creates the history report and replies with its hash, if this gateway is the leader.
 func (r *Replica) handleHistoryRequest(from int) {
 	if !r.isLeader() {
 		return
@@ -73,8 +74,8 @@
 	r.send(from, &message{ReportLocation: &reportLocation{Report: historyReport, Hash: hash}})
 }
 
-// handleReportLocation takes the location of a report that a caller waits for. One that comes later belongs to a report
-// that may be gone by the time of the next caller.
+// handleReportLocation records the location of a report that a caller waits for. A location that no caller waits for is
+// ignored: its report may no longer be cached when the next caller asks.
 func (r *Replica) handleReportLocation(location *reportLocation) {
 	if _, isAwaited := r.awaited[historyReport]; isAwaited && location.Report == historyReport {
 		r.awaited[historyReport] = location.Hash
