--- a/internal/policyreplica/transport.go
+++ b/internal/policyreplica/transport.go
@@ -6,8 +6,8 @@
 	"gapgap/internal/policy"
 )
 
-// HandleMessage takes a datagram of another gateway. It returns at once: with a full queue the datagram is dropped, and
-// its sender's retry brings it again. Any goroutine may call it.
+// HandleMessage queues a datagram from another gateway. It does not block: if the queue is full, the datagram is
+// dropped, and the sender's retry repeats it. Any goroutine may call it.
 func (r *Replica) HandleMessage(from int, datagram []byte) {
 	select {
 	case r.inbox <- receivedDatagram{from: from, datagram: datagram}:
@@ -23,7 +23,7 @@
 	}
 }
 
-// send sends a message to a gateway, which may be this one. A long message is sent in fragments.
+// send sends a message to a gateway, which may be this one. Long messages are sent in fragments.
 func (r *Replica) send(to int, m *message) {
 	encoded, err := cbor.Marshal(m)
 	switch {
@@ -48,7 +48,7 @@
 	}
 }
 
-// handle decodes a message and passes it to what it is for.
+// handle decodes a message and dispatches it to its handler.
 func (r *Replica) handle(received receivedDatagram) {
 	var m message
 	from := received.from
@@ -74,7 +74,7 @@
 	}
 }
 
-// handleFragment handles the message that a fragment completes, if it does.
+// handleFragment adds a fragment to its message, and handles the message once it is complete.
 func (r *Replica) handleFragment(from int, f *fragment) {
 	joined := r.reassemblies[from]
 	if joined == nil {
