--- a/internal/policyreplica/versionfile.go
+++ b/internal/policyreplica/versionfile.go
@@ -13,7 +13,7 @@
 	"gapgap/internal/vfs"
 )
 
-// versionFile is the content of the file of the version that the gateway switched to last.
+// versionFile is the content of the version file, which has the version that the gateway switched to last.
 type versionFile struct {
 	Version policy.Version `json:"version"`
 }
@@ -22,7 +22,7 @@
 
 func versionPath(stateDir string) string { return filepath.Join(stateDir, "policy.json") }
 
-// loadVersion returns the stored version; the zero version if there is no file.
+// loadVersion returns the stored version, or the zero version if there is no file.
 func loadVersion(fsys vfs.FS, stateDir string) (policy.Version, error) {
 	var content versionFile
 	err := versionFormat.LoadFrom(fsys, versionPath(stateDir), &content)
@@ -39,8 +39,8 @@
 	return versionFormat.SaveTo(fsys, versionPath(stateDir), versionFile{Version: version})
 }
 
-// versionWriter stores versions, one write at a time and the newest last. Deciding does not wait for it: the next
-// process asks the voters for the version, and the file counts only where none of them answers.
+// versionWriter stores versions, one write at a time and the newest last. Deciding does not wait for a write: the next
+// process asks the voters for the version, and uses the file only if they do not answer.
 type versionWriter struct {
 	fs        vfs.FS
 	dir       string
@@ -48,13 +48,13 @@
 	waitGroup *sync.WaitGroup
 
 	mu sync.Mutex
-	// next is to be written; nil: nothing.
+	// next is the version to write next; nil: none.
 	next *policy.Version
-	// isRunning tells whether a goroutine writes.
+	// isRunning is true while a goroutine writes.
 	isRunning bool
 }
 
-// write has a version written by another goroutine.
+// write schedules a version to be written by another goroutine.
 func (w *versionWriter) write(version policy.Version) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -65,7 +65,7 @@
 	}
 }
 
-// run writes until there is nothing to write.
+// run writes versions until none is left.
 func (w *versionWriter) run() {
 	for {
 		version := w.take()
@@ -78,7 +78,7 @@
 	}
 }
 
-// take returns the version to write next; nil if there is none, and then run has to end.
+// take removes and returns the version to write next. If there is none, it returns nil, and run must return.
 func (w *versionWriter) take() *policy.Version {
 	w.mu.Lock()
 	defer w.mu.Unlock()
