--- a/internal/policyreplica/voterlog.go
+++ b/internal/policyreplica/voterlog.go
@@ -5,7 +5,8 @@
 	"gapgap/internal/raftlog"
 )
 
-// voterLog gives the node the replicated log. While the log is being opened it does not lead.
+// voterLog gives the node access to the replicated log. Until the log is opened, it reports that this voter is not the
+// leader.
 type voterLog struct {
 	replica *Replica
 }
@@ -29,7 +30,7 @@
 // ReplaceVoter implements [policy.Log].
 func (v voterLog) ReplaceVoter(gateway int) error { return v.replica.raftLog.ReplaceVoter(gateway) }
 
-// openLog opens the replicated log of a voter. The node has to be there.
+// openLog opens the replicated log of a voter. The node must already exist.
 func (r *Replica) openLog(disk *raftlog.Disk) (err error) {
 	r.raftLog, err = raftlog.New(raftlog.Config{
 		Voter:  r.config.Index,
@@ -50,7 +51,7 @@
 	return err
 }
 
-// writeLog runs a write of the log on another goroutine, and then done on the replica's.
+// writeLog runs a write of the log on another goroutine, and then done on the replica's goroutine.
 func (r *Replica) writeLog(write func() error, done func(error)) {
 	r.waitGroup.Go(func() {
 		err := write()
@@ -61,7 +62,7 @@
 	})
 }
 
-// isLeader tells whether this gateway's voter leads the others.
+// isLeader reports whether this gateway's voter is the leader.
 func (r *Replica) isLeader() bool {
 	if r.raftLog == nil {
 		return false
