--- a/internal/policyreplica/documentstore_test.go
+++ b/internal/policyreplica/documentstore_test.go
@@ -21,6 +21,8 @@
 	return documents
 }
 
+// TestDocumentStoreRead verifies that missing and damaged documents are reported, and that storing a damaged document
+// again repairs it.
 func TestDocumentStoreRead(t *testing.T) {
 	documents := openTestStore(t)
 	document := []byte("a document")
@@ -48,6 +50,8 @@
 	}
 }
 
+// TestDocumentStorePrunesLeastRecentlyUsed verifies that the least recently used document is removed, unless it is in
+// use or was stored again.
 func TestDocumentStorePrunesLeastRecentlyUsed(t *testing.T) {
 	documents := openTestStore(t)
 	var hashes []policy.Hash
@@ -80,7 +84,7 @@
 	}
 }
 
-// usedTimes is a file system that notes for which files the time of use is set.
+// usedTimes is a file system that records the files whose times are set.
 type usedTimes struct {
 	vfs.OS
 	files []string
@@ -91,7 +95,8 @@
 	return nil
 }
 
-// A document that is stored once more is marked as used in the store's file system, whichever that is.
+// TestStoreTouchesByItsFileSystem verifies that storing a document again marks it as used through the store's own file
+// system rather than the operating system's.
 func TestStoreTouchesByItsFileSystem(t *testing.T) {
 	used := &usedTimes{}
 	documents, err := openDocumentStore(used, t.TempDir())
