--- a/internal/policyreplica/download_test.go
+++ b/internal/policyreplica/download_test.go
@@ -8,7 +8,7 @@
 	"gapgap/internal/policy"
 )
 
-// testDocument returns a document that needs some chunks, the last of them shorter.
+// testDocument returns a document of three chunks, the last of which is shorter.
 func testDocument() []byte {
 	document := make([]byte, 2*chunkBytes+100)
 	for i := range document {
@@ -28,6 +28,8 @@
 	}
 }
 
+// TestDownloadIgnoresUnusableChunks verifies that chunks with a wrong offset, size or length, and repeated chunks,
+// have no effect.
 func TestDownloadIgnoresUnusableChunks(t *testing.T) {
 	document := testDocument()
 	cases := []struct {
@@ -60,6 +62,8 @@
 	})
 }
 
+// TestDownloadRestartsOnWrongHash verifies that a complete document with a wrong hash is discarded and downloaded again
+// from the next gateway.
 func TestDownloadRestartsOnWrongHash(t *testing.T) {
 	document := testDocument()
 	d := newDownload(policy.HashOf(document), []int{1, 2})
@@ -78,6 +82,8 @@
 	}
 }
 
+// TestDownloadTriesNextSource verifies that the next gateway is asked after a timeout, and at once if a gateway does
+// not have the document.
 func TestDownloadTriesNextSource(t *testing.T) {
 	document := testDocument()
 	unavailable := &chunk{Hash: policy.HashOf(document)}
