--- a/internal/policyreplica/fragment_test.go
+++ b/internal/policyreplica/fragment_test.go
@@ -5,6 +5,7 @@
 	"testing"
 )
 
+// TestSplitMessageRoundTrip verifies that fragments that arrive in reverse order are joined to the original message.
 func TestSplitMessageRoundTrip(t *testing.T) {
 	cases := []struct {
 		name      string
@@ -38,6 +39,7 @@
 	}
 }
 
+// TestReassemblyRejectsInvalidFragments verifies that a fragment with an invalid index or count leaves no state behind.
 func TestReassemblyRejectsInvalidFragments(t *testing.T) {
 	cases := []struct {
 		name     string
