--- a/internal/policyreplica/report_test.go
+++ b/internal/policyreplica/report_test.go
@@ -8,13 +8,14 @@
 	"gapgap/internal/policy"
 )
 
+// TestReportCacheDropsOldest verifies that the oldest report is dropped, and that adding a cached report drops none.
 func TestReportCacheDropsOldest(t *testing.T) {
 	cache := reportCache{byHash: map[policy.Hash][]byte{}}
 	var hashes []policy.Hash
 	for i := range maxCachedReports + 1 {
 		hashes = append(hashes, cache.add(fmt.Appendf(nil, "report %d", i)))
 	}
-	cache.add([]byte("report 1")) // it is there already
+	cache.add([]byte("report 1")) // it is already cached
 	for i, hash := range hashes {
 		data, size := cache.chunk(hash, 0)
 		if hasReport := data != nil; hasReport != (i > 0) || size != int64(len(data)) {
@@ -23,6 +24,7 @@
 	}
 }
 
+// TestReportCacheChunk verifies the chunks at the beginning, at the end and beyond the end of a report.
 func TestReportCacheChunk(t *testing.T) {
 	cache := reportCache{byHash: map[policy.Hash][]byte{}}
 	report := bytes.Repeat([]byte("x"), chunkBytes+10)
