--- a/internal/policyreplica/golden_test.go
+++ b/internal/policyreplica/golden_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// TestGoldenMessages compares the bytes of each kind of datagram with those recorded, and reads them back.
+// TestGoldenMessages verifies that each kind of datagram matches the recorded bytes, and that these can be decoded.
 func TestGoldenMessages(t *testing.T) {
 	hash := policy.HashOf([]byte("doc"))
 	statusRequest := policy.StatusRequest{
@@ -84,7 +84,7 @@
 	}
 }
 
-// TestGoldenVersionFile compares the file of the version with the recorded one, and reads that back.
+// TestGoldenVersionFile verifies that the version file matches the recorded one, and that the recorded one can be read.
 func TestGoldenVersionFile(t *testing.T) {
 	path := "testdata/golden/policy.json"
 	want := policy.Version{Number: 7, Hash: policy.HashOf([]byte("doc"))}
@@ -102,7 +102,7 @@
 	}
 }
 
-// TestGoldenHistory compares the JSON of all outcomes with the recorded one.
+// TestGoldenHistory verifies that the JSON of the outcomes matches the recorded one, with and without outcomes.
 func TestGoldenHistory(t *testing.T) {
 	change := goldenChange()
 	state := &policy.State{Outcomes: []policy.Outcome{
@@ -122,7 +122,8 @@
 	golden.CheckBytes(t, "testdata/golden/history-none.json", encodeHistory(policy.NewState()))
 }
 
-// TestGoldenDocumentFiles compares the files of documents, and which are left when there are many.
+// TestGoldenDocumentFiles verifies that the names and contents of document files, and the choice of files that are kept
+// when there are too many, match the recorded hash.
 func TestGoldenDocumentFiles(t *testing.T) {
 	hashes := golden.LoadHashes(t, "testdata/golden/hashes.txt")
 	dir := t.TempDir()
@@ -166,7 +167,7 @@
 	hashes.Check(t, "documents", trace.Sum())
 }
 
-// downloadHash is the trace of a download over lossy links from gateways of which some do not have the document.
+// downloadHash returns the trace hash of a download over lossy links, where some gateways do not have the document.
 func downloadHash(t *testing.T, seed uint64) string {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 11))
@@ -180,7 +181,7 @@
 	d := newDownload(policy.HashOf(document), sources)
 	for range 4000 {
 		to, requests := d.nextRequests(now)
-		slices.SortFunc(requests, func(a, b chunkRequest) int { // repeated ones come in the order of a map
+		slices.SortFunc(requests, func(a, b chunkRequest) int { // repeated requests come in map order
 			return int(a.Offset - b.Offset)
 		})
 		trace.Int(int64(to))
@@ -211,7 +212,8 @@
 	return trace.Sum()
 }
 
-// reassemblyHash is the trace of messages in fragments that are lost, doubled and out of order.
+// reassemblyHash returns the trace hash of reassembling messages whose fragments are lost, invalid, out of order or
+// have the ID of the previous message.
 func reassemblyHash(seed uint64) string {
 	rng := rand.New(rand.NewPCG(seed, 12))
 	trace := golden.NewTrace()
@@ -235,13 +237,13 @@
 	return trace.Sum()
 }
 
-// TestGoldenTransfers compares how documents are downloaded and messages reassembled with what is recorded.
+// TestGoldenTransfers verifies that downloads, reassemblies and the choice of voters match the recorded hashes.
 func TestGoldenTransfers(t *testing.T) {
 	hashes := golden.LoadHashes(t, "testdata/golden/hashes.txt")
-	check := func(name string, play func() string) {
+	check := func(name string, run func() string) {
 		t.Helper()
-		sum := play()
-		if again := play(); again != sum {
+		sum := run()
+		if again := run(); again != sum {
 			t.Errorf("%s: %s, then %s", name, sum, again)
 			return
 		}
