--- a/internal/policyreplica/replica_test.go
+++ b/internal/policyreplica/replica_test.go
@@ -16,10 +16,10 @@
 	"gapgap/internal/vfs"
 )
 
-// testTimeout bounds what a test waits for.
+// testTimeout limits each wait of a test.
 const testTimeout = 20 * time.Second
 
-// testHost decides by documents; those that begin with "bad" it can't build.
+// testHost is a Host that records the applied document. It fails to build documents that begin with "bad".
 type testHost struct {
 	mu       sync.Mutex
 	version  uint64
@@ -51,7 +51,7 @@
 	h.deadline = deadline
 }
 
-// applied returns the document that the host decides by; empty: it does not decide.
+// applied returns the document that the host decides by, or an empty string if it does not decide.
 func (h *testHost) applied(now time.Duration) string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -61,7 +61,7 @@
 	return h.document
 }
 
-// network is some gateways with replicas in one process.
+// network runs the replicas of several gateways in one process.
 type network struct {
 	t       *testing.T
 	started time.Time
@@ -70,7 +70,7 @@
 	adjust  func(*Config)
 
 	mu          sync.Mutex
-	replicas    []*Replica // nil: its process is down
+	replicas    []*Replica // nil while the gateway's process is down
 	incarnation uint32
 }
 
@@ -155,7 +155,7 @@
 	for _, i := range gateways {
 		for n.hosts[i].applied(n.now()) != document {
 			if time.Now().After(deadline) {
-				n.t.Fatalf("gateway %d decides by %q, not by %q", i, n.hosts[i].applied(n.now()), document)
+				n.t.Fatalf("gateway %d decides by %q, want %q", i, n.hosts[i].applied(n.now()), document)
 			}
 			time.Sleep(time.Millisecond)
 		}
@@ -186,7 +186,8 @@
 
 func unchanged(*Config) {}
 
-// TestPolicyReplicasCommit commits a long document, aborts one that gateways reject, and restarts all.
+// TestPolicyReplicasCommit verifies that a long document is committed, that a document that gateways reject is aborted,
+// and that all gateways decide by the committed version after a restart.
 func TestPolicyReplicasCommit(t *testing.T) {
 	t.Parallel()
 	n := newNetwork(t, 4, unchanged)
@@ -216,7 +217,8 @@
 	n.waitApplied(long, 0, 1, 2, 3)
 }
 
-// TestPolicyReplicasFetch fetches a document that only another gateway has.
+// TestPolicyReplicasFetch verifies that a document can be downloaded from the only gateway that has it, and the errors
+// for a document that no gateway has and for an empty one.
 func TestPolicyReplicasFetch(t *testing.T) {
 	t.Parallel()
 	n := newNetwork(t, 3, unchanged)
@@ -243,7 +245,7 @@
 	}
 }
 
-// TestPolicyReplicasHistory asks each gateway, the leader among them, for the outcomes of the last changes.
+// TestPolicyReplicasHistory verifies that each gateway, including the leader, returns the outcomes of the last changes.
 func TestPolicyReplicasHistory(t *testing.T) {
 	t.Parallel()
 	n := newNetwork(t, 3, unchanged)
@@ -258,8 +260,8 @@
 	}
 }
 
-// TestPolicyReplicasHistoryAfterLateLocation has the location of an earlier report come when its caller is gone: the
-// next caller must get the present history all the same.
+// TestPolicyReplicasHistoryAfterLateLocation verifies that the location of a report that arrives after its caller has
+// gone is ignored. Otherwise the next caller would try to download a report that may no longer exist.
 func TestPolicyReplicasHistoryAfterLateLocation(t *testing.T) {
 	t.Parallel()
 	n := newNetwork(t, 3, unchanged)
@@ -278,7 +280,8 @@
 	}
 }
 
-// TestPolicyReplicaWithoutQuorum starts one of three gateways alone: it decides by what its disk has, as configured.
+// TestPolicyReplicaWithoutQuorum verifies that with StoredVersionDelay, one of three gateways that is started alone
+// decides by the version on its disk.
 func TestPolicyReplicaWithoutQuorum(t *testing.T) {
 	t.Parallel()
 	n := newNetwork(t, 3, func(cfg *Config) {
@@ -294,7 +297,7 @@
 	n.waitApplied("initial", 2)
 }
 
-// TestPolicyReplicaLeaves ends one gateway: the next change does not wait for it.
+// TestPolicyReplicaLeaves verifies that a change does not wait for a gateway that has left.
 func TestPolicyReplicaLeaves(t *testing.T) {
 	t.Parallel()
 	n := newNetwork(t, 4, unchanged)
@@ -307,7 +310,8 @@
 	n.waitApplied("second", 0, 1, 2)
 }
 
-// TestPolicyReplicaRefusesRecovery asks voters and others to go on alone, where nothing is lost.
+// TestPolicyReplicaRefusesRecovery verifies that voters, a gateway that is not a voter and a closed replica refuse a
+// recovery while no voter is lost.
 func TestPolicyReplicaRefusesRecovery(t *testing.T) {
 	t.Parallel()
 	n := newNetwork(t, 4, unchanged)
@@ -326,7 +330,7 @@
 	}
 }
 
-// TestPolicyReplicaDamagedDocument replaces a damaged document by that of another gateway.
+// TestPolicyReplicaDamagedDocument verifies that a gateway with a damaged document downloads it from another gateway.
 func TestPolicyReplicaDamagedDocument(t *testing.T) {
 	t.Parallel()
 	n := newNetwork(t, 3, unchanged)
