--- a/internal/raftlog/recover.go
+++ b/internal/raftlog/recover.go
@@ -18,7 +18,7 @@
 	ErrNoLog       = errors.New("this voter has no log to recover from")
 	ErrHasLeader   = errors.New("the voters have a leader: nothing is lost")
 	ErrWriting     = errors.New("this voter's disk is being written: try again")
-	ErrHasMajority = errors.New("a majority of the voters is there: nothing is lost")
+	ErrHasMajority = errors.New("a majority of the voters is present: nothing is lost")
 	ErrNotLost     = errors.New("is there with its log: it is not lost")
 	ErrLongerLog   = errors.New("has a longer log: recover there")
 )
