--- a/internal/raftlog/bootstrap.go
+++ b/internal/raftlog/bootstrap.go
@@ -55,7 +55,7 @@
 	case !l.isExcluded:
 		l.isExcluded = true
 		l.cfg.Logger.Error("this voter's log is lost, and the other voters have one: "+
-			"it takes no part in deciding on policy", "voter", l.cfg.Voter)
+			"it does not participate until it is replaced", "voter", l.cfg.Voter)
 	}
 	return nil
 }
@@ -80,7 +80,7 @@
 	}
 	l.isExcluded = true
 	l.cfg.Logger.Error("the voters go on without this one, whose log is of before: "+
-		"it takes no part until it has an empty disk and is replaced", "voter", l.cfg.Voter)
+		"it does not participate until it has an empty disk and is replaced", "voter", l.cfg.Voter)
 }
 
 // bootstrapIfComplete bootstraps the log once all other voters have reported empty disks.
