--- a/internal/raftlog/golden_test.go
+++ b/internal/raftlog/golden_test.go
@@ -62,194 +62,195 @@
 		c.voters = append(c.voters, nil)
 		createDisk(t, c.dirs[i], uint64(1001+i))
 	}
-	p := &goldenCluster{cluster: c, trace: golden.NewTrace()}
+	g := &goldenCluster{cluster: c, trace: golden.NewTrace()}
 	for i := range voters {
-		p.start(i)
+		g.start(i)
 	}
-	p.runTicks(2)
+	g.runTicks(2)
 	if err := c.voters[0].log.node.Campaign(); err != nil {
 		t.Fatal(err)
 	}
-	p.processReady(0)
-	p.runTicks(3)
+	g.processReady(0)
+	g.runTicks(3)
 	if c.leader() != c.voters[0] {
 		t.Fatal("the first voter is not the leader")
 	}
-	return p
+	return g
 }
 
 // start starts a voter whose writes are not synced.
-func (p *goldenCluster) start(i int) {
-	p.t.Helper()
-	p.cluster.start(i)
-	p.voters[i].disk.files = unsyncedFS{}
+func (g *goldenCluster) start(i int) {
+	g.t.Helper()
+	g.cluster.start(i)
+	g.voters[i].disk.files = unsyncedFS{}
 }
 
 // processReady calls a voter's ProcessReady and delivers all messages in order.
-func (p *goldenCluster) processReady(i int) {
-	p.t.Helper()
-	if err := p.voters[i].log.ProcessReady(); err != nil {
-		p.t.Fatal(err)
+func (g *goldenCluster) processReady(i int) {
+	g.t.Helper()
+	if err := g.voters[i].log.ProcessReady(); err != nil {
+		g.t.Fatal(err)
 	}
-	p.deliver()
+	g.deliver()
 }
 
-func (p *goldenCluster) deliver() {
-	p.t.Helper()
-	for len(p.messages) > 0 {
-		m := p.messages[0]
-		p.messages = p.messages[1:]
-		p.trace.Int(int64(m.from))
-		p.trace.Int(int64(m.to))
-		p.trace.String(string(m.data))
-		to := p.voters[m.to].log
+func (g *goldenCluster) deliver() {
+	g.t.Helper()
+	for len(g.messages) > 0 {
+		m := g.messages[0]
+		g.messages = g.messages[1:]
+		g.trace.Int(int64(m.from))
+		g.trace.Int(int64(m.to))
+		g.trace.String(string(m.data))
+		to := g.voters[m.to].log
 		if to == nil {
 			continue
 		}
 		if err := to.Step(m.from, m.data); err != nil {
-			p.t.Fatal(err)
+			g.t.Fatal(err)
 		}
 		if err := to.ProcessReady(); err != nil {
-			p.t.Fatal(err)
+			g.t.Fatal(err)
 		}
 	}
 }
 
-func (p *goldenCluster) runTicks(n int) {
-	p.t.Helper()
+func (g *goldenCluster) runTicks(n int) {
+	g.t.Helper()
 	for range n {
-		for i, v := range p.voters {
+		for i, v := range g.voters {
 			if v.log != nil {
 				v.log.Tick()
-				p.processReady(i)
+				g.processReady(i)
 			}
 		}
 	}
 }
 
-func (p *goldenCluster) propose(from, to int) {
-	p.t.Helper()
+func (g *goldenCluster) propose(from, to int) {
+	g.t.Helper()
 	for n := from; n < to; n++ {
-		p.voters[0].log.Propose(entry(n))
+		g.voters[0].log.Propose(entry(n))
 		if n%20 != 19 && n != to-1 {
 			continue // a write rewrites the whole file, so several entries share one
 		}
-		p.voters[0].log.ConfirmRead(uint64(n))
-		p.processReady(0)
+		g.voters[0].log.ConfirmRead(uint64(n))
+		g.processReady(0)
 		if n%60 == 59 {
-			p.runTicks(1)
+			g.runTicks(1)
 		}
 	}
 }
 
 // recordError adds the text of an error to the trace, or an empty string for nil.
-func (p *goldenCluster) recordError(err error) {
+func (g *goldenCluster) recordError(err error) {
 	text := ""
 	if err != nil {
 		text = err.Error()
 	}
-	p.trace.String(text)
+	g.trace.String(text)
 }
 
 // finalHash adds the applied entries and the files of all voters to the trace, and returns its hash.
-func (p *goldenCluster) finalHash() string {
-	p.t.Helper()
-	for i, v := range p.voters {
-		p.trace.Uint(v.index)
-		p.trace.Int(int64(len(v.applied)))
+func (g *goldenCluster) finalHash() string {
+	g.t.Helper()
+	for i, v := range g.voters {
+		g.trace.Uint(v.index)
+		g.trace.Int(int64(len(v.applied)))
 		for _, n := range v.applied {
-			p.trace.Uint(n)
+			g.trace.Uint(n)
 		}
-		p.trace.Int(int64(v.reads))
-		b, err := os.ReadFile(filepath.Join(p.dirs[i], fileName))
+		g.trace.Int(int64(v.reads))
+		b, err := os.ReadFile(filepath.Join(g.dirs[i], fileName))
 		if err != nil {
-			p.t.Fatal(err)
+			g.t.Fatal(err)
 		}
-		p.trace.String(string(b))
+		g.trace.String(string(b))
 	}
-	return p.trace.Sum()
+	return g.trace.Sum()
 }
 
 // singleVoterHash runs a single voter past a compaction and restarts it.
 func singleVoterHash(t *testing.T) string {
-	p := newGoldenCluster(t, 1)
-	p.propose(0, 1200)
-	p.stop(0)
-	p.start(0)
-	p.trace.Uint(p.voters[0].index)
-	p.trace.Int(int64(len(p.voters[0].applied)))
-	return p.finalHash()
+	g := newGoldenCluster(t, 1)
+	g.propose(0, 1200)
+	g.stop(0)
+	g.start(0)
+	g.trace.Uint(g.voters[0].index)
+	g.trace.Int(int64(len(g.voters[0].applied)))
+	return g.finalHash()
 }
 
 // snapshotHash runs a follower that is down until a snapshot is needed for it to catch up.
 func snapshotHash(t *testing.T) string {
-	p := newGoldenCluster(t, 3)
-	p.propose(0, 20)
-	p.stop(2)
-	p.propose(20, 700)
-	p.start(2)
-	p.runTicks(60)
-	p.propose(700, 720)
-	return p.finalHash()
+	g := newGoldenCluster(t, 3)
+	g.propose(0, 20)
+	g.stop(2)
+	g.propose(20, 700)
+	g.start(2)
+	g.runTicks(60)
+	g.propose(700, 720)
+	return g.finalHash()
 }
 
 // replacedHash runs a voter that loses its disk and is replaced.
 func replacedHash(t *testing.T) string {
-	p := newGoldenCluster(t, 3)
-	p.propose(0, 30)
-	p.stop(2)
-	if err := os.Remove(filepath.Join(p.dirs[2], fileName)); err != nil {
+	g := newGoldenCluster(t, 3)
+	g.propose(0, 30)
+	g.stop(2)
+	if err := os.Remove(filepath.Join(g.dirs[2], fileName)); err != nil {
 		t.Fatal(err)
 	}
-	createDisk(t, p.dirs[2], 2003)
-	p.start(2)
+	createDisk(t, g.dirs[2], 2003)
+	g.start(2)
 	for range 40 {
-		p.recordError(p.voters[0].log.ReplaceVoter(2))
-		p.processReady(0)
-		p.runTicks(1)
-	}
-	p.trace.Bool(p.voters[2].log.HasStarted())
-	p.propose(30, 60)
-	p.recordError(p.voters[0].log.ReplaceVoter(1))
-	p.recordError(p.voters[0].log.ReplaceVoter(7))
-	p.recordError(p.voters[1].log.ReplaceVoter(2))
-	return p.finalHash()
+		g.recordError(g.voters[0].log.ReplaceVoter(2))
+		g.processReady(0)
+		g.runTicks(1)
+	}
+	g.trace.Bool(g.voters[2].log.HasStarted())
+	g.propose(30, 60)
+	g.recordError(g.voters[0].log.ReplaceVoter(1))
+	g.recordError(g.voters[0].log.ReplaceVoter(7))
+	g.recordError(g.voters[1].log.ReplaceVoter(2))
+	return g.finalHash()
 }
 
 // stuckDiskHash runs a leader whose disk is stuck, so that it transfers its leadership.
 func stuckDiskHash(t *testing.T) string {
-	p := newGoldenCluster(t, 3)
-	p.propose(0, 5)
-	write := p.delayWrites(0)
-	p.voters[0].log.Propose(entry(5))
-	p.processReady(0)
+	g := newGoldenCluster(t, 3)
+	g.propose(0, 5)
+	write := g.delayWrites(0)
+	g.voters[0].log.Propose(entry(5))
+	g.processReady(0)
 	for range 8 {
-		p.runTicks(1)
-		for _, v := range p.voters {
+		g.runTicks(1)
+		for _, v := range g.voters {
 			term, leads := v.log.Leading()
-			p.trace.Uint(term)
-			p.trace.Bool(leads)
+			g.trace.Uint(term)
+			g.trace.Bool(leads)
 		}
 	}
 	for range 5 {
 		write()
-		p.deliver()
-		p.runTicks(1)
+		g.deliver()
+		g.runTicks(1)
 	}
-	return p.finalHash()
+	return g.finalHash()
 }
 
-// rejectedRecoveryHash runs recoveries that are rejected because there is a leader or a majority may still return.
+// rejectedRecoveryHash runs recoveries that are rejected because there is a leader, or because a voter that is named as
+// lost was present a short time ago.
 func rejectedRecoveryHash(t *testing.T) string {
-	p := newGoldenCluster(t, 3)
-	p.recordError(p.voters[0].log.Recover(nil, entry(1)))
-	p.propose(0, 3)
-	p.stop(1)
-	p.stop(2)
-	p.recordError(p.voters[0].log.Recover([]int{1, 2}, entry(1)))
-	p.runTicks(30) // it steps down, as no majority answers
-	p.recordError(p.voters[0].log.Recover([]int{1}, entry(1)))
-	return p.trace.Sum()
+	g := newGoldenCluster(t, 3)
+	g.recordError(g.voters[0].log.Recover(nil, entry(1)))
+	g.propose(0, 3)
+	g.stop(1)
+	g.stop(2)
+	g.recordError(g.voters[0].log.Recover([]int{1, 2}, entry(1)))
+	g.runTicks(30) // it steps down, as no majority answers
+	g.recordError(g.voters[0].log.Recover([]int{1}, entry(1)))
+	return g.trace.Sum()
 }
 
 // TestGoldenVoters verifies that what voters send, apply and store matches the recorded hashes. Raft randomizes
--- a/internal/raftlog/work_test.go
+++ b/internal/raftlog/work_test.go
@@ -60,38 +60,38 @@
 }
 
 // run runs the simulation. It returns a description of the first problem, or an empty string.
-func (p *delayedWrites) run() (problem string) {
-	p.waitUntil(200, "a leader", func() bool { return p.leader() != nil })
-	p.finish = make([]func(), len(p.voters))
-	for i := range p.voters {
-		p.delay(i)
+func (d *delayedWrites) run() (problem string) {
+	d.waitUntil(200, "a leader", func() bool { return d.leader() != nil })
+	d.finish = make([]func(), len(d.voters))
+	for i := range d.voters {
+		d.delay(i)
 	}
-	p.loss = 0.05
+	d.loss = 0.05
 	for range 400 {
-		p.step()
-		if problem := p.check(); problem != "" {
+		d.step()
+		if problem := d.check(); problem != "" {
 			return problem
 		}
-		for i, v := range p.voters {
+		for i, v := range d.voters {
 			if v.log.failure != nil {
-				return fmt.Sprintf("seed %d: voter %d: %v", p.seed, i, v.log.failure)
+				return fmt.Sprintf("seed %d: voter %d: %v", d.seed, i, v.log.failure)
 			}
 		}
 	}
-	p.loss = 0
-	return p.catchUp()
+	d.loss = 0
+	return d.catchUp()
 }
 
 // delay delays a voter's writes. With acknowledgesEarly, writes are reported as done at once, but only one in five is
 // performed.
-func (p *delayedWrites) delay(i int) {
-	p.finish[i] = p.delayWrites(i)
-	if !p.acknowledgesEarly {
+func (d *delayedWrites) delay(i int) {
+	d.finish[i] = d.delayWrites(i)
+	if !d.acknowledgesEarly {
 		return
 	}
-	p.finish[i] = func() {}
-	p.voters[i].log.cfg.WriteAsync = func(write func() error, done func(error)) {
-		if p.rng.IntN(5) == 0 {
+	d.finish[i] = func() {}
+	d.voters[i].log.cfg.WriteAsync = func(write func() error, done func(error)) {
+		if d.rng.IntN(5) == 0 {
 			_ = write()
 		}
 		done(nil)
@@ -99,36 +99,36 @@
 }
 
 // step runs a tick, and at random proposes an entry, finishes writes and restarts voters.
-func (p *delayedWrites) step() {
-	if l := p.leader(); l != nil && p.rng.IntN(2) == 0 {
-		l.log.Propose(entry(p.proposed))
-		p.proposed++
+func (d *delayedWrites) step() {
+	if l := d.leader(); l != nil && d.rng.IntN(2) == 0 {
+		l.log.Propose(entry(d.proposed))
+		d.proposed++
 	}
-	p.tick()
-	for _, finish := range p.finish {
-		if p.rng.IntN(3) == 0 {
+	d.tick()
+	for _, finish := range d.finish {
+		if d.rng.IntN(3) == 0 {
 			finish()
 		}
 	}
-	if p.rng.IntN(15) > 0 {
+	if d.rng.IntN(15) > 0 {
 		return
 	}
-	for _, i := range p.rng.Perm(3)[:1+p.rng.IntN(3)] { // one, two or all voters, which lose their pending writes
-		p.stop(i)
-		p.start(i)
-		p.delay(i)
+	for _, i := range d.rng.Perm(3)[:1+d.rng.IntN(3)] { // one, two or all voters, which lose their pending writes
+		d.stop(i)
+		d.start(i)
+		d.delay(i)
 	}
 }
 
 // check returns a description of a voter that has applied other entries than the rest, or an empty string.
-func (p *delayedWrites) check() (problem string) {
-	for i, v := range p.voters {
+func (d *delayedWrites) check() (problem string) {
+	for i, v := range d.voters {
 		for n, applied := range v.applied {
-			if n == len(p.order) {
-				p.order = append(p.order, applied)
+			if n == len(d.order) {
+				d.order = append(d.order, applied)
 			}
-			if p.order[n] != applied {
-				return fmt.Sprintf("seed %d: voter %d has %d at %d, not %d", p.seed, i, applied, n, p.order[n])
+			if d.order[n] != applied {
+				return fmt.Sprintf("seed %d: voter %d has %d at %d, not %d", d.seed, i, applied, n, d.order[n])
 			}
 		}
 	}
@@ -136,22 +136,22 @@
 }
 
 // catchUp ticks until all voters have applied all entries that any of them has applied.
-func (p *delayedWrites) catchUp() (problem string) {
-	lags := func(v *voter) bool { return len(v.applied) != len(p.order) }
+func (d *delayedWrites) catchUp() (problem string) {
+	lags := func(v *voter) bool { return len(v.applied) != len(d.order) }
 	for range 500 {
-		for _, finish := range p.finish {
+		for _, finish := range d.finish {
 			finish()
 		}
-		if problem = p.check(); problem == "" && !slices.ContainsFunc(p.voters, lags) {
+		if problem = d.check(); problem == "" && !slices.ContainsFunc(d.voters, lags) {
 			return ""
 		}
-		p.tick()
+		d.tick()
 	}
 	if problem != "" {
 		return problem
 	}
-	return fmt.Sprintf("seed %d: of %d applied entries the voters have %d, %d and %d at the end", p.seed, len(p.order),
-		len(p.voters[0].applied), len(p.voters[1].applied), len(p.voters[2].applied))
+	return fmt.Sprintf("seed %d: of %d applied entries the voters have %d, %d and %d at the end", d.seed, len(d.order),
+		len(d.voters[0].applied), len(d.voters[1].applied), len(d.voters[2].applied))
 }
 
 // TestPolicyLogLateWrites verifies that all voters eventually apply the same entries in the same order if their writes
@@ -163,8 +163,8 @@
 	simulate := func(seed uint64, acknowledgesEarly bool) string {
 		c := newCluster(t, 3)
 		c.rng = rand.New(rand.NewPCG(seed, 5))
-		p := &delayedWrites{cluster: c, seed: seed, acknowledgesEarly: acknowledgesEarly}
-		return p.run()
+		d := &delayedWrites{cluster: c, seed: seed, acknowledgesEarly: acknowledgesEarly}
+		return d.run()
 	}
 	isDetected := false
 	for seed := range uint64(20) {
