--- a/internal/policyreplica/decision.go
+++ b/internal/policyreplica/decision.go
@@ -91,6 +91,6 @@
 	case r.node.Participant().IsLocked() && isPending:
 		return "the outcome of the change " + change.ID + " is not known here"
 	default:
-		return "this door may not go by its version any more"
+		return "this gateway may no longer decide by its version"
 	}
 }
--- a/internal/policyreplica/prepare.go
+++ b/internal/policyreplica/prepare.go
@@ -83,7 +83,7 @@
 	}
 	document, err := p.documents.read(hash)
 	if errors.Is(err, errDocumentDamaged) {
-		p.log.Error("a policy's file is not used: it is fetched anew", "error", err)
+		p.log.Error("a policy's file is not used: it is downloaded again", "error", err)
 	}
 	if err != nil {
 		return nil
