--- a/internal/raftlog/golden_test.go
+++ b/internal/raftlog/golden_test.go
@@ -16,17 +16,17 @@
 	"gapgap/internal/vfs"
 )
 
-// unsynced is the operating system's file system without waiting for the disk: no play has a power loss.
-type unsynced struct{ vfs.OS }
+// unsyncedFS is the operating system's file system without syncs, which only matter for a power loss.
+type unsyncedFS struct{ vfs.OS }
 
-// unsyncedFile does not wait for the disk.
+// unsyncedFile is a file whose Sync does nothing.
 type unsyncedFile struct{ vfs.File }
 
 func (unsyncedFile) Sync() error { return nil }
 
-func (unsynced) SyncDir(string) error { return nil }
+func (unsyncedFS) SyncDir(string) error { return nil }
 
-func (u unsynced) CreateTemp(dir, pattern string) (vfs.File, error) {
+func (u unsyncedFS) CreateTemp(dir, pattern string) (vfs.File, error) {
 	file, err := u.OS.CreateTemp(dir, pattern)
 	if err != nil {
 		return nil, err
@@ -34,8 +34,8 @@
 	return unsyncedFile{file}, nil
 }
 
-// numberDisk gives a voter an empty disk with a number that is not drawn by chance.
-func numberDisk(t *testing.T, dir string, number uint64) {
+// createDisk creates an empty disk with a fixed number instead of a random one.
+func createDisk(t *testing.T, dir string, number uint64) {
 	t.Helper()
 	d, err := OpenDisk(vfs.OS{}, dir)
 	if err != nil {
@@ -47,244 +47,245 @@
 	}
 }
 
-// goldenPlay is some voters whose disks have fixed numbers, in one goroutine. The first one is a candidate before any
-// election timeout, which raft draws by chance, and is heard of from then on, so no timeout ever runs out.
-type goldenPlay struct {
+// goldenCluster is a cluster with fixed disk numbers, driven from one goroutine. Raft randomizes election timeouts, so
+// the first voter campaigns before any of them expires, and its heartbeats keep all of them from expiring afterwards.
+type goldenCluster struct {
 	*cluster
 	trace *golden.Trace
 }
 
-func newGoldenPlay(t *testing.T, voters int) *goldenPlay {
+func newGoldenCluster(t *testing.T, voters int) *goldenCluster {
 	t.Helper()
 	c := &cluster{t: t}
 	for i := range voters {
 		c.dirs = append(c.dirs, t.TempDir())
 		c.voters = append(c.voters, nil)
-		numberDisk(t, c.dirs[i], uint64(1001+i))
+		createDisk(t, c.dirs[i], uint64(1001+i))
 	}
-	p := &goldenPlay{cluster: c, trace: golden.NewTrace()}
+	g := &goldenCluster{cluster: c, trace: golden.NewTrace()}
 	for i := range voters {
-		p.start(i)
+		g.start(i)
 	}
-	p.ticks(2)
+	g.runTicks(2)
 	if err := c.voters[0].log.node.Campaign(); err != nil {
 		t.Fatal(err)
 	}
-	p.work(0)
-	p.ticks(3)
+	g.processReady(0)
+	g.runTicks(3)
 	if c.leader() != c.voters[0] {
-		t.Fatal("the first voter does not lead")
+		t.Fatal("the first voter is not the leader")
 	}
-	return p
+	return g
 }
 
-// start starts a voter whose writes do not wait for the disk.
-func (p *goldenPlay) start(i int) {
-	p.t.Helper()
-	p.cluster.start(i)
-	p.voters[i].disk.files = unsynced{}
+// start starts a voter whose writes are not synced.
+func (g *goldenCluster) start(i int) {
+	g.t.Helper()
+	g.cluster.start(i)
+	g.voters[i].disk.files = unsyncedFS{}
 }
 
-// work has a voter do what has come about, and delivers all messages in their order.
-func (p *goldenPlay) work(i int) {
-	p.t.Helper()
-	if err := p.voters[i].log.Work(); err != nil {
-		p.t.Fatal(err)
+// processReady calls a voter's ProcessReady and delivers all messages in order.
+func (g *goldenCluster) processReady(i int) {
+	g.t.Helper()
+	if err := g.voters[i].log.ProcessReady(); err != nil {
+		g.t.Fatal(err)
 	}
-	p.deliver()
+	g.deliver()
 }
 
-func (p *goldenPlay) deliver() {
-	p.t.Helper()
-	for len(p.messages) > 0 {
-		s := p.messages[0]
-		p.messages = p.messages[1:]
-		p.trace.Int(int64(s.from))
-		p.trace.Int(int64(s.to))
-		p.trace.String(string(s.data))
-		to := p.voters[s.to].log
+func (g *goldenCluster) deliver() {
+	g.t.Helper()
+	for len(g.messages) > 0 {
+		m := g.messages[0]
+		g.messages = g.messages[1:]
+		g.trace.Int(int64(m.from))
+		g.trace.Int(int64(m.to))
+		g.trace.String(string(m.data))
+		to := g.voters[m.to].log
 		if to == nil {
 			continue
 		}
-		if err := to.Step(s.from, s.data); err != nil {
-			p.t.Fatal(err)
+		if err := to.Step(m.from, m.data); err != nil {
+			g.t.Fatal(err)
 		}
-		if err := to.Work(); err != nil {
-			p.t.Fatal(err)
+		if err := to.ProcessReady(); err != nil {
+			g.t.Fatal(err)
 		}
 	}
 }
 
-func (p *goldenPlay) ticks(n int) {
-	p.t.Helper()
+func (g *goldenCluster) runTicks(n int) {
+	g.t.Helper()
 	for range n {
-		for i, v := range p.voters {
+		for i, v := range g.voters {
 			if v.log != nil {
 				v.log.Tick()
-				p.work(i)
+				g.processReady(i)
 			}
 		}
 	}
 }
 
-func (p *goldenPlay) propose(from, to int) {
-	p.t.Helper()
+func (g *goldenCluster) propose(from, to int) {
+	g.t.Helper()
 	for n := from; n < to; n++ {
-		p.voters[0].log.Propose(entry(n))
+		g.voters[0].log.Propose(entry(n))
 		if n%20 != 19 && n != to-1 {
-			continue // each write is the whole file: some entries have one together
+			continue // a write rewrites the whole file, so several entries share one
 		}
-		p.voters[0].log.ConfirmRead(uint64(n))
-		p.work(0)
+		g.voters[0].log.ConfirmRead(uint64(n))
+		g.processReady(0)
 		if n%60 == 59 {
-			p.ticks(1)
+			g.runTicks(1)
 		}
 	}
 }
 
-// error adds the text of an error; empty: none.
-func (p *goldenPlay) error(err error) {
+// recordError adds the text of an error to the trace, or an empty string for nil.
+func (g *goldenCluster) recordError(err error) {
 	text := ""
 	if err != nil {
 		text = err.Error()
 	}
-	p.trace.String(text)
+	g.trace.String(text)
 }
 
-// end adds what the voters have applied and kept.
-func (p *goldenPlay) end() string {
-	p.t.Helper()
-	for i, v := range p.voters {
-		p.trace.Uint(v.index)
-		p.trace.Int(int64(len(v.applied)))
+// finalHash adds the applied entries and the files of all voters to the trace, and returns its hash.
+func (g *goldenCluster) finalHash() string {
+	g.t.Helper()
+	for i, v := range g.voters {
+		g.trace.Uint(v.index)
+		g.trace.Int(int64(len(v.applied)))
 		for _, n := range v.applied {
-			p.trace.Uint(n)
+			g.trace.Uint(n)
 		}
-		p.trace.Int(int64(v.reads))
-		b, err := os.ReadFile(filepath.Join(p.dirs[i], fileName))
+		g.trace.Int(int64(v.reads))
+		b, err := os.ReadFile(filepath.Join(g.dirs[i], fileName))
 		if err != nil {
-			p.t.Fatal(err)
+			g.t.Fatal(err)
 		}
-		p.trace.String(string(b))
+		g.trace.String(string(b))
 	}
-	return p.trace.Sum()
+	return g.trace.Sum()
 }
 
-// One voter past its compaction, and started anew.
-func aloneHash(t *testing.T) string {
-	p := newGoldenPlay(t, 1)
-	p.propose(0, 1200)
-	p.stop(0)
-	p.start(0)
-	p.trace.Uint(p.voters[0].index)
-	p.trace.Int(int64(len(p.voters[0].applied)))
-	return p.end()
+// singleVoterHash runs a single voter past a compaction and restarts it.
+func singleVoterHash(t *testing.T) string {
+	g := newGoldenCluster(t, 1)
+	g.propose(0, 1200)
+	g.stop(0)
+	g.start(0)
+	g.trace.Uint(g.voters[0].index)
+	g.trace.Int(int64(len(g.voters[0].applied)))
+	return g.finalHash()
 }
 
-// A follower that is away for more than a snapshot, and catches up.
+// snapshotHash runs a follower that is down until a snapshot is needed for it to catch up.
 func snapshotHash(t *testing.T) string {
-	p := newGoldenPlay(t, 3)
-	p.propose(0, 20)
-	p.stop(2)
-	p.propose(20, 700)
-	p.start(2)
-	p.ticks(60)
-	p.propose(700, 720)
-	return p.end()
+	g := newGoldenCluster(t, 3)
+	g.propose(0, 20)
+	g.stop(2)
+	g.propose(20, 700)
+	g.start(2)
+	g.runTicks(60)
+	g.propose(700, 720)
+	return g.finalHash()
 }
 
-// A voter whose disk is lost and is replaced by another one.
+// replacedHash runs a voter that loses its disk and is replaced.
 func replacedHash(t *testing.T) string {
-	p := newGoldenPlay(t, 3)
-	p.propose(0, 30)
-	p.stop(2)
-	if err := os.Remove(filepath.Join(p.dirs[2], fileName)); err != nil {
+	g := newGoldenCluster(t, 3)
+	g.propose(0, 30)
+	g.stop(2)
+	if err := os.Remove(filepath.Join(g.dirs[2], fileName)); err != nil {
 		t.Fatal(err)
 	}
-	numberDisk(t, p.dirs[2], 2003)
-	p.start(2)
+	createDisk(t, g.dirs[2], 2003)
+	g.start(2)
 	for range 40 {
-		p.error(p.voters[0].log.ReplaceVoter(2))
-		p.work(0)
-		p.ticks(1)
-	}
-	p.trace.Bool(p.voters[2].log.HasStarted())
-	p.propose(30, 60)
-	p.error(p.voters[0].log.ReplaceVoter(1))
-	p.error(p.voters[0].log.ReplaceVoter(7))
-	p.error(p.voters[1].log.ReplaceVoter(2))
-	return p.end()
+		g.recordError(g.voters[0].log.ReplaceVoter(2))
+		g.processReady(0)
+		g.runTicks(1)
+	}
+	g.trace.Bool(g.voters[2].log.HasStarted())
+	g.propose(30, 60)
+	g.recordError(g.voters[0].log.ReplaceVoter(1))
+	g.recordError(g.voters[0].log.ReplaceVoter(7))
+	g.recordError(g.voters[1].log.ReplaceVoter(2))
+	return g.finalHash()
 }
 
-// A leader whose disk stands still gives the lead to another voter.
+// stuckDiskHash runs a leader whose disk is stuck, so that it transfers its leadership.
 func stuckDiskHash(t *testing.T) string {
-	p := newGoldenPlay(t, 3)
-	p.propose(0, 5)
-	write := p.delayWrites(0)
-	p.voters[0].log.Propose(entry(5))
-	p.work(0)
+	g := newGoldenCluster(t, 3)
+	g.propose(0, 5)
+	write := g.delayWrites(0)
+	g.voters[0].log.Propose(entry(5))
+	g.processReady(0)
 	for range 8 {
-		p.ticks(1)
-		for _, v := range p.voters {
+		g.runTicks(1)
+		for _, v := range g.voters {
 			term, leads := v.log.Leading()
-			p.trace.Uint(term)
-			p.trace.Bool(leads)
+			g.trace.Uint(term)
+			g.trace.Bool(leads)
 		}
 	}
 	for range 5 {
 		write()
-		p.deliver()
-		p.ticks(1)
+		g.deliver()
+		g.runTicks(1)
 	}
-	return p.end()
+	return g.finalHash()
 }
 
-// A voter alone refuses a recovery for each of its reasons, as far as no leader is lost.
-func refusedRecoveryHash(t *testing.T) string {
-	p := newGoldenPlay(t, 3)
-	p.error(p.voters[0].log.Recover(nil, entry(1)))
-	p.propose(0, 3)
-	p.stop(1)
-	p.stop(2)
-	p.error(p.voters[0].log.Recover([]int{1, 2}, entry(1)))
-	p.ticks(30) // it gives up the lead, as no majority answers
-	p.error(p.voters[0].log.Recover([]int{1}, entry(1)))
-	return p.trace.Sum()
+// rejectedRecoveryHash runs recoveries that are rejected because there is a leader, or because a voter that is named as
+// lost was present a short time ago.
+func rejectedRecoveryHash(t *testing.T) string {
+	g := newGoldenCluster(t, 3)
+	g.recordError(g.voters[0].log.Recover(nil, entry(1)))
+	g.propose(0, 3)
+	g.stop(1)
+	g.stop(2)
+	g.recordError(g.voters[0].log.Recover([]int{1, 2}, entry(1)))
+	g.runTicks(30) // it steps down, as no majority answers
+	g.recordError(g.voters[0].log.Recover([]int{1}, entry(1)))
+	return g.trace.Sum()
 }
 
-// TestGoldenVoters compares what voters send, apply and keep with what is recorded. Raft draws election timeouts by
-// chance, so the plays are those in which none runs out.
+// TestGoldenVoters verifies that what voters send, apply and store matches the recorded hashes. Raft randomizes
+// election timeouts, so the cases are limited to runs in which no timeout expires.
 func TestGoldenVoters(t *testing.T) {
 	hashes := golden.LoadHashes(t, "testdata/golden/hashes.txt")
-	plays := []struct {
+	cases := []struct {
 		name string
 		hash func(*testing.T) string
 	}{
-		{"alone", aloneHash},
+		{"alone", singleVoterHash},
 		{"snapshot", snapshotHash},
 		{"replaced", replacedHash},
 		{"stuck-disk", stuckDiskHash},
-		{"refused-recovery", refusedRecoveryHash},
+		{"refused-recovery", rejectedRecoveryHash},
 	}
-	for _, play := range plays {
-		t.Run(play.name, func(t *testing.T) {
-			sum := play.hash(t)
-			if play.name != "snapshot" { // it takes seconds
-				if again := play.hash(t); again != sum {
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			sum := c.hash(t)
+			if c.name != "snapshot" { // a second run would take seconds
+				if again := c.hash(t); again != sum {
 					t.Fatalf("%s, then %s", sum, again)
 				}
 			}
-			hashes.Check(t, play.name, sum)
+			hashes.Check(t, c.name, sum)
 		})
 	}
 }
 
-// goldenKept sets all fields of a voter's file.
-func goldenKept(t *testing.T) diskContent {
+// goldenDiskContent returns a content of a voter's file with all fields set.
+func goldenDiskContent(t *testing.T) diskContent {
 	t.Helper()
 	d := &Disk{content: diskContent{Number: 1<<62 + 1, Disks: map[int]uint64{0: 1<<62 + 1, 1: 7, 2: 1 << 40}}}
-	hard := raftpb.HardState{Term: 4, Vote: 2, Commit: 302}
-	snap := raftpb.Snapshot{
+	hardState := raftpb.HardState{Term: 4, Vote: 2, Commit: 302}
+	snapshot := raftpb.Snapshot{
 		Data:     append([]byte{snapshotWithDisks, 2, 0, 5, 1, 7}, "state"...),
 		Metadata: raftpb.SnapshotMetadata{ConfState: raftpb.ConfState{Voters: []uint64{1, 2, 3}}, Index: 300, Term: 3},
 	}
@@ -292,22 +293,22 @@
 		{Term: 3, Index: 301, Data: []byte("an entry")},
 		{Term: 4, Index: 302, Type: raftpb.EntryConfChange, Data: []byte{8, 1}},
 	}
-	if err := d.record(hard, entries, &snap); err != nil {
+	if err := d.record(hardState, entries, &snapshot); err != nil {
 		t.Fatal(err)
 	}
 	return d.content
 }
 
-// TestGoldenVoterFile compares a voter's file with the recorded one, and reads that back.
+// TestGoldenVoterFile verifies that a voter's file matches the recorded one, and that the recorded one can be read.
 func TestGoldenVoterFile(t *testing.T) {
 	path := "testdata/golden/policy.log"
 	dir := t.TempDir()
-	numberDisk(t, dir, 1)
+	createDisk(t, dir, 1)
 	d, err := OpenDisk(vfs.OS{}, dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.content = goldenKept(t)
+	d.content = goldenDiskContent(t)
 	if err := d.write(); err != nil {
 		t.Fatal(err)
 	}
@@ -320,19 +321,20 @@
 	if d, err = OpenDisk(vfs.OS{}, dir); err != nil {
 		t.Fatal(err)
 	}
-	if want := goldenKept(t); !reflect.DeepEqual(d.content, want) {
+	if want := goldenDiskContent(t); !reflect.DeepEqual(d.content, want) {
 		t.Errorf("read back %+v, want %+v", d.content, want)
 	}
-	mem, err := d.load()
+	storage, err := d.load()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if last, err := mem.LastIndex(); err != nil || last != 302 {
+	if last, err := storage.LastIndex(); err != nil || last != 302 {
 		t.Errorf("the last index is %d, %v", last, err)
 	}
 }
 
-// TestGoldenSnapshotData compares the bytes of a snapshot with disk numbers, and reads them and those without back.
+// TestGoldenSnapshotData verifies that an encoded snapshot with disk numbers matches the recorded one, and that
+// snapshots with and without disk numbers can be decoded.
 func TestGoldenSnapshotData(t *testing.T) {
 	disks := map[int]uint64{0: 1<<62 + 1, 1: 7, 2: 1 << 40}
 	l := &Log{cfg: Config{Disk: &Disk{content: diskContent{Disks: disks}}}}
@@ -344,16 +346,16 @@
 	}
 	got, state, err = decodeSnapshot([]byte("of an earlier program"))
 	if err != nil || string(state) != "of an earlier program" || got != nil {
-		t.Errorf("without numbers: %v, %q, %v", got, state, err)
+		t.Errorf("without disk numbers: %v, %q, %v", got, state, err)
 	}
 }
 
-// TestGoldenMessages compares the bytes of each kind of message between voters.
+// TestGoldenMessages verifies that each kind of message between voters matches its recorded hash.
 func TestGoldenMessages(t *testing.T) {
 	hashes := golden.LoadHashes(t, "testdata/golden/messages.txt")
 	var sent [][]byte
 	dir := t.TempDir()
-	numberDisk(t, dir, 1001)
+	createDisk(t, dir, 1001)
 	d, err := OpenDisk(vfs.OS{}, dir)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/raftlog/work.go
+++ b/internal/raftlog/work.go
@@ -11,36 +11,36 @@
 )
 
 const (
-	// maxWorkRounds bounds the work of one call.
-	maxWorkRounds = 1000
-	// maxWaiting bounds the messages that wait for a write. Beyond it, messages of other voters are dropped.
-	maxWaiting = 1024
+	// maxReadyRounds limits the iterations of one ProcessReady call.
+	maxReadyRounds = 1000
+	// maxQueuedMessages limits the messages that wait for a write. Beyond it, messages from other voters are dropped.
+	maxQueuedMessages = 1024
 )
 
-// termVote is a term, and the raft id of the voter that this one has voted for in it.
+// termVote is a term and the raft ID of the voter that this one voted for in that term.
 type termVote struct{ term, vote uint64 }
 
-// writeQueue is what waits to be stored. Raft goes on meanwhile; what must not be sent or applied before something is
-// stored waits here, and then in the batch of the write.
+// writeQueue holds what waits to be stored. Raft continues meanwhile: messages that must not be sent or applied before
+// something is stored wait in the queue, and then in the batch of the write.
 type writeQueue struct {
 	dirty     bool // the disk's content has changed since the last write was started
 	isWriting bool
 	startedAt int // tick at which the last write was started
-	// waiting are raft's appends, and what is to be sent or applied after them, in their order.
-	waiting        []raftpb.Message
-	waitingApplies int      // messages in waiting, or in the batch of the write, that are to be applied
-	latest         termVote // as of the last append
-	stored         termVote // as of the last append that was stored
+	// queued has raft's append messages, and the messages to send or apply after them, in order.
+	queued        []raftpb.Message
+	queuedApplies int      // apply messages in queued or in the batch of the write
+	latest        termVote // as of the last append
+	stored        termVote // as of the last append that was stored
 }
 
-// isFull returns whether other voters' messages are to be dropped.
-func (q *writeQueue) isFull() bool { return len(q.waiting) >= maxWaiting }
+// isFull reports whether messages from other voters are to be dropped.
+func (q *writeQueue) isFull() bool { return len(q.queued) >= maxQueuedMessages }
 
-// Work stores, sends and applies what has come about. It is called after each of the other methods. Its error says why
-// this voter takes no part any more.
-func (l *Log) Work() error {
-	defer l.recoverContradiction()
-	for range maxWorkRounds {
+// ProcessReady stores, sends and applies what raft has ready. Callers must call it after each of the other methods. It
+// returns the error that stopped this voter, if any.
+func (l *Log) ProcessReady() error {
+	defer l.recoverRaftPanic()
+	for range maxReadyRounds {
 		if !l.HasStarted() {
 			return l.failure
 		}
@@ -50,15 +50,15 @@
 			}
 			continue
 		}
-		if err := l.handle(l.node.Ready()); err != nil {
+		if err := l.handleReady(l.node.Ready()); err != nil {
 			return l.fail(err)
 		}
 	}
 	return l.failure
 }
 
-// handle takes what raft wants to be stored, sent and applied.
-func (l *Log) handle(ready raft.Ready) error {
+// handleReady handles what raft wants to be stored, sent and applied.
+func (l *Log) handleReady(ready raft.Ready) error {
 	if hardState := ready.HardState; !raft.IsEmptyHardState(hardState) {
 		l.writes.latest = termVote{hardState.Term, hardState.Vote}
 	}
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// handleAppend puts what is to be stored into the disk's content.
+// handleAppend records what is to be stored in the disk's content, and queues the message until that is written.
 func (l *Log) handleAppend(m raftpb.Message) error {
 	hardState := hardStateOf(m)
 	if !raft.IsEmptyHardState(hardState) || len(m.Entries) > 0 || m.Snapshot != nil {
@@ -94,16 +94,16 @@
 		l.incomingSnapshot = m.Snapshot.Metadata.Index
 	}
 	l.learnDiskNumbers(m.Entries)
-	l.writes.waiting = append(l.writes.waiting, m)
+	l.writes.queued = append(l.writes.queued, m)
 	return nil
 }
 
 // handleApply applies committed entries. A change of the voters is applied only once its commit is stored: a voter that
-// has forgotten it would drop all messages of the new disk. What follows it waits as well.
+// lost the commit in a restart would drop all messages of the new disk. Later entries wait as well.
 func (l *Log) handleApply(m raftpb.Message) error {
-	if l.writes.waitingApplies > 0 || slices.ContainsFunc(m.Entries, isConfChange) {
-		l.writes.waiting = append(l.writes.waiting, m)
-		l.writes.waitingApplies++
+	if l.writes.queuedApplies > 0 || slices.ContainsFunc(m.Entries, isConfChange) {
+		l.writes.queued = append(l.writes.queued, m)
+		l.writes.queuedApplies++
 		return nil
 	}
 	return l.apply(m)
@@ -111,19 +111,19 @@
 
 func isConfChange(e raftpb.Entry) bool { return e.Type == raftpb.EntryConfChange }
 
-// handleSend sends a message once this voter's term and vote are stored. Raft lets a candidate ask for votes, and lead,
-// before its own vote is stored; one that is restarted could then lead twice in one term.
+// handleSend sends a message once this voter's term and vote are stored. Raft lets a candidate request votes, and even
+// become leader, before its own vote is stored; if it restarts then, it could become leader twice in the same term.
 func (l *Log) handleSend(m raftpb.Message) {
 	switch {
 	case l.writes.latest == l.writes.stored:
 		l.send(m)
-	case !l.writes.isFull(): // else it is lost
-		l.writes.waiting = append(l.writes.waiting, m)
+	case !l.writes.isFull(): // otherwise the message is dropped
+		l.writes.queued = append(l.writes.queued, m)
 	}
 }
 
-// learnDiskNumbers takes the numbers of new disks from entries as they come, committed or not. A new disk sends nothing
-// before its entry is committed, and it may be the one that has to tell this voter so, where the leader has gone.
+// learnDiskNumbers records the numbers of new disks from received entries, committed or not. A new disk sends nothing
+// before its entry is committed, and if the leader is gone, it may be the only one to tell this voter of the commit.
 func (l *Log) learnDiskNumbers(entries []raftpb.Entry) {
 	for _, e := range entries {
 		var c raftpb.ConfChange
@@ -137,7 +137,7 @@
 	}
 }
 
-// setDiskNumber notes which disk of a voter belongs to the log.
+// setDiskNumber records which disk of a voter belongs to the log.
 func (l *Log) setDiskNumber(voter int, number uint64) {
 	l.cfg.Disk.content.Disks[voter] = number
 	l.writes.dirty = true
@@ -147,22 +147,22 @@
 	return raftpb.HardState{Term: m.Term, Vote: m.Vote, Commit: m.Commit}
 }
 
-// startWrite writes what is new, unless a write is under way. It returns whether raft may have more to do by that
-// already.
+// startWrite starts to write what has changed, unless a write is in progress. It returns true if the write is already
+// complete, so that raft may have more work.
 func (l *Log) startWrite() bool {
 	q := &l.writes
-	if q.isWriting || !q.dirty && len(q.waiting) == 0 {
+	if q.isWriting || !q.dirty && len(q.queued) == 0 {
 		return false
 	}
-	batch := q.waiting
-	q.waiting = nil
+	batch := q.queued
+	q.queued = nil
 	if !q.dirty {
 		l.finishWrite(batch, nil)
 		return true
 	}
 	b, err := l.cfg.Disk.encode()
 	if err != nil {
-		_ = l.fail(err) // Work returns it
+		_ = l.fail(err) // ProcessReady returns it
 		return false
 	}
 	q.dirty, q.isWriting, q.startedAt = false, true, l.ticks
@@ -179,16 +179,16 @@
 	return false
 }
 
-// finishWrite does what had to wait for a write.
+// finishWrite handles the messages that waited for a write, unless the write failed.
 func (l *Log) finishWrite(batch []raftpb.Message, err error) {
-	defer l.recoverContradiction()
+	defer l.recoverRaftPanic()
 	for _, m := range batch {
 		if err != nil || l.failure != nil {
 			break
 		}
 		switch m.To {
 		case raft.LocalApplyThread:
-			l.writes.waitingApplies--
+			l.writes.queuedApplies--
 			err = l.apply(m)
 		case raft.LocalAppendThread:
 			err = l.finishAppend(m)
@@ -197,11 +197,11 @@
 		}
 	}
 	if err != nil {
-		_ = l.fail(err) // Work returns it
+		_ = l.fail(err) // ProcessReady returns it
 	}
 }
 
-// finishAppend tells raft that an append is stored.
+// finishAppend updates raft's storage after an append is on the disk, and sends raft's responses to it.
 func (l *Log) finishAppend(m raftpb.Message) error {
 	if m.Snapshot != nil {
 		if err := l.restore(m.Snapshot); err != nil {
@@ -221,11 +221,11 @@
 	return nil
 }
 
-// respond hands out raft's responses to something that is done, to itself and to others.
+// respond delivers raft's responses to a finished append or apply, to this voter's raft node and to other voters.
 func (l *Log) respond(responses []raftpb.Message) {
 	for _, m := range responses {
 		if m.To == raftID(l.cfg.Voter) {
-			_ = l.node.Step(m) // raft refuses none of its own responses
+			_ = l.node.Step(m) // raft accepts all of its own responses
 		} else {
 			l.send(m)
 		}
@@ -247,13 +247,13 @@
 	}
 	l.respond(m.Responses)
 	l.finishReads()
-	if l.applied-l.snapshotIndex >= maxEntries && l.applied >= l.incomingSnapshot {
+	if l.applied-l.snapshotIndex >= snapshotThreshold && l.applied >= l.incomingSnapshot {
 		return l.compact(l.applied)
 	}
 	return nil
 }
 
-// finishReads reports the confirmed reads before which all is applied.
+// finishReads reports the confirmed reads whose index is applied.
 func (l *Log) finishReads() {
 	var finished []raft.ReadState
 	l.reads = slices.DeleteFunc(l.reads, func(r raft.ReadState) bool {
@@ -268,7 +268,7 @@
 	}
 }
 
-// compact replaces the beginning of the log up to an index by a snapshot.
+// compact creates a snapshot at an index and drops the entries before it, except the last retainedEntries.
 func (l *Log) compact(index uint64) error {
 	_, state, err := l.cfg.Snapshot()
 	if err != nil {
@@ -278,7 +278,7 @@
 	if err != nil {
 		return err
 	}
-	lastDropped := index - min(index, keptEntries)
+	lastDropped := index - min(index, retainedEntries)
 	if err := l.cfg.Disk.compact(snapshot, lastDropped); err != nil {
 		return err
 	}
@@ -290,16 +290,16 @@
 	return nil
 }
 
-// contradiction is what raft panics with here: it was told what can't be, as by a disk that has lost what it had
-// stored.
-type contradiction string
+// raftPanic is the value that raftLogger panics with when raft finds an impossible state, such as a disk that has lost
+// what it had stored.
+type raftPanic string
 
-// recoverContradiction, deferred, ends this voter's part where raft has panicked; the gateway goes on. Any other panic
-// goes on.
-func (l *Log) recoverContradiction() {
+// recoverRaftPanic, when deferred, stops this voter after a raftPanic; the gateway keeps running. Any other panic
+// continues.
+func (l *Log) recoverRaftPanic() {
 	switch p := recover().(type) {
 	case nil:
-	case contradiction:
+	case raftPanic:
 		_ = l.fail(fmt.Errorf("%w: it does not agree with the other voters': %s", ErrDamaged, string(p)))
 	default:
 		panic(p)
--- a/internal/raftlog/work_test.go
+++ b/internal/raftlog/work_test.go
@@ -7,30 +7,30 @@
 	"testing"
 )
 
-// TestPolicyLogStuckDisk stops the disk of a voter. That stops nobody but its own voter, whether it leads or follows:
-// the others decide and read, another one leads, and it has all once its disk goes on. What it did not store it does
-// not count.
+// TestPolicyLogStuckDisk verifies that a disk that stops affects only its own voter, whether that is the leader or a
+// follower: another voter leads, and the others commit and read. The voter applies nothing that it has not stored, and
+// catches up once its disk continues.
 func TestPolicyLogStuckDisk(t *testing.T) {
 	t.Parallel()
 	for _, leads := range []bool{true, false} {
 		c := newCluster(t, 3)
-		c.until(200, "a leader", func() bool { return c.leader() != nil })
+		c.waitUntil(200, "a leader", func() bool { return c.leader() != nil })
 		c.leader().log.Propose(entry(0))
-		c.until(50, "committed", func() bool {
+		c.waitUntil(50, "committed", func() bool {
 			return len(c.voters[0].applied) == 1 && len(c.voters[1].applied) == 1 && len(c.voters[2].applied) == 1
 		})
 		stuck := slices.IndexFunc(c.voters, func(v *voter) bool { return (v == c.leader()) == leads })
 		write := c.delayWrites(stuck)
 		c.leader().log.Propose(entry(1))
-		c.leader().work()
-		c.until(20, "another one leads", func() bool { l := c.leader(); return l != nil && l != c.voters[stuck] })
-		c.until(5, "committed by two", func() bool { return len(c.leader().applied) == 2 })
+		c.leader().processReady()
+		c.waitUntil(20, "another leader", func() bool { l := c.leader(); return l != nil && l != c.voters[stuck] })
+		c.waitUntil(5, "committed by two", func() bool { return len(c.leader().applied) == 2 })
 		l := c.leader()
 		l.log.ConfirmRead(3)
-		l.work()
-		c.until(5, "a read", func() bool { return l.reads == 1 })
+		l.processReady()
+		c.waitUntil(5, "a read", func() bool { return l.reads == 1 })
 		if n := len(c.voters[stuck].applied); n != 1 {
-			t.Errorf("the voter whose disk stands still has applied %d entries", n)
+			t.Errorf("the voter whose disk is stuck has applied %d entries", n)
 		}
 		for n := range 1500 {
 			if l := c.leader(); l != nil && n%2 == 0 {
@@ -38,142 +38,144 @@
 			}
 			c.tick()
 		}
-		if n := len(c.voters[stuck].log.writes.waiting); n > maxWaiting+20 {
+		if n := len(c.voters[stuck].log.writes.queued); n > maxQueuedMessages+20 {
 			t.Errorf("%d messages wait for the disk", n)
 		}
-		c.until(200, "all entries at all voters", func() bool {
+		c.waitUntil(200, "all entries at all voters", func() bool {
 			write()
 			return len(c.voters[stuck].applied) == len(c.leader().applied)
 		})
 	}
 }
 
-// lateWritesPlay is voters whose writes are late at random, and that are killed with writes under way.
-type lateWritesPlay struct {
+// delayedWrites simulates voters whose writes are randomly delayed, and that are killed during writes.
+type delayedWrites struct {
 	*cluster
 	seed uint64
-	// isBroken makes voters count what they have not stored.
-	isBroken bool
-	finish   []func() // the write that is under way, by voter
-	proposed int
-	order    []uint64 // entries as applied first by any voter
+	// acknowledgesEarly makes voters treat entries as stored that they have not written.
+	acknowledgesEarly bool
+	finish            []func() // performs the write that is in progress, by voter
+	proposed          int
+	order             []uint64 // entries in the order in which any voter first applied them
 }
 
-// play returns what is wrong; empty: nothing.
-func (p *lateWritesPlay) play() (wrong string) {
-	p.until(200, "a leader", func() bool { return p.leader() != nil })
-	p.finish = make([]func(), len(p.voters))
-	for i := range p.voters {
-		p.delay(i)
+// run runs the simulation. It returns a description of the first problem, or an empty string.
+func (d *delayedWrites) run() (problem string) {
+	d.waitUntil(200, "a leader", func() bool { return d.leader() != nil })
+	d.finish = make([]func(), len(d.voters))
+	for i := range d.voters {
+		d.delay(i)
 	}
-	p.loss = 0.05
+	d.loss = 0.05
 	for range 400 {
-		p.step()
-		if wrong := p.check(); wrong != "" {
-			return wrong
+		d.step()
+		if problem := d.check(); problem != "" {
+			return problem
 		}
-		for i, v := range p.voters {
+		for i, v := range d.voters {
 			if v.log.failure != nil {
-				return fmt.Sprintf("seed %d: voter %d: %v", p.seed, i, v.log.failure)
+				return fmt.Sprintf("seed %d: voter %d: %v", d.seed, i, v.log.failure)
 			}
 		}
 	}
-	p.loss = 0
-	return p.catchUp()
+	d.loss = 0
+	return d.catchUp()
 }
 
-// delay makes a voter's writes late. Those of a broken voter seem to be done at once, and one in five is.
-func (p *lateWritesPlay) delay(i int) {
-	p.finish[i] = p.delayWrites(i)
-	if !p.isBroken {
+// delay delays a voter's writes. With acknowledgesEarly, writes are reported as done at once, but only one in five is
+// performed.
+func (d *delayedWrites) delay(i int) {
+	d.finish[i] = d.delayWrites(i)
+	if !d.acknowledgesEarly {
 		return
 	}
-	p.finish[i] = func() {}
-	p.voters[i].log.cfg.WriteAsync = func(write func() error, done func(error)) {
-		if p.rng.IntN(5) == 0 {
+	d.finish[i] = func() {}
+	d.voters[i].log.cfg.WriteAsync = func(write func() error, done func(error)) {
+		if d.rng.IntN(5) == 0 {
 			_ = write()
 		}
 		done(nil)
 	}
 }
 
-// step proposes an entry, ticks, finishes writes and restarts voters, each at random.
-func (p *lateWritesPlay) step() {
-	if l := p.leader(); l != nil && p.rng.IntN(2) == 0 {
-		l.log.Propose(entry(p.proposed))
-		p.proposed++
+// step runs a tick, and at random proposes an entry, finishes writes and restarts voters.
+func (d *delayedWrites) step() {
+	if l := d.leader(); l != nil && d.rng.IntN(2) == 0 {
+		l.log.Propose(entry(d.proposed))
+		d.proposed++
 	}
-	p.tick()
-	for _, finish := range p.finish {
-		if p.rng.IntN(3) == 0 {
+	d.tick()
+	for _, finish := range d.finish {
+		if d.rng.IntN(3) == 0 {
 			finish()
 		}
 	}
-	if p.rng.IntN(15) > 0 {
+	if d.rng.IntN(15) > 0 {
 		return
 	}
-	for _, i := range p.rng.Perm(3)[:1+p.rng.IntN(3)] { // one, two or all: with what was not written
-		p.stop(i)
-		p.start(i)
-		p.delay(i)
+	for _, i := range d.rng.Perm(3)[:1+d.rng.IntN(3)] { // one, two or all voters, which lose their pending writes
+		d.stop(i)
+		d.start(i)
+		d.delay(i)
 	}
 }
 
-// check returns which voter has applied something else than the others.
-func (p *lateWritesPlay) check() (wrong string) {
-	for i, v := range p.voters {
+// check returns a description of a voter that has applied other entries than the rest, or an empty string.
+func (d *delayedWrites) check() (problem string) {
+	for i, v := range d.voters {
 		for n, applied := range v.applied {
-			if n == len(p.order) {
-				p.order = append(p.order, applied)
+			if n == len(d.order) {
+				d.order = append(d.order, applied)
 			}
-			if p.order[n] != applied {
-				return fmt.Sprintf("seed %d: voter %d has %d at %d, not %d", p.seed, i, applied, n, p.order[n])
+			if d.order[n] != applied {
+				return fmt.Sprintf("seed %d: voter %d has %d at %d, not %d", d.seed, i, applied, n, d.order[n])
 			}
 		}
 	}
 	return ""
 }
 
-// catchUp ticks until all voters have applied what any of them has.
-func (p *lateWritesPlay) catchUp() (wrong string) {
-	lags := func(v *voter) bool { return len(v.applied) != len(p.order) }
+// catchUp ticks until all voters have applied all entries that any of them has applied.
+func (d *delayedWrites) catchUp() (problem string) {
+	lags := func(v *voter) bool { return len(v.applied) != len(d.order) }
 	for range 500 {
-		for _, finish := range p.finish {
+		for _, finish := range d.finish {
 			finish()
 		}
-		if wrong = p.check(); wrong == "" && !slices.ContainsFunc(p.voters, lags) {
+		if problem = d.check(); problem == "" && !slices.ContainsFunc(d.voters, lags) {
 			return ""
 		}
-		p.tick()
+		d.tick()
 	}
-	if wrong != "" {
-		return wrong
+	if problem != "" {
+		return problem
 	}
-	return fmt.Sprintf("seed %d: of %d that were applied the voters have %d, %d, %d in the end", p.seed, len(p.order),
-		len(p.voters[0].applied), len(p.voters[1].applied), len(p.voters[2].applied))
+	return fmt.Sprintf("seed %d: of %d applied entries the voters have %d, %d and %d at the end", d.seed, len(d.order),
+		len(d.voters[0].applied), len(d.voters[1].applied), len(d.voters[2].applied))
 }
 
-// TestPolicyLogLateWrites plays voters whose writes are late, and that are killed with writes under way. What one of
-// them has applied all have in the end, in the same order. A voter that counts what it has not stored is found. Raft
-// draws election timeouts itself, so no seed plays alike.
+// TestPolicyLogLateWrites verifies that all voters eventually apply the same entries in the same order if their writes
+// are delayed and they are killed during writes. As a check of the simulation itself, voters that acknowledge entries
+// before they have stored them must be detected. Raft randomizes election timeouts itself, so runs are not reproducible
+// by seed.
 func TestPolicyLogLateWrites(t *testing.T) {
 	t.Parallel()
-	play := func(seed uint64, isBroken bool) string {
+	simulate := func(seed uint64, acknowledgesEarly bool) string {
 		c := newCluster(t, 3)
 		c.rng = rand.New(rand.NewPCG(seed, 5))
-		p := &lateWritesPlay{cluster: c, seed: seed, isBroken: isBroken}
-		return p.play()
+		d := &delayedWrites{cluster: c, seed: seed, acknowledgesEarly: acknowledgesEarly}
+		return d.run()
 	}
-	isFound := false
+	isDetected := false
 	for seed := range uint64(20) {
-		if wrong := play(seed, false); wrong != "" {
-			t.Error(wrong)
+		if problem := simulate(seed, false); problem != "" {
+			t.Error(problem)
 		}
-		if wrong := play(seed, true); wrong != "" {
-			isFound = true
+		if problem := simulate(seed, true); problem != "" {
+			isDetected = true
 		}
 	}
-	if !isFound {
-		t.Error("voters that count what they have not stored were not found")
+	if !isDetected {
+		t.Error("voters that acknowledge entries before they are stored were not detected")
 	}
 }
