--- a/internal/policy/doc.go
+++ b/internal/policy/doc.go
@@ -1,16 +1,16 @@
-// Package policy decides how a policy version takes effect on all gateways of a tier or on none. It is a commit
-// protocol in three steps over a replicated log (docs/design/policy.md has the guarantees and the argument):
+// Package policy makes a new policy version take effect on all gateways of a tier or on none. It implements a
+// three-phase commit protocol over a replicated log; docs/design/policy.md states the guarantees and why they hold:
 //
-//   - prepare: each [Participant] fetches the new document, stores it and reports that it could switch to it;
-//   - lock: once all have prepared, each stops renewing its right to decide by the old version for longer than
-//     [LockDuration];
-//   - commit: once all have locked, or were fenced because their leases have expired, the [Coordinator] proposes to
-//     commit. A gateway that rejects the document, or that can't be reached in time, makes it propose to abort.
+//   - prepare: each [Participant] fetches the new document, stores it and reports that it can switch to it;
+//   - lock: once all participants have prepared, each one renews its permission to decide by the old version for at
+//     most [LockDuration] at a time;
+//   - commit: once all participants have locked, or have been fenced because their leases expired, the [Coordinator]
+//     proposes a commit. If a gateway rejects the document, or can't be reached in time, it proposes an abort.
 //
-// [State] is what the entries of the log amount to, [Coordinator] is run by the leader of the log, [Participant] is
-// run by each gateway, and [Node] ties them together for one process.
+// [State] is the result of applying the log's entries. The leader of the log runs a [Coordinator], every gateway runs
+// a [Participant], and [Node] combines them in one process.
 //
-// Nothing here does input or output: time, messages and committed entries are handed in. Times are readings of the
-// gateway's own monotonic clock, which runs on while a process is stopped; wall times are for people to read. A value
-// belongs to one goroutine.
+// The package does no I/O: the caller passes in the time, the messages and the committed entries. Times are readings of
+// the gateway's own monotonic clock, which keeps running while the process is stopped. Wall-clock times are only
+// informational. Values are not safe for concurrent use.
 package policy
