--- a/internal/policy/version.go
+++ b/internal/policy/version.go
@@ -11,7 +11,7 @@
 // Hash identifies a policy document by its content.
 type Hash [sha256.Size]byte
 
-// HashOf returns the hash of a document.
+// HashOf returns the SHA-256 hash of a document.
 func HashOf(document []byte) Hash { return sha256.Sum256(document) }
 
 func (h Hash) String() string { return hex.EncodeToString(h[:]) }
@@ -19,12 +19,14 @@
 // MarshalText implements [encoding.TextMarshaler].
 func (h Hash) MarshalText() ([]byte, error) { return []byte(h.String()), nil }
 
-// HashError says that a text is not a hash in hexadecimal.
+// HashError reports that a text is not a hash in hexadecimal.
 type HashError struct {
 	Text string
 }
 
-func (e *HashError) Error() string { return fmt.Sprintf("%q is no hash", e.Text) }
+func (e *HashError) Error() string {
+	return fmt.Sprintf("%q is not a hexadecimal SHA-256 hash", e.Text)
+}
 
 // UnmarshalText implements [encoding.TextUnmarshaler]. Its error is a [*HashError].
 func (h *Hash) UnmarshalText(text []byte) error {
@@ -34,19 +36,19 @@
 	return nil
 }
 
-// Version is a committed policy. The zero value stands for none.
+// Version is a committed policy version. The zero value means that there is none.
 type Version struct {
-	// Number counts committed versions from 1.
+	// Number is the position among the committed versions, starting from 1.
 	Number uint64 `cbor:"1,keyasint" json:"version"`
-	// Hash identifies the document.
+	// Hash is the hash of the policy document.
 	Hash Hash `cbor:"2,keyasint" json:"hash"`
 }
 
-// Process is one process lifetime of a gateway.
+// Process identifies one process of a gateway, from its start to its end.
 type Process struct {
 	_ struct{} `cbor:",toarray"`
-	// Gateway is the index in the list of all gateways.
+	// Gateway is the index of the gateway in the list of all gateways.
 	Gateway uint16 `json:"rank"`
-	// ID tells the processes of one gateway apart.
+	// ID distinguishes the processes of one gateway and orders them by age.
 	ID membership.ID `json:"id"`
 }
