--- a/internal/policy/change.go
+++ b/internal/policy/change.go
@@ -4,25 +4,25 @@
 	"fmt"
 )
 
-// Bounds of what is stored and sent.
+// Limits on stored and transmitted data.
 const (
-	// MaxOutcomes is the number of decided changes whose outcome is kept.
+	// MaxOutcomes is the number of decided changes whose outcomes are kept.
 	MaxOutcomes = 200
-	// MaxIDBytes bounds the id and the author of a change.
+	// MaxIDBytes is the maximum length of a change's ID and of its author.
 	MaxIDBytes = 64
-	// MaxReasonBytes bounds a reason and a note.
+	// MaxReasonBytes is the maximum length of a reason and of a note.
 	MaxReasonBytes = 512
-	// MaxDocumentBytes bounds a policy document.
+	// MaxDocumentBytes is the maximum length of a policy document.
 	MaxDocumentBytes = 32 << 20
 )
 
-// Mode is what a change does about gateways that can't be reached.
+// Mode determines how a change handles unreachable gateways.
 type Mode uint8
 
 const (
-	// Wait aborts the change after a time.
+	// Wait waits for unreachable gateways and aborts the change after a timeout.
 	Wait Mode = iota
-	// Fence waits until the leases of those gateways have expired and commits without them.
+	// Fence waits until the leases of unreachable gateways have expired and commits without them.
 	Fence
 	modeCount
 )
@@ -43,14 +43,14 @@
 	return err
 }
 
-// ModeError says that a text names no mode.
+// ModeError reports that a text is not the name of a mode.
 type ModeError struct {
 	Text string
 }
 
 func (e *ModeError) Error() string { return fmt.Sprintf("%q is not wait or fence", e.Text) }
 
-// ParseMode returns the mode with a name. Its error is a [*ModeError].
+// ParseMode returns the mode with the given name. Its error is a [*ModeError].
 func ParseMode(name string) (Mode, error) {
 	switch name {
 	case "wait":
@@ -61,33 +61,33 @@
 	return 0, &ModeError{Text: name}
 }
 
-// Change is a proposal to replace the current version by another document.
+// Change is a proposal to replace the current version with another document.
 type Change struct {
-	// Index is that of the proposal's entry in the log, so no two changes have the same. Zero before it is committed.
+	// Index is the log index of the proposal's entry, and therefore unique. It is zero until the entry is committed.
 	Index uint64 `cbor:"1,keyasint" json:"-"`
-	// ID is chosen by who proposes; the same id is never decided twice.
+	// ID is chosen by the proposer. A change with a known ID is never decided again.
 	ID string `cbor:"2,keyasint" json:"id"`
 	// Base is the number of the version that the change replaces.
 	Base uint64 `cbor:"3,keyasint" json:"base"`
-	// Hash identifies the new document.
+	// Hash is the hash of the new document.
 	Hash Hash `cbor:"4,keyasint" json:"hash"`
-	// Bytes is the length of the new document.
+	// Bytes is the length of the new document in bytes.
 	Bytes int64 `cbor:"5,keyasint" json:"bytes"`
-	// Mode says what to do about gateways that can't be reached.
+	// Mode determines how unreachable gateways are handled.
 	Mode Mode `cbor:"6,keyasint" json:"mode"`
-	// Author is who proposes, for people to read.
+	// Author names the proposer; informational.
 	Author string `cbor:"7,keyasint,omitempty" json:"who,omitempty"`
-	// Note is for people to read.
+	// Note is a free-form comment; informational.
 	Note string `cbor:"8,keyasint,omitempty" json:"note,omitempty"`
-	// ProposedAt is wall time in Unix milliseconds.
+	// ProposedAt is the wall-clock time of the proposal in Unix milliseconds.
 	ProposedAt int64 `cbor:"9,keyasint" json:"at"`
 	// Source is the index of a gateway that has the document.
 	Source uint16 `cbor:"10,keyasint" json:"from"`
-	// Initial marks the first version of all gateways, for which nobody has to prepare.
+	// Initial marks the first version of the cluster, which takes effect without the commit protocol.
 	Initial bool `cbor:"11,keyasint,omitempty" json:"begin,omitempty"`
 }
 
-// InvalidChangeError says what is wrong with a proposal.
+// InvalidChangeError describes why a proposal is invalid.
 type InvalidChangeError struct {
 	Reason string
 }
@@ -98,37 +98,38 @@
 	return &InvalidChangeError{Reason: fmt.Sprintf(format, args...)}
 }
 
-// Validate checks the bounds of a proposal. Its error is an [*InvalidChangeError].
+// Validate checks a proposal against the size limits and the known modes. Its error is an [*InvalidChangeError].
 func (c *Change) Validate() error {
 	switch {
 	case c.ID == "" || len(c.ID) > MaxIDBytes || len(c.Author) > MaxIDBytes:
-		return invalidChange("an id and who proposes have up to %d bytes", MaxIDBytes)
+		return invalidChange("the ID must have 1 to %[1]d bytes and the author at most %[1]d", MaxIDBytes)
 	case len(c.Note) > MaxReasonBytes:
-		return invalidChange("a note has up to %d bytes", MaxReasonBytes)
+		return invalidChange("the note is longer than %d bytes", MaxReasonBytes)
 	case c.Bytes < 0 || c.Bytes > MaxDocumentBytes:
-		return invalidChange("a document of %d bytes, %d at most", c.Bytes, MaxDocumentBytes)
+		return invalidChange("document length %d is out of range: at most %d bytes", c.Bytes, MaxDocumentBytes)
 	case c.Mode >= modeCount:
-		return invalidChange("no such mode")
+		return invalidChange("unknown mode")
 	}
 	return nil
 }
 
-// Outcome is a change that was decided.
+// Outcome is the result of a decided change.
 type Outcome struct {
-	// Change is the proposal.
+	// Change is the decided proposal.
 	Change Change `cbor:"1,keyasint" json:"change"`
-	// Committed tells a commit from an abort.
+	// Committed is true for a commit and false for an abort.
 	Committed bool `cbor:"2,keyasint" json:"taken"`
-	// Version is the number that a committed change got.
+	// Version is the version number that a committed change was given.
 	Version uint64 `cbor:"3,keyasint,omitempty" json:"version,omitempty"`
-	// Reason says why the change was aborted.
+	// Reason explains why the change was aborted.
 	Reason string `cbor:"4,keyasint,omitempty" json:"reason,omitempty"`
-	// DecidedAt is wall time in Unix milliseconds.
+	// DecidedAt is the wall-clock time of the decision in Unix milliseconds.
 	DecidedAt int64 `cbor:"5,keyasint" json:"at"`
-	// Locked are the processes that had locked.
+	// Locked lists the processes that had locked the change.
 	Locked []Process `cbor:"6,keyasint,omitempty" json:"locked,omitempty"`
-	// Fenced are the processes whose leases had expired.
+	// Fenced lists the processes that were fenced because their leases had expired.
 	Fenced []Process `cbor:"7,keyasint,omitempty" json:"fenced,omitempty"`
-	// SwitchedAt is when each gateway switched, by its own wall clock in Unix milliseconds.
+	// SwitchedAt maps each gateway's index to the time at which it switched, by its own wall clock, in Unix
+	// milliseconds.
 	SwitchedAt map[uint16]int64 `cbor:"8,keyasint,omitempty" json:"switched,omitempty"`
 }
