--- a/internal/policy/entry.go
+++ b/internal/policy/entry.go
@@ -2,7 +2,7 @@
 
 import "github.com/fxamacker/cbor/v2"
 
-// Entry is one entry of the replicated log. Exactly one field is set.
+// Entry is an entry of the replicated log. Exactly one field is set.
 type Entry struct {
 	Propose      *Change       `cbor:"1,keyasint,omitempty"`
 	Join         *Process      `cbor:"2,keyasint,omitempty"`
@@ -13,46 +13,47 @@
 	Recovery     *Recovery     `cbor:"7,keyasint,omitempty"`
 }
 
-// Encode returns the bytes that [Node.Apply] reads.
+// Encode returns the encoding that [Node.Apply] decodes.
 func (e Entry) Encode() ([]byte, error) { return cbor.Marshal(e) }
 
-// Commit makes the pending change the current version. It is void unless it names all processes that may decide.
+// Commit makes the pending change the current version. It has no effect unless Locked and Fenced together name every
+// process that may decide.
 type Commit struct {
-	// Index is that of the change.
+	// Index is the log index of the change.
 	Index uint64 `cbor:"1,keyasint"`
-	// Locked are the processes that have locked.
+	// Locked lists the processes that have locked the change.
 	Locked []Process `cbor:"2,keyasint,omitempty"`
-	// Fenced are the processes whose leases have expired; they have to join again.
+	// Fenced lists the processes whose leases have expired. They have to join again.
 	Fenced []Process `cbor:"3,keyasint,omitempty"`
-	// DecidedAt is wall time in Unix milliseconds.
+	// DecidedAt is the wall-clock time of the decision in Unix milliseconds.
 	DecidedAt int64 `cbor:"4,keyasint"`
 }
 
-// Abort ends the pending change without effect.
+// Abort ends the pending change without committing it.
 type Abort struct {
-	// Index is that of the change.
+	// Index is the log index of the change.
 	Index uint64 `cbor:"1,keyasint"`
-	// Reason is for people to read.
+	// Reason explains the abort; informational.
 	Reason string `cbor:"2,keyasint"`
-	// DecidedAt is wall time in Unix milliseconds.
+	// DecidedAt is the wall-clock time of the decision in Unix milliseconds.
 	DecidedAt int64 `cbor:"3,keyasint"`
 }
 
 // SwitchReport records when gateways have switched to a version.
 type SwitchReport struct {
-	// Version is the number of the version.
+	// Version is the version number.
 	Version uint64 `cbor:"1,keyasint"`
-	// SwitchedAt is each gateway's wall time in Unix milliseconds, by index.
+	// SwitchedAt maps a gateway's index to the time at which it switched, by its own wall clock, in Unix milliseconds.
 	SwitchedAt map[uint16]int64 `cbor:"2,keyasint"`
 }
 
-// Recovery records that a majority of the voters' disks was given up and that the log goes on with what one of them
-// had.
+// Recovery records that an operator gave up a majority of the voters' disks and that the log continues from the data of
+// one remaining voter.
 type Recovery struct {
-	// Author is the operator.
+	// Author names the operator.
 	Author string `cbor:"1,keyasint,omitempty"`
-	// Lost are the voters that were named as lost.
+	// Lost lists the voters that the operator declared lost.
 	Lost []uint16 `cbor:"2,keyasint,omitempty"`
-	// RecoveredAt is wall time in Unix milliseconds.
+	// RecoveredAt is the wall-clock time of the recovery in Unix milliseconds.
 	RecoveredAt int64 `cbor:"3,keyasint"`
 }
