--- a/internal/policy/doc.go
+++ b/internal/policy/doc.go
@@ -1,4 +1,4 @@
-// Package policy makes a new policy version take effect on all gateways of a tier or on none. It implements a
+// Package policy makes a new policy version take effect on all gateways of a cluster or on none. It implements a
 // three-phase commit protocol over a replicated log; docs/design/policy.md states the guarantees and why they hold:
 //
 //   - prepare: each [Participant] fetches the new document, stores it and reports that it can switch to it;
