--- a/internal/policy/state.go
+++ b/internal/policy/state.go
@@ -8,28 +8,28 @@
 	"gapgap/internal/membership"
 )
 
-// RecoveryVersionSkip is added to the version number by a recovery, so that it is above any that only the lost voters
-// knew of: gateways never go back to a lower number.
+// RecoveryVersionSkip is added to the version number by a recovery. Gateways never switch to a lower number, so the
+// result has to exceed any number that only the lost voters knew of.
 const RecoveryVersionSkip = 1000
 
-// State is the result of all entries of the log up to an index. It is the same on all voters.
+// State is the result of applying all log entries up to an index. It is identical on all voters.
 type State struct {
-	// Current is the version that holds.
+	// Current is the current version.
 	Current Version `cbor:"1,keyasint"`
-	// Participants is which process of each gateway may decide, by index.
+	// Participants maps a gateway's index to the ID of its process that may decide.
 	Participants map[uint16]membership.ID `cbor:"2,keyasint"`
-	// Pending is the change that is being decided; nil: none.
+	// Pending is the change that is being decided; nil if none.
 	Pending *Change `cbor:"3,keyasint,omitempty"`
-	// Outcomes are the last MaxOutcomes decided changes, the oldest first.
+	// Outcomes holds the last MaxOutcomes decided changes, oldest first.
 	Outcomes []Outcome `cbor:"4,keyasint"`
-	// Mode is set by the initial change: with Fence all gateways hold leases.
+	// Mode is set by the initial change. With Fence, all gateways hold leases.
 	Mode Mode `cbor:"5,keyasint,omitempty"`
 }
 
 // NewState returns the state of an empty log.
 func NewState() *State { return &State{Participants: map[uint16]membership.ID{}} }
 
-// FindOutcome returns the outcome of the change with an id; nil: it is not known.
+// FindOutcome returns the outcome of the change with the given ID, or nil if it is unknown.
 func (s *State) FindOutcome(id string) *Outcome {
 	for i := len(s.Outcomes) - 1; i >= 0; i-- {
 		if s.Outcomes[i].Change.ID == id {
@@ -39,10 +39,10 @@
 	return nil
 }
 
-// MayDecide returns whether a process may decide by the current version.
+// MayDecide reports whether a process may decide by the current version.
 func (s *State) MayDecide(process Process) bool { return s.Participants[process.Gateway] == process.ID }
 
-// Processes returns those that may decide, by the index of their gateway.
+// Processes returns the processes that may decide, ordered by the index of their gateway.
 func (s *State) Processes() (all []Process) {
 	for _, gateway := range slices.Sorted(maps.Keys(s.Participants)) {
 		all = append(all, Process{Gateway: gateway, ID: s.Participants[gateway]})
@@ -50,8 +50,8 @@
 	return all
 }
 
-// Apply applies the entry with an index. An entry that does not fit the state has no effect: a commit that misses a
-// participant, a second decision, a proposal with a known id.
+// Apply applies the entry with the given log index. An entry that does not fit the state has no effect, for example a
+// commit that misses a participant, a second decision on a change, or a proposal with a known ID.
 func (s *State) Apply(index uint64, e Entry) {
 	switch {
 	case e.Propose != nil:
@@ -71,7 +71,8 @@
 	}
 }
 
-// propose makes a valid change pending, or the current version where it is the initial one. Others are aborted at once.
+// propose makes a change pending, or commits it at once if it is the initial one. A change that conflicts with the
+// state is aborted at once. Invalid changes and those with a known ID are ignored.
 func (s *State) propose(index uint64, c Change) {
 	isPending := s.Pending != nil && s.Pending.ID == c.ID
 	if c.Validate() != nil || s.FindOutcome(c.ID) != nil || isPending {
@@ -91,7 +92,8 @@
 	s.addOutcome(Outcome{Change: c, Committed: true, Version: 1, DecidedAt: c.ProposedAt})
 }
 
-// conflict returns why a change can't be decided in this state; empty: it can.
+// conflict returns why a change can't be decided in this state, or an empty string if it can. The text is part of the
+// replicated state.
 func (s *State) conflict(c *Change) string {
 	switch {
 	case c.Initial && s.Current.Number > 0:
@@ -114,7 +116,7 @@
 	return ""
 }
 
-// join lets a process decide in place of an earlier one of its gateway.
+// join lets a process decide, and replaces an earlier process of its gateway.
 func (s *State) join(p Process) {
 	previous, ok := s.Participants[p.Gateway]
 	if s.Current.Number > 0 && (!ok || previous.Before(p.ID)) {
@@ -129,7 +131,7 @@
 	}
 }
 
-// commit makes the pending change the current version, if the entry names all processes that may decide.
+// commit makes the pending change the current version if the entry names every process that may decide.
 func (s *State) commit(entry Commit) {
 	change := s.Pending
 	if change == nil || change.Index != entry.Index || len(entry.Fenced) > 0 && change.Mode != Fence {
@@ -155,7 +157,7 @@
 	})
 }
 
-// abort ends the pending change without effect.
+// abort ends the pending change without committing it.
 func (s *State) abort(entry Abort) {
 	change := s.Pending
 	if change == nil || change.Index != entry.Index {
@@ -187,7 +189,7 @@
 	s.addOutcome(Outcome{Change: change, Committed: true, Version: s.Current.Number, DecidedAt: entry.RecoveredAt})
 }
 
-// addSwitchReport adds the times to the outcome of the version, if that is kept.
+// addSwitchReport adds the switch times to the outcome of the version, if that outcome is still kept.
 func (s *State) addSwitchReport(entry SwitchReport) {
 	for i := len(s.Outcomes) - 1; i >= 0; i-- {
 		outcome := &s.Outcomes[i]
