--- a/internal/policy/switchreport.go
+++ b/internal/policy/switchreport.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// switchReportTimeout is how long after a commit the switches are reported whoever is missing.
+// switchReportTimeout is the time after a commit at which the switch report is proposed even if gateways are missing.
 const switchReportTimeout = 5 * time.Second
 
-// switchReport returns an entry that records when the gateways switched to the current version, once all have or some
-// time has passed.
+// switchReport returns an entry that records when the gateways switched to the current version. It does so once all of
+// them have switched or switchReportTimeout has passed, and returns nil otherwise.
 func (c *Coordinator) switchReport(now time.Duration, s *State) []Entry {
 	version := s.Current.Number
 	outcome := lastCommit(s)
@@ -35,7 +35,7 @@
 	})
 }
 
-// lastCommit returns the last outcome that was committed; nil: none is kept.
+// lastCommit returns the outcome of the last committed change, or nil if none is kept.
 func lastCommit(s *State) *Outcome {
 	for _, outcome := range slices.Backward(s.Outcomes) {
 		if outcome.Committed {
