--- a/internal/policy/waiting.go
+++ b/internal/policy/waiting.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	// unreachableAfter is the age of its last status request from which a gateway is reported as not heard of.
+	// unreachableAfter is the age of a gateway's last status request above which the gateway counts as unreachable.
 	unreachableAfter = 3 * time.Second
-	// maxDescribed bounds the gateways that a description names.
+	// maxDescribed is the maximum number of gateways listed in a description.
 	maxDescribed = 8
 )
 
-// WaitingFor says for which gateways the pending change waits, and why; empty: there is none.
+// WaitingFor describes which gateways the pending change is waiting for, and why. It is empty if no change is pending.
 func (c *Coordinator) WaitingFor(now time.Duration, s *State) string {
 	if s.Pending == nil {
 		return ""
@@ -24,8 +24,8 @@
 	return c.describeMissing(now, c.missing(now, s, hasLocked), s.Pending)
 }
 
-// describeMissing says why each process has not locked. As long as some have not prepared, only those are named: the
-// others are not asked to lock.
+// describeMissing describes why each process has not locked. While some have not prepared, only those are listed,
+// because the others are not asked to lock yet. [ReplaceGatewayNumbers] relies on the form "door N".
 func (c *Coordinator) describeMissing(now time.Duration, missing []Process, change *Change) string {
 	prepared := func(p Process) bool {
 		return c.isReachable(now, p) && hasPrepared(c.statusOf(p), change.Index)
@@ -44,7 +44,7 @@
 	return strings.Join(parts, ", ")
 }
 
-// describe says why a process has not locked.
+// describe returns why a process has not locked.
 func (c *Coordinator) describe(now time.Duration, p Process, change *Change) string {
 	switch {
 	case !c.isReachable(now, p):
@@ -55,15 +55,16 @@
 	return "has not locked"
 }
 
-// isReachable returns whether a process has sent a status request lately.
+// isReachable reports whether a process has sent a status request within unreachableAfter.
 func (c *Coordinator) isReachable(now time.Duration, p Process) bool {
 	known := c.statusOf(p)
 	return known != nil && now-known.receivedAt <= unreachableAfter
 }
 
+// gatewayReference matches a gateway in a reason, such as "door 3".
 var gatewayReference = regexp.MustCompile(`\bdoor (\d+)\b`)
 
-// ReplaceGatewayNumbers puts the names of gateways in the place of their numbers in a reason.
+// ReplaceGatewayNumbers replaces references such as "door 3" in a reason with the names of the gateways.
 func ReplaceGatewayNumbers(reason string, names []string) string {
 	return gatewayReference.ReplaceAllStringFunc(reason, func(reference string) string {
 		index, err := strconv.Atoi(reference[len("door "):])
