--- a/internal/policy/coordinator.go
+++ b/internal/policy/coordinator.go
@@ -22,7 +22,7 @@
 type Coordinator struct {
 	leadingSince time.Duration
 	abortAfter   time.Duration
-	participants map[uint16]*participantStatus // by index of the gateway
+	statuses     map[uint16]*participantStatus // by index of the gateway
 
 	changeIndex uint64 // of the change that is being decided; 0: none
 	changeSince time.Duration
@@ -37,7 +37,7 @@
 
 // participantStatus is what the leader knows of one process.
 type participantStatus struct {
-	status     StatusRequest // the last one
+	request    StatusRequest // the last one
 	receivedAt time.Duration // its arrival
 	lastReadAt time.Duration // start of the last read whose result the process was sent
 }
@@ -63,7 +63,7 @@
 	return &Coordinator{
 		leadingSince: now,
 		abortAfter:   cmp.Or(abortAfter, DefaultAbortTimeout),
-		participants: map[uint16]*participantStatus{},
+		statuses:     map[uint16]*participantStatus{},
 		proposedAt:   map[proposalKey]time.Duration{},
 		fenced:       map[Process]bool{},
 	}
@@ -73,29 +73,29 @@
 // earlier process sent.
 func (c *Coordinator) ReceiveStatus(now time.Duration, request StatusRequest) {
 	gateway := request.Process.Gateway
-	known := c.participants[gateway]
-	if known == nil || known.status.Process != request.Process {
-		if known != nil && request.Process.ID.Before(known.status.Process.ID) {
+	status := c.statuses[gateway]
+	if status == nil || status.request.Process != request.Process {
+		if status != nil && request.Process.ID.Before(status.request.Process.ID) {
 			return // late, of an earlier process
 		}
-		known = &participantStatus{}
-		c.participants[gateway] = known
+		status = &participantStatus{}
+		c.statuses[gateway] = status
 	}
-	known.receivedAt = now
-	if request.SentAt >= known.status.SentAt {
-		known.status = request
+	status.receivedAt = now
+	if request.SentAt >= status.request.SentAt {
+		status.request = request
 		return
 	}
 	// It is late, but its votes hold.
-	known.status.Prepared = max(known.status.Prepared, request.Prepared)
-	known.status.Locked = max(known.status.Locked, request.Locked)
+	status.request.Prepared = max(status.request.Prepared, request.Prepared)
+	status.request.Locked = max(status.request.Locked, request.Locked)
 }
 
 // Reply answers a status request by a state that was read. now is when the read was started, after the request had
 // come.
 func (c *Coordinator) Reply(now time.Duration, s *State, request StatusRequest) StatusReply {
-	if known := c.statusOf(request.Process); known != nil {
-		known.lastReadAt = max(known.lastReadAt, now)
+	if status := c.statusOf(request.Process); status != nil {
+		status.lastReadAt = max(status.lastReadAt, now)
 	}
 	reply := StatusReply{
 		RequestSentAt: request.SentAt,
@@ -117,44 +117,44 @@
 
 // statusOf returns what is known of a process; nil: nothing.
 func (c *Coordinator) statusOf(p Process) *participantStatus {
-	known := c.participants[p.Gateway]
-	if known == nil || known.status.Process != p {
+	status := c.statuses[p.Gateway]
+	if status == nil || status.request.Process != p {
 		return nil
 	}
-	return known
+	return status
 }
 
 // voteCondition is a condition on what is known of a participant's vote on the change with an index.
-type voteCondition func(known *participantStatus, changeIndex uint64) bool
+type voteCondition func(status *participantStatus, changeIndex uint64) bool
 
 // hasPrepared returns whether a participant has voted for a change.
-func hasPrepared(known *participantStatus, changeIndex uint64) bool {
-	return known.status.Prepared == changeIndex || known.status.Locked == changeIndex
+func hasPrepared(status *participantStatus, changeIndex uint64) bool {
+	return status.request.Prepared == changeIndex || status.request.Locked == changeIndex
 }
 
 // hasLocked returns whether a participant has locked a change.
-func hasLocked(known *participantStatus, changeIndex uint64) bool {
-	return known.status.Locked == changeIndex
+func hasLocked(status *participantStatus, changeIndex uint64) bool {
+	return status.request.Locked == changeIndex
 }
 
 // missing returns the processes that may decide and of which a condition on the pending change is not known to hold,
 // without those whose lease has expired where the change fences.
 func (c *Coordinator) missing(now time.Duration, s *State, holds voteCondition) (all []Process) {
 	for _, p := range s.Processes() {
-		known := c.statusOf(p)
-		if known != nil && holds(known, s.Pending.Index) {
+		status := c.statusOf(p)
+		if status != nil && holds(status, s.Pending.Index) {
 			continue
 		}
-		if !c.isLeaseOver(now, s.Pending, p) {
+		if !c.isLeaseExpired(now, s.Pending, p) {
 			all = append(all, p)
 		}
 	}
 	return all
 }
 
-// isLeaseOver returns whether a process's lease has expired, whatever has become of the process. Reads by which an
+// isLeaseExpired returns whether a process's lease has expired, whatever has become of the process. Reads by which an
 // earlier leader renewed it were confirmed before this one began to lead.
-func (c *Coordinator) isLeaseOver(now time.Duration, change *Change, p Process) bool {
+func (c *Coordinator) isLeaseExpired(now time.Duration, change *Change, p Process) bool {
 	if change.Mode != Fence {
 		return false
 	}
@@ -162,14 +162,14 @@
 		return true
 	}
 	renewedAt := c.leadingSince
-	if known := c.statusOf(p); known != nil {
-		renewedAt = max(renewedAt, known.lastReadAt)
+	if status := c.statusOf(p); status != nil {
+		renewedAt = max(renewedAt, status.lastReadAt)
 	}
 	return now-renewedAt > time.Duration(float64(LeaseDuration)*ClockDriftFactor)
 }
 
-// Tick returns the entries to propose for the state as applied. wall is wall time in Unix milliseconds.
-func (c *Coordinator) Tick(now time.Duration, s *State, wall int64) (entries []Entry) {
+// Tick returns the entries to propose for the state as applied. wallMillis is wall time in Unix milliseconds.
+func (c *Coordinator) Tick(now time.Duration, s *State, wallMillis int64) (entries []Entry) {
 	entries = c.joinsAndLeaves(now, s)
 	entries = append(entries, c.switchReport(now, s)...)
 	if s.Pending == nil {
@@ -181,17 +181,17 @@
 		clear(c.proposedAt)
 		clear(c.fenced)
 	}
-	return append(entries, c.decide(now, s, wall)...)
+	return append(entries, c.decide(now, s, wallMillis)...)
 }
 
 // joinsAndLeaves lets processes that have started decide, and no longer those that leave.
 func (c *Coordinator) joinsAndLeaves(now time.Duration, s *State) (entries []Entry) {
-	for gateway, known := range c.participants {
-		process := known.status.Process
+	for gateway, status := range c.statuses {
+		process := status.request.Process
 		switch {
-		case known.status.Leaving && s.MayDecide(process):
+		case status.request.Leaving && s.MayDecide(process):
 			entries = append(entries, c.propose(now, proposeLeave, uint64(gateway), Entry{Leave: &process})...)
-		case c.canJoin(now, s, known):
+		case c.canJoin(now, s, status):
 			entries = append(entries, c.propose(now, proposeJoin, uint64(gateway), Entry{Join: &process})...)
 		}
 	}
@@ -199,27 +199,27 @@
 }
 
 // canJoin returns whether a process is there and is newer than the one of its gateway that may decide.
-func (c *Coordinator) canJoin(now time.Duration, s *State, known *participantStatus) bool {
-	if known.status.Leaving || now-known.receivedAt > joinMaxAge || s.Current.Number == 0 {
+func (c *Coordinator) canJoin(now time.Duration, s *State, status *participantStatus) bool {
+	if status.request.Leaving || now-status.receivedAt > joinMaxAge || s.Current.Number == 0 {
 		return false
 	}
-	process := known.status.Process
+	process := status.request.Process
 	return s.Participants[process.Gateway].Before(process.ID)
 }
 
 // decide returns the commit or the abort of the pending change once it can be proposed.
-func (c *Coordinator) decide(now time.Duration, s *State, wall int64) []Entry {
+func (c *Coordinator) decide(now time.Duration, s *State, wallMillis int64) []Entry {
 	change := s.Pending
-	if known := c.firstRejection(s); known != nil {
-		gateway := known.status.Process.Gateway
-		return c.abort(now, change, wall, fmt.Sprintf("door %d can't: %s", gateway, known.status.Reason))
+	if status := c.firstRejection(s); status != nil {
+		gateway := status.request.Process.Gateway
+		return c.abort(now, change, wallMillis, fmt.Sprintf("door %d can't: %s", gateway, status.request.Reason))
 	}
 	missing := c.missing(now, s, hasLocked)
 	if len(missing) == 0 {
-		return c.propose(now, proposeCommit, change.Index, Entry{Commit: c.commit(s, wall)})
+		return c.propose(now, proposeCommit, change.Index, Entry{Commit: c.commit(s, wallMillis)})
 	}
 	if now-c.changeSince >= c.abortAfter {
-		return c.abort(now, change, wall, "not accounted for: "+c.describeMissing(now, missing, change))
+		return c.abort(now, change, wallMillis, "not accounted for: "+c.describeMissing(now, missing, change))
 	}
 	return nil
 }
@@ -227,8 +227,8 @@
 // firstRejection returns the participant with the lowest index that has rejected the pending change; nil: none has.
 func (c *Coordinator) firstRejection(s *State) *participantStatus {
 	for _, p := range s.Processes() {
-		if known := c.statusOf(p); known != nil && known.status.Rejected == s.Pending.Index {
-			return known
+		if status := c.statusOf(p); status != nil && status.request.Rejected == s.Pending.Index {
+			return status
 		}
 	}
 	return nil
@@ -236,10 +236,10 @@
 
 // commit returns the commit of the pending change. Those that have not locked are fenced: from now on their leases are
 // not renewed, as a reply before the entry is applied would give one anew.
-func (c *Coordinator) commit(s *State, wall int64) *Commit {
-	commit := &Commit{Index: s.Pending.Index, DecidedAt: wall}
+func (c *Coordinator) commit(s *State, wallMillis int64) *Commit {
+	commit := &Commit{Index: s.Pending.Index, DecidedAt: wallMillis}
 	for _, p := range s.Processes() {
-		if known := c.statusOf(p); known != nil && hasLocked(known, s.Pending.Index) {
+		if status := c.statusOf(p); status != nil && hasLocked(status, s.Pending.Index) {
 			commit.Locked = append(commit.Locked, p)
 			continue
 		}
@@ -249,8 +249,8 @@
 	return commit
 }
 
-func (c *Coordinator) abort(now time.Duration, change *Change, wall int64, reason string) []Entry {
-	abort := &Abort{Index: change.Index, Reason: reason[:min(len(reason), MaxReasonBytes)], DecidedAt: wall}
+func (c *Coordinator) abort(now time.Duration, change *Change, wallMillis int64, reason string) []Entry {
+	abort := &Abort{Index: change.Index, Reason: reason[:min(len(reason), MaxReasonBytes)], DecidedAt: wallMillis}
 	return c.propose(now, proposeAbort, change.Index, Entry{Abort: abort})
 }
 
--- a/internal/policy/golden_test.go
+++ b/internal/policy/golden_test.go
@@ -133,8 +133,8 @@
 
 // preparedGateways are the indices of the gateways that have prepared the pending change.
 func preparedGateways(c *Coordinator, s *State) (all []uint16) {
-	for gateway, known := range c.participants {
-		if s.Pending != nil && known.status.Prepared == s.Pending.Index {
+	for gateway, status := range c.statuses {
+		if s.Pending != nil && status.request.Prepared == s.Pending.Index {
 			all = append(all, gateway)
 		}
 	}
--- a/internal/policy/leadership.go
+++ b/internal/policy/leadership.go
@@ -83,8 +83,8 @@
 	return leads && term == n.leadership.term
 }
 
-// lead does the leader's work if this voter leads: it proposes entries, starts reads and notifies gateways.
-func (n *Node) lead(now time.Duration, wall int64) []Outgoing {
+// tickLeader does the leader's work if this voter leads: it proposes entries, starts reads and notifies gateways.
+func (n *Node) tickLeader(now time.Duration, wallMillis int64) []Outgoing {
 	l := &n.leadership
 	term, leads := n.cfg.Log.Leading()
 	if !leads || term != l.term {
@@ -96,13 +96,13 @@
 	if l.coordinator == nil {
 		l.coordinator = NewCoordinator(now, n.cfg.AbortAfter)
 	}
-	for _, entry := range l.coordinator.Tick(now, n.state, wall) {
+	for _, entry := range l.coordinator.Tick(now, n.state, wallMillis) {
 		n.propose(entry)
 	}
 	if token, ok := l.startRead(now); ok {
 		n.cfg.Log.ConfirmRead(token)
 	}
-	return append(n.notifyAll(now), n.notifySilent(now)...)
+	return append(n.notifyAll(now), n.notifyWithoutVote(now)...)
 }
 
 // notifyAll tells all gateways that the state has changed, once for each state.
@@ -118,9 +118,9 @@
 	return out
 }
 
-// notifySilent notifies again the participants that have not voted on the pending change: a message may be lost, and
+// notifyWithoutVote notifies again the participants that have not voted on the pending change: a message may be lost, and
 // idle ones poll seldom.
-func (n *Node) notifySilent(now time.Duration) (out []Outgoing) {
+func (n *Node) notifyWithoutVote(now time.Duration) (out []Outgoing) {
 	l := &n.leadership
 	change := n.state.Pending
 	if change == nil || now-l.notifiedAt < notifyInterval {
@@ -128,8 +128,9 @@
 	}
 	l.notifiedAt = now
 	for _, p := range n.state.Processes() {
-		known := l.coordinator.statusOf(p)
-		if known == nil || max(known.status.Prepared, known.status.Locked, known.status.Rejected) < change.Index {
+		status := l.coordinator.statusOf(p)
+		if status == nil ||
+			max(status.request.Prepared, status.request.Locked, status.request.Rejected) < change.Index {
 			out = append(out, Outgoing{To: int(p.Gateway), Message: Message{StateChanged: n.applied}})
 		}
 	}
@@ -161,7 +162,7 @@
 		}
 		out = append(out, Outgoing{To: r.from, Message: m})
 	}
-	return append(out, n.lead(now, 0)...)
+	return append(out, n.tickLeader(now, 0)...)
 }
 
 // answerQuery answers a query by the state, and does what it asks for.
@@ -176,9 +177,9 @@
 	}
 	switch {
 	case q.Forget > 0:
-		reply.Reason = reasonOf(n.forgetGateway(now, q.Forget-1))
+		reply.Reason = errorText(n.forgetGateway(now, q.Forget-1))
 	case q.ReplaceVoter > 0:
-		reply.Reason = reasonOf(n.cfg.Log.ReplaceVoter(int(q.ReplaceVoter) - 1))
+		reply.Reason = errorText(n.cfg.Log.ReplaceVoter(int(q.ReplaceVoter) - 1))
 	case q.ChangeID == "":
 		processes := n.state.Processes()
 		reply.Participants = processes[:min(len(processes), maxListedParticipants)]
@@ -188,8 +189,8 @@
 	return reply
 }
 
-// reasonOf is the text of an error as a reply carries it; empty: none.
-func reasonOf(err error) string {
+// errorText is the text of an error as a reply carries it; empty: none.
+func errorText(err error) string {
 	if err == nil {
 		return ""
 	}
@@ -199,8 +200,8 @@
 // outcomeOrPropose returns the outcome of the change that a query asks for, without its lists of processes. Where the
 // id is not known it proposes the change that the query brings, and returns nil.
 func (n *Node) outcomeOrPropose(q *Query) *Outcome {
-	if known := n.state.FindOutcome(q.ChangeID); known != nil {
-		outcome := *known
+	if found := n.state.FindOutcome(q.ChangeID); found != nil {
+		outcome := *found
 		outcome.Locked, outcome.Fenced, outcome.SwitchedAt = nil, nil, nil
 		return &outcome
 	}
@@ -230,9 +231,9 @@
 	if !ok {
 		return nil
 	}
-	participants := n.leadership.coordinator.participants
-	if known := participants[gateway]; known != nil && now-known.receivedAt <= unreachableAfter {
-		return &ReachableError{Gateway: gateway, Age: now - known.receivedAt}
+	participants := n.leadership.coordinator.statuses
+	if status := participants[gateway]; status != nil && now-status.receivedAt <= unreachableAfter {
+		return &ReachableError{Gateway: gateway, Age: now - status.receivedAt}
 	}
 	delete(participants, gateway)
 	n.propose(Entry{Leave: &Process{Gateway: gateway, ID: id}})
--- a/internal/policy/model_test.go
+++ b/internal/policy/model_test.go
@@ -107,8 +107,8 @@
 		}
 		p.lastSentAt, p.lastReplyTo = m.now-1, m.now-1
 		m.state.Participants[uint16(i)] = process.ID
-		m.coordinator.participants[uint16(i)] = &participantStatus{
-			status:     StatusRequest{Process: process, SentAt: m.now - 1, Version: 1},
+		m.coordinator.statuses[uint16(i)] = &participantStatus{
+			request:    StatusRequest{Process: process, SentAt: m.now - 1, Version: 1},
 			receivedAt: m.now - 1,
 			lastReadAt: m.now - 1,
 		}
@@ -118,7 +118,7 @@
 	for _, p := range m.participants { // all have prepared it, and the leader knows
 		p.pending = *m.state.Pending
 		p.prepared[p.pending.Hash], p.disk[p.pending.Hash] = true, true
-		m.coordinator.participants[p.process.Gateway].status.Prepared = p.pending.Index
+		m.coordinator.statuses[p.process.Gateway].request.Prepared = p.pending.Index
 	}
 	for _, p := range m.participants[:b.locked] { // these have locked, which the leader does not know yet
 		p.lockedChange, p.lockedAt, p.decidesUntil = p.pending.Index, m.now, min(p.decidesUntil, m.now+LockDuration)
@@ -128,7 +128,7 @@
 		delete(p.prepared, p.pending.Hash)
 		delete(p.disk, p.pending.Hash)
 		p.pending = Change{}
-		m.coordinator.participants[0].status.Prepared = 0
+		m.coordinator.statuses[0].request.Prepared = 0
 	}
 	return m
 }
@@ -152,12 +152,12 @@
 	to := *m
 	to.state, to.old = cloneState(m.state), cloneState(m.old)
 	coordinator := *m.coordinator
-	coordinator.participants = map[uint16]*participantStatus{}
+	coordinator.statuses = map[uint16]*participantStatus{}
 	coordinator.proposedAt = map[proposalKey]time.Duration{}
 	coordinator.fenced = maps.Clone(m.coordinator.fenced)
-	for gateway, known := range m.coordinator.participants {
-		status := *known
-		coordinator.participants[gateway] = &status
+	for gateway, status := range m.coordinator.statuses {
+		copied := *status
+		coordinator.statuses[gateway] = &copied
 	}
 	to.coordinator = &coordinator
 	to.participants = nil
--- a/internal/policy/modelkey_test.go
+++ b/internal/policy/modelkey_test.go
@@ -97,9 +97,9 @@
 		}
 	}
 	for gateway := range uint16(participants) {
-		if known := c.participants[gateway]; known != nil {
-			w.request(&known.status)
-			w.numbers(w.at(known.lastReadAt))
+		if status := c.statuses[gateway]; status != nil {
+			w.request(&status.request)
+			w.numbers(w.at(status.lastReadAt))
 		}
 		w.numbers(participantMark)
 	}
--- a/internal/policy/modelsteps_test.go
+++ b/internal/policy/modelsteps_test.go
@@ -146,7 +146,7 @@
 	if pending == nil {
 		return entries
 	}
-	prepared := func(known *participantStatus, change uint64) bool { return known.status.Prepared == change }
+	prepared := func(status *participantStatus, change uint64) bool { return status.request.Prepared == change }
 	if flaw == commitUnlocked && len(m.coordinator.missing(m.now, m.state, prepared)) == 0 {
 		entries = append(entries, Entry{Commit: &Commit{Index: pending.Index, Locked: m.state.Processes()}})
 	}
--- a/internal/policy/node.go
+++ b/internal/policy/node.go
@@ -118,25 +118,25 @@
 }
 
 // IsLeaveConfirmed returns whether the leader knows that this process decides nothing any more.
-func (n *Node) IsLeaveConfirmed() bool { return n.participant.leaving && n.participant.leaveSeen }
+func (n *Node) IsLeaveConfirmed() bool { return n.participant.leaving && n.participant.leaveConfirmed }
 
 // PollNow makes the next status request due at once.
 func (n *Node) PollNow() { n.nextPollAt = 0 }
 
-// Tick returns the messages that are due. wall is wall time in Unix milliseconds. It is called every few milliseconds.
-func (n *Node) Tick(now time.Duration, wall int64) (out []Outgoing) {
+// Tick returns the messages that are due. wallMillis is wall time in Unix milliseconds. It is called every few milliseconds.
+func (n *Node) Tick(now time.Duration, wallMillis int64) (out []Outgoing) {
 	if n.cfg.Log != nil {
-		out = n.lead(now, wall)
+		out = n.tickLeader(now, wallMillis)
 	}
 	out = append(out, n.pollIfDue(now)...)
 	for _, query := range n.queries.due(now) {
-		out = append(out, n.toVoters(Message{Query: &query})...)
+		out = append(out, n.messagesToVoters(Message{Query: &query})...)
 	}
 	return out
 }
 
-// Receive takes a message from a gateway and returns the messages that follow. wall is wall time in Unix milliseconds.
-func (n *Node) Receive(now time.Duration, from int, m Message, wall int64) (out []Outgoing) {
+// Receive takes a message from a gateway and returns the messages that follow. wallMillis is wall time in Unix milliseconds.
+func (n *Node) Receive(now time.Duration, from int, m Message, wallMillis int64) (out []Outgoing) {
 	switch {
 	case m.StateChanged > 0:
 		n.nextPollAt = min(n.nextPollAt, now)
@@ -155,19 +155,19 @@
 		n.queries.receive(m.QueryReply)
 		return nil
 	case m.StatusReply != nil:
-		n.receiveStatusReply(now, m.StatusReply, wall)
+		n.receiveStatusReply(now, m.StatusReply, wallMillis)
 	}
 	if n.cfg.Log != nil && n.isLeader() {
-		out = n.lead(now, wall)
+		out = n.tickLeader(now, wallMillis)
 	}
 	return append(out, n.pollIfDue(now)...)
 }
 
 // receiveStatusReply switches to another version where the reply says so. What the reply has changed is reported at
 // once.
-func (n *Node) receiveStatusReply(now time.Duration, reply *StatusReply, wall int64) {
+func (n *Node) receiveStatusReply(now time.Duration, reply *StatusReply, wallMillis int64) {
 	if to, ok := n.participant.ReceiveReply(now, *reply); ok {
-		n.participant.SwitchTo(to, reply.RequestSentAt, wall)
+		n.participant.SwitchTo(to, reply.RequestSentAt, wallMillis)
 		n.PollNow()
 	} else if n.participant.IsLocked() && n.lastPollAt < n.participant.lockedAt {
 		n.PollNow()
@@ -182,7 +182,7 @@
 	n.lastPollAt = now
 	n.nextPollAt = now + n.pollInterval()
 	request := n.participant.StatusRequest(now)
-	return n.toVoters(Message{StatusRequest: &request})
+	return n.messagesToVoters(Message{StatusRequest: &request})
 }
 
 func (n *Node) pollInterval() time.Duration {
@@ -202,7 +202,7 @@
 	return pollIntervalIdle
 }
 
-func (n *Node) toVoters(m Message) (out []Outgoing) {
+func (n *Node) messagesToVoters(m Message) (out []Outgoing) {
 	for _, voter := range n.cfg.Voters {
 		out = append(out, Outgoing{To: voter, Message: m})
 	}
--- a/internal/policy/participant.go
+++ b/internal/policy/participant.go
@@ -39,8 +39,8 @@
 	rejectReason   string
 	prepared       map[Hash]bool // documents that it could switch to at once
 
-	leaving   bool
-	leaveSeen bool // the leader knows that it is leaving
+	leaving        bool
+	leaveConfirmed bool // the leader knows that it is leaving
 }
 
 // NewParticipant returns a process that has just started: it goes by no version and may not decide.
@@ -130,7 +130,7 @@
 // then calls SwitchTo.
 func (p *Participant) ReceiveReply(now time.Duration, reply StatusReply) (to Version, ok bool) {
 	if p.leaving {
-		p.leaveSeen = p.leaveSeen || reply.Process == p.process && !reply.MayDecide
+		p.leaveConfirmed = p.leaveConfirmed || reply.Process == p.process && !reply.MayDecide
 		return Version{}, false
 	}
 	if !p.isUsable(&reply) {
@@ -203,10 +203,10 @@
 	}
 }
 
-// SwitchTo goes over to a version that ReceiveReply has returned. requestSentAt is that of the reply; wall is wall time
+// SwitchTo goes over to a version that ReceiveReply has returned. requestSentAt is that of the reply; wallMillis is wall time
 // in Unix milliseconds.
-func (p *Participant) SwitchTo(v Version, requestSentAt time.Duration, wall int64) {
-	p.version, p.switchedAt = v, wall
+func (p *Participant) SwitchTo(v Version, requestSentAt time.Duration, wallMillis int64) {
+	p.version, p.switchedAt = v, wallMillis
 	p.required = Version{}
 	p.lockedChange = 0
 	if p.pending.Base < v.Number {
--- a/internal/policy/query.go
+++ b/internal/policy/query.go
@@ -17,8 +17,8 @@
 
 // queryTable holds the queries of this gateway.
 type queryTable struct {
-	last uint64 // number
-	open map[uint64]*openQuery
+	lastNumber uint64 // number
+	open       map[uint64]*openQuery
 }
 
 type openQuery struct {
@@ -53,10 +53,10 @@
 	if len(t.open) >= maxOpenQueries {
 		return 0, ErrTooManyQueries
 	}
-	t.last++
-	query.Number = t.last
-	t.open[t.last] = &openQuery{query: query}
-	return t.last, nil
+	t.lastNumber++
+	query.Number = t.lastNumber
+	t.open[t.lastNumber] = &openQuery{query: query}
+	return t.lastNumber, nil
 }
 
 // QueryReply returns the reply to a query; nil: none yet. A query that brings a change is answered by its outcome.
--- a/internal/policy/steps_test.go
+++ b/internal/policy/steps_test.go
@@ -40,7 +40,7 @@
 	}
 	all = true
 	for _, r := range n.state.Processes() {
-		if known := n.leadership.coordinator.statusOf(r); known != nil && what(known.status, n.state.Pending.Index) {
+		if known := n.leadership.coordinator.statusOf(r); known != nil && what(known.request, n.state.Pending.Index) {
 			some = true
 		} else {
 			all = false
--- a/internal/policy/switchreport.go
+++ b/internal/policy/switchreport.go
@@ -22,9 +22,9 @@
 	switchedAt := map[uint16]int64{}
 	processes := s.Processes()
 	for _, p := range processes {
-		known := c.statusOf(p)
-		if known != nil && known.status.Version == version && known.status.SwitchedAt > 0 {
-			switchedAt[p.Gateway] = known.status.SwitchedAt
+		status := c.statusOf(p)
+		if status != nil && status.request.Version == version && status.request.SwitchedAt > 0 {
+			switchedAt[p.Gateway] = status.request.SwitchedAt
 		}
 	}
 	if len(switchedAt) < len(processes) && now-c.reportSince < switchReportTimeout {
--- a/internal/policy/trace_test.go
+++ b/internal/policy/trace_test.go
@@ -14,8 +14,8 @@
 // worldTrace is the hash of all that the nodes of a world send, propose and decide by.
 type worldTrace struct{ *golden.Trace }
 
-// wall is the wall clock of a world whose trace is recorded, in Unix milliseconds; 0 in others.
-func (w *world) wall() int64 {
+// wallMillis is the wall clock of a world whose trace is recorded, in Unix milliseconds; 0 in others.
+func (w *world) wallMillis() int64 {
 	if w.trace == nil {
 		return 0
 	}
--- a/internal/policy/waiting.go
+++ b/internal/policy/waiting.go
@@ -57,8 +57,8 @@
 
 // isReachable reports whether a process has sent a status request within unreachableAfter.
 func (c *Coordinator) isReachable(now time.Duration, p Process) bool {
-	known := c.statusOf(p)
-	return known != nil && now-known.receivedAt <= unreachableAfter
+	status := c.statusOf(p)
+	return status != nil && now-status.receivedAt <= unreachableAfter
 }
 
 // gatewayReference matches a gateway in a reason, such as "door 3".
--- a/internal/policy/world_test.go
+++ b/internal/policy/world_test.go
@@ -162,7 +162,7 @@
 		}
 		g.world.after(10*time.Millisecond, tick)
 		g.runOrDefer(func() {
-			g.deliver(g.node.Tick(g.clock(), g.world.wall()))
+			g.deliver(g.node.Tick(g.clock(), g.world.wallMillis()))
 			g.afterCall()
 		})
 	}
@@ -215,7 +215,7 @@
 			w.after(time.Duration(w.rng.Int64N(int64(w.maxDelay))+1), func() {
 				if to.life == life {
 					to.runOrDefer(func() {
-						to.deliver(to.node.Receive(to.clock(), g.index, o.Message, w.wall()))
+						to.deliver(to.node.Receive(to.clock(), g.index, o.Message, w.wallMillis()))
 						to.afterCall()
 					})
 				}
