--- a/internal/policy/participant.go
+++ b/internal/policy/participant.go
@@ -5,63 +5,65 @@
 	"time"
 )
 
-// Durations on which the guarantees depend.
+// Durations on which the protocol's guarantees depend.
 const (
-	// LockDuration is how long after its request a locked participant decides by the old version.
+	// LockDuration is how long a locked participant may decide by the old version, counted from its last answered
+	// status request.
 	LockDuration = 200 * time.Millisecond
-	// LeaseDuration is how long after its request a participant decides where all gateways hold leases.
+	// LeaseDuration is how long a participant's lease lasts, counted from the status request that renewed it.
 	LeaseDuration = 2 * time.Second
-	// ClockDriftFactor stretches another gateway's lease when it is measured here: clocks differ by up to 1 % each
-	// way, and an event loop needs time to act.
+	// ClockDriftFactor is the factor by which the leader extends another gateway's lease before it treats the lease
+	// as expired: clocks differ by up to 1 % each way, and an event loop needs time to act.
 	ClockDriftFactor = 1.03
 )
 
-// NoExpiry is a right to decide that does not expire.
+// NoExpiry is the value of DecidesUntil for a permission that does not expire.
 const NoExpiry = time.Duration(math.MaxInt64)
 
-// Participant is one process in the commit protocol: which version it may decide by, and until when.
+// Participant is the part of one process in the commit protocol. It tracks by which version the process may decide, and
+// until when.
 type Participant struct {
 	process Process
-	mode    Mode // of all gateways, as last heard
+	mode    Mode // of the cluster, from the last reply
 
 	lastSentAt  time.Duration // SentAt of the last status request
-	lastReplyTo time.Duration // SentAt of the newest request that was answered
+	lastReplyTo time.Duration // SentAt of the newest answered request
 
 	version      Version
-	switchedAt   int64         // to version, wall time in Unix milliseconds
-	required     Version       // the version to switch to as soon as its document is prepared; zero: none
-	decidesUntil time.Duration // by version
+	switchedAt   int64         // wall-clock time of the switch to version, in Unix milliseconds
+	required     Version       // version to switch to once its document is prepared; zero if none
+	decidesUntil time.Duration // end of the permission to decide by version; 0 if none
 
-	pending        Change // as last heard; index 0: none
-	lockedChange   uint64 // index; 0: none
+	pending        Change // from the last reply; index 0 if none
+	lockedChange   uint64 // index; 0 if none
 	lockedAt       time.Duration
-	rejectedChange uint64 // index; 0: none
+	rejectedChange uint64 // index; 0 if none
 	rejectReason   string
-	prepared       map[Hash]bool // documents that it could switch to at once
+	prepared       map[Hash]bool // documents that are stored and ready to switch to
 
 	leaving        bool
 	leaveConfirmed bool // the leader knows that it is leaving
 }
 
-// NewParticipant returns a process that has just started: it goes by no version and may not decide.
+// NewParticipant returns the participant of a process that has just started. It has no version and may not decide.
 func NewParticipant(process Process) *Participant {
 	return &Participant{process: process, prepared: map[Hash]bool{}}
 }
 
-// Version is the version that it goes by; the zero version: none yet.
+// Version returns the version in use. It is the zero Version if there is none yet.
 func (p *Participant) Version() Version { return p.version }
 
-// DecidesUntil is the end of its right to decide by Version; 0: it has none. NoExpiry: it does not end.
+// DecidesUntil returns when the permission to decide by Version ends: 0 if there is none, NoExpiry if it does not end.
 func (p *Participant) DecidesUntil() time.Duration { return p.decidesUntil }
 
-// IsLocked returns whether it waits for the outcome of a change that it has locked.
+// IsLocked reports whether the participant has locked a change and waits for its outcome.
 func (p *Participant) IsLocked() bool { return p.lockedChange > 0 }
 
-// Pending returns the change that is being decided as far as it knows; false: none.
+// Pending returns the change that is being decided, as far as the participant knows, or false if there is none.
 func (p *Participant) Pending() (Change, bool) { return p.pending, p.pending.Index > 0 }
 
-// MissingDocument returns a document that has to be prepared, and the index of a gateway that may have it. It belongs
-// to the version that the participant has to switch to, or to the pending change. False: none is missing.
+// MissingDocument returns a document that has to be prepared, and the index of a gateway that may have it, or false if
+// none is missing. The document belongs to the version that the participant has to switch to, or to the pending change.
 func (p *Participant) MissingDocument() (hash Hash, source uint16, ok bool) {
 	if p.required.Number > 0 && !p.prepared[p.required.Hash] {
 		return p.required.Hash, p.pending.Source, true
@@ -73,10 +75,11 @@
 	return Hash{}, 0, false
 }
 
-// DocumentPrepared says that a document is stored durably and that all it needs has been built.
+// DocumentPrepared records that a document is stored durably and that everything needed to switch to it has been built.
 func (p *Participant) DocumentPrepared(h Hash) { p.prepared[h] = true }
 
-// RejectDocument says that it can't switch to a document. Only the document of the pending change can be rejected.
+// RejectDocument records that the process can't switch to a document. It has no effect on documents other than that of
+// the pending change.
 func (p *Participant) RejectDocument(h Hash, reason string) {
 	if _, isPending := p.Pending(); isPending && p.pending.Hash == h {
 		p.rejectedChange = p.pending.Index
@@ -84,17 +87,17 @@
 	}
 }
 
-// ForgetDocument says that a document is no longer prepared.
+// ForgetDocument records that a document is no longer prepared.
 func (p *Participant) ForgetDocument(h Hash) { delete(p.prepared, h) }
 
-// Leave ends its right to decide for good; the next status request says so.
+// Leave ends the permission to decide for good. The next status request reports it.
 func (p *Participant) Leave() {
 	p.leaving = true
 	p.decidesUntil = 0
 }
 
-// DecideWithoutQuorum lets a process that has just started decide by a version that no majority has confirmed.
-// Operators choose this by configuration; it gives up the guarantees.
+// DecideWithoutQuorum lets a process that has just started decide by a version that no majority has confirmed. This
+// gives up the guarantees, so operators have to enable it in the settings.
 func (p *Participant) DecideWithoutQuorum(v Version) {
 	if p.version.Number == 0 && !p.leaving {
 		p.version = v
@@ -102,7 +105,7 @@
 	}
 }
 
-// StatusRequest returns the next request.
+// StatusRequest returns the next status request to send.
 func (p *Participant) StatusRequest(now time.Duration) StatusRequest {
 	p.lastSentAt = max(p.lastSentAt+1, now)
 	request := StatusRequest{
@@ -126,8 +129,8 @@
 	return request
 }
 
-// ReceiveReply takes the reply to one of its requests. It returns true with a version to switch to now; the caller
-// then calls SwitchTo.
+// ReceiveReply handles a reply to a status request. If it returns true, the caller must call SwitchTo with the returned
+// version.
 func (p *Participant) ReceiveReply(now time.Duration, reply StatusReply) (to Version, ok bool) {
 	if p.leaving {
 		p.leaveConfirmed = p.leaveConfirmed || reply.Process == p.process && !reply.MayDecide
@@ -139,12 +142,12 @@
 	p.lastReplyTo, p.mode = reply.RequestSentAt, reply.Mode
 	p.updatePending(reply.Pending)
 	if reply.Current.Number > p.version.Number {
-		p.decidesUntil = 0 // its version is known to be superseded
+		p.decidesUntil = 0 // the version in use has been superseded
 		p.required = reply.Current
 		return reply.Current, reply.MayDecide && p.prepared[reply.Current.Hash]
 	}
 	if !reply.MayDecide {
-		p.decidesUntil = 0 // another process has its place, or it was fenced
+		p.decidesUntil = 0 // replaced by another process of this gateway, or fenced
 		return Version{}, false
 	}
 	p.renewLease(&reply)
@@ -156,7 +159,7 @@
 	return Version{}, false
 }
 
-// isUsable returns whether a reply is to this process and shows no earlier state than one before.
+// isUsable reports whether a reply is addressed to this process and not older than one that was already handled.
 func (p *Participant) isUsable(reply *StatusReply) bool {
 	return reply.Process == p.process &&
 		reply.RequestSentAt <= p.lastSentAt &&
@@ -174,7 +177,7 @@
 	}
 }
 
-// canLock returns whether a reply asks to lock the pending change, and that can and has yet to be done.
+// canLock reports whether a reply asks to lock the pending change and the participant can lock it but has not done so.
 func (p *Participant) canLock(reply *StatusReply) bool {
 	return reply.Lock &&
 		reply.Pending != nil && reply.Pending.Index == p.pending.Index &&
@@ -183,11 +186,11 @@
 		p.lockedChange != p.pending.Index
 }
 
-// renewLease extends the right to decide by a reply that shows its version as the current one.
+// renewLease extends the permission to decide after a reply that confirms the version in use as the current one.
 func (p *Participant) renewLease(reply *StatusReply) {
 	sentAt := reply.RequestSentAt
 	if p.IsLocked() && sentAt < p.lockedAt {
-		return // the read may be of before the change that was locked
+		return // the read may predate the locked change
 	}
 	if p.IsLocked() && (reply.Pending == nil || reply.Pending.Index != p.lockedChange) {
 		p.lockedChange = 0 // the change was aborted
@@ -203,8 +206,8 @@
 	}
 }
 
-// SwitchTo goes over to a version that ReceiveReply has returned. requestSentAt is that of the reply; wallMillis is wall time
-// in Unix milliseconds.
+// SwitchTo switches to a version that ReceiveReply has returned. requestSentAt is the RequestSentAt of that reply, and
+// wallMillis the wall-clock time in Unix milliseconds.
 func (p *Participant) SwitchTo(v Version, requestSentAt time.Duration, wallMillis int64) {
 	p.version, p.switchedAt = v, wallMillis
 	p.required = Version{}
