--- a/internal/policy/coordinator.go
+++ b/internal/policy/coordinator.go
@@ -6,43 +6,44 @@
 	"time"
 )
 
-// DefaultAbortTimeout is how long a change may wait for participants where Config.AbortAfter is not set.
+// DefaultAbortTimeout is how long a change may wait for participants if Config.AbortAfter is not set.
 const DefaultAbortTimeout = 30 * time.Second
 
 const (
-	// proposeRetryInterval is the pause before an entry is proposed again: it may be lost with a change of leader.
+	// proposeRetryInterval is the time after which an entry is proposed again, because a change of leader may have
+	// lost it.
 	proposeRetryInterval = 100 * time.Millisecond
-	// joinMaxAge bounds the age of a status request by which a process joins, so that one that was fenced joins once
-	// it is back and not by what it sent before.
+	// joinMaxAge is the maximum age of a status request that lets a process join. It keeps a fenced process from
+	// joining by a request that it sent before it was fenced; it joins when it is reachable again.
 	joinMaxAge = 500 * time.Millisecond
 )
 
-// Coordinator is the leader's part of the commit protocol: it collects the votes of the participants and proposes
-// entries. It holds nothing that must outlive it; a new leader makes a new one.
+// Coordinator is the leader's part of the commit protocol. It collects the participants' votes and proposes entries.
+// Its state is volatile: each new leader starts with a new Coordinator.
 type Coordinator struct {
 	leadingSince time.Duration
 	abortAfter   time.Duration
-	statuses     map[uint16]*participantStatus // by index of the gateway
+	statuses     map[uint16]*participantStatus // by gateway index
 
-	changeIndex uint64 // of the change that is being decided; 0: none
+	changeIndex uint64 // index of the change that is being decided; 0 if none
 	changeSince time.Duration
-	// fenced are the processes without which a commit was proposed: their leases are not renewed any more.
+	// fenced holds the processes that a proposed commit fences. Their leases are no longer renewed.
 	fenced map[Process]bool
 
 	proposedAt map[proposalKey]time.Duration
 
-	reportVersion uint64 // the version whose switches are to be reported
+	reportVersion uint64 // version whose switch report is due
 	reportSince   time.Duration
 }
 
-// participantStatus is what the leader knows of one process.
+// participantStatus is what the leader knows about one process.
 type participantStatus struct {
-	request    StatusRequest // the last one
-	receivedAt time.Duration // its arrival
-	lastReadAt time.Duration // start of the last read whose result the process was sent
+	request    StatusRequest // the latest one
+	receivedAt time.Duration // time of arrival of the last request
+	lastReadAt time.Duration // start of the last read whose result was sent to the process
 }
 
-// proposalKey tells apart the entries that are proposed again until they are applied.
+// proposalKey identifies an entry that is proposed repeatedly until it is applied.
 type proposalKey struct {
 	kind    proposalKind
 	subject uint64 // index of the gateway or of the change
@@ -58,7 +59,8 @@
 	proposeReport
 )
 
-// NewCoordinator returns that of a gateway that leads from now on. With no abortAfter it is DefaultAbortTimeout.
+// NewCoordinator returns the coordinator of a gateway that has become the leader. An abortAfter of zero selects
+// DefaultAbortTimeout.
 func NewCoordinator(now, abortAfter time.Duration) *Coordinator {
 	return &Coordinator{
 		leadingSince: now,
@@ -69,14 +71,14 @@
 	}
 }
 
-// ReceiveStatus takes a participant's vote and heartbeat. One of another process of the same gateway replaces what the
-// earlier process sent.
+// ReceiveStatus records a participant's vote and heartbeat. The first request of a newer process of a gateway discards
+// the status of the previous process.
 func (c *Coordinator) ReceiveStatus(now time.Duration, request StatusRequest) {
 	gateway := request.Process.Gateway
 	status := c.statuses[gateway]
 	if status == nil || status.request.Process != request.Process {
 		if status != nil && request.Process.ID.Before(status.request.Process.ID) {
-			return // late, of an earlier process
+			return // a late request of a previous process
 		}
 		status = &participantStatus{}
 		c.statuses[gateway] = status
@@ -86,13 +88,13 @@
 		status.request = request
 		return
 	}
-	// It is late, but its votes hold.
+	// The request arrived out of order, but its votes still count.
 	status.request.Prepared = max(status.request.Prepared, request.Prepared)
 	status.request.Locked = max(status.request.Locked, request.Locked)
 }
 
-// Reply answers a status request by a state that was read. now is when the read was started, after the request had
-// come.
+// Reply answers a status request from the state of a confirmed read. now is the time at which the read was started,
+// which is after the request arrived.
 func (c *Coordinator) Reply(now time.Duration, s *State, request StatusRequest) StatusReply {
 	if status := c.statusOf(request.Process); status != nil {
 		status.lastReadAt = max(status.lastReadAt, now)
@@ -115,7 +117,7 @@
 	return reply
 }
 
-// statusOf returns what is known of a process; nil: nothing.
+// statusOf returns the status of a process, or nil if no request of it has arrived.
 func (c *Coordinator) statusOf(p Process) *participantStatus {
 	status := c.statuses[p.Gateway]
 	if status == nil || status.request.Process != p {
@@ -124,21 +126,21 @@
 	return status
 }
 
-// voteCondition is a condition on what is known of a participant's vote on the change with an index.
+// voteCondition is a condition on a participant's vote on the change with the given index.
 type voteCondition func(status *participantStatus, changeIndex uint64) bool
 
-// hasPrepared returns whether a participant has voted for a change.
+// hasPrepared reports whether a participant has prepared a change; a lock implies it.
 func hasPrepared(status *participantStatus, changeIndex uint64) bool {
 	return status.request.Prepared == changeIndex || status.request.Locked == changeIndex
 }
 
-// hasLocked returns whether a participant has locked a change.
+// hasLocked reports whether a participant has locked a change.
 func hasLocked(status *participantStatus, changeIndex uint64) bool {
 	return status.request.Locked == changeIndex
 }
 
-// missing returns the processes that may decide and of which a condition on the pending change is not known to hold,
-// without those whose lease has expired where the change fences.
+// missing returns the processes that may decide and whose vote on the pending change does not meet a condition. If the
+// change has mode Fence, processes whose leases have expired are left out.
 func (c *Coordinator) missing(now time.Duration, s *State, holds voteCondition) (all []Process) {
 	for _, p := range s.Processes() {
 		status := c.statusOf(p)
@@ -152,8 +154,9 @@
 	return all
 }
 
-// isLeaseExpired returns whether a process's lease has expired, whatever has become of the process. Reads by which an
-// earlier leader renewed it were confirmed before this one began to lead.
+// isLeaseExpired reports whether a process's lease has certainly expired, whatever the state of the process. A lease
+// renewed by an earlier leader is counted from the start of this leadership: the read that renewed it was confirmed
+// before.
 func (c *Coordinator) isLeaseExpired(now time.Duration, change *Change, p Process) bool {
 	if change.Mode != Fence {
 		return false
@@ -168,7 +171,7 @@
 	return now-renewedAt > time.Duration(float64(LeaseDuration)*ClockDriftFactor)
 }
 
-// Tick returns the entries to propose for the state as applied. wallMillis is wall time in Unix milliseconds.
+// Tick returns the entries to propose, given the applied state. wallMillis is the wall-clock time in Unix milliseconds.
 func (c *Coordinator) Tick(now time.Duration, s *State, wallMillis int64) (entries []Entry) {
 	entries = c.joinsAndLeaves(now, s)
 	entries = append(entries, c.switchReport(now, s)...)
@@ -184,7 +187,7 @@
 	return append(entries, c.decide(now, s, wallMillis)...)
 }
 
-// joinsAndLeaves lets processes that have started decide, and no longer those that leave.
+// joinsAndLeaves returns entries that let started processes decide and remove those that are leaving.
 func (c *Coordinator) joinsAndLeaves(now time.Duration, s *State) (entries []Entry) {
 	for gateway, status := range c.statuses {
 		process := status.request.Process
@@ -198,7 +201,8 @@
 	return entries
 }
 
-// canJoin returns whether a process is there and is newer than the one of its gateway that may decide.
+// canJoin reports whether a process was reachable within joinMaxAge and is newer than the process of its gateway that
+// may decide.
 func (c *Coordinator) canJoin(now time.Duration, s *State, status *participantStatus) bool {
 	if status.request.Leaving || now-status.receivedAt > joinMaxAge || s.Current.Number == 0 {
 		return false
@@ -207,7 +211,7 @@
 	return s.Participants[process.Gateway].Before(process.ID)
 }
 
-// decide returns the commit or the abort of the pending change once it can be proposed.
+// decide returns the commit or abort of the pending change, or nil if it can't be decided yet.
 func (c *Coordinator) decide(now time.Duration, s *State, wallMillis int64) []Entry {
 	change := s.Pending
 	if status := c.firstRejection(s); status != nil {
@@ -224,7 +228,8 @@
 	return nil
 }
 
-// firstRejection returns the participant with the lowest index that has rejected the pending change; nil: none has.
+// firstRejection returns the status of the participant with the lowest index that has rejected the pending change, or
+// nil if none has.
 func (c *Coordinator) firstRejection(s *State) *participantStatus {
 	for _, p := range s.Processes() {
 		if status := c.statusOf(p); status != nil && status.request.Rejected == s.Pending.Index {
@@ -234,8 +239,8 @@
 	return nil
 }
 
-// commit returns the commit of the pending change. Those that have not locked are fenced: from now on their leases are
-// not renewed, as a reply before the entry is applied would give one anew.
+// commit returns the commit of the pending change. Processes that have not locked are fenced: from now on their leases
+// are not renewed, because a reply sent before the entry is applied would grant a new lease.
 func (c *Coordinator) commit(s *State, wallMillis int64) *Commit {
 	commit := &Commit{Index: s.Pending.Index, DecidedAt: wallMillis}
 	for _, p := range s.Processes() {
@@ -254,7 +259,7 @@
 	return c.propose(now, proposeAbort, change.Index, Entry{Abort: abort})
 }
 
-// propose returns an entry if it was not proposed a moment ago.
+// propose returns an entry, or nil if it was already proposed within proposeRetryInterval.
 func (c *Coordinator) propose(now time.Duration, kind proposalKind, subject uint64, e Entry) []Entry {
 	key := proposalKey{kind: kind, subject: subject}
 	if at, ok := c.proposedAt[key]; ok && now-at < proposeRetryInterval {
