--- a/internal/policy/node.go
+++ b/internal/policy/node.go
@@ -7,60 +7,62 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Pauses between a participant's status requests.
+// Intervals between a participant's status requests.
 const (
-	pollIntervalLocked  = 40 * time.Millisecond  // the outcome of a locked change is awaited
-	pollIntervalStopped = 100 * time.Millisecond // nothing may be decided
+	pollIntervalLocked  = 40 * time.Millisecond  // waiting for the outcome of a locked change
+	pollIntervalStopped = 100 * time.Millisecond // not allowed to decide
 	pollIntervalPending = 100 * time.Millisecond // a change is being decided
-	pollIntervalLease   = 400 * time.Millisecond // a lease has to be renewed
+	pollIntervalLease   = 400 * time.Millisecond // renewing a lease
 	pollIntervalIdle    = time.Second
 	minPollInterval     = 10 * time.Millisecond
 )
 
-// Log is the replicated log as a voter sees it. What is committed comes back by [Node.Apply], and confirmed reads by
+// Log is a voter's access to the replicated log. Committed entries are passed to [Node.Apply] and confirmed reads to
 // [Node.ReadConfirmed].
 type Log interface {
-	// Leading returns whether this voter leads, and the term. No two leaders have one term.
+	// Leading returns the current term and whether this voter is the leader. A term has at most one leader.
 	Leading() (term uint64, leads bool)
-	// Propose proposes an entry, which may be lost.
+	// Propose proposes an entry. The entry may be lost.
 	Propose(entry []byte)
-	// ReplaceVoter lets a voter that has lost its disk take part with its new one. Its error says why not, or not yet.
+	// ReplaceVoter lets a voter that has lost its disk rejoin with a new one. The error explains why this is not
+	// possible, or not yet.
 	ReplaceVoter(gateway int) error
-	// ConfirmRead has a majority confirm that this voter leads. Node.ReadConfirmed follows once that is so and all that
-	// was committed before is applied. It may be lost.
+	// ConfirmRead asks a majority to confirm that this voter is still the leader. Once it has, and everything committed
+	// before the call is applied, Node.ReadConfirmed is called with the token. The call may be lost.
 	ConfirmRead(token uint64)
 }
 
-// Config says which process this is.
+// Config configures a [Node].
 type Config struct {
 	// Process is this process.
 	Process Process
-	// Gateways is the number of all gateways.
+	// Gateways is the number of gateways in the cluster.
 	Gateways int
-	// Voters are the indices of the gateways that hold the log.
+	// Voters lists the indices of the gateways that hold replicas of the log.
 	Voters []int
-	// AbortAfter is how long a change may wait for participants; zero: DefaultAbortTimeout.
+	// AbortAfter is how long a change may wait for participants before it is aborted; zero selects
+	// DefaultAbortTimeout.
 	AbortAfter time.Duration
-	// Log is nil where this gateway is no voter.
+	// Log is nil if this gateway is not a voter.
 	Log Log
 }
 
-// Node is one process in the commit protocol: its participant, and on a voter the applied state and, while it leads,
-// the coordinator.
+// Node runs the commit protocol in one process. It holds the participant and, on a voter, the applied state. On the
+// leader it also holds the coordinator.
 type Node struct {
 	cfg         Config
 	participant *Participant
 	state       *State
 	applied     uint64 // index of the last entry in state
 
-	nextPollAt time.Duration // the next status request is due
+	nextPollAt time.Duration // when the next status request is due
 	lastPollAt time.Duration
 
 	queries    queryTable
 	leadership leadership
 }
 
-// NewNode returns that of a process that has just started.
+// NewNode returns the node of a process that has just started.
 func NewNode(cfg Config) *Node {
 	return &Node{
 		cfg:         cfg,
@@ -71,17 +73,17 @@
 	}
 }
 
-// Participant is what this gateway may decide by.
+// Participant returns the participant of this process.
 func (n *Node) Participant() *Participant { return n.participant }
 
-// State is what this voter has applied. It may lag behind what is committed.
+// State returns the state that this voter has applied. It may lag behind the committed entries.
 func (n *Node) State() *State { return n.state }
 
-// Restore replaces the state by one that Snapshot has returned for the entries up to an index.
+// Restore replaces the state with one that Snapshot has returned for the entries up to the given index.
 func (n *Node) Restore(index uint64, snapshot []byte) error {
 	state := NewState()
 	if err := cbor.Unmarshal(snapshot, state); err != nil {
-		return fmt.Errorf("the voters' state: %w", err)
+		return fmt.Errorf("decoding the state snapshot: %w", err)
 	}
 	if state.Participants == nil {
 		state.Participants = NewState().Participants
@@ -90,13 +92,13 @@
 	return nil
 }
 
-// Snapshot returns the state as Restore takes it, and the index up to which it has all entries.
+// Snapshot returns the encoded state, which Restore accepts, and the index of the last entry applied to it.
 func (n *Node) Snapshot() (index uint64, snapshot []byte, err error) {
 	snapshot, err = cbor.Marshal(n.state)
 	return n.applied, snapshot, err
 }
 
-// Apply applies a committed entry. One that is applied already, or that can't be read, has no effect.
+// Apply applies a committed entry. An entry that has already been applied, or that can't be decoded, has no effect.
 func (n *Node) Apply(index uint64, entry []byte) {
 	if index <= n.applied {
 		return
@@ -108,7 +110,7 @@
 	}
 }
 
-// SetProcess gives this process another identity than it began with. It has to join again; prepared documents stay.
+// SetProcess changes the identity of this process. It has to join again, and keeps its prepared documents.
 func (n *Node) SetProcess(process Process) {
 	prepared := n.participant.prepared
 	n.cfg.Process = process
@@ -117,13 +119,14 @@
 	n.PollNow()
 }
 
-// IsLeaveConfirmed returns whether the leader knows that this process decides nothing any more.
+// IsLeaveConfirmed reports whether the leader has confirmed that this process no longer decides.
 func (n *Node) IsLeaveConfirmed() bool { return n.participant.leaving && n.participant.leaveConfirmed }
 
-// PollNow makes the next status request due at once.
+// PollNow makes the next status request due immediately.
 func (n *Node) PollNow() { n.nextPollAt = 0 }
 
-// Tick returns the messages that are due. wallMillis is wall time in Unix milliseconds. It is called every few milliseconds.
+// Tick returns the messages that are due. It must be called every few milliseconds. wallMillis is the wall-clock time
+// in Unix milliseconds.
 func (n *Node) Tick(now time.Duration, wallMillis int64) (out []Outgoing) {
 	if n.cfg.Log != nil {
 		out = n.tickLeader(now, wallMillis)
@@ -135,7 +138,8 @@
 	return out
 }
 
-// Receive takes a message from a gateway and returns the messages that follow. wallMillis is wall time in Unix milliseconds.
+// Receive handles a message from a gateway and returns the messages to send in response. wallMillis is the wall-clock
+// time in Unix milliseconds.
 func (n *Node) Receive(now time.Duration, from int, m Message, wallMillis int64) (out []Outgoing) {
 	switch {
 	case m.StateChanged > 0:
@@ -163,8 +167,8 @@
 	return append(out, n.pollIfDue(now)...)
 }
 
-// receiveStatusReply switches to another version where the reply says so. What the reply has changed is reported at
-// once.
+// receiveStatusReply handles a status reply and switches to another version if the reply requires it. A switch or a new
+// lock is reported at once.
 func (n *Node) receiveStatusReply(now time.Duration, reply *StatusReply, wallMillis int64) {
 	if to, ok := n.participant.ReceiveReply(now, *reply); ok {
 		n.participant.SwitchTo(to, reply.RequestSentAt, wallMillis)
@@ -174,7 +178,7 @@
 	}
 }
 
-// pollIfDue returns the next status request if it is due.
+// pollIfDue returns the next status request, addressed to all voters, if it is due.
 func (n *Node) pollIfDue(now time.Duration) []Outgoing {
 	if now < n.nextPollAt || now < n.lastPollAt+minPollInterval {
 		return nil
