--- a/internal/policy/leadership.go
+++ b/internal/policy/leadership.go
@@ -6,39 +6,41 @@
 )
 
 const (
-	// readTimeout is how long a read may take to be confirmed; then it counts as lost and another one is started.
+	// readTimeout is how long the confirmation of a read may take. After that the read counts as lost and a new one
+	// is started.
 	readTimeout = 300 * time.Millisecond
-	// notifyInterval is the pause before gateways that have not voted on a change are notified again.
+	// notifyInterval is the time after which gateways that have not voted on a change are notified again.
 	notifyInterval = 100 * time.Millisecond
-	// maxPendingRequests bounds the requests that wait for a read; more are dropped and sent again.
+	// maxPendingRequests is the maximum number of requests waiting for a read. Requests beyond it are dropped; their
+	// senders retry.
 	maxPendingRequests = 4096
-	// maxListedParticipants bounds the processes that a reply lists.
+	// maxListedParticipants is the maximum number of processes listed in a reply.
 	maxListedParticipants = 300
 )
 
-// leadership is the state of the leader, beside what it has applied. A request is answered by a read that was started
-// after the request had come and that a majority has confirmed.
+// leadership is the leader's state, apart from the applied state. A request is answered from a read that was started
+// after the request arrived and that a majority has confirmed.
 type leadership struct {
 	term        uint64
-	coordinator *Coordinator // nil: this gateway does not lead
+	coordinator *Coordinator // nil if this gateway is not the leader
 
-	requests      []pendingRequest            // for the next read
-	reads         map[uint64][]pendingRequest // by token, not yet confirmed
-	lastToken     uint64                      // never used twice, in whatever term
-	readStartedAt time.Duration               // of the last read
+	requests      []pendingRequest            // waiting for the next read
+	reads         map[uint64][]pendingRequest // unconfirmed reads by token
+	lastToken     uint64                      // never reused, not even in another term
+	readStartedAt time.Duration               // start of the last read
 
-	notifiedIndex uint64 // applied index of which the gateways were last notified
+	notifiedIndex uint64 // applied index in the last notification of all gateways
 	notifiedAt    time.Duration
 }
 
-// pendingRequest is a request that waits for a read. Either status or query is set.
+// pendingRequest is a request waiting for a read. Exactly one of status and query is set.
 type pendingRequest struct {
 	from   int
 	status *StatusRequest
 	query  *Query
 }
 
-// reset drops what an earlier term has left.
+// reset discards the state of an earlier term.
 func (l *leadership) reset(term uint64) {
 	l.term = term
 	l.coordinator = nil
@@ -52,14 +54,14 @@
 	}
 }
 
-// startRead starts a read for the requests that wait, unless one is being confirmed. It returns false if none was
-// started.
+// startRead starts a read for the waiting requests and returns its token. It returns false if no request is waiting or
+// another read is still being confirmed.
 func (l *leadership) startRead(now time.Duration) (token uint64, ok bool) {
 	isConfirming := len(l.reads) > 0 && now-l.readStartedAt < readTimeout
 	if len(l.requests) == 0 || isConfirming {
 		return 0, false
 	}
-	clear(l.reads) // a read that was not confirmed in time is lost
+	clear(l.reads) // a read that is not confirmed in time counts as lost
 	l.lastToken++
 	l.reads[l.lastToken] = l.requests
 	l.requests = nil
@@ -67,14 +69,14 @@
 	return l.lastToken, true
 }
 
-// finishRead returns the requests that a confirmed read answers.
+// finishRead returns the requests to answer from a confirmed read, and removes the read.
 func (l *leadership) finishRead(token uint64) []pendingRequest {
 	requests := l.reads[token]
 	delete(l.reads, token)
 	return requests
 }
 
-// isLeader returns whether this gateway leads in the term for which it has a coordinator.
+// isLeader reports whether this gateway is the leader and its coordinator belongs to the current term.
 func (n *Node) isLeader() bool {
 	if n.cfg.Log == nil || n.leadership.coordinator == nil {
 		return false
@@ -83,7 +85,8 @@
 	return leads && term == n.leadership.term
 }
 
-// tickLeader does the leader's work if this voter leads: it proposes entries, starts reads and notifies gateways.
+// tickLeader performs the leader's periodic work if this voter is the leader: it proposes entries, starts reads and
+// notifies gateways.
 func (n *Node) tickLeader(now time.Duration, wallMillis int64) []Outgoing {
 	l := &n.leadership
 	term, leads := n.cfg.Log.Leading()
@@ -105,7 +108,7 @@
 	return append(n.notifyAll(now), n.notifyWithoutVote(now)...)
 }
 
-// notifyAll tells all gateways that the state has changed, once for each state.
+// notifyAll notifies all gateways once after each change of the applied state.
 func (n *Node) notifyAll(now time.Duration) (out []Outgoing) {
 	l := &n.leadership
 	if l.notifiedIndex == n.applied {
@@ -118,8 +121,8 @@
 	return out
 }
 
-// notifyWithoutVote notifies again the participants that have not voted on the pending change: a message may be lost, and
-// idle ones poll seldom.
+// notifyWithoutVote notifies the participants that have not voted on the pending change again, because the previous
+// notification may have been lost and idle participants poll rarely.
 func (n *Node) notifyWithoutVote(now time.Duration) (out []Outgoing) {
 	l := &n.leadership
 	change := n.state.Pending
@@ -143,8 +146,8 @@
 	}
 }
 
-// ReadConfirmed answers the requests for which the read with a token was started: the state is at least what was
-// committed then.
+// ReadConfirmed answers the requests for which the read with the given token was started. The applied state must
+// include everything that was committed when the read was started.
 func (n *Node) ReadConfirmed(now time.Duration, token uint64) (out []Outgoing) {
 	l := &n.leadership
 	requests := l.finishRead(token)
@@ -165,7 +168,7 @@
 	return append(out, n.tickLeader(now, 0)...)
 }
 
-// answerQuery answers a query by the state, and does what it asks for.
+// answerQuery answers a query from the state, and carries out the operation that it requests.
 func (n *Node) answerQuery(now time.Duration, q *Query) QueryReply {
 	reply := QueryReply{
 		Number:     q.Number,
@@ -189,7 +192,7 @@
 	return reply
 }
 
-// errorText is the text of an error as a reply carries it; empty: none.
+// errorText returns the text of an error for a reply, or an empty string if there is no error.
 func errorText(err error) string {
 	if err == nil {
 		return ""
@@ -197,8 +200,8 @@
 	return err.Error()
 }
 
-// outcomeOrPropose returns the outcome of the change that a query asks for, without its lists of processes. Where the
-// id is not known it proposes the change that the query brings, and returns nil.
+// outcomeOrPropose returns the outcome of the change that a query asks for, without its lists of processes. If the ID
+// is unknown it proposes the change in the query, if there is one, and returns nil.
 func (n *Node) outcomeOrPropose(q *Query) *Outcome {
 	if found := n.state.FindOutcome(q.ChangeID); found != nil {
 		outcome := *found
@@ -212,11 +215,11 @@
 	return nil
 }
 
-// ReachableError says that a gateway can't be forgotten because it was heard of lately.
+// ReachableError reports that a gateway can't be forgotten because it is still reachable.
 type ReachableError struct {
-	// Gateway is its index.
+	// Gateway is the index of the gateway.
 	Gateway uint16
-	// Age is that of its last status request.
+	// Age is the age of its last status request.
 	Age time.Duration
 }
 
@@ -224,8 +227,8 @@
 	return fmt.Sprintf("door %d is there: it was heard of %v ago", e.Gateway, e.Age.Round(time.Millisecond))
 }
 
-// forgetGateway proposes that a gateway that is off for good is not waited for any more. Its error is a
-// [*ReachableError].
+// forgetGateway proposes to remove the process of a gateway that is off for good, so that changes no longer wait for
+// it. Its error is a [*ReachableError].
 func (n *Node) forgetGateway(now time.Duration, gateway uint16) error {
 	id, ok := n.state.Participants[gateway]
 	if !ok {
