--- a/internal/policy/query.go
+++ b/internal/policy/query.go
@@ -6,28 +6,28 @@
 )
 
 const (
-	// queryRetryInterval is the pause before a query without a reply is sent again.
+	// queryRetryInterval is the time after which a query without a reply is sent again.
 	queryRetryInterval = 200 * time.Millisecond
-	// maxOpenQueries bounds the queries of one gateway.
+	// maxOpenQueries is the maximum number of open queries of one gateway.
 	maxOpenQueries = 64
 )
 
-// ErrTooManyQueries says that a query can't be started before others are ended.
-var ErrTooManyQueries = errors.New("too many questions wait for an answer already")
+// ErrTooManyQueries reports that no query can be started until an open one has ended.
+var ErrTooManyQueries = errors.New("too many open policy queries")
 
-// queryTable holds the queries of this gateway.
+// queryTable holds the open queries of this gateway.
 type queryTable struct {
-	lastNumber uint64 // number
+	lastNumber uint64 // of the last query; 0 if none
 	open       map[uint64]*openQuery
 }
 
 type openQuery struct {
 	query      Query
 	nextSendAt time.Duration
-	reply      *QueryReply // nil: none yet
+	reply      *QueryReply // nil if none yet
 }
 
-// due returns the queries to send now, in no order.
+// due returns the queries to send now, in no particular order.
 func (t *queryTable) due(now time.Duration) (all []Query) {
 	for _, q := range t.open {
 		if q.reply == nil && now >= q.nextSendAt {
@@ -38,7 +38,8 @@
 	return all
 }
 
-// receive takes a reply. For a query that brings a change only its outcome counts as one.
+// receive records a reply. A query that contains a change is answered only by the outcome of the change; other replies
+// to it are ignored.
 func (t *queryTable) receive(reply *QueryReply) {
 	q := t.open[reply.Number]
 	if q != nil && (q.query.Change == nil || reply.Outcome != nil) {
@@ -46,8 +47,8 @@
 	}
 }
 
-// StartQuery begins to send a query until QueryReply has its reply, and returns its number. EndQuery must follow. Its
-// error is ErrTooManyQueries.
+// StartQuery starts a query and returns its number. The query is sent repeatedly until QueryReply has its reply. The
+// caller must call EndQuery afterwards. The error is ErrTooManyQueries.
 func (n *Node) StartQuery(query Query) (number uint64, err error) {
 	t := &n.queries
 	if len(t.open) >= maxOpenQueries {
@@ -59,7 +60,8 @@
 	return t.lastNumber, nil
 }
 
-// QueryReply returns the reply to a query; nil: none yet. A query that brings a change is answered by its outcome.
+// QueryReply returns the reply to a query, or nil if there is none yet. A query that contains a change has a reply only
+// once the change is decided.
 func (n *Node) QueryReply(number uint64) *QueryReply {
 	if q := n.queries.open[number]; q != nil {
 		return q.reply
@@ -67,5 +69,5 @@
 	return nil
 }
 
-// EndQuery stops sending a query and drops its reply.
+// EndQuery stops sending a query and discards its reply.
 func (n *Node) EndQuery(number uint64) { delete(n.queries.open, number) }
