--- a/internal/policy/golden_test.go
+++ b/internal/policy/golden_test.go
@@ -19,36 +19,36 @@
 
 // scheduleHash is the trace of a random schedule.
 func scheduleHash(seed uint64) string {
-	return playWith(seed, 1+int(seed%12), 12*time.Second, newWorldTrace()).end()
+	return runTracedSchedule(seed, 1+int(seed%12), 12*time.Second, newSimulationTrace()).finishTrace()
 }
 
 // stepHash is the trace of a change with a fault at one of its steps.
 func stepHash(t *testing.T, step changeStep, fault string, seed uint64) string {
 	t.Helper()
 	gateways, mode := 4+int(seed%3), Mode(seed/4)
-	w := newWorld(seed, gateways, mode)
-	w.trace = newWorldTrace()
-	w.maxDelay, w.loss, w.duplication = 20*time.Millisecond, 0.1, 0.3
-	w.decideEvery(5 * time.Millisecond)
-	w.run(w.now + 4*time.Second)
+	sim := newSimulation(seed, gateways, mode)
+	sim.trace = newSimulationTrace()
+	sim.maxDelay, sim.loss, sim.duplication = 20*time.Millisecond, 0.1, 0.3
+	sim.decideEvery(5 * time.Millisecond)
+	sim.run(sim.now + 4*time.Second)
 	c := &Change{ID: "x", Base: 1, Hash: Hash{2}, Mode: mode, Source: uint16(gateways - 1)}
-	asker := w.gateways[gateways-1]
-	asker.query(Query{ChangeID: c.ID, Change: c})
-	if !w.until(3*time.Second, func() bool { return step.at(w) }) {
+	proposer := sim.gateways[gateways-1]
+	proposer.query(Query{ChangeID: c.ID, Change: c})
+	if !sim.runUntil(3*time.Second, func() bool { return step.isReached(sim) }) {
 		t.Fatalf("%s, %s, seed %d: the change did not come to the step", step.name, fault, seed)
 	}
-	repair := stepFaults()[fault](w, asker)
-	w.run(w.now + 700*time.Millisecond)
+	repair := stepFaults()[fault](sim, proposer)
+	sim.run(sim.now + 700*time.Millisecond)
 	repair()
-	w.run(w.now + 200*time.Millisecond)
-	w.gateways[1].query(Query{ChangeID: c.ID, Change: c})
-	w.run(w.now + 6*time.Second)
-	return w.end()
+	sim.run(sim.now + 200*time.Millisecond)
+	sim.gateways[1].query(Query{ChangeID: c.ID, Change: c})
+	sim.run(sim.now + 6*time.Second)
+	return sim.finishTrace()
 }
 
 // operationsPlay is what operators do to some gateways.
-type operationsPlay struct {
-	*world
+type operationsScenario struct {
+	*simulation
 	rng  *rand.Rand
 	mode Mode
 }
@@ -57,78 +57,78 @@
 // process that leaves, one with another incarnation, and one that goes by what its disk has.
 func operationsHash(seed uint64, mode Mode) string {
 	gateways := 4 + int(seed%9)
-	p := &operationsPlay{world: newWorld(seed, gateways, mode), rng: rand.New(rand.NewPCG(seed, 9)), mode: mode}
-	p.trace = newWorldTrace()
-	p.maxDelay = time.Duration(10+120*(seed%4)) * time.Millisecond
-	p.loss = 0.2 * float64(seed%3)
-	p.duplication = 0.1
-	p.decideEvery(7 * time.Millisecond)
-	last, off, renamed := p.gateways[gateways-1], p.gateways[gateways-2], p.gateways[gateways-3]
+	s := &operationsScenario{simulation: newSimulation(seed, gateways, mode), rng: rand.New(rand.NewPCG(seed, 9)), mode: mode}
+	s.trace = newSimulationTrace()
+	s.maxDelay = time.Duration(10+120*(seed%4)) * time.Millisecond
+	s.loss = 0.2 * float64(seed%3)
+	s.duplication = 0.1
+	s.decideEvery(7 * time.Millisecond)
+	last, offline, renamed := s.gateways[gateways-1], s.gateways[gateways-2], s.gateways[gateways-3]
 	last.node.Participant().DecideWithoutQuorum(Version{1, Hash{1}})
-	p.advance(3 * time.Second)
-	p.ask(p.gateways[1], Query{})
-	p.ask(p.gateways[1], Query{ReplaceVoter: 3})
+	s.advance(3 * time.Second)
+	s.ask(s.gateways[1], Query{})
+	s.ask(s.gateways[1], Query{ReplaceVoter: 3})
 	last.node.Participant().Leave()
 	last.node.PollNow()
-	p.advance(500 * time.Millisecond)
-	p.forget(off)
-	p.rename(renamed)
-	p.advance(time.Duration(p.rng.Int64N(int64(time.Second))))
-	p.reject()
-	p.commitEntry(Entry{Recovery: &Recovery{Author: "o", Lost: []uint16{1, 2}, RecoveredAt: 77}})
-	p.advance(7 * time.Second)
-	p.ask(p.gateways[1], Query{ChangeID: "bad"})
-	return p.end()
+	s.advance(500 * time.Millisecond)
+	s.forget(offline)
+	s.changeIdentity(renamed)
+	s.advance(time.Duration(s.rng.Int64N(int64(time.Second))))
+	s.reject()
+	s.commitEntry(Entry{Recovery: &Recovery{Author: "o", Lost: []uint16{1, 2}, RecoveredAt: 77}})
+	s.advance(7 * time.Second)
+	s.ask(s.gateways[1], Query{ChangeID: "bad"})
+	return s.finishTrace()
 }
 
-func (p *operationsPlay) advance(d time.Duration) { p.run(p.now + d) }
+func (s *operationsScenario) advance(d time.Duration) { s.run(s.now + d) }
 
 // ask sends a query for a second and adds the reply.
-func (p *operationsPlay) ask(g *gateway, query Query) {
+func (s *operationsScenario) ask(g *gateway, query Query) {
 	number, err := g.node.StartQuery(query)
 	if err != nil {
 		return
 	}
-	p.advance(time.Second)
-	if reply := g.node.QueryReply(number); p.trace.present(reply != nil) {
-		p.trace.message(&Message{QueryReply: reply})
+	s.advance(time.Second)
+	if reply := g.node.QueryReply(number); s.trace.present(reply != nil) {
+		s.trace.message(&Message{QueryReply: reply})
 	}
 	g.node.EndQuery(number)
 }
 
 // forget asks to forget a gateway while it is there, and once more when it is off and a change waits for it.
-func (p *operationsPlay) forget(off *gateway) {
-	query := Query{Forget: uint16(off.index) + 1}
-	p.ask(p.gateways[0], query)
-	off.alive = false
-	off.life++
-	waits := &Change{ID: "waits", Base: 1, Hash: Hash{2}, Mode: p.mode, Author: "o", Note: "n"}
-	p.gateways[2].query(Query{ChangeID: waits.ID, Change: waits})
-	p.advance(3500 * time.Millisecond)
-	p.ask(p.gateways[0], query)
-	p.ask(p.gateways[2], Query{ChangeID: waits.ID})
+func (s *operationsScenario) forget(offline *gateway) {
+	query := Query{Forget: uint16(offline.index) + 1}
+	s.ask(s.gateways[0], query)
+	offline.alive = false
+	offline.processEpoch++
+	change := &Change{ID: "waits", Base: 1, Hash: Hash{2}, Mode: s.mode, Author: "o", Note: "n"}
+	s.gateways[2].query(Query{ChangeID: change.ID, Change: change})
+	s.advance(3500 * time.Millisecond)
+	s.ask(s.gateways[0], query)
+	s.ask(s.gateways[2], Query{ChangeID: change.ID})
 }
 
 // rename gives a process another identity.
-func (p *operationsPlay) rename(g *gateway) {
+func (s *operationsScenario) changeIdentity(g *gateway) {
 	g.incarnation += 7
 	id := membership.ID{Incarnation: g.incarnation, Nonce: 3}
 	g.node.SetProcess(Process{Gateway: uint16(g.index), ID: id})
 }
 
 // reject proposes a change that one gateway rejects.
-func (p *operationsPlay) reject() {
-	current := p.gateways[0].node.State().Current.Number
-	bad := &Change{ID: "bad", Base: current, Hash: Hash{3}, Mode: p.mode}
-	p.gateways[0].query(Query{ChangeID: bad.ID, Change: bad})
-	node := p.gateways[1].node
-	p.until(2*time.Second, func() bool {
+func (s *operationsScenario) reject() {
+	current := s.gateways[0].node.State().Current.Number
+	change := &Change{ID: "bad", Base: current, Hash: Hash{3}, Mode: s.mode}
+	s.gateways[0].query(Query{ChangeID: change.ID, Change: change})
+	node := s.gateways[1].node
+	s.runUntil(2*time.Second, func() bool {
 		pending, ok := node.Participant().Pending()
-		return ok && pending.ID == bad.ID
+		return ok && pending.ID == change.ID
 	})
 	node.Participant().RejectDocument(Hash{3}, "line 7: no such class")
 	node.PollNow()
-	p.advance(time.Second)
+	s.advance(time.Second)
 }
 
 // preparedGateways are the indices of the gateways that have prepared the pending change.
@@ -143,8 +143,8 @@
 }
 
 // leaderPlay is a leader alone, which receives random requests of random processes.
-type leaderPlay struct {
-	trace       *worldTrace
+type leaderScenario struct {
+	trace       *simulationTrace
 	rng         *rand.Rand
 	now         time.Duration
 	coordinator *Coordinator
@@ -155,58 +155,58 @@
 // leaderHash is the trace of a leader alone.
 func leaderHash(seed uint64, mode Mode) string {
 	const abortAfter = 4 * time.Second
-	p := &leaderPlay{
-		trace: newWorldTrace(),
+	s := &leaderScenario{
+		trace: newSimulationTrace(),
 		rng:   rand.New(rand.NewPCG(seed, 10)),
 		now:   time.Hour,
 		state: NewState(),
 		index: 1,
 	}
-	p.state.Apply(p.index, Entry{Propose: &Change{ID: "begin", Hash: Hash{1}, Initial: true, Mode: mode}})
-	p.coordinator = NewCoordinator(p.now, abortAfter)
+	s.state.Apply(s.index, Entry{Propose: &Change{ID: "begin", Hash: Hash{1}, Initial: true, Mode: mode}})
+	s.coordinator = NewCoordinator(s.now, abortAfter)
 	for round := range 600 {
-		p.now += time.Duration(p.rng.IntN(150)) * time.Millisecond
-		p.receive(p.request(round))
-		p.tick()
-		if p.rng.IntN(80) == 0 {
-			p.coordinator = NewCoordinator(p.now, abortAfter)
+		s.now += time.Duration(s.rng.IntN(150)) * time.Millisecond
+		s.receive(s.request(round))
+		s.tick()
+		if s.rng.IntN(80) == 0 {
+			s.coordinator = NewCoordinator(s.now, abortAfter)
 		}
-		p.trace.state(p.state)
+		s.trace.state(s.state)
 	}
-	return p.trace.Sum()
+	return s.trace.Sum()
 }
 
 // request is a random request. Where no change is pending, one is proposed now and then.
-func (p *leaderPlay) request(round int) StatusRequest {
+func (s *leaderScenario) request(round int) StatusRequest {
 	r := StatusRequest{
 		Process: Process{
-			Gateway: uint16(p.rng.IntN(5)),
-			ID:      membership.ID{Incarnation: uint32(1 + round/200 + p.rng.IntN(2))},
+			Gateway: uint16(s.rng.IntN(5)),
+			ID:      membership.ID{Incarnation: uint32(1 + round/200 + s.rng.IntN(2))},
 		},
-		SentAt:  p.now - time.Duration(p.rng.IntN(200))*time.Millisecond,
-		Version: p.state.Current.Number - uint64(p.rng.IntN(2)),
-		Leaving: p.rng.IntN(40) == 0,
+		SentAt:  s.now - time.Duration(s.rng.IntN(200))*time.Millisecond,
+		Version: s.state.Current.Number - uint64(s.rng.IntN(2)),
+		Leaving: s.rng.IntN(40) == 0,
 	}
-	if p.state.Pending != nil {
-		p.vote(&r)
-	} else if p.rng.IntN(10) == 0 {
-		p.index++
-		p.state.Apply(p.index, Entry{Propose: &Change{
+	if s.state.Pending != nil {
+		s.vote(&r)
+	} else if s.rng.IntN(10) == 0 {
+		s.index++
+		s.state.Apply(s.index, Entry{Propose: &Change{
 			ID:   fmt.Sprint(round),
-			Base: p.state.Current.Number,
+			Base: s.state.Current.Number,
 			Hash: Hash{byte(round)},
-			Mode: Mode(p.rng.IntN(2)),
+			Mode: Mode(s.rng.IntN(2)),
 		}})
 	}
-	if r.Version == p.state.Current.Number {
-		r.SwitchedAt = p.now.Milliseconds()
+	if r.Version == s.state.Current.Number {
+		r.SwitchedAt = s.now.Milliseconds()
 	}
 	return r
 }
 
-func (p *leaderPlay) vote(r *StatusRequest) {
-	change := p.state.Pending.Index
-	switch p.rng.IntN(12) {
+func (s *leaderScenario) vote(r *StatusRequest) {
+	change := s.state.Pending.Index
+	switch s.rng.IntN(12) {
 	case 0:
 		r.Rejected, r.Reason = change, "line 7"
 	case 1, 2, 3:
@@ -216,20 +216,20 @@
 	}
 }
 
-func (p *leaderPlay) receive(r StatusRequest) {
-	p.coordinator.ReceiveStatus(p.now, r)
-	reply := p.coordinator.Reply(p.now, p.state, r)
-	p.trace.message(&Message{StatusReply: &reply})
-	p.trace.String(p.coordinator.WaitingFor(p.now, p.state))
-	for _, gateway := range preparedGateways(p.coordinator, p.state) {
-		p.trace.Uint(uint64(gateway))
+func (s *leaderScenario) receive(r StatusRequest) {
+	s.coordinator.ReceiveStatus(s.now, r)
+	reply := s.coordinator.Reply(s.now, s.state, r)
+	s.trace.message(&Message{StatusReply: &reply})
+	s.trace.String(s.coordinator.WaitingFor(s.now, s.state))
+	for _, gateway := range preparedGateways(s.coordinator, s.state) {
+		s.trace.Uint(uint64(gateway))
 	}
 }
 
 // tick applies three of four entries that the coordinator proposes.
-func (p *leaderPlay) tick() {
+func (s *leaderScenario) tick() {
 	var proposed [][]byte
-	for _, e := range p.coordinator.Tick(p.now, p.state, p.now.Milliseconds()) {
+	for _, e := range s.coordinator.Tick(s.now, s.state, s.now.Milliseconds()) {
 		b, err := e.Encode()
 		if err != nil {
 			panic(err)
@@ -238,14 +238,14 @@
 	}
 	slices.SortStableFunc(proposed, func(a, b []byte) int { return cmp.Compare(proposalOrder(a), proposalOrder(b)) })
 	for _, b := range proposed {
-		p.trace.encoded(b)
+		s.trace.encodedEntry(b)
 		var e Entry
 		if err := cbor.Unmarshal(b, &e); err != nil {
 			panic(err)
 		}
-		p.index++
-		if p.rng.IntN(4) > 0 {
-			p.state.Apply(p.index, e)
+		s.index++
+		if s.rng.IntN(4) > 0 {
+			s.state.Apply(s.index, e)
 		}
 	}
 }
@@ -253,12 +253,12 @@
 // TestGoldenSchedules compares what gateways send, propose and decide by with what is recorded.
 func TestGoldenSchedules(t *testing.T) {
 	hashes := golden.LoadHashes(t, "testdata/golden/hashes.txt")
-	plays := 0
-	check := func(name string, play func() string) {
+	runs := 0
+	check := func(name string, run func() string) {
 		t.Helper()
-		sum := play()
-		if plays++; plays%4 == 0 || hashes.Len() < plays { // one in four, and each that is recorded, is played twice
-			if again := play(); again != sum {
+		sum := run()
+		if runs++; runs%4 == 0 || hashes.Len() < runs { // one in four, and each that is recorded, is played twice
+			if again := run(); again != sum {
 				t.Errorf("%s: %s, then %s", name, sum, again)
 				return
 			}
@@ -389,7 +389,7 @@
 	if err := n.Restore(40, golden.Read(t, "testdata/golden/state.cbor")); err != nil {
 		t.Fatal(err)
 	}
-	trace := newWorldTrace()
+	trace := newSimulationTrace()
 	names := []string{"propose", "join", "leave", "report", "take", "drop", "recover", "join", "report"}
 	for i, name := range names {
 		n.Apply(41+uint64(i), golden.Read(t, "testdata/golden/entry-"+name+".cbor"))
--- a/internal/policy/model_test.go
+++ b/internal/policy/model_test.go
@@ -20,35 +20,35 @@
 // leases, losses, duplicates, crashes with a restart, changes of leader and further changes is explored within the
 // bounds. A message that is never delivered is a lost one.
 type modelBounds struct {
-	ticks        int           // steps of the clock
-	step         time.Duration // of the clock
-	requests     int           // status requests of each participant
-	messages     int           // under way at once
-	entries      int           // proposed at once
-	crashes      int
-	leaders      int // changes of leader
-	duplicates   int
-	changes      int // further changes
-	mode         Mode
-	participants int
-	locked       int  // participants that have locked at the beginning
-	unprepared   bool // one participant has not heard of the change yet
+	ticks         int           // steps of the clock
+	clockStep     time.Duration // of the clock
+	requests      int           // status requests of each participant
+	messages      int           // under way at once
+	entries       int           // proposed at once
+	crashes       int
+	leaderChanges int // changes of leader
+	duplicates    int
+	changes       int // further changes
+	mode          Mode
+	participants  int
+	locked        int  // participants that have locked at the beginning
+	unprepared    bool // one participant has not heard of the change yet
 }
 
 // modelFlaw is a mistake in the protocol that a model must find.
-type modelFlaw int
+type injectedBug int
 
 const (
-	modelSound            modelFlaw = iota
-	voteNotDurable                  // a vote before the document is durable
-	commitUnlocked                  // a commit before the old rights have expired
-	trustsDisk                      // a process that was restarted goes by what its disk has
-	idForgotten                     // a change's id is forgotten
-	staleLeader                     // a leader that has been replaced answers
-	leaseFromReply                  // a lease counts from when the reply came, not from its request
-	joinUnnoticed                   // a commit is valid though a process joined meanwhile
-	fencesAtOnce                    // a participant is fenced before its lease has expired
-	renewsWhileCommitting           // a lease is renewed between the commit that fences its holder and its application
+	noBug                 injectedBug = iota
+	voteNotDurable                    // a vote before the document is durable
+	commitUnlocked                    // a commit before the old rights have expired
+	trustsDisk                        // a process that was restarted goes by what its disk has
+	idForgotten                       // a change's id is forgotten
+	staleLeader                       // a leader that has been replaced answers
+	leaseFromReply                    // a lease counts from when the reply came, not from its request
+	joinUnnoticed                     // a commit is valid though a process joined meanwhile
+	fencesAtOnce                      // a participant is fenced before its lease has expired
+	renewsWhileCommitting             // a lease is renewed between the commit that fences its holder and its application
 )
 
 type modelParticipant struct {
@@ -59,15 +59,15 @@
 }
 
 type modelMessage struct {
-	request *StatusRequest
-	reply   *StatusReply
-	stale   bool // it goes to a leader that has been replaced
+	request       *StatusRequest
+	reply         *StatusReply
+	toStaleLeader bool // it goes to a leader that has been replaced
 }
 
 type model struct {
 	now            time.Duration
 	state          *State
-	old            *State // as the replaced leader has it
+	staleState     *State // as the replaced leader has it
 	index          uint64
 	coordinator    *Coordinator
 	participants   []*modelParticipant
@@ -150,7 +150,7 @@
 // clone returns a copy that shares nothing which a step changes.
 func (m *model) clone() *model {
 	to := *m
-	to.state, to.old = cloneState(m.state), cloneState(m.old)
+	to.state, to.staleState = cloneState(m.state), cloneState(m.staleState)
 	coordinator := *m.coordinator
 	coordinator.statuses = map[uint16]*participantStatus{}
 	coordinator.proposedAt = map[proposalKey]time.Duration{}
@@ -223,7 +223,7 @@
 }
 
 // explore visits all states that can be reached and returns their number, and the first broken guarantee.
-func explore(b modelBounds, flaw modelFlaw, limit int) (states int, bad string) {
+func explore(b modelBounds, bug injectedBug, limit int) (states int, violation string) {
 	seen := map[modelKey]bool{}
 	level := []*model{newModel(b)}
 	for len(level) > 0 {
@@ -232,7 +232,7 @@
 		for w := range parts {
 			wg.Go(func() {
 				for i := w; i < len(level); i += len(parts) {
-					parts[w] = append(parts[w], level[i].next(flaw)...)
+					parts[w] = append(parts[w], level[i].next(bug)...)
 				}
 			})
 		}
@@ -260,14 +260,14 @@
 func modelCases(wide bool) map[string]modelBounds {
 	all := map[string]modelBounds{
 		"three participants, another leader": {
-			ticks:        2,
-			requests:     2,
-			messages:     1,
-			entries:      1,
-			leaders:      1,
-			step:         LockDuration * 2 / 3,
-			participants: 3,
-			locked:       3,
+			ticks:         2,
+			requests:      2,
+			messages:      1,
+			entries:       1,
+			leaderChanges: 1,
+			clockStep:     LockDuration * 2 / 3,
+			participants:  3,
+			locked:        3,
 		},
 		"two participants, late and duplicated": {
 			ticks:        2,
@@ -276,19 +276,19 @@
 			entries:      1,
 			duplicates:   1,
 			changes:      1,
-			step:         LockDuration * 2 / 3,
+			clockStep:    LockDuration * 2 / 3,
 			participants: 2,
 		},
 		"two participants, crash, two leaders": {
-			ticks:        2,
-			requests:     2,
-			messages:     1,
-			entries:      1,
-			crashes:      1,
-			leaders:      1,
-			changes:      2,
-			step:         LockDuration * 2 / 3,
-			participants: 2,
+			ticks:         2,
+			requests:      2,
+			messages:      1,
+			entries:       1,
+			crashes:       1,
+			leaderChanges: 1,
+			changes:       2,
+			clockStep:     LockDuration * 2 / 3,
+			participants:  2,
 		},
 		"two participants, leases, a crash": {
 			ticks:        2,
@@ -296,7 +296,7 @@
 			messages:     1,
 			entries:      1,
 			crashes:      1,
-			step:         LeaseDuration * 6 / 11,
+			clockStep:    LeaseDuration * 6 / 11,
 			mode:         Fence,
 			participants: 2,
 		},
@@ -307,7 +307,7 @@
 			requests:     2,
 			messages:     1,
 			entries:      1,
-			step:         LeaseDuration * 6 / 11,
+			clockStep:    LeaseDuration * 6 / 11,
 			mode:         Fence,
 			participants: 3,
 			locked:       2,
@@ -318,7 +318,7 @@
 			messages:     1,
 			entries:      1,
 			crashes:      1,
-			step:         LeaseDuration * 6 / 11,
+			clockStep:    LeaseDuration * 6 / 11,
 			mode:         Fence,
 			participants: 2,
 		}
@@ -328,7 +328,7 @@
 			messages:     1,
 			entries:      1,
 			crashes:      1,
-			step:         LockDuration * 2 / 3,
+			clockStep:    LockDuration * 2 / 3,
 			participants: 3,
 			locked:       3,
 		}
@@ -339,7 +339,7 @@
 			entries:      1,
 			duplicates:   1,
 			changes:      1,
-			step:         LockDuration * 2 / 3,
+			clockStep:    LockDuration * 2 / 3,
 			participants: 2,
 		}
 	}
@@ -354,9 +354,9 @@
 	for name, b := range modelCases(os.Getenv("GAPGAP_LONG") != "") {
 		t.Run(name, func(t *testing.T) {
 			startedAt := time.Now()
-			states, bad := explore(b, modelSound, 3_000_000)
-			if bad != "" {
-				t.Error(bad)
+			states, violation := explore(b, noBug, 3_000_000)
+			if violation != "" {
+				t.Error(violation)
 			}
 			t.Logf("%d states in %v", states, time.Since(startedAt).Round(time.Millisecond))
 		})
@@ -373,7 +373,7 @@
 		requests:     3,
 		messages:     1,
 		entries:      1,
-		step:         LockDuration * 2 / 3,
+		clockStep:    LockDuration * 2 / 3,
 		participants: 2,
 		locked:       2,
 	}
@@ -382,19 +382,19 @@
 	join.crashes, join.entries = 1, 2
 	crash.crashes, crash.requests = 1, 4
 	late.ticks, late.messages = 3, 2
-	leader.leaders, leader.ticks = 1, 3
+	leader.leaderChanges, leader.ticks = 1, 3
 	early.unprepared, early.locked, early.requests = true, 0, 4
 	leases := modelBounds{
 		ticks:        3,
 		requests:     3,
 		messages:     1,
 		entries:      1,
-		step:         LeaseDuration * 6 / 11,
+		clockStep:    LeaseDuration * 6 / 11,
 		mode:         Fence,
 		participants: 2,
 		unprepared:   true,
 	}
-	flaws := map[modelFlaw]modelBounds{
+	bugs := map[injectedBug]modelBounds{
 		voteNotDurable:        early,
 		commitUnlocked:        open,
 		trustsDisk:            crash,
@@ -405,11 +405,11 @@
 		fencesAtOnce:          leases,
 		renewsWhileCommitting: leases,
 	}
-	for flaw, b := range flaws {
-		states, bad := explore(b, flaw, 1_500_000)
-		if bad == "" || strings.Contains(bad, "bounds are too wide") {
-			t.Errorf("mistake %d was not found in %d states: %s", flaw, states, bad)
+	for bug, b := range bugs {
+		states, violation := explore(b, bug, 1_500_000)
+		if violation == "" || strings.Contains(violation, "bounds are too wide") {
+			t.Errorf("mistake %d was not found in %d states: %s", bug, states, violation)
 		}
-		t.Logf("mistake %d, after %d states: %s", flaw, states, bad)
+		t.Logf("mistake %d, after %d states: %s", bug, states, violation)
 	}
 }
--- a/internal/policy/modelkey_test.go
+++ b/internal/policy/modelkey_test.go
@@ -14,10 +14,10 @@
 
 // Marks that begin a part of a key, or stand for one that is not there.
 const (
-	entryMark       = 96
-	messageMark     = 97
-	participantMark = 98
-	logMark         = 99
+	entryMarker       = 96
+	messageMarker     = 97
+	participantMarker = 98
+	logMarker         = 99
 )
 
 // keyWriter writes all of a model on which its future depends. Times are relative to now, so that states that differ
@@ -33,7 +33,7 @@
 	}
 }
 
-func (w *keyWriter) flag(v bool) {
+func (w *keyWriter) boolean(v bool) {
 	if v {
 		w.numbers(1)
 	} else {
@@ -42,7 +42,7 @@
 }
 
 // at is a time relative to now, from an hour ago on.
-func (w *keyWriter) at(t time.Duration) uint64 {
+func (w *keyWriter) relativeTime(t time.Duration) uint64 {
 	if t == NoExpiry {
 		return 1
 	}
@@ -69,18 +69,18 @@
 }
 
 func (w *keyWriter) participant(p *modelParticipant) {
-	w.numbers(uint64(p.incarnation), uint64(p.requests), w.at(p.lastSentAt), w.at(p.lastReplyTo))
-	w.numbers(p.version.Number, w.at(p.decidesUntil), p.lockedChange, w.at(p.lockedAt))
+	w.numbers(uint64(p.incarnation), uint64(p.requests), w.relativeTime(p.lastSentAt), w.relativeTime(p.lastReplyTo))
+	w.numbers(p.version.Number, w.relativeTime(p.decidesUntil), p.lockedChange, w.relativeTime(p.lockedAt))
 	w.numbers(p.pending.Index, p.required.Number, uint64(len(p.prepared)), uint64(len(p.disk)))
 }
 
 func (w *keyWriter) request(r *StatusRequest) {
 	w.process(r.Process)
-	w.numbers(w.at(r.SentAt), r.Version, r.Prepared, r.Rejected, r.Locked)
+	w.numbers(w.relativeTime(r.SentAt), r.Version, r.Prepared, r.Rejected, r.Locked)
 }
 
 func (w *keyWriter) reply(r *StatusReply) {
-	w.numbers(w.at(r.RequestSentAt))
+	w.numbers(w.relativeTime(r.RequestSentAt))
 	w.process(r.Process)
 	w.numbers(r.Current.Number)
 	if r.Pending != nil {
@@ -90,7 +90,7 @@
 
 // coordinator writes what the leader knows, of the processes that may decide.
 func (w *keyWriter) coordinator(c *Coordinator, s *State, participants int) {
-	w.numbers(w.at(c.leadingSince), c.changeIndex, uint64(len(c.fenced)))
+	w.numbers(w.relativeTime(c.leadingSince), c.changeIndex, uint64(len(c.fenced)))
 	for gateway := range uint16(participants) {
 		if c.fenced[Process{Gateway: gateway, ID: s.Participants[gateway]}] {
 			w.numbers(uint64(gateway))
@@ -99,27 +99,27 @@
 	for gateway := range uint16(participants) {
 		if status := c.statuses[gateway]; status != nil {
 			w.request(&status.request)
-			w.numbers(w.at(status.lastReadAt))
+			w.numbers(w.relativeTime(status.lastReadAt))
 		}
-		w.numbers(participantMark)
+		w.numbers(participantMarker)
 	}
 }
 
 func (w *keyWriter) message(m *modelMessage) {
-	w.numbers(messageMark)
+	w.numbers(messageMarker)
 	if m.request != nil {
 		w.request(m.request)
 	} else {
 		w.reply(m.reply)
 	}
-	w.flag(m.request != nil)
-	w.flag(m.stale)
-	w.flag(m.reply != nil && m.reply.MayDecide)
-	w.flag(m.reply != nil && m.reply.Lock)
+	w.boolean(m.request != nil)
+	w.boolean(m.toStaleLeader)
+	w.boolean(m.reply != nil && m.reply.MayDecide)
+	w.boolean(m.reply != nil && m.reply.Lock)
 }
 
 func (w *keyWriter) entry(e *Entry) {
-	w.numbers(entryMark)
+	w.numbers(entryMarker)
 	switch {
 	case e.Commit != nil:
 		w.numbers(1, e.Commit.Index)
@@ -139,8 +139,8 @@
 func (m *model) key() (k modelKey) {
 	w := &keyWriter{b: make([]byte, 0, 512), now: m.now}
 	w.state(m.state)
-	w.state(m.old)
-	w.numbers(logMark, m.index)
+	w.state(m.staleState)
+	w.numbers(logMarker, m.index)
 	for _, p := range m.participants {
 		w.participant(p)
 	}
@@ -153,11 +153,11 @@
 	}
 	for version := uint64(2); version < 5; version++ {
 		if t, ok := m.firstDecidedAt[version]; ok {
-			w.numbers(version, w.at(t))
+			w.numbers(version, w.relativeTime(t))
 		}
 	}
 	b := &m.bounds
-	w.numbers(uint64(b.ticks), uint64(b.crashes), uint64(b.leaders), uint64(b.duplicates), uint64(b.changes+9))
+	w.numbers(uint64(b.ticks), uint64(b.crashes), uint64(b.leaderChanges), uint64(b.duplicates), uint64(b.changes+9))
 	for i := range k {
 		k[i] = maphash.Bytes(modelSeeds[i], w.b)
 	}
--- a/internal/policy/modelsteps_test.go
+++ b/internal/policy/modelsteps_test.go
@@ -11,13 +11,13 @@
 // successors collects the states that may follow one.
 type successors struct {
 	from *model
-	flaw modelFlaw
+	bug  injectedBug
 	all  []*model
 }
 
 // next returns the states that may follow.
-func (m *model) next(flaw modelFlaw) []*model {
-	s := &successors{from: m, flaw: flaw}
+func (m *model) next(bug injectedBug) []*model {
+	s := &successors{from: m, bug: bug}
 	s.advanceClock()
 	for i := range m.participants {
 		s.sendRequest(i)
@@ -48,7 +48,7 @@
 	}
 	s.add(func(m *model) {
 		m.bounds.ticks--
-		m.now += m.bounds.step
+		m.now += m.bounds.clockStep
 	})
 }
 
@@ -59,20 +59,20 @@
 		return
 	}
 	for _, stale := range []bool{false, true} {
-		if stale && (s.flaw != staleLeader || s.from.old == nil) {
+		if stale && (s.bug != staleLeader || s.from.staleState == nil) {
 			continue
 		}
 		s.add(func(m *model) {
 			request := m.participants[i].StatusRequest(m.now)
 			m.participants[i].requests++
-			m.messages = append(m.messages, modelMessage{request: &request, stale: stale})
+			m.messages = append(m.messages, modelMessage{request: &request, toStaleLeader: stale})
 		})
 	}
 }
 
 // finishWrites makes documents durable that a flaw has prepared before they were.
 func (s *successors) finishWrites(i int) {
-	if s.flaw != voteNotDurable {
+	if s.bug != voteNotDurable {
 		return
 	}
 	p := s.from.participants[i]
@@ -85,18 +85,18 @@
 
 func (s *successors) crash(i int) {
 	if s.from.bounds.crashes > 0 {
-		s.add(func(m *model) { m.crash(i, s.flaw) })
+		s.add(func(m *model) { m.crash(i, s.bug) })
 	}
 }
 
 func (s *successors) changeLeader() {
-	if s.from.bounds.leaders == 0 {
+	if s.from.bounds.leaderChanges == 0 {
 		return
 	}
 	s.add(func(m *model) {
-		m.bounds.leaders--
-		if s.flaw == staleLeader {
-			m.old = cloneState(m.state)
+		m.bounds.leaderChanges--
+		if s.bug == staleLeader {
+			m.staleState = cloneState(m.state)
 		}
 		m.coordinator = NewCoordinator(m.now, time.Hour)
 	})
@@ -110,7 +110,7 @@
 	if s.from.bounds.changes > 0 {
 		s.add(func(m *model) { m.propose(2) })
 	}
-	if s.flaw == idForgotten {
+	if s.bug == idForgotten {
 		s.add(func(m *model) {
 			m.state.Outcomes = nil
 			m.index++
@@ -124,7 +124,7 @@
 	if len(s.from.entries) >= s.from.bounds.entries {
 		return
 	}
-	for _, e := range s.from.clone().proposals(s.flaw) {
+	for _, e := range s.from.clone().proposals(s.bug) {
 		isProposed := slices.ContainsFunc(s.from.entries, func(other Entry) bool {
 			return fmt.Sprint(other.Commit, other.Join, other.Abort) == fmt.Sprint(e.Commit, e.Join, e.Abort)
 		})
@@ -132,14 +132,14 @@
 			continue
 		}
 		s.add(func(m *model) {
-			m.noteProposal(&e, s.flaw)
+			m.recordProposal(&e, s.bug)
 			m.entries = append(m.entries, e)
 		})
 	}
 }
 
 // proposals returns the entries that are proposed now. It changes the coordinator.
-func (m *model) proposals(flaw modelFlaw) []Entry {
+func (m *model) proposals(bug injectedBug) []Entry {
 	clear(m.coordinator.proposedAt)
 	entries := m.coordinator.Tick(m.now, m.state, 0)
 	pending := m.state.Pending
@@ -147,17 +147,17 @@
 		return entries
 	}
 	prepared := func(status *participantStatus, change uint64) bool { return status.request.Prepared == change }
-	if flaw == commitUnlocked && len(m.coordinator.missing(m.now, m.state, prepared)) == 0 {
+	if bug == commitUnlocked && len(m.coordinator.missing(m.now, m.state, prepared)) == 0 {
 		entries = append(entries, Entry{Commit: &Commit{Index: pending.Index, Locked: m.state.Processes()}})
 	}
-	if flaw == fencesAtOnce {
+	if bug == fencesAtOnce {
 		entries = append(entries, Entry{Commit: &Commit{Index: pending.Index, Fenced: m.state.Processes()}})
 	}
 	return entries
 }
 
 // noteProposal changes the coordinator as its Tick does for an entry.
-func (m *model) noteProposal(e *Entry, flaw modelFlaw) {
+func (m *model) recordProposal(e *Entry, bug injectedBug) {
 	changeIndex := uint64(0)
 	if m.state.Pending != nil {
 		changeIndex = m.state.Pending.Index
@@ -166,7 +166,7 @@
 		m.coordinator.changeIndex = changeIndex
 		clear(m.coordinator.fenced)
 	}
-	if e.Commit == nil || flaw == renewsWhileCommitting {
+	if e.Commit == nil || bug == renewsWhileCommitting {
 		return
 	}
 	for _, p := range e.Commit.Fenced {
@@ -180,7 +180,7 @@
 		s.add(func(m *model) {
 			m.entries = slices.Delete(slices.Clone(m.entries), i, i+1)
 			m.index++
-			if s.flaw == joinUnnoticed && e.Commit != nil {
+			if s.bug == joinUnnoticed && e.Commit != nil {
 				commit := *e.Commit
 				commit.Locked = m.state.Processes()
 				e.Commit = &commit
@@ -203,14 +203,14 @@
 					m.messages = append(m.messages, message)
 					m.bounds.duplicates--
 				}
-				m.deliver(message, s.flaw)
+				m.deliver(message, s.bug)
 			})
 		}
 	}
 }
 
 // crash restarts a participant, which has what is on its disk.
-func (m *model) crash(i int, flaw modelFlaw) {
+func (m *model) crash(i int, bug injectedBug) {
 	m.bounds.crashes--
 	p := m.participants[i]
 	p.incarnation++
@@ -220,20 +220,20 @@
 	for hash := range p.disk {
 		p.prepared[hash] = true
 	}
-	if flaw == trustsDisk {
+	if bug == trustsDisk {
 		p.version, p.decidesUntil = version, NoExpiry
 	}
 }
 
 // deliver delivers a message.
-func (m *model) deliver(message modelMessage, flaw modelFlaw) {
+func (m *model) deliver(message modelMessage, bug injectedBug) {
 	if message.request == nil {
-		m.deliverReply(message.reply, flaw)
+		m.deliverReply(message.reply, bug)
 		return
 	}
 	state := m.state
-	if message.stale {
-		state = m.old
+	if message.toStaleLeader {
+		state = m.staleState
 	} else {
 		m.coordinator.ReceiveStatus(m.now, *message.request)
 	}
@@ -242,12 +242,12 @@
 }
 
 // deliverReply delivers a reply to its participant, which can prepare a missing document at once.
-func (m *model) deliverReply(reply *StatusReply, flaw modelFlaw) {
+func (m *model) deliverReply(reply *StatusReply, bug injectedBug) {
 	p := m.participants[reply.Process.Gateway]
 	before := p.decidesUntil
 	to, ok := p.ReceiveReply(m.now, *reply)
 	if hash, _, isMissing := p.MissingDocument(); isMissing {
-		if flaw != voteNotDurable {
+		if bug != voteNotDurable {
 			p.disk[hash] = true
 		}
 		p.DocumentPrepared(hash)
@@ -255,7 +255,7 @@
 			to, ok = p.required, true
 		}
 	}
-	if flaw == leaseFromReply && p.decidesUntil != NoExpiry && p.decidesUntil > before {
+	if bug == leaseFromReply && p.decidesUntil != NoExpiry && p.decidesUntil > before {
 		p.decidesUntil += m.now - reply.RequestSentAt
 	}
 	if ok {
--- a/internal/policy/schedules_test.go
+++ b/internal/policy/schedules_test.go
@@ -16,25 +16,25 @@
 
 // schedule is a random play of a world, with what was done for a person to read.
 type schedule struct {
-	*world
+	*simulation
 	rng     *rand.Rand
 	voters  int
 	changes int
-	story   []string
+	events  []string
 }
 
 // playSchedule plays a random schedule.
-func playSchedule(seed uint64, gateways int, length time.Duration) *schedule {
-	return playWith(seed, gateways, length, nil)
+func runSchedule(seed uint64, gateways int, length time.Duration) *schedule {
+	return runTracedSchedule(seed, gateways, length, nil)
 }
 
 // playWith plays a random schedule and records a trace, if there is one.
-func playWith(seed uint64, gateways int, length time.Duration, trace *worldTrace) *schedule {
+func runTracedSchedule(seed uint64, gateways int, length time.Duration, trace *simulationTrace) *schedule {
 	rng := rand.New(rand.NewPCG(seed, 8))
 	s := &schedule{
-		world:  newWorld(seed, gateways, Mode(rng.IntN(2))),
-		rng:    rng,
-		voters: min(3, gateways),
+		simulation: newSimulation(seed, gateways, Mode(rng.IntN(2))),
+		rng:        rng,
+		voters:     min(3, gateways),
 	}
 	s.trace = trace
 	s.maxDelay = time.Duration(1+rng.IntN(30)) * time.Millisecond
@@ -43,7 +43,7 @@
 	s.decideEvery(7 * time.Millisecond)
 	for end := s.now + length; s.now < end; {
 		s.run(s.now + s.randomDuration(400*time.Millisecond))
-		s.step(s.gateways[rng.IntN(gateways)])
+		s.randomAction(s.gateways[rng.IntN(gateways)])
 	}
 	return s
 }
@@ -53,11 +53,11 @@
 }
 
 func (s *schedule) log(format string, args ...any) {
-	s.story = append(s.story, fmt.Sprintf("%v ", s.now-time.Hour)+fmt.Sprintf(format, args...))
+	s.events = append(s.events, fmt.Sprintf("%v ", s.now-time.Hour)+fmt.Sprintf(format, args...))
 }
 
 // step does one thing at random, mostly to a gateway.
-func (s *schedule) step(g *gateway) {
+func (s *schedule) randomAction(g *gateway) {
 	switch s.rng.IntN(9) {
 	case 0, 1, 2:
 		s.proposeChange(g)
@@ -98,7 +98,7 @@
 func (s *schedule) kill(g *gateway) {
 	s.log("kill %d", g.index)
 	g.alive = false
-	g.life++
+	g.processEpoch++
 	if s.leader == g.index {
 		s.elect((g.index + 1) % s.voters)
 	}
@@ -116,9 +116,9 @@
 	}
 	s.log("stop %d", g.index)
 	g.stopped = true
-	life := g.life
+	epoch := g.processEpoch
 	s.after(s.randomDuration(4*time.Second), func() {
-		if g.life == life {
+		if g.processEpoch == epoch {
 			g.resume()
 		}
 	})
@@ -131,13 +131,13 @@
 func (s *schedule) cutOff(g *gateway) {
 	index, direction := g.index, s.rng.IntN(3)
 	s.log("cut %d (%d)", index, direction)
-	s.cut = func(from, to int) bool {
+	s.isCut = func(from, to int) bool {
 		return direction != 1 && from == index || direction != 0 && to == index
 	}
 	if s.leader == index && len(s.gateways) > 1 {
 		s.elect((index + 1) % s.voters)
 	}
-	s.after(s.randomDuration(5*time.Second), func() { s.cut = func(int, int) bool { return false } })
+	s.after(s.randomDuration(5*time.Second), func() { s.isCut = func(int, int) bool { return false } })
 }
 
 // scheduleSeeds are the seeds to play: that of GAPGAP_SEED, or as many as the run has time for.
@@ -168,10 +168,10 @@
 	versions, worst := uint64(0), time.Duration(0)
 	for _, seed := range seeds {
 		gateways := 1 + int(seed%12)
-		s := playSchedule(seed, gateways, 15*time.Second)
+		s := runSchedule(seed, gateways, 15*time.Second)
 		if s.worstWindow > maxWindow {
 			t.Fatalf("GAPGAP_SEED=%d, %d gateways: decided by an earlier version %v after the first by a later one\n%v",
-				seed, gateways, s.worstWindow, s.story)
+				seed, gateways, s.worstWindow, s.events)
 		}
 		worst = max(worst, s.worstWindow)
 		for version := range s.firstDecidedAt {
@@ -191,19 +191,19 @@
 		sizes = sizes[:2]
 	}
 	for _, gateways := range sizes {
-		w := newWorld(uint64(gateways), gateways, Wait)
-		w.decideEvery(5 * time.Millisecond)
-		w.run(w.now + 5*time.Second)
+		sim := newSimulation(uint64(gateways), gateways, Wait)
+		sim.decideEvery(5 * time.Millisecond)
+		sim.run(sim.now + 5*time.Second)
 		for version := uint64(2); version < 5; version++ {
 			change := &Change{ID: fmt.Sprint(version), Base: version - 1, Hash: Hash{byte(version)}}
-			proposedAt := w.now
-			w.gateways[gateways-1].query(Query{ChangeID: change.ID, Change: change})
-			w.run(w.now + 4*time.Second)
-			first, ok := w.firstDecidedAt[version]
+			proposedAt := sim.now
+			sim.gateways[gateways-1].query(Query{ChangeID: change.ID, Change: change})
+			sim.run(sim.now + 4*time.Second)
+			first, ok := sim.firstDecidedAt[version]
 			if !ok {
 				t.Fatalf("%d gateways: change %d was not committed", gateways, version)
 			}
-			window := w.lastDecidedAt[version-1] - first
+			window := sim.lastDecidedAt[version-1] - first
 			t.Logf("%d gateways: committed %v after it was proposed, window %v",
 				gateways, (first - proposedAt).Round(time.Millisecond), window.Round(time.Millisecond))
 			if first-proposedAt > 2*time.Second || window > maxWindow {
--- a/internal/policy/world_test.go
+++ b/internal/policy/simulation_test.go
@@ -12,7 +12,7 @@
 // world is a set of gateways in virtual time: clocks that differ, links that lose, delay and duplicate, processes that
 // are killed and stopped, and a log to which whichever voter leads commits. A leader that has been replaced goes on for
 // a while as if it led.
-type world struct {
+type simulation struct {
 	rng            *rand.Rand
 	now            time.Duration
 	queue          eventQueue
@@ -25,28 +25,28 @@
 	loss           float64
 	maxDelay       time.Duration
 	duplication    float64
-	cut            func(a, b int) bool
+	isCut          func(a, b int) bool
 	worstWindow    time.Duration // longest time that an old version was decided by after a newer one
 	firstDecidedAt map[uint64]time.Duration
 	lastDecidedAt  map[uint64]time.Duration
 
-	trace *worldTrace // nil: nothing is recorded, and what a node does in the order of a map stays in that order
+	trace *simulationTrace // nil: nothing is recorded, and what a node does in the order of a map stays in that order
 }
 
-type worldEvent struct {
+type simulationEvent struct {
 	at     time.Duration
 	number int
 	run    func()
 }
 
-type eventQueue []worldEvent
+type eventQueue []simulationEvent
 
 func (q eventQueue) Len() int { return len(q) }
 func (q eventQueue) Less(i, j int) bool {
 	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].number < q[j].number
 }
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *eventQueue) Push(x any)   { *q = append(*q, x.(worldEvent)) }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(simulationEvent)) }
 func (q *eventQueue) Pop() any {
 	e := (*q)[len(*q)-1]
 	*q = (*q)[:len(*q)-1]
@@ -54,70 +54,70 @@
 }
 
 type gateway struct {
-	world       *world
-	index       int
-	node        *Node
-	life        int
-	incarnation uint32
-	alive       bool
-	stopped     bool
-	deferred    []func()
-	offset      time.Duration
-	drift       float64
-	leadsTo     time.Duration // it believes that it leads until then, by the world's time
-	applied     int
-	term        uint64
-	disk        map[Hash]bool
-	prepareTime time.Duration // of a document
+	sim          *simulation
+	index        int
+	node         *Node
+	processEpoch int
+	incarnation  uint32
+	alive        bool
+	stopped      bool
+	deferred     []func()
+	offset       time.Duration
+	drift        float64
+	leadsUntil   time.Duration // it believes that it leads until then, by the world's time
+	applied      int
+	term         uint64
+	disk         map[Hash]bool
+	prepareTime  time.Duration // of a document
 
 	proposed [][]byte // by the call of the node that goes on, where a trace is recorded
 }
 
 // newWorld returns a world in which the first version is committed and no gateway knows it yet.
-func newWorld(seed uint64, gateways int, mode Mode) *world {
-	w := &world{
+func newSimulation(seed uint64, gateways int, mode Mode) *simulation {
+	sim := &simulation{
 		rng:            rand.New(rand.NewPCG(seed, 7)),
 		now:            time.Hour,
 		maxDelay:       time.Millisecond,
-		cut:            func(int, int) bool { return false },
+		isCut:          func(int, int) bool { return false },
 		firstDecidedAt: map[uint64]time.Duration{},
 		lastDecidedAt:  map[uint64]time.Duration{},
 	}
 	voters := min(3, gateways)
 	for i := range gateways {
-		w.gateways = append(w.gateways, &gateway{
-			world:       w,
+		sim.gateways = append(sim.gateways, &gateway{
+			sim:         sim,
 			index:       i,
-			offset:      time.Duration(w.rng.Int64N(int64(time.Hour))),
-			drift:       1 + 0.01*(2*w.rng.Float64()-1),
+			offset:      time.Duration(sim.rng.Int64N(int64(time.Hour))),
+			drift:       1 + 0.01*(2*sim.rng.Float64()-1),
 			disk:        map[Hash]bool{{1}: true},
-			prepareTime: time.Duration(w.rng.Int64N(int64(50 * time.Millisecond))),
+			prepareTime: time.Duration(sim.rng.Int64N(int64(50 * time.Millisecond))),
 		})
 	}
-	for _, g := range w.gateways {
+	for _, g := range sim.gateways {
 		g.start(voters)
 	}
-	w.gateways[0].leadsTo = 1 << 62
-	w.commitEntry(Entry{Propose: &Change{ID: "begin", Hash: Hash{1}, Initial: true, Mode: mode}})
-	return w
+	sim.gateways[0].leadsUntil = 1 << 62
+	sim.commitEntry(Entry{Propose: &Change{ID: "begin", Hash: Hash{1}, Initial: true, Mode: mode}})
+	return sim
 }
 
-func (w *world) after(d time.Duration, do func()) {
-	w.eventNumber++
-	heap.Push(&w.queue, worldEvent{w.now + max(0, d), w.eventNumber, do})
+func (sim *simulation) after(d time.Duration, do func()) {
+	sim.eventNumber++
+	heap.Push(&sim.queue, simulationEvent{sim.now + max(0, d), sim.eventNumber, do})
 }
 
-func (w *world) run(to time.Duration) {
-	for len(w.queue) > 0 && w.queue[0].at <= to {
-		e := heap.Pop(&w.queue).(worldEvent)
-		w.now = max(w.now, e.at)
+func (sim *simulation) run(to time.Duration) {
+	for len(sim.queue) > 0 && sim.queue[0].at <= to {
+		e := heap.Pop(&sim.queue).(simulationEvent)
+		sim.now = max(sim.now, e.at)
 		e.run()
 	}
-	w.now = to
+	sim.now = to
 }
 
-func (w *world) commitEntry(e Entry) {
-	n := &Node{cfg: Config{Log: proposalSink(func(b []byte) { w.committed = append(w.committed, b) })}}
+func (sim *simulation) commitEntry(e Entry) {
+	n := &Node{cfg: Config{Log: proposalSink(func(b []byte) { sim.committed = append(sim.committed, b) })}}
 	n.propose(e)
 }
 
@@ -135,38 +135,38 @@
 }
 
 func (g *gateway) clock() time.Duration {
-	return g.offset + time.Duration(float64(g.world.now)*g.drift)
+	return g.offset + time.Duration(float64(g.sim.now)*g.drift)
 }
 
 func (g *gateway) start(voters int) {
-	g.life++
+	g.processEpoch++
 	g.incarnation++
-	g.alive, g.stopped, g.deferred, g.applied, g.leadsTo = true, false, nil, 0, 0
+	g.alive, g.stopped, g.deferred, g.applied, g.leadsUntil = true, false, nil, 0, 0
 	cfg := Config{
 		Process:    Process{Gateway: uint16(g.index), ID: membership.ID{Incarnation: g.incarnation}},
-		Gateways:   len(g.world.gateways),
+		Gateways:   len(g.sim.gateways),
 		AbortAfter: 3 * time.Second,
 	}
 	for v := range voters {
 		cfg.Voters = append(cfg.Voters, v)
 	}
 	if g.index < voters {
-		cfg.Log = (*worldLog)(g)
+		cfg.Log = (*simulationLog)(g)
 	}
 	g.node = NewNode(cfg)
-	life := g.life
+	epoch := g.processEpoch
 	var tick func()
 	tick = func() {
-		if g.life != life {
+		if g.processEpoch != epoch {
 			return
 		}
-		g.world.after(10*time.Millisecond, tick)
+		g.sim.after(10*time.Millisecond, tick)
 		g.runOrDefer(func() {
-			g.deliver(g.node.Tick(g.clock(), g.world.wallMillis()))
+			g.deliver(g.node.Tick(g.clock(), g.sim.wallMillis()))
 			g.afterCall()
 		})
 	}
-	g.world.after(time.Duration(g.world.rng.Int64N(int64(10*time.Millisecond))), tick)
+	g.sim.after(time.Duration(g.sim.rng.Int64N(int64(10*time.Millisecond))), tick)
 }
 
 // runOrDefer runs a function now, or when a stopped process is resumed.
@@ -195,27 +195,27 @@
 
 // deliver sends messages over the links.
 func (g *gateway) deliver(outs []Outgoing) {
-	w := g.world
-	if w.trace != nil {
+	sim := g.sim
+	if sim.trace != nil {
 		outs = g.record(outs)
 	}
 	for _, o := range outs {
-		if o.To >= len(w.gateways) {
+		if o.To >= len(sim.gateways) {
 			continue
 		}
-		to := w.gateways[o.To]
-		times := 1
-		if o.To != g.index && (w.cut(g.index, o.To) || w.rng.Float64() < w.loss) {
+		to := sim.gateways[o.To]
+		copies := 1
+		if o.To != g.index && (sim.isCut(g.index, o.To) || sim.rng.Float64() < sim.loss) {
 			continue
-		} else if w.rng.Float64() < w.duplication {
-			times = 2
+		} else if sim.rng.Float64() < sim.duplication {
+			copies = 2
 		}
-		for range times {
-			life := to.life
-			w.after(time.Duration(w.rng.Int64N(int64(w.maxDelay))+1), func() {
-				if to.life == life {
+		for range copies {
+			epoch := to.processEpoch
+			sim.after(time.Duration(sim.rng.Int64N(int64(sim.maxDelay))+1), func() {
+				if to.processEpoch == epoch {
 					to.runOrDefer(func() {
-						to.deliver(to.node.Receive(to.clock(), g.index, o.Message, w.wallMillis()))
+						to.deliver(to.node.Receive(to.clock(), g.index, o.Message, sim.wallMillis()))
 						to.afterCall()
 					})
 				}
@@ -226,7 +226,7 @@
 
 // afterCall prepares a missing document, and on the leader applies what is committed.
 func (g *gateway) afterCall() {
-	if g.leadsTo > 0 && g.world.leader == g.index {
+	if g.leadsUntil > 0 && g.sim.leader == g.index {
 		g.catchUp()
 	}
 	if h, _, ok := g.node.Participant().MissingDocument(); ok {
@@ -234,9 +234,9 @@
 			g.node.Participant().DocumentPrepared(h)
 			g.node.PollNow()
 		} else {
-			life := g.life
-			g.world.after(g.prepareTime, func() {
-				if g.life == life {
+			epoch := g.processEpoch
+			g.sim.after(g.prepareTime, func() {
+				if g.processEpoch == epoch {
 					g.disk[h] = true
 					g.runOrDefer(func() {
 						g.node.Participant().DocumentPrepared(h)
@@ -253,34 +253,34 @@
 	if !g.alive || g.stopped || g.clock() >= g.node.Participant().DecidesUntil() {
 		return
 	}
-	version, w := g.node.Participant().Version().Number, g.world
-	if _, ok := w.firstDecidedAt[version]; !ok {
-		w.firstDecidedAt[version] = w.now
+	version, sim := g.node.Participant().Version().Number, g.sim
+	if _, ok := sim.firstDecidedAt[version]; !ok {
+		sim.firstDecidedAt[version] = sim.now
 	}
-	w.lastDecidedAt[version] = w.now
-	for later, at := range w.firstDecidedAt {
+	sim.lastDecidedAt[version] = sim.now
+	for later, at := range sim.firstDecidedAt {
 		if later > version {
-			w.worstWindow = max(w.worstWindow, w.now-at)
+			sim.worstWindow = max(sim.worstWindow, sim.now-at)
 		}
 	}
 }
 
 func (g *gateway) catchUp() {
-	for ; g.applied < len(g.world.committed); g.applied++ {
-		g.node.Apply(uint64(g.applied)+1, g.world.committed[g.applied])
+	for ; g.applied < len(g.sim.committed); g.applied++ {
+		g.node.Apply(uint64(g.applied)+1, g.sim.committed[g.applied])
 	}
 }
 
 // worldLog is the log as a voter sees it.
-type worldLog gateway
+type simulationLog gateway
 
-func (l *worldLog) Leading() (uint64, bool) {
-	return l.term, l.world.leader == l.index || l.world.now < l.leadsTo && l.leadsTo < 1<<61
+func (l *simulationLog) Leading() (uint64, bool) {
+	return l.term, l.sim.leader == l.index || l.sim.now < l.leadsUntil && l.leadsUntil < 1<<61
 }
 
 // Propose commits an entry after a while, if its leader still leads then.
-func (l *worldLog) Propose(b []byte) {
-	if l.world.trace != nil {
+func (l *simulationLog) Propose(b []byte) {
+	if l.sim.trace != nil {
 		l.proposed = append(l.proposed, b)
 		return
 	}
@@ -288,18 +288,18 @@
 }
 
 func (g *gateway) propose(b []byte) {
-	w := g.world
-	if w.leader != g.index {
+	sim := g.sim
+	if sim.leader != g.index {
 		return
 	}
 	p := &b
-	w.uncommitted = append(w.uncommitted, p)
-	w.after(time.Duration(w.rng.Int64N(int64(4*w.maxDelay))+1), func() {
-		if i := slices.Index(w.uncommitted, p); i >= 0 {
-			w.uncommitted = slices.Delete(w.uncommitted, i, i+1)
-			w.committed = append(w.committed, b)
+	sim.uncommitted = append(sim.uncommitted, p)
+	sim.after(time.Duration(sim.rng.Int64N(int64(4*sim.maxDelay))+1), func() {
+		if i := slices.Index(sim.uncommitted, p); i >= 0 {
+			sim.uncommitted = slices.Delete(sim.uncommitted, i, i+1)
+			sim.committed = append(sim.committed, b)
 			g.runOrDefer(func() {
-				if w.leader == g.index {
+				if sim.leader == g.index {
 					g.catchUp()
 				}
 			})
@@ -307,17 +307,17 @@
 	})
 }
 
-func (*worldLog) ReplaceVoter(int) error { return nil }
+func (*simulationLog) ReplaceVoter(int) error { return nil }
 
 // ConfirmRead confirms a read only if this voter leads both when it is started and when it is confirmed.
-func (l *worldLog) ConfirmRead(token uint64) {
-	w, g := l.world, (*gateway)(l)
-	if w.leader != g.index {
+func (l *simulationLog) ConfirmRead(token uint64) {
+	sim, g := l.sim, (*gateway)(l)
+	if sim.leader != g.index {
 		return
 	}
-	life, term := g.life, g.term
-	w.after(time.Duration(w.rng.Int64N(int64(2*w.maxDelay))+1), func() {
-		if w.leader == g.index && g.term == term && g.life == life {
+	epoch, term := g.processEpoch, g.term
+	sim.after(time.Duration(sim.rng.Int64N(int64(2*sim.maxDelay))+1), func() {
+		if sim.leader == g.index && g.term == term && g.processEpoch == epoch {
 			g.runOrDefer(func() {
 				g.catchUp()
 				g.deliver(g.node.ReadConfirmed(g.clock(), token))
@@ -329,31 +329,31 @@
 
 // elect makes another voter the leader. The one before does not know for a while; the new one has all that is
 // committed.
-func (w *world) elect(to int) {
+func (sim *simulation) elect(to int) {
 	// What the new leader's log has of the one before is committed before it answers anybody; the rest is lost.
-	for _, p := range w.uncommitted {
-		if w.rng.IntN(2) == 0 {
-			w.committed = append(w.committed, *p)
+	for _, p := range sim.uncommitted {
+		if sim.rng.IntN(2) == 0 {
+			sim.committed = append(sim.committed, *p)
 		}
 	}
-	w.uncommitted = nil
-	was := w.gateways[w.leader]
-	was.leadsTo = w.now + time.Duration(w.rng.Int64N(int64(time.Second)))
-	w.leader = to
-	g := w.gateways[to]
-	w.term++
-	g.leadsTo, g.term = 1<<62, w.term
+	sim.uncommitted = nil
+	previous := sim.gateways[sim.leader]
+	previous.leadsUntil = sim.now + time.Duration(sim.rng.Int64N(int64(time.Second)))
+	sim.leader = to
+	g := sim.gateways[to]
+	sim.term++
+	g.leadsUntil, g.term = 1<<62, sim.term
 	g.runOrDefer(g.catchUp)
 }
 
 // decideEvery has a request come to each gateway in an interval.
-func (w *world) decideEvery(interval time.Duration) {
-	var ask func()
-	ask = func() {
-		for _, g := range w.gateways {
+func (sim *simulation) decideEvery(interval time.Duration) {
+	var decide func()
+	decide = func() {
+		for _, g := range sim.gateways {
 			g.checkDecision()
 		}
-		w.after(interval, ask)
+		sim.after(interval, decide)
 	}
-	ask()
+	decide()
 }
--- a/internal/policy/trace_test.go
+++ b/internal/policy/trace_test.go
@@ -12,20 +12,20 @@
 )
 
 // worldTrace is the hash of all that the nodes of a world send, propose and decide by.
-type worldTrace struct{ *golden.Trace }
+type simulationTrace struct{ *golden.Trace }
 
 // wallMillis is the wall clock of a world whose trace is recorded, in Unix milliseconds; 0 in others.
-func (w *world) wallMillis() int64 {
-	if w.trace == nil {
+func (sim *simulation) wallMillis() int64 {
+	if sim.trace == nil {
 		return 0
 	}
-	return w.now.Milliseconds()
+	return sim.now.Milliseconds()
 }
 
 // record adds what a call of the node has returned and proposed, and proposes it. Queries, joins and leaves come in the
 // order of a map; they are sorted, so that a play does not depend on it.
 func (g *gateway) record(outs []Outgoing) []Outgoing {
-	trace := g.world.trace
+	trace := g.sim.trace
 	queries := slices.IndexFunc(outs, func(o Outgoing) bool { return o.Message.Query != nil })
 	if queries >= 0 {
 		slices.SortStableFunc(outs[queries:], func(a, b Outgoing) int {
@@ -33,7 +33,7 @@
 		})
 	}
 	trace.Int(int64(g.index))
-	trace.Duration(g.world.now)
+	trace.Duration(g.sim.now)
 	trace.Int(int64(len(outs)))
 	for _, o := range outs {
 		trace.Int(int64(o.To))
@@ -46,7 +46,7 @@
 	})
 	trace.Int(int64(len(proposed)))
 	for _, b := range proposed {
-		trace.encoded(b)
+		trace.encodedEntry(b)
 		g.propose(b)
 	}
 	trace.participant(g.node.Participant())
@@ -70,31 +70,31 @@
 }
 
 // process adds the identity of a process.
-func (t worldTrace) process(p Process) {
+func (t simulationTrace) process(p Process) {
 	t.Uint(uint64(p.Gateway))
 	t.Uint(uint64(p.ID.Incarnation))
 	t.Uint(uint64(p.ID.Nonce))
 }
 
-func (t worldTrace) processes(all []Process) {
+func (t simulationTrace) processes(all []Process) {
 	t.Int(int64(len(all)))
 	for _, p := range all {
 		t.process(p)
 	}
 }
 
-func (t worldTrace) version(v Version) {
+func (t simulationTrace) version(v Version) {
 	t.Uint(v.Number)
 	t.String(string(v.Hash[:]))
 }
 
 // present adds whether a part is there.
-func (t worldTrace) present(there bool) bool {
-	t.Bool(there)
-	return there
+func (t simulationTrace) present(isPresent bool) bool {
+	t.Bool(isPresent)
+	return isPresent
 }
 
-func (t worldTrace) change(c *Change) {
+func (t simulationTrace) change(c *Change) {
 	if !t.present(c != nil) {
 		return
 	}
@@ -111,15 +111,15 @@
 	t.Bool(c.Initial)
 }
 
-func (t worldTrace) times(all map[uint16]int64) {
+func (t simulationTrace) switchTimes(all map[uint16]int64) {
 	t.Int(int64(len(all)))
-	for _, rank := range slices.Sorted(maps.Keys(all)) {
-		t.Uint(uint64(rank))
-		t.Int(all[rank])
+	for _, gateway := range slices.Sorted(maps.Keys(all)) {
+		t.Uint(uint64(gateway))
+		t.Int(all[gateway])
 	}
 }
 
-func (t worldTrace) outcome(o *Outcome) {
+func (t simulationTrace) outcome(o *Outcome) {
 	if !t.present(o != nil) {
 		return
 	}
@@ -130,10 +130,10 @@
 	t.Int(o.DecidedAt)
 	t.processes(o.Locked)
 	t.processes(o.Fenced)
-	t.times(o.SwitchedAt)
+	t.switchTimes(o.SwitchedAt)
 }
 
-func (t worldTrace) message(m *Message) {
+func (t simulationTrace) message(m *Message) {
 	if r := m.StatusRequest; t.present(r != nil) {
 		t.process(r.Process)
 		t.Duration(r.SentAt)
@@ -176,7 +176,7 @@
 }
 
 // encoded adds an entry of the log.
-func (t worldTrace) encoded(b []byte) {
+func (t simulationTrace) encodedEntry(b []byte) {
 	var e Entry
 	if err := cbor.Unmarshal(b, &e); err != nil {
 		panic(err)
@@ -201,19 +201,19 @@
 	}
 	if t.present(e.SwitchReport != nil) {
 		t.Uint(e.SwitchReport.Version)
-		t.times(e.SwitchReport.SwitchedAt)
+		t.switchTimes(e.SwitchReport.SwitchedAt)
 	}
 	if t.present(e.Recovery != nil) {
 		t.String(e.Recovery.Author)
 		t.Int(int64(len(e.Recovery.Lost)))
-		for _, rank := range e.Recovery.Lost {
-			t.Uint(uint64(rank))
+		for _, gateway := range e.Recovery.Lost {
+			t.Uint(uint64(gateway))
 		}
 		t.Int(e.Recovery.RecoveredAt)
 	}
 }
 
-func (t worldTrace) state(s *State) {
+func (t simulationTrace) state(s *State) {
 	t.version(s.Current)
 	t.processes(s.Processes())
 	t.change(s.Pending)
@@ -225,28 +225,28 @@
 }
 
 // participant adds what a gateway may decide by, and until when.
-func (t worldTrace) participant(p *Participant) {
+func (t simulationTrace) participant(p *Participant) {
 	t.version(p.Version())
 	t.Duration(p.DecidesUntil())
 	t.Bool(p.IsLocked())
 	pending, ok := p.Pending()
 	t.Bool(ok)
 	t.change(&pending)
-	hash, from, wants := p.MissingDocument()
-	t.Bool(wants)
+	hash, source, isMissing := p.MissingDocument()
+	t.Bool(isMissing)
 	t.String(string(hash[:]))
-	t.Uint(uint64(from))
+	t.Uint(uint64(source))
 }
 
 // end adds all states as they stand in the end.
-func (w *world) end() string {
-	for _, g := range w.gateways {
-		w.trace.state(g.node.State())
-		w.trace.participant(g.node.Participant())
-		w.trace.Bool(g.node.IsLeaveConfirmed())
-	}
-	w.trace.Duration(w.worstWindow)
-	return w.trace.Sum()
+func (sim *simulation) finishTrace() string {
+	for _, g := range sim.gateways {
+		sim.trace.state(g.node.State())
+		sim.trace.participant(g.node.Participant())
+		sim.trace.Bool(g.node.IsLeaveConfirmed())
+	}
+	sim.trace.Duration(sim.worstWindow)
+	return sim.trace.Sum()
 }
 
-func newWorldTrace() *worldTrace { return &worldTrace{golden.NewTrace()} }
+func newSimulationTrace() *simulationTrace { return &simulationTrace{golden.NewTrace()} }
