--- a/internal/policy/simulation_test.go
+++ b/internal/policy/simulation_test.go
@@ -9,9 +9,9 @@
 	"gapgap/internal/membership"
 )
 
-// world is a set of gateways in virtual time: clocks that differ, links that lose, delay and duplicate, processes that
-// are killed and stopped, and a log to which whichever voter leads commits. A leader that has been replaced goes on for
-// a while as if it led.
+// simulation simulates gateways in virtual time, with clock offset and drift, links that lose, delay and duplicate
+// messages, and processes that are killed and stopped. The replicated log is a shared list to which the current leader
+// commits. A deposed leader believes for a while that it still leads.
 type simulation struct {
 	rng            *rand.Rand
 	now            time.Duration
@@ -19,18 +19,18 @@
 	eventNumber    int
 	gateways       []*gateway
 	committed      [][]byte
-	uncommitted    []*[]byte // proposed
+	uncommitted    []*[]byte // proposed entries
 	leader         int
 	term           uint64
 	loss           float64
 	maxDelay       time.Duration
 	duplication    float64
 	isCut          func(a, b int) bool
-	worstWindow    time.Duration // longest time that an old version was decided by after a newer one
+	worstWindow    time.Duration // longest delay of a decision by an old version after the first by a newer one
 	firstDecidedAt map[uint64]time.Duration
 	lastDecidedAt  map[uint64]time.Duration
 
-	trace *simulationTrace // nil: nothing is recorded, and what a node does in the order of a map stays in that order
+	trace *simulationTrace // nil if no trace is recorded; then map order is not normalized
 }
 
 type simulationEvent struct {
@@ -64,16 +64,16 @@
 	deferred     []func()
 	offset       time.Duration
 	drift        float64
-	leadsUntil   time.Duration // it believes that it leads until then, by the world's time
+	leadsUntil   time.Duration // until then, in simulation time, it believes that it leads
 	applied      int
 	term         uint64
 	disk         map[Hash]bool
-	prepareTime  time.Duration // of a document
+	prepareTime  time.Duration // time that preparing a document takes
 
-	proposed [][]byte // by the call of the node that goes on, where a trace is recorded
+	proposed [][]byte // entries proposed in the current call of the node, if a trace is recorded
 }
 
-// newWorld returns a world in which the first version is committed and no gateway knows it yet.
+// newSimulation returns a simulation in which the first version is committed, but no gateway knows about it yet.
 func newSimulation(seed uint64, gateways int, mode Mode) *simulation {
 	sim := &simulation{
 		rng:            rand.New(rand.NewPCG(seed, 7)),
@@ -128,7 +128,7 @@
 func (proposalSink) ConfirmRead(uint64)      {}
 func (proposalSink) ReplaceVoter(int) error  { return nil }
 
-// query starts a query; one more than the node allows is dropped.
+// query starts a query. It is dropped if the node has too many open queries.
 func (g *gateway) query(q Query) (number uint64) {
 	number, _ = g.node.StartQuery(q)
 	return number
@@ -169,7 +169,8 @@
 	g.sim.after(time.Duration(g.sim.rng.Int64N(int64(10*time.Millisecond))), tick)
 }
 
-// runOrDefer runs a function now, or when a stopped process is resumed.
+// runOrDefer calls a function now or, if the process is stopped, when it is resumed. It drops the call if the process
+// is dead, or if too many calls are deferred.
 func (g *gateway) runOrDefer(do func()) {
 	if g.stopped {
 		if len(g.deferred) < 200 {
@@ -182,7 +183,7 @@
 	}
 }
 
-// resume lets a stopped process go on: it decides before it receives anything.
+// resume resumes a stopped process. The process decides before it handles any message.
 func (g *gateway) resume() {
 	g.stopped = false
 	g.checkDecision()
@@ -193,7 +194,7 @@
 	}
 }
 
-// deliver sends messages over the links.
+// deliver sends messages over the simulated links.
 func (g *gateway) deliver(outs []Outgoing) {
 	sim := g.sim
 	if sim.trace != nil {
@@ -224,7 +225,7 @@
 	}
 }
 
-// afterCall prepares a missing document, and on the leader applies what is committed.
+// afterCall applies committed entries on the leader and prepares a missing document.
 func (g *gateway) afterCall() {
 	if g.leadsUntil > 0 && g.sim.leader == g.index {
 		g.catchUp()
@@ -248,7 +249,7 @@
 	}
 }
 
-// checkDecision decides on a request, if this gateway may, and notes by which version and when.
+// checkDecision decides on a client request, if this gateway may decide, and records by which version and when.
 func (g *gateway) checkDecision() {
 	if !g.alive || g.stopped || g.clock() >= g.node.Participant().DecidesUntil() {
 		return
@@ -271,14 +272,14 @@
 	}
 }
 
-// worldLog is the log as a voter sees it.
+// simulationLog is a voter's access to the log. It implements [Log].
 type simulationLog gateway
 
 func (l *simulationLog) Leading() (uint64, bool) {
 	return l.term, l.sim.leader == l.index || l.sim.now < l.leadsUntil && l.leadsUntil < 1<<61
 }
 
-// Propose commits an entry after a while, if its leader still leads then.
+// Propose commits an entry after a random delay, if its leader still leads then.
 func (l *simulationLog) Propose(b []byte) {
 	if l.sim.trace != nil {
 		l.proposed = append(l.proposed, b)
@@ -309,7 +310,7 @@
 
 func (*simulationLog) ReplaceVoter(int) error { return nil }
 
-// ConfirmRead confirms a read only if this voter leads both when it is started and when it is confirmed.
+// ConfirmRead confirms a read only if this voter is the leader of one term both at the start and at the confirmation.
 func (l *simulationLog) ConfirmRead(token uint64) {
 	sim, g := l.sim, (*gateway)(l)
 	if sim.leader != g.index {
@@ -327,10 +328,11 @@
 	})
 }
 
-// elect makes another voter the leader. The one before does not know for a while; the new one has all that is
-// committed.
+// elect makes another voter the leader, which has all committed entries. The previous leader does not notice for a
+// while.
 func (sim *simulation) elect(to int) {
-	// What the new leader's log has of the one before is committed before it answers anybody; the rest is lost.
+	// Uncommitted entries that have reached the new leader's log are committed before it answers any request. The
+	// others are lost.
 	for _, p := range sim.uncommitted {
 		if sim.rng.IntN(2) == 0 {
 			sim.committed = append(sim.committed, *p)
@@ -346,7 +348,7 @@
 	g.runOrDefer(g.catchUp)
 }
 
-// decideEvery has a request come to each gateway in an interval.
+// decideEvery lets each gateway decide on a client request at a fixed interval.
 func (sim *simulation) decideEvery(interval time.Duration) {
 	var decide func()
 	decide = func() {
