--- a/internal/policy/steps_test.go
+++ b/internal/policy/steps_test.go
@@ -10,7 +10,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// until plays event by event until a condition holds; false: it did not in time.
+// runUntil runs one event after another until a condition holds. It returns false if that takes longer than limit.
 func (sim *simulation) runUntil(limit time.Duration, holds func() bool) bool {
 	end := sim.now + limit
 	for len(sim.queue) > 0 && sim.queue[0].at <= end {
@@ -23,7 +23,7 @@
 	return false
 }
 
-// isProposed returns whether an entry of some kind is proposed and not yet committed.
+// isProposed reports whether an entry of some kind is proposed and not yet committed.
 func (sim *simulation) isProposed(kind func(Entry) bool) bool {
 	return slices.ContainsFunc(sim.uncommitted, func(b *[]byte) bool {
 		var e Entry
@@ -31,8 +31,8 @@
 	})
 }
 
-// receivedFrom returns whether the leader knows of some and of all participants that a condition on the pending change
-// holds.
+// leaderKnows reports whether the leader knows of at least one participant, and of all participants, that they meet a
+// condition on the pending change.
 func (sim *simulation) leaderKnows(what func(StatusRequest, uint64) bool) (some, all bool) {
 	n := sim.gateways[sim.leader].node
 	if n.leadership.coordinator == nil || n.state.Pending == nil {
@@ -49,7 +49,7 @@
 	return some, all
 }
 
-// countVersion counts the gateways that go by a version.
+// countVersion counts the gateways that use a version.
 func (sim *simulation) countVersion(n uint64) (count int) {
 	for _, g := range sim.gateways {
 		if g.alive && g.node.Participant().Version().Number == n {
@@ -59,18 +59,20 @@
 	return count
 }
 
-// changeStep is a step of a change, and whether it has come to that.
+// changeStep is a step of a change, with a check whether the change has reached it.
 type changeStep struct {
 	name      string
 	isReached func(sim *simulation) bool
 }
 
-// changeSteps are the steps of a change in their order.
+// changeSteps returns the steps of a change in order.
 func changeSteps() []changeStep {
 	prepared := func(h StatusRequest, index uint64) bool { return h.Prepared == index || h.Locked == index }
 	locked := func(h StatusRequest, index uint64) bool { return h.Locked == index }
 	return []changeStep{
-		{"proposed", func(sim *simulation) bool { return sim.isProposed(func(e Entry) bool { return e.Propose != nil }) }},
+		{"proposed", func(sim *simulation) bool {
+			return sim.isProposed(func(e Entry) bool { return e.Propose != nil })
+		}},
 		{"in the log", func(sim *simulation) bool { return sim.gateways[sim.leader].node.state.Pending != nil }},
 		{"the first has prepared", func(sim *simulation) bool { some, _ := sim.leaderKnows(prepared); return some }},
 		{"all have prepared", func(sim *simulation) bool { _, all := sim.leaderKnows(prepared); return all }},
@@ -85,7 +87,7 @@
 	}
 }
 
-// stepFaults go wrong at a step; what each returns ends it.
+// stepFaults returns the faults that can be injected at a step, by name. Each returns a function that repairs it.
 func stepFaults() map[string]func(sim *simulation, proposer *gateway) (repair func()) {
 	return map[string]func(sim *simulation, proposer *gateway) (repair func()){
 		"leader killed": func(sim *simulation, _ *gateway) func() {
@@ -107,7 +109,7 @@
 	}
 }
 
-// stepPlay is a change with a fault at one of its steps.
+// stepScenario runs a change and injects a fault at one of its steps.
 type stepScenario struct {
 	*simulation
 	t     *testing.T
@@ -116,10 +118,11 @@
 	mode  Mode
 }
 
-// changeID is the id of the change that a stepPlay is about.
+// changeID is the ID of the change in a stepScenario.
 const changeID = "x"
 
-// play proposes the change, injects the fault at the step and repairs it. It returns whether the change was committed.
+// runWithFault proposes the change, injects the fault at the step and repairs it. It reports whether the change was
+// committed.
 func (s *stepScenario) runWithFault(inject func(sim *simulation, proposer *gateway) (repair func())) bool {
 	s.t.Helper()
 	s.decideEvery(5 * time.Millisecond)
@@ -131,7 +134,7 @@
 	change := &Change{ID: changeID, Base: 1, Hash: Hash{2}, Mode: s.mode, Source: uint16(proposer.index)}
 	proposer.query(Query{ChangeID: changeID, Change: change})
 	if !s.runUntil(2*time.Second, func() bool { return s.step.isReached(s.simulation) }) {
-		s.t.Fatalf("%s: the change did not come to the step", s.title)
+		s.t.Fatalf("%s: the change did not reach the step", s.title)
 	}
 	repair := inject(s.simulation, proposer)
 	s.run(s.now + 700*time.Millisecond)
@@ -142,24 +145,24 @@
 	return outcome.Committed
 }
 
-// outcomeAt asks a gateway for the outcome of the change.
+// outcomeAt queries a gateway for the outcome of the change.
 func (s *stepScenario) outcomeAt(g *gateway, change *Change, limit time.Duration) *Outcome {
 	s.t.Helper()
 	number := g.query(Query{ChangeID: changeID, Change: change})
 	if !s.runUntil(limit, func() bool { return g.node.QueryReply(number) != nil }) {
-		s.t.Fatalf("%s: gateway %d does not learn the outcome", s.title, g.index)
+		s.t.Fatalf("%s: gateway %d did not learn the outcome", s.title, g.index)
 	}
 	return g.node.QueryReply(number).Outcome
 }
 
-// checkOutcomes checks that all gateways know the same outcome and go by the version that follows from it, that the
-// change was decided once, and the window.
+// checkOutcomes checks that all gateways know the same outcome and use the resulting version, that the change was
+// decided once, and that the window is at most maxWindow.
 func (s *stepScenario) checkOutcomes(change *Change, want *Outcome) {
 	s.t.Helper()
 	for _, g := range s.gateways {
 		got := s.outcomeAt(g, change, 5*time.Second)
 		if got.Committed != want.Committed || got.Version != want.Version {
-			s.t.Errorf("%s: %+v at gateway %d, %+v at another", s.title, got, g.index, want)
+			s.t.Errorf("%s: outcome %+v at gateway %d, want %+v", s.title, got, g.index, want)
 		}
 	}
 	version := uint64(1)
@@ -167,7 +170,7 @@
 		version = 2
 	}
 	if !s.runUntil(5*time.Second, func() bool { return s.countVersion(version) == len(s.gateways) }) {
-		s.t.Errorf("%s: %d of %d gateways go by version %d",
+		s.t.Errorf("%s: %d of %d gateways use version %d",
 			s.title, s.countVersion(version), len(s.gateways), version)
 	}
 	decided := 0
@@ -181,9 +184,9 @@
 	}
 }
 
-// TestPolicyLeaderKilledAtEachStep kills or stops the leader, or the proposer, at the very event that makes each step
-// of a change. The change is decided once, its id gives the same answer from every gateway, all gateways come to go
-// by the same version, and the window is kept.
+// TestPolicyLeaderKilledAtEachStep verifies that a change is decided exactly once if the leader is killed or stopped,
+// or the proposer is killed, right after the event that completes any step of it. Every gateway must report the same
+// outcome and switch to the same version, and the window must be kept.
 func TestPolicyLeaderKilledAtEachStep(t *testing.T) {
 	runs, committed := 0, 0
 	for _, step := range changeSteps() {
@@ -206,14 +209,15 @@
 			}
 		}
 	}
-	t.Logf("%d plays, the change committed in %d", runs, committed)
+	t.Logf("%d runs, the change committed in %d", runs, committed)
 	if committed < runs/2 {
-		t.Error("hardly any change was committed")
+		t.Error("the change was committed in less than half of the runs")
 	}
 }
 
-// TestPolicyCommittedOverLossyLinks commits a change over links that lose three messages of ten, within two seconds: a
-// gateway that has not voted is notified again.
+// TestPolicyCommittedOverLossyLinks verifies that a change is committed within two seconds over links that lose 30 % of
+// the messages. It guards against a lost notification that is not repeated: the gateway would vote only at its next
+// regular poll.
 func TestPolicyCommittedOverLossyLinks(t *testing.T) {
 	var worst time.Duration
 	for seed := range uint64(40) {
@@ -223,7 +227,9 @@
 		sim.loss, sim.duplication = 0.3, 0.3
 		proposedAt := sim.now
 		sim.gateways[4].query(Query{ChangeID: "x", Change: &Change{ID: "x", Base: 1, Hash: Hash{2}, Source: 4}})
-		if !sim.runUntil(10*time.Second, func() bool { return sim.gateways[sim.leader].node.state.FindOutcome("x") != nil }) {
+		if !sim.runUntil(10*time.Second, func() bool {
+			return sim.gateways[sim.leader].node.state.FindOutcome("x") != nil
+		}) {
 			t.Fatalf("seed %d: not decided", seed)
 		}
 		if o := sim.gateways[sim.leader].node.state.FindOutcome("x"); !o.Committed {
@@ -233,6 +239,6 @@
 	}
 	t.Logf("committed within %v at worst", worst)
 	if worst > 2*time.Second {
-		t.Errorf("it took %v", worst)
+		t.Errorf("committed after %v at worst, want at most 2s", worst)
 	}
 }
