--- a/internal/policy/schedules_test.go
+++ b/internal/policy/schedules_test.go
@@ -11,10 +11,10 @@
 	"gapgap/internal/fake/race"
 )
 
-// maxWindow is how long after the first decision by a version one by an earlier version may come.
+// maxWindow is the maximum time between the first decision by a version and a decision by an earlier version.
 const maxWindow = 250 * time.Millisecond
 
-// schedule is a random play of a world, with what was done for a person to read.
+// schedule is a simulation with random faults and changes, and a log of them for failure messages.
 type schedule struct {
 	*simulation
 	rng     *rand.Rand
@@ -23,12 +23,12 @@
 	events  []string
 }
 
-// playSchedule plays a random schedule.
+// runSchedule runs a random schedule.
 func runSchedule(seed uint64, gateways int, length time.Duration) *schedule {
 	return runTracedSchedule(seed, gateways, length, nil)
 }
 
-// playWith plays a random schedule and records a trace, if there is one.
+// runTracedSchedule runs a random schedule and records a trace unless trace is nil.
 func runTracedSchedule(seed uint64, gateways int, length time.Duration, trace *simulationTrace) *schedule {
 	rng := rand.New(rand.NewPCG(seed, 8))
 	s := &schedule{
@@ -56,7 +56,7 @@
 	s.events = append(s.events, fmt.Sprintf("%v ", s.now-time.Hour)+fmt.Sprintf(format, args...))
 }
 
-// step does one thing at random, mostly to a gateway.
+// randomAction performs a random action, most of them on the given gateway, or none.
 func (s *schedule) randomAction(g *gateway) {
 	switch s.rng.IntN(9) {
 	case 0, 1, 2:
@@ -68,12 +68,12 @@
 	case 5:
 		s.cutOff(g)
 	case 6:
-		s.log("another leader")
+		s.log("elect another leader")
 		s.elect(s.rng.IntN(s.voters))
 	}
 }
 
-// proposeChange proposes a change of the committed version at a gateway.
+// proposeChange proposes a change of the last committed version at a gateway.
 func (s *schedule) proposeChange(g *gateway) {
 	node := &Node{state: NewState()}
 	for i, entry := range s.committed {
@@ -94,7 +94,7 @@
 	g.runOrDefer(func() { g.query(Query{ChangeID: change.ID, Change: change}) })
 }
 
-// kill ends a gateway's process and starts another one later.
+// kill kills a gateway's process and starts another one after a random time.
 func (s *schedule) kill(g *gateway) {
 	s.log("kill %d", g.index)
 	g.alive = false
@@ -109,7 +109,7 @@
 	})
 }
 
-// stop makes a process stand still for a while.
+// stop suspends a process for a random time.
 func (s *schedule) stop(g *gateway) {
 	if !g.alive || g.stopped {
 		return
@@ -127,7 +127,7 @@
 	}
 }
 
-// cutOff loses all that a gateway sends, receives or both for a while.
+// cutOff drops all messages that a gateway sends, receives or both for a random time.
 func (s *schedule) cutOff(g *gateway) {
 	index, direction := g.index, s.rng.IntN(3)
 	s.log("cut %d (%d)", index, direction)
@@ -140,7 +140,8 @@
 	s.after(s.randomDuration(5*time.Second), func() { s.isCut = func(int, int) bool { return false } })
 }
 
-// scheduleSeeds are the seeds to play: that of GAPGAP_SEED, or as many as the run has time for.
+// scheduleSeeds returns the seeds to run: only that of GAPGAP_SEED if it is set, else a number that depends on
+// GAPGAP_LONG and the race detector.
 func scheduleSeeds(t *testing.T) (seeds []uint64) {
 	t.Helper()
 	if text := os.Getenv("GAPGAP_SEED"); text != "" {
@@ -162,7 +163,9 @@
 	return seeds
 }
 
-// TestPolicySchedules plays 1 to 12 gateways through random schedules.
+// TestPolicySchedules verifies that no gateway decides by an earlier version more than maxWindow after the first
+// decision by a later one. It runs 1 to 12 gateways through random schedules of changes, crashes, pauses, partitions
+// and elections.
 func TestPolicySchedules(t *testing.T) {
 	seeds := scheduleSeeds(t)
 	versions, worst := uint64(0), time.Duration(0)
@@ -170,7 +173,7 @@
 		gateways := 1 + int(seed%12)
 		s := runSchedule(seed, gateways, 15*time.Second)
 		if s.worstWindow > maxWindow {
-			t.Fatalf("GAPGAP_SEED=%d, %d gateways: decided by an earlier version %v after the first by a later one\n%v",
+			t.Fatalf("GAPGAP_SEED=%d, %d gateways: decision by an old version %v after the first by a newer one\n%v",
 				seed, gateways, s.worstWindow, s.events)
 		}
 		worst = max(worst, s.worstWindow)
@@ -180,11 +183,12 @@
 	}
 	t.Logf("%d schedules; up to version %d; window %v at worst", len(seeds), versions, worst)
 	if versions < 3 {
-		t.Error("hardly any change was committed")
+		t.Error("no schedule committed version 3")
 	}
 }
 
-// TestPolicyTimes measures how long a change takes, and its window, with more gateways than a machine can run.
+// TestPolicyTimes verifies the time until a change takes effect, and its window, with up to 300 simulated gateways,
+// more than one machine can run as processes.
 func TestPolicyTimes(t *testing.T) {
 	sizes := []int{3, 20, 80, 300}
 	if race.On {
@@ -207,7 +211,7 @@
 			t.Logf("%d gateways: committed %v after it was proposed, window %v",
 				gateways, (first - proposedAt).Round(time.Millisecond), window.Round(time.Millisecond))
 			if first-proposedAt > 2*time.Second || window > maxWindow {
-				t.Error("too late")
+				t.Error("the commit took more than 2s or the window is too long")
 			}
 		}
 	}
