--- a/internal/policy/trace_test.go
+++ b/internal/policy/trace_test.go
@@ -11,10 +11,10 @@
 	"gapgap/internal/golden"
 )
 
-// worldTrace is the hash of all that the nodes of a world send, propose and decide by.
+// simulationTrace hashes everything that the nodes of a simulation send, propose and decide by.
 type simulationTrace struct{ *golden.Trace }
 
-// wallMillis is the wall clock of a world whose trace is recorded, in Unix milliseconds; 0 in others.
+// wallMillis returns the simulated wall-clock time in Unix milliseconds, or 0 if no trace is recorded.
 func (sim *simulation) wallMillis() int64 {
 	if sim.trace == nil {
 		return 0
@@ -22,8 +22,8 @@
 	return sim.now.Milliseconds()
 }
 
-// record adds what a call of the node has returned and proposed, and proposes it. Queries, joins and leaves come in the
-// order of a map; they are sorted, so that a play does not depend on it.
+// record adds the messages and entries from a call of the node to the trace, and proposes the entries. Queries, joins
+// and leaves come in map order; they are sorted to make the simulation deterministic.
 func (g *gateway) record(outs []Outgoing) []Outgoing {
 	trace := g.sim.trace
 	queries := slices.IndexFunc(outs, func(o Outgoing) bool { return o.Message.Query != nil })
@@ -53,8 +53,8 @@
 	return outs
 }
 
-// proposalOrder is the place of an entry among those that one call proposes: joins and leaves by gateway, then the
-// others.
+// proposalOrder returns the sort key of an entry among those proposed by one call: joins and leaves by gateway, then
+// the others.
 func proposalOrder(b []byte) int {
 	var e Entry
 	if err := cbor.Unmarshal(b, &e); err != nil {
@@ -88,7 +88,7 @@
 	t.String(string(v.Hash[:]))
 }
 
-// present adds whether a part is there.
+// present adds whether an optional part is present, and returns it.
 func (t simulationTrace) present(isPresent bool) bool {
 	t.Bool(isPresent)
 	return isPresent
@@ -175,7 +175,7 @@
 	}
 }
 
-// encoded adds an entry of the log.
+// encodedEntry adds an encoded log entry.
 func (t simulationTrace) encodedEntry(b []byte) {
 	var e Entry
 	if err := cbor.Unmarshal(b, &e); err != nil {
@@ -224,7 +224,7 @@
 	t.Uint(uint64(s.Mode))
 }
 
-// participant adds what a gateway may decide by, and until when.
+// participant adds the version that a gateway may decide by, until when, and the state of the pending change.
 func (t simulationTrace) participant(p *Participant) {
 	t.version(p.Version())
 	t.Duration(p.DecidesUntil())
@@ -238,7 +238,7 @@
 	t.Uint(uint64(source))
 }
 
-// end adds all states as they stand in the end.
+// finishTrace adds the final states of all gateways and returns the hash of the trace.
 func (sim *simulation) finishTrace() string {
 	for _, g := range sim.gateways {
 		sim.trace.state(g.node.State())
