--- a/internal/policy/golden_test.go
+++ b/internal/policy/golden_test.go
@@ -17,12 +17,12 @@
 	"gapgap/internal/membership"
 )
 
-// scheduleHash is the trace of a random schedule.
+// scheduleHash returns the trace hash of a random schedule.
 func scheduleHash(seed uint64) string {
 	return runTracedSchedule(seed, 1+int(seed%12), 12*time.Second, newSimulationTrace()).finishTrace()
 }
 
-// stepHash is the trace of a change with a fault at one of its steps.
+// stepHash returns the trace hash of a change with a fault at one of its steps.
 func stepHash(t *testing.T, step changeStep, fault string, seed uint64) string {
 	t.Helper()
 	gateways, mode := 4+int(seed%3), Mode(seed/4)
@@ -35,7 +35,7 @@
 	proposer := sim.gateways[gateways-1]
 	proposer.query(Query{ChangeID: c.ID, Change: c})
 	if !sim.runUntil(3*time.Second, func() bool { return step.isReached(sim) }) {
-		t.Fatalf("%s, %s, seed %d: the change did not come to the step", step.name, fault, seed)
+		t.Fatalf("%s, %s, seed %d: the change did not reach the step", step.name, fault, seed)
 	}
 	repair := stepFaults()[fault](sim, proposer)
 	sim.run(sim.now + 700*time.Millisecond)
@@ -46,18 +46,23 @@
 	return sim.finishTrace()
 }
 
-// operationsPlay is what operators do to some gateways.
+// operationsScenario simulates operator actions on some gateways.
 type operationsScenario struct {
 	*simulation
 	rng  *rand.Rand
 	mode Mode
 }
 
-// operationsHash is the trace of what operators do: queries, a voter replaced, a gateway forgotten, a recovery, a
-// process that leaves, one with another incarnation, and one that goes by what its disk has.
+// operationsHash returns the trace hash of a run with operator actions: queries, replacing a voter, forgetting a
+// gateway and a recovery. In it one process leaves, one changes its incarnation, and one decides without a quorum by
+// the version on its disk.
 func operationsHash(seed uint64, mode Mode) string {
 	gateways := 4 + int(seed%9)
-	s := &operationsScenario{simulation: newSimulation(seed, gateways, mode), rng: rand.New(rand.NewPCG(seed, 9)), mode: mode}
+	s := &operationsScenario{
+		simulation: newSimulation(seed, gateways, mode),
+		rng:        rand.New(rand.NewPCG(seed, 9)),
+		mode:       mode,
+	}
 	s.trace = newSimulationTrace()
 	s.maxDelay = time.Duration(10+120*(seed%4)) * time.Millisecond
 	s.loss = 0.2 * float64(seed%3)
@@ -83,7 +88,7 @@
 
 func (s *operationsScenario) advance(d time.Duration) { s.run(s.now + d) }
 
-// ask sends a query for a second and adds the reply.
+// ask runs a query for a second and adds its reply to the trace.
 func (s *operationsScenario) ask(g *gateway, query Query) {
 	number, err := g.node.StartQuery(query)
 	if err != nil {
@@ -96,7 +101,7 @@
 	g.node.EndQuery(number)
 }
 
-// forget asks to forget a gateway while it is there, and once more when it is off and a change waits for it.
+// forget asks to forget a gateway while it is reachable, and again after it went offline and a change waits for it.
 func (s *operationsScenario) forget(offline *gateway) {
 	query := Query{Forget: uint16(offline.index) + 1}
 	s.ask(s.gateways[0], query)
@@ -109,14 +114,14 @@
 	s.ask(s.gateways[2], Query{ChangeID: change.ID})
 }
 
-// rename gives a process another identity.
+// changeIdentity changes the identity of a running process.
 func (s *operationsScenario) changeIdentity(g *gateway) {
 	g.incarnation += 7
 	id := membership.ID{Incarnation: g.incarnation, Nonce: 3}
 	g.node.SetProcess(Process{Gateway: uint16(g.index), ID: id})
 }
 
-// reject proposes a change that one gateway rejects.
+// reject proposes a change and makes one gateway reject it.
 func (s *operationsScenario) reject() {
 	current := s.gateways[0].node.State().Current.Number
 	change := &Change{ID: "bad", Base: current, Hash: Hash{3}, Mode: s.mode}
@@ -131,7 +136,7 @@
 	s.advance(time.Second)
 }
 
-// preparedGateways are the indices of the gateways that have prepared the pending change.
+// preparedGateways returns the indices of the gateways that have prepared the pending change, in order.
 func preparedGateways(c *Coordinator, s *State) (all []uint16) {
 	for gateway, status := range c.statuses {
 		if s.Pending != nil && status.request.Prepared == s.Pending.Index {
@@ -142,7 +147,7 @@
 	return all
 }
 
-// leaderPlay is a leader alone, which receives random requests of random processes.
+// leaderScenario runs a leader alone, which receives random requests from random processes.
 type leaderScenario struct {
 	trace       *simulationTrace
 	rng         *rand.Rand
@@ -152,7 +157,7 @@
 	index       uint64 // of the last entry
 }
 
-// leaderHash is the trace of a leader alone.
+// leaderHash returns the trace hash of a leaderScenario.
 func leaderHash(seed uint64, mode Mode) string {
 	const abortAfter = 4 * time.Second
 	s := &leaderScenario{
@@ -176,7 +181,7 @@
 	return s.trace.Sum()
 }
 
-// request is a random request. Where no change is pending, one is proposed now and then.
+// request returns a random status request. If no change is pending, it sometimes proposes one.
 func (s *leaderScenario) request(round int) StatusRequest {
 	r := StatusRequest{
 		Process: Process{
@@ -226,7 +231,7 @@
 	}
 }
 
-// tick applies three of four entries that the coordinator proposes.
+// tick applies three of four entries that the coordinator proposes, chosen at random.
 func (s *leaderScenario) tick() {
 	var proposed [][]byte
 	for _, e := range s.coordinator.Tick(s.now, s.state, s.now.Milliseconds()) {
@@ -250,16 +255,17 @@
 	}
 }
 
-// TestGoldenSchedules compares what gateways send, propose and decide by with what is recorded.
+// TestGoldenSchedules verifies that the messages, proposals and decisions of simulated gateways match the recorded
+// traces.
 func TestGoldenSchedules(t *testing.T) {
 	hashes := golden.LoadHashes(t, "testdata/golden/hashes.txt")
 	runs := 0
 	check := func(name string, run func() string) {
 		t.Helper()
 		sum := run()
-		if runs++; runs%4 == 0 || hashes.Len() < runs { // one in four, and each that is recorded, is played twice
+		if runs++; runs%4 == 0 || hashes.Len() < runs { // repeat each fourth run, and each newly recorded one
 			if again := run(); again != sum {
-				t.Errorf("%s: %s, then %s", name, sum, again)
+				t.Errorf("%s: two runs differ: %s, then %s", name, sum, again)
 				return
 			}
 		}
@@ -284,7 +290,7 @@
 	}
 }
 
-// goldenChange sets all fields of a change.
+// goldenChange returns a change with all fields set.
 func goldenChange() Change {
 	return Change{Index: 300, ID: "c", Base: 6, Hash: HashOf([]byte("doc")), Bytes: 1 << 20, Mode: Fence,
 		Author: "w", Note: "n", ProposedAt: 1_700_000_000_001, Source: 4, Initial: true}
@@ -302,7 +308,8 @@
 		}, Fenced: []Process{goldenProcess(3)}, SwitchedAt: map[uint16]int64{1: 1_700_000_000_003}}
 }
 
-// TestGoldenBytes compares the bytes of entries, messages and states with those recorded, and reads them back.
+// TestGoldenBytes verifies that the encodings of entries, messages and states match the recorded bytes, and that the
+// recorded bytes decode to the same values.
 func TestGoldenBytes(t *testing.T) {
 	change, outcome := goldenChange(), goldenOutcome()
 	join, leave := goldenProcess(1), goldenProcess(2)
@@ -376,13 +383,14 @@
 				t.Fatal(err)
 			}
 			if !reflect.DeepEqual(got, c.value) {
-				t.Errorf("read back %+v, want %+v", got, c.value)
+				t.Errorf("decoded %+v, want %+v", got, c.value)
 			}
 		})
 	}
 }
 
-// TestGoldenEntriesApplied compares what a node makes of recorded entries and a recorded state.
+// TestGoldenEntriesApplied verifies that a node that restores the recorded state and applies the recorded entries
+// reaches the recorded states.
 func TestGoldenEntriesApplied(t *testing.T) {
 	hashes := golden.LoadHashes(t, "testdata/golden/applied.txt")
 	n := NewNode(Config{})
