--- a/internal/policy/model_test.go
+++ b/internal/policy/model_test.go
@@ -15,45 +15,45 @@
 	"gapgap/internal/membership"
 )
 
-// modelBounds bound what a model explores. The model is of two or three participants and the coordinator, with the
-// code that serves, over a log that is one register. Every interleaving of requests, replies, entries, locks, expired
-// leases, losses, duplicates, crashes with a restart, changes of leader and further changes is explored within the
-// bounds. A message that is never delivered is a lost one.
+// modelBounds bounds the states that a model explores. The model consists of two or three participants and the
+// coordinator, running the production code, over a log that is a single register. Within the bounds, every interleaving
+// of requests, replies, entries, locks, expired leases, losses, duplicates, crashes with a restart, changes of leader
+// and further changes is explored. A lost message is one that is never delivered.
 type modelBounds struct {
 	ticks         int           // steps of the clock
-	clockStep     time.Duration // of the clock
-	requests      int           // status requests of each participant
-	messages      int           // under way at once
+	clockStep     time.Duration // clock advance per tick
+	requests      int           // status requests per participant
+	messages      int           // in flight at once
 	entries       int           // proposed at once
 	crashes       int
 	leaderChanges int // changes of leader
 	duplicates    int
-	changes       int // further changes
+	changes       int // changes after the first
 	mode          Mode
 	participants  int
-	locked        int  // participants that have locked at the beginning
-	unprepared    bool // one participant has not heard of the change yet
+	locked        int  // participants that have locked initially
+	unprepared    bool // one participant does not know about the change initially
 }
 
-// modelFlaw is a mistake in the protocol that a model must find.
+// injectedBug is a protocol bug that the model must detect.
 type injectedBug int
 
 const (
 	noBug                 injectedBug = iota
-	voteNotDurable                    // a vote before the document is durable
-	commitUnlocked                    // a commit before the old rights have expired
-	trustsDisk                        // a process that was restarted goes by what its disk has
-	idForgotten                       // a change's id is forgotten
-	staleLeader                       // a leader that has been replaced answers
-	leaseFromReply                    // a lease counts from when the reply came, not from its request
-	joinUnnoticed                     // a commit is valid though a process joined meanwhile
-	fencesAtOnce                      // a participant is fenced before its lease has expired
-	renewsWhileCommitting             // a lease is renewed between the commit that fences its holder and its application
+	voteNotDurable                    // a participant votes before the document is durable
+	commitUnlocked                    // a commit is proposed before permissions for the old version have expired
+	trustsDisk                        // a restarted process decides by the version on its disk
+	idForgotten                       // the ID of a decided change is forgotten
+	staleLeader                       // a deposed leader replies
+	leaseFromReply                    // a lease counts from the arrival of the reply, not from the request
+	joinUnnoticed                     // a commit is valid although a process has joined since it was proposed
+	fencesAtOnce                      // participants are fenced before their leases have expired
+	renewsWhileCommitting             // a lease is renewed while the commit that fences its holder is pending
 )
 
 type modelParticipant struct {
 	*Participant
-	disk        map[Hash]bool // documents that a crash leaves
+	disk        map[Hash]bool // documents that survive a crash
 	requests    int
 	incarnation uint32
 }
@@ -61,27 +61,27 @@
 type modelMessage struct {
 	request       *StatusRequest
 	reply         *StatusReply
-	toStaleLeader bool // it goes to a leader that has been replaced
+	toStaleLeader bool // sent to the deposed leader
 }
 
 type model struct {
 	now            time.Duration
 	state          *State
-	staleState     *State // as the replaced leader has it
+	staleState     *State // state of the deposed leader
 	index          uint64
 	coordinator    *Coordinator
 	participants   []*modelParticipant
 	messages       []modelMessage
 	entries        []Entry
 	bounds         modelBounds
-	firstDecidedAt map[uint64]time.Duration // when a version was first decided by
+	firstDecidedAt map[uint64]time.Duration // time of the first decision by a version
 	outcomes       map[string]bool
 	violation      string
 }
 
 func hashN(n byte) Hash { return Hash{n} }
 
-// newModel returns the state in which a change is pending, within some bounds.
+// newModel returns the initial state of a model, in which a change is pending.
 func newModel(b modelBounds) *model {
 	m := &model{
 		now:            time.Hour,
@@ -115,12 +115,12 @@
 		m.participants = append(m.participants, p)
 	}
 	m.propose(1)
-	for _, p := range m.participants { // all have prepared it, and the leader knows
+	for _, p := range m.participants { // all have prepared it, and the leader knows it
 		p.pending = *m.state.Pending
 		p.prepared[p.pending.Hash], p.disk[p.pending.Hash] = true, true
 		m.coordinator.statuses[p.process.Gateway].request.Prepared = p.pending.Index
 	}
-	for _, p := range m.participants[:b.locked] { // these have locked, which the leader does not know yet
+	for _, p := range m.participants[:b.locked] { // these have locked, and the leader does not know it yet
 		p.lockedChange, p.lockedAt, p.decidesUntil = p.pending.Index, m.now, min(p.decidesUntil, m.now+LockDuration)
 	}
 	if b.unprepared {
@@ -133,7 +133,7 @@
 	return m
 }
 
-// propose proposes the n-th change, which participants that hear of it can prepare.
+// propose commits a proposal of the n-th change to the log.
 func (m *model) propose(n int) {
 	m.index++
 	m.state.Apply(m.index, Entry{
@@ -147,7 +147,7 @@
 	m.bounds.changes--
 }
 
-// clone returns a copy that shares nothing which a step changes.
+// clone returns a copy that shares no mutable data with the original.
 func (m *model) clone() *model {
 	to := *m
 	to.state, to.staleState = cloneState(m.state), cloneState(m.staleState)
@@ -186,11 +186,11 @@
 	return &c
 }
 
-// check returns which guarantee is broken now; empty: none.
+// check returns a description of a guarantee that is violated in this state, or an empty string.
 func (m *model) check() string {
 	for i, p := range m.participants {
 		if p.decidesUntil <= m.now {
-			continue // it does not decide
+			continue // it may not decide
 		}
 		if _, ok := m.firstDecidedAt[p.version.Number]; !ok {
 			m.firstDecidedAt[p.version.Number] = m.now
@@ -198,7 +198,7 @@
 		for v, t := range m.firstDecidedAt {
 			if v > p.version.Number && m.now > t+LockDuration {
 				return fmt.Sprintf(
-					"participant %d decides by version %d, %v after another one began with %d",
+					"participant %d decides by version %d, %v after the first decision by version %d",
 					i,
 					p.version.Number,
 					m.now-t,
@@ -210,24 +210,24 @@
 	for i := range m.state.Outcomes {
 		o := &m.state.Outcomes[i]
 		if was, ok := m.outcomes[o.Change.ID]; ok && was != o.Committed {
-			return fmt.Sprintf("change %s was committed: %v, and then %v", o.Change.ID, was, o.Committed)
+			return fmt.Sprintf("change %s was decided twice: committed %v, then %v", o.Change.ID, was, o.Committed)
 		}
 		m.outcomes[o.Change.ID] = o.Committed
 		for _, r := range o.Locked {
 			if o.Committed && !m.participants[r.Gateway].disk[o.Change.Hash] {
-				return fmt.Sprintf("participant %d voted for %s and its disk does not have it", r.Gateway, o.Change.ID)
+				return fmt.Sprintf("participant %d locked %s without the document on its disk", r.Gateway, o.Change.ID)
 			}
 		}
 	}
 	return ""
 }
 
-// explore visits all states that can be reached and returns their number, and the first broken guarantee.
+// explore visits all reachable states. It returns their number and the first violation of a guarantee.
 func explore(b modelBounds, bug injectedBug, limit int) (states int, violation string) {
 	seen := map[modelKey]bool{}
 	level := []*model{newModel(b)}
 	for len(level) > 0 {
-		parts := make([][]*model, min(2, runtime.GOMAXPROCS(0))) // other tests go on beside it
+		parts := make([][]*model, min(2, runtime.GOMAXPROCS(0))) // other tests run in parallel
 		var wg sync.WaitGroup
 		for w := range parts {
 			wg.Go(func() {
@@ -250,13 +250,13 @@
 			}
 		}
 		if len(seen) > limit {
-			return len(seen), fmt.Sprintf("more than %d states: the bounds are too wide", limit)
+			return len(seen), fmt.Sprintf("more than %d states: bounds are too wide", limit)
 		}
 	}
 	return len(seen), ""
 }
 
-// modelCases are the bounds of each run, or wider ones.
+// modelCases returns the bounds of each run. With wide set, it adds cases and widens some bounds.
 func modelCases(wide bool) map[string]modelBounds {
 	all := map[string]modelBounds{
 		"three participants, another leader": {
@@ -346,10 +346,10 @@
 	return all
 }
 
-// TestPolicyModel explores all interleavings within the bounds.
+// TestPolicyModel verifies that no interleaving within the bounds violates a guarantee.
 func TestPolicyModel(t *testing.T) {
 	if race.On {
-		t.Skip("it has no goroutines that share anything, and takes long under the race detector")
+		t.Skip("shares no mutable data between goroutines and is slow under the race detector")
 	}
 	for name, b := range modelCases(os.Getenv("GAPGAP_LONG") != "") {
 		t.Run(name, func(t *testing.T) {
@@ -363,10 +363,11 @@
 	}
 }
 
-// TestPolicyModelFindsMistakes checks that each mistake is found within some bounds.
+// TestPolicyModelFindsMistakes verifies that the model detects each injected bug within its bounds, so that a passing
+// TestPolicyModel is meaningful.
 func TestPolicyModelFindsMistakes(t *testing.T) {
 	if race.On {
-		t.Skip("as TestPolicyModel")
+		t.Skip("skipped for the same reason as TestPolicyModel")
 	}
 	wait := modelBounds{
 		ticks:        2,
@@ -408,8 +409,8 @@
 	for bug, b := range bugs {
 		states, violation := explore(b, bug, 1_500_000)
 		if violation == "" || strings.Contains(violation, "bounds are too wide") {
-			t.Errorf("mistake %d was not found in %d states: %s", bug, states, violation)
+			t.Errorf("injected bug %d was not found in %d states: %s", bug, states, violation)
 		}
-		t.Logf("mistake %d, after %d states: %s", bug, states, violation)
+		t.Logf("injected bug %d found after %d states: %s", bug, states, violation)
 	}
 }
