--- a/internal/policy/modelkey_test.go
+++ b/internal/policy/modelkey_test.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// modelKey tells two states of the model apart.
+// modelKey is a hash that identifies a state of the model.
 type modelKey [2]uint64
 
 var modelSeeds = [2]maphash.Seed{maphash.MakeSeed(), maphash.MakeSeed()}
 
-// Marks that begin a part of a key, or stand for one that is not there.
+// Markers that separate the parts of a key, so that an absent part is unambiguous.
 const (
 	entryMarker       = 96
 	messageMarker     = 97
@@ -20,8 +20,8 @@
 	logMarker         = 99
 )
 
-// keyWriter writes all of a model on which its future depends. Times are relative to now, so that states that differ
-// only in the time are the same.
+// keyWriter encodes everything in a model that can affect its successors. Times are encoded relative to now, so that
+// states that differ only in the time have the same key.
 type keyWriter struct {
 	b   []byte
 	now time.Duration
@@ -41,7 +41,7 @@
 	}
 }
 
-// at is a time relative to now, from an hour ago on.
+// relativeTime encodes a time relative to now. All times more than an hour ago have the same encoding.
 func (w *keyWriter) relativeTime(t time.Duration) uint64 {
 	if t == NoExpiry {
 		return 1
@@ -88,7 +88,7 @@
 	}
 }
 
-// coordinator writes what the leader knows, of the processes that may decide.
+// coordinator encodes the state of the leader, and what it has fenced among the processes that may decide.
 func (w *keyWriter) coordinator(c *Coordinator, s *State, participants int) {
 	w.numbers(w.relativeTime(c.leadingSince), c.changeIndex, uint64(len(c.fenced)))
 	for gateway := range uint16(participants) {
@@ -135,7 +135,7 @@
 	}
 }
 
-// key returns the key of this state.
+// key returns the key of the model's state.
 func (m *model) key() (k modelKey) {
 	w := &keyWriter{b: make([]byte, 0, 512), now: m.now}
 	w.state(m.state)
