--- a/internal/policy/modelsteps_test.go
+++ b/internal/policy/modelsteps_test.go
@@ -8,14 +8,14 @@
 	"gapgap/internal/membership"
 )
 
-// successors collects the states that may follow one.
+// successors collects the successor states of a model.
 type successors struct {
 	from *model
 	bug  injectedBug
 	all  []*model
 }
 
-// next returns the states that may follow.
+// next returns all successor states.
 func (m *model) next(bug injectedBug) []*model {
 	s := &successors{from: m, bug: bug}
 	s.advanceClock()
@@ -32,7 +32,7 @@
 	return s.all
 }
 
-// add adds the state to which a step leads, unless it is out of bounds.
+// add adds the state that a step leads to, unless it is out of bounds.
 func (s *successors) add(step func(*model)) {
 	to := s.from.clone()
 	step(to)
@@ -52,7 +52,7 @@
 	})
 }
 
-// sendRequest sends a status request, with a flaw also one to a leader that has been replaced.
+// sendRequest sends a status request. With the bug staleLeader it also sends one to the deposed leader.
 func (s *successors) sendRequest(i int) {
 	b := &s.from.bounds
 	if s.from.participants[i].requests >= b.requests || len(s.from.messages) >= b.messages {
@@ -70,7 +70,7 @@
 	}
 }
 
-// finishWrites makes documents durable that a flaw has prepared before they were.
+// finishWrites makes documents durable that, with the bug voteNotDurable, were prepared before they were durable.
 func (s *successors) finishWrites(i int) {
 	if s.bug != voteNotDurable {
 		return
@@ -102,7 +102,8 @@
 	})
 }
 
-// proposeChange proposes another change, with a flaw also the first one again as if its id were not known.
+// proposeChange proposes another change. With the bug idForgotten it also proposes the first one again, as if its ID
+// were unknown.
 func (s *successors) proposeChange() {
 	if s.from.state.Pending != nil {
 		return
@@ -119,7 +120,8 @@
 	}
 }
 
-// proposeEntries proposes what the coordinator, or a flaw, proposes now and is not proposed yet.
+// proposeEntries proposes the entries that the coordinator, or an injected bug, proposes in this state and that are not
+// proposed yet.
 func (s *successors) proposeEntries() {
 	if len(s.from.entries) >= s.from.bounds.entries {
 		return
@@ -138,7 +140,7 @@
 	}
 }
 
-// proposals returns the entries that are proposed now. It changes the coordinator.
+// proposals returns the entries to propose in this state. It modifies the coordinator.
 func (m *model) proposals(bug injectedBug) []Entry {
 	clear(m.coordinator.proposedAt)
 	entries := m.coordinator.Tick(m.now, m.state, 0)
@@ -156,7 +158,7 @@
 	return entries
 }
 
-// noteProposal changes the coordinator as its Tick does for an entry.
+// recordProposal modifies the coordinator as its Tick does when it proposes the entry.
 func (m *model) recordProposal(e *Entry, bug injectedBug) {
 	changeIndex := uint64(0)
 	if m.state.Pending != nil {
@@ -174,7 +176,7 @@
 	}
 }
 
-// applyEntries applies any of the proposed entries. One that never is was lost with its leader.
+// applyEntries applies any one of the proposed entries. An entry that is never applied was lost with its leader.
 func (s *successors) applyEntries() {
 	for i, e := range s.from.entries {
 		s.add(func(m *model) {
@@ -190,7 +192,7 @@
 	}
 }
 
-// deliverMessages delivers any of the messages, which may be duplicated.
+// deliverMessages delivers any one of the messages, which may be duplicated.
 func (s *successors) deliverMessages() {
 	for i, message := range s.from.messages {
 		for _, duplicate := range []bool{false, true} {
@@ -209,7 +211,7 @@
 	}
 }
 
-// crash restarts a participant, which has what is on its disk.
+// crash restarts a participant, which keeps only the documents on its disk.
 func (m *model) crash(i int, bug injectedBug) {
 	m.bounds.crashes--
 	p := m.participants[i]
@@ -225,7 +227,7 @@
 	}
 }
 
-// deliver delivers a message.
+// deliver delivers a request to a leader, which replies, or a reply to its participant.
 func (m *model) deliver(message modelMessage, bug injectedBug) {
 	if message.request == nil {
 		m.deliverReply(message.reply, bug)
@@ -241,7 +243,7 @@
 	m.messages = append(m.messages, modelMessage{reply: &reply})
 }
 
-// deliverReply delivers a reply to its participant, which can prepare a missing document at once.
+// deliverReply delivers a reply to its participant, which prepares a missing document at once.
 func (m *model) deliverReply(reply *StatusReply, bug injectedBug) {
 	p := m.participants[reply.Process.Gateway]
 	before := p.decidesUntil
