--- a/internal/policy/participant.go
+++ b/internal/policy/participant.go
@@ -7,8 +7,8 @@
 
 // Durations on which the protocol's guarantees depend.
 const (
-	// LockDuration is how long a locked participant may decide by the old version, counted from its last answered
-	// status request.
+	// LockDuration is how long a locked participant may decide by the old version, counted from the lock or from the
+	// last answered status request sent after it.
 	LockDuration = 200 * time.Millisecond
 	// LeaseDuration is how long a participant's lease lasts, counted from the status request that renewed it.
 	LeaseDuration = 2 * time.Second
