--- a/internal/policy/model_test.go
+++ b/internal/policy/model_test.go
@@ -15,73 +15,73 @@
 	"gapgap/internal/membership"
 )
 
-// modelBounds bound what a model explores. The model is of two or three participants and the coordinator, with the
-// code that serves, over a log that is one register. Every interleaving of requests, replies, entries, locks, expired
-// leases, losses, duplicates, crashes with a restart, changes of leader and further changes is explored within the
-// bounds. A message that is never delivered is a lost one.
+// modelBounds bounds the states that a model explores. The model consists of two or three participants and the
+// coordinator, running the production code, over a log that is a single register. Within the bounds, every interleaving
+// of requests, replies, entries, locks, expired leases, losses, duplicates, crashes with a restart, changes of leader
+// and further changes is explored. A lost message is one that is never delivered.
 type modelBounds struct {
-	ticks        int           // steps of the clock
-	step         time.Duration // of the clock
-	requests     int           // status requests of each participant
-	messages     int           // under way at once
-	entries      int           // proposed at once
-	crashes      int
-	leaders      int // changes of leader
-	duplicates   int
-	changes      int // further changes
-	mode         Mode
-	participants int
-	locked       int  // participants that have locked at the beginning
-	unprepared   bool // one participant has not heard of the change yet
+	ticks         int           // steps of the clock
+	clockStep     time.Duration // clock advance per tick
+	requests      int           // status requests per participant
+	messages      int           // in flight at once
+	entries       int           // proposed at once
+	crashes       int
+	leaderChanges int // changes of leader
+	duplicates    int
+	changes       int // changes after the first
+	mode          Mode
+	participants  int
+	locked        int  // participants that have locked initially
+	unprepared    bool // one participant does not know about the change initially
 }
 
-// modelFlaw is a mistake in the protocol that a model must find.
-type modelFlaw int
+// injectedBug is a protocol bug that the model must detect.
+type injectedBug int
 
 const (
-	modelSound            modelFlaw = iota
-	voteNotDurable                  // a vote before the document is durable
-	commitUnlocked                  // a commit before the old rights have expired
-	trustsDisk                      // a process that was restarted goes by what its disk has
-	idForgotten                     // a change's id is forgotten
-	staleLeader                     // a leader that has been replaced answers
-	leaseFromReply                  // a lease counts from when the reply came, not from its request
-	joinUnnoticed                   // a commit is valid though a process joined meanwhile
-	fencesAtOnce                    // a participant is fenced before its lease has expired
-	renewsWhileCommitting           // a lease is renewed between the commit that fences its holder and its application
+	noBug                 injectedBug = iota
+	voteNotDurable                    // a participant votes before the document is durable
+	commitUnlocked                    // a commit is proposed before permissions for the old version have expired
+	trustsDisk                        // a restarted process decides by the version on its disk
+	idForgotten                       // the ID of a decided change is forgotten
+	staleLeader                       // a deposed leader replies
+	leaseFromReply                    // a lease counts from the arrival of the reply, not from the request
+	joinUnnoticed                     // a commit is valid although a process has joined since it was proposed
+	fencesAtOnce                      // participants are fenced before their leases have expired
+	renewsWhileCommitting             // a lease is renewed while the commit that fences its holder is pending
 )
 
 type modelParticipant struct {
 	*Participant
-	disk        map[Hash]bool // documents that a crash leaves
+	disk        map[Hash]bool // documents that survive a crash
 	requests    int
 	incarnation uint32
 }
 
 type modelMessage struct {
-	request *StatusRequest
-	reply   *StatusReply
-	stale   bool // it goes to a leader that has been replaced
+	request       *StatusRequest
+	reply         *StatusReply
+	toStaleLeader bool // sent to the deposed leader
 }
 
 type model struct {
 	now            time.Duration
 	state          *State
-	old            *State // as the replaced leader has it
+	staleState     *State // state of the deposed leader
 	index          uint64
 	coordinator    *Coordinator
 	participants   []*modelParticipant
 	messages       []modelMessage
 	entries        []Entry
 	bounds         modelBounds
-	firstDecidedAt map[uint64]time.Duration // when a version was first decided by
+	firstDecidedAt map[uint64]time.Duration // time of the first decision by a version
 	outcomes       map[string]bool
 	violation      string
 }
 
 func hashN(n byte) Hash { return Hash{n} }
 
-// newModel returns the state in which a change is pending, within some bounds.
+// newModel returns the initial state of a model, in which a change is pending.
 func newModel(b modelBounds) *model {
 	m := &model{
 		now:            time.Hour,
@@ -107,20 +107,20 @@
 		}
 		p.lastSentAt, p.lastReplyTo = m.now-1, m.now-1
 		m.state.Participants[uint16(i)] = process.ID
-		m.coordinator.participants[uint16(i)] = &participantStatus{
-			status:     StatusRequest{Process: process, SentAt: m.now - 1, Version: 1},
+		m.coordinator.statuses[uint16(i)] = &participantStatus{
+			request:    StatusRequest{Process: process, SentAt: m.now - 1, Version: 1},
 			receivedAt: m.now - 1,
 			lastReadAt: m.now - 1,
 		}
 		m.participants = append(m.participants, p)
 	}
 	m.propose(1)
-	for _, p := range m.participants { // all have prepared it, and the leader knows
+	for _, p := range m.participants { // all have prepared it, and the leader knows it
 		p.pending = *m.state.Pending
 		p.prepared[p.pending.Hash], p.disk[p.pending.Hash] = true, true
-		m.coordinator.participants[p.process.Gateway].status.Prepared = p.pending.Index
+		m.coordinator.statuses[p.process.Gateway].request.Prepared = p.pending.Index
 	}
-	for _, p := range m.participants[:b.locked] { // these have locked, which the leader does not know yet
+	for _, p := range m.participants[:b.locked] { // these have locked, and the leader does not know it yet
 		p.lockedChange, p.lockedAt, p.decidesUntil = p.pending.Index, m.now, min(p.decidesUntil, m.now+LockDuration)
 	}
 	if b.unprepared {
@@ -128,12 +128,12 @@
 		delete(p.prepared, p.pending.Hash)
 		delete(p.disk, p.pending.Hash)
 		p.pending = Change{}
-		m.coordinator.participants[0].status.Prepared = 0
+		m.coordinator.statuses[0].request.Prepared = 0
 	}
 	return m
 }
 
-// propose proposes the n-th change, which participants that hear of it can prepare.
+// propose commits a proposal of the n-th change to the log.
 func (m *model) propose(n int) {
 	m.index++
 	m.state.Apply(m.index, Entry{
@@ -147,17 +147,17 @@
 	m.bounds.changes--
 }
 
-// clone returns a copy that shares nothing which a step changes.
+// clone returns a copy that shares no mutable data with the original.
 func (m *model) clone() *model {
 	to := *m
-	to.state, to.old = cloneState(m.state), cloneState(m.old)
+	to.state, to.staleState = cloneState(m.state), cloneState(m.staleState)
 	coordinator := *m.coordinator
-	coordinator.participants = map[uint16]*participantStatus{}
+	coordinator.statuses = map[uint16]*participantStatus{}
 	coordinator.proposedAt = map[proposalKey]time.Duration{}
 	coordinator.fenced = maps.Clone(m.coordinator.fenced)
-	for gateway, known := range m.coordinator.participants {
-		status := *known
-		coordinator.participants[gateway] = &status
+	for gateway, status := range m.coordinator.statuses {
+		copied := *status
+		coordinator.statuses[gateway] = &copied
 	}
 	to.coordinator = &coordinator
 	to.participants = nil
@@ -186,11 +186,11 @@
 	return &c
 }
 
-// check returns which guarantee is broken now; empty: none.
+// check returns a description of a guarantee that is violated in this state, or an empty string.
 func (m *model) check() string {
 	for i, p := range m.participants {
 		if p.decidesUntil <= m.now {
-			continue // it does not decide
+			continue // it may not decide
 		}
 		if _, ok := m.firstDecidedAt[p.version.Number]; !ok {
 			m.firstDecidedAt[p.version.Number] = m.now
@@ -198,7 +198,7 @@
 		for v, t := range m.firstDecidedAt {
 			if v > p.version.Number && m.now > t+LockDuration {
 				return fmt.Sprintf(
-					"participant %d decides by version %d, %v after another one began with %d",
+					"participant %d decides by version %d, %v after the first decision by version %d",
 					i,
 					p.version.Number,
 					m.now-t,
@@ -210,29 +210,29 @@
 	for i := range m.state.Outcomes {
 		o := &m.state.Outcomes[i]
 		if was, ok := m.outcomes[o.Change.ID]; ok && was != o.Committed {
-			return fmt.Sprintf("change %s was committed: %v, and then %v", o.Change.ID, was, o.Committed)
+			return fmt.Sprintf("change %s was decided twice: committed %v, then %v", o.Change.ID, was, o.Committed)
 		}
 		m.outcomes[o.Change.ID] = o.Committed
 		for _, r := range o.Locked {
 			if o.Committed && !m.participants[r.Gateway].disk[o.Change.Hash] {
-				return fmt.Sprintf("participant %d voted for %s and its disk does not have it", r.Gateway, o.Change.ID)
+				return fmt.Sprintf("participant %d locked %s without the document on its disk", r.Gateway, o.Change.ID)
 			}
 		}
 	}
 	return ""
 }
 
-// explore visits all states that can be reached and returns their number, and the first broken guarantee.
-func explore(b modelBounds, flaw modelFlaw, limit int) (states int, bad string) {
+// explore visits all reachable states. It returns their number and the first violation of a guarantee.
+func explore(b modelBounds, bug injectedBug, limit int) (states int, violation string) {
 	seen := map[modelKey]bool{}
 	level := []*model{newModel(b)}
 	for len(level) > 0 {
-		parts := make([][]*model, min(2, runtime.GOMAXPROCS(0))) // other tests go on beside it
+		parts := make([][]*model, min(2, runtime.GOMAXPROCS(0))) // other tests run in parallel
 		var wg sync.WaitGroup
 		for w := range parts {
 			wg.Go(func() {
 				for i := w; i < len(level); i += len(parts) {
-					parts[w] = append(parts[w], level[i].next(flaw)...)
+					parts[w] = append(parts[w], level[i].next(bug)...)
 				}
 			})
 		}
@@ -250,24 +250,24 @@
 			}
 		}
 		if len(seen) > limit {
-			return len(seen), fmt.Sprintf("more than %d states: the bounds are too wide", limit)
+			return len(seen), fmt.Sprintf("more than %d states: bounds are too wide", limit)
 		}
 	}
 	return len(seen), ""
 }
 
-// modelCases are the bounds of each run, or wider ones.
+// modelCases returns the bounds of each run. With wide set, it adds cases and widens some bounds.
 func modelCases(wide bool) map[string]modelBounds {
 	all := map[string]modelBounds{
 		"three participants, another leader": {
-			ticks:        2,
-			requests:     2,
-			messages:     1,
-			entries:      1,
-			leaders:      1,
-			step:         LockDuration * 2 / 3,
-			participants: 3,
-			locked:       3,
+			ticks:         2,
+			requests:      2,
+			messages:      1,
+			entries:       1,
+			leaderChanges: 1,
+			clockStep:     LockDuration * 2 / 3,
+			participants:  3,
+			locked:        3,
 		},
 		"two participants, late and duplicated": {
 			ticks:        2,
@@ -276,19 +276,19 @@
 			entries:      1,
 			duplicates:   1,
 			changes:      1,
-			step:         LockDuration * 2 / 3,
+			clockStep:    LockDuration * 2 / 3,
 			participants: 2,
 		},
 		"two participants, crash, two leaders": {
-			ticks:        2,
-			requests:     2,
-			messages:     1,
-			entries:      1,
-			crashes:      1,
-			leaders:      1,
-			changes:      2,
-			step:         LockDuration * 2 / 3,
-			participants: 2,
+			ticks:         2,
+			requests:      2,
+			messages:      1,
+			entries:       1,
+			crashes:       1,
+			leaderChanges: 1,
+			changes:       2,
+			clockStep:     LockDuration * 2 / 3,
+			participants:  2,
 		},
 		"two participants, leases, a crash": {
 			ticks:        2,
@@ -296,7 +296,7 @@
 			messages:     1,
 			entries:      1,
 			crashes:      1,
-			step:         LeaseDuration * 6 / 11,
+			clockStep:    LeaseDuration * 6 / 11,
 			mode:         Fence,
 			participants: 2,
 		},
@@ -307,7 +307,7 @@
 			requests:     2,
 			messages:     1,
 			entries:      1,
-			step:         LeaseDuration * 6 / 11,
+			clockStep:    LeaseDuration * 6 / 11,
 			mode:         Fence,
 			participants: 3,
 			locked:       2,
@@ -318,7 +318,7 @@
 			messages:     1,
 			entries:      1,
 			crashes:      1,
-			step:         LeaseDuration * 6 / 11,
+			clockStep:    LeaseDuration * 6 / 11,
 			mode:         Fence,
 			participants: 2,
 		}
@@ -328,7 +328,7 @@
 			messages:     1,
 			entries:      1,
 			crashes:      1,
-			step:         LockDuration * 2 / 3,
+			clockStep:    LockDuration * 2 / 3,
 			participants: 3,
 			locked:       3,
 		}
@@ -339,41 +339,42 @@
 			entries:      1,
 			duplicates:   1,
 			changes:      1,
-			step:         LockDuration * 2 / 3,
+			clockStep:    LockDuration * 2 / 3,
 			participants: 2,
 		}
 	}
 	return all
 }
 
-// TestPolicyModel explores all interleavings within the bounds.
+// TestPolicyModel verifies that no interleaving within the bounds violates a guarantee.
 func TestPolicyModel(t *testing.T) {
 	if race.On {
-		t.Skip("it has no goroutines that share anything, and takes long under the race detector")
+		t.Skip("shares no mutable data between goroutines and is slow under the race detector")
 	}
 	for name, b := range modelCases(os.Getenv("GAPGAP_LONG") != "") {
 		t.Run(name, func(t *testing.T) {
 			startedAt := time.Now()
-			states, bad := explore(b, modelSound, 3_000_000)
-			if bad != "" {
-				t.Error(bad)
+			states, violation := explore(b, noBug, 3_000_000)
+			if violation != "" {
+				t.Error(violation)
 			}
 			t.Logf("%d states in %v", states, time.Since(startedAt).Round(time.Millisecond))
 		})
 	}
 }
 
-// TestPolicyModelFindsMistakes checks that each mistake is found within some bounds.
+// TestPolicyModelFindsMistakes verifies that the model detects each injected bug within its bounds, so that a passing
+// TestPolicyModel is meaningful.
 func TestPolicyModelFindsMistakes(t *testing.T) {
 	if race.On {
-		t.Skip("as TestPolicyModel")
+		t.Skip("skipped for the same reason as TestPolicyModel")
 	}
 	wait := modelBounds{
 		ticks:        2,
 		requests:     3,
 		messages:     1,
 		entries:      1,
-		step:         LockDuration * 2 / 3,
+		clockStep:    LockDuration * 2 / 3,
 		participants: 2,
 		locked:       2,
 	}
@@ -382,19 +383,19 @@
 	join.crashes, join.entries = 1, 2
 	crash.crashes, crash.requests = 1, 4
 	late.ticks, late.messages = 3, 2
-	leader.leaders, leader.ticks = 1, 3
+	leader.leaderChanges, leader.ticks = 1, 3
 	early.unprepared, early.locked, early.requests = true, 0, 4
 	leases := modelBounds{
 		ticks:        3,
 		requests:     3,
 		messages:     1,
 		entries:      1,
-		step:         LeaseDuration * 6 / 11,
+		clockStep:    LeaseDuration * 6 / 11,
 		mode:         Fence,
 		participants: 2,
 		unprepared:   true,
 	}
-	flaws := map[modelFlaw]modelBounds{
+	bugs := map[injectedBug]modelBounds{
 		voteNotDurable:        early,
 		commitUnlocked:        open,
 		trustsDisk:            crash,
@@ -405,11 +406,11 @@
 		fencesAtOnce:          leases,
 		renewsWhileCommitting: leases,
 	}
-	for flaw, b := range flaws {
-		states, bad := explore(b, flaw, 1_500_000)
-		if bad == "" || strings.Contains(bad, "bounds are too wide") {
-			t.Errorf("mistake %d was not found in %d states: %s", flaw, states, bad)
+	for bug, b := range bugs {
+		states, violation := explore(b, bug, 1_500_000)
+		if violation == "" || strings.Contains(violation, "bounds are too wide") {
+			t.Errorf("injected bug %d was not found in %d states: %s", bug, states, violation)
 		}
-		t.Logf("mistake %d, after %d states: %s", flaw, states, bad)
+		t.Logf("injected bug %d found after %d states: %s", bug, states, violation)
 	}
 }
--- a/internal/policy/schedules_test.go
+++ b/internal/policy/schedules_test.go
@@ -11,30 +11,30 @@
 	"gapgap/internal/fake/race"
 )
 
-// maxWindow is how long after the first decision by a version one by an earlier version may come.
+// maxWindow is the maximum time between the first decision by a version and a decision by an earlier version.
 const maxWindow = 250 * time.Millisecond
 
-// schedule is a random play of a world, with what was done for a person to read.
+// schedule is a simulation with random faults and changes, and a log of them for failure messages.
 type schedule struct {
-	*world
+	*simulation
 	rng     *rand.Rand
 	voters  int
 	changes int
-	story   []string
+	events  []string
 }
 
-// playSchedule plays a random schedule.
-func playSchedule(seed uint64, gateways int, length time.Duration) *schedule {
-	return playWith(seed, gateways, length, nil)
+// runSchedule runs a random schedule.
+func runSchedule(seed uint64, gateways int, length time.Duration) *schedule {
+	return runTracedSchedule(seed, gateways, length, nil)
 }
 
-// playWith plays a random schedule and records a trace, if there is one.
-func playWith(seed uint64, gateways int, length time.Duration, trace *worldTrace) *schedule {
+// runTracedSchedule runs a random schedule and records a trace unless trace is nil.
+func runTracedSchedule(seed uint64, gateways int, length time.Duration, trace *simulationTrace) *schedule {
 	rng := rand.New(rand.NewPCG(seed, 8))
 	s := &schedule{
-		world:  newWorld(seed, gateways, Mode(rng.IntN(2))),
-		rng:    rng,
-		voters: min(3, gateways),
+		simulation: newSimulation(seed, gateways, Mode(rng.IntN(2))),
+		rng:        rng,
+		voters:     min(3, gateways),
 	}
 	s.trace = trace
 	s.maxDelay = time.Duration(1+rng.IntN(30)) * time.Millisecond
@@ -43,7 +43,7 @@
 	s.decideEvery(7 * time.Millisecond)
 	for end := s.now + length; s.now < end; {
 		s.run(s.now + s.randomDuration(400*time.Millisecond))
-		s.step(s.gateways[rng.IntN(gateways)])
+		s.randomAction(s.gateways[rng.IntN(gateways)])
 	}
 	return s
 }
@@ -53,11 +53,11 @@
 }
 
 func (s *schedule) log(format string, args ...any) {
-	s.story = append(s.story, fmt.Sprintf("%v ", s.now-time.Hour)+fmt.Sprintf(format, args...))
+	s.events = append(s.events, fmt.Sprintf("%v ", s.now-time.Hour)+fmt.Sprintf(format, args...))
 }
 
-// step does one thing at random, mostly to a gateway.
-func (s *schedule) step(g *gateway) {
+// randomAction performs a random action, most of them on the given gateway, or none.
+func (s *schedule) randomAction(g *gateway) {
 	switch s.rng.IntN(9) {
 	case 0, 1, 2:
 		s.proposeChange(g)
@@ -68,12 +68,12 @@
 	case 5:
 		s.cutOff(g)
 	case 6:
-		s.log("another leader")
+		s.log("elect another leader")
 		s.elect(s.rng.IntN(s.voters))
 	}
 }
 
-// proposeChange proposes a change of the committed version at a gateway.
+// proposeChange proposes a change of the last committed version at a gateway.
 func (s *schedule) proposeChange(g *gateway) {
 	node := &Node{state: NewState()}
 	for i, entry := range s.committed {
@@ -94,11 +94,11 @@
 	g.runOrDefer(func() { g.query(Query{ChangeID: change.ID, Change: change}) })
 }
 
-// kill ends a gateway's process and starts another one later.
+// kill kills a gateway's process and starts another one after a random time.
 func (s *schedule) kill(g *gateway) {
 	s.log("kill %d", g.index)
 	g.alive = false
-	g.life++
+	g.processEpoch++
 	if s.leader == g.index {
 		s.elect((g.index + 1) % s.voters)
 	}
@@ -109,16 +109,16 @@
 	})
 }
 
-// stop makes a process stand still for a while.
+// stop suspends a process for a random time.
 func (s *schedule) stop(g *gateway) {
 	if !g.alive || g.stopped {
 		return
 	}
 	s.log("stop %d", g.index)
 	g.stopped = true
-	life := g.life
+	epoch := g.processEpoch
 	s.after(s.randomDuration(4*time.Second), func() {
-		if g.life == life {
+		if g.processEpoch == epoch {
 			g.resume()
 		}
 	})
@@ -127,20 +127,21 @@
 	}
 }
 
-// cutOff loses all that a gateway sends, receives or both for a while.
+// cutOff drops all messages that a gateway sends, receives or both for a random time.
 func (s *schedule) cutOff(g *gateway) {
 	index, direction := g.index, s.rng.IntN(3)
 	s.log("cut %d (%d)", index, direction)
-	s.cut = func(from, to int) bool {
+	s.isCut = func(from, to int) bool {
 		return direction != 1 && from == index || direction != 0 && to == index
 	}
 	if s.leader == index && len(s.gateways) > 1 {
 		s.elect((index + 1) % s.voters)
 	}
-	s.after(s.randomDuration(5*time.Second), func() { s.cut = func(int, int) bool { return false } })
+	s.after(s.randomDuration(5*time.Second), func() { s.isCut = func(int, int) bool { return false } })
 }
 
-// scheduleSeeds are the seeds to play: that of GAPGAP_SEED, or as many as the run has time for.
+// scheduleSeeds returns the seeds to run: only that of GAPGAP_SEED if it is set, else a number that depends on
+// GAPGAP_LONG and the race detector.
 func scheduleSeeds(t *testing.T) (seeds []uint64) {
 	t.Helper()
 	if text := os.Getenv("GAPGAP_SEED"); text != "" {
@@ -162,16 +163,18 @@
 	return seeds
 }
 
-// TestPolicySchedules plays 1 to 12 gateways through random schedules.
+// TestPolicySchedules verifies that no gateway decides by an earlier version more than maxWindow after the first
+// decision by a later one. It runs 1 to 12 gateways through random schedules of changes, crashes, pauses, partitions
+// and elections.
 func TestPolicySchedules(t *testing.T) {
 	seeds := scheduleSeeds(t)
 	versions, worst := uint64(0), time.Duration(0)
 	for _, seed := range seeds {
 		gateways := 1 + int(seed%12)
-		s := playSchedule(seed, gateways, 15*time.Second)
+		s := runSchedule(seed, gateways, 15*time.Second)
 		if s.worstWindow > maxWindow {
-			t.Fatalf("GAPGAP_SEED=%d, %d gateways: decided by an earlier version %v after the first by a later one\n%v",
-				seed, gateways, s.worstWindow, s.story)
+			t.Fatalf("GAPGAP_SEED=%d, %d gateways: decision by an old version %v after the first by a newer one\n%v",
+				seed, gateways, s.worstWindow, s.events)
 		}
 		worst = max(worst, s.worstWindow)
 		for version := range s.firstDecidedAt {
@@ -180,34 +183,35 @@
 	}
 	t.Logf("%d schedules; up to version %d; window %v at worst", len(seeds), versions, worst)
 	if versions < 3 {
-		t.Error("hardly any change was committed")
+		t.Error("no schedule committed version 3")
 	}
 }
 
-// TestPolicyTimes measures how long a change takes, and its window, with more gateways than a machine can run.
+// TestPolicyTimes verifies the time until a change takes effect, and its window, with up to 300 simulated gateways,
+// more than one machine can run as processes.
 func TestPolicyTimes(t *testing.T) {
 	sizes := []int{3, 20, 80, 300}
 	if race.On {
 		sizes = sizes[:2]
 	}
 	for _, gateways := range sizes {
-		w := newWorld(uint64(gateways), gateways, Wait)
-		w.decideEvery(5 * time.Millisecond)
-		w.run(w.now + 5*time.Second)
+		sim := newSimulation(uint64(gateways), gateways, Wait)
+		sim.decideEvery(5 * time.Millisecond)
+		sim.run(sim.now + 5*time.Second)
 		for version := uint64(2); version < 5; version++ {
 			change := &Change{ID: fmt.Sprint(version), Base: version - 1, Hash: Hash{byte(version)}}
-			proposedAt := w.now
-			w.gateways[gateways-1].query(Query{ChangeID: change.ID, Change: change})
-			w.run(w.now + 4*time.Second)
-			first, ok := w.firstDecidedAt[version]
+			proposedAt := sim.now
+			sim.gateways[gateways-1].query(Query{ChangeID: change.ID, Change: change})
+			sim.run(sim.now + 4*time.Second)
+			first, ok := sim.firstDecidedAt[version]
 			if !ok {
 				t.Fatalf("%d gateways: change %d was not committed", gateways, version)
 			}
-			window := w.lastDecidedAt[version-1] - first
+			window := sim.lastDecidedAt[version-1] - first
 			t.Logf("%d gateways: committed %v after it was proposed, window %v",
 				gateways, (first - proposedAt).Round(time.Millisecond), window.Round(time.Millisecond))
 			if first-proposedAt > 2*time.Second || window > maxWindow {
-				t.Error("too late")
+				t.Error("the commit took more than 2s or the window is too long")
 			}
 		}
 	}
