--- a/internal/frontend/resp2/client.go
+++ b/internal/frontend/resp2/client.go
@@ -22,341 +22,397 @@
 )
 
 const (
-	mostPipelined = 256                     // commands of one connection that may wait for their answers
-	mostUnread    = 256 << 10               // bytes of answers left unread at which no further command is read ...
-	mostUnwritten = 1 << 20                 // ... and at which the client is given up
-	writeWithin   = 5 * time.Second         // a client that takes nothing for so long has gone
-	firstWithin   = 2500 * time.Millisecond // from connecting, for the first command
-	commandWithin = 2500 * time.Millisecond // from its first bytes, for any later one
-	askCost       = 1 << 10                 // bytes of a request beside its text
-	usualRead     = 4 << 10                 // bytes of what is read and not used, at a time
-	restWithin    = 1500 * time.Millisecond // for the rest of what was refused
-	restMost      = 64 << 20                // bytes of it, and of what comes beside answers that are still owed
-	lingerWithin  = 300 * time.Millisecond  // after the last answer, for the client to end the connection too
-	mostLingering = 16
-	badPause      = 50 * time.Millisecond // before the next command is read, from the second bad one in a row on
-	badMost       = 16                    // bad commands in a row at which the connection is closed
+	// maxPipelinedCommands is how many commands of one connection may wait for their answers.
+	maxPipelinedCommands = 256
+	// pauseReadingBytes is the size of unwritten answers above which no further command is read.
+	pauseReadingBytes = 256 << 10
+	// maxUnwrittenBytes is the size of unwritten answers above which the connection is closed.
+	maxUnwrittenBytes = 1 << 20
+	// writeTimeout is how long a client may accept no bytes before its connection is closed.
+	writeTimeout = 5 * time.Second
+	// firstCommandTimeout limits the time from connecting to the end of the first command.
+	firstCommandTimeout = 2500 * time.Millisecond
+	// commandTimeout limits the time from the first bytes of a later command to its end.
+	commandTimeout = 2500 * time.Millisecond
+	// requestOverheadBytes is the memory reserved for a request beside its text.
+	requestOverheadBytes = 1 << 10
+	// discardBufferBytes is the size of the buffer into which input is read that is not used.
+	discardBufferBytes = 4 << 10
+	// rejectedLingerTimeout is how long the rest of rejected input is read.
+	rejectedLingerTimeout = 1500 * time.Millisecond
+	// maxDiscardedBytes limits the rejected input that is read, and the input that arrives after it while answers are
+	// still owed.
+	maxDiscardedBytes = 64 << 20
+	// lingerTimeout is how long after the last answer the client may take to close its side of the connection.
+	lingerTimeout = 300 * time.Millisecond
+	// maxLingering is the upper bound of Front.lingeringLimit.
+	maxLingering = 16
+	// invalidCommandDelay is the pause before the next command is read, from the second invalid one in a row on.
+	invalidCommandDelay = 50 * time.Millisecond
+	// maxInvalidCommands is the number of invalid commands in a row at which the connection is closed.
+	maxInvalidCommands = 16
 )
 
-// slot keeps the place of a command's answer.
+// slot holds the position of a command's answer among the answers on a connection.
 type slot struct {
 	answer []byte
 	ready  bool
-	ask    *ask  // nil for what the front door answers by itself
-	cost   int64 // taken from the budget until it is answered
-	mem    *resourcelimit.Bytes
-	stream *stream // that passes a long value on; nil: there is none
+	// request is nil for a command that the gateway answers by itself.
+	request *request
+	// reservedBytes are reserved in memory until the command is answered.
+	reservedBytes int64
+	memory        *resourcelimit.Bytes
+	// stream forwards a long value to the client; nil: the answer is not streamed.
+	stream *stream
 }
 
 // client is one connection of a client.
 type client struct {
-	fr    *Front
-	nc    net.Conn
-	in    resp.Reader
-	due   time.Time // of the command that is being read; zero: none has begun
-	timed bool      // a read deadline is set
-	bad   int       // commands in a row that could not be used
-
-	pool   *proxy.Proxy       // that it asked last; nil: none, or they are not told apart. The reader's
-	gate   *cpuscheduler.Flow // the way to that pool's processor
-	spoken atomic.Bool        // it has asked something
-	idle   atomic.Int64       // since when no request is open, on the loop's clock; 0: one is
-
-	mu      sync.Mutex
-	room    *sync.Cond           // slots have become free, or the connection has ended
-	slots   []*slot              // in the order of the commands
-	out     []byte               // answers to be written
-	mem     *resourcelimit.Bytes // bears out: that of the pool that it asked last
-	writing bool                 // a goroutine writes
-	behind  bool                 // bytes were read and not yet looked through for commands
-	last    bool                 // to be ended once all is answered: what is read from now on is refused
-	shut    bool                 // ... as it is: nothing more is written, and the client's own end is awaited
-	refused bool                 // what comes is refused: its rest is awaited for longer
-	lingers bool                 // counted in Front.lingering
-	closed  bool
-
-	readAt time.Duration // when the bytes were read in which the last command ended, on the loop's clock. The reader's
-	held   bool          // commands were not read for a while, so the client may have left behind them. The reader's
+	front  *Front
+	conn   net.Conn
+	reader resp.Reader
+	// readDeadline is that of the command being read; zero: none has begun.
+	readDeadline time.Time
+	// hasReadDeadline tells that a read deadline is set on conn.
+	hasReadDeadline bool
+	// invalidCommands counts invalid commands in a row.
+	invalidCommands int
+
+	// pool is that of the last request; nil: there was none. It is used by the reading goroutine only.
+	pool *proxy.Proxy
+	// scheduler gives access to the pool's share of the processor.
+	scheduler *cpuscheduler.Flow
+	// hasSentCommand tells that the client has sent a command.
+	hasSentCommand atomic.Bool
+	// idleSince is the event loop's time since which no request is open; 0: one is open.
+	idleSince atomic.Int64
+
+	mu sync.Mutex
+	// changed is signalled when slots become free, answers are written or the connection ends.
+	changed *sync.Cond
+	// slots are in the order of the commands.
+	slots []*slot
+	// unwritten are answers that are ready to be written.
+	unwritten []byte
+	// memory is where unwritten is accounted: in that of the pool of the last request.
+	memory *resourcelimit.Bytes
+	// writing tells that a goroutine is writing to conn.
+	writing bool
+	// hasUnparsedBytes tells that bytes were read and not yet searched for commands.
+	hasUnparsedBytes bool
+	// closeWhenAnswered tells that the connection ends once all is answered. What is read from now on is rejected.
+	closeWhenAnswered bool
+	// writeClosed tells that the write side is closed and the client is expected to close its side.
+	writeClosed bool
+	// rejected tells that input was rejected: its rest is read for rejectedLingerTimeout.
+	rejected bool
+	// isCountedLingering tells that the connection is counted in Front.lingering.
+	isCountedLingering bool
+	closed             bool
+
+	// lastReadAt is the event loop's time at which the bytes were read that complete the last command. It is used by
+	// the reading goroutine only.
+	lastReadAt time.Duration
+	// wasPaused tells that reading has paused, so the client may have disconnected after the commands that it sent. It
+	// is used by the reading goroutine only.
+	wasPaused bool
 }
 
 func newClient(fr *Front, nc net.Conn) *client {
-	c := &client{fr: fr, gate: fr.env.Scheduler, mem: fr.env.Memory, nc: nc, due: time.Now().Add(firstWithin), readAt: fr.env.Now()}
-	c.room = sync.NewCond(&c.mu)
-	c.in = resp.Reader{Source: c, Memory: fr.env.Memory}
-	c.idle.Store(int64(fr.env.Now()))
+	c := &client{
+		front:        fr,
+		scheduler:    fr.env.Scheduler,
+		memory:       fr.env.Memory,
+		conn:         nc,
+		readDeadline: time.Now().Add(firstCommandTimeout),
+		lastReadAt:   fr.env.Now(),
+	}
+	c.changed = sync.NewCond(&c.mu)
+	c.reader = resp.Reader{Source: c, Memory: fr.env.Memory}
+	c.idleSince.Store(int64(fr.env.Now()))
 	return c
 }
 
-// read takes commands until the connection ends.
-func (c *client) read() {
-	defer c.end()
+// readCommands reads and handles commands until the connection ends.
+func (c *client) readCommands() {
+	defer c.cleanUp()
 	for {
-		if c.mayMove() && c.move() {
+		if c.shouldHandOver() && c.handOver() {
 			return
 		}
-		m, err := c.in.Next()
+		m, err := c.reader.Next()
 		switch {
-		case errors.Is(err, errMoving):
+		case errors.Is(err, errHandover):
 			continue
-		case errors.Is(err, errShut):
+		case errors.Is(err, errWriteClosed):
 			c.discard()
 			return
 		case errors.Is(err, resp.ErrMalformed):
-			c.turnAway("-ERR Protocol error\r\n")
+			c.rejectAndClose("-ERR Protocol error\r\n")
 			return
 		case errors.Is(err, resp.ErrNoMemory):
-			c.turnAway("-ERR no memory for a command as long as this\r\n")
+			c.rejectAndClose("-ERR no memory for a command as long as this\r\n")
 			return
-		case errors.Is(err, os.ErrDeadlineExceeded) && c.in.HasPartialMessage(): // else no line: it would cross a request
-			c.turnAway("-ERR the command has not come in time\r\n")
+		case errors.Is(err, os.ErrDeadlineExceeded) && c.reader.HasPartialMessage():
+			// Without a partial command no error line is sent: it could cross a request of the client.
+			c.rejectAndClose("-ERR the command has not come in time\r\n")
 			return
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			c.rest()
+			c.closeUnused()
 			return
 		case err != nil:
 			return
 		}
-		c.due = time.Time{}
-		if c.held && socket.HasPeerClosed(c.nc) {
+		c.readDeadline = time.Time{}
+		if c.wasPaused && socket.HasPeerClosed(c.conn) {
 			return
 		}
-		c.held = false
-		if !c.command(m) {
+		c.wasPaused = false
+		if !c.handleCommand(m) {
 			return
 		}
 	}
 }
 
-// Read reads from the socket for the resp.Reader. A command has one deadline, however its bytes drip in, and so
-// has a new client's first.
+// Read reads from the socket for the resp.Reader. A command has one deadline from its first bytes, however slowly the
+// others arrive, and the first command of a new client has one from connecting.
 func (c *client) Read(b []byte) (int, error) {
-	if c.due.IsZero() && c.in.HasPartialMessage() {
-		c.due = time.Now().Add(commandWithin)
+	if c.readDeadline.IsZero() && c.reader.HasPartialMessage() {
+		c.readDeadline = time.Now().Add(commandTimeout)
 	}
-	if !c.awaits() {
-		return 0, errShut
+	if !c.beginRead() {
+		return 0, errWriteClosed
 	}
-	if c.mayMove() { // after the deadline is set: Move sets another one after it has said so
-		return 0, errMoving
+	// This follows the deadline's setting, as Move stores its function first and sets its own deadline then.
+	if c.shouldHandOver() {
+		return 0, errHandover
 	}
-	n, err := c.nc.Read(b)
+	n, err := c.conn.Read(b)
 	if n == 0 && !errors.Is(err, os.ErrDeadlineExceeded) {
 		return 0, err
 	}
-	if !c.came(n) {
-		return 0, errShut
+	if !c.finishRead(n) {
+		return 0, errWriteClosed
 	}
-	if n == 0 && (c.due.IsZero() || time.Now().Before(c.due)) {
-		c.timed = true // Move's, to be taken off
-		return 0, errMoving
+	if n == 0 && (c.readDeadline.IsZero() || time.Now().Before(c.readDeadline)) {
+		c.hasReadDeadline = true // Move has set it; beginRead resets it
+		return 0, errHandover
 	}
 	return n, err
 }
 
-var errShut = errors.New("the connection is shut: what comes crosses that")
+var errWriteClosed = errors.New("the connection is closed for writing")
 
-// awaits says that all commands that were read are taken up, and sets the deadline for the next. Now the connection may be shut, if it is to be; false: it is.
-func (c *client) awaits() bool {
+// beginRead records that all commands that were read have been handled, and sets the deadline for the next one. It may
+// close the write side if the connection is to end, and returns false if that is closed.
+func (c *client) beginRead() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.behind = false
-	c.endIfIdle()
-	if !c.shut && (!c.due.IsZero() || c.timed) {
-		c.nc.SetReadDeadline(c.due)
-		c.timed = !c.due.IsZero()
+	c.hasUnparsedBytes = false
+	c.shutDownIfIdle()
+	if !c.writeClosed && (!c.readDeadline.IsZero() || c.hasReadDeadline) {
+		c.conn.SetReadDeadline(c.readDeadline)
+		c.hasReadDeadline = !c.readDeadline.IsZero()
 	}
-	return !c.shut
+	return !c.writeClosed
 }
 
-// came says that bytes have been read: what commands they hold is answered before the connection is shut. false: it is shut.
-func (c *client) came(n int) bool {
+// finishRead records that bytes were read: commands in them are answered before the write side is closed. It returns
+// false if that is closed already.
+func (c *client) finishRead(n int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.behind = n > 0; c.behind {
-		c.readAt = c.fr.env.Now()
+	if c.hasUnparsedBytes = n > 0; c.hasUnparsedBytes {
+		c.lastReadAt = c.front.env.Now()
 	}
-	return !c.shut
+	return !c.writeClosed
 }
 
-var errMoving = errors.New("the connection is to be handed over")
+var errHandover = errors.New("the connection is about to be handed over")
 
-// mayMove says that the connection is to be handed to another process before more is read from it. With much of a command
-// read that goes on here first.
-func (c *client) mayMove() bool {
-	return c.fr.mover.Load() != nil && len(c.in.Unread()) <= handover.MaxUnreadBytes
+// shouldHandOver reports whether the connection is to be handed to another process before more is read from it. If more
+// bytes of a command are buffered than a handover can carry, this process reads on first.
+func (c *client) shouldHandOver() bool {
+	return c.front.handOver.Load() != nil && len(c.reader.Unread()) <= handover.MaxUnreadBytes
 }
 
-// move waits until nothing is owed on the connection and hands it over. false: it stays, or has ended.
-func (c *client) move() bool {
+// handOver waits until no answer is owed on the connection and hands it over. It returns false if the connection stays
+// in this process or has ended.
+func (c *client) handOver() bool {
 	c.mu.Lock()
-	for (len(c.slots) > 0 || len(c.out) > 0 || c.writing) && !c.closed {
-		c.room.Wait()
+	for (len(c.slots) > 0 || len(c.unwritten) > 0 || c.writing) && !c.closed {
+		c.changed.Wait()
 	}
 	closed := c.closed
 	c.mu.Unlock()
-	to := c.fr.mover.Load()
-	sc, ok := c.nc.(syscall.Conn)
+	to := c.front.handOver.Load()
+	sc, ok := c.conn.(syscall.Conn)
 	if closed || to == nil || !ok {
 		return false
 	}
-	if err := (*to)(sc, c.in.Unread()); err != nil {
-		if c.fr.mover.CompareAndSwap(to, nil) {
-			c.fr.log.Error("a connection could not be handed over: they stay", "error", err)
+	if err := (*to)(sc, c.reader.Unread()); err != nil {
+		if c.front.handOver.CompareAndSwap(to, nil) {
+			c.front.log.Error("handing over a connection failed, the remaining ones stay", "error", err)
 		}
 		return false
 	}
 	return true
 }
 
-// command handles one command and says whether to go on.
-func (c *client) command(m redcon.RESP) bool {
-	args, ok := arguments(m)
+// handleCommand handles one command and reports whether to read another one.
+func (c *client) handleCommand(m redcon.RESP) bool {
+	args, ok := commandArguments(m)
 	if !ok {
-		c.turnAway("-ERR Protocol error: expected an array of bulk strings\r\n")
+		c.rejectAndClose("-ERR Protocol error: expected an array of bulk strings\r\n")
 		return false
 	}
-	c.spoken.Store(true)
+	c.hasSentCommand.Store(true)
 	name := strings.ToUpper(string(args[0]))
 	switch name {
 	case "PING":
-		if p := c.fr.env.Router.Route(c.fr.plain); !ready(p) {
+		if p := c.front.env.Router.Route(c.front.defaultQuery); !isReady(p) {
 			return c.reply("-LOADING no backend is known yet\r\n")
 		}
 		return c.reply("+PONG\r\n")
 	case "Q.ASK", "Q.DO":
-		if c.leaving() { // one that is always busy would never come to its end
+		if c.isClosing() { // a client that always has requests open would otherwise never be disconnected
 			return c.reply("-BUSY\r\n")
 		}
-		pool, a, err := c.read1(name, args)
+		pool, req, err := c.readRequest(name, args)
 		if pool == nil {
-			return c.unusable("-ERR no route leads anywhere\r\n")
+			return c.rejectCommand("-ERR no route leads anywhere\r\n")
 		}
-		if errors.Is(err, errCrowded) {
+		if errors.Is(err, errPoolFull) {
 			pool.Release()
-			c.fr.env.Conns.Remove(c) // its place is free at once
-			c.turnAway(string(busyAnswer(comeBack)))
+			c.front.env.Conns.Remove(c) // frees its place at once
+			c.rejectAndClose(string(busyAnswer(capacityRetryAfter)))
 			return false
 		}
 		if err != nil {
 			pool.Release()
-			return c.unusable("-ERR " + err.Error() + "\r\n")
+			return c.rejectCommand("-ERR " + err.Error() + "\r\n")
 		}
-		c.bad = 0
-		a.conn = c
-		cost := int64(len(m.Raw)) + askCost
-		if !c.mem.TryReserve(cost) { // the reader alone changes mem
-			pool.CountRejected(&a.Request)
+		c.invalidCommands = 0
+		req.client = c
+		reservedBytes := int64(len(m.Raw)) + requestOverheadBytes
+		if !c.memory.TryReserve(reservedBytes) { // only this goroutine changes the memory field
+			pool.CountRejected(&req.Request)
 			pool.Release()
-			return c.reply(string(busyAnswer(comeBack)))
+			return c.reply(string(busyAnswer(capacityRetryAfter)))
 		}
-		if a.slot = c.take(a, cost); a.slot == nil {
+		if req.slot = c.reserveSlot(req, reservedBytes); req.slot == nil {
 			pool.Release()
 			return false
 		}
-		pool.CountRequest(&a.Request)
-		pool.Post(func() { pool.Submit(&a.Request) })
+		pool.CountRequest(&req.Request)
+		pool.Post(func() { pool.Submit(&req.Request) })
 		return true
 	}
-	return c.unusable(fmt.Sprintf("-ERR unknown command '%.40s'\r\n", printable(args[0])))
+	return c.rejectCommand(fmt.Sprintf("-ERR unknown command '%.40s'\r\n", printable(args[0])))
 }
 
-// read1 finds a command's pool and reads it, in a turn of the pool that this connection asked last.
-func (c *client) read1(name string, args [][]byte) (*proxy.Proxy, *ask, error) {
-	gate := c.gate
-	began := gate.Enter()
-	defer gate.Leave(began)
-	pool := c.fr.pool(args)
+// readRequest finds the pool of a command and parses its request, on the processor share of the pool of the
+// connection's last request.
+func (c *client) readRequest(name string, args [][]byte) (*proxy.Proxy, *request, error) {
+	scheduler := c.scheduler
+	began := scheduler.Enter()
+	defer scheduler.Leave(began)
+	pool := c.front.route(args)
 	if pool == nil {
 		return nil, nil, nil
 	}
-	if !c.join(pool) {
-		return pool, nil, errCrowded
+	if !c.joinPool(pool) {
+		return pool, nil, errPoolFull
 	}
-	a, err := c.fr.parse(pool, name, args, c.readAt)
-	return pool, a, err
+	req, err := c.front.parseRequest(pool, name, args, c.lastReadAt)
+	return pool, req, err
 }
 
-var errCrowded = errors.New("the pool has as many connections as it may have")
+var errPoolFull = errors.New("the pool has reached its connection limit")
 
-// join takes the connection to a pool: from here on its part of the processor, the memory and the connections bears it.
-// false: the pool has no place for a newcomer.
-func (c *client) join(pool *proxy.Proxy) bool {
+// joinPool moves the connection to a pool, whose shares of the processor, the memory and the connections it uses from
+// then on. It returns false if the pool has reached its connection limit.
+func (c *client) joinPool(pool *proxy.Proxy) bool {
 	if c.pool == pool {
 		return true
 	}
-	if pool.Clients != nil && !c.fr.env.Conns.Assign(c, pool.Clients) {
+	if pool.Clients != nil && !c.front.env.Conns.Assign(c, pool.Clients) {
 		return false
 	}
 	c.pool = pool
 	if pool.Scheduler != nil {
-		c.gate = pool.Scheduler
+		c.scheduler = pool.Scheduler
 	}
 	if pool.Memory == nil {
 		return true
 	}
-	c.in.SetMemory(pool.Memory)
+	c.reader.SetMemory(pool.Memory)
 	c.mu.Lock()
-	n := int64(len(c.out))
-	c.mem.Release(n)
+	n := int64(len(c.unwritten))
+	c.memory.Release(n)
 	pool.Memory.Adjust(n)
-	c.mem = pool.Memory
+	c.memory = pool.Memory
 	c.mu.Unlock()
 	return true
 }
 
-// ready says whether a pool can serve, and gives it back. Where nothing is said of where a request would go, any may do.
-func ready(p *proxy.Proxy) bool {
+// isReady reports whether a pool can serve requests, and releases it. Without a pool it returns true, as a PING names
+// no destination.
+func isReady(p *proxy.Proxy) bool {
 	if p == nil {
-		return true // what is asked says more, and is told so if it leads nowhere
+		return true // a request names its destination and is rejected if no route fits
 	}
 	defer p.Release()
 	return p.Ready()
 }
 
-// unusable answers a command that can't be used. The next one is read after a pause, as a client that sends the
-// same again and again would else take the core from the others.
-func (c *client) unusable(line string) bool {
-	if c.bad++; c.bad >= badMost {
-		c.turnAway(line)
+// rejectCommand answers an invalid command with an error line and reports whether to read on. From the second one in a
+// row on it pauses before that, as a client that repeats invalid commands would otherwise take the processor from the
+// other clients.
+func (c *client) rejectCommand(line string) bool {
+	if c.invalidCommands++; c.invalidCommands >= maxInvalidCommands {
+		c.rejectAndClose(line)
 		return false
 	}
 	ok := c.reply(line)
-	if c.bad > 1 && ok {
-		time.Sleep(badPause)
-		c.held = true
+	if c.invalidCommands > 1 && ok {
+		time.Sleep(invalidCommandDelay)
+		c.wasPaused = true
 	}
 	return ok
 }
 
+// reply answers a command that is no request, and reports whether the connection goes on.
 func (c *client) reply(line string) bool {
-	s := c.take(nil, 0)
-	c.answer(s, []byte(line))
+	s := c.reserveSlot(nil, 0)
+	c.completeSlot(s, []byte(line))
 	return s != nil
 }
 
-// take keeps a place for the next answer. It waits while too many are kept already, or the answers before are not
-// read; nil: the connection ends. What it costs has been taken from the budget.
-func (c *client) take(a *ask, cost int64) *slot {
+// reserveSlot appends a slot for the next answer. It waits while there are too many slots or too many unwritten bytes,
+// and returns nil if the connection has ended. The caller has reserved the memory.
+func (c *client) reserveSlot(req *request, reservedBytes int64) *slot {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for (len(c.slots) >= mostPipelined || len(c.out) > mostUnread) && !c.closed {
-		c.held = true
-		c.room.Wait()
-		c.readAt = c.fr.env.Now() // the time for which a command waits for those before it does not count
+	for (len(c.slots) >= maxPipelinedCommands || len(c.unwritten) > pauseReadingBytes) && !c.closed {
+		c.wasPaused = true
+		c.changed.Wait()
+		c.lastReadAt = c.front.env.Now() // the wait for earlier commands does not count as latency
 	}
 	if c.closed {
-		c.mem.Release(cost)
+		c.memory.Release(reservedBytes)
 		return nil
 	}
-	s := &slot{ask: a, cost: cost, mem: c.mem}
+	s := &slot{request: req, reservedBytes: reservedBytes, memory: c.memory}
 	c.slots = append(c.slots, s)
-	c.idle.Store(0)
+	c.idleSince.Store(0)
 	return s
 }
 
-// answer fills a slot, once. What then stands at the head is written as far as the socket takes it, and the rest by
-// a goroutine of its own: a slow client must not hold up the caller.
-func (c *client) answer(s *slot, line []byte) {
+// completeSlot sets the answer of a slot; later calls for the slot have no effect. It writes the leading answers that
+// are ready as far as the socket accepts them at once. A goroutine of its own writes the rest, as a slow client must
+// not block the caller.
+func (c *client) completeSlot(s *slot, line []byte) {
 	if s == nil {
 		return
 	}
@@ -365,66 +421,66 @@
 	if s.ready {
 		return
 	}
-	s.answer, s.ready, s.ask = line, true, nil
-	if s.stream != nil && s.stream.begun {
-		if line != nil { // nothing else can be said in the middle of a value: the end of the connection says it
+	s.answer, s.ready, s.request = line, true, nil
+	if s.stream != nil && s.stream.started {
+		if line != nil { // within a value only the end of the connection can tell of a failure
 			c.close()
 			return
 		}
 		c.writing = false
-		c.nc.SetWriteDeadline(time.Time{}) // else the answers to come would meet it
+		c.conn.SetWriteDeadline(time.Time{}) // it would otherwise apply to later answers
 	}
-	c.room.Broadcast() // for a stream whose request is over
+	c.changed.Broadcast() // wakes the stream of a request that has ended
 	for len(c.slots) > 0 && c.slots[0].ready {
 		first := c.slots[0]
-		c.out = append(c.out, first.answer...)
-		first.mem.Release(first.cost)
-		c.mem.Adjust(int64(len(first.answer)))
+		c.unwritten = append(c.unwritten, first.answer...)
+		first.memory.Release(first.reservedBytes)
+		c.memory.Adjust(int64(len(first.answer)))
 		c.slots[0] = nil
 		c.slots = c.slots[1:]
-		c.room.Broadcast()
+		c.changed.Broadcast()
 	}
 	if len(c.slots) == 0 {
-		c.idle.Store(int64(c.fr.env.Now()))
+		c.idleSince.Store(int64(c.front.env.Now()))
 	}
-	if len(c.out) > mostUnwritten || len(c.out) > resp.MaxValueBytes && c.mem.IsExceeded() {
+	if len(c.unwritten) > maxUnwrittenBytes || len(c.unwritten) > resp.MaxValueBytes && c.memory.IsExceeded() {
 		c.close()
-	} else if len(c.out) > 0 && !c.writing && !c.closed {
-		c.writeSome()
+	} else if len(c.unwritten) > 0 && !c.writing && !c.closed {
+		c.writeNow()
 	} else {
-		c.endIfIdle()
+		c.shutDownIfIdle()
 	}
 }
 
-// writeSome writes what the socket takes at once. The caller holds mu.
-func (c *client) writeSome() {
-	n, err := socket.WriteNow(c.nc, c.out)
-	c.mem.Release(int64(n))
-	if c.out = c.out[n:]; len(c.out) == 0 {
-		c.out = nil
+// writeNow writes what the socket accepts without blocking. The caller holds mu.
+func (c *client) writeNow() {
+	n, err := socket.WriteNow(c.conn, c.unwritten)
+	c.memory.Release(int64(n))
+	if c.unwritten = c.unwritten[n:]; len(c.unwritten) == 0 {
+		c.unwritten = nil
 	}
 	switch {
 	case err != nil:
 		c.close()
-	case c.out != nil:
+	case c.unwritten != nil:
 		c.writing = true
-		go c.write()
+		go c.writeRemaining()
 	default:
-		c.endIfIdle()
+		c.shutDownIfIdle()
 	}
 }
 
-// write writes what is there.
-func (c *client) write() {
+// writeRemaining writes until no answers are left. It runs in a goroutine of its own.
+func (c *client) writeRemaining() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for len(c.out) > 0 && !c.closed {
-		out, mem := c.out, c.mem
-		c.out = nil
-		c.room.Broadcast()
+	for len(c.unwritten) > 0 && !c.closed {
+		out, mem := c.unwritten, c.memory
+		c.unwritten = nil
+		c.changed.Broadcast()
 		c.mu.Unlock()
-		c.nc.SetWriteDeadline(time.Now().Add(writeWithin))
-		_, err := c.nc.Write(out)
+		c.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
+		_, err := c.conn.Write(out)
 		c.mu.Lock()
 		mem.Release(int64(len(out)))
 		if err != nil {
@@ -432,49 +488,49 @@
 		}
 	}
 	c.writing = false
-	c.nc.SetWriteDeadline(time.Time{})
-	c.room.Broadcast()
-	c.endIfIdle()
+	c.conn.SetWriteDeadline(time.Time{})
+	c.changed.Broadcast()
+	c.shutDownIfIdle()
 }
 
-// turnAway answers what can't be read and ends the connection, after what was asked before is answered. Closing it while the
-// client still sends would throw the error line away, so what comes is read for a while.
-func (c *client) turnAway(line string) {
+// rejectAndClose answers input that can't be read with an error line, and ends the connection after the answers to
+// earlier commands. Closing it while the client still sends would discard the error line, so input is read for a while.
+func (c *client) rejectAndClose(line string) {
 	c.mu.Lock()
 	if c.closed {
 		c.mu.Unlock()
 		return
 	}
-	s := &slot{mem: c.mem} // no place is waited for: nothing follows it
+	s := &slot{memory: c.memory} // the slot limit does not apply, as no slot follows
 	c.slots = append(c.slots, s)
-	c.idle.Store(0)
-	c.last, c.refused, c.behind = true, true, false
+	c.idleSince.Store(0)
+	c.closeWhenAnswered, c.rejected, c.hasUnparsedBytes = true, true, false
 	c.mu.Unlock()
-	c.answer(s, []byte(line))
+	c.completeSlot(s, []byte(line))
 	c.discard()
 }
 
-// rest ends a connection on which nothing is asked.
-func (c *client) rest() {
+// closeUnused ends a connection whose client sends no command.
+func (c *client) closeUnused() {
 	c.mu.Lock()
-	c.last = true
-	c.endIfIdle()
+	c.closeWhenAnswered = true
+	c.shutDownIfIdle()
 	c.mu.Unlock()
 	c.discard()
 }
 
-// discard reads what comes and uses none of it, up to the end of the connection: else a client that leaves while answers are
+// discard reads and drops input until the connection ends. Without reading, a client that disconnects while answers are
 // still owed would not be noticed.
 func (c *client) discard() {
-	c.in.Release()
+	c.reader.Release()
 	c.mu.Lock()
-	if !c.shut {
-		c.nc.SetReadDeadline(time.Time{})
+	if !c.writeClosed {
+		c.conn.SetReadDeadline(time.Time{})
 	}
 	c.mu.Unlock()
-	b := make([]byte, usualRead)
-	for left := restMost; left > 0; {
-		n, err := c.nc.Read(b)
+	b := make([]byte, discardBufferBytes)
+	for left := maxDiscardedBytes; left > 0; {
+		n, err := c.conn.Read(b)
 		if err != nil {
 			return
 		}
@@ -482,90 +538,91 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for !c.shut && !c.closed {
-		c.room.Wait()
+	for !c.writeClosed && !c.closed {
+		c.changed.Wait()
 	}
 }
 
 // IdleSince implements [resourcelimit.ClientConnection].
 func (c *client) IdleSince() (time.Duration, bool) {
-	return time.Duration(c.idle.Load()), c.spoken.Load()
+	return time.Duration(c.idleSince.Load()), c.hasSentCommand.Load()
 }
 
-// CloseWhenIdle implements [resourcelimit.ClientConnection]. The place is wanted now: the client's own end is not waited for.
+// CloseWhenIdle implements [resourcelimit.ClientConnection]. The place is needed at once, so it does not wait until the
+// client closes its side.
 func (c *client) CloseWhenIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.last = true
-	if c.shut || c.owesNothing() {
+	c.closeWhenAnswered = true
+	if c.writeClosed || c.isIdle() {
 		c.close()
 	}
 }
 
-// leaving says that the connection is to be ended after the answers that it owes.
-func (c *client) leaving() bool {
+// isClosing reports whether the connection is to end after the answers that are owed on it.
+func (c *client) isClosing() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.last
+	return c.closeWhenAnswered
 }
 
-// owesNothing says that all that was read is answered, and the answers are written. The caller holds mu.
-func (c *client) owesNothing() bool {
-	return len(c.slots) == 0 && len(c.out) == 0 && !c.writing && !c.behind
+// isIdle reports whether all that was read is answered and the answers are written. The caller holds mu.
+func (c *client) isIdle() bool {
+	return len(c.slots) == 0 && len(c.unwritten) == 0 && !c.writing && !c.hasUnparsedBytes
 }
 
-// endIfIdle ends a connection that is to go when nothing is owed on it. It ends its sending first and closes when the client has
-// ended too, or has not for lingerWithin: a close over bytes that nobody has read resets the connection, and the reset may reach
-// the client before the last answer does. The caller holds mu.
-func (c *client) endIfIdle() {
-	if !c.last || !c.owesNothing() || c.shut || c.closed {
+// shutDownIfIdle ends a connection that is to end once no answer is owed on it. It closes the write side first, and the
+// connection when the client has closed its side or the linger timeout has passed: closing a socket with unread bytes
+// resets the connection, and the reset may reach the client before the last answer does. The caller holds mu.
+func (c *client) shutDownIfIdle() {
+	if !c.closeWhenAnswered || !c.isIdle() || c.writeClosed || c.closed {
 		return
 	}
-	c.lingers = c.refused
-	if half, ok := c.nc.(interface{ CloseWrite() error }); !ok ||
-		c.refused && c.fr.lingering.Add(1) > c.fr.mostLingering() || half.CloseWrite() != nil {
+	c.isCountedLingering = c.rejected
+	if half, ok := c.conn.(interface{ CloseWrite() error }); !ok ||
+		c.rejected && c.front.lingering.Add(1) > c.front.lingeringLimit() || half.CloseWrite() != nil {
 		c.close()
 		return
 	}
-	c.shut = true
-	within := lingerWithin
-	if c.refused {
-		within = restWithin
+	c.writeClosed = true
+	within := lingerTimeout
+	if c.rejected {
+		within = rejectedLingerTimeout
 	}
-	c.nc.SetReadDeadline(time.Now().Add(within))
-	c.room.Broadcast()
+	c.conn.SetReadDeadline(time.Now().Add(within))
+	c.changed.Broadcast()
 }
 
-// close ends the connection. The caller holds mu.
+// close closes the connection. The caller holds mu.
 func (c *client) close() {
 	if !c.closed {
 		c.closed = true
-		c.nc.Close()
-		if c.lingers {
-			c.lingers = false
-			c.fr.lingering.Add(-1)
+		c.conn.Close()
+		if c.isCountedLingering {
+			c.isCountedLingering = false
+			c.front.lingering.Add(-1)
 		}
-		c.room.Broadcast()
+		c.changed.Broadcast()
 	}
 }
 
-// end tells the loop of the requests whose client has left.
-func (c *client) end() {
+// cleanUp closes the connection, releases its resources and tells the event loop of its open requests.
+func (c *client) cleanUp() {
 	c.mu.Lock()
 	c.close()
-	var left []*ask // gathered under the lock, as the loop may be answering
+	var left []*request // collected under the lock, as the event loop may be answering
 	for _, s := range c.slots {
-		if s.ask != nil {
-			left = append(left, s.ask)
+		if s.request != nil {
+			left = append(left, s.request)
 		}
-		s.mem.Release(s.cost)
+		s.memory.Release(s.reservedBytes)
 	}
-	c.mem.Release(int64(len(c.out)))
-	c.slots, c.out = nil, nil
+	c.memory.Release(int64(len(c.unwritten)))
+	c.slots, c.unwritten = nil, nil
 	c.mu.Unlock()
-	c.in.Release()
-	c.fr.env.Conns.Remove(c)
-	for _, a := range left {
-		a.pool.Post(func() { a.pool.ClientGone(&a.Request) })
+	c.reader.Release()
+	c.front.env.Conns.Remove(c)
+	for _, req := range left {
+		req.pool.Post(func() { req.pool.ClientGone(&req.Request) })
 	}
 }
--- a/internal/frontend/resp2/front.go
+++ b/internal/frontend/resp2/front.go
@@ -1,5 +1,5 @@
-// Package resp2 is the front that speaks RESP2: it reads requests from clients' connections, checks them, hands them
-// to the core and writes each its one answer, in the order of the commands on a connection.
+// Package resp2 is the frontend for RESP2. It reads requests from client connections, validates them, submits them to
+// the proxy and writes one answer to each, in the order of the commands on a connection.
 package resp2
 
 import (
@@ -20,127 +20,137 @@
 	"gapgap/internal/route"
 )
 
-const emptyWithin = 10 * time.Millisecond // for the connections that wait in a listener's queue as it is closed
+// acceptQueueDrainTime is how long connections are still accepted from the queue of a listener that is being closed.
+const acceptQueueDrainTime = 10 * time.Millisecond
 
-const comeBack = 100 * time.Millisecond // what a client is told for which there is no room
+// capacityRetryAfter is the retry delay sent to a client that is rejected for lack of connections or memory.
+const capacityRetryAfter = 100 * time.Millisecond
 
-// Config is one listener.
+// Config configures the frontend of one listener.
 type Config struct {
-	Listener string        // its name, for routes
-	Stall    time.Duration // a client that takes nothing of a long value for so long is given up; 0: 5 s
-	// Routes says that requests are routed by what they name; else all go to one pool.
+	// Listener is the listener's name in routes.
+	Listener string
+	// Stall is how long a client may accept no bytes of a long value before its connection is closed; 0: 5 s.
+	Stall time.Duration
+	// Routes tells that requests are routed by their class, customer and host; otherwise all go to one pool.
 	Routes bool
-	// Accounts finds what is configured for a customer; nil, or a nil result: nothing, and the request's own plan and
-	// set of front doors hold. Any goroutine calls it.
+	// Accounts returns the account of a customer. If it or its result is nil, the plan and the number of gateways of
+	// the request apply. Any goroutine may call it.
 	Accounts func(pool *proxy.Proxy, customer string) *account.Account
 }
 
-// Front takes connections and reads requests from them.
+// Front accepts connections and reads requests from them.
 type Front struct {
-	env   *proxy.Env
-	cfg   Config
-	log   *slog.Logger
-	ln    net.Listener
-	plain *route.Query // where requests are not told apart
+	env *proxy.Env
+	cfg Config
+	log *slog.Logger
+	ln  net.Listener
+	// defaultQuery is the route query of requests that are not routed by their content.
+	defaultQuery *route.Query
 
 	mu      sync.Mutex
 	resumed *sync.Cond
-	pause   bool // no connection is taken
-	handing bool // ... since another process is about to take them, or not: nothing is closed until that is known
-	closed  bool // ... nor will be, but for those that wait already
-	ended   atomic.Bool
+	// paused tells that no connections are accepted.
+	paused bool
+	// handoverPending tells that another process may take over the connections. Nothing is closed until that is known.
+	handoverPending bool
+	// closed tells that no connections are accepted any more, beside those already in the listener's queue.
+	closed      bool
+	acceptEnded atomic.Bool
 
-	mover     atomic.Pointer[func(c syscall.Conn, unread []byte) error] // hands connections to another process; nil: they stay
-	lingering atomic.Int64                                              // connections on which only the rest of what was refused is awaited
+	// handOver hands a connection to another process; nil: connections stay.
+	handOver atomic.Pointer[func(c syscall.Conn, unread []byte) error]
+	// lingering counts connections on which only the rest of rejected input is read.
+	lingering atomic.Int64
 }
 
-// New makes a front on a listener, which it closes.
+// New returns the frontend of a listener, which it closes.
 func New(env *proxy.Env, cfg Config, ln net.Listener, log *slog.Logger) *Front {
-	fr := &Front{env: env, cfg: cfg, ln: ln, log: log, plain: &route.Query{Listener: cfg.Listener}}
+	fr := &Front{env: env, cfg: cfg, ln: ln, log: log, defaultQuery: &route.Query{Listener: cfg.Listener}}
 	fr.resumed = sync.NewCond(&fr.mu)
 	return fr
 }
 
-// Serve implements [proxy.Front].
+// Serve implements [proxy.Frontend].
 func (fr *Front) Serve() { go fr.accept() }
 
-// CloseListeners implements [proxy.Front]. It does nothing from Pause until Move or Resume.
+// CloseListeners implements [proxy.Frontend]. It does nothing from Pause until Move or Resume.
 func (fr *Front) CloseListeners() {
 	fr.mu.Lock()
 	defer fr.mu.Unlock()
-	if fr.closed || fr.handing {
+	if fr.closed || fr.handoverPending {
 		return
 	}
 	fr.closed = true
 	fr.resumed.Broadcast()
-	if ln, ok := fr.ln.(deadliner); ok && !fr.pause {
-		ln.SetDeadline(time.Now().Add(emptyWithin)) // what waits in its queue would be reset
+	if ln, ok := fr.ln.(deadlineListener); ok && !fr.paused {
+		ln.SetDeadline(time.Now().Add(acceptQueueDrainTime)) // closing at once would reset the queued connections
 		return
 	}
 	fr.ln.Close()
 }
 
-// accept takes connections until the listener is closed.
+// accept accepts connections until the listener is closed.
 func (fr *Front) accept() {
-	defer fr.ended.Store(true)
+	defer fr.acceptEnded.Store(true)
 	for {
 		nc, err := fr.ln.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			if fr.paused() {
+			if fr.waitWhilePaused() {
 				return
 			}
 			continue
 		}
-		if err != nil { // out of descriptors, say: what was taken goes on meanwhile
+		if err != nil { // such as too many open files; existing connections go on
 			fr.log.Warn("accept", "error", err)
 			time.Sleep(10 * time.Millisecond)
 			continue
 		}
 		if !fr.env.Conns.HasCapacity() {
-			fr.turnAway(nc)
+			fr.rejectConnection(nc)
 			continue
 		}
 		c := newClient(fr, nc)
 		fr.env.Conns.Add(c)
-		go c.read()
+		go c.readCommands()
 	}
 }
 
-// mostLingering is how many connections that were refused may wait for the client's own end: few against those that may be held,
-// as some of them are not counted there.
-func (fr *Front) mostLingering() int64 {
-	return int64(max(1, min(mostLingering, fr.env.Conns.Max()/32)))
+// lingeringLimit returns how many rejected connections may wait for the client to close its side. It is small against
+// the connection limit, which does not count all of them.
+func (fr *Front) lingeringLimit() int64 {
+	return int64(max(1, min(maxLingering, fr.env.Conns.Max()/32)))
 }
 
-// turnAway refuses a connection for which there is no room. Nothing is taken of what comes on it, so nothing has run; it is read for
-// a moment, as a close over it would reset the connection, and the answer would be lost.
-func (fr *Front) turnAway(nc net.Conn) {
-	nc.SetDeadline(time.Now().Add(lingerWithin))
-	nc.Write(busyAnswer(comeBack))
+// rejectConnection rejects a connection beyond the limit. No command on it is handled. Its input is read for a moment,
+// as closing a socket with unread bytes would reset the connection, and the answer would be lost.
+func (fr *Front) rejectConnection(nc net.Conn) {
+	nc.SetDeadline(time.Now().Add(lingerTimeout))
+	nc.Write(busyAnswer(capacityRetryAfter))
 	half, ok := nc.(interface{ CloseWrite() error })
-	if fr.lingering.Add(1) > fr.mostLingering() || !ok || half.CloseWrite() != nil {
+	if fr.lingering.Add(1) > fr.lingeringLimit() || !ok || half.CloseWrite() != nil {
 		fr.lingering.Add(-1)
 		nc.Close()
 		return
 	}
 	go func() {
-		io.Copy(io.Discard, io.LimitReader(nc, restMost))
+		io.Copy(io.Discard, io.LimitReader(nc, maxDiscardedBytes))
 		nc.Close()
 		fr.lingering.Add(-1)
 	}()
 }
 
-// deadliner is a listener that can be made to take nothing for a time, such as that of TCP.
-type deadliner interface{ SetDeadline(time.Time) error }
+// deadlineListener is a listener whose Accept can be interrupted by a deadline, such as that of TCP.
+type deadlineListener interface{ SetDeadline(time.Time) error }
 
-// paused waits while no connection is to be taken; true: the listener was closed meanwhile.
-func (fr *Front) paused() bool {
+// waitWhilePaused waits while accepting is paused, and reports whether the frontend was closed.
+func (fr *Front) waitWhilePaused() bool {
 	fr.mu.Lock()
 	defer fr.mu.Unlock()
-	for fr.pause && !fr.closed {
+	for fr.paused && !fr.closed {
 		fr.resumed.Wait()
 	}
 	if fr.closed {
@@ -149,91 +159,92 @@
 	return fr.closed
 }
 
-// Pause stops taking connections, which then wait in the listener's queue. One that is just being taken is handed over as others.
-// Move or Resume must follow: until then a shutdown waits, as what it closed might be the other process's already.
+// Pause stops accepting connections, which then wait in the listener's queue. One that is being accepted is handed over
+// like the others. Move or Resume must follow: until then a shutdown waits, as it might close connections that already
+// belong to the other process.
 func (fr *Front) Pause() {
 	fr.mu.Lock()
-	fr.pause, fr.handing = true, true
+	fr.paused, fr.handoverPending = true, true
 	fr.mu.Unlock()
-	if ln, ok := fr.ln.(deadliner); ok {
+	if ln, ok := fr.ln.(deadlineListener); ok {
 		ln.SetDeadline(time.Unix(1, 0))
 	}
 }
 
-// Resume takes connections again.
+// Resume accepts connections again.
 func (fr *Front) Resume() {
-	if ln, ok := fr.ln.(deadliner); ok {
+	if ln, ok := fr.ln.(deadlineListener); ok {
 		ln.SetDeadline(time.Time{})
 	}
 	fr.mu.Lock()
-	fr.pause, fr.handing = false, false
+	fr.paused, fr.handoverPending = false, false
 	fr.resumed.Broadcast()
 	fr.mu.Unlock()
 }
 
-// Move hands all connections to another process, each as soon as nothing is owed on it, until Stay.
+// Move hands all connections to another process until Stay is called, each as soon as no answer is owed on it.
 func (fr *Front) Move(to func(c syscall.Conn, unread []byte) error) {
-	fr.mover.Store(&to)
+	fr.handOver.Store(&to)
 	fr.mu.Lock()
-	fr.handing = false
+	fr.handoverPending = false
 	fr.mu.Unlock()
 	for _, c := range fr.clients() {
-		c.nc.SetReadDeadline(time.Unix(1, 0)) // wakes who reads
+		c.conn.SetReadDeadline(time.Unix(1, 0)) // wakes the reading goroutine
 	}
 }
 
-// Stay keeps the connections that are not handed over yet.
-func (fr *Front) Stay() { fr.mover.Store(nil) }
+// Stay ends handing over: the remaining connections stay in this process.
+func (fr *Front) Stay() { fr.handOver.Store(nil) }
 
-// Adopt takes over a connection from another process, which read from it what it did not use.
+// Adopt takes over a connection from another process, with the bytes which that has read and not used.
 func (fr *Front) Adopt(nc net.Conn, unread []byte) {
 	c := newClient(fr, nc)
-	c.due = time.Time{}
-	c.spoken.Store(true)
+	c.readDeadline = time.Time{}
+	c.hasSentCommand.Store(true)
 	if len(unread) > 0 {
-		c.in.Prefill(unread)
+		c.reader.Prefill(unread)
 	}
 	fr.env.Conns.Add(c)
-	go c.read()
+	go c.readCommands()
 }
 
-// clients are this front's connections.
+// clients returns this frontend's connections.
 func (fr *Front) clients() (all []*client) {
 	for _, c := range resourcelimit.ConnectionsOf[*client](fr.env.Conns) {
-		if c.fr == fr {
+		if c.front == fr {
 			all = append(all, c)
 		}
 	}
 	return all
 }
 
-// Drain implements [proxy.Front]: it closes the connections that stand between two requests, and the others with their
-// last answer. It does nothing from Pause until Move or Resume.
+// Drain implements [proxy.Frontend]: it closes idle connections at once and the others after their last answer. It does
+// nothing from Pause until Move or Resume.
 func (fr *Front) Drain() bool {
 	fr.mu.Lock()
-	handing := fr.handing
+	handoverPending := fr.handoverPending
 	fr.mu.Unlock()
-	if handing {
+	if handoverPending {
 		return false
 	}
 	all := fr.clients()
-	if fr.mover.Load() != nil { // they end by being handed over
-		return len(all) == 0 && fr.ended.Load()
+	if fr.handOver.Load() != nil { // connections end by being handed over
+		return len(all) == 0 && fr.acceptEnded.Load()
 	}
-	for _, c := range all { // all first, so that no client finds one closed and turns to another
+	for _, c := range all { // mark all first, so that no client changes to another connection
 		c.mu.Lock()
-		c.last = true
+		c.closeWhenAnswered = true
 		c.mu.Unlock()
 	}
 	for _, c := range all {
 		c.mu.Lock()
-		c.endIfIdle()
+		c.shutDownIfIdle()
 		c.mu.Unlock()
 	}
-	return len(all) == 0 && fr.ended.Load()
+	return len(all) == 0 && fr.acceptEnded.Load()
 }
 
-// busyAnswer is a refusal, with the time to stay away in whole milliseconds.
+// busyAnswer returns a rejection with the time until a retry in whole milliseconds, rounded up.
 func busyAnswer(pause time.Duration) []byte {
 	if pause <= 0 {
 		return []byte("-BUSY\r\n")
@@ -242,8 +253,8 @@
 	return append(strconv.AppendInt([]byte("-BUSY "), int64(ms), 10), "\r\n"...)
 }
 
-// Answer implements [proxy.Caller].
-func (a *ask) Answer(ans proxy.Answer) {
+// Answer implements [proxy.Client].
+func (req *request) Answer(ans proxy.Answer) {
 	var line []byte
 	switch ans.Outcome {
 	case proxy.Served:
@@ -257,5 +268,5 @@
 	default:
 		line = []byte("-ERR failed\r\n")
 	}
-	a.conn.answer(a.slot, line)
+	req.client.completeSlot(req.slot, line)
 }
--- a/internal/frontend/resp2/request.go
+++ b/internal/frontend/resp2/request.go
@@ -19,23 +19,26 @@
 	"gapgap/internal/socket"
 )
 
-// lateAsk is how much longer than its class's time a client may say that it waits.
-const lateAsk = time.Second
+// timeoutTolerance is how far the timeout that a client sends may exceed that of the request's class.
+const timeoutTolerance = time.Second
 
-// ask is a client's request as its connection read it.
-type ask struct {
+// request is a request read from a client connection.
+type request struct {
 	proxy.Request
-	pool     *proxy.Proxy
-	conn     *client
-	slot     *slot
-	args     [][]byte // the command as it came
-	list     int      // the argument that holds names and values
-	waitFrom int      // where the figure of d stands in it ...
-	waitTo   int      // ... and ends
+	pool   *proxy.Proxy
+	client *client
+	slot   *slot
+	// args are the arguments of the command as received.
+	args [][]byte
+	// listIndex is the index of the argument that has the key=value list.
+	listIndex int
+	// timeoutStart and timeoutEnd delimit the value of the key d in that argument.
+	timeoutStart int
+	timeoutEnd   int
 }
 
-// arguments returns a copy of the bulk strings of a command.
-func arguments(m redcon.RESP) ([][]byte, bool) {
+// commandArguments returns a copy of the bulk strings of a command, or false for any other message.
+func commandArguments(m redcon.RESP) ([][]byte, bool) {
 	if m.Type != redcon.Array || m.Count < 1 {
 		return nil, false
 	}
@@ -52,7 +55,7 @@
 	return args, true
 }
 
-// printable makes what a client sent fit for an error line.
+// printable replaces the bytes of a client's input that must not appear in an error line.
 func printable(b []byte) string {
 	return strings.Map(func(r rune) rune {
 		if r < ' ' || r > '~' {
@@ -62,8 +65,8 @@
 	}, string(b))
 }
 
-// parse reads a request. What it can't read goes nowhere.
-func (fr *Front) parse(pool *proxy.Proxy, name string, args [][]byte, at time.Duration) (*ask, error) {
+// parseRequest parses and validates a request. Nothing is forwarded of a request that it rejects.
+func (fr *Front) parseRequest(pool *proxy.Proxy, name string, args [][]byte, at time.Duration) (*request, error) {
 	if len(args) != 4 && len(args) != 5 {
 		return nil, fmt.Errorf("wrong number of arguments for '%s'", name)
 	}
@@ -74,9 +77,9 @@
 	if len(args[2]) == 0 {
 		return nil, errors.New("the id is empty")
 	}
-	a := &ask{pool: pool, args: args, list: 3}
-	a.Client, a.ID, a.At = a, string(args[2]), at
-	a.Class, a.Plan, a.Customer = -1, -1, strings.ToLower(string(args[1]))
+	req := &request{pool: pool, args: args, listIndex: 3}
+	req.Client, req.ID, req.At = req, string(args[2]), at
+	req.Class, req.Plan, req.Customer = -1, -1, strings.ToLower(string(args[1]))
 	rules := pool.Rules()
 	key, first := false, false
 	var seen [16]string
@@ -84,36 +87,36 @@
 	for at, list := 0, string(args[3]); at <= len(list); {
 		item, _, _ := strings.Cut(list[at:], ",")
 		k, v, _ := strings.Cut(item, "=")
-		if slices.Contains(fields, k) { // a backend may read the other one
+		if slices.Contains(fields, k) { // a backend may use the other value
 			return nil, fmt.Errorf("%s is given twice", printable([]byte(k)))
 		}
 		fields = append(fields, k)
 		ok := true
 		switch k {
 		case "c":
-			a.Class = slices.Index(rules.Classes, v)
-			ok = a.Class >= 0 && v != ""
+			req.Class = slices.Index(rules.Classes, v)
+			ok = req.Class >= 0 && v != ""
 		case "t":
-			a.Plan = slices.Index(rules.Plans, v)
-			ok = a.Plan >= 0 && v != ""
+			req.Plan = slices.Index(rules.Plans, v)
+			ok = req.Plan >= 0 && v != ""
 		case "d":
 			ms, err := strconv.ParseUint(v, 10, 31)
 			ok = err == nil && ms > 0
-			a.Timeout = time.Duration(ms) * time.Millisecond
-			a.waitFrom, a.waitTo = at+2, at+len(item)
+			req.Timeout = time.Duration(ms) * time.Millisecond
+			req.timeoutStart, req.timeoutEnd = at+2, at+len(item)
 		case "k":
 			ok = v != ""
-			key, a.Key = true, v
+			key, req.Key = true, v
 		case "r":
-			a.ClientRetry = v == "1"
+			req.ClientRetry = v == "1"
 			ok = v == "1" || v == "0"
 		case "units":
-			a.Units, ok = resp.ParseDecimal(v)
-			ok = ok && a.Units > 0 && a.Units <= cmp.Or(rules.Settings.MaxRequestUnits, 1e9)
+			req.Units, ok = resp.ParseDecimal(v)
+			ok = ok && req.Units > 0 && req.Units <= cmp.Or(rules.Settings.MaxRequestUnits, 1e9)
 		case "spread":
 			n, err := strconv.ParseUint(v, 10, 31)
 			ok = err == nil && n > 0 && int(n) <= rules.Settings.Gateways
-			a.Gateways = int(n)
+			req.Gateways = int(n)
 		case "first":
 			n, err := strconv.ParseUint(v, 10, 31)
 			ok = err == nil && int(n) < rules.Settings.Gateways
@@ -125,15 +128,15 @@
 		at += len(item) + 1
 	}
 	switch {
-	case a.Class < 0, a.Plan < 0, a.Timeout == 0, a.Units == 0, a.Gateways == 0, !first:
+	case req.Class < 0, req.Plan < 0, req.Timeout == 0, req.Units == 0, req.Gateways == 0, !first:
 		return nil, errors.New("one of c, t, d, units, spread and first is missing")
 	}
-	if err := fr.configured(a); err != nil {
+	if err := fr.applyAccount(req); err != nil {
 		return nil, err
 	}
-	// A request and its timers are kept for as long as the client says that it waits.
-	class := &rules.Settings.Classes[a.Class]
-	if class.ClientTimeout > 0 && a.Timeout > class.ClientTimeout+lateAsk {
+	// The client's timeout is limited, as a request and its timers are kept that long.
+	class := &rules.Settings.Classes[req.Class]
+	if class.ClientTimeout > 0 && req.Timeout > class.ClientTimeout+timeoutTolerance {
 		return nil, errors.New("ill-formed or unknown d")
 	}
 	switch effect := class.Idempotency; {
@@ -142,13 +145,13 @@
 	case (effect == balancer.IdempotentByKey || class.KeyReserved) && !key:
 		return nil, errors.New("k is missing")
 	}
-	return a, nil
+	return req, nil
 }
 
-// pool finds where a command leads, by what it names: its class, its customer and, where it has one, its host.
-func (fr *Front) pool(args [][]byte) *proxy.Proxy {
+// route returns the pool for a command by its class, its customer and its host, if it has one; nil: no route fits.
+func (fr *Front) route(args [][]byte) *proxy.Proxy {
 	if !fr.cfg.Routes {
-		return fr.env.Router.Route(fr.plain)
+		return fr.env.Router.Route(fr.defaultQuery)
 	}
 	q := route.Query{Listener: fr.cfg.Listener}
 	if len(args) > 3 {
@@ -164,53 +167,55 @@
 	return fr.env.Router.Route(&q)
 }
 
-// configured holds a request to what is configured for its customer: one plan and one set of front doors over all
-// fronts, as the quota and the ceiling are one.
-func (fr *Front) configured(a *ask) error {
+// applyAccount checks a request against the account of its customer and sets its number of gateways. A customer has one
+// plan and one set of gateways for all frontends, as there is one quota and one ceiling.
+func (fr *Front) applyAccount(req *request) error {
 	if fr.cfg.Accounts == nil {
 		return nil
 	}
-	acct := fr.cfg.Accounts(a.pool, a.Customer)
+	acct := fr.cfg.Accounts(req.pool, req.Customer)
 	if acct == nil {
 		return nil
 	}
 	switch {
-	case acct.Plan != a.Plan:
+	case acct.Plan != req.Plan:
 		return errors.New("the plan is not that of the account")
-	case !acct.Entitled(a.Class):
+	case !acct.Entitled(req.Class):
 		return errors.New("the account is not entitled to the class")
 	}
-	a.Gateways = acct.Doors
+	req.Gateways = acct.Doors
 	return nil
 }
 
-// Forward implements [proxy.Caller]. The command for a backend is as it came but for d, which tells how long this front door will wait.
-func (a *ask) Forward(wait time.Duration) []byte {
-	b := redcon.AppendArray(nil, len(a.args))
-	for i, arg := range a.args {
-		if i == a.list {
-			list := append([]byte(nil), arg[:a.waitFrom]...)
+// Forward implements [proxy.Client]. The command for a backend is the client's with another value of d, which tells how
+// long this gateway will wait.
+func (req *request) Forward(wait time.Duration) []byte {
+	b := redcon.AppendArray(nil, len(req.args))
+	for i, arg := range req.args {
+		if i == req.listIndex {
+			list := append([]byte(nil), arg[:req.timeoutStart]...)
 			list = strconv.AppendInt(list, max(1, wait.Milliseconds()), 10)
-			arg = append(list, arg[a.waitTo:]...)
+			arg = append(list, arg[req.timeoutEnd:]...)
 		}
 		b = redcon.AppendBulk(b, arg)
 	}
 	return b
 }
 
-// HasDisconnected implements [proxy.DisconnectDetector]. The connection of a client that has left is closed, or who waits on it would wait on.
-func (a *ask) HasDisconnected() bool {
-	if !socket.HasPeerClosed(a.conn.nc) {
+// HasDisconnected implements [proxy.DisconnectDetector]. It closes the connection of a client that has disconnected, as
+// goroutines that wait on it would not end otherwise.
+func (req *request) HasDisconnected() bool {
+	if !socket.HasPeerClosed(req.client.conn) {
 		return false
 	}
-	a.conn.mu.Lock()
-	a.conn.close()
-	a.conn.mu.Unlock()
+	req.client.mu.Lock()
+	req.client.close()
+	req.client.mu.Unlock()
 	return true
 }
 
 var (
-	_ proxy.Client             = (*ask)(nil)
-	_ proxy.DisconnectDetector = (*ask)(nil)
-	_ proxy.Streamer           = (*ask)(nil)
+	_ proxy.Client             = (*request)(nil)
+	_ proxy.DisconnectDetector = (*request)(nil)
+	_ proxy.Streamer           = (*request)(nil)
 )
--- a/internal/frontend/resp2/stream.go
+++ b/internal/frontend/resp2/stream.go
@@ -8,49 +8,51 @@
 	"gapgap/internal/upstream"
 )
 
-// stall is how long a client may take nothing of a long value before it is given up: the default. A piece is 32 KiB at most.
-const stall = 5 * time.Second
+// defaultStallTimeout is how long a client may take to accept a part of a long value, which has 32 KiB at most.
+const defaultStallTimeout = 5 * time.Second
 
-var errGone = errors.New("the client has gone, or what it asked is over")
+var errClientGone = errors.New("the client has disconnected or its request has ended")
 
-// stream passes a long value on to a client. The goroutine that reads the value calls Write; the connection is its own from its
-// turn among the answers on until the request has its final answer.
+// stream forwards a long value to a client. The goroutine that reads the value calls Write. It has exclusive use of the
+// connection's write side from the stream's turn among the answers until the request's final answer.
 type stream struct {
-	c     *client
-	s     *slot
-	begun bool // a part has gone out; under the client's mu
+	client *client
+	slot   *slot
+	// started tells that the stream has had its turn. It is guarded by the client's mu.
+	started bool
 }
 
-// Stream implements [core.Streamer].
-func (a *ask) Stream(int) upstream.Sink {
-	st := &stream{c: a.conn, s: a.slot}
-	a.conn.mu.Lock()
-	a.slot.stream = st
-	a.conn.mu.Unlock()
+// Stream implements [proxy.Streamer].
+func (req *request) Stream(int) upstream.Sink {
+	st := &stream{client: req.client, slot: req.slot}
+	req.client.mu.Lock()
+	req.slot.stream = st
+	req.client.mu.Unlock()
 	return st
 }
 
 // Write implements [upstream.Sink].
 func (st *stream) Write(b []byte) error {
-	if !st.turn() {
-		return errGone
+	if !st.waitForTurn() {
+		return errClientGone
 	}
-	st.c.nc.SetWriteDeadline(time.Now().Add(cmp.Or(st.c.fr.cfg.Stall, stall)))
-	_, err := st.c.nc.Write(b)
+	st.client.conn.SetWriteDeadline(time.Now().Add(cmp.Or(st.client.front.cfg.Stall, defaultStallTimeout)))
+	_, err := st.client.conn.Write(b)
 	return err
 }
 
-// turn waits until all answers before are written. false: the client has gone, or the request has had another answer.
-func (st *stream) turn() bool {
-	c := st.c
+// waitForTurn waits until all earlier answers are written. It returns false if the client has disconnected or the
+// request has had another answer.
+func (st *stream) waitForTurn() bool {
+	c := st.client
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for !st.begun && !c.closed && !st.s.ready && (c.slots[0] != st.s || len(c.out) > 0 || c.writing) {
-		c.room.Wait()
+	for !st.started && !c.closed && !st.slot.ready && (c.slots[0] != st.slot || len(c.unwritten) > 0 || c.writing) {
+		c.changed.Wait()
 	}
-	if c.closed || st.s.ready {
+	if c.closed || st.slot.ready {
 		return false
 	}
-	st.begun, c.writing = true, true
+	st.started, c.writing = true, true
 	return true
 }
