--- a/internal/wire/print.go
+++ b/internal/wire/print.go
@@ -6,49 +6,49 @@
 	"gapgap/internal/balancer"
 )
 
-// Append prints one action of an instance as a line.
-func Append(b []byte, door string, a balancer.Action) []byte {
+// Append appends the line of one action of an instance.
+func Append(b []byte, instance string, a balancer.Action) []byte {
 	num := func(v int64) { b = strconv.AppendInt(append(b, ' '), v, 10) }
 	id := func(v uint64) { b = strconv.AppendUint(append(b, ' '), v, 10) }
-	head := func(name string) { b = append(append(append(b, name...), ' '), door...) }
+	begin := func(name string) { b = append(append(append(b, name...), ' '), instance...) }
 	switch a := a.(type) {
 	case balancer.Dispatch:
-		head("HAND_OFF")
+		begin("HAND_OFF")
 		id(a.ID)
 		num(a.Timeout.Microseconds())
 		b = append(append(b, ' '), a.Endpoint...)
 	case balancer.Reject:
-		head("TURN_AWAY")
+		begin("TURN_AWAY")
 		id(a.ID)
 		num(a.RetryAfter.Microseconds())
 	case balancer.Fail:
-		head("SURRENDER")
+		begin("SURRENDER")
 		id(a.ID)
 	case balancer.CancelAttempt:
-		head("WITHDRAW")
+		begin("WITHDRAW")
 		id(a.ID)
 		num(int64(a.Attempt))
 	case balancer.HealthCheck:
-		head("SAMPLE")
+		begin("SAMPLE")
 		b = append(append(b, ' '), a.Endpoint...)
 	case balancer.CounterAdd:
-		head("CHARGE_COUNTER")
+		begin("CHARGE_COUNTER")
 		id(a.Name)
 		b = strconv.AppendFloat(append(b, ' '), a.Amount, 'f', -1, 64)
 		num(a.TTL.Microseconds())
 	case balancer.SetTimer:
-		head("REMIND")
+		begin("REMIND")
 		num(a.At.Microseconds())
 		id(a.Cookie)
 	case balancer.WatchEndpoints:
-		head("OBSERVE")
+		begin("OBSERVE")
 		num(1)
 	case balancer.FetchEndpoints:
-		head("PULL")
+		begin("PULL")
 	case balancer.HealthReport:
-		return b // the simulator's doors share no process
+		return b // not sent: the simulator's gateways share no process
 	case balancer.LogLine:
-		head("JOURNAL_LINE")
+		begin("JOURNAL_LINE")
 		b = append(append(b, ' '), a.Text...)
 	}
 	return append(b, '\n')
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -9,14 +9,14 @@
 	"gapgap/internal/balancer"
 )
 
-// pairs holds the path=value settings and the first error met in reading them.
-type pairs struct {
-	m   map[string]string
-	err error
+// values holds settings by their paths and the first error in parsing them.
+type values struct {
+	byPath map[string]string
+	err    error
 }
 
-func (p *pairs) float(k string) float64 {
-	s, ok := p.m[k]
+func (p *values) float(k string) float64 {
+	s, ok := p.byPath[k]
 	if !ok || s == "-" {
 		return 0
 	}
@@ -27,53 +27,54 @@
 	return v
 }
 
-func (p *pairs) int(k string) int { return int(p.float(k)) }
+func (p *values) int(k string) int { return int(p.float(k)) }
 
-func (p *pairs) micros(k string) time.Duration {
+func (p *values) micros(k string) time.Duration {
 	return time.Duration(p.float(k) * float64(time.Microsecond))
 }
 
-func (p *pairs) bool(k string) bool { return p.m[k] == "true" || p.m[k] == "1" }
+func (p *values) bool(k string) bool { return p.byPath[k] == "true" || p.byPath[k] == "1" }
 
-// word looks a setting's word up in a table; an absent one gives the zero value.
-func word[T any](p *pairs, k string, table map[string]T) T {
-	s, given := p.m[k]
+// lookup returns the table's value for a setting, or the zero value if the setting is absent.
+func lookup[T any](p *values, k string, table map[string]T) T {
+	s, given := p.byPath[k]
 	v, ok := table[s]
 	if given && !ok && p.err == nil {
-		p.err = fmt.Errorf("setting %s: unknown word", k)
+		p.err = fmt.Errorf("setting %s: unknown value", k)
 	}
 	return v
 }
 
-var effects = map[string]balancer.Idempotency{"safe": balancer.Idempotent, "keyed": balancer.IdempotentByKey, "unsafe": balancer.NonIdempotent}
+var idempotencyByName = map[string]balancer.Idempotency{"safe": balancer.Idempotent, "keyed": balancer.IdempotentByKey,
+	"unsafe": balancer.NonIdempotent}
 
-var groups = map[string]balancer.DedupScope{"all": balancer.DedupAll, "zone": balancer.DedupZone,
+var dedupScopes = map[string]balancer.DedupScope{"all": balancer.DedupAll, "zone": balancer.DedupZone,
 	"cell": balancer.DedupCell, "": balancer.DedupAll, "none": balancer.DedupAll, "-": balancer.DedupAll}
 
-var discoveries = map[string]bool{"pushed": false, "on_request": true}
+var pollByDiscovery = map[string]bool{"pushed": false, "on_request": true}
 
-// settings reads the path=value pairs of a PROVISION line.
-func settings(parts []string) (balancer.Settings, error) {
+// parseSettings parses the path=value pairs of a PROVISION line.
+func parseSettings(parts []string) (balancer.Settings, error) {
 	m := make(map[string]string, len(parts))
 	for _, s := range parts {
 		k, v, ok := strings.Cut(s, "=")
 		if !ok {
-			return balancer.Settings{}, fmt.Errorf("setting %.40q is no pair", s)
+			return balancer.Settings{}, fmt.Errorf("setting %.40q has no value", s)
 		}
 		m[k] = v
 	}
 	return Settings(m)
 }
 
-// Settings maps settings, by their paths, to those of the module. Unknown paths are passed over.
+// Settings converts settings by their paths to those of package balancer. It ignores unknown paths.
 func Settings(m map[string]string) (balancer.Settings, error) {
-	p := &pairs{m: m}
+	p := &values{byPath: m}
 	set := balancer.Settings{
 		Gateways: p.int("peers-total"), Index: p.int("rank"), Zone: p.int("locality"),
 		Resolution: p.micros("resolution-us"), MaxAttempts: p.int("limits.max-attempts"),
 		AllowHedging: p.bool("limits.second-copies"), AllowCancel: p.bool("limits.cancel"),
 		AllowHealthChecks: p.bool("limits.may-probe"), SendRetryAfter: p.bool("limits.retry-after"),
-		MaxRetryAfter: p.micros("limits.max-retry-after-us"), PollEndpoints: word(p, "discovery", discoveries),
+		MaxRetryAfter: p.micros("limits.max-retry-after-us"), PollEndpoints: lookup(p, "discovery", pollByDiscovery),
 		PollInterval: p.micros("obligations.ask-every-us"), DeadlineSlack: p.micros("obligations.answer-slack-us"),
 		DrainGrace:       p.micros("obligations.stop-sending-within-us"),
 		OverloadMultiple: p.float("obligations.fall-multiple"), OverloadWindow: p.micros("obligations.fall-us"),
@@ -86,9 +87,10 @@
 	for i := range p.int("classes.count") {
 		k := fmt.Sprintf("classes.%d.", i)
 		set.Classes = append(set.Classes, balancer.Class{
-			PriorityWeight: p.float(k + "worth"), LateWeightFraction: p.float(k + "late-worth"), LatencyObjective: p.micros(k + "target-us"),
-			ClientTimeout: p.micros(k + "give-up-us"), Idempotency: word(p, k+"effect", effects),
-			DedupScope: word(p, k+"group", groups), DedupWindow: p.micros(k + "window-us"), Streaming: p.bool(k + "stream"),
+			PriorityWeight: p.float(k + "worth"), LateWeightFraction: p.float(k + "late-worth"),
+			LatencyObjective: p.micros(k + "target-us"), ClientTimeout: p.micros(k + "give-up-us"),
+			Idempotency: lookup(p, k+"effect", idempotencyByName), DedupScope: lookup(p, k+"group", dedupScopes),
+			DedupWindow: p.micros(k + "window-us"), Streaming: p.bool(k + "stream"),
 		})
 	}
 	for i := range p.int("tiers-of-service.count") {
@@ -103,18 +105,21 @@
 	return set, p.err
 }
 
-// Transport is the part of the settings that concerns sockets and names: the module has no use for it, a real
-// front door does.
+// Transport holds the settings on sockets and names. A gateway that opens connections needs them; package balancer does
+// not.
 type Transport struct {
-	Classes, Plans, Zones, Kinds []string // names, in the order of the indices that the module uses
+	// Classes, Plans, Zones and Kinds are names in the order of package balancer's indices.
+	Classes, Plans, Zones, Kinds []string
 	DialTimeout                  time.Duration
-	ConnIdle                     time.Duration // backends close a connection that has been idle for this long
-	MostOpen                     int           // requests that may be open at once; 0: not told
+	// ConnIdle is the idle time after which backends close a connection.
+	ConnIdle time.Duration
+	// MostOpen is the limit on open requests; 0: not set.
+	MostOpen int
 }
 
-// ReadTransport maps settings, by their paths, to a Transport.
+// ReadTransport converts settings by their paths to a Transport.
 func ReadTransport(m map[string]string) (Transport, error) {
-	p := &pairs{m: m}
+	p := &values{byPath: m}
 	names := func(list string) (all []string) {
 		for i := range p.int(list + ".count") {
 			all = append(all, m[fmt.Sprintf("%s.%d.name", list, i)])
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,4 +1,5 @@
-// Package wire reads and prints the simulator's line protocol. It makes no choices.
+// Package wire parses and formats the simulator's line protocol. It only translates between lines and the events,
+// actions and settings of package balancer.
 package wire
 
 import (
@@ -13,17 +14,21 @@
 	"gapgap/internal/balancer"
 )
 
-// Item is one thing of a batch that concerns an instance.
+// Item is one line of a batch that concerns an instance: its start, its stop or an event.
 type Item struct {
-	Door     string
-	Start    bool // an instance starts, with Seed and Settings
-	Stop     bool // the instance is killed
+	// Door is the name of the instance.
+	Door string
+	// Start tells that an instance starts, with Seed and Settings.
+	Start bool
+	// Stop tells that the instance is killed.
+	Stop     bool
 	Seed     uint64
 	Settings balancer.Settings
-	Event    balancer.Event // otherwise
+	// Event is set if the item is neither a start nor a stop.
+	Event balancer.Event
 }
 
-// Batch is what happened at one time, in order.
+// Batch holds the items of one point in time, in order.
 type Batch struct {
 	Now   time.Duration
 	Seq   string
@@ -32,20 +37,23 @@
 
 // Reader reads batches.
 type Reader struct {
-	in    *bufio.Reader
+	in *bufio.Reader
+	// lists are the complete endpoint lists by their indices.
 	lists map[int][]balancer.Endpoint
-	fill  []balancer.Endpoint // entries still to come belong to slot
-	slot  int
-	need  int
-	line  int
+	// entries are those received of the list at listIndex, of which missing ones are still to come.
+	entries   []balancer.Endpoint
+	listIndex int
+	missing   int
+	// line is the number of the last line read.
+	line int
 }
 
-// NewReader reads batches from r.
+// NewReader returns a reader of batches from r.
 func NewReader(r io.Reader) *Reader {
 	return &Reader{in: bufio.NewReaderSize(r, 1<<20), lists: map[int][]balancer.Endpoint{}}
 }
 
-// Next returns the next batch; io.EOF at the end of input between two batches.
+// Next returns the next batch, or io.EOF if the input ends between two batches.
 func (r *Reader) Next() (*Batch, error) {
 	var b *Batch
 	for {
@@ -64,7 +72,7 @@
 		if text == "" && b == nil {
 			continue
 		}
-		done, err := r.take(&b, text)
+		done, err := r.parseLine(&b, text)
 		if err != nil {
 			return nil, fmt.Errorf("line %d: %w: %.200q", r.line, err, text)
 		}
@@ -74,15 +82,15 @@
 	}
 }
 
-// take adds one line to the batch and tells whether it closed it.
-func (r *Reader) take(b **Batch, text string) (bool, error) {
+// parseLine adds one line to the batch and reports whether the batch is complete.
+func (r *Reader) parseLine(b **Batch, text string) (bool, error) {
 	f := &fields{parts: strings.Split(text, " ")}
 	name := f.text()
 	if (*b == nil) != (name == "CLOCK") {
-		return false, fmt.Errorf("%s out of place", name)
+		return false, fmt.Errorf("unexpected %s", name)
 	}
-	if r.need > 0 && name != "BACKEND" || r.need == 0 && name == "BACKEND" {
-		return false, fmt.Errorf("%s where the list wants %d more entries", name, r.need)
+	if r.missing > 0 && name != "BACKEND" || r.missing == 0 && name == "BACKEND" {
+		return false, fmt.Errorf("unexpected %s: the list has %d entries to come", name, r.missing)
 	}
 	switch name {
 	case "CLOCK":
@@ -90,18 +98,18 @@
 	case "EOF_BATCH":
 		return true, f.err
 	case "CENSUS":
-		r.slot, r.need = f.int(), f.int()
-		if r.need < 0 {
+		r.listIndex, r.missing = f.int(), f.int()
+		if r.missing < 0 {
 			return false, fmt.Errorf("negative number of entries")
 		}
-		r.fill = make([]balancer.Endpoint, 0, min(r.need, 1<<16))
+		r.entries = make([]balancer.Endpoint, 0, min(r.missing, 1<<16))
 		r.closeList()
 	case "BACKEND":
-		r.fill = append(r.fill, f.backend())
-		r.need--
+		r.entries = append(r.entries, f.endpoint())
+		r.missing--
 		r.closeList()
 	default:
-		it, err := r.item(name, f)
+		it, err := r.parseItem(name, f)
 		if err != nil {
 			return false, err
 		}
@@ -110,19 +118,20 @@
 	return false, f.err
 }
 
+// closeList stores the current list once it is complete.
 func (r *Reader) closeList() {
-	if r.need == 0 {
-		r.lists[r.slot] = r.fill
+	if r.missing == 0 {
+		r.lists[r.listIndex] = r.entries
 	}
 }
 
-// item reads a line that concerns an instance.
-func (r *Reader) item(name string, f *fields) (Item, error) {
+// parseItem parses a line that concerns an instance.
+func (r *Reader) parseItem(name string, f *fields) (Item, error) {
 	it := Item{Door: f.text()}
 	switch name {
 	case "PROVISION":
 		it.Start, it.Seed = true, f.uint()
-		set, err := settings(f.rest())
+		set, err := parseSettings(f.rest())
 		if err != nil {
 			return it, err
 		}
@@ -130,13 +139,13 @@
 	case "STOP":
 		it.Stop = true
 	case "VIEW":
-		scope, ok := scopes[f.text()]
+		kind, ok := updateKinds[f.text()]
 		if !ok {
 			return it, fmt.Errorf("unknown scope")
 		}
-		ev := balancer.EndpointUpdate{Kind: scope}
+		ev := balancer.EndpointUpdate{Kind: kind}
 		f.text()
-		if scope != balancer.UpdateFailed {
+		if kind != balancer.UpdateFailed {
 			if ev.Entries, ok = r.lists[f.int()]; !ok && f.err == nil {
 				return it, fmt.Errorf("unknown list")
 			}
@@ -182,42 +191,47 @@
 	return it, f.err
 }
 
-var scopes = map[string]balancer.UpdateKind{"delta": balancer.Delta, "full": balancer.Snapshot,
+var updateKinds = map[string]balancer.UpdateKind{"delta": balancer.Delta, "full": balancer.Snapshot,
 	"cached": balancer.CachedSnapshot, "failed": balancer.UpdateFailed}
 
-var states = map[string]balancer.EndpointState{"in_service": balancer.Serving, "terminating": balancer.Draining,
+var endpointStates = map[string]balancer.EndpointState{"in_service": balancer.Serving, "terminating": balancer.Draining,
 	"terminated": balancer.Removed}
 
-// fields reads a line's parts in order and keeps the first error.
+// fields parses the parts of a line in order and keeps the first error.
 type fields struct {
 	parts []string
-	at    int
-	err   error
+	// next is the index of the next part.
+	next int
+	err  error
 }
 
+// fail records that the last part s is not what was expected.
 func (f *fields) fail(what string, s string) {
 	if f.err == nil {
-		f.err = fmt.Errorf("field %d: not %s: %.40q", f.at-1, what, s)
+		f.err = fmt.Errorf("field %d: not %s: %.40q", f.next-1, what, s)
 	}
 }
 
-func (f *fields) opt() string {
-	if f.at >= len(f.parts) {
+// optional returns the next part, or "-" if there are no more.
+func (f *fields) optional() string {
+	if f.next >= len(f.parts) {
 		return "-"
 	}
-	f.at++
-	return f.parts[f.at-1]
+	f.next++
+	return f.parts[f.next-1]
 }
 
+// text returns the next part, which must be present.
 func (f *fields) text() string {
-	s := f.opt()
+	s := f.optional()
 	if s == "-" || s == "" {
 		f.fail("present", s)
 	}
 	return s
 }
 
-func (f *fields) rest() []string { return f.parts[min(f.at, len(f.parts)):] }
+// rest returns all remaining parts.
+func (f *fields) rest() []string { return f.parts[min(f.next, len(f.parts)):] }
 
 func (f *fields) uint() uint64 {
 	s := f.text()
@@ -232,11 +246,12 @@
 	s := f.text()
 	v, err := strconv.ParseInt(s, 10, 32)
 	if err != nil {
-		f.fail("a small whole number", s)
+		f.fail("a 32-bit whole number", s)
 	}
 	return int(v)
 }
 
+// micros parses a duration in microseconds. Its limit of 2^53 still fits into a time.Duration.
 func (f *fields) micros() time.Duration {
 	s := f.text()
 	v, err := strconv.ParseInt(s, 10, 54)
@@ -263,20 +278,21 @@
 	return s == "1"
 }
 
-func (f *fields) absent() bool { return f.at >= len(f.parts) || f.parts[f.at] == "-" }
+// isAbsent reports whether the next part is missing or "-".
+func (f *fields) isAbsent() bool { return f.next >= len(f.parts) || f.parts[f.next] == "-" }
 
-func (f *fields) optUint(d uint64) uint64 {
-	if f.absent() {
-		f.opt()
-		return d
+func (f *fields) optUint(fallback uint64) uint64 {
+	if f.isAbsent() {
+		f.optional()
+		return fallback
 	}
 	return f.uint()
 }
 
-func (f *fields) optFloat(d float64) float64 {
-	if f.absent() {
-		f.opt()
-		return d
+func (f *fields) optFloat(fallback float64) float64 {
+	if f.isAbsent() {
+		f.optional()
+		return fallback
 	}
 	return f.float()
 }
@@ -284,20 +300,20 @@
 func (f *fields) status() balancer.Status {
 	v := f.int()
 	if v < int(balancer.Failed) || v > int(balancer.NotSent) {
-		f.fail("an outcome", strconv.Itoa(v))
+		f.fail("a status", strconv.Itoa(v))
 	}
 	return balancer.Status(v)
 }
 
-func (f *fields) backend() balancer.Endpoint {
+func (f *fields) endpoint() balancer.Endpoint {
 	b := balancer.Endpoint{Name: f.text(), Zone: f.int(), Kind: f.int(), Cell: f.int()}
 	s := f.text()
-	st, ok := states[s]
+	st, ok := endpointStates[s]
 	if !ok {
 		f.fail("a state", s)
 	}
 	b.State, b.Weight = st, f.optFloat(1)
-	if !f.absent() {
+	if !f.isAbsent() {
 		b.StartedAt = f.micros()
 	}
 	return b
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -29,6 +29,7 @@
 	}
 }
 
+// TestGoodLines verifies that lines of every kind are parsed, with defaults for fields that are left out.
 func TestGoodLines(t *testing.T) {
 	got, err := read("CLOCK 8412250 12\n" + provision + "CENSUS 0 2\nBACKEND 10.18.74.7:8003 0 0 0 in_service 1 -\n" +
 		"BACKEND 10.18.74.7:8044 0 0 1 terminating 1.5 6100000\nVIEW door/3 cached 41 0\n" +
@@ -45,8 +46,9 @@
 	}
 	it := got[0].Items
 	set := it[0].Settings
-	if set.Gateways != 2 || set.Classes[0].Idempotency != balancer.IdempotentByKey || set.Classes[0].DedupScope != balancer.DedupCell ||
-		set.Classes[0].LatencyObjective != 500*time.Millisecond || set.Plans[0].Rate != 1.9 || !set.AllowCancel {
+	if set.Gateways != 2 || set.Classes[0].Idempotency != balancer.IdempotentByKey ||
+		set.Classes[0].DedupScope != balancer.DedupCell || set.Classes[0].LatencyObjective != 500*time.Millisecond ||
+		set.Plans[0].Rate != 1.9 || !set.AllowCancel {
 		t.Errorf("settings: %+v", set)
 	}
 	list := it[1].Event.(balancer.EndpointUpdate)
@@ -55,10 +57,11 @@
 		t.Errorf("list: %+v", list)
 	}
 	if r := it[3].Event.(balancer.Request); r.Units != 1 || r.Gateways != 0 {
-		t.Errorf("left out fields: %+v", r)
+		t.Errorf("fields left out: %+v", r)
 	}
-	if o := it[4].Event.(balancer.AttemptResult); o.Status != balancer.OK || !o.RequestClosed || o.QuotaUsed != 86 || o.Units != 3 {
-		t.Errorf("outcome: %+v", o)
+	if o := it[4].Event.(balancer.AttemptResult); o.Status != balancer.OK || !o.RequestClosed || o.QuotaUsed != 86 ||
+		o.Units != 3 {
+		t.Errorf("attempt result: %+v", o)
 	}
 }
 
@@ -71,6 +74,7 @@
 	"CENSUS 0 1\nBACKEND a 0 0 0 asleep 1",
 }
 
+// TestBadLines verifies that a malformed line or batch is an error, which names the line.
 func TestBadLines(t *testing.T) {
 	for _, l := range badLines {
 		_, err := read("CLOCK 1 1\n" + l + "\nEOF_BATCH\n")
@@ -85,6 +89,7 @@
 	}
 }
 
+// TestAppend verifies the line of each kind of action.
 func TestAppend(t *testing.T) {
 	for want, a := range map[string]balancer.Action{
 		"HAND_OFF d 7 80000 b:1\n":      balancer.Dispatch{ID: 7, Endpoint: "b:1", Timeout: 80 * time.Millisecond},
@@ -104,6 +109,7 @@
 	}
 }
 
+// FuzzReader parses arbitrary input, which must not panic.
 func FuzzReader(f *testing.F) {
 	f.Add("CLOCK 1 1\n" + provision + "EOF_BATCH\n")
 	for _, l := range badLines {
