--- a/internal/handover/socket.go
+++ b/internal/handover/socket.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	// socketName is the name of the socket in the directory that both processes have.
+	// socketName is the file name of the socket in the shared directory.
 	socketName = "gapgap-upgrade.sock"
-	// maxPathBytes is the length from which a path is too long for a Unix socket.
+	// maxPathBytes is the longest path that is used as the address of a Unix socket.
 	maxPathBytes = 100
-	// network is that of the socket.
+	// network is the network name of the socket in package net.
 	network = "unixpacket"
 )
 
-// address returns that of a socket in a directory. A path that is too long goes by the directory's descriptor, which
-// done closes when the address is no longer needed.
+// address returns the address of a socket in a directory. In place of a path that is too long for a socket it uses one
+// by the directory's descriptor. The caller calls done when the address is no longer needed.
 func address(dir, name string) (addr *net.UnixAddr, done func(), err error) {
 	path := filepath.Join(dir, name)
 	done = func() {}
@@ -32,11 +32,11 @@
 	return &net.UnixAddr{Name: path, Net: network}, done, nil
 }
 
-// Listen makes the socket in a directory, in the place of one that was there, without a moment in which there is none.
+// Listen listens on the socket in a directory. It replaces an existing socket atomically, so there is one at any time.
 func Listen(dir string) (*net.UnixListener, error) {
 	name := socketName + "." + strconv.Itoa(os.Getpid())
 	temporary := filepath.Join(dir, name)
-	_ = os.Remove(temporary) // what an earlier process of the same number may have left
+	_ = os.Remove(temporary) // an earlier process with the same PID may have left it
 	addr, done, err := address(dir, name)
 	if err != nil {
 		return nil, err
@@ -46,7 +46,7 @@
 	if err != nil {
 		return nil, err
 	}
-	listener.SetUnlinkOnClose(false) // by then it may be another process's
+	listener.SetUnlinkOnClose(false) // the path may belong to another process by then
 	if err := os.Rename(temporary, filepath.Join(dir, socketName)); err != nil {
 		closeIgnoring(listener)
 		return nil, err
