--- a/internal/handover/packet.go
+++ b/internal/handover/packet.go
@@ -10,48 +10,48 @@
 	"time"
 )
 
-// Version is that of the packets and of the state's form. Processes of two versions hand nothing over: the new one
-// starts as after a restart.
+// Version is the version of the packets and of the state's format. Between processes of different versions nothing is
+// handed over: the new process starts as after a restart.
 const Version = 1
 
 const (
-	// maxStateBytes bounds the state.
+	// maxStateBytes is the limit on the state.
 	maxStateBytes = 8 << 20
-	// chunkBytes is how much of it is in a packet.
+	// chunkBytes is the largest part of the state in a packet.
 	chunkBytes = 48 << 10
-	// maxPacketBytes bounds a packet.
+	// maxPacketBytes is the limit on a packet.
 	maxPacketBytes = 80 << 10
-	// MaxUnreadBytes bounds the bytes that were read from a connection and may go along with it.
+	// MaxUnreadBytes is the limit on the bytes that were read from a connection, not used, and handed over with it.
 	MaxUnreadBytes = 64 << 10
-	// stepTimeout is for the other side's next packet until all is agreed, and to send one.
+	// stepTimeout limits the wait for the other side's next packet until the confirmation, and the sending of a packet.
 	stepTimeout = 2 * time.Second
-	// maxFiles is how many descriptors a packet may bring before the system cuts them off. One is expected.
+	// maxFiles is the number of descriptors received with a packet before the system truncates them. One is expected.
 	maxFiles = 4
 	// descriptorBytes is the size of a descriptor in a control message.
 	descriptorBytes = 4
 )
 
-// Kinds of packets, their first byte.
+// Kinds of packets. The kind is a packet's first byte.
 const (
-	// kindHello is from the new process, with its version.
+	// kindHello is the new process's greeting, with its version.
 	kindHello = 'H'
-	// kindRefused is from the old process, with a reason.
+	// kindRefused is the old process's refusal, with a reason.
 	kindRefused = 'R'
-	// kindState has a part of the state.
+	// kindState carries a part of the state.
 	kindState = 'S'
-	// kindListen ends the state: its length and checksum, and the listening socket.
+	// kindListen ends the state. It carries the state's length and checksum, and the listening socket.
 	kindListen = 'L'
-	// kindConfirm is from the new process: it serves from now on.
+	// kindConfirm is the new process's confirmation that it serves from now on.
 	kindConfirm = 'K'
-	// kindConn has a client's connection, with what was read from it and not used.
+	// kindConn carries a client connection, with the bytes that were read from it and not used.
 	kindConn = 'C'
 )
 
-// ErrRefused says that the other process hands nothing over now.
+// ErrRefused is returned when the old process refuses the handover.
 var ErrRefused = errors.New("refused")
 
-// errMalformedPacket says that a packet was cut off, empty, or had several descriptors.
-var errMalformedPacket = errors.New("a packet that makes no sense")
+// errMalformedPacket is returned for a packet that was truncated or empty, or had several descriptors.
+var errMalformedPacket = errors.New("malformed packet")
 
 // hello is the body of kindHello.
 type hello struct {
@@ -62,35 +62,37 @@
 // Link is the connection between the two processes.
 type Link struct {
 	conn *net.UnixConn
-	// sending is held by who sends.
-	sending sync.Mutex
-	buffer  [maxPacketBytes]byte
+	// sendMu is held while a packet is sent.
+	sendMu sync.Mutex
+	// buffer holds the packet received last.
+	buffer [maxPacketBytes]byte
 }
 
-// packet is a packet that was received. Its body is valid until the next one; its file, if it has one, is the caller's.
+// packet is a received packet. Its body is valid until the next one is received. The caller closes its file, if it has
+// one.
 type packet struct {
 	kind byte
 	body []byte
 	file *os.File
 }
 
-// closeFile closes the file of a packet that is not wanted.
+// closeFile closes the packet's file, if it has one.
 func (p packet) closeFile() {
 	if p.file != nil {
 		closeIgnoring(p.file)
 	}
 }
 
-// closeIgnoring closes what is not used any more, so its error says nothing.
+// closeIgnoring closes a file or connection that is no longer used, whose close error does not matter.
 func closeIgnoring(c io.Closer) { _ = c.Close() }
 
-// Close ends the link. The other side reads an end.
+// Close closes the link. The other side reads the end of it.
 func (l *Link) Close() error { return l.conn.Close() }
 
-// send sends a packet with descriptors. Any goroutine may call it.
+// send sends a packet with descriptors. It is safe for concurrent use.
 func (l *Link) send(kind byte, body []byte, files ...int) error {
-	l.sending.Lock()
-	defer l.sending.Unlock()
+	l.sendMu.Lock()
+	defer l.sendMu.Unlock()
 	if err := l.conn.SetWriteDeadline(time.Now().Add(stepTimeout)); err != nil {
 		return err
 	}
@@ -102,7 +104,7 @@
 	return err
 }
 
-// sendFile sends a packet with a socket.
+// sendFile sends a packet with the descriptor of a socket.
 func (l *Link) sendFile(kind byte, body []byte, socket syscall.Conn) error {
 	raw, err := socket.SyscallConn()
 	if err != nil {
@@ -115,11 +117,11 @@
 	return sent
 }
 
-// receive reads a packet, within a time; 0: it waits until the other side has gone.
-func (l *Link) receive(within time.Duration) (packet, error) {
+// receive reads the next packet within a timeout; 0: it waits until the other side closes the link.
+func (l *Link) receive(timeout time.Duration) (packet, error) {
 	var deadline time.Time
-	if within > 0 {
-		deadline = time.Now().Add(within)
+	if timeout > 0 {
+		deadline = time.Now().Add(timeout)
 	}
 	if err := l.conn.SetReadDeadline(deadline); err != nil {
 		return packet{}, err
@@ -130,8 +132,8 @@
 		return packet{}, err
 	}
 	files := filesOf(control[:controlBytes])
-	const cutOff = syscall.MSG_TRUNC | syscall.MSG_CTRUNC
-	if n == 0 || flags&cutOff != 0 || len(files) > 1 {
+	const truncated = syscall.MSG_TRUNC | syscall.MSG_CTRUNC
+	if n == 0 || flags&truncated != 0 || len(files) > 1 {
 		for _, file := range files {
 			closeIgnoring(file)
 		}
@@ -157,7 +159,7 @@
 		}
 		for _, fd := range descriptors {
 			syscall.CloseOnExec(fd)
-			// sockets of Go processes are, and a descriptor that is none fails when it is used
+			// Sockets of Go processes are nonblocking already. A descriptor that is no socket fails when it is used.
 			_ = syscall.SetNonblock(fd, true)
 			files = append(files, os.NewFile(uintptr(fd), "handed"))
 		}
@@ -165,7 +167,7 @@
 	return files
 }
 
-// Ended waits until the other side has gone.
+// Ended waits until the other side has closed the link.
 func (l *Link) Ended() {
 	for {
 		received, err := l.receive(0)
