--- a/internal/handover/offer.go
+++ b/internal/handover/offer.go
@@ -10,7 +10,7 @@
 	"syscall"
 )
 
-// Hello waits until the new process has said what it is. An error, also of another version, has been told to it.
+// Hello waits for the new process's greeting. A process of another version is refused and told the reason.
 func Hello(conn *net.UnixConn) (*Link, error) {
 	link := &Link{conn: conn}
 	received, err := link.receive(stepTimeout)
@@ -20,7 +20,7 @@
 	}
 	var greeting hello
 	if received.kind != kindHello || json.Unmarshal(received.body, &greeting) != nil {
-		return nil, errors.New("no hello came")
+		return nil, errors.New("the first packet is not a greeting")
 	}
 	if greeting.Version != Version {
 		err := fmt.Errorf("version %d asks, this one is %d", greeting.Version, Version)
@@ -30,16 +30,16 @@
 	return link, nil
 }
 
-// Refuse tells the new process why nothing is handed over. A process that can't be told sees the end of the link.
+// Refuse tells the new process why nothing is handed over. If sending fails, the new process sees the link close.
 func (l *Link) Refuse(reason error) { _ = l.send(kindRefused, []byte(reason.Error())) }
 
-// Offer hands over the state and the listening socket, and waits for the confirmation.
+// Offer sends the state and the listening socket, and waits for the confirmation.
 func (l *Link) Offer(state []byte, listener syscall.Conn) error {
 	if len(state) > maxStateBytes {
-		return fmt.Errorf("a state of %d bytes, %d at most", len(state), maxStateBytes)
+		return fmt.Errorf("the state has %d bytes, the limit is %d", len(state), maxStateBytes)
 	}
-	for at := 0; at < len(state); at += chunkBytes {
-		if err := l.send(kindState, state[at:min(len(state), at+chunkBytes)]); err != nil {
+	for offset := 0; offset < len(state); offset += chunkBytes {
+		if err := l.send(kindState, state[offset:min(len(state), offset+chunkBytes)]); err != nil {
 			return err
 		}
 	}
@@ -51,16 +51,16 @@
 	received, err := l.receive(stepTimeout)
 	received.closeFile()
 	if err == nil && received.kind != kindConfirm {
-		err = fmt.Errorf("a packet of kind %q came instead of a confirmation", received.kind)
+		err = fmt.Errorf("received a packet of kind %q instead of a confirmation", received.kind)
 	}
 	return err
 }
 
-// Hand gives a connection away, with what was read from it and not used, MaxUnreadBytes at most. The caller still has
-// to close its own end. Any goroutine may call it.
+// Hand sends a connection with the bytes that were read from it and not used, MaxUnreadBytes at most. The caller still
+// has to close its own descriptor of the connection. Hand is safe for concurrent use.
 func (l *Link) Hand(conn syscall.Conn, unread []byte) error {
 	if len(unread) > MaxUnreadBytes {
-		return fmt.Errorf("%d bytes unread, %d at most", len(unread), MaxUnreadBytes)
+		return fmt.Errorf("%d unread bytes, the limit is %d", len(unread), MaxUnreadBytes)
 	}
 	return l.sendFile(kindConn, unread, conn)
 }
--- a/internal/handover/take.go
+++ b/internal/handover/take.go
@@ -13,16 +13,16 @@
 // stateEndBytes is the size of the body of kindListen: the state's length and its checksum.
 const stateEndBytes = 8
 
-// Taken is what the new process got.
+// Taken is what the new process received.
 type Taken struct {
 	State    []byte
 	Listener net.Listener
-	// Link brings connections, once it is confirmed.
+	// Link delivers connections after Link.Confirm.
 	Link *Link
 }
 
-// Take asks the process that listens in the directory to hand over. Nothing has changed when it returns an error: an
-// old process that gets no confirmation goes on. ErrRefused says that it was refused.
+// Take requests a handover from the process that listens in the directory. After an error nothing has changed, as an
+// old process that gets no confirmation goes on serving. The error is ErrRefused if the old process refuses.
 func Take(dir string) (*Taken, error) {
 	addr, done, err := address(dir, socketName)
 	if err != nil {
@@ -40,7 +40,7 @@
 	return taken, err
 }
 
-// take says hello and receives the state and the listening socket.
+// take sends the greeting and receives the state and the listening socket.
 func take(link *Link) (*Taken, error) {
 	text, err := json.Marshal(hello{Version: Version, PID: os.Getpid()})
 	if err != nil {
@@ -66,32 +66,32 @@
 	}
 }
 
-// handle takes one packet and tells whether all has come.
+// handle processes one packet and reports whether it was the last one.
 func (t *Taken) handle(received packet) (done bool, err error) {
 	switch received.kind {
 	case kindRefused:
 		return false, fmt.Errorf("%w: %.200s", ErrRefused, received.body)
 	case kindState:
 		if len(t.State)+len(received.body) > maxStateBytes {
-			return false, fmt.Errorf("a state of more than %d bytes", maxStateBytes)
+			return false, fmt.Errorf("the state has more than %d bytes", maxStateBytes)
 		}
 		t.State = append(t.State, received.body...)
 		return false, nil
 	case kindListen:
 		return true, t.finish(received)
 	}
-	return false, fmt.Errorf("a packet of kind %q came out of turn", received.kind)
+	return false, fmt.Errorf("unexpected packet of kind %q", received.kind)
 }
 
-// finish checks the state against its length and checksum, and takes the listening socket.
+// finish verifies the state's length and checksum and opens the listening socket.
 func (t *Taken) finish(received packet) error {
 	if received.file == nil || len(received.body) != stateEndBytes {
-		return errors.New("no listening socket came")
+		return errors.New("the listening socket is missing")
 	}
 	length := binary.BigEndian.Uint32(received.body)
 	sum := binary.BigEndian.Uint32(received.body[4:])
 	if int(length) != len(t.State) || sum != crc32.ChecksumIEEE(t.State) {
-		return errors.New("the state's checksum is wrong")
+		return errors.New("the state's length or checksum is wrong")
 	}
 	listener, err := net.FileListener(received.file)
 	if err != nil {
@@ -101,11 +101,11 @@
 	return nil
 }
 
-// Confirm says that this process serves from now on, by the listener that it got.
+// Confirm tells the old process that this one serves from now on, with the listener that it received.
 func (l *Link) Confirm() error { return l.send(kindConfirm, nil) }
 
-// Next waits for the next connection that is handed over, and returns it with what was read from it. An error ends it:
-// the old process has gone.
+// Next returns the next connection that is handed over, with the bytes that were read from it and not used. After an
+// error no more connections follow: the old process has closed the link.
 func (l *Link) Next() (net.Conn, []byte, error) {
 	for {
 		received, err := l.receive(0)
