--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -8,7 +8,8 @@
 	"gapgap/internal/golden"
 )
 
-// The packets between two processes of an upgrade keep their form: kinds, the first packet's text, sizes.
+// TestGoldenPackets verifies that the packets between two processes keep their format: kinds, text of the greeting,
+// socket name and limits.
 func TestGoldenPackets(t *testing.T) {
 	text, err := json.Marshal(hello{Version, 4711})
 	if err != nil {
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -21,8 +21,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// old runs a function as the old process for one new one.
-func old(t *testing.T, dir string, f func(*net.UnixConn)) {
+// runOldProcess runs a function as the old process, for one new process.
+func runOldProcess(t *testing.T, dir string, f func(*net.UnixConn)) {
 	t.Helper()
 	ln, err := Listen(dir)
 	if err != nil {
@@ -44,6 +44,8 @@
 	})
 }
 
+// TestHandOver verifies that the new process receives the state, the listening socket with its queue, and a connection
+// with its unread bytes, also by a directory whose path is too long for a Unix socket.
 func TestHandOver(t *testing.T) {
 	for name, dir := range map[string]string{"short": t.TempDir(), "long path": filepath.Join(t.TempDir(),
 		strings.Repeat("d", 150))} {
@@ -62,7 +64,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			old(t, dir, func(c *net.UnixConn) {
+			runOldProcess(t, dir, func(c *net.UnixConn) {
 				l, err := Hello(c)
 				if err != nil {
 					t.Error(err)
@@ -76,7 +78,7 @@
 					t.Error(err)
 				}
 				if err := l.Hand(mine.(syscall.Conn), make([]byte, MaxUnreadBytes+1)); err == nil {
-					t.Error("more is handed over than a packet holds")
+					t.Error("more than MaxUnreadBytes are handed over")
 				}
 				_ = mine.Close()
 				l.Ended()
@@ -88,7 +90,7 @@
 			defer func() { _ = taken.Listener.Close() }()
 			defer func() { _ = taken.Link.Close() }()
 			if !bytes.Equal(taken.State, state) {
-				t.Errorf("a state of %d bytes, %d were sent", len(taken.State), len(state))
+				t.Errorf("the state has %d bytes, %d were sent", len(taken.State), len(state))
 			}
 			if err := taken.Link.Confirm(); err != nil {
 				t.Fatal(err)
@@ -103,7 +105,7 @@
 			if _, err := io.ReadFull(nc, b); err != nil || string(b) != "and" {
 				t.Errorf("%q, %v", b, err)
 			}
-			_ = socket.Close() // the queue is the other's too
+			_ = socket.Close() // the other process's socket has the same queue
 			again, err := net.Dial("tcp", socket.Addr().String())
 			if err != nil {
 				t.Fatal(err)
@@ -118,10 +120,11 @@
 	}
 }
 
-// Whatever the other side says that is not a hand-over, the new process gets an error and can start by itself.
+// TestTakeFromOneThatErrs verifies that Take returns an error if there is no old process, if that ends or refuses, and
+// if it sends anything else than a handover. The new process can then start by itself.
 func TestTakeFromOneThatErrs(t *testing.T) {
 	if _, err := Take(t.TempDir()); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("nobody there: %v", err)
+		t.Errorf("no old process: %v", err)
 	}
 	dead := t.TempDir()
 	ln, err := Listen(dead)
@@ -130,7 +133,7 @@
 	}
 	_ = ln.Close()
 	if _, err := Take(dead); !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Errorf("one that has died: %v", err)
+		t.Errorf("an old process that has ended: %v", err)
 	}
 	sum := binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint32(nil, 3), crc32.ChecksumIEEE([]byte("abc")))
 	for name, packets := range map[string][]string{
@@ -146,7 +149,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
-			old(t, dir, func(c *net.UnixConn) {
+			runOldProcess(t, dir, func(c *net.UnixConn) {
 				_, _ = (&Link{conn: c}).receive(stepTimeout)
 				for _, p := range packets {
 					if _, err := c.Write([]byte(p)); err != nil {
@@ -158,7 +161,7 @@
 			if err == nil {
 				_ = taken.Listener.Close()
 				_ = taken.Link.Close()
-				t.Fatal("taken")
+				t.Fatal("Take returned no error")
 			}
 			if name == "refuses" && (!errors.Is(err, ErrRefused) || !strings.Contains(err.Error(), "busy")) {
 				t.Error(err)
@@ -168,7 +171,7 @@
 	t.Run("a wrong checksum", func(t *testing.T) {
 		dir := t.TempDir()
 		socket := peer.Listen(t)
-		old(t, dir, func(c *net.UnixConn) {
+		runOldProcess(t, dir, func(c *net.UnixConn) {
 			l := &Link{conn: c}
 			_, _ = l.receive(stepTimeout)
 			_ = l.send(kindState, []byte("abd"))
@@ -181,6 +184,7 @@
 	})
 }
 
+// many returns n copies of a string.
 func many(s string, n int) (all []string) {
 	for range n {
 		all = append(all, s)
@@ -188,14 +192,15 @@
 	return all
 }
 
-// The old process hands nothing to one that speaks another version, says nothing that makes sense, or does not confirm.
+// TestHelloOfOthers verifies that the old process hands nothing to a process that has another version, sends a
+// malformed greeting, or does not confirm.
 func TestHelloOfOthers(t *testing.T) {
 	for _, first := range []string{fmt.Sprintf(`H{"version":%d}`, Version+1), "H{", "K", "", "Hnull"} {
 		t.Run(first, func(t *testing.T) {
 			dir := t.TempDir()
-			old(t, dir, func(c *net.UnixConn) {
+			runOldProcess(t, dir, func(c *net.UnixConn) {
 				if _, err := Hello(c); err == nil {
-					t.Error("taken for a new process")
+					t.Error("the greeting was accepted")
 				}
 			})
 			c, err := net.DialUnix("unixpacket", nil, &net.UnixAddr{Name: filepath.Join(dir, socketName),
@@ -214,14 +219,14 @@
 	}
 	dir := t.TempDir()
 	socket := peer.Listen(t)
-	old(t, dir, func(c *net.UnixConn) {
+	runOldProcess(t, dir, func(c *net.UnixConn) {
 		l, err := Hello(c)
 		if err != nil {
 			t.Error(err)
 			return
 		}
 		if err := l.Offer([]byte("state"), socket.(syscall.Conn)); err == nil {
-			t.Error("confirmed by nobody")
+			t.Error("Offer returned no error without a confirmation")
 		}
 	})
 	taken, err := Take(dir)
@@ -232,7 +237,7 @@
 	_ = taken.Link.Close()
 }
 
-// What a packet says may be anything.
+// FuzzPackets verifies that packets of any content give an error when they bring no listening socket.
 func FuzzPackets(f *testing.F) {
 	f.Add([]byte("Sabc"), []byte("L12345678"))
 	f.Add([]byte("Rno"), []byte(""))
@@ -259,18 +264,19 @@
 		}
 		_ = ends[1].CloseWrite()
 		if taken, err := take(&Link{conn: ends[0]}); err == nil {
-			t.Errorf("taken without a socket: %q", taken.State)
+			t.Errorf("no error without a listening socket: %q", taken.State)
 		}
 	})
 }
 
-// The old process may end at each step; the new one gets an error before it has confirmed, and an end after.
+// TestOldEndsAtEachStep verifies that the new process gets an error from Take when the old one ends before the
+// listening socket is sent, and from Link.Next when it ends after that.
 func TestOldEndsAtEachStep(t *testing.T) {
 	socket := peer.Listen(t)
 	for steps, name := range []string{"after the hello", "in the state", "before the socket", "after the socket"} {
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
-			old(t, dir, func(c *net.UnixConn) {
+			runOldProcess(t, dir, func(c *net.UnixConn) {
 				l := &Link{conn: c}
 				if got, err := l.receive(stepTimeout); err != nil || got.kind != kindHello {
 					t.Error(got.kind, err)
@@ -290,7 +296,7 @@
 			taken, err := Take(dir)
 			if steps < 3 {
 				if err == nil {
-					t.Fatal("taken from a process that has ended")
+					t.Fatal("Take returned no error for a process that has ended")
 				}
 				return
 			}
@@ -299,9 +305,9 @@
 			}
 			defer func() { _ = taken.Listener.Close() }()
 			defer func() { _ = taken.Link.Close() }()
-			_ = taken.Link.Confirm() // to nobody: the socket is its own now, whatever this says
+			_ = taken.Link.Confirm() // it may fail; the new process has the listening socket all the same
 			if _, _, err := taken.Link.Next(); err == nil {
-				t.Error("a connection came from nobody")
+				t.Error("received a connection from a process that has ended")
 			}
 		})
 	}
