--- a/internal/knownfailures/judge.go
+++ b/internal/knownfailures/judge.go
@@ -1,7 +1,7 @@
-// Package knownfailures judges a run of go test by a list of tests that are known to fail: only those may, each is
-// printed, and the list can't go stale. What says more than that one test failed is never excused: a build that fails,
-// a
-// panic, a data race, a package that ran out of time, or one that failed with no test failing.
+// Package knownfailures evaluates a run of go test with a list of tests that are known to fail. Only listed tests may
+// fail, each of their failures is printed, and a listed test that passes or is not run is an error, so the list stays
+// current. The list excuses failed tests only. It never excuses a failed build, a panic, a data race, a timeout, or a
+// package that failed without a failed test.
 package knownfailures
 
 import (
@@ -14,7 +14,7 @@
 	"strings"
 )
 
-// neverExcused are marks in the output of go test of what no list excuses.
+// neverExcused are parts of go test's output that show a failure which no list excuses.
 var neverExcused = []string{
 	"panic: ",
 	"WARNING: DATA RACE",
@@ -23,46 +23,47 @@
 	"fatal error: ",
 }
 
-// Run is one run of go test to be judged.
+// Run is one run of go test.
 type Run struct {
-	// Events is what go test -json writes.
+	// Events is the output of go test -json.
 	Events io.Reader
-	// Output takes what go test would write, with the output of tests that failed, and the known failures.
+	// Output receives what go test would print, with the output of failed tests, and the known failures.
 	Output io.Writer
-	// Known is the list.
+	// Known is the list of known failures.
 	Known []Entry
-	// Complete says that all packages are of the run: then each listed test has to be of one.
+	// Complete tells that the run has all packages, so the package of each listed test must be among them.
 	Complete bool
-	// Exit returns what go test ended with; it is called when the events are over.
+	// Exit returns the error with which go test ended. It is called after the last event.
 	Exit func() error
 }
 
-// Judge reads a run and returns what is wrong with it, one line each; nil: nothing is, but for listed tests.
+// Judge reads a run and returns its failures, one per line. It returns nil if nothing but listed tests failed.
 func Judge(run Run) error {
 	packages, err := readEvents(run.Events, run.Output)
 	if err != nil {
 		return err
 	}
-	var wrong []string
+	var failures []string
 	for name, result := range packages {
-		wrong = append(wrong, result.faults(name, run.Known)...)
+		failures = append(failures, result.failures(name, run.Known)...)
 	}
 	excused, stale := checkListed(run, packages)
-	wrong = append(wrong, stale...)
-	if err := run.Exit(); err != nil && len(wrong) == 0 && excused == 0 {
-		wrong = append(wrong, fmt.Sprintf("go test: %v", err))
+	failures = append(failures, stale...)
+	if err := run.Exit(); err != nil && len(failures) == 0 && excused == 0 {
+		failures = append(failures, fmt.Sprintf("go test: %v", err))
 	}
 	if len(packages) == 0 {
-		wrong = append(wrong, "no package was tested")
+		failures = append(failures, "no package was tested")
 	}
-	if len(wrong) == 0 {
+	if len(failures) == 0 {
 		return nil
 	}
-	slices.Sort(wrong)
-	return errors.New(strings.Join(wrong, "\n"))
+	slices.Sort(failures)
+	return errors.New(strings.Join(failures, "\n"))
 }
 
-// checkListed prints the known failures that failed, counts them, and returns what is stale in the list.
+// checkListed prints and counts the listed tests that failed, and returns an error line for each stale entry of the
+// list.
 func checkListed(run Run, packages map[string]*packageResult) (excused int, stale []string) {
 	for _, entry := range run.Known {
 		result := packages[entry.Package]
@@ -91,42 +92,42 @@
 	return excused, stale
 }
 
-// packageResult is what became of one package.
+// packageResult is the result of one package.
 type packageResult struct {
-	// ended is how the package ended; empty: it has not.
-	ended string
-	// tests has how each top-level test ended.
+	// action is the event action with which the package ended; empty: it has not ended.
+	action string
+	// tests are the actions with which the top-level tests ended, by name.
 	tests map[string]string
-	// output has the lines of each test that has not ended.
+	// output has the lines of the tests that have not ended, by name.
 	output map[string][]string
-	// unexcused is what makes its failure more than that of a test.
+	// unexcused is the output line of a failure that no list excuses.
 	unexcused string
 }
 
-// faults returns what is wrong with a package, but for listed tests.
-func (p *packageResult) faults(name string, known []Entry) (wrong []string) {
+// failures returns the failures of a package beside those of listed tests.
+func (p *packageResult) failures(name string, known []Entry) (failures []string) {
 	failed := 0
-	for test, ended := range p.tests {
-		if ended != "fail" {
+	for test, action := range p.tests {
+		if action != "fail" {
 			continue
 		}
 		failed++
 		if !slices.ContainsFunc(known, func(e Entry) bool { return e.Package == name && e.Test == test }) {
-			wrong = append(wrong, fmt.Sprintf("%s.%s failed", name, test))
+			failures = append(failures, fmt.Sprintf("%s.%s failed", name, test))
 		}
 	}
 	switch {
-	case p.unexcused != "" && p.ended != "pass":
-		wrong = append(wrong, fmt.Sprintf("%s: %s", name, p.unexcused))
-	case p.ended == "fail" && failed == 0:
-		wrong = append(wrong, name+" failed with no test failing")
-	case p.ended == "":
-		wrong = append(wrong, name+" did not end")
-	}
-	return wrong
+	case p.unexcused != "" && p.action != "pass":
+		failures = append(failures, fmt.Sprintf("%s: %s", name, p.unexcused))
+	case p.action == "fail" && failed == 0:
+		failures = append(failures, name+" failed with no test failing")
+	case p.action == "":
+		failures = append(failures, name+" did not end")
+	}
+	return failures
 }
 
-// event is a line that go test -json writes.
+// event is a line of the output of go test -json.
 type event struct {
 	Action      string
 	Package     string
@@ -135,7 +136,7 @@
 	FailedBuild string
 }
 
-// readEvents reads all events and writes what go test would.
+// readEvents reads all events and writes what go test would print.
 func readEvents(events io.Reader, out io.Writer) (map[string]*packageResult, error) {
 	packages := map[string]*packageResult{}
 	in := bufio.NewReader(events)
@@ -153,7 +154,7 @@
 	}
 }
 
-// readEvent takes one line. What is no event is what the tool chain says by itself.
+// readEvent processes one line. A line that is no event is output of the tool chain and is copied.
 func readEvent(packages map[string]*packageResult, line []byte, out io.Writer) {
 	var e event
 	if json.Unmarshal(line, &e) != nil {
@@ -177,10 +178,10 @@
 	}
 }
 
-// addOutput keeps a line of a test, and writes one of the package itself.
+// addOutput stores a line of a test's output and writes a line of the package's own output.
 func (p *packageResult) addOutput(e event, out io.Writer) {
-	for _, mark := range neverExcused {
-		if strings.Contains(e.Output, mark) && p.unexcused == "" {
+	for _, pattern := range neverExcused {
+		if strings.Contains(e.Output, pattern) && p.unexcused == "" {
 			p.unexcused = strings.TrimSpace(e.Output)
 		}
 	}
@@ -193,10 +194,10 @@
 	}
 }
 
-// end takes the end of a test or of the package.
+// end records the end of a test or of the package.
 func (p *packageResult) end(e event, out io.Writer) {
 	if e.Test == "" {
-		p.ended = e.Action
+		p.action = e.Action
 		if e.FailedBuild != "" {
 			p.unexcused = "it does not build"
 		}
