--- a/internal/knownfailures/list.go
+++ b/internal/knownfailures/list.go
@@ -8,46 +8,46 @@
 	"strings"
 )
 
-// Entry is one test that is known to fail, as KNOWN-RED.txt has it.
+// Entry is one test that is known to fail, as listed in KNOWN-RED.txt.
 type Entry struct {
 	// Package is the import path of the test's package.
 	Package string
-	// Test is the name of a top-level test of it.
+	// Test is the name of a top-level test in the package.
 	Test string
-	// Command runs the test.
+	// Command is the command that runs the test.
 	Command string
-	// Seed is what the test was seen to fail with.
+	// Seed is the seed with which the failure was observed.
 	Seed string
-	// Seen is what was seen.
+	// Seen describes the observed failure.
 	Seen string
-	// Issue is the open issue that the failure belongs to.
+	// Issue is the open issue of the failure.
 	Issue string
-	// Flaky tells of how many runs how many failed, as "N of M". Empty: it fails each time, and a pass is an error.
+	// Flaky is the failure rate of a flaky test as "N of M" runs. Empty: the test fails each time, and a pass is an
+	// error.
 	Flaky string
 }
 
-// name is how go test names the test.
+// name returns the test's name with its package.
 func (e Entry) name() string { return e.Package + "." + e.Test }
 
-// SyntaxError is a fault in a list, by line.
+// SyntaxError is a syntax error in a list.
 type SyntaxError struct {
-	// Line counts from 1.
+	// Line is the line number, starting at 1.
 	Line int
-	// Reason is what is wrong there.
+	// Reason describes the error.
 	Reason string
 }
 
 // Error implements error.
 func (e *SyntaxError) Error() string { return fmt.Sprintf("line %d: %s", e.Line, e.Reason) }
 
-// Read reads a list: paragraphs of "key: value" lines, one paragraph for each test, with the keys test (PACKAGE.TEST),
-// command, seed, seen and issue, and flaky if the test fails now and then only. Lines that begin with # are passed
-// over.
-// Its error is a *SyntaxError or that of the reader.
+// Read reads a list. It has a paragraph of "key: value" lines for each test, with the keys test (PACKAGE.TEST),
+// command, seed, seen and issue, and the key flaky if the test fails in some runs only. Lines that begin with # are
+// ignored. The error is a *SyntaxError or that of the reader.
 func Read(r io.Reader) ([]Entry, error) {
 	var entries []Entry
 	var paragraph map[string]string
-	started := 0
+	firstLine := 0
 	finish := func() error {
 		if paragraph == nil {
 			return nil
@@ -57,7 +57,7 @@
 			reason = entry.name() + " is listed twice"
 		}
 		if reason != "" {
-			return &SyntaxError{Line: started, Reason: reason}
+			return &SyntaxError{Line: firstLine, Reason: reason}
 		}
 		entries = append(entries, entry)
 		paragraph = nil
@@ -76,18 +76,18 @@
 			continue
 		case paragraph == nil:
 			paragraph = map[string]string{}
-			started = number
+			firstLine = number
 		}
 		key, value, found := strings.Cut(line, ":")
 		value = strings.TrimSpace(value)
 		if !found || value == "" || !slices.Contains(keys, key) {
 			return nil, &SyntaxError{
 				Line:   number,
-				Reason: fmt.Sprintf("%q is no key with a value; keys are %s", line, keyList),
+				Reason: fmt.Sprintf("%q is not a key with a value; the keys are %s", line, keyList),
 			}
 		}
 		if _, repeated := paragraph[key]; repeated {
-			return nil, &SyntaxError{Line: number, Reason: fmt.Sprintf("key %s stands twice", key)}
+			return nil, &SyntaxError{Line: number, Reason: fmt.Sprintf("key %s is repeated", key)}
 		}
 		paragraph[key] = value
 	}
@@ -97,22 +97,22 @@
 	return entries, finish()
 }
 
-// keys are those of an entry; all but the last are required.
+// keys are the keys of an entry. All but the last are required.
 var keys = []string{"test", "command", "seed", "seen", "issue", "flaky"}
 
 var keyList = strings.Join(keys, ", ")
 
-// parse makes an entry of a paragraph. The reason is empty if it is well formed.
+// parse parses a paragraph. The reason is empty if it is well formed, and otherwise describes the error.
 func parse(paragraph map[string]string) (entry Entry, reason string) {
 	for _, key := range keys[:len(keys)-1] {
 		if paragraph[key] == "" {
-			return entry, "an entry without " + key
+			return entry, "the entry has no key " + key
 		}
 	}
 	name := paragraph["test"]
 	dot := strings.LastIndex(name, ".")
 	if dot <= 0 || !strings.HasPrefix(name[dot+1:], "Test") || strings.Contains(name[dot:], "/") {
-		return entry, fmt.Sprintf("%q is no package with a top-level test", name)
+		return entry, fmt.Sprintf("%q is not a package with a top-level test", name)
 	}
 	flaky := paragraph["flaky"]
 	if flaky != "" && !isRate(flaky) {
@@ -129,7 +129,7 @@
 	}, ""
 }
 
-// isRate tells whether a text is "N of M" with 0 < N < M.
+// isRate reports whether a text is "N of M" with 0 < N < M.
 func isRate(text string) bool {
 	var failed, runs int
 	n, err := fmt.Sscanf(text, "%d of %d", &failed, &runs)
