--- a/internal/knownfailures/testrunner/main.go
+++ b/internal/knownfailures/testrunner/main.go
@@ -1,10 +1,10 @@
-// Command testrunner runs go test with the arguments given and judges the run by KNOWN-RED.txt in the working
-// directory; no such file: all tests must pass.
+// Command testrunner runs go test with the given arguments and evaluates the run with the list of known failures in
+// KNOWN-RED.txt in the working directory. Without such a file, all tests must pass.
 //
 //	testrunner [-alone PACKAGE,PACKAGE] [-few PACKAGE,PACKAGE] [flags of go test] PATTERN...
 //
-// Packages named by -few are tested two at a time when the others are done, and those named by -alone one after another
-// after that: their tests need the machine, or most of it, to themselves.
+// Packages named by -few are tested two at a time after the others, and those named by -alone one at a time after that,
+// as their tests need most of the machine or all of it.
 package main
 
 import (
@@ -20,7 +20,7 @@
 	"gapgap/internal/knownfailures"
 )
 
-// listFile is the list of known failures.
+// listFile is the name of the list of known failures.
 const listFile = "KNOWN-RED.txt"
 
 func main() {
@@ -30,7 +30,7 @@
 	}
 }
 
-// run runs and judges. Its error says what is wrong with the run.
+// run runs the tests and evaluates the run. Its error lists the failures.
 func run(args []string) error {
 	known, err := readList()
 	if err != nil {
@@ -41,11 +41,11 @@
 	if err != nil {
 		return err
 	}
-	events, ended := io.Pipe()
+	events, output := io.Pipe()
 	result := make(chan error, 1)
 	go func() {
-		err := runAll(runs, ended)
-		_ = ended.Close() // the reader sees the end of the events; a pipe's Close does not fail
+		err := runAll(runs, output)
+		_ = output.Close() // ends the events; a pipe's Close does not fail
 		result <- err
 	}()
 	return knownfailures.Judge(knownfailures.Run{
@@ -57,7 +57,7 @@
 	})
 }
 
-// readList reads the list of known failures; no such file is an empty list.
+// readList reads the list of known failures. It is empty if the file does not exist.
 func readList() ([]knownfailures.Entry, error) {
 	f, err := os.Open(listFile)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -66,15 +66,15 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = f.Close() }() // only read from
+	defer func() { _ = f.Close() }() // opened for reading only
 	return knownfailures.Read(f)
 }
 
-// group is packages that are tested together.
+// group is a group of packages that are tested in one run.
 type group struct {
-	// option names it on the command line.
+	// option is the command line option that names the packages.
 	option string
-	// parallel is how many packages are tested at a time, as go test's -p.
+	// parallel is the number of packages tested at a time, the value of go test's -p.
 	parallel string
 	packages []string
 }
@@ -86,14 +86,14 @@
 	patterns []string
 }
 
-// parse reads a command line.
+// parse parses a command line.
 func parse(args []string) command {
 	c := command{groups: []group{{option: "-few", parallel: "2"}, {option: "-alone", parallel: "1"}}}
 	for len(args) > 0 {
-		at := slices.IndexFunc(c.groups, func(g group) bool { return g.option == args[0] })
+		index := slices.IndexFunc(c.groups, func(g group) bool { return g.option == args[0] })
 		switch {
-		case at >= 0 && len(args) > 1:
-			c.groups[at].packages = strings.Split(args[1], ",")
+		case index >= 0 && len(args) > 1:
+			c.groups[index].packages = strings.Split(args[1], ",")
 			args = args[2:]
 			continue
 		case strings.HasPrefix(args[0], "./") || args[0] == ".":
@@ -106,7 +106,7 @@
 	return c
 }
 
-// runs returns the arguments of each run of go test: first for the packages of no group, then a run for each group.
+// runs returns the arguments of each run of go test: first one for the packages in no group, then one for each group.
 func (c command) runs() ([][]string, error) {
 	out, err := exec.Command("go", append([]string{"list"}, c.patterns...)...).Output()
 	if err != nil {
@@ -118,13 +118,13 @@
 		if len(g.packages) == 0 {
 			continue
 		}
-		chosen := slices.DeleteFunc(slices.Clone(packages), func(name string) bool { return !g.has(name) })
-		if len(chosen) != len(g.packages) {
+		members := slices.DeleteFunc(slices.Clone(packages), func(name string) bool { return !g.has(name) })
+		if len(members) != len(g.packages) {
 			return nil, fmt.Errorf("%s %s: only %d of these packages are among %s",
-				g.option, strings.Join(g.packages, ","), len(chosen), strings.Join(c.patterns, " "))
+				g.option, strings.Join(g.packages, ","), len(members), strings.Join(c.patterns, " "))
 		}
 		packages = slices.DeleteFunc(packages, g.has)
-		grouped = append(grouped, slices.Concat([]string{"-p", g.parallel}, c.flags, chosen))
+		grouped = append(grouped, slices.Concat([]string{"-p", g.parallel}, c.flags, members))
 	}
 	if len(packages) == 0 {
 		return grouped, nil
@@ -132,14 +132,14 @@
 	return append([][]string{slices.Concat(c.flags, packages)}, grouped...), nil
 }
 
-// has tells whether a package, by its import path, is of the group.
+// has reports whether the group contains a package, which is given by its import path.
 func (g group) has(name string) bool {
 	_, path, _ := strings.Cut(name, "/")
 	return slices.Contains(g.packages, "./"+path)
 }
 
-// runAll runs go test for each list of arguments in turn and writes the events of all of them. Its error is that of
-// the first run that failed.
+// runAll runs go test for each list of arguments in turn and writes the events of all runs. It returns the error of the
+// first run that failed.
 func runAll(runs [][]string, events io.Writer) error {
 	var first error
 	for _, args := range runs {
