--- a/internal/knownfailures/judge_test.go
+++ b/internal/knownfailures/judge_test.go
@@ -11,17 +11,15 @@
 	"testing"
 )
 
-// entryText is a well-formed entry of a test.
+// entryText returns a well-formed entry for a test.
 func entryText(test string) string {
 	return "test: " + test + "\ncommand: go test\nseed: 7\nseen: it is slow\nissue: 41\n"
 }
 
+// TestRead verifies that all fields of entries are read and that comments are ignored.
 func TestRead(t *testing.T) {
-	text := "# comment\n\n" + entryText(
-		"gapgap/internal/x.TestOne",
-	) + "\n" + entryText(
-		"a.TestTwo",
-	) + "flaky: 1 of 20\n"
+	text := "# comment\n\n" + entryText("gapgap/internal/x.TestOne") + "\n" +
+		entryText("a.TestTwo") + "flaky: 1 of 20\n"
 	got, err := Read(strings.NewReader(text))
 	if err != nil {
 		t.Fatal(err)
@@ -41,6 +39,7 @@
 	}
 }
 
+// TestReadErrors verifies that a malformed list is an error which names the line.
 func TestReadErrors(t *testing.T) {
 	one := entryText("a.TestOne")
 	cases := []struct {
@@ -74,101 +73,101 @@
 	}
 }
 
-// The judgement of real runs of go test, of a module made for it.
+// TestJudge verifies which runs pass and what is printed, by runs of go test on a temporary module.
 func TestJudge(t *testing.T) {
 	ok := "func TestOK(t *testing.T) {}\n"
 	red := "func TestRed(t *testing.T) { t.Run(\"sub\", func(t *testing.T) { t.Error(\"the fault\") }) }\n"
 	list := []Entry{{Package: "m", Test: "TestRed", Seen: "the fault", Issue: "1"}}
 	flaky := []Entry{{Package: "m", Test: "TestRed", Seen: "the fault", Issue: "1", Flaky: "1 of 9"}}
 	for name, c := range map[string]struct {
-		code  string
-		list  []Entry
-		wrong string // in what is said to be wrong; empty: the run passes
-		says  string // in the output
+		code    string
+		list    []Entry
+		wantErr string // part of the error; empty: the run passes
+		wantOut string // part of the output
 	}{
 		"all pass": {
-			code: ok,
-			says: "ok  \tm",
+			code:    ok,
+			wantOut: "ok  \tm",
 		},
 		"a test fails": {
-			code:  ok + red,
-			wrong: "m.TestRed failed",
-			says:  "the fault",
+			code:    ok + red,
+			wantErr: "m.TestRed failed",
+			wantOut: "the fault",
 		},
 		"a listed test fails": {
-			code: ok + red,
-			list: list,
-			says: "known red: m.TestRed: the fault (issue 1)",
+			code:    ok + red,
+			list:    list,
+			wantOut: "known red: m.TestRed: the fault (issue 1)",
 		},
 		"a flaky test fails": {
-			code: ok + red,
-			list: flaky,
-			says: "known red: m.TestRed: the fault (issue 1)",
+			code:    ok + red,
+			list:    flaky,
+			wantOut: "known red: m.TestRed: the fault (issue 1)",
 		},
 		"a flaky test passes": {
-			code: strings.Replace(ok, "OK", "Red", 1),
-			list: flaky,
-			says: "known flaky, passed: m.TestRed (failed 1 of 9)",
+			code:    strings.Replace(ok, "OK", "Red", 1),
+			list:    flaky,
+			wantOut: "known flaky, passed: m.TestRed (failed 1 of 9)",
 		},
 		"a flaky test is skipped": {
-			code:  "func TestRed(t *testing.T) { t.Skip() }\n",
-			list:  flaky,
-			wrong: "m.TestRed is listed and did not fail",
+			code:    "func TestRed(t *testing.T) { t.Skip() }\n",
+			list:    flaky,
+			wantErr: "m.TestRed is listed and did not fail",
 		},
 		"another one fails beside it": {
-			code:  ok + red + "func TestOther(t *testing.T) { t.Fatal() }\n",
-			list:  list,
-			wrong: "m.TestOther failed",
+			code:    ok + red + "func TestOther(t *testing.T) { t.Fatal() }\n",
+			list:    list,
+			wantErr: "m.TestOther failed",
 		},
 		"a listed test passes": {
-			code:  strings.Replace(ok, "OK", "Red", 1),
-			list:  list,
-			wrong: "m.TestRed is listed and did not fail",
+			code:    strings.Replace(ok, "OK", "Red", 1),
+			list:    list,
+			wantErr: "m.TestRed is listed and did not fail",
 		},
 		"a listed test is skipped": {
-			code:  "func TestRed(t *testing.T) { t.Skip() }\n",
-			list:  list,
-			wrong: "m.TestRed is listed and did not fail",
+			code:    "func TestRed(t *testing.T) { t.Skip() }\n",
+			list:    list,
+			wantErr: "m.TestRed is listed and did not fail",
 		},
 		"a listed test does not exist": {
-			code:  ok,
-			list:  list,
-			wrong: "m.TestRed is listed and was not run",
+			code:    ok,
+			list:    list,
+			wantErr: "m.TestRed is listed and was not run",
 		},
 		"a listed package isn't there": {
-			code:  ok,
-			list:  []Entry{{Package: "n", Test: "TestRed"}},
-			wrong: "there is no such package",
+			code:    ok,
+			list:    []Entry{{Package: "n", Test: "TestRed"}},
+			wantErr: "there is no such package",
 		},
 		"a listed test panics": {
-			code:  "func TestRed(t *testing.T) { panic(1) }\n",
-			list:  list,
-			wrong: "panic: 1",
+			code:    "func TestRed(t *testing.T) { panic(1) }\n",
+			list:    list,
+			wantErr: "panic: 1",
 		},
 		"a listed test ends the run": {
-			code:  ok + "func TestRed(t *testing.T) { os.Exit(1) }\n",
-			list:  list,
-			wrong: "m failed with no test failing",
+			code:    ok + "func TestRed(t *testing.T) { os.Exit(1) }\n",
+			list:    list,
+			wantErr: "m failed with no test failing",
 		},
 		"a listed test takes for ever": {
-			code:  "func TestRed(t *testing.T) { select {} }\n",
-			list:  list,
-			wrong: "m: ",
+			code:    "func TestRed(t *testing.T) { select {} }\n",
+			list:    list,
+			wantErr: "m: ",
 		},
 		"it does not build": {
-			code:  ok + "func x() { y() }\n",
-			wrong: "m: it does not build",
+			code:    ok + "func x() { y() }\n",
+			wantErr: "m: it does not build",
 		},
 		"it does not build, and a list": {
-			code:  "func TestRed(t *testing.T) { y() }\n",
-			list:  list,
-			wrong: "m: it does not build",
+			code:    "func TestRed(t *testing.T) { y() }\n",
+			list:    list,
+			wantErr: "m: it does not build",
 		},
 		"a race in a listed test": {
 			code: "func TestRed(t *testing.T) { x := 0; c := make(chan int); go func() { x++; c <- 1 }(); " +
 				"x++; <-c; _ = x }\n",
-			list:  list,
-			wrong: "m: ",
+			list:    list,
+			wantErr: "m: ",
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -199,28 +198,31 @@
 				Exit:     func() error { return err },
 			})
 			switch {
-			case c.wrong == "" && got != nil:
+			case c.wantErr == "" && got != nil:
 				t.Errorf("%v\n%s", got, &out)
-			case c.wrong != "" && (got == nil || !strings.Contains(got.Error(), c.wrong)):
-				t.Errorf("%v, want %q\n%s", got, c.wrong, &out)
-			case !strings.Contains(out.String(), c.says):
-				t.Errorf("no %q in\n%s", c.says, &out)
+			case c.wantErr != "" && (got == nil || !strings.Contains(got.Error(), c.wantErr)):
+				t.Errorf("%v, want %q\n%s", got, c.wantErr, &out)
+			case !strings.Contains(out.String(), c.wantOut):
+				t.Errorf("no %q in\n%s", c.wantOut, &out)
 			}
 		})
 	}
 }
 
-// A run that says nothing, or stops in the middle, has not passed.
+// TestJudgeOfHalfARun verifies that a run without output, or one that stops in the middle, is a failure.
 func TestJudgeOfHalfARun(t *testing.T) {
 	none := func() error { return nil }
 	for name, events := range map[string]string{
 		"nothing": "",
 		"no end":  `{"Action":"run","Package":"m","Test":"TestOK"}` + "\n",
 	} {
-		if err := Judge(
-			Run{Events: strings.NewReader(events), Output: &bytes.Buffer{}, Complete: true, Exit: none},
-		); err == nil {
-			t.Errorf("%s: it passes", name)
+		if err := Judge(Run{
+			Events:   strings.NewReader(events),
+			Output:   &bytes.Buffer{},
+			Complete: true,
+			Exit:     none,
+		}); err == nil {
+			t.Errorf("%s: no error", name)
 		}
 	}
 }
