--- a/internal/vfs/vfs.go
+++ b/internal/vfs/vfs.go
@@ -1,8 +1,8 @@
-// Package vfs is the file system as code sees it whose state must outlive a power loss. [OS] is the real one. Tests put
-// another one in its place, which records operations, so that the files after a power loss can be made from these.
+// Package vfs is the file system interface of code whose state must survive a power loss. [OS] is the real file system.
+// Tests use another one that records operations, from which they derive the files after a power loss.
 //
-// A caller may rely on two things only after a power loss: the content of a file as of its last Sync, and the names in
-// a directory as of its last SyncDir. Of all later changes any part may be there.
+// After a power loss a caller may rely on the content of a file as of its last Sync and on the names in a directory as
+// of its last SyncDir. Any part of later changes may be present.
 package vfs
 
 import (
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// ErrTooLarge reports a file that has more bytes than its reader allows.
-var ErrTooLarge = errors.New("the file is larger than it may be")
+// ErrTooLarge is returned for a file that has more bytes than the caller allows.
+var ErrTooLarge = errors.New("the file exceeds its size limit")
 
 // File is an open file.
 type File interface {
@@ -26,12 +26,12 @@
 	io.Closer
 	Name() string
 	Stat() (fs.FileInfo, error)
-	// Sync returns nil once the file's content outlives a power loss.
+	// Sync returns nil once the file's content survives a power loss.
 	Sync() error
 	Truncate(size int64) error
 }
 
-// FS is a file system. Its methods have the errors of those of package os.
+// FS is a file system. Its methods return the errors of their counterparts in package os.
 type FS interface {
 	OpenFile(name string, flag int, perm fs.FileMode) (File, error)
 	CreateTemp(dir, pattern string) (File, error)
@@ -39,13 +39,13 @@
 	Remove(name string) error
 	MkdirAll(name string, perm fs.FileMode) error
 	ReadDir(name string) ([]fs.DirEntry, error)
-	// Chtimes sets when a file was last used and written. Neither need outlive a power loss.
+	// Chtimes sets a file's access and modification times, which need not survive a power loss.
 	Chtimes(name string, accessed, modified time.Time) error
-	// SyncDir returns nil once the names in the directory outlive a power loss.
+	// SyncDir returns nil once the names in the directory survive a power loss.
 	SyncDir(name string) error
 }
 
-// OrOS returns the file system, or that of the operating system for nil.
+// OrOS returns fsys, or the operating system's file system if fsys is nil.
 func OrOS(fsys FS) FS {
 	if fsys == nil {
 		return OS{}
@@ -53,13 +53,13 @@
 	return fsys
 }
 
-// ReadFile reads a file. The error is ErrTooLarge if that has more than maxBytes.
+// ReadFile reads a file. It returns ErrTooLarge if the file has more than maxBytes.
 func ReadFile(fsys FS, name string, maxBytes int64) ([]byte, error) {
 	file, err := fsys.OpenFile(name, os.O_RDONLY, 0)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = file.Close() }() // only read
+	defer func() { _ = file.Close() }() // opened for reading only
 	content, err := io.ReadAll(io.LimitReader(file, maxBytes+1))
 	if err == nil && int64(len(content)) > maxBytes {
 		return nil, ErrTooLarge
@@ -67,8 +67,7 @@
 	return content, err
 }
 
-// ReplaceFile writes a file in place of an older one, as a whole or not at all. When it returns nil, the new content
-// outlives a power loss.
+// ReplaceFile creates or replaces a file atomically. When it returns nil, the new content survives a power loss.
 func ReplaceFile(fsys FS, name string, content []byte) error {
 	dir := filepath.Dir(name)
 	temporary, err := fsys.CreateTemp(dir, filepath.Base(name)+".new*")
@@ -81,7 +80,7 @@
 		err = fsys.Rename(temporary.Name(), name)
 	}
 	if err != nil {
-		_ = fsys.Remove(temporary.Name()) // the first error counts
+		_ = fsys.Remove(temporary.Name()) // the first error is returned
 		return err
 	}
 	return fsys.SyncDir(dir)
