--- a/internal/vfs/os.go
+++ b/internal/vfs/os.go
@@ -42,11 +42,11 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = dir.Close() }() // only read
+	defer func() { _ = dir.Close() }() // opened for reading only
 	return dir.Sync()
 }
 
-// asFile returns a nil File with an error: a nil *os.File would be a File that is not nil.
+// asFile returns a nil File with an error, as a File holding a nil *os.File would not be nil.
 func asFile(file *os.File, err error) (File, error) {
 	if err != nil {
 		return nil, err
