--- a/internal/vfs/operation.go
+++ b/internal/vfs/operation.go
@@ -1,17 +1,17 @@
 package vfs
 
-// OperationKind tells what an operation does. The numbers stand in records.
+// OperationKind is the kind of an operation. Its numbers are stored in records.
 type OperationKind uint8
 
 // Kinds of operations.
 const (
 	// OpCreate creates the file FileID at Path.
 	OpCreate OperationKind = iota + 1
-	// OpOpen gives the existing file at Path the number FileID.
+	// OpOpen assigns FileID to the existing file at Path.
 	OpOpen
 	// OpWrite writes Data at Offset of FileID.
 	OpWrite
-	// OpTruncate cuts FileID to Offset bytes.
+	// OpTruncate truncates FileID to Offset bytes.
 	OpTruncate
 	// OpSync is recorded after a sync of FileID has succeeded.
 	OpSync
