--- a/internal/vfs/recorder.go
+++ b/internal/vfs/recorder.go
@@ -16,34 +16,34 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Faults that the fault file may name. A slow disk's has a duration behind it: "slow 2s".
+// Faults that the fault file may name. A duration follows faultSlow, as in "slow 2s".
 const (
 	faultFull     = "full"
 	faultReadOnly = "readonly"
 	faultSlow     = "slow"
 )
 
-// Recorder is the operating system's file system. It records all changes below a directory and injects faults. It is in
-// test builds only (build tag powertest).
+// Recorder is the operating system's file system with a record of all changes below a directory and with fault
+// injection. It exists in test builds only (build tag powertest).
 //
-// A change is recorded before it is made, a sync after it has succeeded, so the record never promises more than the
-// disk holds. The record outlives a SIGKILL of the process. Where a change can't be recorded, the recorder panics, as
-// the test's result would be worth nothing.
+// A change is recorded before it is made, and a sync after it has succeeded, so the record never has a sync that the
+// disk has not completed. The record survives a SIGKILL of the process. The recorder panics if it can't record a
+// change, as the test's result would be invalid.
 type Recorder struct {
 	OS
 	// root is the recorded directory.
 	root string
-	// faultPath is the file that names the fault in force; no file, no fault.
+	// faultPath is the path of the file that names the current fault; without the file there is none.
 	faultPath string
 
 	mu     sync.Mutex
 	record *os.File
-	// lastID is the last number given to a file, fileIDs the numbers of files by their relative paths.
+	// lastID is the ID assigned last. fileIDs are the IDs of files by their relative paths.
 	lastID  uint64
 	fileIDs map[string]uint64
 }
 
-// NewRecorder returns a recorder of the changes below root. It overwrites an older record.
+// NewRecorder returns a recorder of the changes below root. It overwrites an existing record.
 func NewRecorder(root, recordPath, faultPath string) (*Recorder, error) {
 	record, err := os.OpenFile(recordPath, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -70,7 +70,7 @@
 	}
 }
 
-// relative returns a path relative to the root.
+// relative returns a path relative to the root. It panics for a path outside the root.
 func (r *Recorder) relative(name string) string {
 	path, err := filepath.Rel(r.root, name)
 	if err != nil || strings.HasPrefix(path, "..") {
@@ -79,11 +79,11 @@
 	return path
 }
 
-// injectFault delays a change, or returns the error that it has to fail with.
+// injectFault delays a change or returns the error with which it must fail.
 func (r *Recorder) injectFault() error {
 	text, err := os.ReadFile(r.faultPath)
 	if err != nil {
-		return nil // no file, no fault
+		return nil // no fault without a file
 	}
 	fault, argument, _ := strings.Cut(strings.TrimSpace(string(text)), " ")
 	switch fault {
@@ -99,7 +99,7 @@
 	return nil
 }
 
-// injectPathFault is injectFault with the error that package os has for an operation on a path.
+// injectPathFault is like injectFault with the error type of package os for an operation on a path.
 func (r *Recorder) injectPathFault(operation, path string) error {
 	if err := r.injectFault(); err != nil {
 		return &fs.PathError{Op: operation, Path: path, Err: err}
@@ -134,7 +134,7 @@
 	return opened, nil
 }
 
-// createdLocked records a file that was created. The caller holds mu.
+// createdLocked records the creation of a file. The caller holds mu.
 func (r *Recorder) createdLocked(file File, name string) *recordedFile {
 	path := r.relative(name)
 	r.lastID++
@@ -143,7 +143,7 @@
 	return &recordedFile{File: file, recorder: r, id: r.lastID}
 }
 
-// openedLocked records an existing file the first time that it is opened. The caller holds mu.
+// openedLocked records the first opening of an existing file. The caller holds mu.
 func (r *Recorder) openedLocked(file File, name string) *recordedFile {
 	path := r.relative(name)
 	r.lastID++
@@ -224,14 +224,14 @@
 	return err
 }
 
-// recordedFile is an open file that may be written.
+// recordedFile is a file that is open for writing.
 type recordedFile struct {
 	File
 	recorder *Recorder
 	id       uint64
 }
 
-// Write implements [File]. It records the file's own offset.
+// Write implements [File]. It records the write at the file's current offset.
 func (f *recordedFile) Write(b []byte) (int, error) {
 	if err := f.recorder.injectPathFault("write", f.Name()); err != nil {
 		return 0, err
