--- a/internal/vfs/golden_test.go
+++ b/internal/vfs/golden_test.go
@@ -12,7 +12,7 @@
 	"gapgap/internal/golden"
 )
 
-// goldenOps are operations of all kinds that set every field.
+// goldenOps are operations of all kinds. Together they set every field.
 var goldenOps = []Operation{
 	{Kind: OpCreate, FileID: 1, Path: "dir/a"},
 	{Kind: OpOpen, FileID: 2, Path: "dir/b"},
@@ -26,7 +26,8 @@
 	{Kind: OpWrite, FileID: 1 << 40, Path: "p", NewPath: "t", Offset: -1, Data: []byte{0, 255}},
 }
 
-// TestGoldenOperations holds the bytes of recorded operations and that they are read into equal values.
+// TestGoldenOperations verifies that operations are encoded to the recorded bytes and that these decode to equal
+// values.
 func TestGoldenOperations(t *testing.T) {
 	var b []byte
 	for _, op := range goldenOps {
--- a/internal/vfs/recorder_golden_test.go
+++ b/internal/vfs/recorder_golden_test.go
@@ -12,7 +12,7 @@
 	"gapgap/internal/golden"
 )
 
-// TestGoldenRecord holds what a recorder writes down of operations and faults.
+// TestGoldenRecord verifies the recorded bytes of operations and the errors of injected faults.
 func TestGoldenRecord(t *testing.T) {
 	root, other := t.TempDir(), t.TempDir()
 	record, fault := filepath.Join(other, "record"), filepath.Join(other, "fault")
--- a/internal/vfs/vfs_test.go
+++ b/internal/vfs/vfs_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// failingFS fails renames.
+// failingFS is a file system whose renames fail.
 type failingFS struct {
 	OS
 	err error
@@ -16,6 +16,7 @@
 
 func (f failingFS) Rename(string, string) error { return f.err }
 
+// TestReadFile verifies that the size limit is inclusive and that a missing file is an error.
 func TestReadFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "file")
 	if err := os.WriteFile(path, []byte("12345"), 0o600); err != nil {
@@ -42,6 +43,8 @@
 	}
 }
 
+// TestReplaceFile verifies that a file is replaced, and that after a failed rename the old content remains and no
+// temporary file is left.
 func TestReplaceFile(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "file")
@@ -58,15 +61,16 @@
 		t.Errorf("after a failure: %q, %v", content, err)
 	}
 	if entries, err := os.ReadDir(dir); err != nil || len(entries) != 1 {
-		t.Errorf("left over: %v, %v", entries, err)
+		t.Errorf("files after a failure: %v, %v", entries, err)
 	}
 }
 
+// TestOrOS verifies that only nil is replaced by the operating system's file system.
 func TestOrOS(t *testing.T) {
 	if OrOS(nil) != (OS{}) {
-		t.Error("nil is not the operating system's")
+		t.Error("nil is not replaced by the operating system's file system")
 	}
 	if other := (failingFS{}); OrOS(other) != other {
-		t.Error("a file system is replaced")
+		t.Error("a file system other than nil is replaced")
 	}
 }
