--- a/internal/statefile/lock.go
+++ b/internal/statefile/lock.go
@@ -7,8 +7,8 @@
 	"syscall"
 )
 
-// Lock waits for the exclusive lock on a path and returns the function that releases it. The end of the process
-// releases it too. A missing file is created.
+// Lock waits for the exclusive lock on a file, which it creates if needed, and returns the function that releases the
+// lock. The end of the process releases it too.
 func Lock(path string) (unlock func(), err error) {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
@@ -20,7 +20,7 @@
 			break
 		}
 	}
-	release := func() { _ = file.Close() } // nothing was written to it
+	release := func() { _ = file.Close() } // nothing was written, so closing loses no data
 	if err != nil {
 		release()
 		return nil, fmt.Errorf("lock %s: %w", path, err)
