--- a/internal/statefile/golden_test.go
+++ b/internal/statefile/golden_test.go
@@ -7,7 +7,7 @@
 	"gapgap/internal/golden"
 )
 
-// TestGoldenEnvelope holds the bytes of a state file and that recorded ones are read into an equal value.
+// TestGoldenEnvelope verifies that a state is encoded to the recorded bytes and that these decode to an equal value.
 func TestGoldenEnvelope(t *testing.T) {
 	want := state{Names: []string{"backend-1", "ä", ""}}
 	b, err := testFormat.Encode(want)
@@ -18,6 +18,6 @@
 	golden.CheckBytes(t, path, b)
 	var got state
 	if err := testFormat.Decode(golden.Read(t, path), &got); err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("read as %v, %v", got, err)
+		t.Errorf("decoded as %v, %v", got, err)
 	}
 }
--- a/internal/statefile/lock_test.go
+++ b/internal/statefile/lock_test.go
@@ -24,7 +24,7 @@
 	return testFormat.Save(path, s)
 }
 
-// TestLock has several goroutines change a file under the lock: no change is lost.
+// TestLock verifies that no change is lost when several goroutines change a file under the lock.
 func TestLock(t *testing.T) {
 	const writers, changes = 8, 10
 	path := filepath.Join(t.TempDir(), "state")
--- a/internal/statefile/statefile_test.go
+++ b/internal/statefile/statefile_test.go
@@ -9,11 +9,12 @@
 	"testing"
 )
 
-// state is a state of tests.
+// state is the state that the tests store.
 type state struct{ Names []string }
 
 var testFormat = Format{Kind: "test", Version: 2, MaxBytes: 1 << 10}
 
+// TestSaveAndLoad verifies that a saved state is loaded, also after a replacement, and that no temporary file is left.
 func TestSaveAndLoad(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "state")
 	for _, want := range []state{{[]string{"a"}}, {[]string{"b", "c"}}} {
@@ -30,6 +31,7 @@
 	}
 }
 
+// TestLoadRefusesOtherFiles verifies the errors for a missing file and for one of another format.
 func TestLoadRefusesOtherFiles(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "state")
 	if err := testFormat.Save(path, state{[]string{"a"}}); err != nil {
@@ -56,7 +58,7 @@
 	}
 }
 
-// TestSaveRefusesLargeState holds that a state over the limit leaves the file as it was.
+// TestSaveRefusesLargeState verifies that saving a state over the limit fails and leaves the file unchanged.
 func TestSaveRefusesLargeState(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "state")
 	if err := testFormat.Save(path, state{[]string{"b", "c"}}); err != nil {
@@ -73,7 +75,8 @@
 	}
 }
 
-// TestDecodeRefusesDamage changes each byte and cuts the content at each: nothing but the state that was saved is read.
+// TestDecodeRefusesDamage verifies that content with a changed byte, or truncated at any byte, is rejected or decodes
+// to the saved state.
 func TestDecodeRefusesDamage(t *testing.T) {
 	want := []string{"backend-1", "backend-2"}
 	content, err := testFormat.Encode(state{want})
@@ -86,13 +89,13 @@
 		for _, damaged := range [][]byte{changed, content[:i]} {
 			var got state
 			if err := testFormat.Decode(damaged, &got); err == nil && !slices.Equal(got.Names, want) {
-				t.Errorf("byte %d: read as %v", i, got)
+				t.Errorf("byte %d: decoded as %v", i, got)
 			}
 		}
 	}
 }
 
-// FuzzDecode decodes arbitrary bytes. All errors are typed.
+// FuzzDecode verifies that arbitrary bytes decode without an error or with one of the documented errors.
 func FuzzDecode(f *testing.F) {
 	content, err := testFormat.Encode(state{[]string{"a"}})
 	if err != nil {
