--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,6 +1,6 @@
-// Package golden compares what a test produces with what was recorded in testdata: hashes of traces, one line for each
-// play, and files of bytes. Nothing recorded is ever overwritten: with GOLDEN_RECORD=1 in the environment what is
-// missing is added, all else is compared as always.
+// Package golden compares the results of tests with golden files in testdata: files of trace hashes, with one line for
+// each scenario run, and files of bytes. With GOLDEN_RECORD=1 in the environment it adds missing records. Existing
+// records are compared in any case and never overwritten.
 package golden
 
 import (
@@ -21,17 +21,17 @@
 	"time"
 )
 
-// recording tells whether what is missing is to be recorded.
+// recording reports whether missing records are to be added.
 func recording() bool { return os.Getenv("GOLDEN_RECORD") == "1" }
 
-// Trace hashes the values of a trace in their order. Each value has a fixed width or a length, so no two traces run
-// together.
+// Trace hashes the values of a trace in their order. Each value has a fixed width or is preceded by its length, so
+// different sequences of values give different input to the hash.
 type Trace struct{ sum hash.Hash }
 
 // NewTrace returns the hash of an empty trace.
 func NewTrace() *Trace { return &Trace{sum: sha256.New()} }
 
-// Uint adds an unsigned number, such as the number that stands for a kind of action.
+// Uint adds an unsigned number, such as the code of a kind of action.
 func (t *Trace) Uint(v uint64) {
 	var b [8]byte
 	binary.BigEndian.PutUint64(b[:], v)
@@ -41,13 +41,13 @@
 // Int adds a signed number.
 func (t *Trace) Int(v int64) { t.Uint(uint64(v)) }
 
-// Duration adds a duration, exact to the nanosecond.
+// Duration adds a duration in nanoseconds.
 func (t *Trace) Duration(d time.Duration) { t.Int(int64(d)) }
 
-// Float adds a number by its bits, so a sum in another order shows.
+// Float adds a number by its bits, so that a sum in another order of terms is detected.
 func (t *Trace) Float(v float64) { t.Uint(math.Float64bits(v)) }
 
-// Bool adds a truth value.
+// Bool adds a boolean.
 func (t *Trace) Bool(v bool) {
 	if v {
 		t.Uint(1)
@@ -56,24 +56,24 @@
 	}
 }
 
-// String adds a text with its length.
+// String adds a string with its length.
 func (t *Trace) String(s string) {
 	t.Uint(uint64(len(s)))
 	t.sum.Write([]byte(s))
 }
 
-// Sum returns the hash of all that was added, in hexadecimal.
+// Sum returns the hash of all added values in hexadecimal.
 func (t *Trace) Sum() string { return hex.EncodeToString(t.sum.Sum(nil)) }
 
-// Hashes are recorded hashes of a file, a line for each: name and hash.
+// Hashes are the recorded hashes of a file, which has a line with name and hash for each.
 type Hashes struct {
 	path     string
 	recorded map[string]string
-	// checked has the hashes that were compared with the recorded ones, by name.
+	// checked has the hashes that were compared, by name.
 	checked map[string]string
 }
 
-// LoadHashes reads recorded hashes. A file that does not exist has none.
+// LoadHashes reads recorded hashes. It returns no hashes if the file does not exist.
 func LoadHashes(t testing.TB, path string) *Hashes {
 	t.Helper()
 	h := &Hashes{path: path, recorded: map[string]string{}, checked: map[string]string{}}
@@ -92,7 +92,7 @@
 	return h
 }
 
-// Check compares a hash with the one recorded under a name, which must hold no space.
+// Check compares a hash with the recorded one of a name, which must not contain a space.
 func (h *Hashes) Check(t testing.TB, name, sum string) {
 	t.Helper()
 	h.checked[name] = sum
@@ -107,7 +107,7 @@
 	}
 }
 
-// CheckPlay plays twice, compares the two hashes with each other, and one with the hash recorded under a name.
+// CheckPlay runs a scenario twice, compares the two hashes, and one of them with the recorded hash of a name.
 func (h *Hashes) CheckPlay(t testing.TB, name string, play func() string) {
 	t.Helper()
 	sum := play()
@@ -117,29 +117,30 @@
 	h.Check(t, name, sum)
 }
 
-// CheckAllPlayed compares the number of recorded hashes with the number of names that were checked.
+// CheckAllPlayed checks that as many names were compared as hashes are recorded.
 func (h *Hashes) CheckAllPlayed(t testing.TB) {
 	t.Helper()
 	if len(h.recorded) != len(h.checked) {
-		t.Errorf("%s: %d traces are recorded, %d were played", h.path, len(h.recorded), len(h.checked))
+		t.Errorf("%s: %d traces are recorded, %d were compared", h.path, len(h.recorded), len(h.checked))
 	}
 }
 
-// CheckDistinct checks that no two of the checked names have one hash.
+// CheckDistinct checks that no two compared names have the same hash.
 func (h *Hashes) CheckDistinct(t testing.TB) {
 	t.Helper()
 	names := map[string]string{}
 	for name, sum := range h.checked {
 		if other, ok := names[sum]; ok {
-			t.Errorf("%s: %s and %s have one trace", h.path, name, other)
+			t.Errorf("%s: %s and %s have the same trace", h.path, name, other)
 		}
 		names[sum] = name
 	}
 }
 
-// Len returns how many hashes are recorded.
+// Len returns the number of recorded hashes.
 func (h *Hashes) Len() int { return len(h.recorded) }
 
+// add appends a hash to the file.
 func (h *Hashes) add(t testing.TB, name, sum string) {
 	t.Helper()
 	if err := os.MkdirAll(filepath.Dir(h.path), 0o755); err != nil {
@@ -158,7 +159,7 @@
 	h.recorded[name] = sum
 }
 
-// Read returns the bytes recorded in a file.
+// Read returns the recorded bytes of a file.
 func Read(t testing.TB, path string) []byte {
 	t.Helper()
 	b, err := os.ReadFile(path)
@@ -168,7 +169,7 @@
 	return b
 }
 
-// CheckBytes compares bytes with those recorded in a file.
+// CheckBytes compares bytes with the recorded ones of a file.
 func CheckBytes(t testing.TB, path string, got []byte) {
 	t.Helper()
 	want, err := os.ReadFile(path)
