--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -7,13 +7,15 @@
 	"time"
 )
 
-// sum returns the hash of a trace that add fills.
+// sum returns the hash of a trace to which add adds the values.
 func sum(add func(*Trace)) string {
 	trace := NewTrace()
 	add(trace)
 	return trace.Sum()
 }
 
+// TestTraceTellsValuesApart verifies that different values, and the same text split in another way, give different
+// hashes, and that the same values give the same hash.
 func TestTraceTellsValuesApart(t *testing.T) {
 	cases := map[string]func(*Trace){
 		"empty":            func(*Trace) {},
@@ -28,7 +30,7 @@
 	for name, add := range cases {
 		got := sum(add)
 		if other, ok := seen[got]; ok {
-			t.Errorf("%s and %s have one hash", name, other)
+			t.Errorf("%s and %s have the same hash", name, other)
 		}
 		seen[got] = name
 		if again := sum(add); again != got {
@@ -37,7 +39,7 @@
 	}
 }
 
-// recorder takes what a check says in place of a test.
+// recorder records whether a check fails, in place of a test.
 type recorder struct {
 	testing.TB
 	failed bool
@@ -47,6 +49,7 @@
 func (r *recorder) Errorf(string, ...any) { r.failed = true }
 func (r *recorder) Fatal(...any)          { r.failed = true }
 
+// TestChecksFindWhatDiffers verifies that different and missing records are failures.
 func TestChecksFindWhatDiffers(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "hashes")
@@ -80,7 +83,7 @@
 	}
 }
 
-// hashesOf writes recorded hashes to a file and loads them.
+// hashesOf writes hashes to a file and loads them.
 func hashesOf(t *testing.T, lines string) *Hashes {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "hashes")
@@ -90,6 +93,8 @@
 	return LoadHashes(t, path)
 }
 
+// TestPlaysAreChecked verifies that a run which differs from the record, from its repetition or not from another run,
+// and a recorded run that is left out, are failures.
 func TestPlaysAreChecked(t *testing.T) {
 	constant := func(sum string) func() string { return func() string { return sum } }
 	changing := func() func() string {
@@ -137,6 +142,7 @@
 	}
 }
 
+// TestRecordingAddsOnly verifies that recording adds missing records and overwrites none.
 func TestRecordingAddsOnly(t *testing.T) {
 	t.Setenv("GOLDEN_RECORD", "1")
 	dir := t.TempDir()
@@ -148,7 +154,7 @@
 		t.Error("a recorded hash was replaced")
 	}
 	if LoadHashes(t, path).Len() != 1 {
-		t.Error("the hash was not recorded once")
+		t.Error("the number of recorded hashes is not 1")
 	}
 	bytesPath := filepath.Join(dir, "bytes")
 	CheckBytes(t, bytesPath, []byte("abc"))
