--- a/internal/resp/framing.go
+++ b/internal/resp/framing.go
@@ -12,16 +12,16 @@
 	maxArrayItems = 64
 	// maxArrayDepth is the limit on arrays within arrays.
 	maxArrayDepth = 2
-	// maxHeaderBytes is the limit on the bytes of a line that announces a length.
+	// maxHeaderBytes is the limit on the bytes of a line that declares a length.
 	maxHeaderBytes = 32
-	// maxLineBytes is the limit on the bytes of a line that is a value by itself.
+	// maxLineBytes is the limit on the bytes of a line that is a complete value.
 	maxLineBytes = 4 << 10
 	// lineEndBytes is the length of the \r\n that ends a line or a bulk string.
 	lineEndBytes = 2
 )
 
 // messageLength returns the bytes of the first message in b, or 0 if it is not complete yet. It returns ErrMalformed
-// for what can't become a message within the limits, so that no memory is allocated for it.
+// for bytes that can't become a message within the limits, so that no memory is allocated for them.
 func messageLength(b []byte, depth, maxValue int) (int, error) {
 	if len(b) == 0 {
 		return 0, nil
@@ -63,7 +63,7 @@
 	return end + 1, nil
 }
 
-// bulkLength returns the bytes of a bulk string whose size is announced by line, which ends at header.
+// bulkLength returns the bytes of a bulk string whose size is declared by line, which ends at header.
 func bulkLength(b []byte, line []byte, header, maxValue int) (int, error) {
 	size, err := strconv.Atoi(string(line))
 	if err != nil || size < -1 || size > maxValue {
@@ -82,7 +82,7 @@
 	return end + lineEndBytes, nil
 }
 
-// arrayLength returns the bytes of an array whose number of items is announced by line, which ends at header.
+// arrayLength returns the bytes of an array whose number of items is declared by line, which ends at header.
 func arrayLength(b []byte, line []byte, header, depth, maxValue int) (int, error) {
 	count, err := strconv.Atoi(string(line))
 	if err != nil || count < -1 || count > maxArrayItems || depth == 0 {
--- a/internal/resp/reader.go
+++ b/internal/resp/reader.go
@@ -26,11 +26,11 @@
 	// ErrNoMemory is returned when the memory limit has no bytes left for a message.
 	ErrNoMemory = errors.New("no memory left for a message")
 	// ErrLongValue is returned by Next for a message that the caller reads with StartLongValue and ReadLongValue.
-	ErrLongValue = errors.New("a message that begins with a long value")
+	ErrLongValue = errors.New("the message begins with a long value")
 )
 
-// Reader reads complete RESP messages. Redcon's own reader accepts any length that the other side announces and does
-// not tell an incomplete message from a malformed one, so the Reader checks lengths before it allocates memory.
+// Reader reads complete RESP messages. Redcon's own reader accepts any length that the other side declares and does not
+// distinguish an incomplete message from a malformed one, so the Reader checks lengths before it allocates memory.
 // A Reader is not safe for concurrent use.
 type Reader struct {
 	// Source is what the messages are read from.
@@ -96,8 +96,8 @@
 	return nil
 }
 
-// ensureSpace makes space for at least one more byte. An empty buffer gets its default size again, which releases what
-// a long message took.
+// ensureSpace makes space for at least one more byte. It resets an empty buffer to its default size, which releases the
+// memory of a long message.
 func (r *Reader) ensureSpace(maxMessage int) error {
 	switch {
 	case len(r.buffer) == 0 && cap(r.buffer) != defaultBufferBytes:
@@ -124,7 +124,7 @@
 	r.Memory = to
 }
 
-// Release drops the buffer, with what is unread, and releases its memory.
+// Release drops the buffer with its unread bytes and releases its memory.
 func (r *Reader) Release() {
 	if r.Memory != nil && cap(r.buffer) > defaultBufferBytes {
 		r.Memory.Release(int64(cap(r.buffer) - defaultBufferBytes))
@@ -139,7 +139,7 @@
 	return r.buffer[r.start:]
 }
 
-// Prefill makes a new Reader begin with what another Reader left unread.
+// Prefill makes a new Reader begin with the unread bytes of another Reader.
 func (r *Reader) Prefill(unread []byte) {
 	r.buffer = append(make([]byte, 0, max(defaultBufferBytes, len(unread))), unread...)
 	if n := cap(r.buffer) - defaultBufferBytes; n > 0 && r.Memory != nil {
