--- a/internal/resp/reader_test.go
+++ b/internal/resp/reader_test.go
@@ -10,6 +10,7 @@
 	"gapgap/internal/resourcelimit"
 )
 
+// TestReaderReadsMessagesInPieces verifies that messages are complete when their bytes arrive one at a time.
 func TestReaderReadsMessagesInPieces(t *testing.T) {
 	text := "*2\r\n$3\r\na\r\n\r\n*1\r\n$-1\r\n+OK\r\n-ERR x\r\n:5\r\n" +
 		"$65536\r\n" + strings.Repeat("x", MaxValueBytes) + "\r\n"
@@ -30,7 +31,8 @@
 	}
 }
 
-// A malformed or too long length is rejected before the reader asks for more bytes.
+// TestReaderRejectsMalformedMessages verifies that a malformed message or a length over the limit is rejected before
+// the reader reads more bytes.
 func TestReaderRejectsMalformedMessages(t *testing.T) {
 	tests := []struct {
 		name  string
@@ -51,7 +53,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			atEnd := iotest.ErrReader(errors.New("asked for more"))
+			atEnd := iotest.ErrReader(errors.New("read beyond the input"))
 			reader := &Reader{Source: io.MultiReader(strings.NewReader(test.input), atEnd)}
 			if _, err := reader.Next(); !errors.Is(err, ErrMalformed) {
 				t.Errorf("%.40q: %v, want %v", test.input, err, ErrMalformed)
@@ -60,6 +62,7 @@
 	}
 }
 
+// FuzzRespReader reads arbitrary input, which must not panic.
 func FuzzRespReader(f *testing.F) {
 	f.Add("*1\r\n$4\r\nPING\r\n")
 	f.Fuzz(func(_ *testing.T, s string) {
@@ -74,15 +77,17 @@
 
 const (
 	longValueBytes = 300 << 10
-	// longMessageHeader announces an array of a value of longValueBytes and a null.
+	// longMessageHeader declares an array of a value of longValueBytes and a null.
 	longMessageHeader = "*2\r\n$307200\r\n"
 )
 
+// longMessage returns a message that begins with a value of longValueBytes.
 func longMessage() string {
 	return longMessageHeader + strings.Repeat("x", longValueBytes) + "\r\n$-1\r\n"
 }
 
-// The buffer bytes of a long value are reserved while it is read and released after.
+// TestReaderReservesMemoryForLongValues verifies that the buffer bytes of a long value are reserved while it is read
+// and released by Release.
 func TestReaderReservesMemoryForLongValues(t *testing.T) {
 	text := longMessage()
 	memory := resourcelimit.NewBytes(2 * longValueBytes)
@@ -104,6 +109,8 @@
 	}
 }
 
+// TestReaderRejectsLongValues verifies that a value over the limit, or one without memory for it, is rejected and that
+// nothing remains reserved.
 func TestReaderRejectsLongValues(t *testing.T) {
 	tests := []struct {
 		name     string
