--- a/internal/frontend/resp2/client.go
+++ b/internal/frontend/resp2/client.go
@@ -40,8 +40,7 @@
 	discardBufferBytes = 4 << 10
 	// rejectedLingerTimeout is how long the rest of rejected input is read.
 	rejectedLingerTimeout = 1500 * time.Millisecond
-	// maxDiscardedBytes limits the rejected input that is read, and the input that arrives after it while answers are
-	// still owed.
+	// maxDiscardedBytes limits the rejected input that is read, and other input that is dropped while answers are owed.
 	maxDiscardedBytes = 64 << 20
 	// lingerTimeout is how long after the last answer the client may take to close its side of the connection.
 	lingerTimeout = 300 * time.Millisecond
@@ -201,6 +200,7 @@
 	return n, err
 }
 
+// errWriteClosed is returned by Read once the write side is closed: the client may have sent more before it noticed.
 var errWriteClosed = errors.New("the connection is closed for writing")
 
 // beginRead records that all commands that were read have been handled, and sets the deadline for the next one. It may
@@ -228,6 +228,7 @@
 	return !c.writeClosed
 }
 
+// errHandover is returned by Read when the connection is to be handed to another process.
 var errHandover = errors.New("the connection is about to be handed over")
 
 // shouldHandOver reports whether the connection is to be handed to another process before more is read from it. If more
@@ -315,8 +316,8 @@
 // connection's last request.
 func (c *client) readRequest(name string, args [][]byte) (*proxy.Proxy, *request, error) {
 	scheduler := c.scheduler
-	began := scheduler.Enter()
-	defer scheduler.Leave(began)
+	entered := scheduler.Enter()
+	defer scheduler.Leave(entered)
 	pool := c.front.route(args)
 	if pool == nil {
 		return nil, nil, nil
@@ -328,6 +329,7 @@
 	return pool, req, err
 }
 
+// errPoolFull is returned for a request whose pool accepts no more connections.
 var errPoolFull = errors.New("the pool has reached its connection limit")
 
 // joinPool moves the connection to a pool, whose shares of the processor, the memory and the connections it uses from
@@ -390,14 +392,14 @@
 }
 
 // reserveSlot appends a slot for the next answer. It waits while there are too many slots or too many unwritten bytes,
-// and returns nil if the connection has ended. The caller has reserved the memory.
+// and returns nil if the connection has ended. The caller has reserved the memory, which is then released.
 func (c *client) reserveSlot(req *request, reservedBytes int64) *slot {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for (len(c.slots) >= maxPipelinedCommands || len(c.unwritten) > pauseReadingBytes) && !c.closed {
 		c.wasPaused = true
 		c.changed.Wait()
-		c.lastReadAt = c.front.env.Now() // the wait for earlier commands does not count as latency
+		c.lastReadAt = c.front.env.Now() // the request's time starts after the wait for earlier commands
 	}
 	if c.closed {
 		c.memory.Release(reservedBytes)
@@ -585,11 +587,11 @@
 		return
 	}
 	c.writeClosed = true
-	within := lingerTimeout
+	timeout := lingerTimeout
 	if c.rejected {
-		within = rejectedLingerTimeout
+		timeout = rejectedLingerTimeout
 	}
-	c.conn.SetReadDeadline(time.Now().Add(within))
+	c.conn.SetReadDeadline(time.Now().Add(timeout))
 	c.changed.Broadcast()
 }
 
@@ -610,10 +612,10 @@
 func (c *client) cleanUp() {
 	c.mu.Lock()
 	c.close()
-	var left []*request // collected under the lock, as the event loop may be answering
+	var open []*request // collected under the lock, as the event loop may be answering
 	for _, s := range c.slots {
 		if s.request != nil {
-			left = append(left, s.request)
+			open = append(open, s.request)
 		}
 		s.memory.Release(s.reservedBytes)
 	}
@@ -622,7 +624,7 @@
 	c.mu.Unlock()
 	c.reader.Release()
 	c.front.env.Conns.Remove(c)
-	for _, req := range left {
+	for _, req := range open {
 		req.pool.Post(func() { req.pool.ClientGone(&req.Request) })
 	}
 }
--- a/internal/frontend/resp2/front.go
+++ b/internal/frontend/resp2/front.go
@@ -231,7 +231,7 @@
 	if fr.handOver.Load() != nil { // connections end by being handed over
 		return len(all) == 0 && fr.acceptEnded.Load()
 	}
-	for _, c := range all { // mark all first, so that no client changes to another connection
+	for _, c := range all { // mark all first: a client that finds one closed may use another one
 		c.mu.Lock()
 		c.closeWhenAnswered = true
 		c.mu.Unlock()
--- a/internal/frontend/resp2/stream.go
+++ b/internal/frontend/resp2/stream.go
@@ -11,6 +11,7 @@
 // defaultStallTimeout is how long a client may take to accept a part of a long value, which has 32 KiB at most.
 const defaultStallTimeout = 5 * time.Second
 
+// errClientGone is returned by Write when the value can no longer be delivered.
 var errClientGone = errors.New("the client has disconnected or its request has ended")
 
 // stream forwards a long value to a client. The goroutine that reads the value calls Write. It has exclusive use of the
