--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -93,8 +93,8 @@
 	return LoadHashes(t, path)
 }
 
-// TestPlaysAreChecked verifies that a run which differs from the record, from its repetition or not from another run,
-// and a recorded run that is left out, are failures.
+// TestPlaysAreChecked verifies the checks on runs: a run must match its record and its repetition, each recorded run
+// must take place, and no two runs may have the same trace.
 func TestPlaysAreChecked(t *testing.T) {
 	constant := func(sum string) func() string { return func() string { return sum } }
 	changing := func() func() string {
