--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -12,15 +12,15 @@
 )
 
 var (
-	// ErrFailed reports that a write or a sync has failed. Nothing is stored until Resume has returned nil.
+	// ErrFailed reports that a write or a sync has failed. The log stores nothing until Resume has returned nil.
 	ErrFailed = errors.New("the log could not be written")
-	// ErrFull reports that the log has as many segments as it may.
+	// ErrFull reports that the log has reached Options.MaxSegments.
 	ErrFull = errors.New("the log is full")
 )
 
-// RecordTooLargeError reports a record that does not fit into a frame.
+// RecordTooLargeError reports a record that exceeds the maximum frame size.
 type RecordTooLargeError struct {
-	// Bytes is the record's size, MaxBytes the largest that is possible.
+	// Bytes is the size of the record, MaxBytes the largest size that Append accepts.
 	Bytes, MaxBytes int
 }
 
@@ -33,22 +33,23 @@
 type Log struct {
 	options      Options
 	firstSegment uint64
-	// segment is the current one, which records are appended to.
+	// segment is the number of the current segment, to which records are appended.
 	segment uint64
 	file    vfs.File
-	// lastChecksum is that of the last frame, or of the header.
+	// lastChecksum is the checksum of the last frame of the current segment, or of its header if it has no frames.
 	lastChecksum uint32
-	// synced is how far the current segment was written and synced.
-	synced int64
-	// isSyncMarked tells whether a mark says so.
-	isSyncMarked bool
-	// buffer has the frames that are not written yet.
-	buffer  []byte
+	// syncedEnd is the offset up to which the current segment has been written and synced.
+	syncedEnd int64
+	// hasSyncMarker reports whether a marker for syncedEnd has been appended, or none is needed as the segment is new.
+	hasSyncMarker bool
+	// buffer holds the frames that have not been written yet.
+	buffer []byte
+	// failure is the error that Append and Sync return until Resume succeeds. It is nil while the log works.
 	failure error
 }
 
-// beginSegment begins the next segment; previousEnd is where the one before ends. The new segment outlives a power loss
-// before anything is appended to it.
+// beginSegment creates the next segment and makes it the current one. previousEnd is the end offset of the segment
+// before it. The new segment is durable before anything is appended to it.
 func (l *Log) beginSegment(previousEnd int64) error {
 	if l.segment+1-l.firstSegment >= uint64(l.options.MaxSegments) {
 		return fmt.Errorf("%w: %d segments", ErrFull, l.options.MaxSegments)
@@ -64,18 +65,18 @@
 		return err
 	}
 	if l.file != nil {
-		_ = l.file.Close() // all that counts of it was synced
+		_ = l.file.Close() // all records that Sync reported as stored are already synced
 	}
 	l.file = file
 	l.segment = header.number
 	l.lastChecksum = header.checksum
-	l.synced = int64(headerBytes)
-	l.isSyncMarked = true
+	l.syncedEnd = int64(headerBytes)
+	l.hasSyncMarker = true
 	l.buffer = nil
 	return nil
 }
 
-// createSegment creates the file of a segment with its header. A file that could not be synced is removed.
+// createSegment creates the file of a segment and syncs its header. It removes the file if that fails.
 func (o *Options) createSegment(header *segmentHeader) (vfs.File, error) {
 	path := filepath.Join(o.Dir, segmentName(header.number))
 	file, err := o.FS.OpenFile(path, os.O_CREATE|os.O_RDWR|os.O_TRUNC, 0o600)
@@ -93,8 +94,9 @@
 	return file, nil
 }
 
-// Append adds a record, which is stored once Sync has returned nil. When much is added at once, a part of it may be
-// synced sooner. Errors are a *RecordTooLargeError, which changes nothing, or wrap ErrFailed.
+// Append adds a record, which is stored once Sync has returned nil. Append itself syncs when the buffer is full, so
+// part of a large batch may be stored earlier. The error is a *RecordTooLargeError, which leaves the log unchanged, or
+// wraps ErrFailed.
 func (l *Log) Append(record []byte) error {
 	if l.failure != nil {
 		return l.failure
@@ -102,29 +104,30 @@
 	if len(record)+1 > maxFrameBytes {
 		return &RecordTooLargeError{Bytes: len(record), MaxBytes: maxFrameBytes - 1}
 	}
-	// A segment is read as a whole, so a write is limited as well.
+	// Open reads a segment into memory as a whole, so the size of a single write is limited as well.
 	if len(l.buffer) > 0 && len(l.buffer)+len(record) > maxFrameBytes {
 		if err := l.Sync(); err != nil {
 			return err
 		}
 	}
-	if !l.isSyncMarked {
-		l.isSyncMarked = true
-		l.appendFrame(frameMark, encodeMark(l.synced, l.segment))
+	if !l.hasSyncMarker {
+		l.hasSyncMarker = true
+		l.appendFrame(frameSyncMarker, encodeSyncMarker(l.syncedEnd, l.segment))
 	}
 	l.appendFrame(frameRecord, record)
 	return nil
 }
 
-// appendFrame adds a frame to the buffer.
+// appendFrame appends a frame to the buffer.
 func (l *Log) appendFrame(kind byte, content []byte) {
 	l.buffer, l.lastChecksum = appendFrame(l.buffer, l.lastChecksum, kind, content)
 }
 
-// IsDirty tells whether records were added since the last Sync.
+// IsDirty reports whether records have been appended since the last Sync.
 func (l *Log) IsDirty() bool { return len(l.buffer) > 0 }
 
-// Sync stores what was added. After an error, which wraps ErrFailed, that may be stored or not.
+// Sync stores the appended records. After an error, which wraps ErrFailed, they may or may not be stored. Sync begins a
+// new segment when the current one has reached Options.SegmentBytes.
 func (l *Log) Sync() error {
 	if l.failure != nil {
 		return l.failure
@@ -135,16 +138,16 @@
 	if err := l.writeBuffer(); err != nil {
 		return l.fail(err)
 	}
-	l.synced += int64(len(l.buffer))
-	l.isSyncMarked = false
+	l.syncedEnd += int64(len(l.buffer))
+	l.hasSyncMarker = false
 	l.buffer = l.buffer[:0]
-	if l.synced >= l.options.SegmentBytes {
+	if l.syncedEnd >= l.options.SegmentBytes {
 		return l.Rotate()
 	}
 	return nil
 }
 
-// writeBuffer writes and syncs the buffer.
+// writeBuffer writes the buffer to the current segment and syncs the file.
 func (l *Log) writeBuffer() error {
 	n, err := l.file.Write(l.buffer)
 	if err != nil {
@@ -156,46 +159,47 @@
 	return l.file.Sync()
 }
 
-// fail puts the log into its failed state and returns the error that describes it.
+// fail marks the log as failed and returns an error that wraps ErrFailed and the cause.
 func (l *Log) fail(cause error) error {
 	l.failure = fmt.Errorf("%w: %w", ErrFailed, cause)
 	return l.failure
 }
 
-// Rotate syncs and begins a new segment, so that those before it can be dropped. Errors wrap ErrFailed.
+// Rotate syncs the log and begins a new segment, so that the segments before it can be dropped. Errors wrap ErrFailed.
 func (l *Log) Rotate() error {
 	if err := l.Sync(); err != nil {
 		return err
 	}
-	if err := l.beginSegment(l.synced); err != nil {
+	if err := l.beginSegment(l.syncedEnd); err != nil {
 		return l.fail(err)
 	}
 	return nil
 }
 
-// Err returns why nothing can be stored. It is nil while the log works.
+// Err returns the error of the last failure, or nil if the log works or has been resumed.
 func (l *Log) Err() error { return l.failure }
 
-// Resume goes on after a failure with a new segment. Records that were added and not synced are lost.
+// Resume begins a new segment after a failure. Records that were appended but not synced are lost.
 func (l *Log) Resume() error {
 	if l.failure == nil {
 		return nil
 	}
-	if err := l.beginSegment(l.synced); err != nil {
+	if err := l.beginSegment(l.syncedEnd); err != nil {
 		return err
 	}
 	l.failure = nil
 	return nil
 }
 
-// CurrentSegment returns the number of the segment that records are appended to.
+// CurrentSegment returns the number of the segment to which records are appended.
 func (l *Log) CurrentSegment() uint64 { return l.segment }
 
-// SegmentCount returns how many segments there are.
+// SegmentCount returns the number of segments, including the current one.
 func (l *Log) SegmentCount() int { return int(l.segment + 1 - l.firstSegment) }
 
-// DropBefore removes the segments before one, the oldest first: after a power loss the last removed one may be there
-// again, but no gap.
+// DropBefore removes all segments with a lower number than the given one; the current segment is always kept. It
+// removes the oldest first and syncs the directory after each, so that a power loss may bring back the segment removed
+// last but never leaves a gap.
 func (l *Log) DropBefore(segment uint64) error {
 	for l.firstSegment < min(segment, l.segment) {
 		path := filepath.Join(l.options.Dir, segmentName(l.firstSegment))
@@ -210,5 +214,5 @@
 	return nil
 }
 
-// Close closes the log without a sync.
+// Close closes the log without syncing it.
 func (l *Log) Close() error { return l.file.Close() }
