--- a/internal/wal/open.go
+++ b/internal/wal/open.go
@@ -11,40 +11,43 @@
 	"gapgap/internal/vfs"
 )
 
-// Errors of Open beside those of the file system.
+// Errors of Open in addition to file system errors.
 var (
-	ErrCorrupt      = errors.New("the log is damaged")
+	// ErrCorrupt reports stored data that is corrupt or missing, or a log of another kind.
+	ErrCorrupt = errors.New("the log is damaged")
+	// ErrNewerVersion reports a log whose record version is higher than Options.Version.
 	ErrNewerVersion = errors.New("the log is of a newer version")
 )
 
-// unknownEnd stands for the end of the last segment, which no later header tells.
+// unknownEnd marks the end of the last segment as unknown, as no later segment header records it.
 const unknownEnd = -1
 
-// Options configure a log.
+// Options configures a log.
 type Options struct {
 	FS vfs.FS
-	// Dir is a directory that exists. No other files in it may have the names of segments.
+	// Dir is an existing directory. No other files in it may be named like segments.
 	Dir string
-	// Kind names the log's purpose. Files of another kind are refused.
+	// Kind names the purpose of the log. Open rejects segments of another kind.
 	Kind string
-	// Version is that of the records. Older ones are read, newer ones refused.
+	// Version is the version of the record format. Open reads older versions and rejects newer ones.
 	Version uint16
-	// SegmentBytes is the size from which on the next segment is begun.
+	// SegmentBytes is the size at which Sync begins the next segment.
 	SegmentBytes int64
-	// MaxSegments limits the number of segments.
+	// MaxSegments is the maximum number of segments.
 	MaxSegments int
 }
 
-// OpenStats tells what Open has read.
+// OpenStats describes what Open has read.
 type OpenStats struct {
+	// Segments and Records count the segments and records that were read.
 	Segments, Records int
-	// TornBytes follow the last intact record. Sync never reported them as stored.
+	// TornBytes is the number of bytes after the last intact frame. Sync never reported them as stored.
 	TornBytes int64
 }
 
-// Open passes the stored records to a function, in order, and begins a new segment. An error of Open, which may wrap
-// ErrCorrupt, ErrNewerVersion, ErrFull or the function's error, says in one line what is wrong. It leaves the files as
-// they were.
+// Open passes the stored records to the function each, in order, and begins a new segment. Its errors may wrap
+// ErrCorrupt, ErrNewerVersion, ErrFull or the error of each, and describe the problem in one line. On an error, the
+// existing files are left unchanged.
 func Open(options Options, each func(record []byte) error) (*Log, OpenStats, error) {
 	var stats OpenStats
 	headers, err := options.readHeaders()
@@ -66,8 +69,8 @@
 	return log, stats, nil
 }
 
-// readHeaders reads and checks the headers of all segments, in order. A last segment whose header was never completed
-// is passed over.
+// readHeaders reads and checks the headers of all segments, in order. It ignores a last segment whose header was not
+// written completely.
 func (o *Options) readHeaders() (headers []segmentHeader, err error) {
 	numbers, err := o.segmentNumbers()
 	if err != nil {
@@ -75,7 +78,7 @@
 	}
 	for i, number := range numbers {
 		path := filepath.Join(o.Dir, segmentName(number))
-		start, size, err := o.readStart(path)
+		start, size, err := o.readHeaderBytes(path)
 		if err != nil {
 			return nil, err
 		}
@@ -98,7 +101,7 @@
 	return headers, nil
 }
 
-// segmentNumbers returns the numbers of all segments in order.
+// segmentNumbers returns the numbers of all segments in ascending order.
 func (o *Options) segmentNumbers() (numbers []uint64, err error) {
 	entries, err := o.FS.ReadDir(o.Dir)
 	if err != nil {
@@ -113,13 +116,13 @@
 	return numbers, nil
 }
 
-// readStart reads as much of a file as a header takes, and returns the file's size too.
-func (o *Options) readStart(path string) (start []byte, size int64, err error) {
+// readHeaderBytes returns the first headerBytes bytes of a file, or fewer if it is shorter, and the size of the file.
+func (o *Options) readHeaderBytes(path string) (start []byte, size int64, err error) {
 	file, err := o.FS.OpenFile(path, os.O_RDONLY, 0)
 	if err != nil {
 		return nil, 0, err
 	}
-	defer func() { _ = file.Close() }() // only read
+	defer func() { _ = file.Close() }() // opened read-only
 	info, err := file.Stat()
 	if err != nil {
 		return nil, 0, err
@@ -128,21 +131,21 @@
 	return start, info.Size(), err
 }
 
-// checkHeader checks that an intact header is one of this log.
+// checkHeader checks that an intact header has the kind of this log, a known version and the expected segment number.
 func (o *Options) checkHeader(header segmentHeader, number uint64) error {
 	switch {
 	case header.kindChecksum != checksum([]byte(o.Kind)):
-		return fmt.Errorf("%w: it is not a %s", ErrCorrupt, o.Kind)
+		return fmt.Errorf("%w: it is not a log of kind %q", ErrCorrupt, o.Kind)
 	case header.version > o.Version:
-		return fmt.Errorf("%w: %d; %d is known", ErrNewerVersion, header.version, o.Version)
+		return fmt.Errorf("%w: version %d, the newest supported is %d", ErrNewerVersion, header.version, o.Version)
 	case header.number != number:
-		return fmt.Errorf("%w: it is another segment's", ErrCorrupt)
+		return fmt.Errorf("%w: its header has the number of another segment", ErrCorrupt)
 	}
 	return nil
 }
 
-// readSegments reads the records of all segments and returns the end of the last one. It reads one segment at a time,
-// as together they may be large.
+// readSegments reads the records of all segments and returns the end offset of the last one. It holds only one segment
+// in memory at a time, as all of them together may be large.
 func (o *Options) readSegments(
 	headers []segmentHeader, each func(record []byte) error, stats *OpenStats,
 ) (end int64, err error) {
@@ -150,7 +153,7 @@
 		path := filepath.Join(o.Dir, segmentName(header.number))
 		content, err := vfs.ReadFile(o.FS, path, o.SegmentBytes+2*maxFrameBytes)
 		if errors.Is(err, vfs.ErrTooLarge) {
-			return 0, fmt.Errorf("%s: %w: it is too long", path, ErrCorrupt)
+			return 0, fmt.Errorf("%s: %w: it exceeds the maximum segment size", path, ErrCorrupt)
 		}
 		if err != nil {
 			return 0, err
@@ -173,8 +176,9 @@
 	return end, nil
 }
 
-// readRecords passes the records of a segment to a function, up to the segment's end, which it returns. Where the end
-// is unknown, the first frame that is not intact is taken for it, unless a mark says that this frame was synced.
+// readRecords passes the records of a segment to the function each and returns the end offset of the segment. If the
+// end is not known, the segment ends before the first frame that is not intact, unless a sync marker shows that this
+// frame was synced: then the segment is corrupt.
 func readRecords(
 	content []byte, header segmentHeader, knownEnd int64, each func(record []byte) error,
 ) (records int, end int64, err error) {
