--- a/internal/wal/golden_test.go
+++ b/internal/wal/golden_test.go
@@ -14,10 +14,10 @@
 	"gapgap/internal/golden"
 )
 
-// goldenErrors are the errors that a trace tells apart, by their index.
+// goldenErrors lists the errors that a trace identifies by their index.
 var goldenErrors = []error{ErrCorrupt, ErrNewerVersion, ErrFailed, ErrFull}
 
-// hashError adds which error it is and its text.
+// hashError adds the index of an error in goldenErrors and its text to a trace.
 func hashError(trace *golden.Trace, err error) {
 	if err == nil {
 		trace.Int(-1)
@@ -31,7 +31,7 @@
 	trace.String(err.Error())
 }
 
-// hashFiles adds all files of a disk with their bytes.
+// hashFiles adds the paths and contents of all files to a trace.
 func hashFiles(trace *golden.Trace, files map[string][]byte) {
 	for _, path := range slices.Sorted(maps.Keys(files)) {
 		trace.String(path)
@@ -39,7 +39,8 @@
 	}
 }
 
-// hashLog plays a long run of a log, opens what power cuts and damage make of its files, and returns the hash of all.
+// hashLog runs random operations on a log, opens copies of its files after power cuts and corruption, and returns the
+// hash of all results.
 func hashLog(t *testing.T, seed uint64) string {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 93))
@@ -92,7 +93,7 @@
 	for n := range 40 {
 		files := disk.Cut(power.How(n%power.Hows), rng)
 		if n >= 20 {
-			damage(files, rng)
+			corruptRandomFile(files, rng)
 		}
 		after := power.NewDisk(files)
 		openAndHash(after)
@@ -101,8 +102,8 @@
 	return trace.Sum()
 }
 
-// damage flips a bit of a file, shortens it or removes it.
-func damage(files map[string][]byte, rng *rand.Rand) {
+// corruptRandomFile flips a bit of a file, truncates the file or removes it.
+func corruptRandomFile(files map[string][]byte, rng *rand.Rand) {
 	paths := slices.Sorted(maps.Keys(files))
 	if len(paths) == 0 {
 		return
@@ -122,7 +123,7 @@
 	}
 }
 
-// TestGoldenTraces compares what logs write, read and refuse with what was recorded.
+// TestGoldenTraces verifies that logs write, read and reject the same data as in the recorded traces.
 func TestGoldenTraces(t *testing.T) {
 	recorded := golden.LoadHashes(t, "testdata/golden/log.txt")
 	for seed := range uint64(12) {
@@ -132,7 +133,7 @@
 	recorded.CheckAllPlayed(t)
 }
 
-// TestGoldenSegments holds the bytes of segments and that recorded ones are read.
+// TestGoldenSegments verifies the encoding of segments, and that Open reads the recorded ones.
 func TestGoldenSegments(t *testing.T) {
 	disk := power.NewDisk(nil)
 	log, _, _, err := openAll(disk)
@@ -163,7 +164,7 @@
 	}
 }
 
-// hexLines writes bytes as lines of hexadecimal.
+// hexLines encodes bytes as lines of hexadecimal digits.
 func hexLines(b []byte) (text []byte) {
 	for line := range slices.Chunk(b, 32) {
 		text = fmt.Appendf(text, "%x\n", line)
@@ -171,7 +172,7 @@
 	return text
 }
 
-// bytesOfHexLines reads what hexLines wrote.
+// bytesOfHexLines decodes the output of hexLines.
 func bytesOfHexLines(t *testing.T, text []byte) []byte {
 	t.Helper()
 	text = slices.DeleteFunc(slices.Clone(text), func(c byte) bool { return c == '\n' })
