--- a/internal/wal/log_test.go
+++ b/internal/wal/log_test.go
@@ -16,7 +16,7 @@
 	return Options{FS: fs, Dir: ".", Kind: "test", Version: 1, SegmentBytes: 400, MaxSegments: 64}
 }
 
-// openAll opens a log and returns its records.
+// openAll opens a log and returns it with its records.
 func openAll(fs vfs.FS) (*Log, []string, OpenStats, error) {
 	var records []string
 	log, stats, err := Open(testOptions(fs), func(record []byte) error {
@@ -26,7 +26,7 @@
 	return log, records, stats, err
 }
 
-// mustOpen opens a log without use for its records.
+// mustOpen opens a log and ignores its records.
 func mustOpen(t testing.TB, fs vfs.FS) *Log {
 	t.Helper()
 	log, _, _, err := openAll(fs)
@@ -36,24 +36,25 @@
 	return log
 }
 
-// workload is a long run of batches, rotations, drops, write failures and restarts, with what must be stored.
+// workload runs batches, rotations, drops, write failures and restarts on a log, and tracks which records must be
+// stored.
 type workload struct {
 	disk *power.Disk
 	log  *Log
-	// synced are the records that Sync has stored, syncedIn the segment of each.
+	// synced are the records that Sync has stored, syncedIn the segment number of each.
 	synced   []string
 	syncedIn []uint64
-	// droppable is how many of the synced records, the oldest, may have been dropped.
+	// droppable is how many of the oldest synced records may have been dropped.
 	droppable int
 	// pending are the records appended since the last sync.
 	pending []string
-	// failed are the records whose sync has failed; each may be stored or not.
+	// failed are the records whose sync has failed. Each of them may or may not be stored.
 	failed []string
-	// recordCount numbers the records.
+	// recordCount is the number of the next record.
 	recordCount int
 }
 
-// run takes random steps.
+// run performs random operations.
 func (w *workload) run(steps int, rng *rand.Rand) error {
 	for range steps {
 		var err error
@@ -98,7 +99,7 @@
 	return nil
 }
 
-// drop drops all segments but the last two or three.
+// drop drops all segments except the current one and the two before it.
 func (w *workload) drop() error {
 	before := w.log.CurrentSegment() - min(w.log.CurrentSegment(), 2)
 	for w.droppable < len(w.synced) && w.syncedIn[w.droppable] < before {
@@ -107,7 +108,7 @@
 	return w.log.DropBefore(before)
 }
 
-// failAndResume appends a record while the disk is full.
+// failAndResume fails a sync with a full disk, checks that the log rejects records, and resumes it.
 func (w *workload) failAndResume() error {
 	record := fmt.Sprintf("lost %d", w.recordCount)
 	if err := w.log.Append([]byte(record)); err != nil {
@@ -121,13 +122,13 @@
 		return err
 	}
 	if err := w.log.Append(nil); !errors.Is(err, ErrFailed) {
-		return errors.Join(errors.New("a record is taken after a failure"), err)
+		return errors.Join(errors.New("Append accepted a record after a failed sync"), err)
 	}
 	return w.log.Resume()
 }
 
-// check compares records that were read after a power loss with those that must be there: the synced ones without a gap
-// at the end, then some of the pending ones.
+// check compares the records read after a power loss with the expected ones: all synced records except dropped ones,
+// followed by none, some or all of the pending ones in order, or by the last failed one.
 func (w *workload) check(got []string) error {
 	first := 0
 	if len(w.synced) > 0 && len(got) > 0 {
@@ -140,19 +141,19 @@
 		want = want[w.droppable:]
 	}
 	if len(got) < len(want) || !slices.Equal(got[:len(want)], want) {
-		return fmt.Errorf("%d records, not the %d that were synced: %q, want %q", len(got), len(want), got, want)
+		return fmt.Errorf("read %d records, want the %d synced ones: got %q, want %q", len(got), len(want), got, want)
 	}
 	rest := got[len(want):]
 	if len(rest) <= len(w.pending) && slices.Equal(rest, w.pending[:len(rest)]) {
 		return nil
 	}
 	if len(rest) == 1 && len(w.failed) > 0 && rest[0] == w.failed[len(w.failed)-1] {
-		return nil // the power loss was the failure
+		return nil // the sync failed because of the power loss
 	}
-	return fmt.Errorf("the synced records are followed by %q, of %q", rest, w.pending)
+	return fmt.Errorf("the synced records are followed by %q, want the pending records %q", rest, w.pending)
 }
 
-// runWorkload runs a workload until the power is cut at an operation; zero: never.
+// runWorkload runs a workload until the power is cut at operation number cutAt; zero means never.
 func runWorkload(cutAt int, seed uint64) (*workload, error) {
 	w := &workload{disk: power.NewDisk(nil)}
 	w.disk.CutAt = cutAt
@@ -164,8 +165,8 @@
 	return w, w.run(120, rand.New(rand.NewPCG(seed, 1)))
 }
 
-// checkAfterPowerLoss opens a log from what a power loss has left, checks it, and appends a record that the next Open
-// must read.
+// checkAfterPowerLoss opens a log from the files left by a power loss and checks its records. It then appends a record
+// and checks that the next Open reads it.
 func (w *workload) checkAfterPowerLoss(files map[string][]byte) error {
 	disk := power.NewDisk(files)
 	log, got, _, err := openAll(disk)
@@ -179,13 +180,14 @@
 		return err
 	}
 	if _, again, _, err := openAll(disk); err != nil || !slices.Equal(again, append(got, "after")) {
-		return fmt.Errorf("read again: %q, %w", again, err)
+		return fmt.Errorf("after reopening: %q, %w", again, err)
 	}
 	return nil
 }
 
-// TestPowerCutAtEachWriteAndSync cuts the power at each operation of a long run, with what was not synced stored, lost,
-// in part, torn and out of order: what Sync has stored is there, else only what was pending, and the log goes on.
+// TestPowerCutAtEachWriteAndSync verifies that a log survives a power cut at any disk operation: all synced records are
+// read, followed only by pending ones, and the log accepts new records. Unsynced writes are kept, lost, partly written,
+// torn or reordered.
 func TestPowerCutAtEachWriteAndSync(t *testing.T) {
 	images := 0
 	for seed := range uint64(3) {
@@ -196,7 +198,7 @@
 		for cutAt := 1; cutAt <= complete.disk.Ops; cutAt++ {
 			w, err := runWorkload(cutAt, seed)
 			if err != nil && !errors.Is(err, power.ErrCut) {
-				t.Fatalf("cut at %d: %v", cutAt, err)
+				t.Fatalf("cut at operation %d: %v", cutAt, err)
 			}
 			for n := range 8 {
 				rng := rand.New(rand.NewPCG(seed<<32|uint64(cutAt), uint64(n)))
@@ -207,20 +209,20 @@
 			}
 		}
 	}
-	t.Logf("%d images", images)
+	t.Logf("checked %d disk images", images)
 }
 
-// damagedLog is a log of several segments of which one file at a time is damaged.
+// damagedLog is a log with several segments, of which one file at a time is corrupted.
 type damagedLog struct {
 	records []string
 	files   map[string][]byte
 	// lastFile is the path of the last segment.
 	lastFile string
-	// refused and torn count how damage was taken.
-	refused, torn int
+	// rejected counts the corruptions that Open rejected, torn those that it discarded as a torn tail.
+	rejected, torn int
 }
 
-// newDamagedLog writes a log of several segments, a sync for each record.
+// newDamagedLog writes an intact log with several segments, syncing after each record.
 func newDamagedLog(t *testing.T) *damagedLog {
 	t.Helper()
 	disk := power.NewDisk(nil)
@@ -242,8 +244,9 @@
 	return d
 }
 
-// check opens the log with a file's content replaced from an offset on. It must be refused, read without a difference,
-// or taken for torn at the end.
+// check opens the log with the content of one file replaced by damaged, which differs from offset on. Open must reject
+// the log, read all records unchanged, or discard the end of the last segment as a torn tail. A flipped bit must not
+// discard more than the last record.
 func (d *damagedLog) check(t *testing.T, path string, offset int, damaged []byte) {
 	t.Helper()
 	intact := d.files[path]
@@ -252,22 +255,22 @@
 	d.files[path] = intact
 	switch {
 	case errors.Is(err, ErrCorrupt) || errors.Is(err, ErrNewerVersion):
-		d.refused++
+		d.rejected++
 	case err != nil:
 		t.Fatalf("%s, byte %d: %v", path, offset, err)
 	case path == d.lastFile && len(got) < len(d.records) && slices.Equal(got, d.records[:len(got)]):
 		d.torn++
 		isFlipped := len(damaged) == len(intact)
 		if isFlipped && len(got) < len(d.records)-1 {
-			t.Fatalf("%s, byte %d flipped: %d of %d are read", path, offset, len(got), len(d.records))
+			t.Fatalf("%s, bit flipped in byte %d: %d of %d records were read", path, offset, len(got), len(d.records))
 		}
 	case !slices.Equal(got, d.records):
 		t.Fatalf("%s, byte %d: read as %q", path, offset, got)
 	}
 }
 
-// TestPowerFlippedBits flips a bit of each byte and cuts the files at each byte: damage to what was stored before the
-// last sync is refused, and no damaged record is read.
+// TestPowerFlippedBits verifies that corruption of data stored before the last sync is rejected and that no corrupt
+// record is read. It flips a bit of each byte and truncates the files at each byte.
 func TestPowerFlippedBits(t *testing.T) {
 	d := newDamagedLog(t)
 	for path, content := range d.files {
@@ -276,12 +279,12 @@
 			d.check(t, path, offset, content[:offset])
 		}
 	}
-	if d.refused == 0 || d.torn == 0 {
-		t.Errorf("%d refused, %d taken for torn", d.refused, d.torn)
+	if d.rejected == 0 || d.torn == 0 {
+		t.Errorf("%d corruptions were rejected, %d discarded as a torn tail", d.rejected, d.torn)
 	}
 }
 
-// TestOpenRefusesOtherLogs opens a log as one of another kind and with an older program.
+// TestOpenRefusesOtherLogs verifies that Open rejects a log of another kind and one with a newer record version.
 func TestOpenRefusesOtherLogs(t *testing.T) {
 	files := newDamagedLog(t).files
 	cases := []struct {
@@ -303,14 +306,14 @@
 	}
 }
 
-// flipBit returns a copy with a bit of one byte flipped.
+// flipBit returns a copy of b with one bit of the byte at offset flipped.
 func flipBit(b []byte, offset int) []byte {
 	damaged := slices.Clone(b)
 	damaged[offset] ^= 0x10
 	return damaged
 }
 
-// TestLargeBatch syncs more at once than a segment holds: it goes into several segments, each of which can be read.
+// TestLargeBatch verifies that a batch larger than a segment is split into several segments and can be read back.
 func TestLargeBatch(t *testing.T) {
 	const records, recordBytes = 40, 300 << 10
 	options := testOptions(power.NewDisk(nil))
@@ -334,7 +337,8 @@
 	}
 }
 
-// TestAppendRefusesLargeRecord holds that a record too large for a frame is refused and the log works on.
+// TestAppendRefusesLargeRecord verifies that Append rejects a record that exceeds a frame, and that the log still works
+// afterwards.
 func TestAppendRefusesLargeRecord(t *testing.T) {
 	log := mustOpen(t, power.NewDisk(nil))
 	var tooLarge *RecordTooLargeError
@@ -346,7 +350,8 @@
 	}
 }
 
-// TestSegmentsAreLimited rotates until the log is full, and goes on after segments were dropped.
+// TestSegmentsAreLimited verifies that Rotate fails with ErrFull at MaxSegments, and that the log can be resumed once
+// segments have been dropped.
 func TestSegmentsAreLimited(t *testing.T) {
 	log := mustOpen(t, power.NewDisk(nil))
 	var err error
@@ -360,11 +365,11 @@
 	}
 	err = errors.Join(log.DropBefore(log.CurrentSegment()), log.Resume(), log.Append([]byte("x")), log.Sync())
 	if err != nil {
-		t.Errorf("after segments were dropped: %v", err)
+		t.Errorf("resume after dropping segments: %v", err)
 	}
 }
 
-// FuzzSegment opens arbitrary bytes as a segment. All errors are typed.
+// FuzzSegment verifies that opening a segment with arbitrary content returns only ErrCorrupt or ErrNewerVersion.
 func FuzzSegment(f *testing.F) {
 	disk := power.NewDisk(nil)
 	log := mustOpen(f, disk)
@@ -380,7 +385,7 @@
 		disk := power.NewDisk(map[string][]byte{segmentName(1): content})
 		_, _, _, err := openAll(disk)
 		if err != nil && !errors.Is(err, ErrCorrupt) && !errors.Is(err, ErrNewerVersion) {
-			t.Errorf("%v", err)
+			t.Errorf("unexpected error: %v", err)
 		}
 	})
 }
