--- a/internal/idempotency/key.go
+++ b/internal/idempotency/key.go
@@ -5,10 +5,11 @@
 	"encoding/binary"
 )
 
-// Key identifies a request over all gateways: a hash of its customer, class and idempotency key.
+// Key identifies a request across all gateways. It is a hash of the request's customer, class and idempotency key.
 type Key [16]byte
 
-// KeyOf returns the key of a request that the parts identify. Lists of parts that differ have different keys.
+// KeyOf returns the key for a list of parts that identify a request. It hashes the length of each part with the part,
+// so that different lists whose concatenation is equal have different keys.
 func KeyOf(parts ...string) (key Key) {
 	hash := sha256.New()
 	for _, part := range parts {
@@ -21,8 +22,8 @@
 
 // Owner identifies the reservation that holds a key.
 type Owner struct {
-	// Process is the random number of the coordinator's process.
+	// Process is the random number that identifies the coordinator's process.
 	Process uint64 `cbor:"1,keyasint"`
-	// Sequence is the reservation's number in that process.
+	// Sequence is the number of the reservation in that process.
 	Sequence uint64 `cbor:"2,keyasint"`
 }
