--- a/internal/idempotency/keytable.go
+++ b/internal/idempotency/keytable.go
@@ -2,18 +2,20 @@
 
 import "time"
 
-// entry is what a voter retains of a key.
+// entry is the state of a key that a voter retains.
 type entry struct {
+	// owner is the reservation that holds the key or held it last.
 	owner Owner
-	// released tells whether the owner has released the key, so that another reservation may take it.
+	// released reports whether the owner has released the key, so that it can be granted to another reservation.
 	released bool
 }
 
-// keyTable has the keys of the current retention period and of the one before. Dropping the older period as a whole
-// retains each key for one period at least and two at most.
+// keyTable holds the keys of the current and the previous retention period. Dropping the previous period as a whole
+// retains each key for at least one and at most two periods.
 type keyTable struct {
 	current, previous map[Key]entry
-	rotatedAt         time.Duration
+	// rotatedAt is when the current period began.
+	rotatedAt time.Duration
 }
 
 func newKeyTable(now time.Duration) keyTable {
@@ -29,22 +31,23 @@
 	return e, ok
 }
 
-// put sets the entry of a key in the current period, in place of one of the period before.
+// put stores the entry of a key in the current period and removes an entry of the previous period.
 func (t *keyTable) put(key Key, e entry) {
 	delete(t.previous, key)
 	t.current[key] = e
 }
 
-// size returns how many entries are retained.
+// size returns the number of retained entries.
 func (t *keyTable) size() int { return len(t.current) + len(t.previous) }
 
-// rotate drops the previous period and begins a new one.
+// rotate drops the previous period and begins a new current one.
 func (t *keyTable) rotate(now time.Duration) {
 	t.previous, t.current = t.current, map[Key]entry{}
 	t.rotatedAt = now
 }
 
-// records returns all entries, older ones first, so that reading them in order restores the table.
+// records returns a record for each entry, those of the previous period first. Applying them in order restores all
+// entries.
 func (t *keyTable) records() (records []Record) {
 	for _, period := range []map[Key]entry{t.previous, t.current} {
 		for key, e := range period {
