--- a/internal/idempotency/record.go
+++ b/internal/idempotency/record.go
@@ -1,19 +1,20 @@
 package idempotency
 
-// RecordKind tells what a record is about, and which of its fields are set.
+// RecordKind is the type of a record. It determines which fields of the record are set.
 type RecordKind uint8
 
-// Kinds of records. Their numbers are stored.
+// Kinds of records. The values are stored on disk and must not change.
 const (
-	// RecordDisk has the disk's ID and RecordCount. It is the first record.
+	// RecordDisk holds the ID and the RecordCount of the disk. It is the first record of the log.
 	RecordDisk RecordKind = iota + 1
-	// RecordJoined says that the disk takes part in votes; Disks are those with which the voters began.
+	// RecordJoined states that the disk takes part in votes. Disks are the disks with which the voters started
+	// voting.
 	RecordJoined
-	// RecordReserved says that Owner holds Key.
+	// RecordReserved states that Owner holds Key.
 	RecordReserved
-	// RecordReleased says that Owner has released Key.
+	// RecordReleased states that Owner has released Key.
 	RecordReleased
-	// RecordPeer has the newest known process of another voter.
+	// RecordPeer holds the latest known process of another voter.
 	RecordPeer
 )
 
@@ -22,14 +23,15 @@
 	Kind  RecordKind `cbor:"1,keyasint"`
 	Key   Key        `cbor:"2,keyasint,omitempty"`
 	Owner Owner      `cbor:"3,keyasint,omitempty"`
-	// ID is the disk's random number; in RecordPeer, that of the peer's process.
+	// ID is the random number that identifies the disk or, in RecordPeer, the peer's process.
 	ID uint64 `cbor:"4,keyasint,omitempty"`
-	// Disks are the disks with which the voters began; in RecordPeer, the peer's disk.
+	// Disks are the disks with which the voters started voting or, in RecordPeer, the peer's disk.
 	Disks []uint64 `cbor:"5,keyasint,omitempty"`
-	// Voter is the index of the peer.
+	// Voter is the index of the peer among the gateways.
 	Voter int `cbor:"6,keyasint,omitempty"`
-	// Incarnation is the highest known one of the peer.
+	// Incarnation is the highest known incarnation of the peer.
 	Incarnation uint32 `cbor:"7,keyasint,omitempty"`
-	// RecordCount is how many records the disk, or the peer's disk, has had so far, dropped ones among them.
+	// RecordCount is the number of records written to the disk so far, including dropped ones. In RecordPeer, it
+	// belongs to the peer's disk.
 	RecordCount uint64 `cbor:"8,keyasint,omitempty"`
 }
