--- a/internal/idempotency/coordinator.go
+++ b/internal/idempotency/coordinator.go
@@ -8,43 +8,48 @@
 
 // Limits of a coordinator.
 const (
-	// MaxReservations limits the reservations of a coordinator, those being released among them.
+	// MaxReservations is the maximum number of reservations of a coordinator, including those being released.
 	MaxReservations = 16384
-	// maxReleases limits the reservations being released, so that releases leave capacity for new reservations.
+	// maxReleases is the maximum number of reservations being released. It leaves capacity for new reservations.
 	maxReleases = MaxReservations / 2
-	maxVoters   = 8
+	// maxVoters is the maximum number of voters.
+	maxVoters = 8
 )
 
-// Retries of requests to voters that have not answered.
+// Timing of retries to voters that have not answered.
 const (
+	// firstRetryDelay is the delay before the first retry.
 	firstRetryDelay = 40 * time.Millisecond
-	// maxRetryDelay bounds the delay, which doubles with each retry.
+	// maxRetryDelay limits the delay, which doubles with each retry.
 	maxRetryDelay = 500 * time.Millisecond
-	// releaseRetryWindow is how long a release is retried. A voter that misses it retains the key.
+	// releaseRetryWindow is how long a release is retried. A voter that does not receive it keeps the key reserved
+	// until its retention ends.
 	releaseRetryWindow = 5 * time.Second
 )
 
-// ErrTooManyReservations reports that a coordinator has MaxReservations already.
+// ErrTooManyReservations reports that a coordinator already has MaxReservations reservations.
 var ErrTooManyReservations = errors.New("too many reservations in flight")
 
 // Outcome is the result of a reservation.
 type Outcome int
 
-// Outcomes.
+// Outcomes of a reservation.
 const (
-	// Reserved means that a majority granted the key: the request may go out.
+	// Reserved means that a majority of voters granted the key, so the request may be dispatched.
 	Reserved Outcome = iota
-	// HeldByOther means that another request with the key may have run.
+	// HeldByOther means that another request with the same key holds the key or may have run.
 	HeldByOther
-	// NoCapacity means that the voters retain as many keys as they may.
+	// NoCapacity means that too many voters have reached their limit of retained keys, or that the coordinator has
+	// reached its limit of reservations.
 	NoCapacity
 )
 
-// String returns the outcome in words.
+// String returns the name of the outcome.
 func (o Outcome) String() string { return [...]string{"reserved", "held by other", "no capacity"}[o] }
 
-// Result reports a decided reservation.
+// Result is the outcome of a decided reservation.
 type Result struct {
+	// Sequence is the number that Reserve returned.
 	Sequence uint64
 	Outcome  Outcome
 }
@@ -53,27 +58,28 @@
 type phase uint8
 
 const (
-	// phaseVoting waits for a majority of votes.
+	// phaseVoting means that the votes do not decide the outcome yet.
 	phaseVoting phase = iota
-	// phaseReserved holds the key until its request is finished.
+	// phaseReserved means that the key is reserved until Finish is called.
 	phaseReserved
-	// phaseReleasing waits until all voters have confirmed the release.
+	// phaseReleasing means that not all voters have confirmed the release yet.
 	phaseReleasing
 )
 
-// reservation is one request's reservation of a key.
+// reservation is the reservation of a key for one request.
 type reservation struct {
 	key   Key
 	phase phase
-	// votes has the last vote of each voter in the current phase, in the order of Coordinator.voters.
+	// votes holds the last vote of each voter in the current phase, in the order of Coordinator.voters.
 	votes [maxVoters]Vote
-	// releaseUntil is when the release is given up.
+	// releaseUntil is when the release is no longer retried.
 	releaseUntil time.Duration
-	nextRetryAt  time.Duration
-	retryDelay   time.Duration
+	// nextRetryAt is when requests are sent next; retryDelay is the delay until the retry after that.
+	nextRetryAt time.Duration
+	retryDelay  time.Duration
 }
 
-// outcome counts the votes. It is decided as soon as missing votes can't change it.
+// outcome returns the outcome of the votes. It is decided as soon as the missing votes can't change it.
 func (r *reservation) outcome(voters int) (outcome Outcome, decided bool) {
 	granted, held, full := 0, 0, 0
 	for _, vote := range r.votes[:voters] {
@@ -98,8 +104,8 @@
 	return NoCapacity, true
 }
 
-// needsVote tells whether a voter's answer in the current phase is missing. A denial is asked for again, as the key may
-// have been released since.
+// needsVote reports whether a request has to be sent to a voter in the current phase. Voters that denied the key are
+// asked again, as the key may have been released since.
 func (r *reservation) needsVote(index int) bool {
 	if r.phase == phaseReleasing {
 		return r.votes[index] != VoteReleased
@@ -107,32 +113,35 @@
 	return r.votes[index] != VoteGranted
 }
 
-// Coordinator reserves keys for the requests of one gateway.
+// Coordinator reserves keys for the requests of one gateway by asking the voters.
 type Coordinator struct {
-	process      uint64
+	// process is the random number that identifies this process.
+	process uint64
+	// voters are the indices of the voters among the gateways.
 	voters       []int
 	lastSequence uint64
+	// reservations holds the reservations by sequence number.
 	reservations map[uint64]*reservation
-	// releaseCount is how many of the reservations are being released.
+	// releaseCount is the number of reservations in phaseReleasing.
 	releaseCount int
 }
 
-// NewCoordinator returns the coordinator of a process, which is identified by a random number. The voters are indices
-// among the gateways.
+// NewCoordinator returns the coordinator of a process. process is a random number that identifies it; voters are the
+// indices of the voters among the gateways.
 func NewCoordinator(process uint64, voters []int) *Coordinator {
 	return &Coordinator{process: process, voters: voters, reservations: map[uint64]*reservation{}}
 }
 
-// Process returns the process's number.
+// Process returns the random number that identifies the process.
 func (c *Coordinator) Process() uint64 { return c.process }
 
-// InFlight returns how many reservations are undecided or held, and how many are being released.
+// InFlight returns how many reservations are undecided or reserved, and how many are being released.
 func (c *Coordinator) InFlight() (reservations, releases int) {
 	return len(c.reservations) - c.releaseCount, c.releaseCount
 }
 
-// Reserve begins the reservation of a key and returns its sequence number. Tick returns its requests. The only error is
-// ErrTooManyReservations.
+// Reserve starts the reservation of a key and returns its sequence number. The requests to the voters are returned by
+// Tick. The only error is ErrTooManyReservations.
 func (c *Coordinator) Reserve(now time.Duration, key Key) (sequence uint64, err error) {
 	if len(c.reservations) >= MaxReservations {
 		return 0, ErrTooManyReservations
@@ -142,8 +151,8 @@
 	return c.lastSequence, nil
 }
 
-// HandleResponse takes a voter's response. It returns a result once for each reservation, when that is decided. A
-// reservation that was not granted is released.
+// HandleResponse processes the response of a voter. It returns the result of a reservation once, when the outcome is
+// decided. If the key was not reserved, votes that granted it are released.
 func (c *Coordinator) HandleResponse(now time.Duration, voter int, response Response) (result Result, decided bool) {
 	r := c.reservations[response.Sequence]
 	index := slices.Index(c.voters, voter)
@@ -170,8 +179,8 @@
 	return Result{Sequence: response.Sequence, Outcome: outcome}, true
 }
 
-// Finish ends a reservation, decided or not. The key is released, unless an attempt of the request may have run: then
-// the voters retain it.
+// Finish ends a reservation, whether it is decided or not. It releases the key unless an attempt of the request may
+// have run. In that case the voters keep the key reserved until its retention ends.
 func (c *Coordinator) Finish(now time.Duration, sequence uint64, mayHaveRun bool) {
 	r := c.reservations[sequence]
 	switch {
@@ -183,8 +192,8 @@
 	}
 }
 
-// startRelease begins to release a reservation. With too many releases in flight it drops the reservation instead, and
-// the voters retain the key.
+// startRelease starts the release of a reservation. If too many releases are in flight, it removes the reservation
+// without a release, and the voters keep the key reserved until its retention ends.
 func (c *Coordinator) startRelease(now time.Duration, sequence uint64, r *reservation) {
 	if c.releaseCount >= maxReleases {
 		delete(c.reservations, sequence)
@@ -198,7 +207,7 @@
 	r.retryDelay = firstRetryDelay
 }
 
-// removeIfReleased removes a reservation that all voters have released, or whose release has taken too long.
+// removeIfReleased removes a reservation if all voters have confirmed its release or the release has timed out.
 func (c *Coordinator) removeIfReleased(now time.Duration, sequence uint64, r *reservation) {
 	isConfirmed := !slices.ContainsFunc(r.votes[:len(c.voters)], func(vote Vote) bool { return vote != VoteReleased })
 	if !isConfirmed && now < r.releaseUntil {
@@ -208,7 +217,7 @@
 	c.releaseCount--
 }
 
-// Tick returns the requests that are due, first ones and retries.
+// Tick returns the requests to voters that are due, including retries.
 func (c *Coordinator) Tick(now time.Duration) (requests []OutgoingRequest) {
 	for sequence, r := range c.reservations {
 		if now < r.nextRetryAt || r.phase == phaseReserved {
@@ -230,7 +239,7 @@
 	return requests
 }
 
-// NextRetry returns when Tick has requests at the earliest. It is false if nothing waits for a voter.
+// NextRetry returns the earliest time at which Tick has requests. ok is false if no reservation waits for votes.
 func (c *Coordinator) NextRetry() (at time.Duration, ok bool) {
 	for _, r := range c.reservations {
 		if r.phase == phaseReserved {
