--- a/internal/idempotency/vote.go
+++ b/internal/idempotency/vote.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// HandleRequest answers a request of a coordinator's process. The response is sent after these records and all earlier
-// ones are synced. It is false if the voter may not vote yet.
+// HandleRequest answers a request from the coordinator of a process. The caller sends the response only after the
+// returned records and all earlier ones are synced. ok is false if the voter may not vote yet; the caller sends nothing
+// then.
 func (v *Voter) HandleRequest(
 	now time.Duration, process uint64, request Request,
 ) (response Response, records []Record, ok bool) {
@@ -21,7 +22,8 @@
 	return response, v.countWritten(records), true
 }
 
-// reserve grants a key that is free or released by its last owner.
+// reserve grants a key that is not retained or that another owner has released. A request for a key that the owner
+// already holds is granted again, as it is a retry.
 func (v *Voter) reserve(key Key, owner Owner) (Vote, []Record) {
 	held, isKnown := v.keys.get(key)
 	switch {
@@ -36,8 +38,8 @@
 	return VoteGranted, []Record{{Kind: RecordReserved, Key: key, Owner: owner}}
 }
 
-// release releases an owner's key. A release of a key that is not reserved is retained too, as the request for the key
-// may come later.
+// release releases a key that its owner holds. The release of an unknown key is retained too, so that the owner's
+// request for the key is denied if it arrives after the release.
 func (v *Voter) release(key Key, owner Owner) []Record {
 	held, isKnown := v.keys.get(key)
 	switch {
