--- a/internal/idempotency/voterdisk.go
+++ b/internal/idempotency/voterdisk.go
@@ -1,17 +1,20 @@
 package idempotency
 
-// diskState is what a voter's disk says of itself.
+// diskState is the state of a voter's disk as recorded on the disk.
 type diskState struct {
+	// id is the random number that identifies the disk.
 	id uint64
-	// joined tells whether the disk takes part in votes, since the voters began with initialDisks.
+	// joined reports whether the disk takes part in votes. If so, initialDisks are the disks with which the voters
+	// started voting.
 	joined       bool
 	initialDisks []uint64
-	// recordsAtStart, recordsWritten and recordsSynced count the disk's records when the process started, by now, and
-	// those of them that outlive a power loss.
+	// recordsAtStart is the number of records on the disk when the process started. recordsWritten counts those written
+	// so far, and recordsSynced those that are synced.
 	recordsAtStart, recordsWritten, recordsSynced uint64
 }
 
-// join has the disk take part from now on, as there is nothing that it may have forgotten.
+// join lets the disk take part in votes and returns the record to write. The caller has established that the disk can't
+// have lost any votes that still matter.
 func (d *diskState) join(initialDisks []uint64) Record {
 	d.joined = true
 	d.initialDisks = initialDisks
