--- a/internal/idempotency/voterstatus.go
+++ b/internal/idempotency/voterstatus.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// StatusFor returns the status to send to another voter.
+// StatusFor returns the status to send to the given voter.
 func (v *Voter) StatusFor(voter int) VoterStatus {
 	status := VoterStatus{
 		Process:        v.config.Process,
@@ -23,7 +23,8 @@
 	return status
 }
 
-// HandleStatus takes another voter's status and returns the answer to it, to be sent after the records are synced.
+// HandleStatus processes the status of another voter and returns the status to answer with. The caller sends the answer
+// only after the returned records are synced.
 func (v *Voter) HandleStatus(from int, status VoterStatus) (records []Record, answer VoterStatus) {
 	if from == v.config.Index || !slices.Contains(v.config.Voters, from) || status.Process == 0 {
 		return nil, v.StatusFor(from)
@@ -41,11 +42,13 @@
 	return v.countWritten(records), answer
 }
 
-// observePeer tells whether a peer's process is the newest known one, and remembers that process if there is news.
+// observePeer reports whether the peer's process is the latest known one. If so, it stores the status if the process is
+// new or more of its records are synced, and returns the record to write.
 func (v *Voter) observePeer(from int, status VoterStatus) (isNewest bool, records []Record) {
 	peer, isKnown := v.peers[from]
 	isSameDisk := isKnown && slices.Equal(peer.Disks, []uint64{status.Disk})
-	// A later process must not have fewer records than are known of its disk, unless it has joined with another disk.
+	// A later process must not have fewer records than its disk is known to have had, unless it has joined with another
+	// disk. Otherwise its disk is an older copy.
 	isSuccessor := status.Incarnation > peer.Incarnation &&
 		(!isSameDisk && status.Joined || status.RecordsAtStart >= peer.RecordCount)
 	isNewest = !isKnown || status.Process == peer.ID || isSuccessor
@@ -65,7 +68,7 @@
 	return isNewest, []Record{peer}
 }
 
-// observeOwnProcess takes a peer's view of whether this process is the newest of its gateway.
+// observeOwnProcess processes a peer's view of whether this process is the latest of its gateway.
 func (v *Voter) observeOwnProcess(from int, isNewest bool) {
 	switch {
 	case isNewest:
@@ -75,7 +78,8 @@
 	}
 }
 
-// tryJoin joins the votes with an empty disk: when the other voters began with this disk, or when all disks are empty.
+// tryJoin lets an empty disk take part in votes if the other voters started voting with this disk, or if the disks of
+// all voters are empty.
 func (v *Voter) tryJoin(from int, status VoterStatus) []Record {
 	if status.Joined {
 		delete(v.emptyPeerDisks, from)
