--- a/internal/idempotency/golden_test.go
+++ b/internal/idempotency/golden_test.go
@@ -11,92 +11,93 @@
 	"gapgap/internal/golden"
 )
 
-// goldenRetention is how long the voters of a play retain a key.
+// goldenRetention is the retention of the voters in a scenario.
 const goldenRetention = 10 * time.Second
 
-// goldenPlay is one deterministic run of coordinators and voters whose messages are lost, repeated and late.
-type goldenPlay struct {
+// goldenScenario configures a deterministic run of coordinators and voters with lost, duplicated and delayed messages.
+type goldenScenario struct {
 	name string
 	seed uint64
-	// voterCount and coordinatorCount are how many of each there are.
+	// voterCount and coordinatorCount are the numbers of voters and coordinators.
 	voterCount, coordinatorCount int
-	// keyCount is how many keys the requests share.
+	// keyCount is the number of different keys that requests use.
 	keyCount int
-	// capacity is how many keys a voter retains.
+	// capacity is the maximum number of keys that a voter retains.
 	capacity int
-	// loss is the probability that a message is lost.
-	loss float64
-	// restart is the probability of a voter's restart in a round.
-	restart float64
-	// emptyDisk is the probability that a restart finds an empty disk, oldDisk that it finds an older one.
-	emptyDisk, oldDisk float64
-	// length is the virtual time of the play.
-	length time.Duration
+	// lossProbability is the probability that a message is lost or duplicated.
+	lossProbability float64
+	// restartProbability is the probability that a voter is restarted in a round.
+	restartProbability float64
+	// emptyDiskProbability is the probability that a voter restarts with an empty disk, olderDiskProbability that it
+	// restarts with an older copy of its disk.
+	emptyDiskProbability, olderDiskProbability float64
+	// duration is the virtual duration of the run.
+	duration time.Duration
 }
 
-// goldenVoter is a voter with its disk.
+// goldenVoter is a voter and its disk.
 type goldenVoter struct {
 	voter *Voter
 	disk  []Record
-	// older is the disk as it was at the restart before.
-	older       []Record
-	incarnation uint32
+	// previousDisk is a copy of the disk from the previous restart.
+	previousDisk []Record
+	incarnation  uint32
 }
 
-// goldenMessage is a message on its way.
+// goldenMessage is a message in transit.
 type goldenMessage struct {
-	// at is when it arrives.
-	at time.Duration
-	// voter takes it, or sent the response.
+	// arrivesAt is when the message is delivered.
+	arrivesAt time.Duration
+	// voter receives the message or, if it is a response, has sent it.
 	voter int
-	// other is a coordinator, or a voter that sent a status.
+	// other is the coordinator of a request or response, or the voter that has sent a status.
 	other    int
 	request  *Request
 	response *Response
 	status   *VoterStatus
-	// isAnswer tells whether the status answers one.
+	// isAnswer reports whether the status answers another one.
 	isAnswer bool
 }
 
-// goldenRun is a play while it goes on.
+// goldenRun is the state of a running scenario.
 type goldenRun struct {
-	goldenPlay
+	goldenScenario
 	rng   *rand.Rand
 	trace *golden.Trace
 	now   time.Duration
-	// starts counts voter processes.
-	starts       uint64
+	// processCount is the number of voter processes started so far.
+	processCount uint64
 	voterIndices []int
 	voters       []*goldenVoter
 	coordinators []*Coordinator
-	// active has the reservations that are not finished, by coordinator.
+	// active holds the sequence numbers of unfinished reservations, by coordinator.
 	active   [][]uint64
 	messages []goldenMessage
 }
 
-// hash plays and returns the hash of all that the voters and coordinators return.
-func (p goldenPlay) hash() string {
-	r := &goldenRun{goldenPlay: p, rng: rand.New(rand.NewPCG(p.seed, 91)), trace: golden.NewTrace(), now: time.Hour}
-	for i := range p.voterCount {
+// hash runs the scenario and returns the hash of everything that the voters and coordinators return.
+func (s goldenScenario) hash() string {
+	r := &goldenRun{goldenScenario: s, rng: rand.New(rand.NewPCG(s.seed, 91)), trace: golden.NewTrace(), now: time.Hour}
+	for i := range s.voterCount {
 		r.voterIndices = append(r.voterIndices, i)
 	}
-	for i := range p.voterCount {
+	for i := range s.voterCount {
 		r.voters = append(r.voters, &goldenVoter{})
-		r.start(i, nil)
+		r.startVoter(i, nil)
 	}
-	for i := range p.coordinatorCount {
+	for i := range s.coordinatorCount {
 		r.coordinators = append(r.coordinators, NewCoordinator(uint64(100+i), r.voterIndices))
 		r.active = append(r.active, nil)
 	}
-	end := r.now + p.length
+	end := r.now + s.duration
 	for r.now < end {
 		r.now += time.Duration(1+r.rng.IntN(60)) * time.Millisecond
 		r.deliver()
-		r.requests()
-		r.announce()
-		r.timers()
-		if r.rng.Float64() < p.restart {
-			r.restart(r.rng.IntN(p.voterCount))
+		r.driveReservations()
+		r.sendVoterStatus()
+		r.tickVoters()
+		if r.rng.Float64() < s.restartProbability {
+			r.restartVoter(r.rng.IntN(s.voterCount))
 		}
 	}
 	for i := range r.voters {
@@ -106,18 +107,18 @@
 	return r.trace.Sum()
 }
 
-// start starts a voter with what its disk has.
-func (r *goldenRun) start(i int, disk []Record) {
+// startVoter starts a process of a voter with the given disk content.
+func (r *goldenRun) startVoter(i int, disk []Record) {
 	v := r.voters[i]
 	v.incarnation++
-	r.starts++
+	r.processCount++
 	config := VoterConfig{
 		Index:       i,
 		Voters:      r.voterIndices,
-		Process:     1000 + r.starts,
+		Process:     1000 + r.processCount,
 		Retention:   goldenRetention,
 		MaxKeys:     r.capacity,
-		NewDiskID:   2000 + r.starts,
+		NewDiskID:   2000 + r.processCount,
 		Incarnation: v.incarnation,
 	}
 	voter, out := NewVoter(config, r.now, slices.Values(disk))
@@ -125,60 +126,60 @@
 	r.persist(v, out)
 }
 
-// persist writes records to a voter's disk.
+// persist writes records to the disk of a voter and syncs it.
 func (r *goldenRun) persist(v *goldenVoter, out []Record) {
 	r.hashRecords(out)
 	v.disk = append(v.disk, out...)
 	v.voter.MarkSynced()
 }
 
-// restart ends a voter's process and starts the next one.
-func (r *goldenRun) restart(i int) {
+// restartVoter replaces the process of a voter by a new one, whose disk is empty, older or unchanged.
+func (r *goldenRun) restartVoter(i int) {
 	v := r.voters[i]
 	switch chance := r.rng.Float64(); {
-	case chance < r.emptyDisk:
+	case chance < r.emptyDiskProbability:
 		v.incarnation = 0
-		r.start(i, nil)
-	case chance < r.emptyDisk+r.oldDisk:
-		r.start(i, v.older)
+		r.startVoter(i, nil)
+	case chance < r.emptyDiskProbability+r.olderDiskProbability:
+		r.startVoter(i, v.previousDisk)
 	default:
-		r.start(i, v.disk)
+		r.startVoter(i, v.disk)
 	}
-	v.older = slices.Clone(v.disk)
+	v.previousDisk = slices.Clone(v.disk)
 }
 
-// send puts a message on its way, none, one or two times.
+// send sends a message with a random delay. The message may be lost or duplicated.
 func (r *goldenRun) send(m goldenMessage) {
 	copies := 1
-	if r.rng.Float64() < r.loss {
+	if r.rng.Float64() < r.lossProbability {
 		copies = 2 * r.rng.IntN(2)
 	}
 	for range copies {
-		m.at = r.now + time.Duration(r.rng.IntN(120))*time.Millisecond
+		m.arrivesAt = r.now + time.Duration(r.rng.IntN(120))*time.Millisecond
 		r.messages = append(r.messages, m)
 	}
 }
 
-// deliver hands over the messages that are due, in the order in which they were sent.
+// deliver delivers the messages that are due, in the order in which they were sent.
 func (r *goldenRun) deliver() {
 	due := r.messages
 	r.messages = nil
 	for _, m := range due {
 		switch {
-		case m.at > r.now:
+		case m.arrivesAt > r.now:
 			r.messages = append(r.messages, m)
 		case m.request != nil:
-			r.request(m)
+			r.deliverRequest(m)
 		case m.response != nil:
-			r.response(m)
+			r.deliverResponse(m)
 		default:
-			r.status(m)
+			r.deliverStatus(m)
 		}
 	}
 }
 
-// request has a request arrive at a voter.
-func (r *goldenRun) request(m goldenMessage) {
+// deliverRequest delivers a request to a voter and sends the response.
+func (r *goldenRun) deliverRequest(m goldenMessage) {
 	v := r.voters[m.voter]
 	answer, out, ok := v.voter.HandleRequest(r.now, r.coordinators[m.other].Process(), *m.request)
 	r.trace.Bool(ok)
@@ -190,8 +191,8 @@
 	}
 }
 
-// response has a response arrive at a coordinator.
-func (r *goldenRun) response(m goldenMessage) {
+// deliverResponse delivers a response to a coordinator.
+func (r *goldenRun) deliverResponse(m goldenMessage) {
 	result, ok := r.coordinators[m.other].HandleResponse(r.now, m.voter, *m.response)
 	r.trace.Bool(ok)
 	r.trace.Uint(result.Sequence)
@@ -201,8 +202,8 @@
 	}
 }
 
-// status has a status arrive at a voter.
-func (r *goldenRun) status(m goldenMessage) {
+// deliverStatus delivers a status to a voter and sends the answer.
+func (r *goldenRun) deliverStatus(m goldenMessage) {
 	v := r.voters[m.voter]
 	out, answer := v.voter.HandleStatus(m.other, *m.status)
 	r.hashStatus(answer)
@@ -212,15 +213,15 @@
 	}
 }
 
-// finish ends a reservation.
+// finish finishes a reservation.
 func (r *goldenRun) finish(coordinator int, sequence uint64, mayHaveRun bool) {
 	r.coordinators[coordinator].Finish(r.now, sequence, mayHaveRun)
 	isFinished := func(other uint64) bool { return other == sequence }
 	r.active[coordinator] = slices.DeleteFunc(r.active[coordinator], isFinished)
 }
 
-// requests begins and ends some reservations.
-func (r *goldenRun) requests() {
+// driveReservations starts and finishes some reservations, and sends the requests that are due.
+func (r *goldenRun) driveReservations() {
 	for i, c := range r.coordinators {
 		if r.rng.IntN(4) == 0 {
 			n, err := c.Reserve(r.now, KeyOf("customer", "class", fmt.Sprint(r.rng.IntN(r.keyCount))))
@@ -255,8 +256,8 @@
 	}
 }
 
-// announce has a voter send its status to the others.
-func (r *goldenRun) announce() {
+// sendVoterStatus sends the status of a random voter to the others.
+func (r *goldenRun) sendVoterStatus() {
 	from := r.rng.IntN(len(r.voterIndices))
 	for _, to := range r.voterIndices {
 		if to != from {
@@ -267,8 +268,8 @@
 	}
 }
 
-// timers advances the time of the voters.
-func (r *goldenRun) timers() {
+// tickVoters advances the time of all voters. After a rotation, some of them replace their disk by a snapshot.
+func (r *goldenRun) tickVoters() {
 	for _, v := range r.voters {
 		out, rotated := v.voter.Tick(r.now)
 		r.trace.Bool(rotated)
@@ -285,7 +286,7 @@
 	}
 }
 
-// hashUnordered hashes records that come from a map, and so have no order.
+// hashUnordered hashes records in sorted order, as those that come from a map have a random one.
 func (r *goldenRun) hashUnordered(records []Record) {
 	records = slices.Clone(records)
 	slices.SortFunc(records, func(a, b Record) int {
@@ -312,7 +313,7 @@
 	}
 }
 
-// hashDisks hashes a set of disks, which has no order.
+// hashDisks hashes disk IDs in sorted order, as they form a set.
 func (r *goldenRun) hashDisks(disks []uint64) {
 	r.trace.Int(int64(len(disks)))
 	for _, disk := range slices.Sorted(slices.Values(disks)) {
@@ -320,7 +321,7 @@
 	}
 }
 
-// hashStatus hashes a status.
+// hashStatus hashes all fields of a status.
 func (r *goldenRun) hashStatus(status VoterStatus) {
 	r.trace.Uint(status.Process)
 	r.trace.Uint(uint64(status.Incarnation))
@@ -333,10 +334,10 @@
 	r.trace.Bool(status.ObservedIsNewest)
 }
 
-// goldenPlays are all that is recorded.
-func goldenPlays() (all []goldenPlay) {
-	add := func(p goldenPlay) {
-		p.length = 30 * time.Second
+// goldenScenarios returns the recorded scenarios, each with several seeds.
+func goldenScenarios() (all []goldenScenario) {
+	add := func(p goldenScenario) {
+		p.duration = 30 * time.Second
 		for seed := range uint64(4) {
 			p.seed = seed + 1
 			one := p
@@ -344,74 +345,75 @@
 			all = append(all, one)
 		}
 	}
-	add(goldenPlay{
+	add(goldenScenario{
 		name:             "calm",
 		voterCount:       3,
 		coordinatorCount: 3,
 		keyCount:         400,
 		capacity:         10_000,
 	})
-	add(goldenPlay{
+	add(goldenScenario{
 		name:             "contended",
 		voterCount:       3,
 		coordinatorCount: 6,
 		keyCount:         5,
 		capacity:         10_000,
-		loss:             0.1,
+		lossProbability:  0.1,
 	})
-	add(goldenPlay{
+	add(goldenScenario{
 		name:             "full",
 		voterCount:       3,
 		coordinatorCount: 4,
 		keyCount:         300,
 		capacity:         30,
-		loss:             0.1,
+		lossProbability:  0.1,
 	})
-	add(goldenPlay{
+	add(goldenScenario{
 		name:             "lossy",
 		voterCount:       5,
 		coordinatorCount: 3,
 		keyCount:         40,
 		capacity:         200,
-		loss:             0.5,
+		lossProbability:  0.5,
 	})
-	add(goldenPlay{
-		name:             "restarts",
-		voterCount:       3,
-		coordinatorCount: 3,
-		keyCount:         40,
-		capacity:         200,
-		loss:             0.2,
-		restart:          0.02,
+	add(goldenScenario{
+		name:               "restarts",
+		voterCount:         3,
+		coordinatorCount:   3,
+		keyCount:           40,
+		capacity:           200,
+		lossProbability:    0.2,
+		restartProbability: 0.02,
 	})
-	add(goldenPlay{
-		name:             "disks",
-		voterCount:       3,
-		coordinatorCount: 3,
-		keyCount:         40,
-		capacity:         200,
-		loss:             0.2,
-		restart:          0.01,
-		emptyDisk:        0.2,
-		oldDisk:          0.3,
+	add(goldenScenario{
+		name:                 "disks",
+		voterCount:           3,
+		coordinatorCount:     3,
+		keyCount:             40,
+		capacity:             200,
+		lossProbability:      0.2,
+		restartProbability:   0.01,
+		emptyDiskProbability: 0.2,
+		olderDiskProbability: 0.3,
 	})
-	add(goldenPlay{
-		name:             "single",
-		voterCount:       1,
-		coordinatorCount: 2,
-		keyCount:         40,
-		capacity:         200,
-		loss:             0.1,
-		restart:          0.005,
-		emptyDisk:        0.2,
+	add(goldenScenario{
+		name:                 "single",
+		voterCount:           1,
+		coordinatorCount:     2,
+		keyCount:             40,
+		capacity:             200,
+		lossProbability:      0.1,
+		restartProbability:   0.005,
+		emptyDiskProbability: 0.2,
 	})
 	return all
 }
 
-// TestGoldenTraces compares reservations, votes and records with the recorded ones, and each play with itself.
+// TestGoldenTraces verifies that reservations, votes and records match the recorded traces, that repeated runs of a
+// scenario are equal, and that different scenarios have different traces.
 func TestGoldenTraces(t *testing.T) {
 	recorded := golden.LoadHashes(t, "testdata/golden/reservations.txt")
-	for _, p := range goldenPlays() {
+	for _, p := range goldenScenarios() {
 		recorded.CheckPlay(t, p.name, p.hash)
 	}
 	recorded.CheckDistinct(t)
