--- a/internal/idempotency/model_test.go
+++ b/internal/idempotency/model_test.go
@@ -13,81 +13,82 @@
 	"gapgap/internal/fake/race"
 )
 
-// The model has three voters and requests with one key at gateways of their own. Messages form a set: each may arrive
-// at any time, any number of times, or never. Voters lose power and restart with what was synced, with some of what was
-// not, with an older disk or with an empty one. The model explores all orders.
+// The model consists of three voters and several requests with the same key, each at a gateway of its own. Messages
+// form a set: each may arrive at any time, any number of times, or never. Voters lose power and restart with all synced
+// records, with or without the records that were being written, with an older copy of the disk, or with an empty disk.
+// The model explores the possible orders of events.
 //
-// Invariant: of two requests at most one may run.
+// Invariant: at most one of the requests may run.
 
-// defects break the algorithm on purpose, so that the model has something to find.
+// defects are deliberate errors in the algorithm, which check that the model detects violations of the invariant.
 type defects struct {
-	// grantsBeforeSync sends a vote before it outlives a power loss.
+	// grantsBeforeSync sends a vote before it is synced to disk.
 	grantsBeforeSync bool
-	// oneVoteIsEnough takes one vote for a majority.
+	// oneVoteIsEnough treats a single vote as a majority.
 	oneVoteIsEnough bool
-	// releasesAfterRun releases a key though its request may have run.
+	// releasesAfterRun releases a key although its request may have run.
 	releasesAfterRun bool
 	// trustsEmptyDisk lets a voter with an empty disk vote at once.
 	trustsEmptyDisk bool
-	// trustsOlderDisk lets a voter with an older disk vote at once.
+	// trustsOlderDisk lets a voter with an older copy of its disk vote at once.
 	trustsOlderDisk bool
-	// grantsToLast gives a key to whoever asks last.
+	// grantsToLast grants a key to the latest request, even if another one holds it.
 	grantsToLast bool
-	// releasesForAnyone takes a release from any owner.
+	// releasesForAnyone accepts a release from a reservation that does not own the key.
 	releasesForAnyone bool
 }
 
-// requestState is how far a request of the model has come.
+// requestState is the state of a request of the model.
 type requestState int
 
 const (
 	requestNotStarted requestState = iota
 	requestReserving
-	// requestDispatched may run.
+	// requestDispatched means that the request may run.
 	requestDispatched
-	// requestEnded has not run.
+	// requestEnded means that the request ended without running.
 	requestEnded
-	// requestRan has run or may have.
+	// requestRan means that the request has run or may have run.
 	requestRan
 )
 
-// diskFault is what a voter's disk has after a power loss.
+// diskFault is the state of a voter's disk after a power loss.
 type diskFault int
 
 const (
 	diskIntact diskFault = iota
-	// diskOlder is a copy from before the first reservation.
+	// diskOlder is a copy of the disk from before the first reservation.
 	diskOlder
 	diskEmpty
 )
 
-// powerLoss is whether a voter loses power while it handles a message.
+// powerLoss tells when a voter loses power while it handles a message.
 type powerLoss int
 
 const (
 	noPowerLoss powerLoss = iota
-	// powerLossBeforeSync loses what was written for the message.
+	// powerLossBeforeSync loses the records written for the message.
 	powerLossBeforeSync
-	// powerLossAfterSync keeps it, and loses the response.
+	// powerLossAfterSync keeps these records but loses the response.
 	powerLossAfterSync
 )
 
-// modelVoter is a voter with its disk.
+// modelVoter is a voter and its disk.
 type modelVoter struct {
 	voter *Voter
-	// log is what was synced.
+	// log holds the synced records.
 	log         []Record
 	incarnation uint32
 }
 
-// modelMessage is a request or a response on its way.
+// modelMessage is a request or a response in transit.
 type modelMessage struct {
 	gateway, voter int
 	request        *Request
 	response       *Response
 }
 
-// id identifies equal messages.
+// id returns a string that is the same for equal messages.
 func (m modelMessage) id() string {
 	if m.request != nil {
 		return fmt.Sprintf("%d>%d %v%v", m.gateway, m.voter, m.request.Sequence, m.request.Release)
@@ -95,17 +96,17 @@
 	return fmt.Sprintf("%d<%d %v %d", m.gateway, m.voter, m.response.Sequence, m.response.Vote)
 }
 
-// model is one state of the whole system.
+// model is a state of the whole system.
 type model struct {
 	defects      defects
 	voters       [3]modelVoter
 	coordinators []*Coordinator
 	requests     []requestState
 	messages     map[string]modelMessage
-	// powerLosses is how many power losses may still happen.
+	// powerLosses is the number of power losses that may still happen.
 	powerLosses int
-	// starts counts voter processes.
-	starts int
+	// processCount is the number of voter processes started so far.
+	processCount int
 }
 
 var modelVoters = []int{0, 1, 2}
@@ -146,7 +147,7 @@
 	return &clone
 }
 
-// id identifies equal states.
+// id returns a string that is the same for equal states.
 func (m *model) id() string {
 	var b strings.Builder
 	for i := range m.voters {
@@ -168,7 +169,7 @@
 func newModel(d defects, requests int) *model {
 	m := &model{defects: d, messages: map[string]modelMessage{}, requests: make([]requestState, requests)}
 	for i := range m.voters {
-		m.start(i, 1, nil)
+		m.startVoter(i, 1, nil)
 	}
 	const roundsUntilJoined = 2
 	for range roundsUntilJoined {
@@ -180,16 +181,16 @@
 	return m
 }
 
-// start starts a voter's process with what its disk has.
-func (m *model) start(i int, incarnation uint32, log []Record) {
-	m.starts++
+// startVoter starts a process of a voter with the given records on its disk.
+func (m *model) startVoter(i int, incarnation uint32, log []Record) {
+	m.processCount++
 	config := VoterConfig{
 		Index:       i,
 		Voters:      modelVoters,
-		Process:     uint64(1000 + m.starts),
+		Process:     uint64(1000 + m.processCount),
 		Retention:   time.Hour,
 		MaxKeys:     100,
-		NewDiskID:   uint64(2000 + m.starts),
+		NewDiskID:   uint64(2000 + m.processCount),
 		Incarnation: incarnation,
 	}
 	v := &m.voters[i]
@@ -202,7 +203,7 @@
 
 func isKeyRecord(r Record) bool { return r.Kind == RecordReserved || r.Kind == RecordReleased }
 
-// exchangeStatus has all voters exchange their status, and sync at once.
+// exchangeStatus lets all voters exchange their status and sync their disks.
 func (m *model) exchangeStatus() {
 	for i := range m.voters {
 		for j := range m.voters {
@@ -222,8 +223,8 @@
 
 func (m *model) send(message modelMessage) { m.messages[message.id()] = message }
 
-// steps are all that may happen next; deliveries come last.
-func (m *model) steps() (all []func(*model)) {
+// possibleSteps returns all steps that may happen next. Deliveries of messages come last.
+func (m *model) possibleSteps() (all []func(*model)) {
 	for i := range m.coordinators {
 		all = append(all, m.requestSteps(i)...)
 	}
@@ -236,7 +237,7 @@
 	return all
 }
 
-// requestSteps are those of a request: it begins, is given up, or runs.
+// requestSteps returns the possible steps of a request: it starts, is given up, or runs.
 func (m *model) requestSteps(i int) (all []func(*model)) {
 	finish := func(state requestState, mayHaveRun bool) {
 		all = append(all, func(next *model) {
@@ -263,7 +264,7 @@
 	return all
 }
 
-// powerLossSteps are the power losses of voters, between messages and while one is handled.
+// powerLossSteps returns the possible power losses of voters, between messages and while one is handled.
 func (m *model) powerLossSteps() (all []func(*model)) {
 	for i := range m.voters {
 		for _, fault := range []diskFault{diskIntact, diskOlder, diskEmpty} {
@@ -282,14 +283,14 @@
 	return all
 }
 
-// sendRequests sends what a coordinator has for the voters.
+// sendRequests sends the requests of a coordinator to the voters.
 func (m *model) sendRequests(i int) {
 	for _, out := range m.coordinators[i].Tick(releaseRetryWindow - 1) {
 		m.send(modelMessage{gateway: i, voter: out.Voter, request: &out.Request})
 	}
 }
 
-// deliver has a message arrive. Its voter may lose power before it sends its response.
+// deliver delivers a message. The voter that receives a request may lose power before it sends the response.
 func (m *model) deliver(message modelMessage, loss powerLoss) {
 	if message.request == nil {
 		m.deliverResponse(message)
@@ -311,7 +312,7 @@
 	}
 }
 
-// deliverResponse has a response arrive at its gateway.
+// deliverResponse delivers a response to its gateway.
 func (m *model) deliverResponse(message modelMessage) {
 	result, decided := m.coordinators[message.gateway].HandleResponse(0, message.voter, *message.response)
 	if m.defects.oneVoteIsEnough && message.response.Vote == VoteGranted {
@@ -326,7 +327,7 @@
 	m.sendRequests(message.gateway)
 }
 
-// injectVoterDefects changes a voter before it handles a request as the defects order.
+// injectVoterDefects applies the defects to a voter before it handles a request.
 func (m *model) injectVoterDefects(v *Voter, request Request) {
 	everyoneConfirmed := map[int]bool{0: true, 1: true, 2: true}
 	if m.defects.trustsEmptyDisk && !v.disk.joined {
@@ -345,12 +346,12 @@
 	}
 }
 
-// losePower restarts a voter.
+// losePower restarts a voter after a power loss.
 func (m *model) losePower(i int, fault diskFault) {
 	v := &m.voters[i]
 	m.powerLosses--
 	if fault == diskOlder {
-		m.exchangeStatus() // an older copy is older than the last exchange
+		m.exchangeStatus() // the older copy is from before the last status exchange
 	}
 	log, incarnation := v.log, v.incarnation+1
 	switch fault {
@@ -361,12 +362,12 @@
 	case diskEmpty:
 		log, incarnation = nil, 1
 	}
-	m.start(i, incarnation, log)
+	m.startVoter(i, incarnation, log)
 	m.exchangeStatus()
 }
 
-// isBroken tells whether two requests may both run.
-func (m *model) isBroken() bool {
+// violatesInvariant reports whether more than one request may run.
+func (m *model) violatesInvariant() bool {
 	running := 0
 	for _, state := range m.requests {
 		if state == requestDispatched || state == requestRan {
@@ -376,17 +377,17 @@
 	return running > 1
 }
 
-// explore visits states in breadth-first order, up to a limit. It returns how many it visited, whether one of them is
-// broken, and in how many a request is dispatched.
-func explore(d defects, powerLosses, maxStates int) (states int, isBroken bool, dispatched int) {
+// explore visits states in breadth-first order, up to a limit. It returns the number of states, whether one of them
+// violates the invariant, and in how many of them a request is dispatched.
+func explore(d defects, powerLosses, maxStates int) (states int, isViolated bool, dispatched int) {
 	first := newModel(d, 2)
 	first.powerLosses = powerLosses
 	seen := map[string]bool{first.id(): true}
 	queue := []*model{first}
 	for ; len(queue) > 0 && len(seen) < maxStates; queue = queue[1:] {
-		for _, step := range queue[0].steps() {
+		for _, step := range queue[0].possibleSteps() {
 			next := queue[0].clone()
-			if step(next); next.isBroken() {
+			if step(next); next.violatesInvariant() {
 				return len(seen), true, dispatched
 			}
 			if id := next.id(); !seen[id] {
@@ -401,32 +402,33 @@
 	return len(seen), false, dispatched
 }
 
-// walk takes random walks through the states and returns the number of the first one that ends in a broken state; zero
-// if none does.
-func walk(d defects, powerLosses, walks int) int {
+// randomWalks takes random walks through the states. It returns the number of the first walk that violates the
+// invariant, or zero if none does.
+func randomWalks(d defects, powerLosses, walks int) int {
 	for n := range walks {
 		rng := rand.New(rand.NewPCG(uint64(n), 6))
 		m := newModel(d, 3)
 		m.powerLosses = powerLosses
-		for !m.isBroken() {
-			steps := m.steps()
+		for !m.violatesInvariant() {
+			steps := m.possibleSteps()
 			if len(steps) == 0 || rng.IntN(60) == 0 {
 				break
 			}
 			first := 0
-			if rng.IntN(4) > 0 && len(m.messages) > 0 { // mostly messages arrive
+			if rng.IntN(4) > 0 && len(m.messages) > 0 { // most steps deliver a message
 				first = len(steps) - min(len(steps), len(m.messages))
 			}
 			steps[first+rng.IntN(len(steps)-first)](m)
 		}
-		if m.isBroken() {
+		if m.violatesInvariant() {
 			return n + 1
 		}
 	}
 	return 0
 }
 
-// TestPowerModelOneRequestRuns explores the algorithm with power losses: no order of events lets two requests run.
+// TestPowerModelOneRequestRuns verifies that no explored order of events, including power losses, lets two requests
+// run.
 func TestPowerModelOneRequestRuns(t *testing.T) {
 	maxStates, walks := 15_000, 1_500
 	if os.Getenv("GAPGAP_LONG") != "" {
@@ -436,18 +438,18 @@
 		maxStates, walks = 4_000, 300
 	}
 	for _, powerLosses := range []int{0, 1, 2} {
-		states, isBroken, dispatched := explore(defects{}, powerLosses, maxStates)
-		t.Logf("%d power losses: %d states, in %d of them a request is dispatched", powerLosses, states, dispatched)
-		if isBroken || dispatched == 0 {
-			t.Errorf("both requests may run: %v; one is dispatched in %d states", isBroken, dispatched)
+		states, isViolated, dispatched := explore(defects{}, powerLosses, maxStates)
+		t.Logf("%d power losses: %d states, a request is dispatched in %d of them", powerLosses, states, dispatched)
+		if isViolated || dispatched == 0 {
+			t.Errorf("both requests may run: %v; a request is dispatched in %d states", isViolated, dispatched)
 		}
-		if n := walk(defects{}, powerLosses, walks); n > 0 {
-			t.Errorf("both requests may run in walk %d with %d power losses", n, powerLosses)
+		if n := randomWalks(defects{}, powerLosses, walks); n > 0 {
+			t.Errorf("two requests may run in walk %d with %d power losses", n, powerLosses)
 		}
 	}
 }
 
-// TestPowerModelFindsDefects holds that the model finds each way of breaking the algorithm.
+// TestPowerModelFindsDefects verifies that the model detects each deliberate defect of the algorithm.
 func TestPowerModelFindsDefects(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -463,10 +465,10 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			n := walk(c.defects, 2, 20_000)
-			t.Logf("found in walk %d", n)
+			n := randomWalks(c.defects, 2, 20_000)
+			t.Logf("defect found in walk %d", n)
 			if n == 0 {
-				t.Error("not found")
+				t.Error("the model did not find the defect")
 			}
 		})
 	}
