--- a/internal/idempotency/replica/coordinator.go
+++ b/internal/idempotency/replica/coordinator.go
@@ -12,16 +12,16 @@
 const (
 	// maxQueuedCommands limits the calls of Reserve and Finish that wait.
 	maxQueuedCommands = 4096
-	// maxPendingTime is how long a reservation waits for its outcome before the voters count as unreachable.
-	maxPendingTime = 300 * time.Millisecond
+	// pendingTimeout is how long a reservation waits for its outcome before the voters count as unreachable.
+	pendingTimeout = 300 * time.Millisecond
 	// pingInterval is how often voters are asked whether they vote, while too few answer.
 	pingInterval = 250 * time.Millisecond
 	// answerLifetime is how long a voter's last answer shows that it votes.
 	answerLifetime = 600 * time.Millisecond
-	// idleInterval is how long the loop sleeps when nothing is due.
-	idleInterval = time.Hour
-	// minInterval is how long it sleeps at least.
-	minInterval = time.Millisecond
+	// idleSleep is how long the loop sleeps when nothing is due.
+	idleSleep = time.Hour
+	// minSleep is how long it sleeps at least.
+	minSleep = time.Millisecond
 )
 
 // commandKind tells what a command does.
@@ -106,23 +106,23 @@
 		case <-ctx.Done():
 			return
 		case first := <-l.commands:
-			drain(first, l.commands, l.handleCommand)
+			handleQueued(first, l.commands, l.handleCommand)
 		case first := <-l.inbox:
-			drain(first, l.inbox, l.handleMessage)
+			handleQueued(first, l.inbox, l.handleMessage)
 		case <-timer.C:
 		}
 		l.sendRequests()
-		timer.Reset(l.nextWake(l.updateQuorum()))
+		timer.Reset(l.sleepDuration(l.updateQuorum()))
 	}
 }
 
-// nextWake returns how long the loop may sleep, at most the given time.
-func (l *coordinatorLoop) nextWake(longest time.Duration) time.Duration {
+// sleepDuration returns how long the loop may sleep, at most the given time.
+func (l *coordinatorLoop) sleepDuration(longest time.Duration) time.Duration {
 	at, ok := l.coordinator.NextRetry()
 	if !ok {
 		return longest
 	}
-	return min(longest, max(minInterval, at-l.now()))
+	return min(longest, max(minSleep, at-l.now()))
 }
 
 func (l *coordinatorLoop) now() time.Duration { return l.replica.config.Now() }
@@ -143,7 +143,7 @@
 	if answering >= len(voters)/2+1 {
 		l.lacksQuorum.Store(false)
 		l.replica.config.Log.Info("enough voters answer for keys", "voters", len(voters), "answering", answering)
-		return idleInterval
+		return idleSleep
 	}
 	if l.pingedAt == 0 || now-l.pingedAt >= pingInterval {
 		l.pingedAt = now
@@ -157,7 +157,7 @@
 // hasOverduePending tells whether a reservation has waited for too long.
 func (l *coordinatorLoop) hasOverduePending(now time.Duration) bool {
 	for _, pending := range l.pending {
-		if now-pending.since >= maxPendingTime {
+		if now-pending.since >= pendingTimeout {
 			return true
 		}
 	}
@@ -167,9 +167,9 @@
 // untilOverdue returns after what time a reservation may have become overdue.
 func (l *coordinatorLoop) untilOverdue() time.Duration {
 	if len(l.pending) > 0 {
-		return maxPendingTime
+		return pendingTimeout
 	}
-	return idleInterval
+	return idleSleep
 }
 
 // countAnswering returns how many voters have answered lately.
@@ -252,7 +252,7 @@
 		byVoter[out.Voter] = append(byVoter[out.Voter], out.Request)
 	}
 	for voter, requests := range byVoter {
-		for chunk := range slices.Chunk(requests, maxEntries) {
+		for chunk := range slices.Chunk(requests, maxEntriesPerMessage) {
 			l.replica.send(outgoingMessage{voter, &message{Requests: chunk}})
 		}
 	}
--- a/internal/idempotency/replica/message.go
+++ b/internal/idempotency/replica/message.go
@@ -9,8 +9,8 @@
 	"gapgap/internal/idempotency"
 )
 
-// maxEntries limits the requests or responses of a message, so that it fits into a datagram.
-const maxEntries = 150
+// maxEntriesPerMessage limits the requests or responses of a message, so that it fits into a datagram.
+const maxEntriesPerMessage = 150
 
 // message is one datagram between gateways.
 type message struct {
--- a/internal/idempotency/replica/replica.go
+++ b/internal/idempotency/replica/replica.go
@@ -171,8 +171,8 @@
 	}
 }
 
-// drain passes the first element, and those that are queued behind it up to maxBatch, to a function.
-func drain[T any](first T, queue <-chan T, handle func(T)) {
+// handleQueued passes the first element, and those that are queued behind it up to maxBatch, to a function.
+func handleQueued[T any](first T, queue <-chan T, handle func(T)) {
 	handle(first)
 	for range min(len(queue), maxBatch) {
 		handle(<-queue)
--- a/internal/idempotency/replica/replica_test.go
+++ b/internal/idempotency/replica/replica_test.go
@@ -368,7 +368,7 @@
 	f.Fuzz(func(t *testing.T, datagram []byte) {
 		r.HandleMessage(1, datagram)
 		for len(r.voter.inbox) > 0 {
-			var collected answers
+			var collected answerBatch
 			if err := r.voter.handleMessage(<-r.voter.inbox, &collected); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/idempotency/replica/voter.go
+++ b/internal/idempotency/replica/voter.go
@@ -42,8 +42,8 @@
 	log   *wal.Log
 	// periodSegment is the segment in which the current retention period began.
 	periodSegment uint64
-	// hasFailed is set while the log can't be written. The voter answers nothing then.
-	hasFailed bool
+	// hasLogFailed is set while the log can't be written. The voter answers nothing then.
+	hasLogFailed bool
 }
 
 // openVoter reads the voter's log and begins it anew with what is retained.
@@ -161,13 +161,13 @@
 
 // handleBatch handles the queued messages, stores the votes with one sync and sends the answers after it.
 func (l *voterLoop) handleBatch(first receivedMessage) {
-	var answers answers
+	var answers answerBatch
 	var err error
-	drain(first, l.inbox, func(received receivedMessage) {
+	handleQueued(first, l.inbox, func(received receivedMessage) {
 		err = errors.Join(err, l.handleMessage(received, &answers))
 	})
 	l.sync(err)
-	if l.hasFailed {
+	if l.hasLogFailed {
 		return
 	}
 	for _, out := range answers.messages() {
@@ -176,8 +176,8 @@
 }
 
 // handleMessage takes a message. Its answers may be sent once the log is synced.
-func (l *voterLoop) handleMessage(received receivedMessage, answers *answers) error {
-	if l.hasFailed {
+func (l *voterLoop) handleMessage(received receivedMessage, answers *answerBatch) error {
+	if l.hasLogFailed {
 		return nil
 	}
 	now := l.replica.config.Now()
@@ -209,7 +209,7 @@
 // sync syncs the log. err is an error of appending to it. After an error the voter answers nothing until the log is
 // rewritten.
 func (l *voterLoop) sync(err error) {
-	if l.hasFailed {
+	if l.hasLogFailed {
 		return
 	}
 	if err == nil && l.log.IsDirty() {
@@ -219,7 +219,7 @@
 		}
 	}
 	if err != nil {
-		l.hasFailed = true
+		l.hasLogFailed = true
 		l.replica.config.Log.Error("keys can't be kept: this voter says nothing about them until it can", "error", err)
 		return
 	}
@@ -228,7 +228,7 @@
 
 // tick resumes a failed log and advances the voter's time.
 func (l *voterLoop) tick() {
-	if l.hasFailed && !l.resume() {
+	if l.hasLogFailed && !l.resume() {
 		return
 	}
 	records, rotated := l.voter.Tick(l.replica.config.Now())
@@ -244,7 +244,7 @@
 	if err := errors.Join(l.log.Resume(), l.rewriteLog()); err != nil {
 		return false
 	}
-	l.hasFailed = false
+	l.hasLogFailed = false
 	l.replica.config.Log.Info("keys are kept again", "keys", l.voter.KeyCount())
 	return true
 }
@@ -267,7 +267,7 @@
 
 // sendStatus sends the voter's status to the others.
 func (l *voterLoop) sendStatus() {
-	if l.hasFailed {
+	if l.hasLogFailed {
 		return
 	}
 	for _, voter := range l.replica.config.Voters {
@@ -282,7 +282,7 @@
 func (l *voterLoop) publishView() {
 	view := View{IsVoter: true, Keys: l.voter.KeyCount(), Segments: l.log.SegmentCount()}
 	view.Ready, view.Reason = l.voter.Ready(l.replica.config.Now())
-	if l.hasFailed {
+	if l.hasLogFailed {
 		view.Ready, view.Reason = false, "its disk can't be written"
 	}
 	if old := l.view.Load(); old.IsVoter && old.Ready != view.Ready {
@@ -297,17 +297,19 @@
 	process uint64
 }
 
-// answers collects what is sent after a sync. The zero value is empty.
-type answers struct {
-	responses map[responseReceiver][]idempotency.Response
-	others    []outgoingMessage
+// answerBatch collects what is sent after a sync. The zero value is empty.
+type answerBatch struct {
+	responses     map[responseReceiver][]idempotency.Response
+	otherMessages []outgoingMessage
 }
 
 // add adds a message to a gateway.
-func (a *answers) add(to int, m *message) { a.others = append(a.others, outgoingMessage{to, m}) }
+func (a *answerBatch) add(to int, m *message) {
+	a.otherMessages = append(a.otherMessages, outgoingMessage{to, m})
+}
 
 // addResponse adds a response to a process's coordinator.
-func (a *answers) addResponse(gateway int, process uint64, response idempotency.Response) {
+func (a *answerBatch) addResponse(gateway int, process uint64, response idempotency.Response) {
 	if a.responses == nil {
 		a.responses = map[responseReceiver][]idempotency.Response{}
 	}
@@ -316,11 +318,11 @@
 }
 
 // messages returns all answers, responses first, as many of these in a message as fit.
-func (a *answers) messages() (all []outgoingMessage) {
+func (a *answerBatch) messages() (all []outgoingMessage) {
 	for receiver, responses := range a.responses {
-		for chunk := range slices.Chunk(responses, maxEntries) {
+		for chunk := range slices.Chunk(responses, maxEntriesPerMessage) {
 			all = append(all, outgoingMessage{receiver.gateway, &message{Receiver: receiver.process, Responses: chunk}})
 		}
 	}
-	return append(all, a.others...)
+	return append(all, a.otherMessages...)
 }
