--- a/internal/idempotency/replica/coordinator.go
+++ b/internal/idempotency/replica/coordinator.go
@@ -10,21 +10,21 @@
 )
 
 const (
-	// maxQueuedCommands limits the calls of Reserve and Finish that wait.
+	// maxQueuedCommands is the maximum number of queued calls of Reserve and Finish.
 	maxQueuedCommands = 4096
-	// pendingTimeout is how long a reservation waits for its outcome before the voters count as unreachable.
+	// pendingTimeout is how long a reservation may wait for its outcome before the gateway considers the quorum lost.
 	pendingTimeout = 300 * time.Millisecond
-	// pingInterval is how often voters are asked whether they vote, while too few answer.
+	// pingInterval is how often voters are pinged while too few of them answer.
 	pingInterval = 250 * time.Millisecond
-	// answerLifetime is how long a voter's last answer shows that it votes.
+	// answerLifetime is how long a voter counts as answering after its last message.
 	answerLifetime = 600 * time.Millisecond
 	// idleSleep is how long the loop sleeps when nothing is due.
 	idleSleep = time.Hour
-	// minSleep is how long it sleeps at least.
+	// minSleep is the minimum time for which the loop sleeps.
 	minSleep = time.Millisecond
 )
 
-// commandKind tells what a command does.
+// commandKind is the type of a command.
 type commandKind int
 
 const (
@@ -32,43 +32,46 @@
 	commandFinish
 )
 
-// command is a call that waits for the coordinator's goroutine.
+// command is a queued call for the coordinator's goroutine.
 type command struct {
 	kind commandKind
-	id   uint64
-	// key and done are of commandReserve.
+	// id is the reservation's ID, which Reserve has returned.
+	id uint64
+	// key and done are set for commandReserve.
 	key  idempotency.Key
 	done func(idempotency.Outcome)
-	// mayHaveRun is of commandFinish.
+	// mayHaveRun is set for commandFinish.
 	mayHaveRun bool
 }
 
-// pendingReservation is a reservation without an outcome.
+// pendingReservation is an undecided reservation.
 type pendingReservation struct {
+	// since is when the reservation started.
 	since time.Duration
-	done  func(idempotency.Outcome)
+	// done is called with the outcome.
+	done func(idempotency.Outcome)
 }
 
-// coordinatorLoop drives the gateway's coordinator.
+// coordinatorLoop runs the coordinator of the gateway.
 type coordinatorLoop struct {
 	replica  *Replica
 	inbox    chan receivedMessage
 	commands chan command
-	// lastID is the last ID of a reservation that Reserve returned.
+	// lastID is the last assigned reservation ID.
 	lastID atomic.Uint64
-	// lacksQuorum is set while too few voters answer. Reservations would wait in vain.
+	// lacksQuorum is set while too few voters answer. Reservations are then rejected, as they could not be decided.
 	lacksQuorum atomic.Bool
 
-	// The fields below belong to the goroutine of run.
+	// The following fields are accessed only by the goroutine of run.
 
 	coordinator *idempotency.Coordinator
-	// sequences has the coordinator's number of each reservation, by the ID that its caller knows.
+	// sequences maps the IDs of reservations to the coordinator's sequence numbers.
 	sequences map[uint64]uint64
-	// pending are the reservations without an outcome, by the coordinator's number.
+	// pending holds the undecided reservations by sequence number.
 	pending map[uint64]pendingReservation
-	// answeredAt is when each voter was last heard of.
+	// answeredAt is when the last message of each voter was received.
 	answeredAt map[int]time.Duration
-	// pingedAt is when voters were last pinged; zero: never.
+	// pingedAt is when the voters were last pinged, or zero if they never were.
 	pingedAt time.Duration
 }
 
@@ -86,7 +89,7 @@
 	return l
 }
 
-// reserve queues a reservation and returns its ID; zero if the queue is full. Any goroutine may call it.
+// reserve queues a reservation and returns its ID, or zero if the queue is full. It is safe for concurrent use.
 func (l *coordinatorLoop) reserve(key idempotency.Key, done func(idempotency.Outcome)) uint64 {
 	id := l.lastID.Add(1)
 	select {
@@ -97,9 +100,9 @@
 	}
 }
 
-// run handles commands, messages and timers until the context is done.
+// run handles commands, messages and timers until ctx is done.
 func (l *coordinatorLoop) run(ctx context.Context) {
-	timer := time.NewTimer(0) // first of all voters are pinged
+	timer := time.NewTimer(0) // fires at once, so that the voters are pinged first
 	defer timer.Stop()
 	for {
 		select {
@@ -116,7 +119,7 @@
 	}
 }
 
-// sleepDuration returns how long the loop may sleep, at most the given time.
+// sleepDuration returns how long the loop may sleep until the next retry, at most longest.
 func (l *coordinatorLoop) sleepDuration(longest time.Duration) time.Duration {
 	at, ok := l.coordinator.NextRetry()
 	if !ok {
@@ -127,8 +130,8 @@
 
 func (l *coordinatorLoop) now() time.Duration { return l.replica.config.Now() }
 
-// updateQuorum decides whether enough voters answer, and returns after what time it has to be called again at the
-// latest.
+// updateQuorum determines whether enough voters answer, and pings the voters if not. It returns the time after which it
+// must be called again at the latest.
 func (l *coordinatorLoop) updateQuorum() time.Duration {
 	now := l.now()
 	if !l.lacksQuorum.Load() {
@@ -154,7 +157,7 @@
 	return pingInterval
 }
 
-// hasOverduePending tells whether a reservation has waited for too long.
+// hasOverduePending reports whether a reservation has been undecided for pendingTimeout.
 func (l *coordinatorLoop) hasOverduePending(now time.Duration) bool {
 	for _, pending := range l.pending {
 		if now-pending.since >= pendingTimeout {
@@ -164,7 +167,7 @@
 	return false
 }
 
-// untilOverdue returns after what time a reservation may have become overdue.
+// untilOverdue returns the time after which hasOverduePending must be checked again.
 func (l *coordinatorLoop) untilOverdue() time.Duration {
 	if len(l.pending) > 0 {
 		return pendingTimeout
@@ -172,7 +175,7 @@
 	return idleSleep
 }
 
-// countAnswering returns how many voters have answered lately.
+// countAnswering returns the number of voters that have answered within answerLifetime.
 func (l *coordinatorLoop) countAnswering(now time.Duration) (answering int) {
 	for _, at := range l.answeredAt {
 		if now-at < answerLifetime {
@@ -182,7 +185,7 @@
 	return answering
 }
 
-// handleCommand begins or ends a reservation.
+// handleCommand starts or finishes a reservation.
 func (l *coordinatorLoop) handleCommand(c command) {
 	switch c.kind {
 	case commandReserve:
@@ -214,7 +217,8 @@
 	delete(l.sequences, c.id)
 }
 
-// handleMessage takes a voter's responses. Those of gateways without a vote are ignored.
+// handleMessage processes a message of a voter. Messages of gateways that are not voters are ignored, as they must not
+// count towards the quorum.
 func (l *coordinatorLoop) handleMessage(received receivedMessage) {
 	if !slices.Contains(l.replica.config.Voters, received.from) {
 		return
@@ -245,7 +249,7 @@
 	}
 }
 
-// sendRequests sends the requests that are due, as many in a message as fit.
+// sendRequests sends the requests that are due, with up to maxEntriesPerMessage of them in a message.
 func (l *coordinatorLoop) sendRequests() {
 	byVoter := map[int][]idempotency.Request{}
 	for _, out := range l.coordinator.Tick(l.now()) {
