--- a/internal/idempotency/replica/replica.go
+++ b/internal/idempotency/replica/replica.go
@@ -14,45 +14,48 @@
 )
 
 const (
-	// maxQueuedMessages limits the messages that wait for a goroutine. More are dropped, and sent again by a retry.
+	// maxQueuedMessages is the maximum number of messages queued for a goroutine. Further messages are dropped; the
+	// senders retry them.
 	maxQueuedMessages = 4096
-	// maxBatch limits the queued messages that a goroutine takes at once.
+	// maxBatch is the maximum number of queued elements that a goroutine handles in addition to the first one before it
+	// sends messages.
 	maxBatch = 512
 )
 
 // Config configures a replica.
 type Config struct {
-	// Index is this gateway's index among Gateways.
-	Index    int
+	// Index is the index of this gateway.
+	Index int
+	// Gateways is the number of gateways.
 	Gateways int
-	// Voters are the indices of the gateways with a voter.
+	// Voters are the indices of the gateways that are voters.
 	Voters []int
 	FS     vfs.FS
-	// Dir is the gateway's state directory. The voter's log has a directory of its own in it.
+	// Dir is the state directory of the gateway. The voter's log is in a subdirectory of it.
 	Dir string
-	// Incarnation is that with which this process started.
+	// Incarnation is the incarnation with which this process started.
 	Incarnation uint32
-	// Retention is how long voters retain a key at least.
+	// Retention is the minimum time for which voters retain a key.
 	Retention time.Duration
-	// MaxKeys limits the keys that the voter retains.
+	// MaxKeys is the maximum number of keys that the voter retains.
 	MaxKeys int
-	// Now reads a clock that runs on while the process is stopped.
+	// Now reads a clock that keeps running while the process is stopped.
 	Now func() time.Duration
 	Log *slog.Logger
-	// Send sends a datagram to another gateway. It returns at once, and the datagram may be lost.
+	// Send sends a datagram to another gateway. It must not block. The datagram may be lost.
 	Send func(to int, datagram []byte)
 }
 
-// isVoter tells whether this gateway has a voter.
+// isVoter reports whether this gateway is a voter.
 func (c *Config) isVoter() bool { return slices.Contains(c.Voters, c.Index) }
 
-// Replica is a gateway's part in the reservation of keys. Any goroutine may call its methods.
+// Replica runs the coordinator of a gateway and its voter, if it has one. Its methods are safe for concurrent use.
 type Replica struct {
 	Stats       Stats
 	config      Config
 	process     uint64
 	coordinator *coordinatorLoop
-	// voter is nil where the gateway has none.
+	// voter is nil if the gateway is not a voter.
 	voter *voterLoop
 
 	ctx       context.Context
@@ -60,8 +63,8 @@
 	waitGroup sync.WaitGroup
 }
 
-// New opens the voter's log, if the gateway has a voter. Its errors say in one line what is wrong, and may wrap those
-// of package wal and [idempotency.ErrInvalidConfig].
+// New returns a replica and opens the voter's log if the gateway is a voter. Its errors describe the problem in one
+// line, and may wrap [idempotency.ErrInvalidConfig] and the errors of package wal.
 func New(config Config) (*Replica, error) {
 	r := &Replica{config: config, process: randomID()}
 	r.ctx, r.cancel = context.WithCancel(context.Background())
@@ -85,19 +88,19 @@
 	}
 }
 
-// Close ends the replica. Undecided reservations are not called back.
+// Close stops the replica and waits for its goroutines. The callbacks of undecided reservations are not called.
 func (r *Replica) Close() {
 	r.cancel()
 	r.waitGroup.Wait()
 	if r.voter != nil {
-		_ = r.voter.log.Close() // what was synced is stored, all else was never answered
+		_ = r.voter.log.Close() // votes that were not synced were never sent
 	}
 }
 
-// HasQuorum tells whether enough voters answer.
+// HasQuorum reports whether enough voters answer.
 func (r *Replica) HasQuorum() bool { return !r.coordinator.lacksQuorum.Load() }
 
-// DiskSummary tells operators what the voter's disk had. It is empty where the gateway has no voter.
+// DiskSummary describes to operators what the voter read from its disk. It is empty if the gateway is not a voter.
 func (r *Replica) DiskSummary() string {
 	if r.voter == nil {
 		return ""
@@ -105,7 +108,7 @@
 	return r.voter.diskSummary
 }
 
-// View returns the state of the gateway's voter.
+// View returns the state of the gateway's voter, or a zero View if the gateway is not a voter.
 func (r *Replica) View() View {
 	if r.voter == nil {
 		return View{}
@@ -113,8 +116,9 @@
 	return *r.voter.view.Load()
 }
 
-// Reserve reserves a key. Another goroutine calls done once with the outcome, unless Finish comes first. It returns an
-// ID for Finish; zero if too few voters answer or too many calls are queued, and then done is not called.
+// Reserve reserves a key and returns an ID for Finish. Another goroutine calls done once with the outcome, unless
+// Finish is handled first. If too few voters answer or too many calls are queued, the ID is zero and done is not
+// called.
 func (r *Replica) Reserve(key idempotency.Key, done func(idempotency.Outcome)) (id uint64) {
 	if !r.HasQuorum() {
 		r.Stats.NoQuorum.Add(1)
@@ -123,8 +127,8 @@
 	return r.coordinator.reserve(key, done)
 }
 
-// Finish ends a reservation, decided or not. mayHaveRun tells whether an attempt of its request may have run: then the
-// key stays reserved.
+// Finish ends a reservation, whether it is decided or not. mayHaveRun tells whether an attempt of its request may have
+// run; if so, the key stays reserved for the retention period. Finish blocks while too many calls are queued.
 func (r *Replica) Finish(id uint64, mayHaveRun bool) {
 	select {
 	case r.coordinator.commands <- command{kind: commandFinish, id: id, mayHaveRun: mayHaveRun}:
@@ -132,7 +136,7 @@
 	}
 }
 
-// HandleMessage takes a datagram of another gateway. It returns at once.
+// HandleMessage queues a datagram of another gateway for processing. It does not block.
 func (r *Replica) HandleMessage(from int, datagram []byte) {
 	m := &message{}
 	if messageDecoder.Unmarshal(datagram, m) != nil || from < 0 || from >= r.config.Gateways {
@@ -148,7 +152,7 @@
 	}
 }
 
-// enqueue queues a message, or drops it if the queue is full.
+// enqueue queues a message or, if the queue is full, drops it.
 func (r *Replica) enqueue(inbox chan<- receivedMessage, received receivedMessage) {
 	select {
 	case inbox <- received:
@@ -157,7 +161,7 @@
 	}
 }
 
-// send sends a message to a gateway, which may be this one.
+// send sends a message to a gateway. A message to this gateway is queued directly.
 func (r *Replica) send(out outgoingMessage) {
 	out.message.Process = r.process
 	datagram, err := cbor.Marshal(out.message)
@@ -171,7 +175,8 @@
 	}
 }
 
-// handleQueued passes the first element, and those that are queued behind it up to maxBatch, to a function.
+// handleQueued passes an element that was received from a queue, and up to maxBatch elements that are still queued, to
+// the function handle.
 func handleQueued[T any](first T, queue <-chan T, handle func(T)) {
 	handle(first)
 	for range min(len(queue), maxBatch) {
