--- a/internal/idempotency/replica/voter.go
+++ b/internal/idempotency/replica/voter.go
@@ -16,37 +16,40 @@
 )
 
 const (
-	// statusInterval is how often voters exchange their status, and how often a failed log is tried again.
+	// statusInterval is how often voters exchange their status and retry a failed log.
 	statusInterval = time.Second
 
-	// logDirectory is the log's, below the state directory.
+	// logDirectory is the directory of the log in the state directory.
 	logDirectory = "keys"
-	logKind      = "gapgap keys"
-	logVersion   = 1
+	// logKind and logVersion identify the log and the format of its records.
+	logKind    = "gapgap keys"
+	logVersion = 1
+	// segmentBytes is the size at which a new segment of the log is begun.
 	segmentBytes = 4 << 20
-	maxSegments  = 256
+	// maxSegments is the maximum number of segments of the log.
+	maxSegments = 256
 )
 
-// voterLoop drives the gateway's voter and its log.
+// voterLoop runs the voter of the gateway and its log.
 type voterLoop struct {
 	replica *Replica
 	inbox   chan receivedMessage
-	// diskSummary tells operators what was read from the disk.
+	// diskSummary describes to operators what was read from the disk.
 	diskSummary string
-	// view is read by any goroutine.
+	// view is the last published state of the voter, for other goroutines to read.
 	view atomic.Pointer[View]
 
-	// The fields below belong to the goroutine of run.
+	// The following fields are accessed only by the goroutine of run.
 
 	voter *idempotency.Voter
 	log   *wal.Log
-	// periodSegment is the segment in which the current retention period began.
+	// periodSegment is the number of the segment with which the current retention period begins.
 	periodSegment uint64
-	// hasLogFailed is set while the log can't be written. The voter answers nothing then.
+	// hasLogFailed is set while the log can't be written. The voter then answers no messages.
 	hasLogFailed bool
 }
 
-// openVoter reads the voter's log and begins it anew with what is retained.
+// openVoter reads the voter's log and rewrites it with the retained state only.
 func openVoter(r *Replica) (*voterLoop, error) {
 	config := &r.config
 	dir := filepath.Join(config.Dir, logDirectory)
@@ -72,7 +75,7 @@
 		return nil, err
 	}
 	if err := l.rewriteLog(); err != nil {
-		_ = l.log.Close() // the first error counts
+		_ = l.log.Close() // the first error is the one to report
 		return nil, err
 	}
 	l.diskSummary = fmt.Sprintf(
@@ -83,8 +86,8 @@
 	return l, nil
 }
 
-// readLog opens the log and makes the voter from its records, one at a time, as there may be millions. The records that
-// the new voter has to write are part of the next snapshot.
+// readLog opens the log and creates the voter from its records. It passes them on one at a time, as there may be
+// millions. The records that the new voter returns are ignored here, as the next snapshot contains them.
 func (l *voterLoop) readLog(dir string, config idempotency.VoterConfig) (stats wal.OpenStats, err error) {
 	options := wal.Options{
 		FS:           l.replica.config.FS,
@@ -100,7 +103,7 @@
 			if err := messageDecoder.Unmarshal(b, &record); err != nil {
 				return err
 			}
-			yield(record) // NewVoter takes all
+			yield(record) // NewVoter consumes all records
 			return nil
 		})
 	}
@@ -108,7 +111,7 @@
 	return stats, err
 }
 
-// rewriteLog writes all that is retained into a new segment and drops the older ones.
+// rewriteLog writes a snapshot of the voter to a new segment and drops the older segments.
 func (l *voterLoop) rewriteLog() error {
 	if err := l.log.Rotate(); err != nil {
 		return err
@@ -125,7 +128,7 @@
 	return l.log.DropBefore(first)
 }
 
-// append adds records to the log.
+// append appends records to the log.
 func (l *voterLoop) append(records []idempotency.Record) error {
 	for i := range records {
 		b, err := cbor.Marshal(&records[i])
@@ -140,7 +143,7 @@
 	return nil
 }
 
-// run handles messages and timers until the context is done.
+// run handles messages and timers until ctx is done.
 func (l *voterLoop) run(ctx context.Context) {
 	ticker := time.NewTicker(statusInterval)
 	defer ticker.Stop()
@@ -159,7 +162,7 @@
 	}
 }
 
-// handleBatch handles the queued messages, stores the votes with one sync and sends the answers after it.
+// handleBatch handles the queued messages, stores the votes with a single sync and then sends the answers.
 func (l *voterLoop) handleBatch(first receivedMessage) {
 	var answers answerBatch
 	var err error
@@ -175,7 +178,7 @@
 	}
 }
 
-// handleMessage takes a message. Its answers may be sent once the log is synced.
+// handleMessage processes a message and adds its answers, which may be sent only after the log is synced.
 func (l *voterLoop) handleMessage(received receivedMessage, answers *answerBatch) error {
 	if l.hasLogFailed {
 		return nil
@@ -206,8 +209,8 @@
 	return nil
 }
 
-// sync syncs the log. err is an error of appending to it. After an error the voter answers nothing until the log is
-// rewritten.
+// sync syncs the log, unless err reports that appending to it has failed. After an error, the voter answers no messages
+// until the log has been resumed and rewritten.
 func (l *voterLoop) sync(err error) {
 	if l.hasLogFailed {
 		return
@@ -226,7 +229,7 @@
 	l.voter.MarkSynced()
 }
 
-// tick resumes a failed log and advances the voter's time.
+// tick tries to resume a failed log and advances the time of the voter.
 func (l *voterLoop) tick() {
 	if l.hasLogFailed && !l.resume() {
 		return
@@ -239,7 +242,7 @@
 	l.sync(err)
 }
 
-// resume tries to go on after a failure of the log.
+// resume tries to resume and rewrite the log after a failure, and reports whether that succeeded.
 func (l *voterLoop) resume() bool {
 	if err := errors.Join(l.log.Resume(), l.rewriteLog()); err != nil {
 		return false
@@ -249,7 +252,8 @@
 	return true
 }
 
-// beginPeriod begins a segment for a new retention period and drops those before the period that is retained.
+// beginPeriod begins a segment for a new retention period. It keeps the segments of the previous period, whose keys are
+// still retained, and drops those before them.
 func (l *voterLoop) beginPeriod() error {
 	retainedFrom := l.periodSegment
 	if err := l.log.Rotate(); err != nil {
@@ -265,7 +269,7 @@
 	return l.log.DropBefore(retainedFrom)
 }
 
-// sendStatus sends the voter's status to the others.
+// sendStatus sends the status of the voter to the other voters.
 func (l *voterLoop) sendStatus() {
 	if l.hasLogFailed {
 		return
@@ -278,7 +282,7 @@
 	}
 }
 
-// publishView publishes the voter's state, and logs whether it has begun or ceased to vote.
+// publishView publishes the state of the voter and logs changes of its readiness.
 func (l *voterLoop) publishView() {
 	view := View{IsVoter: true, Keys: l.voter.KeyCount(), Segments: l.log.SegmentCount()}
 	view.Ready, view.Reason = l.voter.Ready(l.replica.config.Now())
@@ -291,24 +295,24 @@
 	l.view.Store(&view)
 }
 
-// responseReceiver is a coordinator that responses are for.
+// responseReceiver identifies the coordinator that receives responses.
 type responseReceiver struct {
 	gateway int
 	process uint64
 }
 
-// answerBatch collects what is sent after a sync. The zero value is empty.
+// answerBatch collects the messages to send after a sync. The zero value is empty.
 type answerBatch struct {
 	responses     map[responseReceiver][]idempotency.Response
 	otherMessages []outgoingMessage
 }
 
-// add adds a message to a gateway.
+// add adds a message for the given gateway.
 func (a *answerBatch) add(to int, m *message) {
 	a.otherMessages = append(a.otherMessages, outgoingMessage{to, m})
 }
 
-// addResponse adds a response to a process's coordinator.
+// addResponse adds a response for the coordinator of a process.
 func (a *answerBatch) addResponse(gateway int, process uint64, response idempotency.Response) {
 	if a.responses == nil {
 		a.responses = map[responseReceiver][]idempotency.Response{}
@@ -317,7 +321,7 @@
 	a.responses[receiver] = append(a.responses[receiver], response)
 }
 
-// messages returns all answers, responses first, as many of these in a message as fit.
+// messages returns all messages. Responses come first, with up to maxEntriesPerMessage of them in a message.
 func (a *answerBatch) messages() (all []outgoingMessage) {
 	for receiver, responses := range a.responses {
 		for chunk := range slices.Chunk(responses, maxEntriesPerMessage) {
