--- a/internal/idempotency/replica/coordinator_test.go
+++ b/internal/idempotency/replica/coordinator_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Gateways without a vote are no part of the majority that must answer, whatever they send.
+// TestGatewaysWithoutVoteAreNoQuorum verifies that messages of gateways that are not voters don't count towards the
+// quorum.
 func TestGatewaysWithoutVoteAreNoQuorum(t *testing.T) {
 	c := startCluster(t, clusterConfig{gateways: 5, retention: time.Hour, maxKeys: 100})
 	loop := newCoordinatorLoop(c.replicas[0])
@@ -14,6 +15,6 @@
 		loop.handleMessage(receivedMessage{from: from, message: &message{Pong: true}})
 	}
 	if got := loop.countAnswering(loop.now()); got != len(voters) || len(voters) >= len(c.replicas) {
-		t.Errorf("%d of %d voters answer, of %d gateways", got, len(voters), len(c.replicas))
+		t.Errorf("%d gateways count as answering, want %d voters among %d gateways", got, len(voters), len(c.replicas))
 	}
 }
