--- a/internal/idempotency/replica/golden_test.go
+++ b/internal/idempotency/replica/golden_test.go
@@ -11,10 +11,10 @@
 	"gapgap/internal/idempotency"
 )
 
-// goldenKey is a key with a byte that differs at each place.
+// goldenKey is a key whose bytes all differ.
 var goldenKey = idempotency.Key{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 255}
 
-// goldenStatus sets every field.
+// goldenStatus is a status with all fields set.
 var goldenStatus = idempotency.VoterStatus{
 	Process:          1 << 62,
 	Incarnation:      7,
@@ -27,7 +27,8 @@
 	ObservedIsNewest: true,
 }
 
-// checkGolden compares a value's bytes with recorded ones, which must be read into an equal value.
+// checkGolden checks that the encoding of a value equals the recorded one, and that the recorded one decodes to the
+// same value.
 func checkGolden[T any](t *testing.T, name string, value T) {
 	t.Helper()
 	b, err := cbor.Marshal(value)
@@ -38,11 +39,11 @@
 	golden.CheckBytes(t, path, b)
 	var got T
 	if err := messageDecoder.Unmarshal(golden.Read(t, path), &got); err != nil || !reflect.DeepEqual(got, value) {
-		t.Errorf("%s: read as %+v, %v", name, got, err)
+		t.Errorf("%s: decoded as %+v, %v", name, got, err)
 	}
 }
 
-// TestGoldenMessages holds the bytes of messages between gateways.
+// TestGoldenMessages verifies the encoding of messages between gateways.
 func TestGoldenMessages(t *testing.T) {
 	checkGolden(t, "message_requests", message{
 		Process: 5,
@@ -78,7 +79,7 @@
 	})
 }
 
-// TestGoldenRecords holds the bytes of a voter's records on disk.
+// TestGoldenRecords verifies the encoding of a voter's records on disk.
 func TestGoldenRecords(t *testing.T) {
 	owner := idempotency.Owner{Process: 1 << 50, Sequence: 17}
 	checkGolden(t, "record_disk", idempotency.Record{Kind: idempotency.RecordDisk, ID: 1 << 61, RecordCount: 12})
@@ -100,7 +101,7 @@
 	checkGolden(t, "record_all", peer)
 }
 
-// TestGoldenView holds the form in which operators are shown a voter.
+// TestGoldenView verifies the JSON encoding of the view of a voter for operators.
 func TestGoldenView(t *testing.T) {
 	want := View{IsVoter: true, Ready: true, Reason: "reason", Keys: 5, Segments: 2}
 	b, err := json.Marshal(want)
@@ -111,6 +112,6 @@
 	golden.CheckBytes(t, path, b)
 	var got View
 	if err := json.Unmarshal(golden.Read(t, path), &got); err != nil || got != want {
-		t.Errorf("read as %+v, %v", got, err)
+		t.Errorf("decoded as %+v, %v", got, err)
 	}
 }
