--- a/internal/idempotency/replica/replica_test.go
+++ b/internal/idempotency/replica/replica_test.go
@@ -15,21 +15,22 @@
 	"gapgap/internal/vfs"
 )
 
-// quorumTimeout is how long tests wait for enough voters to answer.
+// quorumTimeout is how long tests wait for all replicas to have a quorum.
 const quorumTimeout = 10 * time.Second
 
-// clusterConfig configures the replicas of a test.
+// clusterConfig configures a cluster.
 type clusterConfig struct {
+	// gateways is the number of gateways; the first three are voters.
 	gateways int
-	// loss is the probability that a message is lost or repeated.
+	// loss is the probability that a message is delivered zero, one or two times instead of once.
 	loss      float64
 	retention time.Duration
 	maxKeys   int
-	// now is the clock; nil: the time since the start.
+	// now is the clock. If it is nil, the clock reads the time since the start of the cluster.
 	now func() time.Duration
 }
 
-// cluster is some replicas whose messages are lost, repeated and late.
+// cluster is a set of replicas whose messages may be lost, duplicated and delayed.
 type cluster struct {
 	t      *testing.T
 	config clusterConfig
@@ -39,11 +40,12 @@
 	replicas     []*Replica
 	incarnations []uint32
 
-	// inFlight are the messages on their way.
+	// inFlight tracks the messages in transit.
 	inFlight sync.WaitGroup
 }
 
-// startCluster starts replicas and waits until they have a quorum. They end with the test.
+// startCluster starts a cluster and waits until all replicas have a quorum. The replicas are stopped at the end of the
+// test.
 func startCluster(t *testing.T, config clusterConfig) *cluster {
 	t.Helper()
 	if config.now == nil {
@@ -74,7 +76,7 @@
 	return c
 }
 
-// testConfig returns the configuration of a gateway's replica.
+// testConfig returns the configuration of a gateway's replica for tests.
 func testConfig(index, gateways int, dir string) Config {
 	return Config{
 		Index:       index,
@@ -91,7 +93,7 @@
 	}
 }
 
-// start starts a replica on its disk.
+// start starts a replica with its state directory and a new incarnation.
 func (c *cluster) start(i int) error {
 	c.incarnations[i]++
 	config := testConfig(i, c.config.gateways, c.dirs[i])
@@ -122,14 +124,14 @@
 	}
 }
 
-// replica returns a running replica, or nil.
+// replica returns the replica of a gateway, or nil if it is not running.
 func (c *cluster) replica(i int) *Replica {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	return c.replicas[i]
 }
 
-// send delivers a message late, and none, one or two times.
+// send delivers a message after a random delay. The message may be lost or duplicated.
 func (c *cluster) send(from, to int, datagram []byte) {
 	copies := 1
 	if rand.Float64() < c.config.loss {
@@ -151,12 +153,12 @@
 	c.t.Helper()
 	for deadline := time.Now().Add(quorumTimeout); !c.hasQuorum(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			c.t.Fatal("too few voters answer")
+			c.t.Fatal("not all replicas have a quorum")
 		}
 	}
 }
 
-// hasQuorum tells whether all running replicas have a quorum.
+// hasQuorum reports whether all running replicas have a quorum.
 func (c *cluster) hasQuorum() bool {
 	for i := range c.config.gateways {
 		if r := c.replica(i); r != nil && !r.HasQuorum() {
@@ -166,7 +168,7 @@
 	return true
 }
 
-// reserve reserves a key at a gateway and waits for the outcome. It is false if there is none.
+// reserve reserves a key at a gateway and waits for the outcome. ok is false if there is no outcome.
 func (c *cluster) reserve(gateway int, key string) (id uint64, outcome idempotency.Outcome, ok bool) {
 	r := c.replica(gateway)
 	if r == nil {
@@ -186,17 +188,19 @@
 	}
 }
 
-// finish ends a reservation whose request may have run.
+// finish finishes a reservation whose request may have run.
 func (c *cluster) finish(gateway int, id uint64) {
 	if r := c.replica(gateway); r != nil {
 		r.Finish(id, true)
 	}
 }
 
-// reservationCounts counts outcomes of concurrent reservations.
+// reservationCounts counts the outcomes of concurrent reservations.
 type reservationCounts struct {
-	mu       sync.Mutex
-	granted  map[string]int
+	mu sync.Mutex
+	// granted counts how often each key was granted.
+	granted map[string]int
+	// answered counts the reservations with an outcome.
 	answered int
 }
 
@@ -209,8 +213,9 @@
 	}
 }
 
-// TestPowerReplicasGrantOnce has four gateways reserve the same keys at once, over a network that loses, repeats and
-// reorders messages, while voters restart: no key is granted twice, and a released one can be granted again.
+// TestPowerReplicasGrantOnce verifies that no key is granted twice and that a released key can be granted again. Four
+// gateways reserve the same keys concurrently, over a network that loses, duplicates and reorders messages, while
+// voters restart.
 func TestPowerReplicasGrantOnce(t *testing.T) {
 	t.Cleanup(func() { goleak.VerifyNone(t) }) // registered first, so it runs last
 	const gateways, keys, restarts = 4, 150, 4
@@ -243,7 +248,7 @@
 	workers.Wait()
 	for key, n := range counts.granted {
 		if n > 1 {
-			t.Errorf("%s was granted %d times", key, n)
+			t.Errorf("%s was granted %d times, want at most once", key, n)
 		}
 	}
 	if len(counts.granted) < keys/3 || counts.answered < keys {
@@ -265,16 +270,18 @@
 
 func (c *testClock) now() time.Duration { return time.Duration(c.nanoseconds.Load()) }
 
-// advance advances the clock and returns the time.
+// advance advances the clock and returns the new time.
 func (c *testClock) advance(d time.Duration) time.Duration {
 	return time.Duration(c.nanoseconds.Add(int64(d)))
 }
 
-// TestPowerReplicasAreBounded holds that the retained keys are limited in number and time, and so is the log.
+// TestPowerReplicasAreBounded verifies that the retained keys are limited in number and time, that the log is limited
+// in size, and that reservations are rejected without a quorum.
 func TestPowerReplicasAreBounded(t *testing.T) {
 	t.Cleanup(func() { goleak.VerifyNone(t) }) // registered first, so it runs last
 	const maxKeys, workerCount, maxLogSegments = 400, 12, 8
-	// The clock advances with the reservations, 500 in a retention period, so that a busy machine fills the voters too.
+	// The clock advances with each reservation, 500 times in a retention period, so that the voters become full on a
+	// slow machine too.
 	const retention, perReservation, length = 300 * time.Millisecond, 600 * time.Microsecond, 4 * time.Second
 	clock := &testClock{}
 	c := startCluster(t, clusterConfig{gateways: 3, retention: retention, maxKeys: maxKeys, now: clock.now})
@@ -297,20 +304,21 @@
 	}
 	workers.Wait()
 	if n := mostKeys.Load(); n > maxKeys {
-		t.Fatalf("%d keys are retained", n)
+		t.Fatalf("too many keys are retained: %d", n)
 	}
 	if rejected.Load() == 0 {
-		t.Error("the voters were never full")
+		t.Error("no reservation was rejected for lack of capacity")
 	}
 	if view := c.replica(0).View(); view.Segments > maxLogSegments {
-		t.Errorf("%d segments after 13 retention periods", view.Segments)
+		t.Errorf("the log has %d segments after 13 retention periods", view.Segments)
 	}
 	c.stop(1)
 	c.stop(2)
 	checkRejectsWithoutQuorum(t, c, clock)
 }
 
-// checkRejectsWithoutQuorum holds that a gateway whose voters are gone comes to reject reservations at once.
+// checkRejectsWithoutQuorum checks that a gateway detects the loss of its quorum and then rejects reservations
+// immediately.
 func checkRejectsWithoutQuorum(t *testing.T, c *cluster, clock *testClock) {
 	t.Helper()
 	stop := make(chan struct{})
@@ -330,15 +338,16 @@
 	for deadline := time.Now().Add(20 * time.Second); c.replica(0).HasQuorum(); time.Sleep(5 * time.Millisecond) {
 		c.reserve(0, "no quorum")
 		if time.Now().After(deadline) {
-			t.Fatal("a gateway without a quorum goes on to reserve keys")
+			t.Fatal("the gateway did not detect the loss of its quorum")
 		}
 	}
 	if id := c.replica(0).Reserve(idempotency.KeyOf("no quorum"), func(idempotency.Outcome) {}); id != 0 {
-		t.Error("a reservation without a quorum is not rejected at once")
+		t.Error("a reservation without a quorum was not rejected immediately")
 	}
 }
 
-// TestInvalidMessagesAreDropped counts messages that are malformed or from no gateway.
+// TestInvalidMessagesAreDropped verifies that messages that are malformed or have an invalid sender are dropped and
+// counted.
 func TestInvalidMessagesAreDropped(t *testing.T) {
 	r, err := New(testConfig(0, 3, t.TempDir()))
 	if err != nil {
@@ -357,7 +366,7 @@
 	}
 }
 
-// FuzzPowerMessages handles arbitrary messages.
+// FuzzPowerMessages verifies that arbitrary messages are handled without a panic or a failure of the log.
 func FuzzPowerMessages(f *testing.F) {
 	f.Add([]byte{0xa0})
 	f.Add([]byte{0xa2, 0x01, 0x05, 0x07, 0xf5})
