--- a/cmd/gapgap/alone_test.go
+++ b/cmd/gapgap/alone_test.go
@@ -14,7 +14,7 @@
 func TestMembersAreOffOnThePlatform(t *testing.T) {
 	n := newNode(t, 1, flagserver.Config{})
 	p := n.start()
-	p.ready()
+	p.waitReady()
 	sockets := map[string]bool{}
 	dir := fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid)
 	fds, err := os.ReadDir(dir)
--- a/cmd/gapgap/descriptors_test.go
+++ b/cmd/gapgap/descriptors_test.go
@@ -17,8 +17,8 @@
 	"gapgap/internal/fake/peer"
 )
 
-// edit changes the configuration of a node before a process starts.
-func (n *node) edit(change func(map[string]any)) {
+// editConfig changes the configuration file of a node.
+func (n *node) editConfig(change func(map[string]any)) {
 	n.t.Helper()
 	text, err := os.ReadFile(n.file)
 	var all map[string]any
@@ -45,7 +45,7 @@
 			n := newNode(t, 4, flagserver.Config{Value: "v"})
 			n.agent.Close()
 			at := peer.FreeAddr(t)
-			n.edit(func(c map[string]any) {
+			n.editConfig(func(c map[string]any) {
 				c["discovery"] = at
 				c["limits"] = map[string]any{"cores": 1.0, "memory_mb": 64, "sockets": sockets}
 			})
@@ -54,7 +54,7 @@
 			if err := unix.Prlimit(p.cmd.Process.Pid, unix.RLIMIT_NOFILE, &limit, nil); err != nil {
 				t.Fatal(err)
 			}
-			p.listens()
+			p.waitListening()
 			for range 2 * sockets { // they say nothing; those for whom there is no place are told so
 				c, err := n.dial()
 				if err != nil {
@@ -93,13 +93,13 @@
 			if log := p.log.String(); strings.Contains(log, "too many open files") || len(log) > 16<<10 {
 				t.Errorf("%d bytes of log:\n%.2000s", len(log), log)
 			}
-			p.end()
+			p.stop()
 		})
 	}
 }
 
-// listens waits until clients can connect.
-func (p *process) listens() {
+// waitListening waits until clients can connect.
+func (p *process) waitListening() {
 	p.n.t.Helper()
 	for limit := time.Now().Add(peer.Patient); ; time.Sleep(2 * time.Millisecond) {
 		if c, err := p.n.dial(); err == nil {
@@ -136,7 +136,7 @@
 		if err := os.WriteFile(n.file, text, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		n.edit(func(c map[string]any) {
+		n.editConfig(func(c map[string]any) {
 			c["discovery"], c["listen"] = at, n.listen
 			if i%3 > 0 {
 				c["known"] = map[string]any{"index": 1, "snapshot": true, "endpoints": append([]catalog.Endpoint{gone}, list...)}
--- a/cmd/gapgap/main.go
+++ b/cmd/gapgap/main.go
@@ -1,4 +1,4 @@
-// Command gapgap is one front door: it meters customers' quotas and passes their requests on to a shared fleet.
+// Command gapgap is a gateway: it enforces customers' quotas and forwards their requests to a shared fleet of backends.
 package main
 
 import (
@@ -16,8 +16,8 @@
 	"gapgap/internal/service"
 )
 
-// gcPercent is how much garbage may gather for each live byte. The heap has few MB, so collections would else come
-// often; the memory limit makes them come sooner where that is needed.
+// gcPercent is the GOGC value. The live heap has only a few MB, so with the default collections would be frequent. The
+// memory limit starts them earlier when memory runs short.
 const gcPercent = 400
 
 func main() {
@@ -27,15 +27,15 @@
 	}
 }
 
-// run serves until SIGTERM or an interrupt, and then until what was taken is answered. SIGHUP makes it read the
-// configuration again.
+// run serves until SIGTERM or an interrupt, and then until the accepted requests are answered. SIGHUP reloads the
+// configuration.
 func run() error {
 	hup := make(chan os.Signal, 1)
-	signal.Notify(hup, syscall.SIGHUP) // first of all: by default the signal ends the program
+	signal.Notify(hup, syscall.SIGHUP) // before anything else: by default the signal ends the process
 	defer signal.Stop(hup)
 	cfg, err := readConfig()
 	if err == nil && cfg.Control != "" {
-		cfg.Dir = os.Getenv("TMPDIR")
+		cfg.StateDir = os.Getenv("TMPDIR")
 	}
 	if err == nil && os.Getenv("NODE_TRACE") == "1" {
 		cfg.Trace = os.Stderr
@@ -43,56 +43,56 @@
 	if err != nil {
 		return fmt.Errorf("configuration: %w", err)
 	}
-	runtime.GOMAXPROCS(1) // a front door has one core: more threads would only take turns on it
-	memory := func(beside bool) {
+	runtime.GOMAXPROCS(1) // a gateway is given one CPU core, on which more threads would only compete
+	setMemoryLimit := func(overlapping bool) {
 		if cfg.MemoryMB <= 0 {
 			return
 		}
 		limit := int64(cfg.MemoryMB) << 20 * 3 / 4 // the rest is for stacks, sockets and the kernel
-		if beside {
+		if overlapping {
 			limit /= 2
 		}
 		debug.SetMemoryLimit(limit)
 		debug.SetGCPercent(gcPercent)
 	}
-	memory(false)
+	setMemoryLimit(false)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil)).With("name", cfg.Name)
-	var operators net.Listener
+	var adminListener net.Listener
 	if cfg.Control != "" {
-		if operators, err = net.Listen("tcp", cfg.Control); err != nil {
+		if adminListener, err = net.Listen("tcp", cfg.Control); err != nil {
 			return fmt.Errorf("control: %w", err)
 		}
 	}
-	if err := cfg.Settings.Validate(); err != nil { // all that can fail, before a process that serves is asked to hand over
+	if err := cfg.Settings.Validate(); err != nil { // before the serving process is asked to hand over
 		return fmt.Errorf("settings: %w", err)
 	}
-	old, err := service.Inherit(cfg)
+	old, err := service.BeginTakeover(cfg)
 	if err != nil {
 		log.Error("nothing is taken over from the process before", "error", err)
 	}
-	f, err := service.NewPlatform(cfg, log)
+	g, err := service.NewGateway(cfg, log)
 	if err != nil {
 		return err
 	}
-	f.Beside = memory
-	ln, err := listen(f, old, cfg, log)
+	g.OnOverlap = setMemoryLimit
+	ln, err := listen(g, old, cfg, log)
 	if err != nil {
 		return err
 	}
 	ended := make(chan struct{})
 	defer close(ended)
-	go reload(hup, ended, f, log)
-	f.Serve(ctx, ln, operators)
+	go reload(hup, ended, g, log)
+	g.Serve(ctx, ln, adminListener)
 	return nil
 }
 
-// listen takes the listening socket over from the process before, or makes one. Where operators call, there may be two processes
-// for the time of an upgrade.
-func listen(f *service.Platform, old *service.Inheritance, cfg *service.Config, log *slog.Logger) (net.Listener, error) {
+// listen takes over the listening socket of the old process, or opens one. With an admin address two processes may
+// listen during an upgrade, so they share the port.
+func listen(g *service.Gateway, old *service.Takeover, cfg *service.Config, log *slog.Logger) (net.Listener, error) {
 	if old != nil {
-		err := f.Succeed(old)
+		err := g.CompleteTakeover(old)
 		if err == nil {
 			return old.Listener, nil
 		}
@@ -107,44 +107,46 @@
 
 // reusePort lets a second process listen on the same address.
 func reusePort(_, _ string, rc syscall.RawConn) error {
-	var failed error
-	err := rc.Control(func(fd uintptr) { failed = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, soReusePort, 1) })
-	return errors.Join(err, failed)
+	var optionErr error
+	err := rc.Control(func(fd uintptr) {
+		optionErr = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, soReusePort, 1)
+	})
+	return errors.Join(err, optionErr)
 }
 
-const soReusePort = 15 // SO_REUSEPORT, which package syscall lacks here
+const soReusePort = 15 // SO_REUSEPORT, which package syscall does not define on this platform
 
-// reload reads the file again at each signal. The file now goes before the environment, which tells what held at
-// the start.
-func reload(hup <-chan os.Signal, ended <-chan struct{}, f *service.Platform, log *slog.Logger) {
+// reload applies the file again at each signal. The environment does not override it then: it describes the state at
+// the start, and the file may be newer.
+func reload(hup <-chan os.Signal, ended <-chan struct{}, g *service.Gateway, log *slog.Logger) {
 	for {
 		select {
 		case <-hup:
 		case <-ended:
 			return
 		}
-		if err := f.Reload(readFile); err != nil {
+		if err := g.Reload(readFile); err != nil {
 			log.Error("the new configuration is not used", "error", err)
 		}
 	}
 }
 
-// readConfig reads the configuration; the other variables go before what the file says.
+// readConfig reads the configuration file. The other environment variables override it.
 func readConfig() (*service.Config, error) {
 	cfg, err := readFile()
 	if err != nil {
 		return nil, err
 	}
-	for name, to := range map[string]*string{"NODE_NAME": &cfg.Name, "NODE_LISTEN": &cfg.Listen,
+	for name, field := range map[string]*string{"NODE_NAME": &cfg.Name, "NODE_LISTEN": &cfg.Listen,
 		"NODE_DISCOVERY": &cfg.Discovery, "NODE_CONTROL": &cfg.Control} {
 		if v := os.Getenv(name); v != "" {
-			*to = v
+			*field = v
 		}
 	}
 	return cfg, cfg.Check()
 }
 
-// readFile reads the file that NODE_CONFIG names.
+// readFile reads the configuration file that NODE_CONFIG names.
 func readFile() (*service.Config, error) {
 	file, err := os.Open(os.Getenv("NODE_CONFIG"))
 	if err != nil {
--- a/cmd/gapgap/signals_test.go
+++ b/cmd/gapgap/signals_test.go
@@ -19,8 +19,8 @@
 	ln := peer.Listen(t)
 	n.agent.Set(catalog.Serving("s-0", ln.Addr().String()))
 	p := n.start()
-	p.ready()
-	c, idle := n.client(), n.client()
+	p.waitReady()
+	c, idle := n.mustDial(), n.mustDial()
 	if got, err := idle.ask("PING"); err != nil || got != "+PONG\r\n" {
 		t.Fatal(got, err)
 	}
@@ -31,7 +31,7 @@
 	}()
 	b := peer.Accept(t, ln)
 	b.Message()
-	n.edit(func(cfg map[string]any) {
+	n.editConfig(func(cfg map[string]any) {
 		classes := cfg["settings"].(map[string]any)["classes"].([]any)
 		classes[1].(map[string]any)["effect"], classes[1].(map[string]any)["name"] = "unsafe", "other"
 	})
@@ -40,7 +40,7 @@
 			t.Fatal(err)
 		}
 	}
-	p.says("configuration read again")
+	p.waitLog("configuration read again")
 	if _, err := idle.in.ReadByte(); err == nil {
 		t.Error("what rests is not ended")
 	}
@@ -63,8 +63,8 @@
 	n := newNode(t, 1, flagserver.Config{})
 	for range 5 {
 		p := n.start()
-		p.ready()
-		c := n.client()
+		p.waitReady()
+		c := n.mustDial()
 		if got, err := c.ask("PING"); err != nil || got != "+PONG\r\n" {
 			t.Fatal(got, err)
 		}
@@ -76,8 +76,8 @@
 	}
 }
 
-// client is dial that must work.
-func (n *node) client() *client {
+// mustDial is dial, but fails the test on an error.
+func (n *node) mustDial() *client {
 	n.t.Helper()
 	c, err := n.dial()
 	if err != nil {
--- a/cmd/gapgap/upgrade_test.go
+++ b/cmd/gapgap/upgrade_test.go
@@ -152,7 +152,7 @@
 }
 
 // ready waits for the process's yes.
-func (p *process) ready() {
+func (p *process) waitReady() {
 	p.n.t.Helper()
 	for limit := time.Now().Add(peer.Patient); time.Now().Before(limit); time.Sleep(2 * time.Millisecond) {
 		if got, err := p.call("PING"); err == nil && got == "YES\n" {
@@ -168,7 +168,7 @@
 }
 
 // end sends SIGTERM and waits for a good end.
-func (p *process) end() {
+func (p *process) stop() {
 	p.n.t.Helper()
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	select {
@@ -186,8 +186,8 @@
 	<-p.ended
 }
 
-// says waits for a line of its log.
-func (p *process) says(want string) {
+// waitLog waits for a line of the process's log.
+func (p *process) waitLog(want string) {
 	p.n.t.Helper()
 	for limit := time.Now().Add(peer.Patient); !strings.Contains(p.log.String(), want); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(limit) {
@@ -312,8 +312,8 @@
 	l.mu.Unlock()
 }
 
-// more waits until so many more requests are served.
-func (l *load) more(n int) {
+// waitServed waits until n more requests are served.
+func (l *load) waitServed(n int) {
 	l.n.t.Helper()
 	count := func() int {
 		l.mu.Lock()
@@ -327,7 +327,7 @@
 	}
 }
 
-func (l *load) end() {
+func (l *load) stopAndCheck() {
 	close(l.stop)
 	l.wg.Wait()
 	for _, f := range l.failed {
@@ -341,9 +341,9 @@
 	n := newNode(t, 3, flagserver.Config{Delay: 15 * time.Millisecond, Keep: true})
 	began := time.Now()
 	p := n.start()
-	p.ready()
+	p.waitReady()
 	l := n.load(16)
-	l.more(100)
+	l.waitServed(100)
 	var banned, back time.Time
 	for i := range 20 {
 		if i == 4 {
@@ -353,18 +353,18 @@
 			banned = time.Now()
 		}
 		next := n.start()
-		next.ready()
+		next.waitReady()
 		if i == 12 {
 			back = time.Now()
 			if got, err := next.call("ATTACH s-1"); got != "YES\n" {
 				t.Fatalf("%q, %v", got, err)
 			}
 		}
-		p.end()
+		p.stop()
 		p = next
-		l.more(40)
+		l.waitServed(40)
 	}
-	l.end()
+	l.stopAndCheck()
 	took := time.Since(began).Seconds()
 	if most := ceilingDepth + ceilingRate*(took+0.2); float64(l.capped) > most {
 		t.Errorf("%d served under a ceiling that gives %.0f in %.1f s", l.capped, most, took)
@@ -401,7 +401,7 @@
 func TestConnectionsGoOn(t *testing.T) {
 	n := newNode(t, 1, flagserver.Config{})
 	p := n.start()
-	p.ready()
+	p.waitReady()
 	dial := func() *peer.Peer { return peer.Dial(t, n.listen) }
 	list := "c=evaluate,t=open,d=3000,units=1,spread=1,first=0"
 	idle, half, open := dial(), dial(), dial()
@@ -414,14 +414,14 @@
 	n.servers[0].Set(flagserver.Config{Delay: 300 * time.Millisecond})
 	open.Command("Q.ASK", peer.Customer, "open", list)
 	next := n.start()
-	next.ready()
+	next.waitReady()
 	n.servers[0].Set(flagserver.Config{})
 	idle.Command("Q.ASK", peer.Customer, "idle", list)
 	idle.Wants("Q.ASK idle")
 	half.Write(command[30:])
 	half.Wants("Q.ASK half")
 	open.Wants("Q.ASK open")
-	p.end()
+	p.stop()
 	for _, c := range []*peer.Peer{idle, half, open} {
 		c.Command("PING")
 		c.Wants("+PONG")
@@ -432,9 +432,9 @@
 func TestNewProcessFails(t *testing.T) {
 	n := newNode(t, 2, flagserver.Config{Delay: 2 * time.Millisecond})
 	p := n.start()
-	p.ready()
+	p.waitReady()
 	l := n.load(4)
-	l.more(20)
+	l.waitServed(20)
 	for range 3 { // it ends before it has confirmed
 		taken, err := handover.Take(n.dir)
 		if err != nil {
@@ -442,10 +442,10 @@
 		}
 		taken.Listener.Close()
 		taken.Link.Close()
-		l.more(20)
+		l.waitServed(20)
 	}
-	p.says("an upgrade has not come about")
-	l.end()
+	p.waitLog("an upgrade has not come about")
+	l.stopAndCheck()
 
 	idle, err := n.dial()
 	if err != nil {
@@ -466,13 +466,13 @@
 	nc.Close()
 	taken.Listener.Close()
 	taken.Link.Close()
-	p.says("the other process has ended")
+	p.waitLog("the other process has ended")
 	l = n.load(4)
-	l.more(40)
-	l.end()
+	l.waitServed(40)
+	l.stopAndCheck()
 
 	next := n.start() // a real one, killed right after its yes
-	next.ready()
+	next.waitReady()
 	next.kill()
 	for limit := time.Now().Add(peer.Patient); strings.Count(p.log.String(), "the other process has ended") < 2; time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(limit) {
@@ -480,31 +480,31 @@
 		}
 	}
 	l = n.load(4)
-	l.more(40)
-	l.end()
+	l.waitServed(40)
+	l.stopAndCheck()
 	last := n.start()
-	last.ready()
-	p.end()
+	last.waitReady()
+	p.stop()
 	l = n.load(4)
-	l.more(40)
-	l.end()
+	l.waitServed(40)
+	l.stopAndCheck()
 }
 
 // The old process is killed in the middle: the new one serves, and the next upgrade works.
 func TestOldProcessKilled(t *testing.T) {
 	n := newNode(t, 2, flagserver.Config{Delay: 2 * time.Millisecond})
 	p := n.start()
-	p.ready()
+	p.waitReady()
 	next := n.start()
-	next.ready()
+	next.waitReady()
 	p.kill()
 	l := n.load(4)
-	l.more(40)
+	l.waitServed(40)
 	third := n.start() // shortly after
-	third.ready()
-	next.end()
-	l.more(40)
-	l.end()
+	third.waitReady()
+	next.stop()
+	l.waitServed(40)
+	l.stopAndCheck()
 }
 
 // An old process that hangs, or speaks another version, does not keep the new one from serving: it starts as after a restart.
@@ -529,22 +529,22 @@
 				}
 			}()
 			p := n.start()
-			p.ready()
-			p.says("nothing is taken over")
+			p.waitReady()
+			p.waitLog("nothing is taken over")
 			l := n.load(2)
-			l.more(10)
-			l.end()
+			l.waitServed(10)
+			l.stopAndCheck()
 		})
 	}
 	t.Run("two listen", func(t *testing.T) { // without the socket both serve, and what waits as one ends is answered
 		n := newNode(t, 1, flagserver.Config{})
 		p := n.start()
-		p.ready()
+		p.waitReady()
 		if err := os.Remove(filepath.Join(n.dir, "gapgap-upgrade.sock")); err != nil {
 			t.Fatal(err)
 		}
 		next := n.start()
-		next.ready()
+		next.waitReady()
 		for range 40 {
 			c, err := n.dial()
 			if err != nil {
@@ -555,7 +555,7 @@
 			}
 			c.nc.Close()
 		}
-		p.end()
+		p.stop()
 		c, err := n.dial()
 		if err != nil {
 			t.Fatal(err)
@@ -570,9 +570,9 @@
 func TestReloadDuringUpgrade(t *testing.T) {
 	n := newNode(t, 1, flagserver.Config{})
 	p := n.start()
-	p.ready()
+	p.waitReady()
 	next := n.start()
-	next.ready()
+	next.waitReady()
 	text, err := os.ReadFile(n.file)
 	if err != nil {
 		t.Fatal(err)
@@ -592,7 +592,7 @@
 			}
 		}
 	}
-	p.end()
+	p.stop()
 	c, err := n.dial()
 	if err != nil {
 		t.Fatal(err)
@@ -602,8 +602,8 @@
 	}
 }
 
-// resident is the memory that a process holds and the most that it held, in MB.
-func (p *process) resident() (now, most int) {
+// residentMB returns the resident memory of a process and its peak.
+func (p *process) residentMB() (now, most int) {
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
 	if err != nil {
 		p.n.t.Fatal(err)
@@ -628,7 +628,7 @@
 	const size, clients = 4 << 20, 60
 	n := newNode(t, 2, flagserver.Config{Value: strings.Repeat("v", size)})
 	p := n.start()
-	p.ready()
+	p.waitReady()
 	all := make([]*client, clients)
 	var wg sync.WaitGroup
 	for i := range all {
@@ -653,11 +653,11 @@
 			t.Errorf("%q", line)
 		}
 	}
-	if _, most := p.resident(); most > 48 || len(begun) < clients/2 {
+	if _, most := p.residentMB(); most > 48 || len(begun) < clients/2 {
 		t.Errorf("%d MB for %d of %d values of 4 MiB", most, len(begun), clients)
 	}
 	next := n.start()
-	next.ready()
+	next.waitReady()
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	for _, c := range begun {
 		wg.Go(func() {
@@ -734,25 +734,25 @@
 	n := newNode(t, 2, flagserver.Config{})
 	n.env = []string{"TMPDIR=" + filepath.Join(n.dir, "nowhere")}
 	p := n.start()
-	p.ready()
+	p.waitReady()
 	for _, call := range []string{"DETACH s-0", "ATTACH s-0"} {
 		if got, err := p.call(call); got != "YES\n" {
 			t.Errorf("%s: %q, %v", call, got, err)
 		}
 	}
 	next := n.start()
-	next.ready()
-	p.end()
+	next.waitReady()
+	p.stop()
 	l := n.load(2)
-	l.more(20)
-	l.end()
+	l.waitServed(20)
+	l.stopAndCheck()
 }
 
 // Signals that come together are one or several reads of the file, and the last state of the file holds.
 func TestSeveralSignals(t *testing.T) {
 	n := newNode(t, 1, flagserver.Config{})
 	p := n.start()
-	p.ready()
+	p.waitReady()
 	text, err := os.ReadFile(n.file)
 	if err != nil {
 		t.Fatal(err)
@@ -806,11 +806,11 @@
 }
 
 // handing is a process with a client, that has handed its state and listener to the test and waits for the confirmation.
-func handing(t *testing.T) (*node, *process, *client, *handover.Taken) {
+func startHandover(t *testing.T) (*node, *process, *client, *handover.Taken) {
 	t.Helper()
 	n := newNode(t, 1, flagserver.Config{})
 	p := n.start()
-	p.ready()
+	p.waitReady()
 	kept, err := n.dial()
 	if err != nil {
 		t.Fatal(err)
@@ -830,7 +830,7 @@
 // A new process that says hello and then hangs holds the old one up for a bounded time only: what connects meanwhile is served
 // after that, and what is open goes on all the time.
 func TestNewProcessHangs(t *testing.T) {
-	n, p, kept, _ := handing(t) // and no word after it
+	n, p, kept, _ := startHandover(t) // and no word after it
 	list := "c=evaluate,t=open,d=3000,units=1,spread=1,first=0"
 	if got, err := kept.ask("Q.ASK", peer.Customer, "kept", list); err != nil || got[0] != '$' {
 		t.Errorf("on a connection of before: %q, %v", got, err)
@@ -842,7 +842,7 @@
 	if got, err := c.ask("Q.ASK", peer.Customer, "new", list); err != nil || got[0] != '$' {
 		t.Errorf("on a connection that came meanwhile: %q, %v", got, err)
 	}
-	p.says("an upgrade has not come about")
+	p.waitLog("an upgrade has not come about")
 }
 
 // The end of the old process is asked for after it has handed its state over and before it has heard that the new one serves: what
@@ -851,13 +851,13 @@
 	list := "c=evaluate,t=open,d=3000,units=1,spread=1,first=0"
 	for name, confirmed := range map[string]bool{"the new one serves": true, "the new one dies": false} {
 		t.Run(name, func(t *testing.T) {
-			n, p, kept, taken := handing(t)
+			n, p, kept, taken := startHandover(t)
 			waits, err := n.dial() // in the queue of the listener
 			if err != nil {
 				t.Fatal(err)
 			}
 			p.cmd.Process.Signal(syscall.SIGTERM)
-			p.says("msg=ending")
+			p.waitLog("msg=ending")
 			if got, err := kept.ask("Q.ASK", peer.Customer, "kept", list); err != nil || got[0] != '$' {
 				t.Errorf("on a connection of before: %q, %v", got, err)
 			}
@@ -866,7 +866,7 @@
 				if got, err := waits.ask("Q.ASK", peer.Customer, "waits", list); err != nil || got[0] != '$' {
 					t.Errorf("on a connection that came meanwhile: %q, %v", got, err)
 				}
-				p.end()
+				p.stop()
 				return
 			}
 			if err := taken.Link.Confirm(); err != nil {
@@ -895,7 +895,7 @@
 func TestKilledAtAnyMoment(t *testing.T) {
 	n := newNode(t, 2, flagserver.Config{Delay: time.Millisecond})
 	p := n.start()
-	p.ready()
+	p.waitReady()
 	for i := range 12 {
 		next := n.start()
 		if i%2 == 0 { // the new one, before, while and after it takes over
@@ -904,7 +904,7 @@
 		} else { // the old one
 			time.Sleep(time.Duration(i) * 2 * time.Millisecond)
 			p.kill()
-			next.ready()
+			next.waitReady()
 			p = next
 		}
 		deadline := time.Now().Add(peer.Patient)
@@ -923,9 +923,9 @@
 		}
 	}
 	last := n.start()
-	last.ready()
-	p.end()
+	last.waitReady()
+	p.stop()
 	l := n.load(4)
-	l.more(40)
-	l.end()
+	l.waitServed(40)
+	l.stopAndCheck()
 }
--- a/internal/service/attempts_test.go
+++ b/internal/service/attempts_test.go
@@ -10,8 +10,8 @@
 // of a keyed request still comes from a backend.
 func TestFurtherAttempt(t *testing.T) {
 	ln := peer.Listen(t)
-	w := start(t, []string{ln.Addr().String()})
-	c := w.dial()
+	env := start(t, []string{ln.Addr().String()})
+	c := env.dial()
 	c.Command("Q.DO", peer.Customer, "1", peer.Keyed, "body")
 	b := peer.Accept(t, ln)
 	b.Message()
@@ -27,8 +27,8 @@
 // An unsafe request that may have run is neither sent again nor refused, only failed.
 func TestUnsafeRequestIsNotRepeated(t *testing.T) {
 	ln := peer.Listen(t)
-	w := start(t, []string{ln.Addr().String()})
-	c := w.dial()
+	env := start(t, []string{ln.Addr().String()})
+	c := env.dial()
 	c.Command("Q.DO", peer.Customer, "1", peer.Unsafe, "body")
 	b := peer.Accept(t, ln)
 	b.Message()
@@ -40,8 +40,8 @@
 func TestOddAnswers(t *testing.T) {
 	for _, odd := range []string{"+OK\r\n", "*1\r\n$-1\r\n", "nonsense\r\n", "$999999999\r\n", ":1\r\n", "*1\r\n*1\r\n*1\r\n*1\r\n"} {
 		ln := peer.Listen(t) // the module no longer uses a backend that fails twice
-		w := start(t, []string{ln.Addr().String()})
-		c := w.dial()
+		env := start(t, []string{ln.Addr().String()})
+		c := env.dial()
 		c.Command("Q.DO", peer.Customer, "1", peer.Unsafe, "body")
 		b := peer.Accept(t, ln)
 		b.Message()
@@ -54,8 +54,8 @@
 // An answer that nobody asked for must not be taken for that of the next request.
 func TestUnaskedAnswer(t *testing.T) {
 	ln := peer.Listen(t)
-	w := start(t, []string{ln.Addr().String()})
-	c := w.dial()
+	env := start(t, []string{ln.Addr().String()})
+	c := env.dial()
 	c.Command("Q.ASK", peer.Customer, "1", peer.List)
 	b := peer.Accept(t, ln)
 	b.Message()
--- a/internal/service/bans.go
+++ b/internal/service/bans.go
@@ -16,78 +16,80 @@
 )
 
 const (
-	mostBans  = 1024
-	mostTurns = 64
-	bansEvery = 100 * time.Millisecond // how often another process's bans are looked for
+	maxEjections         = 1024
+	maxPendingCommands   = 64
+	ejectionPollInterval = 100 * time.Millisecond // between two looks for changes by another process
 )
 
-var bansForm = statefile.Format{Kind: "gapgap-bans", Version: 1, MaxBytes: 1 << 20}
+var ejectionsFormat = statefile.Format{Kind: "gapgap-bans", Version: 1, MaxBytes: 1 << 20}
 
-// ban is a backend that is taken out by hand.
-type ban struct {
+// ejection is the administrative ejection of one backend.
+type ejection struct {
 	Backend string `json:"backend"`
-	SinceMS int64  `json:"since_ms"` // Unix time
+	SinceMS int64  `json:"since_ms"` // Unix time in milliseconds
 }
 
-type banList struct {
-	Bans []ban `json:"bans"`
+// ejectionList is the content of the file.
+type ejectionList struct {
+	Ejections []ejection `json:"bans"`
 }
 
-// bans keeps which backends are taken out by hand, in a file that outlives the process and that the other one of an upgrade
-// reads and writes too. Without a path they last as long as the process.
-type bans struct {
-	core *proxy.Proxy
-	path string
-	log  *slog.Logger
+// ejectionStore keeps the administrative ejections in a file that outlives the process, and that the other process of
+// an upgrade reads and writes too. Without a path they last as long as the process.
+type ejectionStore struct {
+	proxy *proxy.Proxy
+	path  string
+	log   *slog.Logger
 
-	turns chan struct{} // calls that are carried out or wait for that
+	pending chan struct{} // has an item for each command that runs or waits
 
-	mu   sync.Mutex
-	have map[string]int64 // what the core has been told, and since when
-	seen fs.FileInfo      // the file as last read or written; nil: none
+	mu       sync.Mutex
+	ejected  map[string]int64 // backends whose ejection the proxy knows, each with the time of its ejection
+	lastRead fs.FileInfo      // the file as last read; nil: read it again
 }
 
-// newBans reads the file and tells a core, which does not run yet. A file that can't be read is put aside, with a line in the
-// log: operators have to say again what is out.
-func newBans(c *proxy.Proxy, dir string, log *slog.Logger) *bans {
-	b := &bans{core: c, log: log, have: map[string]int64{}, turns: make(chan struct{}, mostTurns)}
+// newEjectionStore reads the file and applies it to a proxy that does not run yet. A file that can't be read is
+// renamed, with a line in the log: operators must then repeat their ejections.
+func newEjectionStore(p *proxy.Proxy, dir string, log *slog.Logger) *ejectionStore {
+	s := &ejectionStore{proxy: p, log: log, ejected: map[string]int64{},
+		pending: make(chan struct{}, maxPendingCommands)}
 	if dir == "" {
-		return b
+		return s
 	}
-	b.path = filepath.Join(dir, "gapgap-bans.json")
-	list, err := b.read()
+	s.path = filepath.Join(dir, "gapgap-bans.json")
+	list, err := s.load()
 	if err != nil {
-		log.Error("bans by hand are lost", "file", b.path, "error", err)
-		os.Rename(b.path, b.path+".damaged")
+		log.Error("bans by hand are lost", "file", s.path, "error", err)
+		os.Rename(s.path, s.path+".damaged")
 	}
-	for _, x := range list.Bans {
-		c.MarkEjected(x.Backend, time.Duration(x.SinceMS)*time.Millisecond)
-		b.have[x.Backend] = x.SinceMS
+	for _, entry := range list.Ejections {
+		p.MarkEjected(entry.Backend, time.Duration(entry.SinceMS)*time.Millisecond)
+		s.ejected[entry.Backend] = entry.SinceMS
 	}
-	return b
+	return s
 }
 
-// read reads the file; one that is not there is empty. The caller holds mu, or nobody else has it yet.
-func (b *bans) read() (list banList, err error) {
-	b.seen, _ = os.Stat(b.path) // before it is read: what comes after is looked at again
-	if err = bansForm.Load(b.path, &list); errors.Is(err, fs.ErrNotExist) {
+// load reads the file; a missing file is an empty list. The caller holds mu, unless nothing else uses the store yet.
+func (s *ejectionStore) load() (list ejectionList, err error) {
+	s.lastRead, _ = os.Stat(s.path) // before it is read, so that the next refresh sees a later change
+	if err = ejectionsFormat.Load(s.path, &list); errors.Is(err, fs.ErrNotExist) {
 		err = nil
 	}
 	return list, err
 }
 
-// change carries a call out and keeps it. It is done when it returns nil. A call for which there is no time before the
-// context ends is carried out all the same, as soon as may be: it counts from when it was said.
-func (b *bans) change(ctx context.Context, backend string, out bool) error {
+// change ejects or restores a backend and stores the change. It is done when change returns nil. A command that is not
+// done before the context ends is still carried out, as soon as possible.
+func (s *ejectionStore) change(ctx context.Context, backend string, eject bool) error {
 	select {
-	case b.turns <- struct{}{}:
+	case s.pending <- struct{}{}:
 	default:
-		return errors.New("too many calls wait: say it again")
+		return errors.New("too many commands are waiting: try again")
 	}
 	done := make(chan error, 1)
 	go func() {
-		defer func() { <-b.turns }()
-		done <- b.carry(backend, out)
+		defer func() { <-s.pending }()
+		done <- s.apply(backend, eject)
 	}()
 	select {
 	case err := <-done:
@@ -97,125 +99,129 @@
 	}
 }
 
-func (b *bans) carry(backend string, out bool) error {
-	ctx := context.Background() // ends with the loop
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.lookNow(ctx) // the other process may have been told something that this call is the answer to
-	if _, is := b.have[backend]; out && !is && len(b.have) >= mostBans {
-		return fmt.Errorf("%d backends are out by hand, which is the most", mostBans)
+// apply carries out one command.
+func (s *ejectionStore) apply(backend string, eject bool) error {
+	ctx := context.Background() // the proxy's calls end with its event loop
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.refreshLocked(ctx) // this command may undo one that the other process was given
+	if _, ejected := s.ejected[backend]; eject && !ejected && len(s.ejected) >= maxEjections {
+		return fmt.Errorf("%d backends are ejected already, which is the limit", maxEjections)
 	}
 	var err error
-	if out {
-		err = b.core.AdminEject(ctx, backend, 0)
+	if eject {
+		err = s.proxy.AdminEject(ctx, backend, 0)
 	} else {
-		err = b.core.AdminRestore(ctx, backend)
+		err = s.proxy.AdminRestore(ctx, backend)
 	}
 	if err != nil {
 		return err
 	}
-	if _, is := b.have[backend]; is == out {
+	if _, ejected := s.ejected[backend]; ejected == eject {
 		return nil
 	}
-	if out {
-		b.have[backend] = time.Now().UnixMilli()
+	if eject {
+		s.ejected[backend] = time.Now().UnixMilli()
 	} else {
-		delete(b.have, backend)
+		delete(s.ejected, backend)
 	}
-	if err := b.write(backend, out); err != nil {
-		b.log.Error("a change by hand lasts only as long as this process", "backend", backend, "error", err)
+	if err := s.save(backend, eject); err != nil {
+		s.log.Error("an administrative ejection or restore is not stored: it ends with this process",
+			"backend", backend, "error", err)
 	}
 	return nil
 }
 
-// write brings one change into the file. Another process may have changed others.
-func (b *bans) write(backend string, out bool) error {
-	if b.path == "" {
+// save writes one change to the file and keeps the other backends' entries, which another process may have changed.
+func (s *ejectionStore) save(backend string, eject bool) error {
+	if s.path == "" {
 		return nil
 	}
-	unlock, err := statefile.Lock(b.path + ".lock")
+	unlock, err := statefile.Lock(s.path + ".lock")
 	if err != nil {
 		return err
 	}
 	defer unlock()
-	list, err := b.read()
+	list, err := s.load()
 	if err != nil {
-		b.log.Error("bans by hand of the other process are lost", "file", b.path, "error", err)
+		s.log.Error("the other process's administrative ejections are lost", "file", s.path, "error", err)
 	}
-	before := b.seen
-	kept := banList{Bans: []ban{}}
-	for _, x := range list.Bans {
-		if x.Backend != backend {
-			kept.Bans = append(kept.Bans, x)
+	beforeSave := s.lastRead
+	kept := ejectionList{Ejections: []ejection{}}
+	for _, entry := range list.Ejections {
+		if entry.Backend != backend {
+			kept.Ejections = append(kept.Ejections, entry)
 		}
 	}
-	if out {
-		kept.Bans = append(kept.Bans, ban{backend, b.have[backend]})
+	if eject {
+		kept.Ejections = append(kept.Ejections, ejection{backend, s.ejected[backend]})
 	}
-	if err := bansForm.Save(b.path, kept); err != nil {
+	if err := ejectionsFormat.Save(s.path, kept); err != nil {
 		return err
 	}
-	b.seen = before // so that what the other one changed meanwhile is looked at
+	s.lastRead = beforeSave // so that the next refresh reads what another process has changed meanwhile
 	return nil
 }
 
-// follow takes over what another process changes, until the context ends.
-func (b *bans) follow(ctx context.Context) {
-	if b.path == "" {
+// poll applies the changes of another process until the context ends.
+func (s *ejectionStore) poll(ctx context.Context) {
+	if s.path == "" {
 		return
 	}
-	for tick := time.NewTicker(bansEvery); ; {
+	for ticker := time.NewTicker(ejectionPollInterval); ; {
 		select {
-		case <-tick.C:
-			b.look(ctx)
+		case <-ticker.C:
+			s.refresh(ctx)
 		case <-ctx.Done():
-			tick.Stop()
+			ticker.Stop()
 			return
 		}
 	}
 }
 
-// look reads the file if it has changed.
-func (b *bans) look(ctx context.Context) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.lookNow(ctx)
+// refresh applies the file's content if the file has changed.
+func (s *ejectionStore) refresh(ctx context.Context) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.refreshLocked(ctx)
 }
 
-// lookNow is look for who holds mu.
-func (b *bans) lookNow(ctx context.Context) {
-	if b.path == "" {
+// refreshLocked is refresh for a caller that holds mu.
+func (s *ejectionStore) refreshLocked(ctx context.Context) {
+	if s.path == "" {
 		return
 	}
-	now, err := os.Stat(b.path)
-	if err != nil || b.seen != nil && os.SameFile(now, b.seen) && now.ModTime().Equal(b.seen.ModTime()) {
+	current, err := os.Stat(s.path)
+	if err != nil ||
+		s.lastRead != nil && os.SameFile(current, s.lastRead) && current.ModTime().Equal(s.lastRead.ModTime()) {
 		return
 	}
-	list, err := b.read()
+	list, err := s.load()
 	if err != nil {
-		b.log.Error("bans by hand of the other process are not known", "file", b.path, "error", err)
+		s.log.Error("can't read the other process's administrative ejections", "file", s.path, "error", err)
 		return
 	}
-	named := map[string]bool{}
-	for _, x := range list.Bans {
-		named[x.Backend] = true
-		if _, is := b.have[x.Backend]; is {
+	listed := map[string]bool{}
+	for _, entry := range list.Ejections {
+		listed[entry.Backend] = true
+		if _, known := s.ejected[entry.Backend]; known {
 			continue
 		}
-		if err := b.core.MirrorAdminEject(ctx, x.Backend, time.Duration(x.SinceMS)*time.Millisecond); err != nil {
-			b.seen = nil // again with the next look
+		if err := s.proxy.MirrorAdminEject(ctx, entry.Backend,
+			time.Duration(entry.SinceMS)*time.Millisecond); err != nil {
+			s.lastRead = nil // retried at the next refresh
 			return
 		}
-		b.have[x.Backend] = x.SinceMS
+		s.ejected[entry.Backend] = entry.SinceMS
 	}
-	for name := range b.have {
-		if named[name] {
+	for name := range s.ejected {
+		if listed[name] {
 			continue
 		}
-		if err := b.core.AdminRestore(ctx, name); err != nil {
-			b.seen = nil
+		if err := s.proxy.AdminRestore(ctx, name); err != nil {
+			s.lastRead = nil
 			return
 		}
-		delete(b.have, name)
+		delete(s.ejected, name)
 	}
 }
--- a/internal/service/calls.go
+++ b/internal/service/calls.go
@@ -6,33 +6,33 @@
 	"errors"
 )
 
-// calls are what operators' calls do at a platform's front door. Any goroutine may call it.
-type calls struct{ p *Platform }
+// adminService carries out operators' commands. Any goroutine may call it.
+type adminService struct{ gateway *Gateway }
 
-// Ready implements [control.Service].
-func (c calls) Ready() error {
+// Ready implements [admin.Service].
+func (s adminService) Ready() error {
 	switch {
-	case !c.p.listening.Load():
-		return errors.New("clients' connections are not taken yet")
-	case !c.p.Ready():
+	case !s.gateway.listening.Load():
+		return errors.New("client connections are not accepted yet")
+	case !s.gateway.Ready():
 		return errors.New("no backend is known yet")
 	}
 	return nil
 }
 
-// Figures implements [control.Service].
-func (c calls) Figures() []byte {
+// Figures implements [admin.Service].
+func (s adminService) Figures() []byte {
 	var b bytes.Buffer
-	c.p.Stats.Write(&b)
+	s.gateway.Stats.Write(&b)
 	return b.Bytes()
 }
 
-// Detach implements [control.Service].
-func (c calls) Detach(ctx context.Context, backend string) error {
-	return c.p.bans.change(ctx, backend, true)
+// Detach implements [admin.Service].
+func (s adminService) Detach(ctx context.Context, endpoint string) error {
+	return s.gateway.ejections.change(ctx, endpoint, true)
 }
 
-// Attach implements [control.Service].
-func (c calls) Attach(ctx context.Context, backend string) error {
-	return c.p.bans.change(ctx, backend, false)
+// Attach implements [admin.Service].
+func (s adminService) Attach(ctx context.Context, endpoint string) error {
+	return s.gateway.ejections.change(ctx, endpoint, false)
 }
--- a/internal/service/clients_test.go
+++ b/internal/service/clients_test.go
@@ -15,8 +15,8 @@
 // is used again.
 func TestPassesCommandAndValueOn(t *testing.T) {
 	ln := peer.Listen(t)
-	w := start(t, []string{ln.Addr().String()})
-	c := w.dial()
+	env := start(t, []string{ln.Addr().String()})
+	c := env.dial()
 	c.Command("PING")
 	c.Wants("+PONG")
 	value, body := strings.Repeat("v\r\n-", 75<<10), strings.Repeat("b", resp.MaxValueBytes) // longer than a value is said to be
@@ -52,8 +52,8 @@
 
 func TestAnswersInCommandOrder(t *testing.T) {
 	ln := peer.Listen(t)
-	w := start(t, []string{ln.Addr().String()})
-	c := w.dial()
+	env := start(t, []string{ln.Addr().String()})
+	c := env.dial()
 	c.Command("Q.ASK", peer.Customer, "1", peer.List)
 	first := peer.Accept(t, ln)
 	first.Message()
@@ -70,7 +70,7 @@
 
 func TestBadInput(t *testing.T) {
 	ln := peer.Listen(t)
-	w := start(t, []string{ln.Addr().String()})
+	env := start(t, []string{ln.Addr().String()})
 	for _, bad := range [][]string{
 		{"Q.ASK"}, {"Q.ASK", peer.Customer, "1"}, {"Q.ASK", peer.Customer, "1", peer.List, "body", "more"},
 		{"Q.ASK", "b4d65521", "1", peer.List}, {"Q.ASK", "zzzzzzzzzzzzzzzz", "1", peer.List}, {"Q.ASK", "ffffffffffffffff", "1", peer.List},
@@ -96,7 +96,7 @@
 		{"Q.ASK", peer.Customer, "1", strings.Replace(peer.List, "d=20000", "d=90000000", 1)},
 		{"Q.ASK", peer.Customer, "1", peer.List + ",units=1"}, {"Q.ASK", peer.Customer, "1", peer.List + ",t=open"},
 	} {
-		c := w.dial()
+		c := env.dial()
 		c.Command(bad...)
 		c.WantsPrefix("-ERR ")
 		c.Command("PING") // the connection is kept
@@ -104,7 +104,7 @@
 	}
 	for _, bad := range []string{"PING\r\n", "*1\r\n:1\r\n", "*1\r\n$-1\r\n", "*999999999\r\n", "*1\r\n$70000\r\n", "*x\r\n",
 		"*0\r\n", "*2\r\n$4\r\nPING\r\n*1\r\n$1\r\nx\r\n", "*1\r\n$4\r\nPINGxx"} {
-		c := w.dial()
+		c := env.dial()
 		c.Write(bad)
 		c.WantsPrefix("-ERR ")
 		c.WantsEnd()
@@ -119,8 +119,8 @@
 // A client that leaves takes its request along: the backend's connection is closed and nothing more goes out.
 func TestClientGone(t *testing.T) {
 	ln := peer.Listen(t)
-	w := start(t, []string{ln.Addr().String()})
-	c := w.dial()
+	env := start(t, []string{ln.Addr().String()})
+	c := env.dial()
 	c.Command("Q.ASK", peer.Customer, "1", peer.List)
 	b := peer.Accept(t, ln)
 	b.Message()
@@ -131,8 +131,8 @@
 // A client that takes no answers must not hold up the others.
 func TestSlowClientHoldsNobodyUp(t *testing.T) {
 	ln := peer.Listen(t)
-	w := start(t, []string{ln.Addr().String()})
-	slow := w.dial()
+	env := start(t, []string{ln.Addr().String()})
+	slow := env.dial()
 	value := peer.Bulk(strings.Repeat("v", resp.MaxValueBytes))
 	go func() {
 		nc, err := ln.Accept()
@@ -154,7 +154,7 @@
 	for range 200 {
 		slow.Command("Q.ASK", peer.Customer, "1", peer.List)
 	}
-	c := w.dial()
+	c := env.dial()
 	for served := false; !served; { // the module may refuse some meanwhile
 		c.Command("Q.ASK", peer.Customer, "2", peer.List)
 		served = len(c.Message()[0]) == resp.MaxValueBytes
@@ -164,8 +164,8 @@
 // Nobody to serve by: the request is held and refused when its time is up, here by the loop for a Door that
 // would forget it.
 func TestOverdueRequestIsAnswered(t *testing.T) {
-	w := start(t, nil)
-	c := w.dial()
+	env := start(t, nil)
+	c := env.dial()
 	c.Command("Q.ASK", peer.Customer, "1", strings.Replace(peer.List, "d=20000", "d=60", 1))
 	if m := c.Message(); !strings.HasPrefix(m[0], "-") {
 		t.Errorf("got %q", m)
@@ -174,8 +174,8 @@
 
 // A client that says nothing, or drips a command, must not hold a connection: one deadline holds for all of it.
 func TestSlowCommandsEnd(t *testing.T) {
-	w := start(t, nil)
-	silent, dripping, later := w.dial(), w.dial(), w.dial()
+	env := start(t, nil)
+	silent, dripping, later := env.dial(), env.dial(), env.dial()
 	later.Command("PING")
 	later.WantsPrefix("-LOADING")
 	stop := make(chan struct{})
@@ -198,8 +198,8 @@
 
 // A client that is turned away while it still sends must be able to read why.
 func TestErrorOutlivesWhatIsSent(t *testing.T) {
-	w := start(t, nil)
-	c := w.dial()
+	env := start(t, nil)
+	c := env.dial()
 	c.Write("*2\r\n$4\r\nPING\r\n$60000000\r\n")
 	c.Write(strings.Repeat("x", 8<<20))
 	c.WantsPrefix("-ERR ")
@@ -209,8 +209,8 @@
 // The id of a request that is open belongs to that request: another one gets an error and not its value.
 func TestOpenIDIsRefused(t *testing.T) {
 	ln := peer.Listen(t)
-	w := start(t, []string{ln.Addr().String()})
-	c, other := w.dial(), w.dial()
+	env := start(t, []string{ln.Addr().String()})
+	c, other := env.dial(), env.dial()
 	c.Command("Q.ASK", peer.Customer, "1", peer.List)
 	b := peer.Accept(t, ln)
 	b.Message()
@@ -226,20 +226,20 @@
 
 // All clients together can't make the front door hold more than its share of memory.
 func TestClientMemoryIsBounded(t *testing.T) {
-	w := start(t, nil, func(c *Config, t *testing.T) { c.MemoryMB = 1 })
+	env := start(t, nil, func(c *Config, t *testing.T) { c.MemoryMB = 1 })
 	body := strings.Repeat("b", resp.MaxValueBytes)
 	var last *peer.Peer
 	for i := range 8 { // none of these requests ends soon, as no backend is known
-		last = w.dial()
+		last = env.dial()
 		last.Command("Q.DO", peer.Customer, fmt.Sprint(i), peer.Keyed, body)
-		p := w.dial()
+		p := env.dial()
 		p.Command("PING") // it is read meanwhile
 		p.WantsPrefix("-LOADING")
 	}
 	if m := last.Message(); m[0] != "-BUSY 100" && !strings.HasPrefix(m[0], "-ERR no memory") {
 		t.Errorf("got %q", m)
 	}
-	if held := w.p.env.Memory.Held(); held > 1<<18 {
+	if held := env.gateway.env.Memory.Held(); held > 1<<18 {
 		t.Errorf("%d bytes are held", held)
 	}
 }
--- a/internal/service/config.go
+++ b/internal/service/config.go
@@ -16,27 +16,27 @@
 	"gapgap/internal/wire"
 )
 
-// Config is what a front door is told at its start.
+// Config is the configuration of one gateway process.
 type Config struct {
-	Name      string
-	Listen    string // where clients connect
-	Control   string // where operators call; empty: nowhere
-	Discovery string
-	Counter   string // empty where there is none
-	Seed      uint64
-	MemoryMB  int
-	Sockets   int
-	Settings  balancer.Settings
-	Transport wire.Transport
-	Known     discovery.EndpointList // the list of backends as last had, maybe old
-	Dir       string                 // outlives the process where the platform upgrades it; empty: nothing does
-	Stall     time.Duration          // a long value of which nothing comes or is taken for so long is given up; 0: 5 s
-	Trace     io.Writer              // what becomes of each request and why; nil: not written
+	Name           string
+	Listen         string // where clients connect
+	Control        string // where operators' commands are taken; empty: nowhere
+	Discovery      string
+	Counter        string // empty where there is none
+	Seed           uint64
+	MemoryMB       int
+	Sockets        int
+	Settings       balancer.Settings
+	Transport      wire.Transport
+	KnownEndpoints discovery.EndpointList // the last known list of backends, which may be out of date
+	StateDir       string                 // holds what outlives the process in an upgrade; empty: none
+	StallTimeout   time.Duration          // a long value that makes no progress for so long is aborted; 0: 5 s
+	Trace          io.Writer              // gets a record of each request's outcome and its reason; nil: none
 
-	keys map[string]bool // the paths of all keys that were given
+	keys map[string]bool // the paths of all keys that the file has
 }
 
-const mostConfig = 4 << 20 // bytes of a file
+const maxConfigBytes = 4 << 20
 
 // ReadConfig reads the JSON form of a Config.
 func ReadConfig(r io.Reader) (*Config, error) {
@@ -49,20 +49,20 @@
 		Known    discovery.EndpointList
 		Settings map[string]any
 	}
-	text, err := io.ReadAll(io.LimitReader(r, mostConfig+1))
+	text, err := io.ReadAll(io.LimitReader(r, maxConfigBytes+1))
 	switch {
 	case err != nil:
 		return nil, err
-	case len(text) > mostConfig:
-		return nil, fmt.Errorf("longer than %d bytes", mostConfig)
+	case len(text) > maxConfigBytes:
+		return nil, fmt.Errorf("longer than %d bytes", maxConfigBytes)
 	case len(bytes.TrimSpace(text)) == 0:
 		return nil, errors.New("empty")
 	}
-	var all any
-	for _, to := range []any{&raw, &all} {
+	var tree any
+	for _, target := range []any{&raw, &tree} {
 		dec := json.NewDecoder(bytes.NewReader(text))
 		dec.UseNumber()
-		if err := dec.Decode(to); err != nil {
+		if err := dec.Decode(target); err != nil {
 			return nil, fmt.Errorf("not the expected JSON: %w", err)
 		}
 		if _, err := dec.Token(); err != io.EOF {
@@ -72,12 +72,13 @@
 	if err := checkNumbers(raw.Settings); err != nil {
 		return nil, err
 	}
-	c := &Config{Name: raw.Name, Listen: raw.Listen, Control: raw.Control, Discovery: raw.Discovery, Counter: raw.Counter,
-		MemoryMB: raw.Limits.MemoryMB, Sockets: raw.Limits.Sockets, Known: raw.Known}
+	c := &Config{Name: raw.Name, Listen: raw.Listen, Control: raw.Control, Discovery: raw.Discovery,
+		Counter: raw.Counter, MemoryMB: raw.Limits.MemoryMB, Sockets: raw.Limits.Sockets,
+		KnownEndpoints: raw.Known}
 	c.keys = map[string]bool{}
-	keysOf(c.keys, "", all)
+	collectKeys(c.keys, "", tree)
 	for path := range c.keys {
-		if strings.HasPrefix(path, "known.") { // what the list holds may well differ
+		if strings.HasPrefix(path, "known.") { // the listed endpoints need not have the same keys
 			delete(c.keys, path)
 		}
 	}
@@ -95,8 +96,8 @@
 	return c, nil
 }
 
-// Check says what a front door could not run with. It stands apart from ReadConfig because the environment may
-// name addresses too.
+// Check returns an error if a gateway could not run with the configuration. It is separate from ReadConfig because the
+// environment may override addresses in between.
 func (c *Config) Check() error {
 	for _, a := range []struct{ what, addr string }{{"listen", c.Listen}, {"discovery", c.Discovery},
 		{"counter", c.Counter}, {"control", c.Control}} {
@@ -113,8 +114,8 @@
 	return nil
 }
 
-// flatten turns nested settings into the paths of the simulator's wire: objects and lists of objects by dots,
-// a list of objects also with its length under .count, a list of plain values joined with commas.
+// flatten adds nested settings to out under the dotted paths of the simulator's wire format. A list of objects has one
+// indexed path per object and its length under .count; a list of scalars becomes one value, joined with commas.
 func flatten(out map[string]string, path string, v any) {
 	switch v := v.(type) {
 	case map[string]any:
@@ -122,27 +123,27 @@
 			flatten(out, strings.TrimPrefix(path+"."+k, "."), e)
 		}
 	case []any:
-		var plain []string
+		var scalars []string
 		objects := 0
 		for _, e := range v {
 			if _, ok := e.(map[string]any); ok {
 				flatten(out, fmt.Sprintf("%s.%d", path, objects), e)
 				objects++
 			} else {
-				plain = append(plain, plainText(e))
+				scalars = append(scalars, scalarText(e))
 			}
 		}
 		if objects > 0 {
 			out[path+".count"] = strconv.Itoa(objects)
 		} else {
-			out[path] = strings.Join(plain, ",")
+			out[path] = strings.Join(scalars, ",")
 		}
 	default:
-		out[path] = plainText(v)
+		out[path] = scalarText(v)
 	}
 }
 
-func plainText(v any) string {
+func scalarText(v any) string {
 	if v == nil {
 		return "-"
 	}
--- a/internal/service/crossings_test.go
+++ b/internal/service/crossings_test.go
@@ -23,50 +23,50 @@
 	}
 }
 
-// first reads a backend's next command and says which request it is for.
-func first(b *peer.Peer) string { return b.Message()[2] }
+// requestID reads a backend's next command and says which request it is for.
+func requestID(b *peer.Peer) string { return b.Message()[2] }
 
 // A client asks, sends what is no command and leaves. It has gone, though its connection is one on which nothing is read any more for use.
 func TestClientLeavesBehindWhatIsNoCommand(t *testing.T) {
 	ln := peer.Listen(t)
-	w := start(t, []string{ln.Addr().String()})
-	c := w.dial()
+	env := start(t, []string{ln.Addr().String()})
+	c := env.dial()
 	c.Write(peer.Command("Q.ASK", peer.Customer, "1", peer.List) + "nonsense\r\n")
 	b := peer.Accept(t, ln)
-	first(b)
+	requestID(b)
 	c.NC.Close()
 	b.WantsEnd()
-	w.left(1)
+	env.checkGone(1)
 }
 
 // A client leaves while the front door is ending, with a request out.
 func TestClientLeavesAmidAShutdown(t *testing.T) {
 	ln := peer.Listen(t)
-	w := start(t, []string{ln.Addr().String()})
-	c, idle := w.dial(), w.dial()
+	env := start(t, []string{ln.Addr().String()})
+	c, idle := env.dial(), env.dial()
 	idle.Command("PING")
 	idle.Wants("+PONG")
 	c.Command("Q.ASK", peer.Customer, "1", peer.List)
 	b := peer.Accept(t, ln)
-	first(b)
-	w.stop()
+	requestID(b)
+	env.stop()
 	idle.WantsEnd()
 	c.Command("Q.ASK", peer.Customer, "2", peer.List) // after the shutdown
 	c.NC.Close()
 	b.WantsEnd()
-	w.left(1)
+	env.checkGone(1)
 }
 
 // A client sends commands that can't be used, each read after a pause, then a good one, and leaves: by the time that one is read nobody waits for it.
 func TestClientLeavesBehindBadCommands(t *testing.T) {
 	ln := peer.Listen(t)
-	w := start(t, []string{ln.Addr().String()})
-	c := w.dial()
+	env := start(t, []string{ln.Addr().String()})
+	c := env.dial()
 	c.Write(strings.Repeat(peer.Command("NONE"), 4) + peer.Command("Q.ASK", peer.Customer, "late", peer.List))
 	c.NC.Close()
-	w.noClients()
-	w.dial().Command("Q.ASK", peer.Customer, "next", peer.List)
-	if id := first(peer.Accept(t, ln)); id != "next" {
+	env.waitNoClients()
+	env.dial().Command("Q.ASK", peer.Customer, "next", peer.List)
+	if id := requestID(peer.Accept(t, ln)); id != "next" {
 		t.Errorf("request %q is sent on", id)
 	}
 }
@@ -74,19 +74,19 @@
 // A client leaves behind so many commands that no more of them are read: the end of its connection is not read either. A further attempt must not begin.
 func TestClientLeavesBehindUnreadCommands(t *testing.T) {
 	ln := peer.Listen(t)
-	w := start(t, []string{ln.Addr().String()})
-	c := w.dial()
+	env := start(t, []string{ln.Addr().String()})
+	c := env.dial()
 	c.Command("Q.ASK", peer.Customer, "1", peer.List)
 	b := peer.Accept(t, ln)
-	first(b)
+	requestID(b)
 	c.Write(strings.Repeat(peer.Command("PING"), 2000))
 	c.NC.Close()
 	time.Sleep(50 * time.Millisecond) // the request has waited: no more is looked at for one that has just come
 	b.Write("-ERR failed\r\n")
-	w.nothingOpen()
-	next := w.dial()
+	env.waitNoneOpen()
+	next := env.dial()
 	next.Command("Q.ASK", peer.Customer, "next", peer.List)
-	if id := first(b); id != "next" {
+	if id := requestID(b); id != "next" {
 		t.Errorf("request %q is sent on", id)
 	}
 	b.Write("*1\r\n" + peer.Bulk("value"))
@@ -96,17 +96,17 @@
 // A client leaves behind unread commands while a connection for its request is coming up.
 func TestClientLeavesWhileAConnectionComesUp(t *testing.T) {
 	addr, let := peer.ListenLate(t)
-	w := start(t, []string{addr})
-	c := w.dial()
+	env := start(t, []string{addr})
+	c := env.dial()
 	c.Write(peer.Command("Q.ASK", peer.Customer, "1", peer.List) + strings.Repeat(peer.Command("PING"), 2000))
-	w.oneOpen()
+	env.waitOneOpen()
 	c.NC.Close()
 	time.Sleep(50 * time.Millisecond)
 	b := let(peer.Patient)
 	if b == nil {
 		t.Fatal("the connection does not come up")
 	}
-	w.nothingOpen()
+	env.waitNoneOpen()
 	b.WantsEnd()
 }
 
@@ -114,14 +114,14 @@
 // not reset. What came after the end is sent to nobody.
 func TestLastAnswerBeforeTheEnd(t *testing.T) {
 	ln := peer.Listen(t)
-	w := start(t, []string{ln.Addr().String()})
-	c, idle := w.dial(), w.dial()
+	env := start(t, []string{ln.Addr().String()})
+	c, idle := env.dial(), env.dial()
 	idle.Command("PING")
 	idle.Wants("+PONG")
 	c.Command("Q.DO", peer.Customer, "1", peer.Unsafe, "body")
 	b := peer.Accept(t, ln)
-	first(b)
-	w.stop()
+	requestID(b)
+	env.stop()
 	idle.WantsEnd()
 	body := strings.Repeat("b", resp.MaxValueBytes)
 	for i := range 4 { // more than one read takes
@@ -139,7 +139,7 @@
 		}
 	}
 	c.NC.Close()
-	<-w.p.Done()
+	<-env.gateway.Done()
 	b.WantsEnd()
 }
 
@@ -149,15 +149,15 @@
 	ln := peer.Listen(t)
 	answered, crossed := 0, 0
 	for range 8 {
-		w := start(t, []string{ln.Addr().String()})
+		env := start(t, []string{ln.Addr().String()})
 		var all []*peer.Peer
 		for range 8 {
-			c := w.dial()
+			c := env.dial()
 			c.Command("PING")
 			c.Wants("+PONG")
 			all = append(all, c)
 		}
-		w.stop()
+		env.stop()
 		all[0].WantsEnd()
 		for _, c := range all[1:] {
 			if _, err := io.WriteString(c.NC, peer.Command("Q.ASK", peer.Customer, "1", peer.List)); err != nil && !errors.Is(err, syscall.EPIPE) {
@@ -173,7 +173,7 @@
 			}
 			c.NC.Close()
 		}
-		<-w.p.Done()
+		<-env.gateway.Done()
 	}
 	t.Logf("%d answered, %d crossed", answered, crossed)
 	ln.Close()
@@ -185,14 +185,14 @@
 
 // One for whom there is no place reads why, whatever it has sent: its connection ends and is not reset.
 func TestTurnedAwayReadsWhy(t *testing.T) {
-	w := start(t, nil, func(c *Config, t *testing.T) { c.Sockets = 256 })
-	most := w.p.env.Conns.Max()
+	env := start(t, nil, func(c *Config, t *testing.T) { c.Sockets = 256 })
+	most := env.gateway.env.Conns.Max()
 	for i := range most { // each with a request that waits for a backend
-		w.dial().Command("Q.ASK", peer.Customer, fmt.Sprint(i), peer.List)
+		env.dial().Command("Q.ASK", peer.Customer, fmt.Sprint(i), peer.List)
 	}
-	w.open(most)
+	env.waitOpen(most)
 	for range 3 {
-		c := w.dial()
+		c := env.dial()
 		c.Write(peer.Command("Q.DO", peer.Customer, "x", peer.Keyed, strings.Repeat("b", resp.MaxValueBytes)))
 		c.Wants("-BUSY 100")
 		wantsCleanEnd(t, c)
@@ -201,46 +201,46 @@
 }
 
 // holds waits until the loop says that something is so.
-func (w *world) holds(what string, is func() bool) {
-	w.t.Helper()
+func (env *testEnv) waitFor(what string, is func() bool) {
+	env.t.Helper()
 	for end := time.Now().Add(peer.Patient); ; time.Sleep(time.Millisecond) {
 		got := make(chan bool, 1)
-		w.p.Post(func() { got <- is() })
+		env.gateway.Post(func() { got <- is() })
 		if <-got {
 			return
 		}
 		if time.Now().After(end) {
-			w.t.Fatalf("it never came to this: %s", what)
+			env.t.Fatalf("it never came to this: %s", what)
 		}
 	}
 }
 
-func (w *world) nothingOpen() { w.t.Helper(); w.open(0) }
-func (w *world) oneOpen()     { w.t.Helper(); w.open(1) }
+func (env *testEnv) waitNoneOpen() { env.t.Helper(); env.waitOpen(0) }
+func (env *testEnv) waitOneOpen()  { env.t.Helper(); env.waitOpen(1) }
 
-func (w *world) open(n int) {
-	w.t.Helper()
-	w.holds(fmt.Sprint(n, " requests open"), func() bool { return w.p.Unanswered() == n })
+func (env *testEnv) waitOpen(n int) {
+	env.t.Helper()
+	env.waitFor(fmt.Sprint(n, " requests open"), func() bool { return env.gateway.Unanswered() == n })
 }
 
 // left says that so many requests ended since their clients had left, and not because their time was up.
-func (w *world) left(n int64) {
-	w.t.Helper()
-	if got := w.p.Stats.Gone.Load(); got != n {
-		w.t.Errorf("%d requests ended with their clients, want %d", got, n)
+func (env *testEnv) checkGone(n int64) {
+	env.t.Helper()
+	if got := env.gateway.Stats.Gone.Load(); got != n {
+		env.t.Errorf("%d requests ended with their clients, want %d", got, n)
 	}
 }
 
-func (w *world) noClients() {
-	w.t.Helper()
-	w.holds("no client is connected", func() bool { return w.p.env.Conns.Len() == 0 })
+func (env *testEnv) waitNoClients() {
+	env.t.Helper()
+	env.waitFor("no client is connected", func() bool { return env.gateway.env.Conns.Len() == 0 })
 }
 
 // A command that was read and waited behind others tells its backend what is left to the client by then.
 func TestWaitInTheBufferCounts(t *testing.T) {
 	ln := peer.Listen(t)
-	w := start(t, []string{ln.Addr().String()})
-	c := w.dial()
+	env := start(t, []string{ln.Addr().String()})
+	c := env.dial()
 	c.Write(strings.Repeat(peer.Command("NONE"), 5) + peer.Command("Q.ASK", peer.Customer, "1", strings.Replace(peer.List, "d=20000", "d=2000", 1)))
 	list := peer.Accept(t, ln).Message()[3] // four pauses of 50 ms later
 	d := 0
@@ -253,15 +253,15 @@
 func TestDrainWhileAConnectionComesUp(t *testing.T) {
 	addr, _ := peer.ListenLate(t)
 	ln := peer.Listen(t)
-	w := start(t, []string{addr}, func(c *Config, t *testing.T) { c.Settings.MaxAttempts = 2 })
-	c := w.dial()
+	env := start(t, []string{addr}, func(c *Config, t *testing.T) { c.Settings.MaxAttempts = 2 })
+	c := env.dial()
 	c.Command("Q.DO", peer.Customer, "1", peer.Unsafe, "body")
-	w.oneOpen()
-	m := members(2, addr, ln.Addr().String())
+	env.waitOneOpen()
+	m := endpoints(2, addr, ln.Addr().String())
 	m.Endpoints[0].Status = "DRAINING"
-	w.news <- m
+	env.news <- m
 	b := peer.Accept(t, ln)
-	if id := first(b); id != "1" {
+	if id := requestID(b); id != "1" {
 		t.Errorf("request %q", id)
 	}
 	b.Write("*1\r\n" + peer.Bulk("value"))
@@ -272,17 +272,17 @@
 func TestWindowEndsWhileAConnectionComesUp(t *testing.T) {
 	late, let := peer.ListenLate(t)
 	ln := peer.Listen(t)
-	w := start(t, []string{ln.Addr().String()}, func(c *Config, t *testing.T) {
+	env := start(t, []string{ln.Addr().String()}, func(c *Config, t *testing.T) {
 		c.Settings.MaxAttempts, c.Settings.Classes[1].DedupWindow = 2, 400*time.Millisecond
 	})
-	c := w.dial()
+	c := env.dial()
 	c.Command("Q.DO", peer.Customer, "1", peer.Keyed, "body")
 	b := peer.Accept(t, ln)
-	first(b)
-	m := members(2, ln.Addr().String(), late)
+	requestID(b)
+	m := endpoints(2, ln.Addr().String(), late)
 	m.Endpoints[0].Status = "DRAINING"
-	w.news <- m
-	w.p.settled()
+	env.news <- m
+	env.gateway.waitForLoop()
 	b.NC.Close()                                             // it may have run: the repeat is sent to the other, and its connection comes up after a second
 	time.Sleep(500 * time.Millisecond)                       // the window is over
 	if other := let(2500 * time.Millisecond); other != nil { // else it was given up before
--- a/internal/service/deployments_test.go
+++ b/internal/service/deployments_test.go
@@ -59,15 +59,15 @@
 				t.Fatal(err)
 			}
 			defer s.Close()
-			w := start(t, []string{s.Addr()}, func(c *Config, t *testing.T) {
+			env := start(t, []string{s.Addr()}, func(c *Config, t *testing.T) {
 				own, err := ReadConfig(strings.NewReader(deployment(d.classes, d.plans)))
 				if err != nil {
 					t.Fatal(err)
 				}
-				own.Discovery, own.Known = c.Discovery, c.Known
+				own.Discovery, own.KnownEndpoints = c.Discovery, c.KnownEndpoints
 				*c = *own
 			})
-			c := w.dial()
+			c := env.dial()
 			n := 0
 			ask := func(class, effect, plan string) string {
 				n++
--- a/internal/service/discovery_test.go
+++ b/internal/service/discovery_test.go
@@ -13,19 +13,19 @@
 // Changes reach the pools and the Door, and a watch that ends is taken up from the last index.
 func TestWatch(t *testing.T) {
 	first, second := peer.Listen(t), peer.Listen(t)
-	w := start(t, []string{first.Addr().String()})
-	if from := <-w.watches; from != "1" {
+	env := start(t, []string{first.Addr().String()})
+	if from := <-env.watches; from != "1" {
 		t.Errorf("the watch begins at %s", from)
 	}
-	m := members(7, first.Addr().String(), second.Addr().String())
+	m := endpoints(7, first.Addr().String(), second.Addr().String())
 	m.Snapshot = false
 	m.Endpoints[0].Status = "DRAINING"
-	w.news <- m
-	w.news <- discovery.EndpointList{Index: -1}
-	if from := <-w.watches; from != "7" {
+	env.news <- m
+	env.news <- discovery.EndpointList{Index: -1}
+	if from := <-env.watches; from != "7" {
 		t.Errorf("the watch goes on at %s", from)
 	}
-	c := w.dial()
+	c := env.dial()
 	c.Command("Q.ASK", peer.Customer, "1", peer.List)
 	b := peer.Accept(t, second)
 	b.Message()
@@ -36,18 +36,18 @@
 // What makes no sense in a list is passed over; a line that is no list ends the watch only.
 func TestOddLists(t *testing.T) {
 	ln := peer.Listen(t)
-	w := start(t, nil)
-	c := w.dial()
+	env := start(t, nil)
+	c := env.dial()
 	c.Command("PING") // it can't serve yet
 	c.WantsPrefix("-LOADING")
-	m := members(3, ln.Addr().String())
+	m := endpoints(3, ln.Addr().String())
 	odd := m.Endpoints[0]
 	odd.Status = "ASLEEP"
 	m.Endpoints = append(m.Endpoints, odd, discovery.Endpoint{})
-	w.news <- m
-	w.news <- discovery.EndpointList{Index: -1}
-	<-w.watches
-	<-w.watches
+	env.news <- m
+	env.news <- discovery.EndpointList{Index: -1}
+	<-env.watches
+	<-env.watches
 	c.Command("PING")
 	c.Wants("+PONG")
 	c.Command("Q.ASK", peer.Customer, "1", peer.List)
@@ -61,23 +61,23 @@
 // longer taken.
 func TestWatchMoves(t *testing.T) {
 	ln := peer.Listen(t)
-	w := start(t, nil)
-	<-w.watches
-	w.news <- members(5)
-	next := &world{t: t, news: make(chan discovery.EndpointList), watches: make(chan string, 16)}
+	env := start(t, nil)
+	<-env.watches
+	env.news <- endpoints(5)
+	next := &testEnv{t: t, news: make(chan discovery.EndpointList), watches: make(chan string, 16)}
 	agent := httptest.NewServer(http.HandlerFunc(next.serveWatch))
 	defer agent.Close()
 	defer agent.CloseClientConnections()
-	w.news <- discovery.EndpointList{Index: -1} // the list was read before the watch ended, and the next begins
-	if from := <-w.watches; from != "5" {
+	env.news <- discovery.EndpointList{Index: -1} // the list was read before the watch ended, and the next begins
+	if from := <-env.watches; from != "5" {
 		t.Errorf("the watch goes on at %s", from)
 	}
-	w.p.SetAddresses(strings.TrimPrefix(agent.URL, "http://"), w.p.cfg.Counter)
+	env.gateway.SetAddresses(strings.TrimPrefix(agent.URL, "http://"), env.gateway.cfg.Counter)
 	if from := <-next.watches; from != "5" {
 		t.Errorf("the watch begins at %s", from)
 	}
-	next.news <- members(6, ln.Addr().String())
-	c := w.dial()
+	next.news <- endpoints(6, ln.Addr().String())
+	c := env.dial()
 	c.Command("Q.ASK", peer.Customer, "1", peer.List)
 	b := peer.Accept(t, ln)
 	b.Message()
--- a/internal/service/golden_test.go
+++ b/internal/service/golden_test.go
@@ -45,7 +45,7 @@
 
 // What an old process leaves to a new one keeps its form: each may be of another version of the program.
 func TestGoldenHandoverState(t *testing.T) {
-	var state estate
+	var state processState
 	next := 0
 	fill(t, reflect.ValueOf(&state).Elem(), &next)
 	text, err := json.Marshal(state)
@@ -53,7 +53,7 @@
 		t.Fatal(err)
 	}
 	golden.CheckBytes(t, "testdata/golden/handover-state.json", text)
-	var back estate
+	var back processState
 	if err := json.Unmarshal(golden.Read(t, "testdata/golden/handover-state.json"), &back); err != nil {
 		t.Fatal(err)
 	}
@@ -63,12 +63,12 @@
 }
 
 // The types of a hand-over's state are all of the recorded one.
-var _ = estate{Core: proxy.HandoverState{Balancer: balancer.HandoverState{}}, Known: discovery.EndpointList{}}
+var _ = processState{Core: proxy.HandoverState{Balancer: balancer.HandoverState{}}, Known: discovery.EndpointList{}}
 
 func TestGoldenBansFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "bans.json")
-	list := banList{Bans: []ban{{Backend: "s-1", SinceMS: 1796290000123}, {Backend: "s-2", SinceMS: 7}}}
-	if err := bansForm.Save(path, list); err != nil {
+	list := ejectionList{Ejections: []ejection{{Backend: "s-1", SinceMS: 1796290000123}, {Backend: "s-2", SinceMS: 7}}}
+	if err := ejectionsFormat.Save(path, list); err != nil {
 		t.Fatal(err)
 	}
 	text, err := os.ReadFile(path)
@@ -76,8 +76,8 @@
 		t.Fatal(err)
 	}
 	golden.CheckBytes(t, "testdata/golden/bans.json", text)
-	var back banList
-	if err := bansForm.Load("testdata/golden/bans.json", &back); err != nil {
+	var back ejectionList
+	if err := ejectionsFormat.Load("testdata/golden/bans.json", &back); err != nil {
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(back, list) {
@@ -111,11 +111,11 @@
 // The limits that both processes of an upgrade go by are part of its protocol.
 func TestGoldenUpgradeLimits(t *testing.T) {
 	trace := golden.NewTrace()
-	for _, limit := range []time.Duration{takeWithin, takeAgain, leaveWithin, bansEvery} {
+	for _, limit := range []time.Duration{takeoverTimeout, takeoverRetryInterval, handoverTimeout, ejectionPollInterval} {
 		trace.Duration(limit)
 	}
-	trace.Float(besidePart)
-	trace.Int(mostBans)
-	trace.Int(mostTurns)
+	trace.Float(overlapFraction)
+	trace.Int(maxEjections)
+	trace.Int(maxPendingCommands)
 	golden.LoadHashes(t, "testdata/golden/limits.txt").Check(t, "upgrade", trace.Sum())
 }
--- a/internal/service/long_test.go
+++ b/internal/service/long_test.go
@@ -14,22 +14,24 @@
 
 const longSize = 3 << 20
 
-func longAnswer(n int) string {
+func longResponse(n int) string {
 	return fmt.Sprintf("*3\r\n$%d\r\n%s\r\n%s$-1\r\n", n, strings.Repeat("v", n), peer.Bulk("used=3"))
 }
 
-func stalling(within time.Duration) option { return func(c *Config, _ *testing.T) { c.Stall = within } }
+func withStallTimeout(within time.Duration) option {
+	return func(c *Config, _ *testing.T) { c.StallTimeout = within }
+}
 
 // A value far over what a connection is held for goes through as it comes; its first bytes are there before its last are sent,
 // and the connections of both sides are good for what follows, also later than the time in which a piece must be taken.
 func TestLongValuePassesThrough(t *testing.T) {
 	ln := peer.Listen(t)
-	w := start(t, []string{ln.Addr().String()}, stalling(100*time.Millisecond))
-	c := w.dial()
+	env := start(t, []string{ln.Addr().String()}, withStallTimeout(100*time.Millisecond))
+	c := env.dial()
 	c.Command("Q.ASK", peer.Customer, "1", peer.List)
 	b := peer.Accept(t, ln)
 	b.Message()
-	text := longAnswer(longSize)
+	text := longResponse(longSize)
 	b.Write(text[:100<<10])
 	first := make([]byte, 50<<10)
 	if _, err := io.ReadFull(c.In, first); err != nil {
@@ -50,7 +52,7 @@
 		b.Write("*3\r\n" + peer.Bulk("short") + "$-1\r\n$-1\r\n")
 		c.Wants("short")
 	}
-	if n := w.p.Stats.Class("evaluate").Count(0); n != 3 {
+	if n := env.gateway.Stats.Class("evaluate").Count(0); n != 3 {
 		t.Errorf("%d served", n)
 	}
 }
@@ -58,8 +60,8 @@
 // Answers keep their order: a long value waits for its turn, and what comes behind it for its end.
 func TestLongValueInItsTurn(t *testing.T) {
 	ln := peer.Listen(t)
-	w := start(t, []string{ln.Addr().String()})
-	c := w.dial()
+	env := start(t, []string{ln.Addr().String()})
+	c := env.dial()
 	c.Command("Q.ASK", peer.Customer, "1", peer.List)
 	first := peer.Accept(t, ln)
 	first.Message()
@@ -67,7 +69,7 @@
 	second := peer.Accept(t, ln)
 	second.Message()
 	c.Command("PING")
-	go second.NC.Write([]byte(longAnswer(200 << 10)))
+	go second.NC.Write([]byte(longResponse(200 << 10)))
 	time.Sleep(20 * time.Millisecond)
 	first.Write("*3\r\n" + peer.Bulk("one") + "$-1\r\n$-1\r\n")
 	c.Wants("one")
@@ -87,12 +89,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			ln := peer.Listen(t)
-			w := start(t, []string{ln.Addr().String()}, stalling(100*time.Millisecond))
-			c, other := w.dial(), w.dial()
+			env := start(t, []string{ln.Addr().String()}, withStallTimeout(100*time.Millisecond))
+			c, other := env.dial(), env.dial()
 			c.Command("Q.ASK", peer.Customer, "1", peer.List)
 			b := peer.Accept(t, ln)
 			b.Message()
-			b.Write(longAnswer(200 << 10)[:100<<10])
+			b.Write(longResponse(200 << 10)[:100<<10])
 			cut(b)
 			got, err := io.ReadAll(c.In)
 			var netError net.Error
@@ -109,7 +111,7 @@
 			}
 			again.Write("*3\r\n" + peer.Bulk("short") + "$-1\r\n$-1\r\n")
 			other.Wants("short")
-			if n := w.p.Stats.Class("evaluate").Count(2); n != 1 {
+			if n := env.gateway.Stats.Class("evaluate").Count(2); n != 1 {
 				t.Errorf("%d counted as failed", n)
 			}
 		})
@@ -119,31 +121,31 @@
 // Clients that take nothing of their long values hold up nobody and are given up; one that leaves ends its transfer.
 func TestSlowReadersOfLongValues(t *testing.T) {
 	ln := peer.Listen(t)
-	w := start(t, []string{ln.Addr().String()}, stalling(200*time.Millisecond))
+	env := start(t, []string{ln.Addr().String()}, withStallTimeout(200*time.Millisecond))
 	for i := range 4 {
-		c := w.dial()
+		c := env.dial()
 		for j := range 4 { // together more than sockets hold
 			c.Command("Q.ASK", peer.Customer, fmt.Sprint(i, "-", j), peer.List)
 			b := peer.Accept(t, ln)
 			b.Message()
-			go b.NC.Write([]byte(longAnswer(longSize * 4 / 3)))
+			go b.NC.Write([]byte(longResponse(longSize * 4 / 3)))
 		}
 		if i == 3 {
 			c.NC.Close()
 		}
 	}
-	c := w.dial()
+	c := env.dial()
 	c.Command("Q.ASK", peer.Customer, "other", peer.List)
 	b := peer.Accept(t, ln)
 	b.Message()
 	b.Write("*3\r\n" + peer.Bulk("short") + "$-1\r\n$-1\r\n")
 	c.Wants("short")
-	for limit := time.Now().Add(peer.Patient); w.p.Stats.Open() > 0; time.Sleep(5 * time.Millisecond) {
+	for limit := time.Now().Add(peer.Patient); env.gateway.Stats.Open() > 0; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(limit) {
-			t.Fatalf("%d still open", w.p.Stats.Open())
+			t.Fatalf("%d still open", env.gateway.Stats.Open())
 		}
 	}
-	if given := w.p.Stats.Class("evaluate").Count(2) + uint64(w.p.Stats.Gone.Load()); given < 4 {
+	if given := env.gateway.Stats.Class("evaluate").Count(2) + uint64(env.gateway.Stats.Gone.Load()); given < 4 {
 		t.Errorf("%d were given up of four clients'", given)
 	}
 }
--- a/internal/service/maintenance_test.go
+++ b/internal/service/maintenance_test.go
@@ -14,35 +14,35 @@
 	"gapgap/internal/fake/peer"
 )
 
-// operate makes a front door answer operators' calls.
-func operate(w *world) func(call string) string {
-	ln := peer.Listen(w.t)
-	w.operators = ln
+// startAdmin makes a front door answer operators' calls.
+func startAdmin(env *testEnv) func(call string) string {
+	ln := peer.Listen(env.t)
+	env.operators = ln
 	return func(call string) string {
-		w.t.Helper()
+		env.t.Helper()
 		nc, err := net.Dial("tcp", ln.Addr().String())
 		if err != nil {
-			w.t.Fatal(err)
+			env.t.Fatal(err)
 		}
 		defer nc.Close()
 		nc.SetDeadline(time.Now().Add(peer.Patient))
 		io.WriteString(nc, call+"\n")
 		b, err := io.ReadAll(nc)
 		if err != nil {
-			w.t.Fatalf("%s: %v", call, err)
+			env.t.Fatalf("%s: %v", call, err)
 		}
 		return string(b)
 	}
 }
 
-func withDir(dir string) option { return func(c *Config, _ *testing.T) { c.Dir = dir } }
+func withStateDir(dir string) option { return func(c *Config, _ *testing.T) { c.StateDir = dir } }
 
 // From the yes on nothing reaches the backend, on warm connections neither, until the call back.
 func TestDetach(t *testing.T) {
 	one, two := peer.Listen(t), peer.Listen(t)
 	dir := t.TempDir()
-	w := start(t, []string{one.Addr().String(), two.Addr().String()}, withDir(dir))
-	call := w.call
+	env := start(t, []string{one.Addr().String(), two.Addr().String()}, withStateDir(dir))
+	call := env.call
 	if got := call("DETACH s-9"); !strings.HasPrefix(got, "NO ") || !strings.Contains(got, "never listed") {
 		t.Errorf("%q", got)
 	}
@@ -68,7 +68,7 @@
 	}
 	go serve(one, "one")
 	go serve(two, "two")
-	c := w.dial()
+	c := env.dial()
 	id := 0
 	ask := func() string {
 		id++
@@ -90,8 +90,8 @@
 		t.Fatalf("%q", got)
 	}
 	call("DETACH s-0")
-	w.news <- members(2, one.Addr().String(), two.Addr().String()) // discovery says that it is in service
-	w.p.settled()
+	env.news <- endpoints(2, one.Addr().String(), two.Addr().String()) // discovery says that it is in service
+	env.gateway.waitForLoop()
 	for range 200 {
 		if got := ask(); got != "two" {
 			t.Fatalf("%q served", got)
@@ -107,7 +107,7 @@
 		}
 	}
 	// Another process of the same front door knows, and the first follows what the second is told.
-	other := start(t, []string{one.Addr().String(), two.Addr().String()}, withDir(dir))
+	other := start(t, []string{one.Addr().String(), two.Addr().String()}, withStateDir(dir))
 	if got := other.call("ATTACH s-0"); got != "YES\n" {
 		t.Fatalf("%q", got)
 	}
@@ -116,7 +116,7 @@
 		t.Fatalf("%q", got)
 	}
 	for range 1000 { // the first process looks ten times a second
-		if !w.banned("s-1") {
+		if !env.isEjected("s-1") {
 			time.Sleep(5 * time.Millisecond)
 			continue
 		}
@@ -129,70 +129,70 @@
 	}
 }
 
-func (w *world) banned(name string) bool {
-	w.p.bans.mu.Lock()
-	defer w.p.bans.mu.Unlock()
-	_, is := w.p.bans.have[name]
+func (env *testEnv) isEjected(name string) bool {
+	env.gateway.ejections.mu.Lock()
+	defer env.gateway.ejections.mu.Unlock()
+	_, is := env.gateway.ejections.ejected[name]
 	return is
 }
 
 // A ban outlives the process; a damaged or newer file is put aside with a line in the log.
 func TestBansOutliveTheProcess(t *testing.T) {
 	dir := t.TempDir()
-	w := start(t, []string{"127.0.0.1:1"}, withDir(dir))
-	if got := w.call("DETACH s-0"); got != "YES\n" {
+	env := start(t, []string{"127.0.0.1:1"}, withStateDir(dir))
+	if got := env.call("DETACH s-0"); got != "YES\n" {
 		t.Fatal(got)
 	}
-	w.stop()
-	<-w.p.Done()
-	again := start(t, nil, withDir(dir)) // it knows no list yet
-	if !again.banned("s-0") {
+	env.stop()
+	<-env.gateway.Done()
+	again := start(t, nil, withStateDir(dir)) // it knows no list yet
+	if !again.isEjected("s-0") {
 		t.Error("the ban is lost")
 	}
 	if got := again.call("ATTACH s-0"); got != "YES\n" { // though this process has never seen it listed
 		t.Error(got)
 	}
 	again.stop()
-	<-again.p.Done()
+	<-again.gateway.Done()
 	file := filepath.Join(dir, "gapgap-bans.json")
 	for _, bad := range []string{"{", `{"kind":"gapgap-bans","version":99,"crc32":0,"data":{}}`, ""} {
 		if err := os.WriteFile(file, []byte(bad), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		w := start(t, []string{"127.0.0.1:1"}, withDir(dir))
-		if got := w.call("DETACH s-0"); got != "YES\n" {
+		env := start(t, []string{"127.0.0.1:1"}, withStateDir(dir))
+		if got := env.call("DETACH s-0"); got != "YES\n" {
 			t.Errorf("%q: %s", bad, got)
 		}
 		if _, err := os.Stat(file + ".damaged"); err != nil {
 			t.Errorf("%q: %v", bad, err)
 		}
-		w.stop()
-		<-w.p.Done()
+		env.stop()
+		<-env.gateway.Done()
 		os.Remove(file + ".damaged")
 	}
 }
 
 // A call for which the loop has no time in time is carried out all the same.
 func TestDetachWhileTheLoopIsBusy(t *testing.T) {
-	w := start(t, []string{"127.0.0.1:1"}, withDir(t.TempDir()))
-	for limit := time.Now().Add(peer.Patient); w.call("PING") != "YES\n"; time.Sleep(time.Millisecond) {
+	env := start(t, []string{"127.0.0.1:1"}, withStateDir(t.TempDir()))
+	for limit := time.Now().Add(peer.Patient); env.call("PING") != "YES\n"; time.Sleep(time.Millisecond) {
 		if time.Now().After(limit) { // the list is not known at once, and no longer becomes known once the loop stands still
 			t.Fatal("no backend becomes known")
 		}
 	}
 	release := make(chan struct{})
-	w.p.Post(func() { <-release })
+	env.gateway.Post(func() { <-release })
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	if err := (calls{w.p}).Detach(ctx, "s-0"); err == nil {
+	if err := (adminService{env.gateway}).Detach(ctx, "s-0"); err == nil {
 		t.Error("a yes though the loop stands still")
 	}
-	if got := w.call("PING"); got != "YES\n" { // others are answered meanwhile
+	if got := env.call("PING"); got != "YES\n" { // others are answered meanwhile
 		t.Error(got)
 	}
 	close(release)
 	for range 2000 {
-		if w.banned("s-0") {
+		if env.isEjected("s-0") {
 			return
 		}
 		time.Sleep(5 * time.Millisecond)
@@ -203,8 +203,8 @@
 // A single call back ends a ban, also at the process that has not yet heard of it.
 func TestAttachAtTheOtherProcess(t *testing.T) {
 	dir := t.TempDir()
-	one := start(t, []string{"127.0.0.1:1"}, withDir(dir))
-	two := start(t, []string{"127.0.0.1:1"}, withDir(dir))
+	one := start(t, []string{"127.0.0.1:1"}, withStateDir(dir))
+	two := start(t, []string{"127.0.0.1:1"}, withStateDir(dir))
 	for range 10 { // without a pause, so within what the two look at each other's file by
 		if got := one.call("DETACH s-0"); got != "YES\n" {
 			t.Fatal(got)
@@ -212,9 +212,9 @@
 		if got := two.call("ATTACH s-0"); got != "YES\n" {
 			t.Fatal(got)
 		}
-		for _, w := range []*world{one, two} {
-			w.p.bans.look(context.Background())
-			if w.banned("s-0") {
+		for _, env := range []*testEnv{one, two} {
+			env.gateway.ejections.refresh(context.Background())
+			if env.isEjected("s-0") {
 				t.Fatal("still banned after the call back")
 			}
 		}
--- a/internal/service/reload.go
+++ b/internal/service/reload.go
@@ -12,14 +12,15 @@
 	"gapgap/internal/proxy"
 )
 
-// Rules are what requests are read and decided by under the configuration.
+// Rules returns the rules by which requests are parsed and decided.
 func (c *Config) Rules() proxy.Rules {
-	return proxy.Rules{Classes: c.Transport.Classes, Plans: c.Transport.Plans, Settings: c.Settings, MaxInFlight: c.Transport.MostOpen}
+	return proxy.Rules{Classes: c.Transport.Classes, Plans: c.Transport.Plans, Settings: c.Settings,
+		MaxInFlight: c.Transport.MostOpen}
 }
 
-// CheckReload says why a configuration can't take the place of one that is in use; the error names the field. Beyond what
-// [Config.Check] wants, a file that is read while the front door serves must be complete: whatever key the one in use has
-// is there, else a part of a file that is being written would be taken for the whole.
+// CheckReload returns an error, which names the field, if the configuration can't replace the one in use. Beyond what
+// [Config.Check] requires, a file that is read while the gateway serves must have every key of the one in use.
+// Otherwise a partly written file could be taken for a complete one.
 func (c *Config) CheckReload(inUse *Config) error {
 	if err := c.Check(); err != nil {
 		return err
@@ -32,7 +33,7 @@
 	}
 	if len(missing) > 0 {
 		sort.Strings(missing)
-		return fmt.Errorf("%s is missing", strings.ReplaceAll(missing[0], anyItem, "[]"))
+		return fmt.Errorf("%s is missing", strings.ReplaceAll(missing[0], anyIndex, "[]"))
 	}
 	if err := c.Settings.Validate(); err != nil {
 		return err
@@ -40,10 +41,10 @@
 	if len(c.Transport.Plans) == 0 || len(c.Transport.Classes) == 0 {
 		return errors.New("settings: no class or no plan")
 	}
-	if err := names("classes", c.Transport.Classes); err != nil {
+	if err := checkNames("classes", c.Transport.Classes); err != nil {
 		return err
 	}
-	if err := names("tiers-of-service", c.Transport.Plans); err != nil {
+	if err := checkNames("tiers-of-service", c.Transport.Plans); err != nil {
 		return err
 	}
 	for i, cl := range c.Settings.Classes {
@@ -51,7 +52,7 @@
 		switch {
 		case cl.ClientTimeout <= 0:
 			return fmt.Errorf("%s: give-up-us is not a number above 0", at)
-		case cl.LatencyObjective < 0 || c.has("classes", "target-us") && cl.LatencyObjective == 0:
+		case cl.LatencyObjective < 0 || c.hasKey("classes", "target-us") && cl.LatencyObjective == 0:
 			return fmt.Errorf("%s: target-us is not a number above 0", at)
 		case cl.Idempotency == balancer.IdempotentByKey && cl.DedupWindow <= 0:
 			return fmt.Errorf("%s: window-us is not a number above 0", at)
@@ -60,13 +61,13 @@
 	return nil
 }
 
-// has says whether the items of a list of the settings have a key.
-func (c *Config) has(list, key string) bool { return c.keys["settings."+list+anyItem+"."+key] }
+// hasKey reports whether all items of a list in the settings have a key.
+func (c *Config) hasKey(list, key string) bool { return c.keys["settings."+list+anyIndex+"."+key] }
 
-// names checks the names of a list: each there, none twice.
-func names(list string, all []string) error {
+// checkNames returns an error if an item of a list lacks a name or has the name of another item.
+func checkNames(list string, names []string) error {
 	seen := map[string]bool{}
-	for i, n := range all {
+	for i, n := range names {
 		switch {
 		case n == "" || n == "-":
 			return fmt.Errorf("settings.%s[%d].name is missing", list, i)
@@ -78,28 +79,28 @@
 	return nil
 }
 
-// anyItem stands in a path for all items of a list.
-const anyItem = "[*]"
+// anyIndex stands for every index of a list in a path.
+const anyIndex = "[*]"
 
-// keysOf gathers the paths of all keys. Those within the items of a list count where all its items have them.
-func keysOf(out map[string]bool, path string, v any) {
+// collectKeys adds the paths of all keys to out. A key within the items of a list counts only if all items have it.
+func collectKeys(out map[string]bool, path string, v any) {
 	switch v := v.(type) {
 	case map[string]any:
 		for k, e := range v {
 			p := strings.TrimPrefix(path+"."+k, ".")
 			out[p] = true
-			keysOf(out, p, e)
+			collectKeys(out, p, e)
 		}
 	case []any:
-		all := map[string]int{}
+		itemsWithKey := map[string]int{}
 		for _, e := range v {
-			one := map[string]bool{}
-			keysOf(one, path+anyItem, e)
-			for p := range one {
-				all[p]++
+			itemKeys := map[string]bool{}
+			collectKeys(itemKeys, path+anyIndex, e)
+			for p := range itemKeys {
+				itemsWithKey[p]++
 			}
 		}
-		for p, n := range all {
+		for p, n := range itemsWithKey {
 			if n == len(v) {
 				out[p] = true
 			}
@@ -107,22 +108,22 @@
 	}
 }
 
-// counts are settings that count something, which must be whole numbers above 0 where they are given.
-var counts = []string{"limits.max-attempts", "peers-total"}
+// countSettings are settings that must be whole numbers above 0 if they are given.
+var countSettings = []string{"limits.max-attempts", "peers-total"}
 
-// checkNumbers says which of the settings is not the number that it should be. Other settings are read as numbers or not at
-// all; a deadline or a number of attempts that is none would be read as no bound.
+// checkNumbers returns an error if a count or a time limit in the settings is not a number above 0. The parser ignores
+// what is no number, so a malformed deadline or number of attempts would otherwise mean no bound.
 func checkNumbers(settings map[string]any) error {
-	for _, path := range counts {
-		at, given := any(settings), false
+	for _, path := range countSettings {
+		value, given := any(settings), false
 		for k := range strings.SplitSeq(path, ".") {
-			m, _ := at.(map[string]any)
-			at, given = m[k]
+			m, _ := value.(map[string]any)
+			value, given = m[k]
 		}
 		if !given {
 			continue
 		}
-		n, ok := at.(json.Number)
+		n, ok := value.(json.Number)
 		if f, err := n.Float64(); !ok || err != nil || f <= 0 || f != math.Trunc(f) {
 			return fmt.Errorf("settings.%s is not a whole number above 0", path)
 		}
@@ -131,7 +132,7 @@
 	for i, e := range list {
 		class, ok := e.(map[string]any)
 		if !ok {
-			return fmt.Errorf("settings.classes[%d] is no object", i)
+			return fmt.Errorf("settings.classes[%d] is not an object", i)
 		}
 		for _, k := range []string{"give-up-us", "target-us"} {
 			v, given := class[k]
--- a/internal/service/reload_test.go
+++ b/internal/service/reload_test.go
@@ -8,15 +8,17 @@
 	"gapgap/internal/fake/peer"
 )
 
-const wholeConfig = `{"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",
+const completeConfig = `{"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",
 "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"counter":"127.0.0.1:1","known":{"index":1,"snapshot":true,"endpoints":[]},"settings":` +
 	settingsJSON + `}`
 
-func wholeText(counter bool, dialUS int) string { return fmt.Sprintf(wholeConfig, dialUS, counter) }
+func completeConfigText(counter bool, dialUS int) string {
+	return fmt.Sprintf(completeConfig, dialUS, counter)
+}
 
 // Nothing is taken from a file that is broken in whichever way, and the error names the field.
 func TestBrokenSettingsAreNotTaken(t *testing.T) {
-	good := wholeText(false, 5_000_000)
+	good := completeConfigText(false, 5_000_000)
 	inUse, err := ReadConfig(strings.NewReader(good))
 	if err != nil {
 		t.Fatal(err)
@@ -80,11 +82,11 @@
 }
 
 func FuzzReadConfig(f *testing.F) {
-	f.Add(wholeText(true, 1000))
-	f.Add(wholeText(false, 0)[:200])
+	f.Add(completeConfigText(true, 1000))
+	f.Add(completeConfigText(false, 0)[:200])
 	f.Add(`{"settings":{"classes":[1]}}`)
 	f.Add(`{"settings":{"classes":[{"give-up-us":[]}],"limits":[]}}`)
-	inUse, err := ReadConfig(strings.NewReader(wholeText(false, 1000)))
+	inUse, err := ReadConfig(strings.NewReader(completeConfigText(false, 1000)))
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -103,13 +105,13 @@
 // rules that it came under. What is turned down changes nothing and is counted.
 func TestNewSettings(t *testing.T) {
 	ln := peer.Listen(t)
-	w := start(t, []string{ln.Addr().String()})
+	env := start(t, []string{ln.Addr().String()})
 	text := fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:0","discovery":%q,"seed":"1","limits":{"cores":1.0,"memory_mb":192,"sockets":1024},`+
-		`"counter":"127.0.0.1:1","settings":%s}`, w.p.cfg.Discovery, fmt.Sprintf(settingsJSON, 5_000_000, false))
+		`"counter":"127.0.0.1:1","settings":%s}`, env.gateway.cfg.Discovery, fmt.Sprintf(settingsJSON, 5_000_000, false))
 	reload := func(text string) error {
-		return w.p.Reload(func() (*Config, error) { return ReadConfig(strings.NewReader(text)) })
+		return env.gateway.Reload(func() (*Config, error) { return ReadConfig(strings.NewReader(text)) })
 	}
-	c := w.dial()
+	c := env.dial()
 	c.Command("Q.ASK", peer.Customer, "1", peer.List)
 	b := peer.Accept(t, ln)
 	b.Message()
@@ -120,8 +122,8 @@
 	if err := reload(changed); err != nil {
 		t.Fatal(err)
 	}
-	w.p.settled() // the loop has taken it
-	n := w.dial()
+	env.gateway.waitForLoop() // the loop has taken it
+	n := env.dial()
 	n.Command("Q.ASK", peer.Customer, "2", peer.List)
 	n.WantsPrefix("-ERR ") // dropped
 	n.Command("Q.ASK", peer.Customer, "3", strings.Replace(peer.List, "evaluate", "weigh", 1))
@@ -139,7 +141,7 @@
 	third.Write("*3\r\n" + peer.Bulk("one") + "$-1\r\n$-1\r\n")
 	c.Wants("one")
 	var figures strings.Builder
-	w.p.Stats.Write(&figures)
+	env.gateway.Stats.Write(&figures)
 	for _, want := range []string{"svc.operations.evaluate.fulfilled=1\n", "svc.operations.weigh.faulted=1\n", "svc.relayed=3\n",
 		"svc.open_requests=0\n", "svc.cfg_accepted=1\n", "svc.cfg_invalid=1\n", "svc.registry_entries=1\n"} {
 		if !strings.Contains(figures.String(), want) {
@@ -148,9 +150,9 @@
 	}
 }
 
-// settled waits until the loop has run what was posted before.
-func (p *Platform) settled() {
+// waitForLoop waits until the loop has run what was posted before.
+func (g *Gateway) waitForLoop() {
 	done := make(chan struct{})
-	p.Post(func() { close(done) })
+	g.Post(func() { close(done) })
 	<-done
 }
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -1,4 +1,4 @@
-// Package service puts one process together out of a checked configuration.
+// Package service assembles the parts of one gateway process from a validated configuration.
 package service
 
 import (
@@ -26,173 +26,177 @@
 )
 
 const (
-	clientShare   = 0.62      // of the sockets that may be held, for clients
-	backendShare  = 0.28      // and for connections to backends
-	unknownShare  = 400       // connections of either kind where no number of sockets is told
-	memoryShare   = 0.25      // of the memory limit, for what clients have sent and not yet read
-	unknownMemory = 128 << 20 // bytes taken for the limit where none is told
+	clientSocketFraction  = 0.62      // of the socket limit, for client connections
+	backendSocketFraction = 0.28      // of the socket limit, for connections to backends
+	defaultMaxConnections = 400       // of either kind, when no socket limit is configured
+	clientMemoryFraction  = 0.25      // of the memory limit, for what clients have sent and have not yet read
+	defaultMemoryBytes    = 128 << 20 // assumed memory limit when none is configured
 )
 
-// NewEnv makes what the fronts of a process share, on a loop's clock.
+// NewEnv returns the resources that the frontends of a process share. Its clock is the event loop's.
 func NewEnv(l *eventloop.Loop, memoryMB, sockets int, r proxy.Router) *proxy.Env {
 	return &proxy.Env{Memory: resourcelimit.NewBytes(ClientMemory(memoryMB)),
-		Conns: resourcelimit.NewClientLimit(share(sockets, clientShare), l.Now), Now: l.Now, Coarse: l.Coarse, Router: r}
+		Conns: resourcelimit.NewClientLimit(socketFraction(sockets, clientSocketFraction), l.Now),
+		Now:   l.Now, Coarse: l.Coarse, Router: r}
 }
 
-// Parts are what one pool of several has of its process. The zero value is that of a front door with one pool.
+// Parts connects a proxy to the other parts of its process. A gateway with a single pool needs only the zero value.
 type Parts struct {
-	Space     string                                         // keeps its numbers on the counter apart from those of other pools
-	Tell      func(*proxy.Proxy) func(endpoint.Update)       // makes the way of what discovery tells; nil: to the core itself
-	Others    func(*proxy.Proxy) func(balancer.Action)       // makes the way of what the core tells other doors; nil: nowhere
-	Found     func(*proxy.Proxy) func(balancer.HealthReport) // makes the way of what the core finds out; nil: nowhere
-	Gate      *cpuscheduler.Flow                             // to the processor
-	Guard     *proxy.DecisionLease                           // whether requests may be decided; nil: always
-	NoCounter func() bool                                    // the counter is not asked, and its calls fail; nil: it always is
-	Closed    *proxy.StartupBarrier                          // while the door comes back; nil: it never is
-	Keys      proxy.KeyReserver                              // claims keys of classes that are remembered; nil: there are none
-	Observe   func(class int, v proxy.Outcome, took time.Duration)
-	Figures   *stats.Counters // nil: nobody reads them
+	Space     string                                               // separates this pool's counters from those of other pools
+	Tell      func(*proxy.Proxy) func(endpoint.Update)             // returns the receiver of updates; nil: the proxy
+	Others    func(*proxy.Proxy) func(balancer.Action)             // returns the receiver of actions for peers; nil: none
+	Found     func(*proxy.Proxy) func(balancer.HealthReport)       // returns the receiver of health reports; nil: none
+	Gate      *cpuscheduler.Flow                                   // schedules CPU time
+	Guard     *proxy.DecisionLease                                 // permits deciding on requests; nil: always permitted
+	NoCounter func() bool                                          // true: counter calls fail unsent; nil: never
+	Closed    *proxy.StartupBarrier                                // holds requests while the gateway recovers; nil: never
+	Keys      proxy.KeyReserver                                    // reserves idempotency keys; nil: there are none
+	Observe   func(class int, v proxy.Outcome, took time.Duration) // gets each answer; nil: not called
+	Figures   *stats.Counters                                      // nil: not collected
 	Memory    *resourcelimit.Bytes
 	Clients   *resourcelimit.Group
 	Places    func(*proxy.Proxy) *resourcelimit.Allotment                    // of the sockets for backends
-	Cap       func(c *proxy.Proxy, addr string) *resourcelimit.EndpointLimit // of a server's connections
+	Cap       func(p *proxy.Proxy, addr string) *resourcelimit.EndpointLimit // of an endpoint's connections
 }
 
-// NewCore makes the core of a front door, or of one pool of it, with its sides: connections to backends, the counter and
-// the platform's discovery.
+// NewCore returns the proxy of a gateway, or of one of its pools, connected to its backends, the counter and the
+// platform's discovery.
 func NewCore(l *eventloop.Loop, cfg *Config, parts Parts, log *slog.Logger) (*proxy.Proxy, error) {
-	c, _, err := newCore(l, cfg, parts, log)
-	return c, err
+	p, _, err := newProxy(l, cfg, parts, log)
+	return p, err
 }
 
-func newCore(l *eventloop.Loop, cfg *Config, parts Parts, log *slog.Logger) (*proxy.Proxy, *discovery.Watch, error) {
+func newProxy(l *eventloop.Loop, cfg *Config, parts Parts, log *slog.Logger) (*proxy.Proxy, *discovery.Watch, error) {
 	var tr *trace.Log
 	if cfg.Trace != nil {
 		tr = trace.New(cfg.Trace, l.Now)
 	}
-	c, err := proxy.New(l, proxy.Config{Trace: tr, Name: cfg.Name, Scheduler: parts.Gate, DecisionLease: parts.Guard, StartupBarrier: parts.Closed, KeyReserver: parts.Keys, Memory: parts.Memory, Clients: parts.Clients, OnAnswer: parts.Observe,
-		Start: cfg.Rules(), Seed: cfg.Seed, Stats: parts.Figures}, log)
+	p, err := proxy.New(l, proxy.Config{Trace: tr, Name: cfg.Name, Scheduler: parts.Gate, DecisionLease: parts.Guard,
+		StartupBarrier: parts.Closed, KeyReserver: parts.Keys, Memory: parts.Memory, Clients: parts.Clients,
+		OnAnswer: parts.Observe, Start: cfg.Rules(), Seed: cfg.Seed, Stats: parts.Figures}, log)
 	if err != nil {
 		return nil, nil, err
 	}
-	told := c.HandleEndpointUpdate
+	onUpdate := p.HandleEndpointUpdate
 	if parts.Tell != nil {
-		told = parts.Tell(c)
+		onUpdate = parts.Tell(p)
 	}
 	if parts.Found != nil {
-		c.OnHealthReport = parts.Found(c)
+		p.OnHealthReport = parts.Found(p)
 	}
 	if parts.Others != nil {
-		c.OnPeerAction = parts.Others(c)
+		p.OnPeerAction = parts.Others(p)
 	}
-	up := upstream.Config{MaxConnections: max(1, BackendSockets(cfg.Sockets)), DialTimeout: cfg.Transport.DialTimeout, IdleTimeout: cfg.Transport.ConnIdle, Trace: tr}
-	up.StallTimeout = cfg.Stall
-	up.OnWritten = c.Stats.Relayed.Add
+	up := upstream.Config{MaxConnections: max(1, BackendSockets(cfg.Sockets)), DialTimeout: cfg.Transport.DialTimeout,
+		IdleTimeout: cfg.Transport.ConnIdle, Trace: tr}
+	up.StallTimeout = cfg.StallTimeout
+	up.OnWritten = p.Stats.Relayed.Add
 	up.ValueMemory = resourcelimit.NewBytes(ClientMemory(cfg.MemoryMB) / 2)
 	if parts.Places != nil {
-		up.Allotment = parts.Places(c)
+		up.Allotment = parts.Places(p)
 	}
 	if parts.Cap != nil {
-		up.EndpointLimit = func(addr string) *resourcelimit.EndpointLimit { return parts.Cap(c, addr) }
+		up.EndpointLimit = func(addr string) *resourcelimit.EndpointLimit { return parts.Cap(p, addr) }
 	}
-	watch := discovery.New(l, log, discovery.Config{Addr: cfg.Discovery, Known: cfg.Known, Zones: cfg.Transport.Zones,
-		Kinds: cfg.Transport.Kinds, Gateways: cfg.Settings.Gateways, Pushed: !cfg.Settings.PollEndpoints, Seed: cfg.Seed}, told)
-	c.Connect(
-		upstream.New(l, up, c.HandleHealthCheckResult),
-		counter.New(l, counter.Config{Addr: cfg.Counter, Space: parts.Space, Enabled: cfg.Settings.UseCounter, Cut: parts.NoCounter,
-			Timeout: cfg.Settings.CounterTimeout, DialTimeout: cfg.Transport.DialTimeout,
-			Trace: tr, Late: func(ev balancer.LateCounterResult) { c.Enqueue(ev) }}, c.HandleCounterResult),
+	watch := discovery.New(l, log, discovery.Config{Addr: cfg.Discovery, Known: cfg.KnownEndpoints,
+		Zones: cfg.Transport.Zones, Kinds: cfg.Transport.Kinds, Gateways: cfg.Settings.Gateways,
+		Pushed: !cfg.Settings.PollEndpoints, Seed: cfg.Seed}, onUpdate)
+	p.Connect(
+		upstream.New(l, up, p.HandleHealthCheckResult),
+		counter.New(l, counter.Config{Addr: cfg.Counter, Space: parts.Space, Enabled: cfg.Settings.UseCounter,
+			Cut: parts.NoCounter, Timeout: cfg.Settings.CounterTimeout, DialTimeout: cfg.Transport.DialTimeout,
+			Trace: tr, Late: func(ev balancer.LateCounterResult) { p.Enqueue(ev) }}, p.HandleCounterResult),
 		watch)
-	return c, watch, nil
+	return p, watch, nil
 }
 
-// ClientMemory is how many bytes of a memory limit clients may make a process hold.
+// ClientMemory returns how many bytes of a memory limit may hold clients' data.
 func ClientMemory(memoryMB int) int64 {
 	memory := memoryMB << 20
 	if memory <= 0 {
-		memory = unknownMemory
+		memory = defaultMemoryBytes
 	}
-	return int64(float64(memory) * memoryShare)
+	return int64(float64(memory) * clientMemoryFraction)
 }
 
-// BackendSockets is how many of the sockets are for connections to backends.
-func BackendSockets(sockets int) int { return share(sockets, backendShare) }
+// BackendSockets returns how many of the sockets are for connections to backends.
+func BackendSockets(sockets int) int { return socketFraction(sockets, backendSocketFraction) }
 
-// share is a part of the sockets.
-func share(sockets int, part float64) int {
-	if n := int(float64(sockets) * part); n > 0 {
+// socketFraction returns a fraction of the socket limit, or defaultMaxConnections if that is not positive.
+func socketFraction(sockets int, fraction float64) int {
+	if n := int(float64(sockets) * fraction); n > 0 {
 		return n
 	}
-	return unknownShare
+	return defaultMaxConnections
 }
 
-// Platform is the lean front door that the platform runs: one core, one RESP2 listener.
-type Platform struct {
+// Gateway is the minimal gateway that the platform runs: one proxy with one RESP2 listener.
+type Gateway struct {
 	*proxy.Proxy
-	env   *proxy.Env
-	cfg   *Config
-	log   *slog.Logger
-	bans  *bans
-	watch *discovery.Watch
+	env       *proxy.Env
+	cfg       *Config
+	log       *slog.Logger
+	ejections *ejectionStore
+	watch     *discovery.Watch
 
-	predecessor *handover.Link // hands over connections; nil: there is none
+	predecessor *handover.Link // the old process of an upgrade, which hands over connections; nil: none
 
-	// Beside is told when a second process of this front door begins to share its memory, and when it no longer does; nil:
-	// nobody asks. It is set before Serve, and called by one goroutine at a time.
-	Beside func(on bool)
+	// OnOverlap is called when a second process of this gateway starts to share its memory, and again when that process
+	// has ended. It may be nil. It is set before Serve, and called by one goroutine at a time.
+	OnOverlap func(overlapping bool)
 
-	listening atomic.Bool // clients' connections are taken
-	inUse     *Config     // what was last taken by Reload, or cfg. Reload's
+	listening atomic.Bool // client connections are accepted
+	inUse     *Config     // last applied by Reload, initially cfg; used by Reload only
 }
 
-// NewPlatform makes one. It takes no connection before Serve.
-func NewPlatform(cfg *Config, log *slog.Logger) (*Platform, error) {
+// NewGateway returns a gateway, which accepts no connections before Serve.
+func NewGateway(cfg *Config, log *slog.Logger) (*Gateway, error) {
 	l := eventloop.New()
-	c, watch, err := newCore(l, cfg, Parts{Figures: stats.New()}, log)
+	p, watch, err := newProxy(l, cfg, Parts{Figures: stats.New()}, log)
 	if err != nil {
 		return nil, err
 	}
-	return &Platform{Proxy: c, bans: newBans(c, cfg.Dir, log), watch: watch, env: NewEnv(l, cfg.MemoryMB, cfg.Sockets, c), cfg: cfg,
-		inUse: cfg, log: log}, nil
+	return &Gateway{Proxy: p, ejections: newEjectionStore(p, cfg.StateDir, log), watch: watch,
+		env: NewEnv(l, cfg.MemoryMB, cfg.Sockets, p), cfg: cfg, inUse: cfg, log: log}, nil
 }
 
-// Reload takes another configuration while the front door serves, whole or not at all: the rules, and the addresses of
-// discovery and the counter. What else it says holds from the next start. One goroutine may call it.
-func (p *Platform) Reload(read func() (*Config, error)) error {
+// Reload applies a new configuration while the gateway serves, as a whole or not at all: the rules, and the addresses
+// of discovery and the counter. Its other settings take effect at the next start. Only one goroutine may call it.
+func (g *Gateway) Reload(read func() (*Config, error)) error {
 	cfg, err := read()
 	if err == nil {
-		err = cfg.CheckReload(p.inUse)
+		err = cfg.CheckReload(g.inUse)
 	}
 	if err == nil {
-		err = p.UpdateSettings(cfg.Rules())
+		err = g.UpdateSettings(cfg.Rules())
 	}
 	if err != nil {
-		p.Stats.Invalid.Add(1)
+		g.Stats.Invalid.Add(1)
 		return err
 	}
-	p.SetAddresses(cfg.Discovery, cfg.Counter)
-	p.inUse = cfg
-	p.Stats.Accepted.Add(1)
+	g.SetAddresses(cfg.Discovery, cfg.Counter)
+	g.inUse = cfg
+	g.Stats.Accepted.Add(1)
 	return nil
 }
 
-// Serve serves what connects to the listener until the context ends, then answers what was taken and returns. Operators call
-// at the other listener; nil: nowhere.
-func (p *Platform) Serve(ctx context.Context, ln, operators net.Listener) {
-	p.log.Info("serving", "listen", ln.Addr(), "backends", len(p.cfg.Known.Endpoints))
-	clients := resp2.New(p.env, resp2.Config{Stall: p.cfg.Stall}, ln, p.log)
-	if operators != nil {
-		beside, stop := context.WithCancel(context.Background())
+// Serve serves the clients of a listener until the context ends, then answers the requests that were accepted and
+// returns. It takes operators' commands at the admin listener, which may be nil.
+func (g *Gateway) Serve(ctx context.Context, ln, adminListener net.Listener) {
+	g.log.Info("serving", "listen", ln.Addr(), "backends", len(g.cfg.KnownEndpoints.Endpoints))
+	clients := resp2.New(g.env, resp2.Config{Stall: g.cfg.StallTimeout}, ln, g.log)
+	if adminListener != nil {
+		background, stop := context.WithCancel(context.Background())
 		var wg sync.WaitGroup
-		wg.Go(func() { p.bans.follow(beside) })
-		wg.Go(func() { p.adopt(beside, clients) })
-		wg.Go(func() { p.offers(beside, ctx, ln, clients) })
+		wg.Go(func() { g.ejections.poll(background) })
+		wg.Go(func() { g.receiveConnections(background, clients) })
+		wg.Go(func() { g.acceptHandovers(background, ctx, ln, clients) })
 		defer wg.Wait()
 		defer stop()
-		f := admin.New(operators, calls{p}, p.log)
-		f.Serve()
-		defer f.Close()
+		commands := admin.New(adminListener, adminService{g}, g.log)
+		commands.Serve()
+		defer commands.Close()
 	}
-	p.listening.Store(true)
-	p.Run(ctx, clients)
+	g.listening.Store(true)
+	g.Run(ctx, clients)
 }
--- a/internal/service/shutdown_test.go
+++ b/internal/service/shutdown_test.go
@@ -12,15 +12,15 @@
 // connections end between requests, and the front door too.
 func TestShutdownAnswersWhatWasTaken(t *testing.T) {
 	ln := peer.Listen(t)
-	w := start(t, []string{ln.Addr().String()})
-	early, quiet := w.dial(), w.dial()
+	env := start(t, []string{ln.Addr().String()})
+	early, quiet := env.dial(), env.dial()
 	quiet.Command("PING")
 	quiet.Wants("+PONG")
 	early.Command("Q.ASK", peer.Customer, "1", peer.List)
 	b := peer.Accept(t, ln)
 	b.Message()
-	w.stop()
-	late := w.dial()
+	env.stop()
+	late := env.dial()
 	late.Command("PING")
 	late.Wants("+PONG")
 	quiet.WantsEnd()
@@ -34,7 +34,7 @@
 		early.WantsEnd()
 	}
 	select {
-	case <-w.p.Done():
+	case <-env.gateway.Done():
 	case <-time.After(peer.Patient):
 		t.Error("it does not end")
 	}
@@ -44,11 +44,11 @@
 func TestServesFromKnownList(t *testing.T) {
 	ln := peer.Listen(t)
 	silent := peer.Listen(t) // takes connections and says nothing
-	w := start(t, []string{ln.Addr().String()}, func(c *Config, t *testing.T) {
+	env := start(t, []string{ln.Addr().String()}, func(c *Config, t *testing.T) {
 		c.Discovery, c.Counter = silent.Addr().String(), silent.Addr().String()
 		c.Settings.UseCounter = true
 	})
-	c := w.dial()
+	c := env.dial()
 	c.Command("Q.ASK", peer.Customer, "1", strings.Replace(peer.List, "t=open", "t=starter", 1))
 	b := peer.Accept(t, ln)
 	b.Message()
--- a/internal/service/world_test.go
+++ b/internal/service/testenv_test.go
@@ -29,13 +29,13 @@
 "tiers-of-service":[{"name":"open","value-factor":1.0},
  {"name":"starter","value-factor":1.0,"units-per-s":2.5,"most-at-once":10,"over-cost":1.2}]}`
 
-// world is a front door with what stands round it, all on loopback.
-type world struct {
-	t    *testing.T
-	p    *Platform
-	addr string
-	stop context.CancelFunc
-	call func(string) string // an operator's call and its answer
+// testEnv is a front door with what stands round it, all on loopback.
+type testEnv struct {
+	t       *testing.T
+	gateway *Gateway
+	addr    string
+	stop    context.CancelFunc
+	call    func(string) string // an operator's call and its answer
 
 	operators net.Listener
 	news      chan discovery.EndpointList // to the watch
@@ -45,32 +45,32 @@
 type option func(*Config, *testing.T)
 
 // start runs a front door that knows the given backends.
-func start(t *testing.T, addrs []string, options ...option) *world {
+func start(t *testing.T, addrs []string, options ...option) *testEnv {
 	t.Helper()
-	w := &world{t: t, news: make(chan discovery.EndpointList), watches: make(chan string, 16)}
-	disco := httptest.NewServer(http.HandlerFunc(w.serveWatch))
+	env := &testEnv{t: t, news: make(chan discovery.EndpointList), watches: make(chan string, 16)}
+	disco := httptest.NewServer(http.HandlerFunc(env.serveWatch))
 	cfg := config(t, false, 5_000_000)
 	cfg.Discovery = strings.TrimPrefix(disco.URL, "http://")
-	cfg.Known = members(1, addrs...)
+	cfg.KnownEndpoints = endpoints(1, addrs...)
 	for _, o := range options {
 		o(cfg, t)
 	}
-	p, err := NewPlatform(cfg, discard)
+	g, err := NewGateway(cfg, discard)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	ln := peer.Listen(t)
-	w.p, w.addr, w.stop = p, ln.Addr().String(), stop
-	w.call = operate(w)
-	go p.Serve(ctx, ln, w.operators)
+	env.gateway, env.addr, env.stop = g, ln.Addr().String(), stop
+	env.call = startAdmin(env)
+	go g.Serve(ctx, ln, env.operators)
 	t.Cleanup(func() {
 		stop()
-		<-p.Done()
+		<-g.Done()
 		disco.CloseClientConnections()
 		disco.Close()
 	})
-	return w
+	return env
 }
 
 func config(t *testing.T, counter bool, dialUS int) *Config {
@@ -84,7 +84,7 @@
 	return cfg
 }
 
-func members(index int64, addrs ...string) discovery.EndpointList {
+func endpoints(index int64, addrs ...string) discovery.EndpointList {
 	m := discovery.EndpointList{Index: index, Snapshot: true}
 	for i, a := range addrs {
 		m.Endpoints = append(m.Endpoints, discovery.Endpoint{Name: fmt.Sprint("s-", i), Address: a, Zone: "dc1", Type: "std",
@@ -93,20 +93,20 @@
 	return m
 }
 
-func (w *world) serveWatch(rw http.ResponseWriter, r *http.Request) {
+func (env *testEnv) serveWatch(rw http.ResponseWriter, r *http.Request) {
 	select {
-	case w.watches <- r.URL.Query().Get("index"):
+	case env.watches <- r.URL.Query().Get("index"):
 	default:
 	}
 	rw.WriteHeader(http.StatusOK)
 	rw.(http.Flusher).Flush()
 	for {
 		select {
-		case m := <-w.news:
+		case m := <-env.news:
 			if m.Index < 0 { // the test ends this watch
 				return
 			}
-			json.NewEncoder(rw).Encode(lower(m))
+			json.NewEncoder(rw).Encode(toJSON(m))
 			rw.(http.Flusher).Flush()
 		case <-r.Context().Done():
 			return
@@ -114,8 +114,8 @@
 	}
 }
 
-// lower gives a list discovery's own names.
-func lower(m discovery.EndpointList) map[string]any {
+// toJSON gives a list discovery's own names.
+func toJSON(m discovery.EndpointList) map[string]any {
 	list := []map[string]any{}
 	for _, e := range m.Endpoints {
 		list = append(list, map[string]any{"name": e.Name, "address": e.Address, "zone": e.Zone, "type": e.Type,
@@ -125,4 +125,4 @@
 }
 
 // dial connects a client.
-func (w *world) dial() *peer.Peer { return peer.Dial(w.t, w.addr) }
+func (env *testEnv) dial() *peer.Peer { return peer.Dial(env.t, env.addr) }
--- a/internal/service/upgrade.go
+++ b/internal/service/upgrade.go
@@ -18,203 +18,206 @@
 )
 
 const (
-	takeWithin  = 3 * time.Second        // for an old process that is just handing over to another one
-	takeAgain   = 100 * time.Millisecond // between two tries
-	leaveWithin = 2 * time.Second        // for the loop to write down what is handed on
-	besidePart  = 0.6                    // of its connections to backends that the new process may have while the old one lives
+	takeoverTimeout       = 3 * time.Second        // for retries while the old process hands over to another one
+	takeoverRetryInterval = 100 * time.Millisecond // between two tries
+	handoverTimeout       = 2 * time.Second        // for the event loop to export its state
+	overlapFraction       = 0.6                    // of its backend connections, for the new process beside the old one
 )
 
-// estate is what the old process of an upgrade leaves to the new one, beside sockets.
-type estate struct {
+// processState is what the old process of an upgrade hands over to the new one, apart from sockets.
+type processState struct {
 	Listen string                 `json:"Listen"`
 	Core   proxy.HandoverState    `json:"Core"`
 	Known  discovery.EndpointList `json:"Known"`
 }
 
-// Inheritance is what a new process got from the old one.
-type Inheritance struct {
+// Takeover is what a new process has received from the old one.
+type Takeover struct {
 	Listener net.Listener
 	link     *handover.Link
-	estate   estate
+	state    processState
 }
 
-// Inherit takes over from the process that serves the same address, if there is one that shares the directory: its list goes
-// into the configuration, which must have been checked. nil without an error: there is none.
-func Inherit(cfg *Config) (*Inheritance, error) {
-	if cfg.Dir == "" {
+// BeginTakeover asks the process that serves the same address, if one shares the state directory, to hand over. It
+// copies that process's endpoint list to cfg, which must have been checked, unless cfg has a newer one. It returns nil
+// without an error if there is no old process.
+func BeginTakeover(cfg *Config) (*Takeover, error) {
+	if cfg.StateDir == "" {
 		return nil, nil
 	}
-	for until := time.Now().Add(takeWithin); ; time.Sleep(takeAgain) {
-		t, err := handover.Take(cfg.Dir)
+	for deadline := time.Now().Add(takeoverTimeout); ; time.Sleep(takeoverRetryInterval) {
+		taken, err := handover.Take(cfg.StateDir)
 		switch {
 		case errors.Is(err, fs.ErrNotExist), errors.Is(err, syscall.ECONNREFUSED):
-			return nil, nil // none was there, or it has died
-		case errors.Is(err, handover.ErrRefused) && time.Now().Before(until):
+			return nil, nil // there is no old process, or it has died
+		case errors.Is(err, handover.ErrRefused) && time.Now().Before(deadline):
 			continue
 		case err != nil:
 			return nil, err
 		}
-		in := &Inheritance{Listener: t.Listener, link: t.Link}
-		if err := json.Unmarshal(t.State, &in.estate); err != nil {
-			in.Close()
-			return nil, fmt.Errorf("what the old process hands over: %w", err)
+		t := &Takeover{Listener: taken.Listener, link: taken.Link}
+		if err := json.Unmarshal(taken.State, &t.state); err != nil {
+			t.Close()
+			return nil, fmt.Errorf("state of the old process: %w", err)
 		}
-		if in.estate.Listen != cfg.Listen {
-			in.Close()
-			return nil, fmt.Errorf("the old process listens on %s, this one on %s", in.estate.Listen, cfg.Listen)
+		if t.state.Listen != cfg.Listen {
+			t.Close()
+			return nil, fmt.Errorf("the old process listens on %s, this one on %s", t.state.Listen, cfg.Listen)
 		}
-		if in.estate.Known.Index >= cfg.Known.Index && len(in.estate.Known.Endpoints) > 0 {
-			cfg.Known = in.estate.Known
+		if t.state.Known.Index >= cfg.KnownEndpoints.Index && len(t.state.Known.Endpoints) > 0 {
+			cfg.KnownEndpoints = t.state.Known
 		}
-		return in, nil
+		return t, nil
 	}
 }
 
-// Close gives it up: the old process goes on.
-func (in *Inheritance) Close() {
-	in.Listener.Close()
-	in.link.Close()
+// Close abandons the takeover: the old process serves on.
+func (t *Takeover) Close() {
+	t.Listener.Close()
+	t.link.Close()
 }
 
-// Succeed makes the platform begin with an inheritance, before Serve, and tells the old process that it has gone over. An error
-// says that the old one has gone on.
-func (p *Platform) Succeed(in *Inheritance) error {
-	if err := in.link.Confirm(); err != nil {
-		in.Close()
+// CompleteTakeover confirms a takeover to the old process and imports its state. It is called before Serve. An error
+// means that the old process serves on.
+func (g *Gateway) CompleteTakeover(t *Takeover) error {
+	if err := t.link.Confirm(); err != nil {
+		t.Close()
 		return err
 	}
-	p.ImportHandover(in.estate.Core)
-	p.predecessor = in.link
+	g.ImportHandover(t.state.Core)
+	g.predecessor = t.link
 	return nil
 }
 
-// adopt takes over connections from the old process until that ends, or the context does.
-func (p *Platform) adopt(ctx context.Context, clients *resp2.Front) {
-	if p.predecessor == nil {
+// receiveConnections takes over connections from the old process until that process or the context ends.
+func (g *Gateway) receiveConnections(ctx context.Context, clients *resp2.Front) {
+	if g.predecessor == nil {
 		return
 	}
-	all := max(1, BackendSockets(p.cfg.Sockets))
-	p.SetMaxConnections(max(1, int(besidePart*float64(all))))
-	p.beside(true)
-	defer p.beside(false)
-	stop := context.AfterFunc(ctx, func() { p.predecessor.Close() })
+	maxConnections := max(1, BackendSockets(g.cfg.Sockets))
+	g.SetMaxConnections(max(1, int(overlapFraction*float64(maxConnections))))
+	g.notifyOverlap(true)
+	defer g.notifyOverlap(false)
+	stop := context.AfterFunc(ctx, func() { g.predecessor.Close() })
 	defer stop()
 	for {
-		nc, unread, err := p.predecessor.Next()
+		conn, unread, err := g.predecessor.Next()
 		if err != nil {
 			break
 		}
-		clients.Adopt(nc, unread)
+		clients.Adopt(conn, unread)
 	}
-	p.predecessor.Close()
-	p.SetMaxConnections(all)
-	p.log.Info("the process before has ended")
+	g.predecessor.Close()
+	g.SetMaxConnections(maxConnections)
+	g.log.Info("the process before has ended")
 }
 
-// offers waits for processes that are to take this one's place, until the context ends.
-func (p *Platform) offers(ctx, serving context.Context, ln net.Listener, clients *resp2.Front) {
+// acceptHandovers waits for processes that are to replace this one, until ctx ends. serving ends when this process is
+// to shut down.
+func (g *Gateway) acceptHandovers(ctx, serving context.Context, ln net.Listener, clients *resp2.Front) {
 	socket, isSocket := ln.(syscall.Conn)
-	if p.cfg.Dir == "" || !isSocket {
+	if g.cfg.StateDir == "" || !isSocket {
 		return
 	}
-	door, err := handover.Listen(p.cfg.Dir)
+	upgrades, err := handover.Listen(g.cfg.StateDir)
 	if err != nil { // the next process starts as after a restart
-		p.log.Warn("no upgrade without loss from this process", "error", err)
+		g.log.Warn("this process can't hand over its connections in an upgrade", "error", err)
 		return
 	}
-	stop := context.AfterFunc(ctx, func() { door.Close() })
+	stop := context.AfterFunc(ctx, func() { upgrades.Close() })
 	defer stop()
-	defer door.Close()
+	defer upgrades.Close()
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	turn := make(chan struct{}, 1) // one process at a time
+	busy := make(chan struct{}, 1) // serializes handovers
 	for {
-		c, err := door.AcceptUnix()
+		conn, err := upgrades.AcceptUnix()
 		if err != nil {
 			return
 		}
 		wg.Go(func() {
-			defer c.Close()
-			link, err := handover.Hello(c)
+			defer conn.Close()
+			link, err := handover.Hello(conn)
 			if err != nil {
-				p.log.Error("a process that wanted to take over can't", "error", err)
+				g.log.Error("handover request failed", "error", err)
 				return
 			}
 			select {
-			case turn <- struct{}{}:
-				defer func() { <-turn }()
+			case busy <- struct{}{}:
+				defer func() { <-busy }()
 			default:
-				link.Refuse(errors.New("another process is just taking over"))
+				link.Refuse(errors.New("another process is already taking over"))
 				return
 			}
-			stop := context.AfterFunc(ctx, func() { c.Close() })
+			stop := context.AfterFunc(ctx, func() { conn.Close() })
 			defer stop()
-			if err := p.offer(ctx, serving, link, socket, clients); err != nil {
-				p.log.Error("an upgrade has not come about: this process serves on", "error", err)
+			if err := g.handOver(ctx, serving, link, socket, clients); err != nil {
+				g.log.Error("an upgrade has not come about: this process serves on", "error", err)
 			}
 		})
 	}
 }
 
-// offer hands over to one process. It returns when that one has ended or has not taken over.
-func (p *Platform) offer(ctx, serving context.Context, link *handover.Link, socket syscall.Conn, clients *resp2.Front) error {
+// handOver hands over to one process. It returns when that process has ended or has failed to take over.
+func (g *Gateway) handOver(ctx, serving context.Context, link *handover.Link, socket syscall.Conn,
+	clients *resp2.Front) error {
 	if serving.Err() != nil {
-		err := errors.New("this process is ending")
+		err := errors.New("this process is shutting down")
 		link.Refuse(err)
 		return err
 	}
 	clients.Pause()
-	soon, cancel := context.WithTimeout(ctx, leaveWithin)
+	exportCtx, cancel := context.WithTimeout(ctx, handoverTimeout)
 	defer cancel()
-	left, err := p.BeginHandover(soon)
+	exported, err := g.BeginHandover(exportCtx)
 	if err != nil {
 		link.Refuse(err)
-		p.serveOn(ctx, clients, proxy.HandoverState{})
+		g.resumeServing(ctx, clients, proxy.HandoverState{})
 		return err
 	}
-	state, err := json.Marshal(estate{Listen: p.cfg.Listen, Core: left, Known: p.known(soon)})
+	state, err := json.Marshal(processState{Listen: g.cfg.Listen, Core: exported, Known: g.endpointList(exportCtx)})
 	if err == nil {
 		err = link.Offer(state, socket)
 	}
 	if err != nil {
-		p.serveOn(ctx, clients, left)
+		g.resumeServing(ctx, clients, exported)
 		return err
 	}
-	p.log.Info("another process serves from now on")
-	p.beside(true)
-	defer p.beside(false)
+	g.log.Info("another process serves from now on")
+	g.notifyOverlap(true)
+	defer g.notifyOverlap(false)
 	clients.Move(link.Hand)
 	link.Ended()
 	clients.Stay()
 	if serving.Err() == nil && ctx.Err() == nil {
-		p.serveOn(ctx, clients, proxy.HandoverState{})
+		g.resumeServing(ctx, clients, proxy.HandoverState{})
 		return errors.New("the other process has ended")
 	}
 	return nil
 }
 
-func (p *Platform) beside(on bool) {
-	if p.Beside != nil {
-		p.Beside(on)
+func (g *Gateway) notifyOverlap(overlapping bool) {
+	if g.OnOverlap != nil {
+		g.OnOverlap(overlapping)
 	}
 }
 
-// known is the list of backends as the loop has it.
-func (p *Platform) known(ctx context.Context) (m discovery.EndpointList) {
-	got := make(chan discovery.EndpointList, 1)
-	if p.PostUntil(func() { got <- p.watch.List() }, ctx.Done()) {
+// endpointList returns the event loop's list of backends, which is empty if the context ends first.
+func (g *Gateway) endpointList(ctx context.Context) (list discovery.EndpointList) {
+	result := make(chan discovery.EndpointList, 1)
+	if g.PostUntil(func() { result <- g.watch.List() }, ctx.Done()) {
 		select {
-		case m = <-got:
+		case list = <-result:
 		case <-ctx.Done():
 		}
 	}
-	return m
+	return list
 }
 
-// serveOn undoes a hand-over that has come to nothing.
-func (p *Platform) serveOn(ctx context.Context, clients *resp2.Front, back proxy.HandoverState) {
-	if err := p.AbortHandover(ctx, back); err != nil {
-		p.log.Error("what was to be handed over is lost", "error", err)
+// resumeServing undoes a handover that has failed. It takes back the state that was exported for it.
+func (g *Gateway) resumeServing(ctx context.Context, clients *resp2.Front, exported proxy.HandoverState) {
+	if err := g.AbortHandover(ctx, exported); err != nil {
+		g.log.Error("can't take back the state of the failed handover", "error", err)
 	}
 	clients.Resume()
 }
