--- a/internal/service/attempts_test.go
+++ b/internal/service/attempts_test.go
@@ -6,8 +6,8 @@
 	"gapgap/internal/fake/peer"
 )
 
-// An error from one backend leads to another attempt; its connection is good for more. After a break the value
-// of a keyed request still comes from a backend.
+// TestFurtherAttempt verifies that an error answer from a backend leads to another attempt on the same connection, and
+// that a keyed request is still answered after its connection breaks.
 func TestFurtherAttempt(t *testing.T) {
 	ln := peer.Listen(t)
 	env := start(t, []string{ln.Addr().String()})
@@ -24,7 +24,8 @@
 	c.Wants("done")
 }
 
-// An unsafe request that may have run is neither sent again nor refused, only failed.
+// TestUnsafeRequestIsNotRepeated verifies that an unsafe request that may have run fails. It is neither sent again nor
+// rejected.
 func TestUnsafeRequestIsNotRepeated(t *testing.T) {
 	ln := peer.Listen(t)
 	env := start(t, []string{ln.Addr().String()})
@@ -36,22 +37,25 @@
 	c.Wants("-ERR failed")
 }
 
-// Odd answers cost the connection, not the front door, and are served to nobody.
+// TestOddAnswers verifies that a malformed answer fails its request and closes the backend's connection, but does not
+// stop the gateway.
 func TestOddAnswers(t *testing.T) {
-	for _, odd := range []string{"+OK\r\n", "*1\r\n$-1\r\n", "nonsense\r\n", "$999999999\r\n", ":1\r\n", "*1\r\n*1\r\n*1\r\n*1\r\n"} {
-		ln := peer.Listen(t) // the module no longer uses a backend that fails twice
+	for _, malformed := range []string{"+OK\r\n", "*1\r\n$-1\r\n", "nonsense\r\n", "$999999999\r\n", ":1\r\n",
+		"*1\r\n*1\r\n*1\r\n*1\r\n"} {
+		ln := peer.Listen(t) // a new backend each time: one that fails twice is ejected
 		env := start(t, []string{ln.Addr().String()})
 		c := env.dial()
 		c.Command("Q.DO", peer.Customer, "1", peer.Unsafe, "body")
 		b := peer.Accept(t, ln)
 		b.Message()
-		b.Write(odd)
+		b.Write(malformed)
 		c.Wants("-ERR failed")
 		b.WantsEnd()
 	}
 }
 
-// An answer that nobody asked for must not be taken for that of the next request.
+// TestUnaskedAnswer verifies that an unsolicited answer closes its connection. It must not be taken for the answer to
+// the next request.
 func TestUnaskedAnswer(t *testing.T) {
 	ln := peer.Listen(t)
 	env := start(t, []string{ln.Addr().String()})
