--- a/internal/service/clients_test.go
+++ b/internal/service/clients_test.go
@@ -11,15 +11,16 @@
 	"time"
 )
 
-// A value goes to the client alone and whole, a command to the backend unchanged but for d, and a warm connection
-// is used again.
+// TestPassesCommandAndValueOn verifies that a command reaches the backend with only its deadline d changed, that the
+// client gets the whole value and nothing else, and that the backend's connection is used again.
 func TestPassesCommandAndValueOn(t *testing.T) {
 	ln := peer.Listen(t)
 	env := start(t, []string{ln.Addr().String()})
 	c := env.dial()
 	c.Command("PING")
 	c.Wants("+PONG")
-	value, body := strings.Repeat("v\r\n-", 75<<10), strings.Repeat("b", resp.MaxValueBytes) // longer than a value is said to be
+	// The value is longer than the advertised maximum.
+	value, body := strings.Repeat("v\r\n-", 75<<10), strings.Repeat("b", resp.MaxValueBytes)
 	var b *peer.Peer
 	for range 2 {
 		c.Command("q.do", peer.Customer, "9b1f03aa5c7e2d41", peer.Keyed, body)
@@ -37,10 +38,10 @@
 					d = 10*d + int(r-'0')
 				}
 			} else if item != was {
-				t.Errorf("%s went on as %s", was, item)
+				t.Errorf("%s was forwarded as %s", was, item)
 			}
 		}
-		if d < 1 || d > 6000 { // the module waits no longer than the aim
+		if d < 1 || d > 6000 { // the proxy waits no longer than the latency objective
 			t.Errorf("d=%d", d)
 		}
 		b.Write("*3\r\n" + peer.Bulk(value) + peer.Bulk("used=37,cost=4") + "$-1\r\n")
@@ -50,6 +51,8 @@
 	}
 }
 
+// TestAnswersInCommandOrder verifies that a client gets its answers in the order of its commands, whatever the order in
+// which backends answer.
 func TestAnswersInCommandOrder(t *testing.T) {
 	ln := peer.Listen(t)
 	env := start(t, []string{ln.Addr().String()})
@@ -68,12 +71,15 @@
 	c.Wants("+PONG")
 }
 
+// TestBadInput verifies that an invalid command gets an error, that a protocol error also closes the connection, and
+// that neither is forwarded.
 func TestBadInput(t *testing.T) {
 	ln := peer.Listen(t)
 	env := start(t, []string{ln.Addr().String()})
 	for _, bad := range [][]string{
 		{"Q.ASK"}, {"Q.ASK", peer.Customer, "1"}, {"Q.ASK", peer.Customer, "1", peer.List, "body", "more"},
-		{"Q.ASK", "b4d65521", "1", peer.List}, {"Q.ASK", "zzzzzzzzzzzzzzzz", "1", peer.List}, {"Q.ASK", "ffffffffffffffff", "1", peer.List},
+		{"Q.ASK", "b4d65521", "1", peer.List}, {"Q.ASK", "zzzzzzzzzzzzzzzz", "1", peer.List},
+		{"Q.ASK", "ffffffffffffffff", "1", peer.List},
 		{"Q.ASK", peer.Customer, "", peer.List}, {"Q.ASK", peer.Customer, "1", ""},
 		{"Q.ASK", peer.Customer, "1", strings.Replace(peer.List, "evaluate", "other", 1)},
 		{"Q.ASK", peer.Customer, "1", strings.Replace(peer.List, "t=open", "t=other", 1)},
@@ -102,8 +108,8 @@
 		c.Command("PING") // the connection is kept
 		c.Wants("+PONG")
 	}
-	for _, bad := range []string{"PING\r\n", "*1\r\n:1\r\n", "*1\r\n$-1\r\n", "*999999999\r\n", "*1\r\n$70000\r\n", "*x\r\n",
-		"*0\r\n", "*2\r\n$4\r\nPING\r\n*1\r\n$1\r\nx\r\n", "*1\r\n$4\r\nPINGxx"} {
+	for _, bad := range []string{"PING\r\n", "*1\r\n:1\r\n", "*1\r\n$-1\r\n", "*999999999\r\n", "*1\r\n$70000\r\n",
+		"*x\r\n", "*0\r\n", "*2\r\n$4\r\nPING\r\n*1\r\n$1\r\nx\r\n", "*1\r\n$4\r\nPINGxx"} {
 		c := env.dial()
 		c.Write(bad)
 		c.WantsPrefix("-ERR ")
@@ -112,11 +118,11 @@
 	ln.Close()
 	if nc, err := ln.Accept(); err == nil {
 		nc.Close()
-		t.Error("something was sent on")
+		t.Error("a request was forwarded")
 	}
 }
 
-// A client that leaves takes its request along: the backend's connection is closed and nothing more goes out.
+// TestClientGone verifies that a client's disconnect cancels its request and closes the backend's connection.
 func TestClientGone(t *testing.T) {
 	ln := peer.Listen(t)
 	env := start(t, []string{ln.Addr().String()})
@@ -128,7 +134,7 @@
 	b.WantsEnd()
 }
 
-// A client that takes no answers must not hold up the others.
+// TestSlowClientHoldsNobodyUp verifies that a client that reads no answers does not delay other clients.
 func TestSlowClientHoldsNobodyUp(t *testing.T) {
 	ln := peer.Listen(t)
 	env := start(t, []string{ln.Addr().String()})
@@ -136,7 +142,7 @@
 	value := peer.Bulk(strings.Repeat("v", resp.MaxValueBytes))
 	go func() {
 		nc, err := ln.Accept()
-		for err == nil { // a backend that serves all that comes
+		for err == nil { // a backend that answers every request
 			go func(nc net.Conn) {
 				in := &resp.Reader{Source: nc}
 				for {
@@ -155,14 +161,14 @@
 		slow.Command("Q.ASK", peer.Customer, "1", peer.List)
 	}
 	c := env.dial()
-	for served := false; !served; { // the module may refuse some meanwhile
+	for served := false; !served; { // some may be rejected meanwhile
 		c.Command("Q.ASK", peer.Customer, "2", peer.List)
 		served = len(c.Message()[0]) == resp.MaxValueBytes
 	}
 }
 
-// Nobody to serve by: the request is held and refused when its time is up, here by the loop for a Door that
-// would forget it.
+// TestOverdueRequestIsAnswered verifies that a request is held while no backend is known, and is rejected at its
+// deadline. The event loop enforces the deadline even if the balancer should miss it.
 func TestOverdueRequestIsAnswered(t *testing.T) {
 	env := start(t, nil)
 	c := env.dial()
@@ -172,7 +178,8 @@
 	}
 }
 
-// A client that says nothing, or drips a command, must not hold a connection: one deadline holds for all of it.
+// TestSlowCommandsEnd verifies that a client that sends nothing, or sends a command byte by byte, loses its connection:
+// one deadline applies to the whole command.
 func TestSlowCommandsEnd(t *testing.T) {
 	env := start(t, nil)
 	silent, dripping, later := env.dial(), env.dial(), env.dial()
@@ -196,7 +203,7 @@
 	later.WantsPrefix("-ERR ")
 }
 
-// A client that is turned away while it still sends must be able to read why.
+// TestErrorOutlivesWhatIsSent verifies that a client that is rejected while it still sends can read the error.
 func TestErrorOutlivesWhatIsSent(t *testing.T) {
 	env := start(t, nil)
 	c := env.dial()
@@ -206,7 +213,7 @@
 	c.WantsEnd()
 }
 
-// The id of a request that is open belongs to that request: another one gets an error and not its value.
+// TestOpenIDIsRefused verifies that a request with the id of one in flight gets an error, not that request's value.
 func TestOpenIDIsRefused(t *testing.T) {
 	ln := peer.Listen(t)
 	env := start(t, []string{ln.Addr().String()})
@@ -218,13 +225,14 @@
 	other.WantsPrefix("-ERR ")
 	b.Write("*1\r\n" + peer.Bulk("value"))
 	c.Wants("value")
-	other.Command("Q.ASK", peer.Customer, "1", peer.List) // it is over, so the id is free
+	other.Command("Q.ASK", peer.Customer, "1", peer.List) // the first request has ended, so the id is free
 	b.Message()
 	b.Write("*1\r\n" + peer.Bulk("again"))
 	other.Wants("again")
 }
 
-// All clients together can't make the front door hold more than its share of memory.
+// TestClientMemoryIsBounded verifies that all clients together can't make the gateway hold more than its limit of
+// memory for them.
 func TestClientMemoryIsBounded(t *testing.T) {
 	env := start(t, nil, func(c *Config, t *testing.T) { c.MemoryMB = 1 })
 	body := strings.Repeat("b", resp.MaxValueBytes)
@@ -233,13 +241,13 @@
 		last = env.dial()
 		last.Command("Q.DO", peer.Customer, fmt.Sprint(i), peer.Keyed, body)
 		p := env.dial()
-		p.Command("PING") // it is read meanwhile
+		p.Command("PING") // commands are still read
 		p.WantsPrefix("-LOADING")
 	}
 	if m := last.Message(); m[0] != "-BUSY 100" && !strings.HasPrefix(m[0], "-ERR no memory") {
 		t.Errorf("got %q", m)
 	}
 	if held := env.gateway.env.Memory.Held(); held > 1<<18 {
-		t.Errorf("%d bytes are held", held)
+		t.Errorf("%d bytes are held for clients", held)
 	}
 }
