--- a/internal/service/golden_test.go
+++ b/internal/service/golden_test.go
@@ -16,19 +16,19 @@
 	"gapgap/internal/stats"
 )
 
-// fill sets every field of a value to something other than zero, each to another value.
-func fill(t *testing.T, v reflect.Value, next *int) {
+// fillFields sets every field of a value to a non-zero value, each to a different one.
+func fillFields(t *testing.T, v reflect.Value, next *int) {
 	t.Helper()
 	*next++
 	switch v.Kind() {
 	case reflect.Struct:
 		for i := range v.NumField() {
-			fill(t, v.Field(i), next)
+			fillFields(t, v.Field(i), next)
 		}
 	case reflect.Slice:
 		v.Set(reflect.MakeSlice(v.Type(), 2, 2))
 		for i := range v.Len() {
-			fill(t, v.Index(i), next)
+			fillFields(t, v.Index(i), next)
 		}
 	case reflect.String:
 		v.SetString("text-" + string(rune('a'+*next%26)))
@@ -43,11 +43,12 @@
 	}
 }
 
-// What an old process leaves to a new one keeps its form: each may be of another version of the program.
+// TestGoldenHandoverState verifies that the state that an old process hands over keeps its format: the two processes
+// may be of different versions.
 func TestGoldenHandoverState(t *testing.T) {
 	var state processState
 	next := 0
-	fill(t, reflect.ValueOf(&state).Elem(), &next)
+	fillFields(t, reflect.ValueOf(&state).Elem(), &next)
 	text, err := json.Marshal(state)
 	if err != nil {
 		t.Fatal(err)
@@ -62,9 +63,10 @@
 	}
 }
 
-// The types of a hand-over's state are all of the recorded one.
+// These are the types that the golden handover state covers.
 var _ = processState{Core: proxy.HandoverState{Balancer: balancer.HandoverState{}}, Known: discovery.EndpointList{}}
 
+// TestGoldenBansFile verifies that the file of administrative ejections keeps its format.
 func TestGoldenBansFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "bans.json")
 	list := ejectionList{Ejections: []ejection{{Backend: "s-1", SinceMS: 1796290000123}, {Backend: "s-2", SinceMS: 7}}}
@@ -85,33 +87,36 @@
 	}
 }
 
+// TestGoldenOperatorFigures verifies that the statistics for operators keep their names and format.
 func TestGoldenOperatorFigures(t *testing.T) {
-	f := stats.New()
-	f.Taken.Store(20)
-	f.Gone.Store(2)
-	f.Relayed.Store(30)
-	f.Listed.Store(5)
-	f.Avoided.Store(1)
-	f.Accepted.Store(3)
-	f.Invalid.Store(4)
+	counters := stats.New()
+	counters.Taken.Store(20)
+	counters.Gone.Store(2)
+	counters.Relayed.Store(30)
+	counters.Listed.Store(5)
+	counters.Avoided.Store(1)
+	counters.Accepted.Store(3)
+	counters.Invalid.Store(4)
 	for class, ended := range map[string]int{"a": 3, "b": 2} {
 		for outcome := range stats.Outcome(3) {
 			for range ended + int(outcome) {
-				f.Class(class).Ended(outcome)
+				counters.Class(class).Ended(outcome)
 			}
 		}
 	}
 	var out bytes.Buffer
-	if err := f.Write(&out); err != nil {
+	if err := counters.Write(&out); err != nil {
 		t.Fatal(err)
 	}
 	golden.CheckBytes(t, "testdata/golden/info.txt", out.Bytes())
 }
 
-// The limits that both processes of an upgrade go by are part of its protocol.
+// TestGoldenUpgradeLimits verifies that the limits of an upgrade do not change: both processes depend on them, so they
+// are part of its protocol.
 func TestGoldenUpgradeLimits(t *testing.T) {
 	trace := golden.NewTrace()
-	for _, limit := range []time.Duration{takeoverTimeout, takeoverRetryInterval, handoverTimeout, ejectionPollInterval} {
+	for _, limit := range []time.Duration{takeoverTimeout, takeoverRetryInterval, handoverTimeout,
+		ejectionPollInterval} {
 		trace.Duration(limit)
 	}
 	trace.Float(overlapFraction)
