--- a/internal/service/long_test.go
+++ b/internal/service/long_test.go
@@ -22,8 +22,8 @@
 	return func(c *Config, _ *testing.T) { c.StallTimeout = within }
 }
 
-// A value far over what a connection is held for goes through as it comes; its first bytes are there before its last are sent,
-// and the connections of both sides are good for what follows, also later than the time in which a piece must be taken.
+// TestLongValuePassesThrough verifies that a value far larger than a connection's buffer is streamed: the client gets
+// its first bytes before its last are sent. Both connections stay usable afterwards, also after the stall timeout.
 func TestLongValuePassesThrough(t *testing.T) {
 	ln := peer.Listen(t)
 	env := start(t, []string{ln.Addr().String()}, withStallTimeout(100*time.Millisecond))
@@ -42,10 +42,11 @@
 	if _, err := io.ReadFull(c.In, rest); err != nil {
 		t.Fatal(err)
 	}
-	if whole := string(first) + string(rest); whole != fmt.Sprintf("$%d\r\n%s\r\n", longSize, strings.Repeat("v", longSize)) {
+	if whole := string(first) + string(rest); whole !=
+		fmt.Sprintf("$%d\r\n%s\r\n", longSize, strings.Repeat("v", longSize)) {
 		t.Error("the value is not the backend's")
 	}
-	time.Sleep(150 * time.Millisecond) // beyond the time for a piece
+	time.Sleep(150 * time.Millisecond) // longer than the stall timeout
 	for id := range 2 {
 		c.Command("Q.ASK", peer.Customer, fmt.Sprint("again", id), peer.List)
 		b.Message() // on the same connection
@@ -57,7 +58,8 @@
 	}
 }
 
-// Answers keep their order: a long value waits for its turn, and what comes behind it for its end.
+// TestLongValueInItsTurn verifies that answers keep their order: a long value waits for the answers before it, and
+// later answers wait for its end.
 func TestLongValueInItsTurn(t *testing.T) {
 	ln := peer.Listen(t)
 	env := start(t, []string{ln.Addr().String()})
@@ -79,8 +81,9 @@
 	c.Wants("+PONG")
 }
 
-// A backend that dies or falls silent in the middle, or whose length was wrong: the client sees an end of its connection and
-// no other answer, nobody else sees anything, and nothing is sent again.
+// TestLongValueCutOff verifies what happens if a backend dies or stalls in the middle of a long value, or sends a
+// value of the wrong length: the client's connection ends without another answer, the request is not sent again, and
+// other clients are not affected.
 func TestLongValueCutOff(t *testing.T) {
 	for name, cut := range map[string]func(*peer.Peer){
 		"dies":         func(b *peer.Peer) { b.NC.Close() },
@@ -107,7 +110,7 @@
 			other.Command("Q.ASK", peer.Customer, "2", peer.List)
 			again := peer.Accept(t, ln)
 			if m := again.Message(); m[2] != "2" {
-				t.Errorf("%q was sent again", m)
+				t.Errorf("request %q was sent instead of the other client's", m)
 			}
 			again.Write("*3\r\n" + peer.Bulk("short") + "$-1\r\n$-1\r\n")
 			other.Wants("short")
@@ -118,13 +121,14 @@
 	}
 }
 
-// Clients that take nothing of their long values hold up nobody and are given up; one that leaves ends its transfer.
+// TestSlowReadersOfLongValues verifies that clients that do not read their long values delay nobody and are aborted,
+// and that a client's disconnect ends its transfer.
 func TestSlowReadersOfLongValues(t *testing.T) {
 	ln := peer.Listen(t)
 	env := start(t, []string{ln.Addr().String()}, withStallTimeout(200*time.Millisecond))
 	for i := range 4 {
 		c := env.dial()
-		for j := range 4 { // together more than sockets hold
+		for j := range 4 { // together more than the socket buffers hold
 			c.Command("Q.ASK", peer.Customer, fmt.Sprint(i, "-", j), peer.List)
 			b := peer.Accept(t, ln)
 			b.Message()
@@ -145,7 +149,7 @@
 			t.Fatalf("%d still open", env.gateway.Stats.Open())
 		}
 	}
-	if given := env.gateway.Stats.Class("evaluate").Count(2) + uint64(env.gateway.Stats.Gone.Load()); given < 4 {
-		t.Errorf("%d were given up of four clients'", given)
+	if aborted := env.gateway.Stats.Class("evaluate").Count(2) + uint64(env.gateway.Stats.Gone.Load()); aborted < 4 {
+		t.Errorf("%d transfers of four clients were aborted", aborted)
 	}
 }
