--- a/internal/service/shutdown_test.go
+++ b/internal/service/shutdown_test.go
@@ -8,8 +8,8 @@
 	"gapgap/internal/fake/peer"
 )
 
-// After SIGTERM connections and requests are still taken for a while; all that was taken is answered; then
-// connections end between requests, and the front door too.
+// TestShutdownAnswersWhatWasTaken verifies a shutdown: connections and requests are still accepted for a while, every
+// accepted request is answered, connections end between requests, and then the gateway ends.
 func TestShutdownAnswersWhatWasTaken(t *testing.T) {
 	ln := peer.Listen(t)
 	env := start(t, []string{ln.Addr().String()})
@@ -25,25 +25,27 @@
 	late.Wants("+PONG")
 	quiet.WantsEnd()
 	late.WantsEnd()
-	early.Command("Q.ASK", peer.Customer, "2", peer.List) // too late: it must not keep the connection open, and has its answer all the same
+	// This request is too late: it is answered, but must not keep the connection open.
+	early.Command("Q.ASK", peer.Customer, "2", peer.List)
 	b.Write("*1\r\n" + peer.Bulk("value"))
 	early.Wants("value")
-	if m, err := early.Try(); err == nil && m[0] != "-BUSY" { // or it has crossed the end
-		t.Errorf("got %q for what came too late", m)
+	if m, err := early.Try(); err == nil && m[0] != "-BUSY" { // unless the connection ended first
+		t.Errorf("late request got %q", m)
 	} else if err == nil {
 		early.WantsEnd()
 	}
 	select {
 	case <-env.gateway.Done():
 	case <-time.After(peer.Patient):
-		t.Error("it does not end")
+		t.Error("the gateway does not end")
 	}
 }
 
-// The counter and discovery may be silent at the start: the known list is enough to serve by.
+// TestServesFromKnownList verifies that the gateway serves by its known list of backends while neither the counter nor
+// discovery answers.
 func TestServesFromKnownList(t *testing.T) {
 	ln := peer.Listen(t)
-	silent := peer.Listen(t) // takes connections and says nothing
+	silent := peer.Listen(t) // accepts connections and sends nothing
 	env := start(t, []string{ln.Addr().String()}, func(c *Config, t *testing.T) {
 		c.Discovery, c.Counter = silent.Addr().String(), silent.Addr().String()
 		c.Settings.UseCounter = true
