--- a/internal/service/reload_test.go
+++ b/internal/service/reload_test.go
@@ -9,14 +9,16 @@
 )
 
 const completeConfig = `{"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",
-"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"counter":"127.0.0.1:1","known":{"index":1,"snapshot":true,"endpoints":[]},"settings":` +
+"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"counter":"127.0.0.1:1",` +
+	`"known":{"index":1,"snapshot":true,"endpoints":[]},"settings":` +
 	settingsJSON + `}`
 
 func completeConfigText(counter bool, dialUS int) string {
 	return fmt.Sprintf(completeConfig, dialUS, counter)
 }
 
-// Nothing is taken from a file that is broken in whichever way, and the error names the field.
+// TestBrokenSettingsAreNotTaken verifies that a file with any error is rejected as a whole, with an error that names
+// the field.
 func TestBrokenSettingsAreNotTaken(t *testing.T) {
 	good := completeConfigText(false, 5_000_000)
 	inUse, err := ReadConfig(strings.NewReader(good))
@@ -81,6 +83,7 @@
 	}
 }
 
+// FuzzReadConfig verifies that the settings of every accepted file are valid.
 func FuzzReadConfig(f *testing.F) {
 	f.Add(completeConfigText(true, 1000))
 	f.Add(completeConfigText(false, 0)[:200])
@@ -96,18 +99,20 @@
 			return
 		}
 		if c.CheckReload(inUse) == nil && c.Settings.Validate() != nil {
-			t.Error("taken, and the module can't go by it")
+			t.Error("invalid settings were accepted")
 		}
 	})
 }
 
-// A class that is added is served under its own rules; one that is dropped is unknown; a request that is open ends by the
-// rules that it came under. What is turned down changes nothing and is counted.
+// TestNewSettings verifies a reload: a new class is served by its own rules, a removed class is unknown, and a
+// request in flight ends by the rules under which it arrived. A rejected file changes nothing and is counted.
 func TestNewSettings(t *testing.T) {
 	ln := peer.Listen(t)
 	env := start(t, []string{ln.Addr().String()})
-	text := fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:0","discovery":%q,"seed":"1","limits":{"cores":1.0,"memory_mb":192,"sockets":1024},`+
-		`"counter":"127.0.0.1:1","settings":%s}`, env.gateway.cfg.Discovery, fmt.Sprintf(settingsJSON, 5_000_000, false))
+	text := fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:0","discovery":%q,"seed":"1",`+
+		`"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},`+
+		`"counter":"127.0.0.1:1","settings":%s}`, env.gateway.cfg.Discovery,
+		fmt.Sprintf(settingsJSON, 5_000_000, false))
 	reload := func(text string) error {
 		return env.gateway.Reload(func() (*Config, error) { return ReadConfig(strings.NewReader(text)) })
 	}
@@ -117,23 +122,23 @@
 	b.Message()
 	changed := strings.Replace(text, `{"name":"evaluate","effect":"safe"`, `{"name":"weigh","effect":"unsafe"`, 1)
 	if err := reload(strings.Replace(changed, `"give-up-us":30000000`, `"give-up-us":0`, 1)); err == nil {
-		t.Error("a broken file is taken")
+		t.Error("an invalid file was accepted")
 	}
 	if err := reload(changed); err != nil {
 		t.Fatal(err)
 	}
-	env.gateway.waitForLoop() // the loop has taken it
+	env.gateway.waitForLoop() // the loop has applied it
 	n := env.dial()
 	n.Command("Q.ASK", peer.Customer, "2", peer.List)
-	n.WantsPrefix("-ERR ") // dropped
+	n.WantsPrefix("-ERR ") // removed
 	n.Command("Q.ASK", peer.Customer, "3", strings.Replace(peer.List, "evaluate", "weigh", 1))
 	n.WantsPrefix("-ERR class not served by Q.ASK")
 	n.Command("Q.DO", peer.Customer, "4", strings.Replace(peer.List, "evaluate", "weigh", 1), "body")
 	second := peer.Accept(t, ln)
 	second.Message()
-	second.NC.Close() // it may have run: the new class may not be sent again
+	second.NC.Close() // the request may have run, so the new class must not be sent again
 	n.WantsPrefix("-ERR failed")
-	b.NC.Close() // the open one is still safe to repeat
+	b.NC.Close() // the request in flight is still safe to repeat
 	third := peer.Accept(t, ln)
 	if m := third.Message(); m[2] != "1" {
 		t.Errorf("%q", m)
@@ -142,15 +147,16 @@
 	c.Wants("one")
 	var figures strings.Builder
 	env.gateway.Stats.Write(&figures)
-	for _, want := range []string{"svc.operations.evaluate.fulfilled=1\n", "svc.operations.weigh.faulted=1\n", "svc.relayed=3\n",
-		"svc.open_requests=0\n", "svc.cfg_accepted=1\n", "svc.cfg_invalid=1\n", "svc.registry_entries=1\n"} {
+	for _, want := range []string{"svc.operations.evaluate.fulfilled=1\n", "svc.operations.weigh.faulted=1\n",
+		"svc.relayed=3\n", "svc.open_requests=0\n", "svc.cfg_accepted=1\n", "svc.cfg_invalid=1\n",
+		"svc.registry_entries=1\n"} {
 		if !strings.Contains(figures.String(), want) {
 			t.Errorf("no %q in\n%s", want, figures.String())
 		}
 	}
 }
 
-// waitForLoop waits until the loop has run what was posted before.
+// waitForLoop waits until the loop has run the functions that were posted before.
 func (g *Gateway) waitForLoop() {
 	done := make(chan struct{})
 	g.Post(func() { close(done) })
