--- a/internal/service/crossings_test.go
+++ b/internal/service/crossings_test.go
@@ -13,9 +13,11 @@
 	"gapgap/internal/resp"
 )
 
-// Here two events cross: each test holds one side back until the other has come. docs/design/crossings.md lists them.
+// The tests of this file cover races between two events: each holds one event back until the other has happened.
+// docs/design/crossings.md lists the races.
 
-// wantsCleanEnd reads on up to the end of a connection, which must be no reset: that may overtake what was written before it.
+// wantsCleanEnd reads up to the end of a connection, which must not be a reset: a reset may discard data that was
+// written before it.
 func wantsCleanEnd(t *testing.T, c *peer.Peer) {
 	t.Helper()
 	if b, err := io.ReadAll(c.In); err != nil || len(b) > 0 {
@@ -23,10 +25,11 @@
 	}
 }
 
-// requestID reads a backend's next command and says which request it is for.
+// requestID reads a backend's next command and returns the id of its request.
 func requestID(b *peer.Peer) string { return b.Message()[2] }
 
-// A client asks, sends what is no command and leaves. It has gone, though its connection is one on which nothing is read any more for use.
+// TestClientLeavesBehindWhatIsNoCommand verifies that a disconnect is noticed and cancels the request, although the
+// client has sent an invalid command after which its input is only discarded.
 func TestClientLeavesBehindWhatIsNoCommand(t *testing.T) {
 	ln := peer.Listen(t)
 	env := start(t, []string{ln.Addr().String()})
@@ -39,7 +42,7 @@
 	env.checkGone(1)
 }
 
-// A client leaves while the front door is ending, with a request out.
+// TestClientLeavesAmidAShutdown verifies that a disconnect during a shutdown cancels the client's request.
 func TestClientLeavesAmidAShutdown(t *testing.T) {
 	ln := peer.Listen(t)
 	env := start(t, []string{ln.Addr().String()})
@@ -57,7 +60,8 @@
 	env.checkGone(1)
 }
 
-// A client sends commands that can't be used, each read after a pause, then a good one, and leaves: by the time that one is read nobody waits for it.
+// TestClientLeavesBehindBadCommands verifies that a request is not forwarded if its client disconnected before the
+// request was read. The invalid commands before it delay reading, as each is followed by a pause.
 func TestClientLeavesBehindBadCommands(t *testing.T) {
 	ln := peer.Listen(t)
 	env := start(t, []string{ln.Addr().String()})
@@ -67,11 +71,12 @@
 	env.waitNoClients()
 	env.dial().Command("Q.ASK", peer.Customer, "next", peer.List)
 	if id := requestID(peer.Accept(t, ln)); id != "next" {
-		t.Errorf("request %q is sent on", id)
+		t.Errorf("request %q is forwarded", id)
 	}
 }
 
-// A client leaves behind so many commands that no more of them are read: the end of its connection is not read either. A further attempt must not begin.
+// TestClientLeavesBehindUnreadCommands verifies that no further attempt begins after a disconnect, even if so many
+// commands are unread that the end of the connection is not read either.
 func TestClientLeavesBehindUnreadCommands(t *testing.T) {
 	ln := peer.Listen(t)
 	env := start(t, []string{ln.Addr().String()})
@@ -81,37 +86,39 @@
 	requestID(b)
 	c.Write(strings.Repeat(peer.Command("PING"), 2000))
 	c.NC.Close()
-	time.Sleep(50 * time.Millisecond) // the request has waited: no more is looked at for one that has just come
+	time.Sleep(50 * time.Millisecond) // a request that has only just arrived is not checked for a disconnect
 	b.Write("-ERR failed\r\n")
 	env.waitNoneOpen()
 	next := env.dial()
 	next.Command("Q.ASK", peer.Customer, "next", peer.List)
 	if id := requestID(b); id != "next" {
-		t.Errorf("request %q is sent on", id)
+		t.Errorf("request %q is forwarded", id)
 	}
 	b.Write("*1\r\n" + peer.Bulk("value"))
 	next.Wants("value")
 }
 
-// A client leaves behind unread commands while a connection for its request is coming up.
+// TestClientLeavesWhileAConnectionComesUp verifies that a request is not sent if its client, which left unread
+// commands, disconnected while the backend's connection was being established.
 func TestClientLeavesWhileAConnectionComesUp(t *testing.T) {
-	addr, let := peer.ListenLate(t)
+	addr, accept := peer.ListenLate(t)
 	env := start(t, []string{addr})
 	c := env.dial()
 	c.Write(peer.Command("Q.ASK", peer.Customer, "1", peer.List) + strings.Repeat(peer.Command("PING"), 2000))
 	env.waitOneOpen()
 	c.NC.Close()
 	time.Sleep(50 * time.Millisecond)
-	b := let(peer.Patient)
+	b := accept(peer.Patient)
 	if b == nil {
-		t.Fatal("the connection does not come up")
+		t.Fatal("the connection is not established")
 	}
 	env.waitNoneOpen()
 	b.WantsEnd()
 }
 
-// The last answer of a connection that is to end reaches its client, whatever the client has sent meanwhile and nobody has read: the connection ends, and is
-// not reset. What came after the end is sent to nobody.
+// TestLastAnswerBeforeTheEnd verifies that the last answer before a shutdown reaches its client even if the client
+// has sent commands that were not read. Closing a connection with unread input would reset it, and the answer could
+// be lost. What came after the end of the connection is not forwarded.
 func TestLastAnswerBeforeTheEnd(t *testing.T) {
 	ln := peer.Listen(t)
 	env := start(t, []string{ln.Addr().String()})
@@ -124,18 +131,18 @@
 	env.stop()
 	idle.WantsEnd()
 	body := strings.Repeat("b", resp.MaxValueBytes)
-	for i := range 4 { // more than one read takes
+	for i := range 4 { // more than one read returns
 		c.Command("Q.DO", peer.Customer, fmt.Sprint("late", i), peer.Unsafe, body)
 	}
 	b.Write("*1\r\n" + peer.Bulk("value"))
 	c.Wants("value")
-	for { // those of them that were read before the end
+	for { // rejections of the commands that were read before the end
 		m, err := c.Try()
 		if errors.Is(err, io.EOF) {
 			break
 		}
 		if err != nil || m[0] != "-BUSY" {
-			t.Fatalf("%q and %v, want refusals and the end", m, err)
+			t.Fatalf("%q and %v, want rejections and the end", m, err)
 		}
 	}
 	c.NC.Close()
@@ -143,8 +150,9 @@
 	b.WantsEnd()
 }
 
-// A command that comes in the very moment in which a resting connection is shut is answered, or the connection ends with nothing said and nothing sent on:
-// the client then sends it elsewhere. It is never reset.
+// TestRequestCrossesTheEnd verifies what happens to a command that arrives just as its idle connection is being closed.
+// Either it is answered, or the connection ends without an answer and nothing is forwarded, so that the client can send
+// it elsewhere. The connection is never reset.
 func TestRequestCrossesTheEnd(t *testing.T) {
 	ln := peer.Listen(t)
 	answered, crossed := 0, 0
@@ -160,7 +168,8 @@
 		env.stop()
 		all[0].WantsEnd()
 		for _, c := range all[1:] {
-			if _, err := io.WriteString(c.NC, peer.Command("Q.ASK", peer.Customer, "1", peer.List)); err != nil && !errors.Is(err, syscall.EPIPE) {
+			if _, err := io.WriteString(c.NC, peer.Command("Q.ASK", peer.Customer, "1",
+				peer.List)); err != nil && !errors.Is(err, syscall.EPIPE) {
 				t.Fatal(err)
 			}
 			switch m, err := c.Try(); {
@@ -179,11 +188,12 @@
 	ln.Close()
 	if nc, err := ln.Accept(); err == nil {
 		nc.Close()
-		t.Error("something was sent on")
+		t.Error("a request was forwarded")
 	}
 }
 
-// One for whom there is no place reads why, whatever it has sent: its connection ends and is not reset.
+// TestTurnedAwayReadsWhy verifies that a client above the connection limit can read its rejection whatever it has sent:
+// its connection ends and is not reset.
 func TestTurnedAwayReadsWhy(t *testing.T) {
 	env := start(t, nil, func(c *Config, t *testing.T) { c.Sockets = 256 })
 	most := env.gateway.env.Conns.Max()
@@ -200,17 +210,17 @@
 	}
 }
 
-// holds waits until the loop says that something is so.
-func (env *testEnv) waitFor(what string, is func() bool) {
+// waitFor waits until a condition, which the event loop checks, is true.
+func (env *testEnv) waitFor(what string, condition func() bool) {
 	env.t.Helper()
 	for end := time.Now().Add(peer.Patient); ; time.Sleep(time.Millisecond) {
 		got := make(chan bool, 1)
-		env.gateway.Post(func() { got <- is() })
+		env.gateway.Post(func() { got <- condition() })
 		if <-got {
 			return
 		}
 		if time.Now().After(end) {
-			env.t.Fatalf("it never came to this: %s", what)
+			env.t.Fatalf("never true: %s", what)
 		}
 	}
 }
@@ -223,7 +233,7 @@
 	env.waitFor(fmt.Sprint(n, " requests open"), func() bool { return env.gateway.Unanswered() == n })
 }
 
-// left says that so many requests ended since their clients had left, and not because their time was up.
+// checkGone checks how many requests ended because their clients disconnected, not because of their deadlines.
 func (env *testEnv) checkGone(n int64) {
 	env.t.Helper()
 	if got := env.gateway.Stats.Gone.Load(); got != n {
@@ -236,20 +246,23 @@
 	env.waitFor("no client is connected", func() bool { return env.gateway.env.Conns.Len() == 0 })
 }
 
-// A command that was read and waited behind others tells its backend what is left to the client by then.
+// TestWaitInTheBufferCounts verifies that the time that a command has waited behind others is subtracted from the
+// deadline that its backend is told.
 func TestWaitInTheBufferCounts(t *testing.T) {
 	ln := peer.Listen(t)
 	env := start(t, []string{ln.Addr().String()})
 	c := env.dial()
-	c.Write(strings.Repeat(peer.Command("NONE"), 5) + peer.Command("Q.ASK", peer.Customer, "1", strings.Replace(peer.List, "d=20000", "d=2000", 1)))
-	list := peer.Accept(t, ln).Message()[3] // four pauses of 50 ms later
+	c.Write(strings.Repeat(peer.Command("NONE"), 5) +
+		peer.Command("Q.ASK", peer.Customer, "1", strings.Replace(peer.List, "d=20000", "d=2000", 1)))
+	list := peer.Accept(t, ln).Message()[3] // after four pauses of 50 ms
 	d := 0
 	if _, err := fmt.Sscanf(list[strings.Index(list, "d="):], "d=%d", &d); err != nil || d > 1800 {
-		t.Errorf("%s is told, %v", list, err)
+		t.Errorf("the backend is told %s, %v", list, err)
 	}
 }
 
-// A backend that an attempt is still being connected to begins to drain, with the news of another: the next attempt goes to that one. Each request has two.
+// TestDrainWhileAConnectionComesUp verifies that the next attempt goes to another backend if the first one starts to
+// drain while the connection for the attempt is being established. Each request has two attempts.
 func TestDrainWhileAConnectionComesUp(t *testing.T) {
 	addr, _ := peer.ListenLate(t)
 	ln := peer.Listen(t)
@@ -259,7 +272,7 @@
 	env.waitOneOpen()
 	m := endpoints(2, addr, ln.Addr().String())
 	m.Endpoints[0].Status = "DRAINING"
-	env.news <- m
+	env.updates <- m
 	b := peer.Accept(t, ln)
 	if id := requestID(b); id != "1" {
 		t.Errorf("request %q", id)
@@ -268,9 +281,10 @@
 	c.Wants("value")
 }
 
-// before that.
+// TestWindowEndsWhileAConnectionComesUp verifies that a keyed request is not sent again after its dedup window has
+// ended, even if the connection for the repeat is established only then.
 func TestWindowEndsWhileAConnectionComesUp(t *testing.T) {
-	late, let := peer.ListenLate(t)
+	late, accept := peer.ListenLate(t)
 	ln := peer.Listen(t)
 	env := start(t, []string{ln.Addr().String()}, func(c *Config, t *testing.T) {
 		c.Settings.MaxAttempts, c.Settings.Classes[1].DedupWindow = 2, 400*time.Millisecond
@@ -281,13 +295,14 @@
 	requestID(b)
 	m := endpoints(2, ln.Addr().String(), late)
 	m.Endpoints[0].Status = "DRAINING"
-	env.news <- m
+	env.updates <- m
 	env.gateway.waitForLoop()
-	b.NC.Close()                                             // it may have run: the repeat is sent to the other, and its connection comes up after a second
-	time.Sleep(500 * time.Millisecond)                       // the window is over
-	if other := let(2500 * time.Millisecond); other != nil { // else it was given up before
+	// The request may have run. The repeat goes to the other backend, whose connection takes a second to establish.
+	b.NC.Close()
+	time.Sleep(500 * time.Millisecond)                          // the window has ended
+	if other := accept(2500 * time.Millisecond); other != nil { // else the attempt was abandoned before
 		if m, err := other.Try(); err == nil {
-			t.Errorf("%q is sent after the window", m)
+			t.Errorf("%q is sent after the end of the window", m)
 		}
 	}
 	c.WantsPrefix("-")
--- a/internal/service/discovery_test.go
+++ b/internal/service/discovery_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// Changes reach the pools and the Door, and a watch that ends is taken up from the last index.
+// TestWatch verifies that changes reach the proxy, and that a watch that ends is resumed at the last index.
 func TestWatch(t *testing.T) {
 	first, second := peer.Listen(t), peer.Listen(t)
 	env := start(t, []string{first.Addr().String()})
@@ -20,8 +20,8 @@
 	m := endpoints(7, first.Addr().String(), second.Addr().String())
 	m.Snapshot = false
 	m.Endpoints[0].Status = "DRAINING"
-	env.news <- m
-	env.news <- discovery.EndpointList{Index: -1}
+	env.updates <- m
+	env.updates <- discovery.EndpointList{Index: -1}
 	if from := <-env.watches; from != "7" {
 		t.Errorf("the watch goes on at %s", from)
 	}
@@ -33,19 +33,19 @@
 	c.Wants("value")
 }
 
-// What makes no sense in a list is passed over; a line that is no list ends the watch only.
+// TestOddLists verifies that invalid entries of a list are skipped, and that the end of a watch changes nothing.
 func TestOddLists(t *testing.T) {
 	ln := peer.Listen(t)
 	env := start(t, nil)
 	c := env.dial()
-	c.Command("PING") // it can't serve yet
+	c.Command("PING") // no backend is known yet
 	c.WantsPrefix("-LOADING")
 	m := endpoints(3, ln.Addr().String())
-	odd := m.Endpoints[0]
-	odd.Status = "ASLEEP"
-	m.Endpoints = append(m.Endpoints, odd, discovery.Endpoint{})
-	env.news <- m
-	env.news <- discovery.EndpointList{Index: -1}
+	invalid := m.Endpoints[0]
+	invalid.Status = "ASLEEP"
+	m.Endpoints = append(m.Endpoints, invalid, discovery.Endpoint{})
+	env.updates <- m
+	env.updates <- discovery.EndpointList{Index: -1}
 	<-env.watches
 	<-env.watches
 	c.Command("PING")
@@ -57,18 +57,17 @@
 	c.Wants("value")
 }
 
-// A new configuration moves the watch, from the index that was reached; what the old agent still says is no
-// longer taken.
+// TestWatchMoves verifies that a new discovery address moves the watch, which resumes at the last index there.
 func TestWatchMoves(t *testing.T) {
 	ln := peer.Listen(t)
 	env := start(t, nil)
 	<-env.watches
-	env.news <- endpoints(5)
-	next := &testEnv{t: t, news: make(chan discovery.EndpointList), watches: make(chan string, 16)}
+	env.updates <- endpoints(5)
+	next := &testEnv{t: t, updates: make(chan discovery.EndpointList), watches: make(chan string, 16)}
 	agent := httptest.NewServer(http.HandlerFunc(next.serveWatch))
 	defer agent.Close()
 	defer agent.CloseClientConnections()
-	env.news <- discovery.EndpointList{Index: -1} // the list was read before the watch ended, and the next begins
+	env.updates <- discovery.EndpointList{Index: -1} // the list is read before the watch ends and the next begins
 	if from := <-env.watches; from != "5" {
 		t.Errorf("the watch goes on at %s", from)
 	}
@@ -76,7 +75,7 @@
 	if from := <-next.watches; from != "5" {
 		t.Errorf("the watch begins at %s", from)
 	}
-	next.news <- endpoints(6, ln.Addr().String())
+	next.updates <- endpoints(6, ln.Addr().String())
 	c := env.dial()
 	c.Command("Q.ASK", peer.Customer, "1", peer.List)
 	b := peer.Accept(t, ln)
--- a/internal/service/maintenance_test.go
+++ b/internal/service/maintenance_test.go
@@ -14,11 +14,11 @@
 	"gapgap/internal/fake/peer"
 )
 
-// startAdmin makes a front door answer operators' calls.
-func startAdmin(env *testEnv) func(call string) string {
+// startAdmin opens a gateway's admin listener and returns a function that sends it a command and returns the answer.
+func startAdmin(env *testEnv) func(command string) string {
 	ln := peer.Listen(env.t)
-	env.operators = ln
-	return func(call string) string {
+	env.adminListener = ln
+	return func(command string) string {
 		env.t.Helper()
 		nc, err := net.Dial("tcp", ln.Addr().String())
 		if err != nil {
@@ -26,10 +26,10 @@
 		}
 		defer nc.Close()
 		nc.SetDeadline(time.Now().Add(peer.Patient))
-		io.WriteString(nc, call+"\n")
+		io.WriteString(nc, command+"\n")
 		b, err := io.ReadAll(nc)
 		if err != nil {
-			env.t.Fatalf("%s: %v", call, err)
+			env.t.Fatalf("%s: %v", command, err)
 		}
 		return string(b)
 	}
@@ -37,7 +37,8 @@
 
 func withStateDir(dir string) option { return func(c *Config, _ *testing.T) { c.StateDir = dir } }
 
-// From the yes on nothing reaches the backend, on warm connections neither, until the call back.
+// TestDetach verifies that after the answer to DETACH no request reaches the backend until ATTACH, not even on warm
+// connections, and that another process of the gateway follows both commands.
 func TestDetach(t *testing.T) {
 	one, two := peer.Listen(t), peer.Listen(t)
 	dir := t.TempDir()
@@ -90,23 +91,24 @@
 		t.Fatalf("%q", got)
 	}
 	call("DETACH s-0")
-	env.news <- endpoints(2, one.Addr().String(), two.Addr().String()) // discovery says that it is in service
+	env.updates <- endpoints(2, one.Addr().String(), two.Addr().String()) // discovery lists it as serving
 	env.gateway.waitForLoop()
 	for range 200 {
 		if got := ask(); got != "two" {
 			t.Fatalf("%q served", got)
 		}
 	}
-	for limit := time.Now().Add(peer.Patient); ; { // figures of the module are published ten times a second
+	for limit := time.Now().Add(peer.Patient); ; { // statistics are published ten times a second
 		got := call("INFO")
-		if strings.Contains(got, "svc.registry_entries=2\nsvc.out_of_rotation=1\n") && strings.HasSuffix(got, "\nEND\n") {
+		if strings.Contains(got, "svc.registry_entries=2\nsvc.out_of_rotation=1\n") &&
+			strings.HasSuffix(got, "\nEND\n") {
 			break
 		}
 		if time.Now().After(limit) {
 			t.Fatalf("%q", got)
 		}
 	}
-	// Another process of the same front door knows, and the first follows what the second is told.
+	// Another process of the same gateway knows the ejection, and the first process follows commands to the second.
 	other := start(t, []string{one.Addr().String(), two.Addr().String()}, withStateDir(dir))
 	if got := other.call("ATTACH s-0"); got != "YES\n" {
 		t.Fatalf("%q", got)
@@ -115,7 +117,7 @@
 	if got := other.call("DETACH s-1"); got != "YES\n" {
 		t.Fatalf("%q", got)
 	}
-	for range 1000 { // the first process looks ten times a second
+	for range 1000 { // the first process polls ten times a second
 		if !env.isEjected("s-1") {
 			time.Sleep(5 * time.Millisecond)
 			continue
@@ -132,11 +134,12 @@
 func (env *testEnv) isEjected(name string) bool {
 	env.gateway.ejections.mu.Lock()
 	defer env.gateway.ejections.mu.Unlock()
-	_, is := env.gateway.ejections.ejected[name]
-	return is
+	_, ejected := env.gateway.ejections.ejected[name]
+	return ejected
 }
 
-// A ban outlives the process; a damaged or newer file is put aside with a line in the log.
+// TestBansOutliveTheProcess verifies that an ejection outlives the process, and that a damaged file, or one of a newer
+// version, is renamed.
 func TestBansOutliveTheProcess(t *testing.T) {
 	dir := t.TempDir()
 	env := start(t, []string{"127.0.0.1:1"}, withStateDir(dir))
@@ -147,7 +150,7 @@
 	<-env.gateway.Done()
 	again := start(t, nil, withStateDir(dir)) // it knows no list yet
 	if !again.isEjected("s-0") {
-		t.Error("the ban is lost")
+		t.Error("the ejection is lost")
 	}
 	if got := again.call("ATTACH s-0"); got != "YES\n" { // though this process has never seen it listed
 		t.Error(got)
@@ -172,11 +175,13 @@
 	}
 }
 
-// A call for which the loop has no time in time is carried out all the same.
+// TestDetachWhileTheLoopIsBusy verifies that a command that the event loop can't carry out before its timeout is still
+// carried out later.
 func TestDetachWhileTheLoopIsBusy(t *testing.T) {
 	env := start(t, []string{"127.0.0.1:1"}, withStateDir(t.TempDir()))
+	// The list must be known before the loop is blocked.
 	for limit := time.Now().Add(peer.Patient); env.call("PING") != "YES\n"; time.Sleep(time.Millisecond) {
-		if time.Now().After(limit) { // the list is not known at once, and no longer becomes known once the loop stands still
+		if time.Now().After(limit) {
 			t.Fatal("no backend becomes known")
 		}
 	}
@@ -185,9 +190,9 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	if err := (adminService{env.gateway}).Detach(ctx, "s-0"); err == nil {
-		t.Error("a yes though the loop stands still")
+		t.Error("DETACH succeeded although the loop is blocked")
 	}
-	if got := env.call("PING"); got != "YES\n" { // others are answered meanwhile
+	if got := env.call("PING"); got != "YES\n" { // other commands are answered meanwhile
 		t.Error(got)
 	}
 	close(release)
@@ -200,12 +205,12 @@
 	t.Error("never carried out")
 }
 
-// A single call back ends a ban, also at the process that has not yet heard of it.
+// TestAttachAtTheOtherProcess verifies that ATTACH ends an ejection also at a process that does not know of it yet.
 func TestAttachAtTheOtherProcess(t *testing.T) {
 	dir := t.TempDir()
 	one := start(t, []string{"127.0.0.1:1"}, withStateDir(dir))
 	two := start(t, []string{"127.0.0.1:1"}, withStateDir(dir))
-	for range 10 { // without a pause, so within what the two look at each other's file by
+	for range 10 { // without a pause, so that a command comes before the next poll of the file
 		if got := one.call("DETACH s-0"); got != "YES\n" {
 			t.Fatal(got)
 		}
@@ -215,7 +220,7 @@
 		for _, env := range []*testEnv{one, two} {
 			env.gateway.ejections.refresh(context.Background())
 			if env.isEjected("s-0") {
-				t.Fatal("still banned after the call back")
+				t.Fatal("still ejected after ATTACH")
 			}
 		}
 	}
