--- a/cmd/gapgap/alone_test.go
+++ b/cmd/gapgap/alone_test.go
@@ -10,7 +10,8 @@
 	"gapgap/internal/fake/flagserver"
 )
 
-// The platform's front door knows the others by the counter alone: it listens where it is told to, hears no datagrams, and that is all.
+// TestMembersAreOffOnThePlatform verifies that the platform's gateway opens no sockets for membership: it listens for
+// clients and operators only, and has no UDP socket. It knows its peers by the counter alone.
 func TestMembersAreOffOnThePlatform(t *testing.T) {
 	n := newNode(t, 1, flagserver.Config{})
 	p := n.start()
@@ -22,15 +23,16 @@
 		t.Fatal(err)
 	}
 	for _, fd := range fds {
-		if to, err := os.Readlink(filepath.Join(dir, fd.Name())); err == nil && strings.HasPrefix(to, "socket:[") {
-			sockets[strings.Trim(to, "socket:[]")] = true
+		if target, err := os.Readlink(filepath.Join(dir, fd.Name())); err == nil &&
+			strings.HasPrefix(target, "socket:[") {
+			sockets[strings.Trim(target, "socket:[]")] = true
 		}
 	}
-	listens, udp := 0, 0
+	tcpListeners, udp := 0, 0
 	for _, table := range []string{"tcp", "tcp6", "udp", "udp6"} {
 		b, err := os.ReadFile(fmt.Sprintf("/proc/%d/net/%s", p.cmd.Process.Pid, table))
 		if err != nil {
-			continue // no such family here
+			continue // the system lacks this address family
 		}
 		for _, l := range strings.Split(string(b), "\n")[1:] {
 			f := strings.Fields(l)
@@ -40,11 +42,11 @@
 			if strings.HasPrefix(table, "udp") {
 				udp++
 			} else if f[3] == "0A" { // listening
-				listens++
+				tcpListeners++
 			}
 		}
 	}
-	if listens != 2 || udp != 0 { // for clients, and for operators
-		t.Errorf("%d listening sockets and %d for datagrams", listens, udp)
+	if tcpListeners != 2 || udp != 0 { // for clients, and for operators
+		t.Errorf("%d listening TCP sockets and %d UDP sockets, want 2 and 0", tcpListeners, udp)
 	}
 }
