--- a/cmd/gapgap/descriptors_test.go
+++ b/cmd/gapgap/descriptors_test.go
@@ -37,16 +37,17 @@
 	}
 }
 
-// Idle clients fill the descriptors while discovery is down: the process keeps what it needs to ask for the list, to probe and to reach backends, so that it serves
-// within 6 s of discovery's return, and it neither runs into the system's limit nor fills its log.
+// TestIdleClientsFillTheDescriptors verifies that idle clients can't use up the file descriptors while discovery is
+// down. The process keeps those that it needs for discovery, probes and backends, so that it serves within 6 s of
+// discovery's return. It neither exceeds the system's limit nor fills its log.
 func TestIdleClientsFillTheDescriptors(t *testing.T) {
 	for _, sockets := range []int{48, 96, 256} {
 		t.Run(fmt.Sprint(sockets), func(t *testing.T) {
 			n := newNode(t, 4, flagserver.Config{Value: "v"})
 			n.agent.Close()
-			at := peer.FreeAddr(t)
+			discoveryAddr := peer.FreeAddr(t)
 			n.editConfig(func(c map[string]any) {
-				c["discovery"] = at
+				c["discovery"] = discoveryAddr
 				c["limits"] = map[string]any{"cores": 1.0, "memory_mb": 64, "sockets": sockets}
 			})
 			p := n.start()
@@ -55,19 +56,19 @@
 				t.Fatal(err)
 			}
 			p.waitListening()
-			for range 2 * sockets { // they say nothing; those for whom there is no place are told so
+			for range 2 * sockets { // they send nothing; those above the connection limit are rejected
 				c, err := n.dial()
 				if err != nil {
 					t.Fatal(err)
 				}
 				defer c.nc.Close()
 			}
-			time.Sleep(500 * time.Millisecond) // calls to an agent that is not there go on beside them
+			time.Sleep(500 * time.Millisecond) // calls to the missing discovery agent go on meanwhile
 			var list []catalog.Endpoint
 			for i, s := range n.servers {
 				list = append(list, catalog.Serving(fmt.Sprint("s-", i), s.Addr()))
 			}
-			agent, err := catalog.StartAt(at, list...)
+			agent, err := catalog.StartAt(discoveryAddr, list...)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -81,7 +82,8 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				line, err := c.ask("Q.ASK", peer.Customer, fmt.Sprint(served), peer.List[:strings.Index(peer.List, ",d=")]+",d=3000,units=1,spread=1,first=0")
+				line, err := c.ask("Q.ASK", peer.Customer, fmt.Sprint(served),
+					peer.List[:strings.Index(peer.List, ",d=")]+",d=3000,units=1,spread=1,first=0")
 				if err == nil && line[0] == '$' {
 					served++
 				} else if err != nil && !errors.Is(err, io.EOF) && !strings.Contains(err.Error(), "reset") {
@@ -107,22 +109,23 @@
 			return
 		}
 		if time.Now().After(limit) {
-			p.n.t.Fatalf("nothing listens\n%s", p.log)
+			p.n.t.Fatalf("no client can connect\n%s", p.log)
 		}
 	}
 }
 
-// Thirty processes that start together are ready within 10 s, discovery being down: with a list of before, though an old one, they serve by it; with none they say
-// that no backend is known, and are ready with the first list.
+// TestManyStartTogetherWithoutDiscovery verifies that thirty processes can start together while discovery is down.
+// Those with a known list of backends are ready within 10 s, even if the list is out of date. The others answer that
+// no backend is known, and are ready with their first list.
 func TestManyStartTogetherWithoutDiscovery(t *testing.T) {
 	first := newNode(t, 3, flagserver.Config{Value: "v"})
 	first.agent.Close()
-	at := peer.FreeAddr(t)
+	discoveryAddr := peer.FreeAddr(t)
 	var list []catalog.Endpoint
 	for i, s := range first.servers {
 		list = append(list, catalog.Serving(fmt.Sprint("s-", i), s.Addr()))
 	}
-	gone := catalog.Serving("s-gone", peer.FreeAddr(t)) // the list of before is old
+	gone := catalog.Serving("s-gone", peer.FreeAddr(t)) // the known list is out of date
 	var nodes []*node
 	var all []*process
 	began := time.Now()
@@ -137,14 +140,15 @@
 			t.Fatal(err)
 		}
 		n.editConfig(func(c map[string]any) {
-			c["discovery"], c["listen"] = at, n.listen
+			c["discovery"], c["listen"] = discoveryAddr, n.listen
 			if i%3 > 0 {
-				c["known"] = map[string]any{"index": 1, "snapshot": true, "endpoints": append([]catalog.Endpoint{gone}, list...)}
+				c["known"] = map[string]any{"index": 1, "snapshot": true,
+					"endpoints": append([]catalog.Endpoint{gone}, list...)}
 			}
 		})
 		nodes, all = append(nodes, n), append(all, n.start())
 	}
-	answers := func(i int) string {
+	ping := func(i int) string {
 		c, err := nodes[i].dial()
 		if err != nil {
 			return err.Error()
@@ -156,28 +160,28 @@
 		}
 		return line
 	}
-	wants := func(i int, want string, within time.Duration) {
+	waitAnswer := func(i int, want string, within time.Duration) {
 		t.Helper()
-		for limit := time.Now().Add(within); !strings.HasPrefix(answers(i), want); time.Sleep(5 * time.Millisecond) {
+		for limit := time.Now().Add(within); !strings.HasPrefix(ping(i), want); time.Sleep(5 * time.Millisecond) {
 			if time.Now().After(limit) {
-				t.Fatalf("process %d says %q, want %s\n%s", i, answers(i), want, all[i].log)
+				t.Fatalf("process %d answers %q, want %s\n%s", i, ping(i), want, all[i].log)
 			}
 		}
 	}
 	for i := range all {
 		if i%3 > 0 {
-			wants(i, "+PONG", 10*time.Second-time.Since(began))
+			waitAnswer(i, "+PONG", 10*time.Second-time.Since(began))
 		} else {
-			wants(i, "-LOADING", peer.Patient)
+			waitAnswer(i, "-LOADING", peer.Patient)
 		}
 	}
-	t.Logf("those with a list of before were ready after %v", time.Since(began))
-	agent, err := catalog.StartAt(at, list...)
+	t.Logf("those with a known list were ready after %v", time.Since(began))
+	agent, err := catalog.StartAt(discoveryAddr, list...)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(agent.Close)
 	for i := range all {
-		wants(i, "+PONG", 6*time.Second)
+		waitAnswer(i, "+PONG", 6*time.Second)
 	}
 }
