--- a/cmd/gapgap/linked_test.go
+++ b/cmd/gapgap/linked_test.go
@@ -11,8 +11,9 @@
 	"testing"
 )
 
-// The deploy build must link the front door dynamically against the C library: the platform's bench loads a library of its own into
-// it. A static one would start, and every day with many front doors would be void.
+// TestDeployBuildLinksTheCLibrary verifies that the deploy build links the gateway dynamically against the C library,
+// because the platform's bench preloads a library of its own. A static program would start, but every bench run with
+// many gateways would be invalid.
 func TestDeployBuildLinksTheCLibrary(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/balancer.toml")
 	if err != nil {
