--- a/cmd/gapgap/main_test.go
+++ b/cmd/gapgap/main_test.go
@@ -12,10 +12,12 @@
 	"time"
 )
 
-// A front door that can't start says why in one line; the address it is to listen on is no exception.
+// TestBadConfiguration verifies that a gateway that can't start reports why in one line, also if the reason is its
+// listen address.
 func TestBadConfiguration(t *testing.T) {
 	good := `{"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","settings":{"peers-total":1,` +
-		`"limits":{"max-attempts":1,"dial-timeout-us":1000},"classes":[{"name":"a"}],"tiers-of-service":[{"name":"b"}]}}`
+		`"limits":{"max-attempts":1,"dial-timeout-us":1000},"classes":[{"name":"a"}],` +
+		`"tiers-of-service":[{"name":"b"}]}}`
 	for _, bad := range []string{"{", strings.Replace(good, `"peers-total":1`, `"peers-total":0`, 1),
 		strings.Replace(good, "127.0.0.1:0", "127.0.0.1:none", 1), strings.Replace(good, "127.0.0.1:0", "nowhere", 1),
 		strings.Replace(good, "1000", "0", 1)} {
@@ -33,10 +35,11 @@
 	}
 }
 
-// The environment goes before the file.
+// TestEnvironment verifies that environment variables override the file.
 func TestEnvironment(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "config.json")
-	text := `{"name":"n1","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"1","settings":{"limits":{"dial-timeout-us":1000}}}`
+	text := `{"name":"n1","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"1",` +
+		`"settings":{"limits":{"dial-timeout-us":1000}}}`
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -50,7 +53,8 @@
 	}
 }
 
-// SIGHUP must not end the program: an unusable file changes nothing, and a usable one goes before the environment.
+// TestReload verifies that SIGHUP does not end the process, that an invalid file changes nothing, and that a valid one
+// overrides the environment.
 func TestReload(t *testing.T) {
 	watched := make(chan string, 64)
 	agent := func(name string) string {
@@ -61,8 +65,10 @@
 	file := filepath.Join(t.TempDir(), "config.json")
 	write := func(discovery string) {
 		t.Helper()
-		text := fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:0","discovery":%q,"seed":"1","settings":{"peers-total":1,`+
-			`"limits":{"max-attempts":1,"dial-timeout-us":1000},"classes":[{"name":"a","give-up-us":1000000}],"tiers-of-service":[{"name":"b"}]}}`, discovery)
+		text := fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:0","discovery":%q,"seed":"1",`+
+			`"settings":{"peers-total":1,`+
+			`"limits":{"max-attempts":1,"dial-timeout-us":1000},"classes":[{"name":"a","give-up-us":1000000}],`+
+			`"tiers-of-service":[{"name":"b"}]}}`, discovery)
 		if err := os.WriteFile(file+".new", []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -79,7 +85,7 @@
 					return
 				}
 			case <-limit:
-				t.Fatalf("%s is not watched", name)
+				t.Fatalf("discovery agent %s is not watched", name)
 			}
 		}
 	}
