--- a/cmd/gapgap/signals_test.go
+++ b/cmd/gapgap/signals_test.go
@@ -12,8 +12,9 @@
 	"gapgap/internal/fake/peer"
 )
 
-// SIGTERM with a request in flight, SIGHUP with new settings right behind it and SIGTERM once more: the request has its answer, by its own settings, what rests is
-// ended, and the process ends well.
+// TestSignalsAmidARequest verifies that SIGTERM, SIGHUP with new settings and a second SIGTERM can follow each other
+// while a request is in flight: the request is answered by the settings under which it arrived, idle connections are
+// closed, and the process ends without an error.
 func TestSignalsAmidARequest(t *testing.T) {
 	n := newNode(t, 0, flagserver.Config{})
 	ln := peer.Listen(t)
@@ -42,7 +43,7 @@
 	}
 	p.waitLog("configuration read again")
 	if _, err := idle.in.ReadByte(); err == nil {
-		t.Error("what rests is not ended")
+		t.Error("the idle connection is not closed")
 	}
 	b.Write("*1\r\n" + peer.Bulk("value"))
 	if got := <-answer; got != "$5\r\n<nil>" {
@@ -51,14 +52,15 @@
 	select {
 	case err := <-p.ended:
 		if err != nil {
-			t.Errorf("it ended with %v", err)
+			t.Errorf("the process ended with %v", err)
 		}
 	case <-time.After(peer.Patient):
-		t.Error("it does not end")
+		t.Error("the process does not end")
 	}
 }
 
-// SIGKILL behind SIGTERM: another process serves at the same address at once.
+// TestKilledRightAfterSIGTERM verifies that another process can serve at the same address at once after SIGTERM and
+// SIGKILL.
 func TestKilledRightAfterSIGTERM(t *testing.T) {
 	n := newNode(t, 1, flagserver.Config{})
 	for range 5 {
@@ -71,7 +73,7 @@
 		p.cmd.Process.Signal(syscall.SIGTERM)
 		p.kill()
 		if _, err := c.in.ReadByte(); err == nil {
-			t.Error("the connection goes on")
+			t.Error("the connection is still open")
 		}
 	}
 }
