--- a/cmd/gapgap/upgrade_test.go
+++ b/cmd/gapgap/upgrade_test.go
@@ -25,7 +25,7 @@
 	"gapgap/internal/handover"
 )
 
-// binary is the real program, built once.
+// binary builds the real program once and returns its path.
 var binary, removeBinary = program.Built("gapgap")
 
 func TestMain(m *testing.M) {
@@ -39,7 +39,7 @@
 	ceilingDepth = 100.0
 )
 
-// node is a front door's machine: processes of the real program come and go on it.
+// node is the machine of one gateway, on which processes of the real program start and end.
 type node struct {
 	t       *testing.T
 	dir     string
@@ -50,7 +50,7 @@
 	env     []string
 }
 
-// process is one process of it.
+// process is one process of a node.
 type process struct {
 	n       *node
 	cmd     *exec.Cmd
@@ -96,18 +96,22 @@
 	t.Cleanup(agent.Close)
 	n.agent = agent
 	class := func(name, effect string) map[string]any {
-		return map[string]any{"name": name, "effect": effect, "group": "all", "window-us": 12000000, "worth": 1.0, "target-us": 3000000, "give-up-us": 3000000}
+		return map[string]any{"name": name, "effect": effect, "group": "all", "window-us": 12000000, "worth": 1.0,
+			"target-us": 3000000, "give-up-us": 3000000}
 	}
 	text, _ := json.Marshal(map[string]any{"name": "n1", "listen": n.listen, "discovery": agent.Addr(), "seed": "1",
 		"limits": map[string]any{"cores": 1.0, "memory_mb": 64, "sockets": 384},
-		"settings": map[string]any{"peers-total": 1, "resolution-us": 4000, "areas": []string{"dc1"}, "kinds": []string{"std"},
-			"limits": map[string]any{"max-attempts": 3, "cancel": true, "may-probe": true, "retry-after": true, "max-retry-after-us": 1000000,
-				"dial-timeout-us": 1000000, "conn-idle-us": 30000000},
-			"obligations": map[string]any{"stop-sending-within-us": 250000, "fall-multiple": 3.0, "fall-us": 3000000, "cold-from": 0.26, "warm-within-us": 15000000},
-			"specifics":   map[string]any{"max-units": 1},
-			"classes":     []any{class("evaluate", "safe"), class("change", "keyed")},
+		"settings": map[string]any{"peers-total": 1, "resolution-us": 4000,
+			"areas": []string{"dc1"}, "kinds": []string{"std"},
+			"limits": map[string]any{"max-attempts": 3, "cancel": true, "may-probe": true, "retry-after": true,
+				"max-retry-after-us": 1000000, "dial-timeout-us": 1000000, "conn-idle-us": 30000000},
+			"obligations": map[string]any{"stop-sending-within-us": 250000, "fall-multiple": 3.0, "fall-us": 3000000,
+				"cold-from": 0.26, "warm-within-us": 15000000},
+			"specifics": map[string]any{"max-units": 1},
+			"classes":   []any{class("evaluate", "safe"), class("change", "keyed")},
 			"tiers-of-service": []any{map[string]any{"name": "open", "value-factor": 1.0},
-				map[string]any{"name": "capped", "value-factor": 1.0, "never-over-rate": ceilingRate, "cap-depth": ceilingDepth}}}})
+				map[string]any{"name": "capped", "value-factor": 1.0, "never-over-rate": ceilingRate,
+					"cap-depth": ceilingDepth}}}})
 	n.file = filepath.Join(n.dir, "config.json")
 	if err := os.WriteFile(n.file, text, 0o600); err != nil {
 		t.Fatal(err)
@@ -115,15 +119,17 @@
 	return n
 }
 
-// start starts one more process.
+// start starts another process.
 func (n *node) start() *process {
 	n.t.Helper()
 	bin, err := binary()
 	if err != nil {
 		n.t.Fatal(err)
 	}
-	p := &process{n: n, control: peer.FreeAddr(n.t), log: &lockedLog{}, ended: make(chan error, 1), cmd: exec.Command(bin)}
-	p.cmd.Env = append([]string{"NODE_CONFIG=" + n.file, "NODE_CONTROL=" + p.control, "TMPDIR=" + n.dir, "PATH=" + os.Getenv("PATH")}, n.env...)
+	p := &process{n: n, control: peer.FreeAddr(n.t), log: &lockedLog{}, ended: make(chan error, 1),
+		cmd: exec.Command(bin)}
+	p.cmd.Env = append([]string{"NODE_CONFIG=" + n.file, "NODE_CONTROL=" + p.control, "TMPDIR=" + n.dir,
+		"PATH=" + os.Getenv("PATH")}, n.env...)
 	p.cmd.Stderr = p.log
 	if err := p.cmd.Start(); err != nil {
 		n.t.Fatal(err)
@@ -138,7 +144,7 @@
 	return p
 }
 
-// call is an operator's call; an error says that nobody answers.
+// call sends an operator's command and returns the answer. An error means that the process does not answer.
 func (p *process) call(line string) (string, error) {
 	nc, err := net.Dial("tcp", p.control)
 	if err != nil {
@@ -151,7 +157,7 @@
 	return string(b), err
 }
 
-// ready waits for the process's yes.
+// waitReady waits until the process answers PING with YES.
 func (p *process) waitReady() {
 	p.n.t.Helper()
 	for limit := time.Now().Add(peer.Patient); time.Now().Before(limit); time.Sleep(2 * time.Millisecond) {
@@ -160,24 +166,24 @@
 		}
 		select {
 		case err := <-p.ended:
-			p.n.t.Fatalf("it has ended: %v\n%s", err, p.log)
+			p.n.t.Fatalf("the process has ended: %v\n%s", err, p.log)
 		default:
 		}
 	}
-	p.n.t.Fatalf("no yes\n%s", p.log)
+	p.n.t.Fatalf("the process is not ready\n%s", p.log)
 }
 
-// end sends SIGTERM and waits for a good end.
+// stop sends SIGTERM and waits until the process has ended without an error.
 func (p *process) stop() {
 	p.n.t.Helper()
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	select {
 	case err := <-p.ended:
 		if err != nil {
-			p.n.t.Errorf("it ended with %v", err)
+			p.n.t.Errorf("the process ended with %v", err)
 		}
 	case <-time.After(peer.Patient):
-		p.n.t.Error("it does not end")
+		p.n.t.Error("the process does not end")
 	}
 }
 
@@ -189,7 +195,8 @@
 // waitLog waits for a line of the process's log.
 func (p *process) waitLog(want string) {
 	p.n.t.Helper()
-	for limit := time.Now().Add(peer.Patient); !strings.Contains(p.log.String(), want); time.Sleep(2 * time.Millisecond) {
+	for limit := time.Now().Add(peer.Patient); !strings.Contains(p.log.String(),
+		want); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(limit) {
 			p.n.t.Fatalf("no %q in\n%s", want, p.log)
 		}
@@ -230,15 +237,15 @@
 	return line, err
 }
 
-// load is clients that ask without a pause, each on a connection that it keeps.
+// load is a number of clients that send requests without a pause, each on its own connection.
 type load struct {
 	n      *node
 	stop   chan struct{}
 	wg     sync.WaitGroup
 	id     atomic.Int64
 	mu     sync.Mutex
-	served map[string]bool // ids
-	capped int             // of them, under the ceiling
+	served map[string]bool // by request id
+	capped int             // of the served, under the ceiling
 	busy   int
 	failed []string
 }
@@ -296,7 +303,7 @@
 		if line[0] != '$' {
 			time.Sleep(5 * time.Millisecond)
 		}
-		if n%50 == 49 { // and new connections come too
+		if n%50 == 49 { // also open new connections
 			c.nc.Close()
 			if c, err = l.n.dial(); err != nil {
 				l.fail("dial", err)
@@ -335,8 +342,9 @@
 	}
 }
 
-// Twenty upgrades under load: every request gets its one answer on the connection on which it was sent, no keyed one has its
-// effect twice, the ceiling holds over the pair, and a ban by hand over all the processes.
+// TestUpgradesUnderLoad verifies twenty upgrades under load: every request gets exactly one answer, on the connection
+// on which it was sent, no keyed request takes effect twice, the ceiling holds for both processes together, and an
+// administrative ejection holds in all processes.
 func TestUpgradesUnderLoad(t *testing.T) {
 	n := newNode(t, 3, flagserver.Config{Delay: 15 * time.Millisecond, Keep: true})
 	began := time.Now()
@@ -344,18 +352,18 @@
 	p.waitReady()
 	l := n.load(16)
 	l.waitServed(100)
-	var banned, back time.Time
+	var ejected, restored time.Time
 	for i := range 20 {
 		if i == 4 {
 			if got, err := p.call("DETACH s-1"); got != "YES\n" {
 				t.Fatalf("%q, %v", got, err)
 			}
-			banned = time.Now()
+			ejected = time.Now()
 		}
 		next := n.start()
 		next.waitReady()
 		if i == 12 {
-			back = time.Now()
+			restored = time.Now()
 			if got, err := next.call("ATTACH s-1"); got != "YES\n" {
 				t.Fatalf("%q, %v", got, err)
 			}
@@ -367,37 +375,37 @@
 	l.stopAndCheck()
 	took := time.Since(began).Seconds()
 	if most := ceilingDepth + ceilingRate*(took+0.2); float64(l.capped) > most {
-		t.Errorf("%d served under a ceiling that gives %.0f in %.1f s", l.capped, most, took)
+		t.Errorf("%d served under a ceiling that permits %.0f in %.1f s", l.capped, most, took)
 	}
 	if l.capped < 100 {
-		t.Errorf("%d served under the ceiling: it was not tried", l.capped)
+		t.Errorf("%d served under the ceiling: too few to test it", l.capped)
 	}
 	times := map[string]int{}
 	for i, s := range n.servers {
 		for _, c := range s.Sent() {
 			times[c.ID]++
 			if c.Name == "Q.DO" && times[c.ID] > 1 {
-				t.Errorf("the effect of %s was done %d times", c.ID, times[c.ID])
+				t.Errorf("request %s took effect %d times", c.ID, times[c.ID])
 			}
-			if i == 1 && c.At.After(banned) && c.At.Before(back) {
-				t.Errorf("%s went to the banned backend %v after the yes", c.ID, c.At.Sub(banned))
+			if i == 1 && c.At.After(ejected) && c.At.Before(restored) {
+				t.Errorf("%s went to the ejected backend %v after the answer to DETACH", c.ID, c.At.Sub(ejected))
 			}
 		}
 	}
 	for id := range l.served {
 		if times[id] == 0 {
-			t.Errorf("%s was served and no backend has seen it", id)
+			t.Errorf("request %s was served, but no backend has received it", id)
 		}
 	}
-	after := slices.ContainsFunc(n.servers[1].Sent(), func(s flagserver.Sent) bool { return s.At.After(back) })
-	if !after {
-		t.Error("the backend that was let in again is not used")
+	usedAgain := slices.ContainsFunc(n.servers[1].Sent(), func(s flagserver.Sent) bool { return s.At.After(restored) })
+	if !usedAgain {
+		t.Error("the restored backend is not used")
 	}
-	t.Logf("%d served, %d refused in %.1f s", len(l.served), l.busy, took)
+	t.Logf("%d served, %d rejected in %.1f s", len(l.served), l.busy, took)
 }
 
-// A connection that stands between two requests for long, one whose next request has half come, and one on which a request is
-// open: all three go on over an upgrade.
+// TestConnectionsGoOn verifies that three kinds of connections survive an upgrade: an idle one, one with half of its
+// next request received, and one with a request in flight.
 func TestConnectionsGoOn(t *testing.T) {
 	n := newNode(t, 1, flagserver.Config{})
 	p := n.start()
@@ -428,14 +436,15 @@
 	}
 }
 
-// A new process that fails at any step leaves the old one serving; connections that it has not got stay.
+// TestNewProcessFails verifies that a new process that fails at any step leaves the old one serving, which keeps the
+// connections that it has not handed over.
 func TestNewProcessFails(t *testing.T) {
 	n := newNode(t, 2, flagserver.Config{Delay: 2 * time.Millisecond})
 	p := n.start()
 	p.waitReady()
 	l := n.load(4)
 	l.waitServed(20)
-	for range 3 { // it ends before it has confirmed
+	for range 3 { // the new process ends before it has confirmed
 		taken, err := handover.Take(n.dir)
 		if err != nil {
 			t.Fatal(err)
@@ -452,7 +461,8 @@
 		t.Fatal(err)
 	}
 	idle.ask("PING")
-	taken, err := handover.Take(n.dir) // it ends after it has confirmed, and with it what it was handed
+	// The new process ends after it has confirmed, and with it the connection that it was handed.
+	taken, err := handover.Take(n.dir)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -471,12 +481,13 @@
 	l.waitServed(40)
 	l.stopAndCheck()
 
-	next := n.start() // a real one, killed right after its yes
+	next := n.start() // a real process, killed as soon as it is ready
 	next.waitReady()
 	next.kill()
-	for limit := time.Now().Add(peer.Patient); strings.Count(p.log.String(), "the other process has ended") < 2; time.Sleep(2 * time.Millisecond) {
+	for limit := time.Now().Add(peer.Patient); strings.Count(p.log.String(),
+		"the other process has ended") < 2; time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(limit) {
-			t.Fatal("the old process does not go on")
+			t.Fatal("the old process does not resume serving")
 		}
 	}
 	l = n.load(4)
@@ -490,7 +501,8 @@
 	l.stopAndCheck()
 }
 
-// The old process is killed in the middle: the new one serves, and the next upgrade works.
+// TestOldProcessKilled verifies that the new process serves if the old one is killed during the upgrade, and that the
+// next upgrade works.
 func TestOldProcessKilled(t *testing.T) {
 	n := newNode(t, 2, flagserver.Config{Delay: 2 * time.Millisecond})
 	p := n.start()
@@ -500,26 +512,27 @@
 	p.kill()
 	l := n.load(4)
 	l.waitServed(40)
-	third := n.start() // shortly after
+	third := n.start() // the next upgrade follows shortly
 	third.waitReady()
 	next.stop()
 	l.waitServed(40)
 	l.stopAndCheck()
 }
 
-// An old process that hangs, or speaks another version, does not keep the new one from serving: it starts as after a restart.
+// TestNoHandover verifies that an old process that hangs, or refuses since it is of another version, does not keep the
+// new one from serving: it starts as after a restart.
 func TestNoHandover(t *testing.T) {
 	for name, answer := range map[string]string{"hangs": "", "refuses for good": "R" + "no"} {
 		t.Run(name, func(t *testing.T) {
 			n := newNode(t, 1, flagserver.Config{})
-			door, err := handover.Listen(n.dir)
+			upgrades, err := handover.Listen(n.dir)
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer door.Close()
+			defer upgrades.Close()
 			go func() {
 				for {
-					c, err := door.AcceptUnix()
+					c, err := upgrades.AcceptUnix()
 					if err != nil {
 						return
 					}
@@ -536,7 +549,8 @@
 			l.stopAndCheck()
 		})
 	}
-	t.Run("two listen", func(t *testing.T) { // without the socket both serve, and what waits as one ends is answered
+	// Without the upgrade socket both processes serve, and connections that wait as one ends are answered.
+	t.Run("two listen", func(t *testing.T) {
 		n := newNode(t, 1, flagserver.Config{})
 		p := n.start()
 		p.waitReady()
@@ -566,7 +580,7 @@
 	})
 }
 
-// SIGHUP in the middle of an upgrade reaches both processes, and the new settings hold.
+// TestReloadDuringUpgrade verifies that SIGHUP during an upgrade makes both processes apply the new settings.
 func TestReloadDuringUpgrade(t *testing.T) {
 	n := newNode(t, 1, flagserver.Config{})
 	p := n.start()
@@ -577,8 +591,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	more := strings.Replace(string(text), `"name":"evaluate"`, `"name":"weigh"`, 1)
-	if err := os.WriteFile(n.file, []byte(more), 0o600); err != nil {
+	changed := strings.Replace(string(text), `"name":"evaluate"`, `"name":"weigh"`, 1)
+	if err := os.WriteFile(n.file, []byte(changed), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	for _, q := range []*process{p, next} {
@@ -588,7 +602,7 @@
 				break
 			}
 			if time.Now().After(limit) {
-				t.Fatal("the file is not taken")
+				t.Fatal("the file is not applied")
 			}
 		}
 	}
@@ -597,7 +611,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, err := c.ask("Q.ASK", peer.Customer, "1", "c=weigh,t=open,d=3000,units=1,spread=1,first=0"); err != nil || got[0] != '$' {
+	if got, err := c.ask("Q.ASK", peer.Customer, "1",
+		"c=weigh,t=open,d=3000,units=1,spread=1,first=0"); err != nil || got[0] != '$' {
 		t.Errorf("%q, %v", got, err)
 	}
 }
@@ -622,8 +637,9 @@
 	return now, most
 }
 
-// Sixty values of 4 MiB at once, which no client reads to the end for now, stay within the memory that the front door is told,
-// though they are four times as much; and one that is half read goes on over an upgrade.
+// TestManyLongValuesAtOnce verifies that sixty values of 4 MiB at once, which no client reads to the end yet, stay
+// within the gateway's memory limit, although they are four times as large, and that a value that is half read
+// continues across an upgrade.
 func TestManyLongValuesAtOnce(t *testing.T) {
 	const size, clients = 4 << 20, 60
 	n := newNode(t, 2, flagserver.Config{Value: strings.Repeat("v", size)})
@@ -639,9 +655,10 @@
 		defer c.nc.Close()
 		c.nc.(*net.TCPConn).SetReadBuffer(64 << 10)
 		all[i] = c
-		io.WriteString(c.nc, peer.Command("Q.ASK", peer.Customer, fmt.Sprint(i), "c=evaluate,t=open,d=3000,units=1,spread=1,first=0"))
+		io.WriteString(c.nc, peer.Command("Q.ASK", peer.Customer, fmt.Sprint(i),
+			"c=evaluate,t=open,d=3000,units=1,spread=1,first=0"))
 	}
-	var begun []*client // a client that is rejected has nothing more to read
+	var begun []*client // clients that were not rejected, which have a value to read
 	for _, c := range all {
 		line, err := c.in.ReadString('\n')
 		if err != nil {
@@ -675,19 +692,20 @@
 	case <-time.After(peer.Patient):
 		t.Error("the old process does not end")
 	}
-	whole := 0
-	for _, c := range all { // each connection is good for more, at the new process
+	usable := 0
+	for _, c := range all { // each connection is still usable, with the new process
 		c.nc.SetDeadline(time.Now().Add(peer.Patient))
 		if got, err := c.ask("PING"); err == nil && got == "+PONG\r\n" {
-			whole++
+			usable++
 		}
 	}
-	if whole != clients {
-		t.Errorf("%d of %d connections have gone over", whole, clients)
+	if usable != clients {
+		t.Errorf("%d of %d connections are usable after the upgrade", usable, clients)
 	}
 }
 
-// Without an address for operators the program is what it was: one listener, which nobody shares, and no file beside it.
+// TestNothingOfThisWithoutControl verifies that without an admin address there is no upgrade: the process has one
+// listener, whose port it does not share, and it creates no file.
 func TestNothingOfThisWithoutControl(t *testing.T) {
 	n := newNode(t, 1, flagserver.Config{})
 	bin, err := binary()
@@ -712,12 +730,12 @@
 			}
 		}
 		if time.Now().After(limit) {
-			t.Fatal("it does not serve")
+			t.Fatal("the process does not serve")
 		}
 	}
 	files, err := os.ReadDir(n.dir)
 	if err != nil || len(files) != 1 {
-		t.Errorf("beside the configuration: %v, %v", files, err)
+		t.Errorf("files beside the configuration: %v, %v", files, err)
 	}
 	second, log := run()
 	if err := second.Wait(); err == nil || !strings.Contains(log.String(), "address already in use") {
@@ -729,7 +747,8 @@
 	}
 }
 
-// Where no file and no Unix socket can be made, the front door serves, takes operators' calls and is replaced all the same.
+// TestNoDirectory verifies that the gateway serves, takes operators' commands and can be replaced even if it can create
+// neither files nor a Unix socket.
 func TestNoDirectory(t *testing.T) {
 	n := newNode(t, 2, flagserver.Config{})
 	n.env = []string{"TMPDIR=" + filepath.Join(n.dir, "nowhere")}
@@ -748,7 +767,8 @@
 	l.stopAndCheck()
 }
 
-// Signals that come together are one or several reads of the file, and the last state of the file holds.
+// TestSeveralSignals verifies that after many signals at once the last content of the file is in force, however often
+// the file was read.
 func TestSeveralSignals(t *testing.T) {
 	n := newNode(t, 1, flagserver.Config{})
 	p := n.start()
@@ -787,7 +807,7 @@
 	}
 }
 
-// The example is a configuration that the program takes.
+// TestDeployExample verifies that the example configuration is valid.
 func TestDeployExample(t *testing.T) {
 	t.Setenv("NODE_CONFIG", "../../deploy/gapgap.json")
 	for _, name := range []string{"NODE_NAME", "NODE_LISTEN", "NODE_DISCOVERY", "NODE_CONTROL"} {
@@ -801,11 +821,12 @@
 		t.Error(err)
 	}
 	if c.Control == "" {
-		t.Error("no address for operators")
+		t.Error("no admin address")
 	}
 }
 
-// handing is a process with a client, that has handed its state and listener to the test and waits for the confirmation.
+// startHandover starts a process with a client and takes its state and listener from it. The process then waits for the
+// confirmation.
 func startHandover(t *testing.T) (*node, *process, *client, *handover.Taken) {
 	t.Helper()
 	n := newNode(t, 1, flagserver.Config{})
@@ -827,44 +848,44 @@
 	return n, p, kept, taken
 }
 
-// A new process that says hello and then hangs holds the old one up for a bounded time only: what connects meanwhile is served
-// after that, and what is open goes on all the time.
+// TestNewProcessHangs verifies that a new process that hangs after its first message delays the old one for a bounded
+// time only: connections that arrive meanwhile are served after that time, and open ones are served throughout.
 func TestNewProcessHangs(t *testing.T) {
-	n, p, kept, _ := startHandover(t) // and no word after it
+	n, p, kept, _ := startHandover(t) // which is not confirmed
 	list := "c=evaluate,t=open,d=3000,units=1,spread=1,first=0"
 	if got, err := kept.ask("Q.ASK", peer.Customer, "kept", list); err != nil || got[0] != '$' {
-		t.Errorf("on a connection of before: %q, %v", got, err)
+		t.Errorf("on the open connection: %q, %v", got, err)
 	}
 	c, err := n.dial()
 	if err != nil {
 		t.Fatal(err)
 	}
 	if got, err := c.ask("Q.ASK", peer.Customer, "new", list); err != nil || got[0] != '$' {
-		t.Errorf("on a connection that came meanwhile: %q, %v", got, err)
+		t.Errorf("on the new connection: %q, %v", got, err)
 	}
 	p.waitLog("an upgrade has not come about")
 }
 
-// The end of the old process is asked for after it has handed its state over and before it has heard that the new one serves: what
-// is connected is neither closed nor reset, whether the new one then says so or dies.
+// TestEndedAmidAHandover verifies a SIGTERM that reaches the old process after it has handed over its state and
+// before the new one has confirmed. No connection is closed or reset, whether the new process then confirms or dies.
 func TestEndedAmidAHandover(t *testing.T) {
 	list := "c=evaluate,t=open,d=3000,units=1,spread=1,first=0"
 	for name, confirmed := range map[string]bool{"the new one serves": true, "the new one dies": false} {
 		t.Run(name, func(t *testing.T) {
 			n, p, kept, taken := startHandover(t)
-			waits, err := n.dial() // in the queue of the listener
+			queued, err := n.dial() // in the listener's queue
 			if err != nil {
 				t.Fatal(err)
 			}
 			p.cmd.Process.Signal(syscall.SIGTERM)
 			p.waitLog("msg=ending")
 			if got, err := kept.ask("Q.ASK", peer.Customer, "kept", list); err != nil || got[0] != '$' {
-				t.Errorf("on a connection of before: %q, %v", got, err)
+				t.Errorf("on the open connection: %q, %v", got, err)
 			}
 			if !confirmed {
 				taken.Link.Close()
-				if got, err := waits.ask("Q.ASK", peer.Customer, "waits", list); err != nil || got[0] != '$' {
-					t.Errorf("on a connection that came meanwhile: %q, %v", got, err)
+				if got, err := queued.ask("Q.ASK", peer.Customer, "waits", list); err != nil || got[0] != '$' {
+					t.Errorf("on the new connection: %q, %v", got, err)
 				}
 				p.stop()
 				return
@@ -884,24 +905,26 @@
 			if err := <-p.ended; err != nil {
 				t.Error(err)
 			}
-			if nc, err = taken.Listener.Accept(); err != nil || nc.RemoteAddr().String() != waits.nc.LocalAddr().String() {
-				t.Errorf("what waited is not in the queue that was handed over: %v", err)
+			if nc, err = taken.Listener.Accept(); err != nil ||
+				nc.RemoteAddr().String() != queued.nc.LocalAddr().String() {
+				t.Errorf("the queued connection was not handed over with the listener: %v", err)
 			}
 		})
 	}
 }
 
-// Processes of an upgrade are killed at moments that nobody chose: whichever is left serves, and the next upgrade works.
+// TestKilledAtAnyMoment verifies that if either process of an upgrade is killed at an arbitrary moment, the other one
+// serves and the next upgrade works.
 func TestKilledAtAnyMoment(t *testing.T) {
 	n := newNode(t, 2, flagserver.Config{Delay: time.Millisecond})
 	p := n.start()
 	p.waitReady()
 	for i := range 12 {
 		next := n.start()
-		if i%2 == 0 { // the new one, before, while and after it takes over
+		if i%2 == 0 { // kill the new process before, while or after it takes over
 			time.Sleep(time.Duration(i) * 2 * time.Millisecond)
 			next.kill()
-		} else { // the old one
+		} else { // kill the old process
 			time.Sleep(time.Duration(i) * 2 * time.Millisecond)
 			p.kill()
 			next.waitReady()
@@ -911,14 +934,15 @@
 		for served := 0; served < 5; {
 			c, err := n.dial()
 			if err == nil {
-				got, e := c.ask("Q.ASK", peer.Customer, fmt.Sprint(i, "-", served), "c=evaluate,t=open,d=3000,units=1,spread=1,first=0")
+				got, e := c.ask("Q.ASK", peer.Customer, fmt.Sprint(i, "-", served),
+					"c=evaluate,t=open,d=3000,units=1,spread=1,first=0")
 				c.nc.Close()
 				if e == nil && got[0] == '$' {
 					served++
 				}
 			}
 			if time.Now().After(deadline) {
-				t.Fatalf("round %d: nobody serves; %v", i, err)
+				t.Fatalf("round %d: no process serves; %v", i, err)
 			}
 		}
 	}
