--- a/internal/service/maintenance_test.go
+++ b/internal/service/maintenance_test.go
@@ -43,11 +43,11 @@
 	one, two := peer.Listen(t), peer.Listen(t)
 	dir := t.TempDir()
 	env := start(t, []string{one.Addr().String(), two.Addr().String()}, withStateDir(dir))
-	call := env.call
-	if got := call("DETACH s-9"); !strings.HasPrefix(got, "NO ") || !strings.Contains(got, "never listed") {
+	command := env.command
+	if got := command("DETACH s-9"); !strings.HasPrefix(got, "NO ") || !strings.Contains(got, "never listed") {
 		t.Errorf("%q", got)
 	}
-	if got := call("PING"); got != "YES\n" {
+	if got := command("PING"); got != "YES\n" {
 		t.Errorf("%q", got)
 	}
 	serve := func(ln net.Listener, name string) {
@@ -87,10 +87,10 @@
 	}
 	until("one")
 	until("two")
-	if got := call("DETACH s-0"); got != "YES\n" {
+	if got := command("DETACH s-0"); got != "YES\n" {
 		t.Fatalf("%q", got)
 	}
-	call("DETACH s-0")
+	command("DETACH s-0")
 	env.updates <- endpoints(2, one.Addr().String(), two.Addr().String()) // discovery lists it as serving
 	env.gateway.waitForLoop()
 	for range 200 {
@@ -99,7 +99,7 @@
 		}
 	}
 	for limit := time.Now().Add(peer.Patient); ; { // statistics are published ten times a second
-		got := call("INFO")
+		got := command("INFO")
 		if strings.Contains(got, "svc.registry_entries=2\nsvc.out_of_rotation=1\n") &&
 			strings.HasSuffix(got, "\nEND\n") {
 			break
@@ -110,11 +110,11 @@
 	}
 	// Another process of the same gateway knows the ejection, and the first process follows commands to the second.
 	other := start(t, []string{one.Addr().String(), two.Addr().String()}, withStateDir(dir))
-	if got := other.call("ATTACH s-0"); got != "YES\n" {
+	if got := other.command("ATTACH s-0"); got != "YES\n" {
 		t.Fatalf("%q", got)
 	}
 	until("one")
-	if got := other.call("DETACH s-1"); got != "YES\n" {
+	if got := other.command("DETACH s-1"); got != "YES\n" {
 		t.Fatalf("%q", got)
 	}
 	for range 1000 { // the first process polls ten times a second
@@ -143,7 +143,7 @@
 func TestBansOutliveTheProcess(t *testing.T) {
 	dir := t.TempDir()
 	env := start(t, []string{"127.0.0.1:1"}, withStateDir(dir))
-	if got := env.call("DETACH s-0"); got != "YES\n" {
+	if got := env.command("DETACH s-0"); got != "YES\n" {
 		t.Fatal(got)
 	}
 	env.stop()
@@ -152,7 +152,7 @@
 	if !again.isEjected("s-0") {
 		t.Error("the ejection is lost")
 	}
-	if got := again.call("ATTACH s-0"); got != "YES\n" { // though this process has never seen it listed
+	if got := again.command("ATTACH s-0"); got != "YES\n" { // though this process has never seen it listed
 		t.Error(got)
 	}
 	again.stop()
@@ -163,7 +163,7 @@
 			t.Fatal(err)
 		}
 		env := start(t, []string{"127.0.0.1:1"}, withStateDir(dir))
-		if got := env.call("DETACH s-0"); got != "YES\n" {
+		if got := env.command("DETACH s-0"); got != "YES\n" {
 			t.Errorf("%q: %s", bad, got)
 		}
 		if _, err := os.Stat(file + ".damaged"); err != nil {
@@ -180,7 +180,7 @@
 func TestDetachWhileTheLoopIsBusy(t *testing.T) {
 	env := start(t, []string{"127.0.0.1:1"}, withStateDir(t.TempDir()))
 	// The list must be known before the loop is blocked.
-	for limit := time.Now().Add(peer.Patient); env.call("PING") != "YES\n"; time.Sleep(time.Millisecond) {
+	for limit := time.Now().Add(peer.Patient); env.command("PING") != "YES\n"; time.Sleep(time.Millisecond) {
 		if time.Now().After(limit) {
 			t.Fatal("no backend becomes known")
 		}
@@ -192,7 +192,7 @@
 	if err := (adminService{env.gateway}).Detach(ctx, "s-0"); err == nil {
 		t.Error("DETACH succeeded although the loop is blocked")
 	}
-	if got := env.call("PING"); got != "YES\n" { // other commands are answered meanwhile
+	if got := env.command("PING"); got != "YES\n" { // other commands are answered meanwhile
 		t.Error(got)
 	}
 	close(release)
@@ -211,10 +211,10 @@
 	one := start(t, []string{"127.0.0.1:1"}, withStateDir(dir))
 	two := start(t, []string{"127.0.0.1:1"}, withStateDir(dir))
 	for range 10 { // without a pause, so that a command comes before the next poll of the file
-		if got := one.call("DETACH s-0"); got != "YES\n" {
+		if got := one.command("DETACH s-0"); got != "YES\n" {
 			t.Fatal(got)
 		}
-		if got := two.call("ATTACH s-0"); got != "YES\n" {
+		if got := two.command("ATTACH s-0"); got != "YES\n" {
 			t.Fatal(got)
 		}
 		for _, env := range []*testEnv{one, two} {
--- a/internal/service/reload_test.go
+++ b/internal/service/reload_test.go
@@ -145,13 +145,13 @@
 	}
 	third.Write("*3\r\n" + peer.Bulk("one") + "$-1\r\n$-1\r\n")
 	c.Wants("one")
-	var figures strings.Builder
-	env.gateway.Stats.Write(&figures)
+	var statistics strings.Builder
+	env.gateway.Stats.Write(&statistics)
 	for _, want := range []string{"svc.operations.evaluate.fulfilled=1\n", "svc.operations.weigh.faulted=1\n",
 		"svc.relayed=3\n", "svc.open_requests=0\n", "svc.cfg_accepted=1\n", "svc.cfg_invalid=1\n",
 		"svc.registry_entries=1\n"} {
-		if !strings.Contains(figures.String(), want) {
-			t.Errorf("no %q in\n%s", want, figures.String())
+		if !strings.Contains(statistics.String(), want) {
+			t.Errorf("no %q in\n%s", want, statistics.String())
 		}
 	}
 }
--- a/internal/service/testenv_test.go
+++ b/internal/service/testenv_test.go
@@ -38,7 +38,7 @@
 	gateway *Gateway
 	addr    string
 	stop    context.CancelFunc
-	call    func(string) string // sends an operator's command and returns the answer
+	command func(string) string // sends an operator's command and returns the answer
 
 	adminListener net.Listener
 	updates       chan discovery.EndpointList // to the watch
@@ -65,7 +65,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	ln := peer.Listen(t)
 	env.gateway, env.addr, env.stop = g, ln.Addr().String(), stop
-	env.call = startAdmin(env)
+	env.command = startAdmin(env)
 	go g.Serve(ctx, ln, env.adminListener)
 	t.Cleanup(func() {
 		stop()
