--- a/internal/service/clients_test.go
+++ b/internal/service/clients_test.go
@@ -11,15 +11,16 @@
 	"time"
 )
 
-// A value goes to the client alone and whole, a command to the backend unchanged but for d, and a warm connection
-// is used again.
+// TestPassesCommandAndValueOn verifies that a command reaches the backend with only its deadline d changed, that the
+// client gets the whole value and nothing else, and that the backend's connection is used again.
 func TestPassesCommandAndValueOn(t *testing.T) {
 	ln := peer.Listen(t)
-	w := start(t, []string{ln.Addr().String()})
-	c := w.dial()
+	env := start(t, []string{ln.Addr().String()})
+	c := env.dial()
 	c.Command("PING")
 	c.Wants("+PONG")
-	value, body := strings.Repeat("v\r\n-", 75<<10), strings.Repeat("b", resp.MaxValueBytes) // longer than a value is said to be
+	// The value is longer than the advertised maximum.
+	value, body := strings.Repeat("v\r\n-", 75<<10), strings.Repeat("b", resp.MaxValueBytes)
 	var b *peer.Peer
 	for range 2 {
 		c.Command("q.do", peer.Customer, "9b1f03aa5c7e2d41", peer.Keyed, body)
@@ -37,10 +38,10 @@
 					d = 10*d + int(r-'0')
 				}
 			} else if item != was {
-				t.Errorf("%s went on as %s", was, item)
+				t.Errorf("%s was forwarded as %s", was, item)
 			}
 		}
-		if d < 1 || d > 6000 { // the module waits no longer than the aim
+		if d < 1 || d > 6000 { // the proxy waits no longer than the latency objective
 			t.Errorf("d=%d", d)
 		}
 		b.Write("*3\r\n" + peer.Bulk(value) + peer.Bulk("used=37,cost=4") + "$-1\r\n")
@@ -50,10 +51,12 @@
 	}
 }
 
+// TestAnswersInCommandOrder verifies that a client gets its answers in the order of its commands, whatever the order in
+// which backends answer.
 func TestAnswersInCommandOrder(t *testing.T) {
 	ln := peer.Listen(t)
-	w := start(t, []string{ln.Addr().String()})
-	c := w.dial()
+	env := start(t, []string{ln.Addr().String()})
+	c := env.dial()
 	c.Command("Q.ASK", peer.Customer, "1", peer.List)
 	first := peer.Accept(t, ln)
 	first.Message()
@@ -68,12 +71,15 @@
 	c.Wants("+PONG")
 }
 
+// TestBadInput verifies that an invalid command gets an error, that a protocol error also closes the connection, and
+// that neither is forwarded.
 func TestBadInput(t *testing.T) {
 	ln := peer.Listen(t)
-	w := start(t, []string{ln.Addr().String()})
+	env := start(t, []string{ln.Addr().String()})
 	for _, bad := range [][]string{
 		{"Q.ASK"}, {"Q.ASK", peer.Customer, "1"}, {"Q.ASK", peer.Customer, "1", peer.List, "body", "more"},
-		{"Q.ASK", "b4d65521", "1", peer.List}, {"Q.ASK", "zzzzzzzzzzzzzzzz", "1", peer.List}, {"Q.ASK", "ffffffffffffffff", "1", peer.List},
+		{"Q.ASK", "b4d65521", "1", peer.List}, {"Q.ASK", "zzzzzzzzzzzzzzzz", "1", peer.List},
+		{"Q.ASK", "ffffffffffffffff", "1", peer.List},
 		{"Q.ASK", peer.Customer, "", peer.List}, {"Q.ASK", peer.Customer, "1", ""},
 		{"Q.ASK", peer.Customer, "1", strings.Replace(peer.List, "evaluate", "other", 1)},
 		{"Q.ASK", peer.Customer, "1", strings.Replace(peer.List, "t=open", "t=other", 1)},
@@ -96,15 +102,15 @@
 		{"Q.ASK", peer.Customer, "1", strings.Replace(peer.List, "d=20000", "d=90000000", 1)},
 		{"Q.ASK", peer.Customer, "1", peer.List + ",units=1"}, {"Q.ASK", peer.Customer, "1", peer.List + ",t=open"},
 	} {
-		c := w.dial()
+		c := env.dial()
 		c.Command(bad...)
 		c.WantsPrefix("-ERR ")
 		c.Command("PING") // the connection is kept
 		c.Wants("+PONG")
 	}
-	for _, bad := range []string{"PING\r\n", "*1\r\n:1\r\n", "*1\r\n$-1\r\n", "*999999999\r\n", "*1\r\n$70000\r\n", "*x\r\n",
-		"*0\r\n", "*2\r\n$4\r\nPING\r\n*1\r\n$1\r\nx\r\n", "*1\r\n$4\r\nPINGxx"} {
-		c := w.dial()
+	for _, bad := range []string{"PING\r\n", "*1\r\n:1\r\n", "*1\r\n$-1\r\n", "*999999999\r\n", "*1\r\n$70000\r\n",
+		"*x\r\n", "*0\r\n", "*2\r\n$4\r\nPING\r\n*1\r\n$1\r\nx\r\n", "*1\r\n$4\r\nPINGxx"} {
+		c := env.dial()
 		c.Write(bad)
 		c.WantsPrefix("-ERR ")
 		c.WantsEnd()
@@ -112,15 +118,15 @@
 	ln.Close()
 	if nc, err := ln.Accept(); err == nil {
 		nc.Close()
-		t.Error("something was sent on")
+		t.Error("a request was forwarded")
 	}
 }
 
-// A client that leaves takes its request along: the backend's connection is closed and nothing more goes out.
+// TestClientGone verifies that a client's disconnect cancels its request and closes the backend's connection.
 func TestClientGone(t *testing.T) {
 	ln := peer.Listen(t)
-	w := start(t, []string{ln.Addr().String()})
-	c := w.dial()
+	env := start(t, []string{ln.Addr().String()})
+	c := env.dial()
 	c.Command("Q.ASK", peer.Customer, "1", peer.List)
 	b := peer.Accept(t, ln)
 	b.Message()
@@ -128,15 +134,15 @@
 	b.WantsEnd()
 }
 
-// A client that takes no answers must not hold up the others.
+// TestSlowClientHoldsNobodyUp verifies that a client that reads no answers does not delay other clients.
 func TestSlowClientHoldsNobodyUp(t *testing.T) {
 	ln := peer.Listen(t)
-	w := start(t, []string{ln.Addr().String()})
-	slow := w.dial()
+	env := start(t, []string{ln.Addr().String()})
+	slow := env.dial()
 	value := peer.Bulk(strings.Repeat("v", resp.MaxValueBytes))
 	go func() {
 		nc, err := ln.Accept()
-		for err == nil { // a backend that serves all that comes
+		for err == nil { // a backend that answers every request
 			go func(nc net.Conn) {
 				in := &resp.Reader{Source: nc}
 				for {
@@ -154,28 +160,29 @@
 	for range 200 {
 		slow.Command("Q.ASK", peer.Customer, "1", peer.List)
 	}
-	c := w.dial()
-	for served := false; !served; { // the module may refuse some meanwhile
+	c := env.dial()
+	for served := false; !served; { // some may be rejected meanwhile
 		c.Command("Q.ASK", peer.Customer, "2", peer.List)
 		served = len(c.Message()[0]) == resp.MaxValueBytes
 	}
 }
 
-// Nobody to serve by: the request is held and refused when its time is up, here by the loop for a Door that
-// would forget it.
+// TestOverdueRequestIsAnswered verifies that a request is held while no backend is known, and is rejected at its
+// deadline. The event loop enforces the deadline even if the balancer should miss it.
 func TestOverdueRequestIsAnswered(t *testing.T) {
-	w := start(t, nil)
-	c := w.dial()
+	env := start(t, nil)
+	c := env.dial()
 	c.Command("Q.ASK", peer.Customer, "1", strings.Replace(peer.List, "d=20000", "d=60", 1))
 	if m := c.Message(); !strings.HasPrefix(m[0], "-") {
 		t.Errorf("got %q", m)
 	}
 }
 
-// A client that says nothing, or drips a command, must not hold a connection: one deadline holds for all of it.
+// TestSlowCommandsEnd verifies that a client that sends nothing, or sends a command byte by byte, loses its connection:
+// one deadline applies to the whole command.
 func TestSlowCommandsEnd(t *testing.T) {
-	w := start(t, nil)
-	silent, dripping, later := w.dial(), w.dial(), w.dial()
+	env := start(t, nil)
+	silent, dripping, later := env.dial(), env.dial(), env.dial()
 	later.Command("PING")
 	later.WantsPrefix("-LOADING")
 	stop := make(chan struct{})
@@ -196,21 +203,21 @@
 	later.WantsPrefix("-ERR ")
 }
 
-// A client that is turned away while it still sends must be able to read why.
+// TestErrorOutlivesWhatIsSent verifies that a client that is rejected while it still sends can read the error.
 func TestErrorOutlivesWhatIsSent(t *testing.T) {
-	w := start(t, nil)
-	c := w.dial()
+	env := start(t, nil)
+	c := env.dial()
 	c.Write("*2\r\n$4\r\nPING\r\n$60000000\r\n")
 	c.Write(strings.Repeat("x", 8<<20))
 	c.WantsPrefix("-ERR ")
 	c.WantsEnd()
 }
 
-// The id of a request that is open belongs to that request: another one gets an error and not its value.
+// TestOpenIDIsRefused verifies that a request with the id of one in flight gets an error, not that request's value.
 func TestOpenIDIsRefused(t *testing.T) {
 	ln := peer.Listen(t)
-	w := start(t, []string{ln.Addr().String()})
-	c, other := w.dial(), w.dial()
+	env := start(t, []string{ln.Addr().String()})
+	c, other := env.dial(), env.dial()
 	c.Command("Q.ASK", peer.Customer, "1", peer.List)
 	b := peer.Accept(t, ln)
 	b.Message()
@@ -218,28 +225,29 @@
 	other.WantsPrefix("-ERR ")
 	b.Write("*1\r\n" + peer.Bulk("value"))
 	c.Wants("value")
-	other.Command("Q.ASK", peer.Customer, "1", peer.List) // it is over, so the id is free
+	other.Command("Q.ASK", peer.Customer, "1", peer.List) // the first request has ended, so the id is free
 	b.Message()
 	b.Write("*1\r\n" + peer.Bulk("again"))
 	other.Wants("again")
 }
 
-// All clients together can't make the front door hold more than its share of memory.
+// TestClientMemoryIsBounded verifies that all clients together can't make the gateway hold more than its limit of
+// memory for them.
 func TestClientMemoryIsBounded(t *testing.T) {
-	w := start(t, nil, func(c *Config, t *testing.T) { c.MemoryMB = 1 })
+	env := start(t, nil, func(c *Config, t *testing.T) { c.MemoryMB = 1 })
 	body := strings.Repeat("b", resp.MaxValueBytes)
 	var last *peer.Peer
 	for i := range 8 { // none of these requests ends soon, as no backend is known
-		last = w.dial()
+		last = env.dial()
 		last.Command("Q.DO", peer.Customer, fmt.Sprint(i), peer.Keyed, body)
-		p := w.dial()
-		p.Command("PING") // it is read meanwhile
+		p := env.dial()
+		p.Command("PING") // commands are still read
 		p.WantsPrefix("-LOADING")
 	}
 	if m := last.Message(); m[0] != "-BUSY 100" && !strings.HasPrefix(m[0], "-ERR no memory") {
 		t.Errorf("got %q", m)
 	}
-	if held := w.p.env.Memory.Held(); held > 1<<18 {
-		t.Errorf("%d bytes are held", held)
+	if held := env.gateway.env.Memory.Held(); held > 1<<18 {
+		t.Errorf("%d bytes are held for clients", held)
 	}
 }
--- a/internal/service/crossings_test.go
+++ b/internal/service/crossings_test.go
@@ -13,9 +13,11 @@
 	"gapgap/internal/resp"
 )
 
-// Here two events cross: each test holds one side back until the other has come. docs/design/crossings.md lists them.
+// The tests of this file cover races between two events: each holds one event back until the other has happened.
+// docs/design/crossings.md lists the races.
 
-// wantsCleanEnd reads on up to the end of a connection, which must be no reset: that may overtake what was written before it.
+// wantsCleanEnd reads up to the end of a connection, which must not be a reset: a reset may discard data that was
+// written before it.
 func wantsCleanEnd(t *testing.T, c *peer.Peer) {
 	t.Helper()
 	if b, err := io.ReadAll(c.In); err != nil || len(b) > 0 {
@@ -23,144 +25,151 @@
 	}
 }
 
-// first reads a backend's next command and says which request it is for.
-func first(b *peer.Peer) string { return b.Message()[2] }
+// requestID reads a backend's next command and returns the id of its request.
+func requestID(b *peer.Peer) string { return b.Message()[2] }
 
-// A client asks, sends what is no command and leaves. It has gone, though its connection is one on which nothing is read any more for use.
+// TestClientLeavesBehindWhatIsNoCommand verifies that a disconnect is noticed and cancels the request, although the
+// client has sent an invalid command after which its input is only discarded.
 func TestClientLeavesBehindWhatIsNoCommand(t *testing.T) {
 	ln := peer.Listen(t)
-	w := start(t, []string{ln.Addr().String()})
-	c := w.dial()
+	env := start(t, []string{ln.Addr().String()})
+	c := env.dial()
 	c.Write(peer.Command("Q.ASK", peer.Customer, "1", peer.List) + "nonsense\r\n")
 	b := peer.Accept(t, ln)
-	first(b)
+	requestID(b)
 	c.NC.Close()
 	b.WantsEnd()
-	w.left(1)
+	env.checkGone(1)
 }
 
-// A client leaves while the front door is ending, with a request out.
+// TestClientLeavesAmidAShutdown verifies that a disconnect during a shutdown cancels the client's request.
 func TestClientLeavesAmidAShutdown(t *testing.T) {
 	ln := peer.Listen(t)
-	w := start(t, []string{ln.Addr().String()})
-	c, idle := w.dial(), w.dial()
+	env := start(t, []string{ln.Addr().String()})
+	c, idle := env.dial(), env.dial()
 	idle.Command("PING")
 	idle.Wants("+PONG")
 	c.Command("Q.ASK", peer.Customer, "1", peer.List)
 	b := peer.Accept(t, ln)
-	first(b)
-	w.stop()
+	requestID(b)
+	env.stop()
 	idle.WantsEnd()
 	c.Command("Q.ASK", peer.Customer, "2", peer.List) // after the shutdown
 	c.NC.Close()
 	b.WantsEnd()
-	w.left(1)
+	env.checkGone(1)
 }
 
-// A client sends commands that can't be used, each read after a pause, then a good one, and leaves: by the time that one is read nobody waits for it.
+// TestClientLeavesBehindBadCommands verifies that a request is not forwarded if its client disconnected before the
+// request was read. The invalid commands before it delay reading, as each is followed by a pause.
 func TestClientLeavesBehindBadCommands(t *testing.T) {
 	ln := peer.Listen(t)
-	w := start(t, []string{ln.Addr().String()})
-	c := w.dial()
+	env := start(t, []string{ln.Addr().String()})
+	c := env.dial()
 	c.Write(strings.Repeat(peer.Command("NONE"), 4) + peer.Command("Q.ASK", peer.Customer, "late", peer.List))
 	c.NC.Close()
-	w.noClients()
-	w.dial().Command("Q.ASK", peer.Customer, "next", peer.List)
-	if id := first(peer.Accept(t, ln)); id != "next" {
-		t.Errorf("request %q is sent on", id)
+	env.waitNoClients()
+	env.dial().Command("Q.ASK", peer.Customer, "next", peer.List)
+	if id := requestID(peer.Accept(t, ln)); id != "next" {
+		t.Errorf("request %q is forwarded", id)
 	}
 }
 
-// A client leaves behind so many commands that no more of them are read: the end of its connection is not read either. A further attempt must not begin.
+// TestClientLeavesBehindUnreadCommands verifies that no further attempt begins after a disconnect, even if so many
+// commands are unread that the end of the connection is not read either.
 func TestClientLeavesBehindUnreadCommands(t *testing.T) {
 	ln := peer.Listen(t)
-	w := start(t, []string{ln.Addr().String()})
-	c := w.dial()
+	env := start(t, []string{ln.Addr().String()})
+	c := env.dial()
 	c.Command("Q.ASK", peer.Customer, "1", peer.List)
 	b := peer.Accept(t, ln)
-	first(b)
+	requestID(b)
 	c.Write(strings.Repeat(peer.Command("PING"), 2000))
 	c.NC.Close()
-	time.Sleep(50 * time.Millisecond) // the request has waited: no more is looked at for one that has just come
+	time.Sleep(50 * time.Millisecond) // a request that has only just arrived is not checked for a disconnect
 	b.Write("-ERR failed\r\n")
-	w.nothingOpen()
-	next := w.dial()
+	env.waitNoneOpen()
+	next := env.dial()
 	next.Command("Q.ASK", peer.Customer, "next", peer.List)
-	if id := first(b); id != "next" {
-		t.Errorf("request %q is sent on", id)
+	if id := requestID(b); id != "next" {
+		t.Errorf("request %q is forwarded", id)
 	}
 	b.Write("*1\r\n" + peer.Bulk("value"))
 	next.Wants("value")
 }
 
-// A client leaves behind unread commands while a connection for its request is coming up.
+// TestClientLeavesWhileAConnectionComesUp verifies that a request is not sent if its client, which left unread
+// commands, disconnected while the backend's connection was being established.
 func TestClientLeavesWhileAConnectionComesUp(t *testing.T) {
-	addr, let := peer.ListenLate(t)
-	w := start(t, []string{addr})
-	c := w.dial()
+	addr, accept := peer.ListenLate(t)
+	env := start(t, []string{addr})
+	c := env.dial()
 	c.Write(peer.Command("Q.ASK", peer.Customer, "1", peer.List) + strings.Repeat(peer.Command("PING"), 2000))
-	w.oneOpen()
+	env.waitOneOpen()
 	c.NC.Close()
 	time.Sleep(50 * time.Millisecond)
-	b := let(peer.Patient)
+	b := accept(peer.Patient)
 	if b == nil {
-		t.Fatal("the connection does not come up")
+		t.Fatal("the connection is not established")
 	}
-	w.nothingOpen()
+	env.waitNoneOpen()
 	b.WantsEnd()
 }
 
-// The last answer of a connection that is to end reaches its client, whatever the client has sent meanwhile and nobody has read: the connection ends, and is
-// not reset. What came after the end is sent to nobody.
+// TestLastAnswerBeforeTheEnd verifies that the last answer before a shutdown reaches its client even if the client
+// has sent commands that were not read. Closing a connection with unread input would reset it, and the answer could
+// be lost. What came after the end of the connection is not forwarded.
 func TestLastAnswerBeforeTheEnd(t *testing.T) {
 	ln := peer.Listen(t)
-	w := start(t, []string{ln.Addr().String()})
-	c, idle := w.dial(), w.dial()
+	env := start(t, []string{ln.Addr().String()})
+	c, idle := env.dial(), env.dial()
 	idle.Command("PING")
 	idle.Wants("+PONG")
 	c.Command("Q.DO", peer.Customer, "1", peer.Unsafe, "body")
 	b := peer.Accept(t, ln)
-	first(b)
-	w.stop()
+	requestID(b)
+	env.stop()
 	idle.WantsEnd()
 	body := strings.Repeat("b", resp.MaxValueBytes)
-	for i := range 4 { // more than one read takes
+	for i := range 4 { // more than one read returns
 		c.Command("Q.DO", peer.Customer, fmt.Sprint("late", i), peer.Unsafe, body)
 	}
 	b.Write("*1\r\n" + peer.Bulk("value"))
 	c.Wants("value")
-	for { // those of them that were read before the end
+	for { // rejections of the commands that were read before the end
 		m, err := c.Try()
 		if errors.Is(err, io.EOF) {
 			break
 		}
 		if err != nil || m[0] != "-BUSY" {
-			t.Fatalf("%q and %v, want refusals and the end", m, err)
+			t.Fatalf("%q and %v, want rejections and the end", m, err)
 		}
 	}
 	c.NC.Close()
-	<-w.p.Done()
+	<-env.gateway.Done()
 	b.WantsEnd()
 }
 
-// A command that comes in the very moment in which a resting connection is shut is answered, or the connection ends with nothing said and nothing sent on:
-// the client then sends it elsewhere. It is never reset.
+// TestRequestCrossesTheEnd verifies what happens to a command that arrives just as its idle connection is being closed.
+// Either it is answered, or the connection ends without an answer and nothing is forwarded, so that the client can send
+// it elsewhere. The connection is never reset.
 func TestRequestCrossesTheEnd(t *testing.T) {
 	ln := peer.Listen(t)
 	answered, crossed := 0, 0
 	for range 8 {
-		w := start(t, []string{ln.Addr().String()})
+		env := start(t, []string{ln.Addr().String()})
 		var all []*peer.Peer
 		for range 8 {
-			c := w.dial()
+			c := env.dial()
 			c.Command("PING")
 			c.Wants("+PONG")
 			all = append(all, c)
 		}
-		w.stop()
+		env.stop()
 		all[0].WantsEnd()
 		for _, c := range all[1:] {
-			if _, err := io.WriteString(c.NC, peer.Command("Q.ASK", peer.Customer, "1", peer.List)); err != nil && !errors.Is(err, syscall.EPIPE) {
+			if _, err := io.WriteString(c.NC, peer.Command("Q.ASK", peer.Customer, "1",
+				peer.List)); err != nil && !errors.Is(err, syscall.EPIPE) {
 				t.Fatal(err)
 			}
 			switch m, err := c.Try(); {
@@ -173,26 +182,27 @@
 			}
 			c.NC.Close()
 		}
-		<-w.p.Done()
+		<-env.gateway.Done()
 	}
 	t.Logf("%d answered, %d crossed", answered, crossed)
 	ln.Close()
 	if nc, err := ln.Accept(); err == nil {
 		nc.Close()
-		t.Error("something was sent on")
+		t.Error("a request was forwarded")
 	}
 }
 
-// One for whom there is no place reads why, whatever it has sent: its connection ends and is not reset.
+// TestTurnedAwayReadsWhy verifies that a client above the connection limit can read its rejection whatever it has sent:
+// its connection ends and is not reset.
 func TestTurnedAwayReadsWhy(t *testing.T) {
-	w := start(t, nil, func(c *Config, t *testing.T) { c.Sockets = 256 })
-	most := w.p.env.Conns.Max()
+	env := start(t, nil, func(c *Config, t *testing.T) { c.Sockets = 256 })
+	most := env.gateway.env.Conns.Max()
 	for i := range most { // each with a request that waits for a backend
-		w.dial().Command("Q.ASK", peer.Customer, fmt.Sprint(i), peer.List)
+		env.dial().Command("Q.ASK", peer.Customer, fmt.Sprint(i), peer.List)
 	}
-	w.open(most)
+	env.waitOpen(most)
 	for range 3 {
-		c := w.dial()
+		c := env.dial()
 		c.Write(peer.Command("Q.DO", peer.Customer, "x", peer.Keyed, strings.Repeat("b", resp.MaxValueBytes)))
 		c.Wants("-BUSY 100")
 		wantsCleanEnd(t, c)
@@ -200,94 +210,99 @@
 	}
 }
 
-// holds waits until the loop says that something is so.
-func (w *world) holds(what string, is func() bool) {
-	w.t.Helper()
+// waitFor waits until a condition, which the event loop checks, is true.
+func (env *testEnv) waitFor(what string, condition func() bool) {
+	env.t.Helper()
 	for end := time.Now().Add(peer.Patient); ; time.Sleep(time.Millisecond) {
 		got := make(chan bool, 1)
-		w.p.Post(func() { got <- is() })
+		env.gateway.Post(func() { got <- condition() })
 		if <-got {
 			return
 		}
 		if time.Now().After(end) {
-			w.t.Fatalf("it never came to this: %s", what)
+			env.t.Fatalf("never true: %s", what)
 		}
 	}
 }
 
-func (w *world) nothingOpen() { w.t.Helper(); w.open(0) }
-func (w *world) oneOpen()     { w.t.Helper(); w.open(1) }
+func (env *testEnv) waitNoneOpen() { env.t.Helper(); env.waitOpen(0) }
+func (env *testEnv) waitOneOpen()  { env.t.Helper(); env.waitOpen(1) }
 
-func (w *world) open(n int) {
-	w.t.Helper()
-	w.holds(fmt.Sprint(n, " requests open"), func() bool { return w.p.Unanswered() == n })
+func (env *testEnv) waitOpen(n int) {
+	env.t.Helper()
+	env.waitFor(fmt.Sprint(n, " requests open"), func() bool { return env.gateway.Unanswered() == n })
 }
 
-// left says that so many requests ended since their clients had left, and not because their time was up.
-func (w *world) left(n int64) {
-	w.t.Helper()
-	if got := w.p.Stats.Gone.Load(); got != n {
-		w.t.Errorf("%d requests ended with their clients, want %d", got, n)
+// checkGone checks how many requests ended because their clients disconnected, not because of their deadlines.
+func (env *testEnv) checkGone(n int64) {
+	env.t.Helper()
+	if got := env.gateway.Stats.Gone.Load(); got != n {
+		env.t.Errorf("%d requests ended with their clients, want %d", got, n)
 	}
 }
 
-func (w *world) noClients() {
-	w.t.Helper()
-	w.holds("no client is connected", func() bool { return w.p.env.Conns.Len() == 0 })
+func (env *testEnv) waitNoClients() {
+	env.t.Helper()
+	env.waitFor("no client is connected", func() bool { return env.gateway.env.Conns.Len() == 0 })
 }
 
-// A command that was read and waited behind others tells its backend what is left to the client by then.
+// TestWaitInTheBufferCounts verifies that the time that a command has waited behind others is subtracted from the
+// deadline that its backend is told.
 func TestWaitInTheBufferCounts(t *testing.T) {
 	ln := peer.Listen(t)
-	w := start(t, []string{ln.Addr().String()})
-	c := w.dial()
-	c.Write(strings.Repeat(peer.Command("NONE"), 5) + peer.Command("Q.ASK", peer.Customer, "1", strings.Replace(peer.List, "d=20000", "d=2000", 1)))
-	list := peer.Accept(t, ln).Message()[3] // four pauses of 50 ms later
+	env := start(t, []string{ln.Addr().String()})
+	c := env.dial()
+	c.Write(strings.Repeat(peer.Command("NONE"), 5) +
+		peer.Command("Q.ASK", peer.Customer, "1", strings.Replace(peer.List, "d=20000", "d=2000", 1)))
+	list := peer.Accept(t, ln).Message()[3] // after four pauses of 50 ms
 	d := 0
 	if _, err := fmt.Sscanf(list[strings.Index(list, "d="):], "d=%d", &d); err != nil || d > 1800 {
-		t.Errorf("%s is told, %v", list, err)
+		t.Errorf("the backend is told %s, %v", list, err)
 	}
 }
 
-// A backend that an attempt is still being connected to begins to drain, with the news of another: the next attempt goes to that one. Each request has two.
+// TestDrainWhileAConnectionComesUp verifies that the next attempt goes to another backend if the first one starts to
+// drain while the connection for the attempt is being established. Each request has two attempts.
 func TestDrainWhileAConnectionComesUp(t *testing.T) {
 	addr, _ := peer.ListenLate(t)
 	ln := peer.Listen(t)
-	w := start(t, []string{addr}, func(c *Config, t *testing.T) { c.Settings.MaxAttempts = 2 })
-	c := w.dial()
+	env := start(t, []string{addr}, func(c *Config, t *testing.T) { c.Settings.MaxAttempts = 2 })
+	c := env.dial()
 	c.Command("Q.DO", peer.Customer, "1", peer.Unsafe, "body")
-	w.oneOpen()
-	m := members(2, addr, ln.Addr().String())
+	env.waitOneOpen()
+	m := endpoints(2, addr, ln.Addr().String())
 	m.Endpoints[0].Status = "DRAINING"
-	w.news <- m
+	env.updates <- m
 	b := peer.Accept(t, ln)
-	if id := first(b); id != "1" {
+	if id := requestID(b); id != "1" {
 		t.Errorf("request %q", id)
 	}
 	b.Write("*1\r\n" + peer.Bulk("value"))
 	c.Wants("value")
 }
 
-// before that.
+// TestWindowEndsWhileAConnectionComesUp verifies that a keyed request is not sent again after its dedup window has
+// ended, even if the connection for the repeat is established only then.
 func TestWindowEndsWhileAConnectionComesUp(t *testing.T) {
-	late, let := peer.ListenLate(t)
+	late, accept := peer.ListenLate(t)
 	ln := peer.Listen(t)
-	w := start(t, []string{ln.Addr().String()}, func(c *Config, t *testing.T) {
+	env := start(t, []string{ln.Addr().String()}, func(c *Config, t *testing.T) {
 		c.Settings.MaxAttempts, c.Settings.Classes[1].DedupWindow = 2, 400*time.Millisecond
 	})
-	c := w.dial()
+	c := env.dial()
 	c.Command("Q.DO", peer.Customer, "1", peer.Keyed, "body")
 	b := peer.Accept(t, ln)
-	first(b)
-	m := members(2, ln.Addr().String(), late)
+	requestID(b)
+	m := endpoints(2, ln.Addr().String(), late)
 	m.Endpoints[0].Status = "DRAINING"
-	w.news <- m
-	w.p.settled()
-	b.NC.Close()                                             // it may have run: the repeat is sent to the other, and its connection comes up after a second
-	time.Sleep(500 * time.Millisecond)                       // the window is over
-	if other := let(2500 * time.Millisecond); other != nil { // else it was given up before
+	env.updates <- m
+	env.gateway.waitForLoop()
+	// The request may have run. The repeat goes to the other backend, whose connection takes a second to establish.
+	b.NC.Close()
+	time.Sleep(500 * time.Millisecond)                          // the window has ended
+	if other := accept(2500 * time.Millisecond); other != nil { // else the attempt was abandoned before
 		if m, err := other.Try(); err == nil {
-			t.Errorf("%q is sent after the window", m)
+			t.Errorf("%q is sent after the end of the window", m)
 		}
 	}
 	c.WantsPrefix("-")
--- a/internal/service/maintenance_test.go
+++ b/internal/service/maintenance_test.go
@@ -14,39 +14,40 @@
 	"gapgap/internal/fake/peer"
 )
 
-// operate makes a front door answer operators' calls.
-func operate(w *world) func(call string) string {
-	ln := peer.Listen(w.t)
-	w.operators = ln
-	return func(call string) string {
-		w.t.Helper()
+// startAdmin opens a gateway's admin listener and returns a function that sends it a command and returns the answer.
+func startAdmin(env *testEnv) func(command string) string {
+	ln := peer.Listen(env.t)
+	env.adminListener = ln
+	return func(command string) string {
+		env.t.Helper()
 		nc, err := net.Dial("tcp", ln.Addr().String())
 		if err != nil {
-			w.t.Fatal(err)
+			env.t.Fatal(err)
 		}
 		defer nc.Close()
 		nc.SetDeadline(time.Now().Add(peer.Patient))
-		io.WriteString(nc, call+"\n")
+		io.WriteString(nc, command+"\n")
 		b, err := io.ReadAll(nc)
 		if err != nil {
-			w.t.Fatalf("%s: %v", call, err)
+			env.t.Fatalf("%s: %v", command, err)
 		}
 		return string(b)
 	}
 }
 
-func withDir(dir string) option { return func(c *Config, _ *testing.T) { c.Dir = dir } }
+func withStateDir(dir string) option { return func(c *Config, _ *testing.T) { c.StateDir = dir } }
 
-// From the yes on nothing reaches the backend, on warm connections neither, until the call back.
+// TestDetach verifies that after the answer to DETACH no request reaches the backend until ATTACH, not even on warm
+// connections, and that another process of the gateway follows both commands.
 func TestDetach(t *testing.T) {
 	one, two := peer.Listen(t), peer.Listen(t)
 	dir := t.TempDir()
-	w := start(t, []string{one.Addr().String(), two.Addr().String()}, withDir(dir))
-	call := w.call
-	if got := call("DETACH s-9"); !strings.HasPrefix(got, "NO ") || !strings.Contains(got, "never listed") {
+	env := start(t, []string{one.Addr().String(), two.Addr().String()}, withStateDir(dir))
+	command := env.command
+	if got := command("DETACH s-9"); !strings.HasPrefix(got, "NO ") || !strings.Contains(got, "never listed") {
 		t.Errorf("%q", got)
 	}
-	if got := call("PING"); got != "YES\n" {
+	if got := command("PING"); got != "YES\n" {
 		t.Errorf("%q", got)
 	}
 	serve := func(ln net.Listener, name string) {
@@ -68,7 +69,7 @@
 	}
 	go serve(one, "one")
 	go serve(two, "two")
-	c := w.dial()
+	c := env.dial()
 	id := 0
 	ask := func() string {
 		id++
@@ -86,37 +87,38 @@
 	}
 	until("one")
 	until("two")
-	if got := call("DETACH s-0"); got != "YES\n" {
+	if got := command("DETACH s-0"); got != "YES\n" {
 		t.Fatalf("%q", got)
 	}
-	call("DETACH s-0")
-	w.news <- members(2, one.Addr().String(), two.Addr().String()) // discovery says that it is in service
-	w.p.settled()
+	command("DETACH s-0")
+	env.updates <- endpoints(2, one.Addr().String(), two.Addr().String()) // discovery lists it as serving
+	env.gateway.waitForLoop()
 	for range 200 {
 		if got := ask(); got != "two" {
 			t.Fatalf("%q served", got)
 		}
 	}
-	for limit := time.Now().Add(peer.Patient); ; { // figures of the module are published ten times a second
-		got := call("INFO")
-		if strings.Contains(got, "svc.registry_entries=2\nsvc.out_of_rotation=1\n") && strings.HasSuffix(got, "\nEND\n") {
+	for limit := time.Now().Add(peer.Patient); ; { // statistics are published ten times a second
+		got := command("INFO")
+		if strings.Contains(got, "svc.registry_entries=2\nsvc.out_of_rotation=1\n") &&
+			strings.HasSuffix(got, "\nEND\n") {
 			break
 		}
 		if time.Now().After(limit) {
 			t.Fatalf("%q", got)
 		}
 	}
-	// Another process of the same front door knows, and the first follows what the second is told.
-	other := start(t, []string{one.Addr().String(), two.Addr().String()}, withDir(dir))
-	if got := other.call("ATTACH s-0"); got != "YES\n" {
+	// Another process of the same gateway knows the ejection, and the first process follows commands to the second.
+	other := start(t, []string{one.Addr().String(), two.Addr().String()}, withStateDir(dir))
+	if got := other.command("ATTACH s-0"); got != "YES\n" {
 		t.Fatalf("%q", got)
 	}
 	until("one")
-	if got := other.call("DETACH s-1"); got != "YES\n" {
+	if got := other.command("DETACH s-1"); got != "YES\n" {
 		t.Fatalf("%q", got)
 	}
-	for range 1000 { // the first process looks ten times a second
-		if !w.banned("s-1") {
+	for range 1000 { // the first process polls ten times a second
+		if !env.isEjected("s-1") {
 			time.Sleep(5 * time.Millisecond)
 			continue
 		}
@@ -129,70 +131,73 @@
 	}
 }
 
-func (w *world) banned(name string) bool {
-	w.p.bans.mu.Lock()
-	defer w.p.bans.mu.Unlock()
-	_, is := w.p.bans.have[name]
-	return is
+func (env *testEnv) isEjected(name string) bool {
+	env.gateway.ejections.mu.Lock()
+	defer env.gateway.ejections.mu.Unlock()
+	_, ejected := env.gateway.ejections.ejected[name]
+	return ejected
 }
 
-// A ban outlives the process; a damaged or newer file is put aside with a line in the log.
+// TestBansOutliveTheProcess verifies that an ejection outlives the process, and that a damaged file, or one of a newer
+// version, is renamed.
 func TestBansOutliveTheProcess(t *testing.T) {
 	dir := t.TempDir()
-	w := start(t, []string{"127.0.0.1:1"}, withDir(dir))
-	if got := w.call("DETACH s-0"); got != "YES\n" {
+	env := start(t, []string{"127.0.0.1:1"}, withStateDir(dir))
+	if got := env.command("DETACH s-0"); got != "YES\n" {
 		t.Fatal(got)
 	}
-	w.stop()
-	<-w.p.Done()
-	again := start(t, nil, withDir(dir)) // it knows no list yet
-	if !again.banned("s-0") {
-		t.Error("the ban is lost")
+	env.stop()
+	<-env.gateway.Done()
+	again := start(t, nil, withStateDir(dir)) // it knows no list yet
+	if !again.isEjected("s-0") {
+		t.Error("the ejection is lost")
 	}
-	if got := again.call("ATTACH s-0"); got != "YES\n" { // though this process has never seen it listed
+	if got := again.command("ATTACH s-0"); got != "YES\n" { // though this process has never seen it listed
 		t.Error(got)
 	}
 	again.stop()
-	<-again.p.Done()
+	<-again.gateway.Done()
 	file := filepath.Join(dir, "gapgap-bans.json")
 	for _, bad := range []string{"{", `{"kind":"gapgap-bans","version":99,"crc32":0,"data":{}}`, ""} {
 		if err := os.WriteFile(file, []byte(bad), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		w := start(t, []string{"127.0.0.1:1"}, withDir(dir))
-		if got := w.call("DETACH s-0"); got != "YES\n" {
+		env := start(t, []string{"127.0.0.1:1"}, withStateDir(dir))
+		if got := env.command("DETACH s-0"); got != "YES\n" {
 			t.Errorf("%q: %s", bad, got)
 		}
 		if _, err := os.Stat(file + ".damaged"); err != nil {
 			t.Errorf("%q: %v", bad, err)
 		}
-		w.stop()
-		<-w.p.Done()
+		env.stop()
+		<-env.gateway.Done()
 		os.Remove(file + ".damaged")
 	}
 }
 
-// A call for which the loop has no time in time is carried out all the same.
+// TestDetachWhileTheLoopIsBusy verifies that a command that the event loop can't carry out before its timeout is still
+// carried out later.
 func TestDetachWhileTheLoopIsBusy(t *testing.T) {
-	w := start(t, []string{"127.0.0.1:1"}, withDir(t.TempDir()))
-	for limit := time.Now().Add(peer.Patient); w.call("PING") != "YES\n"; time.Sleep(time.Millisecond) {
-		if time.Now().After(limit) { // the list is not known at once, and no longer becomes known once the loop stands still
+	env := start(t, []string{"127.0.0.1:1"}, withStateDir(t.TempDir()))
+	// The list must be known before the loop is blocked.
+	for limit := time.Now().Add(peer.Patient); env.command("PING") != "YES\n"; time.Sleep(time.Millisecond) {
+		if time.Now().After(limit) {
 			t.Fatal("no backend becomes known")
 		}
 	}
 	release := make(chan struct{})
-	w.p.Post(func() { <-release })
+	env.gateway.Post(func() { <-release })
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	if err := (calls{w.p}).Detach(ctx, "s-0"); err == nil {
-		t.Error("a yes though the loop stands still")
+	if err := (adminService{env.gateway}).Detach(ctx, "s-0"); err == nil {
+		t.Error("DETACH succeeded although the loop is blocked")
 	}
-	if got := w.call("PING"); got != "YES\n" { // others are answered meanwhile
+	if got := env.command("PING"); got != "YES\n" { // other commands are answered meanwhile
 		t.Error(got)
 	}
 	close(release)
 	for range 2000 {
-		if w.banned("s-0") {
+		if env.isEjected("s-0") {
 			return
 		}
 		time.Sleep(5 * time.Millisecond)
@@ -200,22 +205,22 @@
 	t.Error("never carried out")
 }
 
-// A single call back ends a ban, also at the process that has not yet heard of it.
+// TestAttachAtTheOtherProcess verifies that ATTACH ends an ejection also at a process that does not know of it yet.
 func TestAttachAtTheOtherProcess(t *testing.T) {
 	dir := t.TempDir()
-	one := start(t, []string{"127.0.0.1:1"}, withDir(dir))
-	two := start(t, []string{"127.0.0.1:1"}, withDir(dir))
-	for range 10 { // without a pause, so within what the two look at each other's file by
-		if got := one.call("DETACH s-0"); got != "YES\n" {
+	one := start(t, []string{"127.0.0.1:1"}, withStateDir(dir))
+	two := start(t, []string{"127.0.0.1:1"}, withStateDir(dir))
+	for range 10 { // without a pause, so that a command comes before the next poll of the file
+		if got := one.command("DETACH s-0"); got != "YES\n" {
 			t.Fatal(got)
 		}
-		if got := two.call("ATTACH s-0"); got != "YES\n" {
+		if got := two.command("ATTACH s-0"); got != "YES\n" {
 			t.Fatal(got)
 		}
-		for _, w := range []*world{one, two} {
-			w.p.bans.look(context.Background())
-			if w.banned("s-0") {
-				t.Fatal("still banned after the call back")
+		for _, env := range []*testEnv{one, two} {
+			env.gateway.ejections.refresh(context.Background())
+			if env.isEjected("s-0") {
+				t.Fatal("still ejected after ATTACH")
 			}
 		}
 	}
