--- a/internal/service/hosted/clustercontrol.go
+++ b/internal/service/hosted/clustercontrol.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	// controlTimeout bounds the reading and the answering of an operator's command.
+	// controlTimeout bounds reading and answering an operator's command.
 	controlTimeout = 5 * time.Second
-	// maxControlHeaderBytes bounds its header.
+	// maxControlHeaderBytes bounds the header of a command.
 	maxControlHeaderBytes = 8 << 10
 )
 
-// serveControl starts to answer operators' commands. The policy host may be nil.
+// serveControl starts to serve operators' commands. The policy host may be nil.
 func (m *clusterMember) serveControl(policy *policyHost) {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /fleet/status", m.handleStatus)
@@ -33,11 +33,11 @@
 		MaxHeaderBytes: maxControlHeaderBytes,
 	}
 	go func() {
-		_ = m.controlServer.Serve(m.controlListener) // it ends when the member is closed
+		_ = m.controlServer.Serve(m.controlListener) // returns when the member is closed
 	}()
 }
 
-// handleStatus writes how this gateway sees the cluster.
+// handleStatus writes this gateway's view of the cluster.
 func (m *clusterMember) handleStatus(w http.ResponseWriter, r *http.Request) {
 	view, err := m.transport.Status(r.Context())
 	if err != nil {
@@ -47,22 +47,22 @@
 	writeJSON(w, view)
 }
 
-// handleRecovery writes how far the recovery after the start has come.
+// handleRecovery writes the progress of the recovery after the start.
 func (m *clusterMember) handleRecovery(w http.ResponseWriter, _ *http.Request) {
 	writeJSON(w, m.recovery.view())
 }
 
-// handleLeave has this gateway leave the cluster.
+// handleLeave makes this gateway leave the cluster.
 func (m *clusterMember) handleLeave(w http.ResponseWriter, r *http.Request) {
 	writeClusterResult(w, m.transport.Leave(r.Context()))
 }
 
-// handleForget has the cluster forget a gateway that is off.
+// handleForget makes the cluster forget a gateway that is down.
 func (m *clusterMember) handleForget(w http.ResponseWriter, r *http.Request) {
 	writeClusterResult(w, m.transport.Forget(r.Context(), r.URL.Query().Get("name")))
 }
 
-// writeClusterResult writes what became of a command that returns nothing but an error.
+// writeClusterResult writes the outcome of a command that returns only an error.
 func writeClusterResult(w http.ResponseWriter, err error) {
 	switch {
 	case errors.Is(err, peer.ErrUnknownGateway):
@@ -74,7 +74,7 @@
 	}
 }
 
-// handleNoPolicy answers commands on a policy that there is not.
+// handleNoPolicy answers policy commands at a gateway without a cluster policy.
 func handleNoPolicy(w http.ResponseWriter, _ *http.Request) {
-	http.Error(w, "this door goes by the policy in its file: there is no [fleet.policy]", http.StatusNotFound)
+	http.Error(w, "this gateway uses the policy in its file: there is no [fleet.policy]", http.StatusNotFound)
 }
