--- a/internal/service/hosted/clusterlease.go
+++ b/internal/service/hosted/clusterlease.go
@@ -9,21 +9,21 @@
 	"gapgap/internal/proxy"
 )
 
-// poolLease hands the share lease of this gateway to one pool. Which lease that is decides package cluster: see
+// poolLease applies the share lease of this gateway to one pool. Package cluster determines the lease: see
 // [cluster.Node.ShareLease].
 type poolLease struct {
 	proxy *proxy.Proxy
-	// poolName is the pool's name at all gateways.
+	// poolName is the name of the pool at all gateways.
 	poolName string
-	// newest is the lease to apply next.
+	// newest is the lease that is applied next.
 	newest atomic.Pointer[cluster.ShareLease]
-	// isPosted tells that a task that applies the newest lease is on its way to the event loop.
+	// isPosted is set while a task that applies the newest lease is queued for the event loop.
 	isPosted atomic.Bool
-	// appliedEpoch is the epoch of the last lease that holds for the pool and all that it has lent.
+	// appliedEpoch is the epoch of the last lease that is in effect for the pool and for all its loans to others.
 	appliedEpoch atomic.Uint64
 }
 
-// addPool has a pool use the share lease. A nil member does nothing.
+// addPool makes a pool use the share lease. It does nothing on a nil member.
 func (m *clusterMember) addPool(p *proxy.Proxy, poolName string) {
 	if m == nil {
 		return
@@ -35,7 +35,7 @@
 	pool.postLease(m.lease)
 }
 
-// removePool forgets a pool whose event loop has ended, or never began. A nil member does nothing.
+// removePool removes a pool whose event loop has ended or was never started. It does nothing on a nil member.
 func (m *clusterMember) removePool(p *proxy.Proxy) {
 	if m == nil {
 		return
@@ -45,7 +45,7 @@
 	delete(m.pools, p)
 }
 
-// applyLease hands a changed lease to all pools. It implements [peer.Config].ApplyLease.
+// applyLease passes a changed lease to all pools. It implements [peer.Config].ApplyLease.
 func (m *clusterMember) applyLease(lease cluster.ShareLease) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -55,28 +55,28 @@
 	}
 }
 
-// appliedEpoch returns the latest epoch that all pools have applied; without pools the largest number there is. It
+// appliedEpoch returns the latest epoch that all pools have applied, or the largest uint64 if there are no pools. It
 // implements [peer.Config].AppliedEpoch.
 func (m *clusterMember) appliedEpoch() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	least := uint64(math.MaxUint64)
+	lowest := uint64(math.MaxUint64)
 	for _, pool := range m.pools {
-		least = min(least, pool.appliedEpoch.Load())
+		lowest = min(lowest, pool.appliedEpoch.Load())
 	}
-	return least
+	return lowest
 }
 
-// postLease has the pool apply a lease soon.
+// postLease schedules a lease to be applied by the pool's event loop.
 func (l *poolLease) postLease(lease cluster.ShareLease) {
 	l.newest.Store(&lease)
 	if l.isPosted.CompareAndSwap(false, true) {
-		go l.proxy.Post(l.apply) // posting may wait, and the caller must not
+		go l.proxy.Post(l.apply) // Post may block, and the caller must not
 	}
 }
 
-// apply applies the newest lease. Its epoch is confirmed once all that the pool had lent of its former share has ended.
-// Only the pool's event loop may call it.
+// apply applies the newest lease. Its epoch is confirmed once all loans from the pool's previous share have ended. Only
+// the pool's event loop may call it.
 func (l *poolLease) apply() {
 	l.isPosted.Store(false)
 	lease := l.newest.Load()
