--- a/internal/service/hosted/clusterloans.go
+++ b/internal/service/hosted/clusterloans.go
@@ -7,14 +7,14 @@
 	"gapgap/internal/peer"
 )
 
-// closedSignal is closed: with it PostUntil never waits.
+// closedSignal is a closed channel: with it, PostUntil never blocks.
 var closedSignal = func() chan struct{} {
 	signal := make(chan struct{})
 	close(signal)
 	return signal
 }()
 
-// loanSender returns what sends a pool's loans and requests for loans to other gateways.
+// loanSender returns a function that sends a pool's loans and loan requests to other gateways.
 func (m *clusterMember) loanSender(poolName string) func(balancer.Action) {
 	return func(action balancer.Action) {
 		switch action := action.(type) {
@@ -40,8 +40,7 @@
 	}
 }
 
-// handleLoanRequest hands another gateway's request for a loan to the pool. It implements
-// [peer.Config].HandleLoanRequest.
+// handleLoanRequest passes another gateway's loan request to the pool. It implements [peer.Config].HandleLoanRequest.
 func (m *clusterMember) handleLoanRequest(from int, request peer.LoanRequest) {
 	m.postEvent(request.Pool, balancer.LoanRequest{
 		From:     from,
@@ -51,7 +50,7 @@
 	})
 }
 
-// handleLoan hands another gateway's loan to the pool. It implements [peer.Config].HandleLoan.
+// handleLoan passes another gateway's loan to the pool. It implements [peer.Config].HandleLoan.
 func (m *clusterMember) handleLoan(from int, loan peer.Loan) {
 	m.postEvent(loan.Request.Pool, balancer.LoanGranted{
 		From:     from,
@@ -63,8 +62,8 @@
 	})
 }
 
-// postEvent hands an event to the pools of a name and returns at once. If a pool's queue is full the event is lost:
-// what it says is repeated. There are two pools of one name while one of them is being removed.
+// postEvent passes an event to the pools of a name without blocking. If a pool's queue is full, the event is dropped;
+// gateways repeat such events. There are two pools of one name while one of them is being removed.
 func (m *clusterMember) postEvent(poolName string, event balancer.Event) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
