--- a/internal/service/hosted/clustermember.go
+++ b/internal/service/hosted/clustermember.go
@@ -14,33 +14,33 @@
 	"gapgap/internal/proxy"
 )
 
-// controlSocketMode lets only the user of the process connect to the operators' socket.
+// controlSocketMode allows only the user of the process to connect to the operators' socket.
 const controlSocketMode = 0o600
 
-// clusterMember is this process's part in a cluster of gateways. Its pools use the quota shares that its share lease
-// gives; each applies the newest lease on its own event loop. A nil clusterMember stands for a gateway that stands
-// alone; of such a one only the methods that say so may be called.
+// clusterMember is this process as a member of a cluster of gateways. Its pools use the quota shares that its share
+// lease grants; each applies the newest lease on its own event loop. It is nil for a gateway that is not part of a
+// cluster; only methods that document it may be called on nil.
 type clusterMember struct {
 	transport *peer.Transport
 	identity  *peer.IdentityStore
-	// controlListener is that of operators; nil means none.
+	// controlListener accepts operators' connections; nil means none.
 	controlListener net.Listener
-	// controlServer is nil until start, and without a controlListener.
+	// controlServer is nil before start and without a controlListener.
 	controlServer *http.Server
 
-	// policy is nil if there is none, or not yet.
+	// policy is nil before start and without a cluster policy.
 	policy   atomic.Pointer[policyHost]
 	recovery *startupRecovery
 
-	// isClockWrong stops the pools' counter calls: by a wrong clock they would name other counter windows than those of
-	// the other gateways.
+	// isClockWrong stops the pools' counter calls: with a wrong clock they would use other counter windows than the
+	// other gateways.
 	isClockWrong atomic.Bool
 
-	// mu is held while the fields below are used.
+	// mu guards the fields below.
 	mu sync.Mutex
-	// lease is the newest share lease. After a start it excludes this gateway, which then has no share at all: a lease
-	// of the process before is not taken over. applyLease replaces it once [cluster.Node] serves, a short delay after
-	// the start; its fraction grows as the voters grant slots (package quotalease).
+	// lease is the newest share lease. After a start it excludes this gateway, which then has no share at all, because
+	// the lease of the previous process is not reused. applyLease replaces it once [cluster.Node] serves, a short delay
+	// after the start; its fraction grows as the voters grant slots (package quotalease).
 	lease cluster.ShareLease
 	pools map[*proxy.Proxy]*poolLease
 }
@@ -95,10 +95,10 @@
 	}
 }
 
-// listenControl listens on the operators' Unix socket. A socket of an earlier process is removed: the lock of the state
-// directory says that there is no other process now.
+// listenControl listens on the operators' Unix socket. It removes the socket of an earlier process: the lock of the
+// state directory ensures that no other process uses it.
 func listenControl(path string) (net.Listener, error) {
-	_ = os.Remove(path) // if it can't be removed, listening fails
+	_ = os.Remove(path) // if this fails, so does net.Listen
 	listener, err := net.Listen("unix", path)
 	if err != nil {
 		return nil, err
@@ -106,15 +106,15 @@
 	return listener, os.Chmod(path, controlSocketMode)
 }
 
-// handlePolicy takes what another gateway sends of policy.
+// handlePolicy passes another gateway's policy message to the policy replica.
 func (m *clusterMember) handlePolicy(from int, payload []byte) {
 	if host := m.policy.Load(); host != nil {
 		host.replica.HandleMessage(from, payload)
 	}
 }
 
-// start starts the exchange with the other gateways, and to answer operators. The policy host may be nil. A nil member
-// does nothing.
+// start starts the exchange with the other gateways and serves operators' commands. The policy host may be nil. It does
+// nothing on a nil member.
 func (m *clusterMember) start(policy *policyHost) {
 	if m == nil {
 		return
@@ -126,17 +126,17 @@
 	}
 }
 
-// leave notifies the other gateways that this one leaves, and closes the member. All pools have to have ended. A nil
-// member does nothing.
+// leave notifies the other gateways that this one leaves, and closes the member. All pools must have ended. It does
+// nothing on a nil member.
 func (m *clusterMember) leave() {
 	if m == nil {
 		return
 	}
-	_ = m.transport.Leave(context.Background()) // gateways that it does not reach find out
+	_ = m.transport.Leave(context.Background()) // gateways that it does not reach detect it
 	m.close()
 }
 
-// close ends all without notice to others. A nil member does nothing.
+// close closes the member without notifying the other gateways. It does nothing on a nil member.
 func (m *clusterMember) close() {
 	if m == nil {
 		return
