--- a/internal/service/hosted/config_accounts.go
+++ b/internal/service/hosted/config_accounts.go
@@ -13,11 +13,11 @@
 	"gapgap/internal/service"
 )
 
-// defaultHoldTimeout is how long an admitted request of an account may last where the file does not say.
+// defaultHoldTimeout is the default for how long an admitted request of an account may last.
 const defaultHoldTimeout = 30 * time.Second
 
-// accounts compiles the accounts for one pool. Where there are several pools, an account has no place in those without
-// its plan, and its classes are those of all pools together.
+// accounts compiles the accounts for one pool. If the file has [[pool]] tables, a pool without an account's plan does
+// not serve the account, and an account may list classes of other pools too.
 func (f *configFile) accounts(node *service.Config, spec *poolSpec) (*account.Table, error) {
 	specs, err := f.accountSpecs(node.Settings.Gateways)
 	if err != nil {
@@ -47,13 +47,13 @@
 	return table, err
 }
 
-// accountSpecs returns the accounts as they stand in the file. None may have more gateways than there are.
+// accountSpecs returns the accounts of the file. An account can't use more gateways than there are.
 func (f *configFile) accountSpecs(gateways int) ([]account.Spec, error) {
 	var specs []account.Spec
 	for i := range f.Accounts {
 		table := &f.Accounts[i]
 		if table.Gateways > gateways {
-			return nil, fieldErrorf(fmt.Sprintf("account[%d].doors", i), "is over node.doors")
+			return nil, fieldErrorf(fmt.Sprintf("account[%d].doors", i), "exceeds node.doors")
 		}
 		specs = append(specs, account.Spec{
 			Name:         table.Name,
@@ -69,7 +69,7 @@
 	return specs, nil
 }
 
-// checkAccountPlans checks that each account's plan is that of a pool.
+// checkAccountPlans checks that each account's plan exists in at least one pool.
 func (f *configFile) checkAccountPlans(pools []Pool) error {
 	for i := range f.Accounts {
 		plan := f.Accounts[i].Plan
