--- a/internal/service/hosted/config_authz.go
+++ b/internal/service/hosted/config_authz.go
@@ -10,27 +10,27 @@
 	"gapgap/internal/frontend/extauthz"
 )
 
-// The values of a check's undecided.
+// The values of the key undecided of a check.
 const (
 	undecidedDeny  = "deny"
 	undecidedAllow = "allow"
 )
 
-// repeatNever is the value of a check's repeat that names none.
+// repeatNever is the default of the key repeat of a check.
 const repeatNever = "never"
 
-// checkBounds are what the pools set for the paths of authorization checks.
+// checkBounds has the values that the pools allow in the paths of authorization checks.
 type checkBounds struct {
-	// classes are the names of the classes of all pools.
+	// classes has the class names of all pools.
 	classes []string
-	// maxTimeout is the shortest time that a class's clients wait.
+	// maxTimeout is the shortest client timeout of all classes.
 	maxTimeout time.Duration
 }
 
-// maxCheckTimeout bounds how long a check may take, whatever the classes have.
+// maxCheckTimeout bounds how long a check may take, whatever the client timeouts of the classes.
 const maxCheckTimeout = time.Hour
 
-// newCheckBounds returns the bounds that the pools set.
+// newCheckBounds returns the bounds from the pools' classes.
 func newCheckBounds(pools []Pool) checkBounds {
 	bounds := checkBounds{maxTimeout: maxCheckTimeout}
 	for _, pool := range pools {
@@ -42,7 +42,7 @@
 	return bounds
 }
 
-// checkRoute checks one path for authorization checks. The prefix is that of its fields in errors.
+// checkRoute validates one path for authorization checks. prefix precedes the names of its fields in errors.
 func checkRoute(table *checkTable, prefix string, bounds checkBounds) (extauthz.Route, error) {
 	route := extauthz.Route{
 		Path:              table.Path,
@@ -72,7 +72,7 @@
 		return extauthz.Route{}, fieldErrorf(prefix+".default_class", "no class is named %q", table.DefaultClass)
 	}
 	if route.Within > bounds.maxTimeout {
-		return extauthz.Route{}, fieldErrorf(prefix+".within", "%v is over a class's give_up, %v",
+		return extauthz.Route{}, fieldErrorf(prefix+".within", "%v exceeds %v, the smallest give_up of a class",
 			route.Within, bounds.maxTimeout)
 	}
 	if !slices.Contains([]string{"", undecidedDeny, undecidedAllow}, table.Undecided) {
@@ -81,7 +81,7 @@
 	return route, nil
 }
 
-// parseIdentities returns the ways to tell whose check it is, in the file's order. None means by key.
+// parseIdentities returns the ways to identify the account of a check, in the order of the file. The default is by key.
 func parseIdentities(names []string, field string) ([]extauthz.Identity, error) {
 	if len(names) == 0 {
 		return []extauthz.Identity{extauthz.ByKey}, nil
