--- a/internal/service/hosted/config_decisions.go
+++ b/internal/service/hosted/config_decisions.go
@@ -8,7 +8,7 @@
 	"gapgap/internal/frontend/extauthz"
 )
 
-// Defaults of the table [verdicts], which configures the decision cache and the tracking of admitted requests.
+// Defaults for [verdicts], which configures the decision cache and the tracking of admitted requests.
 const (
 	defaultDecisionRetention  = 10 * time.Second
 	defaultMaxDecisions       = 100_000
@@ -17,7 +17,7 @@
 	defaultMaxTrackedInFlight = 10_000
 )
 
-// sharedConfig checks [verdicts].
+// sharedConfig validates [verdicts] and returns its settings.
 func (f *configFile) sharedConfig() (extauthz.SharedConfig, error) {
 	table := &f.Decisions
 	shared := extauthz.SharedConfig{
