--- a/internal/service/hosted/config_listeners.go
+++ b/internal/service/hosted/config_listeners.go
@@ -10,17 +10,17 @@
 	"gapgap/internal/frontend/extauthz"
 )
 
-// The values of a listener's protocol.
+// The values of the protocol of a listener.
 const (
 	protocolRESP2   = "resp2"
 	protocolAuthz   = "authz"
 	protocolMetrics = "metrics"
 )
 
-// listeners checks the listeners and returns one at least.
+// listeners validates the listeners and returns at least one.
 func (f *configFile) listeners(pools []Pool, allowed []netip.Prefix) ([]Listener, error) {
 	if len(f.Listeners) == 0 {
-		return nil, fieldErrorf("listener", "there is none")
+		return nil, fieldErrorf("listener", "at least one listener is required")
 	}
 	bounds := newCheckBounds(pools)
 	var listeners []Listener
@@ -34,7 +34,7 @@
 	return listeners, nil
 }
 
-// listener checks one listener; others are those before it.
+// listener validates one listener. others has the listeners before it.
 func (f *configFile) listener(
 	i int, others []Listener, bounds checkBounds, allowed []netip.Prefix,
 ) (Listener, error) {
@@ -61,55 +61,56 @@
 	return Listener{}, fieldErrorf(prefix+".protocol", "%q is not resp2, authz or metrics", table.Protocol)
 }
 
-// checkListenerAddress checks that a listener's address is allowed, and its address and name are no other's.
+// checkListenerAddress checks that a listener's address is allowed, and that its address and name are unique.
 func (f *configFile) checkListenerAddress(i int, name string, others []Listener, allowed []netip.Prefix) error {
 	field := func(name string) string { return fmt.Sprintf("listener[%d].%s", i, name) }
 	address, err := netip.ParseAddrPort(f.Listeners[i].Address)
 	if err != nil {
-		return fieldErrorf(field("address"), "%q is no address and port", f.Listeners[i].Address)
+		return fieldErrorf(field("address"), "%q is not an IP address with a port", f.Listeners[i].Address)
 	}
 	if !isAllowed(address.Addr(), allowed) {
 		return fieldErrorf(field("address"), "%s is neither loopback nor in node.allow", address.Addr())
 	}
 	for j, other := range others {
-		otherAddress, _ := netip.ParseAddrPort(other.Address) // it was checked
+		otherAddress, _ := netip.ParseAddrPort(other.Address) // already validated
 		if otherAddress == address && address.Port() != 0 {
-			return fieldErrorf(field("address"), "%s is that of listener[%d] too", address, j)
+			return fieldErrorf(field("address"), "%s is also the address of listener[%d]", address, j)
 		}
 		if other.Name == name {
-			return fieldErrorf(field("name"), "%q is that of listener[%d] too", name, j)
+			return fieldErrorf(field("name"), "%q is also the name of listener[%d]", name, j)
 		}
 	}
 	return nil
 }
 
-// hasAuthzKeys reports whether the table has keys that only a listener for authorization checks has.
+// hasAuthzKeys reports whether the table has keys that are only valid for authorization checks.
 func (table *listenerTable) hasAuthzKeys() bool {
 	return len(table.Checks) > 0 || len(table.Trusted) > 0 || len(table.TrustedCertificates) > 0 ||
 		table.EndPath != ""
 }
 
-// checkRESP2 checks that the table has no keys that a listener for RESP2 has not.
+// checkRESP2 checks that the table has no keys that are invalid for RESP2.
 func (table *listenerTable) checkRESP2(prefix string) error {
 	if table.TLS != nil {
-		return fieldErrorf(prefix+".tls", "is not spoken with resp2")
+		return fieldErrorf(prefix+".tls", "is not supported by resp2")
 	}
 	if table.hasAuthzKeys() {
-		return fieldErrorf(prefix+".protocol", "resp2 has no check, trusted, trusted_certificates or end_path")
+		return fieldErrorf(prefix+".protocol",
+			"resp2 does not support check, trusted, trusted_certificates or end_path")
 	}
 	return nil
 }
 
-// checkMetrics checks that the table has no keys that a listener for metrics has not.
+// checkMetrics checks that the table has no keys that are invalid for metrics.
 func (table *listenerTable) checkMetrics(prefix string) error {
 	if table.TLS != nil || table.hasAuthzKeys() {
 		return fieldErrorf(prefix+".protocol",
-			"metrics has no tls, check, trusted, trusted_certificates or end_path")
+			"metrics does not support tls, check, trusted, trusted_certificates or end_path")
 	}
 	return nil
 }
 
-// configureAuthz checks a listener for authorization checks and sets what it has beside name and address.
+// configureAuthz validates a listener for authorization checks and sets its fields other than the name and address.
 func (table *listenerTable) configureAuthz(listener *Listener, prefix string, bounds checkBounds) error {
 	files, err := table.tlsFiles(prefix)
 	if err != nil {
@@ -148,8 +149,9 @@
 	return nil
 }
 
-// tlsFiles returns the files of a listener with TLS, which can be loaded, or nil if it has none. Clients'
-// certificates can only be trusted where they are verified.
+// tlsFiles returns the files of a listener with TLS, after checking that they can be loaded, or nil if the listener
+// does not use TLS. It rejects trusted certificates without a client CA: only verified client certificates can be
+// trusted.
 func (table *listenerTable) tlsFiles(prefix string) (*TLSFiles, error) {
 	var files *TLSFiles
 	if table.TLS != nil {
@@ -163,7 +165,7 @@
 		}
 	}
 	if len(table.TrustedCertificates) > 0 && (files == nil || files.ClientCA == "") {
-		return nil, fieldErrorf(prefix+".trusted_certificates", "wants tls with client_ca")
+		return nil, fieldErrorf(prefix+".trusted_certificates", "requires tls with client_ca")
 	}
 	return files, nil
 }
