--- a/internal/service/hosted/config_routes.go
+++ b/internal/service/hosted/config_routes.go
@@ -12,10 +12,10 @@
 	"gapgap/internal/route"
 )
 
-// defaultTargetWeight is the weight of a route's target that names none.
+// defaultTargetWeight is the default weight of a route's target.
 const defaultTargetWeight = 1.0
 
-// pathKinds are the values of a route's kind.
+// pathKinds has the values of the key kind of a route.
 var pathKinds = map[string]route.PathKind{
 	"":         route.Prefix,
 	"prefix":   route.Prefix,
@@ -23,7 +23,7 @@
 	"template": route.Template,
 }
 
-// routes compiles the routing table. The pools and accounts of the configuration have to be there.
+// routes compiles the routing table. The pools and accounts of the configuration must be set.
 func (f *configFile) routes(c *Config) (*route.Table, error) {
 	var pools []string
 	for _, pool := range c.Pools {
@@ -48,19 +48,19 @@
 	return table, nil
 }
 
-// defaultPool returns the name of the pool of requests that no route matches; empty means none.
+// defaultPool returns the name of the pool for requests that no route matches. It may be empty.
 func (f *configFile) defaultPool(pools []string) (string, error) {
 	named := f.Node.DefaultPool
 	if len(f.Pools) > 0 {
 		return named, nil
 	}
 	if named != "" {
-		return "", fieldErrorf("node.default_pool", "there are no pools")
+		return "", fieldErrorf("node.default_pool", "requires [[pool]] tables")
 	}
 	return pools[0], nil
 }
 
-// routeRule returns one route's rule for the routing table.
+// routeRule returns the rule of one route for the routing table.
 func (f *configFile) routeRule(i int, accounts *account.Table) (route.Rule, error) {
 	table := &f.Routes[i]
 	field := func(name string) string { return fmt.Sprintf("route[%d].%s", i, name) }
@@ -71,7 +71,7 @@
 	if table.Listener != "" && !f.hasListener(table.Listener) {
 		return route.Rule{}, fieldErrorf(field("listener"), "no listener is named %q", table.Listener)
 	}
-	customer := "" // accounts are known by their customers in all protocols
+	customer := "" // all protocols identify accounts by their customers
 	if table.Account != "" {
 		found := accounts.ByName(table.Account)
 		if found == nil {
@@ -93,12 +93,12 @@
 	}, nil
 }
 
-// hasListener reports whether the file names a listener so.
+// hasListener reports whether the file has a listener of this name.
 func (f *configFile) hasListener(name string) bool {
 	return slices.ContainsFunc(f.Listeners, func(listener listenerTable) bool { return listener.Name == name })
 }
 
-// routeHeaders returns the headers that a route wants, sorted by name.
+// routeHeaders returns the headers that a route matches on, sorted by name.
 func routeHeaders(values map[string]string) []route.Header {
 	var headers []route.Header
 	for name, value := range values {
@@ -120,7 +120,7 @@
 	return targets
 }
 
-// routeFieldError returns an error of the routing table as one of a field of the file.
+// routeFieldError converts an error of the routing table to an error of a field of the file.
 func routeFieldError(err error) error {
 	var rule *route.Error
 	if !errors.As(err, &rule) {
