--- a/internal/service/hosted/configfile.go
+++ b/internal/service/hosted/configfile.go
@@ -5,10 +5,10 @@
 	"gapgap/internal/tomlfile"
 )
 
-// configFile is the format of the configuration file; deploy/gapgapd.toml explains each key.
+// configFile is the format of the configuration file; deploy/gapgapd.toml documents each key.
 //
-// Most tables are aliases of unnamed struct types: by the name of a type of its own [tomlfile.Decode] would not tell
-// that a table is wanted.
+// Most tables are aliases of unnamed struct types: with a defined type, the error of [tomlfile.Decode] for a value in
+// the place of a table would not say that a table is expected.
 type configFile struct {
 	Node  nodeTable          `toml:"node"`
 	Fleet *peer.FileSettings `toml:"fleet"`
@@ -20,7 +20,7 @@
 	Accounts  []accountTable  `toml:"account"`
 }
 
-// nodeTable is [node]: what the process has.
+// nodeTable is [node]: the settings of the process.
 type nodeTable = struct {
 	Name        string `toml:"name"`
 	Seed        string `toml:"seed"`
@@ -31,16 +31,16 @@
 	Sockets     int    `toml:"sockets"`
 	MaxInFlight int    `toml:"most_open"`
 	Gateways    int    `toml:"doors"`
-	// Index is this gateway's among all.
+	// Index is this gateway's index among all gateways, from 0.
 	Index       int    `toml:"rank"`
 	DefaultPool string `toml:"default_pool"`
 	ShareCPU    *bool  `toml:"share_processor"`
-	// Ceilings is demand or even.
+	// Ceilings is demand, even or empty.
 	Ceilings string   `toml:"ceilings"`
 	Allow    []string `toml:"allow"`
 }
 
-// poolTables are the tables that each pool has of its own. Without pools they stand at the top of the file.
+// poolTables has the tables that each pool has. Without [[pool]] tables they are at the top level of the file.
 type poolTables struct {
 	Limits      limitsTable      `toml:"limits"`
 	Obligations obligationsTable `toml:"obligations"`
@@ -49,7 +49,7 @@
 	Rules       []ruleTable      `toml:"rule"`
 }
 
-// poolTable is [[pool]].
+// poolTable is [[pool]]: one pool.
 type poolTable = struct {
 	Name                 string   `toml:"name"`
 	Discovery            string   `toml:"discovery"`
@@ -64,7 +64,7 @@
 	poolTables
 }
 
-// limitsTable is [limits].
+// limitsTable is [limits]: bounds on attempts, connections and units.
 type limitsTable = struct {
 	MaxAttempts    int               `toml:"max_attempts"`
 	DialTimeout    tomlfile.Duration `toml:"dial_timeout"`
@@ -76,7 +76,7 @@
 	MaxUnits       float64           `toml:"max_units"`
 }
 
-// obligationsTable is [obligations]: what the platform's contract sets.
+// obligationsTable is [obligations]: the values that the contract with the platform sets.
 type obligationsTable = struct {
 	DrainGrace        tomlfile.Duration `toml:"stop_sending_within"`
 	OverloadMultiple  float64           `toml:"fall_multiple"`
@@ -85,14 +85,14 @@
 	SlowStartDuration tomlfile.Duration `toml:"warm_within"`
 }
 
-// classTable is [[class]].
+// classTable is [[class]]: one class of requests.
 type classTable = struct {
 	Name string `toml:"name"`
 	// Effect is safe, keyed or unsafe.
 	Effect string `toml:"effect"`
-	// Group is all, zone or cell; empty means all.
+	// Group is the dedup scope: all, zone or cell; empty means all.
 	Group string `toml:"group"`
-	// Remember is disk if keys are reserved over all gateways, durably; else empty.
+	// Remember is disk if keys are durably reserved across all gateways; otherwise it is empty.
 	Remember           string            `toml:"remember"`
 	PriorityWeight     float64           `toml:"worth"`
 	LateWeightFraction float64           `toml:"late_worth"`
@@ -101,7 +101,7 @@
 	DedupWindow        tomlfile.Duration `toml:"window"`
 }
 
-// planTable is [[plan]].
+// planTable is [[plan]]: one plan.
 type planTable = struct {
 	Name            string  `toml:"name"`
 	Rate            float64 `toml:"rate"`
@@ -112,11 +112,11 @@
 	OverQuotaCost   float64 `toml:"over_cost"`
 	CeilingRate     float64 `toml:"ceiling_rate"`
 	CeilingBurst    float64 `toml:"ceiling_depth"`
-	// PartitionPolicy is keep, quota or yield.
+	// PartitionPolicy is keep, quota, yield or empty.
 	PartitionPolicy string `toml:"when_cut_off"`
 }
 
-// ruleTable is [[rule]]: the class and units of some requests.
+// ruleTable is [[rule]]: the class and units of the requests that it matches.
 type ruleTable = struct {
 	Host    string   `toml:"host"`
 	Path    string   `toml:"path"`
@@ -125,13 +125,13 @@
 	Units   float64  `toml:"units"`
 }
 
-// routeTable is [[route]].
+// routeTable is [[route]]: one rule of the routing table.
 type routeTable = struct {
 	Name     string `toml:"name"`
 	Listener string `toml:"listener"`
 	Host     string `toml:"host"`
 	Path     string `toml:"path"`
-	// Kind is that of the path: prefix, exact or template; empty means prefix.
+	// Kind is how Path matches: prefix, exact or template; empty means prefix.
 	Kind    string             `toml:"kind"`
 	Methods []string           `toml:"methods"`
 	Headers map[string]string  `toml:"headers"`
@@ -147,7 +147,7 @@
 	Weight *float64 `toml:"weight"`
 }
 
-// decisionsTable is [verdicts]: the cache of decisions of authorization checks.
+// decisionsTable is [verdicts]: the decision cache of authorization checks.
 type decisionsTable = struct {
 	Retention          tomlfile.Duration `toml:"keep"`
 	MaxEntries         int               `toml:"most"`
@@ -156,7 +156,7 @@
 	MaxTrackedInFlight int               `toml:"holds"`
 }
 
-// listenerTable is [[listener]].
+// listenerTable is [[listener]]: one listener.
 type listenerTable struct {
 	Name    string `toml:"name"`
 	Address string `toml:"address"`
@@ -175,7 +175,7 @@
 	Checks              []checkTable      `toml:"check"`
 }
 
-// tlsTable is [listener.tls].
+// tlsTable is [listener.tls]: the files for TLS.
 type tlsTable = struct {
 	Certificate string `toml:"certificate"`
 	Key         string `toml:"key"`
@@ -185,14 +185,14 @@
 // checkTable is [[listener.check]]: one path for authorization checks.
 type checkTable = struct {
 	Path string `toml:"path"`
-	// Dialect is one of [extauthz.Dialects].
+	// Dialect is a key of [extauthz.Dialects].
 	Dialect string `toml:"dialect"`
-	// Identify has some of [extauthz.Identities].
+	// Identify lists keys of [extauthz.Identities].
 	Identify          []string `toml:"identify"`
 	KeyHeader         *string  `toml:"key_header"`
 	AccountHeader     string   `toml:"account_header"`
 	CertificateHeader string   `toml:"certificate_header"`
-	// Repeat is one of [extauthz.Repeats]; empty means never.
+	// Repeat is a key of [extauthz.Repeats]; empty means never.
 	Repeat          string            `toml:"repeat"`
 	RequestIDHeader string            `toml:"request_id_header"`
 	NonceHeader     string            `toml:"nonce_header"`
@@ -203,7 +203,7 @@
 	Undecided string `toml:"undecided"`
 }
 
-// accountTable is [[account]].
+// accountTable is [[account]]: one account.
 type accountTable = struct {
 	Name         string   `toml:"name"`
 	Customer     string   `toml:"customer"`
