--- a/internal/service/hosted/counterping.go
+++ b/internal/service/hosted/counterping.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// counterPingSpread is the time over which the gateways of a cluster that start together ping a counter first.
+	// counterPingSpread is the time over which gateways that start together spread their first pings of a counter.
 	counterPingSpread = 300 * time.Millisecond
 	// counterPingInterval is the mean time between pings until a counter answers.
 	counterPingInterval = 250 * time.Millisecond
@@ -18,8 +18,8 @@
 	maxPongBytes = 16
 )
 
-// awaitCounters pings the pools' counters, at no cost to their numbers, until each has answered once, the recovery is
-// over or it is stopped.
+// awaitCounters pings the pools' counters, without changing any counter value, until each has answered once or the
+// recovery is finished or stopped.
 func (r *startupRecovery) awaitCounters() {
 	missing := r.service.counterAddresses()
 	wait := rand.N(counterPingSpread)
@@ -63,7 +63,7 @@
 	if err != nil {
 		return false
 	}
-	defer func() { _ = conn.Close() }() // nothing is lost
+	defer func() { _ = conn.Close() }() // no data can be lost
 	if err := conn.SetDeadline(time.Now().Add(counterPingTimeout)); err != nil {
 		return false
 	}
