--- a/internal/service/hosted/endpointinbox.go
+++ b/internal/service/hosted/endpointinbox.go
@@ -10,33 +10,33 @@
 	"gapgap/internal/sharedhealth"
 )
 
-// endpointInboxes hand what each pool learns of endpoints to all pools that have the same ones.
+// endpointInboxes distributes what a pool learns about an endpoint to all pools that share the endpoint.
 type endpointInboxes struct {
-	// mu is held while the fields below, or those of an inbox, are used.
+	// mu guards the fields below and the fields of all inboxes.
 	mu       sync.Mutex
 	registry *sharedhealth.Registry
 	byKey    map[string]*endpointInbox
-	// lastNumber is that of the inbox added last.
+	// lastNumber is the number of the inbox added last.
 	lastNumber int
 }
 
-// endpointInbox has the messages that a pool has not yet taken. The pool's event loop takes them, so that messages keep
-// their order and no event loop waits for another.
+// endpointInbox queues the messages for a pool until the pool's event loop handles them. This keeps the messages in
+// order, and no event loop waits for another.
 type endpointInbox struct {
 	inboxes *endpointInboxes
-	// key is unique, also where a pool is replaced by another of its name.
+	// key is unique, even if a pool is replaced by another one of the same name.
 	key     string
 	proxy   *proxy.Proxy
 	pending []endpointMessage
 }
 
-// endpointMessage is an endpoint update, or a health report if that is not nil.
+// endpointMessage is a health report if report is not nil, and an endpoint update otherwise.
 type endpointMessage struct {
 	update endpoint.Update
 	report *balancer.HealthReport
 }
 
-// newEndpointInboxes returns none.
+// newEndpointInboxes returns an empty set of inboxes.
 func newEndpointInboxes() endpointInboxes {
 	return endpointInboxes{
 		registry: sharedhealth.New(),
@@ -44,7 +44,7 @@
 	}
 }
 
-// add adds the inbox of a pool.
+// add creates the inbox of a pool.
 func (all *endpointInboxes) add(p *proxy.Proxy) *endpointInbox {
 	all.mu.Lock()
 	defer all.mu.Unlock()
@@ -58,15 +58,15 @@
 	return inbox
 }
 
-// deliver puts updates into the inboxes of their pools, and wakes their event loops but that of one inbox, which may be
-// nil. The caller holds mu.
+// deliver puts updates into the inboxes of their pools and wakes their event loops, except for the event loop of the
+// calling inbox, which may be nil. The caller holds mu.
 func (all *endpointInboxes) deliver(updates []sharedhealth.Update, caller *endpointInbox) {
 	for _, update := range updates {
 		all.put(update.Pool, endpointMessage{update: update.Update}, caller)
 	}
 }
 
-// put puts a message into an inbox, and wakes its event loop unless the inbox is the caller's. The caller holds mu.
+// put puts a message into an inbox and wakes its event loop unless the inbox is the caller's. The caller holds mu.
 func (all *endpointInboxes) put(key string, message endpointMessage, caller *endpointInbox) {
 	inbox := all.byKey[key]
 	if inbox == nil {
@@ -74,20 +74,20 @@
 	}
 	inbox.pending = append(inbox.pending, message)
 	if inbox != caller && len(inbox.pending) == 1 {
-		go inbox.proxy.Post(inbox.takeAll) // posting may wait, and an event loop must not
+		go inbox.proxy.Post(inbox.handleAll) // Post may block, and an event loop must not
 	}
 }
 
-// applyUpdate takes what the pool's own source says of endpoints. Only the pool's event loop may call it.
+// applyUpdate applies an update from the pool's own endpoint list. Only the pool's event loop may call it.
 func (inbox *endpointInbox) applyUpdate(update endpoint.Update) {
 	all := inbox.inboxes
 	all.mu.Lock()
 	all.deliver(all.registry.Apply(inbox.key, update), inbox)
 	all.mu.Unlock()
-	inbox.takeAll()
+	inbox.handleAll()
 }
 
-// shareReport hands what the pool has found out about an endpoint to the other pools that have it. Only the pool's
+// shareReport sends the pool's health report on an endpoint to the other pools that share the endpoint. Only the pool's
 // event loop may call it.
 func (inbox *endpointInbox) shareReport(report balancer.HealthReport) {
 	all := inbox.inboxes
@@ -100,8 +100,8 @@
 	}
 }
 
-// takeAll hands all messages to the proxy. Only the pool's event loop may call it.
-func (inbox *endpointInbox) takeAll() {
+// handleAll passes all queued messages to the proxy. Only the pool's event loop may call it.
+func (inbox *endpointInbox) handleAll() {
 	inbox.inboxes.mu.Lock()
 	messages := inbox.pending
 	inbox.pending = nil
@@ -115,7 +115,7 @@
 	}
 }
 
-// remove removes the inbox of a pool whose event loop has ended, or never began.
+// remove removes the inbox of a pool whose event loop has ended or was never started.
 func (inbox *endpointInbox) remove() {
 	all := inbox.inboxes
 	all.mu.Lock()
