--- a/internal/service/hosted/keys.go
+++ b/internal/service/hosted/keys.go
@@ -10,7 +10,7 @@
 	"gapgap/internal/proxy"
 )
 
-// openKeyReplica opens this gateway's part in the reservation of idempotency keys.
+// openKeyReplica opens this gateway's replica for the reservation of idempotency keys.
 func (s *Service) openKeyReplica(cfg *peer.Settings) (*replica.Replica, error) {
 	keys, err := replica.New(replica.Config{
 		Index:       cfg.Index,
@@ -34,11 +34,11 @@
 // poolKeys reserves keys for one pool. It implements [proxy.KeyReserver].
 type poolKeys struct {
 	replica *replica.Replica
-	// poolName is the pool's name at all gateways.
+	// poolName is the name of the pool at all gateways.
 	poolName string
 }
 
-// reservationOf maps outcomes to what the proxy is told.
+// reservationOf maps the replica's outcomes to the proxy's.
 var reservationOf = [...]proxy.Reservation{
 	idempotency.Reserved:    proxy.ReservationGranted,
 	idempotency.HeldByOther: proxy.ReservationHeld,
