--- a/internal/service/hosted/listen.go
+++ b/internal/service/hosted/listen.go
@@ -24,7 +24,7 @@
 	return nil
 }
 
-// loadTLS returns the settings of a listener with TLS, or nil if it has none.
+// loadTLS returns the TLS configuration of a listener, or nil if it does not use TLS.
 func (cfg *Listener) loadTLS() (*tls.Config, error) {
 	if cfg.TLS == nil {
 		return nil, nil
@@ -32,8 +32,8 @@
 	return cfg.TLS.load()
 }
 
-// addFrontend adds the frontend of an open listener. All frontends know accounts alike: no account may have two plans,
-// or two shares of its ceiling, by coming through two of them.
+// addFrontend adds the frontend of an open listener. All frontends resolve accounts in the same way, so that no account
+// gets two plans, or two shares of its ceiling, by using two of them.
 func (s *Service) addFrontend(cfg *Listener, listener net.Listener, tlsConfig *tls.Config) {
 	switch {
 	case cfg.Metrics:
