--- a/internal/service/hosted/metriccollector.go
+++ b/internal/service/hosted/metriccollector.go
@@ -9,20 +9,20 @@
 
 // The values of the label "of".
 const (
-	ofMemory  = "memory"
-	ofSockets = "sockets"
-	ofClients = "clients"
+	resourceMemory  = "memory"
+	resourceSockets = "sockets"
+	resourceClients = "clients"
 )
 
-// metricSink takes the values of one collection.
+// metricSink receives the metrics of one collection.
 type metricSink chan<- prometheus.Metric
 
-// gauge sends a value that rises and falls.
+// gauge sends the value of a gauge.
 func (sink metricSink) gauge(desc *prometheus.Desc, value float64, labels ...string) {
 	sink <- prometheus.MustNewConstMetric(desc, prometheus.GaugeValue, value, labels...)
 }
 
-// flag sends a gauge of 1 or 0.
+// flag sends a gauge with the value 1 or 0.
 func (sink metricSink) flag(desc *prometheus.Desc, isSet bool) {
 	value := 0.0
 	if isSet {
@@ -31,7 +31,7 @@
 	sink.gauge(desc, value)
 }
 
-// counter sends a value that only rises.
+// counter sends the value of a counter.
 func (sink metricSink) counter(desc *prometheus.Desc, value uint64, labels ...string) {
 	sink <- prometheus.MustNewConstMetric(desc, prometheus.CounterValue, float64(value), labels...)
 }
@@ -63,22 +63,22 @@
 	}
 }
 
-// poolLimits sends what a pool holds of the limits that pools share.
+// poolLimits sends a pool's usage of the limits that pools share.
 func (sink metricSink) poolLimits(stats PoolStats) {
-	sink.gauge(descHeld, float64(stats.Memory.Held), stats.Name, ofMemory)
-	sink.gauge(descHeld, float64(stats.Places.Held), stats.Name, ofSockets)
-	sink.gauge(descHeld, float64(stats.Clients), stats.Name, ofClients)
-	sink.gauge(descGuarantee, float64(stats.Memory.Guarantee), stats.Name, ofMemory)
-	sink.gauge(descGuarantee, float64(stats.Places.Guarantee), stats.Name, ofSockets)
-	sink.counter(descRefusedTakes, stats.Memory.Refused, stats.Name, ofMemory)
-	sink.counter(descRefusedTakes, stats.Places.Refused, stats.Name, ofSockets)
-	sink.counter(descRefusedTakes, stats.Refused, stats.Name, ofClients)
-	sink.counter(descReclaims, stats.Memory.Reclaims, stats.Name, ofMemory)
-	sink.counter(descReclaims, stats.Places.Reclaims, stats.Name, ofSockets)
-	sink.counter(descReclaims, stats.Evicted, stats.Name, ofClients)
+	sink.gauge(descHeld, float64(stats.Memory.Held), stats.Name, resourceMemory)
+	sink.gauge(descHeld, float64(stats.Places.Held), stats.Name, resourceSockets)
+	sink.gauge(descHeld, float64(stats.Clients), stats.Name, resourceClients)
+	sink.gauge(descGuarantee, float64(stats.Memory.Guarantee), stats.Name, resourceMemory)
+	sink.gauge(descGuarantee, float64(stats.Places.Guarantee), stats.Name, resourceSockets)
+	sink.counter(descRefusedTakes, stats.Memory.Refused, stats.Name, resourceMemory)
+	sink.counter(descRefusedTakes, stats.Places.Refused, stats.Name, resourceSockets)
+	sink.counter(descRefusedTakes, stats.Refused, stats.Name, resourceClients)
+	sink.counter(descReclaims, stats.Memory.Reclaims, stats.Name, resourceMemory)
+	sink.counter(descReclaims, stats.Places.Reclaims, stats.Name, resourceSockets)
+	sink.counter(descReclaims, stats.Evicted, stats.Name, resourceClients)
 }
 
-// cluster sends how this gateway sees the others.
+// cluster sends this gateway's view of the cluster.
 func (sink metricSink) cluster(transport *peer.Transport) {
 	view := transport.View()
 	gatewaysByState := map[string]int{}
@@ -100,7 +100,7 @@
 	sink.counter(descDatagramBytes, stats.ReceivedBytes.Load(), "received")
 }
 
-// keys sends what became of reservations of idempotency keys, and the state of this gateway's voter.
+// keys sends the outcomes of reservations of idempotency keys and the state of this gateway's voter.
 func (sink metricSink) keys(keys *replica.Replica) {
 	stats, view := &keys.Stats, keys.View()
 	sink.counter(descKeyReservations, stats.Granted.Load(), "won")
