--- a/internal/service/hosted/metricdescs.go
+++ b/internal/service/hosted/metricdescs.go
@@ -2,7 +2,7 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// newDesc describes a metric. Names, help texts and labels are fixed: dashboards go by them.
+// newDesc describes a metric. Names, help texts and labels must not change: dashboards depend on them.
 func newDesc(name, help string, labels ...string) *prometheus.Desc {
 	return prometheus.NewDesc("gapgap_"+name, help, labels, nil)
 }
@@ -81,7 +81,7 @@
 		"Bytes of records written to it.")
 )
 
-// allDescs are all metrics but the histogram.
+// allDescs has all metrics except for the histogram.
 var allDescs = []*prometheus.Desc{
 	descRequestsOpen,
 	descHeld,
