--- a/internal/service/hosted/metricsfrontend.go
+++ b/internal/service/hosted/metricsfrontend.go
@@ -13,15 +13,15 @@
 const (
 	// metricsTimeout bounds each request for metrics.
 	metricsTimeout = 5 * time.Second
-	// metricsWriteTimeout is longer, so that a request that takes too long is answered with that.
+	// metricsWriteTimeout is longer, so that a request that times out still gets an error response.
 	metricsWriteTimeout = 2 * metricsTimeout
-	// maxScrapes is how many requests are answered at once.
+	// maxScrapes bounds the number of concurrent requests.
 	maxScrapes = 4
 	// maxMetricsHeaderBytes bounds a request's header.
 	maxMetricsHeaderBytes = 8 << 10
 )
 
-// metricsFrontend serves the metrics. It asks nothing of any pool.
+// metricsFrontend serves the metrics. It sends no requests to pools.
 type metricsFrontend struct {
 	listener net.Listener
 	server   *http.Server
@@ -29,7 +29,7 @@
 
 var _ proxy.Frontend = (*metricsFrontend)(nil)
 
-// newMetricsFrontend returns a frontend that serves GET /metrics at a listener.
+// newMetricsFrontend returns a frontend that serves GET /metrics on a listener.
 func newMetricsFrontend(m *metrics, listener net.Listener) *metricsFrontend {
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{
@@ -51,17 +51,17 @@
 // Serve implements [proxy.Frontend].
 func (f *metricsFrontend) Serve() {
 	go func() {
-		_ = f.server.Serve(f.listener) // it ends with Drain
+		_ = f.server.Serve(f.listener) // returns after Drain
 	}()
 }
 
 // CloseListeners implements [proxy.Frontend].
 func (f *metricsFrontend) CloseListeners() {
-	_ = f.listener.Close() // it may be closed already
+	_ = f.listener.Close() // may be closed already
 }
 
-// Drain implements [proxy.Frontend]. It ends all at once: no client's request waits here.
+// Drain implements [proxy.Frontend]. It closes all connections at once, since no client request waits on them.
 func (f *metricsFrontend) Drain() bool {
-	_ = f.server.Close() // nothing is lost
+	_ = f.server.Close() // no data can be lost
 	return true
 }
