--- a/internal/service/hosted/policycommand.go
+++ b/internal/service/hosted/policycommand.go
@@ -12,19 +12,21 @@
 	"gapgap/internal/policy"
 )
 
-// queryTimeout is how long operators' commands wait for the leader's reply on how things stand.
+// queryTimeout is how long operators' commands wait for the leader's reply on the state of the policy.
 const queryTimeout = 2 * time.Second
 
-var errNoPolicy = errors.New("the fleet has no policy yet")
+var errNoPolicy = errors.New("the cluster has no policy yet")
 
-// invalidVersionError says that a text is no version number.
+// invalidVersionError is returned for a text that is not a version number.
 type invalidVersionError struct {
 	text string
 }
 
-func (e *invalidVersionError) Error() string { return fmt.Sprintf("%q is no version", e.text) }
+func (e *invalidVersionError) Error() string {
+	return fmt.Sprintf("%q is not a version number", e.text)
+}
 
-// unknownVersionError says that a version is too old for the history, or never was.
+// unknownVersionError is returned for a version that is too old for the history or never existed.
 type unknownVersionError struct {
 	version uint64
 }
@@ -33,9 +35,9 @@
 	return fmt.Sprintf("version %d is not among the last %d changes", e.version, policy.MaxOutcomes)
 }
 
-// noMajorityError says that the leader did not reply.
+// noMajorityError is returned if the leader did not reply.
 type noMajorityError struct {
-	// consequence is what follows, with its comma; it may be empty.
+	// consequence says what follows from the error, beginning with a comma. It may be empty.
 	consequence string
 	err         error
 }
@@ -46,52 +48,52 @@
 
 func (e *noMajorityError) Unwrap() error { return e.err }
 
-// PolicyStatus is the state of the policy at one gateway and, as the leader of the voters replied, of all.
+// PolicyStatus is the state of the policy at one gateway and, according to the voters' leader, in the cluster.
 type PolicyStatus struct {
 	// Name is the gateway that was asked.
 	Name string `json:"name"`
-	// Version is the version that it decides by, and Decides tells whether it may.
+	// Version is the version that the gateway uses, and Decides reports whether it may decide requests.
 	Version policy.Version `json:"goes_by"`
 	Decides bool           `json:"decides"`
-	// Current is the voters' version; nil: no majority answers, and the fields below are empty.
+	// Current is the voters' version. It is nil, and the fields below are empty, if no majority answers.
 	Current *policy.Version `json:"present,omitempty"`
-	// Mode is that of all gateways.
+	// Mode is the mode of all gateways.
 	Mode string `json:"mode,omitempty"`
 	// Leader is the name of the leader.
 	Leader string `json:"leader,omitempty"`
-	// Pending is the change that is being decided; nil: none.
+	// Pending is the undecided change, or nil if there is none.
 	Pending *policy.Change `json:"change,omitempty"`
-	// WaitingFor tells what Pending waits for.
+	// WaitingFor describes what Pending waits for.
 	WaitingFor string `json:"waits,omitempty"`
-	// Participants are the names of the gateways that may decide.
+	// Participants has the names of the gateways that may decide requests.
 	Participants []string `json:"serving,omitempty"`
 }
 
 // PolicyResult is the outcome of a proposal.
 type PolicyResult struct {
-	// ID is that of the change.
+	// ID is the ID of the change.
 	ID string `json:"id"`
-	// Known tells whether the change is decided. If not, it may be asked for by its ID later.
+	// Known reports whether the change is decided. If not, its outcome can be queried by ID later.
 	Known bool `json:"known"`
-	// Committed tells whether it was committed, as Version; if not, Reason tells why.
+	// Committed reports whether the change was committed, as Version. If not, Reason says why.
 	Committed bool   `json:"taken"`
 	Version   uint64 `json:"version,omitempty"`
 	Reason    string `json:"reason,omitempty"`
-	// WaitingFor tells what an undecided change waits for.
+	// WaitingFor describes what an undecided change waits for.
 	WaitingFor string `json:"waits,omitempty"`
 }
 
-// proposalRequest is a proposal as an operator makes it.
+// proposalRequest is an operator's proposal of a change.
 type proposalRequest struct {
 	id, author, note string
-	// base is the version that the change is made for; empty: the current one.
+	// base is the version that the change is based on; empty means the current one.
 	base string
-	// mode is the mode of all gateways from then on; empty: the current one.
+	// mode is the mode of all gateways from this change on; empty means the current one.
 	mode     string
 	document []byte
 }
 
-// status returns the state of the policy here, and as the leader replies.
+// status returns the state of the policy at this gateway and according to the leader.
 func (p *policyHost) status(ctx context.Context) *PolicyStatus {
 	view := p.replica.View()
 	status := &PolicyStatus{
@@ -114,7 +116,7 @@
 	return status
 }
 
-// propose proposes a change and waits for its outcome. Its errors say why nothing was proposed.
+// propose proposes a change and waits for its outcome. It returns an error if nothing was proposed.
 func (p *policyHost) propose(ctx context.Context, request proposalRequest) (*PolicyResult, error) {
 	change := &policy.Change{
 		ID:         request.id,
@@ -135,13 +137,13 @@
 	}
 	hash, err := p.replica.StoreDocument(ctx, request.document)
 	if err != nil {
-		return nil, fmt.Errorf("the policy could not be kept here: %w", err)
+		return nil, fmt.Errorf("the policy document could not be stored: %w", err)
 	}
 	change.Hash = hash
 	return p.outcome(ctx, policy.Query{ChangeID: change.ID, Change: change}), nil
 }
 
-// setBaseAndMode sets them as requested, or as the leader replies that they are.
+// setBaseAndMode sets base and mode of a change as requested, or else to the leader's current values.
 func (p *policyHost) setBaseAndMode(ctx context.Context, change *policy.Change, request proposalRequest) error {
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
@@ -183,11 +185,11 @@
 	return result
 }
 
-// document returns the document of a version, and its number. An empty text stands for the current version.
+// document returns the document of a version and its number. An empty text means the current version.
 func (p *policyHost) document(ctx context.Context, versionText string) (document []byte, version uint64, err error) {
 	reply, err := p.replica.Query(ctx, policy.Query{})
 	if err != nil {
-		return nil, 0, &noMajorityError{consequence: ", so the present version is not known", err: err}
+		return nil, 0, &noMajorityError{consequence: ", so the current version is not known", err: err}
 	}
 	found := reply.Current
 	if versionText != "" {
@@ -202,7 +204,7 @@
 	return document, found.Number, err
 }
 
-// findVersion returns a version that is in the leader's history.
+// findVersion finds a version in the leader's history.
 func (p *policyHost) findVersion(ctx context.Context, versionText string) (policy.Version, error) {
 	number, err := parseVersion(versionText)
 	if err != nil {
