--- a/internal/service/hosted/policyroutes.go
+++ b/internal/service/hosted/policyroutes.go
@@ -17,16 +17,16 @@
 )
 
 const (
-	// defaultProposalWait is how long a proposal's caller waits for the outcome where it names no time.
+	// defaultProposalWait is how long a proposal waits for the outcome if the request sets no time.
 	defaultProposalWait = 60 * time.Second
-	// replaceTimeout is how long a voter's replacement may take, and replaceRetryInterval the pause between attempts.
+	// replaceTimeout bounds the replacement of a voter, and replaceRetryInterval is the pause between attempts.
 	replaceTimeout       = 4 * time.Second
 	replaceRetryInterval = 200 * time.Millisecond
 
 	noMajorityText = "no majority of the voters answers"
 )
 
-// routes adds operators' commands on the policy. A nil host adds none.
+// routes adds the handlers of operators' policy commands. A nil host adds none.
 func (p *policyHost) routes(mux *http.ServeMux) {
 	if p == nil {
 		return
@@ -41,11 +41,11 @@
 	mux.HandleFunc("POST /policy/forget", p.handleForget)
 }
 
-// withTimeout returns a context for a request that may take so long, and extends the connection's deadlines to fit.
+// withTimeout returns a context for a request with a timeout, and extends the connection's deadlines accordingly.
 func withTimeout(w http.ResponseWriter, r *http.Request, d time.Duration) (context.Context, context.CancelFunc) {
 	controller := http.NewResponseController(w)
 	deadline := time.Now().Add(d + controlTimeout)
-	_ = controller.SetWriteDeadline(deadline) // without it the server's own timeout holds
+	_ = controller.SetWriteDeadline(deadline) // otherwise the server's own timeout applies
 	_ = controller.SetReadDeadline(deadline)
 	return context.WithTimeout(r.Context(), d)
 }
@@ -53,10 +53,10 @@
 func writeJSON(w http.ResponseWriter, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(http.StatusOK)
-	_ = json.NewEncoder(w).Encode(value) // fails only if the client has gone
+	_ = json.NewEncoder(w).Encode(value) // fails only if the client has disconnected
 }
 
-// gatewayIndex returns the index of a gateway. If there is none of this name, it writes that to the client.
+// gatewayIndex returns the index of a gateway. For an unknown name it writes an error response.
 func (p *policyHost) gatewayIndex(w http.ResponseWriter, name string) (index int, ok bool) {
 	index = slices.Index(p.gateways, name)
 	if index < 0 {
@@ -72,7 +72,7 @@
 	writeJSON(w, p.status(ctx))
 }
 
-// handleShow writes the document of a version.
+// handleShow writes the policy document of a version.
 func (p *policyHost) handleShow(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := withTimeout(w, r, controlTimeout)
 	defer cancel()
@@ -82,7 +82,7 @@
 		return
 	}
 	w.Header().Set("X-Gapgap-Policy", fmt.Sprint(version))
-	_, _ = w.Write(document) // fails only if the client has gone
+	_, _ = w.Write(document) // fails only if the client has disconnected
 }
 
 // handleHistory writes the outcomes of the last changes.
@@ -95,7 +95,7 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_, _ = w.Write(history) // fails only if the client has gone
+	_, _ = w.Write(history) // fails only if the client has disconnected
 }
 
 // handleChange writes the outcome of a change.
@@ -134,8 +134,8 @@
 	writeJSON(w, result)
 }
 
-// handleReplaceVoter lets a voter that has lost its disk take part again. It retries until that is done or
-// replaceTimeout is over.
+// handleReplaceVoter readmits a voter that has lost its disk. It retries until that succeeds or replaceTimeout has
+// passed.
 func (p *policyHost) handleReplaceVoter(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := withTimeout(w, r, replaceTimeout)
 	defer cancel()
@@ -162,7 +162,7 @@
 	}
 }
 
-// handleRecover makes this gateway's voter go on alone.
+// handleRecover makes this gateway's voter continue alone after a majority of the voters' disks was lost.
 func (p *policyHost) handleRecover(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := withTimeout(w, r, replaceTimeout)
 	defer cancel()
@@ -186,7 +186,7 @@
 	}
 }
 
-// handleForget makes the voters wait no longer for a gateway that is off.
+// handleForget makes the voters stop waiting for a gateway that is down.
 func (p *policyHost) handleForget(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := withTimeout(w, r, queryTimeout)
 	defer cancel()
