--- a/internal/service/hosted/pool.go
+++ b/internal/service/hosted/pool.go
@@ -8,20 +8,20 @@
 	"gapgap/internal/service"
 )
 
-// pool is one service behind the frontends: a proxy with an event loop of its own. It owns that loop's goroutine.
+// pool is one backend service behind the frontends: a proxy with its own event loop, whose goroutine the pool owns.
 type pool struct {
 	cfg   *Pool
 	proxy *proxy.Proxy
-	// limits is nil if there is one pool.
+	// limits is nil if the file has no [[pool]] tables.
 	limits *poolLimits
 	inbox  *endpointInbox
-	// isStarted tells that the event loop runs, or has run.
+	// isStarted is set once the event loop was started.
 	isStarted bool
 	stop      chan struct{}
 	ended     chan struct{}
 }
 
-// newPool makes a pool. It does nothing before start.
+// newPool creates a pool. It is inactive until start.
 func (s *Service) newPool(cfg *Pool) (*pool, error) {
 	p := &pool{
 		cfg:    cfg,
@@ -42,7 +42,7 @@
 	return p, nil
 }
 
-// poolParts returns what connects a pool's proxy to the other parts of the process.
+// poolParts returns the connections of a pool's proxy to the other components of the process.
 func (s *Service) poolParts(p *pool) service.Parts {
 	cfg := p.cfg
 	clusterName := s.clusterPoolName(cfg)
@@ -74,8 +74,8 @@
 	return parts
 }
 
-// clusterPoolName returns the name by which other gateways know a pool; empty if it is the only one, whose own name is
-// that of its gateway.
+// clusterPoolName returns the name of a pool in messages to other gateways. It is empty for the only pool, whose own
+// name is the name of its gateway.
 func (s *Service) clusterPoolName(cfg *Pool) string {
 	if s.cfg.HasPools {
 		return cfg.Node.Name
@@ -83,7 +83,7 @@
 	return ""
 }
 
-// poolFlow returns a pool's share of the processor, or nil if the pools do not share it by weights.
+// poolFlow returns a pool's flow in the CPU scheduler, or nil if the pools do not share the CPU by weight.
 func (s *Service) poolFlow(cfg *Pool) *cpuscheduler.Flow {
 	if s.cpuScheduler == nil {
 		return nil
@@ -100,7 +100,7 @@
 	}()
 }
 
-// end ends the event loop, if it was started, and waits for that.
+// end stops the event loop, if it was started, and waits until it has ended.
 func (p *pool) end() {
 	if p.isStarted {
 		close(p.stop)
@@ -108,7 +108,7 @@
 	}
 }
 
-// discardPool undoes newPool for a pool that was not started.
+// discardPool releases what newPool registered for a pool that was never started.
 func (s *Service) discardPool(p *pool) {
 	p.inbox.remove()
 	p.limits.leave()
