--- a/internal/service/hosted/poolstats.go
+++ b/internal/service/hosted/poolstats.go
@@ -7,24 +7,24 @@
 	"gapgap/internal/resourcelimit"
 )
 
-// PoolStats are the state of one pool.
+// PoolStats describes the load of one pool.
 type PoolStats struct {
 	Name string
-	// Requests is the number of requests that hold the pool now.
+	// Requests is the number of requests in progress.
 	Requests int
-	// Memory and Places are zero if there is one pool. Places are connections to endpoints.
+	// Memory and Places are zero if the file has no [[pool]] tables. Places counts connections to endpoints.
 	Memory resourcelimit.AllotmentStats
 	Places resourcelimit.AllotmentStats
-	// Clients is the number of connections that sent their last request to the pool.
+	// Clients is the number of client connections whose last request was for the pool.
 	Clients int
-	// Evicted counts clients' connections of the pool that were closed for another pool's guarantee.
+	// Evicted counts client connections of the pool that were closed to meet another pool's guarantee.
 	Evicted uint64
-	// Refused counts clients' connections that were closed with their first request, since the pool's guarantee was
-	// used up and there was nothing to borrow.
+	// Refused counts client connections that were closed at their first request because the pool's guarantee was used
+	// up and nothing could be borrowed.
 	Refused uint64
 }
 
-// PoolStats returns the state of all pools, sorted by name.
+// PoolStats returns the stats of all pools, sorted by name.
 func (s *Service) PoolStats() []PoolStats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -36,7 +36,7 @@
 	return all
 }
 
-// stats returns the state of a pool of a name.
+// stats returns the stats of a pool under a name.
 func (p *pool) stats(name string) PoolStats {
 	stats := PoolStats{Name: name, Requests: p.proxy.Busy()}
 	if p.limits != nil {
