--- a/internal/service/hosted/recovery.go
+++ b/internal/service/hosted/recovery.go
@@ -11,67 +11,67 @@
 )
 
 const (
-	// recoveryInterval is how often the steps of the recovery are advanced.
+	// recoveryInterval is how often the recovery checks the conditions of its current step.
 	recoveryInterval = 20 * time.Millisecond
-	// maxDiskReportLines bounds the report on what was taken from the disk.
+	// maxDiskReportLines bounds the report on the state read from disk.
 	maxDiskReportLines = 16
 
-	// noKeyQuorumText is the reason of keys that are not ready where the replica gives none.
+	// noKeyQuorumText is reported when keys are not ready and the replica gives no reason.
 	noKeyQuorumText = "too few voters answer for keys: changes are refused"
 )
 
-// startupRecovery takes this process through the steps of its recovery, and rejects clients until the last is done. A
-// nil startupRecovery stands for a gateway that stands alone; of such a one only the methods that say so may be called.
+// startupRecovery runs the steps of the recovery after a start and rejects clients until the last one is done. It is
+// nil for a gateway that is not part of a cluster; only methods that document it may be called on nil.
 type startupRecovery struct {
 	service *Service
-	// name is this gateway's, which no reload changes.
+	// name is the name of this gateway, which no reload changes.
 	name       string
 	barrier    *proxy.StartupBarrier
 	stopped    chan struct{}
 	goroutines sync.WaitGroup
 
-	// mu is held while the fields below are used.
+	// mu guards the fields below.
 	mu      sync.Mutex
 	machine *recovery.Machine
-	// hasCounterAnswered tells that all counters have.
+	// hasCounterAnswered is set once all counters have answered.
 	hasCounterAnswered bool
-	// diskReport has a line for each thing that was taken from the disk, or was not.
+	// diskReport has one line for each kind of state that was or was not restored from disk.
 	diskReport []string
 }
 
-// RecoveryView is how far a gateway's recovery has come, as operators see it.
+// RecoveryView is the progress of a gateway's recovery as operators see it.
 type RecoveryView struct {
-	// Name is that of the gateway.
+	// Name is the name of the gateway.
 	Name string `json:"name"`
-	// Open tells whether clients are let in.
+	// Open reports whether clients are admitted.
 	Open bool `json:"open"`
-	// Steps are all steps in order.
+	// Steps has all steps in order.
 	Steps []recovery.StepView `json:"steps"`
-	// Trusted tells what was taken from the disk, and what was not.
+	// Trusted describes what was restored from disk and what was not.
 	Trusted []string `json:"trusted"`
 }
 
-// newStartupRecovery returns the recovery at its first step. The disk must have been read.
+// newStartupRecovery returns the recovery at its first step. The state on disk must have been read.
 func (s *Service) newStartupRecovery(cfg *Config) *startupRecovery {
 	r := &startupRecovery{service: s, name: cfg.GatewayName, stopped: make(chan struct{})}
-	identity := fmt.Sprintf("incarnation %d, by the disk", s.cluster.identity.Incarnation())
+	identity := fmt.Sprintf("incarnation %d, read from disk", s.cluster.identity.Incarnation())
 	r.reportDisk(identity)
 	if s.keys != nil && s.keys.View().IsVoter {
 		r.reportDisk(s.keys.DiskSummary())
 	}
 	if s.policy != nil {
 		if version := s.policy.replica.StoredVersion().Number; version > 0 {
-			r.reportDisk(fmt.Sprintf("policy: the disk has version %d, "+
-				"which is gone by only if the voters say that it is present", version))
+			r.reportDisk(fmt.Sprintf("policy: version %d is stored on disk; "+
+				"it is used only if the voters confirm that it is current", version))
 		}
 	}
-	r.reportDisk("thrown away by rule: shares, leases, loans, balances, what was known of servers")
+	r.reportDisk("not restored, by design: shares, leases, loans, balances, the state of endpoints")
 	r.machine = recovery.New(s.clock.Now(), s.recoveryConfig(cfg), identity)
 	r.barrier = proxy.NewStartupBarrier(r.retryAfter)
 	return r
 }
 
-// recoveryConfig returns which conditions there are to wait for.
+// recoveryConfig returns the conditions that the recovery waits for.
 func (s *Service) recoveryConfig(cfg *Config) recovery.Config {
 	config := recovery.Config{
 		Gateways:       len(cfg.Fleet.Gateways),
@@ -85,21 +85,21 @@
 	return config
 }
 
-// reportDisk adds a line to the report on the disk.
+// reportDisk adds a line to diskReport.
 func (r *startupRecovery) reportDisk(line string) {
 	if len(r.diskReport) < maxDiskReportLines {
 		r.diskReport = append(r.diskReport, line)
 	}
 }
 
-// retryAfter returns what a client that is rejected now is told.
+// retryAfter returns the Retry-After of a client that is rejected now.
 func (r *startupRecovery) retryAfter() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.machine.RetryAfter(r.service.clock.Now(), rand.Float64)
 }
 
-// start starts the recovery. A nil recovery has none.
+// start starts the recovery. It does nothing on a nil receiver.
 func (r *startupRecovery) start() {
 	if r == nil {
 		return
@@ -108,7 +108,7 @@
 	r.goroutines.Go(r.run)
 }
 
-// stop ends the recovery, whatever its step, and waits for that. A nil recovery has none.
+// stop ends the recovery at whatever step it is and waits for its goroutines. It does nothing on a nil receiver.
 func (r *startupRecovery) stop() {
 	if r == nil {
 		return
@@ -117,7 +117,7 @@
 	r.goroutines.Wait()
 }
 
-// run advances the recovery until clients are let in.
+// run advances the recovery until clients are admitted.
 func (r *startupRecovery) run() {
 	tick := time.NewTicker(recoveryInterval)
 	defer tick.Stop()
@@ -130,7 +130,7 @@
 	}
 }
 
-// advance finishes the steps whose conditions are met. After the last it lets clients in and returns true.
+// advance finishes the steps whose conditions are met. After the last one it admits clients and returns true.
 func (r *startupRecovery) advance() (isOpen bool) {
 	observed := r.service.observeRecovery()
 	log, now := r.service.log, r.service.clock.Now
@@ -148,11 +148,11 @@
 		return false
 	}
 	r.barrier.Open()
-	log.Info("recovery: clients are let in", "after", r.machine.Current().Since.Round(time.Millisecond))
+	log.Info("recovery: clients are admitted", "after", r.machine.Current().Since.Round(time.Millisecond))
 	return true
 }
 
-// observeRecovery returns what the recovery waits for, but for the counters.
+// observeRecovery returns the state of the conditions that the recovery waits for, except for the counters.
 func (s *Service) observeRecovery() recovery.Observation {
 	view := s.cluster.transport.View()
 	observed := recovery.Observation{HasRival: view.HasDuplicate, EndpointsServing: s.Ready()}
@@ -177,14 +177,14 @@
 	return observed
 }
 
-// isOpen reports whether clients are let in.
+// isOpen reports whether clients are admitted.
 func (r *startupRecovery) isOpen() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.machine.IsOpen()
 }
 
-// view returns how far the recovery has come.
+// view returns the progress of the recovery.
 func (r *startupRecovery) view() RecoveryView {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -196,7 +196,7 @@
 	}
 }
 
-// currentStep describes the current step to operators at other gateways. A nil recovery has none.
+// currentStep describes the current step to operators at other gateways. It is empty on a nil receiver.
 func (r *startupRecovery) currentStep() string {
 	if r == nil {
 		return ""
