--- a/internal/service/hosted/router.go
+++ b/internal/service/hosted/router.go
@@ -9,22 +9,22 @@
 	"gapgap/internal/route"
 )
 
-// maxPassedRulesBytes bounds the rules that a line of the debug log names.
-const maxPassedRulesBytes = 512
+// maxSkippedRulesBytes bounds the list of skipped rules in a line of the debug log.
+const maxSkippedRulesBytes = 512
 
-// router finds the pool of each request by the current routing table. Table and pools change together, in one step.
+// router finds the pool of each request by the current routing table. The table and its pools change atomically.
 type router struct {
 	state atomic.Pointer[routerState]
 	log   *slog.Logger
 }
 
-// routerState is a routing table with its pools' proxies by name. It does not change.
+// routerState is a routing table with the proxies of its pools by name. It is immutable.
 type routerState struct {
 	table   *route.Table
 	proxies map[string]*proxy.Proxy
 }
 
-// update sets the routing table and its pools.
+// update replaces the routing table and its pools.
 func (r *router) update(table *route.Table, pools map[string]*pool) {
 	state := &routerState{table: table, proxies: map[string]*proxy.Proxy{}}
 	for name, p := range pools {
@@ -54,7 +54,7 @@
 	}
 }
 
-// logMatch logs why a request goes where it goes.
+// logMatch logs which rule matched a request and which rules were skipped.
 func (r *router) logMatch(table *route.Table, query *route.Query, match route.Match) {
 	r.log.Debug("routed",
 		"listener", query.Listener,
@@ -65,21 +65,21 @@
 		"account", query.Account,
 		"rule", match.Rule,
 		"pool", match.Pool,
-		"passed", passedRules(table, query))
+		"passed", skippedRules(table, query))
 }
 
-// passedRules names the rules that do not match a request, before the one that does, and by what each fails.
-func passedRules(table *route.Table, query *route.Query) string {
+// skippedRules lists the rules before the matching one, each with the field that did not match.
+func skippedRules(table *route.Table, query *route.Query) string {
 	steps, _ := table.Explain(query)
-	passed := ""
+	skipped := ""
 	for _, step := range steps {
 		if step.Fails == "" {
 			break
 		}
-		if len(passed) > maxPassedRulesBytes {
-			return passed + " ..."
+		if len(skipped) > maxSkippedRulesBytes {
+			return skipped + " ..."
 		}
-		passed += " " + step.Rule + ":" + step.Fails
+		skipped += " " + step.Rule + ":" + step.Fails
 	}
-	return passed
+	return skipped
 }
