--- a/internal/service/hosted/sharedlimits.go
+++ b/internal/service/hosted/sharedlimits.go
@@ -8,26 +8,26 @@
 	"gapgap/internal/service"
 )
 
-// maxGuaranteeSum bounds the sum of the pools' guarantees: the rest is for commands and connections whose pool is not
-// known yet.
+// maxGuaranteeSum bounds the sum of the pools' guarantees. The rest is reserved for commands and connections whose pool
+// is not yet known.
 const maxGuaranteeSum = 1 - resourcelimit.UnassignedFraction
 
-// sharedLimits bound what the pools of a process hold in common: clients' bytes, clients' connections and connections
-// to endpoints. Each pool has a guaranteed part and borrows beyond it. Package resourcelimit decides who gets what: for
-// clients' connections see [resourcelimit.ClientLimit.Assign], for the others [resourcelimit.SharedLimit] and
-// [resourcelimit.EndpointLimits]. A nil sharedLimits stands for a process with one pool.
+// sharedLimits bounds the resources that the pools of a process share: memory for client data, client connections and
+// connections to endpoints. Each pool has a guaranteed part and may borrow beyond it. Package resourcelimit implements
+// the allocation: see [resourcelimit.ClientLimit.Assign] for client connections, and [resourcelimit.SharedLimit] and
+// [resourcelimit.EndpointLimits] for the others. It is nil if the file has no [[pool]] tables.
 type sharedLimits struct {
 	memory  *resourcelimit.SharedLimit
 	sockets *resourcelimit.SharedLimit
-	// unassigned has the bytes of commands whose pool is not known yet.
+	// unassigned accounts for the bytes of commands whose pool is not yet known.
 	unassigned *resourcelimit.Allotment
 	endpoints  *resourcelimit.EndpointLimits
-	// maxClients bounds the clients' connections of all pools together. Only the pools' guarantees are reckoned from it
-	// here; Env.Conns holds the limit.
+	// maxClients is the limit on client connections of all pools together. It is only used to compute the pools'
+	// guarantees; Env.Conns enforces the limit.
 	maxClients int
 }
 
-// newSharedLimits returns the limits of a process, or nil if it has one pool.
+// newSharedLimits returns the limits of a process, or nil if the file has no [[pool]] tables.
 func newSharedLimits(cfg *Config, maxClients int) *sharedLimits {
 	if !cfg.HasPools {
 		return nil
@@ -44,18 +44,19 @@
 	return limits
 }
 
-// poolLimits are one pool's part of the shared limits. A nil poolLimits, of the only pool, bounds nothing.
+// poolLimits is one pool's part of the shared limits. It is nil, and bounds nothing, if the file has no
+// [[pool]] tables.
 type poolLimits struct {
 	shared  *sharedLimits
 	memory  *resourcelimit.Bytes
 	clients *resourcelimit.Group
-	// sockets is nil until the pool's proxy is made.
+	// sockets is nil until the pool's proxy is created.
 	sockets *resourcelimit.Allotment
-	// isReclaiming tells that the pool was asked to release sockets and has not done so yet.
+	// isReclaiming is set while the pool has an unfinished request to release sockets.
 	isReclaiming atomic.Bool
 }
 
-// join adds the part of a pool, without guarantees.
+// join adds a pool to the limits, without guarantees.
 func (s *sharedLimits) join(name string) *poolLimits {
 	if s == nil {
 		return nil
@@ -67,7 +68,7 @@
 	}
 }
 
-// setGuarantee sets the guaranteed part of each shared limit, from 0 to 1.
+// setGuarantee sets the fraction of each shared limit, from 0 to 1, that the pool is guaranteed.
 func (l *poolLimits) setGuarantee(part float64) {
 	if l == nil {
 		return
@@ -79,7 +80,7 @@
 	}
 }
 
-// leave removes the part of a pool. What the pool still holds counts until it is released.
+// leave removes the pool from the limits. What it still holds counts until it is released.
 func (l *poolLimits) leave() {
 	if l == nil {
 		return
@@ -91,8 +92,8 @@
 	}
 }
 
-// setParts sets the limits among the parts that a pool's proxy is made of. maxServerConnections bounds the connections
-// to one endpoint, over all pools; 0 means no bound.
+// setParts sets the limits in the parts that a pool's proxy is built from. maxServerConnections bounds the connections
+// to one endpoint over all pools; 0 means no bound.
 func (l *poolLimits) setParts(parts *service.Parts, maxServerConnections int) {
 	if l == nil {
 		return
@@ -110,14 +111,15 @@
 	}
 }
 
-// reclaimer returns what has a pool close n idle connections for another pool; to one address only, unless that is
-// empty. A pool has one such request at a time, whatever its address; others are dropped meanwhile.
+// reclaimer returns a function that makes the pool close n idle connections for another pool: connections to the
+// address, or to any endpoint if the address is empty. A pool handles one such request at a time, whatever its address;
+// further ones are dropped meanwhile.
 func (l *poolLimits) reclaimer(p *proxy.Proxy, address string) func(n int64) {
 	return func(n int64) {
 		if !l.isReclaiming.CompareAndSwap(false, true) {
 			return
 		}
-		go func() { // posting may wait, and the caller must not
+		go func() { // CloseIdle may block, and the caller must not
 			p.CloseIdle(n, address)
 			l.isReclaiming.Store(false)
 		}()
