--- a/internal/service/hosted/tlsfiles.go
+++ b/internal/service/hosted/tlsfiles.go
@@ -7,15 +7,16 @@
 	"os"
 )
 
-// TLSFiles are the paths of the PEM files of a listener with TLS.
+// TLSFiles has the paths of the PEM files of a listener with TLS.
 type TLSFiles struct {
 	Certificate string
 	Key         string
-	// ClientCA has the certificates by which those of clients are verified; empty means that none are asked for.
+	// ClientCA has the CA certificates that client certificates are verified by; if it is empty, the listener does not
+	// request client certificates.
 	ClientCA string
 }
 
-// load reads the files and returns the settings of a server that has them.
+// load reads the files and returns the TLS configuration of a server.
 func (f *TLSFiles) load() (*tls.Config, error) {
 	certificate, err := tls.LoadX509KeyPair(f.Certificate, f.Key)
 	if err != nil {
@@ -34,7 +35,7 @@
 	}
 	config.ClientCAs = x509.NewCertPool()
 	if !config.ClientCAs.AppendCertsFromPEM(pem) {
-		return nil, fmt.Errorf("%s holds no certificate", f.ClientCA)
+		return nil, fmt.Errorf("%s does not contain a certificate", f.ClientCA)
 	}
 	config.ClientAuth = tls.VerifyClientCertIfGiven
 	return config, nil
