--- a/internal/service/hosted/config.go
+++ b/internal/service/hosted/config.go
@@ -14,77 +14,77 @@
 	"gapgap/internal/vfs"
 )
 
-// Error is an error in a configuration file, with its place there.
+// Error is an error in a configuration file with its position.
 type Error = tomlfile.Error
 
-// Config is a checked configuration.
+// Config is a validated configuration.
 type Config struct {
-	// Node is the configuration of the first pool's proxy. Its memory and sockets are those of the process, and
-	// its name is used as the gateway's.
+	// Node is the configuration of the first pool's proxy. Its memory and sockets are those of the process, and its
+	// name is used as the gateway's.
 	Node *service.Config
-	// Pools has one at least.
+	// Pools has at least one pool.
 	Pools  []Pool
 	Routes *route.Table
-	// SharesCPU tells whether pools share the processor by their weights.
+	// SharesCPU reports whether pools share the CPU by their weights.
 	SharesCPU bool
-	// GatewayName is node.name, by which the other gateways of a fleet know this one; a fleet's file must have it. A
-	// pool has a name of its own.
+	// GatewayName is node.name, which identifies this gateway in its cluster. It is required if the file has [fleet].
+	// Pools have their own names.
 	GatewayName string
-	// HasPools tells whether the file has [[pool]] tables, though it may be one. Without any the whole file is one
-	// pool.
+	// HasPools reports whether the file has [[pool]] tables, possibly just one. Without any, the whole file describes
+	// one pool.
 	HasPools  bool
 	Listeners []Listener
-	// Accounts are those by whose credentials authorization checks are recognized.
+	// Accounts has the accounts whose credentials authorization checks are identified by.
 	Accounts *account.Table
-	// Fleet is nil if this gateway stands alone.
+	// Fleet is nil if this gateway is not part of a cluster.
 	Fleet  *peer.Settings
 	Shared extauthz.SharedConfig
-	// Disk is the file system that state is kept on; nil means the operating system's. Tests set it.
+	// Disk is the file system that state is stored on; nil means the operating system's. Tests set it.
 	Disk vfs.FS
-	// Ahead is by how much the clock goes ahead of the machine's. Tests set it.
+	// Ahead is the offset of the clock from the machine's. Tests set it.
 	Ahead time.Duration
 
-	// file is the name of the file, and text its contents.
+	// file is the name of the file, and text has its contents.
 	file string
 	text []byte
 }
 
-// Pool is one pool as configured.
+// Pool is the configuration of one pool.
 type Pool struct {
-	// Node is the configuration of its proxy.
+	// Node is the configuration of the pool's proxy.
 	Node *service.Config
-	// CounterSpace keeps its numbers on the counter apart from those of other pools.
+	// CounterSpace is the namespace of the pool on the counter, which separates its values from other pools' values.
 	CounterSpace string
-	// Weight is its part of the processor, relative to other pools' weights.
+	// Weight is the pool's share of the CPU, relative to other pools' weights.
 	Weight float64
-	// Guarantee is the part, from 0 to 1, of memory, clients' connections and sockets that no other pool can have.
+	// Guarantee is the fraction, from 0 to 1, of memory, client connections and sockets that is reserved for the pool.
 	Guarantee float64
-	// MaxServerConnections bounds the connections to one endpoint, over all pools that have it; 0 means no bound.
+	// MaxServerConnections bounds the connections to one endpoint over all pools that share it; 0 means no bound.
 	MaxServerConnections int
-	// Accounts have the plans and classes of the pool.
+	// Accounts has the accounts with the plans and classes of this pool.
 	Accounts *account.Table
 
 	// shape describes the classes, the limits, the names of plans, the counter space, whether there is a counter, the
 	// weight and MaxServerConnections. A reload that changes it replaces the pool by a new one.
 	shape string
-	// plans describes what plans give. A reload that changes it only updates the pool.
+	// plans describes the settings of the plans. A reload that changes only these updates the pool in place.
 	plans string
 }
 
-// Listener is one listener as configured. It speaks RESP2, or shows metrics, or else takes authorization checks.
+// Listener is the configuration of one listener. It serves RESP2, metrics or, if neither, authorization checks.
 type Listener struct {
 	Name    string
 	Address string
 	RESP2   bool
-	// Metrics tells that it serves GET /metrics to whoever reaches the address.
+	// Metrics is set if the listener serves GET /metrics, to any client that can reach the address.
 	Metrics bool
-	// Authz is set if it takes authorization checks.
+	// Authz is set if the listener serves authorization checks.
 	Authz extauthz.Config
-	// TLS is nil if it speaks without TLS.
+	// TLS is nil if the listener does not use TLS.
 	TLS *TLSFiles
 }
 
-// Load reads and checks a file. An error is an *[Error].
+// Load reads and validates a file. Its errors are of type *[Error].
 func Load(name string) (*Config, error) {
 	data, err := os.ReadFile(name)
 	if err != nil {
@@ -93,7 +93,7 @@
 	return Parse(name, data)
 }
 
-// Parse checks the contents of a file. An error is an *[Error].
+// Parse validates the contents of a file. Its errors are of type *[Error].
 func Parse(name string, data []byte) (*Config, error) {
 	var file configFile
 	if err := tomlfile.Decode(name, data, &file); err != nil {
@@ -112,7 +112,7 @@
 	return c, nil
 }
 
-// config checks the file and returns what it configures. An error of one field is an *[extauthz.Fault].
+// config validates the file and returns the configuration. An error of a single field is an *[extauthz.Fault].
 func (f *configFile) config() (*Config, error) {
 	hasPools := len(f.Pools) > 0
 	c := &Config{
@@ -124,7 +124,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if c.Fleet, err = f.fleet(allowed); err != nil {
+	if c.Fleet, err = f.clusterSettings(allowed); err != nil {
 		return nil, err
 	}
 	if c.Pools, err = f.pools(); err != nil {
@@ -147,7 +147,7 @@
 	return c, nil
 }
 
-// fieldErrorAt returns the error of a field with its line in a file.
+// fieldErrorAt returns the error of a field with the field's line in a file.
 func fieldErrorAt(file string, data []byte, field *extauthz.Fault) *Error {
 	return &Error{
 		File: file,
--- a/internal/service/hosted/config_fleet.go
+++ b/internal/service/hosted/config_fleet.go
@@ -7,15 +7,15 @@
 	"gapgap/internal/peer"
 )
 
-// fleet checks [fleet], and sets the number of gateways and this one's index in [node] by it. It returns nil if this
-// gateway stands alone.
-func (f *configFile) fleet(allowed []netip.Prefix) (*peer.Settings, error) {
+// clusterSettings validates [fleet] and sets the number of gateways and this gateway's index in [node] accordingly. It
+// returns nil if this gateway is not part of a cluster.
+func (f *configFile) clusterSettings(allowed []netip.Prefix) (*peer.Settings, error) {
 	node := &f.Node
 	if f.Fleet == nil {
 		return nil, nil
 	}
 	if node.Name == "" {
-		return nil, fieldErrorf("node.name", "is missing: a door of a fleet is known by it")
+		return nil, fieldErrorf("node.name", "is required with [fleet]: it identifies this gateway in the cluster")
 	}
 	isAddressAllowed := func(address netip.Addr) bool { return isAllowed(address, allowed) }
 	settings, err := f.Fleet.Check(node.Name, isAddressAllowed, isPlainName)
