--- a/internal/service/hosted/config_pools.go
+++ b/internal/service/hosted/config_pools.go
@@ -6,23 +6,23 @@
 	"slices"
 )
 
-// Defaults of pools.
+// Defaults for pools.
 const (
-	// defaultPoolName is the name of the only pool where the node has none.
+	// defaultPoolName is the name of the only pool if node.name is empty.
 	defaultPoolName   = "gapgapd"
 	defaultPoolWeight = 1.0
-	// defaultGuaranteeSum is what pools are guaranteed together where the file does not say.
+	// defaultGuaranteeSum is divided equally among the pools as their default guarantees.
 	defaultGuaranteeSum = 0.5
 )
 
 const (
 	// maxPoolWeight bounds the weight of a pool.
 	maxPoolWeight = 1000
-	// guaranteeTolerance is by how much the sum of guarantees may be over its bound, for rounding.
+	// guaranteeTolerance allows the sum of guarantees to exceed its bound by rounding errors.
 	guaranteeTolerance = 1e-9
 )
 
-// poolSpec is one pool as the file has it, with what it has of [node].
+// poolSpec is one pool of the file, including the values that it inherits from [node].
 type poolSpec struct {
 	poolTables
 	name         string
@@ -31,17 +31,17 @@
 	counterSpace string
 	zone         string
 	seed         string
-	// maxInFlight is 0 if the file does not say.
+	// maxInFlight is 0 if the file does not set it.
 	maxInFlight          int
 	maxServerConnections int
 	weight               float64
 	guarantee            float64
-	// tablePrefix precedes the fields of its tables in errors, and fieldPrefix its own fields.
+	// tablePrefix precedes the names of the pool's tables in errors, and fieldPrefix those of its own fields.
 	tablePrefix string
 	fieldPrefix string
 }
 
-// pools checks the pools and returns one at least.
+// pools validates the pools and returns at least one.
 func (f *configFile) pools() ([]Pool, error) {
 	specs, err := f.poolSpecs()
 	if err != nil {
@@ -58,10 +58,10 @@
 	return pools, nil
 }
 
-// poolSpecs returns the pools of the file; without any the whole file is one.
+// poolSpecs returns the pools of the file. Without [[pool]] tables the whole file is one pool.
 func (f *configFile) poolSpecs() ([]poolSpec, error) {
 	if len(f.Pools) == 0 {
-		return []poolSpec{f.onlyPoolSpec()}, nil
+		return []poolSpec{f.singlePoolSpec()}, nil
 	}
 	if err := f.checkNoPoolTables(); err != nil {
 		return nil, err
@@ -76,7 +76,7 @@
 		guaranteeSum += spec.guarantee
 		if !(spec.guarantee >= 0) || guaranteeSum > maxGuaranteeSum+guaranteeTolerance {
 			return nil, fieldErrorf(spec.fieldPrefix+"guarantee",
-				"is negative, or the pools' guarantees are over %.1f together", maxGuaranteeSum)
+				"is negative, or the sum of the pools' guarantees exceeds %.1f", maxGuaranteeSum)
 		}
 		if spec.maxServerConnections < 0 {
 			return nil, fieldErrorf(spec.fieldPrefix+"server_connections", "is negative")
@@ -86,8 +86,8 @@
 	return specs, nil
 }
 
-// onlyPoolSpec returns the pool of a file without [[pool]].
-func (f *configFile) onlyPoolSpec() poolSpec {
+// singlePoolSpec returns the pool of a file without [[pool]] tables.
+func (f *configFile) singlePoolSpec() poolSpec {
 	node := &f.Node
 	return poolSpec{
 		poolTables:  f.poolTables,
@@ -101,7 +101,7 @@
 	}
 }
 
-// checkNoPoolTables checks that nothing that pools have stands outside of them.
+// checkNoPoolTables checks that no setting of a pool is outside the [[pool]] tables.
 func (f *configFile) checkNoPoolTables() error {
 	for _, field := range []struct {
 		name  string
@@ -116,23 +116,23 @@
 		{"obligations", f.Obligations != obligationsTable{}},
 	} {
 		if field.isSet {
-			return fieldErrorf(field.name, "belongs into a pool, where there are pools")
+			return fieldErrorf(field.name, "must be set in each [[pool]] table if there are any")
 		}
 	}
 	return nil
 }
 
-// poolSpec returns one pool of the file; others are those before it. Its name and weight are checked.
+// poolSpec returns one pool of the file after validating its name and weight. others has the pools before it.
 func (f *configFile) poolSpec(i int, others []poolSpec) (poolSpec, error) {
 	table := &f.Pools[i]
 	prefix := fmt.Sprintf("pool[%d].", i)
 	isTaken := slices.ContainsFunc(others, func(other poolSpec) bool { return other.name == table.Name })
 	if isTaken || !isPlainName(table.Name) {
-		return poolSpec{}, fieldErrorf(prefix+"name", "%q is no name, or stands twice", table.Name)
+		return poolSpec{}, fieldErrorf(prefix+"name", "%q is not a valid name, or is used twice", table.Name)
 	}
 	weight := valueOr(table.Weight, defaultPoolWeight)
 	if !(weight > 0 && weight <= maxPoolWeight) {
-		return poolSpec{}, fieldErrorf(prefix+"weight", "is not above 0 and up to 1000")
+		return poolSpec{}, fieldErrorf(prefix+"weight", "must be greater than 0 and at most 1000")
 	}
 	return poolSpec{
 		poolTables:           table.poolTables,
@@ -151,9 +151,9 @@
 	}, nil
 }
 
-// pool checks one pool.
+// pool validates one pool and returns its configuration.
 func (f *configFile) pool(spec *poolSpec) (Pool, error) {
-	node, err := f.poolNode(spec)
+	node, err := f.proxyConfig(spec)
 	if err != nil {
 		return Pool{}, err
 	}
--- a/internal/service/hosted/config_settings.go
+++ b/internal/service/hosted/config_settings.go
@@ -14,13 +14,13 @@
 	"gapgap/internal/wire"
 )
 
-// The values of node.ceilings, which may also be empty.
+// The values of node.ceilings. It may also be empty.
 const (
 	ceilingsDemand = "demand"
 	ceilingsEven   = "even"
 )
 
-// Defaults of [limits] and [obligations].
+// Defaults for [limits] and [obligations].
 const (
 	defaultMaxAttempts       = 3
 	defaultMaxUnits          = 1.0
@@ -36,14 +36,14 @@
 )
 
 const (
-	// timerResolution is the balancer's.
+	// timerResolution is the resolution of the balancer's timers.
 	timerResolution = 2 * time.Millisecond
 	// seedBytes is the number of bytes of a seed.
 	seedBytes = 8
 )
 
-// poolNode checks what concerns the proxy of a pool and what surrounds it.
-func (f *configFile) poolNode(spec *poolSpec) (*service.Config, error) {
+// proxyConfig validates the settings of a pool's proxy and returns its configuration.
+func (f *configFile) proxyConfig(spec *poolSpec) (*service.Config, error) {
 	node := &f.Node
 	if !slices.Contains([]string{"", ceilingsDemand, ceilingsEven}, node.Ceilings) {
 		return nil, fieldErrorf("node.ceilings", "%q is not demand or even", node.Ceilings)
@@ -53,7 +53,7 @@
 	}
 	settings := f.settings(spec)
 	if node.Index < 0 || node.Index >= settings.Gateways {
-		return nil, fieldErrorf("node.rank", "is not from 0 to %d, under node.doors", settings.Gateways-1)
+		return nil, fieldErrorf("node.rank", "must be from 0 to %d, less than node.doors", settings.Gateways-1)
 	}
 	if err := checkAddresses(spec); err != nil {
 		return nil, err
@@ -82,7 +82,7 @@
 	}, nil
 }
 
-// checkNotNegative checks numbers of [node] and of a pool.
+// checkNotNegative checks that no number of [node] or of a pool is negative.
 func (f *configFile) checkNotNegative(spec *poolSpec) error {
 	node, limits, obligations := &f.Node, &spec.Limits, &spec.Obligations
 	limit := func(name string) string { return spec.tablePrefix + "limits." + name }
@@ -114,7 +114,7 @@
 	return nil
 }
 
-// settings returns the balancer's settings of a pool, without its classes and plans.
+// settings returns the balancer settings of a pool, without its classes and plans.
 func (f *configFile) settings(spec *poolSpec) balancer.Settings {
 	limits, obligations := &spec.Limits, &spec.Obligations
 	isInFleet := f.Fleet != nil
@@ -142,7 +142,7 @@
 	}
 }
 
-// transport returns the settings of a pool's connections, without the names of its classes and plans.
+// transport returns the connection settings of a pool, without the names of its classes and plans.
 func (spec *poolSpec) transport() wire.Transport {
 	return wire.Transport{
 		DialTimeout: cmp.Or(time.Duration(spec.Limits.DialTimeout), defaultDialTimeout),
@@ -153,30 +153,30 @@
 	}
 }
 
-// checkAddresses checks the addresses of discovery and the counter. The latter may be empty.
+// checkAddresses validates the addresses of discovery and of the counter, which may be empty.
 func checkAddresses(spec *poolSpec) error {
 	if _, _, err := net.SplitHostPort(spec.discovery); err != nil {
-		return fieldErrorf(spec.fieldPrefix+"discovery", "is no host:port")
+		return fieldErrorf(spec.fieldPrefix+"discovery", "must have the form host:port")
 	}
 	if spec.counter == "" {
 		return nil
 	}
 	if _, _, err := net.SplitHostPort(spec.counter); err != nil {
-		return fieldErrorf(spec.fieldPrefix+"counter", "is no host:port")
+		return fieldErrorf(spec.fieldPrefix+"counter", "must have the form host:port")
 	}
 	return nil
 }
 
-// parseSeed returns the seed of a pool's random numbers, a random one where the file has none.
+// parseSeed returns the seed of a pool's random numbers. It is random if the file has none.
 func (spec *poolSpec) parseSeed() (uint64, error) {
 	if spec.seed == "" {
 		var random [seedBytes]byte
-		_, _ = rand.Read(random[:]) // it never fails
+		_, _ = rand.Read(random[:]) // never fails
 		return binary.BigEndian.Uint64(random[:]), nil
 	}
 	seed, err := strconv.ParseUint(spec.seed, 16, 64)
 	if err != nil {
-		return 0, fieldErrorf(spec.fieldPrefix+"seed", "is not up to 16 hex digits")
+		return 0, fieldErrorf(spec.fieldPrefix+"seed", "must have 1 to 16 hexadecimal digits")
 	}
 	return seed, nil
 }
