--- a/internal/service/hosted/config_fleet_test.go
+++ b/internal/service/hosted/config_fleet_test.go
@@ -12,8 +12,8 @@
 	"gapgap/internal/balancer/quotashare"
 )
 
-// fleetExample is an example of a fleet under deploy with paths that are there.
-func fleetExample(t *testing.T, name string) string {
+// clusterExample returns an example of a cluster from the directory deploy, with paths that exist.
+func clusterExample(t *testing.T, name string) string {
 	t.Helper()
 	b, err := os.ReadFile("../../../deploy/" + name)
 	if err != nil {
@@ -27,8 +27,10 @@
 	return strings.NewReplacer("/etc/gapgap/fleet.key", key, "/var/lib/gapgap", dir).Replace(string(b))
 }
 
+// TestMembersExampleIsGood verifies that the example of a cluster is valid, that errors in it are reported by key, and
+// that settings which require [fleet] are rejected without it.
 func TestMembersExampleIsGood(t *testing.T) {
-	good := fleetExample(t, "gapgapd-fleet.toml")
+	good := clusterExample(t, "gapgapd-fleet.toml")
 	c, err := Parse("x", []byte(good))
 	if err != nil {
 		t.Fatal(err)
@@ -51,41 +53,43 @@
 		{`listen = "127.0.0.1:7001"`, `hears = "127.0.0.1:7001"`, "fleet.hears"},
 	} {
 		if !strings.Contains(good, bad.old) {
-			t.Fatalf("no %q", bad.old)
+			t.Fatalf("the example does not contain %q", bad.old)
 		}
 		_, err := Parse("x", []byte(strings.Replace(good, bad.old, bad.new, 1)))
 		var e *Error
 		if !errors.As(err, &e) || e.Key != bad.key {
-			t.Errorf("%s: %v, wanted %s", bad.new, err, bad.key)
+			t.Errorf("%s: %v, want an error of %s", bad.new, err, bad.key)
 		}
 	}
-	// Without [fleet] a gateway behaves as before, and what needs it is an error.
-	alone := example(t)
+	// Without [fleet] the gateway is not part of a cluster, and settings that require [fleet] are errors.
+	alone := exampleConfig(t)
 	c, err = Parse("x", []byte(alone))
 	if err != nil || c.Fleet != nil || c.Node.Settings.LeasedShares || c.Node.Settings.LeaseCeilings {
 		t.Errorf("%+v, %v", c, err)
 	}
 	cutOff := strings.Replace(alone, "ceiling_rate", "when_cut_off = \"keep\"\nceiling_rate", 1)
-	if _, err := Parse("x", []byte(cutOff)); err == nil || !strings.Contains(err.Error(), "wants [fleet]") {
+	if _, err := Parse("x", []byte(cutOff)); err == nil || !strings.Contains(err.Error(), "requires [fleet]") {
 		t.Error(err)
 	}
 }
 
-// checkFieldErrors changes a good file in some ways, and wants an error of each that names its key and line.
-func checkFieldErrors(t *testing.T, good string, ways [][3]string) {
+// checkFieldErrors verifies that each change to a valid file causes an error with the key and its line. A change has
+// the old text, the new text and the key.
+func checkFieldErrors(t *testing.T, good string, changes [][3]string) {
 	t.Helper()
-	for _, w := range ways {
+	for _, change := range changes {
 		var e *Error
-		_, err := Parse("x", []byte(strings.Replace(good, w[0], w[1], 1)))
-		if !errors.As(err, &e) || e.Key != w[2] || e.Line == 0 {
-			t.Errorf("%s: %v", w[1], err)
+		_, err := Parse("x", []byte(strings.Replace(good, change[0], change[1], 1)))
+		if !errors.As(err, &e) || e.Key != change[2] || e.Line == 0 {
+			t.Errorf("%s: %v", change[1], err)
 		}
 	}
 }
 
-// The example of a fleet that remembers keys is good: the module takes their class for one that may run once at most.
+// TestPowerExampleIsGood verifies that the example of a cluster with reserved keys is valid, and that the balancer gets
+// the class with reserved keys as non-idempotent.
 func TestPowerExampleIsGood(t *testing.T) {
-	good := fleetExample(t, "gapgapd-power.toml")
+	good := clusterExample(t, "gapgapd-power.toml")
 	c, err := Parse("x", []byte(good))
 	if err != nil || c.Fleet.KeyRetention == nil || c.Fleet.KeyRetention.Duration != 10*time.Minute ||
 		c.Fleet.KeyRetention.MaxKeys != 500_000 {
@@ -104,9 +108,10 @@
 	})
 }
 
-// The example of a fleet with one policy is good, and what is wrong with [fleet.policy] is told by its key.
+// TestPolicyExampleIsGood verifies that the example of a cluster with one policy is valid, that errors in
+// [fleet.policy] are reported by key, and that a policy document replaces the policy of the file.
 func TestPolicyExampleIsGood(t *testing.T) {
-	good := fleetExample(t, "gapgapd-policy.toml")
+	good := clusterExample(t, "gapgapd-policy.toml")
 	c, err := Parse("x", []byte(good))
 	if err != nil || c.Fleet.Policy == nil || c.Fleet.Policy.Fence || c.Fleet.Policy.UseLastKnown {
 		t.Fatalf("%+v, %v", c, err)
@@ -117,24 +122,24 @@
 		{`without_quorum = "refuse"`, `without_quorum = "maybe"`, "fleet.policy.without_quorum"},
 		{`give_up = "30s"`, `after = "3s"`, "fleet.policy.after"},
 	})
-	// The policy that is taken out of the file stands for the file's.
+	// The policy extracted from the file is equivalent to the file's own.
 	doc, err := policyOf([]byte(good))
 	if err != nil {
 		t.Fatal(err)
 	}
-	with, err := ParseWith("x", []byte(good), "policy", doc)
+	with, err := ParseWithPolicy("x", []byte(good), "policy", doc)
 	if err != nil || with.Pools[0].shape != c.Pools[0].shape || with.Pools[0].plans != c.Pools[0].plans {
 		t.Errorf("%v\n%s", err, doc)
 	}
 	var e *Error
 	withNode := append([]byte("[node]\nname = \"n2\"\n"), doc...)
-	_, err = ParseWith("x", []byte(good), "policy", withNode)
+	_, err = ParseWithPolicy("x", []byte(good), "policy", withNode)
 	if !errors.As(err, &e) || e.Key != "node" || e.File != "policy" || e.Line != 1 {
-		t.Errorf("a node's part in a policy: %v", err)
+		t.Errorf("a policy with a table of the node: %v", err)
 	}
 	changed := strings.Replace(string(doc), "ceiling_rate = 40.0", "ceiling_rate = -1.0", 1)
-	_, err = ParseWith("x", []byte(good), "policy", []byte(changed))
+	_, err = ParseWithPolicy("x", []byte(good), "policy", []byte(changed))
 	if !errors.As(err, &e) || e.File != "policy" || e.Key != "plan[0].ceiling_rate" || e.Line == 0 {
-		t.Errorf("a bad plan: %v", err)
+		t.Errorf("a policy with an invalid plan: %v", err)
 	}
 }
--- a/internal/service/hosted/config_plans.go
+++ b/internal/service/hosted/config_plans.go
@@ -9,20 +9,20 @@
 	"gapgap/internal/balancer/quotashare"
 )
 
-// defaultPriorityFactor is the factor of a plan that names none.
+// defaultPriorityFactor is the default of the key factor of a plan.
 const defaultPriorityFactor = 1.0
 
-// partitionPolicies are the values of a plan's when_cut_off, which may also be empty.
+// partitionPolicies has the values of the key when_cut_off of a plan, which may also be empty.
 var partitionPolicies = map[string]quotashare.PartitionPolicy{
 	"keep":  quotashare.KeepAll,
 	"quota": quotashare.KeepQuota,
 	"yield": quotashare.KeepNone,
 }
 
-// plans checks the plans of a pool and returns them with their names.
+// plans validates the plans of a pool and returns them with their names.
 func (f *configFile) plans(spec *poolSpec) (plans []balancer.Plan, names []string, err error) {
 	if len(spec.Plans) == 0 {
-		return nil, nil, fieldErrorf(spec.tablePrefix+"plan", "there is none")
+		return nil, nil, fieldErrorf(spec.tablePrefix+"plan", "at least one plan is required")
 	}
 	for i := range spec.Plans {
 		if err := f.checkPlan(spec, i, names); err != nil {
@@ -34,35 +34,35 @@
 	return plans, names, nil
 }
 
-// checkPlan checks one plan; taken are the names of those before it.
+// checkPlan validates one plan. taken has the names of the plans before it.
 func (f *configFile) checkPlan(spec *poolSpec, i int, taken []string) error {
 	table := &spec.Plans[i]
 	field := func(name string) string { return fmt.Sprintf("%splan[%d].%s", spec.tablePrefix, i, name) }
 	_, isPolicy := partitionPolicies[table.PartitionPolicy]
 	switch {
 	case !isPlainName(table.Name) || slices.Contains(taken, table.Name):
-		return fieldErrorf(field("name"), "%q is no name, or stands twice", table.Name)
+		return fieldErrorf(field("name"), "%q is not a valid name, or is used twice", table.Name)
 	case table.Rate < 0:
 		return fieldErrorf(field("rate"), "is negative")
 	case table.Burst < 0 || table.Rate > 0 && table.Burst == 0:
-		return fieldErrorf(field("burst"), "is negative, or missing where there is a rate")
+		return fieldErrorf(field("burst"), "is negative, or missing although rate is set")
 	case table.MaxInFlight < 0:
 		return fieldErrorf(field("at_once"), "is negative")
 	case table.PriorityFactor < 0 || table.OverQuotaWeight < 0 || table.OverQuotaCost < 0:
-		return fieldErrorf(field("factor"), "or over_worth or over_cost is negative")
+		return fieldErrorf(field("factor"), "factor, over_worth or over_cost is negative")
 	case table.CeilingRate < 0:
 		return fieldErrorf(field("ceiling_rate"), "is negative")
 	case table.PartitionPolicy != "" && f.Fleet == nil:
-		return fieldErrorf(field("when_cut_off"), "wants [fleet]")
+		return fieldErrorf(field("when_cut_off"), "requires [fleet]")
 	case table.PartitionPolicy != "" && !isPolicy:
 		return fieldErrorf(field("when_cut_off"), "%q is not keep, quota or yield", table.PartitionPolicy)
 	case table.CeilingBurst < 0 || table.CeilingRate > 0 && table.CeilingBurst == 0:
-		return fieldErrorf(field("ceiling_depth"), "is negative, or missing where there is a ceiling_rate")
+		return fieldErrorf(field("ceiling_depth"), "is negative, or missing although ceiling_rate is set")
 	}
 	return nil
 }
 
-// newPlan returns a plan that was checked.
+// newPlan returns the plan of a validated table.
 func newPlan(table *planTable) balancer.Plan {
 	return balancer.Plan{
 		Rate:            table.Rate,
--- a/internal/service/hosted/config_test.go
+++ b/internal/service/hosted/config_test.go
@@ -12,7 +12,8 @@
 	"gapgap/internal/frontend/extauthz"
 )
 
-func example(t testing.TB) string {
+// exampleConfig returns the example of a gateway with authorization checks.
+func exampleConfig(t testing.TB) string {
 	t.Helper()
 	b, err := os.ReadFile("../../../deploy/gapgapd.toml")
 	if err != nil {
@@ -21,8 +22,9 @@
 	return string(b)
 }
 
+// TestForwardAuthExampleIsGood verifies that the example of a gateway with authorization checks is valid.
 func TestForwardAuthExampleIsGood(t *testing.T) {
-	c, err := Parse("x", []byte(example(t)))
+	c, err := Parse("x", []byte(exampleConfig(t)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,22 +32,24 @@
 	if s.Gateways != 3 || s.MaxRetryAfter != 5*time.Second || s.Classes[1].Idempotency != balancer.IdempotentByKey ||
 		s.Plans[1].CeilingRate != 40 ||
 		s.DrainGrace != 250*time.Millisecond || !s.UseCounter || s.MaxRequestUnits != 10 {
-		t.Errorf("settings %+v", s)
+		t.Errorf("settings: %+v", s)
 	}
 	if len(c.Listeners) != 2 || !c.Listeners[0].RESP2 || len(c.Listeners[1].Authz.Routes) != 4 {
-		t.Fatalf("listeners %+v", c.Listeners)
+		t.Fatalf("listeners: %+v", c.Listeners)
 	}
 	r := c.Listeners[1].Authz.Routes
 	if r[0].Dialect != extauthz.Nginx || r[0].Repeat != extauthz.ByRequestID || r[0].DefaultClass != "evaluate" ||
 		r[1].NonceHeader != "Idempotency-Key" ||
 		r[3].Identify[0] != extauthz.ByCertificate || r[3].UnitsHeader != "X-Units" {
-		t.Errorf("routes %+v", r)
+		t.Errorf("routes: %+v", r)
 	}
 	if a := c.Accounts.ByName("acme"); a == nil || a.Plan != 1 || a.Hold != 30*time.Second {
-		t.Errorf("account %+v", a)
+		t.Errorf("account: %+v", a)
 	}
 }
 
+// TestPoolsExampleIsGood verifies that the example with pools is valid, and that errors in it are reported with key and
+// line.
 func TestPoolsExampleIsGood(t *testing.T) {
 	b, err := os.ReadFile("../../../deploy/gapgapd-pools.toml")
 	if err != nil {
@@ -69,7 +73,7 @@
 		{`weight = 2.0`, `weight = 0.0`, "pool[0].weight"},
 		{`memory_mb = 512`, "memory_mb = 512\nceilings = \"mine\"", "node.ceilings"},
 		{`guarantee = 0.3`, `guarantee = -0.1`, "pool[0].guarantee"},
-		{`guarantee = 0.3`, `guarantee = 0.7`, "pool[1].guarantee"}, // 0.25 is the other's
+		{`guarantee = 0.3`, `guarantee = 0.7`, "pool[1].guarantee"}, // the other pool has 0.25
 		{`server_connections = 64`, `server_connections = -1`, "pool[0].server_connections"},
 		{`protocol = "resp2"`, `protocol = "figures"`, "listener[0].protocol"},
 		{`protocol = "metrics"`, "protocol = \"metrics\"\nend_path = \"/end\"", "listener[2].protocol"},
@@ -89,7 +93,7 @@
 			at = strings.Index(good, bad.old)
 		}
 		if at < 0 {
-			t.Fatalf("the example has no %q", bad.old)
+			t.Fatalf("the example does not contain %q", bad.old)
 		}
 		_, err := Parse("x", []byte(good[:at]+bad.new+good[at+len(bad.old):]))
 		var e *Error
@@ -99,9 +103,9 @@
 	}
 }
 
-// Whatever is wrong is said with file, line and key, and nothing starts.
+// TestForwardAuthBadConfiguration verifies that each invalid setting is reported with file, line and key.
 func TestForwardAuthBadConfiguration(t *testing.T) {
-	good := example(t)
+	good := exampleConfig(t)
 	for _, c := range []struct{ old, new, key string }{
 		{"sockets = 4096", "socks = 4096", "node.socks"},
 		{"sockets = 4096", `sockets = "many"`, "node.sockets"},
@@ -148,7 +152,7 @@
 		{`# [listener.tls]`, "[listener.tls]\ncertificate = \"nowhere\"", "listener[1].tls"},
 	} {
 		if !strings.Contains(good, c.old) {
-			t.Fatalf("the example has no %q", c.old)
+			t.Fatalf("the example does not contain %q", c.old)
 		}
 		bad := strings.Replace(good, c.old, c.new, 1)
 		_, err := Parse("file.toml", []byte(bad))
@@ -157,33 +161,34 @@
 			t.Errorf("%s: %v", c.key, err)
 			continue
 		}
-		// A key that is there stands on its own line; one that is missing is told by the table where it should stand.
+		// An invalid key is reported with its own line, a missing one with the line of its table.
 		want := 1 + strings.Count(good[:strings.Index(good, c.old)], "\n")
 		if c.new != "" && !strings.Contains(c.new, "\n") && c.key != "verdicts" && c.key != "listener[1].trusted" &&
 			e.Line != want {
 			t.Errorf("%s: line %d, want %d", c.key, e.Line, want)
 		}
 		if e.Line == 0 {
-			t.Errorf("%s: no line", c.key)
+			t.Errorf("%s: error without a line", c.key)
 		}
 	}
 	for _, bad := range []string{"", "[node", "a = 1", "[[node]]\n[[node]]", "[node]\nname = 1"} {
 		if _, err := Parse("x", []byte(bad)); err == nil {
-			t.Errorf("%q is taken", bad)
+			t.Errorf("%q is accepted", bad)
 		}
 	}
 	if _, err := Load(filepath.Join(t.TempDir(), "none")); err == nil || !strings.Contains(err.Error(), "none") {
-		t.Errorf("a file that is not there: %v", err)
+		t.Errorf("error for a missing file: %v", err)
 	}
 }
 
+// FuzzParse verifies that any text yields either a configuration or an error.
 func FuzzParse(f *testing.F) {
-	f.Add(example(f))
+	f.Add(exampleConfig(f))
 	f.Add("[[listener]]\n[listener.tls]\nkey=1\n[[listener.check]]\na={b={c=1}}")
 	f.Fuzz(func(t *testing.T, s string) {
 		c, err := Parse("x", []byte(s))
 		if (c == nil) == (err == nil) {
-			t.Errorf("neither a configuration nor an error")
+			t.Errorf("the result must be either a configuration or an error")
 		}
 	})
 }
--- a/internal/service/hosted/document.go
+++ b/internal/service/hosted/document.go
@@ -14,24 +14,24 @@
 	"gapgap/internal/tomlfile"
 )
 
-// A configuration file has two parts: what is the node's own (addresses, memory, name, keys), and the policy, which
-// may be one document of a whole fleet (docs/design/policy.md).
+// A configuration file has two parts: the node's own settings (addresses, memory, name, keys) and the policy. The
+// policy may be replaced by one document for a whole cluster (docs/design/policy.md).
 
-// policyKeys are the tables that make up the policy; nodeKeys are the node's.
+// policyKeys has the tables that make up the policy, and nodeKeys those of the node.
 var (
 	policyKeys = []string{"limits", "obligations", "class", "plan", "rule", "pool", "route", "account"}
 	nodeKeys   = []string{"node", "fleet", "listener", "verdicts"}
 )
 
-// maxDocumentFraction is the part of node.memory_mb that a policy document may have: read and compiled it takes some
-// eight times its length, twice during a change.
+// maxDocumentFraction is the largest size of a policy document as a fraction of node.memory_mb: a document that is
+// parsed and compiled takes about eight times its size, and two are in memory during a change.
 const maxDocumentFraction = 1.0 / 32
 
-var errNodeTable = errors.New("is each node's own and not part of the policy")
+var errNodeTable = errors.New("is a table of the node and can't be part of the policy")
 
-// DocumentTooLargeError says that a policy document has no room in the node's memory.
+// DocumentTooLargeError is returned for a policy document that is too large for the node's memory.
 type DocumentTooLargeError struct {
-	// Bytes is the length of the document.
+	// Bytes is the size of the document.
 	Bytes int
 	// MemoryMB is node.memory_mb.
 	MemoryMB int
@@ -39,11 +39,11 @@
 
 // Error implements error.
 func (e *DocumentTooLargeError) Error() string {
-	return fmt.Sprintf("a policy of %d bytes is over a %.0fth of node.memory_mb, %d",
+	return fmt.Sprintf("a policy of %d bytes exceeds a %.0fth of node.memory_mb, %d",
 		e.Bytes, 1/maxDocumentFraction, e.MemoryMB)
 }
 
-// policyOf takes the policy out of a file, as a document of its own.
+// policyOf extracts the policy of a file as a separate document.
 func policyOf(file []byte) ([]byte, error) {
 	var tables map[string]any
 	if err := toml.Unmarshal(file, &tables); err != nil {
@@ -59,9 +59,9 @@
 	return document.Bytes(), err
 }
 
-// ParseWith is [Parse] of the node's part of a file and of a policy in the place of its own. An error is an *[Error]
-// with the policy's name and line where it is the policy's fault, or a *[DocumentTooLargeError].
-func ParseWith(name string, file []byte, policy string, document []byte) (*Config, error) {
+// ParseWithPolicy is like [Parse], but replaces the policy of the file by another document. Its errors are of type
+// *[Error], with the policy's name and line if the error is in the policy, or *[DocumentTooLargeError].
+func ParseWithPolicy(name string, file []byte, policy string, document []byte) (*Config, error) {
 	var own, common configFile
 	if err := tomlfile.Decode(name, file, &own); err != nil {
 		return nil, err
@@ -92,7 +92,7 @@
 	return c, c.checkDocumentFits(document)
 }
 
-// checkNoNodeTables checks that a policy has no tables of the node. What is no TOML passes.
+// checkNoNodeTables checks that a policy has no tables of the node. It accepts a document that is not valid TOML.
 func checkNoNodeTables(policy string, document []byte) error {
 	var tables map[string]any
 	if err := toml.Unmarshal(document, &tables); err != nil {
@@ -111,14 +111,14 @@
 	return nil
 }
 
-// isPolicyField reports whether a field such as plan[0].rate is part of the policy.
+// isPolicyField reports whether a field, such as plan[0].rate, is part of the policy.
 func isPolicyField(field string) bool {
 	table, _, _ := strings.Cut(field, ".")
 	table, _, _ = strings.Cut(table, "[")
 	return slices.Contains(policyKeys, table)
 }
 
-// checkDocumentFits checks that the node's memory has room for a policy document.
+// checkDocumentFits checks that a policy document is small enough for the node's memory.
 func (c *Config) checkDocumentFits(document []byte) error {
 	memoryMB := c.Node.MemoryMB
 	if memoryMB > 0 && float64(len(document)) > maxDocumentFraction*float64(memoryMB)*(1<<20) {
@@ -127,5 +127,5 @@
 	return nil
 }
 
-// hasFleetPolicy reports whether the fleet has one policy for all gateways.
-func hasFleetPolicy(fleet *peer.Settings) bool { return fleet != nil && fleet.Policy != nil }
+// hasClusterPolicy reports whether the cluster has one policy for all gateways.
+func hasClusterPolicy(fleet *peer.Settings) bool { return fleet != nil && fleet.Policy != nil }
--- a/internal/service/hosted/metrics.go
+++ b/internal/service/hosted/metrics.go
@@ -8,18 +8,18 @@
 	"gapgap/internal/proxy"
 )
 
-// metrics are what a listener of the protocol "metrics" shows, in Prometheus' text format. Each process has its own
-// registry. Labels are names out of the configuration only, so their number is bounded by it.
+// metrics has the metrics that a listener of the protocol "metrics" serves in the Prometheus text format. Each service
+// has its own registry. Label values come only from the configuration, which bounds the number of time series.
 type metrics struct {
 	registry *prometheus.Registry
 	answers  *prometheus.HistogramVec
 	service  *Service
 }
 
-// answerBuckets are the upper bounds of the histogram's buckets in seconds, about three to each decade.
+// answerBuckets has the upper bounds of the histogram's buckets in seconds, about three per decade.
 var answerBuckets = []float64{.0001, .00025, .0005, .001, .0025, .005, .01, .025, .05, .1, .25, .5, 1, 2.5, 5}
 
-// outcomeNames are the values of the label "verdict".
+// outcomeNames has the values of the label "verdict".
 var outcomeNames = [...]string{
 	proxy.Served:    "served",
 	proxy.Rejected:  "refused",
@@ -29,7 +29,7 @@
 	proxy.Admitted:  "granted",
 }
 
-// newMetrics returns the metrics of a service, in a registry of their own.
+// newMetrics returns the metrics of a service in a new registry.
 func newMetrics(s *Service) *metrics {
 	answers := prometheus.NewHistogramVec(prometheus.HistogramOpts{
 		Namespace: "gapgap",
@@ -46,7 +46,8 @@
 	return m
 }
 
-// answerObserver returns what takes the answers of a pool. Its series are made now, so that a request looks nothing up.
+// answerObserver returns a function that records the answers of a pool. It creates the time series in advance, so that
+// no request has to look one up.
 func (m *metrics) answerObserver(
 	pool string, classes []string,
 ) func(class int, outcome proxy.Outcome, took time.Duration) {
@@ -61,5 +62,7 @@
 	}
 }
 
-// forget removes the series of a pool that there is no longer.
-func (m *metrics) forget(pool string) { m.answers.DeletePartialMatch(prometheus.Labels{"pool": pool}) }
+// deletePool deletes the time series of a removed pool.
+func (m *metrics) deletePool(pool string) {
+	m.answers.DeletePartialMatch(prometheus.Labels{"pool": pool})
+}
--- a/internal/service/hosted/policy.go
+++ b/internal/service/hosted/policy.go
@@ -16,30 +16,30 @@
 const switchTimeout = 2 * time.Second
 
 var (
-	errNoVersion   = errors.New("this door has not yet learned the fleet's policy")
-	errNotBuilt    = errors.New("it was not read")
-	errLoopStalled = errors.New("a pool's loop stands still")
+	errNoVersion   = errors.New("this gateway has not yet received the cluster's policy")
+	errNotBuilt    = errors.New("the policy is not a built policy document")
+	errLoopStalled = errors.New("a pool's event loop does not respond")
 )
 
-// policyHost makes the pools of this process decide by the fleet's policy. A nil policyHost stands for a process whose
-// policy is that of its file; of such a one only the methods that say so may be called.
+// policyHost applies the cluster's policy to the pools of this process. It is nil for a process that uses the policy of
+// its file; only methods that document it may be called on nil.
 type policyHost struct {
 	service *Service
 	replica *policyreplica.Replica
-	// name is this gateway's, which no reload changes.
+	// name is the name of this gateway, which no reload changes.
 	name string
-	// gateways are the names of all gateways.
+	// gateways has the names of all gateways by index.
 	gateways []string
 	lease    *proxy.DecisionLease
 
-	// mu is held while decidesUntil changes.
+	// mu guards decidesUntil.
 	mu           sync.Mutex
 	decidesUntil time.Duration
 }
 
 var _ policyreplica.Host = (*policyHost)(nil)
 
-// openPolicy opens the policy replica with what the gateway's disk has.
+// openPolicy opens the policy replica with its state on disk.
 func (s *Service) openPolicy(cfg *Config) (*policyHost, error) {
 	host := &policyHost{service: s, name: cfg.GatewayName, lease: proxy.NewDecisionLease()}
 	for _, gateway := range cfg.Fleet.Gateways {
@@ -78,7 +78,7 @@
 	return config
 }
 
-// decisionLease returns the lease without which no pool decides. A nil host has none.
+// decisionLease returns the decision lease of the pools. It is nil on a nil host.
 func (p *policyHost) decisionLease() *proxy.DecisionLease {
 	if p == nil {
 		return nil
@@ -86,22 +86,22 @@
 	return p.lease
 }
 
-// start starts the replica. A nil host has none.
+// start starts the replica. It does nothing on a nil host.
 func (p *policyHost) start() {
 	if p != nil {
 		p.replica.Start()
 	}
 }
 
-// close ends the replica. A nil host has none.
+// close stops the replica. It does nothing on a nil host.
 func (p *policyHost) close() {
 	if p != nil {
 		p.replica.Close()
 	}
 }
 
-// leave notifies the other gateways that this one decides nothing any more, and ends the replica. All pools have to
-// have ended. A nil host does nothing.
+// leave notifies the other gateways that this one no longer decides requests, and stops the replica. All pools must
+// have ended. It does nothing on a nil host.
 func (p *policyHost) leave() {
 	if p != nil {
 		p.replica.Leave()
@@ -109,12 +109,12 @@
 	}
 }
 
-// builtPolicy is a policy document that was read with this gateway's own file.
+// builtPolicy is a policy document merged with the node's part of this gateway's own file.
 type builtPolicy struct {
 	document []byte
-	// own is the configuration whose file that was, and cfg what came of both.
-	own *Config
-	cfg *Config
+	// nodeConfig is the configuration of that file, and cfg the merged configuration.
+	nodeConfig *Config
+	cfg        *Config
 }
 
 // Build implements [policyreplica.Host].
@@ -125,17 +125,17 @@
 	return buildPolicy(own, document)
 }
 
-// buildPolicy reads a policy document with the file of a configuration.
+// buildPolicy merges a policy document with the node's part of a configuration.
 func buildPolicy(own *Config, document []byte) (*builtPolicy, error) {
-	cfg, err := ParseWith(own.file, own.text, "policy", document)
+	cfg, err := ParseWithPolicy(own.file, own.text, "policy", document)
 	if err != nil {
 		return nil, err
 	}
-	return &builtPolicy{document: document, own: own, cfg: cfg}, nil
+	return &builtPolicy{document: document, nodeConfig: own, cfg: cfg}, nil
 }
 
-// parseWithPolicy returns the node's part of a configuration with the policy that this gateway decides by, and the
-// number of that policy's version.
+// parseWithPolicy merges the node's part of a configuration with the policy that this gateway uses. It returns the
+// result and the version number of that policy.
 func (p *policyHost) parseWithPolicy(ctx context.Context, cfg *Config) (*Config, uint64, error) {
 	view := p.replica.View()
 	if view.Version.Number == 0 {
@@ -145,15 +145,15 @@
 	if err != nil {
 		return nil, 0, err
 	}
-	merged, err := ParseWith(cfg.file, cfg.text, "policy", document)
+	merged, err := ParseWithPolicy(cfg.file, cfg.text, "policy", document)
 	return merged, view.Version.Number, err
 }
 
 // StopDeciding implements [policyreplica.Host].
 func (p *policyHost) StopDeciding() { p.SetDecisionDeadline(0) }
 
-// SetDecisionDeadline implements [policyreplica.Host]. If the right to decide had lapsed, the requests that were held
-// for want of it are decided.
+// SetDecisionDeadline implements [policyreplica.Host]. If the decision lease had expired, the pools resume the requests
+// that were held without it.
 func (p *policyHost) SetDecisionDeadline(deadline time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -168,7 +168,7 @@
 	}
 }
 
-// proxies returns those of all pools.
+// proxies returns the proxies of all pools.
 func (p *policyHost) proxies() (all []*proxy.Proxy) {
 	p.service.mu.Lock()
 	defer p.service.mu.Unlock()
@@ -178,7 +178,7 @@
 	return all
 }
 
-// SwitchTo implements [policyreplica.Host]. It returns once all event loops go by the version.
+// SwitchTo implements [policyreplica.Host]. It returns once all event loops use the version.
 func (p *policyHost) SwitchTo(version uint64, built any) error {
 	ready, ok := built.(*builtPolicy)
 	if !ok {
@@ -203,7 +203,7 @@
 	return nil
 }
 
-// gatewayName returns a gateway's name.
+// gatewayName returns the name of a gateway by its index.
 func (p *policyHost) gatewayName(index uint16) string {
 	if int(index) < len(p.gateways) {
 		return p.gateways[index]
@@ -211,7 +211,7 @@
 	return fmt.Sprint("door ", index)
 }
 
-// withGatewayNames puts names in the place of gateways' indices in a reason.
+// withGatewayNames replaces the indices of gateways in a reason by their names.
 func (p *policyHost) withGatewayNames(reason string) string {
 	return policy.ReplaceGatewayNumbers(reason, p.gateways)
 }
--- a/internal/service/hosted/reload.go
+++ b/internal/service/hosted/reload.go
@@ -11,22 +11,22 @@
 )
 
 var (
-	errEnding          = errors.New("the service is ending")
-	errFleetChanged    = errors.New("what [fleet] says changes with a restart only")
-	errHasPoolsChanged = errors.New("whether there are pools changes with a restart only")
-	errPolicyChanges   = errors.New("the fleet's policy changes all the time: say it again")
+	errShuttingDown    = errors.New("the service is ending")
+	errClusterChanged  = errors.New("a change of [fleet] requires a restart")
+	errHasPoolsChanged = errors.New("adding the first [[pool]] or removing the last one requires a restart")
+	errPolicyChanges   = errors.New("the cluster's policy keeps changing: try again")
 )
 
-// policyRetryInterval is the pause until a reload looks again at the policy that has just changed.
+// policyRetryInterval is the pause before a reload that met a policy change reads the policy again.
 const policyRetryInterval = 10 * time.Millisecond
 
-// Reload takes the pools, routes, accounts and rules of another configuration, whole or not at all. Its error says why
-// it takes nothing: the shutdown has begun, the configuration changes what takes a restart, or a new pool can't be
-// made. Changes of listeners and of what the process has (memory, sockets, the decision cache) are not looked at before
-// a restart. A pool whose shape has changed (see Pool) is replaced by a new one, and the old one answers what it took.
-// Where all gateways have one policy, only the node's part of the configuration is taken.
+// Reload applies the pools, routes, accounts and rules of another configuration atomically. It fails, and changes
+// nothing, if the shutdown has begun, if a change requires a restart or if a new pool can't be created. Changes of
+// listeners and of process resources (memory, sockets, the decision cache) are ignored until a restart. A pool whose
+// shape has changed (see Pool) is replaced by a new one, and the old one answers the requests that it has accepted. If
+// the cluster has one policy for all gateways, only the node's part of the configuration is applied.
 func (s *Service) Reload(cfg *Config) error {
-	if s.policy == nil || !hasFleetPolicy(cfg.Fleet) {
+	if s.policy == nil || !hasClusterPolicy(cfg.Fleet) {
 		return s.applyConfig(cfg)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), controlTimeout)
@@ -39,7 +39,7 @@
 		if isApplied, err := s.applyNodePart(merged, version); isApplied || err != nil {
 			return err
 		}
-		select { // another version takes hold just now
+		select { // another policy version was applied in between
 		case <-ctx.Done():
 			return errPolicyChanges
 		case <-time.After(policyRetryInterval):
@@ -47,8 +47,8 @@
 	}
 }
 
-// applyNodePart takes the node's part of a configuration that was read with a version of the policy. It reports false,
-// and takes nothing, if this process goes by another version by now.
+// applyNodePart applies the node's part of a configuration that was parsed with a version of the policy. It reports
+// false, and changes nothing, if this process uses another version by now.
 func (s *Service) applyNodePart(cfg *Config, version uint64) (isApplied bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -58,17 +58,17 @@
 	if err := s.applyLocked(cfg); err != nil {
 		return false, err
 	}
-	s.log.Info("the node's part of the file is read again; the policy is the fleet's, and the file's is not looked at",
+	s.log.Info("the node's part of the file is read again; the policy is the cluster's, the file's is ignored",
 		"policy", version)
 	return true, nil
 }
 
-// applyPolicy takes a version of the policy with the node's part of the present configuration, which may be a later one
-// than that with which the policy was built.
+// applyPolicy applies a version of the policy together with the node's part of the current configuration, which may be
+// newer than the one that the policy was built with.
 func (s *Service) applyPolicy(version uint64, built *builtPolicy) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !bytes.Equal(s.cfg.text, built.own.text) {
+	if !bytes.Equal(s.cfg.text, built.nodeConfig.text) {
 		again, err := buildPolicy(s.cfg, built.document)
 		if err != nil {
 			return err
@@ -82,14 +82,14 @@
 	return nil
 }
 
-// applyConfig takes another configuration, whole or not at all.
+// applyConfig applies another configuration atomically.
 func (s *Service) applyConfig(cfg *Config) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.applyLocked(cfg)
 }
 
-// applyLocked takes another configuration, whole or not at all. The caller holds mu.
+// applyLocked applies another configuration atomically. The caller holds mu.
 func (s *Service) applyLocked(cfg *Config) error {
 	if err := s.checkReload(cfg); err != nil {
 		return err
@@ -120,21 +120,21 @@
 	return nil
 }
 
-// checkReload checks that a configuration changes nothing that takes a restart. The caller holds mu.
+// checkReload checks that a configuration has no change that requires a restart. The caller holds mu.
 func (s *Service) checkReload(cfg *Config) error {
 	switch {
-	case s.isEnding:
-		return errEnding
+	case s.isShuttingDown:
+		return errShuttingDown
 	case !cfg.Fleet.Same(s.cfg.Fleet):
-		return errFleetChanged
+		return errClusterChanged
 	case cfg.HasPools != (s.limits != nil):
 		return errHasPoolsChanged
 	}
 	return nil
 }
 
-// nextPools returns the pools of a configuration by name, and those of them that are new. A pool that has not changed
-// in shape goes on. The caller holds mu.
+// nextPools returns the pools of a configuration by name, and which of them are new. A pool whose shape is unchanged is
+// kept. The caller holds mu.
 func (s *Service) nextPools(cfg *Config) (pools map[string]*pool, added []*pool, err error) {
 	pools = map[string]*pool{}
 	for i := range cfg.Pools {
@@ -155,8 +155,8 @@
 	return pools, added, nil
 }
 
-// moveGuarantees sets the guarantees of a configuration. Pools that are to be removed lose theirs first, so that there
-// is capacity for those of new pools. The caller holds mu.
+// moveGuarantees sets the guarantees of a configuration. Pools that will be removed lose theirs first, to free capacity
+// for the guarantees of new pools. The caller holds mu.
 func (s *Service) moveGuarantees(cfg *Config, pools map[string]*pool) {
 	for name, p := range s.pools {
 		if pools[name] != p {
@@ -168,12 +168,12 @@
 	}
 }
 
-// updatePool applies a configuration of the same shape to a pool: its plans and classes have the same numbers. The
-// caller holds mu.
+// updatePool applies a configuration of the same shape to a pool: its plans and classes keep their indices. The caller
+// holds mu.
 func (s *Service) updatePool(p *pool, cfg *Pool) {
 	if p.cfg.plans != cfg.plans {
-		if err := p.proxy.UpdateSettings(cfg.Node.Rules()); err != nil { // a bug: the settings were checked
-			s.log.Error("a pool goes on with its plans as they were", "pool", cfg.Node.Name, "error", err)
+		if err := p.proxy.UpdateSettings(cfg.Node.Rules()); err != nil { // a bug: the settings were validated
+			s.log.Error("the plans of a pool were not updated", "pool", cfg.Node.Name, "error", err)
 		}
 	}
 	p.cfg = cfg
@@ -181,8 +181,8 @@
 	p.proxy.SetAddresses(cfg.Node.Discovery, cfg.Node.Counter)
 }
 
-// removePool ends a pool to which no route leads any more, once what it took is answered, or after the longest client
-// timeout and proxy.AnswerMargin at the latest.
+// removePool stops a pool that no route refers to any more, once its accepted requests are answered, or after the
+// longest client timeout plus proxy.AnswerMargin at the latest.
 func (s *Service) removePool(p *pool) {
 	defer s.removals.Done()
 	p.proxy.Retire()
@@ -196,16 +196,15 @@
 	p.inbox.remove()
 	p.limits.leave()
 	s.Shared.Remove(p.proxy)
-	s.forgetMetrics(p.cfg.Node.Name)
+	s.deleteMetrics(p.cfg.Node.Name)
 	s.log.Info("pool removed", "pool", p.cfg.Node.Name, "unanswered", p.proxy.Unanswered())
 }
 
-// forgetMetrics removes the series of a pool that was removed, unless there is a new one of its name, which goes on
-// with them.
-func (s *Service) forgetMetrics(pool string) {
+// deleteMetrics deletes the time series of a removed pool, unless a new pool of the same name continues them.
+func (s *Service) deleteMetrics(pool string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.metrics != nil && s.pools[pool] == nil {
-		s.metrics.forget(pool)
+		s.metrics.deletePool(pool)
 	}
 }
--- a/internal/service/hosted/serve.go
+++ b/internal/service/hosted/serve.go
@@ -10,13 +10,13 @@
 const (
 	// statsInterval is how often the stats are logged.
 	statsInterval = time.Minute
-	// coarseInterval is how often the time of Env.Coarse is set.
+	// coarseInterval is how often the time of Env.Coarse is updated.
 	coarseInterval = 20 * time.Millisecond
-	// drainInterval is how often a shutdown, or a pool's removal, looks whether all is done.
+	// drainInterval is how often a shutdown or a pool removal checks whether all requests are done.
 	drainInterval = 10 * time.Millisecond
 )
 
-// Serve serves until the context ends, then shuts down and returns: see shutdown. It may be called once.
+// Serve serves until the context ends, then shuts down (see shutdown) and returns. It may be called only once.
 func (s *Service) Serve(ctx context.Context) {
 	defer close(s.done)
 	s.start()
@@ -24,7 +24,7 @@
 	s.shutdown()
 }
 
-// start starts all parts of the service, the frontends last.
+// start starts all components, the frontends last.
 func (s *Service) start() {
 	s.mu.Lock()
 	for _, p := range s.pools {
@@ -67,14 +67,14 @@
 	}
 }
 
-// shutdown answers the requests that were taken and ends all parts of the service:
+// shutdown answers the accepted requests and stops all components:
 //
-//  1. Reloads are refused from now on.
-//  2. For proxy.AcceptAfterTerm connections and requests are still accepted.
-//  3. Listeners and idle connections are closed until no client waits for an answer, for the longest client timeout and
-//     proxy.AnswerMargin at most. Requests without an answer after that are logged as unanswered.
-//  4. The pools' event loops end, then the recovery, the policy replica and the key replica.
-//  5. The other gateways are told that this one leaves, so that its share is free for them at once.
+//  1. Reloads are rejected from now on.
+//  2. New connections and requests are still accepted for proxy.AcceptAfterTerm.
+//  3. Listeners and idle connections are closed until no client waits for an answer, for at most the longest client
+//     timeout plus proxy.AnswerMargin. Requests without an answer after that are logged as unanswered.
+//  4. The pools' event loops stop, then the recovery, the policy replica and the key replica.
+//  5. The gateway announces to the others that it leaves, so that they can use its share at once.
 func (s *Service) shutdown() {
 	s.log.Info("ending")
 	longestTimeout := s.stopReloads()
@@ -96,11 +96,11 @@
 	s.log.Info("ended", "unanswered", unanswered)
 }
 
-// stopReloads ends reloads for good, and returns the longest time that a request of any pool may take.
+// stopReloads rejects all further reloads and returns the longest time that a request of any pool may take.
 func (s *Service) stopReloads() (longestTimeout time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.isEnding = true
+	s.isShuttingDown = true
 	for _, p := range s.pools {
 		longestTimeout = max(longestTimeout, p.proxy.LongestTimeout())
 	}
@@ -108,7 +108,7 @@
 }
 
 // drainFrontends waits until closeListenersAt, then closes all listeners and returns when no client waits for an
-// answer, at giveUpAt at the latest. Both are times of the event loops' clock.
+// answer, at giveUpAt at the latest. Both are times on the event loops' clock.
 func (s *Service) drainFrontends(closeListenersAt, giveUpAt time.Duration) {
 	for {
 		now := s.Now()
@@ -120,7 +120,7 @@
 	}
 }
 
-// drainOnce closes all listeners, and connections that are between two requests. It reports whether none is left.
+// drainOnce closes all listeners and idle connections. It reports whether no connection is left.
 func (s *Service) drainOnce() bool {
 	isDrained := true
 	for _, frontend := range s.frontends {
@@ -132,8 +132,7 @@
 	return isDrained
 }
 
-// endPools ends all pools and returns the number of requests that they have not answered. Nobody changes the pools any
-// more.
+// endPools stops all pools and returns the number of unanswered requests. The pools must not change any more.
 func (s *Service) endPools() (unanswered int) {
 	for _, p := range s.pools {
 		p.end()
--- a/internal/service/hosted/service.go
+++ b/internal/service/hosted/service.go
@@ -19,54 +19,54 @@
 	"gapgap/internal/vfs"
 )
 
-// Service is a gapgapd that listens. Any goroutine may call its methods.
+// Service is one gapgapd process with its listeners and pools. It is safe for concurrent use.
 type Service struct {
 	*proxy.Env
-	// Shared is what all listeners for authorization checks have in common.
+	// Shared is the state that all listeners for authorization checks share.
 	Shared *extauthz.Shared
 
 	log *slog.Logger
-	// clock is the event loop whose time all loops share.
+	// clock is the event loop whose clock all event loops share.
 	clock *eventloop.Loop
-	// coarseTime is that of Env.Coarse, as a time.Duration.
+	// coarseTime is the time that Env.Coarse returns, as a time.Duration.
 	coarseTime atomic.Int64
 	frontends  []proxy.Frontend
-	// authzFrontends are those of the frontends that take authorization checks.
+	// authzFrontends is the subset of frontends that answers authorization checks.
 	authzFrontends []*extauthz.Front
-	// addresses are those of the listeners by name.
+	// addresses maps listener names to their addresses.
 	addresses map[string]net.Addr
 	done      chan struct{}
 	router    router
 	inboxes   endpointInboxes
-	// cpuScheduler is nil if the pools do not share the processor by weights.
+	// cpuScheduler is nil if the pools do not share the CPU by weight.
 	cpuScheduler *cpuscheduler.Scheduler
-	// limits is nil if there is one pool.
+	// limits is nil if the file has no [[pool]] tables.
 	limits *sharedLimits
-	// metrics is nil if no listener shows them.
+	// metrics is nil if no listener serves them.
 	metrics *metrics
-	// cluster and recovery are nil if the gateway stands alone.
+	// cluster and recovery are nil if the gateway is not part of a cluster.
 	cluster  *clusterMember
 	recovery *startupRecovery
-	// policy is nil if the policy is that of the file.
+	// policy is nil if the policy comes from the configuration file.
 	policy *policyHost
-	// keys is nil if no keys are reserved over all gateways.
+	// keys is nil if no idempotency keys are reserved across gateways.
 	keys *replica.Replica
 	// disk is the file system of the state directory.
 	disk vfs.FS
 
-	// mu is held while the fields below are used, and while pools are changed.
+	// mu guards the fields below and is held while pools change.
 	mu    sync.Mutex
 	cfg   *Config
 	pools map[string]*pool
-	// policyVersion is the version of the policy in cfg; 0: it is that of the file.
+	// policyVersion is the version of the policy in cfg; 0 means that the policy comes from the file.
 	policyVersion uint64
-	// isEnding tells that the shutdown has begun: pools are changed no more.
-	isEnding bool
-	// removals are the goroutines that remove pools.
+	// isShuttingDown is set once the shutdown has begun; pools no longer change after that.
+	isShuttingDown bool
+	// removals tracks the goroutines that remove pools.
 	removals sync.WaitGroup
 }
 
-// New makes the service and opens its listeners; it takes no connection before Serve.
+// New creates the service and opens its listeners. It accepts no connection before Serve.
 func New(cfg *Config, log *slog.Logger) (*Service, error) {
 	s := newService(cfg, log)
 	if err := s.open(cfg); err != nil {
@@ -76,7 +76,7 @@
 	return s, nil
 }
 
-// newService returns a service that has opened nothing yet.
+// newService returns a service without any open component.
 func newService(cfg *Config, log *slog.Logger) *Service {
 	s := &Service{
 		log:       log,
@@ -99,7 +99,7 @@
 	return s
 }
 
-// open opens all parts of the service in the order in which they need each other.
+// open opens all components of the service in the order of their dependencies.
 func (s *Service) open(cfg *Config) (err error) {
 	if s.Shared, err = extauthz.NewShared(s.Env, cfg.Shared); err != nil {
 		return err
@@ -133,7 +133,7 @@
 	return nil
 }
 
-// openCluster opens what a gateway of a cluster has beside one that stands alone.
+// openCluster opens the components that only a gateway in a cluster has.
 func (s *Service) openCluster(cfg *Config) (err error) {
 	if s.cluster, err = s.newClusterMember(cfg.Fleet, cfg.GatewayName); err != nil {
 		return err
@@ -143,7 +143,7 @@
 			return err
 		}
 	}
-	if hasFleetPolicy(cfg.Fleet) {
+	if hasClusterPolicy(cfg.Fleet) {
 		if s.policy, err = s.openPolicy(cfg); err != nil {
 			return err
 		}
@@ -153,7 +153,7 @@
 	return nil
 }
 
-// abandon closes what open has opened before it failed.
+// abandon closes the components that open had opened before it failed.
 func (s *Service) abandon() {
 	for _, frontend := range s.frontends {
 		frontend.CloseListeners()
@@ -165,16 +165,16 @@
 	s.cluster.close()
 }
 
-// updateCoarseTime sets the time of Env.Coarse.
+// updateCoarseTime sets the time that Env.Coarse returns.
 func (s *Service) updateCoarseTime() { s.coarseTime.Store(int64(s.Now())) }
 
-// Addr returns the address of a listener, or nil if there is none of this name.
+// Addr returns the address of a listener, or nil if no listener has this name.
 func (s *Service) Addr(listener string) net.Addr { return s.addresses[listener] }
 
-// Done is closed when the service has ended.
+// Done returns a channel that is closed when the service has ended.
 func (s *Service) Done() <-chan struct{} { return s.done }
 
-// Ready reports whether every pool has known an endpoint in service.
+// Ready reports whether every pool has had a serving endpoint.
 func (s *Service) Ready() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -186,7 +186,7 @@
 	return true
 }
 
-// Pools returns for each pool's name the number of requests that hold it.
+// Pools returns the number of requests in progress by pool name.
 func (s *Service) Pools() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
