--- a/internal/service/hosted/configfile_test.go
+++ b/internal/service/hosted/configfile_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// A value in the place of a table, or a table in the place of a value, is told in the file's own terms.
+// TestMistypedValues verifies that errors for values of a wrong type use the terms of the file: a value in the place of
+// a table, a table in the place of a value, and unknown keys.
 func TestMistypedValues(t *testing.T) {
 	for text, want := range map[string]string{
 		"node = 3":                      "x:1: node: is to be a table, not a TOML integer",
