--- a/internal/service/hosted/golden_test.go
+++ b/internal/service/hosted/golden_test.go
@@ -13,7 +13,8 @@
 	"gapgap/internal/recovery"
 )
 
-// Names, help texts and labels of metrics are what operators' dashboards go by.
+// TestGoldenMetrics verifies that names, help texts and labels of metrics, which operators' dashboards depend on, do
+// not change.
 func TestGoldenMetrics(t *testing.T) {
 	descs := make(chan *prometheus.Desc, 100)
 	(&metrics{answers: prometheus.NewHistogramVec(prometheus.HistogramOpts{
@@ -28,7 +29,7 @@
 	golden.CheckBytes(t, "testdata/golden/metrics.txt", out.Bytes())
 }
 
-// The JSON that gapgapctl reads of a process.
+// TestGoldenViews verifies that the JSON which gapgapctl reads from a process does not change.
 func TestGoldenViews(t *testing.T) {
 	version := policy.Version{Number: 7, Hash: policy.Hash{1, 2, 3}}
 	change := &policy.Change{
