--- a/internal/service/hosted/ceilings_test.go
+++ b/internal/service/hosted/ceilings_test.go
@@ -11,15 +11,15 @@
 	"gapgap/internal/fake/peer"
 )
 
-// leasedCeilings are the edits of a configuration whose ceilings are leased from the counter.
+// leasedCeilings has the edits for a configuration whose ceilings are leased from the counter.
 var leasedCeilings = []string{
 	`counter_timeout = "2s"`, `counter_timeout = "500ms"`,
 	"[node]", "[node]\nceilings = \"demand\"",
 }
 
-// counted floods one account at gateways for a time, by checks or over RESP2 or both, and returns what was let through
-// by second.
-func (w *world) counted(d func(now time.Duration) *gateway, lasts time.Duration, checks, resp int) []int {
+// countAdmitted floods gateways with requests of one account, by checks, over RESP2 or both, and returns the number of
+// admitted requests by second.
+func (w *testEnv) countAdmitted(d func(now time.Duration) *gateway, lasts time.Duration, checks, resp int) []int {
 	var mu sync.Mutex
 	bySecond := make([]int, int(lasts/time.Second)+1)
 	begun := time.Now()
@@ -31,9 +31,9 @@
 	var wg sync.WaitGroup
 	for range checks {
 		wg.Go(func() {
-			c := client()
+			c := newClient()
 			for now := time.Since(begun); now < lasts; now = time.Since(begun) {
-				code, _, _, err := try(c, d(now).http+"/traefik", bearer("big")...)
+				code, _, _, err := tryCheck(c, d(now).http+"/traefik", bearer("big")...)
 				if err == nil && code == http.StatusOK {
 					passed()
 				}
@@ -62,70 +62,70 @@
 	return bySecond
 }
 
-// Three gateways, one account with all its traffic at one of them, by checks, over RESP2, and by both with the gateway
-// changing each second: it gets what it pays for and no more. Even parts would give it a third of 40 a second, less
-// than its quota of 20. The part that is asked for here is over that third; how much it is, virtual time tells
-// (internal/simulator), as fresh gateways that start together sometimes find the quota's store put right twice, and
-// have the rest only.
+// TestCeilingsOverThreeDoors verifies that an account whose traffic arrives at one of three gateways, by checks, over
+// RESP2, or by both with the gateway changing each second, can use its ceiling and no more. Even shares would give it a
+// third of 40 per second, which is less than its quota of 20 per second. The test requires more than that third. The
+// exact fraction is checked in virtual time (internal/simulator): gateways that start together sometimes see the tokens
+// of the quota corrected twice, and get only the remainder.
 func TestCeilingsOverThreeDoors(t *testing.T) {
 	for name, c := range map[string]struct {
 		checks, resp int
 		moves        bool
-		least        float64 // part of the ceiling from the third second on
+		minFraction  float64 // of the ceiling, from the third second on
 	}{
-		"checks":       {checks: 4, least: 0.4},
-		"RESP2":        {resp: 4, least: 0.4},
-		"both, moving": {checks: 3, resp: 3, moves: true, least: 0.4},
+		"checks":       {checks: 4, minFraction: 0.4},
+		"RESP2":        {resp: 4, minFraction: 0.4},
+		"both, moving": {checks: 3, resp: 3, moves: true, minFraction: 0.4},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			const lasts = 8
-			w := start(t, 3, leasedCeilings...)
-			all := w.counted(func(now time.Duration) *gateway {
+			w := startEnv(t, 3, leasedCeilings...)
+			all := w.countAdmitted(func(now time.Duration) *gateway {
 				if c.moves {
 					return w.gateways[int(now/time.Second)%2]
 				}
 				return w.gateways[0]
 			}, lasts*time.Second, c.checks, c.resp)
-			sum, late := 0, 0
+			sum, afterStart := 0, 0
 			for s, n := range all {
 				if sum += n; s >= 3 && s < lasts {
-					late += n
+					afterStart += n
 				}
 			}
-			if float64(late) < c.least*40*(lasts-3) {
-				t.Errorf("%d of %d from the third second on: %v", late, 40*(lasts-3), all)
+			if float64(afterStart) < c.minFraction*40*(lasts-3) {
+				t.Errorf("%d of %d admitted from the third second on: %v", afterStart, 40*(lasts-3), all)
 			}
-			// the depth, the rate, the slack of a tenth, and what the clock of the test adds
-			if most := 40 + 40*lasts + 4 + 4; sum > most {
-				t.Errorf("%d were let through, over the ceiling's %d: %v", sum, most, all)
+			// the burst, the rate, the tolerance of a tenth, and 4 for the inaccuracy of the test's clock
+			if limit := 40 + 40*lasts + 4 + 4; sum > limit {
+				t.Errorf("%d were admitted, more than the ceiling's %d: %v", sum, limit, all)
 			}
 		})
 	}
 }
 
-// A client inside its quota is served whole at one gateway of three, and a gateway that is killed leaves its part to
-// the others.
+// TestCeilingsInsideTheQuotaAtOneDoor verifies that a client within its quota is fully served by one of three gateways,
+// also after the other two were stopped and their shares have passed to it.
 func TestCeilingsInsideTheQuotaAtOneDoor(t *testing.T) {
-	w := start(t, 3, leasedCeilings...)
-	w.warm(w.gateways[0], "big")
+	w := startEnv(t, 3, leasedCeilings...)
+	w.waitForCeiling(w.gateways[0], "big")
 	time.Sleep(time.Second)
-	c := client()
+	c := newClient()
 	asked, allowed := 0, 0
-	tick := time.NewTicker(55 * time.Millisecond) // 18 a second of 20
+	tick := time.NewTicker(55 * time.Millisecond) // 18 per second, with a quota of 20
 	defer tick.Stop()
 	for range 90 {
 		<-tick.C
 		asked++
-		if code, _, _ := ask(t, c, w.gateways[0].http+"/traefik", bearer("big")...); code == http.StatusOK {
+		if code, _, _ := mustCheck(t, c, w.gateways[0].http+"/traefik", bearer("big")...); code == http.StatusOK {
 			allowed++
 		}
-		if asked == 45 { // the others are gone
+		if asked == 45 { // stop the other gateways
 			w.gateways[1].stop()
 			w.gateways[2].stop()
 		}
 	}
 	if allowed < 80 {
-		t.Errorf("%d of %d inside the quota", allowed, asked)
+		t.Errorf("%d of %d allowed within the quota", allowed, asked)
 	}
 }
--- a/internal/service/hosted/endpointinbox_test.go
+++ b/internal/service/hosted/endpointinbox_test.go
@@ -13,24 +13,29 @@
 	"gapgap/internal/fake/peer"
 )
 
-// What one pool finds out about a shared server reaches the other under its own name for it: after the first has left
-// out a server whose connections break, one broken connection is enough for the second.
+// TestPoolsFindingsReachTheOtherPool verifies that a pool's health report on a shared endpoint reaches the other pool,
+// which has the endpoint under another name: once the first pool has ejected an endpoint whose connections break, the
+// second pool ejects it after a single broken connection.
 func TestPoolsFindingsReachTheOtherPool(t *testing.T) {
 	ln := peer.Listen(t)
-	var came atomic.Int64
+	var accepted atomic.Int64
 	go func() {
 		for {
 			nc, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			came.Add(1)
+			accepted.Add(1)
 			_ = nc.Close()
 		}
 	}()
-	w := &poolsWorld{world: start(t, 0), agents: map[string]*catalog.Agent{}, servers: map[string]*flagserver.Server{}}
-	text := w.config("a", to("b", "b", `host = "b.org"`), "a", "b")
-	w.gateway = w.run(strings.ReplaceAll(text, "probe = true", "probe = false"))
+	w := &poolsEnv{
+		testEnv: startEnv(t, 0),
+		agents:  map[string]*catalog.Agent{},
+		servers: map[string]*flagserver.Server{},
+	}
+	text := w.configText("a", routeTo("b", "b", `host = "b.org"`), "a", "b")
+	w.gateway = w.startService(strings.ReplaceAll(text, "probe = true", "probe = false"))
 	p := peer.Dial(t, w.gateway.resp)
 	w.agents["a"].Set(catalog.Serving("s-a", w.servers["a"].Addr()), catalog.Serving("x", ln.Addr().String()))
 	w.agents["b"].Set(catalog.Serving("s-b", w.servers["b"].Addr()), catalog.Serving("y", ln.Addr().String()))
@@ -39,34 +44,35 @@
 		t.Helper()
 		for end := time.Now().Add(peer.Patient); ; {
 			n++
-			// all its attempts broke
-			if got := w.resp(p, fmt.Sprint(n), ",host="+host); !strings.HasPrefix(got, "from") && got != "-BUSY" {
+			// -BUSY: all attempts failed
+			if got := w.askRESP2(p, fmt.Sprint(n), ",host="+host); !strings.HasPrefix(got, "from") && got != "-BUSY" {
 				t.Fatalf("%s: %q", host, got)
 			}
-			if at := came.Load() - from; at >= most {
+			if at := accepted.Load() - from; at >= most {
 				return at
 			}
 			if time.Now().After(end) {
-				t.Fatalf("%s tried the broken server %d times", host, came.Load()-from)
+				t.Fatalf("%s tried the failing endpoint %d times", host, accepted.Load()-from)
 			}
 		}
 	}
-	until("a.org", 0, 3) // the module leaves it out with the third
-	from := came.Load()
+	until("a.org", 0, 3) // the balancer ejects it after the third
+	from := accepted.Load()
 	until("b.org", from, 1)
-	for range 30 { // b asks on, and does not come back within its first pause
+	for range 30 { // pool b does not retry the endpoint within the first ejection
 		n++
-		w.resp(p, fmt.Sprint(n), ",host=b.org")
+		w.askRESP2(p, fmt.Sprint(n), ",host=b.org")
 	}
-	if at := came.Load() - from; at != 1 {
-		t.Errorf("the second pool tried the broken server %d times", at)
+	if at := accepted.Load() - from; at != 1 {
+		t.Errorf("the second pool tried the failing endpoint %d times", at)
 	}
 }
 
-// A server that stands in two pools, under two names: a drain or a removal told to one pool stops both within the 250
-// ms, also if the other pool's source goes on listing it; told in service again by its own source, a pool takes it up.
+// TestPoolsSharedServerDrains verifies that two pools which share an endpoint under two names both stop using it within
+// 250 ms of a drain or a removal in one pool's endpoint list, even if the other list still has it as serving. A pool
+// uses the endpoint again once its own list reports it as serving again.
 func TestPoolsSharedServerDrains(t *testing.T) {
-	w := startPools(t, "a", to("b", "b", `host = "b.org"`), "a", "b")
+	w := startPools(t, "a", routeTo("b", "b", `host = "b.org"`), "a", "b")
 	shared, err := flagserver.Start(flagserver.Config{Value: "shared", Keep: true})
 	if err != nil {
 		t.Fatal(err)
@@ -89,11 +95,11 @@
 					return
 				default:
 				}
-				w.resp(p, fmt.Sprint(i, "-", n), []string{"", ",host=b.org"}[i%2])
+				w.askRESP2(p, fmt.Sprint(i, "-", n), []string{"", ",host=b.org"}[i%2])
 			}
 		})
 	}
-	// sends counts what comes to the shared server while something is looked at, a grace after it is told.
+	// sends waits for a grace period and then counts the requests to the shared endpoint during some time.
 	sends := func(grace, while time.Duration) int {
 		time.Sleep(grace)
 		before := len(shared.Sent())
@@ -104,7 +110,7 @@
 		t.Helper()
 		for end := time.Now().Add(peer.Patient); sends(0, 100*time.Millisecond) == 0; {
 			if time.Now().After(end) {
-				t.Fatal("the server is never used")
+				t.Fatal("the endpoint is never used")
 			}
 		}
 	}
@@ -113,20 +119,20 @@
 	both()
 	w.agents["a"].Set(own("a"), at("x", "DRAINING"))
 	if n := sends(250*time.Millisecond, 300*time.Millisecond); n > 0 {
-		t.Errorf("%d sends after a drain told to one pool", n)
+		t.Errorf("%d sends after a drain in one pool's list", n)
 	}
-	w.agents["b"].Set(own("b"), at("y", "SERVING")) // it goes on listing it
+	w.agents["b"].Set(own("b"), at("y", "SERVING")) // the other list still has it
 	if n := sends(250*time.Millisecond, 200*time.Millisecond); n > 0 {
-		t.Errorf("%d sends to a server that drains for another pool", n)
+		t.Errorf("%d sends to an endpoint that is draining in another pool's list", n)
 	}
 	w.agents["a"].Set(own("a"), at("x", "SERVING"))
 	both()
-	w.agents["a"].Set(own("a")) // removed from one
+	w.agents["a"].Set(own("a")) // removed from one list
 	if n := sends(250*time.Millisecond, 300*time.Millisecond); n > 0 {
-		t.Errorf("%d sends after a removal told to one pool", n)
+		t.Errorf("%d sends after a removal from one pool's list", n)
 	}
 	w.agents["b"].Set(own("b"), at("y", "SERVING"))
-	both() // its own source insists
+	both() // its own list reports it again
 	close(stop)
 	wg.Wait()
 }
--- a/internal/service/hosted/forwardauth_conn_test.go
+++ b/internal/service/hosted/forwardauth_conn_test.go
@@ -30,16 +30,17 @@
 	"gapgap/internal/resourcelimit"
 )
 
-// h2c is a client that speaks HTTP/2 without TLS, with prior knowledge.
-func h2c() *http.Client {
+// newHTTP2Client returns a client for HTTP/2 without TLS, with prior knowledge.
+func newHTTP2Client() *http.Client {
 	p := &http.Protocols{}
 	p.SetUnencryptedHTTP2(true)
 	return &http.Client{Transport: &http.Transport{Protocols: p}, Timeout: peer.Patient}
 }
 
+// TestForwardAuthHTTP2 verifies that checks over HTTP/2 share one connection.
 func TestForwardAuthHTTP2(t *testing.T) {
-	w := start(t, 1)
-	c := h2c()
+	w := startEnv(t, 1)
+	c := newHTTP2Client()
 	req, _ := http.NewRequest(http.MethodGet, w.gateways[0].http+"/traefik", nil)
 	req.Header = http.Header{"X-Forwarded-Method": {"GET"}, "X-Forwarded-Uri": {"/"}, "X-Forwarded-Host": {"x"},
 		"Authorization": {"Bearer key-free"}}
@@ -55,8 +56,8 @@
 	}
 }
 
-// framer opens an HTTP/2 connection that the test plays frame by frame.
-func framer(t *testing.T, addr string) (*http2.Framer, net.Conn) {
+// dialHTTP2 opens an HTTP/2 connection on which the test writes single frames.
+func dialHTTP2(t *testing.T, addr string) (*http2.Framer, net.Conn) {
 	t.Helper()
 	nc, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -70,7 +71,8 @@
 	return f, nc
 }
 
-func block(fields ...string) []byte {
+// encodeHeaders returns a header block with fields given as pairs of name and value.
+func encodeHeaders(fields ...string) []byte {
 	var b bytes.Buffer
 	e := hpack.NewEncoder(&b)
 	for i := 0; i < len(fields); i += 2 {
@@ -79,10 +81,11 @@
 	return b.Bytes()
 }
 
-// Streams opened and reset by thousands, or opened beyond what is allowed, or held half open: the connection is ended
-// or its streams refused, nothing is left behind, and others are answered meanwhile.
+// TestForwardAuthStreamFloods verifies that floods of frames on one HTTP/2 connection (streams that are reset, streams
+// that stay half open, pings, settings, continuations) leak no goroutines or memory, and that other clients are
+// answered meanwhile.
 func TestForwardAuthStreamFloods(t *testing.T) {
-	check := block(":method", "GET", ":scheme", "http", ":path", "/traefik", ":authority", "x",
+	check := encodeHeaders(":method", "GET", ":scheme", "http", ":path", "/traefik", ":authority", "x",
 		"x-forwarded-method", "GET", "x-forwarded-uri", "/", "x-forwarded-host", "x",
 		"authorization", "Bearer key-free")
 	for name, flood := range map[string]func(f *http2.Framer, id uint32) error{
@@ -107,42 +110,42 @@
 			if id == 1 {
 				return f.WriteHeaders(http2.HeadersFrameParam{StreamID: id, BlockFragment: check})
 			}
-			return f.WriteContinuation(1, false, block(fmt.Sprint("x-", id), strings.Repeat("y", 100)))
+			return f.WriteContinuation(1, false, encodeHeaders(fmt.Sprint("x-", id), strings.Repeat("y", 100)))
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := start(t, 1)
+			w := startEnv(t, 1)
 			d := w.gateways[0]
 			before := runtime.NumGoroutine()
-			f, nc := framer(t, d.Addr("http").String())
+			f, nc := dialHTTP2(t, d.Addr("http").String())
 			go func() { _, _ = io.Copy(io.Discard, nc) }()
 			for id := uint32(1); id < 10_000; id += 2 {
 				if flood(f, id) != nil {
-					break // ended by the other side
+					break // closed by the gateway
 				}
 				if id%2000 == 1 {
-					if code, _, _ := ask(t, client(), d.http+"/traefik", bearer("free")...); code != 200 {
-						t.Fatalf("another: %d", code)
+					if code, _, _ := mustCheck(t, newClient(), d.http+"/traefik", bearer("free")...); code != 200 {
+						t.Fatalf("a check of another client: %d", code)
 					}
 				}
 			}
 			if n := runtime.NumGoroutine() - before; n > 400 {
-				t.Errorf("%d goroutines more", n)
+				t.Errorf("%d additional goroutines", n)
 			}
 			_ = nc.Close()
 			for end := time.Now().Add(peer.Patient); d.Memory.Held() > 0; time.Sleep(time.Millisecond) {
 				if time.Now().After(end) {
-					t.Fatalf("%d bytes are held", d.Memory.Held())
+					t.Fatalf("%d bytes remain held", d.Memory.Held())
 				}
 			}
 		})
 	}
 }
 
-// All fronts have one budget of connections: idle ones of either give way to newcomers of the other, and one on which a
-// check is open does not.
+// TestForwardAuthConnectionsShareOneBudget verifies that all frontends share one limit on client connections: at the
+// limit, idle HTTP connections are closed for new RESP2 connections.
 func TestForwardAuthConnectionsShareOneBudget(t *testing.T) {
-	w := start(t, 1, "sockets = 2048", "sockets = 10") // 6 for clients
+	w := startEnv(t, 1, "sockets = 2048", "sockets = 10") // 6 of the 10 sockets are for clients
 	d := w.gateways[0]
 	var idle []net.Conn
 	for range d.Conns.Max() {
@@ -156,14 +159,14 @@
 		_, _ = nc.Read(make([]byte, 4096))
 		idle = append(idle, nc)
 	}
-	// some have been idle long enough by then
+	// Connections can be evicted once they have been idle for some time.
 	for end := time.Now().Add(peer.Patient); ; time.Sleep(20 * time.Millisecond) {
 		p := peer.Dial(t, d.resp)
 		p.Command("PING")
 		if m, err := p.Try(); err == nil && m[0] == "+PONG" {
 			break
 		} else if time.Now().After(end) {
-			t.Fatalf("no room is made: %v %v", m, err)
+			t.Fatalf("no idle connection is closed for a new one: %v %v", m, err)
 		}
 		_ = p.NC.Close()
 	}
@@ -178,20 +181,21 @@
 		t.Error("no idle HTTP connection was closed")
 	}
 	if n := d.Conns.Len(); n > d.Conns.Max() {
-		t.Errorf("%d connections, %d may be held", n, d.Conns.Max())
+		t.Errorf("%d connections, over the limit of %d", n, d.Conns.Max())
 	}
 }
 
-// With every place held by a check that is open, a newcomer is told so and nothing is closed.
+// TestForwardAuthBusyConnectionsStay verifies that, if all client connections have a check in flight, new connections
+// are rejected and none of the others is closed.
 func TestForwardAuthBusyConnectionsStay(t *testing.T) {
-	w := start(t, 1, "sockets = 2048", "sockets = 10")
+	w := startEnv(t, 1, "sockets = 2048", "sockets = 10")
 	d := w.gateways[0]
-	spend(t, d, "small", 6)
+	spendUnits(t, d, "small", 6)
 	resume := w.counter.Stall()
 	defer resume()
 	codes := make(chan int, 16)
 	n := d.Conns.Max()
-	for d.Conns.Len() > 0 { // those of spend end with their clients
+	for d.Conns.Len() > 0 { // close the connections of spendUnits
 		for _, h := range resourcelimit.ConnectionsOf[resourcelimit.ClientConnection](d.Conns) {
 			h.CloseWhenIdle()
 		}
@@ -199,7 +203,8 @@
 	}
 	for i := range n {
 		go func() {
-			code, _, _, err := try(client(), d.http+"/long", append(bearer("small"), "X-Request-Id", fmt.Sprint(i))...)
+			code, _, _, err := tryCheck(newClient(), d.http+"/long",
+				append(bearer("small"), "X-Request-Id", fmt.Sprint(i))...)
 			if err != nil {
 				code = -1
 			}
@@ -208,24 +213,24 @@
 	}
 	for end := time.Now().Add(peer.Patient); d.Conns.Len() < n; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the checks do not come")
+			t.Fatal("the checks do not arrive")
 		}
 	}
-	if code, _, _, err := try(client(), d.http+"/long", bearer("free")...); err == nil && code != 503 {
-		t.Errorf("beyond the bound: %d", code)
+	if code, _, _, err := tryCheck(newClient(), d.http+"/long", bearer("free")...); err == nil && code != 503 {
+		t.Errorf("a check over the limit: %d", code)
 	}
 	p := peer.Dial(t, d.resp)
 	p.WantsPrefix("-BUSY")
 	resume()
 	for range n {
 		if code := <-codes; code != 200 && code != 429 && code != 503 {
-			t.Errorf("an open check was answered %d", code)
+			t.Errorf("a check in flight was answered %d", code)
 		}
 	}
 }
 
-// keyPair makes a certificate signed by another, or by itself, and writes both files.
-func keyPair(t *testing.T, dir, name string, ca *tls.Certificate, isCA bool) tls.Certificate {
+// issueCertificate creates a certificate signed by a CA, or a self-signed one if ca is nil, and writes its PEM files.
+func issueCertificate(t *testing.T, dir, name string, ca *tls.Certificate, isCA bool) tls.Certificate {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -270,12 +275,13 @@
 	return pair
 }
 
-// Over TLS only a proxy that shows a listed certificate of the right authority may ask, by HTTP/1.1 or HTTP/2.
+// TestForwardAuthClientCertificates verifies that over TLS only proxies with a trusted certificate of the configured CA
+// may send checks, over HTTP/1.1 and HTTP/2.
 func TestForwardAuthClientCertificates(t *testing.T) {
 	dir := t.TempDir()
-	ca, otherCA := keyPair(t, dir, "ca", nil, true), keyPair(t, dir, "otherca", nil, true)
-	keyPair(t, dir, "server", &ca, false)
-	w := start(t, 1, `trusted = ["127.0.0.1"]`,
+	ca, otherCA := issueCertificate(t, dir, "ca", nil, true), issueCertificate(t, dir, "otherca", nil, true)
+	issueCertificate(t, dir, "server", &ca, false)
+	w := startEnv(t, 1, `trusted = ["127.0.0.1"]`,
 		fmt.Sprintf("trusted_certificates = [\"proxy\"]\ntls = {certificate=%q, key=%q, client_ca=%q}",
 			dir+"/server.pem", dir+"/server.key", dir+"/ca.pem"))
 	url := "https://" + w.gateways[0].Addr("http").String() + "/traefik"
@@ -286,36 +292,37 @@
 			certs []tls.Certificate
 			want  int // 0: no connection
 		}{
-			"listed":            {[]tls.Certificate{keyPair(t, dir, "proxy", &ca, false)}, 200},
-			"not listed":        {[]tls.Certificate{keyPair(t, dir, "another", &ca, false)}, 403},
+			"listed":            {[]tls.Certificate{issueCertificate(t, dir, "proxy", &ca, false)}, 200},
+			"not listed":        {[]tls.Certificate{issueCertificate(t, dir, "another", &ca, false)}, 403},
 			"none":              {nil, 403},
-			"another authority": {[]tls.Certificate{keyPair(t, dir, "proxy", &otherCA, false)}, 0},
+			"another authority": {[]tls.Certificate{issueCertificate(t, dir, "proxy", &otherCA, false)}, 0},
 		} {
 			tr := &http.Transport{ForceAttemptHTTP2: h2, TLSClientConfig: &tls.Config{RootCAs: roots}}
-			if c.certs != nil { // shown whatever authorities the server names
+			if c.certs != nil { // sent whatever CAs the server requests
 				show := func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return &c.certs[0], nil }
 				tr.TLSClientConfig.GetClientCertificate = show
 			}
-			code, _, _, err := try(&http.Client{Transport: tr, Timeout: peer.Patient}, url, bearer("free")...)
+			code, _, _, err := tryCheck(&http.Client{Transport: tr, Timeout: peer.Patient}, url, bearer("free")...)
 			if code != c.want || (err != nil) != (c.want == 0) {
 				t.Errorf("%s (HTTP/2 %v): %d %v", name, h2, code, err)
 			}
 			tr.CloseIdleConnections()
 		}
 	}
-	code, _, _, err := try(client(), strings.Replace(url, "https", "http", 1), bearer("free")...)
+	code, _, _, err := tryCheck(newClient(), strings.Replace(url, "https", "http", 1), bearer("free")...)
 	if err == nil && code < 400 {
 		t.Errorf("without TLS: %d", code)
 	}
 }
 
-// A gateway that has served, been flooded and shut down leaves no goroutine behind.
+// TestForwardAuthLeavesNothingBehind verifies that a gateway leaks no goroutine if it is shut down after checks over
+// HTTP/1.1 and HTTP/2 and RESP2 requests, with an incomplete request on an open connection.
 func TestForwardAuthLeavesNothingBehind(t *testing.T) {
 	ignore := goleak.IgnoreCurrent()
-	w := start(t, 1)
-	for _, c := range []*http.Client{client(), h2c()} {
+	w := startEnv(t, 1)
+	for _, c := range []*http.Client{newClient(), newHTTP2Client()} {
 		for range 20 {
-			ask(t, c, w.gateways[0].http+"/traefik", bearer("free")...)
+			mustCheck(t, c, w.gateways[0].http+"/traefik", bearer("free")...)
 		}
 		c.CloseIdleConnections()
 	}
@@ -328,7 +335,7 @@
 	p.Command("Q.ASK", customers["free"], "1", "c=evaluate,t=open,d=2000,units=1,spread=1,first=0")
 	p.Message()
 	w.gateways[0].stop()
-	<-w.gateways[0].ended
+	<-w.gateways[0].stopped
 	_ = half.Close()
 	_ = p.NC.Close()
 	for _, s := range w.servers {
@@ -339,10 +346,10 @@
 	goleak.VerifyNone(t, ignore)
 }
 
-// A request that drips in has one deadline, however its bytes come: before the first check of a connection and after
-// one. The connection ends long before the request would be whole.
+// TestForwardAuthDrippingHeaders verifies that a request which arrives byte by byte has one deadline for its whole
+// header, as the first request on a connection and as a later one.
 func TestForwardAuthDrippingHeaders(t *testing.T) {
-	w := start(t, 1)
+	w := startEnv(t, 1)
 	addr := w.gateways[0].Addr("http").String()
 	for name, before := range map[string]string{"first": "", "later": "GET /none HTTP/1.1\r\nHost: x\r\n\r\n"} {
 		t.Run(name, func(t *testing.T) {
@@ -364,7 +371,7 @@
 				_, err := io.Copy(io.Discard, nc)
 				ended <- err
 			}()
-			for i := range 300 { // half a minute's worth
+			for i := range 300 { // half a minute
 				_, _ = fmt.Fprintf(nc, "%c", ("GET /none HTTP/1.1\r\nX: " + strings.Repeat("y", 300))[i])
 				select {
 				case err := <-ended:
--- a/internal/service/hosted/forwardauth_quota_test.go
+++ b/internal/service/hosted/forwardauth_quota_test.go
@@ -12,30 +12,30 @@
 	"gapgap/internal/frontend/extauthz"
 )
 
-// flood drives one account for a while from many clients at once, over RESP2, HTTP or both, through all gateways, and
-// returns when each of its requests went on.
-func flood(t *testing.T, w *world, account, plan string, resp, http bool, lasts time.Duration) []time.Time {
+// flood sends requests of one account through all gateways from many concurrent clients, over RESP2, HTTP or both, and
+// returns the times at which requests were admitted, in order.
+func flood(t *testing.T, w *testEnv, account, plan string, resp, http bool, lasts time.Duration) []time.Time {
 	t.Helper()
-	const clients, pause = 8, 8 * time.Millisecond // each gateway gets 1,000 a second: 25 times the ceiling
+	const clients, pause = 8, 8 * time.Millisecond // each gateway gets 1,000 per second: 25 times the ceiling
 	var mu sync.Mutex
-	var went []time.Time
+	var admittedAt []time.Time
 	var wg sync.WaitGroup
 	end := time.Now().Add(lasts)
 	for i, d := range w.gateways {
 		for j := range clients {
 			if useHTTP := http && (!resp || j%2 == 0); useHTTP {
 				wg.Go(func() {
-					c := client()
+					c := newClient()
 					defer c.CloseIdleConnections()
 					for time.Now().Before(end) {
-						code, h, _, err := try(c, d.http+"/traefik", bearer(account)...)
+						code, h, _, err := tryCheck(c, d.http+"/traefik", bearer(account)...)
 						if err != nil || code != 200 && code != 429 {
 							t.Errorf("code %d, undecided %q, %v", code, h.Get(extauthz.HeaderUndecided), err)
 							return
 						}
 						if code == 200 {
 							mu.Lock()
-							went = append(went, time.Now())
+							admittedAt = append(admittedAt, time.Now())
 							mu.Unlock()
 						}
 						time.Sleep(pause)
@@ -58,23 +58,24 @@
 		}
 	}
 	wg.Wait()
-	time.Sleep(50 * time.Millisecond) // what is still on its way to a flag server
+	time.Sleep(50 * time.Millisecond) // for requests on their way to a flag server
 	for _, s := range w.servers {
 		for _, sent := range s.Sent() {
 			if sent.Customer == customers[account] {
-				went = append(went, sent.At)
+				admittedAt = append(admittedAt, sent.At)
 			}
 		}
 	}
-	slices.SortFunc(went, time.Time.Compare)
-	return went
+	slices.SortFunc(admittedAt, time.Time.Compare)
+	return admittedAt
 }
 
-// One account, far over its ceiling, over RESP2 and HTTP at once, through one and through three gateways: in every
-// window no more goes on than the ceiling gives, with its slack, and the split between the protocols changes nothing.
+// TestForwardAuthCeilingOverBothProtocols verifies that an account far over its ceiling, over RESP2, HTTP or both,
+// through one or three gateways, gets no more admitted in any time window than the ceiling plus its tolerance allows,
+// and that the split between the protocols does not change the total.
 func TestForwardAuthCeilingOverBothProtocols(t *testing.T) {
 	const lasts, rate, depth = 3 * time.Second, 40.0, 40.0
-	const slack = rate*0.15 + 0.1*depth // the platform's: what 150 ms give, and a tenth
+	const slack = rate*0.15 + 0.1*depth // the platform allows 150 ms of the rate and a tenth of the burst
 	for _, gateways := range []int{1, 3} {
 		totals := map[string]float64{}
 		var mu sync.Mutex
@@ -86,46 +87,46 @@
 			} {
 				t.Run(name, func(t *testing.T) {
 					t.Parallel()
-					went := flood(t, start(t, gateways), "big", "business", use[0], use[1], lasts)
-					for i, from := range went {
-						for j := i; j < len(went); j++ {
-							if most := depth + rate*went[j].Sub(from).Seconds() + slack; float64(j-i+1) > most {
-								t.Fatalf("%d went on within %v; the ceiling with its slack is %.1f", j-i+1,
-									went[j].Sub(from), most)
+					admittedAt := flood(t, startEnv(t, gateways), "big", "business", use[0], use[1], lasts)
+					for i, from := range admittedAt {
+						for j := i; j < len(admittedAt); j++ {
+							if limit := depth + rate*admittedAt[j].Sub(from).Seconds() + slack; float64(j-i+1) > limit {
+								t.Fatalf("%d admitted within %v; the ceiling with its tolerance is %.1f", j-i+1,
+									admittedAt[j].Sub(from), limit)
 							}
 						}
 					}
 					mu.Lock()
-					totals[name] = float64(len(went))
+					totals[name] = float64(len(admittedAt))
 					mu.Unlock()
-					t.Logf("%d went on in %v", len(went), lasts)
+					t.Logf("%d admitted in %v", len(admittedAt), lasts)
 				})
 			}
 		})
-		least, most := math.Inf(1), 0.0
+		lowest, highest := math.Inf(1), 0.0
 		for _, n := range totals {
-			least, most = min(least, n), max(most, n)
+			lowest, highest = min(lowest, n), max(highest, n)
 		}
-		if most-least > slack+0.1*most {
-			t.Errorf("%d doors: the split changes the total: %v", gateways, totals)
+		if highest-lowest > slack+0.1*highest {
+			t.Errorf("%d gateways: the total depends on the protocol: %v", gateways, totals)
 		}
-		if least < 0.6*rate*lasts.Seconds() {
-			t.Errorf("%d doors: hardly anything went on: %v", gateways, totals)
+		if lowest < 0.6*rate*lasts.Seconds() {
+			t.Errorf("%d gateways: too few requests were admitted: %v", gateways, totals)
 		}
 	}
 }
 
-// A check of an account that floods gets its final answer at once, and another account's checks are answered as if
-// there were no flood.
+// TestForwardAuthFloodHoldsNobodyUp verifies that during a flood of one account its checks get their final answer
+// without delay, and the checks of another account are allowed without delay.
 func TestForwardAuthFloodHoldsNobodyUp(t *testing.T) {
-	w := start(t, 1)
+	w := startEnv(t, 1)
 	d := w.gateways[0]
-	w.warm(d, "other")
+	w.waitForCeiling(d, "other")
 	stop := make(chan struct{})
 	var wg sync.WaitGroup
 	wg.Go(func() { flood(t, w, "big", "business", true, true, 2*time.Second); close(stop) })
-	c := client()
-	var loud, quiet []time.Duration
+	c := newClient()
+	var flooding, unaffected []time.Duration
 	for done := false; !done; {
 		select {
 		case <-stop:
@@ -134,30 +135,31 @@
 		}
 		for _, account := range []string{"big", "other"} {
 			from := time.Now()
-			code, _, _ := ask(t, c, d.http+"/traefik", bearer(account)...)
+			code, _, _ := mustCheck(t, c, d.http+"/traefik", bearer(account)...)
 			if account == "other" {
-				quiet = append(quiet, time.Since(from))
+				unaffected = append(unaffected, time.Since(from))
 				if code != 200 {
-					t.Errorf("the quiet account: %d", code)
+					t.Errorf("the other account: %d", code)
 				}
 			} else {
-				loud = append(loud, time.Since(from))
+				flooding = append(flooding, time.Since(from))
 			}
 		}
 	}
 	wg.Wait()
-	slices.Sort(loud)
-	slices.Sort(quiet)
-	// The line for the ceiling, which RESP2 requests join, is hundreds of milliseconds long here.
-	if l, q := loud[len(loud)/2], quiet[len(quiet)/2]; l > 100*time.Millisecond || q > 100*time.Millisecond {
-		t.Errorf("half of the checks took longer than %v, of the quiet account's %v", l, q)
+	slices.Sort(flooding)
+	slices.Sort(unaffected)
+	// RESP2 requests over the ceiling are held for hundreds of milliseconds here; checks must not be.
+	if l, q := flooding[len(flooding)/2], unaffected[len(unaffected)/2]; l > 100*time.Millisecond ||
+		q > 100*time.Millisecond {
+		t.Errorf("median latency of checks: %v, of the other account's %v", l, q)
 	}
 }
 
-// The hosted accounts' plan and gateways hold over all fronts: an account's requests that name another spread do not
-// get a larger share of its ceiling.
+// TestForwardAuthSpreadIsTheAccounts verifies that the plan and the number of gateways of an account apply on all
+// frontends: RESP2 requests with another spread do not get a larger share of the account's ceiling.
 func TestForwardAuthSpreadIsTheAccounts(t *testing.T) {
-	w := start(t, 3)
+	w := startEnv(t, 3)
 	d := w.gateways[0]
 	p := peer.Dial(t, d.resp)
 	n := 0
@@ -170,7 +172,7 @@
 	for _, s := range w.servers {
 		sent += len(s.Sent())
 	}
-	if most := (40+40*1.6)/3 + 4; float64(sent) > most {
-		t.Errorf("%d went on through one of three doors; its share is %.0f", sent, most)
+	if limit := (40+40*1.6)/3 + 4; float64(sent) > limit {
+		t.Errorf("%d admitted through one of three gateways; its share is %.0f", sent, limit)
 	}
 }
--- a/internal/service/hosted/metrics_test.go
+++ b/internal/service/hosted/metrics_test.go
@@ -9,14 +9,15 @@
 	"gapgap/internal/fake/peer"
 )
 
-// What a listener for metrics shows: each pool's parts and its answers by class and verdict; a removed pool's are gone.
+// TestPoolsMetrics verifies that a listener for metrics serves the limits of each pool and its answers by class and
+// verdict, and that the time series of a removed pool are deleted.
 func TestPoolsMetrics(t *testing.T) {
 	const listener = "[[listener]]\nname = \"figures\"\nprotocol = \"metrics\"\naddress = \"127.0.0.1:0\"\n"
-	w := startPools(t, "a", to("b", "b", `host = "b.org"`)+listener, "a", "b")
+	w := startPools(t, "a", routeTo("b", "b", `host = "b.org"`)+listener, "a", "b")
 	p := peer.Dial(t, w.gateway.resp)
-	w.resp(p, "1", "")
-	w.resp(p, "2", ",host=b.org")
-	ask(t, client(), w.gateway.http+"/check", bearer("free")...)
+	w.askRESP2(p, "1", "")
+	w.askRESP2(p, "2", ",host=b.org")
+	mustCheck(t, newClient(), w.gateway.http+"/check", bearer("free")...)
 	scrape := func() string {
 		t.Helper()
 		res, err := http.Get("http://" + w.gateway.Addr("figures").String() + "/metrics")
@@ -42,10 +43,10 @@
 		`gapgap_client_connections `,
 	} {
 		if !strings.Contains(text, want) {
-			t.Errorf("no %s in\n%s", want, text)
+			t.Errorf("%s is missing in\n%s", want, text)
 		}
 	}
-	cfg, err := Parse("x", []byte(w.config("a", listener, "a")))
+	cfg, err := Parse("x", []byte(w.configText("a", listener, "a")))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,6 +55,6 @@
 	}
 	w.gateway.removals.Wait()
 	if text = scrape(); strings.Contains(text, `pool="b"`) || !strings.Contains(text, `pool="a"`) {
-		t.Errorf("the removed pool's figures are kept, or all are gone:\n%s", text)
+		t.Errorf("the metrics of the removed pool remain, or those of the other pool are gone:\n%s", text)
 	}
 }
--- a/internal/service/hosted/poolsenv_test.go
+++ b/internal/service/hosted/poolsenv_test.go
@@ -13,8 +13,8 @@
 	"gapgap/internal/fake/peer"
 )
 
-// poolText is one pool; the arguments are its name, discovery and counter.
-const poolText = `
+// poolConfig is the configuration of one pool. Its arguments are the pool's name, discovery and counter.
+const poolConfig = `
 [[pool]]
 name = %q
 discovery = %q
@@ -43,16 +43,16 @@
 class = "evaluate"
 `
 
-// poolsWorld is a gateway with pools, each with servers of its own that say the pool's name.
-type poolsWorld struct {
-	*world
+// poolsEnv is a gateway with pools. Each pool has its own endpoint, which answers with the pool's name.
+type poolsEnv struct {
+	*testEnv
 	agents  map[string]*catalog.Agent
 	servers map[string]*flagserver.Server
 	gateway *gateway
 }
 
-// poolsHead is what stands before the pools.
-const poolsHead = `
+// poolsConfigHead is the configuration before the pools. Its arguments are more keys of [node] and two key hashes.
+const poolsConfigHead = `
 [node]
 seed = "7"
 sockets = 2048
@@ -84,8 +84,8 @@
 keys = ["%x"]
 `
 
-// server starts a pool's flag server and agent.
-func (w *poolsWorld) server(name string) {
+// startServer starts the flag server and the endpoint list of a pool.
+func (w *poolsEnv) startServer(name string) {
 	w.t.Helper()
 	if w.servers[name] != nil {
 		return
@@ -103,63 +103,68 @@
 	w.servers[name], w.agents[name] = s, a
 }
 
-// config is a configuration with some pools and more text, such as routes.
-func (w *poolsWorld) config(fallback string, more string, pools ...string) string {
+// configText returns a configuration with some pools and additional tables, such as routes.
+func (w *poolsEnv) configText(fallback string, more string, pools ...string) string {
 	w.t.Helper()
 	def := ""
 	if fallback != "" {
 		def = fmt.Sprintf("default_pool = %q", fallback)
 	}
-	text := fmt.Sprintf(poolsHead, def, sha("key-free"), sha("key-big"))
+	text := fmt.Sprintf(poolsConfigHead, def, keyHash("key-free"), keyHash("key-big"))
 	for _, p := range pools {
-		w.server(p)
-		text += fmt.Sprintf(poolText, p, w.agents[p].Addr(), w.counter.Addr())
+		w.startServer(p)
+		text += fmt.Sprintf(poolConfig, p, w.agents[p].Addr(), w.counter.Addr())
 	}
 	return text + more
 }
 
-// to is a route to a pool.
-func to(name, pool, match string) string {
+// routeTo returns the table of a route to a pool.
+func routeTo(name, pool, match string) string {
 	return fmt.Sprintf("[[route]]\nname = %q\n%s\nto = [{pool = %q}]\n", name, match, pool)
 }
 
-// startPools runs a gateway with two pools. The edits change the text of its configuration, in pairs of old and new.
-func startPools(t testing.TB, fallback, more, one, two string, edits ...string) *poolsWorld {
+// startPools starts a gateway with two pools. edits has pairs of old and new text in the configuration.
+func startPools(t testing.TB, fallback, more, one, two string, edits ...string) *poolsEnv {
 	t.Helper()
-	w := &poolsWorld{world: start(t, 0), agents: map[string]*catalog.Agent{}, servers: map[string]*flagserver.Server{}}
-	text := w.config(fallback, more, one, two)
+	w := &poolsEnv{
+		testEnv: startEnv(t, 0),
+		agents:  map[string]*catalog.Agent{},
+		servers: map[string]*flagserver.Server{},
+	}
+	text := w.configText(fallback, more, one, two)
 	for i := 0; i < len(edits); i += 2 {
 		text = strings.ReplaceAll(text, edits[i], edits[i+1])
 	}
-	w.gateway = w.run(text)
+	w.gateway = w.startService(text)
 	return w
 }
 
-// resp asks over RESP2 and returns the answer.
-func (w *poolsWorld) resp(p *peer.Peer, id, more string) string {
+// askRESP2 sends a request over RESP2 and returns the answer.
+func (w *poolsEnv) askRESP2(p *peer.Peer, id, more string) string {
 	p.Command("Q.ASK", customers["small"], id, "c=evaluate,t=open,d=3000,units=1,spread=1,first=0"+more)
 	return p.Message()[0]
 }
 
-// clientStats is what a pool's client sees of its service: requests by both protocols, of which so many were served
-// within the aim, and the longest time.
+// clientStats has the results of measureClient: requests over both protocols, how many of them were served within the
+// latency objective, and the longest latency.
 type clientStats struct {
 	asked, served int
 	longest       time.Duration
 }
 
-// quiet asks a pool now and then by both protocols, over connections that it keeps.
-func (w *poolsWorld) quiet(host, id, want string, times int) (f clientStats) {
-	p, c := peer.Dial(w.t, w.gateway.resp), client()
+// measureClient sends requests to a pool at a low rate over both protocols, on persistent connections.
+func (w *poolsEnv) measureClient(host, id, want string, times int) (f clientStats) {
+	p, c := peer.Dial(w.t, w.gateway.resp), newClient()
 	for i := range times {
 		f.asked += 2
 		from := time.Now()
-		if w.resp(p, fmt.Sprint(id, i), ",host="+host) == want && time.Since(from) < 2*time.Second { // the aim
+		// 2 s is the latency objective.
+		if w.askRESP2(p, fmt.Sprint(id, i), ",host="+host) == want && time.Since(from) < 2*time.Second {
 			f.served++
 		}
 		f.longest = max(f.longest, time.Since(from))
 		from = time.Now()
-		code, _, _ := ask(w.t, c, w.gateway.http+"/check", append(bearer("free"), "X-Forwarded-Host", host)...)
+		code, _, _ := mustCheck(w.t, c, w.gateway.http+"/check", append(bearer("free"), "X-Forwarded-Host", host)...)
 		if code == 200 && time.Since(from) < 2*time.Second {
 			f.served++
 		}
@@ -169,9 +174,9 @@
 	return f
 }
 
-// flood asks a pool from many connections, as fast as answers come and with more than one open on each. One that is
-// sent away comes back.
-func (w *poolsWorld) flood(stop chan struct{}, wg *sync.WaitGroup, conns int, host string, body ...string) {
+// flood sends requests to a pool over many connections as fast as it can, with several in flight on each. It reopens
+// connections that the gateway closes.
+func (w *poolsEnv) flood(stop chan struct{}, wg *sync.WaitGroup, conns int, host string, body ...string) {
 	for i := range conns {
 		wg.Go(func() {
 			for n := 0; ; {
@@ -179,9 +184,9 @@
 				if err != nil {
 					return
 				}
-				gone := make(chan struct{})
+				disconnected := make(chan struct{})
 				go func() {
-					defer close(gone)
+					defer close(disconnected)
 					b := make([]byte, 64<<10)
 					for {
 						if _, err := nc.Read(b); err != nil {
@@ -189,7 +194,7 @@
 						}
 					}
 				}()
-				for here := true; here; n++ {
+				for connected := true; connected; n++ {
 					args := []string{
 						"Q.ASK",
 						customers["small"],
@@ -202,10 +207,10 @@
 					select {
 					case <-stop:
 						_ = nc.Close()
-						<-gone
+						<-disconnected
 						return
-					case <-gone:
-						here = false
+					case <-disconnected:
+						connected = false
 					default:
 					}
 				}
--- a/internal/service/hosted/reload_test.go
+++ b/internal/service/hosted/reload_test.go
@@ -16,17 +16,20 @@
 	"gapgap/internal/fake/peer"
 )
 
-// A table that is swapped under load, hundreds of times and also for bad ones, loses no request, and none is answered
-// by a pool that neither the old nor the new table names.
+// TestPoolsSwapsUnderLoad verifies that replacing the routing table hundreds of times under load loses no request, that
+// no request goes to a pool which neither the old nor the new table selects, and that invalid tables are rejected.
 func TestPoolsSwapsUnderLoad(t *testing.T) {
 	const swaps = 200
 	w := startPools(t, "a", "", "a", "b")
-	texts := []string{w.config("a", "", "a", "b", "c"), w.config("b", to("x", "b", `host = "h"`), "a", "b"),
-		w.config("a", to("x", "b", `host = "h"`), "a", "b", "c")}
+	texts := []string{
+		w.configText("a", "", "a", "b", "c"),
+		w.configText("b", routeTo("x", "b", `host = "h"`), "a", "b"),
+		w.configText("a", routeTo("x", "b", `host = "h"`), "a", "b", "c"),
+	}
 	bad := []string{
-		w.config("c", "", "a", "b"),
-		w.config("a", to("x", "c", ""), "a", "b"),
-		w.config("a", "wrong = 1", "a", "b"),
+		w.configText("c", "", "a", "b"),
+		w.configText("a", routeTo("x", "c", ""), "a", "b"),
+		w.configText("a", "wrong = 1", "a", "b"),
 	}
 	var cfgs []*Config
 	for _, text := range texts {
@@ -39,29 +42,30 @@
 	for _, text := range bad {
 		var e *Error
 		if _, err := Parse("x", []byte(text)); !errors.As(err, &e) || e.Line == 0 {
-			t.Errorf("a bad table: %v", err)
+			t.Errorf("an invalid table: %v", err)
 		}
 	}
 	stop := make(chan struct{})
 	var wg sync.WaitGroup
-	var answered, odd atomic.Int64
+	var answered, unexpected atomic.Int64
 	for i := range 4 {
 		wg.Go(func() {
-			c, p := client(), peer.Dial(t, w.gateway.resp)
+			c, p := newClient(), peer.Dial(t, w.gateway.resp)
 			for n := 0; ; n++ {
 				select {
 				case <-stop:
 					return
 				default:
 				}
-				got := w.resp(p, fmt.Sprint(i, "-", n), "")
-				if got != "from a" && got != "from b" { // no table sends here to c
-					odd.Add(1)
+				got := w.askRESP2(p, fmt.Sprint(i, "-", n), "")
+				if got != "from a" && got != "from b" { // no table routes to c
+					unexpected.Add(1)
 					t.Errorf("answered %q", got)
 					return
 				}
-				if code, _, _, err := try(c, w.gateway.http+"/check", bearer("free")...); err != nil || code != 200 {
-					odd.Add(1)
+				if code, _, _, err := tryCheck(c, w.gateway.http+"/check", bearer("free")...); err != nil ||
+					code != 200 {
+					unexpected.Add(1)
 					t.Errorf("a check: %d %v", code, err)
 					return
 				}
@@ -77,28 +81,28 @@
 	}
 	close(stop)
 	wg.Wait()
-	if odd.Load() > 0 || answered.Load() < swaps {
-		t.Errorf("%d answered, %d odd", answered.Load(), odd.Load())
+	if unexpected.Load() > 0 || answered.Load() < swaps {
+		t.Errorf("%d answered, %d unexpected answers", answered.Load(), unexpected.Load())
 	}
 }
 
-// A pool that is removed answers what it took, though no route leads to it any more.
+// TestPoolsRemovalAnswersWhatWasTaken verifies that a removed pool still answers the requests that it had accepted.
 func TestPoolsRemovalAnswersWhatWasTaken(t *testing.T) {
-	w := startPools(t, "a", to("b", "b", `host = "b.org"`), "a", "b")
+	w := startPools(t, "a", routeTo("b", "b", `host = "b.org"`), "a", "b")
 	w.servers["b"].Set(flagserver.Config{Value: "from b", Delay: 400 * time.Millisecond})
 	p := peer.Dial(t, w.gateway.resp)
 	p.Command("Q.ASK", customers["small"], "1", "c=evaluate,t=open,d=3000,units=1,spread=1,first=0,host=b.org")
 	for w.gateway.Pools()["b"] == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	cfg, err := Parse("x", []byte(w.config("a", "", "a")))
+	cfg, err := Parse("x", []byte(w.configText("a", "", "a")))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := w.gateway.Reload(cfg); err != nil {
 		t.Fatal(err)
 	}
-	if _, there := w.gateway.Pools()["b"]; there {
+	if _, exists := w.gateway.Pools()["b"]; exists {
 		t.Error("the pool is still there")
 	}
 	p.Command("Q.ASK", customers["small"], "2", "c=evaluate,t=open,d=3000,units=1,spread=1,first=0,host=b.org")
@@ -106,15 +110,16 @@
 	p.Wants("from a")
 }
 
-// Adding and removing pools again and again leaves nothing behind: goroutines, descriptors and memory stay flat.
+// TestPoolsComeAndGo verifies that repeatedly adding and removing pools leaks no goroutines, file descriptors or
+// memory.
 func TestPoolsComeAndGo(t *testing.T) {
 	const times = 1000
 	w := startPools(t, "a", "", "a", "b")
-	one, err := Parse("x", []byte(w.config("a", "", "a")))
+	one, err := Parse("x", []byte(w.configText("a", "", "a")))
 	if err != nil {
 		t.Fatal(err)
 	}
-	two, err := Parse("x", []byte(w.config("a", to("b", "b", `host = "b.org"`), "a", "b")))
+	two, err := Parse("x", []byte(w.configText("a", routeTo("b", "b", `host = "b.org"`), "a", "b")))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -137,7 +142,7 @@
 		var m runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&m)
-		fds, _ := os.ReadDir("/proc/self/fd") // where there is one
+		fds, _ := os.ReadDir("/proc/self/fd") // empty on systems without /proc
 		return goroutines, len(fds), m.HeapAlloc
 	}
 	for range 20 {
@@ -147,16 +152,16 @@
 	for range times {
 		round()
 	}
-	after, filesNow, now := settled()
-	if after > before+20 || filesNow > files+20 || now > heap+4<<20 {
+	goroutinesNow, filesNow, heapNow := settled()
+	if goroutinesNow > before+20 || filesNow > files+20 || heapNow > heap+4<<20 {
 		t.Errorf("%d goroutines, %d descriptors and %d KB before, %d, %d and %d after %d rounds", before, files,
-			heap>>10, after, filesNow, now>>10, times)
+			heap>>10, goroutinesNow, filesNow, heapNow>>10, times)
 	}
-	// the unread bytes' too
+	// memory has one more allotment, for bytes whose pool is not yet known
 	if s := w.gateway.limits; s.memory.Len() != 3 || s.sockets.Len() != 2 || s.memory.Held() != 0 {
-		t.Errorf("%d and %d allotments are kept", s.memory.Len(), s.sockets.Len())
+		t.Errorf("%d memory and %d socket allotments remain", s.memory.Len(), s.sockets.Len())
 	}
 	if n := w.gateway.Shared.Len(); n != 2 {
-		t.Errorf("%d pools are kept", n)
+		t.Errorf("%d pools remain", n)
 	}
 }
--- a/internal/service/hosted/reloadpolicy_test.go
+++ b/internal/service/hosted/reloadpolicy_test.go
@@ -11,39 +11,39 @@
 	"time"
 )
 
-// startWithPolicy runs the only gateway of a fleet, whose policy is the fleet's, and waits until it decides by it.
+// startWithPolicy starts the only gateway of a cluster with a shared policy, and waits until it uses the policy.
 func startWithPolicy(t *testing.T) *gateway {
 	t.Helper()
-	w := start(t, 0)
+	w := startEnv(t, 0)
 	key := filepath.Join(t.TempDir(), "key")
 	if err := os.WriteFile(key, []byte("sixteen bytes, or more"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	fleet := fmt.Sprintf("[fleet]\nlisten = \"127.0.0.1:0\"\nkey_file = %q\nstate_dir = %q\n"+
 		"[[fleet.door]]\nname = \"n1\"\naddress = \"127.0.0.1:1\"\n[fleet.policy]\n", key, t.TempDir())
-	d := w.run(w.text(1, 0, "[node]\n", "[node]\nname = \"n1\"\n") + fleet)
+	d := w.startService(w.configText(1, 0, "[node]\n", "[node]\nname = \"n1\"\n") + fleet)
 	d.waitForPolicy(t, 1)
 	return d
 }
 
-// waitForPolicy waits until the gateway goes by a version of the policy: a proposal's caller is told that it is taken
-// before all gateways do.
+// waitForPolicy waits until the gateway uses a version of the policy: a proposal returns that the version is committed
+// before all gateways use it.
 func (d *gateway) waitForPolicy(t *testing.T, version uint64) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); d.policy.replica.View().Version.Number < version; {
 		if time.Now().After(end) {
-			t.Fatalf("the gateway does not go by version %d", version)
+			t.Fatalf("the gateway does not use version %d", version)
 		}
 		time.Sleep(time.Millisecond)
 	}
-	for _, p := range d.policy.proxies() { // what was posted to the loops before has been carried out
+	for _, p := range d.policy.proxies() { // the event loops have run all earlier tasks
 		done := make(chan struct{})
 		p.Post(func() { close(done) })
 		<-done
 	}
 }
 
-// businessRate is the rate of the plan "business" by which the gateway decides.
+// businessRate returns the rate of the plan "business" that the gateway uses.
 func (d *gateway) businessRate() float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -53,7 +53,7 @@
 	return 0
 }
 
-// manyAccounts are the tables of accounts that make a policy slow to read.
+// manyAccounts returns the tables of so many accounts that the policy takes long to parse.
 func manyAccounts() string {
 	const accounts = 2000
 	var text strings.Builder
@@ -63,7 +63,8 @@
 	return text.String()
 }
 
-// A file that is read again while a version takes hold must not bring the version before back.
+// TestReloadWhilePolicyTakesHold verifies that a reload of the file while a new policy version is applied does not
+// restore the previous version.
 func TestReloadWhilePolicyTakesHold(t *testing.T) {
 	d := startWithPolicy(t)
 	d.mu.Lock()
@@ -78,7 +79,7 @@
 		next += manyAccounts()
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 		var wg sync.WaitGroup
-		for i := range 4 { // one of them is likely to begin before the version takes hold and to end after it
+		for i := range 4 { // one is likely to begin before the version is applied and to end after it
 			wg.Go(func() {
 				for range i {
 					time.Sleep(20 * time.Millisecond)
@@ -88,7 +89,7 @@
 					err = d.Reload(cfg)
 				}
 				if err != nil {
-					t.Errorf("the file is read again: %v", err)
+					t.Errorf("reload: %v", err)
 				}
 			})
 		}
@@ -101,12 +102,13 @@
 		}
 		d.waitForPolicy(t, result.Version)
 		if got := d.businessRate(); got != float64(rate) {
-			t.Fatalf("decisions go by a rate of %v once the version with a rate of %d is taken", got, rate)
+			t.Fatalf("the rate is %v after the version with a rate of %d was committed", got, rate)
 		}
 	}
 }
 
-// Operators may ask for the policy and the recovery while a file is read again.
+// TestOperatorsAskDuringReload verifies that the state of the policy and of the recovery can be queried during a
+// reload. Under the race detector it fails if they read fields that a reload writes.
 func TestOperatorsAskDuringReload(t *testing.T) {
 	d := startWithPolicy(t)
 	d.mu.Lock()
@@ -135,8 +137,8 @@
 	wg.Wait()
 }
 
-// A gateway of a fleet is known by its own name, also where it has pools, each with a name of its own: what the check
-// of a file lets pass must start.
+// TestFleetWithPoolsStarts verifies that a gateway with pools, each with its own name, starts in a cluster and is known
+// there by node.name. It once failed to start because the name of the first pool was used.
 func TestFleetWithPoolsStarts(t *testing.T) {
 	key := filepath.Join(t.TempDir(), "key")
 	if err := os.WriteFile(key, []byte("sixteen bytes, or more"), 0o600); err != nil {
--- a/internal/service/hosted/router_test.go
+++ b/internal/service/hosted/router_test.go
@@ -11,11 +11,12 @@
 	"gapgap/internal/route"
 )
 
-// Requests go where the table says, by both protocols, and to nothing else.
+// TestPoolsRouteBothProtocols verifies that requests of both protocols go to the pool of the matching route, and that
+// requests without one are rejected.
 func TestPoolsRouteBothProtocols(t *testing.T) {
-	routes := to("flags", "flags", `host = "flags.example.org"`) +
-		to("audit", "audit", `host = "*.audit.example.org"`) +
-		to("resp", "audit", `listener = "resp"`+"\n"+`account = "free"`)
+	routes := routeTo("flags", "flags", `host = "flags.example.org"`) +
+		routeTo("audit", "audit", `host = "*.audit.example.org"`) +
+		routeTo("resp", "audit", `listener = "resp"`+"\n"+`account = "free"`)
 	w := startPools(t, "", routes, "flags", "audit")
 	p := peer.Dial(t, w.gateway.resp)
 	for id, c := range map[string][2]string{
@@ -23,7 +24,7 @@
 		"2": {",host=flags.example.org", "from flags"},
 		"3": {",host=x.audit.example.org", "from audit"},
 	} {
-		if got := w.resp(p, id, c[0]); got != c[1] {
+		if got := w.askRESP2(p, id, c[0]); got != c[1] {
 			t.Errorf("%q: %q", c[0], got)
 		}
 	}
@@ -36,17 +37,23 @@
 		"audit.example.org":       403,
 		"other.org":               403,
 	} {
-		code, _, body := ask(t, client(), w.gateway.http+"/check", append(bearer("free"), "X-Forwarded-Host", host)...)
+		code, _, body := mustCheck(t, newClient(), w.gateway.http+"/check",
+			append(bearer("free"), "X-Forwarded-Host", host)...)
 		if code != want || want == 403 && !strings.Contains(body, "no-route") {
 			t.Errorf("%s: %d %s", host, code, body)
 		}
 	}
 }
 
-// At debug the log says of each request by which rule it went where, and which were passed over.
+// TestPoolsExplainInTheLog verifies that the debug log has the rule and the pool of each request, and the rules that
+// were skipped.
 func TestPoolsExplainInTheLog(t *testing.T) {
-	w := &poolsWorld{world: start(t, 0), agents: map[string]*catalog.Agent{}, servers: map[string]*flagserver.Server{}}
-	cfg, err := Parse("x", []byte(w.config("a", to("b", "b", `host = "b.org"`), "a", "b")))
+	w := &poolsEnv{
+		testEnv: startEnv(t, 0),
+		agents:  map[string]*catalog.Agent{},
+		servers: map[string]*flagserver.Server{},
+	}
+	cfg, err := Parse("x", []byte(w.configText("a", routeTo("b", "b", `host = "b.org"`), "a", "b")))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -58,7 +65,7 @@
 	r.Route(&route.Query{Host: "b.org"})
 	for _, want := range []string{`host=c.org`, `pool=a passed=" b:host"`, `rule=b pool=b passed=""`} {
 		if !strings.Contains(out.String(), want) {
-			t.Errorf("no %s in %s", want, out.String())
+			t.Errorf("%s is missing in %s", want, out.String())
 		}
 	}
 }
--- a/internal/service/hosted/sharedlimits_test.go
+++ b/internal/service/hosted/sharedlimits_test.go
@@ -16,20 +16,20 @@
 	"gapgap/internal/fake/peer"
 )
 
-// A flood takes every connection that it can get and keeps it busy: who comes anew to the quiet pool is served all the
-// same, and a connection that it has is never taken away.
+// TestPoolsConnectionsAreGuaranteed verifies that, while a flood of one pool keeps every connection that it can get
+// busy, new clients of another pool are still served, and an open connection of that pool is not closed.
 func TestPoolsConnectionsAreGuaranteed(t *testing.T) {
-	// 124 for clients
-	w := startPools(t, "quiet", to("loud", "loud", `host = "loud.org"`), "quiet", "loud", "sockets = 2048",
+	// 124 of the 200 sockets are for clients.
+	w := startPools(t, "quiet", routeTo("loud", "loud", `host = "loud.org"`), "quiet", "loud", "sockets = 2048",
 		"sockets = 200")
 	w.servers["loud"].Set(flagserver.Config{Silent: true})
-	keeps := peer.Dial(t, w.gateway.resp)
-	if got := w.resp(keeps, "first", ""); got != "from quiet" {
+	persistent := peer.Dial(t, w.gateway.resp)
+	if got := w.askRESP2(persistent, "first", ""); got != "from quiet" {
 		t.Fatal(got)
 	}
 	stop := make(chan struct{})
 	var wg sync.WaitGroup
-	for i := range 200 { // each keeps a request open, and comes back when it is sent away
+	for i := range 200 { // each keeps a request in flight, and reconnects when it is rejected
 		wg.Go(func() {
 			for n := 0; ; n++ {
 				select {
@@ -42,7 +42,7 @@
 					return
 				}
 				in := bufio.NewReader(nc)
-				// the pause for want of a place
+				// -BUSY 100 is the answer to a connection without capacity.
 				for line := ""; err == nil && !strings.HasPrefix(line, "-BUSY 100"); n++ {
 					select {
 					case <-stop:
@@ -68,15 +68,15 @@
 	}
 	for end := time.Now().Add(peer.Patient); !full(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the flood never filled the places")
+			t.Fatal("the flood does not use up the connections")
 		}
 	}
-	const newcomers = 20
+	const newClients = 20
 	tries := 0
-	for i := range newcomers {
+	for i := range newClients {
 		for n := 0; ; n++ {
 			if tries++; n > 100 {
-				t.Fatal("a newcomer of the quiet pool is never served")
+				t.Fatal("a new client of the quiet pool is never served")
 			}
 			nc, err := net.Dial("tcp", w.gateway.resp)
 			if err != nil {
@@ -92,28 +92,28 @@
 			_ = nc.Close()
 		}
 		from := time.Now()
-		if got := w.resp(keeps, fmt.Sprint("k", i), ""); got != "from quiet" {
-			t.Fatalf("the kept connection: %q after %v %+v", got, time.Since(from), w.gateway.PoolStats())
+		if got := w.askRESP2(persistent, fmt.Sprint("k", i), ""); got != "from quiet" {
+			t.Fatalf("the persistent connection: %q after %v %+v", got, time.Since(from), w.gateway.PoolStats())
 		}
 	}
-	t.Logf("%d newcomers came in with %d tries", newcomers, tries)
+	t.Logf("%d new clients were served in %d attempts", newClients, tries)
 	close(stop)
 	wg.Wait()
-	if most := w.gateway.Conns.Max(); w.gateway.Conns.Len() > most {
-		t.Errorf("%d connections of %d", w.gateway.Conns.Len(), most)
+	if limit := w.gateway.Conns.Max(); w.gateway.Conns.Len() > limit {
+		t.Errorf("%d connections, over the limit of %d", w.gateway.Conns.Len(), limit)
 	}
 }
 
-// A flood whose servers are silent holds all the memory that it can get, in long commands that wait: the quiet pool's
-// long commands are read and served, and the whole is never passed.
+// TestPoolsMemoryIsGuaranteed verifies that, while one pool holds all the memory that it can get in long, incomplete
+// commands, long commands of another pool are read and served, and the total limit is not exceeded.
 func TestPoolsMemoryIsGuaranteed(t *testing.T) {
-	// 2 MB for clients
-	w := startPools(t, "quiet", to("loud", "loud", `host = "loud.org"`), "quiet", "loud", "sockets = 2048",
+	// 2 of the 8 MB are for clients.
+	w := startPools(t, "quiet", routeTo("loud", "loud", `host = "loud.org"`), "quiet", "loud", "sockets = 2048",
 		"sockets = 2048\nmemory_mb = 8")
 	w.servers["loud"].Set(flagserver.Config{Silent: true})
 	body := strings.Repeat("x", 40<<10)
 	var all []*peer.Peer
-	for i := range 100 { // what has begun to come and is not whole, 4 MB of it, on connections of the loud pool
+	for i := range 100 { // incomplete commands on connections of the loud pool, 4 MB in total
 		p := peer.Dial(t, w.gateway.resp)
 		p.Command("Q.ASK", customers["small"], fmt.Sprint("l", i),
 			"c=evaluate,t=open,d=30,units=1,spread=1,first=0,host=loud.org")
@@ -132,7 +132,7 @@
 	}
 	for end := time.Now().Add(peer.Patient); refused() == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the flood never filled the memory")
+			t.Fatal("the flood does not use up the memory")
 		}
 	}
 	p := peer.Dial(t, w.gateway.resp)
@@ -143,9 +143,9 @@
 			t.Fatalf("a long command of the quiet pool: %q", got)
 		}
 	}
-	// answers on their way are counted whatever there is
+	// Answers being written count without a limit.
 	if limit := w.gateway.limits.memory; limit.Held() > limit.Total()+128<<10 {
-		t.Errorf("%d bytes held of %d", limit.Held(), limit.Total())
+		t.Errorf("%d bytes held, over the limit of %d", limit.Held(), limit.Total())
 	}
 	for _, p := range all {
 		_ = p.NC.Close()
@@ -153,17 +153,17 @@
 	_ = p.NC.Close()
 	for end := time.Now().Add(peer.Patient); w.gateway.limits.memory.Held() != 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%d bytes stay held when all clients have gone: %+v", w.gateway.limits.memory.Held(),
+			t.Fatalf("%d bytes remain held after all clients have disconnected: %+v", w.gateway.limits.memory.Held(),
 				w.gateway.PoolStats())
 		}
 	}
 }
 
-// Connections to servers: a pool that holds all that it can borrow, idle, gives back when another wants them; and one
-// that keeps them busy leaves the other its guarantee.
+// TestPoolsSocketsAreGivenBack verifies that a pool which holds all the connections to endpoints that it can borrow
+// releases idle ones when another pool needs them.
 func TestPoolsSocketsAreGivenBack(t *testing.T) {
-	// 20 for servers, 5 guaranteed each
-	w := startPools(t, "quiet", to("loud", "loud", `host = "loud.org"`), "quiet", "loud", "sockets = 2048",
+	// 20 of the 72 sockets are for endpoints, and each pool is guaranteed 5.
+	w := startPools(t, "quiet", routeTo("loud", "loud", `host = "loud.org"`), "quiet", "loud", "sockets = 2048",
 		"sockets = 72")
 	burst := func(host, id string, n int) (served int) {
 		var wg sync.WaitGroup
@@ -185,26 +185,26 @@
 	w.servers["loud"].Set(flagserver.Config{Value: "from loud", Delay: 100 * time.Millisecond})
 	for i := 0; ; i++ {
 		burst("loud.org", fmt.Sprint("l", i, "-"), 20)
-		if _, most, _ := w.servers["loud"].Conns(); most >= 8 {
+		if _, highest, _ := w.servers["loud"].Conns(); highest >= 8 {
 			break
 		} else if i > 20 {
-			t.Fatalf("the loud pool never borrows: %d connections", most)
+			t.Fatalf("the loud pool never borrows: %d connections", highest)
 		}
 	}
 	w.servers["quiet"].Set(flagserver.Config{Value: "from quiet", Delay: 50 * time.Millisecond})
-	if n := burst("quiet.org", "q", 4); n != 4 { // as many as the module sends to a server at first
+	if n := burst("quiet.org", "q", 4); n != 4 { // the balancer's initial concurrency limit of an endpoint
 		t.Errorf("%d of 4 of the quiet pool served", n)
 	}
 	if limit := w.gateway.limits.sockets; limit.Held() > limit.Total() {
-		t.Errorf("%d sockets of %d", limit.Held(), limit.Total())
+		t.Errorf("%d sockets, over the limit of %d", limit.Held(), limit.Total())
 	}
 }
 
-// A server in two pools with a cap on its connections holds no more of them than that, both pools asking at once, and
-// both are served by it.
+// TestPoolsServerConnectionsAreShared verifies that two pools which send requests to one endpoint at the same time
+// together keep its connection limit, and that the endpoint serves both.
 func TestPoolsServerConnectionsAreShared(t *testing.T) {
-	const most = 6
-	w := startPools(t, "a", to("b", "b", `host = "b.org"`), "a", "b", `discovery = `,
+	const limit = 6
+	w := startPools(t, "a", routeTo("b", "b", `host = "b.org"`), "a", "b", `discovery = `,
 		"server_connections = 6\ndiscovery = ")
 	shared, err := flagserver.Start(flagserver.Config{Value: "shared", Keep: true, Delay: 5 * time.Millisecond})
 	if err != nil {
@@ -225,7 +225,7 @@
 					return
 				default:
 				}
-				if w.resp(p, fmt.Sprint(i, "-", n), []string{"", ",host=b.org"}[i%2]) == "shared" {
+				if w.askRESP2(p, fmt.Sprint(i, "-", n), []string{"", ",host=b.org"}[i%2]) == "shared" {
 					served[i%2].Add(1)
 				}
 			}
@@ -239,7 +239,8 @@
 	}
 	close(stop)
 	wg.Wait()
-	if _, at, _ := shared.Conns(); at > most+2 { // what was closed here may still count there for a moment
-		t.Errorf("%d connections at once to a server that bears %d", at, most)
+	// Connections that the gateway has closed may still count highest the endpoint for a moment.
+	if _, highest, _ := shared.Conns(); highest > limit+2 {
+		t.Errorf("%d concurrent connections to an endpoint with a limit of %d", highest, limit)
 	}
 }
--- a/internal/service/hosted/testenv_test.go
+++ b/internal/service/hosted/testenv_test.go
@@ -17,8 +17,8 @@
 	"gapgap/internal/fake/quota"
 )
 
-// world is a number of gateways with what stands round them, all on loopback.
-type world struct {
+// testEnv is a set of gateways with fakes of their endpoints, endpoint list and counter, all on loopback.
+type testEnv struct {
 	t        testing.TB
 	gateways []*gateway
 	servers  []*flagserver.Server
@@ -26,19 +26,19 @@
 	agent    *catalog.Agent
 }
 
-// gateway is one service in this process.
+// gateway is one Service that runs in the test process.
 type gateway struct {
 	*Service
-	// http and resp are the URL and the address of its listeners.
-	http  string
-	resp  string
-	stop  context.CancelFunc
-	ended chan struct{}
+	// http is the URL of the listener for checks, and resp the address of the RESP2 listener.
+	http    string
+	resp    string
+	stop    context.CancelFunc
+	stopped chan struct{}
 }
 
-// base is a configuration in which tests change parts; its arguments are discovery, counter, and the number of gateways
-// and this one's index.
-const base = `
+// baseConfig is the configuration that tests edit. Its arguments are discovery, counter, the number of gateways and the
+// index of this gateway.
+const baseConfig = `
 [node]
 seed = "7"
 discovery = %q
@@ -141,8 +141,8 @@
 class = "evaluate"
 `
 
-// accounts are named by their plans; the key of each is "key-" and its name.
-func accounts() string {
+// accountTables returns the tables of one or two accounts for each plan. The key of an account is "key-" and its name.
+func accountTables() string {
 	s := ""
 	for i, a := range [][2]string{
 		{"small", "starter"},
@@ -152,7 +152,7 @@
 		{"other", "business"},
 	} {
 		s += fmt.Sprintf("[[account]]\nname = %q\nplan = %q\ncustomer = \"%016x\"\n", a[0], a[1], i+1)
-		s += fmt.Sprintf("keys = [\"%x\"]\ncertificates = [\"%s.clients\"]\n", sha("key-"+a[0]), a[0])
+		s += fmt.Sprintf("keys = [\"%x\"]\ncertificates = [\"%s.clients\"]\n", keyHash("key-"+a[0]), a[0])
 		if a[0] == "small" {
 			s += "classes = [\"evaluate\"]\n"
 		}
@@ -163,7 +163,7 @@
 	return s
 }
 
-// customers are the numbers of the accounts.
+// customers maps the names of accounts to their customer numbers.
 var customers = map[string]string{
 	"small":  fmt.Sprintf("%016x", 1),
 	"big":    fmt.Sprintf("%016x", 2),
@@ -172,12 +172,12 @@
 	"other":  fmt.Sprintf("%016x", 5),
 }
 
-var discard = slog.New(slog.NewTextHandler(io.Discard, nil))
+var discardLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 
-// start runs gateways. The edits change the text of the configuration, in pairs of old and new.
-func start(t testing.TB, gateways int, edits ...string) *world {
+// startEnv starts a number of gateways. edits has pairs of old and new text in the configuration.
+func startEnv(t testing.TB, gateways int, edits ...string) *testEnv {
 	t.Helper()
-	w := &world{t: t}
+	w := &testEnv{t: t}
 	var list []catalog.Endpoint
 	for i := range 3 {
 		s, err := flagserver.Start(flagserver.Config{Keep: true, Delay: time.Millisecond})
@@ -203,34 +203,34 @@
 	return w
 }
 
-// text is the configuration of one gateway.
-func (w *world) text(gateways, index int, edits ...string) string {
-	text := fmt.Sprintf(base, w.agent.Addr(), w.counter.Addr(), gateways, index) + accounts()
+// configText returns the configuration of one gateway.
+func (w *testEnv) configText(gateways, index int, edits ...string) string {
+	text := fmt.Sprintf(baseConfig, w.agent.Addr(), w.counter.Addr(), gateways, index) + accountTables()
 	for i := 0; i < len(edits); i += 2 {
 		if !strings.Contains(text, edits[i]) {
-			w.t.Fatalf("the configuration has no %q", edits[i])
+			w.t.Fatalf("the configuration does not contain %q", edits[i])
 		}
 		text = strings.Replace(text, edits[i], edits[i+1], 1)
 	}
 	return text
 }
 
-func (w *world) startGateway(gateways, index int, edits ...string) *gateway {
+func (w *testEnv) startGateway(gateways, index int, edits ...string) *gateway {
 	w.t.Helper()
-	return w.run(w.text(gateways, index, edits...))
+	return w.startService(w.configText(gateways, index, edits...))
 }
 
-// sha is what a configuration has for a key.
-func sha(key string) [32]byte { return sha256.Sum256([]byte(key)) }
+// keyHash returns the hash by which a configuration identifies a key.
+func keyHash(key string) [32]byte { return sha256.Sum256([]byte(key)) }
 
-// run runs a service by the text of its configuration.
-func (w *world) run(text string) *gateway {
+// startService runs a service with a configuration and waits until it is ready.
+func (w *testEnv) startService(text string) *gateway {
 	w.t.Helper()
 	cfg, err := Parse("test.toml", []byte(text))
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	s, err := New(cfg, discard)
+	s, err := New(cfg, discardLog)
 	if err != nil {
 		w.t.Fatal(err)
 	}
@@ -240,40 +240,40 @@
 		http:    "http://" + s.Addr("http").String(),
 		resp:    s.Addr("resp").String(),
 		stop:    stop,
-		ended:   make(chan struct{}),
+		stopped: make(chan struct{}),
 	}
 	go func() {
-		defer close(d.ended)
+		defer close(d.stopped)
 		s.Serve(ctx)
 	}()
 	w.t.Cleanup(func() {
 		stop()
-		<-d.ended
+		<-d.stopped
 	})
 	for end := time.Now().Add(peer.Patient); !s.Ready(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			w.t.Fatal("it never was ready")
+			w.t.Fatal("the service does not become ready")
 		}
 	}
 	return d
 }
 
-// client is an HTTP client that keeps connections and never goes by a proxy.
-func client() *http.Client {
+// newClient returns an HTTP client that keeps connections and ignores proxy settings.
+func newClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}, Timeout: peer.Patient}
 }
 
-// ask makes a check as Traefik does, with more fields in pairs.
-func ask(t testing.TB, c *http.Client, url string, fields ...string) (int, http.Header, string) {
+// mustCheck sends a check like Traefik or nginx, with additional header fields given as pairs of name and value.
+func mustCheck(t testing.TB, c *http.Client, url string, fields ...string) (int, http.Header, string) {
 	t.Helper()
-	code, h, b, err := try(c, url, fields...)
+	code, h, b, err := tryCheck(c, url, fields...)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return code, h, b
 }
 
-func try(c *http.Client, url string, fields ...string) (int, http.Header, string, error) {
+func tryCheck(c *http.Client, url string, fields ...string) (int, http.Header, string, error) {
 	req, err := http.NewRequest(http.MethodGet, url, nil)
 	if err != nil {
 		return 0, nil, "", err
@@ -302,20 +302,20 @@
 	return res.StatusCode, res.Header, string(b), err
 }
 
-// bearer is the field that shows an account's key.
+// bearer returns the header field with an account's key.
 func bearer(account string) []string { return []string{"Authorization", "Bearer key-" + account} }
 
-// warm waits until a fresh gateway's share of an account's ceiling has begun to fill: it starts empty, as the gateway
-// may have spent it before a restart.
-func (w *world) warm(d *gateway, account string) {
+// waitForCeiling waits until a new gateway's share of an account's ceiling has begun to fill. It starts empty because
+// the gateway may have spent it before a restart.
+func (w *testEnv) waitForCeiling(d *gateway, account string) {
 	w.t.Helper()
 	for end := time.Now().Add(peer.Patient); ; time.Sleep(5 * time.Millisecond) {
-		if code, _, _ := ask(w.t, client(), d.http+"/traefik", bearer(account)...); code == 200 {
-			time.Sleep(300 * time.Millisecond) // some more units
+		if code, _, _ := mustCheck(w.t, newClient(), d.http+"/traefik", bearer(account)...); code == 200 {
+			time.Sleep(300 * time.Millisecond) // for some more units
 			return
 		}
 		if time.Now().After(end) {
-			w.t.Fatal("nothing is ever allowed")
+			w.t.Fatal("no check is allowed")
 		}
 	}
 }
