--- a/internal/frontend/extauthz/answer.go
+++ b/internal/frontend/extauthz/answer.go
@@ -168,8 +168,8 @@
 
 // setAccount sets the fields that name the account and its plan.
 func setAccount(header http.Header, customer *account.Account) {
-	header[HeaderAccount] = customer.Said.Name
-	header[HeaderPlan] = customer.Said.Plan
+	header[HeaderAccount] = customer.HeaderValues.Name
+	header[HeaderPlan] = customer.HeaderValues.Plan
 }
 
 // setPolicyVersion sets HeaderPolicy unless the version is 0.
--- a/internal/frontend/extauthz/ratelimit.go
+++ b/internal/frontend/extauthz/ratelimit.go
@@ -29,10 +29,10 @@
 // setRateLimit sets the fields of draft-ietf-httpapi-ratelimit-headers: the plan's policy, the units that are left, and
 // the seconds until the quota is full again. It does nothing if there is no quota or its status is not known.
 func setRateLimit(header http.Header, customer *account.Account, quota proxy.Quota) {
-	if !quota.Told || customer.Said.Policy == nil {
+	if !quota.Told || customer.HeaderValues.Policy == nil {
 		return
 	}
-	header["Ratelimit-Policy"] = customer.Said.Policy
+	header["Ratelimit-Policy"] = customer.HeaderValues.Policy
 	var buffer [96]byte
 	text := append(buffer[:0], '"')
 	text = append(text, customer.PlanName...)
