--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -1,18 +1,18 @@
-// Package route decides to which pool a request goes. A [Table] is compiled once from rules, never changes, and is
-// swapped whole by its owner. It does no input or output; a match costs no allocation and does not get slower in
-// proportion to the number of rules.
+// Package route selects the pool of a request. A [Table] is compiled once from rules, is immutable, and is replaced as
+// a whole by its owner. The package does no I/O. A lookup allocates nothing, and its cost does not grow in proportion
+// to the number of rules.
 //
-// The most specific rule that fits decides. The order is that of the Kubernetes Gateway API (HTTPRouteRule.matches)
-// where it speaks, and ours in what it does not know:
+// Of the rules that match, the most specific one decides. Precedence follows the Kubernetes Gateway API
+// (HTTPRouteRule.matches); what that does not define (templates, accounts, classes and listeners) is ordered here:
 //
-//  1. the host: an exact name, then the longest *.suffix, then any
-//  2. the path: exact, then a template (a literal segment before a parameter, from the left), then the longest prefix
-//  3. a rule that names methods
-//  4. more header fields
-//  5. a rule that names an account
-//  6. a rule that names a class
-//  7. a rule that names a listener
-//  8. the order in which the rules stand
+//  1. host: an exact name, then the longest *.suffix, then any host
+//  2. path: exact, then a template (literal segments before parameters, from the left), then the longest prefix
+//  3. rules with methods
+//  4. rules with more header fields
+//  5. rules with an account
+//  6. rules with a class
+//  7. rules with a listener
+//  8. the order in which the rules are configured
 package route
 
 import (
@@ -24,57 +24,59 @@
 	"strings"
 )
 
-// Bounds of a rule, so that no one rule makes a match slow.
+// Limits of a rule, so that no single rule makes lookups slow.
 const (
-	MostSegments = 32 // of a template
-	MostHeaders  = 16
-	MostTargets  = 64
+	MaxSegments = 32 // segments of a template
+	MaxHeaders  = 16
+	MaxTargets  = 64
 )
 
-// Rule sends what fits all of its parts to its targets.
+// Rule sends requests that match all of its conditions to its targets.
 type Rule struct {
 	Name     string
 	Listener string   // empty: any
-	Host     string   // exact, or *.suffix; empty: any
-	Path     string   // see Kind; empty: any
-	Kind     PathKind // how Path is read
-	Methods  []string // none: any
+	Host     string   // exact name, or *.suffix; empty: any
+	Path     string   // of the form that Kind says; empty: any
+	Kind     PathKind // how Path is compared
+	Methods  []string // empty: any
 	Headers  []Header
 	Class    string   // empty: any
 	Account  string   // empty: any
-	Targets  []Target // one at least
+	Targets  []Target // at least one
 }
 
-// PathKind says how a rule's path is read.
+// PathKind is how a rule's path is compared with that of a request.
 type PathKind int
 
 const (
-	Prefix   PathKind = iota // by whole segments: /a fits /a and /a/b, not /ab
-	Exact                    // that path only
-	Template                 // segments in braces stand for any one segment: /flags/{id}/history
+	Prefix   PathKind = iota // by whole segments: /a matches /a and /a/b, but not /ab
+	Exact                    // the whole path must be equal
+	Template                 // a segment in braces matches any one segment: /flags/{id}/history
 )
 
-// Header is a field that must have a value; an empty one fits any value that is there.
+// Header is a header field that a request must have with this value; an empty Value matches any.
 type Header struct{ Name, Value string }
 
-// Target is a pool and its part of what the rule takes.
+// Target is a pool that gets a part of the requests that match a rule.
 type Target struct {
 	Pool   string
-	Weight float64 // to compare with the other targets'; 0: none goes there
+	Weight float64 // relative to the other targets; 0: it gets no requests
 }
 
-// Query is what is known of a request. The host is in lower case without port, the path clean (account.Target makes
-// both so); a protocol that has none leaves it empty.
+// Query has the properties of a request that rules can match. Host and Path must be normalized by account.Target; they
+// are empty for protocols without them.
 type Query struct {
 	Listener, Host, Path, Method, Class, Account string
-	Header                                       map[string][]string // fields by their names as rules have them; one that stands twice fits no value
-	Stick                                        string              // keeps a request with others at a target, where there is no account
+	// Header has header fields by their names as rules spell them. A field with several values meets no condition.
+	Header map[string][]string
+	// StickyKey selects among several targets if there is no account: requests with the same key get the same target.
+	StickyKey string
 }
 
-// Error is a fault of one rule.
+// Error is an error in one field of a rule.
 type Error struct {
-	Index int
-	Rule  string // its name
+	Index int    // index of the rule; -1: the error is in the fallback
+	Rule  string // name of the rule
 	Field string
 	Err   error
 }
@@ -85,62 +87,64 @@
 
 func (e *Error) Unwrap() error { return e.Err }
 
-// rule is a compiled Rule.
-type rule struct {
+// compiledRule is a checked Rule. Its Host is empty if the rule has a suffix.
+type compiledRule struct {
 	Rule
-	rank     int // place in the order of precedence
-	suffix   string
-	segments []string // of a template; a parameter is empty
+	rank     int      // position in the order of precedence
+	suffix   string   // what follows "*." in the host
+	segments []string // segments of a template; a parameter is an empty string
 }
 
-// Table is what rules compile to. It is safe for use by many goroutines.
+// Table is a compiled list of rules. Any goroutine may use it.
 type Table struct {
-	rules    []*rule // by precedence
+	rules    []*compiledRule // in order of precedence
 	exact    map[string]*hostNode
 	suffixes map[string]*hostNode // by what follows "*."
-	any      *hostNode
-	fallback string
+	any      *hostNode            // rules without a host
+	fallback string               // the pool of requests that no rule matches
 }
 
 // hostNode holds the rules of one host.
 type hostNode struct {
-	exact    map[string]*bucket
-	template *segmentNode
-	prefix   map[string]*bucket // without the final slash; "" fits all
-	longest  int                // of the prefixes
+	exact     map[string]*bucket
+	template  *segmentNode       // root of the templates
+	prefix    map[string]*bucket // by prefix without the final slash; "" matches all paths
+	maxPrefix int                // length of the longest prefix
 }
 
+// segmentNode is a node of the trie of templates.
 type segmentNode struct {
 	literal map[string]*segmentNode
 	param   *segmentNode
-	leaf    *bucket
+	leaf    *bucket // rules whose template ends here
 }
 
-// bucket holds the rules of one host and path, by one more thing that a rule names, so that thousands of rules that
-// differ in their account or a header's value only need no scan.
+// bucket holds the rules of one host and path. It indexes them by account or header value, so that thousands of rules
+// that differ only in these are not scanned. Lists are in order of precedence.
 type bucket struct {
-	byAccount map[string][]*rule
+	byAccount map[string][]*compiledRule
 	byHeader  []headerIndex
-	rest      []*rule
+	rest      []*compiledRule
 }
 
+// headerIndex has the rules that require a header field, by its value.
 type headerIndex struct {
 	name   string
-	values map[string][]*rule
+	values map[string][]*compiledRule
 }
 
-// Compile checks rules and makes a Table. What no rule fits goes to the fallback; empty: nowhere. Pools are the names
-// that targets may have; nil: any. An error is an *[Error].
+// Compile checks rules and returns a Table of them. Requests that no rule matches go to the pool fallback; if it is
+// empty, to none. pools are the names that targets may have; nil: any. Its error is an *[Error].
 func Compile(rules []Rule, fallback string, pools []string) (*Table, error) {
-	t := &Table{exact: map[string]*hostNode{}, suffixes: map[string]*hostNode{}, any: newHost(), fallback: fallback}
+	t := &Table{exact: map[string]*hostNode{}, suffixes: map[string]*hostNode{}, any: newHostNode(), fallback: fallback}
 	if fallback != "" && pools != nil && !slices.Contains(pools, fallback) {
-		return nil, &Error{-1, "", "default", fmt.Errorf("no pool is named %q", fallback)}
+		return nil, &Error{-1, "", "default", fmt.Errorf("pool %q does not exist", fallback)}
 	}
 	names := map[string]bool{}
 	for i, r := range rules {
-		c, field, err := check(r, pools)
+		c, field, err := compileRule(r, pools)
 		if err == nil && names[r.Name] {
-			field, err = "name", errors.New("stands twice")
+			field, err = "name", errors.New("is used by another rule")
 		}
 		if err != nil {
 			return nil, &Error{i, r.Name, field, err}
@@ -149,7 +153,7 @@
 		c.rank = i
 		t.rules = append(t.rules, c)
 	}
-	sort.SliceStable(t.rules, func(i, j int) bool { return compare(t.rules[i], t.rules[j]) < 0 })
+	sort.SliceStable(t.rules, func(i, j int) bool { return compareRules(t.rules[i], t.rules[j]) < 0 })
 	for i, r := range t.rules {
 		r.rank = i
 		t.add(r)
@@ -157,120 +161,125 @@
 	return t, nil
 }
 
-// check compiles one rule; else it names the field at fault.
-func check(r Rule, pools []string) (*rule, string, error) {
-	c := &rule{Rule: r}
+// compileRule checks and compiles a rule. With an error it returns the name of the invalid field.
+func compileRule(r Rule, pools []string) (*compiledRule, string, error) {
+	c := &compiledRule{Rule: r}
 	if r.Name == "" {
-		return nil, "name", errors.New("is empty")
+		return nil, "name", errors.New("must not be empty")
 	}
 	host := strings.ToLower(strings.TrimSuffix(r.Host, "."))
 	if rest, ok := strings.CutPrefix(host, "*."); ok {
 		c.suffix, host = rest, rest
 		if rest == "" {
-			return nil, "host", errors.New(`nothing follows "*."`)
+			return nil, "host", errors.New(`must have a name after "*."`)
 		}
 	}
-	if strings.ContainsAny(host, "*/ \t") || strings.Contains(host, ":") && !strings.HasPrefix(host, "[") || strings.Contains(host, "..") ||
-		strings.HasPrefix(host, ".") {
-		return nil, "host", errors.New("wants a name without port, or *. and a name")
+	if strings.ContainsAny(host, "*/ \t") || strings.Contains(host, ":") && !strings.HasPrefix(host, "[") ||
+		strings.Contains(host, "..") || strings.HasPrefix(host, ".") {
+		return nil, "host", errors.New("must be a host name without port, or *. and a host name")
 	}
 	if c.Host = host; c.suffix != "" {
 		c.Host = ""
 	}
 	if r.Path != "" {
-		if r.Path[0] != '/' || strings.Contains(r.Path, "//") || strings.Contains(r.Path+"/", "/./") || strings.Contains(r.Path+"/", "/../") ||
-			strings.ContainsAny(r.Path, "?#\\") {
-			return nil, "path", errors.New("wants a clean path that begins with '/'")
+		if r.Path[0] != '/' || strings.Contains(r.Path, "//") || strings.Contains(r.Path+"/", "/./") ||
+			strings.Contains(r.Path+"/", "/../") || strings.ContainsAny(r.Path, "?#\\") {
+			return nil, "path", errors.New("must be a normalized path beginning with '/'")
 		}
 		if r.Kind == Prefix {
 			c.Path = strings.TrimSuffix(r.Path, "/")
 		}
 	} else if r.Kind != Prefix {
-		return nil, "path", errors.New("is empty")
+		return nil, "path", errors.New("must not be empty for this kind")
 	}
 	if r.Kind < Prefix || r.Kind > Template {
-		return nil, "kind", errors.New("is not known")
+		return nil, "kind", errors.New("is unknown")
 	}
 	if braces := strings.ContainsAny(r.Path, "{}"); braces && r.Kind != Template {
-		return nil, "path", errors.New("has braces, but is no template")
+		return nil, "path", errors.New("must not have braces unless it is a template")
 	} else if r.Kind == Template {
 		for _, s := range strings.Split(r.Path[1:], "/") {
 			switch inner := strings.TrimSuffix(strings.TrimPrefix(s, "{"), "}"); {
-			case strings.HasPrefix(s, "{") && strings.HasSuffix(s, "}") && inner != "" && !strings.ContainsAny(inner, "{}"):
+			case strings.HasPrefix(s, "{") && strings.HasSuffix(s, "}") && inner != "" &&
+				!strings.ContainsAny(inner, "{}"):
 				s = ""
 			case s == "" || strings.ContainsAny(s, "{}"):
-				return nil, "path", errors.New("wants whole segments, literal or in braces")
+				return nil, "path", errors.New("must consist of segments that are literal or a name in braces")
 			}
 			c.segments = append(c.segments, s)
 		}
-		if len(c.segments) > MostSegments {
-			return nil, "path", fmt.Errorf("has over %d segments", MostSegments)
+		if len(c.segments) > MaxSegments {
+			return nil, "path", fmt.Errorf("has more than %d segments", MaxSegments)
 		}
 	}
 	for _, m := range r.Methods {
 		if m == "" || strings.Trim(m, "ABCDEFGHIJKLMNOPQRSTUVWXYZ-") != "" {
-			return nil, "methods", fmt.Errorf("%q is not in capital letters", m)
+			return nil, "methods", fmt.Errorf("%q must be in capital letters", m)
 		}
 	}
-	if len(r.Headers) > MostHeaders {
-		return nil, "headers", fmt.Errorf("are over %d", MostHeaders)
+	if len(r.Headers) > MaxHeaders {
+		return nil, "headers", fmt.Errorf("must be at most %d", MaxHeaders)
 	}
 	for i, h := range r.Headers {
 		if h.Name == "" || slices.ContainsFunc(r.Headers[:i], func(o Header) bool { return o.Name == h.Name }) {
-			return nil, "headers", fmt.Errorf("%q is no name, or stands twice", h.Name)
+			return nil, "headers", fmt.Errorf("name %q is empty or a duplicate", h.Name)
 		}
 	}
 	total := 0.0
-	for i, g := range r.Targets {
+	for i, target := range r.Targets {
 		switch {
-		case g.Pool == "" || slices.ContainsFunc(r.Targets[:i], func(o Target) bool { return o.Pool == g.Pool }):
-			return nil, "targets", fmt.Errorf("pool %q is no name, or stands twice", g.Pool)
-		case pools != nil && !slices.Contains(pools, g.Pool):
-			return nil, "targets", fmt.Errorf("no pool is named %q", g.Pool)
-		case !(g.Weight >= 0) || g.Weight > 1e9:
-			return nil, "targets", fmt.Errorf("the weight of %q is not from 0 to a billion", g.Pool)
+		case target.Pool == "" ||
+			slices.ContainsFunc(r.Targets[:i], func(o Target) bool { return o.Pool == target.Pool }):
+			return nil, "targets", fmt.Errorf("pool %q is empty or a duplicate", target.Pool)
+		case pools != nil && !slices.Contains(pools, target.Pool):
+			return nil, "targets", fmt.Errorf("pool %q does not exist", target.Pool)
+		case !(target.Weight >= 0) || target.Weight > 1e9:
+			return nil, "targets", fmt.Errorf("weight of pool %q must be from 0 to 1e9", target.Pool)
 		}
-		total += g.Weight
+		total += target.Weight
 	}
-	if len(r.Targets) == 0 || len(r.Targets) > MostTargets || total == 0 {
-		return nil, "targets", fmt.Errorf("want a weight above 0, and %d at most", MostTargets)
+	if len(r.Targets) == 0 || len(r.Targets) > MaxTargets || total == 0 {
+		return nil, "targets", fmt.Errorf("must be 1 to %d, one of them with a weight above 0", MaxTargets)
 	}
 	return c, "", nil
 }
 
-// compare says which rule goes first: below 0, a does.
-func compare(a, b *rule) int {
-	first := func(yes, no bool) int { // the one for which it holds
+// compareRules returns a negative number if a takes precedence over b, and a positive one if b does over a.
+func compareRules(a, b *compiledRule) int {
+	trueFirst := func(ofA, ofB bool) int {
 		switch {
-		case yes == no:
+		case ofA == ofB:
 			return 0
-		case yes:
+		case ofA:
 			return -1
 		}
 		return 1
 	}
 	for _, c := range []int{
-		first(a.Host != "", b.Host != ""), len(b.suffix) - len(a.suffix),
-		first(a.Kind == Exact, b.Kind == Exact), first(a.Kind == Template, b.Kind == Template),
+		trueFirst(a.Host != "", b.Host != ""), len(b.suffix) - len(a.suffix),
+		trueFirst(a.Kind == Exact, b.Kind == Exact), trueFirst(a.Kind == Template, b.Kind == Template),
 		compareSegments(a.segments, b.segments), prefixLen(b) - prefixLen(a),
-		first(len(a.Methods) > 0, len(b.Methods) > 0), len(b.Headers) - len(a.Headers),
-		first(a.Account != "", b.Account != ""), first(a.Class != "", b.Class != ""), first(a.Listener != "", b.Listener != ""),
+		trueFirst(len(a.Methods) > 0, len(b.Methods) > 0), len(b.Headers) - len(a.Headers),
+		trueFirst(a.Account != "", b.Account != ""), trueFirst(a.Class != "", b.Class != ""),
+		trueFirst(a.Listener != "", b.Listener != ""),
 	} {
 		if c != 0 {
 			return c
 		}
 	}
-	return 0 // then by their order
+	return 0 // the stable sort keeps the configured order
 }
 
-func prefixLen(r *rule) int {
+// prefixLen returns the length of a rule's prefix, or 0 if it has none.
+func prefixLen(r *compiledRule) int {
 	if r.Kind == Prefix {
 		return len(r.Path)
 	}
 	return 0
 }
 
-// compareSegments puts a literal before a parameter, from the left. Templates of different lengths never fit one path.
+// compareSegments orders templates: from the left, a literal segment goes before a parameter. Templates of different
+// lengths never match the same path.
 func compareSegments(a, b []string) int {
 	for i := range min(len(a), len(b)) {
 		switch {
@@ -283,23 +292,24 @@
 	return 0
 }
 
-func newHost() *hostNode {
+// newHostNode returns a hostNode without rules.
+func newHostNode() *hostNode {
 	return &hostNode{exact: map[string]*bucket{}, template: &segmentNode{}, prefix: map[string]*bucket{}}
 }
 
-// add puts a rule where a match will look. Rules come by their rank.
-func (t *Table) add(r *rule) {
+// add adds a rule to the index. Rules must be added in order of precedence.
+func (t *Table) add(r *compiledRule) {
 	h := t.any
-	at := func(m map[string]*hostNode, key string) *hostNode {
+	getOrAdd := func(m map[string]*hostNode, key string) *hostNode {
 		if m[key] == nil {
-			m[key] = newHost()
+			m[key] = newHostNode()
 		}
 		return m[key]
 	}
 	if r.Host != "" {
-		h = at(t.exact, r.Host)
+		h = getOrAdd(t.exact, r.Host)
 	} else if r.suffix != "" {
-		h = at(t.suffixes, r.suffix)
+		h = getOrAdd(t.suffixes, r.suffix)
 	}
 	var b **bucket
 	switch r.Kind {
@@ -327,7 +337,7 @@
 		m := h.exact
 		if r.Kind == Prefix {
 			m = h.prefix
-			h.longest = max(h.longest, len(r.Path))
+			h.maxPrefix = max(h.maxPrefix, len(r.Path))
 		}
 		found := m[r.Path]
 		if found == nil {
@@ -342,10 +352,11 @@
 	(*b).add(r)
 }
 
-func (b *bucket) add(r *rule) {
+// add adds a rule to the index of its account or else of its first header field with a value, or to the rest.
+func (b *bucket) add(r *compiledRule) {
 	if r.Account != "" {
 		if b.byAccount == nil {
-			b.byAccount = map[string][]*rule{}
+			b.byAccount = map[string][]*compiledRule{}
 		}
 		b.byAccount[r.Account] = append(b.byAccount[r.Account], r)
 		return
@@ -356,7 +367,7 @@
 		}
 		i := slices.IndexFunc(b.byHeader, func(x headerIndex) bool { return x.name == h.Name })
 		if i < 0 {
-			b.byHeader = append(b.byHeader, headerIndex{h.Name, map[string][]*rule{}})
+			b.byHeader = append(b.byHeader, headerIndex{h.Name, map[string][]*compiledRule{}})
 			i = len(b.byHeader) - 1
 		}
 		b.byHeader[i].values[h.Value] = append(b.byHeader[i].values[h.Value], r)
@@ -365,23 +376,23 @@
 	b.rest = append(b.rest, r)
 }
 
-// Match is where a request goes.
+// Match is the result of a lookup.
 type Match struct {
-	Rule string // its name; empty: none fits, and the fallback holds
-	Pool string // empty: nowhere
+	Rule string // name of the rule that decided; empty: no rule matched, and the fallback applies
+	Pool string // empty: no pool serves the request
 }
 
-// Match finds where a request goes.
+// Match returns the pool of a request.
 func (t *Table) Match(q *Query) Match {
 	r := t.find(q)
 	if r == nil {
 		return Match{"", t.fallback}
 	}
-	return Match{r.Name, r.pick(q)}
+	return Match{r.Name, r.pickTarget(q)}
 }
 
-// find finds the first rule that fits.
-func (t *Table) find(q *Query) *rule {
+// find returns the matching rule with the highest precedence, or nil.
+func (t *Table) find(q *Query) *compiledRule {
 	if q.Host != "" {
 		if h := t.exact[q.Host]; h != nil {
 			if r := h.find(q); r != nil {
@@ -389,7 +400,7 @@
 			}
 		}
 		if len(t.suffixes) > 0 {
-			for rest := q.Host; ; { // the longest suffix first
+			for rest := q.Host; ; { // longest suffix first
 				i := strings.IndexByte(rest, '.')
 				if i < 0 {
 					break
@@ -408,7 +419,8 @@
 	return t.any.find(q)
 }
 
-func (h *hostNode) find(q *Query) *rule {
+// find returns the first rule of the host that matches, or nil.
+func (h *hostNode) find(q *Query) *compiledRule {
 	if b := h.exact[q.Path]; b != nil && q.Path != "" {
 		if r := b.find(q); r != nil {
 			return r
@@ -419,8 +431,8 @@
 			return r
 		}
 	}
-	for p := q.Path; len(h.prefix) > 0; { // from the whole path to none of it
-		if len(p) <= h.longest {
+	for p := q.Path; len(h.prefix) > 0; { // longest prefix first, down to the empty one
+		if len(p) <= h.maxPrefix {
 			if b := h.prefix[p]; b != nil {
 				if r := b.find(q); r != nil {
 					return r
@@ -435,12 +447,13 @@
 	return nil
 }
 
-// find follows the segments of a path, literals before parameters.
-func (n *segmentNode) find(q *Query, path string) *rule {
-	s, rest, more := strings.Cut(path, "/")
-	for _, next := range [2]*segmentNode{n.literal[s], n.param} {
+// find returns the first rule below the node that matches the rest of a path, or nil. Literal segments are tried before
+// parameters.
+func (n *segmentNode) find(q *Query, path string) *compiledRule {
+	segment, rest, more := strings.Cut(path, "/")
+	for _, next := range [2]*segmentNode{n.literal[segment], n.param} {
 		switch {
-		case next == nil || s == "":
+		case next == nil || segment == "":
 		case more:
 			if r := next.find(q, rest); r != nil {
 				return r
@@ -454,36 +467,36 @@
 	return nil
 }
 
-// find finds the first rule of a bucket that fits.
-func (b *bucket) find(q *Query) *rule {
-	best := first(b.rest, nil, q)
+// find returns the rule of the bucket with the highest precedence that matches, or nil.
+func (b *bucket) find(q *Query) *compiledRule {
+	best := firstMatch(b.rest, nil, q)
 	if q.Account != "" && b.byAccount != nil {
-		best = first(b.byAccount[q.Account], best, q)
+		best = firstMatch(b.byAccount[q.Account], best, q)
 	}
 	for i := range b.byHeader {
 		if v := q.Header[b.byHeader[i].name]; len(v) == 1 {
-			best = first(b.byHeader[i].values[v[0]], best, q)
+			best = firstMatch(b.byHeader[i].values[v[0]], best, q)
 		}
 	}
 	return best
 }
 
-// first finds the first rule of a list that fits, if it goes before the best so far.
-func first(list []*rule, best *rule, q *Query) *rule {
+// firstMatch returns the first rule of a list that matches if it takes precedence over the best so far, else the best.
+func firstMatch(list []*compiledRule, best *compiledRule, q *Query) *compiledRule {
 	for _, r := range list {
 		if best != nil && r.rank > best.rank {
 			break
 		}
-		if r.fits(q) == "" {
+		if r.mismatch(q) == "" {
 			return r
 		}
 	}
 	return best
 }
 
-// fits says which part of a rule does not fit; empty: all do. Host and path are found by the index, but looked at here
-// too for the sake of Explain.
-func (r *rule) fits(q *Query) string {
+// mismatch returns the first condition that a request does not meet, or an empty string. It leaves out host and path,
+// by which the index has found the rule: see hostPathMismatch.
+func (r *compiledRule) mismatch(q *Query) string {
 	switch {
 	case r.Listener != "" && r.Listener != q.Listener:
 		return "listener"
@@ -502,8 +515,8 @@
 	return ""
 }
 
-// place says whether host and path fit.
-func (r *rule) place(q *Query) string {
+// hostPathMismatch returns "host" or "path" if a request does not meet that condition, or an empty string.
+func (r *compiledRule) hostPathMismatch(q *Query) string {
 	if r.Host != "" && r.Host != q.Host || r.suffix != "" && !strings.HasSuffix(q.Host, "."+r.suffix) {
 		return "host"
 	}
@@ -515,10 +528,10 @@
 	case r.Kind == Prefix:
 		ok = strings.HasPrefix(q.Path, r.Path) && (len(q.Path) == len(r.Path) || q.Path[len(r.Path)] == '/')
 	default:
-		at := strings.Split(strings.TrimPrefix(q.Path, "/"), "/")
-		ok = len(at) == len(r.segments) && q.Path != ""
-		for i := 0; ok && i < len(at); i++ {
-			ok = at[i] != "" && (r.segments[i] == "" || r.segments[i] == at[i])
+		segments := strings.Split(strings.TrimPrefix(q.Path, "/"), "/")
+		ok = len(segments) == len(r.segments) && q.Path != ""
+		for i := 0; ok && i < len(segments); i++ {
+			ok = segments[i] != "" && (r.segments[i] == "" || r.segments[i] == segments[i])
 		}
 	}
 	if !ok {
@@ -527,38 +540,38 @@
 	return ""
 }
 
-// pick chooses a target by weight. The same account always gets the same one, and when weights change only as many move
-// as must (weighted rendezvous hashing: Schindelhauer and Schomaker, 2005).
-func (r *rule) pick(q *Query) string {
+// pickTarget selects a target by weight. An account always gets the same target, and a change of weights moves as few
+// accounts as possible (weighted rendezvous hashing: Schindelhauer and Schomaker, 2005).
+func (r *compiledRule) pickTarget(q *Query) string {
 	if len(r.Targets) == 1 {
 		return r.Targets[0].Pool
 	}
-	who := q.Account
-	if who == "" {
-		who = q.Stick
+	key := q.Account
+	if key == "" {
+		key = q.StickyKey
 	}
-	best, score := "", math.Inf(-1)
+	best, bestScore := "", math.Inf(-1)
 	for i := range r.Targets {
-		g := &r.Targets[i]
-		if g.Weight == 0 {
+		target := &r.Targets[i]
+		if target.Weight == 0 {
 			continue
 		}
-		u := (float64(hash(who, g.Pool)>>11) + 0.5) / (1 << 53) // above 0, below 1
-		if s := -g.Weight / math.Log(u); s > score {
-			best, score = g.Pool, s
+		u := (float64(hash(key, target.Pool)>>11) + 0.5) / (1 << 53) // uniform, above 0 and below 1
+		if score := -target.Weight / math.Log(u); score > bestScore {
+			best, bestScore = target.Pool, score
 		}
 	}
 	return best
 }
 
-// hash is FNV-1a over two strings with a finish that spreads its bits (that of splitmix64).
+// hash returns the FNV-1a hash of two strings with the finalizer of splitmix64, which mixes its bits.
 func hash(a, b string) uint64 {
 	h := uint64(14695981039346656037)
 	for _, s := range [2]string{a, b} {
 		for i := range len(s) {
 			h = (h ^ uint64(s[i])) * 1099511628211
 		}
-		h = (h ^ 0xff) * 1099511628211 // which no text holds: the strings' border
+		h = (h ^ 0xff) * 1099511628211 // separates the strings: UTF-8 has no byte 0xff
 	}
 	h ^= h >> 30
 	h *= 0xbf58476d1ce4e5b9
@@ -567,38 +580,38 @@
 	return h ^ h>>31
 }
 
-// Step is what became of one rule on the way to a match.
+// Step is the result of comparing a request with one rule.
 type Step struct {
 	Rule  string `json:"rule"`
-	Fails string `json:"fails,omitempty"` // the part that did not fit; empty: this rule decided
+	Fails string `json:"fails,omitempty"` // the condition that was not met; empty: this rule decided
 }
 
-// Explain says why a request goes where it goes: the rules in their order up to the one that decides. It looks at all of
-// them and is not for the path of requests.
+// Explain returns the rules in order of precedence up to the one that decides, with why the others do not match. It
+// scans all rules, so it is not meant for serving requests.
 func (t *Table) Explain(q *Query) ([]Step, Match) {
 	var steps []Step
 	for _, r := range t.rules {
-		why := r.place(q)
-		if why == "" {
-			why = r.fits(q)
+		fails := r.hostPathMismatch(q)
+		if fails == "" {
+			fails = r.mismatch(q)
 		}
-		steps = append(steps, Step{r.Name, why})
-		if why == "" {
-			return steps, Match{r.Name, r.pick(q)}
+		steps = append(steps, Step{r.Name, fails})
+		if fails == "" {
+			return steps, Match{r.Name, r.pickTarget(q)}
 		}
 	}
 	return steps, Match{"", t.fallback}
 }
 
-// Pools are the names of all pools to which the table can send.
+// Pools returns the names of all pools that are targets or the fallback, sorted.
 func (t *Table) Pools() []string {
 	seen := map[string]bool{}
 	if t.fallback != "" {
 		seen[t.fallback] = true
 	}
 	for _, r := range t.rules {
-		for _, g := range r.Targets {
-			seen[g.Pool] = true
+		for _, target := range r.Targets {
+			seen[target.Pool] = true
 		}
 	}
 	all := make([]string, 0, len(seen))
@@ -609,7 +622,7 @@
 	return all
 }
 
-// Rules are the rules as they were given, in their order of precedence.
+// Rules returns the rules with normalized hosts and paths, in order of precedence.
 func (t *Table) Rules() []Rule {
 	all := make([]Rule, 0, len(t.rules))
 	for _, r := range t.rules {
@@ -622,5 +635,5 @@
 	return all
 }
 
-// Len is the number of rules.
+// Len returns the number of rules.
 func (t *Table) Len() int { return len(t.rules) }
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -74,14 +74,14 @@
 
 // A bad table is refused with the rule's name and the field.
 func TestPoolsRouteFaults(t *testing.T) {
-	long := strings.Repeat("/a", MostSegments+1)
+	long := strings.Repeat("/a", MaxSegments+1)
 	for field, bad := range map[string][]Rule{
 		"name":    {{Targets: to("p")}, {Name: "a", Targets: to("p")}},
 		"host":    {{Host: "a:80"}, {Host: "*."}, {Host: "a.*.b"}, {Host: "a..b"}, {Host: "a b"}, {Host: ".a"}},
 		"path":    {{Path: "a"}, {Path: "/a//b"}, {Path: "/a/../b"}, {Path: "/a?b"}, {Path: "/{a}"}, {Kind: Exact}, {Kind: Template, Path: "/a{b}"}, {Kind: Template, Path: "/{}"}, {Kind: Template, Path: "/a/"}, {Kind: Template, Path: long}},
 		"kind":    {{Kind: 7, Path: "/a"}},
 		"methods": {{Methods: []string{"get"}}},
-		"headers": {{Headers: []Header{{"", ""}}}, {Headers: []Header{{"A", ""}, {"A", "1"}}}, {Headers: make([]Header, MostHeaders+1)}},
+		"headers": {{Headers: []Header{{"", ""}}}, {Headers: []Header{{"A", ""}, {"A", "1"}}}, {Headers: make([]Header, MaxHeaders+1)}},
 		"targets": {{Targets: []Target{}}, {Targets: []Target{{"nowhere", 1}}}, {Targets: []Target{{"p", 0}}}, {Targets: []Target{{"p", -1}}},
 			{Targets: []Target{{"p", math.NaN()}}}, {Targets: []Target{{"p", 1}, {"p", 1}}}, {Targets: []Target{{"", 1}}}},
 	} {
