--- a/internal/cpuscheduler/scheduler.go
+++ b/internal/cpuscheduler/scheduler.go
@@ -1,7 +1,8 @@
-// Package cpuscheduler shares the processor between flows, which are pools, by weight. Work is let in in short turns that never
-// block; while more wants in than the processor's cores can do, the flow that has had least for its weight goes next
-// (start-time fair queueing: Goyal, Vin and Cheng, SIGCOMM 1996). What waits is not runnable, so a flooded pool's thousand
-// connections don't stand before a quiet pool's one in the scheduler's queue. With room for all nobody waits.
+// Package cpuscheduler shares the processor between flows, one for each pool, by weight. A flow gets short turns of
+// work that never block. While cores are free, turns start at once. While more turns are wanted than there are cores,
+// the flow that has had the least processor time for its weight goes next (start-time fair queueing: Goyal, Vin and
+// Cheng, SIGCOMM 1996). Goroutines that wait for a turn are not runnable, so the thousand connections of a flooded pool
+// don't stand in the Go scheduler's queue ahead of the single one of a quiet pool.
 package cpuscheduler
 
 import (
@@ -11,42 +12,44 @@
 	"gapgap/internal/priorityqueue"
 )
 
-// Scheduler lets so many turns run at once. Any goroutine may use it.
+// Scheduler lets a limited number of turns run at once. Any goroutine may use it.
 type Scheduler struct {
-	mu     sync.Mutex
-	slots  int
-	busy   int
-	v      float64       // virtual time: the start of the turn that was let in last
-	worked time.Duration // since a time
-	since  time.Time
-	queue  *priorityqueue.Queue[*Flow] // those for which somebody waits, by virtual time
+	mu           sync.Mutex
+	cores        int                         // the number of turns that may run at once
+	running      int                         // the number of turns that run
+	virtualTime  float64                     // start of the last turn that was started
+	quantumWork  time.Duration               // work done in the present quantum
+	quantumStart time.Time                   // when the present quantum began
+	queue        *priorityqueue.Queue[*Flow] // flows with waiting turns, by their virtualTime
 }
 
-// New makes a gate for so many cores.
+// New returns a Scheduler for a number of cores.
 func New(cores int) *Scheduler {
-	return &Scheduler{slots: max(1, cores), queue: priorityqueue.New(func(a, b *Flow) bool { return a.v < b.v })}
+	return &Scheduler{cores: max(1, cores), queue: priorityqueue.New(func(a, b *Flow) bool {
+		return a.virtualTime < b.virtualTime
+	})}
 }
 
-// Flow is one party to a Scheduler. A nil Flow lets everything in at once.
+// Flow is one of the flows that share a Scheduler. The turns of a nil Flow never wait.
 type Flow struct {
-	g       *Scheduler
-	weight  float64
-	v       float64 // where its next turn starts, in seconds over its weight
-	waiting []chan struct{}
-	place   priorityqueue.Item[*Flow] // in the queue
-	turns   uint64
-	waited  uint64
-	used    time.Duration
+	scheduler   *Scheduler
+	weight      float64
+	virtualTime float64 // start of its next turn: processor time in seconds, divided by the weight
+	waiting     []chan struct{}
+	rank        priorityqueue.Item[*Flow] // position in Scheduler.queue
+	turns       uint64
+	waited      uint64
+	used        time.Duration
 }
 
-// Flow makes a party. Its weight, above 0, is to compare with the others'.
-func (g *Scheduler) Flow(weight float64) *Flow {
-	f := &Flow{g: g, weight: weight}
-	f.place.Value = f
+// Flow adds a flow. Its weight must be above 0 and is relative to those of the other flows.
+func (s *Scheduler) Flow(weight float64) *Flow {
+	f := &Flow{scheduler: s, weight: weight}
+	f.rank.Value = f
 	return f
 }
 
-// Enter waits for a turn and says when it began. The turn must be short, must not block, and ends with Leave.
+// Enter waits for a turn and returns when it began. The turn must be short, must not block, and ends with Leave.
 func (f *Flow) Enter() time.Time {
 	if f == nil {
 		return time.Time{}
@@ -57,97 +60,97 @@
 	return time.Now()
 }
 
-// Leave ends a turn that began at a time.
+// Leave ends a turn. began is the result of Enter.
 func (f *Flow) Leave(began time.Time) {
 	if f == nil {
 		return
 	}
 	took := time.Since(began)
-	if f.g.breathes(began.Add(took), took) {
-		time.Sleep(breath)
+	if f.scheduler.needsPollPause(began.Add(took), took) {
+		time.Sleep(pollPause)
 	}
 	f.leave(took)
 }
 
-// The Go scheduler asks the network for news only when nothing is runnable, or each 10 ms; a flood keeps something
-// runnable always. So after each quantum of work the turn that ends is held a little longer while nothing else is let in:
-// what has come for a quiet flow then gets to the gate, and goes first. On one core no two turns ever meet at the gate
-// otherwise, as a turn does not block.
+// The Go scheduler polls the network only when no goroutine is runnable, or every 10 ms, and under a flood some
+// goroutine always is. So after each quantum of work the turn that ends is held a little longer while no other turn
+// starts: input that has arrived for a quiet flow is then read, and its turn goes next. Without this pause no two turns
+// would ever compete on a single core, as a turn does not block.
 const (
-	quantum  = 100 * time.Microsecond
-	breath   = 20 * time.Microsecond // the kernel makes about 70 of it
-	idleOver = 4                     // quanta of time for one of work, from which on the processor counts as having room
+	quantum   = 100 * time.Microsecond
+	pollPause = 20 * time.Microsecond // the kernel sleeps for about 70 microseconds
+	idleRatio = 4                     // ratio of a quantum's duration to its work from which the processor is idle
 )
 
-// breathes says whether it is time for that: a quantum of work is done, and in little more time than it took. Otherwise
-// the processor has room anyway.
-func (g *Scheduler) breathes(now time.Time, took time.Duration) bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.worked += took; g.worked < quantum {
+// needsPollPause adds the work of a turn that ends now. It reports whether a quantum is complete that took less than
+// idleRatio times its work: a processor with idle time polls the network anyway.
+func (s *Scheduler) needsPollPause(now time.Time, took time.Duration) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.quantumWork += took; s.quantumWork < quantum {
 		return false
 	}
-	busy := now.Sub(g.since) < idleOver*quantum
-	g.worked, g.since = 0, now
+	busy := now.Sub(s.quantumStart) < idleRatio*quantum
+	s.quantumWork, s.quantumStart = 0, now
 	return busy
 }
 
-// enter asks for a turn; nil: it is given, else it comes by the channel.
+// enter requests a turn. It returns nil if the turn starts at once, or else a channel that is closed when it starts.
 func (f *Flow) enter() chan struct{} {
-	g := f.g
-	g.mu.Lock()
-	defer g.mu.Unlock()
+	s := f.scheduler
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	f.turns++
-	if !f.place.In() {
-		f.v = max(f.v, g.v) // no credit for the time in which nothing was wanted
+	if !f.rank.In() {
+		f.virtualTime = max(f.virtualTime, s.virtualTime) // an idle flow earns no credit
 	}
-	if g.busy < g.slots {
-		g.busy++
-		g.v = max(g.v, f.v)
+	if s.running < s.cores {
+		s.running++
+		s.virtualTime = max(s.virtualTime, f.virtualTime)
 		return nil
 	}
 	f.waited++
 	turn := make(chan struct{})
 	f.waiting = append(f.waiting, turn)
-	g.queue.Put(&f.place)
+	s.queue.Put(&f.rank)
 	return turn
 }
 
-// leave ends a turn that took so long, and lets the next one in.
+// leave ends a turn that took a time, and starts the next one.
 func (f *Flow) leave(took time.Duration) {
-	g := f.g
-	g.mu.Lock()
-	defer g.mu.Unlock()
+	s := f.scheduler
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	f.used += took
-	f.v += took.Seconds() / f.weight
-	g.queue.Moved(&f.place)
-	if g.queue.Len() == 0 {
-		g.busy--
+	f.virtualTime += took.Seconds() / f.weight
+	s.queue.Moved(&f.rank)
+	if s.queue.Len() == 0 {
+		s.running--
 		return
 	}
-	next := g.queue.First().Value
+	next := s.queue.First().Value
 	turn := next.waiting[0]
 	next.waiting[0] = nil
 	if next.waiting = next.waiting[1:]; len(next.waiting) == 0 {
 		next.waiting = nil
-		g.queue.Pop()
+		s.queue.Pop()
 	}
-	g.v = max(g.v, next.v)
+	s.virtualTime = max(s.virtualTime, next.virtualTime)
 	close(turn)
 }
 
-// Stats tell of a flow: turns, how many of them waited, and the time that they took in all.
+// Stats are the statistics of a flow.
 type Stats struct {
-	Turns, Waited uint64
-	Used          time.Duration
+	Turns, Waited uint64        // number of turns, and of those that had to wait
+	Used          time.Duration // total time of the turns that have ended
 }
 
-// Stats tells of the flow so far.
+// Stats returns the statistics of the flow since it was added.
 func (f *Flow) Stats() Stats {
 	if f == nil {
 		return Stats{}
 	}
-	f.g.mu.Lock()
-	defer f.g.mu.Unlock()
+	f.scheduler.mu.Lock()
+	defer f.scheduler.mu.Unlock()
 	return Stats{f.turns, f.waited, f.used}
 }
--- a/internal/cpuscheduler/scheduler_test.go
+++ b/internal/cpuscheduler/scheduler_test.go
@@ -9,124 +9,130 @@
 	"pgregory.net/rapid"
 )
 
-// player plays flows that always want more, in virtual time: it holds what waits and ends turns in their order.
-type player struct {
-	flows []*Flow
-	waits [][]chan struct{} // by flow, those that wait
-	in    []int             // flows whose turns run
-	got   []time.Duration
+// simulation runs the turns of several flows on one goroutine, without real time: it keeps the waiting turns and ends
+// the running ones in the order in which they started.
+type simulation struct {
+	flows   []*Flow
+	waiting [][]chan struct{} // channels of the waiting turns, by flow
+	running []int             // flows of the running turns, oldest first
+	used    []time.Duration   // processor time, by flow
 }
 
-// ask asks for a turn of a flow.
-func (p *player) ask(i int) {
-	if turn := p.flows[i].enter(); turn != nil {
-		p.waits[i] = append(p.waits[i], turn)
+// request requests a turn of a flow.
+func (sim *simulation) request(i int) {
+	if turn := sim.flows[i].enter(); turn != nil {
+		sim.waiting[i] = append(sim.waiting[i], turn)
 	} else {
-		p.in = append(p.in, i)
+		sim.running = append(sim.running, i)
 	}
 }
 
-// end ends the oldest turn, which took so long, and finds who was let in.
-func (p *player) end(took time.Duration) {
-	i := p.in[0]
-	p.in = p.in[1:]
-	p.got[i] += took
-	p.flows[i].leave(took)
-	for j, list := range p.waits {
-		if len(list) > 0 {
+// end ends the oldest running turn, which took a time, and finds the turns that have started.
+func (sim *simulation) end(took time.Duration) {
+	i := sim.running[0]
+	sim.running = sim.running[1:]
+	sim.used[i] += took
+	sim.flows[i].leave(took)
+	for j, turns := range sim.waiting {
+		if len(turns) > 0 {
 			select {
-			case <-list[0]:
-				p.waits[j] = list[1:]
-				p.in = append(p.in, j)
+			case <-turns[0]:
+				sim.waiting[j] = turns[1:]
+				sim.running = append(sim.running, j)
 			default:
 			}
 		}
 	}
 }
 
-func play(slots int, weights ...float64) *player {
-	g := New(slots)
-	p := &player{waits: make([][]chan struct{}, len(weights)), got: make([]time.Duration, len(weights))}
-	for _, w := range weights {
-		p.flows = append(p.flows, g.Flow(w))
-	}
-	return p
+// newSimulation returns a simulation with one flow for each weight.
+func newSimulation(cores int, weights ...float64) *simulation {
+	s := New(cores)
+	sim := &simulation{waiting: make([][]chan struct{}, len(weights)), used: make([]time.Duration, len(weights))}
+	for _, weight := range weights {
+		sim.flows = append(sim.flows, s.Flow(weight))
+	}
+	return sim
 }
 
-// Flows that always want more get time by their weights, however long their turns are and however many wait in each.
+// TestPoolsGateSharesByWeight verifies that flows with a constant backlog get processor time in proportion to their
+// weights, however long their turns are and however many wait.
 func TestPoolsGateSharesByWeight(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weights := rapid.SliceOfN(rapid.Float64Range(0.2, 5), 2, 4).Draw(t, "weights")
-		p := play(rapid.IntRange(1, 3).Draw(t, "slots"), weights...)
-		long := make([]time.Duration, len(weights))
+		sim := newSimulation(rapid.IntRange(1, 3).Draw(t, "slots"), weights...)
+		turnTime := make([]time.Duration, len(weights))
 		sum := 0.0
 		for i := range weights {
-			long[i] = time.Duration(rapid.IntRange(1, 50).Draw(t, "turn")) * time.Microsecond
+			turnTime[i] = time.Duration(rapid.IntRange(1, 50).Draw(t, "turn")) * time.Microsecond
 			for range rapid.IntRange(4, 40).Draw(t, "waiting") {
-				p.ask(i)
+				sim.request(i)
 			}
 			sum += weights[i]
 		}
 		for range 20_000 {
-			i := p.in[0]
-			p.end(long[i])
-			p.ask(i)
+			i := sim.running[0]
+			sim.end(turnTime[i])
+			sim.request(i)
 		}
 		total := time.Duration(0)
-		for _, d := range p.got {
-			total += d
+		for _, used := range sim.used {
+			total += used
 		}
-		for i, d := range p.got {
-			if want := weights[i] / sum; math.Abs(float64(d)/float64(total)-want) > 0.02 {
-				t.Fatalf("flow %d of %v has %.3f of the time, want %.3f", i, weights, float64(d)/float64(total), want)
+		for i, used := range sim.used {
+			if want := weights[i] / sum; math.Abs(float64(used)/float64(total)-want) > 0.02 {
+				t.Fatalf("flow %d of weights %v got %.3f of the time, want %.3f",
+					i, weights, float64(used)/float64(total), want)
 			}
 		}
 	})
 }
 
-// A flow that wants little is let in next, however many wait in another, and gets no credit for the time before.
+// TestPoolsGateQuietGoesNext verifies that the turn of a flow with little work goes next, however many turns of another
+// flow wait, and that a flow earns no credit while it is idle.
 func TestPoolsGateQuietGoesNext(t *testing.T) {
-	p := play(1, 1, 1)
+	sim := newSimulation(1, 1, 1)
 	for range 1000 {
-		p.ask(0)
+		sim.request(0)
 	}
 	for range 500 {
-		p.end(10 * time.Microsecond)
-		p.ask(0)
+		sim.end(10 * time.Microsecond)
+		sim.request(0)
 	}
 	for range 100 {
-		p.ask(1) // the quiet one
-		p.end(10 * time.Microsecond)
-		p.ask(0)
-		if p.in[0] != 1 {
-			t.Fatal("the quiet flow was not next")
+		sim.request(1) // the quiet flow
+		sim.end(10 * time.Microsecond)
+		sim.request(0)
+		if sim.running[0] != 1 {
+			t.Fatal("the turn of the quiet flow was not next")
 		}
-		p.end(10 * time.Microsecond)
+		sim.end(10 * time.Microsecond)
 	}
-	before := p.got[0]
-	for range 200 { // now it wants as much as the other: each gets half from here on
-		p.ask(1)
+	before := sim.used[0]
+	for range 200 { // now with as much work as the other flow: each gets half from here on
+		sim.request(1)
 	}
-	start := p.got[1]
+	start := sim.used[1]
 	for range 200 {
-		i := p.in[0]
-		p.end(10 * time.Microsecond)
-		p.ask(i)
+		i := sim.running[0]
+		sim.end(10 * time.Microsecond)
+		sim.request(i)
 	}
-	if a, b := p.got[0]-before, p.got[1]-start; a < b*8/10 || b < a*8/10 {
-		t.Errorf("%v and %v", a, b)
+	if a, b := sim.used[0]-before, sim.used[1]-start; a < b*8/10 || b < a*8/10 {
+		t.Errorf("the flows used %v and %v, want about the same", a, b)
 	}
 }
 
-// With room nobody waits; a nil flow never does; and turns from many goroutines all come to their end.
+// TestPoolsGateUnderRace verifies that no turn waits while a core is free, that turns of a nil flow never wait, and
+// that the turns of many concurrent goroutines all end.
 func TestPoolsGateUnderRace(t *testing.T) {
 	var none *Flow
 	none.Leave(none.Enter())
 	if none.Stats() != (Stats{}) {
-		t.Error("a nil flow has figures")
+		t.Error("a nil flow has statistics")
 	}
-	g := New(2)
-	a, b := g.Flow(1), g.Flow(2)
+	s := New(2)
+	a, b := s.Flow(1), s.Flow(2)
 	a.Leave(a.Enter())
 	if f := a.Stats(); f.Turns != 1 || f.Waited != 0 {
 		t.Errorf("%+v", f)
@@ -141,19 +147,20 @@
 		})
 	}
 	wg.Wait()
-	if f, h := a.Stats(), b.Stats(); f.Turns != 8001 || h.Turns != 8000 || g.busy != 0 || g.queue.Len() != 0 {
-		t.Errorf("%+v %+v, %d busy", f, h, g.busy)
+	if f, h := a.Stats(), b.Stats(); f.Turns != 8001 || h.Turns != 8000 || s.running != 0 || s.queue.Len() != 0 {
+		t.Errorf("%+v %+v, %d running", f, h, s.running)
 	}
 }
 
-// A flow that works without a pause stops for breath after each quantum; one that works now and then does not.
+// TestPoolsGateBreathes verifies that there is a poll pause after each quantum of continuous work, and none if there is
+// idle time between the turns.
 func TestPoolsGateBreathes(t *testing.T) {
-	g := New(1)
+	s := New(1)
 	now := time.Now()
 	count := func(gap time.Duration) (n int) {
 		for range 100 {
 			now = now.Add(quantum/10 + gap)
-			if g.breathes(now, quantum/10) {
+			if s.needsPollPause(now, quantum/10) {
 				n++
 			}
 		}
@@ -161,10 +168,10 @@
 	}
 	count(0)
 	if n := count(0); n != 10 {
-		t.Errorf("%d breaths in ten quanta of work without a pause", n)
+		t.Errorf("%d poll pauses in ten quanta of continuous work", n)
 	}
 	count(quantum)
 	if n := count(quantum); n != 0 {
-		t.Errorf("%d breaths with room between turns", n)
+		t.Errorf("%d poll pauses with idle time between turns", n)
 	}
 }
