--- a/internal/frontend/admin/admin.go
+++ b/internal/frontend/admin/admin.go
@@ -1,6 +1,6 @@
-// Package admin is the line by which operators call a gateway: one line to a connection, one answer. It decides
-// nothing; what the commands do is behind Service. Each connection has a goroutine of its own, so that an answer
-// waits neither for other callers nor for requests.
+// Package admin serves the control protocol by which operators command a gateway: a connection carries one line with a
+// command and one answer. What the commands do is implemented by a Service. Each connection has its own goroutine, so
+// that an answer waits neither for other callers nor for client requests.
 package admin
 
 import (
@@ -17,78 +17,79 @@
 )
 
 const (
-	// MaxLineBytes bounds a line, its end included.
+	// MaxLineBytes is the maximum length of a line, including its end.
 	MaxLineBytes = 256
-	// MaxCalls bounds the connections. A further one takes the place of the oldest that has not sent a whole line.
-	MaxCalls = 24
+	// MaxConnections is the maximum number of connections. A further one replaces the oldest that has not sent a whole
+	// line.
+	MaxConnections = 24
 )
 
-// Time limits of a call.
+// Time limits of a connection.
 const (
-	// lineTimeout is from connecting until the line is there.
+	// lineTimeout is how long the line may take to arrive after connecting.
 	lineTimeout = 5 * time.Second
-	// commandTimeout is for what the command does; an answer is due within 1 s of the line.
+	// commandTimeout is how long a command may take. An answer must be sent within 1 s of the line.
 	commandTimeout = 850 * time.Millisecond
-	// answerTimeout is for the caller to take the answer.
+	// answerTimeout is how long writing the answer may take.
 	answerTimeout = 2 * time.Second
-	// lingerTimeout is for the rest of a line that is too long, of which lingerBytes are read at most.
+	// lingerTimeout is how long the rest of a line that is too long is read, up to lingerBytes.
 	lingerTimeout = 500 * time.Millisecond
 	lingerBytes   = 64 << 10
-	// acceptRetryPause is the pause after an accept that failed.
+	// acceptRetryPause is the pause after Accept has failed.
 	acceptRetryPause = 10 * time.Millisecond
 )
 
-// Service is what commands do. Any goroutine may call it. The caller is told an error as the reason of a NO.
+// Service implements the commands. Any goroutine may call it. The text of an error follows the NO of the answer.
 type Service interface {
-	// Ready returns why this process can't serve; nil: it can.
+	// Ready returns nil if this process can serve, or else why it can't.
 	Ready() error
-	// Figures returns the figures, one a line.
+	// Figures returns the statistics, one per line.
 	Figures() []byte
-	// Detach ejects an endpoint. It is done when it returns nil.
+	// Detach ejects an endpoint administratively. If it returns nil, the endpoint is ejected.
 	Detach(ctx context.Context, endpoint string) error
-	// Attach restores an endpoint. It is done when it returns nil.
+	// Attach restores an endpoint. If it returns nil, the endpoint is restored.
 	Attach(ctx context.Context, endpoint string) error
 }
 
-// Front is the listener and its callers.
+// Front serves the control protocol on one listener.
 type Front struct {
 	listener net.Listener
 	service  Service
 	log      *slog.Logger
 
 	mu sync.Mutex
-	// waiting are connections that have not sent a whole line, the oldest first.
+	// waiting has the connections that have not sent a whole line, oldest first.
 	waiting []net.Conn
-	// open counts all connections.
+	// open is the number of all connections.
 	open   int
 	closed bool
 	wg     sync.WaitGroup
 }
 
-// New returns a front on a listener, which it closes.
+// New returns a Front on a listener, which it closes.
 func New(listener net.Listener, service Service, log *slog.Logger) *Front {
 	return &Front{listener: listener, service: service, log: log}
 }
 
-// Serve begins to take calls and returns at once.
+// Serve starts to accept connections and returns at once.
 func (f *Front) Serve() { f.wg.Go(f.accept) }
 
-// Close ends the listener and all calls, and waits for their goroutines.
+// Close closes the listener and the waiting connections, and waits for all goroutines.
 func (f *Front) Close() {
-	closeIgnoring(f.listener)
+	closeQuietly(f.listener)
 	f.mu.Lock()
 	f.closed = true
 	for _, conn := range f.waiting {
-		closeIgnoring(conn)
+		closeQuietly(conn)
 	}
 	f.mu.Unlock()
 	f.wg.Wait()
 }
 
-// closeIgnoring closes what nobody uses any more, so its error says nothing.
-func closeIgnoring(c io.Closer) { _ = c.Close() }
+// closeQuietly closes something that is no longer used, so an error does not matter.
+func closeQuietly(c io.Closer) { _ = c.Close() }
 
-// accept takes connections until the listener is closed.
+// accept accepts connections until the listener is closed.
 func (f *Front) accept() {
 	for {
 		conn, err := f.listener.Accept()
@@ -96,30 +97,31 @@
 			return
 		}
 		if err != nil {
-			f.log.Warn("accept of a control call", "error", err)
+			f.log.Warn("control connection not accepted", "error", err)
 			time.Sleep(acceptRetryPause)
 			continue
 		}
 		if f.admit(conn) {
-			f.wg.Go(func() { f.call(conn) })
+			f.wg.Go(func() { f.handle(conn) })
 		} else {
-			closeIgnoring(conn)
+			closeQuietly(conn)
 		}
 	}
 }
 
-// admit takes a connection in. Where there are too many, the one that has waited longest for its line is closed.
+// admit counts a new connection and reports whether it may stay. If there are too many, the one that has waited longest
+// for its line is closed.
 func (f *Front) admit(conn net.Conn) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.closed {
 		return false
 	}
-	if f.open >= MaxCalls {
+	if f.open >= MaxConnections {
 		if len(f.waiting) == 0 {
 			return false
 		}
-		closeIgnoring(f.waiting[0])
+		closeQuietly(f.waiting[0])
 		f.waiting = f.waiting[1:]
 		f.open--
 	}
@@ -128,8 +130,8 @@
 	return true
 }
 
-// takeWaiting takes a connection out of those that wait for their line; false: it was closed for another one.
-func (f *Front) takeWaiting(conn net.Conn) bool {
+// removeWaiting ends the wait for a connection's line. It returns false if the connection was closed by admit.
+func (f *Front) removeWaiting(conn net.Conn) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	i := slices.Index(f.waiting, conn)
@@ -140,26 +142,26 @@
 	return true
 }
 
-// release ends the count of a connection.
+// release ends the counting of a connection.
 func (f *Front) release() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.open--
 }
 
-// call reads one line and answers it. A caller that sends nothing that can be answered gets no answer.
-func (f *Front) call(conn net.Conn) {
-	defer closeIgnoring(conn)
+// handle reads one line and answers it. A caller that sends no line gets no answer.
+func (f *Front) handle(conn net.Conn) {
+	defer closeQuietly(conn)
 	setDeadline(conn.SetReadDeadline, lineTimeout)
 	line, err := readLine(conn)
-	if !f.takeWaiting(conn) {
+	if !f.removeWaiting(conn) {
 		return
 	}
 	defer f.release()
 	var answer []byte
 	switch {
-	case errors.Is(err, errLongLine):
-		answer = refusal(err)
+	case errors.Is(err, errLineTooLong):
+		answer = errorAnswer(err)
 	case err != nil:
 		return
 	default:
@@ -168,16 +170,18 @@
 		cancel()
 	}
 	setDeadline(conn.SetWriteDeadline, answerTimeout)
-	_, _ = conn.Write(answer) // a caller that is gone needs no answer
+	_, _ = conn.Write(answer) // fails only if the caller has gone
 	if err != nil {
 		linger(conn)
 	}
 }
 
-// setDeadline sets a deadline from now. It fails only on a closed connection, as the next use of that does.
+// setDeadline sets a deadline relative to now. An error is ignored: it means that the connection is closed, and the
+// next read or write returns it too.
 func setDeadline(set func(time.Time) error, timeout time.Duration) { _ = set(time.Now().Add(timeout)) }
 
-// linger reads the rest of a line that is too long: closing on what is still being sent would throw the answer away.
+// linger reads the rest of a line that is too long. Closing the connection with unread input would reset it, and the
+// caller could lose the answer.
 func linger(conn net.Conn) {
 	half, ok := conn.(interface{ CloseWrite() error })
 	if !ok || half.CloseWrite() != nil {
@@ -187,10 +191,10 @@
 	_, _ = io.CopyN(io.Discard, conn, lingerBytes)
 }
 
-// errLongLine says that a line is too long.
-var errLongLine = fmt.Errorf("the line is longer than %d bytes", MaxLineBytes)
+// errLineTooLong means that a line exceeds MaxLineBytes.
+var errLineTooLong = fmt.Errorf("the line is longer than %d bytes", MaxLineBytes)
 
-// readLine reads up to the line's end, or to the end of what the caller sends: who closes its side has sent all.
+// readLine reads up to the end of the line or of the input: a caller may close its sending side in place of a line end.
 func readLine(conn net.Conn) (string, error) {
 	var line [MaxLineBytes]byte
 	n := 0
@@ -201,7 +205,7 @@
 			return string(line[:i]), nil
 		}
 		if n == len(line) {
-			return "", errLongLine
+			return "", errLineTooLong
 		}
 		if err != nil {
 			if n > 0 && errors.Is(err, io.EOF) {
--- a/internal/frontend/admin/admin_test.go
+++ b/internal/frontend/admin/admin_test.go
@@ -19,19 +19,20 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// desk is a Service that says what the test wants.
-type desk struct{ unready error }
+// fakeService is a Service with one endpoint, s-1.
+type fakeService struct{ unready error }
 
-func (d *desk) Ready() error { return d.unready }
-func (d *desk) Detach(_ context.Context, id string) error {
+func (s *fakeService) Ready() error { return s.unready }
+func (s *fakeService) Detach(_ context.Context, id string) error {
 	if id != "s-1" {
 		return fmt.Errorf("%q: never listed", id)
 	}
 	return nil
 }
-func (d *desk) Attach(ctx context.Context, id string) error { return d.Detach(ctx, id) }
-func (d *desk) Figures() []byte                             { return []byte("svc.open_requests=14\n") }
+func (s *fakeService) Attach(ctx context.Context, id string) error { return s.Detach(ctx, id) }
+func (s *fakeService) Figures() []byte                             { return []byte("svc.open_requests=14\n") }
 
+// start serves on a new listener until the end of the test and returns its address.
 func start(t *testing.T, svc Service) (*Front, string) {
 	t.Helper()
 	ln := peer.Listen(t)
@@ -41,7 +42,7 @@
 	return f, ln.Addr().String()
 }
 
-// ask sends text and returns all that is answered.
+// ask sends text on a new connection, closes its sending side if half is set, and returns the whole answer.
 func ask(t *testing.T, addr, text string, half bool) string {
 	t.Helper()
 	nc, err := net.Dial("tcp", addr)
@@ -61,11 +62,12 @@
 	return string(b)
 }
 
+// TestCalls verifies the answers to valid and invalid lines, and to a sending side that is closed without a line end.
 func TestCalls(t *testing.T) {
-	_, addr := start(t, &desk{})
+	_, addr := start(t, &fakeService{})
 	for text, want := range map[string]string{
 		"PING\r\n": "YES\n", "ping\n": "YES\n", "  Ping \t\r\n": "YES\n", "INFO\n": "svc.open_requests=14\nEND\n",
-		"PING\nPING\n": "YES\n", // one line to a connection
+		"PING\nPING\n": "YES\n", // one line per connection
 		"\n":           "NO the line is empty\n", "PING now\n": "NO PING is followed by more than it wants\n",
 		"DETACH\n":     "NO DETACH wants the ID of a backend\n",
 		"ATTACH a b\n": "NO ATTACH is followed by more than it wants\n",
@@ -77,27 +79,28 @@
 			t.Errorf("%.40q: %q", text, got)
 		}
 	}
-	if got := ask(t, addr, "PING", true); got != "YES\n" { // half-closed: it has said all
+	if got := ask(t, addr, "PING", true); got != "YES\n" { // half-closed: the line is complete
 		t.Errorf("half-closed: %q", got)
 	}
 	if got := ask(t, addr, "", true); got != "" {
-		t.Errorf("nothing said: %q", got)
+		t.Errorf("no line sent: %q", got)
 	}
 }
 
-// PING is a NO with the reason while the process can't serve.
+// TestNotReady verifies that PING is answered with NO and the reason while the process can't serve.
 func TestNotReady(t *testing.T) {
-	_, addr := start(t, &desk{unready: errors.New("no backend is known\nyet")})
+	_, addr := start(t, &fakeService{unready: errors.New("no backend is known\nyet")})
 	if got := ask(t, addr, "PING\n", false); got != "NO no backend is known yet\n" {
 		t.Errorf("%q", got)
 	}
 }
 
-// Callers that say nothing, or half a call, hold a bounded number of places, and nobody else up.
+// TestSilentCallersGiveWay verifies that callers that send nothing, or half a line, keep a bounded number of
+// connections and delay no other caller.
 func TestSilentCallersGiveWay(t *testing.T) {
-	f, addr := start(t, &desk{})
+	f, addr := start(t, &fakeService{})
 	var silent []net.Conn
-	for i := range 3 * MaxCalls {
+	for i := range 3 * MaxConnections {
 		nc, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
@@ -113,44 +116,47 @@
 	}
 	_ = silent[0].SetReadDeadline(time.Now().Add(20 * time.Second))
 	if _, err := silent[0].Read(make([]byte, 1)); errors.Is(err, net.ErrClosed) || err == nil || isTimeout(err) {
-		t.Errorf("the oldest silent caller is still held: %v", err)
+		t.Errorf("the connection of the oldest silent caller is still open: %v", err)
 	}
 	f.mu.Lock()
-	held := f.open
+	open := f.open
 	f.mu.Unlock()
-	if held > MaxCalls {
-		t.Errorf("%d callers held", held)
+	if open > MaxConnections {
+		t.Errorf("%d connections are open", open)
 	}
-	last := silent[len(silent)-1] // the newest still has its place, and may finish its call
+	last := silent[len(silent)-1] // the newest is still open, and may complete its line
 	_, _ = io.WriteString(last, "PING\n")
 	_ = last.SetReadDeadline(time.Now().Add(20 * time.Second))
 	if line, err := bufio.NewReader(last).ReadString('\n'); err != nil || line != "YES\n" {
-		t.Errorf("the newest: %q, %v", line, err)
+		t.Errorf("the newest connection: %q, %v", line, err)
 	}
 }
 
+// isTimeout reports whether an error is a network timeout.
 func isTimeout(err error) bool {
 	var ne net.Error
 	return errors.As(err, &ne) && ne.Timeout()
 }
 
+// FuzzParse verifies that Parse returns either an error or a command with its ID, and that these give the same result
+// when they are parsed again.
 func FuzzParse(f *testing.F) {
 	for _, s := range []string{"PING", "DETACH s-1", "INFO x", "\r", "attach\ta", "\x00"} {
 		f.Add(s)
 	}
 	f.Fuzz(func(t *testing.T, line string) {
-		word, id, err := Parse(line)
+		command, id, err := Parse(line)
 		if err != nil {
-			if word != "" || id != "" {
-				t.Errorf("%q: an error and a call", line)
+			if command != "" || id != "" {
+				t.Errorf("%q: both an error and a command", line)
 			}
 			return
 		}
-		if (word == "DETACH" || word == "ATTACH") != (id != "") {
-			t.Errorf("%q: %s %q", line, word, id)
+		if (command == "DETACH" || command == "ATTACH") != (id != "") {
+			t.Errorf("%q: %s %q", line, command, id)
 		}
-		if again, sameID, err := Parse(word + " " + id); err != nil || again != word || sameID != id {
-			t.Errorf("%q: not the same when said again: %s %q %v", line, again, sameID, err)
+		if again, sameID, err := Parse(command + " " + id); err != nil || again != command || sameID != id {
+			t.Errorf("%q: not the same when parsed again: %s %q %v", line, again, sameID, err)
 		}
 	})
 }
--- a/internal/frontend/admin/command.go
+++ b/internal/frontend/admin/command.go
@@ -15,8 +15,8 @@
 	commandAttach = "ATTACH"
 )
 
-// Parse reads a line: a command in any case and, where the command wants one, the ID of an endpoint, which is taken
-// as it is. Its errors are told to the caller.
+// Parse parses a line: a command in any case and, for commands that need one, the ID of an endpoint, whose case is
+// kept. The caller is told its errors.
 func Parse(line string) (command, id string, err error) {
 	if !isText(line) {
 		return "", "", errors.New("the line is not text")
@@ -26,27 +26,27 @@
 		return "", "", errors.New("the line is empty")
 	}
 	command = strings.ToUpper(parts[0])
-	wanted := 0
+	wantedArguments := 0
 	switch command {
 	case commandPing, commandInfo:
 	case commandDetach, commandAttach:
-		wanted = 1
+		wantedArguments = 1
 	default:
 		return "", "", fmt.Errorf("unknown call %.40q", parts[0])
 	}
 	arguments := parts[1:]
 	switch {
-	case len(arguments) < wanted:
+	case len(arguments) < wantedArguments:
 		return "", "", fmt.Errorf("%s wants the ID of a backend", command)
-	case len(arguments) > wanted:
+	case len(arguments) > wantedArguments:
 		return "", "", fmt.Errorf("%s is followed by more than it wants", command)
-	case wanted == 1:
+	case wantedArguments == 1:
 		id = arguments[0]
 	}
 	return command, id, nil
 }
 
-// isText tells whether a line has no control characters but tabs and carriage returns.
+// isText reports whether a line has no control characters except tabs and carriage returns.
 func isText(line string) bool {
 	for _, r := range line {
 		isControl := r < ' ' || r == 0x7f
@@ -57,11 +57,11 @@
 	return true
 }
 
-// answer carries a line out and returns what the caller is told.
+// answer runs the command of a line and returns the answer.
 func (f *Front) answer(ctx context.Context, line string) []byte {
 	command, id, err := Parse(line)
 	if err != nil {
-		return refusal(err)
+		return errorAnswer(err)
 	}
 	switch command {
 	case commandPing:
@@ -74,12 +74,12 @@
 		err = f.service.Attach(ctx, id)
 	}
 	if err != nil {
-		return refusal(err)
+		return errorAnswer(err)
 	}
 	return []byte("YES\n")
 }
 
-// refusal is the answer to a line that was not carried out, with the reason on one line.
-func refusal(reason error) []byte {
+// errorAnswer returns the answer to a line whose command failed, with the reason on one line.
+func errorAnswer(reason error) []byte {
 	return []byte("NO " + strings.Join(strings.Fields(reason.Error()), " ") + "\n")
 }
--- a/internal/frontend/admin/golden_test.go
+++ b/internal/frontend/admin/golden_test.go
@@ -9,10 +9,10 @@
 	"gapgap/internal/golden"
 )
 
-// What operators are answered keeps its form to the byte.
+// TestGoldenAnswers verifies that the answers to operators stay the same to the byte.
 func TestGoldenAnswers(t *testing.T) {
-	_, addr := start(t, &desk{})
-	_, unready := start(t, &desk{unready: fmt.Errorf("no backend is known yet")})
+	_, addr := start(t, &fakeService{})
+	_, unready := start(t, &fakeService{unready: fmt.Errorf("no backend is known yet")})
 	var out bytes.Buffer
 	lines := []string{
 		"PING", "ping", "INFO", "info\r", "DETACH s-1", "detach  s-1 ", "ATTACH s-1", "DETACH s-2", "DETACH", "ATTACH",
