--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,4 +1,5 @@
-// Package cli is what the command lines of all programs have in common: exit codes, error lines and logging flags.
+// Package cli implements what the command lines of all programs have in common: exit codes, error output and logging
+// flags.
 package cli
 
 import (
@@ -12,24 +13,24 @@
 
 // Exit codes of all programs.
 const (
-	// Good means that the program did what was asked for.
+	// Good means that the command succeeded.
 	Good = 0
-	// Failed means that what was asked for could not be done.
+	// Failed means that the command failed.
 	Failed = 1
 	// Misused means that the command line is invalid.
 	Misused = 2
-	// Nowhere means that what was asked about does not exist, such as a route for a request or a gateway's control
+	// Nowhere means that the object of the command does not exist, such as a route for a request or a gateway's control
 	// socket.
 	Nowhere = 3
 )
 
-// Error is an error with an exit code of its own.
+// Error is an error with its own exit code.
 type Error struct {
 	Code int
 	Err  error
 }
 
-// Error returns the text of the error.
+// Error implements error. The text does not tell the exit code.
 func (e *Error) Error() string { return e.Err.Error() }
 
 // Unwrap returns the error without its exit code.
@@ -42,7 +43,7 @@
 	root.SetArgs(args)
 	if len(args) == 0 && !root.Runnable() {
 		root.SetOut(errorOutput)
-		_ = root.Help() // there is nowhere else to write to
+		_ = root.Help() // an error can't be reported anywhere
 		return Misused
 	}
 	hasStarted := false
@@ -56,14 +57,14 @@
 	switch {
 	case errors.As(err, &ownCode):
 		return ownCode.Code
-	case !hasStarted: // cobra has found the error in the command line
-		writeLine(errorOutput, "%s --help says more", root.Name())
+	case !hasStarted: // cobra found an error in the command line
+		writeLine(errorOutput, "see %s --help", root.Name())
 		return Misused
 	}
 	return Failed
 }
 
-// writeLine writes a line of errors. An error of writing it can be told nowhere.
+// writeLine writes one line of error output. A failed write can't be reported anywhere.
 func writeLine(errorOutput io.Writer, format string, args ...any) {
 	_, _ = fmt.Fprintf(errorOutput, format+"\n", args...)
 }
--- a/internal/cli/log.go
+++ b/internal/cli/log.go
@@ -8,7 +8,7 @@
 	"github.com/spf13/cobra"
 )
 
-// Log is how a program logs, as set by flags.
+// Log has the values of the logging flags of a program.
 type Log struct {
 	// Level is debug, info, warn or error.
 	Level string
@@ -16,19 +16,18 @@
 	Format string
 }
 
-// Flags adds the flags to a command.
+// Flags adds the logging flags to a command.
 func (l *Log) Flags(c *cobra.Command) {
 	c.Flags().StringVar(&l.Level, "log-level", "info",
-		"what is logged: debug, info, warn or error; debug has a line for each request")
-	c.Flags().StringVar(&l.Format, "log-format", "text", "text or json")
+		"log level: debug, info, warn or error; debug logs a line for each request")
+	c.Flags().StringVar(&l.Format, "log-format", "text", "log format: text or json")
 }
 
-// Logger returns the logger, which writes to standard error. A flag with another value is an *[Error] with the code
-// [Misused].
+// Logger returns a logger that writes to standard error. An invalid flag value is an *[Error] with the code [Misused].
 func (l *Log) Logger() (*slog.Logger, error) {
 	var level slog.Level
 	if err := level.UnmarshalText([]byte(l.Level)); err != nil {
-		return nil, &Error{Misused, fmt.Errorf("--log-level %q is not debug, info, warn or error", l.Level)}
+		return nil, &Error{Misused, fmt.Errorf("--log-level must be debug, info, warn or error, not %q", l.Level)}
 	}
 	options := &slog.HandlerOptions{Level: level}
 	switch l.Format {
@@ -37,5 +36,5 @@
 	case "json":
 		return slog.New(slog.NewJSONHandler(os.Stderr, options)), nil
 	}
-	return nil, &Error{Misused, fmt.Errorf("--log-format %q is not text or json", l.Format)}
+	return nil, &Error{Misused, fmt.Errorf("--log-format must be text or json, not %q", l.Format)}
 }
