--- a/internal/tomlfile/lines.go
+++ b/internal/tomlfile/lines.go
@@ -7,8 +7,8 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Lines returns the line of each key of a TOML file, by paths such as listener[1].check[0].path. Of a file that is not
-// valid TOML it returns the keys before the error.
+// Lines returns the line of each key of a TOML file, by paths such as listener[1].check[0].path. If the file is not
+// valid TOML, it returns those of the keys before the error.
 func Lines(data []byte) map[string]int {
 	index := lineIndex{lines: map[string]int{}, tableCounts: map[string]int{}}
 	index.parser.Reset(data)
@@ -27,11 +27,11 @@
 	return index.lines
 }
 
-// lineIndex collects the lines of keys.
+// lineIndex records the lines of keys.
 type lineIndex struct {
 	parser unstable.Parser
 	lines  map[string]int
-	// tableCounts is the number of tables so far of each array of tables, by its path.
+	// tableCounts is the number of tables so far in each array of tables, by the array's path.
 	tableCounts map[string]int
 }
 
@@ -42,7 +42,7 @@
 	return path
 }
 
-// addArrayTable records the line of one more table of an array, and returns its path.
+// addArrayTable records the line of the next table of an array, and returns its path.
 func (index *lineIndex) addArrayTable(expression *unstable.Node) (path string) {
 	path, line := index.resolve("", expression.Key(), true)
 	index.lines[path] = line
@@ -61,8 +61,8 @@
 	}
 }
 
-// resolve returns the path of a dotted key below a table, with the index of the last table behind each array's name,
-// and its line. With isNewTable the key begins one more table of an array.
+// resolve returns the line and the path of a dotted key below a table. In the path, the name of each array of tables is
+// followed by the index of its last table. With isNewTable the key begins the next table of an array.
 func (index *lineIndex) resolve(table string, key unstable.Iterator, isNewTable bool) (path string, line int) {
 	path = table
 	for key.Next() {
@@ -79,8 +79,8 @@
 	return path, line
 }
 
-// LineOf returns the line of a key as recorded by [Lines], or that of the nearest table that would hold it; 0: neither
-// is there.
+// LineOf returns the line of a key as recorded by [Lines]. For a key that is missing it returns the line of the nearest
+// enclosing table or array, or 0 if there is none.
 func LineOf(lines map[string]int, key string) int {
 	for key != "" {
 		if line := lines[key]; line > 0 {
@@ -91,7 +91,7 @@
 	return 0
 }
 
-// parentKey returns the path of the table or array that a key is in; empty: it is at the top.
+// parentKey returns the path of the table or array that contains a key, or an empty string for a top-level key.
 func parentKey(key string) string {
 	if strings.HasSuffix(key, "]") {
 		return key[:strings.LastIndexByte(key, '[')]
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -1,4 +1,4 @@
-// Package tomlfile reads TOML files strictly. Errors name the file, the line and the key.
+// Package tomlfile decodes TOML files strictly: unknown keys are errors. Errors name the file, the line and the key.
 package tomlfile
 
 import (
@@ -10,17 +10,17 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Error is an error of a configuration file with its place.
+// Error is an error in a configuration file with its position.
 type Error struct {
 	File string
-	// Line is the line in the file, from 1 on; 0: not known.
+	// Line is the line in the file, counted from 1; 0: unknown.
 	Line int
-	// Key is the path of the key, such as listener[1].address; empty: the error is not that of one key.
+	// Key is the path of the key, such as listener[1].address; empty: the error concerns no single key.
 	Key string
 	Err error
 }
 
-// Error returns the place and the error, as file:line: key: error.
+// Error returns the position and the error, as file:line: key: error.
 func (e *Error) Error() string {
 	text := e.File
 	if e.Line > 0 {
@@ -32,10 +32,10 @@
 	return text + ": " + e.Err.Error()
 }
 
-// Unwrap returns the error without its place.
+// Unwrap returns the error without its position.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Duration is a duration in a file, such as "250ms".
+// Duration is a duration that is written as a string in the file, such as "250ms".
 type Duration time.Duration
 
 // UnmarshalText implements [encoding.TextUnmarshaler].
@@ -50,8 +50,8 @@
 
 var errUnknownKey = errors.New("is not known here")
 
-// Decode reads a TOML file into v, a pointer to a struct. A key that v has no field for, or a value of another type,
-// is an *[Error].
+// Decode decodes the contents of a TOML file into v, a pointer to a struct. Its error is an *[Error], also for a key
+// that v has no field for.
 func Decode(file string, data []byte, v any) error {
 	err := toml.NewDecoder(strings.NewReader(string(data))).DisallowUnknownFields().Decode(v)
 	if err == nil {
@@ -71,8 +71,8 @@
 	return &Error{File: file, Err: err}
 }
 
-// valueError says in the terms of TOML which value is wanted. The decoder's text names types of Go, as in "toml: cannot
-// decode TOML string into struct field T of type int".
+// valueError converts an error of the decoder to one that names the expected value in the terms of TOML. The decoder
+// itself names Go types, as in "toml: cannot decode TOML string into struct field T of type int".
 func valueError(invalid *toml.DecodeError) error {
 	text := strings.TrimPrefix(invalid.Error(), "toml: ")
 	_, mismatch, ok := strings.Cut(text, "cannot decode TOML ")
@@ -90,7 +90,7 @@
 	return fmt.Errorf("can't be a TOML %s", given)
 }
 
-// valueTypes describe the values that types of Go are read from, by the beginnings of the types' names.
+// valueTypes describes the TOML values that Go types are decoded from, by prefixes of the types' names.
 var valueTypes = []struct {
 	goPrefix    string
 	description string
