--- a/internal/priorityqueue/priorityqueue.go
+++ b/internal/priorityqueue/priorityqueue.go
@@ -1,24 +1,25 @@
-// Package priorityqueue is a heap whose items can be moved and removed: container/heap with each item's index kept.
+// Package priorityqueue implements a binary heap whose items can be reordered and removed: it is container/heap with
+// the index of each item.
 package priorityqueue
 
 import "container/heap"
 
 // Item is a value in a Queue.
 type Item[T any] struct {
-	// Value is what the queue orders by.
+	// Value is the value by which the queue is ordered. Call Moved after changing it.
 	Value T
-	// position is the item's index in the heap plus one; 0: it is in no queue.
+	// position is the item's index in the heap plus one, or 0 if it is in no queue.
 	position int
 }
 
-// In tells whether the item is in a queue. A nil item is in none.
+// In reports whether the item is in a queue. A nil item is in none.
 func (i *Item[T]) In() bool { return i != nil && i.position > 0 }
 
-// Queue gives its items in order, and those that compare equal in any order. It is made by New and not safe for
-// concurrent use.
+// Queue is a priority queue. Items that compare equal come in any order. A Queue must be made by New and is not safe
+// for concurrent use.
 type Queue[T any] struct{ heap itemHeap[T] }
 
-// New returns an empty queue. less tells whether a comes before b.
+// New returns an empty queue. less reports whether a comes before b.
 func New[T any](less func(a, b T) bool) *Queue[T] { return &Queue[T]{itemHeap[T]{less: less}} }
 
 // Len returns the number of items.
@@ -31,7 +32,7 @@
 	return item
 }
 
-// Put adds an item again. An item that is in a queue stays where it is.
+// Put adds an item. An item that is already in the queue is not changed.
 func (q *Queue[T]) Put(item *Item[T]) {
 	if item.position == 0 {
 		heap.Push(&q.heap, item)
--- a/internal/priorityqueue/priorityqueue_test.go
+++ b/internal/priorityqueue/priorityqueue_test.go
@@ -6,7 +6,8 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever is put in, moved and taken out, the first is the least of what is in, and each item knows whether it is.
+// TestQueueAgainstAPlainList verifies, for random operations, that the first item is the least one, and that each item
+// reports whether it is in the queue.
 func TestQueueAgainstAPlainList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := New(func(a, b *int) bool { return *a < *b })
@@ -22,7 +23,7 @@
 			case one == nil || what == 0:
 				one = q.Push(&v)
 				all, in[one] = append(all, one), true
-			case what == 1: // twice is as once
+			case what == 1: // no effect if it is already in
 				q.Put(one)
 				in[one] = true
 			case what == 2:
@@ -39,7 +40,7 @@
 					}
 				}
 				if !in[first] || first.In() {
-					t.Fatal("what came out was not in, or is still")
+					t.Fatal("the item was not in the queue, or still is after Pop")
 				}
 				delete(in, first)
 			}
@@ -48,10 +49,10 @@
 			}
 			for _, o := range all {
 				if o.In() != in[o] {
-					t.Fatalf("an item says %v that it is in", o.In())
+					t.Fatalf("In returns %v, want %v", o.In(), in[o])
 				}
 				if in[o] && *o.Value < *q.First().Value {
-					t.Fatalf("%d is first, and %d is in", *q.First().Value, *o.Value)
+					t.Fatalf("%d is first, but %d is in the queue", *q.First().Value, *o.Value)
 				}
 			}
 		}
