--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -1,4 +1,4 @@
-// Package socket reads the state of sockets and writes to them without blocking.
+// Package socket checks the state of sockets and writes to them without blocking.
 package socket
 
 import (
@@ -9,8 +9,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// WriteNow writes as much as the socket takes without blocking and returns how many bytes that was. Nothing else may be
-// writing. It spares a goroutine for each short message. A connection that is no system socket takes nothing.
+// WriteNow writes as much as the socket accepts without blocking and returns the number of bytes. There must be no
+// concurrent writes. It saves a goroutine for each short message. For a connection that is no system socket it writes
+// nothing and returns 0.
 func WriteNow(conn net.Conn, b []byte) (written int, err error) {
 	raw, err := rawConn(conn)
 	if raw == nil || err != nil {
@@ -27,7 +28,7 @@
 	return written, failed
 }
 
-// writeAll writes until all is written, the socket is full or an error occurs. A full socket is no error.
+// writeAll writes until all bytes are written, the send buffer is full or an error occurs. A full buffer is no error.
 func writeAll(fd int, b []byte) (written int, err error) {
 	for written < len(b) {
 		n, err := syscall.Write(fd, b[written:])
@@ -48,8 +49,8 @@
 	return written, nil
 }
 
-// IsQuiet tells whether the peer has neither sent anything that is unread nor closed the connection. It may be called
-// while another goroutine reads. A connection that is no system socket is quiet.
+// IsQuiet reports whether there is no unread input and the peer has not closed the connection. It may be called while
+// another goroutine reads. For a connection that is no system socket it returns true.
 func IsQuiet(conn net.Conn) bool {
 	raw, err := rawConn(conn)
 	if err != nil {
@@ -67,8 +68,8 @@
 	return err == nil && quiet
 }
 
-// HasPeerClosed tells whether the peer has closed the connection, also behind bytes that nobody has read yet. It may be
-// called while another goroutine reads. Where the system can't tell, it returns false.
+// HasPeerClosed reports whether the peer has closed the connection, even if there is unread input before the close. It
+// may be called while another goroutine reads. It returns false if the connection is no system socket or polling fails.
 func HasPeerClosed(conn net.Conn) bool {
 	raw, err := rawConn(conn)
 	if raw == nil || err != nil {
@@ -84,7 +85,7 @@
 	return err != nil || closed
 }
 
-// rawConn returns access to the socket of a connection; nil if it is no system socket.
+// rawConn returns the raw connection of a system socket, or nil for any other connection.
 func rawConn(conn net.Conn) (syscall.RawConn, error) {
 	socket, ok := conn.(syscall.Conn)
 	if !ok {
