--- a/internal/decisioncache/cache.go
+++ b/internal/decisioncache/cache.go
@@ -2,44 +2,44 @@
 
 import "time"
 
-// Key identifies a check among those of its account: a digest of all that two checks must have in common for the second
-// to be a repeat of the first.
+// Key identifies a check of an account. It is a digest of everything that must be equal for one check to be a repeat of
+// another.
 type Key [16]byte
 
-// State says what a [Cache] knows of a check.
+// State is the state of a check in a [Cache].
 type State int
 
 const (
-	// Miss means that the check was unknown and is tracked from now on. The caller decides it and calls Complete.
+	// Miss means that the check was unknown and is tracked from now on. The caller must decide it and call Complete.
 	Miss State = iota
-	// Pending means that the check is not decided yet. The waiter is returned by its Complete.
+	// Pending means that the check is not decided yet. Complete will return the waiter.
 	Pending
-	// Hit means that the check is decided; see [Cache.Decision].
+	// Hit means that the check is decided: see [Cache.Decision].
 	Hit
-	// Untracked means that the check was unknown and there is no room to track it. The caller decides it.
+	// Untracked means that the check was unknown and there is no room to track it. The caller must decide it.
 	Untracked
-	// Exhausted means that the check was asked more often than Config.MaxRepeats allows. The caller rejects it.
+	// Exhausted means that the check was repeated more often than Config.MaxRepeats allows. The caller must reject it.
 	Exhausted
 )
 
-// Stats counts what a [Cache] did.
+// Stats are the statistics of a [Cache].
 type Stats struct {
 	// Joined is the number of checks that joined a pending one.
 	Joined uint64
-	// Hits is the number of checks that got a decision already made.
+	// Hits is the number of checks that got a cached decision.
 	Hits uint64
-	// Evicted is the number of decisions dropped early for want of room.
+	// Evicted is the number of decisions evicted to make room.
 	Evicted uint64
 	// Untracked is the number of checks for which there was no room.
 	Untracked uint64
-	// Exhausted is the number of checks that were asked too often.
+	// Exhausted is the number of checks that were repeated too often.
 	Exhausted uint64
 }
 
-// Cache remembers checks and their decisions. V is the type of a decision, W that of a waiter for one. V should have no
-// pointers: see slot. A Cache must be made by [NewCache].
+// Cache holds pending checks, and decided checks with their decisions. V is the type of a decision and W that of a
+// waiter for one. V should have no pointers: see slot. A Cache must be made by [NewCache].
 type Cache[V, W any] struct {
-	// Stats may be read by the goroutine that uses the Cache.
+	// Stats belongs to the goroutine that uses the Cache.
 	Stats Stats
 
 	config   Config
@@ -47,9 +47,9 @@
 	slots    slotPool[V]
 	// entries has the entry of each check, pending or decided.
 	entries map[checkID]Entry
-	// waiters has those who asked again for a check that is pending.
+	// waiters has the waiters of repeats that joined a pending check.
 	waiters map[Entry][]W
-	// decided has the decided checks of all accounts.
+	// decided lists the decided checks of all accounts.
 	decided list
 }
 
@@ -68,12 +68,12 @@
 	}, nil
 }
 
-// Len returns the number of checks that are remembered.
+// Len returns the number of checks, pending and decided.
 func (c *Cache[V, W]) Len() int {
 	return len(c.entries)
 }
 
-// AccountLen returns the number of an account's checks that are remembered.
+// AccountLen returns the number of checks of one account, pending and decided.
 func (c *Cache[V, W]) AccountLen(name string) int {
 	if a := c.accounts.byName[name]; a != nil {
 		return a.size
@@ -86,7 +86,7 @@
 	return c.slots.at(entry).decision
 }
 
-// TTL returns how long a check is still remembered; 0 while it is pending.
+// TTL returns how long a decided check stays in the cache, or 0 for a pending one.
 func (c *Cache[V, W]) TTL(now time.Duration, entry Entry) time.Duration {
 	if s := c.slots.at(entry); s.decided {
 		return max(0, s.expiresAt-now)
@@ -94,8 +94,8 @@
 	return 0
 }
 
-// Lookup returns what is known of an account's check and starts to track an unknown one. An Untracked check has no
-// Entry. The waiter is kept only if the check is Pending.
+// Lookup returns the entry and the state of an account's check and starts to track an unknown one. An Untracked check
+// has no Entry. The waiter is kept only if the check is Pending.
 func (c *Cache[V, W]) Lookup(now time.Duration, account string, key Key, waiter W) (Entry, State) {
 	c.expire(now)
 	if entry, known := c.find(now, account, key); known {
@@ -119,13 +119,13 @@
 		return noEntry, false
 	}
 	if s := c.slots.at(entry); s.decided && s.expiresAt <= now {
-		c.forget(entry) // expire leaves one with a shorter TTL than an older decision has
+		c.removeDecided(entry) // expire does not reach it behind an older decision with a longer TTL
 		return noEntry, false
 	}
 	return entry, true
 }
 
-// repeat counts that a known check was asked again.
+// repeat counts a repeat of a known check and returns its state.
 func (c *Cache[V, W]) repeat(entry Entry, waiter W) State {
 	s := c.slots.at(entry)
 	if s.repeats >= c.config.MaxRepeats {
@@ -142,7 +142,7 @@
 	return Pending
 }
 
-// track starts to remember a check, for which there is room.
+// track adds a pending check, for which there must be room.
 func (c *Cache[V, W]) track(name string, key Key) Entry {
 	a := c.accounts.getOrAdd(name)
 	id := checkID{account: a.number, key: key}
@@ -153,8 +153,8 @@
 }
 
 // Complete sets the decision of a pending check and returns the waiters that joined it; the one whose Lookup was a Miss
-// is not among them. The decision is remembered for ttl, but not longer than Config.MaxTTL; a ttl of 0 or less forgets
-// it at once. Further calls for a decided check do nothing.
+// is not among them. The decision is cached for ttl, but not longer than Config.MaxTTL; with a ttl of 0 or less the
+// check is removed at once. For a check that is already decided Complete does nothing.
 func (c *Cache[V, W]) Complete(now time.Duration, entry Entry, decision V, ttl time.Duration) []W {
 	s := c.slots.at(entry)
 	if s.decided {
@@ -170,7 +170,7 @@
 	c.slots.pushBack(&c.decided, entry)
 	ttl = min(ttl, c.config.MaxTTL)
 	if ttl <= 0 {
-		c.forget(entry)
+		c.removeDecided(entry)
 		return waiters
 	}
 	s.expiresAt = now + ttl
