--- a/internal/decisioncache/account.go
+++ b/internal/decisioncache/account.go
@@ -2,26 +2,26 @@
 
 import "gapgap/internal/priorityqueue"
 
-// account is what a Cache records about an account that has checks in it.
+// account has the checks of one account in a Cache.
 type account struct {
 	name string
-	// number stands for the name in the checks' slots.
+	// number identifies the account in the slots, which must have no pointers.
 	number uint32
 	// size is the number of the account's checks, pending or decided.
 	size int
-	// decided has the account's decided checks.
+	// decided lists the account's decided checks.
 	decided list
-	// rank is the account's place among all accounts, the largest first.
+	// rank is the account's item in accountSet.bySize.
 	rank priorityqueue.Item[*account]
 }
 
-// accountSet has the accounts that have checks in a Cache.
+// accountSet holds the accounts that have checks in a Cache.
 type accountSet struct {
 	byName   map[string]*account
 	byNumber map[uint32]*account
-	// lastNumber is the number that was given last.
+	// lastNumber is the number that was assigned last.
 	lastNumber uint32
-	// bySize has the largest account first.
+	// bySize orders the accounts by size, largest first.
 	bySize *priorityqueue.Queue[*account]
 }
 
@@ -34,7 +34,7 @@
 	}
 }
 
-// getOrAdd returns the account of a name, which it adds if it is unknown.
+// getOrAdd returns the account of a name and adds it if it is unknown.
 func (s *accountSet) getOrAdd(name string) *account {
 	if known := s.byName[name]; known != nil {
 		return known
@@ -51,7 +51,7 @@
 	return added
 }
 
-// nextNumber returns a number that no account has. Numbers wrap after 2^32.
+// nextNumber returns a number that no account has. Numbers wrap around after 2^32.
 func (s *accountSet) nextNumber() uint32 {
 	s.lastNumber++
 	for s.byNumber[s.lastNumber] != nil {
@@ -60,7 +60,7 @@
 	return s.lastNumber
 }
 
-// resize adds to an account's size. An account of size 0 is removed.
+// resize adds a number to an account's size. An account whose size becomes 0 is removed.
 func (s *accountSet) resize(a *account, by int) {
 	a.size += by
 	if a.size > 0 {
