--- a/internal/decisioncache/list.go
+++ b/internal/decisioncache/list.go
@@ -1,23 +1,23 @@
 package decisioncache
 
-// listKind tells the lists apart that a decided check is in.
+// listKind distinguishes the lists that a decided check is in.
 type listKind int
 
 const (
-	// listOfAccount has the decided checks of one account.
+	// listOfAccount lists the decided checks of one account.
 	listOfAccount listKind = iota
-	// listOfAll has the decided checks of all accounts.
+	// listOfAll lists the decided checks of all accounts.
 	listOfAll
 	listCount
 )
 
-// links are the neighbors of a slot in a list; noEntry at its ends.
+// links are the neighbors of a slot in a list. At the ends of the list they are noEntry.
 type links struct {
 	previous Entry
 	next     Entry
 }
 
-// list is a doubly linked list of decided checks, the oldest decision first.
+// list is a doubly linked list of decided checks, oldest decision first.
 type list struct {
 	kind  listKind
 	first Entry
@@ -40,7 +40,7 @@
 	l.last = entry
 }
 
-// remove takes a slot out of a list.
+// remove removes a slot from a list.
 func (p *slotPool[V]) remove(l *list, entry Entry) {
 	removed := p.at(entry).links[l.kind]
 	if removed.previous == noEntry {
