--- a/internal/decisioncache/slots.go
+++ b/internal/decisioncache/slots.go
@@ -2,44 +2,44 @@
 
 import "time"
 
-// Entry identifies a check that is remembered, until it is forgotten.
+// Entry identifies a check in a Cache until it is removed.
 type Entry int32
 
-// noEntry is the Entry of no check, and the end of a list.
+// noEntry identifies no check. It marks the ends of lists.
 const noEntry Entry = -1
 
-// checkID identifies a check among those of all accounts.
+// checkID identifies a check across all accounts.
 type checkID struct {
 	// account is the number of the check's account.
 	account uint32
 	key     Key
 }
 
-// slot holds one check. Slots are linked by their numbers: as long as V has no pointers, the garbage collector has
-// nothing to follow in them, however many there are.
+// slot holds one check. Slots are linked by index: if V has no pointers, the garbage collector need not scan them,
+// however many there are.
 type slot[V any] struct {
 	decision V
 	id       checkID
-	// repeats is how often the check was asked again.
+	// repeats is how often the check was repeated.
 	repeats int
 	// decided is true once the check has its decision.
 	decided bool
-	// expiresAt is when a decided check is forgotten.
+	// expiresAt is when a decided check expires.
 	expiresAt time.Duration
-	// links are the slot's neighbors in each list of decided checks. Those of listOfAll also link unused slots.
+	// links are the slot's neighbors in each list of decided checks. Those of listOfAll also link the unused slots.
 	links [listCount]links
 }
 
 // slotsPerPage is how many slots are allocated at a time.
 const slotsPerPage = 1 << 10
 
-// slotPool allocates the slots of a Cache. Pages never move, so growing copies nothing.
+// slotPool allocates the slots of a Cache. Pages are never moved, so growing copies no slots.
 type slotPool[V any] struct {
 	// pages have slotsPerPage slots each.
 	pages [][]slot[V]
-	// allocated is the number of slots in pages that are or were in use.
+	// allocated is the number of slots that have been in use at some time.
 	allocated int
-	// unused is the first of the slots that can be reused, or noEntry.
+	// unused is the first slot of the free list, or noEntry.
 	unused Entry
 }
 
@@ -53,7 +53,7 @@
 	return &p.pages[entry/slotsPerPage][entry%slotsPerPage]
 }
 
-// allocate returns a slot for a pending check.
+// allocate returns the entry of a slot for a pending check.
 func (p *slotPool[V]) allocate(id checkID) Entry {
 	entry := p.unused
 	if entry == noEntry {
@@ -69,7 +69,7 @@
 	return entry
 }
 
-// release clears a slot, which is in no list, for reuse.
+// release clears a slot for reuse. It must be in no list.
 func (p *slotPool[V]) release(entry Entry) {
 	released := p.at(entry)
 	*released = slot[V]{}
