--- a/internal/decisioncache/cache_test.go
+++ b/internal/decisioncache/cache_test.go
@@ -17,7 +17,7 @@
 	MaxRepeats:    3,
 }
 
-// numberedKey returns a key that has a number.
+// numberedKey returns the key of a number.
 func numberedKey(n int) (key Key) {
 	binary.BigEndian.PutUint64(key[:], uint64(n))
 	return key
@@ -33,8 +33,8 @@
 	return cache
 }
 
-// A check that is asked again while it is pending gets its decision with the first; afterwards it is a hit, for as long
-// as the decision is kept and as often as may be.
+// TestForwardAuthJoinAndRepeat verifies that a repeat of a pending check joins it, and that a repeat of a decided check
+// is a hit until the decision expires or the check has been repeated too often.
 func TestForwardAuthJoinAndRepeat(t *testing.T) {
 	cache := newTestCache(t, testConfig)
 	entry, state := cache.Lookup(0, "a", numberedKey(1), 1)
@@ -45,7 +45,7 @@
 		t.Errorf("a pending check: %v", state)
 	}
 	if _, state := cache.Lookup(1, "b", numberedKey(1), 9); state != Miss {
-		t.Errorf("another account's check of that key: %v", state)
+		t.Errorf("a check of another account with the same key: %v", state)
 	}
 	if waiters := cache.Complete(2, entry, 7, time.Hour); !slices.Equal(waiters, []int{2}) {
 		t.Errorf("waiters %v", waiters)
@@ -60,20 +60,20 @@
 	}
 	entry, state = cache.Lookup(4, "a", numberedKey(1), 4)
 	if state != Exhausted || cache.TTL(4, entry) != testConfig.MaxTTL-2 {
-		t.Errorf("a check that is asked too often: %v", state)
+		t.Errorf("a check that is repeated too often: %v", state)
 	}
 	if _, state := cache.Lookup(2+testConfig.MaxTTL, "a", numberedKey(1), 4); state != Miss {
-		t.Errorf("an exhausted check that is forgotten: %v", state)
+		t.Errorf("an exhausted check after its TTL: %v", state)
 	}
 	entry, _ = cache.Lookup(5, "a", numberedKey(2), 1)
 	cache.Complete(5, entry, 1, time.Second)
 	if _, state := cache.Lookup(5+time.Second, "a", numberedKey(2), 1); state != Miss {
-		t.Errorf("one that was kept for a second: %v", state)
+		t.Errorf("a check after its TTL of a second: %v", state)
 	}
 	entry, _ = cache.Lookup(6, "a", numberedKey(3), 1)
 	cache.Complete(6, entry, 1, 0)
 	if _, state := cache.Lookup(6, "a", numberedKey(3), 1); state != Miss {
-		t.Errorf("one that was not to be kept: %v", state)
+		t.Errorf("a check with a TTL of 0: %v", state)
 	}
 }
 
@@ -83,15 +83,15 @@
 	key     int
 }
 
-// modelDecision is a decision that the model remembers.
+// modelDecision is a decision in the model.
 type modelDecision struct {
 	value     int
 	expiresAt time.Duration
-	// repeats is how often the check was asked again.
+	// repeats is how often the check was repeated.
 	repeats int
 }
 
-// model keeps what each check must be answered, without the bounds of a Cache.
+// model holds the expected result of each check, without the limits of a Cache.
 type model struct {
 	config  Config
 	decided map[modelCheck]*modelDecision
@@ -99,24 +99,24 @@
 	waiters map[modelCheck][]int
 }
 
-// complete gives a pending check the decision value.
+// complete sets the decision of a pending check in the cache and in the model.
 func (m *model) complete(
-	t *rapid.T, cache *Cache[int, int], now time.Duration, check modelCheck, value int, keep time.Duration,
+	t *rapid.T, cache *Cache[int, int], now time.Duration, check modelCheck, value int, ttl time.Duration,
 ) {
-	waiters := cache.Complete(now, m.pending[check], value, keep)
+	waiters := cache.Complete(now, m.pending[check], value, ttl)
 	if !slices.Equal(waiters, m.waiters[check]) {
 		t.Fatalf("returned waiters %v, want %v", waiters, m.waiters[check])
 	}
 	m.decided[check] = &modelDecision{
 		value:     value,
-		expiresAt: now + min(keep, m.config.MaxTTL),
+		expiresAt: now + min(ttl, m.config.MaxTTL),
 		repeats:   len(m.waiters[check]),
 	}
 	delete(m.pending, check)
 	delete(m.waiters, check)
 }
 
-// lookup looks up a check and compares the result with what the model knows.
+// lookup looks up a check and compares the result with the model.
 func (m *model) lookup(t *rapid.T, cache *Cache[int, int], now time.Duration, check modelCheck, waiter int) {
 	entry, state := cache.Lookup(now, check.account, numberedKey(check.key), waiter)
 	pending, isPending := m.pending[check]
@@ -131,7 +131,7 @@
 		delete(m.decided, check)
 	case Pending:
 		if !isPending || pending != entry {
-			t.Fatal("joined what is not pending")
+			t.Fatal("joined a check that is not pending")
 		}
 		m.waiters[check] = append(m.waiters[check], waiter)
 		if len(m.waiters[check]) > m.config.MaxRepeats {
@@ -139,7 +139,7 @@
 		}
 	case Hit:
 		if decided == nil || decided.expiresAt <= now || cache.Decision(entry) != decided.value {
-			t.Fatalf("hit %d, which was not decided or is too old", cache.Decision(entry))
+			t.Fatalf("hit decision %d, which was not made or has expired", cache.Decision(entry))
 		}
 		decided.repeats++
 		if decided.repeats > m.config.MaxRepeats {
@@ -153,17 +153,17 @@
 		}
 	case Untracked:
 		if !isPending && cache.AccountLen(check.account) < m.config.MaxPerAccount && cache.Len() < m.config.MaxEntries {
-			t.Fatal("there is room")
+			t.Fatal("untracked although there is room")
 		}
 	}
 }
 
-// checkBounds checks the bounds of a cache and that its tables agree.
+// checkBounds verifies that the limits of a cache are kept and that its tables agree.
 func (m *model) checkBounds(t *rapid.T, cache *Cache[int, int]) {
 	n := 0
 	for _, name := range []string{"a", "b", "c"} {
 		if cache.AccountLen(name) > m.config.MaxPerAccount {
-			t.Fatalf("%d of one account", cache.AccountLen(name))
+			t.Fatalf("%d checks of one account", cache.AccountLen(name))
 		}
 		n += cache.AccountLen(name)
 	}
@@ -172,13 +172,13 @@
 		len(cache.entries) != n || cache.slots.allocated > m.config.MaxEntries ||
 		accounts.bySize.Len() != len(accounts.byName) || len(accounts.byName) != len(accounts.byNumber) ||
 		len(cache.waiters) > len(m.pending) {
-		t.Fatalf("%d of all accounts; counted %d, %d entries, %d slots",
+		t.Fatalf("the accounts have %d checks; Len is %d, %d entries, %d slots",
 			n, cache.Len(), len(cache.entries), cache.slots.allocated)
 	}
 }
 
-// Against a model that keeps all: a hit is what was decided, within its time; each waiter is returned once; and no
-// bound is exceeded.
+// TestForwardAuthMemoryAgainstModel compares random operations with a model without limits: a hit returns the decision
+// that was made and has not expired, each waiter is returned once, and no limit is exceeded.
 func TestForwardAuthMemoryAgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		config := Config{
@@ -205,8 +205,8 @@
 				key:     rapid.IntRange(0, 5).Draw(t, "key"),
 			}
 			if _, isPending := reference.pending[check]; isPending && rapid.Bool().Draw(t, "settle") {
-				keep := time.Duration(rapid.IntRange(0, 25).Draw(t, "for"))
-				reference.complete(t, cache, now, check, step, keep)
+				ttl := time.Duration(rapid.IntRange(0, 25).Draw(t, "for"))
+				reference.complete(t, cache, now, check, step, ttl)
 				continue
 			}
 			reference.lookup(t, cache, now, check, step)
--- a/internal/decisioncache/config_test.go
+++ b/internal/decisioncache/config_test.go
@@ -5,6 +5,7 @@
 	"testing"
 )
 
+// TestForwardAuthBoundsAreChecked verifies that invalid limits are rejected.
 func TestForwardAuthBoundsAreChecked(t *testing.T) {
 	for _, bad := range []Config{
 		{},
--- a/internal/decisioncache/eviction_test.go
+++ b/internal/decisioncache/eviction_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// A flood of one account, decided or left pending, evicts no decision of another's.
+// TestForwardAuthFloodPushesOutItsOwn verifies that a flood of checks from one account, decided or left pending, evicts
+// no decision of another account.
 func TestForwardAuthFloodPushesOutItsOwn(t *testing.T) {
 	for _, complete := range []bool{true, false} {
 		cache := newTestCache(t, testConfig)
@@ -28,10 +29,10 @@
 			}
 		}
 		if complete && cache.Stats.Evicted == 0 || !complete && cache.Stats.Untracked == 0 {
-			t.Errorf("complete %v: nothing was evicted: %+v", complete, cache.Stats)
+			t.Errorf("complete %v: the flood reached no limit: %+v", complete, cache.Stats)
 		}
 		if cache.Len() > testConfig.MaxEntries || cache.AccountLen("loud") > testConfig.MaxPerAccount {
-			t.Errorf("%d remembered, %d of one account", cache.Len(), cache.AccountLen("loud"))
+			t.Errorf("%d checks, %d of one account", cache.Len(), cache.AccountLen("loud"))
 		}
 		if kept != 9 {
 			t.Errorf("complete %v: %d of 9 decisions kept", complete, kept)
@@ -39,6 +40,8 @@
 	}
 }
 
+// TestForwardAuthThreeFloodsKeepAQuietAccount verifies that floods from several accounts at once evict only their own
+// decisions.
 func TestForwardAuthThreeFloodsKeepAQuietAccount(t *testing.T) {
 	cache := newTestCache(t, testConfig)
 	entry, _ := cache.Lookup(0, "quiet", numberedKey(1), 0)
@@ -50,6 +53,6 @@
 		}
 	}
 	if _, state := cache.Lookup(2, "quiet", numberedKey(1), 0); state != Hit {
-		t.Errorf("three floods evicted a quiet account's decision")
+		t.Errorf("three floods evicted the decision of a quiet account")
 	}
 }
