--- a/internal/sharedhealth/doc.go
+++ b/internal/sharedhealth/doc.go
@@ -1,15 +1,16 @@
-// Package sharedhealth merges what several pools know of an endpoint that is listed in more than one of them. An
-// endpoint is identified by its address, whatever each pool calls it:
+// Package sharedhealth merges the state of endpoints that are listed in several pools. An endpoint is identified by its
+// address, whatever its name in each pool:
 //
-//   - Draining in one pool is draining in all. A removal, or a move to another address, drains it in all other pools;
-//     each of them uses it again only once its own source reports it as serving after that.
-//   - The latest start that any source reports holds for all: an endpoint that is warming up for one pool does so for
-//     all of them.
-//   - Each entry that has the endpoint in service gets an even share of its slow-start budget, so that the budget holds
-//     for their sum.
-//   - A health report of one pool about an endpoint goes to all other pools that list it: see [Registry.Peers].
+//   - An endpoint that is draining in one pool drains in all of them. If a source removes it or moves its name to
+//     another address, it drains in all other pools, and each of them uses it again only after its own source has
+//     reported it as serving.
+//   - The latest start time that any source reports applies to all pools: an endpoint that is warming up for one pool
+//     is warming up for all.
+//   - Each entry by which the endpoint is in service gets an even share of its slow-start budget, so that all of them
+//     together stay within the budget.
+//   - A health report of one pool about an endpoint is for all other pools that list it: see [Registry.Peers].
 //
-// The registry only says who gets what; internal/service/hosted (endpointinbox.go) delivers it to the pools.
+// The registry returns updates; internal/service/hosted (endpointinbox.go) delivers them to the pools.
 //
 // The package does no I/O. One goroutine at a time may use a [Registry].
 package sharedhealth
