--- a/internal/sharedhealth/merge.go
+++ b/internal/sharedhealth/merge.go
@@ -37,8 +37,8 @@
 	return updates
 }
 
-// compareChanges orders the entries of an update by name, removals first: a name that has moved to another address must
-// not be removed after that.
+// compareChanges orders the entries of an update by name, but removals first: the removal of an old entry must not
+// come after the entry that has replaced it under the same name.
 func compareChanges(a, b endpoint.Entry) int {
 	aRemoved := a.State == balancer.Removed
 	bRemoved := b.State == balancer.Removed
@@ -52,8 +52,8 @@
 	}
 }
 
-// merge returns, for each entry of one address, what its pool is to know of the endpoint: draining if any of the
-// entries is reported so or this one is stopped, the latest start, and an even share of the slow-start budget.
+// merge returns the state of the endpoint of one address for the pool of each entry: draining if any of the entries is
+// reported so or this entry is stopped, with the latest start time and an even share of the slow-start budget.
 func merge(entries entrySet) map[*entry]endpoint.Entry {
 	draining := false
 	serving := 0 // entries, not pools: a pool may list an endpoint under two names
