--- a/internal/sharedhealth/peer.go
+++ b/internal/sharedhealth/peer.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Peer is an endpoint as another pool knows it.
+// Peer identifies the entry of an endpoint in another pool.
 type Peer struct {
 	// Pool is the name of the other pool.
 	Pool string
@@ -13,8 +13,8 @@
 	Name string
 }
 
-// Peers returns the entries that other pools have of a pool's endpoint, ordered by pool and name: those that get the
-// pool's health reports about it.
+// Peers returns the entries that other pools have for an endpoint of a pool, ordered by pool and name. These entries
+// also get the pool's health reports about the endpoint.
 func (r *Registry) Peers(pool, name string) []Peer {
 	e := r.pools[pool][name]
 	if e == nil {
