--- a/internal/sharedhealth/registry.go
+++ b/internal/sharedhealth/registry.go
@@ -8,7 +8,7 @@
 	"gapgap/internal/endpoint"
 )
 
-// Update is an endpoint update for one pool: changes, or a source's failure, never a whole list.
+// Update is an endpoint update for one pool: changes or the failure of a source, never a whole list.
 type Update struct {
 	// Pool is the name of the pool.
 	Pool string
@@ -16,33 +16,34 @@
 	Update endpoint.Update
 }
 
-// Registry holds what each pool's source has reported, and what each pool was told. It must be made by [New].
+// Registry holds what each pool's source has reported, and the merged state that each pool was given. It must be made
+// by [New].
 type Registry struct {
 	// pools has the entries of each pool by the pool's name.
 	pools map[string]poolEntries
 	// byAddress has the entries of all pools by the endpoint's address.
 	byAddress map[string]entrySet
-	// changed has the addresses of which something was reported since the last flush.
+	// changed has the addresses whose entries have changed since the last flush.
 	changed map[string]struct{}
-	// removed has the update that each entry's own pool is to get for its removal since the last flush.
+	// removed has an update for its own pool for each entry that was removed since the last flush.
 	removed []Update
-	// delivered has what flush last returned for each entry; unchanged entries are not returned again.
+	// delivered has what flush last returned for each entry. Unchanged entries are not returned again.
 	delivered map[*entry]endpoint.Entry
 }
 
 // poolEntries are the entries of one pool, by name.
 type poolEntries map[string]*entry
 
-// entrySet has all entries of one address, whatever their pools.
+// entrySet has the entries of all pools for one address.
 type entrySet map[*entry]struct{}
 
-// entry is an endpoint as one pool knows it.
+// entry is an endpoint in the list of one pool.
 type entry struct {
 	pool string
-	// reported is what the pool's source has reported last.
+	// reported is the last report of the pool's source.
 	reported endpoint.Entry
-	// stopped is true if another pool's source has removed the endpoint and this one's has not reported it as serving
-	// since.
+	// stopped is true if the source of another pool has removed the endpoint, and the source of this pool has not
+	// reported it as serving since.
 	stopped bool
 }
 
@@ -56,8 +57,8 @@
 	}
 }
 
-// Apply takes an update from a pool's source and returns the updates for all pools, in the order of their names. The
-// pool itself is among them if anything has changed for it.
+// Apply applies an update from a pool's source and returns the resulting updates for all pools, ordered by their names.
+// The pool itself is among them only if something has changed for it.
 func (r *Registry) Apply(pool string, update endpoint.Update) []Update {
 	if update.Kind == balancer.UpdateFailed {
 		return []Update{{Pool: pool, Update: update}}
@@ -78,8 +79,8 @@
 	return r.flush()
 }
 
-// removeUnlisted removes the entries that are missing from a whole list. Only a current list, not a cached one, says
-// that their endpoints are gone.
+// removeUnlisted removes the entries that are missing from a whole list. A current list, but not a cached one, also
+// means that their endpoints have stopped.
 func (r *Registry) removeUnlisted(entries poolEntries, listed map[string]bool, kind balancer.UpdateKind) {
 	for _, name := range sortedNames(entries) {
 		if listed[name] {
@@ -92,19 +93,19 @@
 	}
 }
 
-// Remove forgets a pool and returns the updates for the others. It does not count as a removal of the pool's endpoints:
-// the other pools share their slow-start budgets from then on.
+// Remove removes a pool and returns the updates for the others. That does not mean that its endpoints have stopped: the
+// other pools that list them go on, with larger shares of their slow-start budgets.
 func (r *Registry) Remove(pool string) []Update {
 	entries := r.pools[pool]
 	for _, name := range sortedNames(entries) {
 		r.remove(entries, entries[name])
 	}
 	delete(r.pools, pool)
-	r.removed = nil // the pool itself gets no updates any more
+	r.removed = nil // the removed pool gets no updates
 	return r.flush()
 }
 
-// applyEntry takes one entry of an update.
+// applyEntry applies one entry of an update.
 func (r *Registry) applyEntry(pool string, entries poolEntries, reported endpoint.Entry) {
 	e := entries[reported.Name]
 	if reported.State == balancer.Removed {
@@ -118,7 +119,7 @@
 		e = &entry{pool: pool}
 		entries[reported.Name] = e
 	} else if e.reported.Address != reported.Address {
-		// A source that moves a name to another address says that the process at the old address is gone.
+		// If a source moves a name to another address, the process at the old address has stopped.
 		r.stopElsewhere(e)
 		r.unlink(e)
 	}
@@ -129,7 +130,7 @@
 	r.link(e)
 }
 
-// remove removes an entry from its pool. The next flush returns that as an update.
+// remove removes an entry from its pool. The next flush returns the removal.
 func (r *Registry) remove(entries poolEntries, e *entry) {
 	r.unlink(e)
 	delete(entries, e.reported.Name)
