--- a/internal/sharedhealth/registry_test.go
+++ b/internal/sharedhealth/registry_test.go
@@ -11,7 +11,7 @@
 	"gapgap/internal/endpoint"
 )
 
-// newEntry returns an entry as a source reports it.
+// newEntry returns an entry of a source's update.
 func newEntry(name, address string, state balancer.EndpointState, startedAt time.Duration) endpoint.Entry {
 	return endpoint.Entry{
 		Endpoint: balancer.Endpoint{
@@ -23,15 +23,15 @@
 	}
 }
 
-// newUpdate returns an update as a source reports it.
+// newUpdate returns an update of a source.
 func newUpdate(kind balancer.UpdateKind, entries ...endpoint.Entry) endpoint.Update {
 	return endpoint.Update{Kind: kind, Entries: entries}
 }
 
-// poolViews has the entries that each pool knows, as a proxy would keep them.
+// poolViews has the entries of each pool, as a proxy would keep them.
 type poolViews map[string]map[string]endpoint.Entry
 
-// apply tells the pools their updates.
+// apply applies updates to the pools.
 func (v poolViews) apply(updates []Update) {
 	for _, update := range updates {
 		if v[update.Pool] == nil {
@@ -47,6 +47,8 @@
 	}
 }
 
+// TestPoolsSharedServer verifies how reports about endpoints change what several pools know of them, in one sequence of
+// starts, drains, removals, moves to other addresses and a pool's removal.
 func TestPoolsSharedServer(t *testing.T) {
 	const (
 		serving  = balancer.Serving
@@ -64,45 +66,45 @@
 	}
 	report("a", newUpdate(balancer.Snapshot, newEntry("s1", "x", serving, 0), newEntry("s2", "y", serving, 0)))
 	want("a", "s1", serving, 1)
-	// By another name, and started lately as b knows.
+	// Pool b lists the same endpoint by another name and with a later start.
 	report("b", newUpdate(balancer.Snapshot, newEntry("t1", "x", serving, 7)))
 	want("a", "s1", serving, 0.5)
 	want("b", "t1", serving, 0.5)
 	want("a", "s2", serving, 1)
 	if views["a"]["s1"].StartedAt != 7 {
-		t.Error("a does not know of the start that b's source has reported")
+		t.Error("a has not got the start time that b's source has reported")
 	}
-	// Draining by one source.
+	// One source reports it as draining.
 	report("a", newUpdate(balancer.Delta, newEntry("s1", "x", draining, 0)))
 	want("b", "t1", draining, 1)
-	// The other source does not know of it.
+	// The other source still reports it as serving.
 	report("b", newUpdate(balancer.Delta, newEntry("t1", "x", serving, 7)))
 	want("b", "t1", draining, 1)
-	// It is back.
+	// The first source reports it as serving again.
 	report("a", newUpdate(balancer.Delta, newEntry("s1", "x", serving, 9)))
 	want("a", "s1", serving, 0.5)
 	want("b", "t1", serving, 0.5)
-	// Removed by one source.
+	// One source removes it.
 	report("a", newUpdate(balancer.Delta, newEntry("s1", "x", removed, 0)))
 	if _, ok := views["a"]["s1"]; ok {
-		t.Error("a still has it")
+		t.Error("a still has the removed endpoint")
 	}
 	if e := views["b"]["t1"]; e.State != draining {
-		t.Errorf("b goes on with a removed endpoint: %+v", e)
+		t.Errorf("b does not drain an endpoint that a's source has removed: %+v", e)
 	}
-	// The other pool's own source reports it as serving after that.
+	// The other pool's source reports it as serving after that.
 	report("b", newUpdate(balancer.Delta, newEntry("t1", "x", serving, 7)))
 	want("b", "t1", serving, 1)
-	// Another name has that address now, and y is no longer in use.
+	// Pool a lists that address by another name; address y is no longer in use.
 	report("a", newUpdate(balancer.Snapshot, newEntry("s2", "x", serving, 0)))
 	want("b", "t1", serving, 0.5)
-	// It returns at another address.
+	// Source b moves its name to another address.
 	report("b", newUpdate(balancer.Delta, newEntry("t1", "z", serving, 8)))
 	want("b", "t1", serving, 1)
 	if e := views["a"]["s2"]; e.State != draining {
-		t.Errorf("a goes on with the address that b's endpoint has left: %+v", e)
+		t.Errorf("a does not drain the address that b's endpoint has left: %+v", e)
 	}
-	// An old list without entries.
+	// A cached list without entries.
 	report("b", newUpdate(balancer.CachedSnapshot))
 	if len(views["b"]) != 0 {
 		t.Errorf("b has %v", views["b"])
@@ -110,16 +112,16 @@
 	report("a", newUpdate(balancer.Snapshot, newEntry("s2", "x", serving, 0)))
 	report("b", newUpdate(balancer.Snapshot, newEntry("t1", "x", serving, 0)))
 	want("a", "s2", serving, 0.5)
-	// The pool is removed, not the endpoint.
+	// A removal of the pool does not stop the endpoint.
 	views.apply(registry.Remove("b"))
 	want("a", "s2", serving, 1)
 	updates := registry.Apply("a", endpoint.Update{Kind: balancer.UpdateFailed})
 	if len(updates) != 1 || updates[0].Update.Kind != balancer.UpdateFailed {
-		t.Errorf("a failed list: %+v", updates)
+		t.Errorf("updates for a failed source: %+v", updates)
 	}
 }
 
-// drawUpdate returns some update and applies it to the entries that the source has reported.
+// drawUpdate returns a random update and applies it to the entries that the source has reported.
 func drawUpdate(t *rapid.T, reported map[string]endpoint.Entry) endpoint.Update {
 	kinds := []balancer.UpdateKind{balancer.Delta, balancer.Delta, balancer.Snapshot, balancer.CachedSnapshot}
 	update := endpoint.Update{Kind: rapid.SampledFrom(kinds).Draw(t, "scope")}
@@ -144,7 +146,7 @@
 	return update
 }
 
-// checkViews checks what the pools know against what their sources have reported.
+// checkViews compares the entries of the pools with what their sources have reported.
 func checkViews(t *rapid.T, views poolViews, reported map[string]map[string]endpoint.Entry) {
 	draining := map[string]bool{}
 	startedAt := map[string]time.Duration{}
@@ -180,9 +182,10 @@
 	}
 }
 
-// Whatever sources report, in whatever order: no pool has an endpoint in service that any pool's source reports as
-// draining; the shares of an endpoint that pools have in service never sum up to more than one; all know the latest
-// start; and each pool has just the names that its own source has.
+// TestPoolsSharedServerInvariants verifies, for random reports in random order, that no pool has an endpoint in service
+// that the source of any pool reports as draining, that the slow-start shares of an endpoint add up to one at most,
+// that all pools have the latest start time, and that each pool has the names that its own source has listed, and no
+// others.
 func TestPoolsSharedServerInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		registry := New()
