--- a/internal/frontend/extauthz/config.go
+++ b/internal/frontend/extauthz/config.go
@@ -44,39 +44,39 @@
 type Config struct {
 	// Name is the listener's name in log lines and routing rules.
 	Name string
-	// Routes are the paths at which checks are asked; at least one.
+	// Routes are the paths that take checks; at least one.
 	Routes []Route
-	// EndPath is where a POST with ?id= ends an admitted request; empty: nowhere.
+	// EndPath is the path of end calls: a POST with ?id= ends an admitted request. If it is empty, there are none.
 	EndPath string
-	// Trusted are the addresses of proxies that may ask.
+	// Trusted are the addresses of proxies that may send checks.
 	Trusted []netip.Prefix
-	// TrustedCertificates are names in client certificates of proxies that may ask, for listeners with TLS.
+	// TrustedCertificates are names in client certificates of proxies that may send checks, for listeners with TLS.
 	TrustedCertificates []string
-	// MaxHeaderBytes bounds the header of a request in bytes.
+	// MaxHeaderBytes is the maximum size of a request's header.
 	MaxHeaderBytes int
-	// MaxHeaders bounds the number of header fields of a request.
+	// MaxHeaders is the maximum number of header fields of a request.
 	MaxHeaders int
-	// MaxBody bounds a request's body in bytes. A body is read and discarded.
+	// MaxBody is the maximum size of a request's body in bytes. Bodies are read and discarded.
 	MaxBody int64
 	// HeaderTimeout is how long a request's header, and then its body, may take to arrive.
 	HeaderTimeout time.Duration
 	// IdleTimeout is how long a connection may be idle between two requests.
 	IdleTimeout time.Duration
-	// MaxStreams bounds the open streams of an HTTP/2 connection.
+	// MaxStreams is the maximum number of concurrent streams of an HTTP/2 connection.
 	MaxStreams int
 }
 
-// Fault is a fault in one field of a Config.
+// Fault is an error in one field of a Config.
 type Fault = account.Error
 
-// Check returns a [*Fault] for the first field that can't be used. Its field is named as in the configuration file,
-// below the listener.
+// Check returns a [*Fault] for the first invalid field. The field's path is that in the configuration file, relative to
+// the listener.
 func (c *Config) Check() error {
 	if len(c.Routes) == 0 {
-		return newFault("check", "there is none")
+		return newFault("check", "must not be empty")
 	}
 	if len(c.Trusted) == 0 && len(c.TrustedCertificates) == 0 {
-		return newFault("trusted", "nobody may ask: name addresses or trusted_certificates")
+		return newFault("trusted", "must not be empty unless trusted_certificates is set")
 	}
 	if field := c.fieldTooSmall(); field != "" {
 		return newFault(field, "is too small")
@@ -96,12 +96,12 @@
 	return nil
 }
 
-// newFault returns the fault of a field.
+// newFault returns a [*Fault] for a field.
 func newFault(field, problem string) error {
 	return &Fault{Field: field, Err: errors.New(problem)}
 }
 
-// fieldTooSmall returns the name of the first number that is too small, or an empty string.
+// fieldTooSmall returns the name of the first field whose value is too small, or an empty string.
 func (c *Config) fieldTooSmall() string {
 	switch {
 	case c.MaxHeaderBytes < minHeaderBytes:
@@ -121,17 +121,18 @@
 	}
 }
 
-// checkPath checks the path of a route against those that were seen before it and returns the field that is wrong.
+// checkPath validates the path of a route, which must differ from those in seen. With an error it returns the name of
+// the invalid field.
 func (c *Config) checkPath(route *Route, seen map[string]bool) (field string, err error) {
 	switch {
 	case !strings.HasPrefix(route.Path, "/"):
-		return "path", errors.New("does not begin with '/'")
+		return "path", errors.New("must begin with '/'")
 	case seen[route.Path]:
-		return "path", fmt.Errorf("%q stands twice", route.Path)
+		return "path", fmt.Errorf("%q is used by another route", route.Path)
 	case route.Path == c.EndPath:
-		return "path", fmt.Errorf("%q is the end path", route.Path)
+		return "path", fmt.Errorf("%q is the end path of the listener", route.Path)
 	case route.Dialect == Envoy && route.Path != "/" && strings.HasSuffix(route.Path, "/"):
-		return "path", errors.New("a prefix ends without '/'")
+		return "path", errors.New("a prefix must not end with '/'")
 	default:
 		return "", nil
 	}
