--- a/internal/frontend/extauthz/credential.go
+++ b/internal/frontend/extauthz/credential.go
@@ -8,17 +8,17 @@
 	"gapgap/internal/account"
 )
 
-// errUnknownCredential means that a check has no credential or one that no account has.
+// errUnknownCredential means that a check has no credential, or one of no account.
 var errUnknownCredential = errors.New("unknown credential")
 
 const (
 	authorizationHeader = "Authorization"
-	// bearerPrefix is compared in any case.
+	// bearerPrefix is compared without regard to case.
 	bearerPrefix = "bearer "
 )
 
-// identify returns the account of a check by the first credential that is present. Its error is errUnknownCredential or
-// a *headerError.
+// identify returns the account of a check by the first kind of credential that is present. Its error is
+// errUnknownCredential or a *headerError.
 func (r *Route) identify(accounts *account.Table, header http.Header) (*account.Account, error) {
 	for _, identity := range r.Identify {
 		credential, err := r.readCredential(identity, header)
@@ -36,7 +36,7 @@
 	return nil, errUnknownCredential
 }
 
-// readCredential returns the credential of a kind, or an empty string if there is none.
+// readCredential returns a credential of one kind, or an empty string if there is none.
 func (r *Route) readCredential(identity Identity, header http.Header) (string, error) {
 	switch identity {
 	case ByKey:
@@ -64,8 +64,8 @@
 	}
 }
 
-// readAPIKey returns the API key from Authorization with the scheme Bearer (RFC 6750, section 2.1) or else from the key
-// header, unless its name is empty.
+// readAPIKey returns the API key from Authorization with the scheme Bearer (RFC 6750, section 2.1), or else from the
+// key header, unless keyHeader is empty.
 func readAPIKey(header http.Header, keyHeader string) (string, error) {
 	authorization, err := singleValue(header, authorizationHeader)
 	if err != nil {
