--- a/internal/frontend/extauthz/memory.go
+++ b/internal/frontend/extauthz/memory.go
@@ -6,17 +6,16 @@
 	"gapgap/internal/resourcelimit"
 )
 
-// exchangeBytes is what a request costs in bytes beside its header.
+// exchangeBytes is the estimated memory of a request in addition to its header.
 const exchangeBytes = 3 << 10
 
-// memoryReservation is the memory that a request counts with: at first toward the process's limit, then toward the
-// pool's.
+// memoryReservation is the memory that is reserved for a request: first from the process's limit, then from the pool's.
 type memoryReservation struct {
 	limit *resourcelimit.Bytes
 	size  int64
 }
 
-// reserveMemory reserves bytes of a limit. ok is false if they don't fit.
+// reserveMemory reserves bytes of a limit. ok is false if the limit has too few left.
 func reserveMemory(limit *resourcelimit.Bytes, size int64) (reserved memoryReservation, ok bool) {
 	if !limit.TryReserve(size) {
 		return memoryReservation{}, false
@@ -24,8 +23,8 @@
 	return memoryReservation{limit: limit, size: size}, true
 }
 
-// moveTo makes the reservation count toward a pool's limit and returns false if it does not fit there. A nil limit
-// leaves it as it is.
+// moveTo moves the reservation to a pool's limit and returns false if that has too few bytes left. With a nil limit it
+// does nothing.
 func (r *memoryReservation) moveTo(limit *resourcelimit.Bytes) bool {
 	if limit == nil || limit == r.limit {
 		return true
@@ -43,7 +42,7 @@
 	r.limit.Release(r.size)
 }
 
-// headerSize returns the bytes and the number of the fields of a header.
+// headerSize returns the size of a header in bytes and its number of fields.
 func headerSize(header http.Header) (size int64, fields int) {
 	for name, values := range header {
 		for _, value := range values {
