--- a/internal/frontend/extauthz/body.go
+++ b/internal/frontend/extauthz/body.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// bodyError says why a request's body was not accepted, and the answer's status.
+// bodyError is why a request's body was not accepted, with the status and detail of the answer.
 type bodyError struct {
 	status int
 	detail string
@@ -19,7 +19,7 @@
 	return e.detail
 }
 
-// Why a body is not accepted.
+// Reasons for not accepting a body. Clients are told the details.
 var (
 	errBodyTooLong = &bodyError{
 		status: http.StatusRequestEntityTooLarge,
@@ -35,8 +35,8 @@
 	}
 )
 
-// discardBody reads and discards the request's body of up to Config.MaxBody bytes. A request is not accepted before its
-// body is complete.
+// discardBody reads and discards the request's body of up to Config.MaxBody bytes. The request is handled only after
+// its whole body has arrived.
 func (e *exchange) discardBody() *bodyError {
 	body := e.request.Body
 	if body == nil || body == http.NoBody {
@@ -46,7 +46,7 @@
 	if e.request.ContentLength > config.MaxBody {
 		return errBodyTooLong
 	}
-	// The server's connections have deadlines.
+	// An error is ignored: the connections of net/http support deadlines.
 	controller := http.NewResponseController(e.response.w)
 	_ = controller.SetReadDeadline(time.Now().Add(config.HeaderTimeout))
 	defer func() { _ = controller.SetReadDeadline(time.Time{}) }()
