--- a/internal/frontend/extauthz/ratelimit.go
+++ b/internal/frontend/extauthz/ratelimit.go
@@ -12,8 +12,8 @@
 	"gapgap/internal/proxy"
 )
 
-// Policies returns the values of RateLimit-Policy by plan name, for plans that have a quota: the burst, and the seconds
-// in which it fills. The names have the order of the plans.
+// Policies returns the values of the RateLimit-Policy header by plan name, for plans with a quota: the burst, and the
+// seconds in which it refills. names has the plans' names in the order of plans.
 func Policies(names []string, plans []balancer.Plan) map[string][]string {
 	policies := map[string][]string{}
 	for i, plan := range plans {
@@ -26,8 +26,8 @@
 	return policies
 }
 
-// setRateLimit sets the fields of draft-ietf-httpapi-ratelimit-headers: the plan's policy, the units that are left, and
-// the seconds until the quota is full again. It does nothing if there is no quota or its status is not known.
+// setRateLimit sets the header fields of draft-ietf-httpapi-ratelimit-headers: the plan's policy, the remaining units,
+// and the seconds until the quota is full again. It does nothing if there is no quota or its state is unknown.
 func setRateLimit(header http.Header, customer *account.Account, quota proxy.Quota) {
 	if !quota.Told || customer.HeaderValues.Policy == nil {
 		return
@@ -43,7 +43,7 @@
 	header["Ratelimit"] = []string{string(text)}
 }
 
-// setRetryAfter sets the fields that tell a pause: in whole seconds and in milliseconds, both rounded up.
+// setRetryAfter sets the header fields for a pause before a retry, in seconds and in milliseconds, both rounded up.
 func setRetryAfter(header http.Header, pause time.Duration) {
 	milliseconds := int64((pause + time.Millisecond - 1) / time.Millisecond)
 	seconds := (milliseconds + 999) / 1000
