--- a/internal/frontend/extauthz/pool.go
+++ b/internal/frontend/extauthz/pool.go
@@ -9,26 +9,26 @@
 	"gapgap/internal/proxy"
 )
 
-// pool is what the checks for one pool have in common, whatever listener they come by. The pool's event loop owns all
-// but accounts.
+// pool is the state for the checks of one pool from all listeners. The pool's event loop owns all fields except
+// accounts.
 type pool struct {
 	proxy  *proxy.Proxy
 	shared *Shared
-	// accounts are those of the pool. Any goroutine may load them.
+	// accounts has the accounts of the pool. Any goroutine may load it.
 	accounts  atomic.Pointer[account.Table]
 	decisions *decisioncache.Cache[decision, *check]
 	inFlight  inFlightTable
 }
 
-// trackInFlight keeps an admitted request for its end call if its plan bounds the requests in flight.
+// trackInFlight tracks an admitted request until its end call, if its plan limits the requests in flight.
 func (p *pool) trackInFlight(id uint64, request *proxy.Request, now time.Duration) {
 	if request.HoldFor > 0 && !p.inFlight.add(id, request, now+request.HoldFor, now) {
 		p.shared.Stats.InFlightUntracked.Add(1)
 	}
 }
 
-// finishAdmitted ends the work of an admitted request and returns false if none of that id is in flight. Only the event
-// loop may call it.
+// finishAdmitted ends an admitted request. It returns false if there is none of that id in flight. Only the event loop
+// may call it.
 func (p *pool) finishAdmitted(id uint64) bool {
 	request := p.inFlight.remove(id, p.proxy.Now())
 	if request == nil {
@@ -39,8 +39,8 @@
 	return true
 }
 
-// finishAdmitted ends the work of an admitted request of any pool, which the id does not tell. It returns false if none
-// of that id is in flight.
+// finishAdmitted ends an admitted request of any pool, as the id does not say which. It returns false if there is none
+// of that id in flight.
 func (f *Front) finishAdmitted(id uint64) bool {
 	for _, p := range *f.shared.pools.Load() {
 		if f.finishAdmittedIn(p, id) {
@@ -50,8 +50,8 @@
 	return false
 }
 
-// finishAdmittedIn is finishAdmitted for one pool. It waits for answerGrace at most until the task has a place in the
-// event loop's queue, and then until the task is done or the loop has ended.
+// finishAdmittedIn is finishAdmitted for one pool. It waits up to answerGrace until the event loop's queue accepts the
+// task, and then until the task is done or the loop has ended.
 func (f *Front) finishAdmittedIn(p *pool, id uint64) bool {
 	finished := make(chan bool, 1)
 	deadline := f.env.Now() + answerGrace
