--- a/internal/frontend/extauthz/header.go
+++ b/internal/frontend/extauthz/header.go
@@ -5,9 +5,9 @@
 	"net/http"
 )
 
-// What may be wrong with a header field. Clients are told the texts.
+// Errors of header fields. Clients are told the texts.
 var (
-	// errRepeated means that a field stands more than once: which of its values another program uses is not known.
+	// errRepeated means that a field occurs more than once, so that other programs might use another of its values.
 	errRepeated = errors.New("stands more than once")
 	// errMissing means that a required field is missing or empty.
 	errMissing = errors.New("is missing")
@@ -15,25 +15,25 @@
 	errUnreadable = errors.New("can't be read")
 )
 
-// headerError is the fault of one header field.
+// headerError is an error in one header field.
 type headerError struct {
 	// name is the field's name in canonical form.
 	name string
 	err  error
 }
 
-// Error implements error. Clients are told the text, which has no part of the value.
+// Error implements error. Clients are told the text, so it does not contain the field's value.
 func (e *headerError) Error() string {
 	return e.name + " " + e.err.Error()
 }
 
-// Unwrap returns what is wrong with the field.
+// Unwrap returns the error without the field's name.
 func (e *headerError) Unwrap() error {
 	return e.err
 }
 
-// singleValue returns the value of a header field, or an empty string if there is none. The name is in canonical form.
-// Its error wraps errRepeated.
+// singleValue returns the value of a header field, or an empty string if there is none. name must be in canonical form.
+// The error wraps errRepeated.
 func singleValue(header http.Header, name string) (string, error) {
 	switch values := header[name]; len(values) {
 	case 0:
