--- a/internal/frontend/extauthz/repeatkey.go
+++ b/internal/frontend/extauthz/repeatkey.go
@@ -8,8 +8,8 @@
 	"gapgap/internal/decisioncache"
 )
 
-// repeatIdentity is what two checks must have in common, beside the request id or nonce, to be the same one. A client
-// that chooses its own ids can so only repeat its own checks.
+// repeatIdentity has the properties that must be equal, besides the request id or nonce, for a check to be a repeat of
+// another. Therefore a client that chooses its own ids can only repeat its own checks.
 type repeatIdentity struct {
 	customer string
 	target   target
@@ -17,8 +17,8 @@
 	class    int
 }
 
-// repeatKey returns the key by which a repeat of a check is recognized. ok is false if the check has none. Its error is
-// a *headerError.
+// repeatKey returns the key by which repeats of a check are recognized. ok is false if they can't be recognized. The
+// error is a *headerError.
 func (r *Route) repeatKey(identity repeatIdentity, header http.Header) (key decisioncache.Key, ok bool, err error) {
 	name := ""
 	switch r.Repeat {
@@ -42,7 +42,7 @@
 	text := buffer[:0]
 	t := &i.target
 	for _, part := range [...]string{i.customer, t.method, t.scheme, t.host, t.uri, id} {
-		// The lengths keep two different lists of parts from having the same text.
+		// Length prefixes make the encoding of the list of parts unambiguous.
 		text = strconv.AppendInt(text, int64(len(part)), 10)
 		text = append(text, ':')
 		text = append(text, part...)
