--- a/internal/frontend/extauthz/trust.go
+++ b/internal/frontend/extauthz/trust.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// isTrustedAddress reports whether a proxy at an address may ask.
+// isTrustedAddress reports whether a proxy at an address may send checks.
 func (c *Config) isTrustedAddress(address net.Addr) bool {
 	tcp, ok := address.(*net.TCPAddr)
 	if !ok {
@@ -21,7 +21,8 @@
 	return slices.ContainsFunc(c.Trusted, func(prefix netip.Prefix) bool { return prefix.Contains(ip) })
 }
 
-// hasTrustedCertificate reports whether a proxy may ask by its verified client certificate. state is nil without TLS.
+// hasTrustedCertificate reports whether a proxy may send checks by its verified client certificate. state is nil
+// without TLS.
 func (c *Config) hasTrustedCertificate(state *tls.ConnectionState) bool {
 	if state == nil || len(state.VerifiedChains) == 0 {
 		return false
