--- a/internal/frontend/extauthz/conn.go
+++ b/internal/frontend/extauthz/conn.go
@@ -11,40 +11,40 @@
 	"gapgap/internal/proxy"
 )
 
-// minEvictionIdle is how long a connection must have been idle before it is evicted. A shorter time could close it
-// while a request is on its way through net/http.
+// minEvictionIdle is how long a connection must have been idle before it may be evicted. With a shorter time it might
+// be closed while net/http is still reading a request.
 const minEvictionIdle = 200 * time.Millisecond
 
-// conn is a connection from a proxy. It counts toward the limit that all frontends share. Times are on the event loops'
-// clock.
+// conn is a connection from a web proxy. It counts toward the connection limit that all frontends share. Times are on
+// the event loops' clock.
 type conn struct {
 	net.Conn
 	front *Front
-	// trusted is true if the proxy may ask by its address.
+	// trusted is true if the address of the proxy is trusted.
 	trusted bool
-	// pool is the pool that the last check went to; nil before the first.
+	// pool is the pool of the last check, or nil before the first.
 	pool atomic.Pointer[proxy.Proxy]
-	// closeAfterAnswer is set once the connection is to be closed with its next answer.
+	// closeAfterAnswer is true if the connection must be closed with its next answer.
 	closeAfterAnswer atomic.Bool
 	acceptedAt       time.Duration
-	// openRequests is the number of requests that handlers have.
+	// openRequests is the number of requests in handlers.
 	openRequests atomic.Int32
 	// lastActivity is when bytes were last read or written.
 	lastActivity atomic.Int64
-	// requestBegan is when the first bytes were read that no handler has yet; 0: there are none.
+	// requestBegan is when the first bytes were read that no handler has received yet, or 0 if there are none.
 	requestBegan atomic.Int64
-	// unaccounted is the number of bytes read since a handler last began.
+	// unaccounted is the number of bytes read since the last call of beginRequest.
 	unaccounted atomic.Int64
-	// http2 is true for HTTP/2, where frames are read that belong to no request.
+	// http2 is true for HTTP/2, where some frames belong to no request.
 	http2 atomic.Bool
-	// used is true once a handler had a request.
+	// used is true once a handler has received a request.
 	used atomic.Bool
 
 	mu     sync.Mutex
 	closed bool
 }
 
-// newConn returns a connection that was accepted and counts it.
+// newConn returns an accepted connection and adds it to the connection limit.
 func newConn(f *Front, netConn net.Conn) *conn {
 	c := &conn{
 		Conn:       netConn,
@@ -60,7 +60,7 @@
 // connKey is the key of the *conn in a request's context.
 type connKey struct{}
 
-// unwrapConn returns the conn below a connection of net/http, or nil.
+// unwrapConn returns the conn underlying a connection of net/http, or nil.
 func unwrapConn(netConn net.Conn) *conn {
 	if tlsConn, ok := netConn.(*tls.Conn); ok {
 		netConn = tlsConn.NetConn()
@@ -69,8 +69,8 @@
 	return c
 }
 
-// Read implements [net.Conn]. Bytes that arrive after the connection was closed are dropped, as if they had crossed the
-// close.
+// Read implements [net.Conn]. Bytes that arrive after the connection was closed are dropped, as if they had been sent
+// after the close.
 func (c *conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n == 0 {
@@ -105,7 +105,8 @@
 	return c.Conn.Close()
 }
 
-// scheduler returns the processor share of the pool that the last check went to; nil if the processor is not shared.
+// scheduler returns the flow of the last check's pool, or else that for checks whose pool is not known yet. It is nil
+// if the processor is not shared between pools.
 func (c *conn) scheduler() *cpuscheduler.Flow {
 	if p := c.pool.Load(); p != nil && p.Scheduler != nil {
 		return p.Scheduler
@@ -113,8 +114,8 @@
 	return c.front.env.Scheduler
 }
 
-// assignTo counts the connection toward the connections of the pool that its check goes to. It returns false for a
-// connection that has no pool yet if the pool's guarantee is used up and there is nothing to borrow: see
+// assignTo counts the connection toward the connection limit of its check's pool. It returns false for a connection
+// that has no pool yet if the pool's guarantee is used up and nothing can be borrowed: see
 // [resourcelimit.ClientLimit.Assign].
 func (c *conn) assignTo(p *proxy.Proxy) bool {
 	if c.pool.Load() == p {
@@ -127,7 +128,7 @@
 	return true
 }
 
-// beginRequest counts a request that a handler has and returns the number of bytes that were read for it.
+// beginRequest counts a request that a handler has received, and returns the number of bytes that were read for it.
 func (c *conn) beginRequest(http2 bool) int64 {
 	c.openRequests.Add(1)
 	c.requestBegan.Store(0)
@@ -138,14 +139,14 @@
 	return c.unaccounted.Swap(0)
 }
 
-// endRequest counts that a handler has answered its request.
+// endRequest ends the counting of a request that its handler has answered.
 func (c *conn) endRequest() {
 	c.openRequests.Add(-1)
 }
 
-// isOverdue reports whether the connection has exceeded a timeout: Config.HeaderTimeout for a request that has begun
-// and for the first one, and Config.IdleTimeout between two requests. The deadlines of net/http do the same at the cost
-// of three timers for each request.
+// isOverdue reports whether the connection has exceeded a timeout: Config.HeaderTimeout for the first request and for
+// any request that has begun, and Config.IdleTimeout between two requests. The timeouts of net/http would do the same,
+// but take three timers per request.
 func (c *conn) isOverdue(now time.Duration) bool {
 	if c.openRequests.Load() > 0 {
 		return false
@@ -176,11 +177,11 @@
 		_ = c.Close() // nothing more is sent on it
 		return
 	}
-	// net/http closes it then; with HTTP/2 once its streams have ended.
+	// net/http closes the connection after that answer, or with HTTP/2 once its streams have ended.
 	c.closeAfterAnswer.Store(true)
 }
 
-// closeIfIdle makes Read drop what arrives from now on if the connection is idle, and reports whether it is.
+// closeIfIdle reports whether the connection is idle. If so, it makes Read drop all further input.
 func (c *conn) closeIfIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
