--- a/internal/frontend/extauthz/decision.go
+++ b/internal/frontend/extauthz/decision.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	// answerGrace is how long a handler waits beyond a check's timeout, for the proxy's own last answer. It is also how
-	// long the task of an end call may wait for a place in an event loop's queue.
+	// answerGrace is how long a handler waits after a check's timeout, so that the pool's proxy can still answer. It is
+	// also how long the task of an end call may wait until an event loop's queue accepts it.
 	answerGrace = 100 * time.Millisecond
-	// minRejectionTTL is how long repeats of a rejected check get the same answer at least. A proxy's retry comes at
-	// once; a client that heeds Retry-After comes later, with a check that is decided anew.
+	// minRejectionTTL is the minimum time for which repeats of a rejected check get the same answer. Web proxies retry
+	// at once; a client that honors Retry-After retries later, and its check is decided again.
 	minRejectionTTL = 250 * time.Millisecond
-	// untilCacheLimit is the TTL of a decision that is kept for as long as decisioncache.Config.MaxTTL allows.
+	// untilCacheLimit is the TTL of a decision that is cached for as long as decisioncache.Config.MaxTTL allows.
 	untilCacheLimit = time.Duration(math.MaxInt64)
 )
 
-// decision is what was decided for a check. It has no pointers since the decision cache has many of them.
+// decision is the decision of a check. It has no pointers, as the decision cache holds many of them.
 type decision struct {
 	outcome    proxy.Outcome
 	retryAfter time.Duration
@@ -28,15 +28,15 @@
 	quota     proxy.Quota
 	// requestID is the number of an admitted request, for its end call.
 	requestID uint64
-	// unavailable is true if nothing could be decided: the outcome is then no judgment on the account's quota.
+	// unavailable is true if the check could not be decided. The outcome then says nothing about the account's quota.
 	unavailable bool
-	// policyVersion is the number of the policy version that the request was submitted under; 0: there is none.
+	// policyVersion is the number of the policy version that applied when the request was submitted, or 0.
 	policyVersion uint64
 }
 
-// decide returns the decision for a check. Its pool is acquired; it is released here, by submit or by the pool's proxy.
-// ok is false if there was no decision within the check's timeout and answerGrace, or if the pool's event loop has
-// ended.
+// decide returns the decision of a check. The check's pool must be acquired; it is released here, in joinKnown or by
+// the pool's proxy. ok is false if there was no decision within the check's timeout and answerGrace, or if the pool's
+// event loop has ended.
 func (f *Front) decide(c *check) (d decision, ok bool) {
 	owner := c.pool.proxy
 	deadline := c.At + c.Timeout + answerGrace
@@ -53,7 +53,7 @@
 				return decision{}, false
 			}
 		case <-owner.Done():
-			// The decision may have been the loop's last.
+			// The loop may have decided the check before it ended.
 			select {
 			case decided := <-c.done:
 				return decided, true
@@ -64,7 +64,7 @@
 	}
 }
 
-// submit hands the check to the pool's proxy unless joinKnown has dealt with it. It is a task of the event loop.
+// submit submits the check to the pool's proxy unless joinKnown has handled it. It runs as a task of the event loop.
 func (c *check) submit() {
 	if c.hasKey && c.joinKnown() {
 		return
@@ -72,9 +72,9 @@
 	c.pool.proxy.Submit(&c.Request)
 }
 
-// joinKnown looks the check up in the decision cache and returns true if it is not to be decided by itself: it repeats
-// one that is pending or decided, or it was repeated too often and is rejected. It is not charged then, and the pool is
-// released.
+// joinKnown looks the check up in the decision cache and returns true if it needs no decision of its own: it repeats a
+// check that is pending or decided, or it was repeated too often and is rejected. It is not charged in these cases, and
+// the pool is released.
 func (c *check) joinKnown() bool {
 	p := c.pool
 	stats := &p.shared.Stats
@@ -110,12 +110,12 @@
 	return false
 }
 
-// Forward implements [proxy.Client]. An admission-only request is not forwarded.
+// Forward implements [proxy.Client]. Admission-only requests are not forwarded.
 func (c *check) Forward(time.Duration) []byte {
 	return nil
 }
 
-// Answer implements [proxy.Client]. It passes the decision on to the check's handler and to those of its repeats.
+// Answer implements [proxy.Client]. It sends the decision to the handlers of the check and of its repeats.
 func (c *check) Answer(answer proxy.Answer) {
 	p := c.pool
 	d := decision{
@@ -139,8 +139,8 @@
 	}
 }
 
-// decisionTTL returns how long repeats of a check get the same answer; the decision cache may bound it further. A
-// repeat of a check that could not be decided is decided anew.
+// decisionTTL returns how long repeats of a check get the same answer; the decision cache may limit it further. A
+// repeat of a check that could not be decided is decided by itself.
 func decisionTTL(answer proxy.Answer) time.Duration {
 	switch {
 	case answer.Outcome == proxy.Admitted:
