--- a/internal/frontend/extauthz/listener.go
+++ b/internal/frontend/extauthz/listener.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	// acceptRetryDelay is the pause after Accept has failed, as it does without free file descriptors.
+	// acceptRetryDelay is the pause after Accept has failed, for example for lack of file descriptors.
 	acceptRetryDelay = 10 * time.Millisecond
-	// overloadWriteTimeout is how long writing an overloadResponse may take.
+	// overloadWriteTimeout is how long writing the overloadResponse may take.
 	overloadWriteTimeout = time.Second
 )
 
-// listener accepts connections within the limit that all frontends share.
+// listener accepts connections within the connection limit that all frontends share.
 type listener struct {
 	net.Listener
 	front *Front
-	// overloadResponse is sent on a connection for which there is no room; nil: nothing.
+	// overloadResponse is sent on connections beyond the limit. If it is nil, nothing is sent.
 	overloadResponse []byte
 }
 
@@ -43,7 +43,7 @@
 	}
 }
 
-// reject closes a connection for which there is no room. Whether its peer gets the response does not matter.
+// reject closes a connection beyond the limit. Errors are ignored, as its peer need not get the response.
 func (l *listener) reject(netConn net.Conn) {
 	_ = netConn.SetWriteDeadline(time.Now().Add(overloadWriteTimeout))
 	_, _ = netConn.Write(l.overloadResponse)
