--- a/internal/frontend/extauthz/route.go
+++ b/internal/frontend/extauthz/route.go
@@ -8,21 +8,23 @@
 	"time"
 )
 
-// Dialect is the form in which a kind of proxy asks and understands answers.
+// Dialect is how a kind of web proxy sends checks and interprets answers.
 type Dialect int
 
 const (
-	// Nginx is nginx's auth_request, which understands 2xx, 401 and 403. It turns any other status into 500.
+	// Nginx is nginx's auth_request, which understands 2xx, 401 and 403 and turns any other status into 500.
 	Nginx Dialect = iota
-	// Traefik is Traefik's ForwardAuth with X-Forwarded-* headers. Answers other than 2xx go to the client as they are.
+	// Traefik is Traefik's ForwardAuth with X-Forwarded-* headers. Answers other than 2xx are sent to the client
+	// unchanged.
 	Traefik
 	// Caddy is Caddy's forward_auth, which works like Traefik.
 	Caddy
-	// Envoy is Envoy's ext_authz over HTTP: the client's own method, and its path behind a prefix. Only 200 passes.
+	// Envoy is Envoy's ext_authz over HTTP. A check has the client's method, and the client's path after a prefix. Only
+	// 200 lets the request pass.
 	Envoy
 )
 
-// Dialects has the dialects by their names in a configuration.
+// Dialects has the dialects by their names in the configuration.
 var Dialects = map[string]Dialect{
 	"nginx":   Nginx,
 	"traefik": Traefik,
@@ -30,19 +32,19 @@
 	"envoy":   Envoy,
 }
 
-// Repeat says how a check that is asked again is recognized.
+// Repeat is how repeats of a check are recognized.
 type Repeat int
 
 const (
-	// Never means that each check counts by itself.
+	// Never means that they are not recognized: each check is decided and charged by itself.
 	Never Repeat = iota
-	// ByRequestID recognizes a check by the proxy's id of the request.
+	// ByRequestID recognizes them by the request id that the web proxy assigns.
 	ByRequestID
-	// ByNonce recognizes a check by a nonce of the client.
+	// ByNonce recognizes them by a nonce of the client.
 	ByNonce
 )
 
-// Repeats has the values of Repeat by their names in a configuration.
+// Repeats has the values of Repeat by their names in the configuration.
 var Repeats = map[string]Repeat{
 	"never":      Never,
 	"request-id": ByRequestID,
@@ -53,29 +55,29 @@
 type Identity int
 
 const (
-	// ByKey takes an API key from Authorization: Bearer or from the key header.
+	// ByKey uses the API key in Authorization: Bearer or in the key header.
 	ByKey Identity = iota
-	// ByHeader takes the account's name from a header that the proxy sets.
+	// ByHeader uses the account's name in a header that the web proxy sets.
 	ByHeader
-	// ByCertificate takes the name of the client's certificate from a header that the proxy sets.
+	// ByCertificate uses the name of the client's certificate in a header that the web proxy sets.
 	ByCertificate
 )
 
-// Identities has the values of Identity by their names in a configuration.
+// Identities has the values of Identity by their names in the configuration.
 var Identities = map[string]Identity{
 	"key":         ByKey,
 	"header":      ByHeader,
 	"certificate": ByCertificate,
 }
 
-// Route is one path of a listener and how checks are asked there. Header names are in canonical form.
+// Route is a path of a listener with the form of its checks. Header names are in canonical form.
 type Route struct {
-	// Path is the prefix before the client's own path for Envoy, and the whole path of a check for others.
+	// Path is the prefix of the client's path for Envoy, and the whole path of a check for other dialects.
 	Path    string
 	Dialect Dialect
-	// Identify lists ways to identify the account, in this order: the first that is present decides.
+	// Identify lists the ways to identify the account. The first whose credential is present is used.
 	Identify []Identity
-	// KeyHeader may have the API key if Authorization has none; empty: it is not read.
+	// KeyHeader is read for the API key if Authorization has none. If it is empty, no header is read.
 	KeyHeader string
 	// AccountHeader is read for ByHeader.
 	AccountHeader string
@@ -86,44 +88,44 @@
 	RequestIDHeader string
 	// NonceHeader is read for ByNonce.
 	NonceHeader string
-	// UnitsHeader may override the units of the rules; empty: it is not read.
+	// UnitsHeader overrides the units of the rules. If it is empty, no header is read.
 	UnitsHeader string
-	// DefaultClass is the class of requests that no rule matches. If it is empty or unknown to the pool, they are
-	// forbidden.
+	// DefaultClass is the class of requests that no rule matches. If it is empty or unknown in the pool, these requests
+	// are forbidden.
 	DefaultClass string
-	// Within is how long the answer of a check may take.
+	// Within is the timeout for answering a check.
 	Within time.Duration
-	// AllowUndecided lets requests pass whose checks can't be decided.
+	// AllowUndecided lets requests pass if their checks can't be decided.
 	AllowUndecided bool
 }
 
-// validate returns the field that is wrong, except for the path, and what is wrong with it.
+// validate checks all fields except the path. With an error it returns the name of the invalid field.
 func (r *Route) validate() (field string, err error) {
 	switch {
 	case len(r.Identify) == 0:
-		return "identify", errors.New("is empty")
+		return "identify", errors.New("must not be empty")
 	case r.Within <= 0:
-		return "within", errors.New("is not above 0")
+		return "within", errors.New("must be above 0")
 	case r.Repeat == ByRequestID && r.RequestIDHeader == "":
-		return "request_id_header", errors.New("is empty")
+		return "request_id_header", errors.New("must not be empty")
 	case r.Repeat == ByNonce && r.NonceHeader == "":
-		return "nonce_header", errors.New("is empty")
+		return "nonce_header", errors.New("must not be empty")
 	}
 	for _, identity := range r.Identify {
 		if identity == ByHeader && r.AccountHeader == "" {
-			return "account_header", errors.New("is empty, but identify names header")
+			return "account_header", errors.New("must not be empty, as identify contains header")
 		}
 		if identity == ByCertificate && r.CertificateHeader == "" {
-			return "certificate_header", errors.New("is empty, but identify names certificate")
+			return "certificate_header", errors.New("must not be empty, as identify contains certificate")
 		}
 	}
 	return "", nil
 }
 
-// envoyTimeoutHeader is where Envoy tells how long it waits, in milliseconds.
+// envoyTimeoutHeader is how long Envoy waits for an answer, in milliseconds.
 const envoyTimeoutHeader = "X-Envoy-Expected-Rq-Timeout-Ms"
 
-// timeout returns how long the answer of a check may take. That is less than Route.Within if Envoy waits for less.
+// timeout returns the timeout for answering a check: Route.Within, or Envoy's own timeout if that is shorter.
 func (r *Route) timeout(header http.Header) time.Duration {
 	if r.Dialect != Envoy {
 		return r.Within
@@ -139,8 +141,8 @@
 	return min(r.Within, time.Duration(milliseconds)*time.Millisecond)
 }
 
-// findRoute returns the route of a request, or nil. For Envoy it also returns the client's URI, which is what follows
-// the longest prefix that matches.
+// findRoute returns the route of a request, or nil. For Envoy it also returns the client's URI: what follows the
+// longest matching prefix.
 func (c *Config) findRoute(request *http.Request) (found *Route, uri string) {
 	for i := range c.Routes {
 		route := &c.Routes[i]
