--- a/internal/frontend/extauthz/requestid.go
+++ b/internal/frontend/extauthz/requestid.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	// requestIDPrefixBytes is the length of the random part of request ids, which tells processes apart.
+	// requestIDPrefixBytes is the length of the random part of request ids, which distinguishes processes.
 	requestIDPrefixBytes = 8
 	// requestIDBase is the base of the number in request ids.
 	requestIDBase = 36
 )
 
-// newRequestIDPrefix returns what the request ids of a process begin with.
+// newRequestIDPrefix returns the prefix of the request ids of a process.
 func newRequestIDPrefix() string {
 	var random [requestIDPrefixBytes]byte
 	_, _ = rand.Read(random[:]) // never fails
@@ -26,7 +26,7 @@
 	return s.requestIDPrefix + strconv.FormatUint(id, requestIDBase)
 }
 
-// parseRequestID is the reverse of formatRequestID. ok is false if the text is no request id of this process.
+// parseRequestID is the inverse of formatRequestID. ok is false if the text is not a request id of this process.
 func (s *Shared) parseRequestID(text string) (id uint64, ok bool) {
 	number, ok := strings.CutPrefix(text, s.requestIDPrefix)
 	if !ok {
