--- a/internal/frontend/extauthz/front.go
+++ b/internal/frontend/extauthz/front.go
@@ -13,13 +13,13 @@
 	"gapgap/internal/resourcelimit"
 )
 
-// overloadResponse is what a connection without TLS is sent for which there is no room.
+// overloadResponse is sent on connections without TLS that exceed the connection limit.
 const overloadResponse = "HTTP/1.1 503 Service Unavailable\r\n" +
 	"Retry-After: 1\r\n" +
 	"Content-Length: 0\r\n" +
 	"Connection: close\r\n\r\n"
 
-// Front answers checks on one listener. It is made by New.
+// Front answers checks on one listener. It must be made by New.
 type Front struct {
 	env      *proxy.Env
 	shared   *Shared
@@ -29,15 +29,15 @@
 	// tls is nil for a listener without TLS.
 	tls    *tls.Config
 	server *http.Server
-	// drained is closed once a shutdown is complete; nil: none has begun.
+	// drained is closed once the shutdown is complete. It is nil until Drain is called.
 	drained chan struct{}
 }
 
 var _ proxy.Frontend = (*Front)(nil)
 
-// New returns a frontend on a listener, which it closes. With a TLS configuration it speaks HTTP/1.1 and HTTP/2 over
-// TLS, without one plain HTTP/1.1 and HTTP/2 with prior knowledge (RFC 9113, section 3.3). The Config must have passed
-// its Check.
+// New returns a frontend on a listener, which it closes. With a TLS configuration it serves HTTP/1.1 and HTTP/2 over
+// TLS; without one, HTTP/1.1 and HTTP/2 with prior knowledge over TCP (RFC 9113, section 3.3). config.Check must have
+// returned nil.
 func New(shared *Shared, config Config, ln net.Listener, tlsConfig *tls.Config, log *slog.Logger) *Front {
 	f := &Front{
 		env:      shared.env,
@@ -55,7 +55,7 @@
 		Handler:   f,
 		TLSConfig: tlsConfig,
 		Protocols: protocols,
-		// The server has no timeouts: see conn.isOverdue.
+		// The server has no timeouts of its own: see conn.isOverdue.
 		MaxHeaderBytes: config.MaxHeaderBytes,
 		HTTP2:          &http.HTTP2Config{MaxConcurrentStreams: config.MaxStreams},
 		ErrorLog:       slog.NewLogLogger(f.log.Handler(), slog.LevelDebug),
@@ -73,7 +73,7 @@
 
 // Serve implements [proxy.Frontend].
 func (f *Front) Serve() {
-	// The server returns only once the listener is closed: listener.Accept handles all other errors.
+	// Serving ends only when the listener is closed: listener.Accept handles all other errors.
 	if f.tls != nil {
 		l := &listener{Listener: f.listener, front: f}
 		go func() { _ = f.server.ServeTLS(l, "", "") }()
@@ -89,10 +89,10 @@
 
 // CloseListeners implements [proxy.Frontend].
 func (f *Front) CloseListeners() {
-	_ = f.listener.Close() // fails only if it is closed already
+	_ = f.listener.Close() // fails only if it is already closed
 }
 
-// Drain implements [proxy.Frontend]. Connections between two checks are closed at once, others with their last answer.
+// Drain implements [proxy.Frontend]. Idle connections are closed at once, others with their next answer.
 func (f *Front) Drain() bool {
 	if f.drained == nil {
 		f.drained = make(chan struct{})
@@ -101,7 +101,7 @@
 			_ = f.server.Shutdown(context.Background()) // its error is that of closing the listener
 		}()
 	}
-	// net/http would wait for connections on which no whole request was sent yet.
+	// Shutdown would also wait for connections that have not sent a complete request.
 	for _, c := range f.connections() {
 		c.CloseWhenIdle()
 	}
@@ -128,13 +128,13 @@
 	}
 }
 
-// connections returns the connections of this listener.
+// connections returns the open connections of this listener.
 func (f *Front) connections() []*conn {
 	all := resourcelimit.ConnectionsOf[*conn](f.env.Conns)
 	return slices.DeleteFunc(all, func(c *conn) bool { return c.front != f })
 }
 
-// post queues a task for the event loop of a pool. It returns false if the loop has ended or has no place for the task
+// post queues a task for the event loop of a pool. It returns false if the loop has ended, or if its queue is full
 // until the deadline, which is on the loop's clock.
 func (f *Front) post(p *proxy.Proxy, task func(), deadline time.Duration) bool {
 	for {
