--- a/internal/frontend/extauthz/ticker.go
+++ b/internal/frontend/extauthz/ticker.go
@@ -3,15 +3,15 @@
 import "time"
 
 const (
-	// tickInterval is how often a waiting handler looks at its deadline. All handlers share one ticker: a timer for
+	// tickInterval is how often a waiting handler checks its deadline. All handlers share one ticker, since a timer for
 	// each check would almost never fire.
 	tickInterval = 50 * time.Millisecond
-	// ticksPerTimeoutCheck is the number of ticks between two checks of the connections' timeouts.
+	// ticksPerTimeoutCheck is the number of ticks from one search for overdue connections to the next.
 	ticksPerTimeoutCheck = 5
 )
 
-// runTicker wakes waiting handlers and closes overdue connections until Close. It does not depend on the event loops,
-// as handlers must end their waits also when a loop does not answer.
+// runTicker wakes waiting handlers and closes overdue connections until Close. It does not depend on the event loops:
+// handlers must time out even if a loop does not respond.
 func (s *Shared) runTicker() {
 	defer s.ended.Done()
 	ticker := time.NewTicker(tickInterval)
