--- a/internal/frontend/extauthz/shared.go
+++ b/internal/frontend/extauthz/shared.go
@@ -11,25 +11,25 @@
 	"gapgap/internal/proxy"
 )
 
-// SharedConfig configures what all listeners of a process share.
+// SharedConfig configures the state that all listeners of a process share.
 type SharedConfig struct {
-	// Decisions bounds the decision cache of each pool.
+	// Decisions has the limits of each pool's decision cache.
 	Decisions decisioncache.Config
-	// MaxTrackedInFlight is the number of admitted requests of each pool whose end calls are awaited. Further requests
-	// are admitted too, but no end call can end them: they count as in flight for their whole HoldFor.
+	// MaxTrackedInFlight is the maximum number of admitted requests in each pool that are tracked for their end calls.
+	// Further requests are admitted, but end calls can't end them: they count as in flight for their whole HoldFor.
 	MaxTrackedInFlight int
 }
 
-// Shared is what all listeners of a process have in common. Any goroutine may use it.
+// Shared is the state that all listeners of a process share. Any goroutine may use it.
 type Shared struct {
-	// Stats counts what the listeners did.
+	// Stats are the statistics of all listeners.
 	Stats Stats
 
 	config SharedConfig
 	env    *proxy.Env
-	// identities is what credentials are known by, whatever the pool.
+	// identities has the accounts of all pools, for looking up credentials.
 	identities atomic.Pointer[account.Table]
-	// pools is replaced as a whole. mu is held for that.
+	// pools is replaced as a whole, with mu held.
 	pools atomic.Pointer[map[*proxy.Proxy]*pool]
 	mu    sync.Mutex
 
@@ -62,7 +62,7 @@
 	return s, nil
 }
 
-// Begin starts the ticker for all listeners. Further calls do nothing.
+// Begin starts the ticker for all listeners. Only the first call has an effect.
 func (s *Shared) Begin(fronts ...*Front) {
 	s.start.Do(func() {
 		s.fronts = fronts
@@ -71,14 +71,14 @@
 	})
 }
 
-// Close ends what Begin started and waits for it. It must be called once only.
+// Close stops the ticker and waits until it has ended. It must be called only once.
 func (s *Shared) Close() {
 	close(s.stop)
 	s.ended.Wait()
 }
 
-// Add adds a pool with its accounts, or replaces the accounts of a pool that is known. Checks that were read before go
-// by the old ones.
+// Add adds a pool with its accounts, or replaces the accounts of a known pool. Checks that have already been read keep
+// the old accounts.
 func (s *Shared) Add(p *proxy.Proxy, accounts *account.Table) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -103,12 +103,12 @@
 func (s *Shared) newDecisionCache() *decisioncache.Cache[decision, *check] {
 	cache, err := decisioncache.NewCache[decision, *check](s.config.Decisions)
 	if err != nil {
-		panic(fmt.Errorf("configuration that NewShared has validated: %w", err))
+		panic(fmt.Errorf("decision cache configuration, validated by NewShared: %w", err))
 	}
 	return cache
 }
 
-// Remove forgets a pool that no request has acquired any more.
+// Remove removes a pool. No request may have it acquired any more.
 func (s *Shared) Remove(p *proxy.Proxy) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -127,7 +127,7 @@
 	return (*s.pools.Load())[p]
 }
 
-// SetIdentities replaces the accounts that credentials are known by.
+// SetIdentities replaces the accounts by which credentials are looked up.
 func (s *Shared) SetIdentities(accounts *account.Table) {
 	s.identities.Store(accounts)
 }
