--- a/internal/frontend/extauthz/exchange.go
+++ b/internal/frontend/extauthz/exchange.go
@@ -2,14 +2,14 @@
 
 import "net/http"
 
-// exchange is one HTTP request of a proxy and its answer. One handler goroutine owns it.
+// exchange is an HTTP request of a web proxy with its answer. It belongs to one handler goroutine.
 type exchange struct {
 	front   *Front
 	conn    *conn
 	request *http.Request
-	// route is nil if no check is asked at the request's path.
+	// route is nil if the request's path takes no checks.
 	route *Route
-	// uri is the client's URI where the route has Envoy's dialect.
+	// uri is the client's URI if the route has Envoy's dialect.
 	uri      string
 	memory   memoryReservation
 	response responder
@@ -48,14 +48,14 @@
 	e.serve()
 }
 
-// acceptHeader checks the number of a request's header fields and reserves memory for the request. received is the
-// number of bytes that were read for it. It returns false if it has answered the request.
+// acceptHeader checks the number of the request's header fields and reserves memory for the request. received is the
+// number of bytes that were read for it. acceptHeader returns false if it has answered the request.
 func (e *exchange) acceptHeader(received int64) bool {
 	stats := &e.front.shared.Stats
 	maxFields := e.front.config.MaxHeaders
 	size := 2 * received
 	fields := len(e.request.Header)
-	// The header must be counted exactly if it was compressed or if repeated fields may exceed the limit.
+	// Header fields must be counted exactly if the header was compressed, or if repeated fields may exceed the limit.
 	if e.request.ProtoMajor > 1 || fields > maxFields/2 {
 		size, fields = headerSize(e.request.Header)
 	}
@@ -95,7 +95,7 @@
 	}
 }
 
-// answerEnd answers an end call: the work of an admitted request is over.
+// answerEnd answers an end call, by which a proxy reports that an admitted request has ended.
 func (e *exchange) answerEnd() {
 	if e.request.Method != http.MethodPost {
 		e.response.w.Header().Set("Allow", http.MethodPost)
