--- a/internal/frontend/extauthz/inflight.go
+++ b/internal/frontend/extauthz/inflight.go
@@ -7,27 +7,26 @@
 	"gapgap/internal/proxy"
 )
 
-// inFlightTable has the admitted requests whose end calls are awaited, until they stop counting as in flight by
-// themselves.
+// inFlightTable tracks admitted requests until their end calls, or until they expire and so stop counting as in flight.
 type inFlightTable struct {
-	// limit is the number of requests that may be kept.
+	// limit is the maximum number of requests.
 	limit int
 	byID  map[uint64]*inFlightRequest
-	// byExpiry has the request first that expires first.
+	// byExpiry orders the requests by expiresAt.
 	byExpiry *priorityqueue.Queue[*inFlightRequest]
 }
 
-// inFlightRequest is an admitted request.
+// inFlightRequest is a tracked request.
 type inFlightRequest struct {
 	id      uint64
 	request *proxy.Request
 	// expiresAt is when the request stops counting as in flight.
 	expiresAt time.Duration
-	// rank is the request's place in inFlightTable.byExpiry.
+	// rank is the request's item in inFlightTable.byExpiry.
 	rank priorityqueue.Item[*inFlightRequest]
 }
 
-// newInFlightTable returns an empty table for a number of requests.
+// newInFlightTable returns an empty table with a limit.
 func newInFlightTable(limit int) inFlightTable {
 	return inFlightTable{
 		limit: limit,
@@ -38,7 +37,7 @@
 	}
 }
 
-// add keeps a request and returns false if there is no room: it then stops counting as in flight only by itself.
+// add adds a request. It returns false if there is no room: the request then counts as in flight until it expires.
 func (t *inFlightTable) add(id uint64, request *proxy.Request, expiresAt, now time.Duration) bool {
 	t.expire(now)
 	if len(t.byID) >= t.limit {
@@ -55,7 +54,7 @@
 	return true
 }
 
-// remove removes a request and returns it, or nil if there is none of that id.
+// remove removes a request and returns it, or nil if none of that id is tracked.
 func (t *inFlightTable) remove(id uint64, now time.Duration) *proxy.Request {
 	t.expire(now)
 	removed := t.byID[id]
@@ -67,7 +66,7 @@
 	return removed.request
 }
 
-// expire removes the requests that have stopped counting as in flight.
+// expire removes the expired requests.
 func (t *inFlightTable) expire(now time.Duration) {
 	for t.byExpiry.Len() > 0 && t.byExpiry.First().Value.expiresAt <= now {
 		delete(t.byID, t.byExpiry.Pop().Value.id)
