--- a/internal/frontend/extauthz/target.go
+++ b/internal/frontend/extauthz/target.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Header fields in which nginx is configured to describe the client's request.
+// Header fields in which nginx, if configured to do so, describes the client's request.
 const (
 	originalMethodHeader = "X-Original-Method"
 	originalURLHeader    = "X-Original-Url"
@@ -24,29 +24,29 @@
 	forwardedProtoHeader  = "X-Forwarded-Proto"
 )
 
-// Methods that are accepted.
+// Valid methods: these characters, and this length at most.
 const (
 	methodCharacters = "ABCDEFGHIJKLMNOPQRSTUVWXYZ-"
 	maxMethodLength  = 32
 )
 
-// Faults of a target beside those of single header fields. Clients are told the texts.
+// Errors of a target, besides those of single header fields. Clients are told the texts.
 var (
 	errURLAndURI = errors.New(originalURLHeader + " and " + originalURIHeader + " exclude each other")
 	errMethod    = errors.New("the method can't be read")
 )
 
-// target is the client's request as the proxy describes it.
+// target is the client's request as described by the web proxy.
 type target struct {
 	method string
-	// scheme is empty if the proxy does not tell it.
+	// scheme is empty if the web proxy does not state it.
 	scheme string
 	host   string
-	// uri is the path with the query, if there is one.
+	// uri is the path with the query, if any.
 	uri string
 }
 
-// readTarget returns the target of a check by the route's dialect. uri is the result of findRoute.
+// readTarget returns the target of a check in the route's dialect. uri is the URI that findRoute returned.
 func (r *Route) readTarget(request *http.Request, uri string) (target, error) {
 	var t target
 	var err error
@@ -67,12 +67,12 @@
 	return t, nil
 }
 
-// isMethod reports whether a method is accepted.
+// isMethod reports whether a method is valid.
 func isMethod(method string) bool {
 	return method != "" && strings.Trim(method, methodCharacters) == "" && len(method) <= maxMethodLength
 }
 
-// readEnvoyTarget returns the target of a check that has the client's own method and host.
+// readEnvoyTarget returns the target of a check that has the client's method and host.
 func readEnvoyTarget(request *http.Request, uri string) (target, error) {
 	reader := headerReader{header: request.Header}
 	t := target{
@@ -84,7 +84,7 @@
 	return t, reader.err
 }
 
-// readNginxTarget returns the target that X-Original-* describes by either a whole URL or a URI and a host.
+// readNginxTarget returns the target in X-Original-*: either a URL, or a URI with an optional host.
 func readNginxTarget(header http.Header) (target, error) {
 	reader := headerReader{header: header}
 	method := reader.required(originalMethodHeader)
@@ -124,7 +124,7 @@
 	}, nil
 }
 
-// readForwardedTarget returns the target that X-Forwarded-* describes.
+// readForwardedTarget returns the target in X-Forwarded-*.
 func readForwardedTarget(header http.Header) (target, error) {
 	reader := headerReader{header: header}
 	t := target{method: reader.required(forwardedMethodHeader)}
