--- a/internal/frontend/extauthz/check.go
+++ b/internal/frontend/extauthz/check.go
@@ -11,21 +11,21 @@
 	"gapgap/internal/route"
 )
 
-// check is a check whose account is known, as its pool's proxy decides it: the embedded request, and this as its
+// check is a check with a known account. It is the embedded request that the pool's proxy decides, and that request's
 // [proxy.Client].
 type check struct {
 	proxy.Request
 	pool    *pool
 	account *account.Account
-	// query is what the pool was found by.
+	// query is the routing query by which the pool was selected.
 	query route.Query
-	// hasKey is true if a repeat of the check can be recognized, by key.
+	// hasKey is true if repeats of the check can be recognized by key.
 	hasKey bool
 	key    decisioncache.Key
-	// tracked is true if the pool's decision cache has the check, as entry.
+	// tracked is true if the check is in the pool's decision cache, as entry.
 	tracked bool
 	entry   decisioncache.Entry
-	// done receives the one decision.
+	// done receives the decision.
 	done chan decision
 }
 
@@ -51,8 +51,8 @@
 	}
 }
 
-// readCheck reads a check and finds its pool, which it acquires. It runs on the processor share of the pool that the
-// connection's last check went to. It returns nil if it has answered the check.
+// readCheck reads a check, and selects and acquires its pool. It uses the processor share of the pool of the
+// connection's last check. It returns nil if it has answered the check.
 func (e *exchange) readCheck() *check {
 	scheduler := e.conn.scheduler()
 	began := scheduler.Enter()
@@ -62,7 +62,8 @@
 		e.badRequest(problemTarget, err)
 		return nil
 	}
-	// Credentials are the same for all pools. The pool may depend on the account, and the account's plan on the pool.
+	// Credentials are looked up across all pools: the pool may depend on the account, and the account's plan on the
+	// pool.
 	customer := e.identify()
 	if customer == nil {
 		return nil
@@ -80,7 +81,7 @@
 	return c
 }
 
-// readQuery returns the target of a check and the routing query for it, without the account. Clients are told its
+// readQuery returns the target of a check and the routing query for it, without the account. Clients are told the
 // error.
 func (e *exchange) readQuery() (target, route.Query, error) {
 	t, err := e.route.readTarget(e.request, e.uri)
@@ -115,8 +116,8 @@
 	return customer
 }
 
-// acquirePool finds and acquires the pool of a check and makes the connection and the reserved memory count toward it.
-// It returns nil if it has answered the check.
+// acquirePool selects and acquires the pool of a check, and moves the connection and the reserved memory to the pool's
+// limits. It returns nil if it has answered the check.
 func (e *exchange) acquirePool(query *route.Query) *pool {
 	stats := &e.front.shared.Stats
 	chosen := e.front.env.Router.Route(query)
@@ -144,8 +145,8 @@
 	return p
 }
 
-// readRequest fills in the request of a check by its pool's accounts and rules. It returns false if it has answered the
-// check.
+// readRequest fills in the request of a check according to its pool's accounts and rules. It returns false if it has
+// answered the check.
 func (e *exchange) readRequest(c *check, t target) bool {
 	accounts := c.pool.accounts.Load()
 	customer := accounts.ByCustomer(c.query.Account)
@@ -193,8 +194,8 @@
 	return true
 }
 
-// classify returns the class and the units of a check by the pool's rules, or the route's default class and one unit.
-// ok is false if there is neither.
+// classify returns the class and the units of a check by the pool's rules. If no rule matches, it returns the route's
+// default class and one unit; ok is false if the pool does not have that class.
 func (e *exchange) classify(
 	accounts *account.Table, rules *proxy.Rules, query *route.Query,
 ) (class int, units float64, ok bool) {
@@ -206,7 +207,7 @@
 	return class, 1, class >= 0
 }
 
-// readUnits returns the units of the route's units header, or the default if there are none.
+// readUnits returns the units in the route's units header, or defaultUnits if there are none.
 func (e *exchange) readUnits(accounts *account.Table, defaultUnits float64) (float64, error) {
 	name := e.route.UnitsHeader
 	if name == "" {
@@ -226,13 +227,13 @@
 	return units, nil
 }
 
-// badRequest answers a malformed check. The client is told the error.
+// badRequest sends the answer for a malformed check. The client is told the error.
 func (e *exchange) badRequest(kind problemType, err error) {
 	e.front.shared.Stats.Bad.Add(1)
 	e.response.problem(http.StatusBadRequest, kind, err.Error())
 }
 
-// forbidden answers a check that is not allowed whatever the account's quota is.
+// forbidden sends the answer for a check that is not allowed, regardless of the account's quota.
 func (e *exchange) forbidden(kind problemType, detail string) {
 	e.front.shared.Stats.Forbidden.Add(1)
 	e.response.problem(http.StatusForbidden, kind, detail)
