--- a/internal/frontend/extauthz/golden_test.go
+++ b/internal/frontend/extauthz/golden_test.go
@@ -12,7 +12,7 @@
 	"gapgap/internal/golden"
 )
 
-// Header values and problem bodies that clients are given keep their form.
+// TestGoldenAnswers verifies that the form of header values and problem bodies in answers does not change.
 func TestGoldenAnswers(t *testing.T) {
 	var out bytes.Buffer
 	pauses := []time.Duration{
--- a/internal/frontend/extauthz/repeatkey_test.go
+++ b/internal/frontend/extauthz/repeatkey_test.go
@@ -10,13 +10,13 @@
 	"gapgap/internal/decisioncache"
 )
 
-// repeatCase is all that tells a check from others.
+// repeatCase has all properties by which a check is recognized.
 type repeatCase struct {
 	identity repeatIdentity
 	id       string
 }
 
-// drawRepeatCase returns some check, of parts that look alike when they are joined.
+// drawRepeatCase returns a random check with parts whose concatenations are often equal.
 func drawRepeatCase(t *rapid.T, label string) repeatCase {
 	part := rapid.StringMatching(`[a:/0-9]{0,4}`)
 	c := repeatCase{
@@ -35,7 +35,8 @@
 	return c
 }
 
-// Two checks have the same key only if all that identifies them is the same: no part can be written into another.
+// TestForwardAuthSameness verifies that two checks have the same key only if all of their properties are equal, even if
+// the concatenations of these are equal.
 func TestForwardAuthSameness(t *testing.T) {
 	route := &Route{Repeat: ByRequestID, RequestIDHeader: "X-Request-Id"}
 	keyOf := func(c repeatCase) decisioncache.Key {
--- a/internal/frontend/extauthz/route_test.go
+++ b/internal/frontend/extauthz/route_test.go
@@ -6,6 +6,7 @@
 	"testing"
 )
 
+// TestForwardAuthRoutes verifies which route and client URI findRoute returns for prefixes and whole paths.
 func TestForwardAuthRoutes(t *testing.T) {
 	config := &Config{Routes: []Route{
 		{Path: "/envoy", Dialect: Envoy},
--- a/internal/frontend/extauthz/target_test.go
+++ b/internal/frontend/extauthz/target_test.go
@@ -8,8 +8,8 @@
 	"gapgap/internal/account"
 )
 
-// However the fields of a check are written, reading them returns an error or a complete target; and what rules see of
-// it is clean.
+// FuzzForwardAuthTarget verifies that any header fields of a check give either an error or a complete target, and that
+// the host and path that rules match are normalized.
 func FuzzForwardAuthTarget(f *testing.F) {
 	f.Add(0, "GET", "/a?b", "flags.example.org", "", "/")
 	f.Add(0, "POST", "", "", "https://flags.example.org/x", "/")
