--- a/internal/account/account_test.go
+++ b/internal/account/account_test.go
@@ -9,6 +9,7 @@
 	"unicode/utf8"
 )
 
+// hash returns the hash of an API key as it is configured.
 func hash(key string) string {
 	h := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(h[:])
@@ -16,14 +17,19 @@
 
 var names = Names{Classes: []string{"evaluate", "change"}, Plans: []string{"starter", "business"}}
 
-func good() []Spec {
-	return []Spec{{Name: "acme", Customer: "00000000B4D65521", Plan: "business", Keys: []string{hash("k1"), hash("k2")},
-		Certificates: []string{"client.acme"}}, {Name: "ion", Customer: "0000000000000001", Plan: "starter",
-		Keys: []string{hash("k3")}, Classes: []string{"evaluate"}}}
+// validSpecs returns two valid accounts.
+func validSpecs() []Spec {
+	return []Spec{
+		{Name: "acme", Customer: "00000000B4D65521", Plan: "business", Keys: []string{hash("k1"), hash("k2")},
+			Certificates: []string{"client.acme"}},
+		{Name: "ion", Customer: "0000000000000001", Plan: "starter", Keys: []string{hash("k3")},
+			Classes: []string{"evaluate"}},
+	}
 }
 
+// TestForwardAuthLookUps verifies that accounts are found by their credentials only, and checks entitlements and units.
 func TestForwardAuthLookUps(t *testing.T) {
-	table, err := Compile(good(), nil, names, 4)
+	table, err := Compile(validSpecs(), nil, names, 4)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -34,23 +40,23 @@
 	}
 	for _, k := range []string{"", "k", "k11", hash("k1")} {
 		if table.ByKey(k) != nil {
-			t.Errorf("key %q opens an account", k)
+			t.Errorf("unknown key %q has an account", k)
 		}
 	}
 	if !acme.Entitled(1) || !ion.Entitled(0) || ion.Entitled(1) {
-		t.Error("entitlements")
+		t.Error("wrong entitlements")
 	}
-	for s, want := range map[string]bool{"1": true, "4": true, "0.5": true, "5": false, "0": false, "-1": false, "": false,
-		"1e0": false, "0x1": false, "nan": false, "1.1.1": false} {
+	for s, want := range map[string]bool{"1": true, "4": true, "0.5": true, "5": false, "0": false, "-1": false,
+		"": false, "1e0": false, "0x1": false, "nan": false, "1.1.1": false} {
 		if _, ok := table.Units(s); ok != want {
-			t.Errorf("units %q: %v", s, ok)
+			t.Errorf("units %q: accepted %v", s, ok)
 		}
 	}
 }
 
-// A fault names its field.
+// TestForwardAuthFaults verifies that each invalid value gives an error with the path of its field.
 func TestForwardAuthFaults(t *testing.T) {
-	for field, spoil := range map[string]func(s []Spec, r *Rule){
+	for field, invalidate := range map[string]func(s []Spec, r *Rule){
 		"account[1].name":            func(s []Spec, r *Rule) { s[1].Name = "acme" },
 		"account[0].name":            func(s []Spec, r *Rule) { s[0].Name = "a b" },
 		"account[1].customer":        func(s []Spec, r *Rule) { s[1].Customer = "00000000b4d65521" },
@@ -69,8 +75,8 @@
 		"rule[0].methods[0]":         func(s []Spec, r *Rule) { r.Methods = []string{"get"} },
 		"rule[0].path":               func(s []Spec, r *Rule) { r.Path = "/a/../b" },
 	} {
-		specs, rule := good(), Rule{Class: "change", Path: "/x/"}
-		spoil(specs, &rule)
+		specs, rule := validSpecs(), Rule{Class: "change", Path: "/x/"}
+		invalidate(specs, &rule)
 		_, err := Compile(specs, []Rule{rule}, names, 4)
 		var e *Error
 		if !errors.As(err, &e) || e.Field != field {
@@ -79,6 +85,8 @@
 	}
 }
 
+// TestForwardAuthMatch verifies which rule matches a normalized target, and that hosts and URIs that can be read in
+// several ways are errors.
 func TestForwardAuthMatch(t *testing.T) {
 	table, err := Compile(nil, []Rule{
 		{Host: "flags.example.org", Methods: []string{"POST", "PUT"}, Path: "/v1/", Class: "change", Units: 2},
@@ -113,15 +121,16 @@
 			t.Errorf("%s %s %s: class %d, units %v, %v", c.method, c.host, c.uri, class, units, ok)
 		}
 	}
-	for _, bad := range [][2]string{{"a b", "/"}, {"a..b", "/"}, {"a:x", "/"}, {"[::1", "/"}, {"[]", "/"}, {"a:123456", "/"},
-		{"a", "x"}, {"a", "/%zz"}, {"a", "/%00"}, {"a", `/\..\x`}, {"a", "http://b/"}} {
-		if _, _, err := Target(bad[0], bad[1]); err == nil {
-			t.Errorf("%q is taken", bad)
+	for _, invalid := range [][2]string{{"a b", "/"}, {"a..b", "/"}, {"a:x", "/"}, {"[::1", "/"}, {"[]", "/"},
+		{"a:123456", "/"}, {"a", "x"}, {"a", "/%zz"}, {"a", "/%00"}, {"a", `/\..\x`}, {"a", "http://b/"}} {
+		if _, _, err := Target(invalid[0], invalid[1]); err == nil {
+			t.Errorf("%q is accepted", invalid)
 		}
 	}
 }
 
-// However a URI is written, the form that rules see is clean, and cleaning it once more changes nothing but escapes.
+// FuzzForwardAuthTarget verifies that Target returns an error or a normalized host and path, and that normalizing a
+// path again changes nothing unless it has escapes.
 func FuzzForwardAuthTarget(f *testing.F) {
 	for _, s := range []string{"/a/../b", "/%2e%2e//x?q", "/a%2Fb", "*", "/%25%32%65", "/a/./"} {
 		f.Add("Flags.example.org:80", s)
