--- a/internal/layout/layout_test.go
+++ b/internal/layout/layout_test.go
@@ -1,4 +1,4 @@
-// Package layout keeps the direction of the imports true.
+// Package layout tests which packages may import which others.
 package layout
 
 import (
@@ -10,7 +10,8 @@
 	"testing"
 )
 
-func deps(t *testing.T, pkg string) []string {
+// dependencies returns all packages that a package imports, directly or indirectly, and the package itself.
+func dependencies(t *testing.T, pkg string) []string {
 	t.Helper()
 	out, err := exec.Command("go", "list", "-deps", pkg).CombinedOutput()
 	if err != nil {
@@ -19,12 +20,12 @@
 	return strings.Fields(string(out))
 }
 
-// none checks that a package imports none of the packages given, nor any below them. A package of this module that is
-// given must exist: one that was renamed would else be looked for in vain.
-func none(t *testing.T, pkg string, forbidden ...string) {
+// forbidImports verifies that a package imports none of the forbidden packages, nor any below them, directly or
+// indirectly. Forbidden packages of this module must exist, so that renaming a package can't make a check void.
+func forbidImports(t *testing.T, pkg string, forbidden ...string) {
 	t.Helper()
 	mustExist(t, forbidden)
-	for _, dep := range deps(t, pkg) {
+	for _, dep := range dependencies(t, pkg) {
 		for _, path := range forbidden {
 			if isBelow(dep, path) {
 				t.Errorf("%s imports %s", pkg, dep)
@@ -33,20 +34,20 @@
 	}
 }
 
-// onlyBalancer checks that of this module a package imports the decision module's packages alone.
+// onlyBalancer verifies that a package imports no packages of this module but those of the balancer.
 func onlyBalancer(t *testing.T, pkg string) {
 	t.Helper()
-	for _, dep := range deps(t, pkg) {
+	for _, dep := range dependencies(t, pkg) {
 		if isBelow(dep, "gapgap") && !isBelow(dep, "gapgap/internal/balancer") {
 			t.Errorf("%s imports %s", pkg, dep)
 		}
 	}
 }
 
-// isBelow tells whether a package has a path or lies below it.
+// isBelow reports whether a package has a path or is below it.
 func isBelow(pkg, path string) bool { return pkg == path || strings.HasPrefix(pkg, path+"/") }
 
-// mustExist checks that each path of this module is that of a package or of a folder of packages.
+// mustExist verifies that each path in this module is that of a package or of a directory with packages.
 func mustExist(t *testing.T, paths []string) {
 	t.Helper()
 	out, err := exec.Command("go", "list", "gapgap/...").Output()
@@ -61,95 +62,101 @@
 	}
 }
 
-// What the platform runs stays lean, and no program that serves links a stand-in.
+// TestServingProgramsLinkNoFake verifies that the platform's gateway and its simulator adapter link no fakes, not the
+// package testing, not external authorization, and no libraries for gRPC, storage or Envoy.
 func TestServingProgramsLinkNoFake(t *testing.T) {
 	forbidden := []string{"google.golang.org/grpc", "go.etcd.io/bbolt", "modernc.org/sqlite", "github.com/envoyproxy",
 		"gapgap/internal/fake", "gapgap/internal/frontend/extauthz", "testing"}
-	none(t, "gapgap/cmd/gapgap", forbidden...)
-	none(t, "gapgap/cmd/simadapter", forbidden...)
+	forbidImports(t, "gapgap/cmd/gapgap", forbidden...)
+	forbidImports(t, "gapgap/cmd/simadapter", forbidden...)
 }
 
-// Judgement does no input or output.
+// TestDecisionsAreFreeOfIO verifies that the packages that decide on requests do no I/O.
 func TestDecisionsAreFreeOfIO(t *testing.T) {
-	none(t, "gapgap/internal/balancer", "net", "os/exec")
+	forbidImports(t, "gapgap/internal/balancer", "net", "os/exec")
 	onlyBalancer(t, "gapgap/internal/balancer")
-	none(t, "gapgap/internal/balancer/ceilinglease", "net", "os")
+	forbidImports(t, "gapgap/internal/balancer/ceilinglease", "net", "os")
 	onlyBalancer(t, "gapgap/internal/balancer/ceilinglease")
-	none(t, "gapgap/internal/balancer/costmodel", "net", "os", "time")
+	forbidImports(t, "gapgap/internal/balancer/costmodel", "net", "os", "time")
 	onlyBalancer(t, "gapgap/internal/balancer/costmodel")
-	none(t, "gapgap/internal/balancer/slowstart", "net", "os", "math/rand")
+	forbidImports(t, "gapgap/internal/balancer/slowstart", "net", "os", "math/rand")
 	onlyBalancer(t, "gapgap/internal/balancer/slowstart")
-	none(t, "gapgap/internal/simulator", "net", "gapgap/internal/proxy", "gapgap/internal/eventloop")
-	none(t, "gapgap/internal/resourcelimit", "net")
+	forbidImports(t, "gapgap/internal/simulator", "net", "gapgap/internal/proxy", "gapgap/internal/eventloop")
+	forbidImports(t, "gapgap/internal/resourcelimit", "net")
 }
 
-// What doors know of each other is decided without input and output, and the platform's gateway has none of it.
+// TestMembershipImports verifies that the packages for membership and quota leases do no I/O, and that the platform's
+// gateway links none of them.
 func TestMembershipImports(t *testing.T) {
-	none(t, "gapgap/internal/balancer/quotashare", "net", "os")
+	forbidImports(t, "gapgap/internal/balancer/quotashare", "net", "os")
 	onlyBalancer(t, "gapgap/internal/balancer/quotashare")
 	for _, p := range []string{"membership", "quotalease", "cluster"} {
-		none(t, "gapgap/internal/"+p, "net", "os/exec", "gapgap/internal/proxy", "gapgap/internal/eventloop",
+		forbidImports(t, "gapgap/internal/"+p, "net", "os/exec", "gapgap/internal/proxy", "gapgap/internal/eventloop",
 			"gapgap/internal/fake")
 	}
-	none(t, "gapgap/cmd/gapgap", "gapgap/internal/membership", "gapgap/internal/quotalease",
+	forbidImports(t, "gapgap/cmd/gapgap", "gapgap/internal/membership", "gapgap/internal/quotalease",
 		"gapgap/internal/cluster", "gapgap/internal/peer",
 		"github.com/fxamacker/cbor")
 }
 
-// How a policy takes hold is decided without input and output; the platform's gateway has neither that nor its log, nor
-// storage.
+// TestPolicyImports verifies that the package that decides on policy versions does no I/O, that the platform's gateway
+// links neither that package nor its replicated log nor the log's storage, and that gapgapd links no test libraries.
 func TestPolicyImports(t *testing.T) {
-	none(t, "gapgap/internal/policy", "net", "os/exec", "go.etcd.io", "gapgap/internal/proxy",
+	forbidImports(t, "gapgap/internal/policy", "net", "os/exec", "go.etcd.io", "gapgap/internal/proxy",
 		"gapgap/internal/eventloop", "gapgap/internal/fake")
-	none(t, "gapgap/internal/raftlog", "net", "gapgap/internal/proxy", "gapgap/internal/policy", "gapgap/internal/fake")
-	none(t, "gapgap/cmd/gapgap", "gapgap/internal/policy", "gapgap/internal/policyreplica",
+	forbidImports(t, "gapgap/internal/raftlog", "net", "gapgap/internal/proxy", "gapgap/internal/policy",
+		"gapgap/internal/fake")
+	forbidImports(t, "gapgap/cmd/gapgap", "gapgap/internal/policy", "gapgap/internal/policyreplica",
 		"gapgap/internal/raftlog", "go.etcd.io", "github.com/gogo")
-	none(t, "gapgap/cmd/gapgapd", "github.com/anishathalye", "github.com/pmezard")
+	forbidImports(t, "gapgap/cmd/gapgapd", "github.com/anishathalye", "github.com/pmezard")
 }
 
-// The write-ahead log imports nothing above it; the platform's gateway has none of it, as no disk outlives it.
+// TestRecoveryImports verifies that the write-ahead log imports no higher layers, that the packages for recovery do no
+// I/O, and that the platform's gateway links none of them, as it has no disk that outlives the process.
 func TestRecoveryImports(t *testing.T) {
-	none(t, "gapgap/internal/wal", "net", "os/exec", "gapgap/internal/proxy", "gapgap/internal/service")
+	forbidImports(t, "gapgap/internal/wal", "net", "os/exec", "gapgap/internal/proxy", "gapgap/internal/service")
 	for _, p := range []string{"idempotency", "recovery", "clockskew"} {
-		none(t, "gapgap/internal/"+p, "net", "os/exec", "math/rand", "gapgap/internal/proxy",
+		forbidImports(t, "gapgap/internal/"+p, "net", "os/exec", "math/rand", "gapgap/internal/proxy",
 			"gapgap/internal/eventloop", "gapgap/internal/fake")
 	}
 	for _, p := range []string{"wal", "idempotency", "idempotency/replica", "recovery", "clockskew"} {
-		none(t, "gapgap/cmd/gapgap", "gapgap/internal/"+p)
+		forbidImports(t, "gapgap/cmd/gapgap", "gapgap/internal/"+p)
 	}
 }
 
-// A floor imports only those below it.
+// TestLayerImports verifies that a layer imports only lower layers.
 func TestLayerImports(t *testing.T) {
 	frontends := []string{"gapgap/internal/frontend", "gapgap/internal/service"}
 	clients := []string{"gapgap/internal/upstream", "gapgap/internal/counter", "gapgap/internal/discovery"}
-	none(t, "gapgap/internal/proxy", append(frontends, "gapgap/internal/counter", "gapgap/internal/discovery",
+	forbidImports(t, "gapgap/internal/proxy", append(frontends, "gapgap/internal/counter", "gapgap/internal/discovery",
 		"gapgap/internal/frontend")...)
 	for _, s := range clients {
-		none(t, s, append(frontends, "gapgap/internal/proxy")...)
+		forbidImports(t, s, append(frontends, "gapgap/internal/proxy")...)
 	}
-	none(t, "gapgap/internal/frontend/resp2", append(clients[1:], "gapgap/internal/service")...)
+	forbidImports(t, "gapgap/internal/frontend/resp2", append(clients[1:], "gapgap/internal/service")...)
 	for _, g := range []string{"eventloop", "resp", "socket", "resourcelimit"} {
-		none(t, "gapgap/internal/"+g, append(append(frontends, clients...), "gapgap/internal/proxy")...)
+		forbidImports(t, "gapgap/internal/"+g, append(append(frontends, clients...), "gapgap/internal/proxy")...)
 	}
 }
 
-// The service links no stand-in either; what decides for it does no input or output.
+// TestExternalAuthorizationImports verifies that gapgapd links no fakes either, that its decision cache does no I/O, and
+// that accounts and the frontend for external authorization import no higher layers.
 func TestExternalAuthorizationImports(t *testing.T) {
-	none(t, "gapgap/cmd/gapgapd", "gapgap/internal/fake", "testing", "google.golang.org/grpc")
-	none(t, "gapgap/internal/decisioncache", "net", "os", "gapgap/internal/proxy", "gapgap/internal/frontend",
+	forbidImports(t, "gapgap/cmd/gapgapd", "gapgap/internal/fake", "testing", "google.golang.org/grpc")
+	forbidImports(t, "gapgap/internal/decisioncache", "net", "os", "gapgap/internal/proxy", "gapgap/internal/frontend",
 		"gapgap/internal/eventloop")
-	none(t, "gapgap/internal/account", "net/http", "gapgap/internal/frontend", "gapgap/internal/proxy")
-	none(t, "gapgap/internal/frontend/extauthz", "gapgap/internal/counter", "gapgap/internal/discovery",
+	forbidImports(t, "gapgap/internal/account", "net/http", "gapgap/internal/frontend", "gapgap/internal/proxy")
+	forbidImports(t, "gapgap/internal/frontend/extauthz", "gapgap/internal/counter", "gapgap/internal/discovery",
 		"gapgap/internal/service")
 }
 
-// ownFiles is a format of go list: the path of each file that belongs to this module.
+// ownFiles is a format for go list that prints the path of each source file of this module.
 const ownFiles = `{{if not .Standard}}{{$d := .Dir}}{{if eq .Module.Path "gapgap"}}` +
 	`{{range .GoFiles}}{{$d}}/{{.}}{{"\n"}}{{end}}{{end}}{{end}}`
 
-// Nothing that serves on the platform is fitted to one deployment: no class, plan, kind or site of those that the
-// project has met is named in its code. What is looked for are whole string literals, of the sites in deploy/sites too.
+// TestNoDeploymentIsNamed verifies that the platform's programs are not written for one deployment: their source
+// contains no class, plan, endpoint type or site of a known deployment, of those in deploy/sites too. Names are
+// searched as whole string literals, except for sites, which are searched in all text.
 func TestNoDeploymentIsNamed(t *testing.T) {
 	names := []string{"evaluate", "change", "starter", "business", "flag-api", "std-3c", "fetch-cards",
 		"record-answer", "basic", "standard", "campus", "deck-servers",
@@ -164,7 +171,7 @@
 	}
 	files := strings.Fields(string(out))
 	if len(files) < 40 {
-		t.Fatalf("%d files are looked at", len(files))
+		t.Fatalf("only %d files are checked", len(files))
 	}
 	for _, f := range files {
 		text, err := os.ReadFile(f)
