--- a/internal/account/account_test.go
+++ b/internal/account/account_test.go
@@ -85,8 +85,7 @@
 	}
 }
 
-// TestForwardAuthMatch verifies which rule matches a normalized target, and that hosts and URIs that can be read in
-// several ways are errors.
+// TestForwardAuthMatch verifies which rule matches a normalized target, and that malformed hosts and URIs are errors.
 func TestForwardAuthMatch(t *testing.T) {
 	table, err := Compile(nil, []Rule{
 		{Host: "flags.example.org", Methods: []string{"POST", "PUT"}, Path: "/v1/", Class: "change", Units: 2},
--- a/internal/layout/layout_test.go
+++ b/internal/layout/layout_test.go
@@ -139,8 +139,8 @@
 	}
 }
 
-// TestExternalAuthorizationImports verifies that gapgapd links no fakes either, that its decision cache does no I/O, and
-// that accounts and the frontend for external authorization import no higher layers.
+// TestExternalAuthorizationImports verifies that gapgapd links no fakes either, that its decision cache does no I/O,
+// and that accounts and the frontend for external authorization import no higher layers.
 func TestExternalAuthorizationImports(t *testing.T) {
 	forbidImports(t, "gapgap/cmd/gapgapd", "gapgap/internal/fake", "testing", "google.golang.org/grpc")
 	forbidImports(t, "gapgap/internal/decisioncache", "net", "os", "gapgap/internal/proxy", "gapgap/internal/frontend",
--- a/internal/priorityqueue/priorityqueue_test.go
+++ b/internal/priorityqueue/priorityqueue_test.go
@@ -49,7 +49,7 @@
 			}
 			for _, o := range all {
 				if o.In() != in[o] {
-					t.Fatalf("In returns %v, want %v", o.In(), in[o])
+					t.Fatalf("wrong result of In: %v", o.In())
 				}
 				if in[o] && *o.Value < *q.First().Value {
 					t.Fatalf("%d is first, but %d is in the queue", *q.First().Value, *o.Value)
