--- a/internal/frontend/admin/admin_test.go
+++ b/internal/frontend/admin/admin_test.go
@@ -42,8 +42,8 @@
 	return f, ln.Addr().String()
 }
 
-// ask sends text on a new connection, closes its sending side if half is set, and returns the whole answer.
-func ask(t *testing.T, addr, text string, half bool) string {
+// roundTrip sends text on a new connection, closes its sending side if half is set, and returns the whole answer.
+func roundTrip(t *testing.T, addr, text string, half bool) string {
 	t.Helper()
 	nc, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -75,14 +75,14 @@
 		"RESTART\n": "NO unknown call \"RESTART\"\n", "PI\x00NG\n": "NO the line is not text\n",
 		strings.Repeat("x", 4*MaxLineBytes): fmt.Sprintf("NO the line is longer than %d bytes\n", MaxLineBytes),
 	} {
-		if got := ask(t, addr, text, false); got != want {
+		if got := roundTrip(t, addr, text, false); got != want {
 			t.Errorf("%.40q: %q", text, got)
 		}
 	}
-	if got := ask(t, addr, "PING", true); got != "YES\n" { // half-closed: the line is complete
+	if got := roundTrip(t, addr, "PING", true); got != "YES\n" { // half-closed: the line is complete
 		t.Errorf("half-closed: %q", got)
 	}
-	if got := ask(t, addr, "", true); got != "" {
+	if got := roundTrip(t, addr, "", true); got != "" {
 		t.Errorf("no line sent: %q", got)
 	}
 }
@@ -90,7 +90,7 @@
 // TestNotReady verifies that PING is answered with NO and the reason while the process can't serve.
 func TestNotReady(t *testing.T) {
 	_, addr := start(t, &fakeService{unready: errors.New("no backend is known\nyet")})
-	if got := ask(t, addr, "PING\n", false); got != "NO no backend is known yet\n" {
+	if got := roundTrip(t, addr, "PING\n", false); got != "NO no backend is known yet\n" {
 		t.Errorf("%q", got)
 	}
 }
@@ -111,8 +111,8 @@
 		}
 		silent = append(silent, nc)
 	}
-	if got := ask(t, addr, "PING\n", false); got != "YES\n" {
-		t.Fatalf("beside silent callers: %q", got)
+	if got := roundTrip(t, addr, "PING\n", false); got != "YES\n" {
+		t.Fatalf("with silent callers connected: %q", got)
 	}
 	_ = silent[0].SetReadDeadline(time.Now().Add(20 * time.Second))
 	if _, err := silent[0].Read(make([]byte, 1)); errors.Is(err, net.ErrClosed) || err == nil || isTimeout(err) {
--- a/internal/frontend/admin/golden_test.go
+++ b/internal/frontend/admin/golden_test.go
@@ -19,9 +19,9 @@
 		"DETACH s-1 s-2", "PING x", "", "   ", "HELLO", "PI\x01NG", strings.Repeat("x", 300),
 	}
 	for _, line := range lines {
-		fmt.Fprintf(&out, "%q: %q\n", line, ask(t, addr, line+"\n", false))
+		fmt.Fprintf(&out, "%q: %q\n", line, roundTrip(t, addr, line+"\n", false))
 	}
-	fmt.Fprintf(&out, "unready, PING: %q\n", ask(t, unready, "PING\n", false))
-	fmt.Fprintf(&out, "no line end, PING: %q\n", ask(t, addr, "PING", true))
+	fmt.Fprintf(&out, "unready, PING: %q\n", roundTrip(t, unready, "PING\n", false))
+	fmt.Fprintf(&out, "no line end, PING: %q\n", roundTrip(t, addr, "PING", true))
 	golden.CheckBytes(t, "testdata/golden/answers.txt", out.Bytes())
 }
