--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -30,7 +30,7 @@
 	Err  error
 }
 
-// Error implements error. The text does not tell the exit code.
+// Error implements error. The text does not contain the exit code.
 func (e *Error) Error() string { return e.Err.Error() }
 
 // Unwrap returns the error without its exit code.
