--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -48,6 +48,7 @@
 // PathKind is how a rule's path is compared with that of a request.
 type PathKind int
 
+// Kinds of paths.
 const (
 	Prefix   PathKind = iota // by whole segments: /a matches /a and /a/b, but not /ab
 	Exact                    // the whole path must be equal
