--- a/internal/simulator/action.go
+++ b/internal/simulator/action.go
@@ -9,8 +9,8 @@
 // healthCheckLatency is that of a health check that is answered or can't connect.
 const healthCheckLatency = time.Millisecond
 
-// perform carries out an action of the decision module. Actions that need more than a world has are ignored.
-func (g *Gateway) perform(action balancer.Action) {
+// execute carries out an action of the decision module. Actions that need more than a world has are ignored.
+func (g *Gateway) execute(action balancer.Action) {
 	switch action := action.(type) {
 	case balancer.Dispatch:
 		g.dispatch(action)
@@ -82,7 +82,7 @@
 // ignored.
 func (g *Gateway) finish(id uint64, request *Request, outcome Outcome) {
 	g.answer(request, outcome)
-	g.forgetIfOver(id, request)
+	g.forgetIfComplete(id, request)
 }
 
 // answer gives a request its final answer, once. A nil request is ignored.
@@ -96,8 +96,8 @@
 	}
 }
 
-// forgetIfOver drops a request that is answered and has no attempt in flight. A nil request is ignored.
-func (g *Gateway) forgetIfOver(id uint64, request *Request) {
+// forgetIfComplete drops a request that is answered and has no attempt in flight. A nil request is ignored.
+func (g *Gateway) forgetIfComplete(id uint64, request *Request) {
 	if request != nil && request.answered && len(request.inFlight) == 0 {
 		delete(g.requests, id)
 	}
--- a/internal/simulator/attempt.go
+++ b/internal/simulator/attempt.go
@@ -67,7 +67,7 @@
 		g.answer(request, Served)
 	}
 	g.handle(result)
-	g.forgetIfOver(result.ID, request)
+	g.forgetIfComplete(result.ID, request)
 }
 
 // cancelAttempt stops waiting for an attempt. One that is not in flight is ignored.
@@ -91,7 +91,7 @@
 		Status:        balancer.Cancelled,
 		RequestClosed: request.answered,
 	})
-	g.forgetIfOver(action.ID, request)
+	g.forgetIfComplete(action.ID, request)
 }
 
 // attempt is one attempt of a request at an [Endpoint].
--- a/internal/simulator/ceiling_test.go
+++ b/internal/simulator/ceiling_test.go
@@ -16,22 +16,22 @@
 	for _, admitOnly := range []bool{true, false} {
 		t.Run(fmt.Sprint("admission only ", admitOnly), func(t *testing.T) {
 			play := func(lease bool, rate float64, gateway func(time.Duration, int) int) *ceilingWorld {
-				w := newCeilingWorld(t, 1, 3, lease, business)
+				w := newCeilingWorld(t, 1, 3, lease, businessPlan)
 				w.sendRequests(0, 30*time.Second, rate, admitOnly, gateway)
 				w.Run(Start + 30*time.Second)
-				if slack := max(1, 0.1*business.CeilingBurst); w.bucket.lowest < -slack {
+				if slack := max(1, 0.1*businessPlan.CeilingBurst); w.bucket.lowest < -slack {
 					t.Errorf("leased %v, %v a second: %.2f under the ceiling's bucket", lease, rate, -w.bucket.lowest)
 				}
 				return w
 			}
 			evenly := func(_ time.Duration, n int) int { return n % 3 }
-			leased := play(true, 100, firstGateway)
-			shared := play(false, 100, firstGateway)
+			leased := play(true, 100, alwaysFirstGateway)
+			shared := play(false, 100, alwaysFirstGateway)
 			if got := leased.unitsBetween(2, 30); got < 0.95*10*28 {
 				t.Errorf("%.0f of the ceiling's 280 at one gateway; %.0f with even shares; by second %v",
 					got, shared.unitsBetween(2, 30), leased.unitsBySecond)
 			}
-			if quiet := play(true, 4.8, firstGateway); quiet.bucket.taken < 0.99*float64(quiet.requests) {
+			if quiet := play(true, 4.8, alwaysFirstGateway); quiet.bucket.taken < 0.99*float64(quiet.requests) {
 				t.Errorf("%.0f of %d inside the quota at one gateway", quiet.bucket.taken, quiet.requests)
 			}
 			leasedEvenly := play(true, 100, evenly).unitsBetween(5, 30)
@@ -46,13 +46,13 @@
 // The check finds leases that are forgotten: a counter that is cleared all the time, as if no window were ever spent.
 func TestCeilingsCheckFindsForgottenLeases(t *testing.T) {
 	t.Parallel()
-	w := newCeilingWorld(t, 1, 4, true, business)
+	w := newCeilingWorld(t, 1, 4, true, businessPlan)
 	w.sendRequests(0, 20*time.Second, 200, true, func(_ time.Duration, n int) int { return n % 4 })
 	for at := 100 * time.Millisecond; at < 20*time.Second; at += 100 * time.Millisecond {
 		w.At(Start+at, w.Counter.Clear)
 	}
 	w.Run(Start + 20*time.Second)
-	if w.bucket.lowest > -0.5*business.CeilingBurst {
+	if w.bucket.lowest > -0.5*businessPlan.CeilingBurst {
 		t.Errorf("the bucket falls to %.1f only with a counter that forgets", w.bucket.lowest)
 	}
 }
@@ -62,7 +62,7 @@
 func TestCeilingsMovedDemand(t *testing.T) {
 	t.Parallel()
 	const seconds = 40
-	moving := newCeilingWorld(t, 1, 3, true, business)
+	moving := newCeilingWorld(t, 1, 3, true, businessPlan)
 	moving.sendRequests(0, seconds*time.Second, 100, true, func(now time.Duration, _ int) int {
 		return int(now/time.Second) % 2
 	})
@@ -70,7 +70,7 @@
 	if got := moving.unitsBetween(4, seconds); got < 0.9*10*(seconds-4) {
 		t.Errorf("%.0f of %d while the demand moves each second", got, 10*(seconds-4))
 	}
-	killed := newCeilingWorld(t, 1, 3, true, business)
+	killed := newCeilingWorld(t, 1, 3, true, businessPlan)
 	killed.sendRequests(0, seconds*time.Second, 100, true, func(now time.Duration, _ int) int {
 		if now < 20*time.Second {
 			return 0
@@ -85,7 +85,7 @@
 		t.Errorf("%.0f of 50 after the lease holder was killed; by second %v", got, killed.unitsBySecond)
 	}
 	for name, w := range map[string]*ceilingWorld{"moving": moving, "killed": killed} {
-		if w.bucket.lowest < -0.1*business.CeilingBurst {
+		if w.bucket.lowest < -0.1*businessPlan.CeilingBurst {
 			t.Errorf("%s: %.1f under the bucket", name, -w.bucket.lowest)
 		}
 	}
@@ -97,7 +97,7 @@
 	t.Helper()
 	w := New(1, 6)
 	for range 3 {
-		if err := w.AddGateway(testSettings(3, leaseCeilings, business)).Start(); err != nil {
+		if err := w.AddGateway(testSettings(3, leaseCeilings, businessPlan)).Start(); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -144,7 +144,7 @@
 // that holds then is kept, and what a change lets out beside it is one window's.
 func TestCeilingsPlanChangesWhileLeased(t *testing.T) {
 	t.Parallel()
-	low := business
+	low := businessPlan
 	low.Rate = 2
 	low.Burst = 4
 	low.CeilingRate = 4
@@ -152,7 +152,7 @@
 	w := New(1, 6)
 	unitsBySecond := map[int]float64{}
 	for range 3 {
-		g := w.AddGateway(testSettings(3, true, business, low))
+		g := w.AddGateway(testSettings(3, true, businessPlan, low))
 		g.Sent = func(r *Request) { unitsBySecond[int((w.Now-Start)/time.Second)] += r.Units }
 		if err := g.Start(); err != nil {
 			t.Fatal(err)
@@ -167,7 +167,7 @@
 	w.After(0, next)
 	w.Run(Start + 60*time.Second)
 	for from := 0; from < 60; from += 10 {
-		p := []balancer.Plan{business, low}[from/10%2]
+		p := []balancer.Plan{businessPlan, low}[from/10%2]
 		sum := 0.0
 		for second := from + 1; second < from+10; second++ {
 			sum += unitsBySecond[second]
--- a/internal/simulator/ceilingflood_test.go
+++ b/internal/simulator/ceilingflood_test.go
@@ -59,7 +59,7 @@
 	t.Helper()
 	first := time.Duration(2500+4000*seed) * time.Millisecond
 	p := &floodPlay{
-		ceilingWorld: newCeilingWorld(t, seed, gateways, true, business),
+		ceilingWorld: newCeilingWorld(t, seed, gateways, true, businessPlan),
 		first:        first,
 		last:         first + floodDuration,
 		pause:        pause,
--- a/internal/simulator/ceilingstart_test.go
+++ b/internal/simulator/ceilingstart_test.go
@@ -12,7 +12,7 @@
 	t.Parallel()
 	for _, from := range []time.Duration{0, 2500 * time.Millisecond, 2999 * time.Millisecond, 9 * time.Second} {
 		t.Run(fmt.Sprint("after ", from), func(t *testing.T) {
-			w := newCeilingWorld(t, 1, 3, true, business)
+			w := newCeilingWorld(t, 1, 3, true, businessPlan)
 			for i := range 3 { // each gateway's own clients, a little apart
 				begin := from + time.Duration(i)*700*time.Microsecond
 				w.sendRequests(begin, from+12*time.Second, 33, true, func(time.Duration, int) int { return i })
@@ -39,8 +39,8 @@
 	t.Parallel()
 	for _, gateways := range []int{2, 3, 5, 8} {
 		for _, interval := range []time.Duration{1650 * time.Millisecond, 2700 * time.Millisecond, 5 * time.Second} {
-			w := newCeilingWorld(t, 1, gateways, true, business)
-			if float64(gateways)/interval.Seconds() > 0.9*business.Rate {
+			w := newCeilingWorld(t, 1, gateways, true, businessPlan)
+			if float64(gateways)/interval.Seconds() > 0.9*businessPlan.Rate {
 				continue
 			}
 			const first, last = 3 * time.Second, 60 * time.Second // by then a gateway's share of the ceiling has filled
@@ -76,7 +76,7 @@
 func TestCeilingsNoPartOfAUnitIsLost(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(1); seed <= 3; seed++ {
-		w := newCeilingWorld(t, seed, 3, true, business)
+		w := newCeilingWorld(t, seed, 3, true, businessPlan)
 		const first, last = 3 * time.Second, 33 * time.Second
 		rng := w.Rand("clients")
 		thinkTime := func(draw float64) time.Duration {
--- a/internal/simulator/ceilingworld_test.go
+++ b/internal/simulator/ceilingworld_test.go
@@ -7,8 +7,8 @@
 	"gapgap/internal/balancer"
 )
 
-// business is the plan of the case that was measured from outside.
-var business = balancer.Plan{
+// businessPlan is the plan of the case that was measured from outside.
+var businessPlan = balancer.Plan{
 	Rate:            5,
 	Burst:           10,
 	PriorityFactor:  1,
@@ -134,5 +134,5 @@
 	return units
 }
 
-// firstGateway brings all requests to one gateway.
-func firstGateway(time.Duration, int) int { return 0 }
+// alwaysFirstGateway brings all requests to one gateway.
+func alwaysFirstGateway(time.Duration, int) int { return 0 }
--- a/internal/simulator/endpoint.go
+++ b/internal/simulator/endpoint.go
@@ -22,8 +22,8 @@
 
 	inService []*Job
 	waiting   []*Job
-	// workCountedUntil is the time until which the work of the jobs in service is counted.
-	workCountedUntil time.Duration
+	// advancedUntil is the time until which the work of the jobs in service is counted.
+	advancedUntil time.Duration
 	// cancelUpdate cancels the next update; nil: none is scheduled.
 	cancelUpdate func()
 
@@ -64,14 +64,14 @@
 		return nil, fmt.Errorf("endpoint %s: %w", name, err)
 	}
 	return &Endpoint{
-		Name:             name,
-		config:           config,
-		clock:            clock,
-		rand:             source,
-		workCountedUntil: clock.Time(),
-		startedAt:        -config.SlowStartDuration,
-		slowdown:         1,
-		effects:          newEffectLog(),
+		Name:          name,
+		config:        config,
+		clock:         clock,
+		rand:          source,
+		advancedUntil: clock.Time(),
+		startedAt:     -config.SlowStartDuration,
+		slowdown:      1,
+		effects:       newEffectLog(),
 	}, nil
 }
 
@@ -95,7 +95,7 @@
 		answer(ReplyBroken)
 		return
 	}
-	e.countWork()
+	e.advanceWork()
 	job.remaining = e.config.ServiceTimes[job.Class].Draw(e.rand("work", job.ID, e.Name)).Seconds()
 	if e.isOverloadedBy(job.remaining) {
 		e.Stats.Overloaded = true
@@ -144,7 +144,7 @@
 		return
 	}
 	job.hasEnded = true
-	e.countWork()
+	e.advanceWork()
 	e.waiting = slices.DeleteFunc(e.waiting, func(other *Job) bool { return other == job })
 	e.update()
 }
--- a/internal/simulator/endpoint_test.go
+++ b/internal/simulator/endpoint_test.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// steady has two cores and room for two in service and two waiting, each with 100 ms of work.
-var steady = EndpointConfig{
+// baseConfig has two cores and room for two in service and two waiting, each with 100 ms of work.
+var baseConfig = EndpointConfig{
 	Cores:         2,
 	MaxInService:  2,
 	QueueCapacity: 2,
@@ -107,13 +107,13 @@
 func TestEndpoint(t *testing.T) {
 	t.Parallel()
 	w := New(1, 0)
-	e := newTestEndpoint(t, w, steady)
+	e := newTestEndpoint(t, w, baseConfig)
 	at, replies := answerTimes(w, e, 5)
 	checkAnswerTimes(t, "two cores, two waiting, one rejected", at, 0, 100, 100, 200, 200)
 	if replies[0] != ReplyRejected {
 		t.Error("a request for which there is no place is not rejected")
 	}
-	shared := steady
+	shared := baseConfig
 	shared.MaxInService = 4
 	at, _ = answerTimes(w, newTestEndpoint(t, w, shared), 4)
 	checkAnswerTimes(t, "four in service share two cores", at, 200, 200, 200, 200)
@@ -137,13 +137,13 @@
 	if replies[2] != ReplyBroken || !e.IsDown() {
 		t.Error("a crash does not break what is held")
 	}
-	heavy := steady
+	heavy := baseConfig
 	heavy.SlowdownFrom = 2
 	heavy.SlowdownPerRequest = 0.25
 	heavy.MinSpeed = 0.4
 	at, _ = answerTimes(w, newTestEndpoint(t, w, heavy), 4)
 	checkAnswerTimes(t, "slower with four held", at, 200, 200, 300, 300)
-	cancelled := newTestEndpoint(t, w, steady)
+	cancelled := newTestEndpoint(t, w, baseConfig)
 	job := &Job{ID: "x"}
 	answers := 0
 	for i := range 3 {
@@ -160,7 +160,7 @@
 func TestSlowStart(t *testing.T) {
 	t.Parallel()
 	w := New(1, 0)
-	config := steady
+	config := baseConfig
 	config.QueueCapacity = 1000
 	config.SlowStartCapacity = 0.25
 	config.SlowStartDuration = 10 * time.Second
@@ -199,7 +199,7 @@
 func TestEffects(t *testing.T) {
 	t.Parallel()
 	w := New(1, 0)
-	config := steady
+	config := baseConfig
 	config.DedupWindows = []time.Duration{time.Second}
 	e := newTestEndpoint(t, w, config)
 	send := func() (got Reply) {
@@ -228,7 +228,7 @@
 		"fall_at":   func(c *EndpointConfig) { c.OverloadMultiple = 1 },
 		"held":      func(c *EndpointConfig) { c.SlowdownPerRequest = -1 },
 	} {
-		config := steady
+		config := baseConfig
 		spoil(&config)
 		var invalid *EndpointConfigError
 		err := config.Check()
--- a/internal/simulator/fault.go
+++ b/internal/simulator/fault.go
@@ -16,24 +16,24 @@
 
 // SetSlowdown makes all work take a multiple of its time; 1: as configured.
 func (e *Endpoint) SetSlowdown(factor float64) {
-	e.change(func() { e.slowdown = max(minSlowdown, factor) })
+	e.applyChange(func() { e.slowdown = max(minSlowdown, factor) })
 }
 
 // Pause stops all work for a time, as a garbage collection does.
 func (e *Endpoint) Pause(duration time.Duration) {
-	e.change(func() { e.pausedUntil = max(e.pausedUntil, e.clock.Time()+duration) })
+	e.applyChange(func() { e.pausedUntil = max(e.pausedUntil, e.clock.Time()+duration) })
 }
 
 // SetSilent makes the endpoint answer nothing, or answer again. It works on meanwhile and keeps connections open. A
 // reply that was due while it was silent never comes.
 func (e *Endpoint) SetSilent(isSilent bool) {
-	e.change(func() { e.isSilent = isSilent })
+	e.applyChange(func() { e.isSilent = isSilent })
 }
 
-// change counts the work done at the former speed, calls a function that changes the speed or the state, and updates
+// applyChange counts the work done at the former speed, calls a function that changes the speed or the state, and updates
 // the endpoint.
-func (e *Endpoint) change(do func()) {
-	e.countWork()
+func (e *Endpoint) applyChange(do func()) {
+	e.advanceWork()
 	do()
 	e.update()
 }
@@ -41,7 +41,7 @@
 // Crash ends the process: the connections of all jobs that it holds break, and new ones fail until Restart. The jobs of
 // a silent endpoint stay without a reply.
 func (e *Endpoint) Crash() {
-	e.countWork()
+	e.advanceWork()
 	held := slices.Concat(e.inService, e.waiting)
 	e.inService = nil
 	e.waiting = nil
@@ -58,7 +58,7 @@
 // Restart starts the process anew: in its slow start and without a memory of keys, unless other endpoints share that.
 func (e *Endpoint) Restart() {
 	now := e.clock.Time()
-	e.workCountedUntil = now
+	e.advancedUntil = now
 	e.startedAt = now
 	e.isDown = false
 	e.isSilent = false
--- a/internal/simulator/fixedlatency.go
+++ b/internal/simulator/fixedlatency.go
@@ -8,8 +8,8 @@
 // defaultFixedLatency is the latency of the endpoints that [New] makes.
 const defaultFixedLatency = 20 * time.Millisecond
 
-// neverAnswers is the latency of an endpoint that does not exist.
-const neverAnswers = time.Duration(math.MaxInt64)
+// infiniteLatency is the latency of an endpoint that does not exist.
+const infiniteLatency = time.Duration(math.MaxInt64)
 
 // FixedLatencyEndpoint is an endpoint that answers each attempt after the same time. It has no queue and no limit.
 type FixedLatencyEndpoint struct {
@@ -24,5 +24,5 @@
 			return endpoint.Latency
 		}
 	}
-	return neverAnswers
+	return infiniteLatency
 }
--- a/internal/simulator/gateway.go
+++ b/internal/simulator/gateway.go
@@ -150,11 +150,11 @@
 		g.pending = nil
 		for _, action := range g.balancer.Step(g.world.Now+g.ClockSkew, events) {
 			if g.Intercept == nil {
-				g.perform(action)
+				g.execute(action)
 				continue
 			}
 			for _, replacement := range g.Intercept(action) {
-				g.perform(replacement)
+				g.execute(replacement)
 			}
 		}
 	}
--- a/internal/simulator/service.go
+++ b/internal/simulator/service.go
@@ -25,22 +25,22 @@
 	return speed
 }
 
-// countWork counts the work done since it was counted last, at the speed since then. It must be called before anything
+// advanceWork counts the work done since it was counted last, at the speed since then. It must be called before anything
 // that changes the speed.
-func (e *Endpoint) countWork() {
+func (e *Endpoint) advanceWork() {
 	now := e.clock.Time()
-	if busy := now - max(e.workCountedUntil, e.pausedUntil); busy > 0 {
+	if busy := now - max(e.advancedUntil, e.pausedUntil); busy > 0 {
 		speed := e.speed()
 		for _, job := range e.inService {
 			job.remaining -= speed * busy.Seconds()
 		}
 	}
-	e.workCountedUntil = now
+	e.advancedUntil = now
 }
 
 // update answers the jobs that are done, fills free slots from the queue, and schedules the next update.
 func (e *Endpoint) update() {
-	e.endDoneJobs()
+	e.completeFinishedJobs()
 	for len(e.waiting) > 0 && e.hasFreeSlot() {
 		job := e.waiting[0]
 		e.waiting[0] = nil
@@ -50,8 +50,8 @@
 	e.scheduleUpdate()
 }
 
-// endDoneJobs answers the jobs in service that are done.
-func (e *Endpoint) endDoneJobs() {
+// completeFinishedJobs answers the jobs in service that are done.
+func (e *Endpoint) completeFinishedJobs() {
 	for i := 0; i < len(e.inService); {
 		job := e.inService[i]
 		if job.remaining > minRemainingWork {
@@ -75,7 +75,7 @@
 	delay := max(e.timeToNextChange(), 1)
 	e.cancelUpdate = e.clock.Schedule(delay, func() {
 		e.cancelUpdate = nil
-		e.countWork()
+		e.advanceWork()
 		e.update()
 	})
 }
