--- a/cmd/simulate/run.go
+++ b/cmd/simulate/run.go
@@ -50,7 +50,7 @@
 	if options.hasSeed {
 		script.Seed = uint64(options.seed)
 	}
-	report, err := scenario.Play(script)
+	report, err := scenario.Run(script)
 	if err != nil {
 		return err
 	}
--- a/internal/scenario/client.go
+++ b/internal/scenario/client.go
@@ -56,7 +56,7 @@
 		name:    fmt.Sprintf("%s/%d", sender.name, sender.requests),
 	}
 	r.count(request, Tally{Requests: 1, RequestedWeight: r.weight(request)})
-	r.try(request)
+	r.send(request)
 	rate := sender.group.Rate * sender.rateFactor
 	r.world.After(interval(rng, rate), func() { r.beginRequest(sender) })
 }
@@ -85,10 +85,10 @@
 	r.accountGroups[request.account.groupIndex].Totals.add(&tally)
 }
 
-// end counts how a request ended.
-func (r *run) end(request *clientRequest, tally Tally) {
+// endRequest counts how a request ended.
+func (r *run) endRequest(request *clientRequest, tally Tally) {
 	r.count(request, tally)
-	delete(r.open, request)
+	delete(r.openRequests, request)
 }
 
 // weight is the priority weight of a request.
@@ -97,8 +97,8 @@
 		r.script.Plans[request.account.group.Plan].PriorityFactor
 }
 
-// try sends a request to one of its account's gateways.
-func (r *run) try(request *clientRequest) {
+// send sends a request to one of its account's gateways.
+func (r *run) send(request *clientRequest) {
 	request.tries++
 	request.answers = 0
 	group := request.account.group
@@ -120,7 +120,7 @@
 		Owner:       request,
 	}
 	request.latest = sent
-	r.open[request] = true
+	r.openRequests[request] = true
 	if !gateway.Submit(sent) {
 		r.world.After(connectFailureDelay, func() { r.retryOrEnd(request, 0, simulator.Failed) })
 		return
@@ -159,28 +159,28 @@
 		return
 	}
 	if r.world.Now-sent.At <= r.script.Classes[request.class].LatencyObjective {
-		r.end(request, Tally{InTime: 1, ServedWeight: r.weight(request)})
+		r.endRequest(request, Tally{InTime: 1, ServedWeight: r.weight(request)})
 	} else {
-		r.end(request, Tally{Late: 1})
+		r.endRequest(request, Tally{Late: 1})
 	}
 }
 
 // retryOrEnd schedules the client's retry, or ends its request if there are no retries left.
 func (r *run) retryOrEnd(request *clientRequest, retryAfter time.Duration, outcome simulator.Outcome) {
-	if !r.open[request] {
+	if !r.openRequests[request] {
 		return
 	}
 	if request.tries <= r.script.Retries && r.now() < r.script.Duration {
 		r.world.After(max(retryAfter, minRetryDelay), func() {
-			if r.open[request] {
-				r.try(request)
+			if r.openRequests[request] {
+				r.send(request)
 			}
 		})
 		return
 	}
 	if outcome == simulator.Rejected {
-		r.end(request, Tally{Rejected: 1})
+		r.endRequest(request, Tally{Rejected: 1})
 	} else {
-		r.end(request, Tally{Failed: 1})
+		r.endRequest(request, Tally{Failed: 1})
 	}
 }
--- a/internal/scenario/fault.go
+++ b/internal/scenario/fault.go
@@ -10,34 +10,34 @@
 // rampSteps is the number of steps in which a slowdown reaches its factor.
 const rampSteps = 10
 
-// effect is what an event has done.
-type effect struct {
+// appliedEvent is what an event has done.
+type appliedEvent struct {
 	// targets is how the trace names what it was done to.
 	targets string
-	// end undoes it; nil: there is nothing to undo.
-	end func()
+	// undo undoes it; nil: there is nothing to undo.
+	undo func()
 }
 
 // beginEvent applies an event, and schedules its end and the start of the events after it.
 func (r *run) beginEvent(event Event) {
 	done := r.apply(event)
-	r.note("%s begins: %s %s", event.Name, event.Kind, done.targets)
+	r.traceEvent("%s begins: %s %s", event.Name, event.Kind, done.targets)
 	if event.Duration == 0 {
 		return
 	}
 	r.world.After(event.Duration, func() {
-		if done.end != nil {
-			done.end()
+		if done.undo != nil {
+			done.undo()
 		}
-		r.note("%s ends", event.Name)
-		for _, follower := range r.followers[event.Name] {
+		r.traceEvent("%s ends", event.Name)
+		for _, follower := range r.eventsAfter[event.Name] {
 			r.world.After(follower.At, func() { r.beginEvent(follower) })
 		}
 	})
 }
 
 // apply carries an event out.
-func (r *run) apply(event Event) effect {
+func (r *run) apply(event Event) appliedEvent {
 	switch {
 	case event.Kind.isOfCounter():
 		return r.applyToCounter(event)
@@ -50,29 +50,29 @@
 }
 
 // applyToCounter carries out an event of the counter.
-func (r *run) applyToCounter(event Event) effect {
+func (r *run) applyToCounter(event Event) appliedEvent {
 	counter := r.world.Counter
 	switch event.Kind {
 	case CounterUnreachable:
 		counter.IsUnreachable = true
-		return effect{end: func() { counter.IsUnreachable = false }}
+		return appliedEvent{undo: func() { counter.IsUnreachable = false }}
 	case CounterSilent:
 		counter.IsSilent = true
-		return effect{end: func() { counter.IsSilent = false }}
+		return appliedEvent{undo: func() { counter.IsSilent = false }}
 	case CounterSlow:
 		latencyBefore := counter.Latency
 		counter.Latency = event.CounterLatency
-		return effect{
+		return appliedEvent{
 			targets: fmt.Sprint(event.CounterLatency),
-			end:     func() { counter.Latency = latencyBefore },
+			undo:    func() { counter.Latency = latencyBefore },
 		}
 	}
 	counter.Clear()
-	return effect{}
+	return appliedEvent{}
 }
 
 // floodAccounts makes accounts send more requests.
-func (r *run) floodAccounts(event Event) effect {
+func (r *run) floodAccounts(event Event) appliedEvent {
 	targets := chooseTargets(r, event, r.accounts, func(a *account) (name, group string) {
 		return a.name, a.group.Group
 	})
@@ -82,14 +82,14 @@
 		}
 	}
 	setFactor(event.Factor)
-	return effect{
+	return appliedEvent{
 		targets: listTargets(targets, func(a *account) string { return a.name }),
-		end:     func() { setFactor(1) },
+		undo:    func() { setFactor(1) },
 	}
 }
 
 // killGateways kills gateways, and starts those anew at the end that no other event holds down.
-func (r *run) killGateways(event Event) effect {
+func (r *run) killGateways(event Event) appliedEvent {
 	indexes := make([]int, len(r.world.Gateways))
 	for i := range indexes {
 		indexes[i] = i
@@ -98,14 +98,14 @@
 		return fmt.Sprint("door-", index), "" // another name would choose others by the same seed
 	})
 	for _, index := range targets {
-		r.killsOf[index]++
+		r.activeKills[index]++
 		r.world.Gateways[index].Kill()
 	}
-	return effect{
+	return appliedEvent{
 		targets: listTargets(targets, func(index int) string { return fmt.Sprint(index) }),
-		end: func() {
+		undo: func() {
 			for _, index := range targets {
-				if r.killsOf[index]--; r.killsOf[index] > 0 {
+				if r.activeKills[index]--; r.activeKills[index] > 0 {
 					continue
 				}
 				if err := r.world.Gateways[index].Start(); err != nil {
@@ -117,7 +117,7 @@
 }
 
 // applyToEndpoints carries out an event of endpoints.
-func (r *run) applyToEndpoints(event Event) effect {
+func (r *run) applyToEndpoints(event Event) appliedEvent {
 	targets := chooseTargets(r, event, r.endpoints, func(e *endpoint) (name, group string) {
 		return e.Name, e.group
 	})
@@ -126,22 +126,22 @@
 			do(target)
 		}
 	}
-	done := effect{targets: listTargets(targets, func(e *endpoint) string { return e.Name })}
+	done := appliedEvent{targets: listTargets(targets, func(e *endpoint) string { return e.Name })}
 	switch event.Kind {
 	case SlowEndpoints:
 		r.rampSlowdown(targets, 1, event.Factor, event.Ramp)
-		done.end = func() { r.rampSlowdown(targets, event.Factor, 1, event.Ramp) }
+		done.undo = func() { r.rampSlowdown(targets, event.Factor, 1, event.Ramp) }
 	case SilenceEndpoints:
 		forEach(func(e *endpoint) { e.SetSilent(true) })
-		done.end = func() { forEach(r.restartEndpoint) }
+		done.undo = func() { forEach(r.restartEndpoint) }
 	case PauseEndpoints:
 		forEach(func(e *endpoint) { e.Pause(event.Duration) })
 	case CrashEndpoints:
 		forEach(func(e *endpoint) { e.Crash() })
-		done.end = func() { forEach(r.restartEndpoint) }
+		done.undo = func() { forEach(r.restartEndpoint) }
 	case DrainEndpoints:
 		forEach(func(e *endpoint) { r.announce(e, balancer.Draining) })
-		done.end = func() { forEach(func(e *endpoint) { r.announce(e, balancer.Serving) }) }
+		done.undo = func() { forEach(func(e *endpoint) { r.announce(e, balancer.Serving) }) }
 	}
 	return done
 }
--- a/internal/scenario/play.go
+++ b/internal/scenario/play.go
@@ -22,12 +22,12 @@
 	report    *Report
 	endpoints []*endpoint
 	accounts  []*account
-	// open are the requests whose end is not counted yet.
-	open map[*clientRequest]bool
-	// killsOf counts, by gateway, the events that hold it down.
-	killsOf map[int]int
-	// followers are the events that begin after the end of another one, by its name.
-	followers map[string][]Event
+	// openRequests are the requests whose end is not counted yet.
+	openRequests map[*clientRequest]bool
+	// activeKills counts, by gateway, the events that hold it down.
+	activeKills map[int]int
+	// eventsAfter are the events that begin after the end of another one, by its name.
+	eventsAfter map[string][]Event
 
 	classes       []Breakdown
 	plans         []Breakdown
@@ -57,8 +57,8 @@
 	ceiling  ceilingMeter
 }
 
-// Play plays a script in virtual time. An error means that the script is not one of [Load] or [Parse].
-func Play(script *Script) (*Report, error) {
+// Run plays a script in virtual time. An error means that the script is not one of [Load] or [Parse].
+func Run(script *Script) (*Report, error) {
 	r := newRun(script)
 	began := time.Now()
 	if err := r.addEndpoints(); err != nil {
@@ -90,9 +90,9 @@
 			Driver:  virtualDriver,
 			Seconds: make([]Tally, int(math.Ceil(script.Duration.Seconds()))),
 		},
-		open:      map[*clientRequest]bool{},
-		killsOf:   map[int]int{},
-		followers: map[string][]Event{},
+		openRequests: map[*clientRequest]bool{},
+		activeKills:  map[int]int{},
+		eventsAfter:  map[string][]Event{},
 	}
 }
 
@@ -175,7 +175,7 @@
 func (r *run) scheduleEvents() {
 	for _, event := range r.script.Events {
 		if event.After != "" {
-			r.followers[event.After] = append(r.followers[event.After], event)
+			r.eventsAfter[event.After] = append(r.eventsAfter[event.After], event)
 			continue
 		}
 		r.world.At(simulator.Start+event.At, func() { r.beginEvent(event) })
@@ -205,8 +205,8 @@
 // now is the time since the start of the run.
 func (r *run) now() time.Duration { return r.world.Now - simulator.Start }
 
-// note adds a line to the trace.
-func (r *run) note(format string, args ...any) {
+// traceEvent adds a line to the trace.
+func (r *run) traceEvent(format string, args ...any) {
 	r.report.Trace = append(r.report.Trace, r.timestamp()+fmt.Sprintf(format, args...))
 }
 
@@ -215,7 +215,7 @@
 
 // complete counts what is open and completes the report.
 func (r *run) complete() {
-	for request := range r.open {
+	for request := range r.openRequests {
 		r.count(request, Tally{Lost: 1})
 	}
 	r.checkEndpoints()
--- a/internal/scenario/play_test.go
+++ b/internal/scenario/play_test.go
@@ -21,9 +21,9 @@
 	return script
 }
 
-func mustPlay(t *testing.T, script *Script) *Report {
+func mustRun(t *testing.T, script *Script) *Report {
 	t.Helper()
-	report, err := Play(script)
+	report, err := Run(script)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -33,8 +33,8 @@
 // The script, twice: the same events in the same order, and the same in each second. All rules are kept.
 func TestSameSeedSameRun(t *testing.T) {
 	t.Parallel()
-	first := mustPlay(t, loadScript(t))
-	second := mustPlay(t, loadScript(t))
+	first := mustRun(t, loadScript(t))
+	second := mustRun(t, loadScript(t))
 	t.Logf("service %.4f, totals %+v, %d events, %d calls in %v\n%s", first.Service, first.Totals, first.Events,
 		first.CounterCalls, first.Elapsed, strings.Join(first.Trace, "\n"))
 	for _, violation := range first.Violations {
@@ -46,7 +46,7 @@
 	}
 	otherSeed := loadScript(t)
 	otherSeed.Seed++
-	if other := mustPlay(t, otherSeed); other.Service == first.Service || other.Events == first.Events {
+	if other := mustRun(t, otherSeed); other.Service == first.Service || other.Events == first.Events {
 		t.Error("another seed gives the same run")
 	}
 	if first.Totals.Requests < 5000 || first.Service < 0.5 || first.Service > 0.999 {
@@ -67,14 +67,14 @@
 			Count:    1,
 		})
 	}
-	report := mustPlay(t, script)
+	report := mustRun(t, script)
 	if report.Totals.Lost < 2 || report.Totals.Lost > 60 || len(report.Violations) > 0 {
 		t.Errorf("%d lost, %v", report.Totals.Lost, report.Violations)
 	}
 }
 
-// withOneEndpointMore is the script with one endpoint more, in a group of its own, and other events.
-func withOneEndpointMore(t *testing.T, events ...Event) *Script {
+// withExtraEndpoint is the script with one endpoint more, in a group of its own, and other events.
+func withExtraEndpoint(t *testing.T, events ...Event) *Script {
 	t.Helper()
 	script := loadScript(t)
 	added := script.Endpoints[0]
@@ -85,8 +85,8 @@
 	return script
 }
 
-// redirectEachFourth sends each fourth attempt to one endpoint. It would be rejected for want of room if all were.
-func redirectEachFourth(endpointName string) func(balancer.Action) []balancer.Action {
+// redirectEveryFourth sends each fourth attempt to one endpoint. It would be rejected for want of room if all were.
+func redirectEveryFourth(endpointName string) func(balancer.Action) []balancer.Action {
 	dispatched := 0
 	return func(action balancer.Action) []balancer.Action {
 		dispatch, isDispatch := action.(balancer.Dispatch)
@@ -134,7 +134,7 @@
 	t.Helper()
 	unanswered := loadScript(t)
 	unanswered.intercept = dropRejections
-	late := withOneEndpointMore(t, Event{
+	late := withExtraEndpoint(t, Event{
 		Name:     "x",
 		Kind:     PauseEndpoints,
 		At:       10 * time.Second,
@@ -144,21 +144,21 @@
 	twice := loadScript(t)
 	twice.Endpoints[0].DedupWindows[1] = 1
 	twice.intercept = dispatchTwice
-	drained := withOneEndpointMore(t, Event{
+	drained := withExtraEndpoint(t, Event{
 		Name:  "x",
 		Kind:  DrainEndpoints,
 		At:    10 * time.Second,
 		Group: "more",
 	})
-	drained.intercept = redirectEachFourth("more-0")
-	overloaded := withOneEndpointMore(t, Event{
+	drained.intercept = redirectEveryFourth("more-0")
+	overloaded := withExtraEndpoint(t, Event{
 		Name:     "x",
 		Kind:     CrashEndpoints,
 		At:       10 * time.Second,
 		Duration: time.Second,
 		Group:    "more",
 	})
-	overloaded.intercept = redirectEachFourth("more-0")
+	overloaded.intercept = redirectEveryFourth("more-0")
 	ceiling := loadScript(t)
 	ceiling.changeSettings = func(settings *balancer.Settings) { // each takes the whole ceiling for its own
 		settings.Gateways = 1
@@ -179,7 +179,7 @@
 func TestFindsBrokenRules(t *testing.T) {
 	t.Parallel()
 	for rule, script := range brokenGateways(t) {
-		report := mustPlay(t, script)
+		report := mustRun(t, script)
 		if len(report.Violations) == 0 {
 			t.Errorf("%q is not found", rule)
 		}
@@ -193,7 +193,7 @@
 	// Clients that ask again with the same key when the endpoints have forgotten it: see docs/design/rehearsal.md.
 	sameKey := loadScript(t)
 	sameKey.RetryWithSameKey = true
-	report := mustPlay(t, sameKey)
+	report := mustRun(t, sameKey)
 	if len(report.Violations) == 0 || !strings.Contains(report.Violations[0], "no effect twice") {
 		t.Errorf("%v", report.Violations)
 	}
--- a/internal/scenario/powerloss_test.go
+++ b/internal/scenario/powerloss_test.go
@@ -19,8 +19,8 @@
 	powerReturned = 22
 )
 
-// powerLoss is the loss of power at a number of gateways, with endpoints and accounts in proportion.
-func powerLoss(t *testing.T, gateways int, seed uint64) *Script {
+// scaledPowerLoss is the loss of power at a number of gateways, with endpoints and accounts in proportion.
+func scaledPowerLoss(t *testing.T, gateways int, seed uint64) *Script {
 	t.Helper()
 	script, err := Load(powerLossScript)
 	if err != nil {
@@ -70,7 +70,7 @@
 		for seed := range uint64(c.seeds) {
 			t.Run(fmt.Sprintf("%d gateways, seed %d", c.gateways, seed), func(t *testing.T) {
 				t.Parallel()
-				report := mustPlay(t, powerLoss(t, c.gateways, seed))
+				report := mustRun(t, scaledPowerLoss(t, c.gateways, seed))
 				half := secondsToRecover(report, 0.5)
 				most := secondsToRecover(report, 0.95)
 				var services []string
@@ -95,7 +95,7 @@
 // down.
 func TestPowerLossScriptPlaysWaves(t *testing.T) {
 	t.Parallel()
-	r := newRun(powerLoss(t, 5, 0))
+	r := newRun(scaledPowerLoss(t, 5, 0))
 	if err := r.addEndpoints(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/scenario/rules.go
+++ b/internal/scenario/rules.go
@@ -38,7 +38,7 @@
 
 // checkAnswered checks that a try was answered by its deadline, unless its gateway has died.
 func (r *run) checkAnswered(request *clientRequest, sent *simulator.Request) {
-	if !r.open[request] || request.latest != sent || request.answers > 0 {
+	if !r.openRequests[request] || request.latest != sent || request.answers > 0 {
 		return
 	}
 	gateway := r.world.Gateways[sent.Gateway]
@@ -46,7 +46,7 @@
 		r.violation(ruleNoRequestLost, "%s of %s has no answer from front door %d, asked at %.3f", request.name,
 			r.script.Classes[request.class].Name, sent.Gateway, (sent.At - simulator.Start).Seconds())
 	}
-	r.end(request, Tally{Lost: 1})
+	r.endRequest(request, Tally{Lost: 1})
 }
 
 // ceilingMeter is the token bucket of an account's ceiling, as endpoints see it.
--- a/internal/scenario/scriptcheck.go
+++ b/internal/scenario/scriptcheck.go
@@ -32,7 +32,7 @@
 		Retries:          f.Clients.Retries,
 		RetryWithSameKey: f.Clients.SameKey,
 	}
-	if err := f.checkTop(script); err != nil {
+	if err := f.checkTopLevel(script); err != nil {
 		return nil, err
 	}
 	for _, add := range []func(*Script) error{
@@ -49,8 +49,8 @@
 	return script, nil
 }
 
-// checkTop checks the keys that are not in an array, and that no array is empty or too long.
-func (f *scriptFile) checkTop(script *Script) error {
+// checkTopLevel checks the keys that are not in an array, and that no array is empty or too long.
+func (f *scriptFile) checkTopLevel(script *Script) error {
 	switch {
 	case script.Duration <= 0 || script.Duration > MaxDuration:
 		return invalidKey("lasts", "%v is not above 0 and up to %v", script.Duration, MaxDuration)
