--- a/internal/simulator/action.go
+++ b/internal/simulator/action.go
@@ -6,10 +6,10 @@
 	"gapgap/internal/balancer"
 )
 
-// healthCheckLatency is that of a health check that is answered or can't connect.
+// healthCheckLatency is the latency of a health check that is answered or fails to connect.
 const healthCheckLatency = time.Millisecond
 
-// execute carries out an action of the decision module. Actions that need more than a world has are ignored.
+// execute carries out an action of the decision module. Actions that the simulation does not model are ignored.
 func (g *Gateway) execute(action balancer.Action) {
 	switch action := action.(type) {
 	case balancer.Dispatch:
@@ -31,7 +31,7 @@
 	}
 }
 
-// admit gives an admitted request its final answer.
+// admit completes an admitted request with its final answer.
 func (g *Gateway) admit(action balancer.Admit) {
 	request := g.requests[action.ID]
 	if g.Sent != nil {
@@ -40,7 +40,7 @@
 	g.finish(action.ID, request, Served)
 }
 
-// reject gives a rejected request its final answer.
+// reject completes a rejected request with its final answer.
 func (g *Gateway) reject(action balancer.Reject) {
 	request := g.requests[action.ID]
 	if request != nil {
@@ -49,7 +49,7 @@
 	g.finish(action.ID, request, Rejected)
 }
 
-// checkHealth probes an endpoint. One of a fixed latency is always healthy.
+// checkHealth probes an endpoint. Fixed-latency endpoints are always healthy.
 func (g *Gateway) checkHealth(action balancer.HealthCheck) {
 	status := balancer.OK
 	latency := healthCheckLatency
@@ -61,7 +61,7 @@
 	}))
 }
 
-// callCounter calls the counter. Results that come after the death of the gateway are dropped.
+// callCounter calls the counter. Results that arrive after the gateway was killed are dropped.
 func (g *Gateway) callCounter(action balancer.CounterAdd) {
 	incarnation := g.incarnation
 	g.world.Counter.call(action, g.settings.CounterTimeout, func(result balancer.Event) {
@@ -71,21 +71,21 @@
 	})
 }
 
-// setTimer schedules a timer, whose time is on the gateway's clock.
+// setTimer schedules a timer. The action gives its time on the gateway's clock, which ClockSkew offsets.
 func (g *Gateway) setTimer(action balancer.SetTimer) {
 	g.world.At(action.At-g.ClockSkew, g.ifSameIncarnation(func() {
 		g.handle(balancer.TimerFired{Cookie: action.Cookie})
 	}))
 }
 
-// finish gives a request its final answer, and forgets it if none of its attempts is in flight. A nil request is
-// ignored.
+// finish completes a request with its final answer, and forgets it if none of its attempts is in flight. A nil request
+// is ignored.
 func (g *Gateway) finish(id uint64, request *Request, outcome Outcome) {
 	g.answer(request, outcome)
 	g.forgetIfComplete(id, request)
 }
 
-// answer gives a request its final answer, once. A nil request is ignored.
+// answer reports the final answer of a request, at most once. A nil request is ignored.
 func (g *Gateway) answer(request *Request, outcome Outcome) {
 	if request == nil || request.answered {
 		return
@@ -96,7 +96,7 @@
 	}
 }
 
-// forgetIfComplete drops a request that is answered and has no attempt in flight. A nil request is ignored.
+// forgetIfComplete forgets a request that is answered and has no attempt in flight. A nil request is ignored.
 func (g *Gateway) forgetIfComplete(id uint64, request *Request) {
 	if request != nil && request.answered && len(request.inFlight) == 0 {
 		delete(g.requests, id)
