--- a/internal/simulator/attempt.go
+++ b/internal/simulator/attempt.go
@@ -8,10 +8,10 @@
 	"gapgap/internal/priorityqueue"
 )
 
-// networkLatency is the time of a message to an endpoint, or back.
+// networkLatency is the one-way latency between a gateway and an endpoint.
 const networkLatency = 500 * time.Microsecond
 
-// dispatch sends an attempt to its endpoint. An attempt of a request that is over is not sent.
+// dispatch sends an attempt to its endpoint. If the request has already finished, the attempt is not sent.
 func (g *Gateway) dispatch(action balancer.Dispatch) {
 	request := g.requests[action.ID]
 	if request == nil {
@@ -39,7 +39,7 @@
 	newAttempt(g, action, request, number, endpoint).start()
 }
 
-// dispatchWithFixedLatency plays an attempt at an endpoint without a queue.
+// dispatchWithFixedLatency simulates an attempt at a [FixedLatencyEndpoint].
 func (g *Gateway) dispatchWithFixedLatency(action balancer.Dispatch, request *Request, number int) {
 	result := balancer.AttemptResult{
 		ID:            action.ID,
@@ -60,7 +60,7 @@
 	request.inFlight[number] = inFlightAttempt{end: end}
 }
 
-// endAttempt passes the result of an attempt to the decision module. OK is the request's final answer.
+// endAttempt passes the result of an attempt to the decision module. OK is also the request's final answer.
 func (g *Gateway) endAttempt(request *Request, result balancer.AttemptResult) {
 	delete(request.inFlight, result.Attempt)
 	if result.Status == balancer.OK {
@@ -70,7 +70,7 @@
 	g.forgetIfComplete(result.ID, request)
 }
 
-// cancelAttempt stops waiting for an attempt. One that is not in flight is ignored.
+// cancelAttempt cancels an attempt. It does nothing if the attempt is not in flight.
 func (g *Gateway) cancelAttempt(action balancer.CancelAttempt) {
 	request := g.requests[action.ID]
 	if request == nil {
@@ -106,12 +106,13 @@
 	timeout  time.Duration
 	// timeoutEvent ends the attempt as balancer.Timeout.
 	timeoutEvent *priorityqueue.Item[event]
-	// hasArrived says that the endpoint has the job.
+	// hasArrived reports whether the endpoint has received the job.
 	hasArrived bool
 	hasEnded   bool
 }
 
-// newAttempt makes an attempt that is not sent yet. Each attempt of a request is work of its own.
+// newAttempt returns an attempt that is not sent yet. Each attempt of a request has its own job ID, so that its work is
+// drawn separately.
 func newAttempt(
 	g *Gateway, action balancer.Dispatch, request *Request, number int, endpoint *Endpoint,
 ) *attempt {
@@ -135,7 +136,7 @@
 	}
 }
 
-// start sends the attempt on its way.
+// start sends the attempt and schedules its timeout.
 func (a *attempt) start() {
 	g := a.gateway
 	a.timeoutEvent = g.world.schedule(a.sentAt+a.timeout, g.ifSameIncarnation(func() {
@@ -157,7 +158,7 @@
 	}
 }
 
-// arrive brings the job to the endpoint. Nobody receives its reply once the gateway has died.
+// arrive delivers the job to the endpoint. The reply is dropped if the gateway has been killed by then.
 func (a *attempt) arrive() {
 	if a.hasEnded {
 		return
@@ -176,7 +177,7 @@
 	})
 }
 
-// end passes a result to the gateway, unless the attempt has ended.
+// end passes the result to the gateway, unless the attempt has already ended.
 func (a *attempt) end(status balancer.Status) {
 	if a.hasEnded {
 		return
