--- a/internal/simulator/counter.go
+++ b/internal/simulator/counter.go
@@ -9,17 +9,17 @@
 const (
 	// defaultCounterLatency is the latency of a counter call in a new world.
 	defaultCounterLatency = time.Millisecond
-	// connectFailureLatency is the time after which a gateway learns that it can't connect to the counter.
+	// connectFailureLatency is how long a failed connection attempt to the counter takes.
 	connectFailureLatency = time.Millisecond
 )
 
-// Counter is the shared counter service of a world.
+// Counter is the shared counter service of a [World].
 type Counter struct {
-	// Latency is that of a call, there and back.
+	// Latency is the round-trip time of a call.
 	Latency time.Duration
 	// IsUnreachable makes calls fail to connect.
 	IsUnreachable bool
-	// IsSilent makes calls time out, though they are added.
+	// IsSilent makes calls time out; their amounts are still added.
 	IsSilent bool
 	// Calls is the number of calls so far.
 	Calls int
@@ -28,13 +28,13 @@
 	counters map[uint64]*counterValue
 }
 
-// counterValue is one number that the service keeps.
+// counterValue is one counter of the service.
 type counterValue struct {
 	total     float64
 	expiresAt time.Duration
 }
 
-// newCounter makes a reachable counter service without numbers.
+// newCounter returns a reachable counter service without counters.
 func newCounter(w *World) *Counter {
 	return &Counter{
 		Latency:  defaultCounterLatency,
@@ -43,10 +43,10 @@
 	}
 }
 
-// Clear forgets all numbers.
+// Clear removes all counters.
 func (c *Counter) Clear() { clear(c.counters) }
 
-// call plays a counter call and passes its result, and a late one if there is any, to answer.
+// call simulates a counter call and passes its result to answer, and its late result if there is one.
 func (c *Counter) call(add balancer.CounterAdd, timeout time.Duration, answer func(balancer.Event)) {
 	c.Calls++
 	if c.IsUnreachable {
@@ -59,7 +59,8 @@
 	c.world.After(outbound, func() { c.receive(add, outbound, timeout, answer) })
 }
 
-// receive adds a call that has been under way for a time, and schedules what the caller learns of it.
+// receive applies a call at the counter, outbound after it was sent, and schedules its result or timeout and its late
+// result.
 func (c *Counter) receive(
 	add balancer.CounterAdd, outbound, timeout time.Duration, answer func(balancer.Event),
 ) {
@@ -81,7 +82,7 @@
 	}
 }
 
-// add adds to a number, which is made if there is none or it has expired, and returns its total.
+// add adds to a counter, which starts from 0 if it does not exist or has expired, and returns its total.
 func (c *Counter) add(add balancer.CounterAdd) (total float64) {
 	value := c.counters[add.Name]
 	if value == nil || value.expiresAt <= c.world.Now {
