--- a/internal/simulator/distribution.go
+++ b/internal/simulator/distribution.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// DistributionKind is a family of distributions of service times. Scripts use the same words.
+// DistributionKind is a family of service-time distributions. The values are the names used in scripts.
 type DistributionKind string
 
 // The kinds of distributions.
@@ -17,30 +17,30 @@
 	Lognormal   DistributionKind = "lognormal"
 )
 
-// Distribution is a distribution of service times: the time that one core needs at an endpoint that is warm and does
-// nothing else.
+// Distribution is a distribution of service times: the time that one core needs for a request at an endpoint that is
+// warmed up and otherwise idle.
 type Distribution struct {
 	Kind DistributionKind
 	// Mean is above 0.
 	Mean time.Duration
-	// CV is the coefficient of variation, the standard deviation over the mean. Only Lognormal uses it.
+	// CV is the coefficient of variation: the standard deviation divided by the mean. Only Lognormal uses it.
 	CV float64
 }
 
-// Check returns what is wrong with a distribution; nil: nothing.
+// Check returns an error if the distribution is not valid.
 func (d Distribution) Check() error {
 	switch {
 	case d.Mean <= 0:
-		return fmt.Errorf("the mean %v is not above 0", d.Mean)
+		return fmt.Errorf("mean %v must be above 0", d.Mean)
 	case d.Kind == Lognormal && !(d.CV > 0):
-		return fmt.Errorf("a lognormal work wants a cv above 0, not %v", d.CV)
+		return fmt.Errorf("a lognormal distribution requires a cv above 0, got %v", d.CV)
 	case d.Kind != Exponential && d.Kind != Fixed && d.Kind != Lognormal:
-		return fmt.Errorf("%q is not exponential, fixed or lognormal", d.Kind)
+		return fmt.Errorf("unknown distribution %q: must be exponential, fixed or lognormal", d.Kind)
 	}
 	return nil
 }
 
-// Draw draws one service time of a distribution that Check accepts.
+// Draw returns a random service time. The distribution must be valid according to Check.
 func (d Distribution) Draw(rng *rand.Rand) time.Duration {
 	switch d.Kind {
 	case Exponential:
