--- a/internal/simulator/endpoint.go
+++ b/internal/simulator/endpoint.go
@@ -7,11 +7,12 @@
 	"time"
 )
 
-// RandSource returns a random source for the thing that the parts identify, such as [World.Rand].
+// RandSource returns a random source that depends only on the parts, which identify what is drawn. [World.Rand] is one.
 type RandSource func(parts ...any) *rand.Rand
 
-// Endpoint is an endpoint with a queue. Requests in service share its cores, others wait in the order of their arrival.
-// Its speed falls when it holds many requests, rises after a start, and is 0 in a pause. It does no input or output.
+// Endpoint is a simulated endpoint with a queue. Requests in service share its cores; others wait in order of arrival
+// (FIFO). Its speed falls when it holds many requests, rises during slow start, and is 0 during a pause. It does no
+// I/O.
 type Endpoint struct {
 	Name  string
 	Stats EndpointStats
@@ -22,43 +23,43 @@
 
 	inService []*Job
 	waiting   []*Job
-	// advancedUntil is the time until which the work of the jobs in service is counted.
+	// advancedUntil is the time up to which the work of the jobs in service has been accounted for.
 	advancedUntil time.Duration
-	// cancelUpdate cancels the next update; nil: none is scheduled.
+	// cancelUpdate cancels the scheduled update; nil if none is scheduled.
 	cancelUpdate func()
 
-	// startedAt is when the process started; below 0: long ago.
+	// startedAt is when the process started; negative if long ago.
 	startedAt time.Duration
-	// slowdown is the factor on the time that work takes.
+	// slowdown is the factor by which all work takes longer.
 	slowdown    float64
 	pausedUntil time.Duration
 	isDown      bool
 	isSilent    bool
 
 	effects *effectLog
-	// recentArrivals are those of the overload window, during a slow start.
+	// recentArrivals are the arrivals within the overload window, kept only during slow start.
 	recentArrivals []arrival
 }
 
-// EndpointStats count what an Endpoint did.
+// EndpointStats are the counters of an [Endpoint].
 type EndpointStats struct {
 	// Received counts arrivals.
 	Received uint64
-	// Answered counts jobs whose work was done, also while the endpoint was silent.
+	// Answered counts completed jobs, including those completed while the endpoint was silent.
 	Answered uint64
-	// Rejected counts jobs for which there was no place.
+	// Rejected counts jobs rejected because the queue was full.
 	Rejected uint64
-	// Effects counts effects of jobs with a key.
+	// Effects counts the effects of jobs with an idempotency key.
 	Effects uint64
-	// DroppedRepeats counts repeats whose effect was dropped.
+	// DroppedRepeats counts repeats of a key whose effect was dropped.
 	DroppedRepeats uint64
-	// DuplicateEffects counts effects that were done before.
+	// DuplicateEffects counts effects that had been done before.
 	DuplicateEffects uint64
-	// Overloaded says that it crashed since it was sent too much during a slow start.
+	// Overloaded reports whether it crashed because it was sent too much work during slow start.
 	Overloaded bool
 }
 
-// NewEndpoint makes an endpoint that started long ago. Its error wraps an [*EndpointConfigError].
+// NewEndpoint returns an endpoint that started long ago. The error wraps an [*EndpointConfigError].
 func NewEndpoint(name string, config EndpointConfig, clock Clock, source RandSource) (*Endpoint, error) {
 	if err := config.Check(); err != nil {
 		return nil, fmt.Errorf("endpoint %s: %w", name, err)
@@ -75,17 +76,17 @@
 	}, nil
 }
 
-// Held is the number of requests that it holds, in service and waiting.
+// Held returns the number of requests in service and waiting.
 func (e *Endpoint) Held() int { return len(e.inService) + len(e.waiting) }
 
-// IsDown says that no process runs.
+// IsDown reports whether the process is not running.
 func (e *Endpoint) IsDown() bool { return e.isDown }
 
-// StartedAt is when the process started; below 0: long ago.
+// StartedAt returns when the process started; negative if long ago.
 func (e *Endpoint) StartedAt() time.Duration { return e.startedAt }
 
-// Receive brings a job. Its reply is passed to answer once, unless the endpoint is silent by then or the job has been
-// cancelled.
+// Receive accepts a job. Its reply is passed to answer once, unless the endpoint is silent at that time or the job has
+// been cancelled.
 func (e *Endpoint) Receive(job *Job, answer func(Reply)) {
 	e.Stats.Received++
 	job.arrivedAt = e.clock.Time()
@@ -116,15 +117,15 @@
 	e.update()
 }
 
-// hasFreeSlot says that one more job can be in service.
+// hasFreeSlot reports whether one more job can be taken into service.
 func (e *Endpoint) hasFreeSlot() bool { return len(e.inService) < e.config.MaxInService }
 
-// isFull says that there is no place for one more job.
+// isFull reports whether all slots and the queue are full.
 func (e *Endpoint) isFull() bool {
 	return !e.hasFreeSlot() && len(e.waiting) >= e.config.QueueCapacity
 }
 
-// reject ends a job for which there is no place.
+// reject rejects a job because the endpoint is full.
 func (e *Endpoint) reject(job *Job) {
 	job.hasEnded = true
 	e.Stats.Rejected++
@@ -134,7 +135,8 @@
 	}
 }
 
-// Cancel gives up a job, whose reply nobody gets. A waiting job is dropped, one in service goes on.
+// Cancel cancels a job, whose reply is dropped. A waiting job is removed from the queue; one in service runs to
+// completion.
 func (e *Endpoint) Cancel(job *Job) {
 	if job.hasEnded {
 		return
