--- a/internal/simulator/effectlog.go
+++ b/internal/simulator/effectlog.go
@@ -3,27 +3,27 @@
 import "time"
 
 const (
-	// effectRetention is for how long an effect is remembered at least, so that a duplicate which comes late is
-	// found. Windows must be shorter.
+	// effectRetention is the minimum time for which an effect is remembered, so that late duplicates are detected.
+	// Dedup windows must be shorter.
 	effectRetention = 30 * time.Second
-	// effectsBeforeExpiry is the number of effects below which none is forgotten.
+	// effectsBeforeExpiry is the number of effects below which none expires.
 	effectsBeforeExpiry = 1 << 14
-	// effectsPerExpiry is the number of effects between two searches for old ones.
+	// effectsPerExpiry is the number of effects between two searches for expired ones.
 	effectsPerExpiry = 1 << 12
 )
 
-// effectLog remembers the effects of idempotency keys.
+// effectLog remembers the idempotency keys whose effect was done.
 type effectLog struct {
-	// doneAt is, by key, when its effect was done last.
+	// doneAt maps each key to the time when its effect was last done.
 	doneAt map[string]time.Duration
-	// isShared says that it is that of several endpoints, and outlives a process of theirs.
+	// isShared reports whether several endpoints use the log, so that it survives a restart of one of them.
 	isShared bool
 }
 
-// newEffectLog makes the log of one endpoint.
+// newEffectLog returns the empty log of one endpoint.
 func newEffectLog() *effectLog { return &effectLog{doneAt: map[string]time.Duration{}} }
 
-// expire now and then forgets old effects.
+// expire removes expired effects once per effectsPerExpiry effects.
 func (l *effectLog) expire(now time.Duration) {
 	if len(l.doneAt) < effectsBeforeExpiry || len(l.doneAt)%effectsPerExpiry != 0 {
 		return
@@ -35,14 +35,14 @@
 	}
 }
 
-// ShareDedupWith makes both endpoints drop repeats of keys that the other one has seen. What this one remembered is
-// forgotten.
+// ShareDedupWith makes both endpoints drop repeats of keys that the other one has seen. The keys that this endpoint
+// remembered so far are discarded.
 func (e *Endpoint) ShareDedupWith(other *Endpoint) {
 	other.effects.isShared = true
 	e.effects = other.effects
 }
 
-// applyEffect does the effect of a job that is done. A repeat of its key within the window is dropped.
+// applyEffect records the effect of a completed job. A repeat of its key within the dedup window is dropped.
 func (e *Endpoint) applyEffect(job *Job) Reply {
 	if job.Key == "" {
 		return ReplyOK
