--- a/internal/simulator/fault.go
+++ b/internal/simulator/fault.go
@@ -8,38 +8,38 @@
 )
 
 const (
-	// healthCheckTimeout is the time after which a health check without an answer ends.
+	// healthCheckTimeout is the time after which an unanswered health check fails.
 	healthCheckTimeout = 500 * time.Millisecond
-	// minSlowdown is the least factor on the time that work takes.
+	// minSlowdown is the lower bound of the slowdown factor.
 	minSlowdown = 1e-3
 )
 
-// SetSlowdown makes all work take a multiple of its time; 1: as configured.
+// SetSlowdown makes all work take factor times as long; 1 is the configured speed.
 func (e *Endpoint) SetSlowdown(factor float64) {
 	e.applyChange(func() { e.slowdown = max(minSlowdown, factor) })
 }
 
-// Pause stops all work for a time, as a garbage collection does.
+// Pause stops all work for a time, like a garbage-collection pause.
 func (e *Endpoint) Pause(duration time.Duration) {
 	e.applyChange(func() { e.pausedUntil = max(e.pausedUntil, e.clock.Time()+duration) })
 }
 
-// SetSilent makes the endpoint answer nothing, or answer again. It works on meanwhile and keeps connections open. A
-// reply that was due while it was silent never comes.
+// SetSilent makes the endpoint stop or resume answering. A silent endpoint goes on working and keeps connections open.
+// Replies that were due while it was silent are never sent.
 func (e *Endpoint) SetSilent(isSilent bool) {
 	e.applyChange(func() { e.isSilent = isSilent })
 }
 
-// applyChange counts the work done at the former speed, calls a function that changes the speed or the state, and updates
-// the endpoint.
+// applyChange accounts for the work done at the old speed, calls a function that changes the speed or the state, and
+// updates the endpoint.
 func (e *Endpoint) applyChange(do func()) {
 	e.advanceWork()
 	do()
 	e.update()
 }
 
-// Crash ends the process: the connections of all jobs that it holds break, and new ones fail until Restart. The jobs of
-// a silent endpoint stay without a reply.
+// Crash ends the process: the connections of all jobs held break, and new connections fail until Restart. The jobs of a
+// silent endpoint get no reply.
 func (e *Endpoint) Crash() {
 	e.advanceWork()
 	held := slices.Concat(e.inService, e.waiting)
@@ -55,7 +55,8 @@
 	}
 }
 
-// Restart starts the process anew: in its slow start and without a memory of keys, unless other endpoints share that.
+// Restart starts a new process: in slow start, and without remembered idempotency keys unless the effect log is shared
+// with other endpoints.
 func (e *Endpoint) Restart() {
 	now := e.clock.Time()
 	e.advancedUntil = now
@@ -70,7 +71,7 @@
 	}
 }
 
-// checkHealth returns the result of a health check, and after what time it is known.
+// checkHealth returns the result of a health check and its latency.
 func (e *Endpoint) checkHealth() (status balancer.Status, latency time.Duration) {
 	switch {
 	case e.isSilent || e.clock.Time() < e.pausedUntil:
