--- a/internal/simulator/gateway.go
+++ b/internal/simulator/gateway.go
@@ -9,37 +9,37 @@
 	"gapgap/internal/balancer"
 )
 
-// Gateway is one gateway: the decision module and what drives it.
+// Gateway is one simulated gateway: the decision module and its driver.
 type Gateway struct {
 	// Index is its index among the gateways of the world.
 	Index int
-	// IsAlive says that it has been started and not been killed since.
+	// IsAlive reports whether it has been started and not killed since.
 	IsAlive bool
 	// ClockSkew is how far its clock is ahead of the world's.
 	ClockSkew time.Duration
-	// Sent is called when the first attempt of a request is dispatched or the request is admitted; nil: it is not.
+	// Sent, if not nil, is called when the first attempt of a request is dispatched or the request is admitted.
 	Sent func(*Request)
-	// Done is called with the final answer of a request; nil: it is not.
+	// Done, if not nil, is called with the final answer of a request.
 	Done func(*Request, Outcome)
-	// Attempted is called when an attempt is dispatched to an Endpoint; nil: it is not.
+	// Attempted, if not nil, is called when an attempt is dispatched to an [Endpoint].
 	Attempted func(request *Request, endpoint string)
-	// Intercept takes each action of the decision module and returns those that are carried out in its place; nil:
-	// all are carried out. Tests break a gateway by it.
+	// Intercept, if not nil, takes each action of the decision module and returns the actions to carry out instead.
+	// Tests use it to inject gateway faults.
 	Intercept func(balancer.Action) []balancer.Action
 
 	world    *World
 	settings balancer.Settings
 	balancer *balancer.Balancer
-	// incarnation goes up with each start and each death. What was scheduled for a former one is void.
+	// incarnation increases with each start and each kill. Events scheduled for an earlier incarnation are ignored.
 	incarnation int
-	// pending are events that the decision module has not seen.
+	// pending are the events not yet passed to the decision module.
 	pending    []balancer.Event
 	isStepping bool
 	lastID     uint64
 	requests   map[uint64]*Request
 }
 
-// AddGateway adds a gateway, whose index it sets in the settings. [Gateway.Start] starts it.
+// AddGateway adds a gateway and sets its index in the settings. The gateway is not running until [Gateway.Start].
 func (w *World) AddGateway(settings balancer.Settings) *Gateway {
 	settings.Index = len(w.Gateways)
 	g := &Gateway{
@@ -51,13 +51,13 @@
 	return g
 }
 
-// Start starts the gateway with no memory but the list of endpoints. Its error is that of invalid settings.
+// Start starts the gateway with no state except the endpoint list. It returns an error if the settings are invalid.
 func (g *Gateway) Start() error {
 	settings := g.settings
 	settings.Classes = slices.Clone(settings.Classes)
 	settings.Plans = slices.Clone(settings.Plans)
 	g.incarnation++
-	// Another label would give other runs of the same seed.
+	// Another label would change the runs of existing seeds.
 	seed := g.world.Rand("door", g.Index, g.incarnation).Uint64()
 	var err error
 	if g.balancer, err = balancer.New(settings, seed); err != nil {
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// endpointList returns all endpoints as discovery lists them.
+// endpointList returns all endpoints in the form in which discovery lists them.
 func (w *World) endpointList() (list []balancer.Endpoint) {
 	for _, endpoint := range w.FixedLatencyEndpoints {
 		list = append(list, balancer.Endpoint{Name: endpoint.Name, Weight: 1})
@@ -85,17 +85,17 @@
 	return list
 }
 
-// Incarnation is a number that goes up with each start and each death.
+// Incarnation returns a number that increases with each start and each kill.
 func (g *Gateway) Incarnation() int { return g.incarnation }
 
-// Kill ends the gateway as SIGKILL does: neither clients nor endpoints learn of it, and what it knew is lost. Start
-// starts it again.
+// Kill ends the gateway as SIGKILL does: neither clients nor endpoints are notified, and its state is lost. It can be
+// started again with [Gateway.Start].
 func (g *Gateway) Kill() {
 	g.IsAlive = false
 	g.incarnation++
 }
 
-// Submit brings a request to the gateway. It returns false, and does nothing, if the gateway is dead.
+// Submit passes a request to the gateway. It returns false, and does nothing, if the gateway is not running.
 func (g *Gateway) Submit(request *Request) bool {
 	if !g.IsAlive {
 		return false
@@ -120,14 +120,16 @@
 	return true
 }
 
-// UpdateEndpoints brings changes of the endpoint list, as discovery does. A dead gateway ignores them.
+// UpdateEndpoints passes changes of the endpoint list to the gateway, as discovery does. A gateway that is not running
+// ignores them.
 func (g *Gateway) UpdateEndpoints(changes ...balancer.Endpoint) {
 	if g.IsAlive {
 		g.handle(balancer.EndpointUpdate{Kind: balancer.Delta, Entries: changes})
 	}
 }
 
-// ifSameIncarnation wraps a function that is to be called later: it does nothing once the gateway has died.
+// ifSameIncarnation wraps a function to be called later: it does nothing if the gateway was killed or restarted
+// meanwhile.
 func (g *Gateway) ifSameIncarnation(do func()) func() {
 	incarnation := g.incarnation
 	return func() {
@@ -137,8 +139,8 @@
 	}
 }
 
-// handle passes an event to the decision module, and carries out its actions until it has none. Events that an action
-// causes are passed on in further steps of the call that is under way.
+// handle passes an event to the decision module, and carries out its actions until no events are pending. Events that
+// an action causes are queued, and the outermost call passes them on in further steps.
 func (g *Gateway) handle(ev balancer.Event) {
 	g.pending = append(g.pending, ev)
 	if g.isStepping {
