--- a/internal/simulator/job.go
+++ b/internal/simulator/job.go
@@ -6,22 +6,23 @@
 	"gapgap/internal/balancer"
 )
 
-// Reply is what an [Endpoint] answers to a job.
+// Reply is the reply of an [Endpoint] to a job.
 type Reply int
 
 // The replies of an endpoint.
 const (
-	// ReplyOK is an answer whose effect, if any, was done.
+	// ReplyOK means that the job was completed and its effect, if any, was done.
 	ReplyOK Reply = iota
-	// ReplyRepeated is an answer to a repeat whose effect was dropped.
+	// ReplyRepeated means that the job was completed as a repeat of a key, and its effect was dropped.
 	ReplyRepeated
-	// ReplyRejected means that the endpoint had no place for the job, which had no effect.
+	// ReplyRejected means that the endpoint was full; the job had no effect.
 	ReplyRejected
-	// ReplyBroken means that the connection broke, as no process runs or it crashed.
+	// ReplyBroken means that the connection broke because the process was down or crashed.
 	ReplyBroken
 )
 
-// status returns what a gateway sees of a reply. wasDown says that no process ran when the job arrived.
+// status returns the status with which a gateway sees the reply. wasDown reports whether the process was down when the
+// job arrived.
 func (r Reply) status(wasDown bool) balancer.Status {
 	switch {
 	case r == ReplyRejected:
@@ -36,21 +37,21 @@
 
 // Job is one request at an [Endpoint].
 type Job struct {
-	// Class is an index into the endpoint's configuration.
+	// Class is the index of the class in the endpoint's configuration.
 	Class int
-	// Key is the idempotency key; empty: there is none.
+	// Key is the idempotency key, or empty.
 	Key string
-	// ID identifies the job: its work is drawn by it.
+	// ID identifies the job. Its service time is drawn from the ID.
 	ID string
 
 	arrivedAt time.Duration
 	startedAt time.Duration
-	// remaining is the work that is left, in seconds of one core.
+	// remaining is the work left, in core-seconds.
 	remaining float64
 	answer    func(Reply)
 	inService bool
 	hasEnded  bool
 }
 
-// QueueTime is how long the job waited until its service began.
+// QueueTime returns how long the job waited before its service began.
 func (j *Job) QueueTime() time.Duration { return j.startedAt - j.arrivedAt }
