--- a/internal/simulator/service.go
+++ b/internal/simulator/service.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	// minRemainingWork is the work in seconds of one core below which a job is done, as sums are rounded.
+	// minRemainingWork is the work in core-seconds below which a job counts as done, to allow for rounding errors.
 	minRemainingWork = 1e-9
-	// slowStartUpdateInterval is how often the speed of an endpoint is updated during its slow start.
+	// slowStartUpdateInterval is how often the speed of an endpoint is updated during slow start.
 	slowStartUpdateInterval = 100 * time.Millisecond
 )
 
-// speed is the present speed of each job in service, in seconds of one core per second.
+// speed returns the current speed of each job in service, in core-seconds per second.
 func (e *Endpoint) speed() float64 {
 	if len(e.inService) == 0 || e.clock.Time() < e.pausedUntil {
 		return 0
@@ -25,8 +25,8 @@
 	return speed
 }
 
-// advanceWork counts the work done since it was counted last, at the speed since then. It must be called before anything
-// that changes the speed.
+// advanceWork subtracts the work done since the last call from the jobs in service, at the speed that applied since
+// then. It must be called before every change of the speed.
 func (e *Endpoint) advanceWork() {
 	now := e.clock.Time()
 	if busy := now - max(e.advancedUntil, e.pausedUntil); busy > 0 {
@@ -38,7 +38,7 @@
 	e.advancedUntil = now
 }
 
-// update answers the jobs that are done, fills free slots from the queue, and schedules the next update.
+// update answers finished jobs, fills free slots from the queue, and schedules the next update.
 func (e *Endpoint) update() {
 	e.completeFinishedJobs()
 	for len(e.waiting) > 0 && e.hasFreeSlot() {
@@ -50,7 +50,7 @@
 	e.scheduleUpdate()
 }
 
-// completeFinishedJobs answers the jobs in service that are done.
+// completeFinishedJobs answers the jobs in service whose work is done.
 func (e *Endpoint) completeFinishedJobs() {
 	for i := 0; i < len(e.inService); {
 		job := e.inService[i]
@@ -63,7 +63,8 @@
 	}
 }
 
-// scheduleUpdate schedules an update for when the next job is done, the pause ends or the capacity has risen.
+// scheduleUpdate schedules an update for when the next job finishes, the pause ends or the slow-start capacity
+// is updated.
 func (e *Endpoint) scheduleUpdate() {
 	if e.cancelUpdate != nil {
 		e.cancelUpdate()
@@ -80,8 +81,8 @@
 	})
 }
 
-// timeToNextChange is the time until the next job is done, the pause ends or the capacity has risen. A job must be in
-// service.
+// timeToNextChange returns the time until the next job finishes, the pause ends or the slow-start capacity is updated.
+// At least one job must be in service.
 func (e *Endpoint) timeToNextChange() time.Duration {
 	now := e.clock.Time()
 	if now < e.pausedUntil {
@@ -98,14 +99,14 @@
 	return next
 }
 
-// beginService takes a job into service.
+// beginService starts the service of a job.
 func (e *Endpoint) beginService(job *Job) {
 	job.startedAt = e.clock.Time()
 	job.inService = true
 	e.inService = append(e.inService, job)
 }
 
-// complete answers a job whose work is done.
+// complete applies the effect of a job whose work is done, and answers it.
 func (e *Endpoint) complete(job *Job) {
 	job.hasEnded = true
 	reply := e.applyEffect(job)
