--- a/internal/simulator/slowstart.go
+++ b/internal/simulator/slowstart.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// overloadTolerance is the work in seconds of one core by which the bound of an overload may be passed, as sums are
-// rounded.
+// overloadTolerance is the work in core-seconds by which the overload bound may be exceeded, to allow for rounding
+// errors.
 const overloadTolerance = 1e-9
 
-// arrival is the work of a job that came.
+// arrival is the work of a job that arrived during slow start.
 type arrival struct {
 	at time.Duration
-	// work is in seconds of one core.
+	// work is in core-seconds.
 	work float64
 }
 
-// CapacityFraction is the part of its capacity that the endpoint has now, up to 1.
+// CapacityFraction returns the current capacity as a fraction of the full capacity; 1 after slow start.
 func (e *Endpoint) CapacityFraction() float64 {
 	age := e.clock.Time() - e.startedAt
 	if !e.config.hasSlowStart() || age >= e.config.SlowStartDuration {
@@ -23,8 +23,8 @@
 	return initial + (1-initial)*age.Seconds()/e.config.SlowStartDuration.Seconds()
 }
 
-// isOverloadedBy notes the work of an arrival, which counts even if it is rejected later, and says whether it is more
-// than the endpoint can bear during its slow start.
+// isOverloadedBy records the work of an arrival, which counts even if it is rejected later, and reports whether it
+// exceeds the overload bound of the slow start.
 func (e *Endpoint) isOverloadedBy(work float64) bool {
 	fraction := e.CapacityFraction()
 	if e.config.OverloadMultiple == 0 || fraction >= 1 {
