--- a/internal/simulator/world.go
+++ b/internal/simulator/world.go
@@ -8,7 +8,7 @@
 	"gapgap/internal/priorityqueue"
 )
 
-// Start is the virtual time at which worlds begin. Like a Unix clock it is long after 0, and at no round instant.
+// Start is the virtual time at which a simulation begins. Like Unix time it is far from 0, and not a round value.
 const Start = 1000*time.Hour + 17*time.Second
 
 // Parameters of the 64-bit FNV-1a hash.
@@ -17,16 +17,16 @@
 	fnvPrime  = 1099511628211
 )
 
-// World is one simulation: its clock, its pending events and everything that they act on.
+// World is one simulation: its clock, its event queue and all simulated components.
 type World struct {
-	// Seed decides all that is random.
+	// Seed is the seed of all random sources.
 	Seed uint64
 	// Now is the virtual time.
 	Now time.Duration
-	// Events is the number of events so far.
+	// Events counts the processed events.
 	Events  int
 	Counter *Counter
-	// Gateways are the gateways, by their index.
+	// Gateways are the gateways, indexed by [Gateway.Index].
 	Gateways []*Gateway
 	// FixedLatencyEndpoints are the endpoints without a queue.
 	FixedLatencyEndpoints []*FixedLatencyEndpoint
@@ -40,7 +40,7 @@
 // event is a function to be called at a time.
 type event struct {
 	at time.Duration
-	// sequence orders the events of one instant: the one scheduled first goes first.
+	// sequence orders events with the same time by when they were scheduled.
 	sequence uint64
 	do       func()
 }
@@ -50,7 +50,7 @@
 	return a.at < b.at || a.at == b.at && a.sequence < b.sequence
 }
 
-// New makes a world with a number of endpoints of a fixed latency, which may be 0, and no gateway.
+// New returns a world with the given number of fixed-latency endpoints, which may be 0, and no gateways.
 func New(seed uint64, fixedLatencyEndpoints int) *World {
 	w := &World{
 		Seed:  seed,
@@ -67,13 +67,13 @@
 	return w
 }
 
-// At calls a function at a time, or at once in virtual time if that lies in the past.
+// At schedules a function at a virtual time, or at the current time if that is in the past.
 func (w *World) At(at time.Duration, do func()) { w.schedule(at, do) }
 
-// After calls a function after a delay.
+// After schedules a function after a delay.
 func (w *World) After(delay time.Duration, do func()) { w.schedule(w.Now+delay, do) }
 
-// schedule is At; the event that it returns can be removed from the queue.
+// schedule is like At, and returns the queued event so that it can be removed.
 func (w *World) schedule(at time.Duration, do func()) *priorityqueue.Item[event] {
 	w.lastSequence++
 	return w.queue.Push(event{
@@ -83,7 +83,7 @@
 	})
 }
 
-// Run plays all events up to and including a time, and sets the clock to it.
+// Run processes all events up to and including a time, and sets the clock to that time.
 func (w *World) Run(until time.Duration) {
 	for {
 		next := w.queue.First()
@@ -98,8 +98,8 @@
 	w.Now = until
 }
 
-// Rand returns a random source for the thing that the parts identify. The same seed and parts give the same source,
-// whatever else happens in the world.
+// Rand returns a random source that depends only on the seed and the parts, which identify what is drawn. It does not
+// depend on the order of events.
 func (w *World) Rand(parts ...any) *rand.Rand {
 	hash := fnvOffset ^ w.Seed
 	for _, char := range fmt.Append(nil, parts...) {
