--- a/internal/simulator/endpoint_test.go
+++ b/internal/simulator/endpoint_test.go
@@ -18,8 +18,8 @@
 	return e
 }
 
-// erlangMeanWait is the mean waiting time in seconds of an M/M/c queue, by the Erlang C formula. The load is that of
-// each core, from 0 to 1.
+// erlangMeanWait returns the mean waiting time of an M/M/c queue in seconds, by the Erlang C formula. The load is the
+// utilization of each core, from 0 to 1.
 func erlangMeanWait(cores int, load float64, mean time.Duration) float64 {
 	offered := load * float64(cores)
 	sum := 0.0
@@ -32,7 +32,8 @@
 	return waitProbability * mean.Seconds() / (float64(cores) * (1 - load))
 }
 
-// Waiting times are those of theory, M/M/c, for some numbers of cores and loads.
+// TestQueueAgainstTheory verifies that mean waiting times are those of an M/M/c queue, for several numbers of cores and
+// loads.
 func TestQueueAgainstTheory(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
@@ -69,13 +70,13 @@
 		w.Run(Start + 1000*time.Hour)
 		want := erlangMeanWait(c.cores, c.load, mean)
 		if got := waited / float64(n); math.Abs(got/want-1) > 0.03 || e.Stats.Answered != uint64(n) {
-			t.Errorf("%d cores at %.2f: mean wait %.5f s, by theory %.5f; %d of %d answered",
+			t.Errorf("%d cores at load %.2f: mean wait %.5f s, want %.5f; %d of %d answered",
 				c.cores, c.load, got, want, e.Stats.Answered, n)
 		}
 	}
 }
 
-// baseConfig has two cores and room for two in service and two waiting, each with 100 ms of work.
+// baseConfig has two cores, and space for two requests in service and two waiting. Each request takes 100 ms of work.
 var baseConfig = EndpointConfig{
 	Cores:         2,
 	MaxInService:  2,
@@ -83,7 +84,7 @@
 	ServiceTimes:  []Distribution{{Kind: Fixed, Mean: 100 * time.Millisecond}},
 }
 
-// answerTimes brings some requests at once and returns when each was answered, in ms.
+// answerTimes sends n requests at once and returns after how many milliseconds each was answered.
 func answerTimes(w *World, e *Endpoint, n int) (at []int, replies []Reply) {
 	from := w.Now
 	for i := range n {
@@ -96,7 +97,7 @@
 	return at, replies
 }
 
-// checkAnswerTimes compares times in ms.
+// checkAnswerTimes compares answer times in milliseconds.
 func checkAnswerTimes(t *testing.T, name string, got []int, want ...int) {
 	t.Helper()
 	if fmt.Sprint(got) != fmt.Sprint(want) {
@@ -104,6 +105,8 @@
 	}
 }
 
+// TestEndpoint verifies service, queueing and rejection of an endpoint, each of its faults, its slowdown with many held
+// requests, and cancellation.
 func TestEndpoint(t *testing.T) {
 	t.Parallel()
 	w := New(1, 0)
@@ -111,7 +114,7 @@
 	at, replies := answerTimes(w, e, 5)
 	checkAnswerTimes(t, "two cores, two waiting, one rejected", at, 0, 100, 100, 200, 200)
 	if replies[0] != ReplyRejected {
-		t.Error("a request for which there is no place is not rejected")
+		t.Error("a request beyond the queue capacity is not rejected")
 	}
 	shared := baseConfig
 	shared.MaxInService = 4
@@ -119,14 +122,14 @@
 	checkAnswerTimes(t, "four in service share two cores", at, 200, 200, 200, 200)
 	e.SetSlowdown(2)
 	at, _ = answerTimes(w, e, 1)
-	checkAnswerTimes(t, "slow by two", at, 200)
+	checkAnswerTimes(t, "slowdown of two", at, 200)
 	e.SetSlowdown(1)
 	e.Pause(300 * time.Millisecond)
 	at, _ = answerTimes(w, e, 1)
 	checkAnswerTimes(t, "a pause", at, 400)
 	w.After(50*time.Millisecond, func() { e.Pause(300 * time.Millisecond) })
 	at, _ = answerTimes(w, e, 1)
-	checkAnswerTimes(t, "a pause in the middle of the work", at, 400)
+	checkAnswerTimes(t, "a pause during the service", at, 400)
 	e.SetSilent(true)
 	at, _ = answerTimes(w, e, 2)
 	checkAnswerTimes(t, "silent", at)
@@ -135,14 +138,14 @@
 	at, replies = answerTimes(w, e, 3)
 	checkAnswerTimes(t, "a crash", at, 50, 50, 50)
 	if replies[2] != ReplyBroken || !e.IsDown() {
-		t.Error("a crash does not break what is held")
+		t.Error("a crash does not break the connections of held requests")
 	}
 	heavy := baseConfig
 	heavy.SlowdownFrom = 2
 	heavy.SlowdownPerRequest = 0.25
 	heavy.MinSpeed = 0.4
 	at, _ = answerTimes(w, newTestEndpoint(t, w, heavy), 4)
-	checkAnswerTimes(t, "slower with four held", at, 200, 200, 300, 300)
+	checkAnswerTimes(t, "slowdown with four held", at, 200, 200, 300, 300)
 	cancelled := newTestEndpoint(t, w, baseConfig)
 	job := &Job{ID: "x"}
 	answers := 0
@@ -152,11 +155,12 @@
 	cancelled.Receive(job, func(Reply) { answers++ })
 	cancelled.Cancel(job)
 	if w.Run(w.Now + time.Second); answers != 0 || cancelled.Stats.Answered != 3 {
-		t.Errorf("a waiting job that was cancelled is answered: %+v", cancelled.Stats)
+		t.Errorf("a cancelled waiting job was answered: %+v", cancelled.Stats)
 	}
 }
 
-// An endpoint that was restarted does its part of the work, warms up evenly, and crashes when it is overloaded.
+// TestSlowStart verifies that a restarted endpoint begins at the configured capacity, warms up linearly, and crashes
+// when it is overloaded.
 func TestSlowStart(t *testing.T) {
 	t.Parallel()
 	w := New(1, 0)
@@ -180,14 +184,14 @@
 	}
 	e.Restart()
 	broken := 0
-	for i := range 31 { // it can bear 3 x 0.25 x 2 cores x 2 s: 30 of 100 ms
+	for i := range 31 { // the bound is 3 x 0.25 x 2 cores x 2 s: 30 requests of 100 ms
 		e.Receive(&Job{ID: fmt.Sprint(i)}, func(r Reply) {
 			if r == ReplyBroken {
 				broken++
 			}
 		})
 		if i == 29 && e.IsDown() {
-			t.Fatal("it crashed too early")
+			t.Fatal("crashed below the overload bound")
 		}
 	}
 	if !e.Stats.Overloaded || broken != 31 {
@@ -195,7 +199,7 @@
 	}
 }
 
-// A repeat of a key is dropped within the window, and counted as a duplicate after it.
+// TestEffects verifies that a repeat of a key is dropped within the dedup window, and counted as a duplicate after it.
 func TestEffects(t *testing.T) {
 	t.Parallel()
 	w := New(1, 0)
@@ -216,9 +220,10 @@
 	}
 }
 
+// TestInvalidEndpointConfig verifies that Check reports the field of each invalid value.
 func TestInvalidEndpointConfig(t *testing.T) {
 	t.Parallel()
-	for field, spoil := range map[string]func(*EndpointConfig){
+	for field, invalidate := range map[string]func(*EndpointConfig){
 		"cores":     func(c *EndpointConfig) { c.Cores = 0 },
 		"slots":     func(c *EndpointConfig) { c.MaxInService = 0 },
 		"room":      func(c *EndpointConfig) { c.QueueCapacity = -1 },
@@ -229,7 +234,7 @@
 		"held":      func(c *EndpointConfig) { c.SlowdownPerRequest = -1 },
 	} {
 		config := baseConfig
-		spoil(&config)
+		invalidate(&config)
 		var invalid *EndpointConfigError
 		err := config.Check()
 		if !errors.As(err, &invalid) || invalid.Field != field || !strings.HasPrefix(err.Error(), field) {
