--- a/internal/simulator/ceilingworld_test.go
+++ b/internal/simulator/ceilingworld_test.go
@@ -7,7 +7,7 @@
 	"gapgap/internal/balancer"
 )
 
-// businessPlan is the plan of the case that was measured from outside.
+// businessPlan is the plan of the workload that was measured externally.
 var businessPlan = balancer.Plan{
 	Rate:            5,
 	Burst:           10,
@@ -17,7 +17,7 @@
 	CeilingBurst:    20,
 }
 
-// testSettings are those of each of a number of gateways.
+// testSettings returns the settings of each gateway in a fleet of the given size.
 func testSettings(gateways int, leaseCeilings bool, plans ...balancer.Plan) balancer.Settings {
 	return balancer.Settings{
 		Gateways:          gateways,
@@ -44,19 +44,19 @@
 	}
 }
 
-// ceilingBucket is a ceiling's token bucket as the endpoints count it.
+// ceilingBucket is the token bucket of a ceiling, charged with what is actually forwarded.
 type ceilingBucket struct {
 	plan  balancer.Plan
 	level float64
-	// lowest is the lowest level so far, below 0 if the ceiling was exceeded.
+	// lowest is the lowest level so far; negative if the ceiling was exceeded.
 	lowest float64
 	// updatedAt is 0 before the first unit.
 	updatedAt time.Duration
-	// taken is the sum of all units.
+	// taken is the sum of all units taken.
 	taken float64
 }
 
-// take takes units, and lets the level fall below 0 if they exceed it.
+// take refills the bucket and takes units; the level becomes negative if there are too few.
 func (b *ceilingBucket) take(now time.Duration, units float64) {
 	if b.updatedAt == 0 {
 		b.level = b.plan.CeilingBurst
@@ -69,7 +69,7 @@
 	b.taken += units
 }
 
-// ceilingWorld is a world with gateways and one customer, whose ceiling is measured.
+// ceilingWorld is a world with gateways in which the use of one ceiling is measured.
 type ceilingWorld struct {
 	*World
 	bucket ceilingBucket
@@ -78,7 +78,7 @@
 	requests      int
 }
 
-// newCeilingWorld makes a world with gateways that have started.
+// newCeilingWorld returns a world with started gateways.
 func newCeilingWorld(
 	t testing.TB, seed uint64, gateways int, leaseCeilings bool, plan balancer.Plan,
 ) *ceilingWorld {
@@ -101,8 +101,8 @@
 	return w
 }
 
-// sendRequests brings requests from a time to another at a rate. Each goes to the gateway that the function returns by
-// the time since the start and the number of the request.
+// sendRequests sends requests of one customer at a constant rate. Each goes to the gateway whose index the function
+// returns for the time since the start and the number of the request.
 func (w *ceilingWorld) sendRequests(
 	from, to time.Duration, rate float64, admitOnly bool, gateway func(now time.Duration, n int) int,
 ) {
@@ -126,7 +126,7 @@
 	w.At(Start+from, next)
 }
 
-// unitsBetween are the units forwarded from one second up to another.
+// unitsBetween returns the units forwarded from second from up to, not including, second to.
 func (w *ceilingWorld) unitsBetween(from, to int) (units float64) {
 	for second := from; second < to; second++ {
 		units += w.unitsBySecond[second]
@@ -134,5 +134,5 @@
 	return units
 }
 
-// alwaysFirstGateway brings all requests to one gateway.
+// alwaysFirstGateway sends all requests to the first gateway.
 func alwaysFirstGateway(time.Duration, int) int { return 0 }
