--- a/internal/simulator/ceilingchaos_test.go
+++ b/internal/simulator/ceilingchaos_test.go
@@ -13,24 +13,25 @@
 	"gapgap/internal/balancer"
 )
 
-// chaosDuration is how long a random schedule lasts.
+// chaosDuration is the duration of a random schedule.
 const chaosDuration = 100 * time.Second
 
-// chaos plays a random schedule: floods that are even, at one gateway, or move; gateways that die and come back; a
-// counter that is slow, silent, unreachable, and comes back with its numbers or without.
-type chaos struct {
+// chaosRun runs a random schedule of floods and faults. Floods are spread evenly, go to one gateway or move between
+// two. Gateways are killed and restarted, clocks are skewed, and the counter is slow, silent or unreachable and returns
+// with its counters or without.
+type chaosRun struct {
 	*ceilingWorld
-	t     testing.TB
-	rng   *rand.Rand
-	story []string
+	t   testing.TB
+	rng *rand.Rand
+	log []string
 }
 
-// note adds a line to the story.
-func (c *chaos) note(format string, args ...any) {
-	c.story = append(c.story, fmt.Sprintf("%6.2f ", (c.Now-Start).Seconds())+fmt.Sprintf(format, args...))
+// logf adds a line to the log of the run.
+func (c *chaosRun) logf(format string, args ...any) {
+	c.log = append(c.log, fmt.Sprintf("%6.2f ", (c.Now-Start).Seconds())+fmt.Sprintf(format, args...))
 }
 
-// chaosFlood is one burst of requests.
+// chaosFlood is one flood of requests.
 type chaosFlood struct {
 	duration  time.Duration
 	rate      float64
@@ -40,8 +41,8 @@
 	admitOnly bool
 }
 
-// gateway returns the gateway of a request. Kind 0 is all at one, 1 moves each second, 2 is four in five at one, 3 is
-// even.
+// gateway returns the gateway of a request. Kind 0 sends all requests to one gateway, 1 switches between two gateways
+// each second, 2 sends four in five requests to one gateway, and 3 spreads them evenly.
 func (f *chaosFlood) gateway(now time.Duration, n, gateways int) int {
 	switch {
 	case f.kind == 0:
@@ -54,8 +55,8 @@
 	return f.second
 }
 
-// addFlood draws a flood that begins at a time.
-func (c *chaos) addFlood(at time.Duration) {
+// addFlood draws a random flood that begins at a time.
+func (c *chaosRun) addFlood(at time.Duration) {
 	gateways := len(c.Gateways)
 	flood := chaosFlood{
 		duration:  time.Duration((1 + 9*c.rng.Float64()) * float64(time.Second)),
@@ -66,7 +67,7 @@
 		admitOnly: c.rng.IntN(2) == 0,
 	}
 	c.At(Start+at, func() {
-		c.note("%.1f a second for %v, kind %d, gateways %d and %d, admission only %v",
+		c.logf("flood of %.1f per second for %v, kind %d, gateways %d and %d, admission only %v",
 			flood.rate, flood.duration, flood.kind, flood.first, flood.second, flood.admitOnly)
 	})
 	c.sendRequests(at, at+flood.duration, min(flood.rate, 200), flood.admitOnly, func(now time.Duration, n int) int {
@@ -74,7 +75,7 @@
 	})
 }
 
-// chaosFault is one fault.
+// chaosFault is one fault of a random schedule.
 type chaosFault struct {
 	duration     time.Duration
 	kind         int
@@ -82,8 +83,8 @@
 	losesNumbers bool
 }
 
-// addFault draws a fault that begins at a time.
-func (c *chaos) addFault(at time.Duration) {
+// addFault draws a random fault that begins at a time.
+func (c *chaosRun) addFault(at time.Duration) {
 	fault := chaosFault{
 		duration:     time.Duration((0.3 + 8*c.rng.Float64()) * float64(time.Second)),
 		kind:         c.rng.IntN(7),
@@ -93,13 +94,13 @@
 	c.At(Start+at, func() { c.beginFault(fault) })
 }
 
-// beginFault lets a fault happen, and schedules its end.
-func (c *chaos) beginFault(fault chaosFault) {
+// beginFault injects a fault and schedules its end.
+func (c *chaosRun) beginFault(fault chaosFault) {
 	switch fault.kind {
 	case 0, 1:
 		c.killGateways(fault)
 	case 2:
-		c.note("the counter is unreachable for %v, and loses its numbers: %v", fault.duration, fault.losesNumbers)
+		c.logf("counter unreachable for %v, then cleared: %v", fault.duration, fault.losesNumbers)
 		c.Counter.IsUnreachable = true
 		c.After(fault.duration, func() {
 			c.Counter.IsUnreachable = false
@@ -108,26 +109,26 @@
 			}
 		})
 	case 3:
-		c.note("the counter is silent for %v", fault.duration)
+		c.logf("counter silent for %v", fault.duration)
 		c.Counter.IsSilent = true
 		c.After(fault.duration, func() { c.Counter.IsSilent = false })
 	case 4:
 		c.Counter.Latency = time.Duration(1+fault.gateway*60/len(c.Gateways)) * time.Millisecond
-		c.note("the counter takes %v", c.Counter.Latency)
+		c.logf("counter latency is now %v", c.Counter.Latency)
 	case 5:
 		if fault.losesNumbers {
-			c.note("the counter is empty")
+			c.logf("counter cleared")
 			c.Counter.Clear()
 		}
 	case 6:
 		skewed := c.Gateways[fault.gateway]
 		skewed.ClockSkew = time.Duration(fault.gateway%11-5) * 10 * time.Millisecond
-		c.note("the clock of gateway %d is %v ahead", fault.gateway, skewed.ClockSkew)
+		c.logf("clock of gateway %d is %v ahead", fault.gateway, skewed.ClockSkew)
 	}
 }
 
-// killGateways kills a third of the gateways for a time.
-func (c *chaos) killGateways(fault chaosFault) {
+// killGateways kills one gateway and another third of them, and restarts them after the duration of the fault.
+func (c *chaosRun) killGateways(fault chaosFault) {
 	killed := 1 + len(c.Gateways)/3
 	for i := range killed {
 		g := c.Gateways[(fault.gateway+i)%len(c.Gateways)]
@@ -144,10 +145,10 @@
 			}
 		})
 	}
-	c.note("%d gateways from %d die for %v", killed, fault.gateway, fault.duration)
+	c.logf("%d gateways from index %d killed for %v", killed, fault.gateway, fault.duration)
 }
 
-// chaosPlan draws a plan with a ceiling.
+// chaosPlan draws a random plan with a ceiling.
 func chaosPlan(rng *rand.Rand) balancer.Plan {
 	rate := 2 + 18*rng.Float64()
 	factor := 1.7 + rng.Float64()
@@ -162,21 +163,21 @@
 	}
 }
 
-// playChaos plays the schedule of a seed. It returns how far the ceiling's bucket fell below 0, as a part of its depth,
-// and the units that were forwarded, as a part of the ceiling.
-func playChaos(t testing.TB, seed uint64, faults bool) (low, forwarded float64, story []string) {
+// runChaos runs the schedule of a seed. It returns how far the ceiling's bucket fell below 0, as a fraction of its
+// burst, the units that were forwarded, as a fraction of the ceiling, and the log of the run.
+func runChaos(t testing.TB, seed uint64, faults bool) (low, forwarded float64, log []string) {
 	rng := New(seed, 0).Rand("chaos")
 	gateways := 2 + rng.IntN(10)
 	if seed%8 == 0 {
 		gateways = 2 + rng.IntN(199)
 	}
 	plan := chaosPlan(rng)
-	c := &chaos{
+	c := &chaosRun{
 		ceilingWorld: newCeilingWorld(t, seed, gateways, true, plan),
 		t:            t,
 		rng:          rng,
 	}
-	c.note("%d gateways, %+v", gateways, plan)
+	c.logf("%d gateways, %+v", gateways, plan)
 	for at := time.Duration(0); at < chaosDuration; {
 		for range 1 + rng.IntN(2) {
 			c.addFlood(at)
@@ -197,15 +198,16 @@
 		if c.bucket.lowest < lowest {
 			mark = fmt.Sprintf("LOW %.1f", c.bucket.lowest)
 		}
-		c.note("forwarded %.0f level %.1f requests %d calls %d %s",
+		c.logf("forwarded %.0f level %.1f requests %d calls %d %s",
 			c.bucket.taken-taken, c.bucket.level, c.requests, c.Counter.Calls, mark)
 	}
-	return -c.bucket.lowest / plan.CeilingBurst, c.bucket.taken / (plan.CeilingRate * chaosDuration.Seconds()), c.story
+	return -c.bucket.lowest / plan.CeilingBurst, c.bucket.taken / (plan.CeilingRate * chaosDuration.Seconds()), c.log
 }
 
-// Whatever the schedule, with 2 to 200 gateways, the endpoints' own count stays within the ceiling and its slack, a
-// tenth of the depth. Where gateways die and the counter is slow, silent, unreachable or loses its numbers, it stays
-// within what docs/design/ceilings.md states. A failing seed is printed; GAPGAP_SEED plays it alone and logs its story.
+// TestCeilingsHoldInRandomSchedules verifies that ceilings hold in random schedules with 2 to 200 gateways. Without
+// faults, the units forwarded must stay within the ceiling and a slack of a tenth of its burst. With gateways that are
+// killed and a counter that is slow, silent, unreachable or cleared, they must stay within the bound stated in
+// docs/design/ceilings.md. A failing seed is printed; GAPGAP_SEED runs it alone and prints its log.
 func TestCeilingsHoldInRandomSchedules(t *testing.T) {
 	t.Parallel()
 	if text := os.Getenv("GAPGAP_SEED"); text != "" {
@@ -213,8 +215,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		low, _, story := playChaos(t, seed, os.Getenv("GAPGAP_FAULTS") != "")
-		t.Logf("%.3f of the depth under the bucket\n%s", low, strings.Join(story, "\n"))
+		low, _, log := runChaos(t, seed, os.Getenv("GAPGAP_FAULTS") != "")
+		t.Logf("ceiling exceeded by %.3f of its burst\n%s", low, strings.Join(log, "\n"))
 		return
 	}
 	for _, faults := range []bool{false, true} {
@@ -225,13 +227,13 @@
 		}
 		const seeds = 40
 		for seed := uint64(1); seed <= seeds; seed++ {
-			low, forwarded, _ := playChaos(t, seed, faults)
+			low, forwarded, _ := runChaos(t, seed, faults)
 			if sum += forwarded; low > most {
-				t.Errorf("GAPGAP_SEED=%d, faults %v: %.2f of the depth under the ceiling's bucket", seed, faults, low)
+				t.Errorf("GAPGAP_SEED=%d, faults %v: ceiling exceeded by %.2f of its burst", seed, faults, low)
 			}
 		}
-		if sum/seeds < 0.5 { // else nothing was tried
-			t.Errorf("faults %v: %.2f of the ceilings forwarded", faults, sum/seeds)
+		if sum/seeds < 0.5 { // otherwise the schedules were too light to test anything
+			t.Errorf("faults %v: only %.2f of the ceilings forwarded", faults, sum/seeds)
 		}
 	}
 }
