--- a/internal/simulator/ceilingflood_test.go
+++ b/internal/simulator/ceilingflood_test.go
@@ -6,67 +6,67 @@
 )
 
 const (
-	// floodDuration is how long a client that floods goes on, with all its pauses.
+	// floodDuration is the duration of a flood, including all pauses.
 	floodDuration = 45 * time.Second
-	// floodBurst is how long it asks between two pauses.
+	// floodBurst is how long a client sends requests between two pauses.
 	floodBurst = 3 * time.Second
 )
 
-// floodPlay is one flood of a ceiling, with a calm account beside it.
-type floodPlay struct {
+// floodRun is one flood of a ceiling, next to an account that stays within its quota.
+type floodRun struct {
 	*ceilingWorld
 	first time.Duration
 	last  time.Duration
-	// pause is that between bursts; 0: there is none.
+	// pause is the pause between bursts; 0 if there is none.
 	pause time.Duration
 
-	calmRequests int
-	calmRejected int
+	withinQuotaRequests int
+	withinQuotaRejected int
 }
 
-// addFlood brings requests by a client that asks a gateway again and again, on average every 25 ms.
-func (p *floodPlay) addFlood(g *Gateway, admitOnly bool, offset time.Duration) {
+// addFlood adds a client that sends its next request to a gateway after each answer, on average every 25 ms.
+func (f *floodRun) addFlood(g *Gateway, admitOnly bool, offset time.Duration) {
 	var send func()
 	send = func() {
-		now := p.Now - Start
+		now := f.Now - Start
 		switch {
-		case now >= p.last:
-		case p.pause > 0 && (now-p.first)%(p.pause+floodBurst) > floodBurst:
-			p.After(10*time.Millisecond, send)
+		case now >= f.last:
+		case f.pause > 0 && (now-f.first)%(f.pause+floodBurst) > floodBurst:
+			f.After(10*time.Millisecond, send)
 		default:
 			g.Submit(&Request{Customer: "c", Units: 1, AdmitOnly: admitOnly, TimeLeft: time.Second, Owner: send})
 		}
 	}
-	p.At(Start+p.first+offset, send)
+	f.At(Start+f.first+offset, send)
 }
 
-// addCalm brings requests of an account inside its quota.
-func (p *floodPlay) addCalm(g *Gateway) {
-	interval := time.Duration(float64(len(p.Gateways)) / 3 * float64(time.Second))
+// addAccountWithinQuota adds requests of an account that stays within its quota.
+func (f *floodRun) addAccountWithinQuota(g *Gateway) {
+	interval := time.Duration(float64(len(f.Gateways)) / 3 * float64(time.Second))
 	var send func()
 	send = func() {
-		if p.Now < Start+p.last {
-			p.calmRequests++
+		if f.Now < Start+f.last {
+			f.withinQuotaRequests++
 			g.Submit(&Request{Customer: "calm", Units: 1, AdmitOnly: true, TimeLeft: 2 * time.Second})
-			p.After(interval, send)
+			f.After(interval, send)
 		}
 	}
-	p.At(Start+p.first, send)
+	f.At(Start+f.first, send)
 }
 
-// playFlood plays the floods of a seed.
-func playFlood(t *testing.T, seed uint64, gateways int, pause, counterLatency time.Duration) *floodPlay {
+// runFlood runs the floods of a seed.
+func runFlood(t *testing.T, seed uint64, gateways int, pause, counterLatency time.Duration) *floodRun {
 	t.Helper()
 	first := time.Duration(2500+4000*seed) * time.Millisecond
-	p := &floodPlay{
+	f := &floodRun{
 		ceilingWorld: newCeilingWorld(t, seed, gateways, true, businessPlan),
 		first:        first,
 		last:         first + floodDuration,
 		pause:        pause,
 	}
-	p.Counter.Latency = counterLatency
-	rng := p.Rand("clients")
-	for _, g := range p.Gateways {
+	f.Counter.Latency = counterLatency
+	rng := f.Rand("clients")
+	for _, g := range f.Gateways {
 		count := g.Sent
 		g.Sent = func(r *Request) {
 			if r.Customer == "c" {
@@ -76,23 +76,23 @@
 		g.Done = func(r *Request, outcome Outcome) {
 			if r.Customer != "calm" {
 				think := 20*time.Millisecond + time.Duration(rng.ExpFloat64()*5*float64(time.Millisecond))
-				p.After(think, r.Owner.(func()))
+				f.After(think, r.Owner.(func()))
 			} else if outcome != Served {
-				p.calmRejected++
+				f.withinQuotaRejected++
 			}
 		}
 		for _, admitOnly := range []bool{true, false} {
-			p.addFlood(g, admitOnly, time.Duration(rng.Float64()*5*float64(time.Millisecond)))
+			f.addFlood(g, admitOnly, time.Duration(rng.Float64()*5*float64(time.Millisecond)))
 		}
-		p.addCalm(g)
+		f.addAccountWithinQuota(g)
 	}
-	p.Run(Start + p.last)
-	return p
+	f.Run(Start + f.last)
+	return f
 }
 
-// Floods by clients that ask again at each of several gateways, once and with pauses in which the bucket overflows, at
-// any place in a window of the counter's numbers: what was taken while the surplus is corrected is not there once more.
-// Beside them an account inside its quota asks all gateways now and then.
+// TestCeilingsHoldWhereFloodsBegin verifies that ceilings hold when floods begin at any point of a counter window, with
+// and without pauses in which the bucket overflows. Units that were taken while the surplus is being corrected must not
+// be available again. An account within its quota, which sends requests to all gateways, must not be rejected.
 func TestCeilingsHoldWhereFloodsBegin(t *testing.T) {
 	t.Parallel()
 	for _, pause := range []time.Duration{0, 4 * time.Second, 12 * time.Second} {
@@ -102,27 +102,28 @@
 				counterLatency = 10 * time.Millisecond
 			}
 			rejected := 0
-			calm := 0
+			requests := 0
 			var forwarded, available float64
 			for seed := uint64(1); seed <= 8; seed++ {
-				p := playFlood(t, seed, gateways, pause, counterLatency)
-				rejected += p.calmRejected
-				calm += p.calmRequests
-				if p.bucket.lowest < -2 {
-					t.Errorf("pause %v, %d gateways, seed %d: %.2f under the ceiling's bucket",
-						pause, gateways, seed, -p.bucket.lowest)
+				f := runFlood(t, seed, gateways, pause, counterLatency)
+				rejected += f.withinQuotaRejected
+				requests += f.withinQuotaRequests
+				if f.bucket.lowest < -2 {
+					t.Errorf("pause %v, %d gateways, seed %d: %.2f beyond the ceiling",
+						pause, gateways, seed, -f.bucket.lowest)
 				}
-				forwarded += p.bucket.taken
+				forwarded += f.bucket.taken
 				available += 20 + 450
 				if bursts := 45.0 / (pause + floodBurst).Seconds(); pause > 0 {
 					available += bursts*(30+min(20, 10*pause.Seconds())) - 470
 				}
 			}
-			if rejected > 0 || calm < 100 {
-				t.Errorf("pause %v, %d gateways: %d of %d rejected inside the quota", pause, gateways, rejected, calm)
+			if rejected > 0 || requests < 100 {
+				t.Errorf("pause %v, %d gateways: %d of %d rejected within the quota",
+					pause, gateways, rejected, requests)
 			}
 			if forwarded < 0.82*available {
-				t.Errorf("pause %v, %d gateways: %.0f of %.0f", pause, gateways, forwarded, available)
+				t.Errorf("pause %v, %d gateways: %.0f of %.0f units forwarded", pause, gateways, forwarded, available)
 			}
 		}
 	}
