--- a/internal/simulator/ceilingstart_test.go
+++ b/internal/simulator/ceilingstart_test.go
@@ -6,35 +6,37 @@
 	"time"
 )
 
-// Three gateways that meet an account for the first time at the same instant, far into a window of the counter's
-// numbers, must not each correct its bucket: it would be empty for the rest of the window.
+// TestCeilingsAllGatewaysMeetAnAccountAtOnce verifies that three gateways which receive the first request of an account
+// at the same time, late in a counter window, do not each apply the correction to its bucket. That would leave it empty
+// for the rest of the window.
 func TestCeilingsAllGatewaysMeetAnAccountAtOnce(t *testing.T) {
 	t.Parallel()
 	for _, from := range []time.Duration{0, 2500 * time.Millisecond, 2999 * time.Millisecond, 9 * time.Second} {
 		t.Run(fmt.Sprint("after ", from), func(t *testing.T) {
 			w := newCeilingWorld(t, 1, 3, true, businessPlan)
-			for i := range 3 { // each gateway's own clients, a little apart
+			for i := range 3 { // clients of each gateway start 0.7 ms apart
 				begin := from + time.Duration(i)*700*time.Microsecond
 				w.sendRequests(begin, from+12*time.Second, 33, true, func(time.Duration, int) int { return i })
 			}
 			w.Run(Start + from + 12*time.Second)
 			if lowest := w.bucket.lowest; lowest < -2 {
-				t.Errorf("%.2f under the ceiling's bucket", -lowest)
+				t.Errorf("%.2f beyond the ceiling", -lowest)
 			}
 			least := 0.9 * 140
 			if from == 0 {
-				least = 0.9 * 120 // gateways that have just started do not have the bucket's first units
+				least = 0.9 * 120 // gateways that have just started do not get the initial units of the bucket
 			}
 			if got := w.bucket.taken; got < least {
-				t.Errorf("%.0f of 140 in 12 s; by second %v", got, w.unitsBySecond)
+				t.Errorf("%.0f of 140 units in 12 s; by second %v", got, w.unitsBySecond)
 			}
 		})
 	}
 }
 
-// An account inside its quota whose requests come to all gateways at the same instants, as a page's do that asks for
-// several flags: the gateways all see that its bucket has overflowed, and must not each add that to its number, or it
-// is rejected for as long again.
+// TestCeilingsCalmAccountAtAllGatewaysAtOnce verifies that an account within its quota is not rejected when it sends
+// requests to all gateways at the same time, as a page does that needs several flags. All gateways then see that its
+// bucket has overflowed. If each of them added the overflow to the counter, the account would be rejected for as long
+// again.
 func TestCeilingsCalmAccountAtAllGatewaysAtOnce(t *testing.T) {
 	t.Parallel()
 	for _, gateways := range []int{2, 3, 5, 8} {
@@ -64,15 +66,16 @@
 			}
 			w.Run(Start + last + 5*time.Second)
 			if rejected > 0 || requests < 10*gateways {
-				t.Errorf("%d gateways, each %v: %d of %d rejected inside the quota",
+				t.Errorf("%d gateways, interval %v: %d of %d rejected within the quota",
 					gateways, interval, rejected, requests)
 			}
 		}
 	}
 }
 
-// Clients that ask three gateways at random moments, some for admission only and some that may wait, have nearly all of
-// a ceiling: what a gateway gets of the quota's bucket in parts of a unit must not lie there until it is lost.
+// TestCeilingsNoPartOfAUnitIsLost verifies that clients which send requests to three gateways at random times, some for
+// admission only and some that may wait, get nearly the whole ceiling. Fractions of a unit that a gateway gets from the
+// quota's bucket must not stay unused until they are lost.
 func TestCeilingsNoPartOfAUnitIsLost(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(1); seed <= 3; seed++ {
@@ -104,10 +107,10 @@
 		}
 		w.Run(Start + last)
 		if got := w.unitsBetween(8, 33); got < 0.96*250 {
-			t.Errorf("seed %d: %.0f of 250 from the fifth second on", seed, got)
+			t.Errorf("seed %d: %.0f of 250 units from the fifth second of the load on", seed, got)
 		}
 		if w.bucket.lowest < -2 {
-			t.Errorf("seed %d: %.2f under the ceiling's bucket", seed, -w.bucket.lowest)
+			t.Errorf("seed %d: %.2f beyond the ceiling", seed, -w.bucket.lowest)
 		}
 	}
 }
