--- a/internal/scenario/doc.go
+++ b/internal/scenario/doc.go
@@ -1,8 +1,8 @@
-// Package scenario plays scripted incidents. A script says which endpoints, gateways and accounts there are, and what
-// happens to them when. [Run] plays it with the decision module and simulated endpoints in virtual time, so a script
-// and a seed give the same run, event for event. cmd/simulate is its command line, and scenarios/*.toml are scripts.
+// Package scenario runs scripted incidents. A script defines the endpoints, gateways and accounts, and the events that
+// happen to them. [Run] runs it with the decision module and simulated endpoints in virtual time, so the same script
+// and seed give the same sequence of events. cmd/simulate is the command-line tool, and scenarios/*.toml are scripts.
 //
-// scriptfile.go has the keys of a script and what each means, event.go the kinds of events, fault.go how each kind is
-// injected, and rules.go the rules that every run is checked against. Faults between real processes are injected by
-// the package internal/fake/rig.
+// scriptfile.go documents the keys of a script, event.go the kinds of events, fault.go how each kind is injected, and
+// rules.go the rules that every run is checked against. Faults between real processes are injected by the package
+// internal/fake/rig.
 package scenario
