--- a/internal/scenario/client.go
+++ b/internal/scenario/client.go
@@ -11,38 +11,39 @@
 )
 
 const (
-	// connectFailureDelay is the time after which a client learns that a gateway is dead.
+	// connectFailureDelay is the time after which a client detects that a gateway is not running.
 	connectFailureDelay = 100 * time.Millisecond
-	// minRetryDelay is the least time between an answer and the client's retry.
+	// minRetryDelay is the minimum time between an answer and the client's retry.
 	minRetryDelay = 50 * time.Millisecond
-	// deadlineMargin is added to a deadline, so that an answer at the deadline itself is seen first.
+	// deadlineMargin is added to a deadline before it is checked, so that an answer exactly at the deadline is seen
+	// first.
 	deadlineMargin = time.Millisecond
 )
 
-// clientRequest is one request of a client with its retries.
+// clientRequest is one request of a client, including its retries.
 type clientRequest struct {
-	// second is the second since the start in which it was first sent.
+	// second is the second of the run in which it was first sent.
 	second int
 	// class is an index into the script's classes.
 	class   int
 	account *account
 	name    string
-	// tries counts how often it was sent.
+	// tries counts how often it was sent, including retries.
 	tries int
-	// answers counts the final answers to the latest try. More than one is a violation.
+	// answers counts the final answers to the latest try. More than one is a violation of ruleOneFinalAnswer.
 	answers int
 	// deadline is when the client gives up on the latest try.
 	deadline time.Duration
 	latest   *simulator.Request
 }
 
-// interval draws the time to the next request of a rate in requests a second.
+// interval draws the time to the next request from an exponential distribution. The rate is in requests per second.
 func interval(rng *rand.Rand, rate float64) time.Duration {
 	return time.Duration(rng.ExpFloat64() / rate * float64(time.Second))
 }
 
-// beginRequest brings the next request of an account, and schedules the one after. What is drawn depends on the account
-// and the number of the request.
+// beginRequest sends the next request of an account, and schedules the one after it. Its random values depend on the
+// account and the number of the request.
 func (r *run) beginRequest(sender *account) {
 	if r.now() >= r.script.Duration {
 		return
@@ -61,7 +62,7 @@
 	r.world.After(interval(rng, rate), func() { r.beginRequest(sender) })
 }
 
-// drawClass draws a class by the shares.
+// drawClass draws the index of a class, weighted by the shares.
 func (s *Script) drawClass(rng *rand.Rand) int {
 	draw := rng.Float64()
 	sum := 0.0
@@ -77,7 +78,7 @@
 	return class
 }
 
-// count adds to all tallies that a request belongs to.
+// count adds a tally to all totals that a request belongs to: its second, class, plan and group of accounts.
 func (r *run) count(request *clientRequest, tally Tally) {
 	r.report.Seconds[request.second].add(&tally)
 	r.classes[request.class].Totals.add(&tally)
@@ -85,13 +86,13 @@
 	r.accountGroups[request.account.groupIndex].Totals.add(&tally)
 }
 
-// endRequest counts how a request ended.
+// endRequest counts the outcome of a request and removes it from the open requests.
 func (r *run) endRequest(request *clientRequest, tally Tally) {
 	r.count(request, tally)
 	delete(r.openRequests, request)
 }
 
-// weight is the priority weight of a request.
+// weight returns the priority weight of a request.
 func (r *run) weight(request *clientRequest) float64 {
 	return r.script.Classes[request.class].PriorityWeight *
 		r.script.Plans[request.account.group.Plan].PriorityFactor
@@ -128,7 +129,7 @@
 	r.world.At(request.deadline+deadlineMargin, func() { r.checkAnswered(request, sent) })
 }
 
-// idempotencyKey returns the key of the latest try; empty: its class has none.
+// idempotencyKey returns the key of the latest try, or an empty string if its class has none.
 func (r *run) idempotencyKey(request *clientRequest) string {
 	switch {
 	case r.script.Classes[request.class].Idempotency != balancer.IdempotentByKey:
@@ -139,7 +140,7 @@
 	return request.name + fmt.Sprint("#", request.tries)
 }
 
-// requestDone takes the final answer to a try.
+// requestDone handles the final answer to a try. Answers to earlier tries are ignored.
 func (r *run) requestDone(sent *simulator.Request, outcome simulator.Outcome) {
 	request := sent.Owner.(*clientRequest)
 	if request.latest != sent {
@@ -151,7 +152,7 @@
 		return
 	}
 	if r.world.Now > request.deadline {
-		r.violation(ruleNoRequestLost, "%s was answered %v after its time", request.name,
+		r.violation(ruleNoRequestLost, "%s was answered %v after its deadline", request.name,
 			r.world.Now-request.deadline)
 	}
 	if outcome != simulator.Served {
@@ -165,7 +166,7 @@
 	}
 }
 
-// retryOrEnd schedules the client's retry, or ends its request if there are no retries left.
+// retryOrEnd schedules the client's retry, or ends the request if no retries are left or the run is over.
 func (r *run) retryOrEnd(request *clientRequest, retryAfter time.Duration, outcome simulator.Outcome) {
 	if !r.openRequests[request] {
 		return
