--- a/internal/scenario/event.go
+++ b/internal/scenario/event.go
@@ -5,42 +5,42 @@
 	"time"
 )
 
-// EventKind is what an event does. Scripts use the same words.
+// EventKind is the kind of an event. The values are the names used in scripts.
 type EventKind string
 
-// The kinds of events. Those of endpoints, accounts and gateways have targets: see Group, Count and Share of [Event].
-// Those of the counter ignore Count and Share, and need a counter. fault.go injects each kind.
+// The kinds of events. Events of endpoints, accounts and gateways have targets, chosen by Group, Count and Share of
+// [Event]. Events of the counter require a counter and ignore Count and Share. fault.go injects each kind.
 const (
-	// SlowEndpoints makes work take Factor times as long. It gets there in rampSteps equal steps within Ramp, and back
-	// in as many after its end.
+	// SlowEndpoints makes work take Factor times as long. The factor is reached in rampSteps equal steps within Ramp,
+	// and removed in as many steps after the end.
 	SlowEndpoints EventKind = "slow"
-	// SilenceEndpoints stops answers and leaves connections open; the work goes on. At the end the endpoints start
-	// anew, with a slow start.
+	// SilenceEndpoints stops answers but leaves connections open, and the work goes on. At the end the endpoints
+	// restart, with a slow start.
 	SilenceEndpoints EventKind = "silent"
-	// PauseEndpoints stops all work, as a garbage collection does. Requests still arrive and wait. Duration must be
+	// PauseEndpoints stops all work, like a garbage-collection pause. Requests still arrive and wait. Duration must be
 	// above 0.
 	PauseEndpoints EventKind = "pause"
-	// CrashEndpoints ends the processes: connections break, and new ones are refused. At the end the endpoints start
-	// anew, with a slow start.
+	// CrashEndpoints ends the processes: connections break, and new ones are refused. At the end the endpoints restart,
+	// with a slow start.
 	CrashEndpoints EventKind = "die"
-	// DrainEndpoints has discovery list endpoints as draining, and as serving again at the end.
+	// DrainEndpoints makes discovery list endpoints as draining, and as serving again at the end.
 	DrainEndpoints EventKind = "drain"
 	// FloodAccounts makes accounts send Factor times as many requests.
 	FloodAccounts EventKind = "flood"
-	// KillGateways ends gateways as SIGKILL does. At the end they start anew. It takes no Group.
+	// KillGateways ends gateways as SIGKILL does, and restarts them at the end. It takes no Group.
 	KillGateways EventKind = "kill-doors"
-	// CounterUnreachable makes the counter refuse connections; nothing is added.
+	// CounterUnreachable makes connections to the counter fail; nothing is added.
 	CounterUnreachable EventKind = "counter-gone"
-	// CounterSilent makes the counter add what it is sent and never answer, so that calls time out.
+	// CounterSilent makes the counter add the amounts it receives but never answer, so that calls time out.
 	CounterSilent EventKind = "counter-mute"
-	// CounterSlow makes a counter call take CounterLatency, there and back. A call beyond the gateways' time-out is
-	// added all the same, and its result comes late.
+	// CounterSlow sets the round-trip time of counter calls to CounterLatency. A call that exceeds the gateways'
+	// timeout is still added, and its result arrives late.
 	CounterSlow EventKind = "counter-late"
-	// CounterCleared makes the counter forget all numbers, once.
+	// CounterCleared removes all counters once.
 	CounterCleared EventKind = "counter-empty"
 )
 
-// eventKinds are all kinds, in the order in which errors list them.
+// eventKinds lists all kinds in the order in which error messages show them.
 var eventKinds = []EventKind{
 	FloodAccounts,
 	KillGateways,
@@ -55,7 +55,7 @@
 	DrainEndpoints,
 }
 
-// isOfEndpoints says that the targets of the kind are endpoints.
+// isOfEndpoints reports whether the targets of the kind are endpoints.
 func (k EventKind) isOfEndpoints() bool {
 	return slices.Contains([]EventKind{
 		SlowEndpoints,
@@ -66,7 +66,7 @@
 	}, k)
 }
 
-// isOfCounter says that the kind needs a counter.
+// isOfCounter reports whether the kind affects the counter.
 func (k EventKind) isOfCounter() bool {
 	return slices.Contains([]EventKind{
 		CounterUnreachable,
@@ -76,30 +76,30 @@
 	}, k)
 }
 
-// Event is one thing that happens in a script.
+// Event is one event of a script.
 type Event struct {
-	// Name identifies the event in its script.
+	// Name identifies the event within its script.
 	Name string
 	Kind EventKind
-	// At is the time from the start of the run, or from the end of the event After.
+	// At is the time since the start of the run or, with After, since the end of that event.
 	At time.Duration
-	// After is the name of the event that must end before; empty: there is none. SlowEndpoints ends when its way back
-	// begins.
+	// After is the name of the event that must end first, or empty. SlowEndpoints counts as ended when its factor
+	// starts to go back.
 	After string
-	// Duration is how long the event lasts; 0: to the end of the run.
+	// Duration is how long the event lasts; 0 means to the end of the run.
 	Duration time.Duration
 
-	// Group is the group of endpoints or accounts that the targets are chosen from; empty: all.
+	// Group is the group of endpoints or accounts from which the targets are chosen; empty means all.
 	Group string
-	// Count is the number of targets, and Share their part of the group. At most one of them is above 0; if none is,
-	// all of the group are targets.
+	// Count is the number of targets, and Share the fraction of the group. At most one of them is above 0; if neither
+	// is, the whole group is targeted.
 	Count int
 	Share float64
 
-	// Factor is that of SlowEndpoints and FloodAccounts; above 0 for these, else unused.
+	// Factor is the factor of SlowEndpoints and FloodAccounts. It must be above 0 for these and is otherwise unused.
 	Factor float64
-	// Ramp is the time in which SlowEndpoints reaches its factor, and goes back; 0: at once.
+	// Ramp is the time in which SlowEndpoints reaches its factor, and goes back; 0 means at once.
 	Ramp time.Duration
-	// CounterLatency is that of CounterSlow; above 0 for it, else unused.
+	// CounterLatency is the latency of CounterSlow. It must be above 0 for it and is otherwise unused.
 	CounterLatency time.Duration
 }
