--- a/internal/scenario/eventcheck.go
+++ b/internal/scenario/eventcheck.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// addEvents adds the events. Everything else must be there.
+// addEvents checks the events and adds them. All other parts of the script must have been added.
 func (f *scriptFile) addEvents(script *Script) error {
 	for i := range f.Event {
 		event := f.Event[i].event()
@@ -18,7 +18,7 @@
 	return nil
 }
 
-// event returns the event of a table. It is not checked.
+// event returns the event of a table, unchecked.
 func (t *eventTable) event() Event {
 	return Event{
 		Name:           t.Name,
@@ -35,42 +35,43 @@
 	}
 }
 
-// check checks an event, whose keys begin with the prefix, against a script with the events before it.
+// check checks an event, whose keys begin with the prefix. The script must hold the events before it.
 func (e *Event) check(script *Script, prefix string) error {
 	isTaken := slices.ContainsFunc(script.Events, func(other Event) bool { return other.Name == e.Name })
 	switch {
 	case e.Name == "" || isTaken:
-		return invalidKey(prefix+"name", "%q is no name, or stands twice", e.Name)
+		return invalidKey(prefix+"name", "name %q is empty or already used", e.Name)
 	case !slices.Contains(eventKinds, e.Kind):
-		return invalidKey(prefix+"do", "%q is none of %v", e.Kind, eventKinds)
+		return invalidKey(prefix+"do", "unknown kind %q: must be one of %v", e.Kind, eventKinds)
 	case e.At < 0 || e.Duration < 0 || e.Ramp < 0 || e.CounterLatency < 0:
-		return invalidKey(prefix+"at", "or for, ramp or takes is negative")
+		return invalidKey(prefix+"at", "at, for, ramp and takes must not be negative")
 	case e.After != "" && !script.hasEndingEvent(e.After):
-		return invalidKey(prefix+"after", "no event before this one is named %q and ends", e.After)
+		return invalidKey(prefix+"after", "no earlier event with an end is named %q", e.After)
 	case e.Group != "" && !e.hasGroup(script):
-		return invalidKey(prefix+"group", "there is no group %q for this", e.Group)
+		return invalidKey(prefix+"group", "group %q does not exist for this kind of event", e.Group)
 	case e.Count < 0 || e.Share < 0 || e.Share > 1 || e.Count > 0 && e.Share > 0:
-		return invalidKey(prefix+"count", "or share is negative, the share is over 1, or both are given")
+		return invalidKey(prefix+"count",
+			"count and share must not be negative, share not above 1, and only one of them may be set")
 	}
 	return e.checkKind(script, prefix)
 }
 
-// checkKind checks what the kind of an event needs.
+// checkKind checks the values that the kind of the event requires.
 func (e *Event) checkKind(script *Script, prefix string) error {
 	switch {
 	case (e.Kind == SlowEndpoints || e.Kind == FloodAccounts) && !(e.Factor > 0):
-		return invalidKey(prefix+"factor", "is not above 0")
+		return invalidKey(prefix+"factor", "must be above 0")
 	case e.Kind == PauseEndpoints && e.Duration == 0:
-		return invalidKey(prefix+"for", "a pause must end")
+		return invalidKey(prefix+"for", "must be above 0 for a pause")
 	case e.Kind == CounterSlow && e.CounterLatency == 0:
-		return invalidKey(prefix+"takes", "is missing")
+		return invalidKey(prefix+"takes", "is required")
 	case e.Kind.isOfCounter() && !script.UseCounter:
-		return invalidKey(prefix+"do", "there is no counter")
+		return invalidKey(prefix+"do", "the script has no counter")
 	}
 	return nil
 }
 
-// hasGroup says that the event's group is one that its kind can have.
+// hasGroup reports whether the event's group exists and its kind can target it.
 func (e *Event) hasGroup(script *Script) bool {
 	switch {
 	case e.Kind == FloodAccounts:
@@ -81,7 +82,7 @@
 	return false
 }
 
-// hasEndingEvent says that there is an event of a name that ends.
+// hasEndingEvent reports whether the script has an event with the given name that ends before the run does.
 func (s *Script) hasEndingEvent(name string) bool {
 	return slices.ContainsFunc(s.Events, func(e Event) bool { return e.Name == name && e.Duration > 0 })
 }
