--- a/internal/scenario/fault.go
+++ b/internal/scenario/fault.go
@@ -7,18 +7,18 @@
 	"gapgap/internal/balancer"
 )
 
-// rampSteps is the number of steps in which a slowdown reaches its factor.
+// rampSteps is the number of equal steps in which a slowdown reaches its factor.
 const rampSteps = 10
 
-// appliedEvent is what an event has done.
+// appliedEvent describes an event that has been applied.
 type appliedEvent struct {
-	// targets is how the trace names what it was done to.
+	// targets lists the targets for the trace.
 	targets string
-	// undo undoes it; nil: there is nothing to undo.
+	// undo reverts the event; nil if there is nothing to revert.
 	undo func()
 }
 
-// beginEvent applies an event, and schedules its end and the start of the events after it.
+// beginEvent applies an event, and schedules its end and the events that follow it.
 func (r *run) beginEvent(event Event) {
 	done := r.apply(event)
 	r.traceEvent("%s begins: %s %s", event.Name, event.Kind, done.targets)
@@ -36,7 +36,7 @@
 	})
 }
 
-// apply carries an event out.
+// apply applies an event to its targets.
 func (r *run) apply(event Event) appliedEvent {
 	switch {
 	case event.Kind.isOfCounter():
@@ -49,7 +49,7 @@
 	return r.applyToEndpoints(event)
 }
 
-// applyToCounter carries out an event of the counter.
+// applyToCounter applies an event of the counter.
 func (r *run) applyToCounter(event Event) appliedEvent {
 	counter := r.world.Counter
 	switch event.Kind {
@@ -71,7 +71,7 @@
 	return appliedEvent{}
 }
 
-// floodAccounts makes accounts send more requests.
+// floodAccounts multiplies the request rate of accounts.
 func (r *run) floodAccounts(event Event) appliedEvent {
 	targets := chooseTargets(r, event, r.accounts, func(a *account) (name, group string) {
 		return a.name, a.group.Group
@@ -88,14 +88,14 @@
 	}
 }
 
-// killGateways kills gateways, and starts those anew at the end that no other event holds down.
+// killGateways kills gateways. At the end it restarts those that no other event keeps down.
 func (r *run) killGateways(event Event) appliedEvent {
 	indexes := make([]int, len(r.world.Gateways))
 	for i := range indexes {
 		indexes[i] = i
 	}
 	targets := chooseTargets(r, event, indexes, func(index int) (name, group string) {
-		return fmt.Sprint("door-", index), "" // another name would choose others by the same seed
+		return fmt.Sprint("door-", index), "" // another name would change the targets of existing seeds
 	})
 	for _, index := range targets {
 		r.activeKills[index]++
@@ -109,14 +109,14 @@
 					continue
 				}
 				if err := r.world.Gateways[index].Start(); err != nil {
-					panic(err) // the same settings were valid at the first start
+					panic(err) // impossible: the same settings were valid at the first start
 				}
 			}
 		},
 	}
 }
 
-// applyToEndpoints carries out an event of endpoints.
+// applyToEndpoints applies an event of endpoints.
 func (r *run) applyToEndpoints(event Event) appliedEvent {
 	targets := chooseTargets(r, event, r.endpoints, func(e *endpoint) (name, group string) {
 		return e.Name, e.group
@@ -146,7 +146,7 @@
 	return done
 }
 
-// rampSlowdown changes the slowdown of endpoints evenly within a time; 0: at once.
+// rampSlowdown changes the slowdown of endpoints linearly, in rampSteps steps. A duration of 0 means at once.
 func (r *run) rampSlowdown(targets []*endpoint, from, to float64, duration time.Duration) {
 	for step := 1; step <= rampSteps; step++ {
 		if duration == 0 && step < rampSteps {
@@ -161,13 +161,13 @@
 	}
 }
 
-// restartEndpoint starts an endpoint anew, at its configured speed, and has discovery list it as serving.
+// restartEndpoint restarts an endpoint at its configured speed, and makes discovery list it as serving.
 func (r *run) restartEndpoint(restarted *endpoint) {
 	restarted.Restart()
 	r.announce(restarted, balancer.Serving)
 }
 
-// announce has discovery notify each gateway of an endpoint's state, each after a delay of its own.
+// announce makes discovery notify each gateway of an endpoint's state, after a random delay for each gateway.
 func (r *run) announce(announced *endpoint, state balancer.EndpointState) {
 	now := r.world.Now
 	startedAt := time.Duration(0)
@@ -175,7 +175,7 @@
 		startedAt = announced.StartedAt()
 	}
 	for i, gateway := range r.world.Gateways {
-		// Another label would give other runs of the same seed.
+		// Another label would change the runs of existing seeds.
 		rng := r.world.Rand("told", announced.Name, now, i)
 		delay := time.Duration(rng.Float64() * float64(r.script.DiscoveryDelay))
 		r.world.After(delay, func() {
