--- a/internal/scenario/play.go
+++ b/internal/scenario/play.go
@@ -9,24 +9,24 @@
 	"gapgap/internal/simulator"
 )
 
-// virtualDriver is the name of the driver in reports.
+// virtualDriver is the driver named in reports: virtual time.
 const virtualDriver = "virtual"
 
-// answerMargin is how long a run goes on after the last client has given up.
+// answerMargin is how long a run continues after the last client deadline.
 const answerMargin = time.Second
 
-// run is a script that is being played.
+// run is the state of one run of a script.
 type run struct {
 	script    *Script
 	world     *simulator.World
 	report    *Report
 	endpoints []*endpoint
 	accounts  []*account
-	// openRequests are the requests whose end is not counted yet.
+	// openRequests are the requests whose outcome is not counted yet.
 	openRequests map[*clientRequest]bool
-	// activeKills counts, by gateway, the events that hold it down.
+	// activeKills counts, by gateway, the active events that keep it down.
 	activeKills map[int]int
-	// eventsAfter are the events that begin after the end of another one, by its name.
+	// eventsAfter are the events that begin after the end of another event, by its name.
 	eventsAfter map[string][]Event
 
 	classes       []Breakdown
@@ -38,26 +38,26 @@
 type endpoint struct {
 	*simulator.Endpoint
 	group string
-	// drainKnownAt is, by gateway, when it was notified that the endpoint is draining; 0: it was not.
+	// drainKnownAt is, by gateway, when it was notified that the endpoint is draining; 0 if it was not.
 	drainKnownAt []time.Duration
 }
 
-// account is a customer of a run and its clients.
+// account is an account of a run, with its clients.
 type account struct {
 	name  string
 	group *AccountGroup
-	// groupIndex is that of the group among those of the script.
+	// groupIndex is the index of the group in the script.
 	groupIndex int
-	// firstGateway is the first of the gateways that the account's requests come through.
+	// firstGateway is the index of the first gateway that receives the account's requests.
 	firstGateway int
-	// rateFactor is the factor on the account's rate.
+	// rateFactor multiplies the account's request rate.
 	rateFactor float64
-	// requests counts its requests so far.
+	// requests counts the requests sent so far, without retries.
 	requests int
 	ceiling  ceilingMeter
 }
 
-// Run plays a script in virtual time. An error means that the script is not one of [Load] or [Parse].
+// Run runs a script in virtual time. It fails only for a script that does not come from [Load] or [Parse].
 func Run(script *Script) (*Report, error) {
 	r := newRun(script)
 	began := time.Now()
@@ -77,7 +77,7 @@
 	return r.report, nil
 }
 
-// newRun makes a run in an empty world.
+// newRun returns a run with an empty world.
 func newRun(script *Script) *run {
 	world := simulator.New(script.Seed, 0)
 	world.Endpoints = map[string]*simulator.Endpoint{}
@@ -96,7 +96,7 @@
 	}
 }
 
-// addEndpoints adds the endpoints, which all drop repeats of each other's keys.
+// addEndpoints adds the endpoints. They share one dedup scope: each drops repeats of keys that another one has seen.
 func (r *run) addEndpoints() error {
 	for _, group := range r.script.Endpoints {
 		for i := range group.Count {
@@ -171,7 +171,7 @@
 	}
 }
 
-// scheduleEvents schedules the events that begin at a time of their own.
+// scheduleEvents schedules the events that begin at a fixed time, and indexes those that follow another event.
 func (r *run) scheduleEvents() {
 	for _, event := range r.script.Events {
 		if event.After != "" {
@@ -182,7 +182,7 @@
 	}
 }
 
-// scheduleSamples schedules the count of the requests held by endpoints at the end of each second.
+// scheduleSamples samples the number of requests held by the endpoints at the end of each second.
 func (r *run) scheduleSamples() {
 	for i := range r.report.Seconds {
 		r.world.At(simulator.Start+time.Duration(i+1)*time.Second, func() {
@@ -193,7 +193,8 @@
 	}
 }
 
-// longestRequest is the longest time that a client waits for a request with its retries, without pauses.
+// longestRequest returns the maximum time that a client waits for a request with all its retries, without the delays
+// between them.
 func (s *Script) longestRequest() time.Duration {
 	longest := time.Duration(0)
 	for _, class := range s.Classes {
@@ -202,7 +203,7 @@
 	return time.Duration(s.Retries+1) * longest
 }
 
-// now is the time since the start of the run.
+// now returns the time since the start of the run.
 func (r *run) now() time.Duration { return r.world.Now - simulator.Start }
 
 // traceEvent adds a line to the trace.
@@ -210,10 +211,10 @@
 	r.report.Trace = append(r.report.Trace, r.timestamp()+fmt.Sprintf(format, args...))
 }
 
-// timestamp is how lines of the report begin.
+// timestamp returns the current time as the prefix of a report line.
 func (r *run) timestamp() string { return fmt.Sprintf("%9.3f ", r.now().Seconds()) }
 
-// complete counts what is open and completes the report.
+// complete counts the open requests as lost, runs the final checks and completes the report.
 func (r *run) complete() {
 	for request := range r.openRequests {
 		r.count(request, Tally{Lost: 1})
