--- a/internal/scenario/report.go
+++ b/internal/scenario/report.go
@@ -7,54 +7,55 @@
 	"time"
 )
 
-// digestBytes is the length of a trace's digest.
+// digestBytes is the length of the digest of a trace, in bytes.
 const digestBytes = 8
 
 // Report is the result of a run.
 type Report struct {
 	Script string `json:"script"`
 	Seed   uint64 `json:"seed"`
-	// Driver says what kind of time was played in.
+	// Driver names the kind of time of the run.
 	Driver string `json:"driver"`
-	// Service is that of Totals; 0 if nothing was requested.
+	// Service is [Tally.Service] of Totals, but 0 if there were no requests.
 	Service float64 `json:"service"`
 	Totals  Tally   `json:"totals"`
 	Seconds []Tally `json:"seconds"`
 	// Breakdowns are the requests by class, by plan and by group of accounts.
 	Breakdowns []Breakdown `json:"parts"`
-	// Trace is what the script did, in order, each line with its time in seconds.
+	// Trace lists the events of the script in order. Each line begins with the time in seconds.
 	Trace []string `json:"trace"`
-	// Digest is that of Trace: equal digests mean the same events at the same times with the same targets. It does not
-	// cover what became of the requests.
+	// Digest is a hash of Trace: equal digests mean the same events at the same times with the same targets. It does
+	// not cover the outcomes of requests.
 	Digest string `json:"digest"`
-	// Violations are broken rules, each with what was seen; none: all rules were kept.
+	// Violations are the rule violations, each with its details: none if all rules were kept, at most maxViolations.
 	Violations []string `json:"broken"`
-	// Events counts those of the simulator.
+	// Events counts the events processed by the simulator.
 	Events       int `json:"events"`
 	CounterCalls int `json:"calls"`
-	// Elapsed is the real time that the run took.
+	// Elapsed is the wall-clock time of the run.
 	Elapsed time.Duration `json:"-"`
 }
 
-// Tally counts requests with their retries, by the time of their first attempt.
+// Tally counts requests by outcome. Retries belong to their request, which counts in the second in which it was first
+// sent.
 type Tally struct {
 	Requests int `json:"asked"`
-	// InTime counts answers within the latency objective, and Late those after it.
+	// InTime counts answers within the latency objective, Late answers after it.
 	InTime   int `json:"served"`
 	Late     int `json:"late"`
 	Rejected int `json:"refused"`
 	Failed   int `json:"failed"`
-	// Lost counts requests without an answer by the client's deadline. Without a violation their gateway had died, or
-	// the run ended while they were open.
+	// Lost counts requests without an answer by the client's deadline. Unless a violation was reported, their gateway
+	// was killed or the run ended while they were open.
 	Lost int `json:"lost"`
-	// RequestedWeight is the priority weight of all requests, and ServedWeight that of those in time.
+	// RequestedWeight is the sum of the priority weights of all requests, ServedWeight that of the requests in time.
 	RequestedWeight float64 `json:"worth"`
 	ServedWeight    float64 `json:"got"`
-	// Held is the number of requests at all endpoints at the end of a second. Sums have none.
+	// Held is the number of requests held by all endpoints at the end of the second. It is 0 in sums.
 	Held int `json:"queue"`
 }
 
-// Breakdown is the tally of a part of the requests.
+// Breakdown is the tally of one class, plan or group of accounts.
 type Breakdown struct {
 	// Kind is class, plan or accounts.
 	Kind   string `json:"kind"`
@@ -62,8 +63,8 @@
 	Totals Tally  `json:"totals"`
 }
 
-// Service is the weight of what was answered within the latency objective over that of all requests; 1 if there were
-// none.
+// Service returns the weight of the requests answered within the latency objective as a fraction of the weight of all
+// requests; 1 if there were none.
 func (t *Tally) Service() float64 {
 	if t.RequestedWeight == 0 {
 		return 1
@@ -71,7 +72,7 @@
 	return t.ServedWeight / t.RequestedWeight
 }
 
-// add adds another tally, except for what was held.
+// add adds another tally, except for Held.
 func (t *Tally) add(other *Tally) {
 	t.Requests += other.Requests
 	t.InTime += other.InTime
@@ -94,7 +95,7 @@
 	r.Digest = digest(r.Trace)
 }
 
-// digest returns a short hash of a trace.
+// digest returns a truncated SHA-256 of a trace, in hexadecimal.
 func digest(trace []string) string {
 	var text strings.Builder
 	for _, line := range trace {
