--- a/internal/scenario/rules.go
+++ b/internal/scenario/rules.go
@@ -8,7 +8,7 @@
 	"gapgap/internal/simulator"
 )
 
-// The rules that each run checks, as reports name them.
+// The rules that every run is checked against. Reports contain these names.
 const (
 	ruleNoRequestLost  = "no request lost"
 	ruleOneFinalAnswer = "one final answer"
@@ -19,16 +19,16 @@
 )
 
 const (
-	// maxViolations is how many violations a report has at most.
+	// maxViolations is the maximum number of violations in a report.
 	maxViolations = 20
-	// ceilingSlack is the part of its burst by which a ceiling may be exceeded.
+	// ceilingSlack is the fraction of its burst by which a ceiling may be exceeded.
 	ceilingSlack = 0.1
 )
 
-// drainGrace is how long a gateway may go on sending to an endpoint after it was notified that it is draining.
+// drainGrace is how long a gateway may keep dispatching to an endpoint after it was notified of the drain.
 const drainGrace = 250 * time.Millisecond
 
-// violation adds a broken rule to the report, up to a number of them.
+// violation adds a rule violation to the report, up to maxViolations.
 func (r *run) violation(rule, format string, args ...any) {
 	if len(r.report.Violations) < maxViolations {
 		line := r.timestamp() + rule + ": " + fmt.Sprintf(format, args...)
@@ -36,30 +36,30 @@
 	}
 }
 
-// checkAnswered checks that a try was answered by its deadline, unless its gateway has died.
+// checkAnswered checks that a try was answered by its deadline, unless its gateway was killed meanwhile.
 func (r *run) checkAnswered(request *clientRequest, sent *simulator.Request) {
 	if !r.openRequests[request] || request.latest != sent || request.answers > 0 {
 		return
 	}
 	gateway := r.world.Gateways[sent.Gateway]
 	if gateway.IsAlive && sent.Incarnation == gateway.Incarnation() {
-		r.violation(ruleNoRequestLost, "%s of %s has no answer from front door %d, asked at %.3f", request.name,
+		r.violation(ruleNoRequestLost, "%s of class %s got no answer from gateway %d, sent at %.3f", request.name,
 			r.script.Classes[request.class].Name, sent.Gateway, (sent.At - simulator.Start).Seconds())
 	}
 	r.endRequest(request, Tally{Lost: 1})
 }
 
-// ceilingMeter is the token bucket of an account's ceiling, as endpoints see it.
+// ceilingMeter is the token bucket of an account's ceiling, charged with what is actually forwarded.
 type ceilingMeter struct {
 	isKnown bool
-	// level is below 0 once the ceiling is exceeded.
+	// level is negative if the ceiling is exceeded.
 	level     float64
 	updatedAt time.Duration
-	// lowest is the lowest level that was reported.
+	// lowest is the lowest level reported as a violation.
 	lowest float64
 }
 
-// checkCeiling counts the first attempt of a request, or its admission, against its account's ceiling.
+// checkCeiling charges the first attempt of a request, or its admission, to its account's ceiling.
 func (r *run) checkCeiling(sent *simulator.Request) {
 	request := sent.Owner.(*clientRequest)
 	plan := &r.script.Plans[request.account.group.Plan]
@@ -78,34 +78,34 @@
 	meter.updatedAt = now
 	slack := max(sent.Units, ceilingSlack*plan.CeilingBurst)
 	if meter.level < -slack && meter.level < meter.lowest {
-		r.violation(ruleCeilingsKept, "%s is %.1f under its store with %s at front door %d; the slack is %.1f",
+		r.violation(ruleCeilingsKept, "%s exceeds its ceiling by %.1f with %s at gateway %d; the slack is %.1f",
 			request.account.name, -meter.level, request.name, sent.Gateway, slack)
 		meter.lowest = meter.level
 	}
 }
 
-// checkAttempt checks that an attempt is not dispatched after the answer or to an endpoint that is draining.
+// checkAttempt checks that an attempt is not dispatched after the final answer or to a draining endpoint.
 func (r *run) checkAttempt(sent *simulator.Request, endpointName string) {
 	request := sent.Owner.(*clientRequest)
 	if request.latest == sent && request.answers > 0 {
-		r.violation(ruleOneFinalAnswer, "%s goes out to %s after its answer", request.name, endpointName)
+		r.violation(ruleOneFinalAnswer, "%s is dispatched to %s after its final answer", request.name, endpointName)
 	}
 	i := slices.IndexFunc(r.endpoints, func(e *endpoint) bool { return e.Name == endpointName })
 	knownAt := r.endpoints[i].drainKnownAt[sent.Gateway]
 	if knownAt > 0 && r.world.Now > knownAt+drainGrace {
-		r.violation(ruleDrainsKept, "%s goes to %s %v after front door %d was told that it drains",
+		r.violation(ruleDrainsKept, "%s is dispatched to %s %v after gateway %d was notified of its drain",
 			request.name, endpointName, r.world.Now-knownAt, sent.Gateway)
 	}
 }
 
-// checkEndpoints checks what the endpoints have counted in the whole run.
+// checkEndpoints checks the statistics of the endpoints at the end of the run.
 func (r *run) checkEndpoints() {
 	for _, checked := range r.endpoints {
 		if checked.Stats.Overloaded {
-			r.violation(ruleNoOverload, "%s fell over", checked.Name)
+			r.violation(ruleNoOverload, "%s crashed from overload", checked.Name)
 		}
 		if checked.Stats.DuplicateEffects > 0 {
-			r.violation(ruleNoEffectTwice, "%s did %d effects twice", checked.Name, checked.Stats.DuplicateEffects)
+			r.violation(ruleNoEffectTwice, "%s did %d duplicate effects", checked.Name, checked.Stats.DuplicateEffects)
 		}
 	}
 }
