--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -7,7 +7,7 @@
 	"gapgap/internal/simulator"
 )
 
-// Bounds of a script. They make a typing error an error of the script, in place of a run without end.
+// Limits of a script. They turn a typing error into an error of the script instead of an endless run.
 const (
 	MaxEndpoints = 2000
 	MaxGateways  = 500
@@ -15,11 +15,11 @@
 	MaxEvents    = 1000
 	MaxDuration  = 24 * time.Hour
 	MaxRetries   = 10
-	// MaxAccountRate is in requests a second.
+	// MaxAccountRate is in requests per second.
 	MaxAccountRate = 1e6
 )
 
-// Script is a script that [Load] or [Parse] has checked.
+// Script is a script that was checked by [Load] or [Parse].
 type Script struct {
 	Name string
 	Seed uint64
@@ -27,15 +27,15 @@
 	Duration time.Duration
 	// Gateways is the number of gateways.
 	Gateways int
-	// UseCounter says that there is a counter.
+	// UseCounter makes gateways use a counter.
 	UseCounter bool
-	// LeaseCeilings makes gateways lease parts of ceilings by demand; false: each has an even share.
+	// LeaseCeilings makes gateways lease parts of ceilings by demand; if false, each has an even share.
 	LeaseCeilings bool
-	// DiscoveryDelay bounds the random delay with which discovery notifies each gateway of a change; 0: none.
+	// DiscoveryDelay is the upper bound of the random delay with which discovery notifies each gateway of a change.
 	DiscoveryDelay time.Duration
-	// Retries is how often clients repeat a request that was rejected or failed.
+	// Retries is how often clients retry a request that was rejected or failed.
 	Retries int
-	// RetryWithSameKey makes the retries of a request with a key have the key of the first one.
+	// RetryWithSameKey makes retries reuse the idempotency key of the first try.
 	RetryWithSameKey bool
 
 	Classes   []Class
@@ -44,8 +44,8 @@
 	Accounts  []AccountGroup
 	Events    []Event
 
-	// changeSettings changes the settings of each gateway, and intercept its actions; nil: they stay. Tests break a
-	// gateway by them.
+	// changeSettings, if not nil, changes the settings of each gateway, and intercept its actions. Tests use them to
+	// inject gateway faults.
 	changeSettings func(*balancer.Settings)
 	intercept      func(balancer.Action) []balancer.Action
 }
@@ -53,7 +53,7 @@
 // Class is a class of requests.
 type Class struct {
 	Name string
-	// Share is the class's part of the requests, relative to those of the others.
+	// Share is the weight of the class among the requests, relative to the shares of the other classes.
 	Share float64
 	balancer.Class
 }
@@ -64,21 +64,21 @@
 	balancer.Plan
 }
 
-// EndpointGroup is a group of endpoints that are alike.
+// EndpointGroup is a group of endpoints with the same configuration.
 type EndpointGroup struct {
 	Group string
 	Count int
 	simulator.EndpointConfig
 }
 
-// AccountGroup is a group of accounts that are alike.
+// AccountGroup is a group of accounts with the same plan and rate.
 type AccountGroup struct {
 	Group string
 	Count int
 	// Plan is an index into the script's plans.
 	Plan int
-	// Rate is that of each account, in requests a second.
+	// Rate is the rate of each account, in requests per second.
 	Rate float64
-	// Spread is the number of gateways that an account's requests come through; 0: all.
+	// Spread is the number of gateways that receive an account's requests; 0 means all.
 	Spread int
 }
