--- a/internal/scenario/scriptcheck.go
+++ b/internal/scenario/scriptcheck.go
@@ -12,14 +12,14 @@
 	"gapgap/internal/simulator"
 )
 
-// idempotencyByEffect maps the words of scripts.
+// idempotencyByEffect maps the values of the key effect.
 var idempotencyByEffect = map[string]balancer.Idempotency{
 	"safe":   balancer.Idempotent,
 	"keyed":  balancer.IdempotentByKey,
 	"unsafe": balancer.NonIdempotent,
 }
 
-// script returns the checked script of a file, or a *keyError for the first key that is not valid.
+// script checks a file and returns its script, or a *keyError for the first invalid key.
 func (f *scriptFile) script() (*Script, error) {
 	script := &Script{
 		Name:             f.Name,
@@ -49,32 +49,32 @@
 	return script, nil
 }
 
-// checkTopLevel checks the keys that are not in an array, and that no array is empty or too long.
+// checkTopLevel checks the keys outside of arrays, and that no array is empty or too long.
 func (f *scriptFile) checkTopLevel(script *Script) error {
 	switch {
 	case script.Duration <= 0 || script.Duration > MaxDuration:
-		return invalidKey("lasts", "%v is not above 0 and up to %v", script.Duration, MaxDuration)
+		return invalidKey("lasts", "%v must be above 0 and at most %v", script.Duration, MaxDuration)
 	case script.Gateways < 1 || script.Gateways > MaxGateways:
-		return invalidKey("doors.count", "%d is not from 1 to %d", script.Gateways, MaxGateways)
+		return invalidKey("doors.count", "%d must be from 1 to %d", script.Gateways, MaxGateways)
 	case script.DiscoveryDelay < 0:
-		return invalidKey("doors.told", "is negative")
+		return invalidKey("doors.told", "must not be negative")
 	case script.Retries < 0 || script.Retries > MaxRetries:
-		return invalidKey("clients.retries", "%d is not from 0 to %d", script.Retries, MaxRetries)
+		return invalidKey("clients.retries", "%d must be from 0 to %d", script.Retries, MaxRetries)
 	case len(f.Class) == 0:
-		return invalidKey("class", "there is none")
+		return invalidKey("class", "at least one class is required")
 	case len(f.Plan) == 0:
-		return invalidKey("plan", "there is none")
+		return invalidKey("plan", "at least one plan is required")
 	case len(f.Servers) == 0:
-		return invalidKey("servers", "there are none")
+		return invalidKey("servers", "at least one group of endpoints is required")
 	case len(f.Accounts) == 0:
-		return invalidKey("accounts", "there are none")
+		return invalidKey("accounts", "at least one group of accounts is required")
 	case len(f.Event) > MaxEvents:
-		return invalidKey("event", "there are over %d", MaxEvents)
+		return invalidKey("event", "more than %d events", MaxEvents)
 	}
 	return nil
 }
 
-// addClasses adds the classes.
+// addClasses checks the classes and adds them.
 func (f *scriptFile) addClasses(script *Script) error {
 	shares := 0.0
 	for i := range f.Class {
@@ -96,42 +96,42 @@
 		})
 	}
 	if !(shares > 0) {
-		return invalidKey("class[0].share", "no class has a part of the requests")
+		return invalidKey("class[0].share", "at least one class must have a share above 0")
 	}
 	return nil
 }
 
-// check checks a class, whose keys begin with the prefix.
+// check checks a class. Its keys begin with the prefix.
 func (t *classTable) check(prefix string) error {
 	idempotency, isKnown := idempotencyByEffect[t.Effect]
 	switch {
 	case t.Name == "":
-		return invalidKey(prefix+"name", "is missing")
+		return invalidKey(prefix+"name", "is required")
 	case !isKnown:
-		return invalidKey(prefix+"effect", "%q is not safe, keyed or unsafe", t.Effect)
+		return invalidKey(prefix+"effect", "unknown effect %q: must be safe, keyed or unsafe", t.Effect)
 	case t.Share < 0:
-		return invalidKey(prefix+"share", "is negative")
+		return invalidKey(prefix+"share", "must not be negative")
 	case t.GiveUp <= 0:
-		return invalidKey(prefix+"give_up", "is not above 0")
+		return invalidKey(prefix+"give_up", "must be above 0")
 	case t.Aim <= 0 || t.Aim > t.GiveUp:
-		return invalidKey(prefix+"aim", "is not above 0 and up to give_up")
+		return invalidKey(prefix+"aim", "must be above 0 and at most give_up")
 	case idempotency == balancer.IdempotentByKey && t.Window <= 0:
-		return invalidKey(prefix+"window", "is not above 0, but the class is keyed")
+		return invalidKey(prefix+"window", "must be above 0 for a keyed class")
 	}
 	return nil
 }
 
-// addPlans adds the plans.
+// addPlans checks the plans and adds them.
 func (f *scriptFile) addPlans(script *Script) error {
 	for i := range f.Plan {
 		table := &f.Plan[i]
 		isTaken := slices.ContainsFunc(script.Plans, func(other Plan) bool { return other.Name == table.Name })
 		if table.Name == "" || isTaken {
-			return invalidKey(fmt.Sprintf("plan[%d].name", i), "%q is no name, or stands twice", table.Name)
+			return invalidKey(fmt.Sprintf("plan[%d].name", i), "name %q is empty or already used", table.Name)
 		}
 		if table.Rate < 0 || table.Burst < 0 || table.CeilingRate < 0 || table.CeilingDepth < 0 ||
 			table.OverWorth < 0 || table.OverCost < 0 {
-			return invalidKey(fmt.Sprintf("plan[%d].rate", i), "or another figure is negative")
+			return invalidKey(fmt.Sprintf("plan[%d].rate", i), "the numbers of a plan must not be negative")
 		}
 		script.Plans = append(script.Plans, Plan{
 			Name: table.Name,
@@ -149,18 +149,18 @@
 	return nil
 }
 
-// addEndpoints adds the groups of endpoints. The classes must be there.
+// addEndpoints checks the groups of endpoints and adds them. The classes must have been added.
 func (f *scriptFile) addEndpoints(script *Script) error {
 	sum := 0
 	for i := range f.Servers {
 		table := &f.Servers[i]
 		prefix := fmt.Sprintf("servers[%d].", i)
 		if table.Group == "" || script.hasEndpointGroup(table.Group) {
-			return invalidKey(prefix+"group", "%q is no name, or stands twice", table.Group)
+			return invalidKey(prefix+"group", "name %q is empty or already used", table.Group)
 		}
 		sum += table.Count
 		if table.Count < 1 || sum > MaxEndpoints {
-			return invalidKey(prefix+"count", "%d is under 1, or all are over %d", table.Count, MaxEndpoints)
+			return invalidKey(prefix+"count", "%d must be at least 1, the sum at most %d", table.Count, MaxEndpoints)
 		}
 		config := table.config(script.Classes)
 		if err := config.Check(); err != nil {
@@ -175,7 +175,7 @@
 	return nil
 }
 
-// config returns the configuration of a group's endpoints. It is not checked.
+// config returns the configuration of the endpoints of a group, unchecked.
 func (t *endpointsTable) config(classes []Class) simulator.EndpointConfig {
 	config := simulator.EndpointConfig{
 		Cores:              t.Cores,
@@ -200,7 +200,8 @@
 	return config
 }
 
-// endpointKeyError is an error of an endpoint's configuration at its key. All classes have the key of one.
+// endpointKeyError converts an error of an endpoint configuration to a keyError. It drops the index of a class, as all
+// classes have their service time from the same key.
 func endpointKeyError(prefix string, err error) error {
 	field := ""
 	var invalid *simulator.EndpointConfigError
@@ -210,7 +211,7 @@
 	return &keyError{key: prefix + field, err: err}
 }
 
-// addAccounts adds the groups of accounts. The plans must be there.
+// addAccounts checks the groups of accounts and adds them. The plans must have been added.
 func (f *scriptFile) addAccounts(script *Script) error {
 	sum := 0
 	for i := range f.Accounts {
@@ -220,15 +221,15 @@
 		sum += table.Count
 		switch {
 		case table.Group == "" || script.hasAccountGroup(table.Group):
-			return invalidKey(prefix+"group", "%q is no name, or stands twice", table.Group)
+			return invalidKey(prefix+"group", "name %q is empty or already used", table.Group)
 		case plan < 0:
-			return invalidKey(prefix+"plan", "no plan is named %q", table.Plan)
+			return invalidKey(prefix+"plan", "plan %q does not exist", table.Plan)
 		case table.Count < 1 || sum > MaxAccounts:
-			return invalidKey(prefix+"count", "%d is under 1, or all are over %d", table.Count, MaxAccounts)
+			return invalidKey(prefix+"count", "%d must be at least 1, the sum at most %d", table.Count, MaxAccounts)
 		case !(table.Rate > 0) || table.Rate > MaxAccountRate:
-			return invalidKey(prefix+"rate", "%v is not above 0", table.Rate)
+			return invalidKey(prefix+"rate", "%v must be above 0 and at most 1e6", table.Rate)
 		case table.Spread < 0 || table.Spread > script.Gateways:
-			return invalidKey(prefix+"spread", "%d is not from 0 to the front doors' number", table.Spread)
+			return invalidKey(prefix+"spread", "%d must be from 0 to the number of gateways", table.Spread)
 		}
 		script.Accounts = append(script.Accounts, AccountGroup{
 			Group:  table.Group,
@@ -241,12 +242,12 @@
 	return nil
 }
 
-// hasEndpointGroup says that there is a group of endpoints of a name.
+// hasEndpointGroup reports whether the script has a group of endpoints with the given name.
 func (s *Script) hasEndpointGroup(name string) bool {
 	return slices.ContainsFunc(s.Endpoints, func(g EndpointGroup) bool { return g.Group == name })
 }
 
-// hasAccountGroup says that there is a group of accounts of a name.
+// hasAccountGroup reports whether the script has a group of accounts with the given name.
 func (s *Script) hasAccountGroup(name string) bool {
 	return slices.ContainsFunc(s.Accounts, func(g AccountGroup) bool { return g.Group == name })
 }
