--- a/internal/scenario/settings.go
+++ b/internal/scenario/settings.go
@@ -6,7 +6,7 @@
 	"gapgap/internal/balancer"
 )
 
-// settings returns those of each gateway.
+// settings returns the settings of each gateway, without its index.
 func (s *Script) settings() balancer.Settings {
 	settings := balancer.Settings{
 		Gateways:          s.Gateways,
@@ -26,7 +26,7 @@
 		MaxRequestUnits:   1,
 		LeaseCeilings:     s.LeaseCeilings,
 	}
-	// Operators configure what they know of their endpoints.
+	// Operators would configure the slow start and overload limits that they know of their endpoints.
 	if config := s.Endpoints[0].EndpointConfig; config.SlowStartCapacity > 0 && config.OverloadMultiple > 0 {
 		settings.SlowStartCapacity = config.SlowStartCapacity
 		settings.SlowStartDuration = config.SlowStartDuration
