--- a/internal/scenario/target.go
+++ b/internal/scenario/target.go
@@ -8,20 +8,20 @@
 	"strings"
 )
 
-// maxTargetsListed is how many targets of an event the trace names.
+// maxTargetsListed is the maximum number of targets that the trace lists for an event.
 const maxTargetsListed = 12
 
-// candidate is something that an event may choose as a target.
+// candidate is a potential target of an event.
 type candidate[T any] struct {
 	target T
-	// rank is random; the lowest are chosen.
+	// rank is random; the candidates with the lowest ranks are chosen.
 	rank uint64
-	// position is that among all that could be targets.
+	// position is the position in the list passed to chooseTargets.
 	position int
 }
 
-// chooseTargets chooses the targets of an event, in the order of from. The choice depends on the script's seed, the
-// event's name and the names of the candidates.
+// chooseTargets chooses the targets of an event and returns them in the order of from. The choice depends only on the
+// seed, the name of the event and the names of the candidates.
 func chooseTargets[T any](r *run, event Event, from []T, identify func(T) (name, group string)) []T {
 	var candidates []candidate[T]
 	for position, target := range from {
@@ -44,7 +44,7 @@
 	return targets
 }
 
-// targetCount is how many of a number of candidates are targets.
+// targetCount returns how many of the candidates are chosen.
 func (e *Event) targetCount(candidates int) int {
 	switch {
 	case e.Count > 0:
@@ -55,7 +55,7 @@
 	return candidates
 }
 
-// listTargets names the first targets and says how many there are beside them.
+// listTargets lists the names of the first targets, and the number of the remaining ones.
 func listTargets[T any](targets []T, name func(T) string) string {
 	listed := min(maxTargetsListed, len(targets))
 	var names []string
