--- a/internal/scenario/script_test.go
+++ b/internal/scenario/script_test.go
@@ -9,7 +9,7 @@
 	"gapgap/internal/tomlfile"
 )
 
-// An error in a script comes with its line and key.
+// TestScriptErrors verifies that an error in a script is reported with its line and key.
 func TestScriptErrors(t *testing.T) {
 	t.Parallel()
 	data, err := os.ReadFile(slowdownScript)
@@ -43,7 +43,7 @@
 		{`name = "dead"`, `name = "slow"`, "event[2].name"},
 	} {
 		if !strings.Contains(valid, invalid.old) {
-			t.Fatalf("the script has no %q", invalid.old)
+			t.Fatalf("the script does not contain %q", invalid.old)
 		}
 		var atKey *tomlfile.Error
 		_, err := Parse("x", []byte(strings.Replace(valid, invalid.old, invalid.new, 1)))
@@ -53,6 +53,7 @@
 	}
 }
 
+// FuzzScript verifies that scripts that are accepted have a duration, endpoints and gateways.
 func FuzzScript(f *testing.F) {
 	if data, err := os.ReadFile(slowdownScript); err == nil {
 		f.Add(string(data))
@@ -61,7 +62,7 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		script, err := Parse("x", []byte(text))
 		if err == nil && (script.Duration <= 0 || len(script.Endpoints) == 0 || script.Gateways < 1) {
-			t.Errorf("accepted: %+v", script)
+			t.Errorf("accepted an incomplete script: %+v", script)
 		}
 	})
 }
