--- a/internal/scenario/powerloss_test.go
+++ b/internal/scenario/powerloss_test.go
@@ -13,13 +13,14 @@
 
 const powerLossScript = "../../scenarios/power-loss.toml"
 
-// Seconds of the script in which power is lost, and in which the first gateways are back.
+// Seconds of the script in which power is lost and in which the first gateways restart.
 const (
 	powerLost     = 20
 	powerReturned = 22
 )
 
-// scaledPowerLoss is the loss of power at a number of gateways, with endpoints and accounts in proportion.
+// scaledPowerLoss returns the power-loss script for a number of gateways, with endpoints and accounts scaled in
+// proportion.
 func scaledPowerLoss(t *testing.T, gateways int, seed uint64) *Script {
 	t.Helper()
 	script, err := Load(powerLossScript)
@@ -38,8 +39,8 @@
 	return script
 }
 
-// secondsToRecover is how many seconds after the power is back a second first has a fraction of the former service; -1:
-// none has.
+// secondsToRecover returns after how many seconds from the return of power the service first reaches a fraction of its
+// former level; -1 if it never does.
 func secondsToRecover(report *Report, fraction float64) int {
 	former := 0.0
 	for _, tally := range report.Seconds[10:powerLost] {
@@ -53,20 +54,20 @@
 	return -1
 }
 
-// Power lost everywhere, 3 to 300 gateways that come back in waves to endpoints that have just started: no endpoint is
-// overloaded, no ceiling exceeded, no effect done twice by a gateway, and half of the former service is there again
-// within 3 s, 0.95 of it within 10 s.
+// TestPowerLostEverywhere verifies recovery from a power loss of the whole fleet, in which 3 to 300 gateways restart in
+// waves while all endpoints are in slow start. No endpoint may be overloaded, no ceiling exceeded and no effect done
+// twice by a gateway, and half of the former service must be back within 3 s, 0.95 of it within 10 s.
 func TestPowerLostEverywhere(t *testing.T) {
 	t.Parallel()
-	type play struct {
+	type testCase struct {
 		gateways int
 		seeds    int
 	}
-	plays := []play{{3, 3}, {20, 1}}
+	cases := []testCase{{3, 3}, {20, 1}}
 	if os.Getenv("GAPGAP_LONG") != "" {
-		plays = append(plays, play{3, 20}, play{20, 5}, play{80, 2}, play{300, 1})
+		cases = append(cases, testCase{3, 20}, testCase{20, 5}, testCase{80, 2}, testCase{300, 1})
 	}
-	for _, c := range plays {
+	for _, c := range cases {
 		for seed := range uint64(c.seeds) {
 			t.Run(fmt.Sprintf("%d gateways, seed %d", c.gateways, seed), func(t *testing.T) {
 				t.Parallel()
@@ -91,8 +92,8 @@
 	}
 }
 
-// The script's gateways come back in waves: the end of one kill does not start a gateway that another one still holds
-// down.
+// TestPowerLossScriptPlaysWaves verifies that the gateways of the script restart in waves: the end of one kill must not
+// restart a gateway that another kill still keeps down.
 func TestPowerLossScriptPlaysWaves(t *testing.T) {
 	t.Parallel()
 	r := newRun(scaledPowerLoss(t, 5, 0))
@@ -115,7 +116,7 @@
 	before, lost := alive(19*time.Second), alive(21*time.Second)
 	first, second, all := alive(22500*time.Millisecond), alive(24*time.Second), alive(27*time.Second)
 	if before != 5 || lost != 0 || first < 1 || first >= second || second >= all || all != 5 {
-		t.Errorf("alive: %d before, %d without power, then %d, %d, %d; want three waves",
+		t.Errorf("alive: %d before, %d during the power loss, then %d, %d, %d; want three waves",
 			before, lost, first, second, all)
 	}
 }
