--- a/internal/scenario/play_test.go
+++ b/internal/scenario/play_test.go
@@ -9,7 +9,7 @@
 	"gapgap/internal/balancer"
 )
 
-// slowdownScript is the incident that most tests begin with.
+// slowdownScript is the script that most tests start from.
 const slowdownScript = "../../scenarios/all-slow-one-silent.toml"
 
 func loadScript(t *testing.T) *Script {
@@ -30,7 +30,8 @@
 	return report
 }
 
-// The script, twice: the same events in the same order, and the same in each second. All rules are kept.
+// TestSameSeedSameRun verifies that two runs of a script with the same seed are identical and keep all rules, and that
+// another seed gives another run.
 func TestSameSeedSameRun(t *testing.T) {
 	t.Parallel()
 	first := mustRun(t, loadScript(t))
@@ -41,7 +42,7 @@
 		t.Error(violation)
 	}
 	if first.Digest != second.Digest || first.Events != second.Events || first.Service != second.Service {
-		t.Errorf("two runs of one script: %s %d %v and %s %d %v", first.Digest, first.Events, first.Service,
+		t.Errorf("two runs of one script differ: %s %d %v and %s %d %v", first.Digest, first.Events, first.Service,
 			second.Digest, second.Events, second.Service)
 	}
 	otherSeed := loadScript(t)
@@ -54,11 +55,12 @@
 	}
 }
 
-// What a gateway holds when it is killed is lost, and counted so; no other request is.
+// TestKilledGatewaysLoseWhatTheyHold verifies that the requests which a gateway holds when it is killed are counted as
+// lost, and no others.
 func TestKilledGatewaysLoseWhatTheyHold(t *testing.T) {
 	t.Parallel()
 	script := loadScript(t)
-	for i := range 3 { // how many requests a gateway holds at one instant is chance
+	for i := range 3 { // several kills, as the number of requests held at one instant is random
 		script.Events = append(script.Events[:i], Event{
 			Name:     fmt.Sprint("x", i),
 			Kind:     KillGateways,
@@ -73,7 +75,7 @@
 	}
 }
 
-// withExtraEndpoint is the script with one endpoint more, in a group of its own, and other events.
+// withExtraEndpoint returns the script with an additional endpoint in its own group, and with other events.
 func withExtraEndpoint(t *testing.T, events ...Event) *Script {
 	t.Helper()
 	script := loadScript(t)
@@ -85,7 +87,8 @@
 	return script
 }
 
-// redirectEveryFourth sends each fourth attempt to one endpoint. It would be rejected for want of room if all were.
+// redirectEveryFourth sends every fourth attempt to one endpoint. Sending it all attempts would fill its queue, and it
+// would reject them.
 func redirectEveryFourth(endpointName string) func(balancer.Action) []balancer.Action {
 	dispatched := 0
 	return func(action balancer.Action) []balancer.Action {
@@ -101,7 +104,7 @@
 	}
 }
 
-// dropRejections makes a gateway give no answer in place of a rejection.
+// dropRejections makes a gateway give no answer instead of a rejection.
 func dropRejections(action balancer.Action) []balancer.Action {
 	if _, isReject := action.(balancer.Reject); isReject {
 		return nil
@@ -109,7 +112,7 @@
 	return []balancer.Action{action}
 }
 
-// answerLate makes a gateway wait for attempts beyond the client's deadline.
+// answerLate makes a gateway wait for attempts past the client's deadline.
 func answerLate(action balancer.Action) []balancer.Action {
 	switch action := action.(type) {
 	case balancer.Dispatch:
@@ -121,7 +124,7 @@
 	return []balancer.Action{action}
 }
 
-// dispatchTwice makes a gateway send each attempt twice.
+// dispatchTwice makes a gateway dispatch each attempt twice.
 func dispatchTwice(action balancer.Action) []balancer.Action {
 	if _, isDispatch := action.(balancer.Dispatch); isDispatch {
 		return []balancer.Action{action, action}
@@ -129,7 +132,7 @@
 	return []balancer.Action{action}
 }
 
-// brokenGateways are scripts whose gateways break a rule each, by what a violation of it contains.
+// brokenGateways returns scripts whose gateways each violate one rule. The keys are text of the expected violations.
 func brokenGateways(t *testing.T) map[string]*Script {
 	t.Helper()
 	unanswered := loadScript(t)
@@ -160,7 +163,7 @@
 	})
 	overloaded.intercept = redirectEveryFourth("more-0")
 	ceiling := loadScript(t)
-	ceiling.changeSettings = func(settings *balancer.Settings) { // each takes the whole ceiling for its own
+	ceiling.changeSettings = func(settings *balancer.Settings) { // each gateway uses the whole ceiling by itself
 		settings.Gateways = 1
 		settings.Index = 0
 	}
@@ -175,22 +178,24 @@
 	}
 }
 
-// A gateway that is deliberately broken in one of the five ways is found by the right check, and by no other.
+// TestFindsBrokenRules verifies that each gateway fault of brokenGateways is found by the check of its rule, and by no
+// other check.
 func TestFindsBrokenRules(t *testing.T) {
 	t.Parallel()
 	for rule, script := range brokenGateways(t) {
 		report := mustRun(t, script)
 		if len(report.Violations) == 0 {
-			t.Errorf("%q is not found", rule)
+			t.Errorf("no violation of %q was found", rule)
 		}
 		for _, violation := range report.Violations {
 			if !strings.Contains(violation, rule) {
-				t.Errorf("wanted %q only: %s", rule, violation)
+				t.Errorf("want violations of %q only: %s", rule, violation)
 				break
 			}
 		}
 	}
-	// Clients that ask again with the same key when the endpoints have forgotten it: see docs/design/rehearsal.md.
+	// A client that retries with the same key after the dedup window causes a duplicate effect: see
+	// docs/design/rehearsal.md.
 	sameKey := loadScript(t)
 	sameKey.RetryWithSameKey = true
 	report := mustRun(t, sameKey)
