--- a/internal/scenario/page/page.go
+++ b/internal/scenario/page/page.go
@@ -1,4 +1,5 @@
-// Package page writes the report of a scenario as one HTML page with plots. The page has no script and loads nothing.
+// Package page renders the report of a scenario as a self-contained HTML page with plots, without scripts or external
+// resources.
 package page
 
 import (
@@ -10,13 +11,13 @@
 	"gapgap/internal/scenario"
 )
 
-// content is what the template is executed with.
+// content is the data passed to the template.
 type content struct {
 	Report *scenario.Report
 	Plots  []template.HTML
 }
 
-// Write writes the page of a report.
+// Write renders the page of a report.
 func Write(w io.Writer, report *scenario.Report) error {
 	var plots []template.HTML
 	for i := range charts {
@@ -29,10 +30,10 @@
 	return pageTemplate.Execute(w, content{Report: report, Plots: plots})
 }
 
-// pageText is the template of the page.
+// pageText is the source of the page template.
 //
 //go:embed page.html
 var pageText string
 
-// pageTemplate is parsed from pageText.
+// pageTemplate is the parsed page template.
 var pageTemplate = template.Must(template.New("page").Parse(pageText))
