--- a/internal/scenario/page/plot.go
+++ b/internal/scenario/page/plot.go
@@ -24,13 +24,13 @@
 	plotHeight = 2.6 * vg.Inch
 )
 
-// Style of the lines that mark what the script did.
+// Style of the lines that mark the events of the script.
 const (
 	eventLineGray = 160
 	eventLineDash = 3 // in points
 )
 
-// curve is one curve of a plot, by second.
+// curve is one curve of a plot, with one value per second.
 type curve struct {
 	name  string
 	value func(*scenario.Tally) float64
@@ -39,36 +39,36 @@
 // chart describes one plot.
 type chart struct {
 	title string
-	// top is the least value of the top of the lines that mark events.
+	// top is the minimum height of the lines that mark events.
 	top    float64
 	curves []curve
 }
 
-// charts are the plots of a page, from the top down.
+// charts are the plots of a page, from top to bottom.
 var charts = []chart{
 	{
-		title:  "Service: worth answered in time over the worth asked for",
+		title:  "Service: fraction of the priority weight answered in time",
 		top:    1.05,
 		curves: []curve{{name: "service", value: (*scenario.Tally).Service}},
 	},
 	{
-		title: "Requests by the second in which they were first asked",
+		title: "Requests by the second in which they were first sent",
 		curves: []curve{
-			{name: "asked", value: func(t *scenario.Tally) float64 { return float64(t.Requests) }},
+			{name: "requests", value: func(t *scenario.Tally) float64 { return float64(t.Requests) }},
 			{name: "in time", value: func(t *scenario.Tally) float64 { return float64(t.InTime) }},
-			{name: "refused", value: func(t *scenario.Tally) float64 { return float64(t.Rejected) }},
+			{name: "rejected", value: func(t *scenario.Tally) float64 { return float64(t.Rejected) }},
 			{name: "failed, late or lost", value: func(t *scenario.Tally) float64 {
 				return float64(t.Failed + t.Late + t.Lost)
 			}},
 		},
 	},
 	{
-		title:  "Requests that flag servers hold",
+		title:  "Requests held by endpoints",
 		curves: []curve{{name: "held", value: func(t *scenario.Tally) float64 { return float64(t.Held) }}},
 	},
 }
 
-// svg draws the chart of a report, with a line at each time when the script did something.
+// svg draws the chart of a report, with a vertical line at each event of the script.
 func (c *chart) svg(report *scenario.Report) (template.HTML, error) {
 	p := plot.New()
 	p.Title.Text = c.title
@@ -96,7 +96,7 @@
 	return render(p)
 }
 
-// line returns the curve's line and its highest value, at least 0.
+// line returns the line of the curve and its highest value, at least 0.
 func (c *curve) line(report *scenario.Report) (line *plotter.Line, highest float64, err error) {
 	points := make(plotter.XYs, len(report.Seconds))
 	for second := range report.Seconds {
@@ -108,12 +108,12 @@
 	return line, highest, err
 }
 
-// eventLine returns a line up to a height at the time of an entry of a trace.
+// eventLine returns a vertical line, from 0 to top, at the time of a trace entry.
 func eventLine(entry string, top float64) (*plotter.Line, error) {
 	timestamp, _, _ := strings.Cut(strings.TrimSpace(entry), " ")
 	second, err := strconv.ParseFloat(timestamp, 64)
 	if err != nil {
-		return nil, fmt.Errorf("the trace's %q: %w", entry, err)
+		return nil, fmt.Errorf("trace entry %q: %w", entry, err)
 	}
 	line, err := plotter.NewLine(plotter.XYs{{X: second, Y: 0}, {X: second, Y: top}})
 	if err != nil {
@@ -133,8 +133,8 @@
 		return "", err
 	}
 	text := buffer.String()
-	if i := strings.Index(text, "<svg"); i > 0 { // the XML declaration belongs to files only
+	if i := strings.Index(text, "<svg"); i > 0 { // the XML declaration is not valid inside HTML
 		text = text[i:]
 	}
-	return template.HTML(text), nil // safe: it was drawn from numbers and constants
+	return template.HTML(text), nil // safe: contains only numbers and constants
 }
