--- a/cmd/simulate/main.go
+++ b/cmd/simulate/main.go
@@ -1,13 +1,14 @@
-// Command simulate plays scripted incidents in virtual time, and compares runs. `simulate --help` lists its commands.
+// Command simulate runs scripted incidents in virtual time and compares the results. `simulate --help` lists its
+// commands.
 //
 //	simulate check SCRIPT
-//	    whether a script is valid
+//	    check a script without running it
 //	simulate run [--seed N] [--json] [--html FILE] SCRIPT
-//	    play it; exit code 1 if a rule was broken
+//	    run a script; exit code 1 if a rule is violated
 //	simulate diff [--within 0.01] A B
-//	    compare two reports of run --json; exit code 1 if they differ past the tolerance
+//	    compare two reports of run --json; exit code 1 if they differ by more than the tolerance
 //
-// The directory scenarios has scripts. The package internal/scenario documents their keys, in scriptfile.go and
+// The directory scenarios contains scripts. The package internal/scenario documents their keys, in scriptfile.go and
 // event.go.
 package main
 
@@ -22,11 +23,11 @@
 
 func main() { os.Exit(cli.Run(context.Background(), newRootCommand(), os.Args[1:], os.Stderr)) }
 
-// newRootCommand returns the command line of the program.
+// newRootCommand returns the root command.
 func newRootCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use:   "simulate",
-		Short: "Play scripted incidents against front doors in virtual time",
+		Short: "Run scripted incidents against gateways in virtual time",
 	}
 	root.AddCommand(newRunCommand(), newDiffCommand(), newCheckCommand())
 	return root
