--- a/cmd/simulate/check.go
+++ b/cmd/simulate/check.go
@@ -12,13 +12,13 @@
 func newCheckCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check SCRIPT",
-		Short: "Say what is wrong with a script, without playing it",
+		Short: "Check a script without running it",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
 			if _, err := scenario.Load(args[0]); err != nil {
 				return err
 			}
-			_, err := fmt.Fprintln(command.OutOrStdout(), args[0]+": good")
+			_, err := fmt.Fprintln(command.OutOrStdout(), args[0]+": valid")
 			return err
 		},
 	}
