--- a/cmd/simulate/diff.go
+++ b/cmd/simulate/diff.go
@@ -13,18 +13,18 @@
 	"gapgap/internal/scenario"
 )
 
-// defaultTolerance is by how much the service of two reports, a fraction from 0 to 1, may differ.
+// defaultTolerance is the default tolerance for the difference in service, a fraction from 0 to 1.
 const defaultTolerance = 0.01
 
-// errNoReport is the error of a file that is not a report in JSON.
-var errNoReport = errors.New("is no report of simulate run --json")
+// errNotReport means that a file is not a JSON report.
+var errNotReport = errors.New("not a report of simulate run --json")
 
 // newDiffCommand returns the command that compares two reports.
 func newDiffCommand() *cobra.Command {
 	var tolerance float64
 	command := &cobra.Command{
 		Use:   "diff A B",
-		Short: "Compare two reports in JSON; it fails past the tolerance",
+		Short: "Compare two JSON reports; fail if they differ by more than the tolerance",
 		Args:  cobra.ExactArgs(2),
 		RunE: func(command *cobra.Command, args []string) error {
 			first, err := readReport(args[0])
@@ -41,11 +41,11 @@
 			return compareReports(first, second, tolerance)
 		},
 	}
-	command.Flags().Float64Var(&tolerance, "within", defaultTolerance, "by how much service may differ")
+	command.Flags().Float64Var(&tolerance, "within", defaultTolerance, "maximum difference in service")
 	return command
 }
 
-// readReport reads a report in JSON. Its error names the file.
+// readReport reads a JSON report. Errors contain the file name.
 func readReport(name string) (*scenario.Report, error) {
 	data, err := os.ReadFile(name)
 	if err != nil {
@@ -56,34 +56,35 @@
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
 	if report.Digest == "" {
-		return nil, fmt.Errorf("%s: %w", name, errNoReport)
+		return nil, fmt.Errorf("%s: %w", name, errNotReport)
 	}
 	return report, nil
 }
 
-// writeComparison writes the totals of two reports.
+// writeComparison writes the totals of both reports.
 func writeComparison(out io.Writer, first, second *scenario.Report) error {
 	a := &first.Totals
 	b := &second.Totals
 	_, err := fmt.Fprintf(out, "service %.4f and %.4f\n"+
-		"refused %d and %d, late %d and %d, failed %d and %d, lost %d and %d\n",
+		"rejected %d and %d, late %d and %d, failed %d and %d, lost %d and %d\n",
 		first.Service, second.Service,
 		a.Rejected, b.Rejected, a.Late, b.Late, a.Failed, b.Failed, a.Lost, b.Lost)
 	return err
 }
 
-// compareReports returns an error if the events of the second report had other times or targets (another script, or
-// another seed that draws other targets), if it breaks more rules, or if its service differs by more than the
-// tolerance.
+// compareReports returns an error if the events of the reports had different times or targets (different scripts, or
+// seeds that choose different targets), if the second report has more violations, or if the service differs by more
+// than the tolerance.
 func compareReports(first, second *scenario.Report, tolerance float64) error {
 	difference := math.Abs(first.Service - second.Service)
 	switch {
 	case first.Digest != second.Digest:
-		return fmt.Errorf("the scripts did other things: traces %s and %s", first.Digest, second.Digest)
+		return fmt.Errorf("the runs had different events: traces %s and %s", first.Digest, second.Digest)
 	case len(second.Violations) > len(first.Violations):
-		return fmt.Errorf("the second breaks %d rules, the first %d", len(second.Violations), len(first.Violations))
+		return fmt.Errorf("%d violations in the second report, %d in the first",
+			len(second.Violations), len(first.Violations))
 	case difference > tolerance:
-		return fmt.Errorf("service differs by %.4f, over %.4f", difference, tolerance)
+		return fmt.Errorf("service differs by %.4f, more than the tolerance %.4f", difference, tolerance)
 	}
 	return nil
 }
