--- a/cmd/simulate/run.go
+++ b/cmd/simulate/run.go
@@ -15,33 +15,33 @@
 
 // runOptions are the flags of the run command.
 type runOptions struct {
-	// seed is in place of the script's if hasSeed is set.
+	// seed overrides the seed of the script if hasSeed is set.
 	seed    int64
 	hasSeed bool
-	// pageFile is the file for the page with plots; empty: none is written.
+	// pageFile is the output file for the HTML page; if empty, none is written.
 	pageFile string
 	asJSON   bool
 }
 
-// newRunCommand returns the command that plays a script.
+// newRunCommand returns the command that runs a script.
 func newRunCommand() *cobra.Command {
 	var options runOptions
 	command := &cobra.Command{
 		Use:   "run SCRIPT",
-		Short: "Play a script; it fails if a rule is broken",
+		Short: "Run a script; fail if a rule is violated",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
 			options.hasSeed = command.Flags().Changed("seed")
 			return runScript(command.OutOrStdout(), args[0], options)
 		},
 	}
-	command.Flags().Int64Var(&options.seed, "seed", 0, "a seed in place of the script's")
-	command.Flags().StringVar(&options.pageFile, "html", "", "write a page with plots to a file")
-	command.Flags().BoolVar(&options.asJSON, "json", false, "print JSON, for simulate diff")
+	command.Flags().Int64Var(&options.seed, "seed", 0, "override the seed of the script")
+	command.Flags().StringVar(&options.pageFile, "html", "", "write an HTML page with plots to a file")
+	command.Flags().BoolVar(&options.asJSON, "json", false, "print the report as JSON, for simulate diff")
 	return command
 }
 
-// runScript plays a script and writes its report. It returns an error also if a rule was broken.
+// runScript runs a script and writes its report. It also returns an error if a rule was violated.
 func runScript(out io.Writer, scriptFile string, options runOptions) error {
 	script, err := scenario.Load(scriptFile)
 	if err != nil {
@@ -63,12 +63,12 @@
 		return err
 	}
 	if violations := len(report.Violations); violations > 0 {
-		return fmt.Errorf("%d rules were broken", violations)
+		return fmt.Errorf("%d rule violations", violations)
 	}
 	return nil
 }
 
-// writePage writes the page with plots of a report to a file.
+// writePage writes the HTML page of a report to a file.
 func writePage(file string, report *scenario.Report) error {
 	var buffer bytes.Buffer
 	if err := page.Write(&buffer, report); err != nil {
