--- a/cmd/simulate/main_test.go
+++ b/cmd/simulate/main_test.go
@@ -10,7 +10,7 @@
 	"gapgap/internal/cli"
 )
 
-// simulate runs a command line and returns its exit code, its output and its errors.
+// simulate runs a command line and returns its exit code, standard output and standard error.
 func simulate(t *testing.T, args ...string) (code int, output, errorOutput string) {
 	t.Helper()
 	var stdout, stderr bytes.Buffer
@@ -20,7 +20,7 @@
 	return code, stdout.String(), stderr.String()
 }
 
-// libraryScripts are the scripts of the repository.
+// libraryScripts returns the file names of the scripts in the directory scenarios.
 func libraryScripts(t *testing.T) []string {
 	t.Helper()
 	scripts, err := filepath.Glob("../../scenarios/*.toml")
@@ -30,7 +30,7 @@
 	return scripts
 }
 
-// Each script of the repository is valid, and keeps the rules.
+// TestLibraryKeepsTheRules verifies that each script in the directory scenarios is valid and runs without violations.
 func TestLibraryKeepsTheRules(t *testing.T) {
 	for _, script := range libraryScripts(t) {
 		code, output, errorOutput := simulate(t, "run", script)
@@ -40,7 +40,8 @@
 	}
 }
 
-// A run is printed, compared with itself and with one of another seed.
+// TestCommandLine verifies the commands run, diff and check. diff must accept identical reports, and fail for a report
+// of another seed and for a file that is not a report.
 func TestCommandLine(t *testing.T) {
 	script := libraryScripts(t)[0]
 	dir := t.TempDir()
@@ -68,7 +69,7 @@
 	}
 }
 
-// The page of a run has its plots and its trace, and loads nothing.
+// TestPage verifies that the HTML page of a run contains its plots and trace, and no scripts or external resources.
 func TestPage(t *testing.T) {
 	html := filepath.Join(t.TempDir(), "page.html")
 	code, output, errorOutput := simulate(t, "run", libraryScripts(t)[0], "--html", html)
@@ -79,6 +80,6 @@
 	text := string(data)
 	if err != nil || strings.Count(text, "<svg") != 3 || strings.Contains(text, "<script") ||
 		strings.Contains(text, "src=") || !strings.Contains(text, "killed begins") {
-		t.Errorf("the page has not what it should: %v, %d bytes", err, len(data))
+		t.Errorf("unexpected page content: %v, %d bytes", err, len(data))
 	}
 }
