--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,6 @@
-// Command simadapter hosts one balancer.Balancer for each instance on the simulator's wire.
+// Command simadapter connects the decision module to an external simulator. It reads batches of the simulator's wire
+// protocol on standard input, passes them to one [balancer.Balancer] per instance, and writes the actions to standard
+// output.
 package main
 
 import (
@@ -12,7 +14,7 @@
 	"gapgap/internal/wire"
 )
 
-// outputBufferBytes holds the actions of a large batch.
+// outputBufferBytes is the size of the output buffer, large enough for the actions of a large batch.
 const outputBufferBytes = 1 << 20
 
 func main() {
@@ -22,7 +24,7 @@
 	}
 }
 
-// run answers batches until the input ends.
+// run answers batches until the end of the input.
 func run(in io.Reader, out io.Writer) error {
 	reader := wire.NewReader(in)
 	a := &adapter{
@@ -43,16 +45,17 @@
 	}
 }
 
-// adapter holds the instances of a simulation.
+// adapter holds the decision module instances of a simulation.
 type adapter struct {
-	// instances are by the simulator's names.
+	// instances are the instances by the simulator's names.
 	instances map[string]*balancer.Balancer
 	out       *bufio.Writer
-	// line is the buffer in which actions are written.
+	// line is a reusable buffer for encoding actions.
 	line []byte
 }
 
-// answer applies the items of a batch in order and writes the actions, closed by the batch's number.
+// answer applies the items of a batch in order and writes the resulting actions, followed by a YIELD line with the
+// sequence number of the batch.
 func (a *adapter) answer(batch *wire.Batch) error {
 	items := batch.Items
 	for len(items) > 0 {
@@ -68,8 +71,8 @@
 	return a.out.Flush()
 }
 
-// apply applies the first item, together with the events of the same instance that follow one, and returns how many it
-// has applied.
+// apply applies the first item and returns the number of applied items. If the first item is an event, the directly
+// following events of the same instance are applied in the same step.
 func (a *adapter) apply(batch *wire.Batch, items []wire.Item) (applied int, err error) {
 	first := items[0]
 	if first.Start {
@@ -93,7 +96,7 @@
 	return len(events), a.write(first.Door, instance.Step(batch.Now, events))
 }
 
-// start starts an instance.
+// start creates an instance, which replaces an earlier one of the same name.
 func (a *adapter) start(item wire.Item) error {
 	instance, err := balancer.New(item.Settings, item.Seed)
 	if err != nil {
@@ -103,7 +106,7 @@
 	return nil
 }
 
-// write writes the actions of an instance.
+// write encodes and writes the actions of an instance.
 func (a *adapter) write(name string, actions []balancer.Action) error {
 	for _, action := range actions {
 		a.line = wire.Append(a.line[:0], name, action)
