--- a/internal/scenario/fault.go
+++ b/internal/scenario/fault.go
@@ -7,37 +7,37 @@
 	"gapgap/internal/balancer"
 )
 
-// rampSteps is the number of steps in which a slowdown reaches its factor.
+// rampSteps is the number of equal steps in which a slowdown reaches its factor.
 const rampSteps = 10
 
-// effect is what an event has done.
-type effect struct {
-	// targets is how the trace names what it was done to.
+// appliedEvent describes an event that has been applied.
+type appliedEvent struct {
+	// targets lists the targets for the trace.
 	targets string
-	// end undoes it; nil: there is nothing to undo.
-	end func()
+	// undo reverts the event; nil if there is nothing to revert.
+	undo func()
 }
 
-// beginEvent applies an event, and schedules its end and the start of the events after it.
+// beginEvent applies an event, and schedules its end and the events that follow it.
 func (r *run) beginEvent(event Event) {
 	done := r.apply(event)
-	r.note("%s begins: %s %s", event.Name, event.Kind, done.targets)
+	r.traceEvent("%s begins: %s %s", event.Name, event.Kind, done.targets)
 	if event.Duration == 0 {
 		return
 	}
 	r.world.After(event.Duration, func() {
-		if done.end != nil {
-			done.end()
+		if done.undo != nil {
+			done.undo()
 		}
-		r.note("%s ends", event.Name)
-		for _, follower := range r.followers[event.Name] {
+		r.traceEvent("%s ends", event.Name)
+		for _, follower := range r.eventsAfter[event.Name] {
 			r.world.After(follower.At, func() { r.beginEvent(follower) })
 		}
 	})
 }
 
-// apply carries an event out.
-func (r *run) apply(event Event) effect {
+// apply applies an event to its targets.
+func (r *run) apply(event Event) appliedEvent {
 	switch {
 	case event.Kind.isOfCounter():
 		return r.applyToCounter(event)
@@ -49,30 +49,30 @@
 	return r.applyToEndpoints(event)
 }
 
-// applyToCounter carries out an event of the counter.
-func (r *run) applyToCounter(event Event) effect {
+// applyToCounter applies an event of the counter.
+func (r *run) applyToCounter(event Event) appliedEvent {
 	counter := r.world.Counter
 	switch event.Kind {
 	case CounterUnreachable:
 		counter.IsUnreachable = true
-		return effect{end: func() { counter.IsUnreachable = false }}
+		return appliedEvent{undo: func() { counter.IsUnreachable = false }}
 	case CounterSilent:
 		counter.IsSilent = true
-		return effect{end: func() { counter.IsSilent = false }}
+		return appliedEvent{undo: func() { counter.IsSilent = false }}
 	case CounterSlow:
 		latencyBefore := counter.Latency
 		counter.Latency = event.CounterLatency
-		return effect{
+		return appliedEvent{
 			targets: fmt.Sprint(event.CounterLatency),
-			end:     func() { counter.Latency = latencyBefore },
+			undo:    func() { counter.Latency = latencyBefore },
 		}
 	}
 	counter.Clear()
-	return effect{}
+	return appliedEvent{}
 }
 
-// floodAccounts makes accounts send more requests.
-func (r *run) floodAccounts(event Event) effect {
+// floodAccounts multiplies the request rate of accounts.
+func (r *run) floodAccounts(event Event) appliedEvent {
 	targets := chooseTargets(r, event, r.accounts, func(a *account) (name, group string) {
 		return a.name, a.group.Group
 	})
@@ -82,42 +82,42 @@
 		}
 	}
 	setFactor(event.Factor)
-	return effect{
+	return appliedEvent{
 		targets: listTargets(targets, func(a *account) string { return a.name }),
-		end:     func() { setFactor(1) },
+		undo:    func() { setFactor(1) },
 	}
 }
 
-// killGateways kills gateways, and starts those anew at the end that no other event holds down.
-func (r *run) killGateways(event Event) effect {
+// killGateways kills gateways. At the end it restarts those that no other event keeps down.
+func (r *run) killGateways(event Event) appliedEvent {
 	indexes := make([]int, len(r.world.Gateways))
 	for i := range indexes {
 		indexes[i] = i
 	}
 	targets := chooseTargets(r, event, indexes, func(index int) (name, group string) {
-		return fmt.Sprint("door-", index), "" // another name would choose others by the same seed
+		return fmt.Sprint("door-", index), "" // another name would change the targets of existing seeds
 	})
 	for _, index := range targets {
-		r.killsOf[index]++
+		r.activeKills[index]++
 		r.world.Gateways[index].Kill()
 	}
-	return effect{
+	return appliedEvent{
 		targets: listTargets(targets, func(index int) string { return fmt.Sprint(index) }),
-		end: func() {
+		undo: func() {
 			for _, index := range targets {
-				if r.killsOf[index]--; r.killsOf[index] > 0 {
+				if r.activeKills[index]--; r.activeKills[index] > 0 {
 					continue
 				}
 				if err := r.world.Gateways[index].Start(); err != nil {
-					panic(err) // the same settings were valid at the first start
+					panic(err) // impossible: the same settings were valid at the first start
 				}
 			}
 		},
 	}
 }
 
-// applyToEndpoints carries out an event of endpoints.
-func (r *run) applyToEndpoints(event Event) effect {
+// applyToEndpoints applies an event of endpoints.
+func (r *run) applyToEndpoints(event Event) appliedEvent {
 	targets := chooseTargets(r, event, r.endpoints, func(e *endpoint) (name, group string) {
 		return e.Name, e.group
 	})
@@ -126,27 +126,27 @@
 			do(target)
 		}
 	}
-	done := effect{targets: listTargets(targets, func(e *endpoint) string { return e.Name })}
+	done := appliedEvent{targets: listTargets(targets, func(e *endpoint) string { return e.Name })}
 	switch event.Kind {
 	case SlowEndpoints:
 		r.rampSlowdown(targets, 1, event.Factor, event.Ramp)
-		done.end = func() { r.rampSlowdown(targets, event.Factor, 1, event.Ramp) }
+		done.undo = func() { r.rampSlowdown(targets, event.Factor, 1, event.Ramp) }
 	case SilenceEndpoints:
 		forEach(func(e *endpoint) { e.SetSilent(true) })
-		done.end = func() { forEach(r.restartEndpoint) }
+		done.undo = func() { forEach(r.restartEndpoint) }
 	case PauseEndpoints:
 		forEach(func(e *endpoint) { e.Pause(event.Duration) })
 	case CrashEndpoints:
 		forEach(func(e *endpoint) { e.Crash() })
-		done.end = func() { forEach(r.restartEndpoint) }
+		done.undo = func() { forEach(r.restartEndpoint) }
 	case DrainEndpoints:
 		forEach(func(e *endpoint) { r.announce(e, balancer.Draining) })
-		done.end = func() { forEach(func(e *endpoint) { r.announce(e, balancer.Serving) }) }
+		done.undo = func() { forEach(func(e *endpoint) { r.announce(e, balancer.Serving) }) }
 	}
 	return done
 }
 
-// rampSlowdown changes the slowdown of endpoints evenly within a time; 0: at once.
+// rampSlowdown changes the slowdown of endpoints linearly, in rampSteps steps. A duration of 0 means at once.
 func (r *run) rampSlowdown(targets []*endpoint, from, to float64, duration time.Duration) {
 	for step := 1; step <= rampSteps; step++ {
 		if duration == 0 && step < rampSteps {
@@ -161,13 +161,13 @@
 	}
 }
 
-// restartEndpoint starts an endpoint anew, at its configured speed, and has discovery list it as serving.
+// restartEndpoint restarts an endpoint at its configured speed, and makes discovery list it as serving.
 func (r *run) restartEndpoint(restarted *endpoint) {
 	restarted.Restart()
 	r.announce(restarted, balancer.Serving)
 }
 
-// announce has discovery notify each gateway of an endpoint's state, each after a delay of its own.
+// announce makes discovery notify each gateway of an endpoint's state, after a random delay for each gateway.
 func (r *run) announce(announced *endpoint, state balancer.EndpointState) {
 	now := r.world.Now
 	startedAt := time.Duration(0)
@@ -175,7 +175,7 @@
 		startedAt = announced.StartedAt()
 	}
 	for i, gateway := range r.world.Gateways {
-		// Another label would give other runs of the same seed.
+		// Another label would change the runs of existing seeds.
 		rng := r.world.Rand("told", announced.Name, now, i)
 		delay := time.Duration(rng.Float64() * float64(r.script.DiscoveryDelay))
 		r.world.After(delay, func() {
--- a/internal/scenario/play_test.go
+++ b/internal/scenario/play_test.go
@@ -9,7 +9,7 @@
 	"gapgap/internal/balancer"
 )
 
-// slowdownScript is the incident that most tests begin with.
+// slowdownScript is the script that most tests start from.
 const slowdownScript = "../../scenarios/all-slow-one-silent.toml"
 
 func loadScript(t *testing.T) *Script {
@@ -21,32 +21,33 @@
 	return script
 }
 
-func mustPlay(t *testing.T, script *Script) *Report {
+func mustRun(t *testing.T, script *Script) *Report {
 	t.Helper()
-	report, err := Play(script)
+	report, err := Run(script)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return report
 }
 
-// The script, twice: the same events in the same order, and the same in each second. All rules are kept.
+// TestSameSeedSameRun verifies that two runs of a script with the same seed are identical and keep all rules, and that
+// another seed gives another run.
 func TestSameSeedSameRun(t *testing.T) {
 	t.Parallel()
-	first := mustPlay(t, loadScript(t))
-	second := mustPlay(t, loadScript(t))
+	first := mustRun(t, loadScript(t))
+	second := mustRun(t, loadScript(t))
 	t.Logf("service %.4f, totals %+v, %d events, %d calls in %v\n%s", first.Service, first.Totals, first.Events,
 		first.CounterCalls, first.Elapsed, strings.Join(first.Trace, "\n"))
 	for _, violation := range first.Violations {
 		t.Error(violation)
 	}
 	if first.Digest != second.Digest || first.Events != second.Events || first.Service != second.Service {
-		t.Errorf("two runs of one script: %s %d %v and %s %d %v", first.Digest, first.Events, first.Service,
+		t.Errorf("two runs of one script differ: %s %d %v and %s %d %v", first.Digest, first.Events, first.Service,
 			second.Digest, second.Events, second.Service)
 	}
 	otherSeed := loadScript(t)
 	otherSeed.Seed++
-	if other := mustPlay(t, otherSeed); other.Service == first.Service || other.Events == first.Events {
+	if other := mustRun(t, otherSeed); other.Service == first.Service || other.Events == first.Events {
 		t.Error("another seed gives the same run")
 	}
 	if first.Totals.Requests < 5000 || first.Service < 0.5 || first.Service > 0.999 {
@@ -54,11 +55,12 @@
 	}
 }
 
-// What a gateway holds when it is killed is lost, and counted so; no other request is.
+// TestKilledGatewaysLoseWhatTheyHold verifies that the requests which a gateway holds when it is killed are counted as
+// lost, and no others.
 func TestKilledGatewaysLoseWhatTheyHold(t *testing.T) {
 	t.Parallel()
 	script := loadScript(t)
-	for i := range 3 { // how many requests a gateway holds at one instant is chance
+	for i := range 3 { // several kills, as the number of requests held at one instant is random
 		script.Events = append(script.Events[:i], Event{
 			Name:     fmt.Sprint("x", i),
 			Kind:     KillGateways,
@@ -67,14 +69,14 @@
 			Count:    1,
 		})
 	}
-	report := mustPlay(t, script)
+	report := mustRun(t, script)
 	if report.Totals.Lost < 2 || report.Totals.Lost > 60 || len(report.Violations) > 0 {
 		t.Errorf("%d lost, %v", report.Totals.Lost, report.Violations)
 	}
 }
 
-// withOneEndpointMore is the script with one endpoint more, in a group of its own, and other events.
-func withOneEndpointMore(t *testing.T, events ...Event) *Script {
+// withExtraEndpoint returns the script with an additional endpoint in its own group, and with other events.
+func withExtraEndpoint(t *testing.T, events ...Event) *Script {
 	t.Helper()
 	script := loadScript(t)
 	added := script.Endpoints[0]
@@ -85,8 +87,9 @@
 	return script
 }
 
-// redirectEachFourth sends each fourth attempt to one endpoint. It would be rejected for want of room if all were.
-func redirectEachFourth(endpointName string) func(balancer.Action) []balancer.Action {
+// redirectEveryFourth sends every fourth attempt to one endpoint. Sending it all attempts would fill its queue, and it
+// would reject them.
+func redirectEveryFourth(endpointName string) func(balancer.Action) []balancer.Action {
 	dispatched := 0
 	return func(action balancer.Action) []balancer.Action {
 		dispatch, isDispatch := action.(balancer.Dispatch)
@@ -101,7 +104,7 @@
 	}
 }
 
-// dropRejections makes a gateway give no answer in place of a rejection.
+// dropRejections makes a gateway give no answer instead of a rejection.
 func dropRejections(action balancer.Action) []balancer.Action {
 	if _, isReject := action.(balancer.Reject); isReject {
 		return nil
@@ -109,7 +112,7 @@
 	return []balancer.Action{action}
 }
 
-// answerLate makes a gateway wait for attempts beyond the client's deadline.
+// answerLate makes a gateway wait for attempts past the client's deadline.
 func answerLate(action balancer.Action) []balancer.Action {
 	switch action := action.(type) {
 	case balancer.Dispatch:
@@ -121,7 +124,7 @@
 	return []balancer.Action{action}
 }
 
-// dispatchTwice makes a gateway send each attempt twice.
+// dispatchTwice makes a gateway dispatch each attempt twice.
 func dispatchTwice(action balancer.Action) []balancer.Action {
 	if _, isDispatch := action.(balancer.Dispatch); isDispatch {
 		return []balancer.Action{action, action}
@@ -129,12 +132,12 @@
 	return []balancer.Action{action}
 }
 
-// brokenGateways are scripts whose gateways break a rule each, by what a violation of it contains.
+// brokenGateways returns scripts whose gateways each violate one rule. The keys are text of the expected violations.
 func brokenGateways(t *testing.T) map[string]*Script {
 	t.Helper()
 	unanswered := loadScript(t)
 	unanswered.intercept = dropRejections
-	late := withOneEndpointMore(t, Event{
+	late := withExtraEndpoint(t, Event{
 		Name:     "x",
 		Kind:     PauseEndpoints,
 		At:       10 * time.Second,
@@ -144,23 +147,23 @@
 	twice := loadScript(t)
 	twice.Endpoints[0].DedupWindows[1] = 1
 	twice.intercept = dispatchTwice
-	drained := withOneEndpointMore(t, Event{
+	drained := withExtraEndpoint(t, Event{
 		Name:  "x",
 		Kind:  DrainEndpoints,
 		At:    10 * time.Second,
 		Group: "more",
 	})
-	drained.intercept = redirectEachFourth("more-0")
-	overloaded := withOneEndpointMore(t, Event{
+	drained.intercept = redirectEveryFourth("more-0")
+	overloaded := withExtraEndpoint(t, Event{
 		Name:     "x",
 		Kind:     CrashEndpoints,
 		At:       10 * time.Second,
 		Duration: time.Second,
 		Group:    "more",
 	})
-	overloaded.intercept = redirectEachFourth("more-0")
+	overloaded.intercept = redirectEveryFourth("more-0")
 	ceiling := loadScript(t)
-	ceiling.changeSettings = func(settings *balancer.Settings) { // each takes the whole ceiling for its own
+	ceiling.changeSettings = func(settings *balancer.Settings) { // each gateway uses the whole ceiling by itself
 		settings.Gateways = 1
 		settings.Index = 0
 	}
@@ -175,25 +178,27 @@
 	}
 }
 
-// A gateway that is deliberately broken in one of the five ways is found by the right check, and by no other.
+// TestFindsBrokenRules verifies that each gateway fault of brokenGateways is found by the check of its rule, and by no
+// other check.
 func TestFindsBrokenRules(t *testing.T) {
 	t.Parallel()
 	for rule, script := range brokenGateways(t) {
-		report := mustPlay(t, script)
+		report := mustRun(t, script)
 		if len(report.Violations) == 0 {
-			t.Errorf("%q is not found", rule)
+			t.Errorf("no violation of %q was found", rule)
 		}
 		for _, violation := range report.Violations {
 			if !strings.Contains(violation, rule) {
-				t.Errorf("wanted %q only: %s", rule, violation)
+				t.Errorf("want violations of %q only: %s", rule, violation)
 				break
 			}
 		}
 	}
-	// Clients that ask again with the same key when the endpoints have forgotten it: see docs/design/rehearsal.md.
+	// A client that retries with the same key after the dedup window causes a duplicate effect: see
+	// docs/design/rehearsal.md.
 	sameKey := loadScript(t)
 	sameKey.RetryWithSameKey = true
-	report := mustPlay(t, sameKey)
+	report := mustRun(t, sameKey)
 	if len(report.Violations) == 0 || !strings.Contains(report.Violations[0], "no effect twice") {
 		t.Errorf("%v", report.Violations)
 	}
