--- a/internal/fake/catalog/catalog.go
+++ b/internal/fake/catalog/catalog.go
@@ -1,5 +1,5 @@
-// Package catalog is a fake of the platform's discovery agent: it serves an endpoint list over HTTP, once or as a
-// watch.
+// Package catalog implements a fake discovery agent for tests. It serves an endpoint list over HTTP, either once or as
+// a watch.
 package catalog
 
 import (
@@ -12,40 +12,40 @@
 )
 
 const (
-	// membersPath is the only path that is served.
+	// membersPath is the path of the endpoint list. All other paths are answered with 404.
 	membersPath = "/catalog/members"
-	// keepAliveInterval is the time after which a watch without a change is sent an empty line.
+	// keepAliveInterval is how often a watch without changes is sent an empty line.
 	keepAliveInterval = 2 * time.Second
 )
 
-// Endpoint is one entry of the list, as it is sent.
+// Endpoint is one entry of the endpoint list, in its JSON form.
 type Endpoint struct {
-	// Name identifies the endpoint.
+	// Name identifies the endpoint uniquely.
 	Name string `json:"name"`
-	// Address is its host and port.
+	// Address is the endpoint's host and port.
 	Address string `json:"address"`
-	// Zone is the zone that it runs in; empty: unknown.
+	// Zone is the zone that the endpoint runs in. Empty means unknown.
 	Zone string `json:"zone"`
-	// Type is its type of server.
+	// Type is the server type.
 	Type string `json:"type"`
-	// Group is the number of its deduplication scope.
+	// Group is the number of the endpoint's dedup scope.
 	Group int `json:"group"`
 	// Status is SERVING, DRAINING or DELETED.
 	Status string `json:"status"`
-	// Weight is its weight relative to the others.
+	// Weight is the endpoint's weight relative to the others.
 	Weight float64 `json:"weight"`
-	// SinceMS is when it was started, in milliseconds of the Unix epoch; zero: unknown.
+	// SinceMS is when the endpoint was started, in milliseconds since the Unix epoch. Zero means unknown.
 	SinceMS int64 `json:"since_ms"`
 }
 
-// endpointList is the body of an answer, and one line of a watch.
+// endpointList is the body of a response, or one line of a watch.
 type endpointList struct {
 	Index     int64      `json:"index"`
 	Snapshot  bool       `json:"snapshot"`
 	Endpoints []Endpoint `json:"endpoints"`
 }
 
-// Agent is one fake agent. Every watch is sent the complete list at each change. It is safe for concurrent use.
+// Agent is a fake discovery agent. Each change sends the complete list to every watch. It is safe for concurrent use.
 type Agent struct {
 	listener net.Listener
 	server   *http.Server
@@ -53,14 +53,14 @@
 	// mu guards the fields below.
 	mu   sync.Mutex
 	list endpointList
-	// changed is closed at the next change of list.
+	// changed is closed when list changes next.
 	changed chan struct{}
 }
 
-// Start starts an agent with a list on a free port of loopback.
+// Start starts an agent that serves a list on a free loopback port.
 func Start(list ...Endpoint) (*Agent, error) { return StartAt("127.0.0.1:0", list...) }
 
-// StartAt starts an agent with a list on an address.
+// StartAt starts an agent that serves a list on a given address.
 func StartAt(addr string, list ...Endpoint) (*Agent, error) {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -72,11 +72,11 @@
 		changed:  make(chan struct{}),
 	}
 	a.server = &http.Server{Handler: http.HandlerFunc(a.serve)}
-	go func() { _ = a.server.Serve(listener) }() // it fails once Close is called
+	go func() { _ = a.server.Serve(listener) }() // Serve returns an error once Close is called
 	return a, nil
 }
 
-// Serving returns an endpoint in service with weight 1.
+// Serving returns an endpoint with status SERVING and weight 1.
 func Serving(name, addr string) Endpoint {
 	return Endpoint{Name: name, Address: addr, Status: "SERVING", Weight: 1}
 }
@@ -94,8 +94,8 @@
 	a.changed = make(chan struct{})
 }
 
-// Close closes the listener and all connections, watches among them.
-func (a *Agent) Close() { _ = a.server.Close() } // the listener is gone in any case
+// Close closes the listener and all connections, including watches.
+func (a *Agent) Close() { _ = a.server.Close() } // the listener is closed even on error
 
 // current returns the list and the channel that is closed at its next change.
 func (a *Agent) current() (list endpointList, changed <-chan struct{}) {
@@ -104,8 +104,8 @@
 	return a.list, a.changed
 }
 
-// serve answers one request: with the list, or for stream=1 with a watch that begins after the index that is asked
-// for.
+// serve handles one request. It responds with the list or, for stream=1, with a watch that starts after the requested
+// index.
 func (a *Agent) serve(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != membersPath {
 		http.NotFound(w, r)
@@ -114,15 +114,16 @@
 	query := r.URL.Query()
 	if query.Get("stream") != "1" {
 		list, _ := a.current()
-		_ = json.NewEncoder(w).Encode(list) // the client has left
+		_ = json.NewEncoder(w).Encode(list) // fails only if the client has disconnected
 		return
 	}
 	index, _ := strconv.ParseInt(query.Get("index"), 10, 64)
 	a.watch(w, r, index)
 }
 
-// watch sends the list at each change from an index on, and empty lines between, until the client leaves. Failed
-// writes are left to that.
+// watch sends the list unless its index equals the given one, and again at each change, with empty lines as
+// keep-alives, until the client disconnects. Write errors are ignored: they mean that the client has disconnected,
+// which ends the loop.
 func (a *Agent) watch(w http.ResponseWriter, r *http.Request, index int64) {
 	encoder := json.NewEncoder(w)
 	for {
