--- a/internal/fake/race/on.go
+++ b/internal/fake/race/on.go
@@ -1,8 +1,8 @@
 //go:build race
 
-// Package race tells tests whether the race detector is built in. Long plays on one goroutine leave themselves out
-// under it, as it has nothing to find there.
+// Package race tells tests whether the race detector is enabled. Long single-goroutine tests skip themselves under it,
+// because the race detector cannot find anything in them.
 package race
 
-// On reports whether the program was built with the race detector.
+// On reports whether the program was built with the race detector enabled.
 const On = true
