--- a/internal/fake/program/program.go
+++ b/internal/fake/program/program.go
@@ -1,4 +1,4 @@
-// Package program builds the real programs for tests that start, signal and kill them.
+// Package program builds the real binaries for tests that start, signal and kill them.
 package program
 
 import (
@@ -9,13 +9,13 @@
 	"sync"
 )
 
-// Built is BuiltFrom for the package in the working directory.
+// Built calls BuiltFrom for the package in the working directory.
 func Built(name string) (build func() (string, error), remove func()) { return BuiltFrom(name, ".") }
 
-// BuiltFrom returns build, which builds the program of a package such as gapgap/cmd/gapgapd under a name at its first
-// call and returns its path at each, and remove, which deletes it. args are further arguments of go build. A failed
-// build's error holds the compiler's output. build is safe for concurrent use; remove may be called once no test
-// runs.
+// BuiltFrom returns two functions for the binary of a package such as gapgap/cmd/gapgapd. build compiles the binary
+// under the given name on its first call and returns its path on every call; remove deletes it. args are additional
+// arguments of go build. If the build fails, the error contains the compiler's output. build is safe for concurrent
+// use; remove must not be called while a test still runs.
 func BuiltFrom(name, pkg string, args ...string) (build func() (string, error), remove func()) {
 	dir := ""
 	build = sync.OnceValues(func() (path string, err error) {
@@ -32,7 +32,7 @@
 	})
 	remove = func() {
 		if dir != "" {
-			_ = os.RemoveAll(dir) // what is left lies in the system's folder for temporary files
+			_ = os.RemoveAll(dir) // anything left over is in the system's temporary directory
 		}
 	}
 	return build, remove
