--- a/internal/fake/peer/command.go
+++ b/internal/fake/peer/command.go
@@ -5,19 +5,19 @@
 	"strings"
 )
 
-// Parts of commands that most tests use.
+// Command arguments that most tests use.
 const (
-	// Customer is a customer.
+	// Customer is the ID of a customer.
 	Customer = "00000000b4d65521"
-	// List is the parameters of an idempotent request.
+	// List holds the parameters of an idempotent request.
 	List = "c=evaluate,t=open,d=20000,units=1,spread=1,first=0"
-	// Keyed is the parameters of a request that is idempotent with a key.
+	// Keyed holds the parameters of a request that is idempotent through its idempotency key.
 	Keyed = "c=change,t=open,d=20000,k=5c0f6e1a2b3d4c59,units=1,spread=1,first=0,x=new"
-	// Unsafe is the parameters of a request that is not idempotent.
+	// Unsafe holds the parameters of a request that is not idempotent.
 	Unsafe = "c=once,t=open,d=20000,units=1,spread=1,first=0"
 )
 
-// Command returns the bytes of a command: an array of bulk strings.
+// Command encodes a command as a RESP2 array of bulk strings.
 func Command(args ...string) string {
 	var command strings.Builder
 	fmt.Fprintf(&command, "*%d\r\n", len(args))
@@ -27,5 +27,5 @@
 	return command.String()
 }
 
-// Bulk returns the bytes of a bulk string.
+// Bulk encodes a RESP2 bulk string.
 func Bulk(s string) string { return fmt.Sprintf("$%d\r\n%s\r\n", len(s), s) }
--- a/internal/fake/peer/doc.go
+++ b/internal/fake/peer/doc.go
@@ -1,3 +1,3 @@
-// Package peer is one end of a RESP2 connection for tests: a scripted client or endpoint. Its methods fail the test
-// when something is not as it must be.
+// Package peer implements one end of a RESP2 connection for tests: a scripted client or endpoint. Its methods fail the
+// test on errors and on unexpected data.
 package peer
