--- a/internal/fake/peer/late.go
+++ b/internal/fake/peer/late.go
@@ -9,16 +9,16 @@
 	"time"
 )
 
-// ListenLate listens on loopback with a full accept queue, so that a connection to addr comes up only after let has
-// made room, with the system's next attempt: a second after the first. let returns that connection, or nil if none
-// has come within a time.
-func ListenLate(t testing.TB) (addr string, let func(within time.Duration) *Peer) {
+// ListenLate listens on loopback with a full accept queue. A connection to addr is therefore established only after
+// accept has made room, when the kernel retransmits the SYN: one second after the first attempt. accept returns that
+// connection, or nil if none is established within the timeout.
+func ListenLate(t testing.TB) (addr string, accept func(timeout time.Duration) *Peer) {
 	t.Helper()
 	listener, err := listenWithoutQueue()
 	if err != nil {
 		t.Fatal(err)
 	}
-	filler, err := net.Dial("tcp", listener.Addr().String()) // the queue holds one
+	filler, err := net.Dial("tcp", listener.Addr().String()) // fills the queue, which holds one connection
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -26,15 +26,15 @@
 		_ = filler.Close()
 		_ = listener.Close()
 	})
-	return listener.Addr().String(), func(within time.Duration) *Peer {
-		if err := listener.(*net.TCPListener).SetDeadline(time.Now().Add(within)); err != nil {
+	return listener.Addr().String(), func(timeout time.Duration) *Peer {
+		if err := listener.(*net.TCPListener).SetDeadline(time.Now().Add(timeout)); err != nil {
 			t.Fatal(err)
 		}
 		accepted, err := listener.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
-		_ = accepted.Close() // the filler's
+		_ = accepted.Close() // the filler's connection
 		conn, err := listener.Accept()
 		if err != nil {
 			return nil
@@ -43,7 +43,7 @@
 	}
 }
 
-// listenWithoutQueue listens on a free port of loopback with the shortest accept queue.
+// listenWithoutQueue listens on a free loopback port with a backlog of 0, the shortest accept queue possible.
 func listenWithoutQueue() (net.Listener, error) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
@@ -56,7 +56,7 @@
 		syscall.SetNonblock(fd, true),
 	)
 	listener, listenErr := net.FileListener(file)
-	_ = file.Close() // the listener has a descriptor of its own
+	_ = file.Close() // the listener has its own file descriptor
 	if err = errors.Join(err, listenErr); err != nil {
 		return nil, err
 	}
--- a/internal/fake/peer/listen.go
+++ b/internal/fake/peer/listen.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Listen listens on a free port of loopback until the test ends.
+// Listen listens on a free loopback port until the test ends.
 func Listen(t testing.TB) net.Listener {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -19,8 +19,8 @@
 	return listener
 }
 
-// FreeAddr returns an address on which nothing listens, and which nobody is given before it is used. Its host is a
-// random one of loopback, since a port of 127.0.0.1 that is free now may be a client's a moment later.
+// FreeAddr returns an address on which nothing listens and which is unlikely to be allocated before the test uses it.
+// Its host is a random loopback address: a free port on 127.0.0.1 may be taken by a client connection a moment later.
 func FreeAddr(t testing.TB) string {
 	t.Helper()
 	octet := func() int { return 1 + rand.IntN(254) }
@@ -28,11 +28,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = listener.Close() }() // nothing has used it
+	defer func() { _ = listener.Close() }() // it was never used
 	return listener.Addr().String()
 }
 
-// Accept returns the next connection of a TCP listener. It waits for Patient at most.
+// Accept returns the next connection of a TCP listener. It waits for at most Patient.
 func Accept(t testing.TB, ln net.Listener) *Peer {
 	t.Helper()
 	if err := ln.(*net.TCPListener).SetDeadline(time.Now().Add(Patient)); err != nil {
