--- a/internal/fake/peer/peer.go
+++ b/internal/fake/peer/peer.go
@@ -11,10 +11,10 @@
 	"time"
 )
 
-// Patient bounds every wait; none is expected to take a noticeable part of it.
+// Patient is the timeout of every wait. Waits are expected to take only a small part of it.
 const Patient = 20 * time.Second
 
-// Peer is one end of a connection. It belongs to one goroutine.
+// Peer is one end of a connection. It is not safe for concurrent use.
 type Peer struct {
 	t testing.TB
 	// NC is the connection.
@@ -23,10 +23,10 @@
 	In *bufio.Reader
 }
 
-// New returns a peer on a connection, which has Patient for all that is sent and read and is closed when the test
-// ends.
+// New returns a peer on a connection. The deadline for all reads and writes on the connection is Patient from now. The
+// connection is closed when the test ends.
 func New(t testing.TB, nc net.Conn) *Peer {
-	_ = nc.SetDeadline(time.Now().Add(Patient)) // a closed connection fails at its first use
+	_ = nc.SetDeadline(time.Now().Add(Patient)) // a closed connection fails on first use
 	t.Cleanup(func() { _ = nc.Close() })        // the test may have closed it
 	return &Peer{t: t, NC: nc, In: bufio.NewReader(nc)}
 }
@@ -41,7 +41,7 @@
 	return New(t, conn)
 }
 
-// Write sends bytes as they are.
+// Write sends a string unchanged.
 func (p *Peer) Write(s string) {
 	p.t.Helper()
 	if _, err := io.WriteString(p.NC, s); err != nil {
@@ -55,8 +55,8 @@
 	p.Write(Command(args...))
 }
 
-// Message reads one RESP message and returns its strings: those of an array, a bulk string's content, or any other
-// line.
+// Message reads one RESP2 message and returns its strings: the flattened elements of an array, the content of a bulk
+// string, or the line of any other type.
 func (p *Peer) Message() []string {
 	p.t.Helper()
 	message, err := p.Try()
@@ -66,7 +66,7 @@
 	return message
 }
 
-// Try is Message, but returns the error of the connection in place of failing the test.
+// Try is like Message, but returns connection errors instead of failing the test.
 func (p *Peer) Try() ([]string, error) {
 	line, err := p.In.ReadString('\n')
 	if err != nil {
@@ -84,14 +84,14 @@
 	return []string{line}, nil
 }
 
-// parseLength returns the number behind a line's first character, or 0 if there is none.
+// parseLength returns the number after the first character of a line, or 0 if there is none.
 func parseLength(line string) int {
 	length := 0
-	_, _ = fmt.Sscan(line[1:], &length) // a test that gets a malformed line sees it in what follows
+	_, _ = fmt.Sscan(line[1:], &length) // a malformed line shows in what the test reads next
 	return length
 }
 
-// readArray reads the messages of an array and joins their strings.
+// readArray reads the given number of array elements and returns their strings in one slice.
 func (p *Peer) readArray(count int) ([]string, error) {
 	var joined []string
 	for range count {
@@ -104,7 +104,7 @@
 	return joined, nil
 }
 
-// Wants reads one message and compares it.
+// Wants reads one message and fails the test unless it equals want.
 func (p *Peer) Wants(want string) {
 	p.t.Helper()
 	if message := p.Message(); len(message) != 1 || message[0] != want {
@@ -112,7 +112,7 @@
 	}
 }
 
-// WantsPrefix reads one message and compares its beginning.
+// WantsPrefix reads one message and fails the test unless it begins with want.
 func (p *Peer) WantsPrefix(want string) {
 	p.t.Helper()
 	if message := p.Message(); len(message) != 1 || !strings.HasPrefix(message[0], want) {
@@ -120,20 +120,20 @@
 	}
 }
 
-// WantsEnd reads up to the end of the connection and fails the test if a message or the deadline comes before it.
+// WantsEnd waits for the connection to be closed. It fails the test if a message arrives or the deadline passes first.
 func (p *Peer) WantsEnd() {
 	p.t.Helper()
 	message, err := p.Try()
 	if err == nil {
-		p.t.Fatalf("got %q, want the end of the connection", message)
+		p.t.Fatalf("got %q, want a closed connection", message)
 	}
 	var netError net.Error
 	if errors.As(err, &netError) && netError.Timeout() {
-		p.t.Fatal("the connection stays open")
+		p.t.Fatal("the connection is still open at the deadline")
 	}
 }
 
-// Reads reads exactly a text, line by line.
+// Reads reads line by line and fails the test unless the lines equal want.
 func (p *Peer) Reads(want string) {
 	p.t.Helper()
 	for _, line := range strings.SplitAfter(want, "\n") {
--- a/internal/fake/peer/pump.go
+++ b/internal/fake/peer/pump.go
@@ -7,10 +7,11 @@
 	"gapgap/internal/eventloop"
 )
 
-// pumpPause is the pause of Pump while the loop has no task.
+// pumpPause is how long Pump sleeps when the event loop has no task.
 const pumpPause = 100 * time.Microsecond
 
-// Pump runs an event loop's tasks on the test's goroutine until a condition holds, for Patient at most.
+// Pump runs the tasks of an event loop on the test's goroutine until a condition holds. It fails the test if that takes
+// longer than Patient.
 func Pump(t testing.TB, l *eventloop.Loop, until func() bool) {
 	t.Helper()
 	for end := time.Now().Add(Patient); !until(); {
@@ -18,7 +19,7 @@
 			time.Sleep(pumpPause)
 		}
 		if time.Now().After(end) {
-			t.Fatal("it never came to that")
+			t.Fatal("the condition did not hold in time")
 		}
 	}
 }
