--- a/internal/fake/power/directory.go
+++ b/internal/fake/power/directory.go
@@ -6,7 +6,8 @@
 	"path/filepath"
 )
 
-// ReadDir returns the image of a directory of the real disk, without the files for whose base name exclude is true.
+// ReadDir returns the image of a directory on the real disk, without the files whose base names exclude returns true
+// for.
 func ReadDir(dir string, exclude func(name string) bool) (map[string][]byte, error) {
 	image := map[string][]byte{}
 	err := filepath.WalkDir(dir, func(path string, entry fs.DirEntry, err error) error {
@@ -24,8 +25,8 @@
 	return image, err
 }
 
-// WriteDir replaces the files of a directory of the real disk by those of an image. Files for whose base name exclude
-// is true stay as they are.
+// WriteDir replaces the files of a directory on the real disk with those of an image. Files whose base names
+// exclude returns true for are not changed.
 func WriteDir(dir string, image map[string][]byte, exclude func(name string) bool) error {
 	present, err := ReadDir(dir, exclude)
 	if err != nil {
@@ -44,7 +45,7 @@
 	return nil
 }
 
-// writeFile writes a file and makes the directories above it.
+// writeFile writes a file and creates its parent directories.
 func writeFile(path string, content []byte) error {
 	if err := os.MkdirAll(filepath.Dir(path), 0o700); err != nil {
 		return err
--- a/internal/fake/power/doc.go
+++ b/internal/fake/power/doc.go
@@ -1,6 +1,6 @@
-// Package power simulates what a disk has after its power was cut. A [Model] takes what a program did to its disk,
-// operation by operation, and makes one of the many images that a cut may leave: what was synced is there, of the
-// rest any part. A [Disk] is a file system in memory on top of it.
+// Package power simulates the content of a disk after a power cut. A [Model] is given the operations of a program on
+// its disk, one by one, and generates one of the many images that a power cut may leave: everything that was synced is
+// present, and of the rest any part. A [Disk] is an in-memory file system on top of a Model.
 //
-// An image maps the path of each regular file to its content. Paths are relative to the top of the disk.
+// An image maps the path of each regular file to its content. Paths are relative to the root of the disk.
 package power
--- a/internal/fake/power/file.go
+++ b/internal/fake/power/file.go
@@ -14,10 +14,10 @@
 type file struct {
 	disk *Disk
 	node *inode
-	// id is the file's number in operations; 0: it is open for reading alone.
+	// id identifies the file in operations. 0 means that it is open read-only.
 	id   uint64
 	name string
-	// offset is where the next Read or Write begins.
+	// offset is where the next Read or Write starts.
 	offset int64
 }
 
@@ -95,7 +95,7 @@
 // Info implements [fs.DirEntry].
 func (i fileInfo) Info() (fs.FileInfo, error) { return i, nil }
 
-// ModTime implements [fs.FileInfo]: it is not kept.
+// ModTime implements [fs.FileInfo]. It returns the zero time: the disk does not store file times.
 func (i fileInfo) ModTime() time.Time { return time.Time{} }
 
 // Sys implements [fs.FileInfo].
