--- a/internal/fake/power/disk.go
+++ b/internal/fake/power/disk.go
@@ -13,27 +13,27 @@
 	"gapgap/internal/vfs"
 )
 
-// ErrCut is what all changes fail with once the power is cut.
-var ErrCut = errors.New("the power is gone")
+// ErrCut is the error of every change after the power cut.
+var ErrCut = errors.New("power cut")
 
-// Disk is a file system in memory that implements [vfs.FS]. It belongs to one goroutine.
+// Disk is an in-memory file system that implements [vfs.FS]. It is not safe for concurrent use.
 type Disk struct {
 	*Model
 
-	// CutAt is the number of operations after which the power is cut; 0: never.
+	// CutAt is the number of operations after which the power is cut. 0 means never.
 	CutAt int
-	// Fault is the error with which every change fails; nil: none.
+	// Fault is the error with which every change fails. With nil, changes succeed.
 	Fault error
 
 	lastFileID uint64
-	// tempFiles is the number of temporary files so far.
+	// tempFiles is the number of temporary files created so far.
 	tempFiles int
 }
 
-// NewDisk returns a disk that has the files of an image.
+// NewDisk returns a disk with the files of an image.
 func NewDisk(image map[string][]byte) *Disk { return &Disk{Model: NewModel(image)} }
 
-// do carries out an operation, or fails with ErrCut or Fault.
+// do executes an operation, or fails with ErrCut or Fault.
 func (d *Disk) do(op vfs.Operation) error {
 	if d.CutAt > 0 && d.Ops >= d.CutAt {
 		return ErrCut
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// relativePath returns the path of a file that is named by an absolute or a relative one.
+// relativePath converts an absolute or relative file name to a path relative to the root of the disk.
 func relativePath(name string) string { return strings.TrimPrefix(filepath.Clean(name), "/") }
 
 // OpenFile implements [vfs.FS].
@@ -106,7 +106,7 @@
 	return d.do(vfs.Operation{Kind: vfs.OpMkdir, Path: path})
 }
 
-// Chtimes implements [vfs.FS]. The disk keeps no times.
+// Chtimes implements [vfs.FS]. The disk does not store file times.
 func (d *Disk) Chtimes(name string, _, _ time.Time) error {
 	if _, exists := d.names[relativePath(name)]; !exists {
 		return &fs.PathError{Op: "chtimes", Path: name, Err: fs.ErrNotExist}
@@ -124,7 +124,7 @@
 	directory := relativePath(name)
 	var entries []fs.DirEntry
 	for _, path := range slices.Sorted(maps.Keys(d.names)) {
-		if path != topDirectory && filepath.Dir(path) == directory {
+		if path != rootDirectory && filepath.Dir(path) == directory {
 			entries = append(entries, fileInfo{node: d.names[path], path: path})
 		}
 	}
--- a/internal/fake/power/model.go
+++ b/internal/fake/power/model.go
@@ -9,32 +9,32 @@
 	"gapgap/internal/vfs"
 )
 
-// topDirectory is the path of the top of a disk.
-const topDirectory = "."
+// rootDirectory is the path of the root of a disk.
+const rootDirectory = "."
 
-// inode is a file, whatever its name.
+// inode is a file independent of its names.
 type inode struct {
 	// synced is the content as of the last sync.
 	synced []byte
-	// unsynced are the writes and truncations since the last sync.
+	// unsynced holds the writes and truncations since the last sync.
 	unsynced []vfs.Operation
-	// content is the content that a program sees.
+	// content is the content visible to programs.
 	content []byte
 }
 
-// nameTable maps paths to files; a directory's is nil.
+// nameTable maps paths to files. Directories map to nil.
 type nameTable map[string]*inode
 
-// nameChange is a change of one of a directory's names.
+// nameChange is a change to one name in a directory.
 type nameChange struct {
-	// removed is the path that is gone; empty: none.
+	// removed is the path that is removed. Empty means none.
 	removed string
-	// added is the path that is new, and names node; empty: none.
+	// added is the path that is added as a name of node. Empty means none.
 	added string
 	node  *inode
 }
 
-// apply makes the change.
+// apply applies a change to the table.
 func (names nameTable) apply(c nameChange) {
 	if c.removed != "" {
 		delete(names, c.removed)
@@ -44,26 +44,26 @@
 	}
 }
 
-// Model is one disk with what was synced and what was not. It belongs to one goroutine.
+// Model tracks the synced and unsynced state of one disk. It is not safe for concurrent use.
 type Model struct {
-	// Ops is the number of operations so far.
+	// Ops is the number of operations executed so far.
 	Ops int
 
-	// files are the files that were opened, by their number in operations.
+	// files are the files that were opened, by their ID in operations.
 	files map[uint64]*inode
-	// names are those that a program sees, syncedNames those as of their directories' last syncs.
+	// names are the names visible to programs, syncedNames those as of the last sync of each directory.
 	names       nameTable
 	syncedNames nameTable
-	// unsyncedNames are the changes since its last sync, by directory.
+	// unsyncedNames holds the changes since the last sync of each directory, by directory.
 	unsyncedNames map[string][]nameChange
 }
 
-// NewModel returns a disk that has the files of an image, all of them synced.
+// NewModel returns a model of a disk with the files of an image, all of them synced.
 func NewModel(image map[string][]byte) *Model {
 	m := &Model{
 		files:         map[uint64]*inode{},
-		names:         nameTable{topDirectory: nil},
-		syncedNames:   nameTable{topDirectory: nil},
+		names:         nameTable{rootDirectory: nil},
+		syncedNames:   nameTable{rootDirectory: nil},
 		unsyncedNames: map[string][]nameChange{},
 	}
 	for path, content := range image {
@@ -75,16 +75,16 @@
 	return m
 }
 
-// addSyncedDirectories adds all directories above a path.
+// addSyncedDirectories adds all parent directories of a path as synced.
 func (m *Model) addSyncedDirectories(path string) {
-	for directory := filepath.Dir(path); directory != topDirectory; directory = filepath.Dir(directory) {
+	for directory := filepath.Dir(path); directory != rootDirectory; directory = filepath.Dir(directory) {
 		m.names[directory] = nil
 		m.syncedNames[directory] = nil
 	}
 }
 
-// Replay returns the disk that results from a recorder's operations, in CBOR, on a disk that had an image. The record
-// ends with the first operation that is incomplete: that was never done.
+// Replay returns a model of a disk that started with an image and then executed the operations of a record, which are
+// encoded in CBOR. Replay stops at the first incomplete operation, because that operation was never executed.
 func Replay(image map[string][]byte, record []byte) *Model {
 	m := NewModel(image)
 	for len(record) > 0 {
@@ -99,7 +99,7 @@
 	return m
 }
 
-// Do carries out an operation that a program has done.
+// Do applies an operation that a program has executed.
 func (m *Model) Do(op vfs.Operation) {
 	m.Ops++
 	switch op.Kind {
@@ -124,7 +124,7 @@
 	}
 }
 
-// changeName changes a name in the directory of a path.
+// changeName applies a change to the directory of a path and records it as unsynced.
 func (m *Model) changeName(path string, c nameChange) {
 	directory := filepath.Dir(path)
 	m.unsyncedNames[directory] = append(m.unsyncedNames[directory], c)
@@ -138,7 +138,7 @@
 	delete(m.unsyncedNames, directory)
 }
 
-// change writes or truncates.
+// change applies a write or truncation and records it as unsynced.
 func (n *inode) change(op vfs.Operation) {
 	op.Data = bytes.Clone(op.Data)
 	n.unsynced = append(n.unsynced, op)
@@ -150,8 +150,8 @@
 	n.unsynced = nil
 }
 
-// apply returns a content after a truncation, or after the first bytes of a write, as many as written. It may change
-// the content that it is given.
+// apply returns the content after a truncation, or after a write of which only the first written bytes are applied. It
+// may modify the slice that it is given.
 func apply(content []byte, op vfs.Operation, written int) []byte {
 	if op.Kind == vfs.OpTruncate {
 		if op.Offset <= int64(len(content)) {
