--- a/internal/fake/power/cut.go
+++ b/internal/fake/power/cut.go
@@ -10,24 +10,24 @@
 	"gapgap/internal/vfs"
 )
 
-// How tells what a cut leaves of what was not synced.
+// How says which unsynced operations survive a power cut.
 type How int
 
-// What a cut leaves.
+// Values of How.
 const (
-	// Lost leaves nothing of it.
+	// Lost keeps no unsynced operation.
 	Lost How = iota
-	// Kept leaves all of it, as after a SIGKILL.
+	// Kept keeps all unsynced operations, as after a SIGKILL.
 	Kept
-	// Order leaves all up to some operation of each file and directory, the last write torn.
+	// Order keeps a prefix of the unsynced operations of each file and directory. The write after it may be torn.
 	Order
-	// Any leaves any part of it, in any order, torn anywhere.
+	// Any keeps any subset of the unsynced operations. Any other write may be torn.
 	Any
 	// Hows is the number of values of How.
 	Hows = 4
 )
 
-// Cut returns the image that the disk has after a cut. The model stays as it is.
+// Cut returns the image of the disk after a power cut. It does not change the model.
 func (m *Model) Cut(how How, rng *rand.Rand) map[string][]byte {
 	if how == Kept {
 		return makeImage(m.names, func(n *inode) []byte { return n.content })
@@ -36,7 +36,7 @@
 	return makeImage(c.remainingNames(m), c.remainingContent)
 }
 
-// makeImage returns the image of the regular files that have a name in a directory that has one.
+// makeImage returns the image of the regular files in names whose parent directory is in names too.
 func makeImage(names nameTable, contentOf func(*inode) []byte) map[string][]byte {
 	image := map[string][]byte{}
 	for _, path := range slices.Sorted(maps.Keys(names)) {
@@ -49,25 +49,26 @@
 	return image
 }
 
-// cut is one cut that does not keep everything.
+// cut is one power cut other than Kept.
 type cut struct {
 	how How
 	rng *rand.Rand
-	// contents are those drawn so far: a file of several names has one content.
+	// contents are the file contents chosen so far. A file with several names has a single content.
 	contents map[*inode][]byte
 }
 
-// leaves draws whether the operation at an index is there, if those before an end are, in order.
-func (c *cut) leaves(index, end int) bool {
+// keepsOp decides, at random for Any, whether the operation at an index survives. For Order, the operations before end
+// do.
+func (c *cut) keepsOp(index, end int) bool {
 	return c.how == Order && index < end || c.how == Any && c.rng.IntN(2) == 0
 }
 
-// tears draws whether a part of an operation is there that isn't there completely.
-func (c *cut) tears(index, end int) bool {
+// tearsOp decides, at random for Any, whether a part of an operation survives that does not survive completely.
+func (c *cut) tearsOp(index, end int) bool {
 	return c.how == Order && index == end || c.how == Any && c.rng.IntN(3) == 0
 }
 
-// remainingNames draws which names are there.
+// remainingNames chooses which names survive.
 func (c *cut) remainingNames(m *Model) nameTable {
 	names := maps.Clone(m.syncedNames)
 	if c.how == Lost {
@@ -77,7 +78,7 @@
 		changes := m.unsyncedNames[directory]
 		end := c.rng.IntN(len(changes) + 1)
 		for i, change := range changes {
-			if c.leaves(i, end) {
+			if c.keepsOp(i, end) {
 				names.apply(change)
 			}
 		}
@@ -85,7 +86,7 @@
 	return names
 }
 
-// remainingContent draws what a file has, once.
+// remainingContent chooses the content of a file, the same one at each call.
 func (c *cut) remainingContent(n *inode) []byte {
 	if content, isDrawn := c.contents[n]; isDrawn {
 		return content
@@ -94,9 +95,9 @@
 	end := c.rng.IntN(len(n.unsynced) + 1)
 	for i, op := range n.unsynced {
 		switch {
-		case c.leaves(i, end):
+		case c.keepsOp(i, end):
 			content = apply(content, op, len(op.Data))
-		case c.tears(i, end) && op.Kind == vfs.OpWrite:
+		case c.tearsOp(i, end) && op.Kind == vfs.OpWrite:
 			content = apply(content, op, c.rng.IntN(len(op.Data)+1))
 		}
 	}
