--- a/internal/fake/proxy/answer.go
+++ b/internal/fake/proxy/answer.go
@@ -6,18 +6,18 @@
 	"slices"
 )
 
-// statusWithoutAnswer is what the client gets when no check was answered. Envoy's is its status_on_error.
-var statusWithoutAnswer = map[Kind]int{
+// checkErrorStatus is the status that the client gets if no check was answered. Envoy's is its status_on_error.
+var checkErrorStatus = map[Kind]int{
 	Nginx:   http.StatusInternalServerError,
 	Traefik: http.StatusInternalServerError,
 	Caddy:   http.StatusBadGateway,
 	Envoy:   http.StatusForbidden,
 }
 
-// identityHeaders are those of a check's answer that the service gets with the request.
+// identityHeaders are the headers of a check's answer that are forwarded to the service with the request.
 var identityHeaders = []string{"X-Gapgap-Account", "X-Gapgap-Plan", "X-Gapgap-Request-Id"}
 
-// envoyAnswerHeaders are those of a check's answer that Envoy's client gets.
+// envoyAnswerHeaders are the headers of a check's answer that Envoy forwards to its client.
 var envoyAnswerHeaders = []string{
 	"Retry-After",
 	"X-Gapgap-Retry-After-Ms",
@@ -27,15 +27,16 @@
 	"Ratelimit-Policy",
 }
 
-// letsThrough reports whether a check's answer lets the request through: any 2xx, or for Envoy 200 alone.
-func (p *Proxy) letsThrough(answer *http.Response) bool {
+// allows reports whether a check's answer admits the request: with any 2xx status, or for Envoy only with 200.
+func (p *Proxy) allows(answer *http.Response) bool {
 	if p.config.Kind == Envoy {
 		return answer.StatusCode == http.StatusOK
 	}
 	return answer.StatusCode/100 == 2
 }
 
-// withIdentity returns a copy of a request with the identity headers of the check's answer, never the client's own.
+// withIdentity returns a copy of a request with the identity headers of the check's answer. Identity headers that the
+// client has set are removed.
 func withIdentity(r *http.Request, answer *http.Response) *http.Request {
 	forwarded := r.Clone(r.Context())
 	for _, name := range identityHeaders {
@@ -47,9 +48,10 @@
 	return forwarded
 }
 
-// writeNginxAnswer writes what auth_request makes of an answer: 401 with its challenge, 403, and 500 for all else.
-// The page for operators sets auth_request_set $gapgap_status $upstream_http_x_gapgap_status and the like, and an
-// error_page for 403 that returns that status with Retry-After.
+// writeNginxAnswer writes the response that auth_request derives from an answer: 401 with its challenge, 403, or 500
+// for any other status. The documented nginx configuration captures the headers with auth_request_set, as in
+// auth_request_set $gapgap_status $upstream_http_x_gapgap_status, and its error_page for 403 returns that status with
+// Retry-After.
 func writeNginxAnswer(w http.ResponseWriter, answer *http.Response) {
 	switch answer.StatusCode {
 	case http.StatusUnauthorized:
@@ -65,7 +67,7 @@
 	}
 }
 
-// statusOfForbidden returns the status that nginx's error_page gives an answer of 403.
+// statusOfForbidden returns the status that nginx's error_page returns for an answer with status 403.
 func statusOfForbidden(answer *http.Response) int {
 	switch answer.Header.Get("X-Gapgap-Status") {
 	case "429":
@@ -76,8 +78,8 @@
 	return http.StatusForbidden
 }
 
-// writeEnvoyAnswer passes an answer on with the headers that Envoy lets pass. One of 500 and above counts as an error
-// of the check's service, which is rejected since failure_mode_allow is off.
+// writeEnvoyAnswer forwards an answer with the headers that Envoy allows. Envoy treats a status of 500 or above as an
+// error of the authorization service and then rejects the request, because failure_mode_allow is off.
 func writeEnvoyAnswer(w http.ResponseWriter, answer *http.Response) {
 	if answer.StatusCode >= http.StatusInternalServerError {
 		w.WriteHeader(http.StatusForbidden)
@@ -86,7 +88,7 @@
 	writeAnswer(w, answer, envoyAnswerHeaders...)
 }
 
-// writeAnswer passes an answer on with the headers that are named, or with all if none is.
+// writeAnswer forwards an answer with the given headers, or with all headers if none are given.
 func writeAnswer(w http.ResponseWriter, answer *http.Response, only ...string) {
 	for name, values := range answer.Header {
 		if len(only) == 0 || slices.Contains(only, name) {
@@ -95,5 +97,5 @@
 	}
 	removeHeaders(w.Header(), hopByHopHeaders)
 	w.WriteHeader(answer.StatusCode)
-	_, _ = io.Copy(w, answer.Body) // the client has left, or the check's server: either sees it
+	_, _ = io.Copy(w, answer.Body) // fails only if one side has disconnected
 }
--- a/internal/fake/proxy/check.go
+++ b/internal/fake/proxy/check.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// hopByHopHeaders are the fields of RFC 9110, 7.6.1, that no proxy passes on.
+// hopByHopHeaders are the header fields that a proxy must not forward (RFC 9110, section 7.6.1).
 var hopByHopHeaders = []string{
 	"Connection",
 	"Keep-Alive",
@@ -20,11 +20,11 @@
 	"Upgrade",
 }
 
-// envoyRequestHeaders are those that Envoy sends with a check: the configured allowed_headers, and Authorization,
-// which always goes along.
+// envoyRequestHeaders are the request headers that Envoy sends with a check: the configured allowed_headers, and
+// Authorization, which Envoy always sends.
 var envoyRequestHeaders = []string{"Authorization", "X-Api-Key", "Idempotency-Key"}
 
-// check makes one check of a request. The caller closes the answer's body.
+// check sends one check for a request. The caller must close the answer's body.
 func (p *Proxy) check(r *http.Request, id string) (*http.Response, error) {
 	ctx, cancel := r.Context(), context.CancelFunc(func() {})
 	if p.config.Timeout > 0 {
@@ -44,7 +44,7 @@
 	return answer, nil
 }
 
-// cancellingBody is an answer's body that ends its check's time limit when it is closed.
+// cancellingBody is an answer's body that cancels the check's context when it is closed.
 type cancellingBody struct {
 	io.ReadCloser
 	cancel context.CancelFunc
@@ -56,10 +56,10 @@
 	return b.ReadCloser.Close()
 }
 
-// newCheck makes the check's request, as the kind of proxy does.
+// newCheck builds the check for a request in the way of the configured proxy.
 func (p *Proxy) newCheck(ctx context.Context, r *http.Request, id string) (*http.Request, error) {
 	method, url := http.MethodGet, p.config.Check
-	if p.config.Kind == Envoy { // the request's own method and path behind the prefix
+	if p.config.Kind == Envoy { // the request's own method, and its path after the prefix
 		method, url = r.Method, p.config.Check+r.RequestURI
 	}
 	check, err := http.NewRequestWithContext(ctx, method, url, nil)
@@ -73,13 +73,13 @@
 		removeHeaders(check.Header, hopByHopHeaders)
 		check.Header.Del("Content-Length")
 	}
-	if p.config.Spoof {
+	if p.config.PassClientHeaders {
 		for name, values := range r.Header {
 			check.Header[name] = values
 		}
 	}
-	for name, value := range p.ownHeaders(r, id) {
-		if p.config.Spoof && r.Header.Get(name) != "" {
+	for name, value := range p.proxyHeaders(r, id) {
+		if p.config.PassClientHeaders && r.Header.Get(name) != "" {
 			continue
 		}
 		check.Header.Set(name, value)
@@ -87,7 +87,7 @@
 	return check, nil
 }
 
-// copyEnvoyHeaders copies what Envoy sends of the request's headers, and its host.
+// copyEnvoyHeaders copies the request headers that Envoy sends with a check, and the host.
 func copyEnvoyHeaders(check, r *http.Request) {
 	for _, name := range envoyRequestHeaders {
 		if values := r.Header.Values(name); len(values) > 0 {
@@ -103,19 +103,19 @@
 	}
 }
 
-// ownHeaders returns the headers that the proxy sets itself, whatever its client sent.
-func (p *Proxy) ownHeaders(r *http.Request, id string) map[string]string {
-	headers := p.ownHeadersOfKind(r)
-	if !p.config.NoID {
+// proxyHeaders returns the headers that the proxy sets itself, overriding those of its client.
+func (p *Proxy) proxyHeaders(r *http.Request, id string) map[string]string {
+	headers := p.proxyHeadersOfKind(r)
+	if !p.config.OmitRequestID {
 		headers["X-Request-Id"] = id
 	}
 	return headers
 }
 
-func (p *Proxy) ownHeadersOfKind(r *http.Request) map[string]string {
-	clientHost, _, _ := net.SplitHostPort(r.RemoteAddr) // the server sets it
+func (p *Proxy) proxyHeadersOfKind(r *http.Request) map[string]string {
+	clientHost, _, _ := net.SplitHostPort(r.RemoteAddr) // always valid: the HTTP server sets RemoteAddr
 	switch p.config.Kind {
-	case Nginx: // proxy_set_header in the location of the check
+	case Nginx: // set with proxy_set_header in the check's location
 		return map[string]string{
 			"X-Original-Method": r.Method,
 			"X-Original-Uri":    r.RequestURI,
--- a/internal/fake/proxy/proxy.go
+++ b/internal/fake/proxy/proxy.go
@@ -1,6 +1,7 @@
-// Package proxy is a fake of the web proxies that ask for authorization over HTTP: nginx with auth_request, Traefik
-// with ForwardAuth, Caddy with forward_auth and Envoy with the HTTP service of ext_authz. Each is written from its
-// public documentation: what it sends with a check, what it makes of the answer, and what its own client gets.
+// Package proxy implements fakes of the web proxies that check requests with an authorization service over HTTP: nginx
+// with auth_request, Traefik with ForwardAuth, Caddy with forward_auth and Envoy with the HTTP service of ext_authz.
+// Each follows the proxy's public documentation: what it sends with a check, how it interprets the answer and what it
+// returns to its client.
 package proxy
 
 import (
@@ -12,10 +13,10 @@
 	"time"
 )
 
-// Kind is a web proxy's product.
+// Kind is the web proxy that is imitated.
 type Kind string
 
-// Kinds of proxies.
+// Values of Kind.
 const (
 	// Nginx is nginx with auth_request.
 	Nginx Kind = "nginx"
@@ -27,37 +28,38 @@
 	Envoy Kind = "envoy"
 )
 
-// maxIdleConnections bounds the idle connections of a proxy's own client for checks.
+// maxIdleConnections is the maximum number of idle connections of a proxy's default client for checks.
 const maxIdleConnections = 64
 
-// Config sets how a proxy behaves.
+// Config sets the behavior of a proxy.
 type Config struct {
-	// Kind is the product.
+	// Kind is the web proxy to imitate.
 	Kind Kind
-	// Check is the URL of the check; for Envoy it is the prefix of the request's own path.
+	// Check is the URL of the check. For Envoy it is the prefix before the request's own path.
 	Check string
-	// Timeout bounds one check; 0: it has no limit.
+	// Timeout is the time limit of one check. 0 means no limit.
 	Timeout time.Duration
-	// Retries is the number of further checks of a request after one that had no answer.
+	// Retries is the maximum number of retries of a check that had no answer.
 	Retries int
-	// Client makes the checks; nil: a client of the proxy's own.
+	// Client sends the checks. If nil, the proxy uses a client of its own.
 	Client *http.Client
-	// Service serves the requests that are let through.
+	// Service serves the requests that are admitted.
 	Service http.Handler
-	// NoID leaves out the header X-Request-Id.
-	NoID bool
-	// Spoof has its client's headers passed on as they are, as by a proxy that is configured wrongly.
-	Spoof bool
+	// OmitRequestID omits the header X-Request-Id from checks.
+	OmitRequestID bool
+	// PassClientHeaders forwards the client's headers with checks unchanged, as a misconfigured proxy does. They take
+	// precedence over the headers that the proxy sets.
+	PassClientHeaders bool
 }
 
-// Proxy is one running proxy.
+// Proxy is a running fake proxy.
 type Proxy struct {
 	*httptest.Server
 	config Config
 	client *http.Client
 }
 
-// Start starts a proxy on a free port of loopback. Its caller closes it.
+// Start starts a proxy on a free loopback port. The caller must close it.
 func Start(cfg Config) *Proxy {
 	client := cfg.Client
 	if client == nil {
@@ -70,17 +72,17 @@
 	return p
 }
 
-// ServeHTTP implements http.Handler for the proxy's clients: it makes a check, and calls the service or answers with
-// what the proxy makes of the check's answer.
+// ServeHTTP implements http.Handler for the proxy's clients. It sends a check and then either calls the service or
+// responds with what the proxy derives from the check's answer.
 func (p *Proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	answer, err := p.checkWithRetries(r)
 	if err != nil {
-		w.WriteHeader(statusWithoutAnswer[p.config.Kind])
+		w.WriteHeader(checkErrorStatus[p.config.Kind])
 		return
 	}
-	defer func() { _ = answer.Body.Close() }() // it was only read
-	if p.letsThrough(answer) {
-		_, _ = io.Copy(io.Discard, answer.Body) // nothing in it is needed
+	defer func() { _ = answer.Body.Close() }() // only read from, so an error loses nothing
+	if p.allows(answer) {
+		_, _ = io.Copy(io.Discard, answer.Body) // the body is not needed
 		p.config.Service.ServeHTTP(w, withIdentity(r, answer))
 		return
 	}
@@ -94,8 +96,8 @@
 	}
 }
 
-// checkWithRetries makes a check, and the configured number of further ones while there is no answer. All have the
-// same id.
+// checkWithRetries sends a check and, while there is no answer, retries it up to Config.Retries times. All attempts
+// have the same ID.
 func (p *Proxy) checkWithRetries(r *http.Request) (answer *http.Response, err error) {
 	id := newID()
 	for range 1 + p.config.Retries {
@@ -106,7 +108,7 @@
 	return answer, err
 }
 
-// newID returns a random id of a request.
+// newID returns a random request ID.
 func newID() string {
 	var id [16]byte
 	rand.Read(id[:])
