--- a/internal/fake/deployment/deployment.go
+++ b/internal/fake/deployment/deployment.go
@@ -1,5 +1,5 @@
-// Package deployment starts together what a gateway needs around it, as fakes on loopback: flag servers, the discovery
-// agent that lists them, and the counter.
+// Package deployment starts the fakes that a gateway depends on, on loopback: flag servers, the discovery agent that
+// lists them, and optionally the counter.
 package deployment
 
 import (
@@ -10,26 +10,26 @@
 	"gapgap/internal/fake/quota"
 )
 
-// Config says what to start.
+// Config selects what to start.
 type Config struct {
-	// FlagServers has the behaviour of each flag server to start; their names are s-0, s-1 and so on.
+	// FlagServers holds the configuration of each flag server to start. They are named s-0, s-1 and so on.
 	FlagServers []flagserver.Config
-	// HasCounter tells whether a counter is started.
+	// HasCounter makes Start start a counter too.
 	HasCounter bool
 }
 
-// Deployment is a set of running fakes. It is for one goroutine.
+// Deployment is a set of running fakes. It is not safe for concurrent use.
 type Deployment struct {
-	// FlagServers are in the order of the configuration.
+	// FlagServers are the flag servers, in the order of Config.FlagServers.
 	FlagServers []*flagserver.Server
-	// Endpoints are the flag servers as discovery lists them.
+	// Endpoints are the flag servers as the discovery agent lists them.
 	Endpoints []catalog.Endpoint
 
 	discovery *catalog.Agent
 	counter   *quota.Counter
 }
 
-// Start starts all that the configuration has. If one fails to start, those started before it are closed.
+// Start starts the fakes that the configuration selects. If one fails to start, the ones already started are closed.
 func Start(cfg Config) (*Deployment, error) {
 	deployment := &Deployment{}
 	if err := deployment.start(cfg); err != nil {
@@ -39,7 +39,7 @@
 	return deployment, nil
 }
 
-// start starts the fakes one after the other. The caller closes them, also those started before an error.
+// start starts the fakes one after another. After an error the caller must close the ones already started.
 func (d *Deployment) start(cfg Config) error {
 	for index, serverConfig := range cfg.FlagServers {
 		server, err := flagserver.Start(serverConfig)
@@ -59,10 +59,10 @@
 	return err
 }
 
-// DiscoveryAddress is where the discovery agent listens.
+// DiscoveryAddress returns the address of the discovery agent.
 func (d *Deployment) DiscoveryAddress() string { return d.discovery.Addr() }
 
-// CounterAddress is where the counter listens; empty: there is none.
+// CounterAddress returns the address of the counter, or "" if there is none.
 func (d *Deployment) CounterAddress() string {
 	if d.counter == nil {
 		return ""
@@ -70,7 +70,7 @@
 	return d.counter.Addr()
 }
 
-// Close ends all fakes and their connections.
+// Close stops all fakes and closes their connections.
 func (d *Deployment) Close() {
 	if d.counter != nil {
 		d.counter.Close()
