--- a/internal/fake/deployment/deployment_test.go
+++ b/internal/fake/deployment/deployment_test.go
@@ -7,7 +7,7 @@
 	"gapgap/internal/fake/flagserver"
 )
 
-// All that was asked for listens until it is closed, and a counter that was not asked for is not there.
+// TestStartAndClose verifies that all configured fakes accept connections until Close, and no longer afterwards.
 func TestStartAndClose(t *testing.T) {
 	deployment, err := Start(Config{FlagServers: []flagserver.Config{{}, {}}, HasCounter: true})
 	if err != nil {
@@ -17,7 +17,7 @@
 	for index, name := range []string{"s-0", "s-1"} {
 		endpoint := deployment.Endpoints[index]
 		if endpoint.Name != name || endpoint.Address != deployment.FlagServers[index].Addr() {
-			t.Errorf("endpoint %d is %+v", index, endpoint)
+			t.Errorf("unexpected endpoint %d: %+v", index, endpoint)
 		}
 		addresses = append(addresses, endpoint.Address)
 	}
@@ -33,13 +33,13 @@
 	deployment.Close()
 	for _, address := range addresses {
 		if conn, err := net.Dial("tcp", address); err == nil {
-			t.Errorf("%s listens after Close", address)
+			t.Errorf("%s still accepts connections after Close", address)
 			_ = conn.Close()
 		}
 	}
 }
 
-// Without a counter there is no address of one.
+// TestStartWithoutCounter verifies that a deployment without a counter returns no counter address.
 func TestStartWithoutCounter(t *testing.T) {
 	deployment, err := Start(Config{FlagServers: []flagserver.Config{{}}})
 	if err != nil {
@@ -47,6 +47,6 @@
 	}
 	defer deployment.Close()
 	if address := deployment.CounterAddress(); address != "" {
-		t.Errorf("the counter's address is %q", address)
+		t.Errorf("got the counter address %q, want none", address)
 	}
 }
