--- a/internal/fake/flagserver/command.go
+++ b/internal/fake/flagserver/command.go
@@ -9,13 +9,13 @@
 	"strings"
 )
 
-// maxLength bounds the length of an array and of a bulk string.
+// maxLength is the maximum length of an array and of a bulk string.
 const maxLength = 1 << 20
 
-// errMalformed says that a command is no array of bulk strings, or longer than it may be.
+// errMalformed reports that a command is not an array of bulk strings, or exceeds maxLength.
 var errMalformed = errors.New("malformed command")
 
-// readCommand reads an array of bulk strings. Its errors are those of the connection and errMalformed.
+// readCommand reads an array of bulk strings. It returns errMalformed or an error of the connection.
 func readCommand(reader *bufio.Reader) ([]string, error) {
 	count, err := readLength(reader, '*')
 	if err != nil {
@@ -32,7 +32,7 @@
 	return arguments, nil
 }
 
-// readBulkString reads one bulk string with its length and its end of line.
+// readBulkString reads one bulk string, including its length and the line ending.
 func readBulkString(reader *bufio.Reader) (string, error) {
 	size, err := readLength(reader, '$')
 	if err != nil {
@@ -45,7 +45,7 @@
 	return string(value[:size]), nil
 }
 
-// readLength reads a line of a prefix and a number from 0 to maxLength.
+// readLength reads a line that consists of a prefix and a number from 0 to maxLength.
 func readLength(reader *bufio.Reader, prefix byte) (int, error) {
 	line, err := reader.ReadString('\n')
 	if err != nil {
@@ -53,11 +53,11 @@
 	}
 	line = strings.TrimRight(line, "\r\n")
 	if line == "" || line[0] != prefix {
-		return 0, fmt.Errorf("%w: %q is no length that begins with %q", errMalformed, line, prefix)
+		return 0, fmt.Errorf("%w: line %q is not a length with the prefix %q", errMalformed, line, prefix)
 	}
 	length, err := strconv.Atoi(line[1:])
 	if err != nil || length < 0 || length > maxLength {
-		return 0, fmt.Errorf("%w: length %q", errMalformed, line)
+		return 0, fmt.Errorf("%w: invalid length %q", errMalformed, line)
 	}
 	return length, nil
 }
