--- a/internal/fake/rig/admin.go
+++ b/internal/fake/rig/admin.go
@@ -9,23 +9,23 @@
 )
 
 const (
-	// adminTimeout bounds a call without a body.
+	// adminTimeout is the timeout of a call without a body.
 	adminTimeout = 5 * time.Second
-	// postTimeout bounds a call with one, such as a proposed policy.
+	// postTimeout is the timeout of a call with a body, such as a proposed policy.
 	postTimeout = 90 * time.Second
 )
 
-// Operators calls the gateway's control socket without a body. The caller closes the answer's body.
+// Operators sends a request without a body to the gateway's control socket. The caller must close the response's body.
 func (d *Door) Operators(method, path string) (*http.Response, error) {
 	return d.callAdmin(method, path, "", adminTimeout)
 }
 
-// Post posts a text to the gateway's control socket. The caller closes the answer's body.
+// Post sends a POST request to the gateway's control socket. The caller must close the response's body.
 func (d *Door) Post(path, body string) (*http.Response, error) {
 	return d.callAdmin(http.MethodPost, path, body, postTimeout)
 }
 
-// callAdmin makes one call on a connection of its own.
+// callAdmin sends one request on a new connection.
 func (d *Door) callAdmin(method, path, body string, timeout time.Duration) (*http.Response, error) {
 	transport := &http.Transport{
 		DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
