--- a/internal/fake/rig/checkclient.go
+++ b/internal/fake/rig/checkclient.go
@@ -12,13 +12,13 @@
 type checkAnswer struct {
 	allowed bool
 	status  int
-	// policyVersion is the version of the policy that decided; 0: it is unknown.
+	// policyVersion is the version of the policy that decided. 0 means unknown.
 	policyVersion uint64
-	// undecided is why the check was answered without a decision; empty: there was one.
+	// undecided is the reason why there was no decision. Empty means that there was one.
 	undecided string
-	// rateLimit is the header RateLimit: what is left of the account's quota.
+	// rateLimit is the RateLimit header: the remainder of the account's quota.
 	rateLimit string
-	// retryAfter is the pause that the client is told, in milliseconds.
+	// retryAfter is how long the client is told to wait, in milliseconds.
 	retryAfter string
 }
 
@@ -28,13 +28,14 @@
 		a.status, a.undecided, a.rateLimit, a.retryAfter)
 }
 
-// Check makes a check of Customer at the gateway, and returns whether the request may pass.
+// Check sends a check of Customer to the gateway and reports whether the request is admitted.
 func (d *Door) Check(ctx context.Context, c *http.Client) (bool, error) {
 	answer, err := d.check(ctx, c, Key)
 	return answer.allowed, err
 }
 
-// check makes a check of the account that has a key. An answer with a status of neither kind is errUnexpectedAnswer.
+// check sends a check of the account with the given key. It returns errUnexpectedAnswer for a status that neither
+// admits nor rejects.
 func (d *Door) check(ctx context.Context, c *http.Client, key string) (checkAnswer, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+d.Addr(checkListener)+"/check", nil)
 	if err != nil {
@@ -50,7 +51,7 @@
 	if err != nil {
 		return checkAnswer{}, err
 	}
-	_, _ = io.Copy(io.Discard, response.Body) // the answer stands in the headers
+	_, _ = io.Copy(io.Discard, response.Body) // the answer is in the headers
 	_ = response.Body.Close()
 	switch response.StatusCode {
 	case http.StatusOK, http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -59,7 +60,7 @@
 	return checkAnswer{}, fmt.Errorf("%w: %d", errUnexpectedAnswer, response.StatusCode)
 }
 
-// parseCheckAnswer reads an answer's status and headers.
+// parseCheckAnswer parses the status and headers of an answer.
 func parseCheckAnswer(response *http.Response) checkAnswer {
 	answer := checkAnswer{
 		allowed:    response.StatusCode == http.StatusOK,
@@ -68,6 +69,6 @@
 		rateLimit:  response.Header.Get("RateLimit"),
 		retryAfter: response.Header.Get("X-Gapgap-Retry-After-Ms"),
 	}
-	answer.policyVersion, _ = strconv.ParseUint(response.Header.Get("X-Gapgap-Policy"), 10, 64) // absent: 0
+	answer.policyVersion, _ = strconv.ParseUint(response.Header.Get("X-Gapgap-Policy"), 10, 64) // 0 if absent
 	return answer
 }
