--- a/internal/fake/rig/command.go
+++ b/internal/fake/rig/command.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// errUnexpectedAnswer says that an answer is neither that the request was let through nor that it was rejected.
-var errUnexpectedAnswer = errors.New("neither let through nor refused")
+// errUnexpectedAnswer reports an answer that neither admits nor rejects the request.
+var errUnexpectedAnswer = errors.New("neither admitted nor rejected")
 
-// writeCommand writes an array of bulk strings.
+// writeCommand writes a command as a RESP2 array of bulk strings.
 func writeCommand(w io.Writer, words ...string) error {
 	var command strings.Builder
 	fmt.Fprintf(&command, "*%d\r\n", len(words))
@@ -22,12 +22,12 @@
 	return err
 }
 
-// evaluateParameters returns the parameters of a request of the class "evaluate".
+// evaluateParameters returns the parameters of a request of class "evaluate".
 func evaluateParameters(deadline time.Duration, spread int) string {
 	return fmt.Sprintf("c=evaluate,t=business,d=%d,units=1,spread=%d,first=0", deadline.Milliseconds(), spread)
 }
 
-// changeParameters returns the parameters of a request of the class "change".
+// changeParameters returns the parameters of a request of class "change".
 func changeParameters(deadline time.Duration, key string, spread int) string {
 	return fmt.Sprintf("c=change,t=trade,d=%d,k=%s,units=1,spread=%d,first=0", deadline.Milliseconds(), key, spread)
 }
