--- a/internal/fake/rig/line.go
+++ b/internal/fake/rig/line.go
@@ -10,103 +10,103 @@
 )
 
 const (
-	// maxDelayed bounds the datagrams that a line delays at once; further ones are dropped.
+	// maxDelayed is the maximum number of datagrams that a line delays at the same time. Further ones are dropped.
 	maxDelayed = 4096
-	// maxDatagramBytes is the size of the largest datagram.
+	// maxDatagramBytes is the maximum size of a datagram.
 	maxDatagramBytes = 64 << 10
-	// lineStream is the random stream of a line's seed.
+	// lineStream is the random stream that is used with a line's seed.
 	lineStream = 3
 )
 
-// Fault is what a line does to datagrams. The zero value carries each one at once.
+// Fault is what a line does to datagrams. With the zero value it forwards each one immediately.
 type Fault struct {
-	// Cut drops all.
+	// Cut drops all datagrams.
 	Cut bool
-	// Loss is the fraction that is dropped.
+	// Loss is the fraction of datagrams that are dropped.
 	Loss float64
-	// Delay is the least delay of each.
+	// Delay is the minimum delay of each datagram.
 	Delay time.Duration
-	// Jitter bounds a random delay on top, by which datagrams overtake each other.
+	// Jitter is the upper bound of an additional random delay, which may reorder datagrams.
 	Jitter time.Duration
-	// Double is the fraction that is delivered twice.
+	// Double is the fraction of datagrams that are delivered twice.
 	Double float64
 }
 
-// Line carries the datagrams from one gateway to another, and answers to their source back. What it does by chance is
-// determined by its seed and the order of the datagrams. It is safe for concurrent use.
+// Line forwards datagrams from one gateway to another, and replies back to their source. Its random choices depend only
+// on its seed and the order of the datagrams. It is safe for concurrent use.
 type Line struct {
-	// near receives from the one gateway, far sends to the other.
-	near *net.UDPConn
-	far  *net.UDPConn
+	// receiveConn receives from the sending gateway, sendConn sends to the other.
+	receiveConn *net.UDPConn
+	sendConn    *net.UDPConn
 
 	// mu guards the fields below.
 	mu    sync.Mutex
 	fault Fault
 	rng   *rand.Rand
-	// target is where the other gateway listens; nil: not known yet.
+	// target is the address of the other gateway. Nil means that it is not known yet.
 	target *net.UDPAddr
-	// source is who sent last.
+	// source is the sender of the latest datagram.
 	source *net.UDPAddr
-	// observer sees each datagram that passes; nil: none does.
+	// observer is called with each datagram that is forwarded. It may be nil.
 	observer func([]byte)
-	// delayed is the number of datagrams that are delayed now.
+	// delayed is the number of datagrams that are currently delayed.
 	delayed int
 
-	// waitGroup counts the goroutines of both directions.
+	// waitGroup tracks the goroutines of both directions.
 	waitGroup sync.WaitGroup
 }
 
 // newLine starts a line without a target.
 func newLine(seed uint64) (*Line, error) {
-	near, err := listenUDP()
+	receiveConn, err := listenUDP()
 	if err != nil {
 		return nil, err
 	}
-	far, err := listenUDP()
+	sendConn, err := listenUDP()
 	if err != nil {
-		_ = near.Close() // nothing has used it
+		_ = receiveConn.Close() // it was never used
 		return nil, err
 	}
-	l := &Line{near: near, far: far, rng: rand.New(rand.NewPCG(seed, lineStream))}
-	l.waitGroup.Go(l.carryForward)
-	l.waitGroup.Go(l.carryBack)
+	l := &Line{receiveConn: receiveConn, sendConn: sendConn, rng: rand.New(rand.NewPCG(seed, lineStream))}
+	l.waitGroup.Go(l.forwardDatagrams)
+	l.waitGroup.Go(l.forwardReplies)
 	return l, nil
 }
 
-// listenUDP listens on a free port of loopback.
+// listenUDP listens on a free loopback port.
 func listenUDP() (*net.UDPConn, error) {
 	return net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 }
 
-// Addr returns the host and port that the one gateway sends to.
-func (l *Line) Addr() string { return l.near.LocalAddr().String() }
+// Addr returns the host and port that the sending gateway uses for the other gateway.
+func (l *Line) Addr() string { return l.receiveConn.LocalAddr().String() }
 
-// Set replaces the fault, for the datagrams that come from now on.
+// Set replaces the fault for the datagrams received from now on.
 func (l *Line) Set(f Fault) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.fault = f
 }
 
-// Keep has a function see each datagram that passes, which it may keep to replay it with Send. It is called on the
-// line's goroutine.
+// Keep sets a function that is called with each datagram that is forwarded. The function may keep the datagram, to
+// replay it with Send. It runs on the line's goroutine.
 func (l *Line) Keep(f func([]byte)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.observer = f
 }
 
-// Send sends a datagram to the other gateway, whatever the fault.
+// Send sends a datagram to the other gateway regardless of the fault.
 func (l *Line) Send(b []byte) {
 	l.mu.Lock()
 	target := l.target
 	l.mu.Unlock()
 	if target != nil {
-		_, _ = l.far.WriteToUDP(b, target) // a datagram may be lost
+		_, _ = l.sendConn.WriteToUDP(b, target) // a datagram may be lost
 	}
 }
 
-// setTarget sets where the other gateway listens. An address that is malformed changes nothing.
+// setTarget sets the address of the other gateway. It ignores a malformed address.
 func (l *Line) setTarget(address string) {
 	target, err := net.ResolveUDPAddr("udp4", address)
 	if err != nil {
@@ -117,11 +117,11 @@
 	l.target = target
 }
 
-// carryForward carries datagrams to the other gateway until the line is closed.
-func (l *Line) carryForward() {
+// forwardDatagrams forwards datagrams to the other gateway until the line is closed.
+func (l *Line) forwardDatagrams() {
 	buffer := make([]byte, maxDatagramBytes)
 	for {
-		n, source, err := l.near.ReadFromUDP(buffer)
+		n, source, err := l.receiveConn.ReadFromUDP(buffer)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
@@ -139,7 +139,8 @@
 	}
 }
 
-// receive notes who sent a datagram, and draws with which delay each of its copies is sent: none, one or two.
+// receive records the source of a datagram and chooses how it is forwarded: as no copy, one or two, each with the delay
+// returned for it.
 func (l *Line) receive(source *net.UDPAddr) (delays []time.Duration, observer func([]byte)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -160,7 +161,7 @@
 	return delays, l.observer
 }
 
-// sendAfter sends a datagram after a delay, or drops it if too many are delayed already.
+// sendAfter sends a datagram after a delay, or drops it if maxDelayed are delayed already.
 func (l *Line) sendAfter(datagram []byte, delay time.Duration) {
 	if delay == 0 {
 		l.Send(datagram)
@@ -177,7 +178,7 @@
 	})
 }
 
-// reserveDelayed counts one more delayed datagram, unless there are too many.
+// reserveDelayed counts one more delayed datagram. It reports false if maxDelayed are delayed already.
 func (l *Line) reserveDelayed() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -188,11 +189,11 @@
 	return true
 }
 
-// carryBack carries what is sent to the source that the line's datagrams seem to have, until the line is closed.
-func (l *Line) carryBack() {
+// forwardReplies forwards replies to the source of the latest datagram until the line is closed.
+func (l *Line) forwardReplies() {
 	buffer := make([]byte, maxDatagramBytes)
 	for {
-		n, _, err := l.far.ReadFromUDP(buffer)
+		n, _, err := l.sendConn.ReadFromUDP(buffer)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
@@ -203,14 +204,14 @@
 		source, isCut := l.source, l.fault.Cut
 		l.mu.Unlock()
 		if source != nil && !isCut {
-			_, _ = l.near.WriteToUDP(buffer[:n], source) // a datagram may be lost
+			_, _ = l.receiveConn.WriteToUDP(buffer[:n], source) // a datagram may be lost
 		}
 	}
 }
 
-// close ends both directions and waits for that.
+// close closes both sockets and waits for the goroutines to end.
 func (l *Line) close() {
-	_ = l.near.Close() // nothing is kept in it
-	_ = l.far.Close()
+	_ = l.receiveConn.Close() // nothing to flush
+	_ = l.sendConn.Close()
 	l.waitGroup.Wait()
 }
