--- a/internal/fake/rig/partition.go
+++ b/internal/fake/rig/partition.go
@@ -6,10 +6,10 @@
 	to   int
 }
 
-// Line returns the line from one gateway to another; nil: there is none.
+// Line returns the line from one gateway to another, or nil if there is none.
 func (r *Rig) Line(from, to int) *Line { return r.lines[lineKey{from: from, to: to}] }
 
-// Each sets the fault of every line for which a condition holds.
+// Each sets the fault of every line for which a condition returns true.
 func (r *Rig) Each(when func(from, to int) bool, f Fault) {
 	for key, line := range r.lines {
 		if when(key.from, key.to) {
@@ -18,7 +18,7 @@
 	}
 }
 
-// Heal removes all faults of lines.
+// Heal removes the faults of all lines.
 func (r *Rig) Heal() { r.Each(func(int, int) bool { return true }, Fault{}) }
 
 // Split cuts every line between a group of gateways and the others.
