--- a/internal/fake/rig/signal.go
+++ b/internal/fake/rig/signal.go
@@ -10,20 +10,20 @@
 	"time"
 )
 
-// Fields of /proc/PID/stat behind the command's name, and their unit.
+// Indexes of fields of /proc/PID/stat, counted after the command name, and their unit.
 const (
 	statUserTime   = 11
 	statSystemTime = 12
 	clockTick      = 10 * time.Millisecond
 )
 
-// Kill ends the process with SIGKILL and waits for its end. It does nothing if none was started.
+// Kill sends SIGKILL to the process and waits for it to end. It does nothing if none was started.
 func (d *Door) Kill() { d.end(syscall.SIGKILL) }
 
-// Term ends the process with SIGTERM and waits for its end. It does nothing if none was started.
+// Term sends SIGTERM to the process and waits for it to end. It does nothing if none was started.
 func (d *Door) Term() { d.end(syscall.SIGTERM) }
 
-// Hup makes the process read its file again.
+// Hup makes the process reload its configuration file.
 func (d *Door) Hup() { d.signal(syscall.SIGHUP) }
 
 // Stop suspends the process with SIGSTOP.
@@ -32,20 +32,20 @@
 	d.signal(syscall.SIGSTOP)
 }
 
-// Cont resumes the process after Stop.
+// Cont resumes the process after Stop, with SIGCONT.
 func (d *Door) Cont() {
 	d.signal(syscall.SIGCONT)
 	d.endOutage()
 }
 
-// PID returns the number of the process that was started last.
+// PID returns the ID of the process that was started last.
 func (d *Door) PID() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.command.Process.Pid
 }
 
-// CPU returns the processor time that the process has used so far, or 0 if it is unknown.
+// CPU returns the CPU time that the process has used so far, or 0 if it is unknown.
 func (d *Door) CPU() time.Duration {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", d.PID()))
 	if err != nil {
@@ -66,11 +66,11 @@
 	command := d.command
 	d.mu.Unlock()
 	if command != nil {
-		_ = command.Process.Signal(s) // it may have ended
+		_ = command.Process.Signal(s) // the process may have ended
 	}
 }
 
-// end ends the process with a signal and waits until its log was read.
+// end sends a signal to the process and waits until the process has ended and its log was read.
 func (d *Door) end(s syscall.Signal) {
 	d.beginOutage()
 	d.signal(s)
