--- a/internal/fake/flagserver/config.go
+++ b/internal/fake/flagserver/config.go
@@ -2,34 +2,37 @@
 
 import "time"
 
-// Config sets how a server behaves. The zero value answers each command at once with a value that names the command.
+// Config sets the behavior of a server. With the zero value, the server answers each request immediately with a value
+// that contains the command's name and the request's ID.
 type Config struct {
-	// Delay is the time before an answer.
+	// Delay is the time before each answer to a request.
 	Delay time.Duration
-	// Silent has commands read and never answered.
+	// Silent makes the server read requests without answering them.
 	Silent bool
-	// Value is the value of each answer; empty: one that names the command.
+	// Value is the value of each answer. If empty, it is the command's name and the request's ID.
 	Value string
-	// Keep records what comes, for [Server.Sent].
+	// Keep makes the server record the requests that it reads, for [Server.Sent].
 	Keep bool
-	// Group remembers which keyed commands have run; nil: commands have no effect.
-	Group *Group
+	// DedupScope remembers which keyed commands have run. If nil, commands have no effect.
+	DedupScope *DedupScope
 
-	// Work is the time that one command takes of a server that is not warming up, one after another; 0: any number of
-	// commands run at once.
-	Work time.Duration
-	// Within is the time in which a started server warms up; 0: it is warm at once.
-	Within time.Duration
-	// From is the fraction of its capacity that a server has when it is started.
-	From float64
-	// Started is when the server was started; zero: it is warm.
-	Started time.Time
+	// ServiceTime is the time that a server that is not warming up takes for one request. Requests are served one after
+	// another. 0 means that any number of requests are served concurrently.
+	ServiceTime time.Duration
+	// WarmUpDuration is how long a server warms up after its start. 0 means no warm-up.
+	WarmUpDuration time.Duration
+	// InitialCapacity is the fraction of its capacity that a server has at its start.
+	InitialCapacity float64
+	// StartedAt is when the server was started. Zero means that it is not warming up.
+	StartedAt time.Time
 }
 
-// Bears returns the fraction of its capacity that the server has at a time: it grows linearly from From to 1.
-func (c *Config) Bears(at time.Time) float64 {
-	if c.Within <= 0 || c.Started.IsZero() {
+// CapacityAt returns the fraction of its capacity that the server has at a time. During the warm-up it grows linearly
+// from InitialCapacity to 1.
+func (c *Config) CapacityAt(at time.Time) float64 {
+	if c.WarmUpDuration <= 0 || c.StartedAt.IsZero() {
 		return 1
 	}
-	return c.From + (1-c.From)*max(0, min(1, at.Sub(c.Started).Seconds()/c.Within.Seconds()))
+	return c.InitialCapacity +
+		(1-c.InitialCapacity)*max(0, min(1, at.Sub(c.StartedAt).Seconds()/c.WarmUpDuration.Seconds()))
 }
--- a/internal/fake/flagserver/flagserver.go
+++ b/internal/fake/flagserver/flagserver.go
@@ -1,5 +1,6 @@
-// Package flagserver is a fake endpoint: it answers the platform's RESP2 commands on loopback. It can be slow,
-// silent, of limited capacity or warming up, and records what it was sent and which keyed commands had their effect.
+// Package flagserver implements a fake endpoint for tests that answers the platform's RESP2 commands on loopback. It
+// can be slow, silent, limited in capacity or warming up. It records the requests that it reads and the effects of
+// keyed commands.
 package flagserver
 
 import (
@@ -14,13 +15,13 @@
 )
 
 const (
-	// keyedCommand is the command that may have an effect.
+	// keyedCommand is the command that has an effect if its parameters contain a key.
 	keyedCommand = "Q.DO"
-	// pingAnswer answers a command that is no request.
+	// pingAnswer is the answer to a command that is not a request.
 	pingAnswer = "+PONG\r\n"
 )
 
-// Positions of a request's arguments.
+// Positions of a request's arguments in its command.
 const (
 	argumentName = iota
 	argumentCustomer
@@ -28,19 +29,19 @@
 	argumentList
 )
 
-// Sent is one command that was read completely.
+// Sent is a request that a server has read.
 type Sent struct {
-	// At is when it was read.
+	// At is when the request was read.
 	At time.Time
-	// Customer is its second argument.
+	// Customer is the second argument, the customer's ID.
 	Customer string
-	// ID is its third argument, the request's id.
+	// ID is the third argument, the request's ID.
 	ID string
 	// Name is the command's name.
 	Name string
 }
 
-// Server is one fake endpoint. It is safe for concurrent use.
+// Server is a fake endpoint. It is safe for concurrent use.
 type Server struct {
 	*serve.Server
 
@@ -48,40 +49,40 @@
 	mu     sync.Mutex
 	config Config
 	sent   []Sent
-	// busyUntil is when the work of all commands so far is done, if Config.Work is set.
+	// busyUntil is when all requests so far are served, if Config.ServiceTime is set.
 	busyUntil time.Time
 }
 
-// Start starts a server on a free port of loopback.
+// Start starts a server on a free loopback port.
 func Start(cfg Config) (s *Server, err error) {
 	s = &Server{config: cfg}
 	s.Server, err = serve.Start(s.serve)
 	return s, err
 }
 
-// Set replaces the configuration, for the commands that come from now on.
+// Set replaces the configuration for the commands received from now on.
 func (s *Server) Set(cfg Config) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.config = cfg
 }
 
-// Sent returns the commands that were recorded, in the order in which they were read.
+// Sent returns the recorded requests in the order in which they were read.
 func (s *Server) Sent() []Sent {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.sent)
 }
 
-// Restart makes the server begin to warm up at a time, with no work queued.
+// Restart makes the server start its warm-up at a time and clears the queue.
 func (s *Server) Restart(at time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.config.Started = at
+	s.config.StartedAt = at
 	s.busyUntil = at
 }
 
-// serve answers the commands of one connection until it ends or a command is malformed.
+// serve handles the commands on one connection until it is closed or a command is malformed.
 func (s *Server) serve(conn net.Conn) {
 	reader := bufio.NewReader(conn)
 	for {
@@ -99,13 +100,14 @@
 	}
 }
 
-// run records a command, has its effect, waits as long as it takes and returns its answer; empty: none.
+// run records a command, applies its effect, waits for as long as it takes and returns the answer. Empty means that
+// there is no answer.
 func (s *Server) run(arguments []string) string {
 	now := time.Now()
 	isRequest := len(arguments) > argumentID
 	config := s.record(now, arguments)
-	if config.Group != nil && len(arguments) > argumentList && arguments[argumentName] == keyedCommand {
-		config.Group.run(now, arguments[argumentList])
+	if config.DedupScope != nil && len(arguments) > argumentList && arguments[argumentName] == keyedCommand {
+		config.DedupScope.run(now, arguments[argumentList])
 	}
 	if !isRequest {
 		return pingAnswer
@@ -121,7 +123,7 @@
 	return fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n", len(value), value)
 }
 
-// record notes a request if the configuration says so, and returns the configuration that the command runs by.
+// record records a request if Config.Keep is set, and returns the configuration that applies to the command.
 func (s *Server) record(at time.Time, arguments []string) Config {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -136,16 +138,16 @@
 	return s.config
 }
 
-// queue adds a command that came at a time to the queued work and returns how long it takes to be done.
+// queue adds a request received at a time to the queue and returns how long it takes until the request is served.
 func (s *Server) queue(at time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.config.Work <= 0 {
+	if s.config.ServiceTime <= 0 {
 		return 0
 	}
-	if s.busyUntil.Before(at) || s.busyUntil.Before(s.config.Started) {
+	if s.busyUntil.Before(at) || s.busyUntil.Before(s.config.StartedAt) {
 		s.busyUntil = at
 	}
-	s.busyUntil = s.busyUntil.Add(time.Duration(float64(s.config.Work) / s.config.Bears(at)))
+	s.busyUntil = s.busyUntil.Add(time.Duration(float64(s.config.ServiceTime) / s.config.CapacityAt(at)))
 	return s.busyUntil.Sub(at)
 }
--- a/internal/fake/quota/quota.go
+++ b/internal/fake/quota/quota.go
@@ -1,4 +1,5 @@
-// Package quota is a fake of the shared counter service: named totals that expire, over lines of text on loopback.
+// Package quota implements a fake shared counter for tests: named totals that expire, served over a line-based text
+// protocol on loopback.
 package quota
 
 import (
@@ -15,49 +16,49 @@
 )
 
 const (
-	// maxNameBytes bounds a total's name.
+	// maxNameBytes is the maximum length of a total's name.
 	maxNameBytes = 64
-	// maxAmount bounds what one call adds or subtracts.
+	// maxAmount is the most that one call may add or subtract.
 	maxAmount = 1e9
-	// maxLifeMS bounds a total's life in milliseconds; a longer one is cut to it.
+	// maxLifeMS is the maximum lifetime of a total in milliseconds. Longer lifetimes are reduced to it.
 	maxLifeMS = 60_000
-	// errorAnswer answers a call that is malformed or out of bounds.
+	// errorAnswer is the response to a call that is malformed or out of bounds.
 	errorAnswer = "error"
 )
 
-// Counter is one fake counter. It is safe for concurrent use.
+// Counter is a fake counter. It is safe for concurrent use.
 type Counter struct {
 	*serve.Server
 
 	// mu guards the fields below.
 	mu     sync.Mutex
 	totals map[string]*total
-	// stall is closed when stalled answers may go out; nil while answers go out at once.
+	// stall is closed when delayed responses may be sent. It is nil while responses are not delayed.
 	stall chan struct{}
 	calls int
 }
 
-// total is a named total until it expires.
+// total is the value of a named total and when it expires.
 type total struct {
 	value     float64
 	expiresAt time.Time
 }
 
-// Start starts a counter without totals on a free port of loopback.
+// Start starts a counter without totals on a free loopback port.
 func Start() (c *Counter, err error) {
 	c = &Counter{totals: map[string]*total{}}
 	c.Server, err = serve.Start(c.serve)
 	return c, err
 }
 
-// Calls returns the number of valid calls so far, pings excluded.
+// Calls returns the number of valid calls so far, not counting pings.
 func (c *Counter) Calls() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.calls
 }
 
-// Stall holds all answers back until the function that it returns is called. The calls themselves take effect.
+// Stall delays all responses until the returned function is called. The calls themselves still take effect.
 func (c *Counter) Stall() (resume func()) {
 	stall := make(chan struct{})
 	c.mu.Lock()
@@ -71,15 +72,15 @@
 	})
 }
 
-// Empty drops all totals, like a counter that was started anew.
-func (c *Counter) Empty() {
+// Reset removes all totals, as a restart of the counter does.
+func (c *Counter) Reset() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.totals = map[string]*total{}
 }
 
-// Numbers copies all totals and returns a function that restores them, for a counter that has lost its latest ones.
-// The function may be called more than once.
+// Numbers takes a snapshot of all totals and returns a function that restores it, to simulate a counter that has lost
+// its latest updates. The returned function may be called more than once.
 func (c *Counter) Numbers() func() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -97,7 +98,7 @@
 	}
 }
 
-// Close releases stalled answers, and closes the listener and all connections.
+// Close releases delayed responses and closes the listener and all connections.
 func (c *Counter) Close() {
 	c.mu.Lock()
 	if c.stall != nil {
@@ -108,7 +109,7 @@
 	c.Server.Close()
 }
 
-// serve answers the calls of one connection until it ends.
+// serve handles the calls on one connection until it is closed.
 func (c *Counter) serve(conn net.Conn) {
 	for lines := bufio.NewScanner(conn); lines.Scan(); {
 		answer := c.call(strings.Fields(lines.Text()))
@@ -124,7 +125,7 @@
 	}
 }
 
-// call carries out one call, "ping" or "add name amount life", and returns its answer.
+// call executes one call, "ping" or "add NAME AMOUNT LIFETIME_MS", and returns the response.
 func (c *Counter) call(words []string) string {
 	if len(words) == 1 && words[0] == "ping" {
 		return "pong"
@@ -140,7 +141,8 @@
 	return fmt.Sprintf("ok %.7g", c.add(words[1], amount, lifeMS))
 }
 
-// add adds to a total and returns it. A total that is new or has expired begins at zero, with a life in milliseconds.
+// add adds an amount to a total and returns the new value. A total that is new or has expired starts at zero and
+// expires after lifeMS milliseconds.
 func (c *Counter) add(name string, amount float64, lifeMS int) float64 {
 	now := time.Now()
 	c.mu.Lock()
--- a/internal/fake/rig/changes.go
+++ b/internal/fake/rig/changes.go
@@ -9,21 +9,21 @@
 )
 
 const (
-	// changeRetryLimit is the time after which a client of a change makes no further attempt.
+	// changeRetryLimit is how long a client retries a change.
 	changeRetryLimit = 15 * time.Second
-	// changeRetryJitter bounds the random pause before a further attempt.
+	// changeRetryJitter is the upper bound of the random pause before a retry.
 	changeRetryJitter = 50 * time.Millisecond
-	// maxRetryAfter bounds how much of a Retry-After a client of a change waits.
+	// maxRetryAfter is the longest that a client waits because of a Retry-After.
 	maxRetryAfter = 400 * time.Millisecond
 )
 
-// ChangeBook is what clients of changes have recorded.
+// ChangeBook holds what the clients of Rig.Changes have recorded.
 type ChangeBook struct {
-	// Keys are the attempts by idempotency key, in their order.
+	// Keys are the attempts by idempotency key, in order.
 	Keys map[string][]Try
 }
 
-// Served returns the number of keys of which an attempt was served.
+// Served returns the number of keys with an attempt that was served.
 func (b *ChangeBook) Served() (keys int) {
 	for _, tries := range b.Keys {
 		for _, try := range tries {
@@ -36,11 +36,11 @@
 	return keys
 }
 
-// Twice returns the keys that had their effect more than once, by the endpoints' record, and the number of all that
-// had one.
+// Twice returns the keys that had an effect more than once, according to the endpoints' record, and the number of all
+// keys that had an effect.
 func (r *Rig) Twice() (twice []string, all int) {
 	effects := map[string]int{}
-	for _, effect := range r.Group.Effects() {
+	for _, effect := range r.DedupScope.Effects() {
 		effects[effect.Key]++
 		if effects[effect.Key] == 2 {
 			twice = append(twice, effect.Key)
@@ -49,7 +49,7 @@
 	return twice, len(effects)
 }
 
-// changeClient makes changes with keys of its own, one after another. It belongs to one goroutine.
+// changeClient makes changes with its own keys, one after another. It is not safe for concurrent use.
 type changeClient struct {
 	pool *clientPool
 	rng  *rand.Rand
@@ -57,8 +57,8 @@
 	record func(key string, try Try)
 }
 
-// Changes has clients make changes until the context ends, with a pause between two: each with a key of its own, at a
-// gateway that is drawn, and again with the same key at any gateway while it is not served.
+// Changes runs clients that make changes until the context ends, with a pause after each change. Each change has its
+// own key. It is sent to a random gateway, and retried with the same key at a random gateway until it is served.
 func (r *Rig) Changes(ctx context.Context, clients int, pause time.Duration, seed uint64) *ChangeBook {
 	book := &ChangeBook{Keys: map[string][]Try{}}
 	var mu sync.Mutex // guards book
@@ -87,7 +87,7 @@
 	return book
 }
 
-// change makes attempts with a key until one is served, changeRetryLimit has passed or the context ends.
+// change makes attempts with a key until one is served, changeRetryLimit expires or the context ends.
 func (c *changeClient) change(ctx context.Context, key string) {
 	gateways := len(c.pool.rig.Doors)
 	parameters := changeParameters(attemptTimeout, key, gateways)
@@ -99,7 +99,7 @@
 		}
 		wait := time.Duration(c.rng.Int64N(int64(changeRetryJitter)))
 		if try.Busy {
-			wait += min(try.Pause, maxRetryAfter)
+			wait += min(try.RetryAfter, maxRetryAfter)
 		}
 		sleep(ctx, wait)
 	}
--- a/internal/fake/rig/clientpool.go
+++ b/internal/fake/rig/clientpool.go
@@ -12,53 +12,53 @@
 )
 
 const (
-	// poolDialTimeout bounds how long a connection to a gateway may take.
+	// poolDialTimeout is the timeout for connecting to a gateway.
 	poolDialTimeout = 200 * time.Millisecond
-	// answerMargin is the time that an answer has beyond what the request says.
+	// answerMargin is how long a client waits for an answer beyond the deadline in its request.
 	answerMargin = 200 * time.Millisecond
-	// attemptTimeout is what a request says of how long its client waits for each attempt.
+	// attemptTimeout is the deadline that a client states in each request.
 	attemptTimeout = time.Second
 )
 
-// errUnreachable says that a gateway's listener does not serve.
-var errUnreachable = errors.New("the gateway can't be reached")
+// errUnreachable reports that a gateway's listener is not serving.
+var errUnreachable = errors.New("gateway unreachable")
 
-// Try is one attempt of a client and its outcome. Without an answer, Served, Busy and Failed are false.
+// Try is an attempt of a client and its outcome. If there was no answer, Served, Busy and Failed are false.
 type Try struct {
-	// Asked is when the attempt was made, since the clients began.
+	// Asked is when the attempt was made, since the start of the clients.
 	Asked time.Duration
-	// Took is the time to its outcome.
+	// Took is the time until the outcome.
 	Took time.Duration
 	// Door is the index of the gateway.
 	Door int
-	// Served says that it was answered by a value.
+	// Served reports that the answer was a value.
 	Served bool
-	// Busy says that it was rejected.
+	// Busy reports that the attempt was rejected.
 	Busy bool
-	// Pause is the Retry-After of a rejected attempt; 0: the client was told none.
-	Pause time.Duration
-	// Failed says that it was answered otherwise: it may have had its effect.
+	// RetryAfter is the Retry-After of a rejected attempt. 0 means none.
+	RetryAfter time.Duration
+	// Failed reports any other answer. The attempt may still have had its effect.
 	Failed bool
 }
 
-// clientPool holds one client's connections to the gateways. It belongs to one goroutine.
+// clientPool holds one client's connections to the gateways. It is not safe for concurrent use.
 type clientPool struct {
 	rig     *Rig
 	beganAt time.Time
-	// connections are the open ones, by the index of their gateway.
+	// connections are the open connections by gateway index.
 	connections map[int]*pooledConnection
-	// attempts is the number of attempts so far.
+	// attempts is the number of attempts made so far.
 	attempts int
 }
 
-// pooledConnection is a connection to the process that listened at an address.
+// pooledConnection is a connection to the process that listens on an address.
 type pooledConnection struct {
 	address string
 	conn    net.Conn
 	reader  *bufio.Reader
 }
 
-// newClientPool returns a client without connections. beganAt is when the clients began.
+// newClientPool returns a client without connections. beganAt is the start of the clients.
 func newClientPool(r *Rig, beganAt time.Time) *clientPool {
 	return &clientPool{rig: r, beganAt: beganAt, connections: map[int]*pooledConnection{}}
 }
@@ -66,11 +66,11 @@
 // close closes all connections.
 func (p *clientPool) close() {
 	for _, c := range p.connections {
-		_ = c.conn.Close() // no answer is awaited
+		_ = c.conn.Close() // no answer is pending
 	}
 }
 
-// attempt makes one request with a command's name, customer and parameters at a gateway and reads its answer.
+// attempt sends one request to a gateway, with the given command name, customer and parameters, and reads the answer.
 func (p *clientPool) attempt(gateway int, name, customer, parameters string) Try {
 	askedAt := time.Now()
 	try := Try{Asked: askedAt.Sub(p.beganAt), Door: gateway}
@@ -84,7 +84,7 @@
 	return try
 }
 
-// setOutcome sets the outcome that the first line of an answer tells.
+// setOutcome sets the outcome from the first line of an answer.
 func (t *Try) setOutcome(line string) {
 	switch {
 	case strings.HasPrefix(line, "$") && line != "$-1":
@@ -93,28 +93,28 @@
 		t.Busy = true
 		milliseconds, err := strconv.Atoi(strings.TrimSpace(strings.TrimPrefix(line, "-BUSY")))
 		if err == nil {
-			t.Pause = time.Duration(milliseconds) * time.Millisecond
+			t.RetryAfter = time.Duration(milliseconds) * time.Millisecond
 		}
 	default:
 		t.Failed = true
 	}
 }
 
-// exchange sends a command to a gateway and returns the first line of its answer, without its end. After an error the
-// connection is closed.
+// exchange sends a command to a gateway and returns the first line of the answer without the line ending. It closes the
+// connection on error.
 func (p *clientPool) exchange(gateway int, words ...string) (line string, err error) {
 	connection, err := p.connect(gateway)
 	if err != nil {
 		return "", err
 	}
 	if line, err = connection.exchange(words...); err != nil {
-		_ = connection.conn.Close() // it has failed
+		_ = connection.conn.Close() // the connection is broken
 		delete(p.connections, gateway)
 	}
 	return line, err
 }
 
-// connect returns the connection to a gateway's present process, and makes one if there is none.
+// connect returns the connection to the current process of a gateway. It dials if there is none.
 func (p *clientPool) connect(gateway int) (*pooledConnection, error) {
 	address := p.rig.Doors[gateway].Addr(resp2Listener)
 	if address == "" {
@@ -129,16 +129,17 @@
 		return nil, err
 	}
 	if previous != nil {
-		_ = previous.conn.Close() // its process is gone
+		_ = previous.conn.Close() // its process has ended
 	}
 	connection := &pooledConnection{address: address, conn: conn, reader: bufio.NewReader(conn)}
 	p.connections[gateway] = connection
 	return connection, nil
 }
 
-// exchange sends a command and reads its answer: the first line, which it returns, and the value, if that has one.
+// exchange sends a command, reads the answer including its value, if any, and returns the first line without the line
+// ending.
 func (c *pooledConnection) exchange(words ...string) (line string, err error) {
-	_ = c.conn.SetDeadline(time.Now().Add(attemptTimeout + answerMargin)) // a connection that has ended fails below
+	_ = c.conn.SetDeadline(time.Now().Add(attemptTimeout + answerMargin)) // a closed connection fails below
 	if err = writeCommand(c.conn, words...); err != nil {
 		return "", err
 	}
--- a/internal/fake/rig/powercut.go
+++ b/internal/fake/rig/powercut.go
@@ -6,28 +6,28 @@
 	"time"
 )
 
-// PowerCut cuts the power of everything at once: gateways die, endpoints forget which keys have run, and the
-// counter's numbers are gone.
-// The gateways' disks keep everything until [Door.Leave] takes what was not synced. [Rig.PowerOn] ends the cut.
+// PowerCut simulates a power cut of everything at the same time: gateways are killed, endpoints close their connections
+// and forget which keys have run, and the counter loses its totals. The gateways' disks keep everything until
+// [Door.Leave] removes unsynced data. [Rig.PowerOn] ends the power cut.
 func (r *Rig) PowerCut() {
 	var kills sync.WaitGroup
 	for _, gateway := range r.Doors {
 		kills.Go(gateway.Kill)
 	}
 	for _, server := range r.Servers {
-		kills.Go(server.Drop)
+		kills.Go(server.CloseConns)
 	}
-	r.Group.Forget()
-	r.Counter.Empty()
+	r.DedupScope.ForgetKeys()
+	r.Counter.Reset()
 	kills.Wait()
 	for _, server := range r.Servers {
-		server.Drop() // connections that were accepted meanwhile
+		server.CloseConns() // closes connections accepted in the meantime
 	}
-	r.Group.Forget()
+	r.DedupScope.ForgetKeys()
 }
 
-// PowerOn has the endpoints started and listed as started now, and starts the processes of the gateways with the
-// given indexes, or of all. It does not wait until they serve.
+// PowerOn restarts the endpoints, lists them as started now, and starts the processes of the gateways with the given
+// indexes, or of all gateways if none are given. It does not wait until they serve.
 func (r *Rig) PowerOn(gateways ...int) error {
 	now := time.Now()
 	r.poweredOnAt = append(r.poweredOnAt, now)
--- a/internal/fake/rig/rig.go
+++ b/internal/fake/rig/rig.go
@@ -14,74 +14,75 @@
 const (
 	// flagServers is the number of endpoints.
 	flagServers = 2
-	// flagServerDelay is the time that an endpoint takes for an answer, beside Config.Work.
+	// flagServerDelay is the delay of an endpoint's answer, in addition to Config.Work.
 	flagServerDelay = time.Millisecond
 
 	clusterKeyFile = "key"
 	clusterKey     = "rig rig rig rig rig rig rig rig \n"
 )
 
-// Config sets what is started.
+// Config selects what is started.
 type Config struct {
-	// Program is the path of gapgapd.
+	// Program is the path of the gapgapd binary.
 	Program string
-	// Dir is an existing directory for the files of the gateways.
+	// Dir is an existing directory for the gateways' files.
 	Dir string
 	// Doors is the number of gateways.
 	Doors int
-	// Fleet makes the gateways a cluster: their files have a [fleet].
+	// Fleet makes the gateways a cluster: their configuration files have a [fleet] table.
 	Fleet bool
-	// Node holds further lines of [node].
+	// Node holds additional lines of the [node] table.
 	Node string
-	// Plan holds the lines of the [[plan]] "business" after its name.
+	// Plan holds the lines of the [[plan]] table "business" after its name.
 	Plan string
-	// InFleet holds further lines of [fleet].
+	// InFleet holds additional lines of the [fleet] table.
 	InFleet string
-	// Own returns further tables of one gateway's file; nil: none.
+	// Own returns additional tables of the configuration file of one gateway. It may be nil.
 	Own func(n int) string
-	// Seed seeds what the lines do by chance.
+	// Seed seeds the random choices of the lines.
 	Seed uint64
-	// Change holds lines of a class "change", which is idempotent with a key, after its window; empty: there is no
-	// such class.
+	// Change holds the lines of the [[class]] table "change" after its window. The class is idempotent through an
+	// idempotency key. If Change is empty, there is no such class.
 	Change string
-	// Calm is the number of further accounts, for [Rig.Calm].
+	// Calm is the number of additional accounts, for [Rig.Calm].
 	Calm int
-	// Work is the time that a command takes of an endpoint, one after another; 0: any number run at once.
+	// Work is the time that an endpoint takes for one request. Requests are served one after another. 0 means that any
+	// number of requests are served concurrently.
 	Work time.Duration
-	// Record says that Program is a test build that records what gateways do to their disks, which [Door.Leave]
-	// needs.
+	// Record reports that Program is a test build that records the gateways' changes to their disks, as [Door.Leave]
+	// requires.
 	Record bool
 }
 
-// Plan is a plan with a ceiling of 10 units a second and 20 at once, for [Config.Plan].
+// Plan is a value for Config.Plan: a plan with a ceiling of 10 units per second and a burst of 20 units.
 const Plan = "rate = 5.0\nburst = 10.0\nover_worth = 0.2\nceiling_rate = 10.0\nceiling_depth = 20.0\n"
 
-// Rig is a running set of gateways with the fakes around it.
+// Rig is a set of running gateways and the fakes that they depend on.
 type Rig struct {
 	Config
 
-	// Doors are the gateways, by their index.
+	// Doors are the gateways by index.
 	Doors []*Door
 	// Counter is the shared counter.
 	Counter *quota.Counter
 	// Servers are the endpoints.
 	Servers []*flagserver.Server
-	// Group is the deduplication scope of all endpoints.
-	Group *flagserver.Group
+	// DedupScope is the dedup scope of all endpoints.
+	DedupScope *flagserver.DedupScope
 
 	agent     *catalog.Agent
 	endpoints []catalog.Endpoint
 	lines     map[lineKey]*Line
-	// poweredOnAt is when PowerOn was called, each time.
+	// poweredOnAt are the times of the calls of PowerOn.
 	poweredOnAt []time.Time
 }
 
-// Start starts all gateways at once and waits until each serves. After an error nothing is left running.
+// Start starts all gateways concurrently and waits until each serves. After an error nothing is left running.
 func Start(cfg Config) (_ *Rig, err error) {
 	r := &Rig{
-		Config: cfg,
-		Group:  flagserver.NewGroup(dedupWindow),
-		lines:  map[lineKey]*Line{},
+		Config:     cfg,
+		DedupScope: flagserver.NewDedupScope(dedupWindow),
+		lines:      map[lineKey]*Line{},
 	}
 	defer func() {
 		if err != nil {
@@ -107,12 +108,12 @@
 func (r *Rig) startFakes() (err error) {
 	for i := range flagServers {
 		server, err := flagserver.Start(flagserver.Config{
-			Keep:   true,
-			Delay:  flagServerDelay,
-			Group:  r.Group,
-			Work:   r.Work,
-			From:   coldFraction,
-			Within: warmUpDuration,
+			Keep:            true,
+			Delay:           flagServerDelay,
+			DedupScope:      r.DedupScope,
+			ServiceTime:     r.Work,
+			InitialCapacity: initialCapacity,
+			WarmUpDuration:  warmUpDuration,
 		})
 		if err != nil {
 			return err
@@ -127,7 +128,7 @@
 	return err
 }
 
-// makeGateways makes the gateways, their directories and the lines between them. It starts no process.
+// makeGateways creates the gateways, their directories and the lines between them. It starts no process.
 func (r *Rig) makeGateways() error {
 	count := r.Config.Doors
 	for from := range count {
@@ -168,7 +169,7 @@
 
 func (r *Rig) clusterKeyPath() string { return filepath.Join(r.Dir, clusterKeyFile) }
 
-// Close kills the gateways and closes all else.
+// Close kills the gateways and closes the lines and fakes.
 func (r *Rig) Close() {
 	for _, gateway := range r.Doors {
 		gateway.Kill()
--- a/internal/fake/rig/warmup.go
+++ b/internal/fake/rig/warmup.go
@@ -7,24 +7,24 @@
 	"gapgap/internal/fake/flagserver"
 )
 
-// How endpoints warm up, as the gateways' files have it by default.
+// The warm-up of endpoints, with the values that the gateways' configuration has by default.
 const (
-	// coldFraction is the fraction of its capacity that an endpoint has when it is started.
-	coldFraction = 0.26
-	// warmUpDuration is the time after which it has all.
+	// initialCapacity is the fraction of its capacity that an endpoint has at its start.
+	initialCapacity = 0.26
+	// warmUpDuration is the time from its start until an endpoint has its full capacity.
 	warmUpDuration = 15 * time.Second
 )
 
-// When an endpoint that is warming up counts as overloaded.
+// The condition under which an endpoint that is warming up counts as overloaded.
 const (
-	// overloadMultiple is the multiple of its capacity that it must be sent within overloadWindow.
+	// overloadMultiple is the multiple of its capacity that an overloaded endpoint is sent within overloadWindow.
 	overloadMultiple = 3.0
-	// overloadWindow is the time in which it must be sent so much.
+	// overloadWindow is the length of the window in which the requests sent are counted.
 	overloadWindow = 3 * time.Second
 )
 
-// Pushed returns by how many commands an endpoint that was warming up had more in some window, at worst, than it
-// bears, beyond what chance explains. It needs Config.Work.
+// Pushed returns the largest number of requests by which an endpoint that was warming up was overloaded in any window,
+// beyond random variation. It requires Config.Work.
 func (r *Rig) Pushed() (over float64) {
 	commandsPerSecond := float64(time.Second) / float64(r.Work)
 	for _, server := range r.Servers {
@@ -40,10 +40,10 @@
 	return over
 }
 
-// overloadOf returns the largest excess of commands in a window that begins with one of those sent between an
-// endpoint's start and the end of its warm-up.
+// overloadOf returns the largest excess of requests in any window that begins with a request sent between an endpoint's
+// start and the end of its warm-up. 3*sqrt(n)+3 requests beyond the allowed number n count as random variation.
 func overloadOf(sent []flagserver.Sent, startedAt, until time.Time, commandsPerSecond float64) (over float64) {
-	warmUp := &flagserver.Config{From: coldFraction, Within: warmUpDuration, Started: startedAt}
+	warmUp := &flagserver.Config{InitialCapacity: initialCapacity, WarmUpDuration: warmUpDuration, StartedAt: startedAt}
 	end := 0
 	for i, first := range sent {
 		if first.At.Before(startedAt) || !first.At.Before(until) {
@@ -53,8 +53,8 @@
 		for end < len(sent) && sent[end].At.Before(until) && sent[end].At.Sub(first.At) < overloadWindow {
 			end++
 		}
-		bears := overloadMultiple * warmUp.Bears(first.At) * commandsPerSecond * overloadWindow.Seconds()
-		over = max(over, float64(end-i)-bears-3*math.Sqrt(bears)-3)
+		allowed := overloadMultiple * warmUp.CapacityAt(first.At) * commandsPerSecond * overloadWindow.Seconds()
+		over = max(over, float64(end-i)-allowed-3*math.Sqrt(allowed)-3)
 	}
 	return over
 }
--- a/internal/fake/serve/serve.go
+++ b/internal/fake/serve/serve.go
@@ -1,5 +1,5 @@
-// Package serve holds what fakes that speak over plain TCP connections have in common: a listener on loopback, its
-// connections, and an end like that of a process that dies.
+// Package serve is the TCP server that the fakes share: it listens on loopback, tracks its connections and can close
+// them abruptly, as the death of a process does.
 package serve
 
 import (
@@ -7,24 +7,24 @@
 	"sync"
 )
 
-// Server accepts connections and hands each to a function. It is safe for concurrent use.
+// Server accepts connections and passes each to a handler. It is safe for concurrent use.
 type Server struct {
 	listener net.Listener
 
 	// mu guards the fields below.
 	mu   sync.Mutex
 	open map[net.Conn]bool
-	// maxOpen is the largest number of connections that were open at once.
+	// maxOpen is the largest number of connections that were open at the same time.
 	maxOpen int
-	// accepted counts all connections.
+	// accepted counts all connections accepted so far.
 	accepted int
 
-	// waitGroup counts the goroutines of the listener and of the connections.
+	// waitGroup tracks the goroutines of the listener and of the connections.
 	waitGroup sync.WaitGroup
 }
 
-// Start listens on a free port of loopback and calls handle for each connection on a goroutine of its own. A
-// connection is closed when handle returns.
+// Start listens on a free loopback port and calls handle for each connection on its own goroutine. A connection is
+// closed when handle returns.
 func Start(handle func(net.Conn)) (*Server, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -65,8 +65,9 @@
 	delete(s.open, conn)
 }
 
-// Conns returns the number of connections that are open, the most that were open at once, and all that were accepted.
-func (s *Server) Conns() (open, most, came int) {
+// Conns returns the number of open connections, the largest number that were open at the same time, and the number
+// accepted so far.
+func (s *Server) Conns() (open, maxOpen, accepted int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.open), s.maxOpen, s.accepted
@@ -75,8 +76,8 @@
 // Addr returns the host and port that the server listens on.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// Drop closes all connections, like a machine that has lost its power and has it back. New ones are accepted.
-func (s *Server) Drop() {
+// CloseConns closes all connections, as when a host loses power and comes back. New connections are still accepted.
+func (s *Server) CloseConns() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for conn := range s.open {
@@ -84,9 +85,9 @@
 	}
 }
 
-// Close closes the listener and all connections, and waits for their handlers to return.
+// Close closes the listener and all connections and waits for the handlers to return.
 func (s *Server) Close() {
 	_ = s.listener.Close() // it may be closed already
-	s.Drop()
+	s.CloseConns()
 	s.waitGroup.Wait()
 }
