--- a/internal/fake/rig/book.go
+++ b/internal/fake/rig/book.go
@@ -7,55 +7,57 @@
 	"time"
 )
 
-// Served is one request that was let through, at some time between Asked and At.
+// Served is a request that was admitted, at some time between Asked and At.
 type Served struct {
-	// Asked is when its client asked, since the flood began.
+	// Asked is when the client sent the request, since the start of the flood.
 	Asked time.Duration
-	// At is when the answer, or what was let through, was seen, since the flood began.
+	// At is when the client received the answer to a check, or when an endpoint received the request, since the start
+	// of the flood.
 	At time.Duration
 	// Door is the index of the gateway.
 	Door int
 }
 
-// Decided is one check that was answered by a version of the cluster's policy.
+// Decided is a check whose answer names the policy version of the cluster that decided it.
 type Decided struct {
-	// Asked is when its client asked, since the flood began.
+	// Asked is when the client sent the check, since the start of the flood.
 	Asked time.Duration
-	// Answered is when it had the answer, since the flood began.
+	// Answered is when the client received the answer, since the start of the flood.
 	Answered time.Duration
 	// Door is the index of the gateway.
 	Door int
-	// Version is the policy version by which the check was decided.
+	// Version is the policy version that decided the check.
 	Version uint64
 }
 
-// Book is what the clients of a flood have recorded.
+// Book holds what the clients of a flood have recorded.
 type Book struct {
-	// Served are the requests that were let through. Checks stand there with the time of their answer, requests over
-	// RESP2 with the time at which an endpoint had them.
+	// Served are the requests that were admitted. For a check, Served.At is the time of the answer, for a request over
+	// RESP2 the time at which an endpoint received it.
 	Served []Served
 	// Refused is the number of checks that were rejected.
 	Refused int
-	// Errors is the number of requests without an answer from a gateway that could not be reached meanwhile.
+	// Errors is the number of requests that had no valid answer from a gateway that was unreachable at some time
+	// meanwhile.
 	Errors int
-	// Lost describes the requests without an answer, or with one that is not theirs, from a gateway that could be
-	// reached all the time.
+	// Lost describes the requests that had no valid answer, or the answer to another request, from a gateway that was
+	// reachable all the time.
 	Lost []string
-	// Slowest is the longest time to an answer from a gateway that could be reached all the time.
+	// Slowest is the longest response time of a gateway that was reachable all the time.
 	Slowest time.Duration
 
-	// Decided are the checks whose answer names the policy version that decided.
+	// Decided are the checks whose answer names the policy version that decided them.
 	Decided []Decided
 
-	// Calm is the number of requests of the account that stays inside its quota, at gateways that have been reachable
-	// for long enough to serve all that is inside a quota.
+	// Calm is the number of checks of the account that stays within its quota, at gateways that had been reachable for
+	// long enough to serve every request within a quota.
 	Calm int
-	// CalmDenied describes those of them that were rejected.
+	// CalmDenied describes the checks counted in Calm that were rejected.
 	CalmDenied []string
 }
 
-// Window returns for how long, at worst, a check was still decided by an earlier policy version after another check
-// had been answered by a later one: from that answer to when the check was asked.
+// Window returns the longest time for which an earlier policy version was still in use after a later one: from the
+// first answer by the later version to the sending of a check that was decided by the earlier one.
 func (b *Book) Window() (worst time.Duration) {
 	firstAnswers := map[uint64]time.Duration{}
 	for _, decided := range b.Decided {
@@ -73,8 +75,8 @@
 	return worst
 }
 
-// In returns the number of requests that were let through in a time of the flood, at all gateways or at those with
-// the given indexes.
+// In returns the number of requests admitted in a time range of the flood, at all gateways or at those with the given
+// indexes.
 func (b *Book) In(from, to time.Duration, gateways ...int) (n int) {
 	for _, served := range b.Served {
 		isCounted := len(gateways) == 0 || slices.Contains(gateways, served.Door)
@@ -85,19 +87,21 @@
 	return n
 }
 
-// Worst returns by how many units some stretch of the flood certainly had more than rate*length+depth. Only what was
-// both asked and seen within the stretch counts, so that a busy machine makes no excess.
+// Worst returns the largest number of units by which any interval of the flood certainly exceeded rate*length+depth.
+// Only requests that were both sent and seen within the interval count, so that delays on a busy machine cannot cause
+// an apparent excess.
 func (b *Book) Worst(rate, depth float64) (over float64) {
 	over, _, _ = b.WorstStretch(rate, depth)
 	return over
 }
 
-// WorstStretch is Worst, and returns the stretch too, since the flood began. Without an excess all are zero.
+// WorstStretch is like Worst, but also returns the interval, since the start of the flood. Without an excess all
+// results are zero.
 func (b *Book) WorstStretch(rate, depth float64) (over float64, from, to time.Duration) {
 	latestFirst := slices.SortedFunc(slices.Values(b.Served), func(a, b Served) int {
 		return cmp.Compare(b.Asked, a.Asked)
 	})
-	var seenAt []time.Duration // of those that were asked from served.Asked on, sorted
+	var seenAt []time.Duration // of the requests sent at served.Asked or later, sorted
 	for _, served := range latestFirst {
 		i, _ := slices.BinarySearch(seenAt, served.At)
 		seenAt = slices.Insert(seenAt, i, served.At)
@@ -111,16 +115,17 @@
 	return over, from, to
 }
 
-// recordAnswer records that a gateway's answer has come now, or failed to. beganAt is when the flood began.
+// recordAnswer records that a gateway's answer was received now, or that the request failed now with an error. beganAt
+// is the start of the flood.
 func (b *Book) recordAnswer(d *Door, beganAt, askedAt time.Time, err error) {
 	now := time.Now()
 	switch {
-	case d.Away(askedAt, now):
+	case d.WasUnreachable(askedAt, now):
 		if err != nil {
 			b.Errors++
 		}
 	case err != nil:
-		b.Lost = append(b.Lost, fmt.Sprintf("%s, asked %.3f s after the start, for %.3f s: %v",
+		b.Lost = append(b.Lost, fmt.Sprintf("%s: sent %.3f s after the start, failed after %.3f s: %v",
 			d.Name, askedAt.Sub(beganAt).Seconds(), now.Sub(askedAt).Seconds(), err))
 	default:
 		b.Slowest = max(b.Slowest, now.Sub(askedAt))
--- a/internal/fake/rig/calm.go
+++ b/internal/fake/rig/calm.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Calm has Config.Calm accounts, each inside its quota, make a request every interval at each gateway in turn, until
-// the context ends. It returns all attempts that ended before.
+// Calm runs the Config.Calm accounts that stay within their quota until the context ends. Each account sends a request
+// per interval, to the gateways in turn. Calm returns all attempts that ended before the context did.
 func (r *Rig) Calm(ctx context.Context, each time.Duration) []Try {
 	var tries []Try
 	var mu sync.Mutex // guards tries
@@ -25,16 +25,16 @@
 			pool := newClientPool(r, beganAt)
 			defer pool.close()
 			sleep(ctx, each*time.Duration(n)/time.Duration(accounts))
-			r.runCalmAccount(ctx, pool, n, each, record)
+			r.runInQuotaAccount(ctx, pool, n, each, record)
 		})
 	}
 	running.Wait()
 	return tries
 }
 
-// runCalmAccount makes the requests of one account until the context ends.
-func (r *Rig) runCalmAccount(ctx context.Context, pool *clientPool, n int, each time.Duration, record func(Try)) {
-	customer := fmt.Sprintf("%016x", firstCalmAccount+n)
+// runInQuotaAccount sends the requests of one account until the context ends.
+func (r *Rig) runInQuotaAccount(ctx context.Context, pool *clientPool, n int, each time.Duration, record func(Try)) {
+	customer := fmt.Sprintf("%016x", firstInQuotaAccount+n)
 	parameters := evaluateParameters(attemptTimeout, len(r.Doors))
 	for i := n; ctx.Err() == nil; i++ {
 		try := pool.attempt(i%len(r.Doors), "Q.ASK", customer, parameters)
--- a/internal/fake/rig/configfile.go
+++ b/internal/fake/rig/configfile.go
@@ -8,32 +8,32 @@
 	"time"
 )
 
-// Accounts of the gateways' files and their keys.
+// Customers in the gateways' configuration files, and their keys for checks.
 const (
-	// Customer is the account of the clients that ask as fast as they are answered.
+	// Customer is the customer of the clients that send requests as fast as they are answered.
 	Customer = "00000000b4d65521"
-	// Key is Customer's key for checks.
+	// Key is the key of Customer for checks.
 	Key = "rig"
 
-	calmCustomer = "00000000b4d65522"
-	calmKey      = "calm"
+	inQuotaCustomer = "00000000b4d65522"
+	inQuotaKey      = "calm"
 
-	// changeCustomer is the account of changes.
+	// changeCustomer is the customer of the clients that make changes.
 	changeCustomer = "00000000b4d65000"
-	// firstCalmAccount is the number of the first of Config.Calm accounts.
-	firstCalmAccount = 0x00000000b4d66000
+	// firstInQuotaAccount is the customer number of the first of the Config.Calm accounts.
+	firstInQuotaAccount = 0x00000000b4d66000
 )
 
-// dedupWindow is the time in which endpoints drop repeats of a key, unless their power is cut.
+// dedupWindow is how long endpoints ignore repeats of a key. A power cut ends it.
 const dedupWindow = 30 * time.Second
 
-// configFileName is the name of a gateway's file in its directory.
+// configFileName is the name of a gateway's configuration file in its directory.
 const configFileName = "gapgapd.toml"
 
-// ownAddress stands for a gateway's own address in its list of gateways, where it is not read.
-const ownAddress = "127.0.0.1:1"
+// selfAddress is the placeholder for a gateway's own address in its list of gateways, which the gateway ignores.
+const selfAddress = "127.0.0.1:1"
 
-// evaluateTables are the limits and the class of requests that are idempotent.
+// evaluateTables holds the limits and the class "evaluate" of idempotent requests.
 const evaluateTables = `[limits]
 retry_after = "5s"
 [[class]]
@@ -44,7 +44,7 @@
 give_up = "2s"
 `
 
-// listenerTables are the listeners for RESP2 and for checks.
+// listenerTables holds the listeners for RESP2 and for checks.
 const listenerTables = `[[listener]]
 name = "resp2"
 protocol = "resp2"
@@ -61,7 +61,7 @@
 default_class = "evaluate"
 `
 
-// changeTables are the class of changes, up to the lines of Config.Change, with its window.
+// changeTables holds the class "change", with the dedup window to fill in. The lines of Config.Change follow it.
 const changeTables = `[[class]]
 name = "change"
 effect = "keyed"
@@ -71,15 +71,15 @@
 window = %q
 `
 
-// changePlanTable is a plan whose quota the changes do not reach.
+// changePlanTable is the plan of changeCustomer. Its quota is too large for the changes to reach.
 const changePlanTable = `[[plan]]
 name = "trade"
 rate = 2000.0
 burst = 4000.0
 `
 
-// File returns the text of a gateway's configuration file.
-func (r *Rig) File(n int) string {
+// ConfigText returns the content of a gateway's configuration file.
+func (r *Rig) ConfigText(n int) string {
 	var text strings.Builder
 	r.writeNode(&text, n)
 	text.WriteString(evaluateTables)
@@ -99,39 +99,39 @@
 	return text.String()
 }
 
-// writeNode writes the table of the gateway itself.
+// writeNode writes the [node] table of a gateway.
 func (r *Rig) writeNode(text *strings.Builder, n int) {
 	fmt.Fprintf(text, "[node]\nname = %q\ndiscovery = %q\ncounter = %q\n",
 		r.Doors[n].Name, r.agent.Addr(), r.Counter.Addr())
 	fmt.Fprintf(text, "doors = %d\nrank = %d\n%s\n", r.Config.Doors, n, r.Node)
 }
 
-// writeAccounts writes the tables of all accounts.
+// writeAccounts writes the [[account]] tables.
 func (r *Rig) writeAccounts(text *strings.Builder) {
 	writeKeyedAccount(text, "acme", Customer, Key)
-	writeKeyedAccount(text, "calm", calmCustomer, calmKey)
+	writeKeyedAccount(text, "calm", inQuotaCustomer, inQuotaKey)
 	if r.Change != "" {
 		fmt.Fprintf(text, "[[account]]\nname = \"trade\"\ncustomer = %q\nplan = \"trade\"\n", changeCustomer)
 	}
 	for i := range r.Config.Calm {
 		fmt.Fprintf(text, "[[account]]\nname = \"calm-%d\"\ncustomer = \"%016x\"\nplan = \"business\"\n",
-			i, firstCalmAccount+i)
+			i, firstInQuotaAccount+i)
 	}
 }
 
-// writeKeyedAccount writes the table of an account that has a key for checks.
+// writeKeyedAccount writes the [[account]] table of an account with a key for checks.
 func writeKeyedAccount(text *strings.Builder, name, customer, key string) {
 	fmt.Fprintf(text, "[[account]]\nname = %q\ncustomer = %q\nplan = \"business\"\nkeys = [\"%x\"]\n",
 		name, customer, sha256.Sum256([]byte(key)))
 }
 
-// writeCluster writes the tables of the cluster. The address of another gateway is that of the line to it.
+// writeCluster writes the [fleet] tables. The address of another gateway is that of the line to it.
 func (r *Rig) writeCluster(text *strings.Builder, n int) {
 	gateway := r.Doors[n]
 	fmt.Fprintf(text, "[fleet]\nlisten = \"127.0.0.1:0\"\nkey_file = %q\nstate_dir = %q\ncontrol = %q\n%s\n",
 		r.clusterKeyPath(), gateway.Dir, gateway.Socket, r.InFleet)
 	for to, other := range r.Doors {
-		address := ownAddress
+		address := selfAddress
 		if to != n {
 			address = r.Line(n, to).Addr()
 		}
@@ -139,5 +139,5 @@
 	}
 }
 
-// configPath returns the path of the gateway's file.
+// configPath returns the path of the gateway's configuration file.
 func (d *Door) configPath() string { return filepath.Join(d.Dir, configFileName) }
--- a/internal/fake/rig/flood.go
+++ b/internal/fake/rig/flood.go
@@ -9,19 +9,19 @@
 	"time"
 )
 
-// CalmEvery is the pause of the account that stays inside its quota, at each gateway. With five gateways that makes 3
-// requests a second of the 5 that Plan allows, less than each gateway's even share.
-const CalmEvery = 1650 * time.Millisecond
+// InQuotaInterval is the pause between two checks of the account that stays within its quota, at each gateway. With
+// five gateways that makes 3 checks per second of the 5 that Plan allows, less than each gateway's even share.
+const InQuotaInterval = 1650 * time.Millisecond
 
-// fullShareAfter is the time after which a started gateway serves all that is inside a quota. Its shares begin empty,
-// as the process before may have spent them; Plan's ceiling fills in 2 s, and a share is there after 1.1 s at the
-// latest.
-const fullShareAfter = 3500 * time.Millisecond
+// fullShareDelay is the time from its start until a gateway serves every request within a quota. Its shares start
+// empty, because the previous process may have spent them. Plan's ceiling fills in 2 s, and a share is available after
+// at most 1.1 s.
+const fullShareDelay = 3500 * time.Millisecond
 
 const (
-	// checkTimeout bounds one check of a flood.
+	// checkTimeout is the timeout of one check of a flood.
 	checkTimeout = 2 * time.Second
-	// checkIdleConnections bounds the idle connections of a client for checks.
+	// checkIdleConnections is the maximum number of idle connections of a client for checks.
 	checkIdleConnections = 2
 )
 
@@ -38,9 +38,9 @@
 	book *Book
 }
 
-// Flood has two clients ask each of some gateways, with a short pause between answer and request, until the context
-// ends: one by checks, one over RESP2. Beside them an account that stays inside its quota makes a check at each of
-// these gateways every CalmEvery.
+// Flood runs two clients per given gateway until the context ends: one sends checks, the other sends requests over
+// RESP2, each with a pause between an answer and the next request. In addition, an account that stays within its quota
+// sends a check to each of these gateways every InQuotaInterval.
 func (r *Rig) Flood(ctx context.Context, pause time.Duration, gateways ...int) *Book {
 	f := &flood{
 		rig:      r,
@@ -54,14 +54,14 @@
 		gateway := r.Doors[n]
 		clients.Go(func() { f.sendRequests(ctx, gateway) })
 		clients.Go(func() { f.sendChecks(ctx, gateway, Key, pause, f.recordCheck) })
-		clients.Go(func() { f.sendChecks(ctx, gateway, calmKey, CalmEvery, f.recordCalmCheck) })
+		clients.Go(func() { f.sendChecks(ctx, gateway, inQuotaKey, InQuotaInterval, f.recordInQuotaCheck) })
 	}
 	clients.Wait()
 	f.recordSentRequests()
 	return f.book
 }
 
-// sendRequests makes requests at a gateway over RESP2 until the context ends.
+// sendRequests sends requests to a gateway over RESP2 until the context ends.
 func (f *flood) sendRequests(ctx context.Context, d *Door) {
 	client := &requestClient{gateway: d}
 	defer client.close()
@@ -77,7 +77,7 @@
 	}
 }
 
-// floodCheck is one check of a flood with its outcome.
+// floodCheck is a check of a flood with its outcome.
 type floodCheck struct {
 	gateway *Door
 	askedAt time.Time
@@ -85,7 +85,7 @@
 	err     error
 }
 
-// sendChecks makes checks at a gateway until the context ends. record is called with mu locked.
+// sendChecks sends checks to a gateway until the context ends. It calls record with mu locked.
 func (f *flood) sendChecks(ctx context.Context, d *Door, key string, pause time.Duration, record func(*floodCheck)) {
 	client := &http.Client{
 		Timeout:   checkTimeout,
@@ -107,7 +107,7 @@
 	}
 }
 
-// recordDecision records the policy version that decided a check, if it is known. The caller holds mu.
+// recordDecision records the policy version that decided a check, if it is known. The caller must hold mu.
 func (f *flood) recordDecision(c *floodCheck) {
 	if c.answer.policyVersion == 0 {
 		return
@@ -120,7 +120,7 @@
 	})
 }
 
-// recordCheck records the outcome of a check of Customer. The caller holds mu.
+// recordCheck records the outcome of a check of Customer. The caller must hold mu.
 func (f *flood) recordCheck(c *floodCheck) {
 	switch {
 	case c.answer.allowed:
@@ -134,20 +134,21 @@
 	}
 }
 
-// recordCalmCheck records the outcome of a check of the account that stays inside its quota. The caller holds mu.
-func (f *flood) recordCalmCheck(c *floodCheck) {
-	if c.err != nil || c.gateway.Away(c.askedAt.Add(-fullShareAfter), time.Now()) {
+// recordInQuotaCheck records the outcome of a check of the account that stays within its quota. The caller must hold
+// mu.
+func (f *flood) recordInQuotaCheck(c *floodCheck) {
+	if c.err != nil || c.gateway.WasUnreachable(c.askedAt.Add(-fullShareDelay), time.Now()) {
 		return
 	}
 	f.book.Calm++
 	if !c.answer.allowed {
 		f.book.CalmDenied = append(f.book.CalmDenied,
-			fmt.Sprintf("%s, %.3f s after the start, answered %.3f s later: %s",
+			fmt.Sprintf("%s: sent %.3f s after the start, answered %.3f s later: %s",
 				c.gateway.Name, c.askedAt.Sub(f.beganAt).Seconds(), time.Since(c.askedAt).Seconds(), c.answer))
 	}
 }
 
-// recordSentRequests records the flood's requests that endpoints had, once all clients are done.
+// recordSentRequests records the flood's requests that endpoints received. It is called after all clients have ended.
 func (f *flood) recordSentRequests() {
 	for _, server := range f.rig.Servers {
 		for _, sent := range server.Sent() {
@@ -164,7 +165,7 @@
 	}
 }
 
-// sleep waits for a time, or until the context ends.
+// sleep waits for a duration or until the context ends.
 func sleep(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
--- a/internal/fake/rig/outage.go
+++ b/internal/fake/rig/outage.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// outage is a time in which a gateway could not be reached: it was killed, stopped or not ready yet.
+// outage is a period in which a gateway was unreachable: it was killed, stopped or not yet ready.
 type outage struct {
 	from time.Time
 	// to is zero while the outage lasts.
 	to time.Time
 }
 
-// overlaps reports whether any of the outage lies between two times.
+// overlaps reports whether the outage overlaps a time range.
 func (o outage) overlaps(from, to time.Time) bool {
 	return o.from.Before(to) && (o.to.IsZero() || from.Before(o.to))
 }
 
-// Away reports whether the gateway could not be reached at any time between two. A client that was connected then may
-// have had no answer.
-func (d *Door) Away(from, to time.Time) bool {
+// WasUnreachable reports whether the gateway was unreachable at any time in a time range. A client that was connected
+// then may have had no answer.
+func (d *Door) WasUnreachable(from, to time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return slices.ContainsFunc(d.outages, func(o outage) bool { return o.overlaps(from, to) })
 }
 
-// beginOutage notes that the gateway can't be reached from now on.
+// beginOutage records that the gateway is unreachable from now on.
 func (d *Door) beginOutage() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -34,7 +34,7 @@
 	}
 }
 
-// endOutage notes that the gateway can be reached again.
+// endOutage records that the gateway is reachable again.
 func (d *Door) endOutage() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/fake/rig/process.go
+++ b/internal/fake/rig/process.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// readyTimeout bounds how long a gateway may take until it serves.
+// readyTimeout is how long a gateway may take until it serves.
 const readyTimeout = 20 * time.Second
 
 // socketName is the name of a gateway's control socket in its directory.
@@ -27,37 +27,37 @@
 	clusterListener = "fleet"
 )
 
-// Door is one gapgapd: a gateway, of which one process runs at most. It is safe for concurrent use, except that one
-// goroutine at a time may start processes.
+// Door is a gateway that runs gapgapd, in at most one process at a time. It is safe for concurrent use, except that
+// only one goroutine at a time may start processes.
 type Door struct {
 	// Name is the gateway's name.
 	Name string
-	// Dir is the directory with its file and its state.
+	// Dir is the directory with the gateway's configuration file and state.
 	Dir string
-	// Socket is the path of its control socket.
+	// Socket is the path of the gateway's control socket.
 	Socket string
-	// Ahead is by how much the clock of its next process is ahead, if Config.Record is set; below 0: behind.
+	// Ahead is how far the clock of the next process is ahead, or behind if negative. It requires Config.Record.
 	Ahead time.Duration
 
 	rig   *Rig
 	index int
-	// isTwin marks a second process of a gateway's name, which the lines to that gateway do not reach.
-	isTwin bool
-	// image is what its disk had when its process was started, if Config.Record is set.
+	// isDuplicate marks a duplicate: a second process of the same name, which the lines to that gateway do not reach.
+	isDuplicate bool
+	// image is the content of the disk when the process was started, if Config.Record is set.
 	image map[string][]byte
 
 	// mu guards the fields below.
 	mu      sync.Mutex
 	command *exec.Cmd
-	// ended is closed when the process has ended and its log was read; nil: none was started.
+	// ended is closed when the process has ended and its log was read. Nil means that none was started.
 	ended chan struct{}
-	// addresses are where the process's listeners serve, by name.
+	// addresses are the addresses of the process's listeners, by listener name.
 	addresses map[string]string
-	// log holds the latest lines, over all processes.
+	// log holds the latest log lines of all processes so far.
 	log []string
-	// logged is closed at the next line of the log.
+	// logged is closed when the next line is added to log.
 	logged chan struct{}
-	// outages are the times when the gateway could not be reached.
+	// outages are the periods in which the gateway was unreachable.
 	outages []outage
 }
 
@@ -73,7 +73,7 @@
 	}
 }
 
-// Begin writes the gateway's file and starts its process. It does not wait until it serves.
+// Begin writes the gateway's configuration file and starts a process. It does not wait until the process serves.
 func (d *Door) Begin() error {
 	if err := d.writeConfigFile(); err != nil {
 		return err
@@ -103,20 +103,20 @@
 		for lines := bufio.NewScanner(output); lines.Scan(); {
 			d.addLogLine(lines.Text())
 		}
-		_, _ = io.Copy(io.Discard, output) // a line was too long: the rest must not block the process
-		_ = command.Wait()                 // how it ends is for the test to judge, by its log
+		_, _ = io.Copy(io.Discard, output) // if a line was too long: the process must not block on the rest
+		_ = command.Wait()                 // the test judges the end of the process by its log
 	}()
 	return nil
 }
 
-// writeConfigFile writes the gateway's file. That of a twin has its own directory in the place of the gateway's.
+// writeConfigFile writes the gateway's configuration file. For a duplicate, its own directory replaces the gateway's.
 func (d *Door) writeConfigFile() error {
 	original := d.rig.Doors[d.index]
-	text := strings.ReplaceAll(d.rig.File(d.index), original.Dir, d.Dir)
+	text := strings.ReplaceAll(d.rig.ConfigText(d.index), original.Dir, d.Dir)
 	return os.WriteFile(d.configPath(), []byte(text), 0o600)
 }
 
-// Ready waits until all listeners of the process serve. Its error holds the log.
+// Ready waits until all listeners of the process serve. Its error contains the log.
 func (d *Door) Ready() error {
 	timeout := time.After(readyTimeout)
 	for {
@@ -130,12 +130,12 @@
 		case <-ended:
 			return fmt.Errorf("%s has ended:\n%s", d.Name, log)
 		case <-timeout:
-			return fmt.Errorf("%s does not serve %s:\n%s", d.Name, missing, log)
+			return fmt.Errorf("%s: listener %s is not serving:\n%s", d.Name, missing, log)
 		}
 	}
 }
 
-// startState returns a listener that does not serve yet, or "", with what to wait on and the log so far.
+// startState returns a listener that does not serve yet, or "" if all do, the channels to wait on and the log so far.
 func (d *Door) startState() (missing string, logged, ended <-chan struct{}, log string) {
 	listeners := []string{checkListener, resp2Listener}
 	if d.rig.Fleet {
@@ -151,7 +151,7 @@
 	return missing, d.logged, d.ended, strings.Join(d.log, "\n")
 }
 
-// Restart starts a process and waits until it serves. The one before must have ended.
+// Restart starts a process and waits until it serves. The previous process must have ended.
 func (d *Door) Restart() error {
 	if err := d.Begin(); err != nil {
 		return err
@@ -159,17 +159,17 @@
 	return d.Ready()
 }
 
-// Twin starts a second process of the gateway's name, from a copy of its disk, and waits until it serves. It has no
-// place in Rig.Doors, and its caller ends it.
+// Twin starts a duplicate: a second process of the gateway's name, with a copy of its disk. It waits until the
+// duplicate serves. The duplicate is not in Rig.Doors, and the caller must end it.
 func (d *Door) Twin() (*Door, error) {
-	twin := newGateway(d.rig, d.index, d.Name, d.Dir+"-twin")
-	twin.isTwin = true
-	err := os.CopyFS(twin.Dir, os.DirFS(d.Dir))
+	duplicate := newGateway(d.rig, d.index, d.Name, d.Dir+"-twin")
+	duplicate.isDuplicate = true
+	err := os.CopyFS(duplicate.Dir, os.DirFS(d.Dir))
 	if err != nil && !errors.Is(err, fs.ErrInvalid) { // the socket can't be copied
 		return nil, err
 	}
-	if err := twin.Begin(); err != nil {
+	if err := duplicate.Begin(); err != nil {
 		return nil, err
 	}
-	return twin, twin.Ready()
+	return duplicate, duplicate.Ready()
 }
--- a/internal/fake/rig/processlog.go
+++ b/internal/fake/rig/processlog.go
@@ -6,35 +6,35 @@
 	"strings"
 )
 
-// maxLogLines bounds the lines that are kept of a gateway's log; the older half is dropped at once.
+// maxLogLines is the maximum number of lines kept of a gateway's log. When it is reached, the older half is dropped.
 const maxLogLines = 4096
 
-// servingLine matches the line that a listener writes when it serves.
+// servingLine matches the log line of a listener that has started to serve.
 var servingLine = regexp.MustCompile(`msg=serving.* listener=(\S+) address=(\S+)`)
 
-// Addr returns where a listener of the process serves, by the listener's name; empty: it does not serve yet.
+// Addr returns the address of the process's listener of a name, or "" if the listener does not serve yet.
 func (d *Door) Addr(listener string) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.addresses[listener]
 }
 
-// Log returns what the gateway has written, over all its processes.
+// Log returns the latest log lines of all processes of the gateway.
 func (d *Door) Log() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return strings.Join(d.log, "\n")
 }
 
-// Says returns nil if the log contains a text.
+// Says returns nil if the log contains a text, and an error otherwise.
 func (d *Door) Says(what string) error {
 	if !strings.Contains(d.Log(), what) {
-		return fmt.Errorf("%s does not say %q", d.Name, what)
+		return fmt.Errorf("the log of %s does not contain %q", d.Name, what)
 	}
 	return nil
 }
 
-// addLogLine keeps a line of the log, and learns from it which listener serves.
+// addLogLine adds a line to the log and extracts the address if the line reports a serving listener.
 func (d *Door) addLogLine(line string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -49,11 +49,11 @@
 	d.logged = make(chan struct{})
 }
 
-// setAddress notes where a listener serves, and points the lines from the other gateways to the one of the cluster.
-// The caller holds mu.
+// setAddress records the address of a listener. If it is the cluster listener, setAddress makes it the target of the
+// lines from the other gateways. The caller must hold mu.
 func (d *Door) setAddress(listener, address string) {
 	d.addresses[listener] = address
-	if listener != clusterListener || d.isTwin {
+	if listener != clusterListener || d.isDuplicate {
 		return
 	}
 	for key, line := range d.rig.lines {
--- a/internal/fake/rig/requestclient.go
+++ b/internal/fake/rig/requestclient.go
@@ -12,37 +12,37 @@
 )
 
 const (
-	// dialTimeout bounds how long a connection to a gateway may take.
+	// dialTimeout is the timeout for connecting to a gateway.
 	dialTimeout = time.Second
-	// requestTimeout bounds one request on a connection.
+	// requestTimeout is the timeout of one request on a connection.
 	requestTimeout = 2 * time.Second
-	// requestDeadline is what a request says of how long its client waits.
+	// requestDeadline is the deadline that a client states in each request.
 	requestDeadline = time.Second
-	// maxValueBytes bounds the value of an answer.
+	// maxValueBytes is the maximum size of the value of an answer.
 	maxValueBytes = 1 << 20
 )
 
-// requestClient makes requests of Customer at one gateway over RESP2. It belongs to one goroutine.
+// requestClient sends requests of Customer to one gateway over RESP2. It is not safe for concurrent use.
 type requestClient struct {
 	gateway *Door
 	// conn is nil while there is no connection.
 	conn   net.Conn
 	reader *bufio.Reader
-	// workedAt is when the connection was last seen to work.
-	workedAt time.Time
+	// lastSuccessAt is when the connection was last known to work.
+	lastSuccessAt time.Time
 }
 
 // close closes the connection, if there is one.
 func (c *requestClient) close() {
 	if c.conn != nil {
-		_ = c.conn.Close() // no answer is awaited
+		_ = c.conn.Close() // no answer is pending
 		c.conn = nil
 	}
 }
 
-// request makes one request and reads its answer, on a new connection if there is none. It returns since when the
-// gateway must have been reachable for the outcome to count: when the request was made, or when the connection last
-// worked, if that was to a process that is gone.
+// request sends one request and reads the answer, on a new connection if there is none. It returns the time since which
+// the gateway must have been reachable for the outcome to count: when the request was sent or, if the connection was to
+// a process that has ended, when the connection last worked.
 func (c *requestClient) request() (askedAt time.Time, err error) {
 	askedAt = time.Now()
 	if c.conn == nil {
@@ -52,21 +52,22 @@
 		}
 		c.conn = conn
 		c.reader = bufio.NewReader(conn)
-		c.workedAt = askedAt
+		c.lastSuccessAt = askedAt
 	}
 	_ = c.conn.SetDeadline(time.Now().Add(requestTimeout)) // a connection that has ended fails below
 	if err = c.exchange(requestID(c.gateway.index, askedAt)); err == nil {
-		c.workedAt = time.Now()
+		c.lastSuccessAt = time.Now()
 		return askedAt, nil
 	}
 	c.close()
-	if c.gateway.Away(c.workedAt, time.Now()) { // a gateway may be back within the pause between two requests
-		askedAt = c.workedAt
+	if c.gateway.WasUnreachable(c.lastSuccessAt, time.Now()) {
+		// The gateway may have restarted during the pause between two requests.
+		askedAt = c.lastSuccessAt
 	}
 	return askedAt, err
 }
 
-// exchange sends a request and reads its answer, which must name the request's id.
+// exchange sends a request and reads the answer, which must contain the request's ID.
 func (c *requestClient) exchange(id string) error {
 	line, err := exchangeFirstLine(c.conn, c.reader, id, len(c.gateway.rig.Doors))
 	if err != nil {
@@ -84,12 +85,12 @@
 		return err
 	}
 	if !bytes.Contains(value, []byte(id)) {
-		return fmt.Errorf("%w: an answer to another request, %.80q", errUnexpectedAnswer, value)
+		return fmt.Errorf("%w: answer to another request: %.80q", errUnexpectedAnswer, value)
 	}
 	return nil
 }
 
-// exchangeFirstLine sends a request of Customer and reads the first line of its answer.
+// exchangeFirstLine sends a request of Customer and reads the first line of the answer.
 func exchangeFirstLine(conn net.Conn, reader *bufio.Reader, id string, spread int) (string, error) {
 	if err := writeCommand(conn, "Q.ASK", Customer, id, evaluateParameters(requestDeadline, spread)); err != nil {
 		return "", err
@@ -97,8 +98,8 @@
 	return reader.ReadString('\n')
 }
 
-// Ask makes one request over RESP2 at a gateway, on a connection of its own. It returns the first line of the answer,
-// and after what time that came.
+// Ask sends one request to a gateway over RESP2, on a new connection. It returns the first line of the answer and the
+// time until it was received.
 func (r *Rig) Ask(n int) (line string, took time.Duration, err error) {
 	conn, err := net.DialTimeout("tcp", r.Doors[n].Addr(resp2Listener), dialTimeout)
 	if err != nil {
@@ -111,12 +112,12 @@
 	return strings.TrimSpace(line), time.Since(askedAt), err
 }
 
-// requestID returns the id of a request: the index of its gateway and when it was made.
+// requestID returns the ID of a request, which encodes the index of the gateway and when the request was made.
 func requestID(gateway int, askedAt time.Time) string {
 	return fmt.Sprintf("d%d-%d", gateway, askedAt.UnixNano())
 }
 
-// parseRequestID returns what requestID was given; ok is false for other ids.
+// parseRequestID returns the arguments that requestID was called with. ok is false for any other ID.
 func parseRequestID(id string) (gateway int, askedAt time.Time, ok bool) {
 	var nanoseconds int64
 	_, err := fmt.Sscanf(id, "d%d-%d", &gateway, &nanoseconds)
