--- a/cmd/simulate/check.go
+++ b/cmd/simulate/check.go
@@ -18,7 +18,7 @@
 			if _, err := scenario.Load(args[0]); err != nil {
 				return err
 			}
-			_, err := fmt.Fprintln(command.OutOrStdout(), args[0]+": valid")
+			_, err := fmt.Fprintln(command.OutOrStdout(), args[0]+": good")
 			return err
 		},
 	}
