--- a/cmd/simulate/diff.go
+++ b/cmd/simulate/diff.go
@@ -66,7 +66,7 @@
 	a := &first.Totals
 	b := &second.Totals
 	_, err := fmt.Fprintf(out, "service %.4f and %.4f\n"+
-		"rejected %d and %d, late %d and %d, failed %d and %d, lost %d and %d\n",
+		"refused %d and %d, late %d and %d, failed %d and %d, lost %d and %d\n",
 		first.Service, second.Service,
 		a.Rejected, b.Rejected, a.Late, b.Late, a.Failed, b.Failed, a.Lost, b.Lost)
 	return err
