--- a/internal/scenario/page/plot.go
+++ b/internal/scenario/page/plot.go
@@ -47,23 +47,23 @@
 // charts are the plots of a page, from top to bottom.
 var charts = []chart{
 	{
-		title:  "Service: fraction of the priority weight answered in time",
+		title:  "Service: worth answered in time over the worth asked for",
 		top:    1.05,
 		curves: []curve{{name: "service", value: (*scenario.Tally).Service}},
 	},
 	{
-		title: "Requests by the second in which they were first sent",
+		title: "Requests by the second in which they were first asked",
 		curves: []curve{
-			{name: "requests", value: func(t *scenario.Tally) float64 { return float64(t.Requests) }},
+			{name: "asked", value: func(t *scenario.Tally) float64 { return float64(t.Requests) }},
 			{name: "in time", value: func(t *scenario.Tally) float64 { return float64(t.InTime) }},
-			{name: "rejected", value: func(t *scenario.Tally) float64 { return float64(t.Rejected) }},
+			{name: "refused", value: func(t *scenario.Tally) float64 { return float64(t.Rejected) }},
 			{name: "failed, late or lost", value: func(t *scenario.Tally) float64 {
 				return float64(t.Failed + t.Late + t.Lost)
 			}},
 		},
 	},
 	{
-		title:  "Requests held by endpoints",
+		title:  "Requests that flag servers hold",
 		curves: []curve{{name: "held", value: func(t *scenario.Tally) float64 { return float64(t.Held) }}},
 	},
 }
