--- a/cmd/gapgapd/command.go
+++ b/cmd/gapgapd/command.go
@@ -13,9 +13,9 @@
 	"gapgap/internal/service/hosted"
 )
 
-// newCommand returns the command line.
+// newCommand returns the root command of gapgapd.
 func newCommand() *cobra.Command {
-	root := &cobra.Command{Use: "gapgapd", Short: "One core behind listeners of several protocols"}
+	root := &cobra.Command{Use: "gapgapd", Short: "Gateway with listeners for several protocols"}
 	root.AddCommand(newRunCommand(), newCheckCommand(), newHashCommand())
 	return root
 }
@@ -24,7 +24,7 @@
 	var log cli.Log
 	command := &cobra.Command{
 		Use:   "run FILE",
-		Short: "Serve until SIGTERM; SIGHUP reads the file again",
+		Short: "Serve until SIGTERM; SIGHUP reloads the file",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			logger, err := log.Logger()
@@ -41,7 +41,7 @@
 func newCheckCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check FILE",
-		Short: "Say what is wrong with a configuration, without starting",
+		Short: "Validate a configuration file without starting the service",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
 			if _, err := hosted.Load(args[0]); err != nil {
@@ -56,7 +56,7 @@
 func newHashCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "hash",
-		Short: "Read an API key from standard input and print what goes into the file",
+		Short: "Read an API key from standard input and print its hash for the configuration file",
 		Args:  cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
 			key, err := bufio.NewReader(command.InOrStdin()).ReadString('\n')
