--- a/cmd/gapgapd/disk_powertest.go
+++ b/cmd/gapgapd/disk_powertest.go
@@ -9,15 +9,15 @@
 	"gapgap/internal/vfs"
 )
 
-// Environment variables by which tests set the disk and the clock.
+// Environment variables with which tests record the disk, inject disk faults and shift the clock.
 const (
 	recordVariable = "GAPGAP_POWER_RECORD"
 	faultVariable  = "GAPGAP_POWER_FAULT"
 	clockVariable  = "GAPGAP_POWER_CLOCK"
 )
 
-// stateDisk returns a file system that records the changes to the state directory, where a test asks for that: from
-// the record the test derives the states that a power loss may leave.
+// stateDisk returns a file system that records all changes to the state directory if recordVariable is set. From the
+// record a test derives the states that a power loss may leave.
 func stateDisk(dir string) (vfs.FS, error) {
 	record := os.Getenv(recordVariable)
 	if record == "" || dir == "" {
@@ -26,8 +26,8 @@
 	return vfs.NewRecorder(dir, record, os.Getenv(faultVariable))
 }
 
-// clockAhead returns by how much the clock is ahead of the machine's, as a test sets it.
+// clockAhead returns the offset of the service's clock from the system clock, as set by clockVariable.
 func clockAhead() time.Duration {
-	ahead, _ := time.ParseDuration(os.Getenv(clockVariable)) // not set: not wrong
+	ahead, _ := time.ParseDuration(os.Getenv(clockVariable)) // an unset variable gives 0
 	return ahead
 }
