--- a/cmd/gapgapd/main.go
+++ b/cmd/gapgapd/main.go
@@ -1,8 +1,8 @@
-// Command gapgapd is the hosted service: pools, each with a proxy of its own, behind listeners of several protocols.
+// Command gapgapd is the hosted gateway: listeners for several protocols in front of pools, each with its own proxy.
 //
 //	gapgapd run FILE      serve until SIGTERM, then until all accepted requests are answered; SIGHUP reloads the file
-//	gapgapd check FILE    print what is wrong with a configuration, without starting
-//	gapgapd hash          read an API key from standard input and print what the file has for it
+//	gapgapd check FILE    validate a configuration file without starting the service
+//	gapgapd hash          read an API key from standard input and print its hash for the configuration file
 package main
 
 import (
