--- a/cmd/gapgapd/serve.go
+++ b/cmd/gapgapd/serve.go
@@ -11,19 +11,20 @@
 	"gapgap/internal/service/hosted"
 )
 
-// gcPercent is the value of GOGC: garbage may grow to so many percent of the live heap, which has few MB, so
-// collections would otherwise be frequent. The memory limit makes them come sooner where that is needed.
+// gcPercent is the GOGC value. The live heap is only a few MB, so the default of 100 would collect too often. The
+// memory limit triggers earlier collections when memory runs short.
 const gcPercent = 400
 
-// heapFraction is the part of node.memory_mb that is the Go runtime's soft memory limit; the rest is for sockets and
-// the kernel.
+// heapFraction is the fraction of node.memory_mb that is set as the Go runtime's soft memory limit. The rest is left
+// for sockets and the kernel.
 const heapFraction = 0.75
 
-// serve runs the service until SIGTERM or an interrupt, and reloads the file at SIGHUP. The service then shuts down as
-// [hosted.Service.Serve] says; meanwhile SIGTERM and interrupts are ignored, and SIGHUP is refused with a log line.
+// serve runs the service until SIGTERM or an interrupt, and reloads the file on SIGHUP. The service then shuts down as
+// described at [hosted.Service.Serve]. During the shutdown SIGTERM and interrupts are ignored, and SIGHUP is rejected
+// with a log message.
 func serve(file string, log *slog.Logger) error {
 	reloads := make(chan os.Signal, 1)
-	signal.Notify(reloads, syscall.SIGHUP) // before anything else: by default the signal ends the program
+	signal.Notify(reloads, syscall.SIGHUP) // first of all, because by default SIGHUP terminates the process
 	defer signal.Stop(reloads)
 	config, err := loadConfig(file)
 	if err != nil {
@@ -44,7 +45,7 @@
 	return nil
 }
 
-// loadConfig reads the configuration with which the process starts.
+// loadConfig reads the initial configuration of the process.
 func loadConfig(file string) (*hosted.Config, error) {
 	config, err := hosted.Load(file)
 	if err != nil {
@@ -60,15 +61,14 @@
 	return config, nil
 }
 
-// limitMemory sets the garbage collection for a memory in MiB.
+// limitMemory configures the garbage collector for a process limited to the given number of MiB.
 func limitMemory(megabytes int) {
 	debug.SetGCPercent(gcPercent)
 	debug.SetMemoryLimit(int64(heapFraction * float64(int64(megabytes)<<20)))
 }
 
-// reload reads the file again at each signal until the service has ended. A file that can't be read, is invalid, or
-// that [hosted.Service.Reload] does not accept is logged as an error and changes nothing: the service goes on as it
-// was.
+// reload reloads the file on each signal until the service has stopped. If the file can't be read, is invalid, or is
+// rejected by [hosted.Service.Reload], an error is logged and the service keeps its configuration.
 func reload(service *hosted.Service, file string, reloads <-chan os.Signal, log *slog.Logger) {
 	for {
 		select {
