--- a/cmd/gapgapctl/fleet.go
+++ b/cmd/gapgapctl/fleet.go
@@ -12,10 +12,10 @@
 	"gapgap/internal/peer"
 )
 
-// newFleetCommand is the command for the gateways that know each other.
+// newFleetCommand returns the command group for a fleet of gateways.
 func newFleetCommand() *cobra.Command {
 	socket := &controlSocket{}
-	command := &cobra.Command{Use: "fleet", Short: "The front doors that a front door knows"}
+	command := &cobra.Command{Use: "fleet", Short: "Inspect and manage the gateways of a fleet"}
 	socket.addFlag(command)
 	command.AddCommand(
 		newFleetStatusCommand(socket),
@@ -27,16 +27,16 @@
 	return command
 }
 
-// newFleetStatusCommand is the command that prints how the gateways see each other.
+// newFleetStatusCommand returns the command that prints the state of each gateway as the others see it.
 func newFleetStatusCommand(socket *controlSocket) *cobra.Command {
 	var asJSON bool
 	command := &cobra.Command{
 		Use:   "status",
-		Short: "Say which doors there are, as each door sees it",
+		Short: "Print the gateways of the fleet and how each one sees the others",
 		Args:  cobra.NoArgs,
-		Long: "Say how the door behind the socket sees each door of its fleet, " +
-			"and how those that answer within a moment see it.\n" +
-			"A line with DISAGREE has doors that take it to be there and doors that do not.",
+		Long: "Print how the gateway at the socket sees each gateway of its fleet, " +
+			"and how those that answer within a short time see it.\n" +
+			"DISAGREE marks a gateway that some gateways see as present and others do not.",
 		RunE: func(c *cobra.Command, _ []string) error {
 			answer, err := socket.get(c.Context(), "/fleet/status")
 			if err != nil {
@@ -57,11 +57,11 @@
 	return command
 }
 
-// newFleetLeaveCommand is the command that has a gateway leave the others.
+// newFleetLeaveCommand returns the command that makes a gateway leave the fleet.
 func newFleetLeaveCommand(socket *controlSocket) *cobra.Command {
 	return &cobra.Command{
 		Use:   "leave",
-		Short: "Have the door give its share to the others and take none until it is started again",
+		Short: "Make the gateway hand its share to the others and take none until it is restarted",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			return socket.post(c.Context(), "/fleet/leave")
@@ -69,11 +69,11 @@
 	}
 }
 
-// newFleetForgetCommand is the command that has a gateway take another one as gone for good.
+// newFleetForgetCommand returns the command that makes a gateway treat another one as permanently gone.
 func newFleetForgetCommand(socket *controlSocket) *cobra.Command {
 	return &cobra.Command{
 		Use:   "forget NAME",
-		Short: "Have the door take another one, that does not serve, as gone for good",
+		Short: "Make the gateway treat another one, which is not running, as permanently gone",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			return socket.post(c.Context(), "/fleet/forget?name="+url.QueryEscape(args[0]))
@@ -81,7 +81,7 @@
 	}
 }
 
-// printFleetView writes for people how the gateways of a fleet see each other. now is wall time.
+// printFleetView writes as text how the gateways of a fleet see each other. now is wall time.
 func printFleetView(out io.Writer, view *peer.View, now time.Time) error {
 	gateways := newTable(out)
 	gateways.row("DOOR", "STATE", "FOR", "INCARNATION", "PART", "SEEN AS", "CAUSE")
@@ -99,7 +99,7 @@
 	return printFleetWarnings(out, view)
 }
 
-// seenBy counts by state how the gateways that have answered see one of them, as one cell of a table.
+// seenBy returns a table cell with the number of gateways that see the member in each state.
 func seenBy(member *peer.Member) string {
 	counts := map[string]int{}
 	for _, state := range member.SeenBy {
@@ -117,17 +117,17 @@
 	return strings.Join(parts, ", ")
 }
 
-// printFleetWarnings writes why the gateway that was asked takes no share, if that is so.
+// printFleetWarnings writes the reasons why the queried gateway takes no share, if there are any.
 func printFleetWarnings(out io.Writer, view *peer.View) error {
 	if view.WrongClock {
-		_, err := fmt.Fprintf(out, "the clock of %s is not the others': it asks the counter for nothing "+
-			"and takes no share of ceilings; set it and start the door anew\n", view.Name)
+		_, err := fmt.Fprintf(out, "the clock of %s differs from the others': it makes no counter calls "+
+			"and takes no share of ceilings; set it and restart the gateway\n", view.Name)
 		if err != nil {
 			return err
 		}
 	}
 	if view.HasDuplicate {
-		_, err := fmt.Fprintf(out, "another process has the name %s and goes before this one, which takes no share\n",
+		_, err := fmt.Fprintf(out, "another process has the name %s and takes precedence; this one takes no share\n",
 			view.Name)
 		if err != nil {
 			return err
