--- a/cmd/gapgapctl/policy.go
+++ b/cmd/gapgapctl/policy.go
@@ -21,17 +21,17 @@
 	"gapgap/internal/service/hosted"
 )
 
-// policyClient is what the commands on the policy have in common.
+// policyClient has the flags that all policy commands share.
 type policyClient struct {
 	controlSocket
-	// asJSON prints JSON in place of text.
+	// asJSON selects JSON output instead of text.
 	asJSON bool
 }
 
-// newPolicyCommand is the command for the policy that all gateways have in common.
+// newPolicyCommand returns the command group for the policy that all gateways of a fleet share.
 func newPolicyCommand() *cobra.Command {
 	client := &policyClient{}
-	command := &cobra.Command{Use: "policy", Short: "The one policy of a fleet of front doors"}
+	command := &cobra.Command{Use: "policy", Short: "Inspect and change the policy shared by a fleet of gateways"}
 	client.addFlag(command)
 	command.PersistentFlags().BoolVar(&client.asJSON, "json", false, "print JSON")
 	command.AddCommand(
@@ -47,16 +47,16 @@
 	return command
 }
 
-// document reads the policy of a version, given as digits; empty: of the present one.
+// document returns the policy document of a version, given in decimal; empty means the current version.
 func (p *policyClient) document(ctx context.Context, version string) ([]byte, error) {
 	return p.get(ctx, "/policy/show?version="+url.QueryEscape(version))
 }
 
-// newShowCommand is the command that prints a policy.
+// newShowCommand returns the command that prints a policy document.
 func newShowCommand(client *policyClient) *cobra.Command {
 	return &cobra.Command{
 		Use:   "show [VERSION]",
-		Short: "Print the present policy, or that of a version",
+		Short: "Print the policy of the current or a given version",
 		Args:  cobra.MaximumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			version := ""
@@ -73,12 +73,12 @@
 	}
 }
 
-// newDiffCommand is the command that compares a file with the present policy.
+// newDiffCommand returns the command that compares a file with the current policy.
 func newDiffCommand(client *policyClient) *cobra.Command {
 	var file string
 	command := &cobra.Command{
 		Use:   "diff -f FILE",
-		Short: "Say what a file would change of the present policy",
+		Short: "Print the differences between the current policy and a file",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			next, err := readPolicyFile(file)
@@ -102,9 +102,9 @@
 	return command
 }
 
-// addPolicyFileFlag adds the flag for a policy's file to a command.
+// addPolicyFileFlag adds the flag for the policy file to a command.
 func addPolicyFileFlag(command *cobra.Command, file *string) {
-	command.Flags().StringVarP(file, "file", "f", "", "the policy's `file`; - for standard input")
+	command.Flags().StringVarP(file, "file", "f", "", "the policy `file`; - for standard input")
 }
 
 // readPolicyFile reads a policy from a file, or from standard input if its name is "-".
@@ -118,41 +118,41 @@
 	return os.ReadFile(file)
 }
 
-// newReplaceVoterCommand is the command that takes in a voter's new, empty disk.
+// newReplaceVoterCommand returns the command that readmits a voter with a new, empty disk.
 func newReplaceVoterCommand(client *policyClient) *cobra.Command {
 	return &cobra.Command{
 		Use:   "replace-voter NAME",
-		Short: "Have a voter whose disk was lost for good vote again with its new, empty one",
+		Short: "Readmit a voter whose disk was permanently lost, with a new, empty disk",
 		Args:  cobra.ExactArgs(1),
-		Long: "Have a voter whose disk was lost for good vote again with its new, empty one. " +
-			"The voter's process must run, and a majority of the voters\n" +
-			"must answer. Only one is replaced at a time; asked again, it says whether it is done.",
+		Long: "Readmit a voter whose disk was permanently lost, with a new, empty disk. " +
+			"The voter's process must be running, and a majority of the voters\n" +
+			"must answer. Only one voter is replaced at a time; repeat the command to see whether it is done.",
 		RunE: func(c *cobra.Command, args []string) error {
 			return client.post(c.Context(), "/policy/voter?name="+url.QueryEscape(args[0]))
 		},
 	}
 }
 
-// newPolicyForgetCommand is the command that has changes not wait for a gateway.
+// newPolicyForgetCommand returns the command that excludes a gateway from those that changes wait for.
 func newPolicyForgetCommand(client *policyClient) *cobra.Command {
 	return &cobra.Command{
 		Use:   "forget NAME",
-		Short: "Have changes not wait for a front door that is known to be off",
+		Short: "Stop changes from waiting for a gateway that is known to be down",
 		Args:  cobra.ExactArgs(1),
-		Long: "Have changes not wait for a front door that is known to be off. " +
-			"One that only can't be reached may still decide by an old version: then this\n" +
-			"breaks the promise. A door that is heard of is not forgotten; one that comes back joins again.",
+		Long: "Stop changes from waiting for a gateway that is known to be down. " +
+			"One that is only unreachable may still decide by an old version, which then\n" +
+			"breaks the guarantee. A gateway that is still heard from is not forgotten; one that returns joins again.",
 		RunE: func(c *cobra.Command, args []string) error {
 			return client.post(c.Context(), "/policy/forget?name="+url.QueryEscape(args[0]))
 		},
 	}
 }
 
-// newPolicyStatusCommand is the command that prints a gateway's version, or the outcome of one change.
+// newPolicyStatusCommand returns the command that prints a gateway's policy version, or the outcome of one change.
 func newPolicyStatusCommand(client *policyClient) *cobra.Command {
 	return &cobra.Command{
 		Use:   "status [ID]",
-		Short: "Say by which version the door goes, and what is being decided; or what became of a change",
+		Short: "Print the gateway's policy version and the pending change, or the outcome of one change",
 		Args:  cobra.MaximumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			if len(args) > 0 {
@@ -175,7 +175,7 @@
 	}
 }
 
-// printPolicyStatus writes for people by which version a gateway decides, and what the voters decide.
+// printPolicyStatus writes a gateway's policy version and the state of the voters as text.
 func printPolicyStatus(out io.Writer, status *hosted.PolicyStatus) error {
 	rows := newTable(out)
 	rows.row("door", status.Name)
@@ -196,17 +196,17 @@
 	return rows.flush()
 }
 
-// versionText is a version's number and the first digits of its hash.
+// versionText returns a version's number and the first digits of its hash.
 func versionText(version policy.Version) string {
 	const hashDigits = 12
 	return fmt.Sprintf("version %d, %s", version.Number, version.Hash.String()[:hashDigits])
 }
 
-// newHistoryCommand is the command that prints earlier changes.
+// newHistoryCommand returns the command that prints earlier changes.
 func newHistoryCommand(client *policyClient) *cobra.Command {
 	return &cobra.Command{
 		Use:   "history",
-		Short: "Say who changed the policy when, and what became of it",
+		Short: "Print earlier changes of the policy with author, time and outcome",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			var outcomes []policy.Outcome
@@ -221,7 +221,7 @@
 	}
 }
 
-// printHistory writes the outcomes of changes for people to read, the last one first.
+// printHistory writes the outcomes of changes as text, the most recent one first.
 func printHistory(out io.Writer, outcomes []policy.Outcome) error {
 	rows := newTable(out)
 	rows.row("VERSION", "ID", "WHO", "WHEN", "MODE", "LOCKED", "FENCED", "SWITCHED WITHIN", "WHAT")
@@ -242,8 +242,8 @@
 	return rows.flush()
 }
 
-// switchedWithin is the time from the first gateway's switch to the last one's, as one cell of a table. The times are
-// in Unix milliseconds; it is empty if no gateway has switched.
+// switchedWithin returns a table cell with the time from the first gateway's switch to the last one's, or an empty one
+// if no gateway has switched. The times are in Unix milliseconds.
 func switchedWithin(switchedAt map[uint16]int64) string {
 	if len(switchedAt) == 0 {
 		return ""
