--- a/cmd/gapgapctl/proposal.go
+++ b/cmd/gapgapctl/proposal.go
@@ -20,27 +20,28 @@
 	"gapgap/internal/service/hosted"
 )
 
-// Exit codes of policy propose, revert and status beside those of all programs. A committed change has cli.Good.
+// Exit codes of policy propose, revert and status, in addition to those of package cli. A committed change gives
+// cli.Good.
 const (
-	// exitAborted says that the change was aborted.
+	// exitAborted means that the change was aborted.
 	exitAborted = 4
-	// exitUnknown says that a gateway answered that the outcome is not known yet. policy status with the change's id
-	// tells it later.
+	// exitUnknown means that the gateway does not know the outcome yet. It can be queried later with policy status and
+	// the change's id.
 	exitUnknown = 5
 )
 
-// proposalIDBytes is how many random bytes an id has that the operator did not choose.
+// proposalIDBytes is the number of random bytes in a generated id.
 const proposalIDBytes = 8
 
-// proposal is a change of the policy as the flags of propose and revert describe it.
+// proposal is a change of the policy as described by the flags of propose and revert.
 type proposal struct {
-	// id is the change's id; empty: a random one.
+	// id is the change's id; empty means a random one.
 	id string
-	// mode is the mode of all gateways from then on; empty: the current one.
+	// mode is the fleet's policy mode from this change on; empty keeps the current one.
 	mode string
-	// base is the version that is changed; empty: the current one.
+	// base is the version that the change is based on; empty means the current one.
 	base string
-	// note is for the history.
+	// note is recorded in the history.
 	note string
 	// wait is how long to wait for the outcome.
 	wait time.Duration
@@ -49,16 +50,16 @@
 // addFlags adds the flags to a command.
 func (p *proposal) addFlags(command *cobra.Command) {
 	flags := command.Flags()
-	flags.StringVar(&p.id, "id", "", "the change's `id`, to ask again by; left out: one by chance, which is printed")
-	flags.StringVar(&p.mode, "mode", "", "wait or fence; left out: the fleet's")
-	flags.StringVar(&p.base, "base", "", "the `version` that is changed; left out: the present one")
+	flags.StringVar(&p.id, "id", "", "the change's `id`, for later queries; by default a random one, which is printed")
+	flags.StringVar(&p.mode, "mode", "", "wait or fence; by default the fleet's current mode")
+	flags.StringVar(&p.base, "base", "", "the `version` that the change is based on; by default the current one")
 	flags.StringVar(&p.note, "note", "", "a note for the history")
 	flags.DurationVar(&p.wait, "wait", time.Minute, "how long to wait for the outcome")
 }
 
 // send proposes a document and prints the outcome. The error is a *[cli.Error] if the change is not committed. If the
-// gateway does not answer within the time to wait and callTimeout, the error is that of [controlSocket.call], and the
-// change may still be committed: policy status with its id tells.
+// gateway does not answer within the time to wait plus callTimeout, the error is that of [controlSocket.call], and the
+// change may still be committed; policy status with its id shows the outcome.
 func (p *proposal) send(command *cobra.Command, client *policyClient, document []byte) error {
 	if p.id == "" {
 		var random [proposalIDBytes]byte
@@ -78,7 +79,7 @@
 	return printResult(command.OutOrStdout(), client.asJSON, &result)
 }
 
-// query is the proposal as a gateway takes it.
+// query returns the proposal as URL query parameters.
 func (p *proposal) query() url.Values {
 	query := url.Values{"id": {p.id}, "wait": {p.wait.String()}}
 	optional := map[string]string{
@@ -97,17 +98,17 @@
 	return query
 }
 
-// newProposeCommand is the command that proposes a policy.
+// newProposeCommand returns the command that proposes a policy.
 func newProposeCommand(client *policyClient) *cobra.Command {
 	var change proposal
 	var file string
 	command := &cobra.Command{
 		Use:   "propose -f FILE",
-		Short: "Have a policy take hold at all front doors, or at none",
+		Short: "Apply a policy at all gateways or at none",
 		Args:  cobra.NoArgs,
-		Long: "Have a policy take hold at all front doors, or at none. " +
-			"Exit code 0: it was taken; 4: it was dropped, and why is printed; 5: it is not known\n" +
-			"yet which, ask again with the same --id (the same id never takes hold twice).",
+		Long: "Apply a policy at all gateways or at none. " +
+			"Exit code 0: it was taken; 4: it was dropped, and the reason is printed; 5: the outcome is not known\n" +
+			"yet, repeat the command with the same --id (a change with the same id is never applied twice).",
 		RunE: func(c *cobra.Command, _ []string) error {
 			document, err := readPolicyFile(file)
 			if err != nil {
@@ -121,7 +122,7 @@
 	return command
 }
 
-// newRevertCommand is the command that proposes the policy of an earlier version.
+// newRevertCommand returns the command that proposes the policy of an earlier version.
 func newRevertCommand(client *policyClient) *cobra.Command {
 	var change proposal
 	var version uint64
@@ -148,7 +149,7 @@
 	return command
 }
 
-// printResult prints the outcome of a change. The error is a *[cli.Error] if the change is not committed: its code is
+// printResult prints the outcome of a change. If the change is not committed the error is a *[cli.Error] with the code
 // exitAborted or exitUnknown.
 func printResult(out io.Writer, asJSON bool, result *hosted.PolicyResult) error {
 	if asJSON {
@@ -166,7 +167,7 @@
 	case result.Known:
 		return &cli.Error{Code: exitAborted, Err: fmt.Errorf("%s: dropped: %s", result.ID, result.Reason)}
 	case result.WaitingFor != "":
-		err := fmt.Errorf("%s: not known yet; it waits: %s", result.ID, result.WaitingFor)
+		err := fmt.Errorf("%s: not known yet; waiting: %s", result.ID, result.WaitingFor)
 		return &cli.Error{Code: exitUnknown, Err: err}
 	}
 	return &cli.Error{Code: exitUnknown, Err: fmt.Errorf("%s: not known yet, or no such change", result.ID)}
