--- a/cmd/gapgapctl/recovery.go
+++ b/cmd/gapgapctl/recovery.go
@@ -17,23 +17,23 @@
 	"gapgap/internal/service/hosted"
 )
 
-// recoveryReport is the form of fleet recovery --json.
+// recoveryReport is the output of fleet recovery --json.
 type recoveryReport struct {
 	hosted.RecoveryView
-	// Others is what each other gateway is at, by name.
+	// Others has the recovery state of each other gateway by name.
 	Others map[string]string `json:"others"`
 
-	// fleet has all gateways in their order.
+	// fleet has all gateways in the order in which they are printed.
 	fleet peer.View
 }
 
-// newFleetRecoveryCommand is the command that prints how far the gateways have come after a start.
+// newFleetRecoveryCommand returns the command that prints the progress of the gateways' recovery after a start.
 func newFleetRecoveryCommand(socket *controlSocket) *cobra.Command {
 	var asJSON bool
 	command := &cobra.Command{
 		Use: "recovery",
-		Short: "Say how far the door and the others have come after a start, " +
-			"what they wait for and what was trusted",
+		Short: "Print the recovery progress of the gateway and the others after a start, " +
+			"what they wait for and which state was trusted",
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			report, err := readRecovery(c, socket)
@@ -50,7 +50,7 @@
 	return command
 }
 
-// readRecovery reads from a gateway how far it and the others have come.
+// readRecovery reads the recovery progress of all gateways from one of them.
 func readRecovery(command *cobra.Command, socket *controlSocket) (*recoveryReport, error) {
 	own, err := socket.get(command.Context(), "/fleet/recovery")
 	if err != nil {
@@ -63,7 +63,7 @@
 	report := &recoveryReport{Others: map[string]string{}}
 	err = errors.Join(json.Unmarshal(own, &report.RecoveryView), json.Unmarshal(fleet, &report.fleet))
 	if err != nil {
-		return nil, fmt.Errorf("the door's answer: %w", err)
+		return nil, fmt.Errorf("decoding the gateway's response: %w", err)
 	}
 	for _, member := range report.fleet.Gateways {
 		if member.Name != report.Name {
@@ -73,7 +73,7 @@
 	return report, nil
 }
 
-// print writes the report for people to read.
+// print writes the report as text.
 func (r *recoveryReport) print(out io.Writer) error {
 	steps := newTable(out)
 	steps.row("STEP", "IS", "AFTER", "WHAT")
@@ -102,28 +102,29 @@
 	return nil
 }
 
-// newFleetRecoverCommand is the command that has one voter's disk stand for a lost majority.
+// newFleetRecoverCommand returns the command that restores the policy from one voter's disk after a majority of the
+// voters' disks was lost.
 func newFleetRecoverCommand(socket *controlSocket) *cobra.Command {
 	var acceptLoss bool
 	var lost []string
 	command := &cobra.Command{
 		Use: "recover --accept-loss [--lost NAME]...",
-		Short: "Have the fleet's policy go on by one voter's disk " +
-			"where a majority of the voters' disks is lost for good",
-		Long: "Have the fleet's policy go on by the disk of the voter behind the socket " +
-			"where a majority of the voters' disks is lost for good. Changes that only\n" +
-			"the lost ones knew of are gone; the version goes up by 1000, and the record stands in policy history. " +
-			"It is refused as long as a majority may still\n" +
-			"come: voters that run with an empty disk say so themselves, others are named by --lost, " +
-			"and only if their disks are known to be gone. Afterwards\n" +
-			"each of the other voters is started with an empty disk and taken in by policy replace-voter.",
+		Short: "Restore the fleet's policy from one voter's disk " +
+			"if a majority of the voters' disks is permanently lost",
+		Long: "Restore the fleet's policy from the disk of the voter at the socket " +
+			"if a majority of the voters' disks is permanently lost. Changes known only\n" +
+			"to the lost voters are gone; the version increases by 1000, and policy history records the recovery. " +
+			"The command is rejected while a majority may still\n" +
+			"return: voters that run with an empty disk report that themselves; name others with --lost, " +
+			"but only if their disks are known to be gone. Afterwards\n" +
+			"start each of the other voters with an empty disk and readmit it with policy replace-voter.",
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if !acceptLoss {
 				return &cli.Error{
 					Code: cli.Misused,
 					Err: errors.New("--accept-loss is missing: " +
-						"changes that only the lost voters knew of are gone for good"),
+						"changes known only to the lost voters are permanently lost"),
 				}
 			}
 			query := url.Values{"lost": lost}
@@ -134,7 +135,7 @@
 		},
 	}
 	flags := command.Flags()
-	flags.BoolVar(&acceptLoss, "accept-loss", false, "changes that only the lost voters knew of may be lost")
+	flags.BoolVar(&acceptLoss, "accept-loss", false, "accept that changes known only to the lost voters are lost")
 	flags.StringArrayVar(&lost, "lost", nil, "the `name` of a voter whose disk is known to be gone")
 	return command
 }
