--- a/cmd/gapgapctl/route.go
+++ b/cmd/gapgapctl/route.go
@@ -16,23 +16,23 @@
 	"gapgap/internal/service/hosted"
 )
 
-// newRouteCommand is the command for the routing table of a configuration file.
+// newRouteCommand returns the command group for the routing table of a configuration file.
 func newRouteCommand() *cobra.Command {
-	command := &cobra.Command{Use: "route", Short: "The routing table of a configuration"}
+	command := &cobra.Command{Use: "route", Short: "Inspect the routing table of a configuration file"}
 	command.AddCommand(newRouteExplainCommand(), newRouteListCommand())
 	return command
 }
 
-// requestFlags describe a request on the command line of route explain.
+// requestFlags are the flags of route explain that describe a request.
 type requestFlags struct {
 	listener string
 	host     string
 	path     string
 	method   string
 	class    string
-	// account is an account's name or its customer's number.
+	// account is the account's name or its customer number.
 	account string
-	// headers are of the form NAME=VALUE.
+	// headers are header fields in the form NAME=VALUE.
 	headers []string
 }
 
@@ -44,11 +44,11 @@
 	flags.StringVar(&f.path, "path", "", "the path, with or without query")
 	flags.StringVar(&f.method, "method", "", "the method")
 	flags.StringVar(&f.class, "class", "", "the class (RESP2 only: a check has none before its pool is known)")
-	flags.StringVar(&f.account, "account", "", "the account, by its name or its customer's number")
-	flags.StringArrayVar(&f.headers, "header", nil, "a header field as NAME=VALUE; may stand more than once")
+	flags.StringVar(&f.account, "account", "", "the account's name or customer number")
+	flags.StringArrayVar(&f.headers, "header", nil, "a header field as NAME=VALUE; may be repeated")
 }
 
-// query is what a frontend would look up in the routing table for the request.
+// query returns the routing table query that a frontend would make for the request.
 func (f *requestFlags) query(cfg *hosted.Config) (*route.Query, error) {
 	query := &route.Query{
 		Listener: f.listener,
@@ -68,7 +68,7 @@
 	return query, nil
 }
 
-// target is the request's host and path in the form that the routing table has; each is empty if its flag is.
+// target returns the request's host and path in the form that the routing table uses; each is empty if its flag is.
 func (f *requestFlags) target() (host, path string, err error) {
 	if f.host == "" && f.path == "" {
 		return "", "", nil
@@ -87,7 +87,7 @@
 	return host, path, nil
 }
 
-// customer is the customer of the account; empty if there is no flag.
+// customer returns the customer of the account, or an empty string if the flag is not set.
 func (f *requestFlags) customer(cfg *hosted.Config) (string, error) {
 	if f.account == "" {
 		return "", nil
@@ -97,12 +97,12 @@
 		found = cfg.Accounts.ByCustomer(strings.ToLower(f.account))
 	}
 	if found == nil {
-		return "", fmt.Errorf("--account: no account is named %q, nor is that a customer's number", f.account)
+		return "", fmt.Errorf("--account: no account is named %q or has that customer number", f.account)
 	}
 	return found.Customer, nil
 }
 
-// header is the request's header fields by their canonical names.
+// header returns the request's header fields by their canonical names.
 func (f *requestFlags) header() (map[string][]string, error) {
 	header := map[string][]string{}
 	for _, field := range f.headers {
@@ -116,27 +116,27 @@
 	return header, nil
 }
 
-// explanation is the form of route explain --json.
+// explanation is the output of route explain --json.
 type explanation struct {
-	// Rule is the name of the rule that decides; empty: no rule fits, and the default holds.
+	// Rule is the name of the deciding rule; empty means that no rule matches and the default applies.
 	Rule string `json:"rule"`
-	// Pool is where the request goes; empty: nowhere.
+	// Pool is the request's pool; empty means that no pool takes it.
 	Pool string `json:"pool"`
-	// Steps are the rules up to the one that decides, in their order of precedence.
+	// Steps are the rules up to the deciding one, in order of precedence.
 	Steps []route.Step `json:"steps"`
 }
 
-// newRouteExplainCommand is the command that tells by which rule a request goes where.
+// newRouteExplainCommand returns the command that shows which rule routes a request to which pool.
 func newRouteExplainCommand() *cobra.Command {
 	var request requestFlags
 	var asJSON bool
 	command := &cobra.Command{
 		Use:   "explain FILE",
-		Short: "Say where a request goes, and why",
+		Short: "Show which pool a request is routed to, and why",
 		Args:  cobra.ExactArgs(1),
-		Long: "Say by which rule a request goes to which pool: the rules in their order of precedence, " +
-			"each with the part that does not fit,\n" +
-			"up to the one that decides. It exits with 3 where no pool takes the request.",
+		Long: "Show which rule routes a request to which pool: the rules in order of precedence, " +
+			"each with the condition that does not match,\n" +
+			"up to the deciding one. The exit code is 3 if no pool takes the request.",
 		Example: "  gapgapctl route explain gapgapd.toml --host flags.example.org --path /v1/x --method POST " +
 			"--account acme\n" +
 			"  gapgapctl route explain gapgapd.toml --listener resp2 --class change",
@@ -149,7 +149,7 @@
 	return command
 }
 
-// explainRoute prints by which rule of a configuration file a request goes where. It is an error if no pool takes it.
+// explainRoute prints which rule of a configuration file routes the request. It is an error if no pool takes it.
 func explainRoute(out io.Writer, file string, request *requestFlags, asJSON bool) error {
 	cfg, err := hosted.Load(file)
 	if err != nil {
@@ -175,14 +175,14 @@
 	return nil
 }
 
-// print writes the explanation for people to read.
+// print writes the explanation as text.
 func (e *explanation) print(out io.Writer) error {
 	rules := newTable(out)
 	for _, step := range e.Steps {
 		if step.Fails == "" {
 			rules.row(step.Rule, "decides")
 		} else {
-			rules.row(step.Rule, step.Fails+" does not fit")
+			rules.row(step.Rule, step.Fails+" does not match")
 		}
 	}
 	if e.Rule == "" && e.Pool != "" {
@@ -198,11 +198,11 @@
 	return err
 }
 
-// newRouteListCommand is the command that lists the rules of a configuration file.
+// newRouteListCommand returns the command that lists the rules of a configuration file.
 func newRouteListCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "list FILE",
-		Short: "List the rules in their order of precedence",
+		Short: "List the rules in order of precedence",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			cfg, err := hosted.Load(args[0])
@@ -218,7 +218,7 @@
 	}
 }
 
-// ruleConditions is what a rule asks of a request, as one cell of a table.
+// ruleConditions returns a table cell with the conditions of a rule.
 func ruleConditions(rule *route.Rule) string {
 	var conditions []string
 	add := func(name, value string) {
@@ -238,7 +238,7 @@
 	return strings.Join(conditions, " ")
 }
 
-// ruleTargets is the pools of a rule with their weights, as one cell of a table.
+// ruleTargets returns a table cell with the pools of a rule and their weights.
 func ruleTargets(rule *route.Rule) string {
 	var targets []string
 	for _, target := range rule.Targets {
--- a/cmd/gapgapctl/route_test.go
+++ b/cmd/gapgapctl/route_test.go
@@ -11,7 +11,8 @@
 // poolsFile is a configuration with several pools.
 const poolsFile = "../../deploy/gapgapd-pools.toml"
 
-// route explain says which rule decides, and of each before it what did not fit.
+// TestRouteExplain verifies that route explain shows the deciding rule, and for each rule before it the condition that
+// does not match.
 func TestRouteExplain(t *testing.T) {
 	for _, c := range []struct {
 		args string
@@ -26,12 +27,12 @@
 		{
 			args: "--host x.flags.example.org --account acme",
 			code: cli.Good,
-			want: []string{"audit   host does not fit", "canary  decides", "pool "},
+			want: []string{"audit   host does not match", "canary  decides", "pool "},
 		},
 		{
 			args: "--host nowhere.org --account 00000000B4D65521",
 			code: cli.Good,
-			want: []string{"canary", "host does not fit", "(default)", "pool flags"},
+			want: []string{"canary", "host does not match", "(default)", "pool flags"},
 		},
 		{args: "--listener resp2 --class record", code: cli.Good, want: []string{"pool flags"}},
 		{args: "--account nobody", code: cli.Failed, want: []string{"--account: no account is named"}},
@@ -49,7 +50,7 @@
 	}
 }
 
-// route explain --json has the rule that decides and where the request goes.
+// TestRouteExplainJSON verifies that route explain --json has the deciding rule and the request's pool.
 func TestRouteExplainJSON(t *testing.T) {
 	code, out, errs := runCommand(t, "route", "explain", poolsFile, "--host", "audit.example.org", "--json")
 	var got explanation
@@ -59,7 +60,7 @@
 	}
 }
 
-// route list has the conditions and the weighted pools of each rule.
+// TestRouteList verifies that route list shows the conditions and the weighted pools of each rule.
 func TestRouteList(t *testing.T) {
 	code, out, errs := runCommand(t, "route", "list", poolsFile)
 	if code != cli.Good ||
@@ -69,7 +70,7 @@
 	}
 }
 
-// A configuration file that is not there is an error.
+// TestRouteExplainWithoutFile verifies that a missing configuration file is an error.
 func TestRouteExplainWithoutFile(t *testing.T) {
 	code, _, errs := runCommand(t, "route", "explain", "nothing.toml")
 	if code != cli.Failed || !strings.Contains(errs, "no such file") {
