--- a/cmd/gapgapctl/table.go
+++ b/cmd/gapgapctl/table.go
@@ -23,7 +23,7 @@
 	return &table{writer: tabwriter.NewWriter(out, minWidth, tabWidth, padding, ' ', 0)}
 }
 
-// row adds a row. Cells are formatted as by fmt.Print.
+// row adds a row. Cells are formatted like the arguments of fmt.Print.
 func (t *table) row(cells ...any) {
 	for index, cell := range cells {
 		if index > 0 {
@@ -34,14 +34,14 @@
 	t.print("\n")
 }
 
-// print writes a value, unless a write has failed before.
+// print writes a value, unless an earlier write has failed.
 func (t *table) print(value any) {
 	if t.err == nil {
 		_, t.err = fmt.Fprint(t.writer, value)
 	}
 }
 
-// flush writes out what is left and returns the first error of all.
+// flush writes all buffered rows and returns the first error of any write.
 func (t *table) flush() error {
 	if t.err != nil {
 		return t.err
