--- a/cmd/gapgapctl/main_test.go
+++ b/cmd/gapgapctl/main_test.go
@@ -10,7 +10,7 @@
 	"gapgap/internal/cli"
 )
 
-// runCommand runs a command line and returns its exit code and what it wrote.
+// runCommand runs a command line and returns its exit code, standard output and standard error.
 func runCommand(t *testing.T, args ...string) (code int, out, errs string) {
 	t.Helper()
 	var stdout, stderr bytes.Buffer
@@ -20,7 +20,7 @@
 	return code, stdout.String(), stderr.String()
 }
 
-// serveControlSocket answers as a gateway does at its control socket, whose path it returns, until the test ends.
+// serveControlSocket serves a fake gateway's control socket until the test ends and returns the socket's path.
 func serveControlSocket(t *testing.T, handler http.Handler) (path string) {
 	t.Helper()
 	path = filepath.Join(t.TempDir(), "ctl")
@@ -29,7 +29,7 @@
 		t.Fatal(err)
 	}
 	server := &http.Server{Handler: handler}
-	go func() { _ = server.Serve(listener) }() // it ends with Close
+	go func() { _ = server.Serve(listener) }() // returns after Close
 	t.Cleanup(func() { _ = server.Close() })
 	return path
 }
