--- a/cmd/gapgapctl/policy_test.go
+++ b/cmd/gapgapctl/policy_test.go
@@ -14,22 +14,22 @@
 	"gapgap/internal/service/hosted"
 )
 
-// fakePolicy answers as a gateway does to commands on the policy.
+// fakePolicy is a fake control socket of a gateway that serves the policy commands.
 type fakePolicy struct {
 	http.ServeMux
-	// proposed is the last document that was proposed, and note the note that came with it.
+	// proposed is the last proposed document, and note is its note.
 	proposed string
 	note     string
 }
 
-// proposalResults are the outcomes of proposals by their ids.
+// proposalResults has the outcomes of proposals by id.
 var proposalResults = map[string]hosted.PolicyResult{
 	"good": {ID: "good", Known: true, Committed: true, Version: 8},
 	"bad":  {ID: "bad", Known: true, Reason: "n2 can't: policy:3: no"},
 	"late": {ID: "late", WaitingFor: "n1 was not heard of"},
 }
 
-// newFakePolicy returns a gateway that goes by version 7 while no majority of the voters answers.
+// newFakePolicy returns a fake gateway that applies version 7 while no majority of the voters answers.
 func newFakePolicy() *fakePolicy {
 	fake := &fakePolicy{}
 	fake.HandleFunc("POST /policy/propose", fake.propose)
@@ -37,7 +37,7 @@
 		writeJSON(w, proposalResults[r.URL.Query().Get("id")])
 	})
 	fake.HandleFunc("GET /policy/show", func(w http.ResponseWriter, r *http.Request) {
-		_, _ = io.WriteString(w, "rate = 1"+r.URL.Query().Get("version")+"\n") // the command fails then
+		_, _ = io.WriteString(w, "rate = 1"+r.URL.Query().Get("version")+"\n") // if writing fails, so does the command
 	})
 	fake.HandleFunc("GET /policy/history", func(w http.ResponseWriter, _ *http.Request) {
 		writeJSON(w, []policy.Outcome{
@@ -59,7 +59,7 @@
 	return fake
 }
 
-// propose keeps what was proposed and answers by the id.
+// propose records the proposal and responds with the result for its id.
 func (f *fakePolicy) propose(w http.ResponseWriter, r *http.Request) {
 	document, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -76,12 +76,13 @@
 	writeJSON(w, proposalResults[id])
 }
 
-// writeJSON answers with a value.
+// writeJSON responds with a value.
 func writeJSON(w http.ResponseWriter, value any) {
-	_ = json.NewEncoder(w).Encode(value) // the command fails then
+	_ = json.NewEncoder(w).Encode(value) // if writing fails, so does the command
 }
 
-// The outcome of a change is told by the exit code; the document of an earlier version is proposed again as it was.
+// TestPolicyCommands verifies that the exit code gives the outcome of a change, and that revert proposes the unchanged
+// document of an earlier version.
 func TestPolicyCommands(t *testing.T) {
 	fake := newFakePolicy()
 	socket := serveControlSocket(t, fake)
