--- a/cmd/gapgapctl/recovery_test.go
+++ b/cmd/gapgapctl/recovery_test.go
@@ -11,7 +11,8 @@
 	"gapgap/internal/service/hosted"
 )
 
-// newFakeRecovery returns a gateway of three that waits after its start. It keeps the query of the last recover call.
+// newFakeRecovery returns a fake gateway of a fleet of three that waits in its recovery after a start. It stores the
+// query of the last recover call.
 func newFakeRecovery(query *string) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /fleet/recovery", func(w http.ResponseWriter, _ *http.Request) {
@@ -38,7 +39,8 @@
 	return mux
 }
 
-// fleet recovery prints the steps, what the others are at and what was trusted.
+// TestFleetRecovery verifies that fleet recovery prints the steps, the state of the other gateways and the trusted
+// state.
 func TestFleetRecovery(t *testing.T) {
 	var query string
 	socket := serveControlSocket(t, newFakeRecovery(&query))
@@ -59,7 +61,7 @@
 	}
 }
 
-// fleet recover is made only with the flag that accepts the loss, and names the lost voters.
+// TestFleetRecover verifies that fleet recover calls the gateway only with --accept-loss, and names the lost voters.
 func TestFleetRecover(t *testing.T) {
 	var query string
 	socket := serveControlSocket(t, newFakeRecovery(&query))
@@ -74,7 +76,7 @@
 	}
 }
 
-// Of two answers that can't be read, fleet recovery names both errors.
+// TestFleetRecoveryTwoBadAnswers verifies that fleet recovery reports both errors if neither response can be decoded.
 func TestFleetRecoveryTwoBadAnswers(t *testing.T) {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /fleet/recovery", func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("!")) })
