--- a/cmd/demo/client.go
+++ b/cmd/demo/client.go
@@ -14,7 +14,7 @@
 // resp2Timeout bounds a request over RESP2.
 const resp2Timeout = 5 * time.Second
 
-// check asks a gateway whether one request of the account may pass. It returns whether it was admitted.
+// check sends one authorization check for the account to a gateway and returns whether it was admitted.
 func check(ctx context.Context, address string) (bool, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/check", nil)
 	if err != nil {
@@ -30,11 +30,11 @@
 	if err != nil {
 		return false, err
 	}
-	_, _ = io.Copy(io.Discard, response.Body) // the status is known; this only frees the connection
+	_, _ = io.Copy(io.Discard, response.Body) // draining the body only frees the connection for reuse
 	return response.StatusCode == http.StatusOK, response.Body.Close()
 }
 
-// resp2Command is a request of the account over RESP2 with an id of its own.
+// resp2Command returns a RESP2 request for the account with the given id.
 func resp2Command(id string) string {
 	var command strings.Builder
 	command.WriteString("*4\r\n")
@@ -45,13 +45,13 @@
 	return command.String()
 }
 
-// sendRESP2 sends one request over a connection of its own and returns the first line of the answer.
+// sendRESP2 sends one request over a new connection and returns the first line of the response.
 func sendRESP2(address string) (line string, err error) {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		return "", err
 	}
-	defer func() { _ = conn.Close() }() // the answer has been read
+	defer func() { _ = conn.Close() }() // the response has been read
 	if err := conn.SetDeadline(time.Now().Add(resp2Timeout)); err != nil {
 		return "", err
 	}
@@ -61,7 +61,7 @@
 	return bufio.NewReader(conn).ReadString('\n')
 }
 
-// isServed tells whether the first line of an answer over RESP2 is that of a flag server's answer.
+// isServed returns whether the first line of a RESP2 response belongs to a flag server's reply.
 func isServed(line string) bool {
 	return strings.HasPrefix(line, "*") || strings.HasPrefix(line, "$")
 }
