--- a/cmd/demo/config.go
+++ b/cmd/demo/config.go
@@ -6,17 +6,17 @@
 )
 
 const (
-	// apiKey is the key by which checks name the account.
+	// apiKey is the API key that identifies the account in checks.
 	apiKey = "demo"
-	// customerID is the account's customer, by which RESP2 requests name it.
+	// customerID is the account's customer, which identifies the account in RESP2 requests.
 	customerID = "00000000b4d65521"
 )
 
-// yieldWithoutLease is a line of a plan: a gateway that the others can't reach keeps no part of the ceiling.
+// yieldWithoutLease is a line of a plan: a gateway that is cut off from the others keeps no share of the ceiling.
 const yieldWithoutLease = "when_cut_off = \"yield\"\n"
 
-// configFormat is a gateway's configuration file. Its arguments are those of gatewayConfig in their order, the customer
-// and the hash of the key.
+// configFormat is the format of a gateway's configuration file. Its arguments are the fields of gatewayConfig in order,
+// then the customer and the hash of the API key.
 const configFormat = `
 [node]
 name = %q
@@ -59,23 +59,23 @@
 keys = ["%x"]
 `
 
-// gatewayConfig is what differs between the configuration files of gateways.
+// gatewayConfig has the values that differ between the gateways' configuration files.
 type gatewayConfig struct {
 	// name is the gateway's name.
 	name string
-	// discoveryAddress is that of the discovery agent.
+	// discoveryAddress is the address of the discovery agent.
 	discoveryAddress string
-	// counterAddress is that of the counter; empty: there is none.
+	// counterAddress is the address of the counter, or empty if there is none.
 	counterAddress string
-	// planLines are further lines of the plan.
+	// planLines are additional lines of the plan.
 	planLines string
-	// resp2Address is where the RESP2 listener listens.
+	// resp2Address is the address of the RESP2 listener.
 	resp2Address string
-	// checkAddress is where the listener for checks listens.
+	// checkAddress is the address of the listener for checks.
 	checkAddress string
 }
 
-// text is the configuration file.
+// text returns the configuration file.
 func (c *gatewayConfig) text() string {
 	return fmt.Sprintf(configFormat, c.name, c.discoveryAddress, c.counterAddress, c.planLines, c.resp2Address,
 		c.checkAddress, customerID, sha256.Sum256([]byte(apiKey)))
