--- a/cmd/demo/fleet.go
+++ b/cmd/demo/fleet.go
@@ -11,45 +11,46 @@
 	"time"
 )
 
-// Durations of the steps of a fleet's run.
+// Durations of the phases of a fleet run.
 const (
-	// allRunningDuration is how long all gateways run at first.
+	// allRunningDuration is the first phase, in which all gateways run.
 	allRunningDuration = 4 * time.Second
-	// oneLeftDuration is how long one of them is away.
+	// oneLeftDuration is the phase in which one of them has left the fleet.
 	oneLeftDuration = 6 * time.Second
-	// restartedDuration is how long all of them run again.
+	// restartedDuration is the phase after it was restarted.
 	restartedDuration = 4 * time.Second
-	// endlessDuration is how long they go on after that, unless the run ends with the last step.
+	// endlessDuration is the last phase, with all gateways running, if the program runs until it is interrupted.
 	endlessDuration = 365 * 24 * time.Hour
 )
 
-// floodInterval is the pause between an answer and the next check at a gateway.
+// floodInterval is the pause between a response and the next check at a gateway.
 const floodInterval = 20 * time.Millisecond
 
-// fleetFormat introduces the output. Its arguments are the number of gateways and the control socket of the first.
-const fleetFormat = `%d doors, an account with a ceiling of 10 a second that floods all of them, no counter. ` +
-	`How each door sees the others:
+// fleetFormat is the header of the output. Its arguments are the number of gateways and the control socket of the first
+// one.
+const fleetFormat = `%d gateways, one account with a ceiling of 10 per second that floods all of them, no counter. ` +
+	`To see how each gateway sees the others:
 
   go run ./cmd/gapgapctl fleet status --socket %s
 
 `
 
-// fleetRun is a fleet of gateways that one account floods.
+// fleetRun is a run of a fleet of gateways that is flooded by one account.
 type fleetRun struct {
 	members  []*member
 	admitted *admissionCounts
 	out      io.Writer
 }
 
-// runFleet runs several gateways that know each other: an account floods all of them, the last one leaves and is
-// started again. There is no counter, so that what is served goes by the gateways' quota shares. With once it ends
-// then, else it goes on until the context ends.
+// runFleet runs a fleet of gateways. An account floods all of them, and the last one leaves and is restarted. There is
+// no counter, so the gateways' quota shares alone limit what is admitted. With once it returns after that, otherwise it
+// continues until the context is done.
 func runFleet(ctx context.Context, size int, discoveryAddress string, once bool, out io.Writer) error {
 	dir, err := os.MkdirTemp("", "demo")
 	if err != nil {
 		return err
 	}
-	defer func() { _ = os.RemoveAll(dir) }() // a temporary folder
+	defer func() { _ = os.RemoveAll(dir) }() // best effort: a temporary directory
 	members, err := newMembers(dir, size)
 	if err != nil {
 		return err
@@ -68,11 +69,11 @@
 	}
 	stopFlood := fleet.startFlood(ctx)
 	defer stopFlood()
-	return fleet.play(ctx, once)
+	return fleet.runPhases(ctx, once)
 }
 
-// startMembers writes the files of all gateways into a folder and starts them. The caller stops them, also those
-// started before an error.
+// startMembers writes the files of all gateways into a directory and starts them. The caller stops them, also after an
+// error.
 func startMembers(members []*member, dir, discoveryAddress string) error {
 	keyFile := filepath.Join(dir, "key")
 	if err := os.WriteFile(keyFile, []byte("a key that is for trying only"), 0o600); err != nil {
@@ -90,15 +91,15 @@
 	return nil
 }
 
-// stopMembers stops all gateways, the one that was started last first.
+// stopMembers stops all gateways in reverse order of their start.
 func stopMembers(members []*member) {
 	for _, m := range slices.Backward(members) {
 		m.stop()
 	}
 }
 
-// startFlood has the account make checks at each gateway, one after the other, until the context ends or the function
-// that it returns is called. That function waits for the checks to end.
+// startFlood sends sequential checks of the account to each gateway until the context is done or stop is called. stop
+// waits for the running checks to finish.
 func (f *fleetRun) startFlood(ctx context.Context) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	var running sync.WaitGroup
@@ -118,8 +119,9 @@
 	}
 }
 
-// play has the last gateway leave and come back. With once it returns then, else when the context ends, with its error.
-func (f *fleetRun) play(ctx context.Context, once bool) error {
+// runPhases makes the last gateway leave and return. With once it returns after that, otherwise when the context is
+// done, with the context's error.
+func (f *fleetRun) runPhases(ctx context.Context, once bool) error {
 	last := f.members[len(f.members)-1]
 	nothing := func() error { return nil }
 	leave := func() error {
@@ -131,26 +133,26 @@
 		begin    func() error
 		duration time.Duration
 	}{
-		{"all doors", nothing, allRunningDuration},
+		{"all gateways", nothing, allRunningDuration},
 		{last.name + " has left", leave, oneLeftDuration},
-		{last.name + " is started again", last.start, restartedDuration},
+		{last.name + " is restarted", last.start, restartedDuration},
 	}
 	for _, step := range steps {
 		if err := step.begin(); err != nil {
 			return err
 		}
 		if err := f.report(ctx, step.label, step.duration); err != nil {
-			return nil // it was ended
+			return nil // the context is done, which is no error here
 		}
 	}
 	if once {
 		return nil
 	}
-	return f.report(ctx, "all doors", endlessDuration)
+	return f.report(ctx, "all gateways", endlessDuration)
 }
 
-// report prints for a while, once a second, how many checks each gateway has admitted in that second. It returns the
-// context's error if that ends first.
+// report prints once per second how many checks each gateway has admitted in that second, for the given duration. It
+// returns the context's error if the context is done earlier.
 func (f *fleetRun) report(ctx context.Context, label string, duration time.Duration) error {
 	for range duration / time.Second {
 		select {
@@ -159,30 +161,30 @@
 		case <-time.After(time.Second):
 		}
 		counts := f.admitted.take()
-		_, _ = fmt.Fprintf(f.out, "%-28s let through in this second, by door: %v\n", label, counts)
+		_, _ = fmt.Fprintf(f.out, "%-28s admitted in this second, by gateway: %v\n", label, counts)
 	}
 	return nil
 }
 
-// admissionCounts counts admitted checks by gateway. It may be used by several goroutines.
+// admissionCounts counts admitted checks by gateway. It is safe for concurrent use.
 type admissionCounts struct {
 	mu        sync.Mutex
 	byGateway []int
 }
 
-// newAdmissionCounts returns counts of 0 for a number of gateways.
+// newAdmissionCounts returns zero counts for the given number of gateways.
 func newAdmissionCounts(gateways int) *admissionCounts {
 	return &admissionCounts{byGateway: make([]int, gateways)}
 }
 
-// add counts one check that a gateway, by its index, has admitted.
+// add counts one check admitted by the gateway with the given index.
 func (c *admissionCounts) add(gateway int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.byGateway[gateway]++
 }
 
-// take returns the counts since it was called last.
+// take returns the counts since the previous call and resets them.
 func (c *admissionCounts) take() []int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
