--- a/cmd/demo/main.go
+++ b/cmd/demo/main.go
@@ -1,6 +1,6 @@
-// Command demo starts a gateway with a RESP2 listener and one for HTTP authorization checks, and fakes for all that it
-// needs: flag servers, the counter and discovery, on loopback. It prints lines to try by hand. With --once it tries
-// them itself and ends. With --doors it starts several gateways that know each other.
+// Command demo starts a gateway with a RESP2 listener and one for HTTP authorization checks, together with fakes of all
+// its dependencies (flag servers, the counter and discovery), on loopback. It prints commands to try by hand. With
+// --once it sends such requests itself and exits. With --doors it starts a fleet of gateways.
 package main
 
 import (
@@ -30,13 +30,13 @@
 
 // options are the values of the command line's flags.
 type options struct {
-	// resp2Address is where a single gateway listens for RESP2.
+	// resp2Address is the RESP2 listener's address of a single gateway.
 	resp2Address string
-	// checkAddress is where a single gateway listens for authorization checks.
+	// checkAddress is the address of a single gateway's listener for authorization checks.
 	checkAddress string
-	// gateways is how many gateways are started, from 1 to maxGateways.
+	// gateways is the number of gateways to start, from 1 to maxGateways.
 	gateways int
-	// once ends the program when all was tried.
+	// once makes the program exit after all steps were run once.
 	once bool
 }
 
@@ -46,12 +46,12 @@
 	os.Exit(cli.Run(ctx, newCommand(), os.Args[1:], os.Stderr))
 }
 
-// newCommand is the command line.
+// newCommand returns the root command of demo.
 func newCommand() *cobra.Command {
 	var opts options
 	root := &cobra.Command{
 		Use:   "demo",
-		Short: "Start a front door with stand-ins for all that it needs, on loopback",
+		Short: "Start a gateway with fakes of all its dependencies, on loopback",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			return run(c.Context(), opts, c.OutOrStdout())
@@ -61,13 +61,13 @@
 	flags.StringVar(&opts.resp2Address, "resp2", "127.0.0.1:6379", "`address` of the RESP2 listener")
 	flags.StringVar(&opts.checkAddress, "checks", "127.0.0.1:9090", "`address` of the listener for checks")
 	flags.IntVar(&opts.gateways, "doors", 1,
-		"so many doors that know each other, one of which leaves and is started again")
-	flags.BoolVar(&opts.once, "once", false, "try both once and end")
+		"number of gateways; with more than one, the last one leaves the fleet and is restarted")
+	flags.BoolVar(&opts.once, "once", false, "run all steps once and exit")
 	return root
 }
 
-// run starts the fakes and one gateway or several. It returns when the context ends or, with options.once, when all was
-// tried.
+// run starts the fakes and one or more gateways. It returns when the context is done or, with options.once, after all
+// steps were run.
 func run(ctx context.Context, opts options, out io.Writer) error {
 	if opts.gateways < 1 || opts.gateways > maxGateways {
 		err := fmt.Errorf("--doors is %d, not 1 to %d", opts.gateways, maxGateways)
@@ -85,7 +85,8 @@
 	return runSingle(ctx, opts, fakes, out)
 }
 
-// flagServerConfigs gives each flag server a value that tells which of them answered.
+// flagServerConfigs returns the configurations of the flag servers. Each has its own value, which shows which of them
+// replied.
 func flagServerConfigs() (configs []flagserver.Config) {
 	for index := range flagServers {
 		configs = append(configs, flagserver.Config{
