--- a/cmd/demo/main_test.go
+++ b/cmd/demo/main_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// The main job runs on a new machine: a gateway with both frontends and fakes serves a check and a request.
+// TestSingleGatewayServesBothProtocols verifies that a gateway with both frontends and fakes serves a check and a
+// request without further setup, and that an invalid address is an error.
 func TestSingleGatewayServesBothProtocols(t *testing.T) {
 	var out strings.Builder
 	opts := options{resp2Address: "127.0.0.1:0", checkAddress: "127.0.0.1:0", gateways: 1, once: true}
@@ -20,11 +21,12 @@
 	}
 	opts.checkAddress = "nowhere"
 	if err := run(context.Background(), opts, &out); err == nil {
-		t.Error("a bad address is no error")
+		t.Error("an invalid address gave no error")
 	}
 }
 
-// Three gateways know each other, and one of them leaves: from the third second on the others have its quota share.
+// TestFleetTakesOverShareOfGatewayThatLeft verifies that when one of three gateways leaves, the others have its quota
+// share from the third second on.
 func TestFleetTakesOverShareOfGatewayThatLeft(t *testing.T) {
 	var out strings.Builder
 	if err := run(context.Background(), options{gateways: 3, once: true}, &out); err != nil {
@@ -44,7 +46,7 @@
 			sum += first + second
 		}
 	}
-	if seconds != 6 || sum < 28 || sum > 48 { // 10 a second in four seconds
-		t.Errorf("%d let through in the last four of %d seconds:\n%s", sum, seconds, out.String())
+	if seconds != 6 || sum < 28 || sum > 48 { // 10 per second in four seconds
+		t.Errorf("%d admitted in the last four of %d seconds:\n%s", sum, seconds, out.String())
 	}
 }
