--- a/cmd/demo/member.go
+++ b/cmd/demo/member.go
@@ -12,21 +12,21 @@
 	"gapgap/internal/service/hosted"
 )
 
-// member is one gateway of a fleet, which may be stopped and started again.
+// member is one gateway of a fleet. It can be stopped and restarted.
 type member struct {
 	name string
-	// peerAddress is where it talks to its peers, by UDP.
+	// peerAddress is its UDP address for messages between peers.
 	peerAddress  string
 	checkAddress string
 	configFile   string
 	stateDir     string
 
-	// cancel ends the running service, which closes stopped when it has ended. Both are nil before the first start.
+	// cancel stops the running service, which then closes stopped. Both are nil before the first start.
 	cancel  context.CancelFunc
 	stopped chan struct{}
 }
 
-// newMembers chooses names, addresses and files in a folder for the gateways of a fleet. It starts nothing.
+// newMembers assigns names, addresses and files in a directory to the gateways of a fleet. It starts nothing.
 func newMembers(dir string, count int) (members []*member, err error) {
 	for index := range count {
 		name := fmt.Sprint("n", index)
@@ -46,11 +46,11 @@
 	return members, nil
 }
 
-// controlSocket is where operators reach the gateway.
+// controlSocket returns the path of the gateway's control socket.
 func (m *member) controlSocket() string { return filepath.Join(m.stateDir, "ctl") }
 
-// writeFiles creates the state folder and the configuration file. peerList is the list of all gateways of the fleet, as
-// peerList returns it.
+// writeFiles creates the state directory and the configuration file. peerList is the result of the function peerList
+// for all gateways of the fleet.
 func (m *member) writeFiles(discoveryAddress, keyFile, peerList string) error {
 	if err := os.Mkdir(m.stateDir, 0o700); err != nil {
 		return err
@@ -67,7 +67,7 @@
 	return os.WriteFile(m.configFile, []byte(config.text()+fleetTable+peerList), 0o600)
 }
 
-// peerList is the part of a configuration file that lists the gateways of a fleet.
+// peerList returns the section of a configuration file that lists the gateways of a fleet.
 func peerList(members []*member) string {
 	var list strings.Builder
 	for _, m := range members {
@@ -76,7 +76,7 @@
 	return list.String()
 }
 
-// start starts the gateway, also again after stop.
+// start starts the gateway, or restarts it after stop.
 func (m *member) start() error {
 	config, err := hosted.Load(m.configFile)
 	if err != nil {
@@ -98,7 +98,8 @@
 	return nil
 }
 
-// stop has the gateway leave the fleet and waits for it. It does nothing to one that is not running.
+// stop makes the gateway leave the fleet and waits until it has stopped. It does nothing if the gateway was never
+// started.
 func (m *member) stop() {
 	if m.cancel == nil {
 		return
@@ -107,7 +108,7 @@
 	<-m.stopped
 }
 
-// unusedUDPAddress is an address on loopback where nothing receives datagrams now.
+// unusedUDPAddress returns a UDP address on loopback that is not in use.
 func unusedUDPAddress() (string, error) {
 	conn, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
@@ -116,7 +117,7 @@
 	return conn.LocalAddr().String(), conn.Close()
 }
 
-// unusedTCPAddress is an address on loopback where nothing listens now.
+// unusedTCPAddress returns a TCP address on loopback that is not in use.
 func unusedTCPAddress() (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
