--- a/cmd/demo/single.go
+++ b/cmd/demo/single.go
@@ -16,27 +16,27 @@
 )
 
 const (
-	// tryTimeout is how long a check and a request are repeated until both are served.
+	// tryTimeout bounds how long a check and a request are repeated until both are served.
 	tryTimeout = 10 * time.Second
-	// tryInterval is the pause between them.
+	// tryInterval is the pause between two repetitions.
 	tryInterval = 50 * time.Millisecond
 )
 
-// instructionsFormat tells how to try a gateway by hand. Its arguments are the API key, the address for checks, the
+// instructionsFormat shows how to try a gateway by hand. Its arguments are the API key, the address for checks, the
 // host and port for RESP2 and a request as an argument of the shell's printf.
-const instructionsFormat = `A check, as a proxy asks it (repeat it fast, and it is refused with Retry-After):
+const instructionsFormat = `A check as a proxy sends it (if repeated quickly, it is rejected with Retry-After):
 
   curl -i -H 'Authorization: Bearer %s' -H 'X-Forwarded-Method: GET' -H 'X-Forwarded-Host: flags.example.org' \
     -H 'X-Forwarded-Uri: /v1/flags' http://%s/check
 
-The same account over RESP2, on the same quota:
+The same account over RESP2, with the same quota:
 
   exec 3<>/dev/tcp/%s/%s; printf '%s' >&3; timeout 1 cat <&3
 
 `
 
-// runSingle runs one gateway and prints how to try it. It returns when the context ends or, with options.once, when a
-// check and a request were served.
+// runSingle runs one gateway and prints instructions for trying it. It returns when the context is done or, with
+// options.once, after a check and a request were served.
 func runSingle(ctx context.Context, opts options, fakes *deployment.Deployment, out io.Writer) error {
 	config := gatewayConfig{
 		name:             "demo",
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// printInstructions tells how to try a gateway by hand.
+// printInstructions prints commands for trying a gateway by hand.
 func printInstructions(out io.Writer, resp2Address, checkAddress string) error {
 	host, port, err := net.SplitHostPort(resp2Address)
 	if err != nil {
@@ -86,14 +86,14 @@
 	return err
 }
 
-// tryBoth makes a check and a request over RESP2, and repeats both until both are served: the ceiling of a gateway that
-// has just started begins empty.
+// tryBoth sends a check and a request over RESP2, and repeats both until both are served. The first ones may be
+// rejected, because the ceiling's bucket is empty right after the gateway's start.
 func tryBoth(out io.Writer, resp2Address, checkAddress string) error {
 	status := 0
 	line := ""
 	for deadline := time.Now().Add(tryTimeout); status != http.StatusOK || !isServed(line); {
 		if time.Now().After(deadline) {
-			return fmt.Errorf("a check was answered %d, a request %q", status, line)
+			return fmt.Errorf("the check returned status %d, the request returned %q", status, line)
 		}
 		admitted, err := check(context.Background(), checkAddress)
 		if err != nil {
