--- a/cmd/benchmark/accountflood.go
+++ b/cmd/benchmark/accountflood.go
@@ -11,28 +11,28 @@
 	quietRate = 200.0
 	// floodRate is the rate of the flood's requests over both protocols, per second.
 	floodRate = 20 * floodCeiling
-	// quietConnections is how many connections the quiet account has.
+	// quietConnections is the number of connections of the quiet account.
 	quietConnections = 8
-	// floodCheckConnections and floodRESP2Connections are how many the account that floods has.
+	// floodCheckConnections and floodRESP2Connections are the numbers of connections of the flooding account.
 	floodCheckConnections = 8
 	floodRESP2Connections = 64
 )
 
-// compareFloods compares a quiet account's latency without and with another account's flood, in turns.
+// compareFloods measures a quiet account's latency alternately without and with a flood from another account.
 func (b *forwardAuthBenchmark) compareFloods() error {
 	var ratios []float64
 	for range b.rounds {
-		b.stretch++
+		b.intervalNumber++
 		alone, err := b.measureQuiet()
 		if err != nil {
 			return err
 		}
-		b.stretch++
+		b.intervalNumber++
 		beside, flood, err := b.measureQuietBesideFlood()
 		if err != nil {
 			return err
 		}
-		fmt.Printf("quiet at %v/s: p99 %v alone, %v beside %d checks of a flood (%d refused)\n",
+		fmt.Printf("quiet at %v/s: p99 %v alone, %v beside a flood of %d checks (%d rejected)\n",
 			quietRate, alone.p99(), beside.p99(), flood.answered, flood.unserved)
 		ratios = append(ratios, beside.p99().Seconds()/alone.p99().Seconds())
 	}
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// measureQuiet makes checks of a quiet account at quietRate. It is an error if one of them is rejected.
+// measureQuiet sends checks of a quiet account at quietRate. It is an error if any of them is rejected.
 func (b *forwardAuthBenchmark) measureQuiet() (loadResult, error) {
 	checks := load{
 		address:     b.gateway.addresses["http"],
@@ -61,7 +61,7 @@
 	return result, nil
 }
 
-// measureQuietBesideFlood is measureQuiet while another account floods the gateway, half of it by each protocol. It
+// measureQuietBesideFlood runs measureQuiet while another account floods the gateway, half of it over each protocol. It
 // also returns the result of the flood's checks.
 func (b *forwardAuthBenchmark) measureQuietBesideFlood() (quiet, flood loadResult, err error) {
 	checks := load{
@@ -92,12 +92,12 @@
 	return quiet, flood, errors.Join(err, floodErr)
 }
 
-// floodCheck is the n-th check of a connection of the account that floods.
+// floodCheck returns the n-th check of a connection of the flooding account.
 func (b *forwardAuthBenchmark) floodCheck(connection, n int) []byte {
-	return checkRequest(floodKey, fmt.Sprint(b.stretch, "-", connection, "-", n))
+	return checkRequest(floodKey, fmt.Sprint(b.intervalNumber, "-", connection, "-", n))
 }
 
-// floodRequest is the n-th request over RESP2 of a connection of the account that floods.
+// floodRequest returns the n-th RESP2 request of a connection of the flooding account.
 func floodRequest(connection, n int) []byte {
 	return resp2Request(floodCustomer, fmt.Sprint(connection, "-", n), requestAttributes)
 }
--- a/cmd/benchmark/forwardauth.go
+++ b/cmd/benchmark/forwardauth.go
@@ -14,32 +14,32 @@
 	"gapgap/internal/fake/flagserver"
 )
 
-// maxUnservedPerThousand is how many of a thousand answers of a stretch of load may be other than served.
+// maxUnservedPerThousand bounds the unserved requests per thousand responses of a load interval.
 const maxUnservedPerThousand = 1
 
-// newForwardAuthCommand is the command that measures checks.
-func newForwardAuthCommand(stretches *stretchFlags) *cobra.Command {
+// newForwardAuthCommand returns the command that measures checks.
+func newForwardAuthCommand(flags *loadFlags) *cobra.Command {
 	return &cobra.Command{
 		Use:   "forward-auth",
-		Short: "Checks against a bare handler; a quiet account beside a flood",
+		Short: "Compare checks with a bare handler, and a quiet account without and with a flood",
 		Args:  cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			return runForwardAuth(stretches.duration, stretches.rounds)
+			return runForwardAuth(flags.duration, flags.rounds)
 		},
 	}
 }
 
-// forwardAuthBenchmark compares a gateway's checks with a bare handler's answers.
+// forwardAuthBenchmark compares a gateway's checks with the responses of a bare handler.
 type forwardAuthBenchmark struct {
 	bare     *child
 	gateway  *child
 	duration time.Duration
 	rounds   int
-	// stretch counts the stretches of load. It keeps the ids of one from being repeats of another's.
-	stretch int64
+	// intervalNumber counts the load intervals. It keeps ids unique across intervals, so that no check is a repeat.
+	intervalNumber int64
 }
 
-// runForwardAuth starts the servers and runs all rounds, each of which has stretches of a duration.
+// runForwardAuth starts the servers and runs all rounds. duration is the length of each load interval.
 func runForwardAuth(duration time.Duration, rounds int) error {
 	fakes, err := deployment.Start(deployment.Config{
 		FlagServers: []flagserver.Config{{Value: "value"}, {Value: "value"}, {Value: "value"}, {Value: "value"}},
@@ -53,7 +53,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = os.RemoveAll(dir) }() // a temporary folder
+	defer func() { _ = os.RemoveAll(dir) }() // best effort: a temporary directory
 	file := filepath.Join(dir, "gapgapd.toml")
 	config := forwardAuthConfig(fakes.DiscoveryAddress(), fakes.CounterAddress())
 	if err := os.WriteFile(file, []byte(config), 0o600); err != nil {
@@ -69,7 +69,7 @@
 		return err
 	}
 	defer gateway.close()
-	fmt.Printf("machine: %d cores; each server has one; %d connections, %d accounts, %v a stretch, %d rounds\n",
+	fmt.Printf("machine: %d cores; each server has one; %d connections, %d accounts, %v per interval, %d rounds\n",
 		runtime.NumCPU(), connections, accounts, duration, rounds)
 	benchmark := &forwardAuthBenchmark{
 		bare:     bare,
@@ -83,21 +83,21 @@
 	return benchmark.compareFloods()
 }
 
-// measurement is one stretch of load on one server.
+// measurement is the result of one load interval on one server.
 type measurement struct {
 	loadResult
-	// cpuMicros is the server's CPU time per answer, in microseconds.
+	// cpuMicros is the server's CPU time per response, in microseconds.
 	cpuMicros float64
-	// allocations is the server's number of heap allocations per answer.
+	// allocations is the server's number of heap allocations per response.
 	allocations float64
 }
 
-// measureChecks loads a server with checks of all accounts, at a rate per second; 0: as fast as it answers.
+// measureChecks loads a server with checks of all accounts at a rate per second; 0 means as fast as it responds.
 func (b *forwardAuthBenchmark) measureChecks(server *child, rate float64) (measurement, error) {
 	return b.measure(server, "http", load{request: b.check, readAnswer: readHTTP, rate: rate})
 }
 
-// measureRESP2 loads the gateway with requests of all accounts over RESP2, as fast as it answers.
+// measureRESP2 loads the gateway with RESP2 requests of all accounts, as fast as it responds.
 func (b *forwardAuthBenchmark) measureRESP2() (measurement, error) {
 	return b.measure(b.gateway, "resp2", load{request: accountRequest, readAnswer: readRESP2})
 }
@@ -107,7 +107,7 @@
 func (b *forwardAuthBenchmark) measure(
 	server *child, listener string, requests load,
 ) (measured measurement, err error) {
-	b.stretch++
+	b.intervalNumber++
 	requests.address = server.addresses[listener]
 	requests.connections = connections
 	requests.duration = b.duration
@@ -123,7 +123,7 @@
 		return measured, err
 	}
 	if measured.unserved*1000 > measured.answered*maxUnservedPerThousand {
-		return measured, fmt.Errorf("%d of %d answers on %s are odd", measured.unserved, measured.answered, listener)
+		return measured, fmt.Errorf("%d of %d requests on %s unserved", measured.unserved, measured.answered, listener)
 	}
 	answered := float64(measured.answered)
 	measured.cpuMicros = (after.cpu - before.cpu).Seconds() * 1e6 / answered
@@ -131,26 +131,26 @@
 	return measured, nil
 }
 
-// check is the n-th check of a connection, for one of the measured accounts, with an id of its own.
+// check returns the n-th check of a connection, for one of the measured accounts, with a unique id.
 func (b *forwardAuthBenchmark) check(connection, n int) []byte {
-	id := strconv.Itoa(connection) + "-" + strconv.Itoa(n) + "-" + strconv.FormatInt(b.stretch, 36)
+	id := strconv.Itoa(connection) + "-" + strconv.Itoa(n) + "-" + strconv.FormatInt(b.intervalNumber, 36)
 	return checkRequest("key-"+strconv.Itoa(accountIndex(connection, n)), id)
 }
 
 // forwardAuthRound is one round of the comparison.
 type forwardAuthRound struct {
-	// bare and checks are at full load.
+	// bare and checks are measured at full load.
 	bare   measurement
 	checks measurement
-	// halfRate is half the rate of checks at full load, per second. bareHalf and checksHalf are at that rate.
+	// halfRate is half the rate of checks at full load, per second. bareHalf and checksHalf are measured at it.
 	halfRate   float64
 	bareHalf   measurement
 	checksHalf measurement
-	// resp2 is at full load.
+	// resp2 is measured at full load.
 	resp2 measurement
 }
 
-// measureRound measures each server in turn.
+// measureRound measures the servers one after the other.
 func (b *forwardAuthBenchmark) measureRound() (*forwardAuthRound, error) {
 	round := &forwardAuthRound{}
 	var err error
@@ -173,7 +173,7 @@
 	return round, nil
 }
 
-// print writes one line with all that a round has measured.
+// print writes one line with all results of the round.
 func (r *forwardAuthRound) print(duration time.Duration) {
 	fmt.Printf("bare %6.0f/s %5.1f us %5.1f allocs | checks %6.0f/s %5.1f us %5.1f allocs | "+
 		"at %5.0f/s p50 %v and %v, p99 %v and %v | RESP2 %6.0f/s %5.1f us %5.1f allocs\n",
@@ -183,7 +183,7 @@
 		r.resp2.perSecond(duration), r.resp2.cpuMicros, r.resp2.allocations)
 }
 
-// compare runs all rounds of the comparison and prints the medians of their ratios.
+// compare runs all rounds and prints the medians of their ratios.
 func (b *forwardAuthBenchmark) compare() error {
 	var throughputs, cpuTimes, p99s, resp2CPUTimes, resp2Allocations []float64
 	for range b.rounds {
@@ -202,11 +202,11 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("checks a second against the bare handler:     %.2f (wanted: 0.6 or more)\n", median(throughputs))
-	fmt.Printf("  the same by CPU a check:                    %.2f\n", median(cpuTimes))
-	fmt.Printf("p99 at half that rate against the bare one:   %.2f\n", median(p99s))
-	fmt.Printf("CPU a check against a RESP2 request:          %.2f; allocations: %.2f\n",
+	fmt.Printf("checks per second, ratio to the bare handler: %.2f (wanted: 0.6 or more)\n", median(throughputs))
+	fmt.Printf("  the same by CPU time per check:             %.2f\n", median(cpuTimes))
+	fmt.Printf("p99 at half that rate, ratio to the bare one: %.2f\n", median(p99s))
+	fmt.Printf("CPU per check, ratio to a RESP2 request:      %.2f; allocations: %.2f\n",
 		median(resp2CPUTimes), median(resp2Allocations))
-	fmt.Printf("resident memory of the door after it all:     %.0f MB\n", used.residentMB())
+	fmt.Printf("resident memory of the gateway at the end:    %.0f MB\n", used.residentMB())
 	return nil
 }
--- a/cmd/benchmark/main.go
+++ b/cmd/benchmark/main.go
@@ -1,37 +1,38 @@
-// Command benchmark takes the figures of docs/measured.md. The servers under load are processes of their own on
-// loopback, and the load comes from this one; ceilings alone runs in virtual time. Figures that compare servers are
+// Command benchmark produces the figures of docs/measured.md. The servers under load run in separate processes on
+// loopback, and this process generates the load; only ceilings runs in virtual time. Figures that compare servers are
 // ratios within one run.
 //
-// The cost of a request is measured as CPU time per answer by
-//   - forward-auth: a check of gapgapd, against an answer of a bare HTTP handler;
-//   - members-cost: a request of a gateway in a fleet of three, against one of a gateway alone;
-//   - power-cost: a request where the keys of changes are kept on disk, against one where they are not;
-//   - platform: a request of each build of cmd/gapgap, over the whole life of its process.
+// The cost of a request is measured as CPU time per response by
+//   - forward-auth: a check of gapgapd, compared with a response of a bare HTTP handler;
+//   - members-cost: a request of a gateway in a fleet of three, compared with one of a gateway alone;
+//   - power-cost: a request with the keys of changes kept on disk, compared with one without;
+//   - platform: a request of each build of cmd/gapgap, over the whole lifetime of its process.
 //
-// The variable MEASURE_PROFILE names a file for a CPU profile of the gateways that forward-auth and pools start.
+// The environment variable MEASURE_PROFILE names a file for a CPU profile of the gateways that forward-auth and pools
+// start.
 //
 //	benchmark forward-auth [--for 5s] [--rounds 3]
-//	    checks against a bare handler; a quiet account beside a flood
+//	    checks compared with a bare handler; a quiet account without and with a flood
 //	benchmark pools [--for 5s] [--rounds 3]
-//	    a quiet pool beside a flooded one; what pools cost
+//	    a quiet pool beside a flooded one; the cost of pools
 //	benchmark ceilings [--svg docs/ceilings.svg]
-//	    the part of a ceiling that is served, by the skew of the demand
+//	    the served fraction of a ceiling, by skew of the demand
 //	benchmark members [--fleet] GAPGAPD
-//	    what three gateways admit of a ceiling around a death, a stop and a partition
+//	    how much of a ceiling three gateways admit after a crash, a suspension and a partition
 //	benchmark members-curves BEFORE NOW
 //	    the same by 100 ms, of two builds, as a plot
 //	benchmark members-cost GAPGAPD
-//	    a gateway's CPU time per request, in a fleet against alone
+//	    a gateway's CPU time per request, in a fleet compared with alone
 //	benchmark policy [--doors 3] [--mode wait] [--down up] GAPGAPD
 //	    a change of the fleet's policy under load
 //	benchmark power GAPGAPD
-//	    what a loss of power at all gateways, flag servers and the counter costs
+//	    the cost of a power loss at all gateways, flag servers and the counter
 //	benchmark power-curves BEFORE NOW
 //	    the same by 100 ms, of two builds, as a plot
 //	benchmark power-cost GAPGAPD
-//	    what it costs to remember the keys of changes
+//	    the cost of keeping the keys of changes on disk
 //	benchmark platform [--for 5s] [--rounds 3] [--value 5,65536] [--figures] GAPGAP...
-//	    builds of cmd/gapgap under the same load
+//	    builds of cmd/gapgap compared under the same load
 package main
 
 import (
@@ -44,34 +45,34 @@
 	"gapgap/internal/cli"
 )
 
-// stretchFlags are the flags that all commands take. Those whose length is fixed ignore them.
-type stretchFlags struct {
-	// duration is the length of each stretch of load.
+// loadFlags are the flags that all commands accept. Commands with a fixed length ignore them.
+type loadFlags struct {
+	// duration is the length of each load interval.
 	duration time.Duration
-	// rounds is how often each side is measured, in turns.
+	// rounds is how often each side is measured, alternately.
 	rounds int
 }
 
 func main() { os.Exit(cli.Run(context.Background(), newCommand(), os.Args[1:], os.Stderr)) }
 
-// newCommand is the whole command line.
+// newCommand returns the root command of benchmark.
 func newCommand() *cobra.Command {
-	root := &cobra.Command{Use: "benchmark", Short: "Take the figures of docs/measured.md"}
-	stretches := &stretchFlags{}
-	root.PersistentFlags().DurationVar(&stretches.duration, "for", 5*time.Second, "length of each stretch")
-	root.PersistentFlags().IntVar(&stretches.rounds, "rounds", 3, "how often each is measured, in turns")
+	root := &cobra.Command{Use: "benchmark", Short: "Produce the figures of docs/measured.md"}
+	flags := &loadFlags{}
+	root.PersistentFlags().DurationVar(&flags.duration, "for", 5*time.Second, "length of each load interval")
+	root.PersistentFlags().IntVar(&flags.rounds, "rounds", 3, "how often each side is measured, alternately")
 	root.AddCommand(
-		newForwardAuthCommand(stretches),
-		newPoolsCommand(stretches),
+		newForwardAuthCommand(flags),
+		newPoolsCommand(flags),
 		newCeilingsCommand(),
-		newPlatformCommand(stretches),
+		newPlatformCommand(flags),
 		newMembersCommand(),
 		newMembersCurvesCommand(),
-		newMembersCostCommand(stretches),
+		newMembersCostCommand(flags),
 		newPolicyCommand(),
 		newPowerCommand(),
 		newPowerCurvesCommand(),
-		newPowerCostCommand(stretches),
+		newPowerCostCommand(flags),
 	)
 	root.AddCommand(newChildCommands()...)
 	return root
--- a/cmd/benchmark/memberscost.go
+++ b/cmd/benchmark/memberscost.go
@@ -11,29 +11,29 @@
 	"gapgap/internal/fake/rig"
 )
 
-// newMembersCostCommand is the command that measures what a fleet costs.
-func newMembersCostCommand(stretches *stretchFlags) *cobra.Command {
+// newMembersCostCommand returns the command that measures the cost of being in a fleet.
+func newMembersCostCommand(flags *loadFlags) *cobra.Command {
 	return &cobra.Command{
 		Use:   "members-cost GAPGAPD",
-		Short: "A door's processor time a request, in a fleet against alone",
+		Short: "Compare a gateway's CPU time per request in a fleet with that of a gateway alone",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			return measureMembersCost(args[0], stretches.duration, stretches.rounds)
+			return measureMembersCost(args[0], flags.duration, flags.rounds)
 		},
 	}
 }
 
-// cpuCost is the CPU time of a gateway and the requests that it served meanwhile.
+// cpuCost is the CPU time of a gateway and the number of requests that it served in that time.
 type cpuCost struct {
 	cpu    time.Duration
 	served int
 }
 
-// microsPerRequest is the CPU time per request, in microseconds.
+// microsPerRequest returns the CPU time per request in microseconds.
 func (c cpuCost) microsPerRequest() float64 { return c.cpu.Seconds() * 1e6 / float64(c.served) }
 
 // measureMembersCost measures the CPU time of a gateway per request, alone and in a fleet of three. Both run all the
-// time, and the load goes from the one to the other and back, so that what the machine does meanwhile falls on both.
+// time and are loaded alternately, so that other activity of the machine affects both.
 func measureMembersCost(program string, duration time.Duration, rounds int) error {
 	const plan = "rate = 1000000.0\nburst = 1000000.0\n"
 	pair, stop, err := startRigPair(program,
@@ -48,7 +48,7 @@
 	for round := range rounds {
 		var costs [2]cpuCost
 		for turn := range pair {
-			index := (turn + round) % len(pair) // whoever goes first changes
+			index := (turn + round) % len(pair) // alternates the order
 			costs[index] = floodFirstGateway(pair[index], duration)
 			totals[index].cpu += costs[index].cpu
 			totals[index].served += costs[index].served
@@ -57,15 +57,15 @@
 	}
 	slices.Sort(ratios)
 	alone, fleet := totals[0], totals[1]
-	fmt.Printf("off %.1f us an answer (%d), on %.1f us (%d): %.3f over all; "+
-		"by round %.3f in the median, quarters %.3f and %.3f\n",
+	fmt.Printf("alone %.1f us per response (%d), fleet %.1f us (%d): ratio %.3f; "+
+		"by round median %.3f, quartiles %.3f and %.3f\n",
 		alone.microsPerRequest(), alone.served, fleet.microsPerRequest(), fleet.served,
 		fleet.microsPerRequest()/alone.microsPerRequest(),
 		ratios[len(ratios)/2], ratios[len(ratios)/4], ratios[len(ratios)*3/4])
 	return nil
 }
 
-// floodFirstGateway floods the first gateway, as fast as it answers, by four sets of clients.
+// floodFirstGateway floods the first gateway, as fast as it responds, with four sets of clients.
 func floodFirstGateway(gateways *rig.Rig, duration time.Duration) cpuCost {
 	gateway := gateways.Doors[0]
 	before := gateway.CPU()
--- a/cmd/benchmark/platform.go
+++ b/cmd/benchmark/platform.go
@@ -20,18 +20,18 @@
 )
 
 const (
-	// platformStartTimeout is how long a build may take until it listens.
+	// platformStartTimeout bounds the time until a build listens.
 	platformStartTimeout = 5 * time.Second
-	// platformDialInterval is the pause between two attempts to reach it.
+	// platformDialInterval is the pause between two connection attempts.
 	platformDialInterval = 10 * time.Millisecond
-	// platformIdleDuration is how long it is idle before its memory is read.
+	// platformIdleDuration is how long a build stays idle before its memory is read.
 	platformIdleDuration = 500 * time.Millisecond
-	// statsInterval is the pause between two readings of the stats, and statsTimeout bounds each.
+	// statsInterval is the pause between two reads of the stats, and statsTimeout bounds each read.
 	statsInterval = 100 * time.Millisecond
 	statsTimeout  = time.Second
 )
 
-// platformSettings are those of a small deployment, in the platform's names.
+// platformSettings has the settings of a small deployment in the platform's format.
 const platformSettings = `{
 "peers-total":1,"rank":0,"resolution-us":2000,"discovery":"pushed","areas":[""],"kinds":[""],
 "limits":{"max-attempts":3,"cancel":true,"dial-timeout-us":250000,"conn-idle-us":30000000,"open-cap":4000},
@@ -42,39 +42,39 @@
 "tiers-of-service":[{"name":"wide","value-factor":1.0}]
 }`
 
-// platformConfigFormat is the configuration file of a build of cmd/gapgap. Its arguments are where it listens, the
-// address of discovery, the endpoint list that it starts with and platformSettings.
+// platformConfigFormat is the configuration file of a build of cmd/gapgap. Its arguments are the listening address, the
+// address of discovery, the initial endpoint list and platformSettings.
 const platformConfigFormat = `{"name":"n1","listen":%q,"discovery":%q,"seed":"1",` +
 	`"limits":{"cores":1.0,"memory_mb":64,"sockets":384},"known":%s,"settings":%s}`
 
 // platformFlags are the flags of the platform command.
 type platformFlags struct {
-	// valueBytes are the lengths of the answers' values, a stretch of load for each.
+	// valueBytes has the sizes of the values in responses. There is a load interval for each.
 	valueBytes []int
-	// readsStats adds turns in which an operator reads the stats ten times a second.
+	// readsStats adds runs in which the stats are read ten times per second.
 	readsStats bool
 }
 
-// newPlatformCommand is the command that measures builds of cmd/gapgap.
-func newPlatformCommand(stretches *stretchFlags) *cobra.Command {
+// newPlatformCommand returns the command that measures builds of cmd/gapgap.
+func newPlatformCommand(loads *loadFlags) *cobra.Command {
 	flags := &platformFlags{}
 	command := &cobra.Command{
 		Use:   "platform GAPGAP...",
-		Short: "Builds of cmd/gapgap under the same load",
+		Short: "Compare builds of cmd/gapgap under the same load",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			return runPlatform(args, flags, stretches)
+			return runPlatform(args, flags, loads)
 		},
 	}
 	command.Flags().IntSliceVar(&flags.valueBytes, "value", []int{5},
-		"bytes of the answers' values, a stretch for each")
+		"size of the values in responses in bytes, a load interval for each")
 	command.Flags().BoolVar(&flags.readsStats, "figures", false,
-		"in turns without and with the figures fetched ten times a second")
+		"alternately without and with reading the stats ten times per second")
 	return command
 }
 
-// runPlatform runs builds of cmd/gapgap one after the other under the same load, and prints what each uses.
-func runPlatform(builds []string, flags *platformFlags, stretches *stretchFlags) error {
+// runPlatform runs builds of cmd/gapgap one after the other under the same load, and prints the resource usage of each.
+func runPlatform(builds []string, flags *platformFlags, loads *loadFlags) error {
 	fakes, err := deployment.Start(deployment.Config{FlagServers: []flagserver.Config{{Value: "value"}}})
 	if err != nil {
 		return err
@@ -84,12 +84,12 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = os.RemoveAll(dir) }() // a temporary folder
+	defer func() { _ = os.RemoveAll(dir) }() // best effort: a temporary directory
 	turns := []bool{false}
 	if flags.readsStats {
 		turns = []bool{false, true}
 	}
-	for range stretches.rounds {
+	for range loads.rounds {
 		for _, build := range builds {
 			for _, size := range flags.valueBytes {
 				fakes.FlagServers[0].Set(flagserver.Config{Value: strings.Repeat("v", size)})
@@ -99,7 +99,7 @@
 						dir:        dir,
 						valueBytes: size,
 						readsStats: readsStats,
-						duration:   stretches.duration,
+						duration:   loads.duration,
 					}
 					if err := run.measure(fakes); err != nil {
 						return fmt.Errorf("%s: %w", build, err)
@@ -114,14 +114,14 @@
 // platformRun is one process of a build under load.
 type platformRun struct {
 	build string
-	// dir is for the configuration file and the process's temporary files.
+	// dir is the directory for the configuration file and the process's temporary files.
 	dir        string
 	valueBytes int
 	readsStats bool
 	duration   time.Duration
 }
 
-// measure runs the build by the given fakes and prints what it uses.
+// measure runs the build with the given fakes and prints its resource usage.
 func (r *platformRun) measure(fakes *deployment.Deployment) error {
 	address, err := unusedAddress()
 	if err != nil {
@@ -141,7 +141,7 @@
 	if err := command.Start(); err != nil {
 		return err
 	}
-	defer func() { _ = command.Process.Kill() }() // unless it has ended
+	defer func() { _ = command.Process.Kill() }() // no effect if it has exited
 	if err := waitUntilListening(address); err != nil {
 		return err
 	}
@@ -160,15 +160,15 @@
 	}
 	busyMB := residentMB(command.Process.Pid)
 	_ = command.Process.Signal(syscall.SIGTERM)
-	_ = command.Wait() // how it ended does not change what was measured
+	_ = command.Wait() // the exit status does not affect the measurement
 	cpu := command.ProcessState.UserTime() + command.ProcessState.SystemTime()
-	fmt.Printf("%s, figures fetched %t, values of %d bytes: %.1f MB idle, %.1f MB after %d requests (%d odd), "+
-		"%.1f us CPU a request, p99 %v\n", filepath.Base(filepath.Dir(r.build)), r.readsStats, r.valueBytes,
+	fmt.Printf("%s, stats read %t, values of %d bytes: %.1f MB idle, %.1f MB after %d requests (%d not served), "+
+		"%.1f us CPU per request, p99 %v\n", filepath.Base(filepath.Dir(r.build)), r.readsStats, r.valueBytes,
 		idleMB, busyMB, result.answered, result.unserved, cpu.Seconds()*1e6/float64(result.answered), result.p99())
 	return nil
 }
 
-// environment writes the configuration file and returns the process's environment, which names it.
+// environment writes the configuration file and returns the process's environment, which refers to it.
 func (r *platformRun) environment(address string, fakes *deployment.Deployment) ([]string, error) {
 	endpointList, err := json.Marshal(struct {
 		Endpoints []catalog.Endpoint `json:"endpoints"`
@@ -191,8 +191,8 @@
 		nil
 }
 
-// startStatsReader gives a command that has not started an address for operators, and reads the stats there until stop
-// is called.
+// startStatsReader sets the address for operators of a command that was not started yet, and reads the stats there
+// until stop is called.
 func (r *platformRun) startStatsReader(command *exec.Cmd) (stop func(), err error) {
 	address, err := unusedAddress()
 	if err != nil {
@@ -204,7 +204,7 @@
 	return func() { close(stopped) }, nil
 }
 
-// readStats reads the stats ten times a second until stop is closed.
+// readStats reads the stats ten times per second until stop is closed.
 func readStats(address string, stop <-chan struct{}) {
 	for {
 		select {
@@ -217,13 +217,13 @@
 			continue
 		}
 		_ = conn.SetDeadline(time.Now().Add(statsTimeout))
-		_, _ = io.WriteString(conn, "INFO\n") // what fails is tried again
+		_, _ = io.WriteString(conn, "INFO\n") // a failed read is repeated after the interval
 		_, _ = io.Copy(io.Discard, conn)
 		_ = conn.Close()
 	}
 }
 
-// unusedAddress is an address on loopback where nothing listens now.
+// unusedAddress returns a TCP address on loopback that is not in use.
 func unusedAddress() (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -232,7 +232,7 @@
 	return listener.Addr().String(), listener.Close()
 }
 
-// waitUntilListening waits until an address takes connections, for platformStartTimeout at most.
+// waitUntilListening waits until an address accepts connections, for at most platformStartTimeout.
 func waitUntilListening(address string) error {
 	for deadline := time.Now().Add(platformStartTimeout); ; time.Sleep(platformDialInterval) {
 		conn, err := net.Dial("tcp", address)
--- a/cmd/benchmark/pools.go
+++ b/cmd/benchmark/pools.go
@@ -15,23 +15,23 @@
 )
 
 const (
-	// floodStartDelay is the time from the start of a flood to the measurement beside it.
+	// floodStartDelay is the time between the start of a flood and the measurement.
 	floodStartDelay = 200 * time.Millisecond
-	// floodEndDelay is the time that a gateway has after a flood.
+	// floodEndDelay is the time for a gateway to recover after a flood.
 	floodEndDelay = 500 * time.Millisecond
 )
 
-// poolCounts are the numbers of pools whose cost is measured.
+// poolCounts has the numbers of pools whose cost is measured.
 var poolCounts = []int{1, 10, 100}
 
-// newPoolsCommand is the command that measures pools.
-func newPoolsCommand(stretches *stretchFlags) *cobra.Command {
+// newPoolsCommand returns the command that measures pools.
+func newPoolsCommand(flags *loadFlags) *cobra.Command {
 	return &cobra.Command{
 		Use:   "pools",
-		Short: "A quiet pool beside a flooded one; what pools cost",
+		Short: "Measure a quiet pool beside a flooded one, and the cost of pools",
 		Args:  cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			return runPools(stretches.duration, stretches.rounds)
+			return runPools(flags.duration, flags.rounds)
 		},
 	}
 }
@@ -39,14 +39,14 @@
 // poolsBenchmark measures gateways with several pools.
 type poolsBenchmark struct {
 	discoveryAddress string
-	// dir is for the gateways' configuration files.
+	// dir is the directory for the gateways' configuration files.
 	dir      string
 	duration time.Duration
 	rounds   int
 }
 
-// runPools measures a quiet pool beside a flooded one, with and without a CPU that is shared by weight, and then what
-// pools cost.
+// runPools measures a quiet pool beside a flooded one, with and without sharing the CPU by weight, and then the cost of
+// pools.
 func runPools(duration time.Duration, rounds int) error {
 	fakes, err := deployment.Start(deployment.Config{FlagServers: []flagserver.Config{{Value: "value"}}})
 	if err != nil {
@@ -57,8 +57,8 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = os.RemoveAll(dir) }() // a temporary folder
-	fmt.Printf("machine: %d cores; the door has one; %v a stretch, %d rounds\n", runtime.NumCPU(), duration, rounds)
+	defer func() { _ = os.RemoveAll(dir) }() // best effort: a temporary directory
+	fmt.Printf("machine: %d cores; the gateway has one; %v each, %d rounds\n", runtime.NumCPU(), duration, rounds)
 	benchmark := &poolsBenchmark{
 		discoveryAddress: fakes.DiscoveryAddress(),
 		dir:              dir,
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// startGateway starts a gateway with a number of pools. The caller closes it.
+// startGateway starts a gateway with the given number of pools. The caller closes it.
 func (b *poolsBenchmark) startGateway(pools int, sharesCPU bool) (*child, error) {
 	file := filepath.Join(b.dir, fmt.Sprintf("%d-%v.toml", pools, sharesCPU))
 	config := poolsConfig(b.discoveryAddress, pools, sharesCPU)
@@ -88,7 +88,7 @@
 	return startChild("serve-door", file)
 }
 
-// measureIsolation compares the latency of a quiet pool without and with a flood of another one, in turns.
+// measureIsolation measures the latency of a quiet pool alternately without and with a flood of another pool.
 func (b *poolsBenchmark) measureIsolation(sharesCPU bool) error {
 	gateway, err := b.startGateway(2, sharesCPU)
 	if err != nil {
@@ -110,7 +110,7 @@
 			alone.unserved, alone.answered, beside.unserved, beside.answered)
 		ratios = append(ratios, beside.p99().Seconds()/alone.p99().Seconds())
 	}
-	fmt.Printf("a quiet pool's p99 beside a flooded one, processor shared by weight %v: %.2f\n",
+	fmt.Printf("a quiet pool's p99 beside a flooded one, ratio to alone, CPU shared by weight %v: %.2f\n",
 		sharesCPU, median(ratios))
 	return nil
 }
@@ -128,8 +128,8 @@
 	return requests.run()
 }
 
-// measureQuietBesideFlood is measureQuiet while the second pool is flooded. The flood comes from a process of its own,
-// so as not to delay the quiet pool's client.
+// measureQuietBesideFlood runs measureQuiet while the second pool is flooded. The flood comes from a separate process
+// so that it does not delay the quiet pool's client.
 func (b *poolsBenchmark) measureQuietBesideFlood(gateway *child) (loadResult, error) {
 	flood, err := startChild("flood", gateway.addresses["resp2"])
 	if err != nil {
@@ -145,7 +145,7 @@
 	return result, nil
 }
 
-// measureCost prints the memory and the CPU time of a gateway with a number of pools.
+// measureCost prints the memory and the CPU time of a gateway with the given number of pools.
 func (b *poolsBenchmark) measureCost(pools int) error {
 	gateway, err := b.startGateway(pools, true)
 	if err != nil {
@@ -175,12 +175,12 @@
 	}
 	cpuMicros := (after.cpu - before.cpu).Seconds() * 1e6 / float64(result.answered)
 	servedFraction := 1 - float64(result.unserved)/float64(result.answered)
-	fmt.Printf("%3d pools: %.1f MB at the start, %.1f MB after; %.0f/s, %.1f us a request, %.3f served\n",
+	fmt.Printf("%3d pools: %.1f MB at the start, %.1f MB after; %.0f/s, %.1f us per request, %.3f served\n",
 		pools, before.residentMB(), after.residentMB(), result.perSecond(b.duration), cpuMicros, servedFraction)
 	return nil
 }
 
-// poolRequest is the n-th request over RESP2 of a connection, to a pool.
+// poolRequest returns the n-th RESP2 request of a connection to a pool.
 func poolRequest(pool, connection, n int) []byte {
 	poolName := strconv.Itoa(pool)
 	id := poolName + "-" + strconv.Itoa(connection) + "-" + strconv.Itoa(n)
--- a/cmd/benchmark/powercost.go
+++ b/cmd/benchmark/powercost.go
@@ -13,32 +13,32 @@
 )
 
 const (
-	// costChangeClients is how many clients make changes.
+	// costChangeClients is the number of clients that make changes.
 	costChangeClients = 8
-	// costChangeInterval is a client's pause after a change. It keeps the changes under their quota.
+	// costChangeInterval is a client's pause after a change. It keeps the changes within their quota.
 	costChangeInterval = 6 * time.Millisecond
 )
 
-// newPowerCostCommand is the command that measures what it costs to remember keys.
-func newPowerCostCommand(stretches *stretchFlags) *cobra.Command {
+// newPowerCostCommand returns the command that measures the cost of keeping keys on disk.
+func newPowerCostCommand(flags *loadFlags) *cobra.Command {
 	return &cobra.Command{
 		Use:   "power-cost GAPGAPD",
-		Short: "What it costs to remember the keys of changes",
+		Short: "Measure the cost of keeping the keys of changes on disk",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			return measurePowerCost(args[0], stretches.duration, stretches.rounds)
+			return measurePowerCost(args[0], flags.duration, flags.rounds)
 		},
 	}
 }
 
-// rememberCost is what one fleet took for changes and for requests inside quotas beside them.
+// rememberCost has the latencies of a fleet for changes and for concurrent requests within quotas.
 type rememberCost struct {
 	changeLatencies []time.Duration
 	calmLatencies   []time.Duration
 }
 
-// measurePowerCost measures what it costs to remember keys: the CPU time of all gateways per request, and the latency
-// of changes and of requests inside quotas beside them. Two fleets of three run all the time and are loaded in turns.
+// measurePowerCost measures the cost of keeping keys on disk: the CPU time of all gateways per request, and the latency
+// of changes and of concurrent requests within quotas. Two fleets of three run all the time and are loaded alternately.
 func measurePowerCost(program string, duration time.Duration, rounds int) error {
 	plain := rig.Config{
 		Doors:  3,
@@ -60,22 +60,22 @@
 	for round := range rounds {
 		var cpuMicros [2]float64
 		for turn := range pair {
-			index := (turn + round) % len(pair) // whoever goes first changes
+			index := (turn + round) % len(pair) // alternates the order
 			seed := uint64(10*round + index)
 			cpuMicros[index] = costs[index].measure(pair[index], duration, seed)
 		}
 		ratios = append(ratios, cpuMicros[1]/cpuMicros[0])
 	}
 	slices.Sort(ratios)
-	costs[0].print("not remembered")
-	costs[1].print("remembered")
-	fmt.Printf("processor time of three doors a request, remembered against not: "+
-		"%.3f in the median of %d rounds (%.3f to %.3f)\n",
+	costs[0].print("keys not kept")
+	costs[1].print("keys kept")
+	fmt.Printf("CPU time of three gateways per request, ratio of keys kept to not kept: "+
+		"%.3f, median of %d rounds (%.3f to %.3f)\n",
 		ratios[len(ratios)/2], rounds, ratios[0], ratios[len(ratios)-1])
 	return nil
 }
 
-// measure loads a fleet, adds the latencies and returns the CPU time of all its gateways per request, in microseconds.
+// measure loads a fleet, adds the latencies and returns the CPU time of all its gateways per request in microseconds.
 func (c *rememberCost) measure(gateways *rig.Rig, duration time.Duration, seed uint64) (cpuMicros float64) {
 	before := totalCPU(gateways)
 	ctx, cancel := context.WithTimeout(context.Background(), duration)
@@ -94,13 +94,13 @@
 // print writes the latencies.
 func (c *rememberCost) print(name string) {
 	const precise = 10 * time.Microsecond
-	fmt.Printf("%s: %d changes, median %v, p99 %v; calm requests beside them median %v, p99 %v\n",
+	fmt.Printf("%s: %d changes, median %v, p99 %v; concurrent requests within quotas median %v, p99 %v\n",
 		name, len(c.changeLatencies),
 		percentile(c.changeLatencies, 50).Round(precise), percentile(c.changeLatencies, 99).Round(precise),
 		percentile(c.calmLatencies, 50).Round(precise), percentile(c.calmLatencies, 99).Round(precise))
 }
 
-// totalCPU is the CPU time that all gateways have used so far.
+// totalCPU returns the CPU time used by all gateways so far.
 func totalCPU(gateways *rig.Rig) (total time.Duration) {
 	for _, gateway := range gateways.Doors {
 		total += gateway.CPU()
