--- a/cmd/benchmark/ceilingmemory.go
+++ b/cmd/benchmark/ceilingmemory.go
@@ -9,22 +9,22 @@
 )
 
 const (
-	// knownAccounts is how many accounts a gateway has had one request of.
+	// knownAccounts is the number of accounts that send one request each.
 	knownAccounts = 100_000
-	// activeAccounts is how many accounts it then has many requests of.
+	// activeAccounts is the number of accounts that then send many requests each.
 	activeAccounts = 1000
-	// activeRequests is how many requests each of those makes.
+	// activeRequests is the number of requests of each active account.
 	activeRequests = 20
 )
 
-// ceilingMemory is what accounts take of a gateway's memory, in bytes.
+// ceilingMemory is the memory that a gateway uses per account, in bytes.
 type ceilingMemory struct {
 	bytesPerKnown float64
-	// bytesPerActive is what an active account takes beyond a known one.
+	// bytesPerActive is the additional memory of an active account compared to a known one.
 	bytesPerActive float64
 }
 
-// measureCeilingMemory measures a gateway whose ceilings are leased or shared evenly.
+// measureCeilingMemory measures the memory of a gateway with leased or evenly shared ceilings.
 func measureCeilingMemory(leaseCeilings bool) (ceilingMemory, error) {
 	world := simulator.New(1, 10)
 	gateway := world.AddGateway(ceilingSettings(2, leaseCeilings))
@@ -43,7 +43,7 @@
 	}, nil
 }
 
-// requestFromAccounts makes a number of requests of each of a number of accounts.
+// requestFromAccounts submits the given number of requests for each of the given number of accounts.
 func requestFromAccounts(world *simulator.World, gateway *simulator.Gateway, accounts, requests int) {
 	for account := range accounts {
 		for range requests {
@@ -59,10 +59,10 @@
 	world.Run(world.Now + time.Second)
 }
 
-// heapBytes is the size of all live objects.
+// heapBytes returns the size of all live objects.
 func heapBytes() float64 {
 	runtime.GC()
-	runtime.GC() // what the first one has queued for finalizers
+	runtime.GC() // frees the objects whose finalizers the first collection queued
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
 	return float64(memory.HeapAlloc)
