--- a/cmd/benchmark/ceilingplot.go
+++ b/cmd/benchmark/ceilingplot.go
@@ -10,21 +10,21 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// ceilingBarWidth is in points.
+// ceilingBarWidth is the width of a bar in points.
 const ceilingBarWidth = 12
 
-// draw draws the bars in a file.
+// draw writes the bars to a plot file.
 func (b *ceilingBars) draw(file string) error {
 	drawing := plot.New()
-	drawing.Title.Text = "Part of a ceiling that is served, by skew of the demand over the front doors"
+	drawing.Title.Text = "Fraction of a ceiling that is served, by skew of the demand over the gateways"
 	drawing.Y.Min = 0
 	drawing.Y.Max = 1.1
-	drawing.Y.Label.Text = "part of the ceiling"
+	drawing.Y.Label.Text = "fraction of the ceiling"
 	drawing.Legend.Top = true
 	if err := addCeilingBars(drawing, "even shares", 0, b.even); err != nil {
 		return err
 	}
-	if err := addCeilingBars(drawing, "lent", 1, b.leased); err != nil {
+	if err := addCeilingBars(drawing, "leased", 1, b.leased); err != nil {
 		return err
 	}
 	drawing.NominalX(b.names...)
@@ -33,7 +33,7 @@
 	return drawing.Save(11*vg.Inch, 5*vg.Inch, file)
 }
 
-// addCeilingBars draws one bar for each group, the index-th of two.
+// addCeilingBars adds one bar to each group. index is the bar's position in the group, 0 or 1.
 func addCeilingBars(drawing *plot.Plot, name string, index int, values plotter.Values) error {
 	bars, err := plotter.NewBarChart(values, vg.Points(ceilingBarWidth))
 	if err != nil {
