--- a/cmd/benchmark/ceilings.go
+++ b/cmd/benchmark/ceilings.go
@@ -13,17 +13,17 @@
 )
 
 const (
-	// ceilingRunSeconds is the length of a run, in virtual time.
+	// ceilingRunSeconds is the length of a run in virtual time.
 	ceilingRunSeconds = 60
-	// ceilingSettledSeconds is when a run's start is over, and its units begin to count.
+	// ceilingSettledSeconds is the warm-up of a run, whose units are not counted.
 	ceilingSettledSeconds = 5
-	// ceilingRequestInterval is the pause between two requests: ten times the ceiling.
+	// ceilingRequestInterval is the time between two requests. It gives ten times the ceiling's rate.
 	ceilingRequestInterval = 10 * time.Millisecond
-	// ceilingRequestTimeout is how long a client waits.
+	// ceilingRequestTimeout is the client's timeout.
 	ceilingRequestTimeout = 2 * time.Second
 )
 
-// ceilingPlan is the plan of the case that was measured from outside.
+// ceilingPlan is the plan of a case that was measured on a real deployment.
 var ceilingPlan = balancer.Plan{
 	Rate:            5,
 	Burst:           10,
@@ -33,20 +33,21 @@
 	CeilingBurst:    20,
 }
 
-// newCeilingsCommand is the command that measures how much of a ceiling is served.
+// newCeilingsCommand returns the command that measures how much of a ceiling is served.
 func newCeilingsCommand() *cobra.Command {
 	var file string
 	command := &cobra.Command{
 		Use:   "ceilings",
-		Short: "What of a ceiling is served by the skew of the demand, in virtual time; draws a plot",
+		Short: "Measure the served fraction of a ceiling by skew of the demand, in virtual time; writes a plot",
 		Args:  cobra.NoArgs,
 		RunE:  func(*cobra.Command, []string) error { return runCeilings(file) },
 	}
-	command.Flags().StringVar(&file, "svg", "docs/ceilings.svg", "the plot's file")
+	command.Flags().StringVar(&file, "svg", "docs/ceilings.svg", "output `file` of the plot")
 	return command
 }
 
-// ceilingSettings are the settings of each of a number of gateways, whose ceilings are leased or shared evenly.
+// ceilingSettings returns the settings of a gateway in a fleet of the given size, with leased or evenly shared
+// ceilings.
 func ceilingSettings(gateways int, leaseCeilings bool) balancer.Settings {
 	return balancer.Settings{
 		Gateways:          gateways,
@@ -73,10 +74,11 @@
 	}
 }
 
-// gatewayChoice is the index of the gateway that gets the n-th request, which comes at a time since the start.
+// gatewayChoice returns the index of the gateway that gets the n-th request, which arrives at the given time since the
+// start.
 type gatewayChoice func(now time.Duration, n int) int
 
-// demandSkew is a way in which demand is spread over gateways.
+// demandSkew is a distribution of the demand over gateways.
 type demandSkew struct {
 	name   string
 	choice func(gateways int) gatewayChoice
@@ -115,17 +117,17 @@
 	},
 }
 
-// ceilingResult is what became of an account's demand.
+// ceilingResult is the result of a run.
 type ceilingResult struct {
-	// servedFraction is the part of the ceiling that was dispatched once the start was over.
+	// servedFraction is the fraction of the ceiling that was dispatched after the warm-up.
 	servedFraction float64
-	// callsPerUnit are the counter calls for each unit that was dispatched then.
+	// callsPerUnit is the number of counter calls per unit that was dispatched after the warm-up.
 	callsPerUnit float64
-	// unitsBySecond are the units that were dispatched in each second.
+	// unitsBySecond has the units that were dispatched in each second.
 	unitsBySecond []float64
 }
 
-// simulateCeiling floods one account at ten times its ceiling.
+// simulateCeiling simulates an account that sends ten times its ceiling.
 func simulateCeiling(gateways int, leaseCeilings bool, choose gatewayChoice) (*ceilingResult, error) {
 	world := simulator.New(1, 10)
 	unitsBySecond := make([]float64, ceilingRunSeconds+1)
@@ -163,7 +165,7 @@
 	}, nil
 }
 
-// runCeilings prints the table, draws the plot in a file and prints what a new gateway and memory cost.
+// runCeilings prints the table, writes the plot, and prints the results for moving demand and memory.
 func runCeilings(file string) error {
 	bars, err := compareCeilings()
 	if err != nil {
@@ -180,15 +182,15 @@
 		if err != nil {
 			return err
 		}
-		fmt.Printf("memory, lent %v: %.0f bytes each of 100,000 known accounts, %.0f more of 1,000 active ones\n",
+		fmt.Printf("memory, leased %v: %.0f bytes per account (100,000 known), %.0f more per active account (1,000)\n",
 			leaseCeilings, memory.bytesPerKnown, memory.bytesPerActive)
 	}
 	return nil
 }
 
-// compareCeilings prints the table: even shares and leased ceilings, by number of gateways and skew of the demand.
+// compareCeilings prints a table of even shares and leased ceilings by number of gateways and skew of the demand.
 func compareCeilings() (*ceilingBars, error) {
-	fmt.Println("| doors | demand | even shares | lent | calls a request sent on, even shares | lent |")
+	fmt.Println("| gateways | demand | even shares | leased | calls per forwarded request, even shares | leased |")
 	fmt.Println("| --- | --- | --- | --- | --- | --- |")
 	bars := &ceilingBars{}
 	for _, gateways := range []int{2, 10, 100} {
@@ -212,23 +214,24 @@
 	return bars, nil
 }
 
-// ceilingBars are the bars of the plot.
+// ceilingBars has the data of the plot.
 type ceilingBars struct {
-	// names are those of the groups of two bars.
+	// names has the labels of the groups of two bars.
 	names []string
-	// even and leased are the fractions of the ceiling that were served.
+	// even and leased have the served fractions of the ceiling.
 	even   plotter.Values
 	leased plotter.Values
 }
 
-// printMovingDemand prints what is served by second when demand moves to a gateway that does not know the account.
+// printMovingDemand prints the units served per second after the demand moves to a gateway that does not know the
+// account.
 func printMovingDemand() error {
 	moveEvery := 20 * time.Second
 	result, err := simulateCeiling(3, true, func(now time.Duration, _ int) int { return min(2, int(now/moveEvery)) })
 	if err != nil {
 		return err
 	}
-	fmt.Printf("demand that moves to a door that does not know the account, at 20 and 40 s, by second: %v and %v\n",
+	fmt.Printf("demand that moves to a gateway that does not know the account, at 20 and 40 s, by second: %v and %v\n",
 		result.unitsBySecond[20:25], result.unitsBySecond[40:45])
 	return nil
 }
