--- a/cmd/benchmark/child.go
+++ b/cmd/benchmark/child.go
@@ -11,25 +11,25 @@
 )
 
 const (
-	// readyLine is what a child prints when it serves.
+	// readyLine is the line that a child prints when it is ready.
 	readyLine = "ready"
-	// usageRequest is what a child reads when it is asked for its usage.
+	// usageRequest is the line that asks a child for its resource usage.
 	usageRequest = "use\n"
 )
 
-// child is a server that runs in a process of its own.
+// child is a server that runs in a separate process.
 type child struct {
 	command *exec.Cmd
-	// input is the child's standard input. The child ends when it is closed.
+	// input is the child's standard input. The child exits when it is closed.
 	input io.WriteCloser
 	// output is the child's standard output.
 	output *bufio.Reader
-	// addresses are where the child listens, by the names of its listeners.
+	// addresses has the child's listening addresses by listener name.
 	addresses map[string]string
 }
 
-// startChild starts this program again, with one thread for Go code, and waits until it serves. The arguments are those
-// of one of newChildCommands.
+// startChild starts this executable as a child with GOMAXPROCS=1 and waits until it is ready. The arguments are the
+// command line of one of newChildCommands.
 func startChild(args ...string) (*child, error) {
 	self, err := os.Executable()
 	if err != nil {
@@ -55,12 +55,12 @@
 	return c, nil
 }
 
-// readAddresses reads a line name=address for each listener, up to readyLine.
+// readAddresses reads a line of the form name=address for each listener until readyLine.
 func (c *child) readAddresses() error {
 	for {
 		line, err := c.output.ReadString('\n')
 		if err != nil {
-			return fmt.Errorf("the server did not start: %w", err)
+			return fmt.Errorf("child server did not start: %w", err)
 		}
 		line = strings.TrimSpace(line)
 		if line == readyLine {
@@ -71,18 +71,18 @@
 	}
 }
 
-// usage is what a process has used since it started.
+// usage is the resource usage of a process since its start.
 type usage struct {
 	cpu         time.Duration
 	allocations uint64
-	// residentBytes is the memory that it has now.
+	// residentBytes is the current resident memory.
 	residentBytes int64
 }
 
-// residentMB is the resident memory in MiB.
+// residentMB returns the resident memory in MiB.
 func (u usage) residentMB() float64 { return float64(u.residentBytes) / (1 << 20) }
 
-// usage asks the child for its usage.
+// usage reads the child's resource usage.
 func (c *child) usage() (used usage, err error) {
 	if _, err := io.WriteString(c.input, usageRequest); err != nil {
 		return usage{}, err
@@ -91,8 +91,8 @@
 	return used, err
 }
 
-// close ends the child and waits for it.
+// close makes the child exit and waits for it.
 func (c *child) close() {
 	_ = c.input.Close()
-	_ = c.command.Wait() // how it ended does not change what was measured
+	_ = c.command.Wait() // the exit status does not affect the measurement
 }
