--- a/cmd/benchmark/childserver.go
+++ b/cmd/benchmark/childserver.go
@@ -21,13 +21,13 @@
 )
 
 const (
-	// childGCPercent is what cmd/gapgapd has with a memory limit. The bare server has it too.
+	// childGCPercent is the GOGC value that cmd/gapgapd sets with a memory limit. The bare server uses it too.
 	childGCPercent = 400
-	// profileVariable is the environment variable that names a file for a CPU profile of a gateway's whole run.
+	// profileVariable is the environment variable with the file name for a CPU profile of a gateway's whole run.
 	profileVariable = "MEASURE_PROFILE"
 )
 
-// newChildCommands are the commands that this program starts of itself as children.
+// newChildCommands returns the hidden commands that startChild runs.
 func newChildCommands() []*cobra.Command {
 	return []*cobra.Command{
 		{
@@ -51,7 +51,7 @@
 	}
 }
 
-// serveBare answers all requests with status 200 and nothing else, until the parent closes the pipe.
+// serveBare responds to all requests with status 200 and an empty body until the parent closes the pipe.
 func serveBare() error {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -59,13 +59,13 @@
 	}
 	debug.SetGCPercent(childGCPercent)
 	handler := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
-	go func() { _ = http.Serve(listener, handler) }() // it serves as long as the process lasts
+	go func() { _ = http.Serve(listener, handler) }() // it serves until the process exits
 	fmt.Printf("http=%s\n", listener.Addr())
 	reportUsage()
 	return nil
 }
 
-// serveGateway runs a gateway by a configuration file until the parent closes the pipe.
+// serveGateway runs a gateway with a configuration file until the parent closes the pipe.
 func serveGateway(file string) error {
 	cfg, err := hosted.Load(file)
 	if err != nil {
@@ -98,20 +98,20 @@
 	return nil
 }
 
-// reportUsage tells the parent that this process serves, and then its usage for each line that the parent sends. It
-// returns when the parent closes the pipe.
+// reportUsage tells the parent that this process is ready, and prints its resource usage for each line that the parent
+// sends. It returns when the parent closes the pipe.
 func reportUsage() {
 	fmt.Println(readyLine)
 	for requests := bufio.NewScanner(os.Stdin); requests.Scan(); {
 		var times syscall.Rusage
-		_ = syscall.Getrusage(syscall.RUSAGE_SELF, &times) // it fails for bad arguments only
+		_ = syscall.Getrusage(syscall.RUSAGE_SELF, &times) // fails only for invalid arguments
 		var memory runtime.MemStats
 		runtime.ReadMemStats(&memory)
 		fmt.Println(times.Utime.Nano()+times.Stime.Nano(), memory.Mallocs, ownResidentBytes())
 	}
 }
 
-// ownResidentBytes is this process's resident memory; 0: the system does not tell.
+// ownResidentBytes returns this process's resident memory, or 0 if the system does not provide it.
 func ownResidentBytes() int64 {
 	sizes, err := os.ReadFile("/proc/self/statm")
 	if err != nil {
