--- a/cmd/benchmark/curve.go
+++ b/cmd/benchmark/curve.go
@@ -9,10 +9,10 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// curveStep is the distance of two points of a curve.
+// curveStep is the time between two points of a curve.
 const curveStep = 100 * time.Millisecond
 
-// addCurve draws a line with its name in the legend. index chooses its colour.
+// addCurve adds a line and its name in the legend. index selects its color.
 func addCurve(drawing *plot.Plot, name string, index int, points plotter.XYs) error {
 	line, err := plotter.NewLine(points)
 	if err != nil {
