--- a/cmd/benchmark/gatewayconfig.go
+++ b/cmd/benchmark/gatewayconfig.go
@@ -7,20 +7,20 @@
 )
 
 const (
-	// connections is how many connections the load has where nothing else is said.
+	// connections is the default number of connections of a load.
 	connections = 32
-	// accounts is how many accounts are measured.
+	// accounts is the number of measured accounts.
 	accounts = 100
-	// floodCeiling is the ceiling of the account that floods, in units per second.
+	// floodCeiling is the ceiling of the flooding account, in units per second.
 	floodCeiling = 40.0
 	// floodCustomer is that account's customer, and floodKey its API key.
 	floodCustomer = "00000000ffffffff"
 	floodKey      = "key-loud"
 )
 
-// forwardAuthConfigFormat is the start of a configuration file whose plans are one that never rejects the measured
+// forwardAuthConfigFormat is the first part of a configuration file with two plans: one that never rejects the measured
 // accounts and one with a ceiling. Its arguments are the addresses of discovery and the counter, the ceiling's rate and
-// burst, the customer of the account that floods and the hash of its key.
+// burst, the customer of the flooding account and the hash of its API key.
 const forwardAuthConfigFormat = `
 [node]
 discovery = %q
@@ -70,8 +70,8 @@
 keys = ["%x"]
 `
 
-// accountConfigFormat is one measured account of a configuration file. Its arguments are its index, its customer and
-// the hash of its key.
+// accountConfigFormat is the entry of one measured account. Its arguments are its index, its customer and the hash of
+// its API key.
 const accountConfigFormat = `[[account]]
 name = "a%d"
 customer = "%016x"
@@ -79,7 +79,7 @@
 keys = ["%x"]
 `
 
-// forwardAuthConfig is the configuration file of the gateway that is measured against a bare handler.
+// forwardAuthConfig returns the configuration file of the gateway that is compared with a bare handler.
 func forwardAuthConfig(discoveryAddress, counterAddress string) string {
 	var file strings.Builder
 	fmt.Fprintf(&file, forwardAuthConfigFormat, discoveryAddress, counterAddress, floodCeiling, floodCeiling,
@@ -90,11 +90,11 @@
 	return file.String()
 }
 
-// accountKey is the API key of a measured account.
+// accountKey returns the API key of a measured account.
 func accountKey(index int) string { return fmt.Sprint("key-", index) }
 
-// poolsConfigFormat is the start of a configuration file with pools. Its arguments are whether they share the CPU by
-// weight, and the hash of the one account's key.
+// poolsConfigFormat is the first part of a configuration file with pools. Its arguments are whether they share the CPU
+// by weight, and the hash of the only account's API key.
 const poolsConfigFormat = `
 [node]
 sockets = 8192
@@ -120,7 +120,7 @@
 keys = ["%x"]
 `
 
-// poolConfigFormat is one pool of a configuration file. Its arguments are its index and the address of discovery.
+// poolConfigFormat is the entry of one pool. Its arguments are its index and the address of discovery.
 const poolConfigFormat = `[[pool]]
 name = "p%d"
 discovery = %q
@@ -134,14 +134,14 @@
 name = "wide"
 `
 
-// poolRouteFormat is the route to a pool. Its argument is the pool's index, three times.
+// poolRouteFormat is the route to a pool. Its three arguments are all the pool's index.
 const poolRouteFormat = `[[route]]
 name = "r%d"
 host = "p%d.org"
 to = [{pool = "p%d"}]
 `
 
-// poolsConfig is the configuration file of a gateway with a number of pools, of which the first is the default.
+// poolsConfig returns the configuration file of a gateway with the given number of pools. The first is the default.
 func poolsConfig(discoveryAddress string, pools int, sharesCPU bool) string {
 	var file strings.Builder
 	fmt.Fprintf(&file, poolsConfigFormat, sharesCPU, sha256.Sum256([]byte("key")))
