--- a/cmd/benchmark/gatewayrig.go
+++ b/cmd/benchmark/gatewayrig.go
@@ -8,16 +8,16 @@
 	"gapgap/internal/fake/rig"
 )
 
-// rigSettleDuration is how long gateways are idle after their start, so that their shares are there.
+// rigSettleDuration is how long gateways stay idle after their start, until they have their shares.
 const rigSettleDuration = 3 * time.Second
 
-// startRig starts gateways in a temporary folder. The function that it returns ends them and removes the folder.
+// startRig starts gateways in a temporary directory. stop stops them and removes the directory.
 func startRig(cfg rig.Config) (started *rig.Rig, stop func(), err error) {
 	dir, err := os.MkdirTemp("", "benchmark")
 	if err != nil {
 		return nil, nil, err
 	}
-	removeDir := func() { _ = os.RemoveAll(dir) } // a temporary folder
+	removeDir := func() { _ = os.RemoveAll(dir) } // best effort: a temporary directory
 	cfg.Dir = dir
 	started, err = rig.Start(cfg)
 	if err != nil {
@@ -31,8 +31,7 @@
 	return started, stop, nil
 }
 
-// startRigPair starts two sets of gateways of one build that run side by side, and waits until they have settled. The
-// function that it returns ends both.
+// startRigPair starts two sets of gateways of one build side by side, and waits rigSettleDuration. stop stops both.
 func startRigPair(program string, first, second rig.Config) (pair [2]*rig.Rig, stop func(), err error) {
 	if program, err = filepath.Abs(program); err != nil {
 		return pair, nil, err
