--- a/cmd/benchmark/load.go
+++ b/cmd/benchmark/load.go
@@ -9,40 +9,40 @@
 	"time"
 )
 
-// load says which requests are sent to a server.
+// load describes a load on a server.
 type load struct {
 	address     string
 	connections int
-	// request is the n-th request of a connection. Connections and their requests are counted from 0.
+	// request returns the n-th request of a connection. Connections and their requests are numbered from 0.
 	request func(connection, n int) []byte
-	// readAnswer reads one answer and tells whether the request was served.
+	// readAnswer reads one response and returns whether the request was served.
 	readAnswer func(*bufio.Reader) (served bool, err error)
-	// rate is the number of requests per second on all connections; 0: as fast as answers come.
+	// rate is the number of requests per second on all connections; 0 means as fast as responses arrive.
 	rate     float64
 	duration time.Duration
 }
 
-// loadResult is what became of the requests of a load.
+// loadResult is the result of a load.
 type loadResult struct {
-	// answered is how many were answered, and unserved how many of these were not served.
+	// answered is the number of responses, and unserved the number of requests among them that were not served.
 	answered int
 	unserved int
-	// latencies are in no order.
+	// latencies is unsorted.
 	latencies []time.Duration
 }
 
-// perSecond is the rate of answers over the duration of the load.
+// perSecond returns the rate of responses over the duration of the load.
 func (r *loadResult) perSecond(duration time.Duration) float64 {
 	return float64(r.answered) / duration.Seconds()
 }
 
-// p50 is the median latency; 0: there was no answer.
+// p50 returns the median latency, or 0 if there was no response.
 func (r *loadResult) p50() time.Duration { return percentile(r.latencies, 50) }
 
-// p99 is the 99th percentile of the latency; 0: there was no answer.
+// p99 returns the 99th percentile of the latency, or 0 if there was no response.
 func (r *loadResult) p99() time.Duration { return percentile(r.latencies, 99) }
 
-// run sends the requests on all connections and adds up their results. The error joins those of all connections.
+// run sends the requests on all connections and sums up their results. The error joins those of all connections.
 func (l *load) run() (total loadResult, err error) {
 	var mu sync.Mutex
 	var running sync.WaitGroup
@@ -67,9 +67,9 @@
 	return total, err
 }
 
-// runConnection sends requests on one connection, one at a time, until the end: as fast as answers come if interval is
-// 0, else at times that lie interval apart, the first one after offset. The latency of a request that could not be sent
-// in time counts from its due time.
+// runConnection sends requests on one connection, one at a time, until end. If interval is 0 it sends them as fast as
+// responses arrive, otherwise at the given interval, the first one after offset. The latency of a request that is sent
+// late counts from its due time.
 func (l *load) runConnection(
 	connection int, interval, offset time.Duration, end time.Time,
 ) (result loadResult, err error) {
@@ -77,7 +77,7 @@
 	if err != nil {
 		return result, err
 	}
-	defer func() { _ = conn.Close() }() // all answers were read
+	defer func() { _ = conn.Close() }() // all responses have been read
 	answers := bufio.NewReader(conn)
 	due := time.Now().Add(offset)
 	for n := 0; time.Now().Before(end); n++ {
@@ -103,7 +103,7 @@
 	return result, nil
 }
 
-// percentile sorts durations and returns one of them, by percent from 0 to 100; 0: there is none.
+// percentile sorts durations and returns the given percentile, from 0 to 100, or 0 if there are no durations.
 func percentile(durations []time.Duration, percent int) time.Duration {
 	if len(durations) == 0 {
 		return 0
@@ -112,7 +112,7 @@
 	return durations[min(len(durations)-1, len(durations)*percent/100)]
 }
 
-// median is the upper median of some values, of which there must be one at least.
+// median returns the upper median of the values. There must be at least one.
 func median(values []float64) float64 {
 	sorted := slices.Sorted(slices.Values(values))
 	return sorted[len(sorted)/2]
