--- a/cmd/benchmark/members.go
+++ b/cmd/benchmark/members.go
@@ -14,27 +14,27 @@
 const (
 	// memberFloodDuration is how long the account floods after a fault.
 	memberFloodDuration = 12 * time.Second
-	// memberSettledAfter is when the gateways have had time to settle after a fault.
+	// memberSettledAfter is the time that gateways have to settle after a fault.
 	memberSettledAfter = 5 * time.Second
-	// memberFloodInterval is the pause between an answer and the next request of the flood.
+	// memberFloodInterval is the pause between a response and the next request of the flood.
 	memberFloodInterval = 5 * time.Millisecond
 )
 
-// The ceiling of rig.Plan: its rate in units per second, and its burst in units.
+// The ceiling of rig.Plan: rate in units per second, and burst in units.
 const (
 	planCeilingRate  = 10
 	planCeilingBurst = 20
 )
 
-// memberFault is a fault of gateways that share a ceiling.
+// memberFault is a fault in a set of gateways that share a ceiling.
 type memberFault struct {
 	name   string
 	inject func(*rig.Rig)
-	// flooded are the gateways at which the account floods.
+	// flooded has the indexes of the gateways that the account floods.
 	flooded []int
 }
 
-// memberFaults are the rows of the table.
+// memberFaults has the rows of the table.
 var memberFaults = []memberFault{
 	{
 		name:    "all alive",
@@ -84,56 +84,56 @@
 	},
 }
 
-// killLastGateway ends the process of the last of three gateways.
+// killLastGateway kills the process of the last of three gateways.
 func killLastGateway(r *rig.Rig) { r.Doors[2].Kill() }
 
-// suspendLastGateway stops the process of the last of three gateways where it is.
+// suspendLastGateway suspends the process of the last of three gateways.
 func suspendLastGateway(r *rig.Rig) { r.Doors[2].Stop() }
 
-// partitionLastGateway cuts the last of three gateways off from the others.
+// partitionLastGateway partitions the last of three gateways from the others.
 func partitionLastGateway(r *rig.Rig) { r.Split(2) }
 
-// closeCounter ends the counter.
+// closeCounter stops the counter.
 func closeCounter(r *rig.Rig) { r.Counter.Close() }
 
 // membersFlags are the flags of the members command.
 type membersFlags struct {
-	// isFleet tells whether the gateways know each other.
+	// isFleet makes the gateways form a fleet.
 	isFleet bool
-	// fault is the name of the only row; empty: all rows.
+	// fault is the name of the only row to measure; empty means all rows.
 	fault string
-	// nodeLines are lines for the table [node], and fleetLines for [fleet]. Each combination is a row.
+	// nodeLines has lines for the table [node], and fleetLines for [fleet]. Each combination is measured as a row.
 	nodeLines  []string
 	fleetLines []string
 }
 
-// newMembersCommand is the command that measures a common ceiling around faults.
+// newMembersCommand returns the command that measures a shared ceiling under faults.
 func newMembersCommand() *cobra.Command {
 	flags := &membersFlags{}
 	command := &cobra.Command{
 		Use:   "members GAPGAPD",
-		Short: "What three doors let through of a ceiling around a death, a stop and a cut",
+		Short: "Measure how much of a ceiling three gateways admit after a crash, a suspension and a partition",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			return runMembers(args[0], flags)
 		},
 	}
-	command.Flags().BoolVar(&flags.isFleet, "fleet", false, "the doors know each other")
-	command.Flags().StringVar(&flags.fault, "rows", "", "one trouble by its name; left out: all")
+	command.Flags().BoolVar(&flags.isFleet, "fleet", false, "run the gateways as a fleet")
+	command.Flags().StringVar(&flags.fault, "rows", "", "the name of the only fault to measure; by default all")
 	command.Flags().StringArrayVar(&flags.nodeLines, "node", []string{`ceilings = "even"`, `ceilings = "demand"`},
-		"a line for [node], a play for each")
-	command.Flags().StringArrayVar(&flags.fleetLines, "in-fleet", []string{""}, "a line for [fleet], a play for each")
+		"a line for [node], a run for each")
+	command.Flags().StringArrayVar(&flags.fleetLines, "in-fleet", []string{""}, "a line for [fleet], a run for each")
 	return command
 }
 
-// runMembers prints how much of a ceiling three gateways admit around each fault: in all, and once they had time to
+// runMembers prints how much of a ceiling three gateways admit after each fault: in total, and after the time to
 // settle.
 func runMembers(program string, flags *membersFlags) error {
 	program, err := filepath.Abs(program)
 	if err != nil {
 		return err
 	}
-	fmt.Println("| trouble, right after the start | settings | served of the ceiling | from 5 s on |")
+	fmt.Println("| fault, right before the flood | settings | served of the ceiling | from 5 s on |")
 	fmt.Println("| --- | --- | --- | --- |")
 	for _, fault := range memberFaults {
 		if flags.fault != "" && flags.fault != fault.name {
@@ -158,7 +158,7 @@
 	return nil
 }
 
-// measureMemberFault floods gateways right after a fault and prints a row of the table.
+// measureMemberFault injects a fault, floods the gateways right after it and prints a row of the table.
 func measureMemberFault(cfg rig.Config, fault *memberFault) error {
 	gateways, stop, err := startRig(cfg)
 	if err != nil {
