--- a/cmd/benchmark/memberscurves.go
+++ b/cmd/benchmark/memberscurves.go
@@ -15,19 +15,19 @@
 )
 
 const (
-	// memberCurveSettleDuration is how long the gateways are idle before the flood.
+	// memberCurveSettleDuration is how long the gateways stay idle before the flood.
 	memberCurveSettleDuration = 5 * time.Second
-	// memberCurveFaultAt is when the fault comes, since the start of the flood.
+	// memberCurveFaultAt is the time of the fault since the start of the flood.
 	memberCurveFaultAt = 3 * time.Second
-	// memberCurveDuration is how long the account floods.
+	// memberCurveDuration is the duration of the flood.
 	memberCurveDuration = 15 * time.Second
-	// memberCurveFloodInterval is the pause between an answer and the next request of the flood.
+	// memberCurveFloodInterval is the pause between a response and the next request of the flood.
 	memberCurveFloodInterval = 10 * time.Millisecond
-	// memberCurveSettledAfter is when the gateways have had time to settle, since the fault.
+	// memberCurveSettledAfter is the time that gateways have to settle after the fault.
 	memberCurveSettledAfter = 5 * time.Second
 )
 
-// yieldWithoutLease is a line of a plan: a gateway that the others can't reach keeps no part of the ceiling.
+// yieldWithoutLease is a line of a plan: a gateway that is cut off from the others keeps no share of the ceiling.
 const yieldWithoutLease = "when_cut_off = \"yield\"\n"
 
 // memberCurve is one line of the plot.
@@ -35,27 +35,27 @@
 	name    string
 	program string
 	plan    string
-	// isFleet tells whether the gateways know each other.
+	// isFleet makes the gateways form a fleet.
 	isFleet bool
 	inject  func(*rig.Rig)
 }
 
-// newMembersCurvesCommand is the command that draws a common ceiling around faults.
+// newMembersCurvesCommand returns the command that plots the use of a shared ceiling around faults.
 func newMembersCurvesCommand() *cobra.Command {
 	var file string
 	command := &cobra.Command{
 		Use:   "members-curves BEFORE NOW",
-		Short: "The same by 100 ms around a death, a stop and a cut, of two builds of gapgapd; draws a plot",
+		Short: "Plot the same by 100 ms around a crash, a suspension and a partition, for two builds of gapgapd",
 		Args:  cobra.ExactArgs(2),
 		RunE: func(_ *cobra.Command, args []string) error {
 			return drawMemberCurves(args[0], args[1], file)
 		},
 	}
-	command.Flags().StringVar(&file, "svg", "docs/members.svg", "the plot's file")
+	command.Flags().StringVar(&file, "svg", "docs/members.svg", "output `file` of the plot")
 	return command
 }
 
-// memberCurves are the lines of the plot, of two builds.
+// memberCurves returns the lines of the plot for two builds.
 func memberCurves(before, now string) []memberCurve {
 	plan := rig.Plan
 	yield := rig.Plan + yieldWithoutLease
@@ -69,13 +69,14 @@
 	}
 }
 
-// drawMemberCurves draws what three gateways admit around a death, a stop and a partition, before and with a fleet.
+// drawMemberCurves plots what three gateways admit around a crash, a suspension and a partition: by the earlier build
+// without a fleet, and by the current one with it.
 func drawMemberCurves(before, now, file string) error {
 	drawing := plot.New()
-	drawing.Title.Text = "Units of a ceiling of 10 a second let through by three doors, " +
-		"one of them killed, stopped or cut off at 0; no counter"
+	drawing.Title.Text = "Units of a ceiling of 10 per second admitted by three gateways, " +
+		"one of them killed, stopped or partitioned at 0; no counter"
 	drawing.X.Label.Text = "seconds"
-	drawing.Y.Label.Text = "units so far"
+	drawing.Y.Label.Text = "units in total"
 	drawing.Legend.Top = true
 	drawing.Legend.Left = true
 	if err := addAllowedLine(drawing); err != nil {
@@ -91,12 +92,12 @@
 		}
 		total := points[len(points)-1].Y
 		settled := total - points[(memberCurveFaultAt+memberCurveSettledAfter)/curveStep].Y
-		fmt.Printf("%s: %.0f in all; from 5 s after it on %.0f of 70 (%.2f)\n", curve.name, total, settled, settled/70)
+		fmt.Printf("%s: total %.0f; from 5 s after it on %.0f of 70 (%.2f)\n", curve.name, total, settled, settled/70)
 	}
 	return drawing.Save(11*vg.Inch, 6*vg.Inch, file)
 }
 
-// addAllowedLine draws what the ceiling allows.
+// addAllowedLine adds the line of the units that the ceiling allows.
 func addAllowedLine(drawing *plot.Plot) error {
 	start := -memberCurveFaultAt.Seconds()
 	end := (memberCurveDuration - memberCurveFaultAt).Seconds()
@@ -109,12 +110,12 @@
 	}
 	line.Dashes = plotutil.Dashes(2)
 	drawing.Add(line)
-	drawing.Legend.Add("the ceiling's store", line)
+	drawing.Legend.Add("allowed by the ceiling", line)
 	return nil
 }
 
-// measure floods three gateways without a counter, and returns the units admitted by then, a point for each curveStep.
-// The fault is at second 0.
+// measure floods three gateways without a counter, and returns the total of admitted units, with a point for each
+// curveStep. The fault is at second 0.
 func (c *memberCurve) measure() (plotter.XYs, error) {
 	gateways, stop, err := startRig(rig.Config{
 		Program: c.program,
