--- a/cmd/benchmark/policychange.go
+++ b/cmd/benchmark/policychange.go
@@ -17,15 +17,15 @@
 )
 
 const (
-	// policyStartTimeout is how long gateways may take until they go by the first version.
+	// policyStartTimeout bounds the time until gateways apply the first version.
 	policyStartTimeout = 30 * time.Second
-	// policyFloodInterval is the pause between an answer and the next request of the flood.
+	// policyFloodInterval is the pause between a response and the next request of the flood.
 	policyFloodInterval = 2 * time.Millisecond
-	// policyLeadDuration is how long the gateways are flooded before the first change.
+	// policyLeadDuration is the duration of the flood before the first change.
 	policyLeadDuration = 3 * time.Second
 	// policyChangeInterval is the pause after a change.
 	policyChangeInterval = 2500 * time.Millisecond
-	// maxFloodedGateways is how many gateways are flooded at most.
+	// maxFloodedGateways is the maximum number of flooded gateways.
 	maxFloodedGateways = 3
 )
 
@@ -35,37 +35,37 @@
 	lastGatewayStopped = "stopped"
 )
 
-// planHeading begins a plan in a policy.
+// planHeading is the first line of a plan in a policy.
 const planHeading = "[[plan]]"
 
 // policyFlags are the flags of the policy command.
 type policyFlags struct {
 	gateways int
 	changes  int
-	// accounts is how many accounts the policy has beside those that make requests.
+	// accounts is the additional accounts in the policy, without requests.
 	accounts int
-	// mode is that of the policy: wait or fence.
+	// mode is the mode of the policy: wait or fence.
 	mode string
 	// lastGateway is the state of the last gateway: up, killed or stopped.
 	lastGateway string
 }
 
-// newPolicyCommand is the command that measures changes of the policy.
+// newPolicyCommand returns the command that measures changes of the policy.
 func newPolicyCommand() *cobra.Command {
 	flags := &policyFlags{}
 	command := &cobra.Command{
 		Use:   "policy GAPGAPD",
-		Short: "How long a change of the fleet's policy takes, its window, and what is served meanwhile",
+		Short: "Measure the duration and the window of a policy change and the service meanwhile",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			return runPolicyChanges(args[0], flags)
 		},
 	}
-	command.Flags().IntVar(&flags.gateways, "doors", 3, "doors")
-	command.Flags().IntVar(&flags.changes, "changes", 5, "changes, one after another")
-	command.Flags().IntVar(&flags.accounts, "accounts", 0, "accounts in the policy beside those that ask")
+	command.Flags().IntVar(&flags.gateways, "doors", 3, "number of gateways")
+	command.Flags().IntVar(&flags.changes, "changes", 5, "number of sequential changes")
+	command.Flags().IntVar(&flags.accounts, "accounts", 0, "additional accounts in the policy, without requests")
 	command.Flags().StringVar(&flags.mode, "mode", "wait", "wait or fence")
-	command.Flags().StringVar(&flags.lastGateway, "down", "up", "the last door is up, killed or stopped")
+	command.Flags().StringVar(&flags.lastGateway, "down", "up", "state of the last gateway: up, killed or stopped")
 	return command
 }
 
@@ -73,14 +73,14 @@
 type policyBenchmark struct {
 	flags *policyFlags
 	rig   *rig.Rig
-	// running are the gateways that are up.
+	// running has the gateways that are up.
 	running []*rig.Door
 	policy  policyDocument
 }
 
-// runPolicyChanges measures changes of the policy of real gateways that are flooded: the time until one is committed,
-// the window in which both versions decide, what is served in the second of a change against the one before, and how
-// long a gateway answered nobody.
+// runPolicyChanges measures changes of the policy of flooded gateway processes: the time until a change is committed,
+// the window in which both versions decide, the service in the second of a change compared with the second before, and
+// the longest time without a response from a gateway.
 func runPolicyChanges(program string, flags *policyFlags) error {
 	program, err := filepath.Abs(program)
 	if err != nil {
@@ -117,7 +117,8 @@
 	return nil
 }
 
-// prepare waits until all gateways go by the first version, reads it and has the last gateway fail if a flag says so.
+// prepare waits until all gateways apply the first version, reads it, and kills or suspends the last gateway as set by
+// policyFlags.lastGateway.
 func (b *policyBenchmark) prepare() error {
 	for _, gateway := range b.rig.Doors {
 		_, err := rig.Within(policyStartTimeout, func() error { return gateway.GoesBy(1) })
@@ -142,7 +143,7 @@
 	return nil
 }
 
-// changeUnderFlood makes the changes one after the other while an account floods some of the running gateways. It ends
+// changeUnderFlood makes the changes one after the other while an account floods some of the running gateways. It stops
 // early if a change is aborted.
 func (b *policyBenchmark) changeUnderFlood() (*policyMeasurement, error) {
 	ctx, cancel := context.WithCancel(context.Background())
@@ -164,7 +165,7 @@
 			return nil, err
 		}
 		if reason != "" {
-			fmt.Printf("%d doors, %s, last one %s: dropped after %v: %s\n", b.flags.gateways, b.flags.mode,
+			fmt.Printf("%d gateways, %s, last one %s: aborted after %v: %s\n", b.flags.gateways, b.flags.mode,
 				b.flags.lastGateway, took.Round(time.Millisecond), reason)
 			break
 		}
@@ -177,7 +178,7 @@
 	return measured, nil
 }
 
-// maxResidentMB is the most memory that a running gateway has now, in MiB.
+// maxResidentMB returns the maximum resident memory of the running gateways, in MiB.
 func (b *policyBenchmark) maxResidentMB() (most float64) {
 	for _, gateway := range b.running {
 		most = max(most, residentMB(gateway.PID()))
@@ -185,27 +186,27 @@
 	return most
 }
 
-// policyPlan is a plan that admits some hundred requests per second. index makes it differ from others.
+// policyPlan returns a plan that admits several hundred requests per second. Each index gives a different plan.
 func policyPlan(index int) string {
 	return fmt.Sprintf("rate = %d.0\nburst = 400.0\nover_worth = 0.2\nceiling_rate = %d.0\nceiling_depth = 2000.0\n",
 		400+index, 1000+index)
 }
 
-// policyDocument is a policy whose only plan may be replaced.
+// policyDocument is a policy whose only plan can be replaced.
 type policyDocument struct {
 	beforePlan string
 	afterPlan  string
-	// length is that of the whole document, in bytes.
+	// length is the size of the whole document in bytes.
 	length int
 }
 
-// readPolicy reads the policy that a gateway goes by.
+// readPolicy reads the policy that a gateway applies.
 func readPolicy(gateway *rig.Door) (policyDocument, error) {
 	response, err := gateway.Operators(http.MethodGet, "/policy/show")
 	if err != nil {
 		return policyDocument{}, err
 	}
-	defer func() { _ = response.Body.Close() }() // it has been read
+	defer func() { _ = response.Body.Close() }() // the body has been read
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
 		return policyDocument{}, err
@@ -221,13 +222,13 @@
 	return policyDocument{beforePlan: before, afterPlan: after, length: len(body)}, nil
 }
 
-// withPlan is the policy with another plan.
+// withPlan returns the policy with its plan replaced.
 func (d *policyDocument) withPlan(plan string) string {
 	return d.beforePlan + planHeading + "\nname = \"business\"\n" + plan + d.afterPlan
 }
 
-// proposePolicy proposes a policy to a gateway and waits for the outcome. It returns how long that took, and why the
-// change was aborted; empty: it was committed.
+// proposePolicy proposes a policy to a gateway and waits for the outcome. It returns how long that took, and the reason
+// if the change was aborted, which is empty if it was committed.
 func proposePolicy(gateway *rig.Door, id, document string) (took time.Duration, reason string, err error) {
 	start := time.Now()
 	query := url.Values{"id": {id}, "wait": {"40s"}}
@@ -235,7 +236,7 @@
 	if err != nil {
 		return 0, "", err
 	}
-	defer func() { _ = response.Body.Close() }() // it has been read
+	defer func() { _ = response.Body.Close() }() // the body has been read
 	took = time.Since(start)
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
