--- a/cmd/benchmark/policymeasurement.go
+++ b/cmd/benchmark/policymeasurement.go
@@ -8,33 +8,33 @@
 	"gapgap/internal/fake/rig"
 )
 
-// requestingAccounts is how many accounts make requests.
+// requestingAccounts is the number of accounts that send requests.
 const requestingAccounts = 2
 
-// policyMeasurement is what changes of the policy took, and what the flood saw of them.
+// policyMeasurement has the durations of policy changes and the effect on the flood.
 type policyMeasurement struct {
-	// durations are the times until each committed change was known to be committed.
+	// durations has the time until the commit was reported, for each committed change.
 	durations []time.Duration
-	// proposedAt are when changes were proposed, since the start of the flood, with one that was aborted.
+	// proposedAt has the times of all proposals since the start of the flood, including an aborted one.
 	proposedAt []time.Duration
 	flood      *rig.Book
-	// flooded is the number of gateways that were flooded: the first ones.
+	// flooded is the number of flooded gateways, which are the first ones.
 	flooded int
-	// residentMBBefore and residentMBAfter are the most memory of a gateway before the first change and after any, in
-	// MiB.
+	// residentMBBefore and residentMBAfter are the maximum memory of a gateway before the first change and after any
+	// change, in MiB.
 	residentMBBefore float64
 	residentMBAfter  float64
 }
 
-// floodWindow is what the flood saw in a second, added up over several.
+// floodWindow has the results of the flood in several windows of one second.
 type floodWindow struct {
 	served    int
 	latencies []time.Duration
-	// longestSilence is the longest time in which a flooded gateway answered nobody.
+	// longestSilence is the longest time without a response from a flooded gateway.
 	longestSilence time.Duration
 }
 
-// add adds the second that begins at a time since the start of the flood.
+// add adds the second that begins at the given time since the start of the flood.
 func (w *floodWindow) add(m *policyMeasurement, from time.Duration) {
 	until := from + time.Second
 	w.served += m.flood.In(from, until)
@@ -48,11 +48,11 @@
 	}
 }
 
-// p99 is the 99th percentile of the latency.
+// p99 returns the 99th percentile of the latency.
 func (w *floodWindow) p99() time.Duration { return percentile(w.latencies, 99) }
 
-// longestSilence is the longest time between two answers of a gateway in a stretch of the flood, whose ends count as
-// answers.
+// longestSilence returns the longest time between two responses of a gateway in an interval of the flood. The ends of
+// the interval count as responses.
 func longestSilence(flood *rig.Book, gateway int, from, until time.Duration) (longest time.Duration) {
 	last := from
 	for _, decided := range flood.Decided {
@@ -64,8 +64,8 @@
 	return max(longest, until-last)
 }
 
-// print writes what the changes took, and the second of each against the one before. policyBytes is the length of the
-// policy. There must be one committed change at least.
+// print writes the durations of the changes, and compares the second of each change with the second before. policyBytes
+// is the size of the policy. There must be at least one committed change.
 func (m *policyMeasurement) print(flags *policyFlags, policyBytes int) {
 	var before, during floodWindow
 	for _, at := range m.proposedAt {
@@ -74,13 +74,13 @@
 	}
 	const precise = 100 * time.Microsecond
 	fmt.Printf("%d accounts, a policy of %d bytes; "+
-		"no answer at a door for %v at worst in the second of a change, %v in the one before; "+
-		"a door's memory %.0f MB before, %.0f MB right after a change at most\n",
+		"longest time without a response %v in the second of a change, %v in the second before; "+
+		"maximum memory of a gateway %.0f MB before, %.0f MB right after a change\n",
 		flags.accounts+requestingAccounts, policyBytes,
 		during.longestSilence.Round(precise), before.longestSilence.Round(precise),
 		m.residentMBBefore, m.residentMBAfter)
 	slices.Sort(m.durations)
-	fmt.Printf("%d doors, %s, last one %s: taken within %v in the median of %d, %v at worst; window %v; "+
+	fmt.Printf("%d gateways, %s, last one %s: committed within %v (median of %d), %v at most; window %v; "+
 		"served in the second of a change %d, before it %d (%.3f); p99 %v and %v (%.2f); lost %d\n",
 		flags.gateways, flags.mode, flags.lastGateway,
 		m.durations[len(m.durations)/2].Round(time.Millisecond), len(m.durations),
