--- a/cmd/benchmark/poolflood.go
+++ b/cmd/benchmark/poolflood.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// poolFloodConnections is how many connections a flood has.
+	// poolFloodConnections is the number of connections of a flood.
 	poolFloodConnections = 64
-	// poolFloodWriteTimeout is how long a flood waits for the gateway to take a request.
+	// poolFloodWriteTimeout bounds the time to write a request.
 	poolFloodWriteTimeout = 100 * time.Millisecond
 )
 
@@ -26,13 +26,14 @@
 	return nil
 }
 
-// floodPool writes requests to the second pool as fast as they are taken, and reads what comes, until stop is closed.
+// floodPool writes requests to the second pool as fast as they are accepted, and discards the responses, until stop is
+// closed.
 func floodPool(address string, connection int, stop <-chan struct{}) {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		return
 	}
-	defer func() { _ = conn.Close() }() // this also ends the reader
+	defer func() { _ = conn.Close() }() // this also stops the reader
 	go discardAnswers(conn)
 	for n := 0; ; n++ {
 		select {
@@ -41,11 +42,11 @@
 		default:
 		}
 		_ = conn.SetWriteDeadline(time.Now().Add(poolFloodWriteTimeout))
-		_, _ = conn.Write(poolRequest(1, connection, n)) // it goes on until it is stopped, also after a timeout
+		_, _ = conn.Write(poolRequest(1, connection, n)) // the flood continues after a timeout
 	}
 }
 
-// discardAnswers reads what comes until the connection ends.
+// discardAnswers reads and discards all data until the connection is closed.
 func discardAnswers(conn net.Conn) {
 	buffer := make([]byte, 64<<10)
 	for {
