--- a/cmd/benchmark/power.go
+++ b/cmd/benchmark/power.go
@@ -13,52 +13,52 @@
 )
 
 const (
-	// calmInterval is the time from one request of an account inside its quota to the next.
+	// calmInterval is the time between two requests of an account within its quota.
 	calmInterval = 250 * time.Millisecond
-	// powerFloodInterval is the pause between an answer and the next request of the flood.
+	// powerFloodInterval is the pause between a response and the next request of the flood.
 	powerFloodInterval = 10 * time.Millisecond
-	// powerChangeInterval is the pause between a change's answer and the client's next change.
+	// powerChangeInterval is the pause between the response to a change and the client's next change.
 	powerChangeInterval = 20 * time.Millisecond
-	// powerWarmUp is the start of a run, which does not count as service before the power loss.
+	// powerWarmUp is the start of a run, which is excluded from the service before the power loss.
 	powerWarmUp = 2 * time.Second
 )
 
-// Lines for the configuration file of a gateway that keeps the keys of changes on disk.
+// Lines of the configuration file of a gateway that keeps the keys of changes on disk.
 const (
 	rememberTable = "[fleet.remember]\nfor = \"1m\"\n"
 	rememberLine  = "remember = \"disk\""
-	// plainClassLine is a line of a class that adds nothing: a comment.
+	// plainClassLine is a comment line, which adds nothing to a class.
 	plainClassLine = "#"
 )
 
-// powerScenario says what is run around losses of power at all gateways, flag servers and the counter.
+// powerScenario describes a run with power losses at all gateways, flag servers and the counter.
 type powerScenario struct {
 	gateways int
-	// isFleet tells whether the gateways know each other.
+	// isFleet makes the gateways form a fleet.
 	isFleet bool
-	// fleetLines are lines for the table [fleet], nodeLines for [node] and classLines for the class "change".
+	// fleetLines has lines for the table [fleet], nodeLines for [node] and classLines for the class "change".
 	fleetLines string
 	nodeLines  string
 	classLines string
 
-	// losses is how often the power is lost.
+	// losses is the number of power losses.
 	losses int
-	// lossInterval is the time from one loss to the next.
+	// lossInterval is the time between the beginnings of two losses.
 	lossInterval time.Duration
-	// lossDuration is how long the power is gone.
+	// lossDuration is the duration of a loss.
 	lossDuration time.Duration
 	// before is the time from the start of the load to the first loss.
 	before time.Duration
-	// after is the time from the last loss to the end.
+	// after is the duration of the load after the last loss.
 	after time.Duration
 
-	// changeClients is how many clients make changes.
+	// changeClients is the number of clients that make changes.
 	changeClients int
-	// calmAccounts is how many accounts make requests inside their quotas.
+	// calmAccounts is the number of accounts that send requests within their quotas.
 	calmAccounts int
 }
 
-// newPowerCommand is the command that measures losses of power.
+// newPowerCommand returns the command that measures power losses.
 func newPowerCommand() *cobra.Command {
 	scenario := &powerScenario{
 		lossInterval: 3 * time.Second,
@@ -67,22 +67,22 @@
 	}
 	command := &cobra.Command{
 		Use:   "power GAPGAPD",
-		Short: "What a loss of power at all doors, flag servers and the counter costs",
+		Short: "Measure the cost of a power loss at all gateways, flag servers and the counter",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			return runPowerLoss(args[0], scenario)
 		},
 	}
 	flags := command.Flags()
-	flags.IntVar(&scenario.gateways, "doors", 3, "doors")
-	flags.IntVar(&scenario.losses, "cuts", 1, "losses of power, 3 s apart; 0: none")
-	flags.DurationVar(&scenario.after, "after", 20*time.Second, "length of the play after the last one")
-	flags.BoolVar(&scenario.isFleet, "fleet", true, "the doors know each other")
+	flags.IntVar(&scenario.gateways, "doors", 3, "number of gateways")
+	flags.IntVar(&scenario.losses, "cuts", 1, "number of power losses, 3 s apart; may be 0")
+	flags.DurationVar(&scenario.after, "after", 20*time.Second, "length of the run after the last power loss")
+	flags.BoolVar(&scenario.isFleet, "fleet", true, "run the gateways as a fleet")
 	flags.StringVar(&scenario.fleetLines, "in-fleet", "", "lines for [fleet]")
 	flags.StringVar(&scenario.nodeLines, "node", "", "lines for [node]")
 	flags.StringVar(&scenario.classLines, "class", "", "lines for the class \"change\"")
-	flags.IntVar(&scenario.changeClients, "changes", 8, "clients of changes")
-	flags.IntVar(&scenario.calmAccounts, "calm", 20, "accounts inside their quotas, each asking 4 times a second")
+	flags.IntVar(&scenario.changeClients, "changes", 8, "number of clients that make changes")
+	flags.IntVar(&scenario.calmAccounts, "calm", 20, "accounts within their quotas, each with 4 requests per second")
 	return command
 }
 
@@ -128,8 +128,8 @@
 	return result, nil
 }
 
-// startLoad begins all requests. The function that it returns ends them and waits for what became of them to be in the
-// result; it may be called more than once.
+// startLoad starts all clients. stop stops them and waits until their results are stored in result; it may be called
+// more than once.
 func (s *powerScenario) startLoad(gateways *rig.Rig, result *powerResult) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var all []int
@@ -146,8 +146,8 @@
 	}
 }
 
-// losePower has the power go and come back, as often as the scenario says, and counts the calls of the counter right
-// after the last time. start is when the load began.
+// losePower cuts and restores the power as often as the scenario says, and counts the counter calls in the second after
+// the last time. start is when the load began.
 func (s *powerScenario) losePower(gateways *rig.Rig, result *powerResult, start time.Time) error {
 	for number := range s.losses {
 		if number > 0 {
@@ -168,14 +168,14 @@
 	return nil
 }
 
-// runPowerLoss runs a scenario and prints what the losses of power cost.
+// runPowerLoss runs a scenario and prints the cost of the power losses.
 func runPowerLoss(program string, scenario *powerScenario) error {
 	result, err := scenario.run(program)
 	if err != nil {
 		return err
 	}
 	result.printChanges(scenario)
-	fmt.Printf("  flood: %d served, %.1f over the ceiling's store at worst\n", len(result.flood.Served),
+	fmt.Printf("  flood: %d served, at most %.1f over the ceiling's bucket\n", len(result.flood.Served),
 		result.flood.Worst(planCeilingRate, planCeilingBurst))
 	if scenario.losses > 0 {
 		result.printService(scenario)
