--- a/cmd/benchmark/powercurves.go
+++ b/cmd/benchmark/powercurves.go
@@ -9,18 +9,18 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// newPowerCurvesCommand is the command that draws the service around a loss of power.
+// newPowerCurvesCommand returns the command that plots the service around a power loss.
 func newPowerCurvesCommand() *cobra.Command {
 	var file string
 	command := &cobra.Command{
 		Use:   "power-curves BEFORE NOW",
-		Short: "The same by 100 ms, of two builds of gapgapd; draws a plot",
+		Short: "Plot the same by 100 ms for two builds of gapgapd",
 		Args:  cobra.ExactArgs(2),
 		RunE: func(_ *cobra.Command, args []string) error {
 			return drawPowerCurves(args[0], args[1], file)
 		},
 	}
-	command.Flags().StringVar(&file, "svg", "docs/power.svg", "the plot's file")
+	command.Flags().StringVar(&file, "svg", "docs/power.svg", "output `file` of the plot")
 	return command
 }
 
@@ -31,7 +31,7 @@
 	scenario powerScenario
 }
 
-// powerCurves are the lines of the plot, of two builds.
+// powerCurves returns the lines of the plot for two builds.
 func powerCurves(before, now string) []powerCurve {
 	oneLoss := powerScenario{
 		gateways:      3,
@@ -51,19 +51,19 @@
 	return []powerCurve{
 		{name: "before", program: before, scenario: oneLoss},
 		{name: "now", program: now, scenario: oneLoss},
-		{name: "now, keys of changes remembered", program: now, scenario: remembering},
+		{name: "now, keys of changes kept", program: now, scenario: remembering},
 		{name: "now, a fleet that lost no power", program: now, scenario: noLoss},
 	}
 }
 
-// drawPowerCurves draws the service of accounts inside their quotas around a loss of power: by two builds, with and
-// without keys that are remembered, and of a fleet that lost no power.
+// drawPowerCurves plots the service of accounts within their quotas around a power loss: for two builds, with and
+// without keeping keys on disk, and for a fleet without a power loss.
 func drawPowerCurves(before, now, file string) error {
 	drawing := plot.New()
-	drawing.Title.Text = "Requests a second of 20 calm accounts served by three doors; " +
-		"doors, flag servers and the counter lose power at -0.5 and have it back at 0"
+	drawing.Title.Text = "Requests per second of 20 accounts within their quotas served by three gateways; " +
+		"gateways, flag servers and the counter lose power at -0.5 and regain it at 0"
 	drawing.X.Label.Text = "seconds"
-	drawing.Y.Label.Text = "served a second"
+	drawing.Y.Label.Text = "served per second"
 	drawing.Y.Min = 0
 	for index, curve := range powerCurves(before, now) {
 		scenario := &curve.scenario
@@ -71,7 +71,7 @@
 		if err != nil {
 			return err
 		}
-		if scenario.losses == 0 { // drawn at the same place as the others
+		if scenario.losses == 0 { // aligned with the other curves
 			result.restoredAt = scenario.before + scenario.lossDuration
 		}
 		points := result.curve(-4*time.Second, scenario.after-time.Second)
@@ -79,7 +79,7 @@
 			return err
 		}
 		rate := result.rateBefore(scenario)
-		fmt.Printf("%s: %.1f a second before; half within %v, 0.95 within %v; %d of %d keys had two effects\n",
+		fmt.Printf("%s: %.1f per second before; half within %v, 0.95 within %v; %d of %d keys had two effects\n",
 			curve.name, rate, result.recoveredAfter(0.5, rate, scenario.after),
 			result.recoveredAfter(0.95, rate, scenario.after), result.keysWithTwoEffects, result.keysWithEffect)
 	}
