--- a/cmd/benchmark/powerresult.go
+++ b/cmd/benchmark/powerresult.go
@@ -9,27 +9,27 @@
 	"gapgap/internal/fake/rig"
 )
 
-// serviceWindow is the time over which service is averaged.
+// serviceWindow is the averaging window of the service rate.
 const serviceWindow = 500 * time.Millisecond
 
-// powerResult is what became of the requests around losses of power.
+// powerResult has the results of a run with power losses.
 type powerResult struct {
-	// calm are the requests of accounts inside their quotas.
+	// calm has the requests of accounts within their quotas.
 	calm    []rig.Try
 	changes *rig.ChangeBook
 	flood   *rig.Book
-	// keysWithEffect and keysWithTwoEffects count the keys of changes by their effects at the flag servers.
+	// keysWithEffect and keysWithTwoEffects count the keys of changes by the number of effects at the flag servers.
 	keysWithEffect     int
 	keysWithTwoEffects int
-	// restoredAt is when the power was back for the last time, since the start of the load.
+	// restoredAt is the time of the last return of power since the start of the load.
 	restoredAt time.Duration
-	// callsInFirstSecond are the calls of the counter in the second after that, and commandsInFirstSecond the commands
-	// at the flag servers.
+	// callsInFirstSecond is the number of counter calls in the second after that, and commandsInFirstSecond the number
+	// of commands at the flag servers.
 	callsInFirstSecond    int
 	commandsInFirstSecond int
 }
 
-// countCommands counts the commands at the flag servers in the second after the power was back. start is when the load
+// countCommands counts the commands at the flag servers in the second after the power returned. start is when the load
 // began.
 func (r *powerResult) countCommands(gateways *rig.Rig, start time.Time) {
 	for _, server := range gateways.Servers {
@@ -42,7 +42,7 @@
 	}
 }
 
-// served is how many requests inside quotas were served whose answers came in a stretch of the load.
+// served returns the number of served requests within quotas whose responses arrived in the interval.
 func (r *powerResult) served(from, until time.Duration) (count int) {
 	for _, try := range r.calm {
 		answeredAt := try.Asked + try.Took
@@ -53,13 +53,13 @@
 	return count
 }
 
-// rateBefore is the rate of requests served inside quotas before the first loss of power, per second.
+// rateBefore returns the rate of served requests within quotas before the first power loss, per second.
 func (r *powerResult) rateBefore(scenario *powerScenario) float64 {
 	return float64(r.served(powerWarmUp, scenario.before)) / (scenario.before - powerWarmUp).Seconds()
 }
 
-// recoveredAfter is how long after the power was back serviceWindow had a fraction of a former rate per second for the
-// first time; -1 ns: it had not within a limit.
+// recoveredAfter returns the time from the return of power to the end of the first serviceWindow with at least the
+// given fraction of the former rate per second, or -1 ns if there is none within the limit.
 func (r *powerResult) recoveredAfter(fraction, rate float64, limit time.Duration) time.Duration {
 	wanted := fraction * rate * serviceWindow.Seconds()
 	for after := time.Duration(0); after < limit; after += curveStep {
@@ -71,8 +71,8 @@
 	return -1
 }
 
-// curve is the rate of requests served inside quotas, per second, over the last serviceWindow: a point for each
-// curveStep. Times count from when the power was back.
+// curve returns the rate of served requests within quotas, per second, over the last serviceWindow, with a point for
+// each curveStep. Times count from the return of power.
 func (r *powerResult) curve(from, until time.Duration) (points plotter.XYs) {
 	for at := from; at < until; at += curveStep {
 		end := r.restoredAt + at
@@ -82,7 +82,7 @@
 	return points
 }
 
-// changeTries counts tries of changes by what became of them.
+// changeTries counts the attempts of changes by outcome.
 type changeTries struct {
 	total      int
 	failed     int
@@ -90,7 +90,7 @@
 	unanswered int
 }
 
-// countTries counts all tries of changes.
+// countTries counts all attempts of changes.
 func (r *powerResult) countTries() (tries changeTries) {
 	for _, ofKey := range r.changes.Keys {
 		for _, try := range ofKey {
@@ -108,7 +108,7 @@
 	return tries
 }
 
-// servedLatencies are the latencies of the tries of changes that were served.
+// servedLatencies returns the latencies of the served attempts of changes.
 func servedLatencies(changes *rig.ChangeBook) (latencies []time.Duration) {
 	for _, tries := range changes.Keys {
 		latencies = append(latencies, latenciesOfServed(tries)...)
@@ -116,7 +116,7 @@
 	return latencies
 }
 
-// latenciesOfServed are the latencies of those tries that were served.
+// latenciesOfServed returns the latencies of the served attempts.
 func latenciesOfServed(tries []rig.Try) (latencies []time.Duration) {
 	for _, try := range tries {
 		if try.Served {
@@ -126,28 +126,28 @@
 	return latencies
 }
 
-// printChanges writes what became of the changes.
+// printChanges writes the outcomes of the changes.
 func (r *powerResult) printChanges(scenario *powerScenario) {
 	const precise = 10 * time.Microsecond
 	latencies := servedLatencies(r.changes)
 	tries := r.countTries()
-	fmt.Printf("%d doors, %d cuts: changes: %d keys, %d had an effect, %d had it twice, "+
-		"%d were served (median %v, p99 %v); %d tries: %d failed, %d refused, %d unanswered\n",
+	fmt.Printf("%d gateways, %d power losses: changes: %d keys, %d had an effect, %d had it twice, "+
+		"%d were served (median %v, p99 %v); %d attempts: %d failed, %d rejected, %d unanswered\n",
 		scenario.gateways, scenario.losses, len(r.changes.Keys), r.keysWithEffect, r.keysWithTwoEffects,
 		r.changes.Served(), percentile(latencies, 50).Round(precise), percentile(latencies, 99).Round(precise),
 		tries.total, tries.failed, tries.rejected, tries.unanswered)
 }
 
-// printService writes how the service of requests inside quotas came back after the last loss of power.
+// printService writes how the service of requests within quotas recovered after the last power loss.
 func (r *powerResult) printService(scenario *powerScenario) {
 	rate := r.rateBefore(scenario)
-	fmt.Printf("  calm accounts: %.1f a second before; "+
-		"after the power was back half of it within %v, 0.95 within %v; by second:", rate,
+	fmt.Printf("  accounts within their quotas: %.1f per second before; "+
+		"after the return of power half of it within %v, 0.95 within %v; by second:", rate,
 		r.recoveredAfter(0.5, rate, scenario.after), r.recoveredAfter(0.95, rate, scenario.after))
 	for at := time.Duration(0); at < scenario.after; at += time.Second {
 		from := r.restoredAt + at
 		fmt.Printf(" %.2f", float64(r.served(from, from+time.Second))/rate)
 	}
-	fmt.Printf("\n  in the first second: %d calls of the counter, %d commands at the flag servers\n",
+	fmt.Printf("\n  in the first second: %d counter calls, %d commands at the flag servers\n",
 		r.callsInFirstSecond, r.commandsInFirstSecond)
 }
