--- a/cmd/benchmark/request.go
+++ b/cmd/benchmark/request.go
@@ -9,10 +9,10 @@
 	"strings"
 )
 
-// requestAttributes are the attributes of a request over RESP2.
+// requestAttributes has the attributes of a RESP2 request.
 const requestAttributes = "c=evaluate,t=wide,d=3000,units=1,spread=1,first=0"
 
-// checkRequest is a check as Traefik makes it, with the header fields that a browser sends and an id of the proxy.
+// checkRequest returns a check as Traefik sends it, with the header fields of a browser and a request id of the proxy.
 func checkRequest(key, id string) []byte {
 	return []byte("GET /check HTTP/1.1\r\n" +
 		"Host: auth\r\n" +
@@ -28,7 +28,7 @@
 		"X-Request-Id: " + id + "\r\n\r\n")
 }
 
-// readHTTP reads an answer to a check. The check is served if its status is 200.
+// readHTTP reads the response to a check. The check counts as served if the status is 200.
 func readHTTP(answers *bufio.Reader) (served bool, err error) {
 	line, err := answers.ReadSlice('\n')
 	if err != nil {
@@ -54,7 +54,7 @@
 	return served, err
 }
 
-// resp2Request is a request over RESP2.
+// resp2Request returns a RESP2 request.
 func resp2Request(customer, id, attributes string) []byte {
 	request := []byte("*4\r\n")
 	for _, argument := range [...]string{"Q.ASK", customer, id, attributes} {
@@ -67,16 +67,16 @@
 	return request
 }
 
-// accountRequest is the n-th request over RESP2 of a connection, for one of the measured accounts.
+// accountRequest returns the n-th RESP2 request of a connection, for one of the measured accounts.
 func accountRequest(connection, n int) []byte {
 	customer := fmt.Sprintf("%016x", accountIndex(connection, n)+1)
 	return resp2Request(customer, strconv.Itoa(connection)+"-"+strconv.Itoa(n), requestAttributes)
 }
 
-// accountIndex is which of the measured accounts the n-th request of a connection is for, from 0 up to accounts.
+// accountIndex returns the index of the measured account that the n-th request of a connection is for.
 func accountIndex(connection, n int) int { return (connection*7 + n) % accounts }
 
-// readRESP2 reads an answer over RESP2, a bulk string or a line. The request is served if it is a bulk string.
+// readRESP2 reads a RESP2 response, a bulk string or a line. The request counts as served if it is a bulk string.
 func readRESP2(answers *bufio.Reader) (served bool, err error) {
 	line, err := answers.ReadString('\n')
 	if err != nil {
