--- a/cmd/benchmark/residentmemory.go
+++ b/cmd/benchmark/residentmemory.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// residentMB is a process's resident memory in MiB; 0: the system does not tell.
+// residentMB returns a process's resident memory in MiB, or 0 if the system does not provide it.
 func residentMB(pid int) float64 {
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
