--- a/cmd/benchmark/load_test.go
+++ b/cmd/benchmark/load_test.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// A percentile of nothing is 0, and the highest is the last value.
+// TestPercentile verifies percentiles, among them that of no values, which is 0, and the 100th, which is the maximum.
 func TestPercentile(t *testing.T) {
 	if got := percentile(nil, 99); got != 0 {
-		t.Errorf("percentile of nothing is %v", got)
+		t.Errorf("percentile of no values is %v", got)
 	}
 	durations := []time.Duration{3, 1, 2, 4}
 	for percent, want := range map[int]time.Duration{0: 1, 50: 3, 99: 4, 100: 4} {
@@ -20,7 +20,8 @@
 	}
 }
 
-// A load at a rate sends about as many requests as that, on all of its connections, and counts those not served.
+// TestLoadAtRate verifies that a load sends requests at about its rate on all of its connections, and counts those that
+// are not served.
 func TestLoadAtRate(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -45,7 +46,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// A connection that is due before the end sends its last request after it.
+	// Each connection may send its last request after the end, if it waited for its due time.
 	if result.answered < 4 || result.answered > 60 {
 		t.Errorf("%d requests in half a second at 100 per second", result.answered)
 	}
@@ -57,7 +58,7 @@
 	}
 }
 
-// echoConnections writes back what comes on all connections, until the listener is closed.
+// echoConnections echoes lines on all connections until the listener is closed.
 func echoConnections(listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
