--- a/cmd/gapgapd/main_test.go
+++ b/cmd/gapgapd/main_test.go
@@ -27,32 +27,32 @@
 	"gapgap/internal/fake/quota"
 )
 
-// binary is the real program, built once.
+// binary returns the path of the gapgapd binary, which is built once.
 var binary, removeBinary = program.Built("gapgapd")
 
 func TestMain(m *testing.M) {
 	code := m.Run()
 	removeBinary()
-	removeRecorder()
+	removeRecordingBinary()
 	os.Exit(code)
 }
 
-// process is a running gapgapd with what stands round it.
+// process is a running gapgapd with its configuration file and the fakes that it uses.
 type process struct {
-	t       *testing.T
-	file    string
-	cmd     *exec.Cmd
-	http    string
-	resp    string
-	ended   chan error
-	server  *flagserver.Server
-	counter *quota.Counter
-	agent   *catalog.Agent
-	mu      sync.Mutex
-	log     strings.Builder
+	t           *testing.T
+	file        string
+	cmd         *exec.Cmd
+	httpAddress string
+	respAddress string
+	ended       chan error
+	server      *flagserver.Server
+	counter     *quota.Counter
+	agent       *catalog.Agent
+	mu          sync.Mutex
+	log         strings.Builder
 }
 
-const text = `
+const configFormat = `
 [node]
 discovery = %q
 counter = %q
@@ -99,7 +99,7 @@
 keys = ["%x"]
 `
 
-func launch(t *testing.T) *process {
+func startProcess(t *testing.T) *process {
 	t.Helper()
 	p := &process{t: t, file: filepath.Join(t.TempDir(), "gapgapd.toml")}
 	var err error
@@ -120,7 +120,7 @@
 	return p
 }
 
-// write writes the configuration and something more.
+// write writes the configuration file, followed by more.
 func (p *process) write(more string) {
 	p.t.Helper()
 	addr := func(s string) string {
@@ -129,15 +129,15 @@
 		}
 		return s
 	}
-	s := fmt.Sprintf(text, p.agent.Addr(), p.counter.Addr(), addr(p.resp), addr(p.http), sha256.Sum256([]byte("key-free")), sha256.Sum256([]byte("key-small")))
+	s := fmt.Sprintf(configFormat, p.agent.Addr(), p.counter.Addr(), addr(p.respAddress), addr(p.httpAddress), sha256.Sum256([]byte("key-free")), sha256.Sum256([]byte("key-small")))
 	if err := os.WriteFile(p.file, []byte(s+more), 0o600); err != nil {
 		p.t.Fatal(err)
 	}
 }
 
-var serving = regexp.MustCompile(`msg=serving .*listener=(\w+) address=(\S+)`)
+var servingLine = regexp.MustCompile(`msg=serving .*listener=(\w+) address=(\S+)`)
 
-// start starts the program and waits until it serves.
+// start starts the program and waits until a check is allowed.
 func (p *process) start() {
 	p.t.Helper()
 	b, err := binary()
@@ -161,11 +161,11 @@
 			p.mu.Lock()
 			p.log.WriteString(in.Text() + "\n")
 			p.mu.Unlock()
-			if m := serving.FindStringSubmatch(in.Text()); m != nil {
+			if m := servingLine.FindStringSubmatch(in.Text()); m != nil {
 				if m[1] == "resp" {
-					p.resp = m[2]
+					p.respAddress = m[2]
 				} else {
-					p.http = m[2]
+					p.httpAddress = m[2]
 				}
 				if n++; n == 2 {
 					close(up)
@@ -177,26 +177,26 @@
 	select {
 	case <-up:
 	case err := <-ended:
-		p.t.Fatalf("it ended: %v\n%s", err, p.logged())
+		p.t.Fatalf("the process exited: %v\n%s", err, p.logText())
 	case <-time.After(peer.Patient):
-		p.t.Fatal("it does not serve")
+		p.t.Fatal("the listeners did not start")
 	}
 	for end := time.Now().Add(peer.Patient); ; time.Sleep(time.Millisecond) {
-		if code, _, err := check(http.DefaultClient, p.http, "free", ""); err == nil && code == 200 {
+		if code, _, err := check(http.DefaultClient, p.httpAddress, "free", ""); err == nil && code == 200 {
 			return
 		} else if time.Now().After(end) {
-			p.t.Fatalf("it is never ready: %d %v", code, err)
+			p.t.Fatalf("the process did not become ready: %d %v", code, err)
 		}
 	}
 }
 
-func (p *process) logged() string {
+func (p *process) logText() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.log.String()
 }
 
-// check makes one check.
+// check sends one authorization check for an account and returns the status and the header of the response.
 func check(c *http.Client, addr, account, id string) (int, http.Header, error) {
 	req, _ := http.NewRequest(http.MethodGet, "http://"+addr+"/check", nil)
 	req.Header = http.Header{"X-Forwarded-Method": {"GET"}, "X-Forwarded-Uri": {"/"}, "X-Forwarded-Host": {"x"},
@@ -213,7 +213,7 @@
 	return res.StatusCode, res.Header, err
 }
 
-func client(h2 bool) *http.Client {
+func newClient(h2 bool) *http.Client {
 	p := &http.Protocols{}
 	p.SetHTTP1(!h2)
 	p.SetUnencryptedHTTP2(h2)
@@ -227,13 +227,14 @@
 	}
 }
 
-// SIGTERM of the real program, with checks that wait for the counter and others that come all the time: every check that
-// was taken is answered, whole, over HTTP/1.1 and HTTP/2, and requests over RESP2 too; then it ends by itself.
+// TestForwardAuthSIGTERM verifies that after SIGTERM every accepted check gets a complete response over HTTP/1.1 and
+// HTTP/2, and every accepted request over RESP2, before the process exits. Some of the checks are waiting for the
+// counter at that time, others keep coming.
 func TestForwardAuthSIGTERM(t *testing.T) {
-	p := launch(t)
-	c := client(false)
-	for range 4 { // this door's own share
-		if code, _, err := check(c, p.http, "small", ""); code != 200 {
+	p := startProcess(t)
+	c := newClient(false)
+	for range 4 { // uses up the gateway's own share
+		if code, _, err := check(c, p.httpAddress, "small", ""); code != 200 {
 			t.Fatal(code, err)
 		}
 	}
@@ -246,25 +247,25 @@
 	taken := make(chan result, 64)
 	for i := range 20 {
 		go func() {
-			code, _, err := check(client(i%2 == 1), p.http, "small", fmt.Sprint("t", i))
+			code, _, err := check(newClient(i%2 == 1), p.httpAddress, "small", fmt.Sprint("t", i))
 			taken <- result{code, err}
 		}()
 	}
 	for end := time.Now().Add(peer.Patient); p.counter.Calls() == calls; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("nobody asks the counter")
+			t.Fatal("no counter call was made")
 		}
 	}
-	time.Sleep(200 * time.Millisecond) // the others have come meanwhile
+	time.Sleep(200 * time.Millisecond) // until then the other checks have arrived
 	p.server.Set(flagserver.Config{Delay: 700 * time.Millisecond})
-	r := peer.Dial(t, p.resp)
+	r := peer.Dial(t, p.respAddress)
 	r.Command("Q.ASK", "0000000000000001", "r1", "c=evaluate,t=open,d=2000,units=1,spread=1,first=0")
 	var loads sync.WaitGroup
-	var answered, odd atomic.Int64
+	var answered, unexpected atomic.Int64
 	stop := make(chan struct{})
-	for i := range 8 { // load that goes on until nothing listens any more
+	for i := range 8 { // load that continues until the listener is closed
 		loads.Go(func() {
-			c := client(i%2 == 1)
+			c := newClient(i%2 == 1)
 			defer c.CloseIdleConnections()
 			for {
 				select {
@@ -272,15 +273,15 @@
 					return
 				default:
 				}
-				code, _, err := check(c, p.http, "free", "")
+				code, _, err := check(c, p.httpAddress, "free", "")
 				if err != nil {
 					if !strings.Contains(err.Error(), "refused") && !strings.Contains(err.Error(), "reset") && !strings.Contains(err.Error(), "EOF") {
 						t.Errorf("%v", err)
 					}
-					return // it does not listen any more, or the connection ended between two checks
+					return // the listener is closed, or the connection was closed between two checks
 				}
 				if answered.Add(1); code != 200 {
-					odd.Add(1)
+					unexpected.Add(1)
 				}
 			}
 		})
@@ -291,54 +292,55 @@
 	p.signal(syscall.SIGTERM)
 	late := answered.Load()
 	time.Sleep(100 * time.Millisecond)
-	if code, _, err := check(client(false), p.http, "free", ""); code != 200 {
+	if code, _, err := check(newClient(false), p.httpAddress, "free", ""); code != 200 {
 		t.Errorf("a new connection just after SIGTERM: %d %v", code, err)
 	}
 	resume()
 	for range 20 {
 		if r := <-taken; r.err != nil || r.code != 200 && r.code != 429 {
-			t.Errorf("a check that was taken: %d %v", r.code, r.err)
+			t.Errorf("an accepted check: %d %v", r.code, r.err)
 		}
 	}
 	r.Wants("Q.ASK r1")
 	select {
 	case err := <-p.ended:
 		if err != nil {
-			t.Errorf("it ended with %v\n%s", err, p.logged())
+			t.Errorf("the process exited with %v\n%s", err, p.logText())
 		}
 	case <-time.After(peer.Patient):
-		t.Fatal("it does not end")
+		t.Fatal("the process does not exit")
 	}
 	close(stop)
 	loads.Wait()
-	if odd.Load() > 0 || answered.Load() == late {
-		t.Errorf("%d odd answers; %d answered, %d before SIGTERM", odd.Load(), answered.Load(), late)
+	if unexpected.Load() > 0 || answered.Load() == late {
+		t.Errorf("%d responses other than 200; %d responses, %d of them before SIGTERM", unexpected.Load(), answered.Load(), late)
 	}
-	if !strings.Contains(p.logged(), "unanswered=0") {
-		t.Errorf("the log:\n%s", p.logged())
+	if !strings.Contains(p.logText(), "unanswered=0") {
+		t.Errorf("the log:\n%s", p.logText())
 	}
 }
 
-// SIGKILL of the real program under load and a new start: what was open has no answer; afterwards it serves, by the quota
-// as the counter has it, and a check that was granted before is charged once more at most, which is the stated loss.
+// TestForwardAuthSIGKILL verifies that after SIGKILL under load the restarted process serves again. Requests that were
+// in flight get no response. The process forgets which checks it has admitted, so a repeated check is charged once
+// more, but only once; this is the documented loss.
 func TestForwardAuthSIGKILL(t *testing.T) {
-	p := launch(t)
-	c := client(false)
-	code, first, err := check(c, p.http, "free", "same")
-	_, again, _ := check(c, p.http, "free", "same")
+	p := startProcess(t)
+	c := newClient(false)
+	code, first, err := check(c, p.httpAddress, "free", "same")
+	_, again, _ := check(c, p.httpAddress, "free", "same")
 	id := first.Get("X-Gapgap-Request-Id")
 	if code != 200 || id == "" || again.Get("X-Gapgap-Request-Id") != id {
 		t.Fatal(code, err, id, again)
 	}
 	for range 4 {
-		check(c, p.http, "small", "")
+		check(c, p.httpAddress, "small", "")
 	}
 	var loads sync.WaitGroup
 	for range 4 {
 		loads.Go(func() {
-			c := client(false)
+			c := newClient(false)
 			for {
-				if _, _, err := check(c, p.http, "free", ""); err != nil {
+				if _, _, err := check(c, p.httpAddress, "free", ""); err != nil {
 					return
 				}
 			}
@@ -348,27 +350,28 @@
 	p.signal(syscall.SIGKILL)
 	<-p.ended
 	loads.Wait()
-	p.write("") // with the addresses that it had
+	p.write("") // with the same addresses as before
 	p.start()
-	_, h, err := check(client(false), p.http, "free", "same")
-	anew := h.Get("X-Gapgap-Request-Id")
-	_, again, _ = check(client(false), p.http, "free", "same")
-	if err != nil || anew == "" || anew == id || again.Get("X-Gapgap-Request-Id") != anew {
-		t.Errorf("after the restart %q and %q, before %q, %v", anew, again.Get("X-Gapgap-Request-Id"), id, err)
+	_, h, err := check(newClient(false), p.httpAddress, "free", "same")
+	afterRestart := h.Get("X-Gapgap-Request-Id")
+	_, again, _ = check(newClient(false), p.httpAddress, "free", "same")
+	if err != nil || afterRestart == "" || afterRestart == id || again.Get("X-Gapgap-Request-Id") != afterRestart {
+		t.Errorf("after the restart %q and %q, before %q, %v", afterRestart, again.Get("X-Gapgap-Request-Id"), id, err)
 	}
 }
 
-// SIGHUP takes new accounts; a file that can't be used changes nothing.
+// TestForwardAuthSIGHUP verifies that SIGHUP applies added and removed accounts, and that an invalid file changes
+// nothing.
 func TestForwardAuthSIGHUP(t *testing.T) {
-	p := launch(t)
+	p := startProcess(t)
 	until := func(account string, want int) {
 		t.Helper()
 		code := 0
 		for end := time.Now().Add(peer.Patient); ; time.Sleep(5 * time.Millisecond) {
-			if code, _, _ = check(http.DefaultClient, p.http, account, ""); code == want {
+			if code, _, _ = check(http.DefaultClient, p.httpAddress, account, ""); code == want {
 				return
 			} else if time.Now().After(end) {
-				t.Fatalf("%s: %d, want %d\n%s", account, code, want, p.logged())
+				t.Fatalf("%s: %d, want %d\n%s", account, code, want, p.logText())
 			}
 		}
 	}
@@ -379,11 +382,11 @@
 	until("new", 200)
 	for _, bad := range []string{"wrong = 1\n", "[[route]]\nname = \"more\"\n"} {
 		p.write(bad)
-		n := strings.Count(p.logged(), "is not used")
+		n := strings.Count(p.logText(), "is not used")
 		p.signal(syscall.SIGHUP)
-		for end := time.Now().Add(peer.Patient); strings.Count(p.logged(), "is not used") == n; time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(peer.Patient); strings.Count(p.logText(), "is not used") == n; time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("%q is not refused\n%s", bad, p.logged())
+				t.Fatalf("%q is not rejected\n%s", bad, p.logText())
 			}
 		}
 	}
@@ -393,7 +396,8 @@
 	until("new", 401)
 }
 
-// The command line says what is wrong in one line, without starting, and its exit code says of what kind it is.
+// TestForwardAuthCommandLine verifies the exit codes of the commands, and that an error is reported in one line before
+// the service starts.
 func TestForwardAuthCommandLine(t *testing.T) {
 	line := func(in string, args ...string) (code int, out, errs string) {
 		var o, e bytes.Buffer
@@ -432,7 +436,7 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	s := fmt.Sprintf(text, "127.0.0.1:1", "127.0.0.1:1", "127.0.0.1:0", ln.Addr().String(), sha256.Sum256(nil), sha256.Sum256([]byte("x")))
+	s := fmt.Sprintf(configFormat, "127.0.0.1:1", "127.0.0.1:1", "127.0.0.1:0", ln.Addr().String(), sha256.Sum256(nil), sha256.Sum256([]byte("x")))
 	os.WriteFile(bad, []byte(s), 0o600)
 	if code, _, errs := line("", "run", bad, "--log-format", "json"); code != cli.Failed || !strings.Contains(errs, "listener http") {
 		t.Errorf("an address in use: %d %q", code, errs)
--- a/cmd/gapgapd/power_test.go
+++ b/cmd/gapgapd/power_test.go
@@ -23,32 +23,32 @@
 	"gapgap/internal/service/hosted"
 )
 
-// recorder is the real program with a disk that is written down.
-var recorder, removeRecorder = program.BuiltFrom("gapgapd-recorded", ".", "-tags", "powertest")
+// recordingBinary returns the path of a gapgapd binary that records all changes to its state directory.
+var recordingBinary, removeRecordingBinary = program.BuiltFrom("gapgapd-recorded", ".", "-tags", "powertest")
 
-const remembers = "remember = \"disk\"\n"
+const rememberLine = "remember = \"disk\"\n"
 
-// powered starts a fleet whose disks are written down.
-func powered(t *testing.T, doors int, seed uint64, more string) *rig.Rig {
+// startRecordedFleet starts a fleet whose disks are recorded.
+func startRecordedFleet(t *testing.T, gateways int, seed uint64, more string) *rig.Rig {
 	t.Helper()
-	path, err := recorder()
+	path, err := recordingBinary()
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := rig.Start(rig.Config{Program: path, Dir: t.TempDir(), Doors: doors, Fleet: true, Plan: rig.Plan, Seed: seed, Record: true, Change: remembers, Calm: 6,
+	r, err := rig.Start(rig.Config{Program: path, Dir: t.TempDir(), Doors: gateways, Fleet: true, Plan: rig.Plan, Seed: seed, Record: true, Change: rememberLine, Calm: 6,
 		Work: 4 * time.Millisecond, InFleet: "[fleet.remember]\nfor = \"1m\"\n" + more})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(r.Close)
 	for _, d := range r.Doors {
-		opens(t, d)
+		waitUntilOpen(t, d)
 	}
 	return r
 }
 
-// back is how far a door has come.
-func back(d *rig.Door) (v hosted.RecoveryView, err error) {
+// recoveryView returns a gateway's recovery progress.
+func recoveryView(d *rig.Door) (v hosted.RecoveryView, err error) {
 	res, err := d.Operators(http.MethodGet, "/fleet/recovery")
 	if err != nil {
 		return v, err
@@ -61,12 +61,12 @@
 	return v, json.Unmarshal(b, &v)
 }
 
-// opens waits until a door lets clients in.
-func opens(t *testing.T, d *rig.Door) hosted.RecoveryView {
+// waitUntilOpen waits until a gateway accepts clients.
+func waitUntilOpen(t *testing.T, d *rig.Door) hosted.RecoveryView {
 	t.Helper()
 	var v hosted.RecoveryView
 	if took, err := rig.Within(20*time.Second, func() (err error) {
-		if v, err = back(d); err == nil && !v.Open {
+		if v, err = recoveryView(d); err == nil && !v.Open {
 			err = fmt.Errorf("%s is at %+v", d.Name, v.Steps)
 		}
 		return err
@@ -76,11 +76,13 @@
 	return v
 }
 
-// load floods a fleet in every way until it is stopped, and then checks all books: no change had two effects, no more went out than the ceiling's store holds, no cold
-// server was sent more than it bears, each request to a door that was there had its one answer.
+// startLoad floods a fleet with all kinds of requests until stop is called, which then checks the records: no change
+// had two effects, no more was admitted than the ceiling's bucket allows, no cold server got more than its slow-start
+// capacity, and each request to a running gateway got exactly one response.
 //
-// With a policy nobody is decided by an earlier version a quarter of a second after somebody was by a later one, power lost or not.
-func load(t *testing.T, r *rig.Rig, seed uint64) (stop func() *rig.ChangeBook) {
+// With a shared policy, no request is decided by an earlier version more than 250 ms after another one was decided by a
+// later version, also across a power loss.
+func startLoad(t *testing.T, r *rig.Rig, seed uint64) (stop func() *rig.ChangeBook) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	var flood *rig.Book
@@ -98,19 +100,19 @@
 		wg.Wait()
 		twice, effects := r.Twice()
 		over, pushed := flood.Worst(10, 20), r.Pushed()
-		t.Logf("seed %d: %d changes, %d served, %d had an effect, %d had it twice; %.1f over the ceiling's store; %.0f over what cold servers bear", seed, len(changes.Keys),
+		t.Logf("seed %d: %d changes, %d served, %d had an effect, %d had it twice; %.1f over the ceiling's bucket; %.0f over the capacity of cold servers", seed, len(changes.Keys),
 			changes.Served(), effects, len(twice), over, pushed)
 		if len(twice) > 0 {
 			t.Errorf("seed %d: changes with two effects: %v", seed, twice)
 		}
 		if over > 3.5 || pushed > 0 {
-			t.Errorf("seed %d: %.1f over the ceiling's store, %.0f over what cold servers bear", seed, over, pushed)
+			t.Errorf("seed %d: %.1f over the ceiling's bucket, %.0f over the capacity of cold servers", seed, over, pushed)
 		}
 		if window := flood.Window(); window > 250*time.Millisecond {
-			t.Errorf("seed %d: somebody was decided by an earlier version %v after the first by a later one", seed, window)
+			t.Errorf("seed %d: a request was decided by an earlier version %v after the first by a later one", seed, window)
 		}
 		for _, l := range flood.Lost {
-			t.Errorf("seed %d: no answer: %s", seed, l)
+			t.Errorf("seed %d: no response: %s", seed, l)
 		}
 		if changes.Served() < len(changes.Keys)/4 {
 			t.Errorf("seed %d: %d of %d changes were served", seed, changes.Served(), len(changes.Keys))
@@ -119,10 +121,10 @@
 	})
 }
 
-// changes has the fleet's policy change all the time. The end of it returns the last version of which an operator heard that it was taken; one that was taken later with nobody to
-// hear of it is put back to that by a last change.
-func changes(t *testing.T, r *rig.Rig) (end func() uint64) {
-	doc := present(t, r.Doors[0])
+// startPolicyChanges changes the fleet's policy continuously until end is called. end returns the last version that was
+// reported as committed. Because a later change may have been committed without a response, end makes one more change.
+func startPolicyChanges(t *testing.T, r *rig.Rig) (end func() uint64) {
+	doc := currentPolicy(t, r.Doors[0])
 	ctx, cancel := context.WithCancel(context.Background())
 	last := uint64(0)
 	var wg sync.WaitGroup
@@ -130,7 +132,7 @@
 		res, err := propose(r.Doors[n%len(r.Doors)], url.Values{"id": {fmt.Sprint("p", n)}, "wait": {wait}}, doc+fmt.Sprintf("\n# %d\n", n))
 		if err == nil && res.Taken {
 			if res.Version < last {
-				t.Errorf("version %d was taken after %d", res.Version, last)
+				t.Errorf("version %d was committed after %d", res.Version, last)
 			}
 			last = res.Version
 		}
@@ -151,42 +153,43 @@
 				return last
 			}
 		}
-		t.Errorf("no change is taken any more; the last one was %d", before)
+		t.Errorf("no change is committed any more; the last version was %d", before)
 		return last
 	}
 }
 
-// The power of five doors, the servers and the counter (which comes back empty, with its numbers, or with older ones) is cut at moments by chance, also amid the recovery from the cut before; each disk then has what was synced and any part of the rest. In waves or
-// at once it comes back.
+// TestPowerCuts verifies the checks of startLoad across power losses of five gateways, the servers and the counter at
+// random times, also during the recovery from the previous loss. Each disk then has all synced data and any part of the
+// rest; the counter returns empty, with its values or with older ones. The gateways return at once or in waves.
 func TestPowerCuts(t *testing.T) {
 	t.Parallel()
-	plays, cuts := 5, 11 // 55 in all
+	runs, cuts := 5, 11 // 55 losses in total
 	if race.On {
-		plays, cuts = 1, 5
+		runs, cuts = 1, 5
 	}
-	slots := make(chan struct{}, 2) // so many fleets at once leave a small machine room
-	for seed := range uint64(plays) {
+	slots := make(chan struct{}, 2) // more fleets at once would overload a small machine
+	for seed := range uint64(runs) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			slots <- struct{}{}
 			defer func() { <-slots }()
 			rng := rand.New(rand.NewPCG(seed, 36))
 			more := ""
-			if seed >= 3 || race.On { // with changes of one policy under way
+			if seed >= 3 || race.On { // with concurrent policy changes
 				more = "[fleet.policy]\ngive_up = \"3s\"\n"
 			}
-			r := powered(t, 5, seed, more)
-			stop := load(t, r, seed)
+			r := startRecordedFleet(t, 5, seed, more)
+			stop := startLoad(t, r, seed)
 			taken := func() uint64 { return 0 }
 			if more != "" {
-				taken = changes(t, r)
+				taken = startPolicyChanges(t, r)
 			}
 			for range cuts {
 				older := r.Counter.Numbers()
 				time.Sleep(time.Duration(rng.Int64N(int64(2200 * time.Millisecond))))
 				last := r.Counter.Numbers()
 				r.PowerCut()
-				switch rng.IntN(3) { // else it is empty
+				switch rng.IntN(3) { // otherwise it returns empty
 				case 0:
 					last()
 				case 1:
@@ -213,13 +216,13 @@
 				if err := d.Ready(); err != nil {
 					t.Fatal(err)
 				}
-				opens(t, d)
+				waitUntilOpen(t, d)
 			}
 			time.Sleep(3 * time.Second)
 			if last := taken(); more != "" {
-				t.Logf("seed %d: version %d was taken", seed, last)
+				t.Logf("seed %d: version %d was committed", seed, last)
 				for _, d := range r.Doors {
-					goesBy(t, r, d, last)
+					waitForVersion(t, r, d, last)
 				}
 			}
 			if stop(); t.Failed() {
@@ -231,7 +234,9 @@
 	}
 }
 
-// What a disk may have that is not what its door left there: each has its outcome, in one line of the log or of what operators are shown, and no change has two effects.
+// TestPowerBadDisks verifies the outcome of starting with a state directory that differs from what the gateway wrote
+// last. Each case is reported in one line of the log or of the recovery that operators see, and no change has two
+// effects.
 func TestPowerBadDisks(t *testing.T) {
 	t.Parallel()
 	edit := func(file string, do func(b []byte) []byte) func(image, old, other map[string][]byte) map[string][]byte {
@@ -247,7 +252,7 @@
 	for name, c := range map[string]struct {
 		disk   func(image, old, other map[string][]byte) map[string][]byte
 		starts bool
-		says   string // in the log, or in what is shown of its recovery
+		says   string // in the log or in the recovery view
 	}{
 		"empty":       {func(_, _, _ map[string][]byte) map[string][]byte { return nil }, true, "its disk is empty: keys that it may have forgotten must be over first"},
 		"yesterday's": {func(_, old, _ map[string][]byte) map[string][]byte { return old }, true, "its disk is older than one that it had"},
@@ -260,13 +265,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := powered(t, 3, 7, "")
-			old, err := r.Doors[1].Disk() // with no key in it yet
+			r := startRecordedFleet(t, 3, 7, "")
+			old, err := r.Doors[1].Disk() // without any keys yet
 			if err != nil {
 				t.Fatal(err)
 			}
-			stop := load(t, r, 7)
-			time.Sleep(2500 * time.Millisecond) // the others have noted how much its disk had
+			stop := startLoad(t, r, 7)
+			time.Sleep(2500 * time.Millisecond) // meanwhile the others record how much its disk has
 			r.PowerCut()
 			image, err := r.Doors[1].Disk()
 			other, err2 := r.Doors[0].Disk()
@@ -275,10 +280,10 @@
 			}
 			d := r.Doors[1]
 			if _, err := rig.Within(8*time.Second, func() error {
-				v, _ := back(d)
+				v, _ := recoveryView(d)
 				b, err := json.Marshal(v)
 				if err == nil && !strings.Contains(string(b), c.says) && !strings.Contains(d.Log(), c.says) {
-					err = fmt.Errorf("%q is said nowhere", c.says)
+					err = fmt.Errorf("%q is not reported", c.says)
 				}
 				return err
 			}); err != nil {
@@ -287,9 +292,9 @@
 			if err := d.Ready(); (err == nil) != c.starts {
 				t.Errorf("starts: %v", err)
 			}
-			opens(t, r.Doors[0])
+			waitUntilOpen(t, r.Doors[0])
 			if c.starts {
-				opens(t, d)
+				waitUntilOpen(t, d)
 			}
 			time.Sleep(1500 * time.Millisecond)
 			stop()
@@ -297,14 +302,15 @@
 	}
 }
 
-// A disk that is full, read-only or slow by seconds while the fleet serves: its voter says nothing, the others go on, and once it can be written it takes part again.
+// TestPowerDiskFaults verifies that with a full, read-only or slow disk at one gateway its voter does not answer for
+// keys while the others keep serving, and that it takes part again once the disk is writable.
 func TestPowerDiskFaults(t *testing.T) {
 	t.Parallel()
 	for _, what := range []string{"full", "readonly", "slow 2s"} {
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
-			r := powered(t, 3, 9, "")
-			stop := load(t, r, 9)
+			r := startRecordedFleet(t, 3, 9, "")
+			stop := startLoad(t, r, 9)
 			time.Sleep(time.Second)
 			d := r.Doors[2]
 			if err := d.Fault(what); err != nil {
@@ -325,7 +331,7 @@
 				}
 			}
 			time.Sleep(time.Second)
-			r.PowerCut() // what was kept while the disk was bad counts
+			r.PowerCut() // after this only the keys stored during the fault count
 			for _, d := range r.Doors {
 				if err := d.Leave(power.Lost, rand.New(rand.NewPCG(1, 1))); err != nil {
 					t.Fatal(err)
@@ -342,27 +348,27 @@
 	}
 }
 
-// Two doors of five have power: without the others each goes on alone, changes are refused with when to come back, the rest is served; those that come a while
-// later join without disturbing anybody.
+// TestPowerReturnsInWaves verifies that after a power loss two of five gateways serve without the others: changes are
+// rejected with a retry delay, all other requests are served. The gateways that return later join without disruption.
 func TestPowerReturnsInWaves(t *testing.T) {
 	t.Parallel()
-	r := powered(t, 5, 11, "")
-	stop := load(t, r, 11)
+	r := startRecordedFleet(t, 5, 11, "")
+	stop := startLoad(t, r, 11)
 	time.Sleep(time.Second)
 	r.PowerCut()
-	if err := r.PowerOn(3, 4); err != nil { // neither votes on keys
+	if err := r.PowerOn(3, 4); err != nil { // neither is a voter for keys
 		t.Fatal(err)
 	}
 	for _, n := range []int{3, 4} {
 		if err := r.Doors[n].Ready(); err != nil {
 			t.Fatal(err)
 		}
-		v := opens(t, r.Doors[n])
+		v := waitUntilOpen(t, r.Doors[n])
 		if s := v.Steps[2]; s.State != "passed" || !strings.Contains(s.Detail, "1 of 4 other doors are there") {
 			t.Errorf("%s: %+v", r.Doors[n].Name, s)
 		}
 	}
-	time.Sleep(4 * time.Second) // a cold server of which nothing is known has its first request within 5 s
+	time.Sleep(4 * time.Second) // a cold server with unknown state gets its first request within 5 s
 	ctx, cancel := context.WithTimeout(context.Background(), 4*time.Second)
 	calm := r.Calm(ctx, 250*time.Millisecond)
 	cancel()
@@ -375,7 +381,7 @@
 		}
 	}
 	if served < at*8/10 || at == 0 {
-		t.Errorf("two of five doors serve %d of %d", served, at)
+		t.Errorf("two of five gateways serve %d of %d", served, at)
 	}
 	for _, n := range []int{0, 1, 2} {
 		if err := r.Doors[n].Restart(); err != nil {
@@ -383,7 +389,7 @@
 		}
 	}
 	for _, d := range r.Doors[:3] {
-		opens(t, d)
+		waitUntilOpen(t, d)
 	}
 	if took, err := rig.Within(10*time.Second, func() error { return r.Alike(0, 1, 2, 3, 4) }); err != nil {
 		t.Errorf("after %v: %v", took, err)
@@ -392,7 +398,8 @@
 	stop()
 }
 
-// Without [fleet] there is no recovery and no disk; a class that is to be remembered without [fleet.remember] is refused with its line.
+// TestPowerIsOffByDefault verifies that without [fleet] there is no recovery and nothing is stored on disk, and that a
+// class with remember but without [fleet.remember] is rejected with its line.
 func TestPowerIsOffByDefault(t *testing.T) {
 	t.Parallel()
 	path, err := binary()
@@ -414,15 +421,16 @@
 	}
 }
 
-// A door comes back after the loss of power with a clock that is an hour back, or a day ahead: it would name numbers of the counter that no other door
-// names, and let through the whole ceiling once more. It finds out by what the others say of their clocks, says so and takes no share of ceilings; once its clock is set
-// and it is started anew all is as before.
+// TestPowerWrongClock verifies that a gateway whose clock is an hour behind or a day ahead after a power loss detects
+// this from the others' clocks, logs it and takes no share of ceilings. Otherwise it would use counter windows that no
+// other gateway uses, and admit the whole ceiling once more. After its clock is set and it is restarted it works as
+// before.
 func TestPowerWrongClock(t *testing.T) {
 	t.Parallel()
 	for _, ahead := range []time.Duration{-time.Hour, 24 * time.Hour} {
 		t.Run(ahead.String(), func(t *testing.T) {
 			t.Parallel()
-			path, err := recorder()
+			path, err := recordingBinary()
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -433,14 +441,14 @@
 			t.Cleanup(r.Close)
 			flood := func(lasts time.Duration) {
 				t.Helper()
-				time.Sleep(2500 * time.Millisecond) // a door that has just started begins with an empty share
+				time.Sleep(2500 * time.Millisecond) // a gateway starts with an empty share
 				ctx, stop := context.WithTimeout(context.Background(), lasts)
 				defer stop()
 				b := r.Flood(ctx, 10*time.Millisecond, 0, 1, 2)
 				over, from, to := b.WorstStretch(10, 20)
-				t.Logf("%d let through in %v, %.1f over the store from %v to %v; by door %d, %d, %d", len(b.Served), lasts, over, from, to, b.In(0, lasts, 0), b.In(0, lasts, 1), b.In(0, lasts, 2))
+				t.Logf("%d admitted in %v, %.1f over the bucket from %v to %v; by gateway %d, %d, %d", len(b.Served), lasts, over, from, to, b.In(0, lasts, 0), b.In(0, lasts, 1), b.In(0, lasts, 2))
 				if over > 3.5 || len(b.Lost) > 0 || b.In(0, lasts, 0)+b.In(0, lasts, 1) < 40 {
-					t.Errorf("%.1f over the ceiling's store; lost %v", over, b.Lost)
+					t.Errorf("%.1f over the ceiling's bucket; lost %v", over, b.Lost)
 				}
 			}
 			d := r.Doors[2]
@@ -454,7 +462,7 @@
 			restart(ahead)
 			if took, err := rig.Within(5*time.Second, func() error {
 				if s, err := d.Status(); err != nil || !s.WrongClock {
-					return fmt.Errorf("it has not found out: %+v, %w", s, err)
+					return fmt.Errorf("it has not detected the wrong clock: %+v, %w", s, err)
 				}
 				return nil
 			}); err != nil {
@@ -462,7 +470,7 @@
 			}
 			for _, o := range r.Doors[:2] {
 				if s, err := o.Status(); err != nil || s.WrongClock {
-					t.Errorf("%s takes its own clock for wrong: %v", o.Name, err)
+					t.Errorf("%s considers its own clock wrong: %v", o.Name, err)
 				}
 			}
 			flood(10 * time.Second)
