--- a/cmd/benchmark/ceilings.go
+++ b/cmd/benchmark/ceilings.go
@@ -23,7 +23,7 @@
 	ceilingRequestTimeout = 2 * time.Second
 )
 
-// ceilingPlan is the plan of a case that was measured on a real deployment.
+// ceilingPlan is the plan of a case found by external measurement.
 var ceilingPlan = balancer.Plan{
 	Rate:            5,
 	Burst:           10,
