--- a/cmd/gapgapd/policy_test.go
+++ b/cmd/gapgapd/policy_test.go
@@ -112,7 +112,7 @@
 
 // TestPolicyReturnsToThePresentVersion verifies that a gateway that was down during a policy change applies the current
 // version when it returns, not the one of its old configuration file. The change lowers a ceiling from 10 to 3. It
-// waits for the gateway until an operator declares that gateway to be down.
+// waits for the gateway until an operator declares that gateway to be down. The case was found by external measurement.
 func TestPolicyReturnsToThePresentVersion(t *testing.T) {
 	t.Parallel()
 	r := startPolicyFleet(t, 3, "give_up = \"2s\"\n")
