--- a/internal/balancer/ceilinglease/turns_test.go
+++ b/internal/balancer/ceilinglease/turns_test.go
@@ -19,7 +19,7 @@
 			lastTurns[i] = -1
 		}
 		level, lastUseAt, units := c.depth, time.Duration(0), 0
-		start := 20 * time.Second // all turns that are open when the load starts are lastTurns at once
+		start := 20 * time.Second // all turns that are open when the load starts are used at once
 		end := start + 200*time.Second
 		for now := start; now < end; now += 10 * time.Millisecond {
 			for i := range lastTurns {
