--- a/internal/policyreplica/config.go
+++ b/internal/policyreplica/config.go
@@ -10,6 +10,7 @@
 
 const (
 	// minGatewaysForThreeVoters and minGatewaysForFiveVoters are the smallest fleets that have that many voters.
+	// More voters make a majority survive more failures: one of three voters may fail, and two of five.
 	minGatewaysForThreeVoters = 3
 	minGatewaysForFiveVoters  = 20
 )
