--- a/internal/service/hosted/policy.go
+++ b/internal/service/hosted/policy.go
@@ -16,7 +16,7 @@
 const switchTimeout = 2 * time.Second
 
 var (
-	errNoVersion   = errors.New("this gateway has not yet received the cluster's policy")
+	errNoVersion   = errors.New("this door has not yet learned the fleet's policy")
 	errNotBuilt    = errors.New("the policy is not a built policy document")
 	errLoopStalled = errors.New("a pool's event loop does not respond")
 )
