--- a/internal/balancer/countercall.go
+++ b/internal/balancer/countercall.go
@@ -18,8 +18,8 @@
 
 // Limits on how often the counter is called.
 const (
-	// maxCallsOut is the maximum number of totals with pending calls.
-	maxCallsOut = 32
+	// maxPendingCalls is the maximum number of totals with pending calls.
+	maxPendingCalls = 32
 	// minCallFraction is the minimum fraction of the requests without tokens that call the counter.
 	minCallFraction = 0.1
 	// callLatencyTarget is the target latency of a call as a fraction of its timeout. Slower answers reduce the call
@@ -141,7 +141,7 @@
 func (calls *counterCalls) isHealthy() bool { return calls.callFraction > degradedCallFraction }
 
 // isFull reports whether the limit of pending calls is reached.
-func (calls *counterCalls) isFull() bool { return len(calls.out) >= maxCallsOut }
+func (calls *counterCalls) isFull() bool { return len(calls.out) >= maxPendingCalls }
 
 // add records a call that is sent for a total.
 func (calls *counterCalls) add(name uint64, call *counterCall) {
