--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -89,7 +89,7 @@
 		rng:       rand.New(rand.NewPCG(seed, 1)),
 		requests:  map[uint64]*request{},
 		customers: newCustomerTable(),
-		counter:   counterCalls{out: map[uint64][]*counterCall{}},
+		counter:   counterCalls{pending: map[uint64][]*counterCall{}},
 	}
 	b.share.excluded = settings.LeasedShares // until the first ShareUpdate
 	b.applySettings(settings, nil)
--- a/internal/balancer/countercall.go
+++ b/internal/balancer/countercall.go
@@ -119,8 +119,8 @@
 // counterCalls tracks this gateway's calls to the counter. The counter's state is known only from its answers: each
 // timely answer increases the fraction of requests that call it, each late or failed one decreases it.
 type counterCalls struct {
-	// out holds the pending calls by the counter's name for their total, in the order in which they were sent.
-	out map[uint64][]*counterCall
+	// pending holds the pending calls by the counter's name for their total, in the order in which they were sent.
+	pending map[uint64][]*counterCall
 	// timedOut holds timed-out calls that may still be answered.
 	timedOut timedOutCalls
 	// callFraction is the fraction of the requests without tokens that call the counter, from 0 to 1.
@@ -141,23 +141,23 @@
 func (calls *counterCalls) isHealthy() bool { return calls.callFraction > degradedCallFraction }
 
 // isFull reports whether the limit of pending calls is reached.
-func (calls *counterCalls) isFull() bool { return len(calls.out) >= maxPendingCalls }
+func (calls *counterCalls) isFull() bool { return len(calls.pending) >= maxPendingCalls }
 
 // add records a call that is sent for a total.
 func (calls *counterCalls) add(name uint64, call *counterCall) {
-	calls.out[name] = append(calls.out[name], call)
+	calls.pending[name] = append(calls.pending[name], call)
 }
 
 // take removes and returns the call to which an answer belongs, or nil. Answers for the same total arrive in the order
 // of the calls.
 func (calls *counterCalls) take(name uint64) *counterCall {
-	pending := calls.out[name]
+	pending := calls.pending[name]
 	if len(pending) == 0 {
 		return nil
 	}
-	calls.out[name] = pending[1:]
+	calls.pending[name] = pending[1:]
 	if len(pending) == 1 {
-		delete(calls.out, name)
+		delete(calls.pending, name)
 	}
 	return pending[0]
 }
