--- a/internal/balancer/ceiling.go
+++ b/internal/balancer/ceiling.go
@@ -104,8 +104,8 @@
 	return max(0, turn)
 }
 
-// drawTurn uses the gateway's turn at the time for which a request was placed. It reports whether the turn was unused.
-func (ceiling *ceilingState) drawTurn(turns ceilinglease.Turns, gateway int, at time.Duration) bool {
+// useTurn uses the gateway's turn at the time for which a request was placed. It reports whether the turn was unused.
+func (ceiling *ceilingState) useTurn(turns ceilinglease.Turns, gateway int, at time.Duration) bool {
 	if turn, _ := turns.At(at, gateway); ceiling.lastTurn(turns, gateway) >= turn {
 		return false
 	}
@@ -221,10 +221,10 @@
 	case !hasTurns:
 		return ceiling.drawShare(req)
 	case req.ceiling.turnAt > 0:
-		return ceiling.drawTurn(turns, b.settings.Index, req.ceiling.turnAt)
+		return ceiling.useTurn(turns, b.settings.Index, req.ceiling.turnAt)
 	}
 	_, open := turns.At(b.now, b.settings.Index)
-	return open && ceiling.drawTurn(turns, b.settings.Index, b.now)
+	return open && ceiling.useTurn(turns, b.settings.Index, b.now)
 }
 
 // drawBeyondShare takes units that came from another source from this gateway's share as well. The lower limit is the
--- a/internal/balancer/termschange_test.go
+++ b/internal/balancer/termschange_test.go
@@ -372,7 +372,7 @@
 	if !ok {
 		t.Fatal("the plan has no turns")
 	}
-	cust.ceiling.drawTurn(turns, b.settings.Index, time.Hour)
+	cust.ceiling.useTurn(turns, b.settings.Index, time.Hour)
 	next := settings
 	next.Plans = slices.Clone(settings.Plans)
 	next.Plans[1].CeilingRate = 15
