--- a/internal/balancer/ceiling.go
+++ b/internal/balancer/ceiling.go
@@ -22,8 +22,8 @@
 type ceilingSource int
 
 const (
-	// fromEvenShare means this gateway's share of the ceiling.
-	fromEvenShare ceilingSource = iota
+	// fromOwnShare means this gateway's share of the ceiling.
+	fromOwnShare ceilingSource = iota
 	// fromQuota means that the quota's bucket on the counter has paid for the request. That bucket bounds what all
 	// gateways send together.
 	fromQuota
@@ -203,8 +203,8 @@
 	switch {
 	case req.ceiling.source == fromQuota && b.hasSparseShares(cust, plan):
 		return true
-	case req.ceiling.source == fromEvenShare:
-		return b.drawEvenShare(req, plan)
+	case req.ceiling.source == fromOwnShare:
+		return b.drawOwnShare(req, plan)
 	case req.ceiling.source == fromLease:
 		return b.drawLeasedUnits(req, plan)
 	}
@@ -212,9 +212,9 @@
 	return true
 }
 
-// drawEvenShare takes a request's units from this gateway's share, or uses the turn for which the request was placed,
+// drawOwnShare takes a request's units from this gateway's share, or uses the turn for which the request was placed,
 // which is the current turn if none was recorded. It reports whether they were available.
-func (b *Balancer) drawEvenShare(req *request, plan *Plan) bool {
+func (b *Balancer) drawOwnShare(req *request, plan *Plan) bool {
 	ceiling := &req.customer.ceiling
 	turns, hasTurns := b.sparseTurns(req.customer, plan)
 	switch {
@@ -248,7 +248,7 @@
 	req.ceiling.leaseWindow = 0
 	req.ceiling.turnAt = 0
 	switch source {
-	case fromEvenShare:
+	case fromOwnShare:
 		cust.ceiling.reserved += req.units
 		if _, ok := b.sparseTurns(cust, plan); ok {
 			req.ceiling.turnAt = b.now
@@ -266,7 +266,7 @@
 	req.ceiling.reserved = false
 	ceiling := &req.customer.ceiling
 	switch {
-	case req.ceiling.source == fromEvenShare:
+	case req.ceiling.source == fromOwnShare:
 		ceiling.reserved -= req.units
 	case req.ceiling.source == fromLease && !dispatched:
 		req.ceiling.lease.takeBack(b.now, req)
--- a/internal/balancer/ceilinglease.go
+++ b/internal/balancer/ceilinglease.go
@@ -130,7 +130,7 @@
 		current := b.currentLease(req)
 		switch {
 		case current == nil:
-			return b.drawEvenShare(req, plan)
+			return b.drawOwnShare(req, plan)
 		case current.capacity(b.now, req) < req.units:
 			return false
 		}
--- a/internal/balancer/quota.go
+++ b/internal/balancer/quota.go
@@ -111,15 +111,15 @@
 	leased := check.lease != nil
 	switch {
 	case decision == quotaExceeded && leased && b.leaseCeiling(check) == quotaPending:
-		return fromEvenShare, quotaPending
+		return fromOwnShare, quotaPending
 	case decision != quotaCovered:
-		return fromEvenShare, decision
+		return fromOwnShare, decision
 	case req.quota.onCredit:
 		req.level += priorityBands
 	case leased && req.quota.paidByCounter && b.isBucketReliable(req.customer, plan):
 		return fromQuota, quotaCovered
 	}
-	return fromEvenShare, quotaCovered
+	return fromOwnShare, quotaCovered
 }
 
 // spendWithoutQuota is spendUnits for a plan without a quota. Such a request is promoted only if its plan limits the
@@ -129,7 +129,7 @@
 		check.request.level += priorityBands
 	}
 	if check.lease == nil {
-		return fromEvenShare, quotaCovered
+		return fromOwnShare, quotaCovered
 	}
 	return fromLease, b.leaseCeiling(check)
 }
@@ -154,7 +154,7 @@
 	if leased := b.leasableCeiling(req); leased != nil {
 		return fromLease, leased.capacity(b.now, req)
 	}
-	return fromEvenShare, b.ceilingCapacity(req, plan)
+	return fromOwnShare, b.ceilingCapacity(req, plan)
 }
 
 // refillTime estimates the time until the customer's quota has the requested units again, for Retry-After.
--- a/internal/balancer/request.go
+++ b/internal/balancer/request.go
@@ -74,7 +74,7 @@
 	// Both are used with source fromLease.
 	lease       *leasedCeiling
 	leaseWindow int64
-	// turnAt is a time within the gateway's turn that the request uses, if source is fromEvenShare and the share is
+	// turnAt is a time within the gateway's turn that the request uses, if source is fromOwnShare and the share is
 	// used in turns; otherwise 0.
 	turnAt time.Duration
 	// leaseRequested is set once the request has called the counter for a ceiling lease.
--- a/internal/balancer/sparseshare.go
+++ b/internal/balancer/sparseshare.go
@@ -95,7 +95,7 @@
 	switch {
 	case !ceilingShort && quota.fallbackTokens >= req.units:
 		quota.spendShare(req.units)
-		b.reserveCeiling(req, fromEvenShare)
+		b.reserveCeiling(req, fromOwnShare)
 	case quota.hasValidTokens(b.now, req.units):
 		quota.spendTokens(req.units)
 		b.reserveCeiling(req, fromQuota)
--- a/internal/balancer/termschange_test.go
+++ b/internal/balancer/termschange_test.go
@@ -264,7 +264,7 @@
 	reserved := map[*customer]float64{}
 	inFlight := map[*customer]int{}
 	for _, req := range r.balancer.requests {
-		if req.ceiling.reserved && req.ceiling.source == fromEvenShare {
+		if req.ceiling.reserved && req.ceiling.source == fromOwnShare {
 			reserved[req.customer] += req.units
 		}
 		if req.inFlight {
