--- a/internal/balancer/request.go
+++ b/internal/balancer/request.go
@@ -93,8 +93,8 @@
 	mayHaveRun bool
 	// firstRunAt is when the first such attempt was dispatched.
 	firstRunAt time.Duration
-	// firstRunOn is the endpoint of that attempt.
-	firstRunOn *endpoint
+	// firstRunEndpoint is the endpoint of that attempt.
+	firstRunEndpoint *endpoint
 }
 
 // add appends an attempt and numbers it by its position in the order of dispatch.
@@ -129,7 +129,7 @@
 	}
 	h.mayHaveRun = true
 	h.firstRunAt = att.sentAt
-	h.firstRunOn = att.endpoint
+	h.firstRunEndpoint = att.endpoint
 }
 
 // attempt is one dispatch of a request.
--- a/internal/balancer/retry.go
+++ b/internal/balancer/retry.go
@@ -32,7 +32,7 @@
 	case Idempotent:
 		return true
 	case IdempotentByKey:
-		return b.now < b.retryDeadline(req) && isInDedupScope(class.DedupScope, req.attempts.firstRunOn, ep)
+		return b.now < b.retryDeadline(req) && isInDedupScope(class.DedupScope, req.attempts.firstRunEndpoint, ep)
 	default:
 		return false
 	}
