--- a/internal/balancer/largefleet.go
+++ b/internal/balancer/largefleet.go
@@ -98,7 +98,7 @@
 		return quotaPending
 	case b.rng.Float64()*req.units < b.creditProbability(cust, plan):
 		cust.quota.spendShare(req.units)
-		req.quota.onCredit = true
+		req.quota.sentWithoutLease = true
 		return quotaCovered
 	}
 	return quotaExceeded
--- a/internal/balancer/quota.go
+++ b/internal/balancer/quota.go
@@ -114,7 +114,7 @@
 		return fromOwnShare, quotaPending
 	case decision != quotaCovered:
 		return fromOwnShare, decision
-	case req.quota.onCredit:
+	case req.quota.sentWithoutLease:
 		req.level += priorityBands
 	case leased && req.quota.paidByCounter && b.isBucketReliable(req.customer, plan):
 		return fromQuota, quotaCovered
--- a/internal/balancer/request.go
+++ b/internal/balancer/request.go
@@ -56,8 +56,8 @@
 	charged bool
 	// paidByCounter is set if the tokens were leased from the counter.
 	paidByCounter bool
-	// onCredit is set if the request proceeded without leased tokens and without an answer from the counter.
-	onCredit bool
+	// sentWithoutLease is set if the request proceeded without leased tokens and without an answer from the counter.
+	sentWithoutLease bool
 	// counterCalled is set once the request has called the counter.
 	counterCalled bool
 	// counterCalledTwice is set once the request has called the counter a second time. A third call is not allowed.
--- a/internal/balancer/tokenlease.go
+++ b/internal/balancer/tokenlease.go
@@ -67,7 +67,7 @@
 		return quotaPending
 	case !ceilingShort && b.now >= bucket.emptyUntil && b.mayUseCredit(req):
 		quota.spendCredit(req.units)
-		req.quota.onCredit = true
+		req.quota.sentWithoutLease = true
 		return quotaCovered
 	}
 	return quotaExceeded
