--- a/internal/balancer/largefleet.go
+++ b/internal/balancer/largefleet.go
@@ -84,7 +84,7 @@
 	switch {
 	case cust.quota.hasValidTokens(b.now, req.units):
 		cust.quota.spendTokens(req.units)
-		req.quota.paidByCounter = true
+		req.quota.paidByLease = true
 		return quotaCovered
 	case b.hasTokensSoon(req), cust.quota.callPending, b.awaitsLateAnswer(req):
 		return quotaPending
--- a/internal/balancer/quota.go
+++ b/internal/balancer/quota.go
@@ -116,7 +116,7 @@
 		return fromOwnShare, decision
 	case req.quota.sentWithoutLease:
 		req.level += priorityBands
-	case leased && req.quota.paidByCounter && b.isBucketReliable(req.customer, plan):
+	case leased && req.quota.paidByLease && b.isBucketReliable(req.customer, plan):
 		return fromQuota, quotaCovered
 	}
 	return fromOwnShare, quotaCovered
--- a/internal/balancer/request.go
+++ b/internal/balancer/request.go
@@ -54,8 +54,8 @@
 	// charged is set if the request is covered by a quota and its units were spent. A plan without a quota covers
 	// requests without charging them.
 	charged bool
-	// paidByCounter is set if the tokens were leased from the counter.
-	paidByCounter bool
+	// paidByLease is set if the tokens were leased from the counter.
+	paidByLease bool
 	// sentWithoutLease is set if the request proceeded without leased tokens and without an answer from the counter.
 	sentWithoutLease bool
 	// counterCalled is set once the request has called the counter.
--- a/internal/balancer/sparseshare.go
+++ b/internal/balancer/sparseshare.go
@@ -88,7 +88,7 @@
 func (b *Balancer) checkSparseQuota(check *quotaCheck) quotaDecision {
 	req, plan := check.request, check.plan
 	quota := &req.customer.quota
-	req.quota.paidByCounter = false
+	req.quota.paidByLease = false
 	req.level = b.priorityBand(req, plan)
 	b.returnUnusedTokens(req.customer, plan, 1)
 	ceilingShort := check.isCeilingShort()
--- a/internal/balancer/tokenlease.go
+++ b/internal/balancer/tokenlease.go
@@ -38,7 +38,7 @@
 func (b *Balancer) spendTokens(check *quotaCheck) quotaDecision {
 	req, plan, ceilingShort := check.request, check.plan, check.isCeilingShort()
 	quota, bucket := &req.customer.quota, &req.customer.bucket
-	req.quota.paidByCounter = false
+	req.quota.paidByLease = false
 	if b.isLargeFleet() {
 		return b.spendTokensLargeFleet(req, plan)
 	}
@@ -51,7 +51,7 @@
 		return quotaExceeded
 	case quota.hasTokens(req.units):
 		quota.spendTokens(req.units)
-		req.quota.paidByCounter = true
+		req.quota.paidByLease = true
 		if canCall && b.shouldRenewTokens(req) {
 			b.leaseTokens(check)
 		}
