--- a/internal/balancer/doc.go
+++ b/internal/balancer/doc.go
@@ -34,7 +34,7 @@
 // The highest-priority level that holds a request is always open. The oldest request of all open levels is dispatched.
 //
 // This package differs from the paper as follows. tau is capped at the class's latency objective if a later answer has
-// no weight. EQ 3 also applies to guaranteed requests. EQ 4 has a stricter bound (queueShareOfDeadline), and a request
+// no weight. EQ 3 also applies to guaranteed requests. EQ 4 has a stricter bound (queueDeadlineFraction), and a request
 // that would violate it is rejected before it joins the queue, while its client still has time to retry. S is not
 // fixed: it adapts so that queues form in the gateway, where priority levels are respected, and not inside the
 // endpoints. Request costs and endpoint latencies vary. Where many gateways share few endpoints, some decisions are
--- a/internal/balancer/queue.go
+++ b/internal/balancer/queue.go
@@ -11,8 +11,8 @@
 	lowestLevel = 2 * priorityBands
 )
 
-// queueShareOfDeadline is the fraction of the usable time limit that the work of the open levels may take (EQ 4).
-const queueShareOfDeadline = 0.5
+// queueDeadlineFraction is the fraction of the usable time limit that the work of the open levels may take (EQ 4).
+const queueDeadlineFraction = 0.5
 
 // queueEntry is the position of a request in a queue.
 type queueEntry struct {
@@ -169,7 +169,7 @@
 func (b *Balancer) isLevelOpen(req *request, to *endpoint, work float64) bool {
 	meanLatency := b.latency.classes[req.class].meanLatency
 	ahead := (work + to.inFlightWork) * meanLatency * to.latency.factor / to.concurrency.limit
-	return ahead < req.timeLimit.Seconds()*latencyHeadroomFraction*queueShareOfDeadline
+	return ahead < req.timeLimit.Seconds()*latencyHeadroomFraction*queueDeadlineFraction
 }
 
 // reassignQueue assigns the requests queued at an endpoint that is no longer usable to other endpoints. All of them are
