--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -53,10 +53,10 @@
 	unplaced []*request
 	// shortage is the fraction of requests within their quota that find no free slot.
 	shortage float64
-	// maxClassWeight is the largest priority weight of a class, and maxPriority the largest product of a class's
+	// maxClassWeight is the largest priority weight of a class, and maxPriorityWeight the largest product of a class's
 	// priority weight and a plan's priority factor.
-	maxClassWeight float64
-	maxPriority    float64
+	maxClassWeight    float64
+	maxPriorityWeight float64
 
 	endpoints     endpointSet
 	endpointWatch endpointWatch
--- a/internal/balancer/quota.go
+++ b/internal/balancer/quota.go
@@ -97,7 +97,7 @@
 func (b *Balancer) priorityBand(req *request, plan *Plan) int {
 	density := b.latency.classes[req.class].costProfile.Density(req.units)
 	priority := max(minPriority, b.settings.Classes[req.class].PriorityWeight*plan.PriorityFactor*density)
-	return min(priorityBands-1, max(0, int(bandsPerHalving*math.Log2(b.maxPriority/priority))))
+	return min(priorityBands-1, max(0, int(bandsPerHalving*math.Log2(b.maxPriorityWeight/priority))))
 }
 
 // spendUnits takes a request's units from the quota or from the leased ceiling, and lowers the request's priority if no
--- a/internal/balancer/reload.go
+++ b/internal/balancer/reload.go
@@ -19,7 +19,7 @@
 	former := b.latency.classes
 	b.latency.classes = make([]classEstimate, len(settings.Classes))
 	b.maxClassWeight = 0
-	b.maxPriority = 0
+	b.maxPriorityWeight = 0
 	for i, class := range settings.Classes {
 		if i < len(evidenceFrom) && evidenceFrom[i] >= 0 && evidenceFrom[i] < len(former) {
 			b.latency.classes[i] = former[evidenceFrom[i]]
@@ -31,7 +31,7 @@
 		}
 		b.maxClassWeight = max(b.maxClassWeight, class.PriorityWeight)
 		for _, plan := range settings.Plans {
-			b.maxPriority = max(b.maxPriority, class.PriorityWeight*plan.PriorityFactor)
+			b.maxPriorityWeight = max(b.maxPriorityWeight, class.PriorityWeight*plan.PriorityFactor)
 		}
 	}
 }
