--- a/internal/balancer/endpoint.go
+++ b/internal/balancer/endpoint.go
@@ -101,7 +101,7 @@
 		ConcurrencyLimit: ep.concurrency.limit,
 	}
 	for _, dispatch := range ep.slowStart.budget.Dispatches() {
-		state.Sends = append(state.Sends, SlowStartSend(dispatch))
+		state.Dispatches = append(state.Dispatches, SlowStartDispatch(dispatch))
 	}
 	return state
 }
--- a/internal/balancer/golden_test.go
+++ b/internal/balancer/golden_test.go
@@ -571,7 +571,7 @@
 		trace.Bool(s.Ejected)
 		trace.Float(s.LatencyFactor)
 		trace.Float(s.ConcurrencyLimit)
-		for _, e := range s.Sends {
+		for _, e := range s.Dispatches {
 			trace.Duration(e.At)
 			trace.Float(e.Cost)
 		}
--- a/internal/balancer/handoverstate.go
+++ b/internal/balancer/handoverstate.go
@@ -77,12 +77,12 @@
 	// LatencyFactor is the endpoint's latency divided by the mean latency of its classes.
 	LatencyFactor    float64 `json:"Slow"`
 	ConcurrencyLimit float64 `json:"Slots"`
-	// Sends holds the attempts of the last slow-start window.
-	Sends []SlowStartSend `json:"Sends"`
+	// Dispatches holds the attempts of the last slow-start window.
+	Dispatches []SlowStartDispatch `json:"Sends"`
 }
 
-// SlowStartSend is one attempt dispatched to a warming endpoint.
-type SlowStartSend struct {
+// SlowStartDispatch is one attempt dispatched to a warming endpoint.
+type SlowStartDispatch struct {
 	At time.Duration `json:"At"`
 	// Cost is the work of the attempt, in mean requests of its class.
 	Cost float64 `json:"Size"`
--- a/internal/balancer/slowstart.go
+++ b/internal/balancer/slowstart.go
@@ -39,7 +39,7 @@
 func (s *slowStartState) restore(from *EndpointHandover) {
 	s.active = from.WarmingUp
 	s.since = from.WarmUpFrom
-	for _, dispatch := range from.Sends {
+	for _, dispatch := range from.Dispatches {
 		s.budget.RecordDispatch(dispatch.At, dispatch.Cost)
 	}
 }
