--- a/internal/balancer/loan_test.go
+++ b/internal/balancer/loan_test.go
@@ -31,7 +31,7 @@
 					}
 				}
 			}
-			worst = max(worst, fleet.over, fleet.excess)
+			worst = max(worst, fleet.maxOverdraft, fleet.maxShareExcess)
 		})
 		if !fromArrival && worst > 1e-6 || fromArrival && worst < 0.5 {
 			t.Errorf("counted from arrival %v: %.1f units over the ceiling, or shared out beyond it",
@@ -64,9 +64,9 @@
 					}
 				}
 			}
-			if one < 95 || fleet.over > 1e-6 || fleet.loans == 0 || min(each[0], each[1], each[2]) < 20 {
+			if one < 95 || fleet.maxOverdraft > 1e-6 || fleet.loans == 0 || min(each[0], each[1], each[2]) < 20 {
 				t.Fatalf("policy %v: %d of 100 admitted at one gateway, %v at all, %.2f over the ceiling, %d loans",
-					policy, one, each, fleet.over, fleet.loans)
+					policy, one, each, fleet.maxOverdraft, fleet.loans)
 			}
 		}
 	})
--- a/internal/balancer/share_test.go
+++ b/internal/balancer/share_test.go
@@ -34,7 +34,7 @@
 			fleet.request(gateway, now)
 		}
 	}
-	return max(fleet.over, fleet.excess)
+	return max(fleet.maxOverdraft, fleet.maxShareExcess)
 }
 
 // TestLeasedSharesHoldCeiling verifies that gateways never admit more than the ceiling's bucket holds, regardless of
@@ -86,8 +86,8 @@
 						got++
 					}
 				}
-				if fleet.over > 1e-6 || known && got != 9 || !known && got != 0 {
-					t.Fatalf("%d units admitted at once, %.1f over the ceiling", got, fleet.over)
+				if fleet.maxOverdraft > 1e-6 || known && got != 9 || !known && got != 0 {
+					t.Fatalf("%d units admitted at once, %.1f over the ceiling", got, fleet.maxOverdraft)
 				}
 			})
 		})
--- a/internal/balancer/sharingfleet_test.go
+++ b/internal/balancer/sharingfleet_test.go
@@ -24,11 +24,11 @@
 	lastID            uint64
 	ceiling           quotashare.Bucket
 	// level is the level of the ceiling's bucket at levelAt, and over is the furthest that it fell below 0.
-	level   float64
-	levelAt time.Duration
-	over    float64
-	// excess is the largest amount by which the sum of the gateways' buckets exceeded the ceiling's bucket.
-	excess float64
+	level        float64
+	levelAt      time.Duration
+	maxOverdraft float64
+	// maxShareExcess is the largest amount by which the sum of the gateways' buckets exceeded the ceiling's bucket.
+	maxShareExcess float64
 	// messages holds the loan messages in transit. delay returns the transit time of a message.
 	messages []loanMessage
 	delay    func() time.Duration
@@ -103,7 +103,7 @@
 	fleet.levelAt = now
 	if admitted {
 		fleet.level--
-		fleet.over = max(fleet.over, -fleet.level)
+		fleet.maxOverdraft = max(fleet.maxOverdraft, -fleet.level)
 	}
 	sum := quotashare.Bucket{}
 	for _, b := range fleet.gateways {
@@ -112,7 +112,7 @@
 			sum = sum.Add(b.ceilingShare(cust, &b.settings.Plans[0]))
 		}
 	}
-	fleet.excess = max(fleet.excess, sum.Rate-fleet.ceiling.Rate, sum.Depth-fleet.ceiling.Depth)
+	fleet.maxShareExcess = max(fleet.maxShareExcess, sum.Rate-fleet.ceiling.Rate, sum.Depth-fleet.ceiling.Depth)
 	return admitted
 }
 
