--- a/internal/balancer/ceilinglease/lease_test.go
+++ b/internal/balancer/ceilinglease/lease_test.go
@@ -15,7 +15,7 @@
 		rate := rapid.Float64Range(1, 50).Draw(t, "rate")
 		burst := rate * rapid.Float64Range(0.5, 3).Draw(t, "burst")
 		factor := rapid.Float64Range(1.5, 4).Draw(t, "factor")
-		terms, ok := TermsOf(rate, burst, rate*factor, burst*factor, 1)
+		terms, ok := NewTerms(rate, burst, rate*factor, burst*factor, 1)
 		if !ok {
 			t.Skip("nothing to lease")
 		}
@@ -106,7 +106,7 @@
 // TestForgetfulCounterIsFound verifies that the check of TestLeasesStayWithinTheBucket detects a counter that keeps no
 // totals and grants each block as if nothing had been granted before.
 func TestForgetfulCounterIsFound(t *testing.T) {
-	terms, _ := TermsOf(5, 10, 10, 20, 1)
+	terms, _ := NewTerms(5, 10, 10, 20, 1)
 	level, lowest := 2*terms.UnitsPerWindow, 0.0
 	var lease Lease
 	for now := time.Duration(0); now < 20*terms.Window; now += terms.Window / 10 {
@@ -128,7 +128,7 @@
 // TestLeaseRequests verifies when units may be requested: not while a request is pending, not from an exhausted window,
 // and not during the pause after a failed call.
 func TestLeaseRequests(t *testing.T) {
-	terms, ok := TermsOf(5, 10, 10, 20, 1)
+	terms, ok := NewTerms(5, 10, 10, 20, 1)
 	if !ok {
 		t.Fatal("nothing to lease")
 	}
--- a/internal/balancer/ceilinglease/terms.go
+++ b/internal/balancer/ceilinglease/terms.go
@@ -46,10 +46,10 @@
 	Window time.Duration
 }
 
-// TermsOf computes the terms of a plan from the quota's rate and burst, the ceiling's rate and depth, and the minimum
+// NewTerms computes the terms of a plan from the quota's rate and burst, the ceiling's rate and depth, and the minimum
 // number of units per window. A request of more units than UnitsPerWindow can only be forwarded within the quota. ok is
 // false if the plan has no excess over the quota, or too little to be worth the counter calls.
-func TermsOf(rate, burst, ceilingRate, ceilingDepth, minUnits float64) (terms Terms, ok bool) {
+func NewTerms(rate, burst, ceilingRate, ceilingDepth, minUnits float64) (terms Terms, ok bool) {
 	excess := ceilingRate - rate
 	depth := (ceilingDepth - burst) / counterLossFactor
 	if !(excess > 0) || !(depth > 0) || math.IsInf(excess, 0) || math.IsInf(depth, 0) {
--- a/internal/balancer/ceilinglease/terms_test.go
+++ b/internal/balancer/ceilinglease/terms_test.go
@@ -8,7 +8,7 @@
 
 // TestTermsOf verifies the terms of a plan with an excess over its quota.
 func TestTermsOf(t *testing.T) {
-	terms, ok := TermsOf(5, 10, 10, 20, 1)
+	terms, ok := NewTerms(5, 10, 10, 20, 1)
 	if !ok || terms.Rate != 5 || terms.UnitsPerWindow != 3 || terms.Window != 600*time.Millisecond {
 		t.Errorf("got terms %+v, ok %v", terms, ok)
 	}
@@ -31,7 +31,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			got, ok := TermsOf(c.rate, c.burst, c.ceilingRate, c.ceilingDepth, c.minUnits)
+			got, ok := NewTerms(c.rate, c.burst, c.ceilingRate, c.ceilingDepth, c.minUnits)
 			if ok || got != (Terms{}) {
 				t.Errorf("got terms %+v, want none", got)
 			}
--- a/internal/balancer/reload.go
+++ b/internal/balancer/reload.go
@@ -48,7 +48,7 @@
 		if plan.CeilingRate <= 0 {
 			continue
 		}
-		b.leaseTerms[i], _ = ceilinglease.TermsOf(plan.Rate, plan.Burst, plan.CeilingRate, plan.CeilingBurst, 1)
+		b.leaseTerms[i], _ = ceilinglease.NewTerms(plan.Rate, plan.Burst, plan.CeilingRate, plan.CeilingBurst, 1)
 		fillTime := time.Duration(plan.CeilingBurst / plan.CeilingRate * float64(time.Second))
 		b.longestCeilingFill = max(b.longestCeilingFill, fillTime)
 	}
