--- a/internal/balancer/ceilinglease/turns.go
+++ b/internal/balancer/ceilinglease/turns.go
@@ -16,10 +16,10 @@
 	gateways int64
 }
 
-// TurnsOf computes the turns of gateways that share a bucket with a rate in units per second and a depth in units. It
+// NewTurns computes the turns of gateways that share a bucket with a rate in units per second and a depth in units. It
 // returns false if each gateway holds at least one unit or if there is nothing to share. The turns of all gateways are
 // evenly spaced, so in any time t they use at most rate*t+depth units, plus one for the instant at which they begin.
-func TurnsOf(rate, depth, gateways float64) (Turns, bool) {
+func NewTurns(rate, depth, gateways float64) (Turns, bool) {
 	count := math.Ceil(gateways)
 	if !(rate > 0 && depth > 0 && count >= 1) || depth >= count {
 		return Turns{}, false
--- a/internal/balancer/ceilinglease/turns_test.go
+++ b/internal/balancer/ceilinglease/turns_test.go
@@ -10,7 +10,7 @@
 // in any period, and nearly all of it.
 func TestTurnsStayWithinTheBucket(t *testing.T) {
 	for _, c := range []struct{ rate, depth, gateways float64 }{{8, 19, 23}, {18, 1, 80}, {0.5, 3, 40}, {30, 29, 31}} {
-		turns, ok := TurnsOf(c.rate, c.depth, c.gateways)
+		turns, ok := NewTurns(c.rate, c.depth, c.gateways)
 		if !ok {
 			t.Fatalf("%+v: no turns", c)
 		}
@@ -59,7 +59,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			if _, ok := TurnsOf(c.rate, c.depth, c.gateways); ok {
+			if _, ok := NewTurns(c.rate, c.depth, c.gateways); ok {
 				t.Error("got turns, want none")
 			}
 		})
--- a/internal/balancer/sparseshare.go
+++ b/internal/balancer/sparseshare.go
@@ -61,7 +61,7 @@
 func ceilingTurns(cust *customer, plan *Plan) (ceilinglease.Turns, bool) {
 	rate := sparseRateFraction * (plan.CeilingRate - plan.Rate)
 	depth := plan.CeilingBurst - sparseQuotaBursts*plan.Burst
-	return ceilinglease.TurnsOf(rate, depth, cust.gateways)
+	return ceilinglease.NewTurns(rate, depth, cust.gateways)
 }
 
 // refillByTurn sets the units of a gateway's share that uses turns. The turn in which the gateway started is skipped,
