--- a/internal/balancer/ceilinglease/lease.go
+++ b/internal/balancer/ceilinglease/lease.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// leaseParts is the number of leases that use up a window. It limits the size of a lease so that the next gateway
+// leasesPerWindow is the number of leases that use up a window. It limits the size of a lease so that the next gateway
 // still finds units.
-const leaseParts = 3.0
+const leasesPerWindow = 3.0
 
 // Use is the purpose for which leased units are spent.
 type Use int
@@ -86,7 +86,7 @@
 		return 0
 	}
 	lease.requestPending = true
-	expected := math.Ceil(min(demand*terms.WindowTimeLeft(now).Seconds(), terms.UnitsPerWindow/leaseParts))
+	expected := math.Ceil(min(demand*terms.WindowTimeLeft(now).Seconds(), terms.UnitsPerWindow/leasesPerWindow))
 	return min(terms.UnitsPerWindow, max(units, expected))
 }
 
