--- a/internal/balancer/ceiling.go
+++ b/internal/balancer/ceiling.go
@@ -297,7 +297,7 @@
 func (b *Balancer) ownCeilingShare(cust *customer, plan *Plan, fraction float64) quotashare.Bucket {
 	ceiling := quotashare.Bucket{Rate: plan.CeilingRate, Depth: plan.CeilingBurst}
 	quota := quotashare.Bucket{Rate: plan.Rate, Depth: plan.Burst}
-	leased := quotashare.FractionAmong(fraction, cust.gateways, float64(b.settings.Gateways))
+	leased := quotashare.FractionWithinSubset(fraction, cust.gateways, float64(b.settings.Gateways))
 	return plan.PartitionPolicy.Share(ceiling, quota, 1/cust.gateways, leased)
 }
 
--- a/internal/balancer/fallback.go
+++ b/internal/balancer/fallback.go
@@ -30,5 +30,5 @@
 	if b.share.excluded {
 		return 0
 	}
-	return quotashare.FractionAmong(b.share.lease.Fraction(now), cust.gateways, float64(b.settings.Gateways))
+	return quotashare.FractionWithinSubset(b.share.lease.Fraction(now), cust.gateways, float64(b.settings.Gateways))
 }
--- a/internal/balancer/inflight.go
+++ b/internal/balancer/inflight.go
@@ -33,5 +33,5 @@
 		return limit / cust.gateways
 	}
 	leased := b.share.lease.InFlightFraction(b.now)
-	return limit * quotashare.FractionAmong(leased, cust.gateways, float64(b.settings.Gateways))
+	return limit * quotashare.FractionWithinSubset(leased, cust.gateways, float64(b.settings.Gateways))
 }
--- a/internal/balancer/quotashare/partition_test.go
+++ b/internal/balancer/quotashare/partition_test.go
@@ -52,7 +52,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			if got := FractionAmong(c.fraction, c.subset, c.total); !near(got, c.want) {
+			if got := FractionWithinSubset(c.fraction, c.subset, c.total); !near(got, c.want) {
 				t.Errorf("fraction %v, want %v", got, c.want)
 			}
 		})
