--- a/internal/recovery/golden_test.go
+++ b/internal/recovery/golden_test.go
@@ -25,7 +25,7 @@
 	for range 80 {
 		now += time.Duration(rng.IntN(250)) * time.Millisecond
 		observed := Observation{
-			HasRival:      rng.IntN(4*slowness) < slowness,
+			HasDuplicate:  rng.IntN(4*slowness) < slowness,
 			PeersHeard:    rng.IntN(max(1, config.Gateways)),
 			PolicyVersion: uint64(rng.IntN(3)),
 			MayDecide:     rng.IntN(slowness) == 0,
--- a/internal/recovery/machine.go
+++ b/internal/recovery/machine.go
@@ -127,7 +127,7 @@
 
 // evaluateIdentity waits indefinitely, so that two processes never serve under the same name.
 func evaluateIdentity(observed Observation) (state State, detail string) {
-	if observed.HasRival {
+	if observed.HasDuplicate {
 		return StateWaiting, "another process has this door's name and goes before it"
 	}
 	return StateDone, "no other process of its name is known"
--- a/internal/recovery/machine_test.go
+++ b/internal/recovery/machine_test.go
@@ -118,8 +118,8 @@
 			name:   "another process has the gateway's name",
 			config: fullConfig,
 			observations: []observationAt{
-				{0, Observation{HasRival: true, PeersHeard: 4}},
-				{30 * second, Observation{HasRival: true, PeersHeard: 4}},
+				{0, Observation{HasDuplicate: true, PeersHeard: 4}},
+				{30 * second, Observation{HasDuplicate: true, PeersHeard: 4}},
 			},
 		},
 		{
@@ -144,7 +144,7 @@
 			config: Config{Gateways: 1},
 			observations: []observationAt{
 				{0, Observation{EndpointsServing: true}},
-				{9 * second, Observation{HasRival: true}},
+				{9 * second, Observation{HasDuplicate: true}},
 			},
 			want: "identity done 0s, peers absent 0s, policy absent 0s, " +
 				"keys absent 0s, counter absent 0s, backends done 0s",
--- a/internal/recovery/step.go
+++ b/internal/recovery/step.go
@@ -73,8 +73,8 @@
 
 // Observation is what the gateway knows of the startup conditions at one moment.
 type Observation struct {
-	// HasRival is whether a duplicate of this gateway, another process of its name, takes precedence.
-	HasRival bool
+	// HasDuplicate is whether a duplicate of this gateway, another process of its name, takes precedence.
+	HasDuplicate bool
 	// PeersHeard is the number of other gateways that are alive.
 	PeersHeard int
 	// PolicyVersion is the policy version that the gateway has, or 0 if it has none.
--- a/internal/service/hosted/recovery.go
+++ b/internal/service/hosted/recovery.go
@@ -155,7 +155,7 @@
 // observeRecovery returns the state of the conditions that the recovery waits for, except for the counters.
 func (s *Service) observeRecovery() recovery.Observation {
 	view := s.cluster.transport.View()
-	observed := recovery.Observation{HasRival: view.HasDuplicate, EndpointsServing: s.Ready()}
+	observed := recovery.Observation{HasDuplicate: view.HasDuplicate, EndpointsServing: s.Ready()}
 	for _, gateway := range view.Gateways {
 		if gateway.Name != view.Name && gateway.IsPresent() {
 			observed.PeersHeard++
