--- a/internal/recovery/golden_test.go
+++ b/internal/recovery/golden_test.go
@@ -26,7 +26,7 @@
 		now += time.Duration(rng.IntN(250)) * time.Millisecond
 		observed := Observation{
 			HasDuplicate:  rng.IntN(4*slowness) < slowness,
-			PeersHeard:    rng.IntN(max(1, config.Gateways)),
+			PeersPresent:  rng.IntN(max(1, config.Gateways)),
 			PolicyVersion: uint64(rng.IntN(3)),
 			MayDecide:     rng.IntN(slowness) == 0,
 			KeysReason:    "its disk is empty",
--- a/internal/recovery/machine.go
+++ b/internal/recovery/machine.go
@@ -137,7 +137,7 @@
 // appear.
 func (m *Machine) evaluatePeers(observed Observation, waited time.Duration) (state State, detail string) {
 	others := m.config.Gateways - 1
-	heard := observed.PeersHeard
+	heard := observed.PeersPresent
 	isMajority := heard+1 > m.config.Gateways/2
 	switch {
 	case others == 0:
--- a/internal/recovery/machine_test.go
+++ b/internal/recovery/machine_test.go
@@ -43,7 +43,7 @@
 			name:   "all conditions are met at once",
 			config: fullConfig,
 			observations: []observationAt{{0, Observation{
-				PeersHeard: 4, PolicyVersion: 3, MayDecide: true,
+				PeersPresent: 4, PolicyVersion: 3, MayDecide: true,
 				KeysReady: true, CounterAnswered: true, EndpointsServing: true,
 			}}},
 			want: "identity done 0s, peers done 0s, policy done 0s, " +
@@ -55,9 +55,9 @@
 			config: fullConfig,
 			observations: []observationAt{
 				{0, Observation{KeysReady: true, CounterAnswered: true, EndpointsServing: true}},
-				{400 * millisecond, Observation{PeersHeard: 2}},
-				{500 * millisecond, Observation{PeersHeard: 2}},
-				{900 * millisecond, Observation{PeersHeard: 2, PolicyVersion: 3, MayDecide: true}},
+				{400 * millisecond, Observation{PeersPresent: 2}},
+				{500 * millisecond, Observation{PeersPresent: 2}},
+				{900 * millisecond, Observation{PeersPresent: 2, PolicyVersion: 3, MayDecide: true}},
 				{second, Observation{
 					PolicyVersion: 3, MayDecide: true, KeysReady: true, CounterAnswered: true, EndpointsServing: true,
 				}},
@@ -70,10 +70,10 @@
 			name:   "two gateways of five",
 			config: fullConfig,
 			observations: []observationAt{
-				{0, Observation{PeersHeard: 1}},
-				{1900 * millisecond, Observation{PeersHeard: 1}},
-				{2 * second, Observation{PeersHeard: 1}},
-				{60 * second, Observation{PeersHeard: 1}},
+				{0, Observation{PeersPresent: 1}},
+				{1900 * millisecond, Observation{PeersPresent: 1}},
+				{2 * second, Observation{PeersPresent: 1}},
+				{60 * second, Observation{PeersPresent: 1}},
 			},
 			want: "identity done 0s, peers passed 2s",
 		},
@@ -93,9 +93,9 @@
 			name:   "neither counter nor endpoints answer",
 			config: Config{Gateways: 3, HasCounter: true},
 			observations: []observationAt{
-				{0, Observation{PeersHeard: 2}},
-				{900 * millisecond, Observation{PeersHeard: 2}},
-				{second, Observation{PeersHeard: 2}},
+				{0, Observation{PeersPresent: 2}},
+				{900 * millisecond, Observation{PeersPresent: 2}},
+				{second, Observation{PeersPresent: 2}},
 				{3900 * millisecond, Observation{}},
 				{4 * second, Observation{}},
 			},
@@ -107,8 +107,8 @@
 			name:   "a voter whose disk is outdated",
 			config: Config{Gateways: 3, HasKeys: true},
 			observations: []observationAt{
-				{0, Observation{PeersHeard: 2}},
-				{2 * second, Observation{PeersHeard: 2, EndpointsServing: true}},
+				{0, Observation{PeersPresent: 2}},
+				{2 * second, Observation{PeersPresent: 2, EndpointsServing: true}},
 			},
 			want: "identity done 0s, peers done 0s, policy absent 0s, " +
 				"keys passed 2s, counter absent 2s, backends done 2s",
@@ -118,16 +118,16 @@
 			name:   "another process has the gateway's name",
 			config: fullConfig,
 			observations: []observationAt{
-				{0, Observation{HasDuplicate: true, PeersHeard: 4}},
-				{30 * second, Observation{HasDuplicate: true, PeersHeard: 4}},
+				{0, Observation{HasDuplicate: true, PeersPresent: 4}},
+				{30 * second, Observation{HasDuplicate: true, PeersPresent: 4}},
 			},
 		},
 		{
 			name:   "a policy version by which nothing may be decided",
 			config: fullConfig,
 			observations: []observationAt{
-				{0, Observation{PeersHeard: 4, PolicyVersion: 3}},
-				{9 * second, Observation{PeersHeard: 4, PolicyVersion: 3}},
+				{0, Observation{PeersPresent: 4, PolicyVersion: 3}},
+				{9 * second, Observation{PeersPresent: 4, PolicyVersion: 3}},
 			},
 			want: "identity done 0s, peers done 0s",
 		},
@@ -155,7 +155,7 @@
 			config: Config{Gateways: 3},
 			observations: []observationAt{
 				{0, Observation{}},
-				{60 * second, Observation{PeersHeard: 2, EndpointsServing: true}},
+				{60 * second, Observation{PeersPresent: 2, EndpointsServing: true}},
 			},
 			want: "identity done 0s, peers done 60s, policy absent 60s, " +
 				"keys absent 60s, counter absent 60s, backends done 60s",
@@ -206,7 +206,7 @@
 			}
 			now += time.Duration(rapid.IntRange(1, 400).Draw(t, "milliseconds")) * time.Millisecond
 			finished := m.Advance(now, Observation{
-				PeersHeard:       rapid.IntRange(0, config.Gateways-1).Draw(t, "peers heard"),
+				PeersPresent:     rapid.IntRange(0, config.Gateways-1).Draw(t, "peers heard"),
 				KeysReady:        rapid.Bool().Draw(t, "keys ready"),
 				CounterAnswered:  rapid.Bool().Draw(t, "counter answered"),
 				EndpointsServing: rapid.Bool().Draw(t, "endpoints serving"),
--- a/internal/recovery/step.go
+++ b/internal/recovery/step.go
@@ -75,8 +75,8 @@
 type Observation struct {
 	// HasDuplicate is whether a duplicate of this gateway, another process of its name, takes precedence.
 	HasDuplicate bool
-	// PeersHeard is the number of other gateways that are alive.
-	PeersHeard int
+	// PeersPresent is the number of other gateways that are alive.
+	PeersPresent int
 	// PolicyVersion is the policy version that the gateway has, or 0 if it has none.
 	PolicyVersion uint64
 	// MayDecide is whether the gateway may decide by that version.
--- a/internal/service/hosted/recovery.go
+++ b/internal/service/hosted/recovery.go
@@ -158,7 +158,7 @@
 	observed := recovery.Observation{HasDuplicate: view.HasDuplicate, EndpointsServing: s.Ready()}
 	for _, gateway := range view.Gateways {
 		if gateway.Name != view.Name && gateway.IsPresent() {
-			observed.PeersHeard++
+			observed.PeersPresent++
 		}
 	}
 	if s.policy != nil {
