--- a/internal/balancer/quotashare/partition.go
+++ b/internal/balancer/quotashare/partition.go
@@ -29,9 +29,9 @@
 	}
 }
 
-// FractionWithinSubset returns a gateway's fraction for a customer whose requests arrive at only a subset of the gateways.
-// These gateways cannot take over the share of a gateway outside the subset, so the fraction is at most the even share
-// within the subset.
+// FractionWithinSubset returns a gateway's fraction for a customer whose requests arrive at only a subset of the
+// gateways. These gateways cannot take over the share of a gateway outside the subset, so the fraction is at most the
+// even share within the subset.
 func FractionWithinSubset(fraction float64, subset, total float64) float64 {
 	if subset >= total {
 		return fraction
