--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -42,22 +42,33 @@
 
 // Parts connects a proxy to the other parts of its process. A gateway with a single pool needs only the zero value.
 type Parts struct {
-	Space     string                                         // separates this pool's counters from those of other pools
-	Tell      func(*proxy.Proxy) func(endpoint.Update)       // returns the receiver of updates; nil: the proxy
-	Others    func(*proxy.Proxy) func(balancer.Action)       // returns the receiver of actions for peers; nil: none
-	Found     func(*proxy.Proxy) func(balancer.HealthReport) // returns the receiver of health reports; nil: none
-	Gate      *cpuscheduler.Flow                             // schedules CPU time
-	Guard     *proxy.DecisionLease                           // permits deciding on requests; nil: always permitted
-	NoCounter func() bool                                    // true: counter calls fail unsent; nil: never
-	Closed    *proxy.StartupBarrier                          // holds requests while the gateway recovers; nil: never
-	Keys      proxy.KeyReserver                              // reserves idempotency keys; nil: there are none
+	// Space separates this pool's counters from those of other pools.
+	Space string
+	// Tell returns the receiver of updates; nil: the proxy.
+	Tell func(*proxy.Proxy) func(endpoint.Update)
+	// Others returns the receiver of actions for peers; nil: none.
+	Others func(*proxy.Proxy) func(balancer.Action)
+	// Found returns the receiver of health reports; nil: none.
+	Found func(*proxy.Proxy) func(balancer.HealthReport)
+	// Gate schedules CPU time.
+	Gate *cpuscheduler.Flow
+	// Guard permits deciding on requests; nil: always permitted.
+	Guard *proxy.DecisionLease
+	// NoCounter makes counter calls fail unsent while it returns true; nil: never.
+	NoCounter func() bool
+	// Closed holds requests while the gateway recovers; nil: never.
+	Closed *proxy.StartupBarrier
+	// Keys reserves idempotency keys; nil: there are none.
+	Keys proxy.KeyReserver
 	// Observe is called with each answer; nil: not called.
 	Observe func(class int, v proxy.Outcome, took time.Duration)
 	Figures *stats.Counters // nil: not collected
 	Memory  *resourcelimit.Bytes
 	Clients *resourcelimit.Group
-	Places  func(*proxy.Proxy) *resourcelimit.Allotment                    // of the sockets for backends
-	Cap     func(p *proxy.Proxy, addr string) *resourcelimit.EndpointLimit // of an endpoint's connections
+	// Places returns the allotment of the sockets for backends.
+	Places func(*proxy.Proxy) *resourcelimit.Allotment
+	// Cap returns the limit of an endpoint's connections.
+	Cap func(p *proxy.Proxy, addr string) *resourcelimit.EndpointLimit
 }
 
 // NewCore returns the proxy of a gateway, or of one of its pools, connected to its backends, the counter and the
