--- a/internal/counter/counter.go
+++ b/internal/counter/counter.go
@@ -36,8 +36,8 @@
 	Addr string
 	// Enabled is false if there is no counter. Every call then fails at once with ConnectFailed.
 	Enabled bool
-	// Cut makes calls fail in the same way while it returns true. Nil means that they never do.
-	Cut func() bool
+	// IsBlocked makes calls fail in the same way while it returns true. Nil means that they never do.
+	IsBlocked func() bool
 	// Space is a namespace that separates the counter names of one pool from those of others. If it is empty, names are
 	// sent as the balancer makes them.
 	Space string
@@ -146,7 +146,7 @@
 	conn := c.connections[add.Name%connections]
 	added := &call{name: add.Name, ticket: add.Ticket, startedAt: c.loop.Now(), connection: conn}
 	c.unreported[added.name] = append(c.unreported[added.name], added)
-	isCut := c.cfg.Cut != nil && c.cfg.Cut()
+	isCut := c.cfg.IsBlocked != nil && c.cfg.IsBlocked()
 	if !c.cfg.Enabled || isCut || len(conn.calls) >= maxPending {
 		c.complete(added, balancer.ConnectFailed, 0)
 		return
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -116,7 +116,7 @@
 	p.Connect(
 		upstream.New(l, up, p.HandleHealthCheckResult),
 		counter.New(l, counter.Config{Addr: cfg.Counter, Space: parts.Space, Enabled: cfg.Settings.UseCounter,
-			Cut: parts.NoCounter, Timeout: cfg.Settings.CounterTimeout, DialTimeout: cfg.Transport.DialTimeout,
+			IsBlocked: parts.NoCounter, Timeout: cfg.Settings.CounterTimeout, DialTimeout: cfg.Transport.DialTimeout,
 			Trace: tr, Late: func(ev balancer.LateCounterResult) { p.Enqueue(ev) }}, p.HandleCounterResult),
 		watch)
 	return p, watch, nil
