--- a/internal/counter/counter.go
+++ b/internal/counter/counter.go
@@ -38,9 +38,9 @@
 	Enabled bool
 	// IsBlocked makes calls fail in the same way while it returns true. Nil means that they never do.
 	IsBlocked func() bool
-	// Space is a namespace that separates the counter names of one pool from those of others. If it is empty, names are
+	// Namespace is a namespace that separates the counter names of one pool from those of others. If it is empty, names are
 	// sent as the balancer makes them.
-	Space string
+	Namespace string
 	// Timeout is how long a call may take until it is completed as Timeout.
 	Timeout time.Duration
 	// DialTimeout is how long connecting may take.
@@ -83,10 +83,10 @@
 // New returns a client of the counter. The event loop calls the sink exactly once for each call, with its result.
 func New(loop *eventloop.Loop, cfg Config, sink func(balancer.CounterResult)) *Counter {
 	c := &Counter{loop: loop, cfg: cfg, sink: sink, unreported: map[uint64][]*call{}}
-	if cfg.Space != "" {
+	if cfg.Namespace != "" {
 		hash := fnv.New64a()
-		_, _ = hash.Write([]byte(cfg.Space)) // never returns an error
-		c.space = hash.Sum64() >> 1          // names have 63 bits
+		_, _ = hash.Write([]byte(cfg.Namespace)) // never returns an error
+		c.space = hash.Sum64() >> 1              // names have 63 bits
 	}
 	c.Move(cfg.Addr)
 	return c
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -115,7 +115,7 @@
 		Pushed: !cfg.Settings.PollEndpoints, Seed: cfg.Seed}, onUpdate)
 	p.Connect(
 		upstream.New(l, up, p.HandleHealthCheckResult),
-		counter.New(l, counter.Config{Addr: cfg.Counter, Space: parts.Space, Enabled: cfg.Settings.UseCounter,
+		counter.New(l, counter.Config{Addr: cfg.Counter, Namespace: parts.Space, Enabled: cfg.Settings.UseCounter,
 			IsBlocked: parts.NoCounter, Timeout: cfg.Settings.CounterTimeout, DialTimeout: cfg.Transport.DialTimeout,
 			Trace: tr, Late: func(ev balancer.LateCounterResult) { p.Enqueue(ev) }}, p.HandleCounterResult),
 		watch)
