--- a/internal/counter/connection.go
+++ b/internal/counter/connection.go
@@ -124,7 +124,7 @@
 
 // reportLate reports a call that was completed as Timeout although the counter did add its amount.
 func (c *connection) reportLate(answered *call, status balancer.Status, total float64) {
-	reportLate := c.counter.cfg.Late
+	reportLate := c.counter.cfg.OnLateResult
 	wasAdded := status == balancer.OK || status == balancer.Failed
 	if reportLate != nil && answered.completed && answered.ticket != 0 && wasAdded {
 		reportLate(balancer.LateCounterResult{Ticket: answered.ticket, Status: status, Total: total})
--- a/internal/counter/counter.go
+++ b/internal/counter/counter.go
@@ -45,9 +45,9 @@
 	Timeout time.Duration
 	// DialTimeout is how long connecting may take.
 	DialTimeout time.Duration
-	// Late is called on the event loop for each call that was completed as Timeout although the counter did add its
+	// OnLateResult is called on the event loop for each call that was completed as Timeout although the counter did add its
 	// amount. It may be nil.
-	Late func(balancer.LateCounterResult)
+	OnLateResult func(balancer.LateCounterResult)
 	// Trace receives a line for each call and each dial. It may be nil.
 	Trace *trace.Log
 }
--- a/internal/counter/counter_test.go
+++ b/internal/counter/counter_test.go
@@ -187,7 +187,7 @@
 	ln := peer.Listen(t)
 	f := newFixture(t)
 	var late []uint64
-	f.counter.cfg.Late = func(ev balancer.LateCounterResult) { late = append(late, ev.Ticket) }
+	f.counter.cfg.OnLateResult = func(ev balancer.LateCounterResult) { late = append(late, ev.Ticket) }
 	f.counter.Move(ln.Addr().String())
 	for i, name := range []uint64{4, 8, 12, 16} { // all on one connection
 		f.counter.Add(balancer.CounterAdd{Name: name, Amount: 1, TTL: 4 * time.Second, Ticket: uint64(i + 1)})
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -117,7 +117,7 @@
 		upstream.New(l, up, p.HandleHealthCheckResult),
 		counter.New(l, counter.Config{Addr: cfg.Counter, Namespace: parts.Space, Enabled: cfg.Settings.UseCounter,
 			IsBlocked: parts.NoCounter, Timeout: cfg.Settings.CounterTimeout, DialTimeout: cfg.Transport.DialTimeout,
-			Trace: tr, Late: func(ev balancer.LateCounterResult) { p.Enqueue(ev) }}, p.HandleCounterResult),
+			Trace: tr, OnLateResult: func(ev balancer.LateCounterResult) { p.Enqueue(ev) }}, p.HandleCounterResult),
 		watch)
 	return p, watch, nil
 }
