--- a/internal/service/hosted/pool.go
+++ b/internal/service/hosted/pool.go
@@ -30,7 +30,7 @@
 		ended:  make(chan struct{}),
 	}
 	loop := s.clock.NewWithSameClock()
-	poolProxy, err := service.NewCore(loop, cfg.Node, s.poolParts(p), s.log.With("pool", cfg.Node.Name))
+	poolProxy, err := service.NewProxy(loop, cfg.Node, s.poolParts(p), s.log.With("pool", cfg.Node.Name))
 	if err != nil {
 		p.limits.leave()
 		return nil, err
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -71,9 +71,9 @@
 	Cap func(p *proxy.Proxy, addr string) *resourcelimit.EndpointLimit
 }
 
-// NewCore returns the proxy of a gateway, or of one of its pools, connected to its backends, the counter and the
+// NewProxy returns the proxy of a gateway, or of one of its pools, connected to its backends, the counter and the
 // platform's discovery.
-func NewCore(l *eventloop.Loop, cfg *Config, parts Parts, log *slog.Logger) (*proxy.Proxy, error) {
+func NewProxy(l *eventloop.Loop, cfg *Config, parts Parts, log *slog.Logger) (*proxy.Proxy, error) {
 	p, _, err := newProxy(l, cfg, parts, log)
 	return p, err
 }
