--- a/internal/service/hosted/pool.go
+++ b/internal/service/hosted/pool.go
@@ -50,7 +50,7 @@
 		Space: cfg.CounterSpace,
 		Gate:  s.poolFlow(cfg),
 		Guard: s.policy.decisionLease(),
-		Tell: func(poolProxy *proxy.Proxy) func(endpoint.Update) {
+		UpdateReceiver: func(poolProxy *proxy.Proxy) func(endpoint.Update) {
 			p.inbox = s.inboxes.add(poolProxy)
 			return p.inbox.applyUpdate
 		},
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -44,8 +44,8 @@
 type Parts struct {
 	// Space separates this pool's counters from those of other pools.
 	Space string
-	// Tell returns the receiver of updates; nil: the proxy.
-	Tell func(*proxy.Proxy) func(endpoint.Update)
+	// UpdateReceiver returns the receiver of updates; nil: the proxy.
+	UpdateReceiver func(*proxy.Proxy) func(endpoint.Update)
 	// Others returns the receiver of actions for peers; nil: none.
 	Others func(*proxy.Proxy) func(balancer.Action)
 	// Found returns the receiver of health reports; nil: none.
@@ -90,8 +90,8 @@
 		return nil, nil, err
 	}
 	onUpdate := p.HandleEndpointUpdate
-	if parts.Tell != nil {
-		onUpdate = parts.Tell(p)
+	if parts.UpdateReceiver != nil {
+		onUpdate = parts.UpdateReceiver(p)
 	}
 	if parts.Found != nil {
 		p.OnHealthReport = parts.Found(p)
