--- a/internal/service/hosted/pool.go
+++ b/internal/service/hosted/pool.go
@@ -65,7 +65,7 @@
 	if s.cluster != nil {
 		parts.NoCounter = s.cluster.isClockWrong.Load
 		sendLoans := s.cluster.loanSender(clusterName)
-		parts.Others = func(*proxy.Proxy) func(balancer.Action) { return sendLoans }
+		parts.PeerActionReceiver = func(*proxy.Proxy) func(balancer.Action) { return sendLoans }
 	}
 	if s.metrics != nil {
 		parts.Observe = s.metrics.answerObserver(cfg.Node.Name, cfg.Node.Transport.Classes)
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -46,8 +46,8 @@
 	Space string
 	// UpdateReceiver returns the receiver of updates; nil: the proxy.
 	UpdateReceiver func(*proxy.Proxy) func(endpoint.Update)
-	// Others returns the receiver of actions for peers; nil: none.
-	Others func(*proxy.Proxy) func(balancer.Action)
+	// PeerActionReceiver returns the receiver of actions for peers; nil: none.
+	PeerActionReceiver func(*proxy.Proxy) func(balancer.Action)
 	// Found returns the receiver of health reports; nil: none.
 	Found func(*proxy.Proxy) func(balancer.HealthReport)
 	// Gate schedules CPU time.
@@ -96,8 +96,8 @@
 	if parts.Found != nil {
 		p.OnHealthReport = parts.Found(p)
 	}
-	if parts.Others != nil {
-		p.OnPeerAction = parts.Others(p)
+	if parts.PeerActionReceiver != nil {
+		p.OnPeerAction = parts.PeerActionReceiver(p)
 	}
 	up := upstream.Config{MaxConnections: max(1, BackendSockets(cfg.Sockets)), DialTimeout: cfg.Transport.DialTimeout,
 		IdleTimeout: cfg.Transport.ConnIdle, Trace: tr}
