--- a/internal/service/hosted/pool.go
+++ b/internal/service/hosted/pool.go
@@ -54,7 +54,7 @@
 			p.inbox = s.inboxes.add(poolProxy)
 			return p.inbox.applyUpdate
 		},
-		Found: func(*proxy.Proxy) func(balancer.HealthReport) { return p.inbox.shareReport },
+		HealthReportReceiver: func(*proxy.Proxy) func(balancer.HealthReport) { return p.inbox.shareReport },
 	}
 	if s.recovery != nil {
 		parts.Closed = s.recovery.barrier
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -48,8 +48,8 @@
 	UpdateReceiver func(*proxy.Proxy) func(endpoint.Update)
 	// PeerActionReceiver returns the receiver of actions for peers; nil: none.
 	PeerActionReceiver func(*proxy.Proxy) func(balancer.Action)
-	// Found returns the receiver of health reports; nil: none.
-	Found func(*proxy.Proxy) func(balancer.HealthReport)
+	// HealthReportReceiver returns the receiver of health reports; nil: none.
+	HealthReportReceiver func(*proxy.Proxy) func(balancer.HealthReport)
 	// Gate schedules CPU time.
 	Gate *cpuscheduler.Flow
 	// Guard permits deciding on requests; nil: always permitted.
@@ -93,8 +93,8 @@
 	if parts.UpdateReceiver != nil {
 		onUpdate = parts.UpdateReceiver(p)
 	}
-	if parts.Found != nil {
-		p.OnHealthReport = parts.Found(p)
+	if parts.HealthReportReceiver != nil {
+		p.OnHealthReport = parts.HealthReportReceiver(p)
 	}
 	if parts.PeerActionReceiver != nil {
 		p.OnPeerAction = parts.PeerActionReceiver(p)
