--- a/internal/service/hosted/pool.go
+++ b/internal/service/hosted/pool.go
@@ -47,9 +47,9 @@
 	cfg := p.cfg
 	clusterName := s.clusterPoolName(cfg)
 	parts := service.Parts{
-		Space:     cfg.CounterSpace,
-		Scheduler: s.poolFlow(cfg),
-		Guard:     s.policy.decisionLease(),
+		Space:         cfg.CounterSpace,
+		Scheduler:     s.poolFlow(cfg),
+		DecisionLease: s.policy.decisionLease(),
 		UpdateReceiver: func(poolProxy *proxy.Proxy) func(endpoint.Update) {
 			p.inbox = s.inboxes.add(poolProxy)
 			return p.inbox.applyUpdate
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -52,8 +52,8 @@
 	HealthReportReceiver func(*proxy.Proxy) func(balancer.HealthReport)
 	// Scheduler schedules CPU time.
 	Scheduler *cpuscheduler.Flow
-	// Guard permits deciding on requests; nil: always permitted.
-	Guard *proxy.DecisionLease
+	// DecisionLease permits deciding on requests; nil: always permitted.
+	DecisionLease *proxy.DecisionLease
 	// NoCounter makes counter calls fail unsent while it returns true; nil: never.
 	NoCounter func() bool
 	// Closed holds requests while the gateway recovers; nil: never.
@@ -83,7 +83,7 @@
 	if cfg.Trace != nil {
 		tr = trace.New(cfg.Trace, l.Now)
 	}
-	p, err := proxy.New(l, proxy.Config{Trace: tr, Name: cfg.Name, Scheduler: parts.Scheduler, DecisionLease: parts.Guard,
+	p, err := proxy.New(l, proxy.Config{Trace: tr, Name: cfg.Name, Scheduler: parts.Scheduler, DecisionLease: parts.DecisionLease,
 		StartupBarrier: parts.Closed, KeyReserver: parts.Keys, Memory: parts.Memory, Clients: parts.Clients,
 		OnAnswer: parts.Observe, Start: cfg.Rules(), Seed: cfg.Seed, Stats: parts.Figures}, log)
 	if err != nil {
