--- a/internal/service/hosted/pool.go
+++ b/internal/service/hosted/pool.go
@@ -57,7 +57,7 @@
 		HealthReportReceiver: func(*proxy.Proxy) func(balancer.HealthReport) { return p.inbox.shareReport },
 	}
 	if s.recovery != nil {
-		parts.Closed = s.recovery.barrier
+		parts.StartupBarrier = s.recovery.barrier
 	}
 	if s.keys != nil {
 		parts.Keys = poolKeys{replica: s.keys, poolName: clusterName}
