--- a/internal/service/hosted/pool.go
+++ b/internal/service/hosted/pool.go
@@ -60,7 +60,7 @@
 		parts.StartupBarrier = s.recovery.barrier
 	}
 	if s.keys != nil {
-		parts.Keys = poolKeys{replica: s.keys, poolName: clusterName}
+		parts.KeyReserver = poolKeys{replica: s.keys, poolName: clusterName}
 	}
 	if s.cluster != nil {
 		parts.NoCounter = s.cluster.isClockWrong.Load
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -58,8 +58,8 @@
 	NoCounter func() bool
 	// StartupBarrier holds requests while the gateway recovers; nil: never.
 	StartupBarrier *proxy.StartupBarrier
-	// Keys reserves idempotency keys; nil: there are none.
-	Keys proxy.KeyReserver
+	// KeyReserver reserves idempotency keys; nil: there are none.
+	KeyReserver proxy.KeyReserver
 	// Observe is called with each answer; nil: not called.
 	Observe func(class int, v proxy.Outcome, took time.Duration)
 	Figures *stats.Counters // nil: not collected
@@ -84,7 +84,7 @@
 		tr = trace.New(cfg.Trace, l.Now)
 	}
 	p, err := proxy.New(l, proxy.Config{Trace: tr, Name: cfg.Name, Scheduler: parts.Scheduler, DecisionLease: parts.DecisionLease,
-		StartupBarrier: parts.StartupBarrier, KeyReserver: parts.Keys, Memory: parts.Memory, Clients: parts.Clients,
+		StartupBarrier: parts.StartupBarrier, KeyReserver: parts.KeyReserver, Memory: parts.Memory, Clients: parts.Clients,
 		OnAnswer: parts.Observe, Start: cfg.Rules(), Seed: cfg.Seed, Stats: parts.Figures}, log)
 	if err != nil {
 		return nil, nil, err
