--- a/internal/service/hosted/pool.go
+++ b/internal/service/hosted/pool.go
@@ -68,7 +68,7 @@
 		parts.PeerActionReceiver = func(*proxy.Proxy) func(balancer.Action) { return sendLoans }
 	}
 	if s.metrics != nil {
-		parts.Observe = s.metrics.answerObserver(cfg.Node.Name, cfg.Node.Transport.Classes)
+		parts.OnAnswer = s.metrics.answerObserver(cfg.Node.Name, cfg.Node.Transport.Classes)
 	}
 	p.limits.setParts(&parts, cfg.MaxServerConnections)
 	return parts
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -60,11 +60,11 @@
 	StartupBarrier *proxy.StartupBarrier
 	// KeyReserver reserves idempotency keys; nil: there are none.
 	KeyReserver proxy.KeyReserver
-	// Observe is called with each answer; nil: not called.
-	Observe func(class int, v proxy.Outcome, took time.Duration)
-	Figures *stats.Counters // nil: not collected
-	Memory  *resourcelimit.Bytes
-	Clients *resourcelimit.Group
+	// OnAnswer is called with each answer; nil: not called.
+	OnAnswer func(class int, v proxy.Outcome, took time.Duration)
+	Figures  *stats.Counters // nil: not collected
+	Memory   *resourcelimit.Bytes
+	Clients  *resourcelimit.Group
 	// Places returns the allotment of the sockets for backends.
 	Places func(*proxy.Proxy) *resourcelimit.Allotment
 	// Cap returns the limit of an endpoint's connections.
@@ -85,7 +85,7 @@
 	}
 	p, err := proxy.New(l, proxy.Config{Trace: tr, Name: cfg.Name, Scheduler: parts.Scheduler, DecisionLease: parts.DecisionLease,
 		StartupBarrier: parts.StartupBarrier, KeyReserver: parts.KeyReserver, Memory: parts.Memory, Clients: parts.Clients,
-		OnAnswer: parts.Observe, Start: cfg.Rules(), Seed: cfg.Seed, Stats: parts.Figures}, log)
+		OnAnswer: parts.OnAnswer, Start: cfg.Rules(), Seed: cfg.Seed, Stats: parts.Figures}, log)
 	if err != nil {
 		return nil, nil, err
 	}
