--- a/internal/service/hosted/sharedlimits.go
+++ b/internal/service/hosted/sharedlimits.go
@@ -100,7 +100,7 @@
 	}
 	parts.Memory = l.memory
 	parts.Clients = l.clients
-	parts.Places = func(p *proxy.Proxy) *resourcelimit.Allotment {
+	parts.Allotment = func(p *proxy.Proxy) *resourcelimit.Allotment {
 		l.sockets = l.shared.sockets.Join(p.Name, 0, l.reclaimer(p, ""))
 		return l.sockets
 	}
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -65,8 +65,8 @@
 	Figures  *stats.Counters // nil: not collected
 	Memory   *resourcelimit.Bytes
 	Clients  *resourcelimit.Group
-	// Places returns the allotment of the sockets for backends.
-	Places func(*proxy.Proxy) *resourcelimit.Allotment
+	// Allotment returns the allotment of the sockets for backends.
+	Allotment func(*proxy.Proxy) *resourcelimit.Allotment
 	// Cap returns the limit of an endpoint's connections.
 	Cap func(p *proxy.Proxy, addr string) *resourcelimit.EndpointLimit
 }
@@ -104,8 +104,8 @@
 	up.StallTimeout = cfg.StallTimeout
 	up.OnWritten = p.Stats.Relayed.Add
 	up.ValueMemory = resourcelimit.NewBytes(ClientMemory(cfg.MemoryMB) / 2)
-	if parts.Places != nil {
-		up.Allotment = parts.Places(p)
+	if parts.Allotment != nil {
+		up.Allotment = parts.Allotment(p)
 	}
 	if parts.Cap != nil {
 		up.EndpointLimit = func(addr string) *resourcelimit.EndpointLimit { return parts.Cap(p, addr) }
