--- a/internal/service/hosted/sharedlimits.go
+++ b/internal/service/hosted/sharedlimits.go
@@ -105,7 +105,7 @@
 		return l.sockets
 	}
 	if maxServerConnections > 0 {
-		parts.Cap = func(p *proxy.Proxy, address string) *resourcelimit.EndpointLimit {
+		parts.EndpointLimit = func(p *proxy.Proxy, address string) *resourcelimit.EndpointLimit {
 			return l.shared.endpoints.Join(address, p.Name, maxServerConnections, l.reclaimer(p, address))
 		}
 	}
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -67,8 +67,8 @@
 	Clients  *resourcelimit.Group
 	// Allotment returns the allotment of the sockets for backends.
 	Allotment func(*proxy.Proxy) *resourcelimit.Allotment
-	// Cap returns the limit of an endpoint's connections.
-	Cap func(p *proxy.Proxy, addr string) *resourcelimit.EndpointLimit
+	// EndpointLimit returns the limit of an endpoint's connections.
+	EndpointLimit func(p *proxy.Proxy, addr string) *resourcelimit.EndpointLimit
 }
 
 // NewProxy returns the proxy of a gateway, or of one of its pools, connected to its backends, the counter and the
@@ -107,8 +107,8 @@
 	if parts.Allotment != nil {
 		up.Allotment = parts.Allotment(p)
 	}
-	if parts.Cap != nil {
-		up.EndpointLimit = func(addr string) *resourcelimit.EndpointLimit { return parts.Cap(p, addr) }
+	if parts.EndpointLimit != nil {
+		up.EndpointLimit = func(addr string) *resourcelimit.EndpointLimit { return parts.EndpointLimit(p, addr) }
 	}
 	watch := discovery.New(l, log, discovery.Config{Addr: cfg.Discovery, Known: cfg.KnownEndpoints,
 		Zones: cfg.Transport.Zones, Kinds: cfg.Transport.Kinds, Gateways: cfg.Settings.Gateways,
