--- a/internal/account/account.go
+++ b/internal/account/account.go
@@ -43,7 +43,7 @@
 type Names struct {
 	Classes, Plans []string
 	Policies       map[string][]string // by plan, the value of the RateLimit-Policy header; nil: the header is not sent
-	Several        bool                // other pools exist; plans and classes of accounts may be theirs
+	HasOtherPools  bool                // other pools exist; plans and classes of accounts may be theirs
 }
 
 // Account is a compiled Spec.
@@ -134,7 +134,7 @@
 	if other := t.byCustomer[id]; other != nil {
 		return fieldError(fmt.Errorf("is already the customer of account %q", other.Name), "account[%d].customer", i)
 	}
-	if names.Several && !slices.Contains(names.Plans, s.Plan) {
+	if names.HasOtherPools && !slices.Contains(names.Plans, s.Plan) {
 		t.addCredentials(s, &Account{Name: s.Name, Customer: id, Plan: -1})
 		return nil
 	}
@@ -156,7 +156,7 @@
 		a.classes = make([]bool, len(names.Classes))
 		for j, c := range s.Classes {
 			k := slices.Index(names.Classes, c)
-			if k < 0 && names.Several {
+			if k < 0 && names.HasOtherPools {
 				continue
 			}
 			if k < 0 {
--- a/internal/service/hosted/config_accounts.go
+++ b/internal/service/hosted/config_accounts.go
@@ -34,10 +34,10 @@
 		})
 	}
 	names := account.Names{
-		Classes:  node.Transport.Classes,
-		Plans:    node.Transport.Plans,
-		Policies: extauthz.Policies(node.Transport.Plans, node.Settings.Plans),
-		Several:  len(f.Pools) > 0,
+		Classes:       node.Transport.Classes,
+		Plans:         node.Transport.Plans,
+		Policies:      extauthz.Policies(node.Transport.Plans, node.Settings.Plans),
+		HasOtherPools: len(f.Pools) > 0,
 	}
 	table, err := account.Compile(specs, rules, names, node.Settings.MaxRequestUnits)
 	var field *account.Error
