--- a/internal/account/account.go
+++ b/internal/account/account.go
@@ -26,7 +26,7 @@
 	Keys         []string      // SHA-256 of each API key, in hex
 	Certificates []string      // names in client certificates
 	Classes      []string      // classes that the account is entitled to; empty: all
-	Doors        int           // number of gateways that the account's requests come through; 0: all
+	Gateways     int           // number of gateways that the account's requests come through; 0: all
 	Hold         time.Duration // how long an admitted request counts as in flight without an end call, if limited
 }
 
@@ -49,7 +49,7 @@
 // Account is a compiled Spec.
 type Account struct {
 	Name, Customer, PlanName string
-	Plan, Doors              int
+	Plan, Gateways           int
 	Hold                     time.Duration
 	classes                  []bool // whether the account is entitled to the class of that index; nil: to all
 
@@ -138,7 +138,7 @@
 		t.addCredentials(s, &Account{Name: s.Name, Customer: id, Plan: -1})
 		return nil
 	}
-	a := &Account{Name: s.Name, Customer: id, PlanName: s.Plan, Doors: s.Doors, Hold: s.Hold}
+	a := &Account{Name: s.Name, Customer: id, PlanName: s.Plan, Gateways: s.Gateways, Hold: s.Hold}
 	a.HeaderValues.Name, a.HeaderValues.Plan = []string{s.Name}, []string{s.Plan}
 	if p := names.Policies; p != nil && s.Plan != "" {
 		a.HeaderValues.Policy = p[s.Plan]
@@ -146,7 +146,7 @@
 	if a.Plan = slices.Index(names.Plans, s.Plan); a.Plan < 0 {
 		return fieldError(fmt.Errorf("plan %q does not exist", s.Plan), "account[%d].plan", i)
 	}
-	if s.Doors < 0 {
+	if s.Gateways < 0 {
 		return fieldError(errors.New("must not be negative"), "account[%d].doors", i)
 	}
 	if s.Hold < 0 {
--- a/internal/frontend/extauthz/check.go
+++ b/internal/frontend/extauthz/check.go
@@ -174,7 +174,7 @@
 		At:        e.front.env.Now(),
 		Timeout:   e.route.timeout(e.request.Header),
 		Units:     units,
-		Gateways:  customer.Doors,
+		Gateways:  customer.Gateways,
 		AdmitOnly: true,
 	}
 	if rules.Settings.Plans[customer.Plan].MaxInFlight > 0 {
--- a/internal/frontend/resp2/request.go
+++ b/internal/frontend/resp2/request.go
@@ -183,7 +183,7 @@
 	case !acct.Entitled(req.Class):
 		return errors.New("the account is not entitled to the class")
 	}
-	req.Gateways = acct.Doors
+	req.Gateways = acct.Gateways
 	return nil
 }
 
--- a/internal/service/hosted/config_accounts.go
+++ b/internal/service/hosted/config_accounts.go
@@ -62,7 +62,7 @@
 			Keys:         table.Keys,
 			Certificates: table.Certificates,
 			Classes:      table.Classes,
-			Doors:        table.Gateways,
+			Gateways:     table.Gateways,
 			Hold:         cmp.Or(time.Duration(table.HoldTimeout), defaultHoldTimeout),
 		})
 	}
