--- a/internal/account/account.go
+++ b/internal/account/account.go
@@ -27,7 +27,7 @@
 	Certificates []string      // names in client certificates
 	Classes      []string      // classes that the account is entitled to; empty: all
 	Gateways     int           // number of gateways that the account's requests come through; 0: all
-	Hold         time.Duration // how long an admitted request counts as in flight without an end call, if limited
+	HoldFor      time.Duration // how long an admitted request counts as in flight without an end call, if limited
 }
 
 // Rule assigns a class and units to checks. All of its conditions that are set must match.
@@ -50,7 +50,7 @@
 type Account struct {
 	Name, Customer, PlanName string
 	Plan, Gateways           int
-	Hold                     time.Duration
+	HoldFor                  time.Duration
 	classes                  []bool // whether the account is entitled to the class of that index; nil: to all
 
 	// HeaderValues are values of header fields, built once, that all answers to the account's checks contain.
@@ -138,7 +138,7 @@
 		t.addCredentials(s, &Account{Name: s.Name, Customer: id, Plan: -1})
 		return nil
 	}
-	a := &Account{Name: s.Name, Customer: id, PlanName: s.Plan, Gateways: s.Gateways, Hold: s.Hold}
+	a := &Account{Name: s.Name, Customer: id, PlanName: s.Plan, Gateways: s.Gateways, HoldFor: s.HoldFor}
 	a.HeaderValues.Name, a.HeaderValues.Plan = []string{s.Name}, []string{s.Plan}
 	if p := names.Policies; p != nil && s.Plan != "" {
 		a.HeaderValues.Policy = p[s.Plan]
@@ -149,7 +149,7 @@
 	if s.Gateways < 0 {
 		return fieldError(errors.New("must not be negative"), "account[%d].doors", i)
 	}
-	if s.Hold < 0 {
+	if s.HoldFor < 0 {
 		return fieldError(errors.New("must not be negative"), "account[%d].hold", i)
 	}
 	if len(s.Classes) > 0 {
--- a/internal/account/account_test.go
+++ b/internal/account/account_test.go
@@ -63,7 +63,7 @@
 		"account[0].customer":        func(s []Spec, r *Rule) { s[0].Customer = "ffffffffffffffff" },
 		"account[0].plan":            func(s []Spec, r *Rule) { s[0].Plan = "gold" },
 		"account[0].doors":           func(s []Spec, r *Rule) { s[0].Gateways = -1 },
-		"account[0].hold":            func(s []Spec, r *Rule) { s[0].Hold = -1 },
+		"account[0].hold":            func(s []Spec, r *Rule) { s[0].HoldFor = -1 },
 		"account[1].classes[0]":      func(s []Spec, r *Rule) { s[1].Classes[0] = "x" },
 		"account[0].keys[1]":         func(s []Spec, r *Rule) { s[0].Keys[1] = "k2" },
 		"account[1].keys[0]":         func(s []Spec, r *Rule) { s[1].Keys[0] = hash("k1") },
--- a/internal/frontend/extauthz/check.go
+++ b/internal/frontend/extauthz/check.go
@@ -178,7 +178,7 @@
 		AdmitOnly: true,
 	}
 	if rules.Settings.Plans[customer.Plan].MaxInFlight > 0 {
-		c.HoldFor = customer.Hold
+		c.HoldFor = customer.HoldFor
 	}
 	identity := repeatIdentity{
 		customer: customer.Customer,
--- a/internal/service/hosted/config_accounts.go
+++ b/internal/service/hosted/config_accounts.go
@@ -63,7 +63,7 @@
 			Certificates: table.Certificates,
 			Classes:      table.Classes,
 			Gateways:     table.Gateways,
-			Hold:         cmp.Or(time.Duration(table.HoldTimeout), defaultHoldTimeout),
+			HoldFor:      cmp.Or(time.Duration(table.HoldTimeout), defaultHoldTimeout),
 		})
 	}
 	return specs, nil
--- a/internal/service/hosted/config_test.go
+++ b/internal/service/hosted/config_test.go
@@ -43,7 +43,7 @@
 		r[3].Identify[0] != extauthz.ByCertificate || r[3].UnitsHeader != "X-Units" {
 		t.Errorf("routes: %+v", r)
 	}
-	if a := c.Accounts.ByName("acme"); a == nil || a.Plan != 1 || a.Hold != 30*time.Second {
+	if a := c.Accounts.ByName("acme"); a == nil || a.Plan != 1 || a.HoldFor != 30*time.Second {
 		t.Errorf("account: %+v", a)
 	}
 }
