--- a/internal/counter/counter.go
+++ b/internal/counter/counter.go
@@ -38,15 +38,15 @@
 	Enabled bool
 	// IsBlocked makes calls fail in the same way while it returns true. Nil means that they never do.
 	IsBlocked func() bool
-	// Namespace is a namespace that separates the counter names of one pool from those of others. If it is empty, names are
-	// sent as the balancer makes them.
+	// Namespace separates the counter names of one pool from those of others. If it is empty, names are sent as the
+	// balancer makes them.
 	Namespace string
 	// Timeout is how long a call may take until it is completed as Timeout.
 	Timeout time.Duration
 	// DialTimeout is how long connecting may take.
 	DialTimeout time.Duration
-	// OnLateResult is called on the event loop for each call that was completed as Timeout although the counter did add its
-	// amount. It may be nil.
+	// OnLateResult is called on the event loop for each call that was completed as Timeout although the counter did add
+	// its amount. It may be nil.
 	OnLateResult func(balancer.LateCounterResult)
 	// Trace receives a line for each call and each dial. It may be nil.
 	Trace *trace.Log
