--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -83,9 +83,10 @@
 	if cfg.Trace != nil {
 		tr = trace.New(cfg.Trace, l.Now)
 	}
-	p, err := proxy.New(l, proxy.Config{Trace: tr, Name: cfg.Name, Scheduler: parts.Scheduler, DecisionLease: parts.DecisionLease,
-		StartupBarrier: parts.StartupBarrier, KeyReserver: parts.KeyReserver, Memory: parts.Memory, Clients: parts.Clients,
-		OnAnswer: parts.OnAnswer, Start: cfg.Rules(), Seed: cfg.Seed, Stats: parts.Figures}, log)
+	p, err := proxy.New(l, proxy.Config{Trace: tr, Name: cfg.Name, Scheduler: parts.Scheduler,
+		DecisionLease: parts.DecisionLease, StartupBarrier: parts.StartupBarrier, KeyReserver: parts.KeyReserver,
+		Memory: parts.Memory, Clients: parts.Clients, OnAnswer: parts.OnAnswer, Start: cfg.Rules(), Seed: cfg.Seed,
+		Stats: parts.Figures}, log)
 	if err != nil {
 		return nil, nil, err
 	}
