--- a/internal/frontend/admin/admin.go
+++ b/internal/frontend/admin/admin.go
@@ -51,8 +51,8 @@
 	Attach(ctx context.Context, endpoint string) error
 }
 
-// Front serves the control protocol on one listener.
-type Front struct {
+// Frontend serves the control protocol on one listener.
+type Frontend struct {
 	listener net.Listener
 	service  Service
 	log      *slog.Logger
@@ -66,16 +66,16 @@
 	wg     sync.WaitGroup
 }
 
-// New returns a Front on a listener, which it closes.
-func New(listener net.Listener, service Service, log *slog.Logger) *Front {
-	return &Front{listener: listener, service: service, log: log}
+// New returns a Frontend on a listener, which it closes.
+func New(listener net.Listener, service Service, log *slog.Logger) *Frontend {
+	return &Frontend{listener: listener, service: service, log: log}
 }
 
 // Serve starts to accept connections and returns at once.
-func (f *Front) Serve() { f.wg.Go(f.accept) }
+func (f *Frontend) Serve() { f.wg.Go(f.accept) }
 
 // Close closes the listener and the waiting connections, and waits for all goroutines.
-func (f *Front) Close() {
+func (f *Frontend) Close() {
 	closeQuietly(f.listener)
 	f.mu.Lock()
 	f.closed = true
@@ -90,7 +90,7 @@
 func closeQuietly(c io.Closer) { _ = c.Close() }
 
 // accept accepts connections until the listener is closed.
-func (f *Front) accept() {
+func (f *Frontend) accept() {
 	for {
 		conn, err := f.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -111,7 +111,7 @@
 
 // admit counts a new connection and reports whether it may stay. If there are too many, the one that has waited longest
 // for its line is closed.
-func (f *Front) admit(conn net.Conn) bool {
+func (f *Frontend) admit(conn net.Conn) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.closed {
@@ -131,7 +131,7 @@
 }
 
 // removeWaiting ends the wait for a connection's line. It returns false if the connection was closed by admit.
-func (f *Front) removeWaiting(conn net.Conn) bool {
+func (f *Frontend) removeWaiting(conn net.Conn) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	i := slices.Index(f.waiting, conn)
@@ -143,14 +143,14 @@
 }
 
 // release ends the counting of a connection.
-func (f *Front) release() {
+func (f *Frontend) release() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.open--
 }
 
 // handle reads one line and answers it. A caller that sends no line gets no answer.
-func (f *Front) handle(conn net.Conn) {
+func (f *Frontend) handle(conn net.Conn) {
 	defer closeQuietly(conn)
 	setDeadline(conn.SetReadDeadline, lineTimeout)
 	line, err := readLine(conn)
--- a/internal/frontend/admin/admin_test.go
+++ b/internal/frontend/admin/admin_test.go
@@ -33,7 +33,7 @@
 func (s *fakeService) Figures() []byte                             { return []byte("svc.open_requests=14\n") }
 
 // start serves on a new listener until the end of the test and returns its address.
-func start(t *testing.T, svc Service) (*Front, string) {
+func start(t *testing.T, svc Service) (*Frontend, string) {
 	t.Helper()
 	ln := peer.Listen(t)
 	f := New(ln, svc, slog.New(slog.NewTextHandler(io.Discard, nil)))
--- a/internal/frontend/admin/command.go
+++ b/internal/frontend/admin/command.go
@@ -58,7 +58,7 @@
 }
 
 // answer runs the command of a line and returns the answer.
-func (f *Front) answer(ctx context.Context, line string) []byte {
+func (f *Frontend) answer(ctx context.Context, line string) []byte {
 	command, id, err := Parse(line)
 	if err != nil {
 		return errorAnswer(err)
--- a/internal/frontend/extauthz/conn.go
+++ b/internal/frontend/extauthz/conn.go
@@ -19,7 +19,7 @@
 // the event loops' clock.
 type conn struct {
 	net.Conn
-	front *Front
+	front *Frontend
 	// trusted is true if the address of the proxy is trusted.
 	trusted bool
 	// pool is the pool of the last check, or nil before the first.
@@ -45,7 +45,7 @@
 }
 
 // newConn returns an accepted connection and adds it to the connection limit.
-func newConn(f *Front, netConn net.Conn) *conn {
+func newConn(f *Frontend, netConn net.Conn) *conn {
 	c := &conn{
 		Conn:       netConn,
 		front:      f,
--- a/internal/frontend/extauthz/decision.go
+++ b/internal/frontend/extauthz/decision.go
@@ -37,7 +37,7 @@
 // decide returns the decision of a check. The check's pool must be acquired; it is released here, in joinKnown or by
 // the pool's proxy. ok is false if there was no decision within the check's timeout and answerGrace, or if the pool's
 // event loop has ended.
-func (f *Front) decide(c *check) (d decision, ok bool) {
+func (f *Frontend) decide(c *check) (d decision, ok bool) {
 	owner := c.pool.proxy
 	deadline := c.At + c.Timeout + answerGrace
 	if !f.post(owner, c.submit, deadline) {
--- a/internal/frontend/extauthz/doc.go
+++ b/internal/frontend/extauthz/doc.go
@@ -13,7 +13,7 @@
 //	400  malformed target, credential header, units or request id            exchange.badRequest
 //	400  reading the body failed                                             exchange.discardBody
 //	401  no credential, or one of no account                                 responder.unauthenticated
-//	403  the proxy is not trusted (problem "untrusted")                      Front.ServeHTTP
+//	403  the proxy is not trusted (problem "untrusted")                      Frontend.ServeHTTP
 //	403  no pool serves the request ("no-route")                             exchange.acquirePool
 //	403  the account has no plan in the pool, or no right to the class       exchange.readRequest
 //	     ("not-entitled")
--- a/internal/frontend/extauthz/exchange.go
+++ b/internal/frontend/extauthz/exchange.go
@@ -4,7 +4,7 @@
 
 // exchange is an HTTP request of a web proxy with its answer. It belongs to one handler goroutine.
 type exchange struct {
-	front   *Front
+	front   *Frontend
 	conn    *conn
 	request *http.Request
 	// route is nil if the request's path takes no checks.
@@ -16,7 +16,7 @@
 }
 
 // ServeHTTP implements [http.Handler].
-func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (f *Frontend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	c, _ := r.Context().Value(connKey{}).(*conn)
 	if c == nil {
 		http.Error(w, "no connection", http.StatusInternalServerError)
--- a/internal/frontend/extauthz/front.go
+++ b/internal/frontend/extauthz/front.go
@@ -19,8 +19,8 @@
 	"Content-Length: 0\r\n" +
 	"Connection: close\r\n\r\n"
 
-// Front answers checks on one listener. It must be made by New.
-type Front struct {
+// Frontend answers checks on one listener. It must be made by New.
+type Frontend struct {
 	env      *proxy.Env
 	shared   *Shared
 	config   Config
@@ -33,13 +33,13 @@
 	drained chan struct{}
 }
 
-var _ proxy.Frontend = (*Front)(nil)
+var _ proxy.Frontend = (*Frontend)(nil)
 
 // New returns a frontend on a listener, which it closes. With a TLS configuration it serves HTTP/1.1 and HTTP/2 over
 // TLS; without one, HTTP/1.1 and HTTP/2 with prior knowledge over TCP (RFC 9113, section 3.3). config.Check must have
 // returned nil.
-func New(shared *Shared, config Config, ln net.Listener, tlsConfig *tls.Config, log *slog.Logger) *Front {
-	f := &Front{
+func New(shared *Shared, config Config, ln net.Listener, tlsConfig *tls.Config, log *slog.Logger) *Frontend {
+	f := &Frontend{
 		env:      shared.env,
 		shared:   shared,
 		config:   config,
@@ -67,12 +67,12 @@
 }
 
 // Addr returns the address of the listener.
-func (f *Front) Addr() net.Addr {
+func (f *Frontend) Addr() net.Addr {
 	return f.listener.Addr()
 }
 
 // Serve implements [proxy.Frontend].
-func (f *Front) Serve() {
+func (f *Frontend) Serve() {
 	// Serving ends only when the listener is closed: listener.Accept handles all other errors.
 	if f.tls != nil {
 		l := &listener{Listener: f.listener, front: f}
@@ -88,12 +88,12 @@
 }
 
 // CloseListeners implements [proxy.Frontend].
-func (f *Front) CloseListeners() {
+func (f *Frontend) CloseListeners() {
 	_ = f.listener.Close() // fails only if it is already closed
 }
 
 // Drain implements [proxy.Frontend]. Idle connections are closed at once, others with their next answer.
-func (f *Front) Drain() bool {
+func (f *Frontend) Drain() bool {
 	if f.drained == nil {
 		f.drained = make(chan struct{})
 		go func() {
@@ -114,12 +114,12 @@
 }
 
 // Close closes the listener and all connections at once.
-func (f *Front) Close() {
+func (f *Frontend) Close() {
 	_ = f.server.Close() // its error is that of closing the listener
 }
 
 // closeOverdue closes the connections that have exceeded a timeout.
-func (f *Front) closeOverdue() {
+func (f *Frontend) closeOverdue() {
 	now := f.env.Now()
 	for _, c := range f.connections() {
 		if c.isOverdue(now) {
@@ -129,14 +129,14 @@
 }
 
 // connections returns the open connections of this listener.
-func (f *Front) connections() []*conn {
+func (f *Frontend) connections() []*conn {
 	all := resourcelimit.ConnectionsOf[*conn](f.env.Conns)
 	return slices.DeleteFunc(all, func(c *conn) bool { return c.front != f })
 }
 
 // post queues a task for the event loop of a pool. It returns false if the loop has ended, or if its queue is full
 // until the deadline, which is on the loop's clock.
-func (f *Front) post(p *proxy.Proxy, task func(), deadline time.Duration) bool {
+func (f *Frontend) post(p *proxy.Proxy, task func(), deadline time.Duration) bool {
 	for {
 		if p.PostUntil(task, f.shared.nextTick()) {
 			return true
--- a/internal/frontend/extauthz/listener.go
+++ b/internal/frontend/extauthz/listener.go
@@ -16,7 +16,7 @@
 // listener accepts connections within the connection limit that all frontends share.
 type listener struct {
 	net.Listener
-	front *Front
+	front *Frontend
 	// overloadResponse is sent on connections beyond the limit. If it is nil, nothing is sent.
 	overloadResponse []byte
 }
--- a/internal/frontend/extauthz/pool.go
+++ b/internal/frontend/extauthz/pool.go
@@ -41,7 +41,7 @@
 
 // finishAdmitted ends an admitted request of any pool, as the id does not say which. It returns false if there is none
 // of that id in flight.
-func (f *Front) finishAdmitted(id uint64) bool {
+func (f *Frontend) finishAdmitted(id uint64) bool {
 	for _, p := range *f.shared.pools.Load() {
 		if f.finishAdmittedIn(p, id) {
 			return true
@@ -52,7 +52,7 @@
 
 // finishAdmittedIn is finishAdmitted for one pool. It waits up to answerGrace until the event loop's queue accepts the
 // task, and then until the task is done or the loop has ended.
-func (f *Front) finishAdmittedIn(p *pool, id uint64) bool {
+func (f *Frontend) finishAdmittedIn(p *pool, id uint64) bool {
 	finished := make(chan bool, 1)
 	deadline := f.env.Now() + answerGrace
 	if !f.post(p.proxy, func() { finished <- p.finishAdmitted(id) }, deadline) {
--- a/internal/frontend/extauthz/shared.go
+++ b/internal/frontend/extauthz/shared.go
@@ -40,7 +40,7 @@
 	stop  chan struct{}
 	ended sync.WaitGroup
 	// fronts is set by Begin.
-	fronts []*Front
+	fronts []*Frontend
 	// tick is closed and replaced at each tick.
 	tick atomic.Pointer[chan struct{}]
 }
@@ -63,7 +63,7 @@
 }
 
 // Begin starts the ticker for all listeners. Only the first call has an effect.
-func (s *Shared) Begin(fronts ...*Front) {
+func (s *Shared) Begin(fronts ...*Frontend) {
 	s.start.Do(func() {
 		s.fronts = fronts
 		s.ended.Add(1)
--- a/internal/frontend/resp2/client.go
+++ b/internal/frontend/resp2/client.go
@@ -44,7 +44,7 @@
 	maxDiscardedBytes = 64 << 20
 	// lingerTimeout is how long after the last answer the client may take to close its side of the connection.
 	lingerTimeout = 300 * time.Millisecond
-	// maxLingering is the upper bound of Front.lingeringLimit.
+	// maxLingering is the upper bound of Frontend.lingeringLimit.
 	maxLingering = 16
 	// invalidCommandDelay is the pause before the next command is read, from the second invalid one in a row on.
 	invalidCommandDelay = 50 * time.Millisecond
@@ -67,7 +67,7 @@
 
 // client is one connection of a client.
 type client struct {
-	front  *Front
+	front  *Frontend
 	conn   net.Conn
 	reader resp.Reader
 	// readDeadline is that of the command being read; zero: none has begun.
@@ -105,7 +105,7 @@
 	writeClosed bool
 	// rejected tells that input was rejected: its rest is read for rejectedLingerTimeout.
 	rejected bool
-	// isCountedLingering tells that the connection is counted in Front.lingering.
+	// isCountedLingering tells that the connection is counted in Frontend.lingering.
 	isCountedLingering bool
 	closed             bool
 
@@ -117,7 +117,7 @@
 	wasPaused bool
 }
 
-func newClient(fr *Front, nc net.Conn) *client {
+func newClient(fr *Frontend, nc net.Conn) *client {
 	c := &client{
 		front:        fr,
 		scheduler:    fr.env.Scheduler,
--- a/internal/frontend/resp2/front.go
+++ b/internal/frontend/resp2/front.go
@@ -39,8 +39,8 @@
 	Accounts func(pool *proxy.Proxy, customer string) *account.Account
 }
 
-// Front accepts connections and reads requests from them.
-type Front struct {
+// Frontend accepts connections and reads requests from them.
+type Frontend struct {
 	env *proxy.Env
 	cfg Config
 	log *slog.Logger
@@ -65,17 +65,17 @@
 }
 
 // New returns the frontend of a listener, which it closes.
-func New(env *proxy.Env, cfg Config, ln net.Listener, log *slog.Logger) *Front {
-	fr := &Front{env: env, cfg: cfg, ln: ln, log: log, defaultQuery: &route.Query{Listener: cfg.Listener}}
+func New(env *proxy.Env, cfg Config, ln net.Listener, log *slog.Logger) *Frontend {
+	fr := &Frontend{env: env, cfg: cfg, ln: ln, log: log, defaultQuery: &route.Query{Listener: cfg.Listener}}
 	fr.resumed = sync.NewCond(&fr.mu)
 	return fr
 }
 
 // Serve implements [proxy.Frontend].
-func (fr *Front) Serve() { go fr.accept() }
+func (fr *Frontend) Serve() { go fr.accept() }
 
 // CloseListeners implements [proxy.Frontend]. It does nothing from Pause until Move or Resume.
-func (fr *Front) CloseListeners() {
+func (fr *Frontend) CloseListeners() {
 	fr.mu.Lock()
 	defer fr.mu.Unlock()
 	if fr.closed || fr.handoverPending {
@@ -91,7 +91,7 @@
 }
 
 // accept accepts connections until the listener is closed.
-func (fr *Front) accept() {
+func (fr *Frontend) accept() {
 	defer fr.acceptEnded.Store(true)
 	for {
 		nc, err := fr.ln.Accept()
@@ -121,13 +121,13 @@
 
 // lingeringLimit returns how many rejected connections may wait for the client to close its side. It is small against
 // the connection limit, which does not count all of them.
-func (fr *Front) lingeringLimit() int64 {
+func (fr *Frontend) lingeringLimit() int64 {
 	return int64(max(1, min(maxLingering, fr.env.Conns.Max()/32)))
 }
 
 // rejectConnection rejects a connection beyond the limit. No command on it is handled. Its input is read for a moment,
 // as closing a socket with unread bytes would reset the connection, and the answer would be lost.
-func (fr *Front) rejectConnection(nc net.Conn) {
+func (fr *Frontend) rejectConnection(nc net.Conn) {
 	nc.SetDeadline(time.Now().Add(lingerTimeout))
 	nc.Write(busyAnswer(capacityRetryAfter))
 	half, ok := nc.(interface{ CloseWrite() error })
@@ -147,7 +147,7 @@
 type deadlineListener interface{ SetDeadline(time.Time) error }
 
 // waitWhilePaused waits while accepting is paused, and reports whether the frontend was closed.
-func (fr *Front) waitWhilePaused() bool {
+func (fr *Frontend) waitWhilePaused() bool {
 	fr.mu.Lock()
 	defer fr.mu.Unlock()
 	for fr.paused && !fr.closed {
@@ -162,7 +162,7 @@
 // Pause stops accepting connections, which then wait in the listener's queue. One that is being accepted is handed over
 // like the others. Move or Resume must follow: until then a shutdown waits, as it might close connections that already
 // belong to the other process.
-func (fr *Front) Pause() {
+func (fr *Frontend) Pause() {
 	fr.mu.Lock()
 	fr.paused, fr.handoverPending = true, true
 	fr.mu.Unlock()
@@ -172,7 +172,7 @@
 }
 
 // Resume accepts connections again.
-func (fr *Front) Resume() {
+func (fr *Frontend) Resume() {
 	if ln, ok := fr.ln.(deadlineListener); ok {
 		ln.SetDeadline(time.Time{})
 	}
@@ -183,7 +183,7 @@
 }
 
 // Move hands all connections to another process until Stay is called, each as soon as no answer is owed on it.
-func (fr *Front) Move(to func(c syscall.Conn, unread []byte) error) {
+func (fr *Frontend) Move(to func(c syscall.Conn, unread []byte) error) {
 	fr.handOver.Store(&to)
 	fr.mu.Lock()
 	fr.handoverPending = false
@@ -194,10 +194,10 @@
 }
 
 // Stay ends handing over: the remaining connections stay in this process.
-func (fr *Front) Stay() { fr.handOver.Store(nil) }
+func (fr *Frontend) Stay() { fr.handOver.Store(nil) }
 
 // Adopt takes over a connection from another process, with the bytes which that has read and not used.
-func (fr *Front) Adopt(nc net.Conn, unread []byte) {
+func (fr *Frontend) Adopt(nc net.Conn, unread []byte) {
 	c := newClient(fr, nc)
 	c.readDeadline = time.Time{}
 	c.hasSentCommand.Store(true)
@@ -209,7 +209,7 @@
 }
 
 // clients returns this frontend's connections.
-func (fr *Front) clients() (all []*client) {
+func (fr *Frontend) clients() (all []*client) {
 	for _, c := range resourcelimit.ConnectionsOf[*client](fr.env.Conns) {
 		if c.front == fr {
 			all = append(all, c)
@@ -220,7 +220,7 @@
 
 // Drain implements [proxy.Frontend]: it closes idle connections at once and the others after their last answer. It does
 // nothing from Pause until Move or Resume.
-func (fr *Front) Drain() bool {
+func (fr *Frontend) Drain() bool {
 	fr.mu.Lock()
 	handoverPending := fr.handoverPending
 	fr.mu.Unlock()
--- a/internal/frontend/resp2/request.go
+++ b/internal/frontend/resp2/request.go
@@ -66,7 +66,7 @@
 }
 
 // parseRequest parses and validates a request. Nothing is forwarded of a request that it rejects.
-func (fr *Front) parseRequest(pool *proxy.Proxy, name string, args [][]byte, at time.Duration) (*request, error) {
+func (fr *Frontend) parseRequest(pool *proxy.Proxy, name string, args [][]byte, at time.Duration) (*request, error) {
 	if len(args) != 4 && len(args) != 5 {
 		return nil, fmt.Errorf("wrong number of arguments for '%s'", name)
 	}
@@ -149,7 +149,7 @@
 }
 
 // route returns the pool for a command by its class, its customer and its host, if it has one; nil: no route fits.
-func (fr *Front) route(args [][]byte) *proxy.Proxy {
+func (fr *Frontend) route(args [][]byte) *proxy.Proxy {
 	if !fr.cfg.Routes {
 		return fr.env.Router.Route(fr.defaultQuery)
 	}
@@ -169,7 +169,7 @@
 
 // applyAccount checks a request against the account of its customer and sets its number of gateways. A customer has one
 // plan and one set of gateways for all frontends, as there is one quota and one ceiling.
-func (fr *Front) applyAccount(req *request) error {
+func (fr *Frontend) applyAccount(req *request) error {
 	if fr.cfg.Accounts == nil {
 		return nil
 	}
--- a/internal/service/hosted/service.go
+++ b/internal/service/hosted/service.go
@@ -32,7 +32,7 @@
 	coarseTime atomic.Int64
 	frontends  []proxy.Frontend
 	// authzFrontends is the subset of frontends that answers authorization checks.
-	authzFrontends []*extauthz.Front
+	authzFrontends []*extauthz.Frontend
 	// addresses maps listener names to their addresses.
 	addresses map[string]net.Addr
 	done      chan struct{}
--- a/internal/service/upgrade.go
+++ b/internal/service/upgrade.go
@@ -90,7 +90,7 @@
 }
 
 // receiveConnections takes over connections from the old process until that process or the context ends.
-func (g *Gateway) receiveConnections(ctx context.Context, clients *resp2.Front) {
+func (g *Gateway) receiveConnections(ctx context.Context, clients *resp2.Frontend) {
 	if g.predecessor == nil {
 		return
 	}
@@ -114,7 +114,7 @@
 
 // acceptHandovers waits for processes that are to replace this one, until ctx ends. serving ends when this process is
 // to shut down.
-func (g *Gateway) acceptHandovers(ctx, serving context.Context, ln net.Listener, clients *resp2.Front) {
+func (g *Gateway) acceptHandovers(ctx, serving context.Context, ln net.Listener, clients *resp2.Frontend) {
 	socket, isSocket := ln.(syscall.Conn)
 	if g.cfg.StateDir == "" || !isSocket {
 		return
@@ -160,7 +160,7 @@
 
 // handOver hands over to one process. It returns when that process has ended or has failed to take over.
 func (g *Gateway) handOver(ctx, serving context.Context, link *handover.Link, socket syscall.Conn,
-	clients *resp2.Front) error {
+	clients *resp2.Frontend) error {
 	if serving.Err() != nil {
 		err := errors.New("this process is shutting down")
 		link.Refuse(err)
@@ -215,7 +215,7 @@
 }
 
 // resumeServing undoes a handover that has failed. It takes back the state that was exported for it.
-func (g *Gateway) resumeServing(ctx context.Context, clients *resp2.Front, exported proxy.HandoverState) {
+func (g *Gateway) resumeServing(ctx context.Context, clients *resp2.Frontend, exported proxy.HandoverState) {
 	if err := g.AbortHandover(ctx, exported); err != nil {
 		g.log.Error("can't take back the state of the failed handover", "error", err)
 	}
