--- a/internal/frontend/resp2/stream.go
+++ b/internal/frontend/resp2/stream.go
@@ -37,7 +37,7 @@
 	if !st.waitForTurn() {
 		return errClientGone
 	}
-	st.client.conn.SetWriteDeadline(time.Now().Add(cmp.Or(st.client.front.cfg.Stall, defaultStallTimeout)))
+	st.client.conn.SetWriteDeadline(time.Now().Add(cmp.Or(st.client.front.cfg.StreamWriteTimeout, defaultStallTimeout)))
 	_, err := st.client.conn.Write(b)
 	return err
 }
