--- a/internal/counter/counter.go
+++ b/internal/counter/counter.go
@@ -187,7 +187,7 @@
 		return
 	}
 	done.completed = true
-	if c.cfg.Trace.On() {
+	if c.cfg.Trace.Enabled() {
 		took := trace.MS(c.loop.Now() - done.startedAt)
 		c.cfg.Trace.Line("count", "line=%d status=%d took=%.1f written=%t", done.name%connections, status, took,
 			done.written)
--- a/internal/proxy/answer.go
+++ b/internal/proxy/answer.go
@@ -77,7 +77,7 @@
 	if p.OnAnswer != nil {
 		p.OnAnswer(request.Class, answer.Outcome, took)
 	}
-	if p.Trace.On() {
+	if p.Trace.Enabled() {
 		p.Trace.Line("end",
 			"id=%d class=%d plan=%d customer=%s retry=%t verdict=%d why=%s took=%.1f pause=%.0f tries=%d",
 			request.id, request.Class, request.Plan, request.Customer, request.ClientRetry, answer.Outcome,
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -54,7 +54,7 @@
 	if a.sent && mayHaveRun(result.Status) {
 		a.request.reservation.mayHaveRun = true
 	}
-	if a.proxy.Trace.On() {
+	if a.proxy.Trace.Enabled() {
 		a.proxy.Trace.Line("attempt", "id=%d no=%d class=%d to=%s status=%d took=%.1f",
 			a.request.id, a.number, a.request.Class, a.Endpoint, result.Status, trace.MS(a.proxy.Now()-a.SentAt))
 	}
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -28,8 +28,8 @@
 // New returns a log that timestamps its lines with the milliseconds of the given clock.
 func New(out io.Writer, now func() time.Duration) *Log { return &Log{out: out, now: now} }
 
-// On reports whether tracing is enabled.
-func (l *Log) On() bool { return l != nil }
+// Enabled reports whether tracing is enabled.
+func (l *Log) Enabled() bool { return l != nil }
 
 // Line writes one line: the kind of event followed by key=value fields without spaces. Write errors are ignored, so
 // that tracing never affects the gateway it observes.
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -30,17 +30,17 @@
 // TestOffWritesNothing verifies that a nil log can be used and is off.
 func TestOffWritesNothing(t *testing.T) {
 	var l *Log
-	if l.On() {
+	if l.Enabled() {
 		t.Error("a nil log reports that tracing is on")
 	}
 	l.Line("end", "id=%d", 1) // must not panic
 }
 
-// TestOffAllocatesNothing verifies that a disabled log causes no allocation when callers check On first.
+// TestOffAllocatesNothing verifies that a disabled log causes no allocation when callers check Enabled first.
 func TestOffAllocatesNothing(t *testing.T) {
 	var l *Log
 	if n := testing.AllocsPerRun(100, func() {
-		if l.On() {
+		if l.Enabled() {
 			l.Line("end", "id=%d", 1)
 		}
 	}); n != 0 {
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -172,7 +172,7 @@
 func (c *connection) dial(ctx context.Context, address string) (net.Conn, error) {
 	began := c.pool.loop.Now()
 	netConn, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
-	if c.pool.cfg.Trace.On() {
+	if c.pool.cfg.Trace.Enabled() {
 		c.pool.loop.Post(func() {
 			took := trace.MS(c.pool.loop.Now() - began)
 			c.pool.cfg.Trace.Line("dial", "to=%s ok=%t took=%.1f held=%d closed=%t",
