--- a/internal/proxy/answer.go
+++ b/internal/proxy/answer.go
@@ -72,7 +72,7 @@
 	}
 	answer.Version = request.policyVersion
 	p.finish(request)
-	request.counters.Ended(answer.Outcome.statsOutcome())
+	request.counters.Record(answer.Outcome.statsOutcome())
 	took := p.Now() - request.At
 	if p.OnAnswer != nil {
 		p.OnAnswer(request.Class, answer.Outcome, took)
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -119,7 +119,7 @@
 // gateway is unavailable.
 func (p *Proxy) answerUnregistered(request *Request, outcome Outcome, retryAfter time.Duration) {
 	p.Release()
-	request.counters.Ended(outcome.statsOutcome())
+	request.counters.Record(outcome.statsOutcome())
 	request.Client.Answer(Answer{Outcome: outcome, RetryAfter: retryAfter, Unavailable: retryAfter > 0})
 }
 
@@ -151,7 +151,7 @@
 func (p *Proxy) answerTimedOut(request *Request) {
 	p.log.Error("the module left a request unanswered", "id", request.id, "late", p.Now()-request.deadline)
 	p.abandon(request)
-	request.counters.Ended(stats.Faulted)
+	request.counters.Record(stats.Faulted)
 	if p.OnAnswer != nil {
 		p.OnAnswer(request.Class, TimedOut, p.Now()-request.At)
 	}
@@ -252,5 +252,5 @@
 // CountRejected counts a request that its frontend rejects without submitting it. It is safe for concurrent use.
 func (p *Proxy) CountRejected(request *Request) {
 	p.CountRequest(request)
-	request.counters.Ended(stats.Throttled)
+	request.counters.Record(stats.Throttled)
 }
--- a/internal/service/golden_test.go
+++ b/internal/service/golden_test.go
@@ -100,7 +100,7 @@
 	for class, ended := range map[string]int{"a": 3, "b": 2} {
 		for outcome := range stats.Outcome(3) {
 			for range ended + int(outcome) {
-				counters.Class(class).Ended(outcome)
+				counters.Class(class).Record(outcome)
 			}
 		}
 	}
--- a/internal/stats/stats.go
+++ b/internal/stats/stats.go
@@ -31,8 +31,8 @@
 // Class counts the outcomes of the requests of one class.
 type Class struct{ counts [numOutcomes]atomic.Uint64 }
 
-// Ended counts a completed request of the class.
-func (c *Class) Ended(outcome Outcome) { c.counts[outcome].Add(1) }
+// Record counts a completed request of the class.
+func (c *Class) Record(outcome Outcome) { c.counts[outcome].Add(1) }
 
 // Count returns the number of requests with the given outcome.
 func (c *Class) Count(outcome Outcome) uint64 { return c.counts[outcome].Load() }
--- a/internal/stats/stats_test.go
+++ b/internal/stats/stats_test.go
@@ -12,8 +12,8 @@
 	for range 3 {
 		counters.Taken.Add(1)
 	}
-	counters.Class("order").Ended(Fulfilled)
-	counters.Class("order").Ended(Throttled)
+	counters.Class("order").Record(Fulfilled)
+	counters.Class("order").Record(Throttled)
 	counters.Class("lookup")
 	counters.Relayed.Add(2)
 	counters.Listed.Store(10)
@@ -38,7 +38,7 @@
 	counters := New()
 	for i := range 4 * MaxClasses {
 		counters.Taken.Add(1)
-		counters.Class(fmt.Sprint("c", i)).Ended(Faulted)
+		counters.Class(fmt.Sprint("c", i)).Record(Faulted)
 	}
 	if len(counters.classes) > MaxClasses+1 {
 		t.Errorf("%d classes are kept", len(counters.classes))
