--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -177,7 +177,7 @@
 // ClientGone ends the request of a client that has disconnected.
 func (p *Proxy) ClientGone(request *Request) {
 	if p.requests[request.id] == request && !request.ended {
-		p.Stats.Gone.Add(1)
+		p.Stats.ClientsDisconnected.Add(1)
 		p.abandon(request)
 	}
 }
--- a/internal/proxy/settings_test.go
+++ b/internal/proxy/settings_test.go
@@ -159,8 +159,8 @@
 				counted, answered, p.Stats.Open(), open, p.Stats.Taken.Load(), taken)
 		}
 		if answered[stats.Fulfilled] == 0 || answered[stats.Throttled] == 0 || answered[stats.Faulted] == 0 ||
-			p.Stats.Gone.Load() == 0 {
-			t.Logf("seed %d: %v, gone %d", seed, answered, p.Stats.Gone.Load())
+			p.Stats.ClientsDisconnected.Load() == 0 {
+			t.Logf("seed %d: %v, gone %d", seed, answered, p.Stats.ClientsDisconnected.Load())
 		}
 	}
 }
--- a/internal/service/crossings_test.go
+++ b/internal/service/crossings_test.go
@@ -236,7 +236,7 @@
 // checkGone checks how many requests ended because their clients disconnected, not because of their deadlines.
 func (env *testEnv) checkGone(n int64) {
 	env.t.Helper()
-	if got := env.gateway.Stats.Gone.Load(); got != n {
+	if got := env.gateway.Stats.ClientsDisconnected.Load(); got != n {
 		env.t.Errorf("%d requests ended with their clients, want %d", got, n)
 	}
 }
--- a/internal/service/golden_test.go
+++ b/internal/service/golden_test.go
@@ -91,7 +91,7 @@
 func TestGoldenOperatorFigures(t *testing.T) {
 	counters := stats.New()
 	counters.Taken.Store(20)
-	counters.Gone.Store(2)
+	counters.ClientsDisconnected.Store(2)
 	counters.Relayed.Store(30)
 	counters.Listed.Store(5)
 	counters.Avoided.Store(1)
--- a/internal/stats/stats.go
+++ b/internal/stats/stats.go
@@ -48,8 +48,8 @@
 type Counters struct {
 	// Taken counts requests received.
 	Taken atomic.Int64
-	// Gone counts requests that ended without an answer because the client disconnected.
-	Gone atomic.Int64
+	// ClientsDisconnected counts requests that ended without an answer because the client disconnected.
+	ClientsDisconnected atomic.Int64
 	// Relayed counts attempts written in full to endpoints.
 	Relayed atomic.Uint64
 	// Listed is the number of endpoints in the endpoint list.
@@ -94,7 +94,7 @@
 func (c *Counters) endedRequests() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	ended := c.Gone.Load()
+	ended := c.ClientsDisconnected.Load()
 	for _, class := range c.classes {
 		for outcome := range class.counts {
 			ended += int64(class.counts[outcome].Load())
