--- a/internal/balancer/golden_test.go
+++ b/internal/balancer/golden_test.go
@@ -832,7 +832,7 @@
 func TestGoldenTraces(t *testing.T) {
 	recorded := golden.LoadHashes(t, "testdata/golden/decisions.txt")
 	for _, s := range scenarios() {
-		recorded.CheckPlay(t, s.name, func() string { return s.traceHash(t) })
+		recorded.CheckRun(t, s.name, func() string { return s.traceHash(t) })
 	}
 	recorded.CheckDistinct(t)
 	recorded.CheckAllPlayed(t)
--- a/internal/clockskew/golden_test.go
+++ b/internal/clockskew/golden_test.go
@@ -59,7 +59,7 @@
 	const scenarios = 40
 	for seed := range uint64(scenarios) {
 		name := fmt.Sprint("play-", seed)
-		recorded.CheckPlay(t, name, func() string { return traceClockSkew(seed) })
+		recorded.CheckRun(t, name, func() string { return traceClockSkew(seed) })
 	}
 	recorded.CheckAllPlayed(t)
 }
--- a/internal/cluster/golden_test.go
+++ b/internal/cluster/golden_test.go
@@ -213,7 +213,7 @@
 				duplicate: seed%2 == 1 && size.gateways < 80,
 			}
 			name := fmt.Sprintf("%d/%d", scenario.gateways, scenario.seed)
-			recorded.CheckPlay(t, name, scenario.hash)
+			recorded.CheckRun(t, name, scenario.hash)
 		}
 	}
 	recorded.CheckAllPlayed(t)
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -107,8 +107,8 @@
 	}
 }
 
-// CheckPlay runs a scenario twice, compares the two hashes, and one of them with the recorded hash of a name.
-func (h *Hashes) CheckPlay(t testing.TB, name string, play func() string) {
+// CheckRun runs a scenario twice, compares the two hashes, and one of them with the recorded hash of a name.
+func (h *Hashes) CheckRun(t testing.TB, name string, play func() string) {
 	t.Helper()
 	sum := play()
 	if again := play(); again != sum {
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -109,25 +109,25 @@
 		check func(testing.TB, *Hashes)
 		fails bool
 	}{
-		{"as recorded", func(tb testing.TB, h *Hashes) { h.CheckPlay(tb, "one", constant("aa")) }, false},
-		{"not as recorded", func(tb testing.TB, h *Hashes) { h.CheckPlay(tb, "one", constant("ab")) }, true},
-		{"two runs differ", func(tb testing.TB, h *Hashes) { h.CheckPlay(tb, "one", changing()) }, true},
+		{"as recorded", func(tb testing.TB, h *Hashes) { h.CheckRun(tb, "one", constant("aa")) }, false},
+		{"not as recorded", func(tb testing.TB, h *Hashes) { h.CheckRun(tb, "one", constant("ab")) }, true},
+		{"two runs differ", func(tb testing.TB, h *Hashes) { h.CheckRun(tb, "one", changing()) }, true},
 		{"all played", func(tb testing.TB, h *Hashes) {
-			h.CheckPlay(tb, "one", constant("aa"))
-			h.CheckPlay(tb, "two", constant("aa"))
+			h.CheckRun(tb, "one", constant("aa"))
+			h.CheckRun(tb, "two", constant("aa"))
 			h.CheckAllPlayed(tb)
 		}, false},
 		{"one not played", func(tb testing.TB, h *Hashes) {
-			h.CheckPlay(tb, "one", constant("aa"))
+			h.CheckRun(tb, "one", constant("aa"))
 			h.CheckAllPlayed(tb)
 		}, true},
 		{"one trace of two plays", func(tb testing.TB, h *Hashes) {
-			h.CheckPlay(tb, "one", constant("aa"))
-			h.CheckPlay(tb, "two", constant("aa"))
+			h.CheckRun(tb, "one", constant("aa"))
+			h.CheckRun(tb, "two", constant("aa"))
 			h.CheckDistinct(tb)
 		}, true},
 		{"one play", func(tb testing.TB, h *Hashes) {
-			h.CheckPlay(tb, "one", constant("aa"))
+			h.CheckRun(tb, "one", constant("aa"))
 			h.CheckDistinct(tb)
 		}, false},
 	}
--- a/internal/idempotency/golden_test.go
+++ b/internal/idempotency/golden_test.go
@@ -414,7 +414,7 @@
 func TestGoldenTraces(t *testing.T) {
 	recorded := golden.LoadHashes(t, "testdata/golden/reservations.txt")
 	for _, p := range goldenScenarios() {
-		recorded.CheckPlay(t, p.name, p.hash)
+		recorded.CheckRun(t, p.name, p.hash)
 	}
 	recorded.CheckDistinct(t)
 	recorded.CheckAllPlayed(t)
--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -253,7 +253,7 @@
 				loss:     0.1 * float64(seed%4),
 			}
 			name := fmt.Sprintf("%d/%d", scenario.gateways, scenario.seed)
-			recorded.CheckPlay(t, name, scenario.hash)
+			recorded.CheckRun(t, name, scenario.hash)
 		}
 	}
 	recorded.CheckAllPlayed(t)
--- a/internal/quotalease/golden_test.go
+++ b/internal/quotalease/golden_test.go
@@ -200,7 +200,7 @@
 				loss:     0.1 * float64(seed%4),
 			}
 			name := fmt.Sprintf("%d/%d", scenario.gateways, scenario.seed)
-			recorded.CheckPlay(t, name, scenario.hash)
+			recorded.CheckRun(t, name, scenario.hash)
 		}
 	}
 	recorded.CheckAllPlayed(t)
--- a/internal/recovery/golden_test.go
+++ b/internal/recovery/golden_test.go
@@ -65,7 +65,7 @@
 			for seed := range uint64(4) {
 				name := fmt.Sprintf("%d/%04b/%d", gateways, bits, seed)
 				playSeed := uint64(1000*gateways+100*bits) + seed
-				recorded.CheckPlay(t, name, func() string { return hashRecovery(playSeed, config) })
+				recorded.CheckRun(t, name, func() string { return hashRecovery(playSeed, config) })
 			}
 		}
 	}
--- a/internal/wal/golden_test.go
+++ b/internal/wal/golden_test.go
@@ -128,7 +128,7 @@
 	recorded := golden.LoadHashes(t, "testdata/golden/log.txt")
 	for seed := range uint64(12) {
 		name := fmt.Sprint("log/", seed)
-		recorded.CheckPlay(t, name, func() string { return hashLog(t, seed) })
+		recorded.CheckRun(t, name, func() string { return hashLog(t, seed) })
 	}
 	recorded.CheckAllPlayed(t)
 }
