--- a/internal/balancer/golden_test.go
+++ b/internal/balancer/golden_test.go
@@ -835,5 +835,5 @@
 		recorded.CheckRun(t, s.name, func() string { return s.traceHash(t) })
 	}
 	recorded.CheckDistinct(t)
-	recorded.CheckAllPlayed(t)
+	recorded.CheckAllRun(t)
 }
--- a/internal/clockskew/golden_test.go
+++ b/internal/clockskew/golden_test.go
@@ -61,5 +61,5 @@
 		name := fmt.Sprint("play-", seed)
 		recorded.CheckRun(t, name, func() string { return traceClockSkew(seed) })
 	}
-	recorded.CheckAllPlayed(t)
+	recorded.CheckAllRun(t)
 }
--- a/internal/cluster/golden_test.go
+++ b/internal/cluster/golden_test.go
@@ -216,7 +216,7 @@
 			recorded.CheckRun(t, name, scenario.hash)
 		}
 	}
-	recorded.CheckAllPlayed(t)
+	recorded.CheckAllRun(t)
 }
 
 // TestInvalidMessagesAreRejected verifies that Receive returns an error and no messages for an invalid message.
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -117,8 +117,8 @@
 	h.Check(t, name, sum)
 }
 
-// CheckAllPlayed checks that as many names were compared as hashes are recorded.
-func (h *Hashes) CheckAllPlayed(t testing.TB) {
+// CheckAllRun checks that as many names were compared as hashes are recorded.
+func (h *Hashes) CheckAllRun(t testing.TB) {
 	t.Helper()
 	if len(h.recorded) != len(h.checked) {
 		t.Errorf("%s: %d traces are recorded, %d were compared", h.path, len(h.recorded), len(h.checked))
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -115,11 +115,11 @@
 		{"all played", func(tb testing.TB, h *Hashes) {
 			h.CheckRun(tb, "one", constant("aa"))
 			h.CheckRun(tb, "two", constant("aa"))
-			h.CheckAllPlayed(tb)
+			h.CheckAllRun(tb)
 		}, false},
 		{"one not played", func(tb testing.TB, h *Hashes) {
 			h.CheckRun(tb, "one", constant("aa"))
-			h.CheckAllPlayed(tb)
+			h.CheckAllRun(tb)
 		}, true},
 		{"one trace of two plays", func(tb testing.TB, h *Hashes) {
 			h.CheckRun(tb, "one", constant("aa"))
--- a/internal/idempotency/golden_test.go
+++ b/internal/idempotency/golden_test.go
@@ -417,5 +417,5 @@
 		recorded.CheckRun(t, p.name, p.hash)
 	}
 	recorded.CheckDistinct(t)
-	recorded.CheckAllPlayed(t)
+	recorded.CheckAllRun(t)
 }
--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -256,5 +256,5 @@
 			recorded.CheckRun(t, name, scenario.hash)
 		}
 	}
-	recorded.CheckAllPlayed(t)
+	recorded.CheckAllRun(t)
 }
--- a/internal/quotalease/golden_test.go
+++ b/internal/quotalease/golden_test.go
@@ -203,5 +203,5 @@
 			recorded.CheckRun(t, name, scenario.hash)
 		}
 	}
-	recorded.CheckAllPlayed(t)
+	recorded.CheckAllRun(t)
 }
--- a/internal/recovery/golden_test.go
+++ b/internal/recovery/golden_test.go
@@ -70,5 +70,5 @@
 		}
 	}
 	recorded.CheckDistinct(t)
-	recorded.CheckAllPlayed(t)
+	recorded.CheckAllRun(t)
 }
--- a/internal/wal/golden_test.go
+++ b/internal/wal/golden_test.go
@@ -130,7 +130,7 @@
 		name := fmt.Sprint("log/", seed)
 		recorded.CheckRun(t, name, func() string { return hashLog(t, seed) })
 	}
-	recorded.CheckAllPlayed(t)
+	recorded.CheckAllRun(t)
 }
 
 // TestGoldenSegments verifies the encoding of segments, and that Open reads the recorded ones.
