--- a/internal/frontend/resp2/front.go
+++ b/internal/frontend/resp2/front.go
@@ -30,7 +30,8 @@
 type Config struct {
 	// Listener is the listener's name in routes.
 	Listener string
-	// StreamWriteTimeout is how long a client may accept no bytes of a long value before its connection is closed; 0: 5 s.
+	// StreamWriteTimeout is how long a client may accept no bytes of a long value before its connection is closed;
+	// 0: 5 s.
 	StreamWriteTimeout time.Duration
 	// Routes tells that requests are routed by their class, customer and host; otherwise all go to one pool.
 	Routes bool
