--- a/internal/service/long_test.go
+++ b/internal/service/long_test.go
@@ -149,7 +149,8 @@
 			t.Fatalf("%d still open", env.gateway.Stats.Open())
 		}
 	}
-	if aborted := env.gateway.Stats.Class("evaluate").Count(2) + uint64(env.gateway.Stats.ClientsDisconnected.Load()); aborted < 4 {
+	if aborted := env.gateway.Stats.Class("evaluate").Count(2) +
+		uint64(env.gateway.Stats.ClientsDisconnected.Load()); aborted < 4 {
 		t.Errorf("%d transfers of four clients were aborted", aborted)
 	}
 }
