--- a/internal/balancer/sharingfleet_test.go
+++ b/internal/balancer/sharingfleet_test.go
@@ -23,7 +23,7 @@
 	loansEndAt        []time.Duration
 	lastID            uint64
 	ceiling           quotashare.Bucket
-	// level is the level of the ceiling's bucket at levelAt, and over is the furthest that it fell below 0.
+	// level is the level of the ceiling's bucket at levelAt, and maxOverdraft is the furthest that it fell below 0.
 	level        float64
 	levelAt      time.Duration
 	maxOverdraft float64
