--- a/internal/account/account.go
+++ b/internal/account/account.go
@@ -26,8 +26,8 @@
 	Keys         []string      // SHA-256 of each API key, in hex
 	Certificates []string      // names in client certificates
 	Classes      []string      // classes that the account is entitled to; empty: all
-	Doors        int           // number of gateways that the account's requests come through; 0: all
-	Hold         time.Duration // how long an admitted request counts as in flight without an end call, if limited
+	Gateways     int           // number of gateways that the account's requests come through; 0: all
+	HoldFor      time.Duration // how long an admitted request counts as in flight without an end call, if limited
 }
 
 // Rule assigns a class and units to checks. All of its conditions that are set must match.
@@ -43,14 +43,14 @@
 type Names struct {
 	Classes, Plans []string
 	Policies       map[string][]string // by plan, the value of the RateLimit-Policy header; nil: the header is not sent
-	Several        bool                // other pools exist; plans and classes of accounts may be theirs
+	HasOtherPools  bool                // other pools exist; plans and classes of accounts may be theirs
 }
 
 // Account is a compiled Spec.
 type Account struct {
 	Name, Customer, PlanName string
-	Plan, Doors              int
-	Hold                     time.Duration
+	Plan, Gateways           int
+	HoldFor                  time.Duration
 	classes                  []bool // whether the account is entitled to the class of that index; nil: to all
 
 	// HeaderValues are values of header fields, built once, that all answers to the account's checks contain.
@@ -134,11 +134,11 @@
 	if other := t.byCustomer[id]; other != nil {
 		return fieldError(fmt.Errorf("is already the customer of account %q", other.Name), "account[%d].customer", i)
 	}
-	if names.Several && !slices.Contains(names.Plans, s.Plan) {
+	if names.HasOtherPools && !slices.Contains(names.Plans, s.Plan) {
 		t.addCredentials(s, &Account{Name: s.Name, Customer: id, Plan: -1})
 		return nil
 	}
-	a := &Account{Name: s.Name, Customer: id, PlanName: s.Plan, Doors: s.Doors, Hold: s.Hold}
+	a := &Account{Name: s.Name, Customer: id, PlanName: s.Plan, Gateways: s.Gateways, HoldFor: s.HoldFor}
 	a.HeaderValues.Name, a.HeaderValues.Plan = []string{s.Name}, []string{s.Plan}
 	if p := names.Policies; p != nil && s.Plan != "" {
 		a.HeaderValues.Policy = p[s.Plan]
@@ -146,17 +146,17 @@
 	if a.Plan = slices.Index(names.Plans, s.Plan); a.Plan < 0 {
 		return fieldError(fmt.Errorf("plan %q does not exist", s.Plan), "account[%d].plan", i)
 	}
-	if s.Doors < 0 {
+	if s.Gateways < 0 {
 		return fieldError(errors.New("must not be negative"), "account[%d].doors", i)
 	}
-	if s.Hold < 0 {
+	if s.HoldFor < 0 {
 		return fieldError(errors.New("must not be negative"), "account[%d].hold", i)
 	}
 	if len(s.Classes) > 0 {
 		a.classes = make([]bool, len(names.Classes))
 		for j, c := range s.Classes {
 			k := slices.Index(names.Classes, c)
-			if k < 0 && names.Several {
+			if k < 0 && names.HasOtherPools {
 				continue
 			}
 			if k < 0 {
--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -53,10 +53,10 @@
 	unplaced []*request
 	// shortage is the fraction of requests within their quota that find no free slot.
 	shortage float64
-	// maxClassWeight is the largest priority weight of a class, and maxPriority the largest product of a class's
+	// maxClassWeight is the largest priority weight of a class, and maxPriorityWeight the largest product of a class's
 	// priority weight and a plan's priority factor.
-	maxClassWeight float64
-	maxPriority    float64
+	maxClassWeight    float64
+	maxPriorityWeight float64
 
 	endpoints     endpointSet
 	endpointWatch endpointWatch
@@ -89,7 +89,7 @@
 		rng:       rand.New(rand.NewPCG(seed, 1)),
 		requests:  map[uint64]*request{},
 		customers: newCustomerTable(),
-		counter:   counterCalls{out: map[uint64][]*counterCall{}},
+		counter:   counterCalls{pending: map[uint64][]*counterCall{}},
 	}
 	b.share.excluded = settings.LeasedShares // until the first ShareUpdate
 	b.applySettings(settings, nil)
--- a/internal/balancer/ceiling.go
+++ b/internal/balancer/ceiling.go
@@ -22,8 +22,8 @@
 type ceilingSource int
 
 const (
-	// fromEvenShare means this gateway's share of the ceiling.
-	fromEvenShare ceilingSource = iota
+	// fromOwnShare means this gateway's share of the ceiling.
+	fromOwnShare ceilingSource = iota
 	// fromQuota means that the quota's bucket on the counter has paid for the request. That bucket bounds what all
 	// gateways send together.
 	fromQuota
@@ -104,8 +104,8 @@
 	return max(0, turn)
 }
 
-// drawTurn uses the gateway's turn at the time for which a request was placed. It reports whether the turn was unused.
-func (ceiling *ceilingState) drawTurn(turns ceilinglease.Turns, gateway int, at time.Duration) bool {
+// useTurn uses the gateway's turn at the time for which a request was placed. It reports whether the turn was unused.
+func (ceiling *ceilingState) useTurn(turns ceilinglease.Turns, gateway int, at time.Duration) bool {
 	if turn, _ := turns.At(at, gateway); ceiling.lastTurn(turns, gateway) >= turn {
 		return false
 	}
@@ -203,8 +203,8 @@
 	switch {
 	case req.ceiling.source == fromQuota && b.hasSparseShares(cust, plan):
 		return true
-	case req.ceiling.source == fromEvenShare:
-		return b.drawEvenShare(req, plan)
+	case req.ceiling.source == fromOwnShare:
+		return b.drawOwnShare(req, plan)
 	case req.ceiling.source == fromLease:
 		return b.drawLeasedUnits(req, plan)
 	}
@@ -212,19 +212,19 @@
 	return true
 }
 
-// drawEvenShare takes a request's units from this gateway's share, or uses the turn for which the request was placed,
+// drawOwnShare takes a request's units from this gateway's share, or uses the turn for which the request was placed,
 // which is the current turn if none was recorded. It reports whether they were available.
-func (b *Balancer) drawEvenShare(req *request, plan *Plan) bool {
+func (b *Balancer) drawOwnShare(req *request, plan *Plan) bool {
 	ceiling := &req.customer.ceiling
 	turns, hasTurns := b.sparseTurns(req.customer, plan)
 	switch {
 	case !hasTurns:
 		return ceiling.drawShare(req)
 	case req.ceiling.turnAt > 0:
-		return ceiling.drawTurn(turns, b.settings.Index, req.ceiling.turnAt)
+		return ceiling.useTurn(turns, b.settings.Index, req.ceiling.turnAt)
 	}
 	_, open := turns.At(b.now, b.settings.Index)
-	return open && ceiling.drawTurn(turns, b.settings.Index, b.now)
+	return open && ceiling.useTurn(turns, b.settings.Index, b.now)
 }
 
 // drawBeyondShare takes units that came from another source from this gateway's share as well. The lower limit is the
@@ -248,7 +248,7 @@
 	req.ceiling.leaseWindow = 0
 	req.ceiling.turnAt = 0
 	switch source {
-	case fromEvenShare:
+	case fromOwnShare:
 		cust.ceiling.reserved += req.units
 		if _, ok := b.sparseTurns(cust, plan); ok {
 			req.ceiling.turnAt = b.now
@@ -266,7 +266,7 @@
 	req.ceiling.reserved = false
 	ceiling := &req.customer.ceiling
 	switch {
-	case req.ceiling.source == fromEvenShare:
+	case req.ceiling.source == fromOwnShare:
 		ceiling.reserved -= req.units
 	case req.ceiling.source == fromLease && !dispatched:
 		req.ceiling.lease.takeBack(b.now, req)
@@ -297,7 +297,7 @@
 func (b *Balancer) ownCeilingShare(cust *customer, plan *Plan, fraction float64) quotashare.Bucket {
 	ceiling := quotashare.Bucket{Rate: plan.CeilingRate, Depth: plan.CeilingBurst}
 	quota := quotashare.Bucket{Rate: plan.Rate, Depth: plan.Burst}
-	leased := quotashare.FractionAmong(fraction, cust.gateways, float64(b.settings.Gateways))
+	leased := quotashare.FractionWithinSubset(fraction, cust.gateways, float64(b.settings.Gateways))
 	return plan.PartitionPolicy.Share(ceiling, quota, 1/cust.gateways, leased)
 }
 
--- a/internal/balancer/ceilinglease/turns_test.go
+++ b/internal/balancer/ceilinglease/turns_test.go
@@ -10,7 +10,7 @@
 // in any period, and nearly all of it.
 func TestTurnsStayWithinTheBucket(t *testing.T) {
 	for _, c := range []struct{ rate, depth, gateways float64 }{{8, 19, 23}, {18, 1, 80}, {0.5, 3, 40}, {30, 29, 31}} {
-		turns, ok := TurnsOf(c.rate, c.depth, c.gateways)
+		turns, ok := NewTurns(c.rate, c.depth, c.gateways)
 		if !ok {
 			t.Fatalf("%+v: no turns", c)
 		}
@@ -19,7 +19,7 @@
 			lastTurns[i] = -1
 		}
 		level, lastUseAt, units := c.depth, time.Duration(0), 0
-		start := 20 * time.Second // all turns that are open when the load starts are lastTurns at once
+		start := 20 * time.Second // all turns that are open when the load starts are used at once
 		end := start + 200*time.Second
 		for now := start; now < end; now += 10 * time.Millisecond {
 			for i := range lastTurns {
@@ -59,7 +59,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			if _, ok := TurnsOf(c.rate, c.depth, c.gateways); ok {
+			if _, ok := NewTurns(c.rate, c.depth, c.gateways); ok {
 				t.Error("got turns, want none")
 			}
 		})
--- a/internal/balancer/golden_test.go
+++ b/internal/balancer/golden_test.go
@@ -571,7 +571,7 @@
 		trace.Bool(s.Ejected)
 		trace.Float(s.LatencyFactor)
 		trace.Float(s.ConcurrencyLimit)
-		for _, e := range s.Sends {
+		for _, e := range s.Dispatches {
 			trace.Duration(e.At)
 			trace.Float(e.Cost)
 		}
@@ -832,8 +832,8 @@
 func TestGoldenTraces(t *testing.T) {
 	recorded := golden.LoadHashes(t, "testdata/golden/decisions.txt")
 	for _, s := range scenarios() {
-		recorded.CheckPlay(t, s.name, func() string { return s.traceHash(t) })
+		recorded.CheckRun(t, s.name, func() string { return s.traceHash(t) })
 	}
 	recorded.CheckDistinct(t)
-	recorded.CheckAllPlayed(t)
+	recorded.CheckAllRun(t)
 }
--- a/internal/balancer/largefleet.go
+++ b/internal/balancer/largefleet.go
@@ -84,7 +84,7 @@
 	switch {
 	case cust.quota.hasValidTokens(b.now, req.units):
 		cust.quota.spendTokens(req.units)
-		req.quota.paidByCounter = true
+		req.quota.paidByLease = true
 		return quotaCovered
 	case b.hasTokensSoon(req), cust.quota.callPending, b.awaitsLateAnswer(req):
 		return quotaPending
@@ -98,7 +98,7 @@
 		return quotaPending
 	case b.rng.Float64()*req.units < b.creditProbability(cust, plan):
 		cust.quota.spendShare(req.units)
-		req.quota.onCredit = true
+		req.quota.sentWithoutLease = true
 		return quotaCovered
 	}
 	return quotaExceeded
--- a/internal/balancer/reload.go
+++ b/internal/balancer/reload.go
@@ -19,7 +19,7 @@
 	former := b.latency.classes
 	b.latency.classes = make([]classEstimate, len(settings.Classes))
 	b.maxClassWeight = 0
-	b.maxPriority = 0
+	b.maxPriorityWeight = 0
 	for i, class := range settings.Classes {
 		if i < len(evidenceFrom) && evidenceFrom[i] >= 0 && evidenceFrom[i] < len(former) {
 			b.latency.classes[i] = former[evidenceFrom[i]]
@@ -31,7 +31,7 @@
 		}
 		b.maxClassWeight = max(b.maxClassWeight, class.PriorityWeight)
 		for _, plan := range settings.Plans {
-			b.maxPriority = max(b.maxPriority, class.PriorityWeight*plan.PriorityFactor)
+			b.maxPriorityWeight = max(b.maxPriorityWeight, class.PriorityWeight*plan.PriorityFactor)
 		}
 	}
 }
@@ -48,7 +48,7 @@
 		if plan.CeilingRate <= 0 {
 			continue
 		}
-		b.leaseTerms[i], _ = ceilinglease.TermsOf(plan.Rate, plan.Burst, plan.CeilingRate, plan.CeilingBurst, 1)
+		b.leaseTerms[i], _ = ceilinglease.NewTerms(plan.Rate, plan.Burst, plan.CeilingRate, plan.CeilingBurst, 1)
 		fillTime := time.Duration(plan.CeilingBurst / plan.CeilingRate * float64(time.Second))
 		b.longestCeilingFill = max(b.longestCeilingFill, fillTime)
 	}
--- a/internal/balancer/request.go
+++ b/internal/balancer/request.go
@@ -54,10 +54,10 @@
 	// charged is set if the request is covered by a quota and its units were spent. A plan without a quota covers
 	// requests without charging them.
 	charged bool
-	// paidByCounter is set if the tokens were leased from the counter.
-	paidByCounter bool
-	// onCredit is set if the request proceeded without leased tokens and without an answer from the counter.
-	onCredit bool
+	// paidByLease is set if the tokens were leased from the counter.
+	paidByLease bool
+	// sentWithoutLease is set if the request proceeded without leased tokens and without an answer from the counter.
+	sentWithoutLease bool
 	// counterCalled is set once the request has called the counter.
 	counterCalled bool
 	// counterCalledTwice is set once the request has called the counter a second time. A third call is not allowed.
@@ -74,7 +74,7 @@
 	// Both are used with source fromLease.
 	lease       *leasedCeiling
 	leaseWindow int64
-	// turnAt is a time within the gateway's turn that the request uses, if source is fromEvenShare and the share is
+	// turnAt is a time within the gateway's turn that the request uses, if source is fromOwnShare and the share is
 	// used in turns; otherwise 0.
 	turnAt time.Duration
 	// leaseRequested is set once the request has called the counter for a ceiling lease.
@@ -93,8 +93,8 @@
 	mayHaveRun bool
 	// firstRunAt is when the first such attempt was dispatched.
 	firstRunAt time.Duration
-	// firstRunOn is the endpoint of that attempt.
-	firstRunOn *endpoint
+	// firstRunEndpoint is the endpoint of that attempt.
+	firstRunEndpoint *endpoint
 }
 
 // add appends an attempt and numbers it by its position in the order of dispatch.
@@ -129,7 +129,7 @@
 	}
 	h.mayHaveRun = true
 	h.firstRunAt = att.sentAt
-	h.firstRunOn = att.endpoint
+	h.firstRunEndpoint = att.endpoint
 }
 
 // attempt is one dispatch of a request.
--- a/internal/balancer/sparseshare.go
+++ b/internal/balancer/sparseshare.go
@@ -61,7 +61,7 @@
 func ceilingTurns(cust *customer, plan *Plan) (ceilinglease.Turns, bool) {
 	rate := sparseRateFraction * (plan.CeilingRate - plan.Rate)
 	depth := plan.CeilingBurst - sparseQuotaBursts*plan.Burst
-	return ceilinglease.TurnsOf(rate, depth, cust.gateways)
+	return ceilinglease.NewTurns(rate, depth, cust.gateways)
 }
 
 // refillByTurn sets the units of a gateway's share that uses turns. The turn in which the gateway started is skipped,
@@ -88,14 +88,14 @@
 func (b *Balancer) checkSparseQuota(check *quotaCheck) quotaDecision {
 	req, plan := check.request, check.plan
 	quota := &req.customer.quota
-	req.quota.paidByCounter = false
+	req.quota.paidByLease = false
 	req.level = b.priorityBand(req, plan)
 	b.returnUnusedTokens(req.customer, plan, 1)
 	ceilingShort := check.isCeilingShort()
 	switch {
 	case !ceilingShort && quota.fallbackTokens >= req.units:
 		quota.spendShare(req.units)
-		b.reserveCeiling(req, fromEvenShare)
+		b.reserveCeiling(req, fromOwnShare)
 	case quota.hasValidTokens(b.now, req.units):
 		quota.spendTokens(req.units)
 		b.reserveCeiling(req, fromQuota)
--- a/internal/balancer/termschange_test.go
+++ b/internal/balancer/termschange_test.go
@@ -264,7 +264,7 @@
 	reserved := map[*customer]float64{}
 	inFlight := map[*customer]int{}
 	for _, req := range r.balancer.requests {
-		if req.ceiling.reserved && req.ceiling.source == fromEvenShare {
+		if req.ceiling.reserved && req.ceiling.source == fromOwnShare {
 			reserved[req.customer] += req.units
 		}
 		if req.inFlight {
@@ -372,7 +372,7 @@
 	if !ok {
 		t.Fatal("the plan has no turns")
 	}
-	cust.ceiling.drawTurn(turns, b.settings.Index, time.Hour)
+	cust.ceiling.useTurn(turns, b.settings.Index, time.Hour)
 	next := settings
 	next.Plans = slices.Clone(settings.Plans)
 	next.Plans[1].CeilingRate = 15
--- a/internal/cluster/golden_test.go
+++ b/internal/cluster/golden_test.go
@@ -213,10 +213,10 @@
 				duplicate: seed%2 == 1 && size.gateways < 80,
 			}
 			name := fmt.Sprintf("%d/%d", scenario.gateways, scenario.seed)
-			recorded.CheckPlay(t, name, scenario.hash)
+			recorded.CheckRun(t, name, scenario.hash)
 		}
 	}
-	recorded.CheckAllPlayed(t)
+	recorded.CheckAllRun(t)
 }
 
 // TestInvalidMessagesAreRejected verifies that Receive returns an error and no messages for an invalid message.
--- a/internal/counter/counter.go
+++ b/internal/counter/counter.go
@@ -36,18 +36,18 @@
 	Addr string
 	// Enabled is false if there is no counter. Every call then fails at once with ConnectFailed.
 	Enabled bool
-	// Cut makes calls fail in the same way while it returns true. Nil means that they never do.
-	Cut func() bool
-	// Space is a namespace that separates the counter names of one pool from those of others. If it is empty, names are
-	// sent as the balancer makes them.
-	Space string
+	// IsBlocked makes calls fail in the same way while it returns true. Nil means that they never do.
+	IsBlocked func() bool
+	// Namespace separates the counter names of one pool from those of others. If it is empty, names are sent as the
+	// balancer makes them.
+	Namespace string
 	// Timeout is how long a call may take until it is completed as Timeout.
 	Timeout time.Duration
 	// DialTimeout is how long connecting may take.
 	DialTimeout time.Duration
-	// Late is called on the event loop for each call that was completed as Timeout although the counter did add its
-	// amount. It may be nil.
-	Late func(balancer.LateCounterResult)
+	// OnLateResult is called on the event loop for each call that was completed as Timeout although the counter did add
+	// its amount. It may be nil.
+	OnLateResult func(balancer.LateCounterResult)
 	// Trace receives a line for each call and each dial. It may be nil.
 	Trace *trace.Log
 }
@@ -83,10 +83,10 @@
 // New returns a client of the counter. The event loop calls the sink exactly once for each call, with its result.
 func New(loop *eventloop.Loop, cfg Config, sink func(balancer.CounterResult)) *Counter {
 	c := &Counter{loop: loop, cfg: cfg, sink: sink, unreported: map[uint64][]*call{}}
-	if cfg.Space != "" {
+	if cfg.Namespace != "" {
 		hash := fnv.New64a()
-		_, _ = hash.Write([]byte(cfg.Space)) // never returns an error
-		c.space = hash.Sum64() >> 1          // names have 63 bits
+		_, _ = hash.Write([]byte(cfg.Namespace)) // never returns an error
+		c.space = hash.Sum64() >> 1              // names have 63 bits
 	}
 	c.Move(cfg.Addr)
 	return c
@@ -146,7 +146,7 @@
 	conn := c.connections[add.Name%connections]
 	added := &call{name: add.Name, ticket: add.Ticket, startedAt: c.loop.Now(), connection: conn}
 	c.unreported[added.name] = append(c.unreported[added.name], added)
-	isCut := c.cfg.Cut != nil && c.cfg.Cut()
+	isCut := c.cfg.IsBlocked != nil && c.cfg.IsBlocked()
 	if !c.cfg.Enabled || isCut || len(conn.calls) >= maxPending {
 		c.complete(added, balancer.ConnectFailed, 0)
 		return
@@ -187,7 +187,7 @@
 		return
 	}
 	done.completed = true
-	if c.cfg.Trace.On() {
+	if c.cfg.Trace.Enabled() {
 		took := trace.MS(c.loop.Now() - done.startedAt)
 		c.cfg.Trace.Line("count", "line=%d status=%d took=%.1f written=%t", done.name%connections, status, took,
 			done.written)
--- a/internal/frontend/extauthz/check.go
+++ b/internal/frontend/extauthz/check.go
@@ -174,11 +174,11 @@
 		At:        e.front.env.Now(),
 		Timeout:   e.route.timeout(e.request.Header),
 		Units:     units,
-		Gateways:  customer.Doors,
+		Gateways:  customer.Gateways,
 		AdmitOnly: true,
 	}
 	if rules.Settings.Plans[customer.Plan].MaxInFlight > 0 {
-		c.HoldFor = customer.Hold
+		c.HoldFor = customer.HoldFor
 	}
 	identity := repeatIdentity{
 		customer: customer.Customer,
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -107,8 +107,8 @@
 	}
 }
 
-// CheckPlay runs a scenario twice, compares the two hashes, and one of them with the recorded hash of a name.
-func (h *Hashes) CheckPlay(t testing.TB, name string, play func() string) {
+// CheckRun runs a scenario twice, compares the two hashes, and one of them with the recorded hash of a name.
+func (h *Hashes) CheckRun(t testing.TB, name string, play func() string) {
 	t.Helper()
 	sum := play()
 	if again := play(); again != sum {
@@ -117,8 +117,8 @@
 	h.Check(t, name, sum)
 }
 
-// CheckAllPlayed checks that as many names were compared as hashes are recorded.
-func (h *Hashes) CheckAllPlayed(t testing.TB) {
+// CheckAllRun checks that as many names were compared as hashes are recorded.
+func (h *Hashes) CheckAllRun(t testing.TB) {
 	t.Helper()
 	if len(h.recorded) != len(h.checked) {
 		t.Errorf("%s: %d traces are recorded, %d were compared", h.path, len(h.recorded), len(h.checked))
--- a/internal/recovery/golden_test.go
+++ b/internal/recovery/golden_test.go
@@ -25,8 +25,8 @@
 	for range 80 {
 		now += time.Duration(rng.IntN(250)) * time.Millisecond
 		observed := Observation{
-			HasRival:      rng.IntN(4*slowness) < slowness,
-			PeersHeard:    rng.IntN(max(1, config.Gateways)),
+			HasDuplicate:  rng.IntN(4*slowness) < slowness,
+			PeersPresent:  rng.IntN(max(1, config.Gateways)),
 			PolicyVersion: uint64(rng.IntN(3)),
 			MayDecide:     rng.IntN(slowness) == 0,
 			KeysReason:    "its disk is empty",
@@ -65,10 +65,10 @@
 			for seed := range uint64(4) {
 				name := fmt.Sprintf("%d/%04b/%d", gateways, bits, seed)
 				playSeed := uint64(1000*gateways+100*bits) + seed
-				recorded.CheckPlay(t, name, func() string { return hashRecovery(playSeed, config) })
+				recorded.CheckRun(t, name, func() string { return hashRecovery(playSeed, config) })
 			}
 		}
 	}
 	recorded.CheckDistinct(t)
-	recorded.CheckAllPlayed(t)
+	recorded.CheckAllRun(t)
 }
--- a/internal/recovery/machine.go
+++ b/internal/recovery/machine.go
@@ -127,7 +127,7 @@
 
 // evaluateIdentity waits indefinitely, so that two processes never serve under the same name.
 func evaluateIdentity(observed Observation) (state State, detail string) {
-	if observed.HasRival {
+	if observed.HasDuplicate {
 		return StateWaiting, "another process has this door's name and goes before it"
 	}
 	return StateDone, "no other process of its name is known"
@@ -137,7 +137,7 @@
 // appear.
 func (m *Machine) evaluatePeers(observed Observation, waited time.Duration) (state State, detail string) {
 	others := m.config.Gateways - 1
-	heard := observed.PeersHeard
+	heard := observed.PeersPresent
 	isMajority := heard+1 > m.config.Gateways/2
 	switch {
 	case others == 0:
--- a/internal/recovery/step.go
+++ b/internal/recovery/step.go
@@ -73,10 +73,10 @@
 
 // Observation is what the gateway knows of the startup conditions at one moment.
 type Observation struct {
-	// HasRival is whether a duplicate of this gateway, another process of its name, takes precedence.
-	HasRival bool
-	// PeersHeard is the number of other gateways that are alive.
-	PeersHeard int
+	// HasDuplicate is whether a duplicate of this gateway, another process of its name, takes precedence.
+	HasDuplicate bool
+	// PeersPresent is the number of other gateways that are alive.
+	PeersPresent int
 	// PolicyVersion is the policy version that the gateway has, or 0 if it has none.
 	PolicyVersion uint64
 	// MayDecide is whether the gateway may decide by that version.
--- a/internal/service/hosted/pool.go
+++ b/internal/service/hosted/pool.go
@@ -30,7 +30,7 @@
 		ended:  make(chan struct{}),
 	}
 	loop := s.clock.NewWithSameClock()
-	poolProxy, err := service.NewCore(loop, cfg.Node, s.poolParts(p), s.log.With("pool", cfg.Node.Name))
+	poolProxy, err := service.NewProxy(loop, cfg.Node, s.poolParts(p), s.log.With("pool", cfg.Node.Name))
 	if err != nil {
 		p.limits.leave()
 		return nil, err
@@ -47,28 +47,28 @@
 	cfg := p.cfg
 	clusterName := s.clusterPoolName(cfg)
 	parts := service.Parts{
-		Space: cfg.CounterSpace,
-		Gate:  s.poolFlow(cfg),
-		Guard: s.policy.decisionLease(),
-		Tell: func(poolProxy *proxy.Proxy) func(endpoint.Update) {
+		Space:         cfg.CounterSpace,
+		Scheduler:     s.poolFlow(cfg),
+		DecisionLease: s.policy.decisionLease(),
+		UpdateReceiver: func(poolProxy *proxy.Proxy) func(endpoint.Update) {
 			p.inbox = s.inboxes.add(poolProxy)
 			return p.inbox.applyUpdate
 		},
-		Found: func(*proxy.Proxy) func(balancer.HealthReport) { return p.inbox.shareReport },
+		HealthReportReceiver: func(*proxy.Proxy) func(balancer.HealthReport) { return p.inbox.shareReport },
 	}
 	if s.recovery != nil {
-		parts.Closed = s.recovery.barrier
+		parts.StartupBarrier = s.recovery.barrier
 	}
 	if s.keys != nil {
-		parts.Keys = poolKeys{replica: s.keys, poolName: clusterName}
+		parts.KeyReserver = poolKeys{replica: s.keys, poolName: clusterName}
 	}
 	if s.cluster != nil {
 		parts.NoCounter = s.cluster.isClockWrong.Load
 		sendLoans := s.cluster.loanSender(clusterName)
-		parts.Others = func(*proxy.Proxy) func(balancer.Action) { return sendLoans }
+		parts.PeerActionReceiver = func(*proxy.Proxy) func(balancer.Action) { return sendLoans }
 	}
 	if s.metrics != nil {
-		parts.Observe = s.metrics.answerObserver(cfg.Node.Name, cfg.Node.Transport.Classes)
+		parts.OnAnswer = s.metrics.answerObserver(cfg.Node.Name, cfg.Node.Transport.Classes)
 	}
 	p.limits.setParts(&parts, cfg.MaxServerConnections)
 	return parts
--- a/internal/service/hosted/sharedlimits.go
+++ b/internal/service/hosted/sharedlimits.go
@@ -100,12 +100,12 @@
 	}
 	parts.Memory = l.memory
 	parts.Clients = l.clients
-	parts.Places = func(p *proxy.Proxy) *resourcelimit.Allotment {
+	parts.Allotment = func(p *proxy.Proxy) *resourcelimit.Allotment {
 		l.sockets = l.shared.sockets.Join(p.Name, 0, l.reclaimer(p, ""))
 		return l.sockets
 	}
 	if maxServerConnections > 0 {
-		parts.Cap = func(p *proxy.Proxy, address string) *resourcelimit.EndpointLimit {
+		parts.EndpointLimit = func(p *proxy.Proxy, address string) *resourcelimit.EndpointLimit {
 			return l.shared.endpoints.Join(address, p.Name, maxServerConnections, l.reclaimer(p, address))
 		}
 	}
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -42,27 +42,38 @@
 
 // Parts connects a proxy to the other parts of its process. A gateway with a single pool needs only the zero value.
 type Parts struct {
-	Space     string                                         // separates this pool's counters from those of other pools
-	Tell      func(*proxy.Proxy) func(endpoint.Update)       // returns the receiver of updates; nil: the proxy
-	Others    func(*proxy.Proxy) func(balancer.Action)       // returns the receiver of actions for peers; nil: none
-	Found     func(*proxy.Proxy) func(balancer.HealthReport) // returns the receiver of health reports; nil: none
-	Gate      *cpuscheduler.Flow                             // schedules CPU time
-	Guard     *proxy.DecisionLease                           // permits deciding on requests; nil: always permitted
-	NoCounter func() bool                                    // true: counter calls fail unsent; nil: never
-	Closed    *proxy.StartupBarrier                          // holds requests while the gateway recovers; nil: never
-	Keys      proxy.KeyReserver                              // reserves idempotency keys; nil: there are none
-	// Observe is called with each answer; nil: not called.
-	Observe func(class int, v proxy.Outcome, took time.Duration)
-	Figures *stats.Counters // nil: not collected
-	Memory  *resourcelimit.Bytes
-	Clients *resourcelimit.Group
-	Places  func(*proxy.Proxy) *resourcelimit.Allotment                    // of the sockets for backends
-	Cap     func(p *proxy.Proxy, addr string) *resourcelimit.EndpointLimit // of an endpoint's connections
+	// Space separates this pool's counters from those of other pools.
+	Space string
+	// UpdateReceiver returns the receiver of updates; nil: the proxy.
+	UpdateReceiver func(*proxy.Proxy) func(endpoint.Update)
+	// PeerActionReceiver returns the receiver of actions for peers; nil: none.
+	PeerActionReceiver func(*proxy.Proxy) func(balancer.Action)
+	// HealthReportReceiver returns the receiver of health reports; nil: none.
+	HealthReportReceiver func(*proxy.Proxy) func(balancer.HealthReport)
+	// Scheduler schedules CPU time.
+	Scheduler *cpuscheduler.Flow
+	// DecisionLease permits deciding on requests; nil: always permitted.
+	DecisionLease *proxy.DecisionLease
+	// NoCounter makes counter calls fail unsent while it returns true; nil: never.
+	NoCounter func() bool
+	// StartupBarrier holds requests while the gateway recovers; nil: never.
+	StartupBarrier *proxy.StartupBarrier
+	// KeyReserver reserves idempotency keys; nil: there are none.
+	KeyReserver proxy.KeyReserver
+	// OnAnswer is called with each answer; nil: not called.
+	OnAnswer func(class int, v proxy.Outcome, took time.Duration)
+	Figures  *stats.Counters // nil: not collected
+	Memory   *resourcelimit.Bytes
+	Clients  *resourcelimit.Group
+	// Allotment returns the allotment of the sockets for backends.
+	Allotment func(*proxy.Proxy) *resourcelimit.Allotment
+	// EndpointLimit returns the limit of an endpoint's connections.
+	EndpointLimit func(p *proxy.Proxy, addr string) *resourcelimit.EndpointLimit
 }
 
-// NewCore returns the proxy of a gateway, or of one of its pools, connected to its backends, the counter and the
+// NewProxy returns the proxy of a gateway, or of one of its pools, connected to its backends, the counter and the
 // platform's discovery.
-func NewCore(l *eventloop.Loop, cfg *Config, parts Parts, log *slog.Logger) (*proxy.Proxy, error) {
+func NewProxy(l *eventloop.Loop, cfg *Config, parts Parts, log *slog.Logger) (*proxy.Proxy, error) {
 	p, _, err := newProxy(l, cfg, parts, log)
 	return p, err
 }
@@ -72,41 +83,42 @@
 	if cfg.Trace != nil {
 		tr = trace.New(cfg.Trace, l.Now)
 	}
-	p, err := proxy.New(l, proxy.Config{Trace: tr, Name: cfg.Name, Scheduler: parts.Gate, DecisionLease: parts.Guard,
-		StartupBarrier: parts.Closed, KeyReserver: parts.Keys, Memory: parts.Memory, Clients: parts.Clients,
-		OnAnswer: parts.Observe, Start: cfg.Rules(), Seed: cfg.Seed, Stats: parts.Figures}, log)
+	p, err := proxy.New(l, proxy.Config{Trace: tr, Name: cfg.Name, Scheduler: parts.Scheduler,
+		DecisionLease: parts.DecisionLease, StartupBarrier: parts.StartupBarrier, KeyReserver: parts.KeyReserver,
+		Memory: parts.Memory, Clients: parts.Clients, OnAnswer: parts.OnAnswer, Start: cfg.Rules(), Seed: cfg.Seed,
+		Stats: parts.Figures}, log)
 	if err != nil {
 		return nil, nil, err
 	}
 	onUpdate := p.HandleEndpointUpdate
-	if parts.Tell != nil {
-		onUpdate = parts.Tell(p)
+	if parts.UpdateReceiver != nil {
+		onUpdate = parts.UpdateReceiver(p)
 	}
-	if parts.Found != nil {
-		p.OnHealthReport = parts.Found(p)
+	if parts.HealthReportReceiver != nil {
+		p.OnHealthReport = parts.HealthReportReceiver(p)
 	}
-	if parts.Others != nil {
-		p.OnPeerAction = parts.Others(p)
+	if parts.PeerActionReceiver != nil {
+		p.OnPeerAction = parts.PeerActionReceiver(p)
 	}
 	up := upstream.Config{MaxConnections: max(1, BackendSockets(cfg.Sockets)), DialTimeout: cfg.Transport.DialTimeout,
 		IdleTimeout: cfg.Transport.ConnIdle, Trace: tr}
 	up.StallTimeout = cfg.StallTimeout
 	up.OnWritten = p.Stats.Relayed.Add
 	up.ValueMemory = resourcelimit.NewBytes(ClientMemory(cfg.MemoryMB) / 2)
-	if parts.Places != nil {
-		up.Allotment = parts.Places(p)
+	if parts.Allotment != nil {
+		up.Allotment = parts.Allotment(p)
 	}
-	if parts.Cap != nil {
-		up.EndpointLimit = func(addr string) *resourcelimit.EndpointLimit { return parts.Cap(p, addr) }
+	if parts.EndpointLimit != nil {
+		up.EndpointLimit = func(addr string) *resourcelimit.EndpointLimit { return parts.EndpointLimit(p, addr) }
 	}
 	watch := discovery.New(l, log, discovery.Config{Addr: cfg.Discovery, Known: cfg.KnownEndpoints,
 		Zones: cfg.Transport.Zones, Kinds: cfg.Transport.Kinds, Gateways: cfg.Settings.Gateways,
 		Pushed: !cfg.Settings.PollEndpoints, Seed: cfg.Seed}, onUpdate)
 	p.Connect(
 		upstream.New(l, up, p.HandleHealthCheckResult),
-		counter.New(l, counter.Config{Addr: cfg.Counter, Space: parts.Space, Enabled: cfg.Settings.UseCounter,
-			Cut: parts.NoCounter, Timeout: cfg.Settings.CounterTimeout, DialTimeout: cfg.Transport.DialTimeout,
-			Trace: tr, Late: func(ev balancer.LateCounterResult) { p.Enqueue(ev) }}, p.HandleCounterResult),
+		counter.New(l, counter.Config{Addr: cfg.Counter, Namespace: parts.Space, Enabled: cfg.Settings.UseCounter,
+			IsBlocked: parts.NoCounter, Timeout: cfg.Settings.CounterTimeout, DialTimeout: cfg.Transport.DialTimeout,
+			Trace: tr, OnLateResult: func(ev balancer.LateCounterResult) { p.Enqueue(ev) }}, p.HandleCounterResult),
 		watch)
 	return p, watch, nil
 }
@@ -185,7 +197,7 @@
 // returns. It takes operators' commands at the admin listener, which may be nil.
 func (g *Gateway) Serve(ctx context.Context, ln, adminListener net.Listener) {
 	g.log.Info("serving", "listen", ln.Addr(), "backends", len(g.cfg.KnownEndpoints.Endpoints))
-	clients := resp2.New(g.env, resp2.Config{Stall: g.cfg.StallTimeout}, ln, g.log)
+	clients := resp2.New(g.env, resp2.Config{StreamWriteTimeout: g.cfg.StallTimeout}, ln, g.log)
 	if adminListener != nil {
 		background, stop := context.WithCancel(context.Background())
 		var wg sync.WaitGroup
--- a/internal/wal/golden_test.go
+++ b/internal/wal/golden_test.go
@@ -128,9 +128,9 @@
 	recorded := golden.LoadHashes(t, "testdata/golden/log.txt")
 	for seed := range uint64(12) {
 		name := fmt.Sprint("log/", seed)
-		recorded.CheckPlay(t, name, func() string { return hashLog(t, seed) })
+		recorded.CheckRun(t, name, func() string { return hashLog(t, seed) })
 	}
-	recorded.CheckAllPlayed(t)
+	recorded.CheckAllRun(t)
 }
 
 // TestGoldenSegments verifies the encoding of segments, and that Open reads the recorded ones.
