--- a/cmd/benchmark/ceilingplot.go
+++ b/cmd/benchmark/ceilingplot.go
@@ -24,7 +24,7 @@
 	if err := addCeilingBars(drawing, "even shares", 0, b.even); err != nil {
 		return err
 	}
-	if err := addCeilingBars(drawing, "leased", 1, b.leased); err != nil {
+	if err := addCeilingBars(drawing, "lent", 1, b.leased); err != nil {
 		return err
 	}
 	drawing.NominalX(b.names...)
--- a/cmd/benchmark/powercost.go
+++ b/cmd/benchmark/powercost.go
@@ -67,8 +67,8 @@
 		ratios = append(ratios, cpuMicros[1]/cpuMicros[0])
 	}
 	slices.Sort(ratios)
-	costs[0].print("keys not kept")
-	costs[1].print("keys kept")
+	costs[0].print("not remembered")
+	costs[1].print("remembered")
 	fmt.Printf("CPU time of three gateways per request, ratio of keys kept to not kept: "+
 		"%.3f, median of %d rounds (%.3f to %.3f)\n",
 		ratios[len(ratios)/2], rounds, ratios[0], ratios[len(ratios)-1])
